--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,13 +14,13 @@
 const (
 	benchMachines = 2000
 	benchServices = 1000 // of five tasks
-	benchSweeps   = 600  // of twelve tasks
+	benchArrays   = 600  // of twelve tasks
 )
 
 // benchDesk is a desk with a fleet that carries services and sweeps.
-func benchDesk(b *testing.B) *dispatcher {
+func newBenchDispatcher(b *testing.B) *dispatcher {
 	b.Helper()
-	d := newDesk(b, grownSettings())
+	d := newTestDispatcher(b, grownSettings())
 	for i := range benchMachines {
 		kind := "cpu"
 		if i%2 == 0 {
@@ -33,8 +33,8 @@
 		s.Image = fmt.Sprintf("img-%02d", i%16)
 		d.accept(s)
 	}
-	for i := range benchSweeps {
-		d.accept(benchSweep(100000+i, 12))
+	for i := range benchArrays {
+		d.accept(benchArray(100000+i, 12))
 	}
 	for d.place = true; d.place; {
 		d.placeRound(time.Now())
@@ -50,16 +50,16 @@
 	return d
 }
 
-func benchSweep(id, tasks int) storage.Spec {
-	s := sweep(fmt.Sprintf("%06d", id), tasks)
+func benchArray(id, tasks int) storage.Spec {
+	s := arrayJob(fmt.Sprintf("%06d", id), tasks)
 	s.Room, s.Spot, s.DeadlineS = storage.Room{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
 	s.Image, s.ImageGB = fmt.Sprintf("big-%d", id%4), 34
 	return s
 }
 
 // BenchmarkReport is a report of an ordinary machine and its answer.
-func BenchmarkReport(b *testing.B) {
-	d := benchDesk(b)
+func BenchmarkHeartbeat(b *testing.B) {
+	d := newBenchDispatcher(b)
 	m := d.order[1]
 	r := &Report{Machine: m.id, Addr: m.addr, Type: m.kind, Zone: m.zone, Session: 1, Token: d.term}
 	for _, a := range m.sortedAttempts() {
@@ -68,13 +68,13 @@
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 	for b.Loop() {
 		r.Seq++
-		d.handleBeat(r)
+		d.handleHeartbeat(r)
 	}
 }
 
 // BenchmarkRoundInVain is a round in which 200 jobs wait and none finds room.
 func BenchmarkRoundInVain(b *testing.B) {
-	d := benchDesk(b)
+	d := newBenchDispatcher(b)
 	for i := range 200 {
 		s := spread(fmt.Sprintf("%06d", 200000+i), 6)
 		s.Room = storage.Room{CPUs: 65}
@@ -88,9 +88,9 @@
 // BenchmarkRoundOfOne is a round that places a service of one task while 200
 // sweeps wait for accelerators.
 func BenchmarkRoundOfOne(b *testing.B) {
-	d := benchDesk(b)
+	d := newBenchDispatcher(b)
 	for i := range 200 {
-		d.accept(benchSweep(200000+i, 40))
+		d.accept(benchArray(200000+i, 40))
 	}
 	s := service("300000", 1)
 	s.Room = storage.Room{CPUs: 0.1}
@@ -103,37 +103,37 @@
 }
 
 // BenchmarkFleetView is a look at the fleet on a quiet moment.
-func BenchmarkFleetView(b *testing.B) {
-	d := benchDesk(b)
+func BenchmarkFleetSnapshot(b *testing.B) {
+	d := newBenchDispatcher(b)
 	for b.Loop() {
-		d.fleetView(time.Now())
+		d.snapshotFleet(time.Now())
 	}
 }
 
 // BenchmarkFleetViewBacklog is a look while 200 sweeps of 40 tasks wait.
-func BenchmarkFleetViewBacklog(b *testing.B) {
-	d := benchDesk(b)
+func BenchmarkFleetSnapshotBacklog(b *testing.B) {
+	d := newBenchDispatcher(b)
 	for i := range 200 {
-		d.accept(benchSweep(200000+i, 40))
+		d.accept(benchArray(200000+i, 40))
 	}
 	for b.Loop() {
-		d.fleetView(time.Now())
+		d.snapshotFleet(time.Now())
 	}
 }
 
 // BenchmarkTick is the clock's work besides looks and rounds.
 func BenchmarkTick(b *testing.B) {
-	d := benchDesk(b)
-	d.viewAt = time.Now().Add(time.Hour)
+	d := newBenchDispatcher(b)
+	d.snapshotAt = time.Now().Add(time.Hour)
 	for b.Loop() {
 		d.tick()
-		d.publishLending(time.Now())
+		d.publishDelegation(time.Now())
 	}
 }
 
 // BenchmarkLoad rebuilds the state of the whole fleet from its records.
 func BenchmarkLoad(b *testing.B) {
-	d := benchDesk(b)
+	d := newBenchDispatcher(b)
 	var records []storage.Record
 	add := func(key string, data any) {
 		r, err := storage.NewRecord(key, data)
@@ -150,7 +150,7 @@
 		add(storage.PageKey(id, 0), j.page(0))
 	}
 	for b.Loop() {
-		if err := newDesk(b, grownSettings()).load(records); err != nil {
+		if err := newTestDispatcher(b, grownSettings()).load(records); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/capacity.go
+++ b/internal/coordination/capacity.go
@@ -25,7 +25,7 @@
 	// cloud's limit.
 	returnBatch = 100
 	// hireMost is how many machines one rental names at the most, the cloud's limit.
-	hireMost = 50
+	maxRental = 50
 	// listPage is the cloud's largest page.
 	listPage = 500
 )
@@ -45,27 +45,27 @@
 
 	began        time.Time
 	desired      int
-	hires        map[string]*hire // recorded, not yet answered
-	nextHire     int
+	rentals      map[string]*rental // recorded, not yet answered
+	nextRental   int
 	recording    bool // a step is being recorded
 	upSince      time.Time
 	healthySince time.Time
 	coolTill     time.Time
 	frozenTill   time.Time
-	spares       []spare // to be drained one after the other, as of the last look
-	drained      bool    // the last drain is over
-	drains       int     // how many were asked for
-	size         int     // of the fleet, as of the last look, less what was drained since
-	toReturn     []int   // to be asked of the cloud
-	returning    bool    // a deletion is on its way
+	surplus      []surplusMachine // to be drained one after the other, as of the last look
+	drained      bool             // the last drain is over
+	drains       int              // how many were asked for
+	size         int              // of the fleet, as of the last look, less what was drained since
+	toReturn     []int            // to be asked of the cloud
+	returning    bool             // a deletion is on its way
 	listing      bool
 	lastList     time.Time
 	pricing      bool
 	lastPrices   time.Time
 }
 
-type hire struct {
-	storage.HireRecord
+type rental struct {
+	storage.RentalRecord
 	durable bool
 	asking  bool
 	retryAt time.Time
@@ -73,14 +73,14 @@
 
 // Messages to the capacity actor.
 type (
-	viewMsg     struct{ view fleetView }
+	snapshotMsg struct{ snapshot fleetSnapshot }
 	returnMsg   struct{ machines []int }
 	recordedMsg struct {
-		hires []string
-		drain *spare
-		err   error
+		rentals []string
+		drain   *surplusMachine
+		err     error
 	}
-	hireAnswer struct {
+	rentalAnswer struct {
 		name     string
 		machines []int
 		err      error
@@ -106,10 +106,10 @@
 		mailbox: make(chan any, 256),
 		limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), max(1, int(s.CloudRPS*cloudShare))),
 		began:   time.Now(), desired: d.desired,
-		hires: make(map[string]*hire), drained: true,
+		rentals: make(map[string]*rental), drained: true,
 	}
-	for name, h := range d.hires {
-		c.hires[name] = &hire{HireRecord: h, durable: true}
+	for name, h := range d.rentals {
+		c.rentals[name] = &rental{RentalRecord: h, durable: true}
 	}
 	return c
 }
@@ -138,8 +138,8 @@
 		}
 		now := time.Now()
 		c.poll(now)
-		c.askHires(now)
-		if c.shrink(now); len(c.spares) > 0 && now.Before(c.coolTill) {
+		c.sendRentals(now)
+		if c.shrink(now); len(c.surplus) > 0 && now.Before(c.coolTill) {
 			cool.Reset(c.coolTill.Sub(now))
 		}
 	}
@@ -148,35 +148,35 @@
 func (c *capacity) handle(m any) {
 	now := time.Now()
 	switch m := m.(type) {
-	case viewMsg:
-		c.reconcile(m.view, now)
+	case snapshotMsg:
+		c.reconcile(m.snapshot, now)
 	case returnMsg:
-		c.giveBack(m.machines)
+		c.returnMachines(m.machines)
 	case recordedMsg:
 		c.recorded(m, now)
-	case hireAnswer:
-		c.hired(m, now)
+	case rentalAnswer:
+		c.handleRental(m, now)
 	case drainedMsg:
 		c.drained = true
 	case returnAnswer:
 		c.returning = false
 		if m.err != nil {
-			c.trouble("return", m.err, now)
+			c.freeze("return", m.err, now)
 			return
 		}
 		c.dispatch.post(returnedMsg{m.machines})
-		c.giveBack(nil)
+		c.returnMachines(nil)
 	case listAnswer:
 		c.listing = false
 		if m.err != nil {
-			c.trouble("list", m.err, now)
+			c.freeze("list", m.err, now)
 			return
 		}
 		c.dispatch.post(listMsg{m.machines})
 	case pricesAnswer:
 		c.pricing = false
 		if m.err != nil {
-			c.trouble("catalogue", m.err, now)
+			c.freeze("catalogue", m.err, now)
 			c.lastPrices = now.Add(-catalogueLeases*c.settings.Lease + c.settings.Report)
 			return
 		}
@@ -187,7 +187,7 @@
 }
 
 // trouble freezes resizing for a while after a cloud failure.
-func (c *capacity) trouble(what string, err error, now time.Time) {
+func (c *capacity) freeze(what string, err error, now time.Time) {
 	c.frozenTill = now.Add(c.settings.Report)
 	c.healthySince = time.Time{}
 	c.log.Info("cloud failure", "call", what, "err", err)
@@ -244,11 +244,11 @@
 
 // reconcile follows the design: growth after sustained pressure in bounded
 // steps, one drained machine at a time after a healthy window and a cooldown.
-func (c *capacity) reconcile(v fleetView, now time.Time) {
+func (c *capacity) reconcile(v fleetSnapshot, now time.Time) {
 	// A new leader first hears the machines; the very first has none to hear.
 	fresh := c.term > 1 && now.Sub(c.began) < c.settings.Report
 	frozen := now.Before(c.frozenTill) || fresh || !v.settled
-	if len(v.wants) == 0 {
+	if len(v.wanted) == 0 {
 		c.upSince = time.Time{}
 	} else if c.upSince.IsZero() {
 		c.upSince = now
@@ -260,57 +260,57 @@
 	} else if c.healthySince.IsZero() {
 		c.healthySince = now
 	}
-	c.spares, c.size = nil, v.size
+	c.surplus, c.size = nil, v.size
 	if v.drains == c.drains { // an older look doesn't know of the last drain
 		c.drained = !v.draining
 	}
 	switch {
-	case frozen || c.recording || len(c.hires) > 0:
-	case len(v.wants) > 0 && now.Sub(c.upSince) >= c.settings.Tuning.UpWindow:
+	case frozen || c.recording || len(c.rentals) > 0:
+	case len(v.wanted) > 0 && now.Sub(c.upSince) >= c.settings.Tuning.UpWindow:
 		c.grow(v, now)
 	case !v.draining && !c.healthySince.IsZero() && now.Sub(c.healthySince) >= c.settings.Tuning.DownWindow:
-		c.spares = v.spares
+		c.surplus = v.surplus
 	}
 }
 
 // grow records the new size with the term and the names of the hires in one
 // conditional write, and asks the cloud after that.
-func (c *capacity) grow(v fleetView, now time.Time) {
-	n := min(len(v.wants), c.settings.Tuning.growBound(v.size))
+func (c *capacity) grow(v fleetSnapshot, now time.Time) {
+	n := min(len(v.wanted), c.settings.Tuning.growBound(v.size))
 	// What boots longest is needed first.
-	slices.SortStableFunc(v.wants, func(a, b offer) int { return cmp.Compare(v.boots[b.kind], v.boots[a.kind]) })
+	slices.SortStableFunc(v.wanted, func(a, b offer) int { return cmp.Compare(v.boots[b.kind], v.boots[a.kind]) })
 	c.desired = v.size + n
 	var names []string
 	records := []storage.Record{c.fleetRecord()}
-	for _, h := range hiresFor(v.wants[:n]) {
-		c.nextHire++
-		name := fmt.Sprintf("r-%d-%d", c.term, c.nextHire)
-		rec, err := storage.NewRecord(storage.HireKey(name), h)
+	for _, h := range rentalsFor(v.wanted[:n]) {
+		c.nextRental++
+		name := fmt.Sprintf("r-%d-%d", c.term, c.nextRental)
+		rec, err := storage.NewRecord(storage.RentalKey(name), h)
 		if err != nil {
 			c.log.Error("hire not encoded", "err", err)
 			continue
 		}
-		c.hires[name] = &hire{HireRecord: h}
+		c.rentals[name] = &rental{RentalRecord: h}
 		names = append(names, name)
 		records = append(records, rec)
 		c.log.Info("grow", "hire", name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "desired", c.desired)
 	}
 	c.upSince = now // what is still missing must hold for another window
 	c.coolTill = now.Add(c.settings.Tuning.Cooldown)
-	c.record(records, recordedMsg{hires: names})
+	c.record(records, recordedMsg{rentals: names})
 }
 
 // hiresFor gathers the wanted machines into rentals, in the order of their
 // first mention, none larger than the cloud takes.
-func hiresFor(wants []offer) []storage.HireRecord {
-	var out []storage.HireRecord
+func rentalsFor(wanted []offer) []storage.RentalRecord {
+	var out []storage.RentalRecord
 	last := make(map[offer]int)
-	for _, o := range wants {
+	for _, o := range wanted {
 		i, ok := last[o]
-		if !ok || out[i].Count == hireMost {
+		if !ok || out[i].Count == maxRental {
 			i = len(out)
 			last[o] = i
-			out = append(out, storage.HireRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
+			out = append(out, storage.RentalRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
 		}
 		out[i].Count++
 	}
@@ -320,11 +320,11 @@
 // shrink has the next spare machine drained, once the one before it is. Each
 // step is one machine and one conditional write of size and term.
 func (c *capacity) shrink(now time.Time) {
-	if len(c.spares) == 0 || !c.drained || c.recording || now.Before(c.coolTill) {
+	if len(c.surplus) == 0 || !c.drained || c.recording || now.Before(c.coolTill) {
 		return
 	}
-	next := c.spares[0]
-	c.spares = c.spares[1:]
+	next := c.surplus[0]
+	c.surplus = c.surplus[1:]
 	c.drained = false
 	c.coolTill = now.Add(c.settings.Tuning.cooldown(c.size))
 	c.size--
@@ -355,8 +355,8 @@
 		c.drained = true
 		return
 	}
-	for _, name := range m.hires {
-		if h := c.hires[name]; h != nil {
+	for _, name := range m.rentals {
+		if h := c.rentals[name]; h != nil {
 			h.durable = true
 		}
 	}
@@ -368,22 +368,22 @@
 
 // askHires sends the recorded hires; one without an answer is repeated under
 // its own name, so that it rents once.
-func (c *capacity) askHires(now time.Time) {
-	for name, h := range c.hires {
+func (c *capacity) sendRentals(now time.Time) {
+	for name, h := range c.rentals {
 		if !h.durable || h.asking || now.Before(h.retryAt) {
 			continue
 		}
 		h.asking = true
-		rec := h.HireRecord
+		rec := h.RentalRecord
 		c.call(func(ctx context.Context) {
-			machines, err := c.cloud.Hire(ctx, name, rec)
-			c.post(hireAnswer{name, machines, err})
+			machines, err := c.cloud.Rent(ctx, name, rec)
+			c.post(rentalAnswer{name, machines, err})
 		})
 	}
 }
 
-func (c *capacity) hired(m hireAnswer, now time.Time) {
-	h := c.hires[m.name]
+func (c *capacity) handleRental(m rentalAnswer, now time.Time) {
+	h := c.rentals[m.name]
 	if h == nil {
 		return
 	}
@@ -392,7 +392,7 @@
 	switch {
 	case m.err == nil:
 		c.log.Info("hired", "hire", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(m.machines))
-		c.dispatch.post(hiredMsg{h.HireRecord, m.machines})
+		c.dispatch.post(rentedMsg{h.RentalRecord, m.machines})
 		if len(m.machines) < h.Count {
 			c.dispatch.post(refusedMsg{o})
 		}
@@ -400,18 +400,18 @@
 		c.log.Info("hire refused", "hire", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "err", m.err)
 		c.dispatch.post(refusedMsg{o})
 	default:
-		c.trouble("hire", m.err, now)
+		c.freeze("hire", m.err, now)
 		h.retryAt = now.Add(c.settings.Report / 2)
 		return
 	}
-	delete(c.hires, m.name)
-	rec := storage.Record{Key: storage.HireKey(m.name)}
+	delete(c.rentals, m.name)
+	rec := storage.Record{Key: storage.RentalKey(m.name)}
 	c.journal.Append(c.ctx, storage.Batch{Records: []storage.Record{rec}})
 }
 
 // giveBack asks the cloud to take machines whose return is durable, all that
 // have gathered at once.
-func (c *capacity) giveBack(ids []int) {
+func (c *capacity) returnMachines(ids []int) {
 	for _, id := range ids {
 		if !slices.Contains(c.toReturn, id) {
 			c.toReturn = append(c.toReturn, id)
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -122,11 +122,11 @@
 // expected to come while a machine boots beyond those that leave, and some for luck. Of other work of
 // some priority that may use spot machines, what its usual number of running
 // tasks, and some for luck, exceeds the present one by.
-func (d *dispatcher) reserve(c *class, now time.Time) int {
+func (d *dispatcher) headroom(c *class, now time.Time) int {
 	s := &c.last.spec
 	batch := !s.Service
 	if s.Gang {
-		return d.reserveGang(c, now)
+		return d.gangHeadroom(c, now)
 	}
 	if s.Priority < storage.High && !(batch && s.Spot && (s.Priority >= storage.Normal || s.DeadlineS > 0)) {
 		return 0
@@ -135,7 +135,7 @@
 	if window == 0 || d.present(s.Class) == 0 {
 		return 0 // no rate yet, or a class that has ceased
 	}
-	luck := d.settings.Tuning.Reserve
+	luck := d.settings.Tuning.HeadroomDeviations
 	if batch {
 		run := d.usualRun(c) / window
 		usual := tasks*run + luck*math.Sqrt(squares*run)
@@ -152,14 +152,14 @@
 
 // reserveGang is how many tasks of a class of gangs to keep room for: what their
 // usual number exceeds the present one by, and at the least the largest gang of late.
-func (d *dispatcher) reserveGang(c *class, now time.Time) int {
+func (d *dispatcher) gangHeadroom(c *class, now time.Time) int {
 	within := d.settings.startWithin(c.last.spec.Class)
 	tasks, squares, window := d.rate(c, now)
 	if within <= 0 || within.Seconds() >= gangBoots*d.leastBoot(c.last) || window == 0 || tasks == 0 {
 		return 0
 	}
 	run := d.usualRun(c) / window
-	usual := tasks*run + d.settings.Tuning.Reserve*math.Sqrt(squares*run)
+	usual := tasks*run + d.settings.Tuning.HeadroomDeviations*math.Sqrt(squares*run)
 	largest := 0
 	for _, a := range c.arrivals {
 		largest = max(largest, a.tasks)
--- a/internal/coordination/dispatcher.go
+++ b/internal/coordination/dispatcher.go
@@ -17,9 +17,9 @@
 	// tickPerReport is the dispatcher's clock, in report intervals.
 	tickPerReport = 0.15
 	// viewPerReport is how often the fleet is looked at, in report intervals.
-	viewPerReport = 0.25
+	snapshotPerReport = 0.25
 	// viewRest is the least pause between two looks, in durations of a look.
-	viewRest = 10
+	snapshotRest = 10
 	// stallPerReport is how long a commit may take, in report intervals,
 	// before those who wait for it are told to come back.
 	stallPerReport = 0.35
@@ -47,20 +47,20 @@
 	closed  chan struct{}
 	ctx     context.Context
 
-	began     time.Time
-	types     map[string]*storage.MachineType
-	typeNames []string
-	jobs      map[string]*job
-	open      map[string]*job // open jobs, or final ones with attempts left
-	leaving   map[string]*job // cancelled jobs with attempts left
-	machines  map[int]*machine
-	order     []*machine // the same, by number
-	books     *storage.Books
-	classes   map[string]*class
-	hires     map[string]storage.HireRecord // open at the take-over
-	desired   int
-	nextTry   uint64
-	refused   map[offer]time.Time
+	began        time.Time
+	types        map[string]*storage.MachineType
+	typeNames    []string
+	jobs         map[string]*job
+	open         map[string]*job // open jobs, or final ones with attempts left
+	cancelling   map[string]*job // cancelled jobs with attempts left
+	machines     map[int]*machine
+	order        []*machine // the same, by number
+	reservations *storage.Reservations
+	classes      map[string]*class
+	rentals      map[string]storage.RentalRecord // open at the take-over
+	desired      int
+	nextTry      uint64
+	refused      map[offer]time.Time
 
 	dirty     map[string]func() any // record key -> its data when written
 	committed []func(error)         // called when what is dirty now is durable
@@ -71,21 +71,21 @@
 	commitAt  time.Time // when the commit under way began; zero: none
 	place     bool      // something changed that placement should look at
 
-	listed     bool         // the cloud's list has been seen in this term
-	goneBefore map[int]bool // machines whose return the cloud has confirmed
-	perGPU     storage.Room // what is taken with an accelerator at the most
-	perGPUAt   time.Time
-	firstJob   time.Time            // when the first job ever came
-	ungreeted  []*machine           // known at the take-over and not yet told our token
-	greeting   int                  // workers being told now
-	spareFrom  int                  // where the search for a machine to return goes on
-	drains     int                  // how many drains were asked for
-	lender     *lender              // what the peers may do while they can't reach us
-	solos      []solo               // what they may have done
-	unreached  map[int]bool         // machines that report but take no direct orders, since one last did
-	hears      func() time.Duration // since a worker last reported to this node
-	roundAt    time.Time            // placement rests until then
-	viewAt     time.Time            // the next look at the fleet
+	listed         bool         // the cloud's list has been seen in this term
+	removed        map[int]bool // machines whose return the cloud has confirmed
+	perGPU         storage.Room // what is taken with an accelerator at the most
+	perGPUAt       time.Time
+	firstJob       time.Time            // when the first job ever came
+	unannounced    []*machine           // known at the take-over and not yet told our token
+	announcing     int                  // workers being told now
+	surplusFrom    int                  // where the search for a machine to return goes on
+	drains         int                  // how many drains were asked for
+	delegator      *delegator           // what the peers may do while they can't reach us
+	peerRenewals   []peerRenewals       // what they may have done
+	unreached      map[int]bool         // machines that report but take no direct orders, since one last did
+	sinceHeartbeat func() time.Duration // since a worker last reported to this node
+	roundAt        time.Time            // placement rests until then
+	snapshotAt     time.Time            // the next look at the fleet
 }
 
 // Messages to the dispatcher.
@@ -95,29 +95,29 @@
 		req   UserRequest
 		reply chan Answer
 	}
-	beatsMsg struct {
+	heartbeatsMsg struct {
 		reports []*Report
-		reply   chan []BeatAnswer
+		reply   chan []HeartbeatResponse
 	}
 	directMsg struct {
-		machine int
-		greet   bool
-		starts  []*attempt
-		outcome Outcome
-		report  *Report
+		machine      int
+		announcement bool
+		starts       []*attempt
+		outcome      Outcome
+		report       *Report
 	}
 	committedMsg struct{ err error }
 	catalogueMsg struct{ types []storage.MachineType }
 	listMsg      struct{ machines []Listed }
-	hiredMsg     struct {
-		hire     storage.HireRecord
+	rentedMsg    struct {
+		rental   storage.RentalRecord
 		machines []int
 	}
 	refusedMsg  struct{ offer offer }
 	returnedMsg struct{ machines []int }
 	drainMsg    struct {
-		spare  spare
-		reason string
+		surplus surplusMachine
+		reason  string
 	}
 )
 
@@ -127,11 +127,11 @@
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
 		mailbox: make(chan any, mailboxSize), closed: make(chan struct{}), ctx: context.Background(),
 		began: time.Now(), types: make(map[string]*storage.MachineType),
-		jobs: make(map[string]*job), open: make(map[string]*job), machines: make(map[int]*machine), leaving: make(map[string]*job),
-		books: storage.NewBooks(), classes: make(map[string]*class), hires: make(map[string]storage.HireRecord),
+		jobs: make(map[string]*job), open: make(map[string]*job), machines: make(map[int]*machine), cancelling: make(map[string]*job),
+		reservations: storage.NewReservations(), classes: make(map[string]*class), rentals: make(map[string]storage.RentalRecord),
 		nextTry: role.Term * tryStride, refused: make(map[offer]time.Time),
-		dirty: make(map[string]func() any), goneBefore: make(map[int]bool), place: true,
-		lender: newLender(s), unreached: make(map[int]bool), hears: func() time.Duration { return 0 },
+		dirty: make(map[string]func() any), removed: make(map[int]bool), place: true,
+		delegator: newDelegator(s), unreached: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 	}
 	d.setRole(role)
 	return d, d.load(journal.Records())
@@ -162,7 +162,7 @@
 	}
 	select {
 	case a := <-reply:
-		return d.lasting(a, asked)
+		return d.withValidity(a, asked)
 	case <-d.closed:
 		return Unavailable(req.ID, "leader is stepping down")
 	case <-ctx.Done():
@@ -172,7 +172,7 @@
 
 // lasting bounds for how long an answer may be told that isn't final. This
 // process may have stood still since it was given.
-func (d *dispatcher) lasting(a Answer, asked time.Time) Answer {
+func (d *dispatcher) withValidity(a Answer, asked time.Time) Answer {
 	if a.final() || !a.decided() {
 		return a
 	}
@@ -192,10 +192,10 @@
 
 // beats hands workers' reports to the dispatcher; nil means that it doesn't
 // decide on them.
-func (d *dispatcher) beats(ctx context.Context, reports []*Report) []BeatAnswer {
-	reply := make(chan []BeatAnswer, 1)
+func (d *dispatcher) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+	reply := make(chan []HeartbeatResponse, 1)
 	select {
-	case d.mailbox <- beatsMsg{reports, reply}:
+	case d.mailbox <- heartbeatsMsg{reports, reply}:
 	case <-d.closed:
 		return nil
 	default:
@@ -215,8 +215,8 @@
 // and writes in one group what must be durable. The more arrives, the wider
 // the rounds.
 func (d *dispatcher) run(ctx context.Context) error {
-	d.ungreeted = slices.Clone(d.order)
-	d.spreadToken()
+	d.unannounced = slices.Clone(d.order)
+	d.announceTokens()
 	tick := time.NewTicker(scale(d.settings.Report, tickPerReport))
 	defer tick.Stop()
 	rest := time.NewTimer(0) // ends placement's rest
@@ -235,7 +235,7 @@
 			d.tick()
 		case <-rest.C:
 		}
-		d.publishLending(time.Now())
+		d.publishDelegation(time.Now())
 		if d.place {
 			d.paceRound(rest)
 		}
@@ -269,10 +269,10 @@
 		}
 	case userMsg:
 		d.handleUser(m)
-	case beatsMsg:
-		answers := make([]BeatAnswer, 0, len(m.reports))
+	case heartbeatsMsg:
+		answers := make([]HeartbeatResponse, 0, len(m.reports))
 		for _, r := range m.reports {
-			answers = append(answers, d.handleBeat(r))
+			answers = append(answers, d.handleHeartbeat(r))
 		}
 		m.reply <- answers
 	case directMsg:
@@ -285,17 +285,17 @@
 		d.place = true
 	case listMsg:
 		d.handleList(m.machines)
-	case hiredMsg:
-		d.handleHired(m)
+	case rentedMsg:
+		d.handleRented(m)
 	case refusedMsg:
 		d.refused[m.offer] = time.Now()
 	case returnedMsg:
 		for _, id := range m.machines {
-			d.gone(id, "returned")
-			d.goneBefore[id] = true
+			d.removeMachine(id, "returned")
+			d.removed[id] = true
 		}
 	case drainMsg:
-		d.drainSpare(m)
+		d.drainSurplus(m)
 	default:
 		d.log.Error("unknown message", "type", fmt.Sprintf("%T", m))
 	}
@@ -383,7 +383,7 @@
 		return
 	}
 	for _, p := range d.settings.Peers {
-		if w, ok := d.deps.Peers.Told(p.Name); !ok || w.Version < PeerVersion {
+		if w, ok := d.deps.Peers.Status(p.Name); !ok || w.Version < PeerVersion {
 			return
 		}
 	}
@@ -397,16 +397,16 @@
 	if d.stalled(now) || !d.certain(now) {
 		d.failWaiting(Unavailable("", "state service slow or out of reach"))
 	}
-	d.learnSolos()
+	d.updatePeerRenewals()
 	d.noteVersions()
 	d.expire(now)
 	d.tendGangs(now)
 	d.renewToken(now)
 	d.place = true
-	if !now.Before(d.viewAt) {
-		v := d.fleetView(now)
-		d.giveBack(append(append(v.emptied, v.lost...), d.lostStrangers(now)...))
-		d.capacity.post(viewMsg{v})
-		d.viewAt = now.Add(max(scale(d.settings.Report, viewPerReport), viewRest*time.Since(now)))
+	if !now.Before(d.snapshotAt) {
+		v := d.snapshotFleet(now)
+		d.returnMachines(append(append(v.emptied, v.lost...), d.lostUnconfirmed(now)...))
+		d.capacity.post(snapshotMsg{v})
+		d.snapshotAt = now.Add(max(scale(d.settings.Report, snapshotPerReport), snapshotRest*time.Since(now)))
 	}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -15,10 +15,10 @@
 }
 
 // fleetView is what the capacity actor needs to know, once a second.
-type fleetView struct {
-	wants    []offer            // machines that would cover the pressure, in order
+type fleetSnapshot struct {
+	wanted   []offer            // machines that would cover the pressure, in order
 	healthy  bool               // every machine's reports are fresh and nothing is unproved
-	spares   []spare            // machines that could be returned, one after the other
+	surplus  []surplusMachine   // machines that could be returned, one after the other
 	emptied  []int              // drained machines without tasks, to be returned
 	lost     []int              // failed, silent or never-up machines, to be returned
 	drains   int                // how many drains had been asked for
@@ -32,18 +32,18 @@
 	// bootPatience: a machine that is not up after this many times its boot
 	// time no longer counts as coming; some take several times as long, some
 	// never come. After deadPatience times it is returned: another comes sooner.
-	bootPatience = 1.6
-	deadPatience = 2.0
+	bootOverdueTimes = 1.6
+	bootDeadTimes    = 2.0
 )
 
 // fleetView reckons the pressure: the waiting tasks' requested room minus the
 // free room on ready and booting machines, by a trial packing.
-func (d *dispatcher) fleetView(now time.Time) fleetView {
-	v := fleetView{healthy: true, settled: d.listed, drains: d.drains}
-	p := &packing{dry: make(dryness)}
+func (d *dispatcher) snapshotFleet(now time.Time) fleetSnapshot {
+	v := fleetSnapshot{healthy: true, settled: d.listed, drains: d.drains}
+	p := &packing{exhausted: make(exhaustedShapes)}
 	fresh := d.settings.fresh()
 	for _, m := range d.order {
-		silent := now.Sub(m.lastBeat) > fresh
+		silent := now.Sub(m.lastHeard) > fresh
 		switch {
 		case m.returning, m.failed:
 			v.lost = append(v.lost, m.id)
@@ -66,21 +66,21 @@
 			v.healthy = false
 			continue
 		}
-		if m.typ == nil || m.troubled(now) || (!m.heard && m.bootOverdue(now, bootPatience)) {
+		if m.typ == nil || m.inTrouble(now) || (!m.heard && m.bootOverdue(now, bootOverdueTimes)) {
 			continue
 		}
-		s := slotOf(m)
-		p.slots = append(p.slots, &s)
+		s := candidateOf(m)
+		p.candidates = append(p.candidates, &s)
 	}
 	if d.certain(now) {
 		d.learnPerGPU(now)
 		d.shortage(p, d.demands(now), v.size, now)
-		v.wants, v.boots = p.wants, make(map[string]float64, len(d.types))
+		v.wanted, v.boots = p.wanted, make(map[string]float64, len(d.types))
 		for name, t := range d.types {
 			v.boots[name] = t.BootS
 		}
-		if len(v.wants) == 0 && v.healthy && !v.draining {
-			v.spares = d.spares(p, now)
+		if len(v.wanted) == 0 && v.healthy && !v.draining {
+			v.surplus = d.findSurplus(p, now)
 		}
 	}
 	return v
@@ -91,10 +91,10 @@
 // behind a cut it may be back sooner than that; one that never was up when it
 // is far overdue.
 func (d *dispatcher) givenUp(m *machine, now time.Time) bool {
-	if m.lastBeat.IsZero() {
-		return m.bootOverdue(now, deadPatience)
+	if m.lastHeard.IsZero() {
+		return m.bootOverdue(now, bootDeadTimes)
 	}
-	return now.Sub(m.lastBeat) > d.settings.Lease+seconds(m.typ.BootS)
+	return now.Sub(m.lastHeard) > d.settings.Lease+seconds(m.typ.BootS)
 }
 
 func (m *machine) bootOverdue(now time.Time, times float64) bool {
@@ -131,16 +131,16 @@
 
 // drainSpare drains a machine that the fleet can do without, unless it has got
 // work since that was found. An empty one is returned at once.
-func (d *dispatcher) drainSpare(msg drainMsg) {
+func (d *dispatcher) drainSurplus(msg drainMsg) {
 	d.drains++
-	m := d.machines[msg.spare.machine]
-	if m == nil || len(m.attempts) > msg.spare.attempts {
+	m := d.machines[msg.surplus.machine]
+	if m == nil || len(m.attempts) > msg.surplus.attempts {
 		d.capacity.post(drainedMsg{})
 		return
 	}
 	d.drain(m, msg.reason)
 	if len(m.attempts) == 0 {
-		d.giveBack([]int{m.id})
+		d.returnMachines([]int{m.id})
 		d.capacity.post(drainedMsg{})
 	}
 }
@@ -155,7 +155,7 @@
 		seen[l.Machine] = true
 		m, known := d.machines[l.Machine]
 		if !known {
-			if d.goneBefore[l.Machine] {
+			if d.removed[l.Machine] {
 				continue
 			}
 			m = d.machine(l.Machine)
@@ -172,15 +172,15 @@
 		m.failed = l.State == Failed
 	}
 	for _, m := range slices.Clone(d.order) {
-		silent := now.Sub(m.lastBeat) > d.settings.Lease && now.Sub(m.born) > d.settings.Lease+4*d.settings.ListLag
+		silent := now.Sub(m.lastHeard) > d.settings.Lease && now.Sub(m.born) > d.settings.Lease+4*d.settings.ListLag
 		if !seen[m.id] && !m.returning && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.emptyBy(m)) {
-			d.gone(m.id, "no longer listed")
+			d.removeMachine(m.id, "no longer listed")
 		}
 	}
 }
 
 // gone forgets a machine that the cloud has surely taken.
-func (d *dispatcher) gone(id int, why string) {
+func (d *dispatcher) removeMachine(id int, why string) {
 	m := d.machines[id]
 	if m == nil {
 		return
@@ -194,19 +194,19 @@
 	d.place = true
 }
 
-func (d *dispatcher) handleHired(msg hiredMsg) {
+func (d *dispatcher) handleRented(msg rentedMsg) {
 	now := time.Now()
 	for _, id := range msg.machines {
 		m, known := d.machines[id]
 		if !known {
-			if d.goneBefore[id] {
+			if d.removed[id] {
 				continue
 			}
 			m = d.machine(id)
 			m.born, m.listedAt = now, now
 		}
 		if m.kind == "" {
-			m.kind, m.zone, m.spot, m.typ = msg.hire.Type, msg.hire.Zone, msg.hire.Spot, d.types[msg.hire.Type]
+			m.kind, m.zone, m.spot, m.typ = msg.rental.Type, msg.rental.Zone, msg.rental.Spot, d.types[msg.rental.Type]
 		}
 	}
 	d.place = true
@@ -214,7 +214,7 @@
 
 // giveBack has machines returned, once it is durable that they will be. The
 // cloud may carry out a deletion late, so there is no way back from here.
-func (d *dispatcher) giveBack(ids []int) {
+func (d *dispatcher) returnMachines(ids []int) {
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/coordination/freeze_test.go
+++ b/internal/coordination/freeze_test.go
@@ -28,29 +28,29 @@
 		}
 	}
 	// freezeStore plays the story and writes the keys that it leaves.
-	freezeStore := func(name string, w *world) {
-		sw := sweep("000001", 70)
+	freezeStore := func(name string, sim *simulation) {
+		sw := arrayJob("000001", 70)
 		sw.EstimateS, sw.Spot, sw.DeadlineS, sw.CheckpointS, sw.SaveS = 30, true, 900, 10, 2
-		w.submit(sw)
+		sim.submit(sw)
 		sv := service("000002", 3)
 		sv.Spread, sv.Types = true, []string{"cpu"}
-		w.submit(sv)
-		if w.settings.State.Next != nil {
-			w.submit(longRecord("000006"))
+		sim.submit(sv)
+		if sim.settings.State.Next != nil {
+			sim.submit(longRecord("000006"))
 		}
-		w.submit(sweep("000003", 2))
-		w.submit(service("000004", 2))
-		g := sweep("000005", 3)
+		sim.submit(arrayJob("000003", 2))
+		sim.submit(service("000004", 2))
+		g := arrayJob("000005", 3)
 		g.Gang, g.SameZone, g.EstimateS = true, true, 600
-		w.submit(g)
-		w.eventually("done", 5*time.Minute, func() bool { return w.poll("000003").State == StateDone })
-		w.cancel("000004")
-		w.eventually("partly done", 5*time.Minute, func() bool { return w.poll("000001").Done > 20 })
-		for _, n := range w.nodes {
+		sim.submit(g)
+		sim.eventually("done", 5*time.Minute, func() bool { return sim.poll("000003").State == StateDone })
+		sim.cancel("000004")
+		sim.eventually("partly done", 5*time.Minute, func() bool { return sim.poll("000001").Done > 20 })
+		for _, n := range sim.nodes {
 			n.kill()
 		}
 		time.Sleep(time.Second)
-		c := &storagetest.Client{Service: w.state, Cut: new(atomic.Bool)}
+		c := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
 		var items []storage.Item
 		for _, prefix := range []string{"log/", "term", "lead"} {
 			got, _, _, err := c.List(context.Background(), prefix, "", 1000)
@@ -61,19 +61,19 @@
 		}
 		write(name, items)
 	}
-	inWorld(t, func(w *world) { freezeStore("store.json", w) })
-	inWorldWith(t, func(s *Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(w *world) {
-		w.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
-		freezeStore("store-lowered.json", w)
+	inSimulation(t, func(sim *simulation) { freezeStore("store.json", sim) })
+	inSimulationWith(t, func(s *Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
+		freezeStore("store-lowered.json", sim)
 	})
 	notice := 12.5
 	letters := []letter{
-		{User: &UserRequest{Op: OpSubmit, ID: "000007", Spec: sweep("000007", 2)}},
+		{User: &UserRequest{Op: OpSubmit, ID: "000007", Spec: arrayJob("000007", 2)}},
 		{User: &UserRequest{Op: OpCancel, ID: "000008"}},
 		{Report: &Report{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Session: 3, Seq: 9, Token: 4, Notice: &notice,
 			Tasks: []TaskReport{{ID: TaskID{"000001", 1}, Try: 5, State: Ended, Cause: CausePeers, Saved: true}, {ID: TaskID{"000001", 2}, Try: 6, State: Gathering}}}},
 	}
-	ask, err := encodePieces(letters, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
+	ask, err := encodeBatch(letters, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	done := Answer{Code: CodeOK, ID: "000008", State: StateCancelled, Done: 1}
 	replies := []mailReply{{Done: true, User: &Answer{Code: CodeCreated, ID: "000007", Holds: time.Second}}, {Done: true, User: &done},
 		{Done: true, Beat: &BeatAnswer{Accepted: true, Token: 4, Orders: []Order{{Verb: Stop, ID: TaskID{"000001", 2}, Try: 6, GraceS: 2.5}}}}}
-	got, err := encodePieces(replies, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
+	got, err := encodeBatch(replies, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	for _, a := range j.attempts {
-		if a.stop || a.try != j.gang.try || !a.seen && !a.mine || a.seen && a.state != Pulling && a.state != Gathering {
+		if a.stop || a.try != j.gang.try || !a.seen && !a.ownTerm || a.seen && a.state != Pulling && a.state != Gathering {
 			return false
 		}
 	}
@@ -160,8 +160,8 @@
 
 // reachable tells whether a direct order is likely to reach a machine at once.
 func (d *dispatcher) reachable(m *machine, now time.Time) bool {
-	return m.addr != "" && m.inFlight < directMost && !m.unheeding && !d.unreached[m.id] &&
-		now.Sub(m.lastBeat) <= scale(d.settings.Report, reachableReports)
+	return m.addr != "" && m.inFlight < directMost && !m.unresponsive && !d.unreached[m.id] &&
+		now.Sub(m.lastHeard) <= scale(d.settings.Report, reachableReports)
 }
 
 // tendGangs looks for tasks that keep the others of their gang waiting, on
@@ -186,8 +186,8 @@
 func (j *job) gatherTime(now time.Time) time.Duration {
 	var longest time.Duration
 	for _, a := range j.attempts {
-		if a.seen && a.state == Gathering && !a.gathers.IsZero() {
-			longest = max(longest, now.Sub(a.gathers))
+		if a.seen && a.state == Gathering && !a.gatheringSince.IsZero() {
+			longest = max(longest, now.Sub(a.gatheringSince))
 		}
 	}
 	return longest
@@ -224,7 +224,7 @@
 			return
 		}
 		d.nextTry++
-		a := &attempt{job: j, task: task, try: try, on: s.on, session: s.on.session, mine: true, booked: r.now}
+		a := &attempt{job: j, task: task, try: try, on: s.on, session: s.on.session, ownTerm: true, booked: r.now}
 		d.enter(a)
 		d.markPage(j, task)
 		r.booked = append(r.booked, a)
@@ -234,16 +234,16 @@
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
 func (d *dispatcher) gangWithinLimit(j *job) bool {
 	team := d.settings.team(j.spec.Team)
-	return team != nil && storage.Within(d.books.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
+	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
 }
 
 // planGang finds a slot for each waiting task of a gang and takes the room there,
 // or takes none. Among several zones that would do it takes the one where the
 // tasks start soonest.
-func (d *dispatcher) planGang(j *job, r *round) []*slot {
-	var best []*slot
+func (d *dispatcher) planGang(j *job, r *round) []*candidate {
+	var best []*candidate
 	bestTiers := 0
-	for _, group := range d.gangSlots(j, r) {
+	for _, group := range d.gangCandidates(j, r) {
 		plan, tiers := d.planIn(j, group)
 		if plan != nil && (best == nil || tiers < bestTiers) {
 			best, bestTiers = plan, tiers
@@ -257,12 +257,12 @@
 
 // gangSlots lists the slots that a gang may use, by zone if all its tasks must be
 // in one.
-func (d *dispatcher) gangSlots(j *job, r *round) [][]*slot {
+func (d *dispatcher) gangCandidates(j *job, r *round) [][]*candidate {
 	zones := newZoneCheck(j)
-	var groups [][]*slot
+	var groups [][]*candidate
 	for _, zone := range r.zones {
-		var group []*slot
-		for _, s := range r.slots {
+		var group []*candidate
+		for _, s := range r.candidates {
 			if s.zone == zone && s.admits(j, &zones) && !j.gang.left[s.on.id] {
 				group = append(group, s)
 			}
@@ -280,7 +280,7 @@
 
 // planIn finds slots for all waiting tasks among some, each the better of two
 // samples of the best tier, without taking the room for good.
-func (d *dispatcher) planIn(j *job, group []*slot) (plan []*slot, tiers int) {
+func (d *dispatcher) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
 	room := 0
 	for _, s := range group {
 		if j.spec.Room.Fits(s.free) {
@@ -300,7 +300,7 @@
 		}
 	}()
 	for range j.waiting {
-		var best []*slot
+		var best []*candidate
 		tier := 0
 		for _, s := range group {
 			if !j.spec.Room.Fits(s.free) || !zones.allows(s.zone) {
@@ -330,9 +330,9 @@
 	if r.held || r.now.Sub(j.submitted) < d.settings.Report {
 		return
 	}
-	var best []*slot
+	var best []*candidate
 	most := 0
-	for _, group := range d.gangSlots(j, r) {
+	for _, group := range d.gangCandidates(j, r) {
 		n := 0
 		for _, s := range group {
 			n += s.tasksOf(j)
@@ -352,7 +352,7 @@
 
 // tasksOf is how many tasks of a job fit into what is free in the slot and what is
 // being freed.
-func (s *slot) tasksOf(j *job) int {
+func (s *candidate) tasksOf(j *job) int {
 	if free := s.free.Plus(s.freeing); j.spec.Room.Fits(free) {
 		return fitCount(free, j.spec.Room)
 	}
@@ -361,7 +361,7 @@
 
 // claimed is a slot that a gang may take once some of its tasks are stopped.
 type claimed struct {
-	s       *slot
+	s       *candidate
 	tasks   int
 	victims []*attempt
 	cost    float64
@@ -375,7 +375,7 @@
 	}
 	var best []claimed
 	bestCost := 0.0
-	for _, group := range d.gangSlots(j, r) {
+	for _, group := range d.gangCandidates(j, r) {
 		if plan, cost := d.gangClaims(j, group, r.now); plan != nil && (best == nil || cost < bestCost) {
 			best, bestCost = plan, cost
 		}
@@ -394,7 +394,7 @@
 
 // gangClaims finds slots for all waiting tasks of a gang, with what must be stopped
 // there.
-func (d *dispatcher) gangClaims(j *job, group []*slot, now time.Time) (plan []claimed, cost float64) {
+func (d *dispatcher) gangClaims(j *job, group []*candidate, now time.Time) (plan []claimed, cost float64) {
 	var all []claimed
 	room := 0
 	for _, s := range group {
@@ -450,10 +450,10 @@
 }
 
 // gangZone is where most tasks of a gang fit that must all be in one zone.
-func gangZone(slots []*slot, dm *demand) string {
+func gangZone(candidates []*candidate, dm *demand) string {
 	room := make(map[string]int)
 	best := ""
-	for _, s := range slots {
+	for _, s := range candidates {
 		if !dm.job.spec.Room.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
 			continue
 		}
--- a/internal/coordination/gang_page_test.go
+++ b/internal/coordination/gang_page_test.go
@@ -22,7 +22,7 @@
 		spec.Room, spec.Priority = storage.Room{CPUs: 4, MemoryGB: 8}, storage.Normal
 		j := d.accept(spec)
 		for i, m := range machines {
-			d.enter(&attempt{job: j, task: i, try: try, on: d.machines[m], session: 1, mine: true, durable: true, seen: true,
+			d.enter(&attempt{job: j, task: i, try: try, on: d.machines[m], session: 1, ownTerm: true, durable: true, seen: true,
 				state: Running, booked: now, started: now.Add(-time.Minute)})
 		}
 		j.gang.ran = true
@@ -58,14 +58,14 @@
 		name    string
 		trouble func(d *dispatcher, m *machine)
 	}{
-		{"its machine is silent", func(d *dispatcher, m *machine) { m.lastBeat = m.lastBeat.Add(-2 * d.settings.Report) }},
+		{"its machine is silent", func(d *dispatcher, m *machine) { m.lastHeard = m.lastHeard.Add(-2 * d.settings.Report) }},
 		{"its machine leaves orders unanswered", func(_ *dispatcher, m *machine) { m.inFlight = directMost }},
 		{"its machine reports and can't be reached", func(d *dispatcher, m *machine) { d.unreached[m.id] = true }},
-		{"its machine doesn't do as it is told", func(_ *dispatcher, m *machine) { m.unheeding = true }},
+		{"its machine doesn't do as it is told", func(_ *dispatcher, m *machine) { m.unresponsive = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDesk(t, grownSettings())
+				d := newTestDispatcher(t, grownSettings())
 				first, second, elsewhere := rivalGangs(d, time.Now())
 				c.trouble(d, elsewhere)
 				d.accept(urgentService())
@@ -85,7 +85,7 @@
 // only hold its room.
 func TestAGangThatCantSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
 		elsewhere.inFlight = directMost
 		d.machines[4].inFlight = directMost
@@ -104,7 +104,7 @@
 func TestANoticeStopsOnlyAGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDesk(t, grownSettings())
+			d := newTestDispatcher(t, grownSettings())
 			first, _, elsewhere := rivalGangs(d, time.Now())
 			first.spec.EstimateS = 1000
 			if !reachable {
@@ -123,7 +123,7 @@
 // `alone` and `peers` are the gang's failure: its machine isn't left alone for them.
 func TestAGangsFailureIsNotItsMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
 		d.applyTask(one, &Report{Session: 1}, TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CausePeers}, time.Now())
@@ -140,7 +140,7 @@
 // of other zones until the earlier one is gone everywhere.
 func TestAGangStaysInItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		full, other := d.up(1, "cpu", "a", false), d.up(2, "cpu", "b", false)
 		spec := gangOf("000001", 2)
 		spec.Room.CPUs = 4
@@ -165,7 +165,7 @@
 // being stopped or has lost a task.
 func TestTasksOfAStoppedGangCountAsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 3), Running, m, m, m)
 		d.stopGang(j)
@@ -183,11 +183,11 @@
 // twice.
 func TestEveryStartHasItsOwnNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		for i := range 4 {
 			d.up(i, "cpu", "a", false)
 		}
-		array, replicas := d.accept(sweep("000001", 4)), d.accept(service("000002", 3))
+		array, replicas := d.accept(arrayJob("000001", 4)), d.accept(service("000002", 3))
 		used := make(map[uint64]TaskID)
 		for range 3 {
 			d.placeRound(time.Now())
@@ -210,11 +210,11 @@
 // A repeat of the submission or of the cancel of a gang that is over is told how it
 // ended.
 func TestARepeatAfterAGangsEndIsToldTheEnd(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(gangOf("000001", 2))
-		w.done("000001")
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(gangOf("000001", 2))
+		sim.done("000001")
 		for _, op := range []UserOp{OpSubmit, OpCancel, OpPoll} {
-			if a := w.ask(op, "000001", gangOf("000001", 2)); a.Code != CodeOK || a.State != StateDone || a.Done != 2 {
+			if a := sim.ask(op, "000001", gangOf("000001", 2)); a.Code != CodeOK || a.State != StateDone || a.Done != 2 {
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
@@ -226,7 +226,7 @@
 // the present one.
 func TestStrangeReportsOfAGangChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Running, m, m)
 		for _, r := range []TaskReport{
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -11,23 +11,23 @@
 
 // gangOf is a gang whose tasks must be in one zone.
 func gangOf(id string, tasks int) storage.Spec {
-	s := sweep(id, tasks)
+	s := arrayJob(id, tasks)
 	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
 	return s
 }
 
 // begun is how often a gang has begun.
-func (w *world) begun(id string) (n int) {
-	w.locked(func() { n = w.together[id] })
+func (sim *simulation) begun(id string) (n int) {
+	sim.locked(func() { n = sim.together[id] })
 	return n
 }
 
 // tries are the numbers of the attempts that a job's live tasks have.
-func (w *world) tries(id string) map[uint64]int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) tries(id string) map[uint64]int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	out := make(map[uint64]int)
-	for _, wk := range w.workers {
+	for _, wk := range sim.workers {
 		wk.settle()
 		for k, t := range wk.tasks {
 			if k.ID.Job == id && t.state != Ended && !wk.dead.Load() {
@@ -40,68 +40,68 @@
 
 var gangStories = []struct {
 	name  string
-	story func(w *world)
+	story func(sim *simulation)
 }{
-	{"starts together and is done together", func(w *world) {
+	{"starts together and is done together", func(sim *simulation) {
 		for i, n := range []int{1, 3, 16} {
-			w.submit(gangOf(fmt.Sprintf("%06d", i+1), n))
+			sim.submit(gangOf(fmt.Sprintf("%06d", i+1), n))
 		}
 		for i := range 3 {
 			id := fmt.Sprintf("%06d", i+1)
-			w.done(id)
-			w.closeLook(id)
-			if n := w.begun(id); n != 1 {
-				w.t.Errorf("job %s began %d times", id, n)
+			sim.done(id)
+			sim.askEverywhere(id)
+			if n := sim.begun(id); n != 1 {
+				sim.t.Errorf("job %s began %d times", id, n)
 			}
 		}
 	}},
-	{"waiting for the others is neither running nor progress", func(w *world) {
-		w.submit(service("000001", 4))
-		w.runs("000001", 4)
-		for _, wk := range w.all() {
+	{"waiting for the others is neither running nor progress", func(sim *simulation) {
+		sim.submit(service("000001", 4))
+		sim.runs("000001", 4)
+		for _, wk := range sim.all() {
 			wk.fetches.Store(true)
 		}
-		w.submit(gangOf("000002", 3))
-		w.eventually("it is placed", time.Minute, func() bool { return len(w.running("000002")) == 3 })
-		if a := w.poll("000002"); a.State != StatePending || a.Running != 0 {
-			w.t.Errorf("told %+v", a)
+		sim.submit(gangOf("000002", 3))
+		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.running("000002")) == 3 })
+		if a := sim.poll("000002"); a.State != StatePending || a.Running != 0 {
+			sim.t.Errorf("told %+v", a)
 		}
 	}},
-	{"a task that doesn't come is replaced under the same number", func(w *world) {
-		w.submit(service("000001", 8))
-		w.submit(lasting("000009", 16, 5*time.Minute)) // keeps machines
-		w.runs("000001", 8)
-		w.runs("000009", 16)
-		slow := w.machinesOf("000001")[0]
+	{"a task that doesn't come is replaced under the same number", func(sim *simulation) {
+		sim.submit(service("000001", 8))
+		sim.submit(lasting("000009", 16, 5*time.Minute)) // keeps machines
+		sim.runs("000001", 8)
+		sim.runs("000009", 16)
+		slow := sim.machinesOf("000001")[0]
 		slow.fetches.Store(true)
-		w.submit(gangOf("000002", 5))
+		sim.submit(gangOf("000002", 5))
 		var first uint64
-		w.eventually("it is placed", 2*time.Minute, func() bool {
-			for try := range w.tries("000002") {
+		sim.eventually("it is placed", 2*time.Minute, func() bool {
+			for try := range sim.tries("000002") {
 				first = try
 			}
-			return len(w.running("000002")) == 5
+			return len(sim.running("000002")) == 5
 		})
-		w.eventually("it runs", 2*time.Minute, func() bool { return w.begun("000002") == 1 })
-		for try := range w.tries("000002") {
+		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.begun("000002") == 1 })
+		for try := range sim.tries("000002") {
 			if try != first {
-				w.t.Errorf("it runs as %d, began as %d", try, first)
+				sim.t.Errorf("it runs as %d, began as %d", try, first)
 			}
 		}
-		w.done("000002")
+		sim.done("000002")
 	}},
-	{"a task lost before the start is replaced, one lost later ends the attempt", func(w *world) {
-		w.submit(service("000001", 8))
-		w.runs("000001", 8)
-		for _, wk := range w.all() {
+	{"a task lost before the start is replaced, one lost later ends the attempt", func(sim *simulation) {
+		sim.submit(service("000001", 8))
+		sim.runs("000001", 8)
+		for _, wk := range sim.all() {
 			wk.fetches.Store(true)
 		}
-		w.submit(gangOf("000002", 4))
-		w.eventually("it is placed", 2*time.Minute, func() bool { return len(w.running("000002")) == 4 })
-		w.machinesOf("000002")[0].dead.Store(true)
-		for _, wk := range w.all() {
+		sim.submit(gangOf("000002", 4))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.running("000002")) == 4 })
+		sim.machinesOf("000002")[0].dead.Store(true)
+		for _, wk := range sim.all() {
 			wk.fetches.Store(false)
-			w.locked(func() {
+			sim.locked(func() {
 				for k, t := range wk.tasks {
 					if k.ID.Job == "000002" && t.state == Pulling {
 						t.state, t.since = Gathering, time.Now()
@@ -109,145 +109,145 @@
 				}
 			})
 		}
-		w.eventually("it runs", 3*time.Minute, func() bool { return w.begun("000002") == 1 })
-		w.machinesOf("000002")[0].dead.Store(true)
-		w.eventually("it runs again", 3*time.Minute, func() bool { return w.begun("000002") == 2 })
-		w.done("000002")
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000002") == 1 })
+		sim.machinesOf("000002")[0].dead.Store(true)
+		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.begun("000002") == 2 })
+		sim.done("000002")
 	}},
-	{"the leader ends between the starts", func(w *world) {
-		w.submit(service("000001", 8))
-		w.runs("000001", 8)
+	{"the leader ends between the starts", func(sim *simulation) {
+		sim.submit(service("000001", 8))
+		sim.runs("000001", 8)
 		for i := range 12 {
 			id := fmt.Sprintf("%06d", 100+i)
-			w.upload(gangOf(id, 5))
-			go w.look(w.awaitLeader(), OpSubmit, id, gangOf(id, 5))
+			sim.upload(gangOf(id, 5))
+			go sim.askNode(sim.awaitLeader(), OpSubmit, id, gangOf(id, 5))
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			w.crash(w.awaitLeader(), time.Second)
-			w.submit(gangOf(id, 5))
-			w.done(id)
-			if n := w.begun(id); n > 1 {
-				w.t.Errorf("gang %s began %d times", id, n)
+			sim.crash(sim.awaitLeader(), time.Second)
+			sim.submit(gangOf(id, 5))
+			sim.done(id)
+			if n := sim.begun(id); n > 1 {
+				sim.t.Errorf("gang %s began %d times", id, n)
 			}
 		}
 	}},
-	{"a cut zone has half of the gang", func(w *world) {
-		w.submit(onZone("000001", "a", 8))
-		w.submit(onZone("000002", "b", 8))
-		w.runs("000001", 8)
-		w.runs("000002", 8)
+	{"a cut zone has half of the gang", func(sim *simulation) {
+		sim.submit(onZone("000001", "a", 8))
+		sim.submit(onZone("000002", "b", 8))
+		sim.runs("000001", 8)
+		sim.runs("000002", 8)
 		g := gangOf("000003", 10)
 		g.SameZone, g.Spread, g.EstimateS = false, true, 60
-		w.submit(g)
-		w.eventually("it runs", 3*time.Minute, func() bool { return w.begun("000003") == 1 })
-		w.leadOutside("b")
-		w.cutZone("b")
-		time.Sleep(2 * w.settings.Lease)
-		w.cutZone("")
-		w.done("000003")
+		sim.submit(g)
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
+		sim.leadOutside("b")
+		sim.cutZone("b")
+		time.Sleep(2 * sim.settings.Lease)
+		sim.cutZone("")
+		sim.done("000003")
 	}},
-	{"cancelled while it waits, and repeated after", func(w *world) {
-		w.submit(service("000001", 4))
-		w.runs("000001", 4)
-		for _, wk := range w.all() {
+	{"cancelled while it waits, and repeated after", func(sim *simulation) {
+		sim.submit(service("000001", 4))
+		sim.runs("000001", 4)
+		for _, wk := range sim.all() {
 			wk.fetches.Store(true)
 		}
-		w.submit(gangOf("000002", 3))
-		w.eventually("it is placed", 2*time.Minute, func() bool { return len(w.running("000002")) == 3 })
-		w.cancel("000002")
-		w.crash(w.awaitLeader(), time.Second)
-		w.closeLook("000002")
-		w.gone("000002")
-		for _, wk := range w.all() {
+		sim.submit(gangOf("000002", 3))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.running("000002")) == 3 })
+		sim.cancel("000002")
+		sim.crash(sim.awaitLeader(), time.Second)
+		sim.askEverywhere("000002")
+		sim.gone("000002")
+		for _, wk := range sim.all() {
 			wk.fetches.Store(false)
 		}
-		w.closeLook("000002")
-		if w.begun("000002") != 0 {
-			w.t.Error("a cancelled gang began")
+		sim.askEverywhere("000002")
+		if sim.begun("000002") != 0 {
+			sim.t.Error("a cancelled gang began")
 		}
 	}},
-	{"an end is told though the leader ends and old reports come", func(w *world) {
-		w.submit(gangOf("000001", 6))
-		w.eventually("it runs", 3*time.Minute, func() bool { return w.begun("000001") == 1 })
-		w.keep()
+	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
+		sim.submit(gangOf("000001", 6))
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000001") == 1 })
+		sim.keepReports()
 		time.Sleep(19 * time.Second)
 		for range 3 {
-			w.crash(w.awaitLeader(), time.Second)
-			w.replay(w.nodes...)
+			sim.crash(sim.awaitLeader(), time.Second)
+			sim.replay(sim.nodes...)
 		}
-		w.done("000001")
-		w.replay(w.nodes...)
-		w.closeLook("000001")
-		if n := w.begun("000001"); n != 1 {
-			w.t.Errorf("began %d times", n)
+		sim.done("000001")
+		sim.replay(sim.nodes...)
+		sim.askEverywhere("000001")
+		if n := sim.begun("000001"); n != 1 {
+			sim.t.Errorf("began %d times", n)
 		}
 	}},
-	{"two gangs and a stream of small jobs share too little room", func(w *world) {
-		w.locked(func() {
-			w.cloud.full = func(h storage.HireRecord) bool { return len(w.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
+	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
+		sim.locked(func() {
+			sim.cloud.full = func(h storage.RentalRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
 		})
 		for i := range 6 {
-			w.submit(lasting(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
+			sim.submit(lasting(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
 		}
-		w.runs("000001", 4)
-		w.submit(gangOf("000100", 10))
-		w.submit(gangOf("000101", 10))
+		sim.runs("000001", 4)
+		sim.submit(gangOf("000100", 10))
+		sim.submit(gangOf("000101", 10))
 		submitted := time.Now()
 		for i := range 40 {
-			w.submit(lasting(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
+			sim.submit(lasting(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
 			time.Sleep(time.Second)
 		}
-		w.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return w.begun("000100") > 0 && w.begun("000101") > 0 })
-		w.done("000100")
-		w.done("000101")
+		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.begun("000100") > 0 && sim.begun("000101") > 0 })
+		sim.done("000100")
+		sim.done("000101")
 		for i := range 40 {
-			w.done(fmt.Sprintf("%06d", i+200))
+			sim.done(fmt.Sprintf("%06d", i+200))
 		}
 	}},
-	{"more tasks than one transaction holds", func(w *world) {
+	{"more tasks than one transaction holds", func(sim *simulation) {
 		s := gangOf("000001", 400)
 		s.Room, s.SameZone = storage.Room{CPUs: 0.1, MemoryGB: 0.1}, false
-		w.submit(s)
-		w.done("000001")
-		if n := w.begun("000001"); n != 1 {
-			w.t.Errorf("began %d times", n)
+		sim.submit(s)
+		sim.done("000001")
+		if n := sim.begun("000001"); n != 1 {
+			sim.t.Errorf("began %d times", n)
 		}
 	}},
 }
 
 func TestGangs(t *testing.T) {
 	for _, g := range gangStories {
-		t.Run(g.name, func(t *testing.T) { inWorld(t, g.story) })
+		t.Run(g.name, func(t *testing.T) { inSimulation(t, g.story) })
 	}
 }
 
 // What a gang needs as a whole decides whether it is taken.
 func TestAGangThatCanNeverRunIsRefused(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000009", 1)) // the types are known
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000009", 1)) // the types are known
 		for id, s := range map[string]storage.Spec{"000001": onLimit(gangOf("000001", 3)), "000002": gangOf("000002", 2)} {
 			if id == "000002" {
 				s.Room.CPUs = 1000
 			}
-			if a := w.ask(OpSubmit, id, s); a.Code != CodeUnfit {
+			if a := sim.ask(OpSubmit, id, s); a.Code != CodeUnfit {
 				t.Errorf("job %s is answered %+v", id, a)
 			}
 		}
-		w.submit(onLimit(gangOf("000003", 2)))
-		w.done("000003")
+		sim.submit(onLimit(gangOf("000003", 2)))
+		sim.done("000003")
 	})
 }
 
 // A gang either gets room for all or stops nothing.
 func TestPreemptionForAGangIsWholeOrNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		low := lasting("000001", 8, time.Hour)
 		low.Priority, low.Room = storage.BestEffort, storage.Room{CPUs: 4, MemoryGB: 8}
 		j := d.accept(low)
 		for i := range 4 {
 			m := d.up(i, "cpu", "a", false)
 			for k := range 2 {
-				d.enter(&attempt{job: j, task: 2*i + k, try: uint64(1 + 2*i + k), on: m, session: 1, mine: true, seen: true, state: Running, started: time.Now()})
+				d.enter(&attempt{job: j, task: 2*i + k, try: uint64(1 + 2*i + k), on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
 			}
 		}
 		stopped := func() (n int) {
@@ -291,14 +291,14 @@
 // save.
 func TestAGangIsStoppedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		g := d.accept(gangOf("000001", 4))
 		var machines []*machine
 		for i := range 2 {
 			machines = append(machines, d.up(i, "cpu", "a", false))
 		}
 		for i := range 4 {
-			d.enter(&attempt{job: g, task: i, try: 9, on: machines[i/2], session: 1, mine: true, seen: true, state: Running, started: time.Now()})
+			d.enter(&attempt{job: g, task: i, try: 9, on: machines[i/2], session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
 		}
 		g.gang.ran = true
 		urgent := service("000002", 1)
@@ -317,7 +317,7 @@
 func TestARecordOfTwoAttemptsIsDisbanded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := gangOf("000001", 3)
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
 				{Task: 0, Try: 5, Machine: 1, Session: 1}, {Task: 1, Try: 9, Machine: 2, Session: 1}}})}); err != nil {
@@ -346,14 +346,14 @@
 // lacks one place would wait for good.
 func TestTheFleetGrowsForAGangAsAWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		for i := range 3 {
 			d.up(i, "cpu", []string{"a", "a", "b"}[i], false)
 		}
 		d.accept(gangOf("000001", 9)) // eight fit in zone a, four in b
-		p := d.look()
-		if len(p.wants) != 1 || p.wants[0].zone != "a" {
-			t.Errorf("wanted %+v", p.wants)
+		p := d.trialPacking()
+		if len(p.wanted) != 1 || p.wanted[0].zone != "a" {
+			t.Errorf("wanted %+v", p.wanted)
 		}
 	})
 }
@@ -362,7 +362,7 @@
 func (d *dispatcher) gangOn(spec storage.Spec, state TaskState, machines ...*machine) *job {
 	j := d.accept(spec)
 	for i, m := range machines {
-		d.enter(&attempt{job: j, task: i, try: 9, on: m, session: 1, mine: true, durable: true, seen: true, state: state, booked: time.Now(), started: time.Now(), gathers: time.Now()})
+		d.enter(&attempt{job: j, task: i, try: 9, on: m, session: 1, ownTerm: true, durable: true, seen: true, state: state, booked: time.Now(), started: time.Now(), gatheringSince: time.Now()})
 	}
 	d.nextTry = 9
 	j.gang.ran = state == Running
@@ -373,7 +373,7 @@
 // begun before all of it is gone.
 func TestALossEndsAnAttemptThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		j := d.gangOn(gangOf("000001", 3), Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
 		d.up(4, "cpu", "a", false)
 		d.free(j.attempts[0], "its machine is gone")
@@ -400,7 +400,7 @@
 // under the same number goes elsewhere.
 func TestAReplacementGoesWhereItsNumberIsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, one)
 		j.attempts[0].state = Ended
@@ -418,7 +418,7 @@
 
 func TestOneDoneIsAllDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 3), Running, m, m, m)
 		d.ended(j.attempts[1], TaskReport{ID: TaskID{"000001", 1}, Try: 9, State: Ended, Cause: CauseDone}, time.Now())
@@ -434,11 +434,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.GangWait = 45 * time.Second
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
 		j.attempts[1].state = Pulling
-		d.viewAt = time.Now().Add(time.Hour) // no look at the fleet here
+		d.snapshotAt = time.Now().Add(time.Hour) // no look at the fleet here
 		if d.tick(); j.attempts[1].stop {
 			t.Error("given up at once")
 		}
@@ -454,7 +454,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.Teams = append(s.Teams, Team{Name: "small", Limit: storage.Room{GPUs: 2}})
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		m := d.up(1, "gpu", "a", false)
 		other := d.gangOn(onLimit(gangOf("000001", 1)), Running, m)
 		j := d.accept(onLimit(gangOf("000002", 2)))
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -17,12 +17,12 @@
 
 // desk is a dispatcher without the actors around it, for what a look or a
 // round decides. Its clock stands still unless the test moves it.
-func newDesk(tb testing.TB, s Settings) *dispatcher {
+func newTestDispatcher(tb testing.TB, s Settings) *dispatcher {
 	tb.Helper()
 	svc := storagetest.NewService()
 	tb.Cleanup(svc.Close)
 	client := &storagetest.Client{Service: svc, Cut: new(atomic.Bool)}
-	journal, err := storage.OpenJournal(context.Background(), client, storage.NewCeiling(s.State), storage.Guard{Key: leadKey})
+	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leadKey})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 }
 
 // look makes one trial packing of all that waits and is to be kept.
-func (d *dispatcher) look() *packing {
-	p := &packing{dry: make(dryness), slots: d.readySlots(time.Now())}
+func (d *dispatcher) trialPacking() *packing {
+	p := &packing{exhausted: make(exhaustedShapes), candidates: d.readyCandidates(time.Now())}
 	d.shortage(p, d.demands(time.Now()), len(d.order), time.Now())
 	return p
 }
@@ -88,45 +88,45 @@
 // The cloud calls a rental of more than fifty machines malformed, and that
 // looked like a type that is sold out.
 func TestRentalsStayWithinWhatTheCloudTakes(t *testing.T) {
-	var wants []offer
+	var wanted []offer
 	for i := range 173 {
-		wants = append(wants, offer{"gpu", []string{"a", "b"}[i%2], i%5 == 0})
+		wanted = append(wanted, offer{"gpu", []string{"a", "b"}[i%2], i%5 == 0})
 	}
 	total := 0
-	for _, h := range hiresFor(wants) {
-		if h.Count < 1 || h.Count > hireMost {
+	for _, h := range rentalsFor(wanted) {
+		if h.Count < 1 || h.Count > maxRental {
 			t.Errorf("a rental of %d machines", h.Count)
 		}
 		total += h.Count
 	}
-	if total != len(wants) {
-		t.Errorf("%d of %d machines asked for", total, len(wants))
+	if total != len(wanted) {
+		t.Errorf("%d of %d machines asked for", total, len(wanted))
 	}
 }
 
 // Hundreds of services at once: the fleet grows to what they need in steps
 // that at most double it, and all run within a few boots.
 func TestAFleetGrowsFromNothingToHundreds(t *testing.T) {
-	inWorld(t, func(w *world) {
+	inSimulation(t, func(sim *simulation) {
 		for i := range 120 {
-			w.submit(spread(fmt.Sprintf("%06d", i), 6))
+			sim.submit(spread(fmt.Sprintf("%06d", i), 6))
 		}
-		w.eventually("all run", 90*time.Second, func() bool {
+		sim.eventually("all run", 90*time.Second, func() bool {
 			n := 0
-			for _, wk := range w.all() {
+			for _, wk := range sim.all() {
 				n += len(wk.report().Tasks)
 			}
 			return n >= 720
 		})
 		// Four tasks fit a machine: 180, and half of what boots once more
 		// while few are up.
-		if n := len(w.all()); n < 180 || n > 270 {
+		if n := len(sim.all()); n < 180 || n > 270 {
 			t.Errorf("%d machines for 180 machines' work", n)
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for name, got := range w.cloud.hires {
-			if len(got) > hireMost {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		for name, got := range sim.cloud.rentals {
+			if len(got) > maxRental {
 				t.Errorf("rental %s is of %d machines", name, len(got))
 			}
 		}
@@ -155,18 +155,18 @@
 // every job wait for the other.
 func TestRoomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		d.firstJob = time.Now().Add(-3 * d.settings.Lease)
 		for i := range 4 {
 			d.up(i+1, "cpu", "a", false) // ample room, all in one zone
 		}
 		j := d.accept(spread("000001", 4))
 		for i := range 4 {
-			d.enter(&attempt{job: j, task: i, try: uint64(i), on: d.up(10+i, "gpu", "b", false), session: 1, mine: true, seen: true})
+			d.enter(&attempt{job: j, task: i, try: uint64(i), on: d.up(10+i, "gpu", "b", false), session: 1, ownTerm: true, seen: true})
 		}
 		d.perGPU, d.perGPUAt = storage.Room{CPUs: 8}, time.Now() // nothing to spare beside accelerators
 		var inB int
-		for _, o := range d.look().wants {
+		for _, o := range d.trialPacking().wanted {
 			if o.zone == "b" {
 				inB++
 			}
@@ -181,11 +181,11 @@
 // those that are rented for them; once each task wanted a machine of its own.
 func TestPlainTasksFillTheMachineRentedForThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		s := service("000001", 40)
 		s.Types = []string{"gpu"}
 		d.accept(s)
-		if n := len(d.look().wants); n != 2 {
+		if n := len(d.trialPacking().wanted); n != 2 {
 			t.Errorf("%d machines of 32 places for 40 tasks", n)
 		}
 	})
@@ -195,20 +195,20 @@
 // were added since.
 func TestAShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		for i := range 100 {
 			d.up(i+1, "cpu", "a", false)
 		}
 		j := d.accept(service("000001", 1000))
-		r := &round{now: time.Now(), slots: d.readySlots(time.Now()), dry: make(dryness), hard: make(dryness)}
-		r.zones = zonesOf(r.slots)
+		r := &round{now: time.Now(), candidates: d.readyCandidates(time.Now()), exhausted: make(exhaustedShapes), unpreemptable: make(exhaustedShapes)}
+		r.zones = zonesOf(r.candidates)
 		d.placeJob(j, r)
 		zones := newZoneCheck(j)
-		if len(r.booked) != 400 || r.dry.from(j.shape(), &zones, r.zones) != len(r.slots) {
-			t.Fatalf("%d booked, searched up to %d", len(r.booked), r.dry.from(j.shape(), &zones, r.zones))
+		if len(r.booked) != 400 || r.exhausted.from(j.shape(), &zones, r.zones) != len(r.candidates) {
+			t.Fatalf("%d booked, searched up to %d", len(r.booked), r.exhausted.from(j.shape(), &zones, r.zones))
 		}
-		added := slotOf(d.up(200, "cpu", "a", false))
-		r.slots = append(r.slots, &added)
+		added := candidateOf(d.up(200, "cpu", "a", false))
+		r.candidates = append(r.candidates, &added)
 		if s := d.choose(j, r, &zones); s == nil || s.on.id != 200 {
 			t.Error("the slot that was added isn't found")
 		}
@@ -219,14 +219,14 @@
 // first machine that was being freed.
 func TestPreemptionMakesRoomForEachWaitingTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
-		low := sweep("000001", 40)
+		d := newTestDispatcher(t, grownSettings())
+		low := arrayJob("000001", 40)
 		low.Priority = storage.BestEffort
 		j := d.accept(low)
 		for i := range 10 {
 			m := d.up(i+1, "cpu", "a", false)
 			for k := range 4 {
-				d.enter(&attempt{job: j, task: 4*i + k, try: uint64(4*i + k + 1), on: m, session: 1, mine: true, seen: true, state: Running, started: time.Now()})
+				d.enter(&attempt{job: j, task: 4*i + k, try: uint64(4*i + k + 1), on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
 			}
 		}
 		d.accept(service("000002", 12))
@@ -247,37 +247,37 @@
 // Behind a cut a machine may be back sooner than another boots; returned at
 // once, half a fleet was lost with a zone's cut.
 func TestACutMachineIsNotReturnedAtOnce(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 40))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 40 })
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 40))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 40 })
 		var cut []*fakeWorker // that carry tasks; idle ones may be returned
-		for _, wk := range w.running("000001") {
+		for _, wk := range sim.running("000001") {
 			if !wk.cut.Load() && len(cut) < 5 {
 				wk.cut.Store(true)
 				cut = append(cut, wk)
 			}
 		}
-		time.Sleep(w.settings.Lease + 8*time.Second)
+		time.Sleep(sim.settings.Lease + 8*time.Second)
 		for _, wk := range cut {
 			if wk.dead.Load() {
 				t.Error("a machine was returned that is cut off")
 			}
 			wk.cut.Store(false)
 		}
-		w.eventually("the service runs again", time.Minute, func() bool { return len(w.running("000001")) == 40 })
+		sim.eventually("the service runs again", time.Minute, func() bool { return len(sim.running("000001")) == 40 })
 	})
 }
 
 // A node that the state service alone refuses learns the leader from its peers.
-func TestARefusedNodeForwardsByItsPeersWord(t *testing.T) {
-	inWorld(t, func(w *world) {
-		old := w.awaitLeader()
+func TestARefusedNodeForwardsByItsPeersStatus(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		old := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		old.cutState.Store(true)
-		w.eventually("a successor leads", 30*time.Second, func() bool { n := w.leader(); return n != nil && n != old })
-		w.eventually("the old leader has stepped down", 3*time.Second, func() bool { return old.node.view.Load().desk == nil })
-		spec := sweep("000001", 1)
-		w.upload(spec)
+		sim.eventually("a successor leads", 30*time.Second, func() bool { n := sim.leader(); return n != nil && n != old })
+		sim.eventually("the old leader has stepped down", 3*time.Second, func() bool { return old.node.view.Load().dispatcher == nil })
+		spec := arrayJob("000001", 1)
+		sim.upload(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		if a := old.node.User(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
@@ -286,8 +286,8 @@
 		if !old.node.Able() {
 			t.Error("it isn't well though it reaches the leader")
 		}
-		at := w.leader()
-		a := old.node.Beat(ctx, &Report{Machine: 900, Session: 1, Seq: 1, Zone: "a"})
+		at := sim.leader()
+		a := old.node.Heartbeat(ctx, &Report{Machine: 900, Session: 1, Seq: 1, Zone: "a"})
 		if handed := a.Accepted && a.Token == at.node.view.Load().role.Term; !handed && (a.Leader == "" || a.Leader == old.name) {
 			t.Errorf("a worker's report is answered %+v", a)
 		}
@@ -296,16 +296,16 @@
 
 // Users are kept away from a node from which no leader can be reached.
 func TestANodeBeyondItsLeaderIsUnwell(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lead := w.awaitLeader()
+	inSimulation(t, func(sim *simulation) {
+		lead := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if !n.node.Able() {
 				t.Errorf("%s is unwell on a quiet day", n.name)
 			}
 			n.cutPeers.Store(n != lead)
 		}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if n.node.Able() != (n == lead) {
 				t.Errorf("%s: able %v", n.name, n.node.Able())
 			}
@@ -316,7 +316,7 @@
 // A renewal that overlaps a resignation must not make the leader certain again.
 func TestAResignedLeaderStaysUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		role := d.role
 		d.stepDown("told to")
 		d.handle(roleMsg{role})
@@ -330,12 +330,12 @@
 // repeat of either must find it known.
 func TestBothTriesOfATaskStayKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		j := d.accept(sweep("000001", 1))
+		j := d.accept(arrayJob("000001", 1))
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Token: d.term}
 		for try := uint64(1); try <= 2; try++ {
-			a := &attempt{job: j, task: 0, try: try, on: m, session: 1, mine: true, durable: true, direct: directSettled}
+			a := &attempt{job: j, task: 0, try: try, on: m, session: 1, ownTerm: true, durable: true, direct: directSettled}
 			d.enter(a)
 			r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: try, State: Ended, Cause: CauseStopped})
 			r.Seq = m.seq + 1
@@ -352,18 +352,18 @@
 
 // A take-over tells its workers the token some at a time: all at once took
 // every socket that their own reports need.
-func TestGreetsKeepToTheirSockets(t *testing.T) {
+func TestTokenAnnouncementsKeepToTheirSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		for i := range 400 {
 			m := d.machine(i + 1)
 			m.addr, m.session = fmt.Sprint(i+1), 1
 		}
-		d.ungreeted = append(d.ungreeted, d.order...)
+		d.unannounced = append(d.unannounced, d.order...)
 		told := 0
-		for d.spreadToken(); d.greeting > 0; {
-			if d.greeting > d.settings.greets() {
-				t.Fatalf("%d greets at a time", d.greeting)
+		for d.announceTokens(); d.announcing > 0; {
+			if d.announcing > d.settings.maxAnnouncements() {
+				t.Fatalf("%d greets at a time", d.announcing)
 			}
 			d.handle(<-d.mailbox)
 			told++
@@ -378,7 +378,7 @@
 // replicas went to machines that had to fetch their images.
 func TestANewLeaderKnowsTheFetchedImages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, next := newDesk(t, grownSettings()), newDesk(t, grownSettings())
+		d, next := newTestDispatcher(t, grownSettings()), newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		m.useImage("seldom", 5, time.Now())
 		if m.recorded {
@@ -400,18 +400,18 @@
 // The cloud numbers its machines from 0, which once stood for no machine: as long
 // as that one was the best to return, none was.
 func TestTheFirstMachineIsReturnedToo(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(sweep("000001", 8))
-		w.eventually("the sweep is done", 3*time.Minute, func() bool { return w.poll("000001").State == StateDone })
-		w.eventually("all machines are given back", 2*time.Minute, func() bool {
-			for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(arrayJob("000001", 8))
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("all machines are given back", 2*time.Minute, func() bool {
+			for _, wk := range sim.all() {
 				if !wk.dead.Load() {
 					return false
 				}
 			}
 			return true
 		})
-		if all := w.all(); len(all) == 0 || all[0].id != 0 {
+		if all := sim.all(); len(all) == 0 || all[0].id != 0 {
 			t.Fatal("there was no machine 0")
 		}
 	})
@@ -421,9 +421,9 @@
 // meet where it is; what is late anyway, or has time, may move.
 func TestAMoveMustNotCostADeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		for due, late := range map[float64]bool{40: false, 62: true, 200: false} {
-			s := sweep("000001", 1)
+			s := arrayJob("000001", 1)
 			s.EstimateS, s.DeadlineS, s.CheckpointS, s.SaveS, s.ImageGB = 60, due, 10, 4, 5
 			j := newJob(s, time.Now())
 			a := &attempt{job: j, on: d.up(1, "cpu", "a", false), seen: true, started: time.Now()}
@@ -439,12 +439,12 @@
 // reports.
 func TestAHungMachineHoldsFewSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		j := d.accept(sweep("000001", 10))
+		j := d.accept(arrayJob("000001", 10))
 		sent := 0
 		for i := range 10 {
-			a := &attempt{job: j, task: i, try: uint64(i + 1), on: m, session: 1, mine: true, durable: true}
+			a := &attempt{job: j, task: i, try: uint64(i + 1), on: m, session: 1, ownTerm: true, durable: true}
 			d.enter(a)
 			d.direct(m, []Order{{Verb: Start, ID: a.id(), Try: a.try}}, []*attempt{a})
 			if a.direct == directInFlight {
@@ -458,7 +458,7 @@
 			d.handle(<-d.mailbox)
 		}
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}
-		if got := d.handleBeat(r); len(got.Orders) != 10 {
+		if got := d.handleHeartbeat(r); len(got.Orders) != 10 {
 			t.Errorf("%d starts go with the report", len(got.Orders))
 		}
 	})
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -19,43 +19,43 @@
 // ended: by then an answer on its way is void, unless it is final.
 func TestAnAnswerLastsAsLongAsTheLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		r := d.role
 		r.Certain = time.Now().Add(time.Second)
 		d.setRole(r)
 		asked := time.Now()
 		running := Answer{Code: CodeOK, ID: "000001", State: StateRunning}
-		if a := d.lasting(running, asked); a.Code != CodeOK || a.Holds != time.Second {
+		if a := d.withValidity(running, asked); a.Code != CodeOK || a.Holds != time.Second {
 			t.Errorf("told %+v", a)
 		}
 		time.Sleep(time.Second)
-		if a := d.lasting(running, asked); a.Code != CodeUnavailable || a.RetryS == 0 {
+		if a := d.withValidity(running, asked); a.Code != CodeUnavailable || a.RetryS == 0 {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.lasting(Answer{Code: CodeNotFound}, asked); a.Code != CodeUnavailable {
+		if a := d.withValidity(Answer{Code: CodeNotFound}, asked); a.Code != CodeUnavailable {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.lasting(Answer{Code: CodeOK, State: StateDone}, asked); a.Code != CodeOK {
+		if a := d.withValidity(Answer{Code: CodeOK, State: StateDone}, asked); a.Code != CodeOK {
 			t.Errorf("a final state isn't told: %+v", a)
 		}
 	})
 }
 
 func TestAHeldUpAnswerIsNotPassedOn(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 1))
-		w.submit(service("000002", 1))
-		w.cancel("000002")
-		lead := w.awaitLeader()
-		lead.holdUp.Store(int64(w.settings.Tuning.LeaderLease))
-		for _, n := range w.nodes {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 1))
+		sim.submit(service("000002", 1))
+		sim.cancel("000002")
+		lead := sim.awaitLeader()
+		lead.holdUp.Store(int64(sim.settings.Tuning.LeaderLease))
+		for _, n := range sim.nodes {
 			if n == lead {
 				continue
 			}
-			if a := w.look(n, OpPoll, "000001", storage.Spec{}); a.Code != CodeUnavailable {
+			if a := sim.askNode(n, OpPoll, "000001", storage.Spec{}); a.Code != CodeUnavailable {
 				t.Errorf("passed on late: %+v", a)
 			}
-			if a := w.look(n, OpPoll, "000002", storage.Spec{}); !a.final() {
+			if a := sim.askNode(n, OpPoll, "000002", storage.Spec{}); !a.final() {
 				t.Errorf("a final state isn't passed on: %+v", a)
 			}
 		}
@@ -67,7 +67,7 @@
 func TestDirectAnswersAloneDontMakeAMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		answer := func() {
 			d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
@@ -90,7 +90,7 @@
 // user was told.
 func TestNoStartLeavesOnceACancelIsOnItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		j := d.accept(service("000001", 1))
 		m := d.up(7, "cpu", "a", false)
 		a := d.book(j, 0, m, time.Now())
@@ -112,10 +112,10 @@
 // page and of the job itself.
 func TestAJobWhosePagesAreDoneIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := sweep("000001", 3)
+		spec := arrayJob("000001", 3)
 		records := []storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}})}
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		if err := d.load(records); err != nil {
 			t.Fatal(err)
 		}
@@ -136,24 +136,24 @@
 
 // A letter that is carried out late comes among newer ones of its sender: the
 // newer must not be lost, and nobody waits for the older.
-func TestALateLetterNeitherHidesNorFollowsANewerOne(t *testing.T) {
+func TestALateRelayBatchNeitherHidesNorFollowsANewerOne(t *testing.T) {
 	change := func(run, serial uint64, of, i int) storage.Item {
-		data, err := json.Marshal(piece{Run: run, Serial: serial, Of: of})
+		data, err := json.Marshal(batchFragment{Run: run, Serial: serial, Of: of})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return storage.Item{Key: mailOps(askPrefix, "n1", make([]json.RawMessage, i+1))[i].Key, Data: data}
+		return storage.Item{Key: relayOps(relayRequestPrefix, "n1", make([]json.RawMessage, i+1))[i].Key, Data: data}
 	}
-	got := collect([]storage.Item{change(1, 8, 2, 0), change(1, 8, 2, 1), change(1, 7, 1, 0), change(1, 6, 2, 0)}, askPrefix)
-	if len(got) != 2 || len(got[parcelID{"n1", 1, 8}]) != 2 || len(got[parcelID{"n1", 1, 7}]) != 1 {
+	got := collectBatches([]storage.Item{change(1, 8, 2, 0), change(1, 8, 2, 1), change(1, 7, 1, 0), change(1, 6, 2, 0)}, relayRequestPrefix)
+	if len(got) != 2 || len(got[batchID{"n1", 1, 8}]) != 2 || len(got[batchID{"n1", 1, 7}]) != 1 {
 		t.Errorf("collected %v", got)
 	}
-	p := &postmaster{latest: make(map[string]parcelID)}
+	p := &relayServer{latest: make(map[string]batchID)}
 	for _, c := range []struct {
 		run, serial uint64
 		news        bool
 	}{{1, 8, true}, {1, 7, false}, {1, 8, false}, {1, 9, true}, {2, 1, true}} {
-		if p.isNews(parcelID{"n1", c.run, c.serial}) != c.news {
+		if p.isLatest(batchID{"n1", c.run, c.serial}) != c.news {
 			t.Errorf("batch %d of run %d", c.serial, c.run)
 		}
 	}
@@ -173,13 +173,13 @@
 		due := func(confirmed time.Time) time.Time { return confirmed.Add(scale(s.Cancel, 1/1.0005)) }
 		t.Run("the leader's own answers", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDesk(t, s)
+				d := newTestDispatcher(t, s)
 				certain := time.Now()
 				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.Cancel; seq++ {
 					r := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: seq, Token: 2}
-					if d.handleBeat(r).Accepted {
+					if d.handleHeartbeat(r).Accepted {
 						last = time.Now()
 					}
 					time.Sleep(100 * time.Millisecond)
@@ -191,21 +191,21 @@
 		})
 		t.Run("a peer on loan", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDesk(t, s)
+				d := newTestDispatcher(t, s)
 				certain := time.Now()
 				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
-				c := newCourier(&Node{settings: &s})
-				words := &fakeNode{w: &world{}, words: make(map[string]PeerWord)}
+				c := newForwarder(&Node{settings: &s})
+				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]PeerReport)}
 				c.node.deps.Peers = words
 				for time.Since(certain) < s.Cancel {
-					d.publishLending(time.Now())
-					span, barred := d.lender.lend("n1")
-					words.words["n1"] = PeerWord{PeerState: PeerState{Lends: span, LendTerm: 2, Barred: barred}, Sent: time.Now(), Got: time.Now()}
-					c.borrow()
+					d.publishDelegation(time.Now())
+					span, excluded := d.delegator.delegate("n1")
+					words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Got: time.Now()}
+					c.refreshDelegation()
 					time.Sleep(100 * time.Millisecond)
 				}
-				if c.loan.until.IsZero() || !endOf(c.loan.until).Before(due(certain)) {
-					t.Errorf("lent until %v after the lead may have ended", c.loan.until.Sub(certain))
+				if c.delegation.until.IsZero() || !endOf(c.delegation.until).Before(due(certain)) {
+					t.Errorf("lent until %v after the lead may have ended", c.delegation.until.Sub(certain))
 				}
 			})
 		})
@@ -239,7 +239,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := grownSettings()
 				s.Peers = []Peer{{Name: "n1"}, {Name: "n2"}}
-				l := &leadership{settings: &s, peers: sayings{"n1": {Up: time.Hour, SinceState: time.Hour}, "n2": {Up: c.up, SinceState: c.since, Term: c.term}}}
+				l := &leadership{settings: &s, peers: scriptedPeers{"n1": {Uptime: time.Hour, SinceState: time.Hour}, "n2": {Uptime: c.up, SinceState: c.since, Term: c.term}}}
 				if got := l.leaderless(t.Context(), 2, time.Now().Add(-10*time.Second)); got != c.confirms {
 					t.Errorf("confirmed: %v", got)
 				}
@@ -249,24 +249,28 @@
 }
 
 // sayings is a peer link whose nodes say always the same of themselves.
-type sayings map[string]PeerState
+type scriptedPeers map[string]PeerStatus
 
-func (s sayings) Forward(_ context.Context, node string, _ UserRequest) (Answer, error) {
-	return Answer{Peer: s[node]}, nil
+func (s scriptedPeers) Forward(_ context.Context, node string, _ UserRequest) (Answer, error) {
+	return Answer{Peer: s[node].Wire()}, nil
 }
-func (s sayings) Beats(context.Context, string, []*Report) ([]BeatAnswer, error) { return nil, nil }
-func (s sayings) Told(node string) (PeerWord, bool)                              { return PeerWord{PeerState: s[node]}, true }
-func (s sayings) Unheard(string) time.Duration                                   { return 0 }
-func (s sayings) Known() (string, uint64)                                        { return "", 0 }
+func (s scriptedPeers) Heartbeats(context.Context, string, []*Report) ([]HeartbeatResponse, error) {
+	return nil, nil
+}
+func (s scriptedPeers) Status(node string) (PeerReport, bool) {
+	return PeerReport{PeerStatus: s[node]}, true
+}
+func (s scriptedPeers) SilentFor(string) time.Duration { return 0 }
+func (s scriptedPeers) KnownLeader() (string, uint64)  { return "", 0 }
 
 // The journal asks again what stays unanswered, and settles it once.
 func TestAnUnansweredCommitIsAskedAgain(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.awaitLeader()
+	inSimulation(t, func(sim *simulation) {
+		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		n := 0
-		w.state.Trouble(func(s *storagetest.Service) {
-			s.Late = func() time.Duration {
+		sim.state.Trouble(func(s *storagetest.Service) {
+			s.Delay = func() time.Duration {
 				if n++; n == 1 {
 					return time.Hour // never, as far as the story goes
 				}
@@ -274,9 +278,9 @@
 			}
 		})
 		began := time.Now()
-		w.submit(service("000001", 1))
+		sim.submit(service("000001", 1))
 		took := time.Since(began)
-		w.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Trouble(func(s *storagetest.Service) {
 			if took > 2*time.Second || n < 2 {
 				t.Errorf("accepted after %v, with %d transactions", took, n)
 			}
@@ -285,17 +289,17 @@
 }
 
 // A machine that has tasks of a cancelled job is left out of a loan.
-func TestABarredMachineIsNotRenewedAlone(t *testing.T) {
+func TestAnExcludedMachineIsNotRenewedByDelegation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.Zone = "a"
-		c := newCourier(&Node{settings: &s})
-		c.loan = loan{term: 2, until: time.Now().Add(time.Minute), barred: []int{7}}
+		c := newForwarder(&Node{settings: &s})
+		c.delegation = delegation{term: 2, until: time.Now().Add(time.Minute), excluded: []int{7}}
 		for machine, renewed := range map[int]bool{7: false, 8: true} {
-			c.workers[machine] = &caller{session: 1, seq: 1, answered: time.Now()}
+			c.workers[machine] = &knownWorker{session: 1, seq: 1, lastAnswered: time.Now()}
 			r := &Report{Machine: machine, Zone: "a", Session: 1, Seq: 2, Token: 2}
-			p := parcel{report: r, digest: c.workers[machine].digest}
-			if a := c.decideAlone(p, time.Now()); a.Accepted != renewed {
+			p := pendingReport{report: r, digest: c.workers[machine].digest}
+			if a := c.decideDelegated(p, time.Now()); a.Accepted != renewed {
 				t.Errorf("machine %d: %+v", machine, a)
 			}
 		}
@@ -306,8 +310,8 @@
 // successor would start the task a second time, or miss that it is done.
 func TestOrdersWaitForWhatTheyRestOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
-		j := d.accept(sweep("000001", 1))
+		d := newTestDispatcher(t, grownSettings())
+		j := d.accept(arrayJob("000001", 1))
 		m := d.up(7, "cpu", "a", false)
 		a := d.book(j, 0, m, time.Now())
 		orders := func() []Order {
@@ -336,7 +340,7 @@
 // Nothing is told before it is durable: a successor would not know of it.
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		tell := func(op UserOp, spec storage.Spec) (Answer, bool) {
 			reply := make(chan Answer, 1)
 			d.handleUser(userMsg{UserRequest{Op: op, ID: spec.ID, Spec: spec}, reply})
@@ -352,7 +356,7 @@
 			d.inCommit, d.committed = d.committed, nil
 			d.handleCommitted(err)
 		}
-		a, b := sweep("000001", 1), sweep("000002", 1)
+		a, b := arrayJob("000001", 1), arrayJob("000002", 1)
 		if got, told := tell(OpSubmit, a); told {
 			t.Errorf("accepted before it is durable: %+v", got)
 		}
@@ -396,11 +400,11 @@
 func TestAMachineInTroubleIsTriedAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		for i := range 12 {
 			m.failures++
-			d.failed(d.accept(sweep(fmt.Sprintf("%06d", i+1), 1)), m, time.Now())
+			d.failed(d.accept(arrayJob(fmt.Sprintf("%06d", i+1), 1)), m, time.Now())
 			d.sessionEnded(m, &Report{Machine: 7, Session: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.pauseTill); pause > 2*s.Lease {
 				t.Fatalf("left alone for %v", pause)
@@ -412,10 +416,10 @@
 // A session that is first heard of directly has its own lease, whenever the one
 // before was last answered. The story of it no longer places work there, since
 // such a machine isn't ready; the bound must hold all the same.
-func TestTheBoundOfANewSessionCountsFromItsFirstWord(t *testing.T) {
+func TestTheBoundOfANewSessionCountsFromItsFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		time.Sleep(s.Lease)
 		heard := time.Now()
@@ -431,7 +435,7 @@
 func TestAMachineUnheardSinceTheTakeOverIsBoundByTheEarlierHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		spec := service("000001", 1)
 		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Try: 5, Machine: 1, Session: 1}}})}); err != nil {
@@ -452,7 +456,7 @@
 // the task is.
 func TestNoStartLeavesBeforeItsRecordIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		jobs := []*job{d.accept(service("000001", 1)), d.accept(gangOf("000002", 2))}
 		d.up(7, "cpu", "a", false)
 		d.placeRound(time.Now())
@@ -481,15 +485,15 @@
 // A worker that knows a later term ends this one at once.
 func TestALaterTermEndsTheLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		d.up(7, "cpu", "a", false)
-		if a := d.handleBeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 9, Token: d.term + 1}); a.Accepted {
+		if a := d.handleHeartbeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 9, Token: d.term + 1}); a.Accepted {
 			t.Error("answered under the earlier term")
 		}
 		if d.certain(time.Now()) || len(d.resign) != 1 {
 			t.Error("leads on")
 		}
-		if a := d.handleBeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 10, Token: d.term}); a.Accepted {
+		if a := d.handleHeartbeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 10, Token: d.term}); a.Accepted {
 			t.Error("renews a lease after it has resigned")
 		}
 	})
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -11,10 +11,10 @@
 	// deafOrders is how many machines whose reports arrive must be out of reach
 	// of direct orders, with none reached in between, before the lead is handed
 	// over.
-	deafOrders = 8
+	unreachableMachines = 8
 	// standBack is how long the node then leaves the lead to others, in grant
 	// lives.
-	standBack = 4
+	standDownLeases = 4
 )
 
 // reached notes whether a machine that reports could be reached directly.
@@ -22,10 +22,10 @@
 	switch {
 	case ok:
 		clear(d.unreached)
-	case m.lastBeat.IsZero() || now.Sub(m.lastBeat) > 2*d.settings.Report:
+	case m.lastHeard.IsZero() || now.Sub(m.lastHeard) > 2*d.settings.Report:
 	default:
 		d.unreached[m.id] = true
-		if len(d.unreached) >= min(deafOrders, max(1, len(d.order))) && d.hears() > d.settings.Report && d.othersHear() {
+		if len(d.unreached) >= min(unreachableMachines, max(1, len(d.order))) && d.sinceHeartbeat() > d.settings.Report && d.peerHearsWorkers() {
 			d.log.Info("handing over", "unreached", len(d.unreached))
 			clear(d.unreached)
 			d.giveUp("this node doesn't reach the workers", true)
@@ -36,13 +36,13 @@
 // resignation ends a term; with standBack another node is to lead next.
 type resignation struct {
 	term      uint64
-	standBack bool
+	standDown bool
 }
 
 // othersHear tells whether a peer in reach hears workers itself.
-func (d *dispatcher) othersHear() bool {
+func (d *dispatcher) peerHearsWorkers() bool {
 	for _, p := range d.settings.Peers {
-		if w, ok := d.deps.Peers.Told(p.Name); ok && d.deps.Peers.Unheard(p.Name) == 0 && w.Hears < d.settings.Report {
+		if w, ok := d.deps.Peers.Status(p.Name); ok && d.deps.Peers.SilentFor(p.Name) == 0 && w.SinceHeartbeat < d.settings.Report {
 			return true
 		}
 	}
--- a/internal/coordination/homing.go
+++ b/internal/coordination/homing.go
@@ -13,22 +13,22 @@
 const (
 	// homeLeases is how long a worker that was sent home may stay elsewhere, in
 	// leases.
-	homeLeases = 2
+	affinityLeases = 2
 	// tryPause is how often a worker is sent to a node that hears none: it may
 	// have just begun, or be cut off from them.
-	tryPause = time.Second
+	affinityProbePause = time.Second
 )
 
 // homing knows where workers belong. It is the courier's own.
-type homing struct {
-	node  *Node
-	names []string // all nodes
-	zones map[string]string
-	tried map[string]time.Time
+type affinity struct {
+	node   *Node
+	names  []string // all nodes
+	zones  map[string]string
+	probed map[string]time.Time
 }
 
-func newHoming(n *Node) homing {
-	h := homing{node: n, names: []string{n.settings.Node}, zones: map[string]string{n.settings.Node: n.settings.Zone}, tried: make(map[string]time.Time)}
+func newAffinity(n *Node) affinity {
+	h := affinity{node: n, names: []string{n.settings.Node}, zones: map[string]string{n.settings.Node: n.settings.Zone}, probed: make(map[string]time.Time)}
 	for _, p := range n.settings.Peers {
 		h.names = append(h.names, p.Name)
 		h.zones[p.Name] = p.Zone
@@ -38,27 +38,27 @@
 }
 
 // of returns the node that a worker should report to; "" if it may stay here.
-func (h *homing) of(r *Report, w *caller, now time.Time) string {
+func (h *affinity) nodeFor(r *Report, worker *knownWorker, now time.Time) string {
 	self := h.node.settings.Node
-	if !w.sentHome.IsZero() && now.Sub(w.sentHome) < homeLeases*h.node.settings.Lease {
+	if !worker.redirected.IsZero() && now.Sub(worker.redirected) < affinityLeases*h.node.settings.Lease {
 		return ""
 	}
 	leader, _ := h.node.leader(h.node.view.Load())
 	if leader == "" {
 		return ""
 	}
-	home := h.share(r.Machine, func(name string) bool { return h.zones[name] == r.Zone && h.fit(name, leader) })
-	if home == "" {
-		home = h.share(r.Machine, func(name string) bool { return h.fit(name, leader) })
+	node := h.pick(r.Machine, func(name string) bool { return h.zones[name] == r.Zone && h.canForward(name, leader) })
+	if node == "" {
+		node = h.pick(r.Machine, func(name string) bool { return h.canForward(name, leader) })
 	}
-	if home == "" || home == self || !h.hears(home, now) {
+	if node == "" || node == self || !h.hearsWorkers(node, now) {
 		return ""
 	}
-	return home
+	return node
 }
 
 // share picks one of the nodes that suit, the same one for a machine each time.
-func (h *homing) share(machine int, suits func(string) bool) string {
+func (h *affinity) pick(machine int, suits func(string) bool) string {
 	var names []string
 	for _, n := range h.names {
 		if suits(n) {
@@ -72,23 +72,23 @@
 }
 
 // fit tells whether a node can hand reports to the leader.
-func (h *homing) fit(name, leader string) bool {
+func (h *affinity) canForward(name, leader string) bool {
 	if name == h.node.settings.Node {
 		return true
 	}
-	w, ok := h.node.deps.Peers.Told(name)
-	return ok && w.Leader == leader && h.node.deps.Peers.Unheard(name) == 0
+	w, ok := h.node.deps.Peers.Status(name)
+	return ok && w.Leader == leader && h.node.deps.Peers.SilentFor(name) == 0
 }
 
 // hears tells whether a node hears workers; now and then one is sent to a node
 // that hears none.
-func (h *homing) hears(name string, now time.Time) bool {
-	if w, ok := h.node.deps.Peers.Told(name); ok && w.Hears+now.Sub(w.Got) < h.node.settings.Report {
+func (h *affinity) hearsWorkers(name string, now time.Time) bool {
+	if w, ok := h.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Got) < h.node.settings.Report {
 		return true
 	}
-	if now.Sub(h.tried[name]) < tryPause {
+	if now.Sub(h.probed[name]) < affinityProbePause {
 		return false
 	}
-	h.tried[name] = now
+	h.probed[name] = now
 	return true
 }
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -45,21 +45,21 @@
 	try     uint64
 	on      *machine
 	session uint64
-	mine    bool // booked or ordered in this term
+	ownTerm bool // booked or ordered in this term
 	durable bool
 	booked  time.Time
 
-	seen    bool
-	state   TaskState
-	started time.Time
-	gathers time.Time // since when it waits for the others of its gang
+	seen           bool
+	state          TaskState
+	started        time.Time
+	gatheringSince time.Time // since when it waits for the others of its gang
 
 	stop     bool // to be stopped
 	stopSent bool // has been told so directly
 	graceS   float64
 
-	beatSeq uint64 // the report whose answer last carried its start; 0: none
-	direct  directState
+	orderedSeq uint64 // the report whose answer last carried its start; 0: none
+	direct     directState
 }
 
 // directState tells what is known of a start sent straight to the worker.
@@ -76,16 +76,18 @@
 
 // sent tells whether a start may have reached the worker.
 func (a *attempt) sent() bool {
-	return !a.mine || a.seen || a.beatSeq != 0 || a.direct != directNone
+	return !a.ownTerm || a.seen || a.orderedSeq != 0 || a.direct != directNone
 }
 
 // orderedIn notes that the answer to a report carries the start. One that an
 // earlier leader booked is ours from here on: a report that the worker makes
 // before that answer comes proves nothing of it, even under our token.
-func (a *attempt) orderedIn(r *Report) { a.beatSeq, a.mine = r.Seq, true }
+func (a *attempt) orderedIn(r *Report) { a.orderedSeq, a.ownTerm = r.Seq, true }
 
 // loose tells whether a direct start may still be executed.
-func (a *attempt) loose() bool { return a.direct == directInFlight || a.direct == directUnresolved }
+func (a *attempt) startUnresolved() bool {
+	return a.direct == directInFlight || a.direct == directUnresolved
+}
 
 func newJob(spec storage.Spec, at time.Time) *job {
 	return &job{
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -47,26 +47,26 @@
 // leadership is the actor that competes for the lead and keeps it. It tells
 // each change of role through tell, which must not block for long.
 type leadership struct {
-	svc      storage.StateService
-	settings *Settings
-	run      string // unlike any other process's
-	tell     func(Role)
-	resign   chan resignation
-	peers    PeerLink
-	began    time.Time
-	back     time.Time    // the lead is left to others until then
-	heard    atomic.Int64 // when the state service last answered, after began
-	log      *slog.Logger
+	svc            storage.StateService
+	settings       *Settings
+	run            string // unlike any other process's
+	tell           func(Role)
+	resign         chan resignation
+	peers          PeerLink
+	began          time.Time
+	standDownUntil time.Time    // the lead is left to others until then
+	lastHeard      atomic.Int64 // when the state service last answered, after began
+	log            *slog.Logger
 }
 
 // state is what this node tells its peers.
-func (l *leadership) state() PeerState {
+func (l *leadership) status() PeerStatus {
 	up := time.Since(l.began)
-	return PeerState{Up: up, SinceState: up - time.Duration(l.heard.Load())}
+	return PeerStatus{Uptime: up, SinceState: up - time.Duration(l.lastHeard.Load())}
 }
 
 // hear notes an answer of the state service.
-func (l *leadership) hear() { l.heard.Store(int64(time.Since(l.began))) }
+func (l *leadership) markHeard() { l.lastHeard.Store(int64(time.Since(l.began))) }
 
 // leaderless tells whether all peers confirm that they can't have led since
 // cut, the earliest end of our own grant: each has been up since before it and
@@ -80,7 +80,8 @@
 		go func() {
 			a, err := l.peers.Forward(ctx, p.Name, UserRequest{Op: OpPing})
 			since := scale(time.Since(cut), driftBound)
-			answers <- err == nil && a.Peer.Term <= term && a.Peer.Up > since && a.Peer.SinceState > since
+			peer := a.Peer.Status()
+			answers <- err == nil && peer.Term <= term && peer.Uptime > since && peer.SinceState > since
 		}()
 	}
 	for range l.settings.Peers {
@@ -96,7 +97,7 @@
 	for ctx.Err() == nil {
 		item, err := l.get(ctx, leadKey)
 		switch {
-		case errors.Is(err, storage.ErrNotFound) && time.Now().Before(l.back):
+		case errors.Is(err, storage.ErrNotFound) && time.Now().Before(l.standDownUntil):
 			l.pause(ctx)
 		case errors.Is(err, storage.ErrNotFound):
 			if err := l.contend(ctx); err != nil {
@@ -117,7 +118,7 @@
 	defer cancel()
 	item, err := l.svc.Get(ctx, key)
 	if err == nil || errors.Is(err, storage.ErrNotFound) {
-		l.hear()
+		l.markHeard()
 	}
 	return item, err
 }
@@ -183,7 +184,7 @@
 	if err != nil {
 		return fmt.Errorf("grant: %w", err)
 	}
-	l.hear()
+	l.markHeard()
 	term := uint64(0)
 	termItem, err := l.svc.Get(cctx, termKey)
 	switch {
@@ -216,7 +217,7 @@
 		return fmt.Errorf("take the lead: %w", err)
 	}
 	// Peers are told that we may have led, whatever comes of this lead.
-	l.hear()
+	l.markHeard()
 	l.log.Info("took the lead", "term", term)
 	l.lead(ctx, lease, term, storage.Guard{Key: leadKey, Version: version}, sent)
 	return nil
@@ -245,8 +246,8 @@
 		case t := <-l.resign:
 			if t.term == term {
 				reason = "resigned"
-				if t.standBack {
-					l.back = time.Now().Add(standBack * life)
+				if t.standDown {
+					l.standDownUntil = time.Now().Add(standDownLeases * life)
 				}
 				if err := l.revoke(ctx, lease); err != nil {
 					l.log.Debug("grant not ended", "err", err)
@@ -263,7 +264,7 @@
 		err := l.svc.Touch(tctx, lease)
 		cancel()
 		if err == nil {
-			l.hear()
+			l.markHeard()
 			sent = at
 			l.tell(role())
 			continue
@@ -272,7 +273,7 @@
 			reason = "grant ended"
 			break
 		}
-		if _, later := l.peers.Known(); later > term {
+		if _, later := l.peers.KnownLeader(); later > term {
 			reason = "a peer knows a later leader"
 			break
 		}
--- a/internal/coordination/leases.go
+++ b/internal/coordination/leases.go
@@ -25,9 +25,9 @@
 // it has heard our token, an earlier leader, or a peer with a loan of that one,
 // may have been renewing it.
 func (d *dispatcher) emptyBy(m *machine) time.Time {
-	bound := d.aloneBound(m)
+	bound := d.delegatedLeaseBound(m)
 	if !m.heard {
-		if b := d.began.Add(d.settings.strangerBound()); b.After(bound) {
+		if b := d.began.Add(d.settings.unconfirmedBound()); b.After(bound) {
 			return b
 		}
 	}
@@ -36,7 +36,7 @@
 
 // taintLimit is how many ended attempts a worker may have to remember for us.
 // A report must stay well under the 64 KiB of a request.
-const taintLimit = 256
+const retainLimit = 256
 
 // renewToken gives up the lead once some worker has to remember too much: under
 // the next term's token all earlier direct starts are void and may be forgotten.
@@ -45,7 +45,7 @@
 		return
 	}
 	for _, m := range d.machines {
-		if len(m.tainted) >= taintLimit {
+		if len(m.retained) >= retainLimit {
 			d.stepDown("a new token lets ended attempts be forgotten")
 			return
 		}
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -41,7 +41,7 @@
 			j.tasks, j.waiting = nil, 0
 		}
 		if j.phase != storage.Open {
-			d.leaving[j.spec.ID] = j
+			d.cancelling[j.spec.ID] = j
 			d.stopAll(j)
 		}
 	}
@@ -63,12 +63,12 @@
 			return err
 		}
 		d.desired = f.Desired
-	case storage.KindHire:
-		var h storage.HireRecord
+	case storage.KindRental:
+		var h storage.RentalRecord
 		if err := json.Unmarshal(r.Data, &h); err != nil {
 			return err
 		}
-		d.hires[rest] = h
+		d.rentals[rest] = h
 	case storage.KindMachine:
 		var rec storage.MachineRecord
 		if err := json.Unmarshal(r.Data, &rec); err != nil {
--- a/internal/coordination/loan.go
+++ b/internal/coordination/loan.go
@@ -20,63 +20,63 @@
 // The leader reckons with what it has lent: see aloneBound.
 
 // loan is the right to renew leases for a while.
-type loan struct {
-	term   uint64
-	until  time.Time
-	barred []int
+type delegation struct {
+	term     uint64
+	until    time.Time
+	excluded []int
 }
 
 // borrow takes in what the peers that lead have lent. A loan outlasts the word
 // that gave it: its giver may since have ended, or begun anew.
-func (c *courier) borrow() {
+func (c *forwarder) refreshDelegation() {
 	for _, p := range c.settings.Peers {
-		w, ok := c.node.deps.Peers.Told(p.Name)
-		if !ok || w.Lends <= 0 || w.LendTerm < c.loan.term {
+		w, ok := c.node.deps.Peers.Status(p.Name)
+		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < c.delegation.term {
 			continue
 		}
-		until := w.Sent.Add(scale(w.Lends, 1/driftBound))
-		if w.LendTerm > c.loan.term || until.After(c.loan.until) {
-			c.loan = loan{w.LendTerm, until, w.Barred}
+		until := w.Sent.Add(scale(w.DelegatesFor, 1/driftBound))
+		if w.DelegationTerm > c.delegation.term || until.After(c.delegation.until) {
+			c.delegation = delegation{w.DelegationTerm, until, w.Excluded}
 		}
 	}
 }
 
 // answerAlone answers a report on which no leader has decided.
-func (c *courier) answerAlone(p parcel, now time.Time) {
-	p.reply <- c.decideAlone(p, now)
+func (c *forwarder) answerDelegated(p pendingReport, now time.Time) {
+	p.reply <- c.decideDelegated(p, now)
 }
 
-func (c *courier) decideAlone(p parcel, now time.Time) BeatAnswer {
-	c.borrow()
-	r, w, l := p.report, c.workers[p.report.Machine], &c.loan
+func (c *forwarder) decideDelegated(p pendingReport, now time.Time) HeartbeatResponse {
+	c.refreshDelegation()
+	r, worker, grant := p.report, c.workers[p.report.Machine], &c.delegation
 	switch {
-	case w == nil || w.stale(r), !now.Before(l.until), r.Token > l.term, r.Zone != c.settings.Zone,
-		slices.Contains(l.barred, r.Machine), c.islanded():
-		return BeatAnswer{Busy: true}
-	case p.digest != w.digest && c.mayTurnAway(w, now):
+	case worker == nil || worker.stale(r), !now.Before(grant.until), r.Token > grant.term, r.Zone != c.settings.Zone,
+		slices.Contains(grant.excluded, r.Machine), c.isolated():
+		return HeartbeatResponse{Busy: true}
+	case p.digest != worker.digest && c.mayRedirect(worker, now):
 		// It has news, which only a leader can act on: maybe the next node
 		// finds one.
-		return BeatAnswer{Busy: true}
+		return HeartbeatResponse{Busy: true}
 	}
 	// The leader must be able to learn of this before the worker does.
-	c.alone.mark(now)
-	w.answered = now
-	return BeatAnswer{Accepted: true, Token: l.term}
+	c.lastDelegated.mark(now)
+	worker.lastAnswered = now
+	return HeartbeatResponse{Accepted: true, Token: grant.term}
 }
 
 // islanded tells whether this node alone seems to be cut off: it hears neither
 // the state service nor a peer, but the load balancer still asks it. Then its
 // workers are better off with the other nodes.
-func (c *courier) islanded() bool {
+func (c *forwarder) isolated() bool {
 	if len(c.settings.Peers) == 0 || c.node.hearsState() {
 		return false
 	}
 	for _, p := range c.settings.Peers {
-		if c.node.deps.Peers.Unheard(p.Name) == 0 {
+		if c.node.deps.Peers.SilentFor(p.Name) == 0 {
 			return false
 		}
 	}
-	return c.probed.since(math.MaxInt64) < probeMissed
+	return c.lastProbe.since(math.MaxInt64) < probeMissed
 }
 
 // probeMissed is how long after the load balancer's last probe, one a second,
@@ -85,36 +85,36 @@
 
 // mayTurnAway tells whether a worker can ask all other nodes in vain and be
 // back here within its lease.
-func (c *courier) mayTurnAway(w *caller, now time.Time) bool {
-	round := time.Duration(len(c.settings.Peers))*(workerPatience+workerPause) + workerPause
-	return len(c.settings.Peers) > 0 && now.Sub(w.answered)+round+c.settings.Report < c.settings.Lease
+func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
+	round := time.Duration(len(c.settings.Peers))*(workerTimeout+workerPause) + workerPause
+	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAnswered)+round+c.settings.Report < c.settings.Lease
 }
 
 const (
 	// workerPatience is how long a worker waits for an answer, by the
 	// protocol, and workerPause how long before it tries the next node.
-	workerPatience = 4 * time.Second
-	workerPause    = time.Second
+	workerTimeout = 4 * time.Second
+	workerPause   = time.Second
 )
 
 // lending is what the dispatcher publishes of its lead, for loans.
-type lending struct {
-	at      time.Time // as of when barred is complete
-	holdOut time.Time
-	barred  map[string][]int // by zone
+type delegationTerms struct {
+	at       time.Time // as of when barred is complete
+	holdOut  time.Time
+	excluded map[string][]int // by zone
 }
 
 // lender is the leader's side of the loans.
-type lender struct {
+type delegator struct {
 	hold  time.Duration
-	now   atomic.Pointer[lending]
+	terms atomic.Pointer[delegationTerms]
 	until map[string]*atomic.Int64 // what each peer has been lent at the most, in ns after began
 	zones map[string]string
 	began time.Time
 }
 
-func newLender(s *Settings) *lender {
-	l := &lender{hold: s.hold(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
+func newDelegator(s *Settings) *delegator {
+	l := &delegator{hold: s.hold(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
 	for _, p := range s.Peers {
 		l.until[p.Name], l.zones[p.Name] = new(atomic.Int64), p.Zone
 	}
@@ -123,9 +123,9 @@
 
 // lend returns for how long a peer may renew leases alone, counted from when it
 // asked, and which machines it may not.
-func (l *lender) lend(peer string) (time.Duration, []int) {
+func (l *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
-	p, until := l.now.Load(), l.until[peer]
+	p, until := l.terms.Load(), l.until[peer]
 	if p == nil || until == nil || l.zones[peer] == "" {
 		return 0, nil
 	}
@@ -144,11 +144,11 @@
 			break
 		}
 	}
-	return end.Sub(now), slices.Concat(p.barred[""], p.barred[l.zones[peer]])
+	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
 }
 
 // lent is until when a peer may renew leases at the most; zero: nothing lent.
-func (l *lender) lent(peer string) time.Time {
+func (l *delegator) delegatedUntil(peer string) time.Time {
 	if v := l.until[peer].Load(); v != 0 {
 		return l.began.Add(time.Duration(v))
 	}
@@ -157,34 +157,34 @@
 
 // lendPerReport is how old what the loans depend on may be, in report
 // intervals: a loan counts from there.
-const lendPerReport = 0.02
+const delegationPerReport = 0.02
 
 // publishLending renews what the loans depend on.
-func (d *dispatcher) publishLending(now time.Time) {
-	if old := d.lender.now.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.Report, lendPerReport) {
+func (d *dispatcher) publishDelegation(now time.Time) {
+	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.Report, delegationPerReport) {
 		return
 	}
-	p := &lending{at: now, holdOut: d.role.HoldOut, barred: make(map[string][]int)}
-	for id, j := range d.leaving {
+	p := &delegationTerms{at: now, holdOut: d.role.HoldOut, excluded: make(map[string][]int)}
+	for id, j := range d.cancelling {
 		if len(j.attempts) == 0 {
-			delete(d.leaving, id)
+			delete(d.cancelling, id)
 		}
 		for _, a := range j.attempts {
-			if z := a.on.zone; !slices.Contains(p.barred[z], a.on.id) {
-				p.barred[z] = append(p.barred[z], a.on.id)
+			if z := a.on.zone; !slices.Contains(p.excluded[z], a.on.id) {
+				p.excluded[z] = append(p.excluded[z], a.on.id)
 			}
 		}
 	}
-	d.lender.now.Store(p)
+	d.delegator.terms.Store(p)
 }
 
 // aloneBound is when a machine's lease has surely ended that this leader last
 // answered when m tells, if peers in its zone may have renewed it alone since.
-func (d *dispatcher) aloneBound(m *machine) time.Time {
-	end := m.answered.Add(d.settings.leaseBound())
-	for i := range d.solos {
-		s := &d.solos[i]
-		if !s.near(m) {
+func (d *dispatcher) delegatedLeaseBound(m *machine) time.Time {
+	end := m.lastAnswered.Add(d.settings.leaseBound())
+	for i := range d.peerRenewals {
+		s := &d.peerRenewals[i]
+		if !s.covers(m) {
 			continue
 		}
 		// What it has renewed, as far as is known, and what it may have since
@@ -193,10 +193,10 @@
 			end = b
 		}
 	}
-	for i := range d.solos {
-		s := &d.solos[i]
-		if s.near(m) && s.asked.Before(end) {
-			if b := s.lent.Add(d.settings.leaseBound()); b.After(end) {
+	for i := range d.peerRenewals {
+		s := &d.peerRenewals[i]
+		if s.covers(m) && s.asked.Before(end) {
+			if b := s.until.Add(d.settings.leaseBound()); b.After(end) {
 				end = b
 			}
 		}
@@ -205,30 +205,32 @@
 }
 
 // solo is what is known of a peer's renewals under our loans.
-type solo struct {
+type peerRenewals struct {
 	zone  string
-	lent  time.Time // until when it may renew at the most
+	until time.Time // until when it may renew at the most
 	last  time.Time // when it last did, at the latest, as of asked
 	asked time.Time
 }
 
 // near tells whether the peer may renew the machine's lease at all.
-func (s *solo) near(m *machine) bool { return s.zone == m.zone || s.zone == "" || m.zone == "" }
+func (s *peerRenewals) covers(m *machine) bool {
+	return s.zone == m.zone || s.zone == "" || m.zone == ""
+}
 
 // learnSolos asks what the peers have told, once for a tick.
-func (d *dispatcher) learnSolos() {
-	d.solos = d.solos[:0]
+func (d *dispatcher) updatePeerRenewals() {
+	d.peerRenewals = d.peerRenewals[:0]
 	for _, p := range d.settings.Peers {
-		s := solo{zone: p.Zone, lent: d.lender.lent(p.Name)}
-		if s.lent.IsZero() {
+		s := peerRenewals{zone: p.Zone, until: d.delegator.delegatedUntil(p.Name)}
+		if s.until.IsZero() {
 			continue
 		}
-		if w, ok := d.deps.Peers.Told(p.Name); ok && w.Sent.After(d.began) {
+		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.began) {
 			// A process that has begun since may have renewed in its earlier
 			// run until then.
-			s.last = w.Got.Add(-scale(min(w.Alone, w.Up), 1/driftBound))
+			s.last = w.Got.Add(-scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/driftBound))
 			s.asked = w.Sent
 		}
-		d.solos = append(d.solos, s)
+		d.peerRenewals = append(d.peerRenewals, s)
 	}
 }
--- a/internal/coordination/loan_test.go
+++ b/internal/coordination/loan_test.go
@@ -18,48 +18,48 @@
 }
 
 // leadOutside makes a node lead that isn't in the zone.
-func (w *world) leadOutside(zone string) {
-	for n := w.awaitLeader(); n.zone == zone; n = w.awaitLeader() {
+func (sim *simulation) leadOutside(zone string) {
+	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
 		n.kill()
-		w.awaitLeader()
+		sim.awaitLeader()
 		n.start()
 	}
 }
 
 // restarts counts the starts since a count was taken.
-func (w *world) restarts(before int) int { return w.startsSoFar() - before }
+func (sim *simulation) restarts(before int) int { return sim.startsSoFar() - before }
 
 // Behind a zone's cut all leases ran out though a node of the zone heard its
 // workers. It renews them on loan, for longer than a lease.
-func TestACutZoneKeepsItsTasksOnLoan(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(onZone("000001", "b", 6))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 6 })
-		w.leadOutside("b")
-		time.Sleep(2 * w.settings.Lease) // all workers have gone home
-		before := w.startsSoFar()
-		w.cutZone("b")
-		time.Sleep(w.settings.hold() + w.settings.Lease - 2*w.settings.Report)
-		w.cutZone("")
-		time.Sleep(w.settings.Lease)
-		if n := w.restarts(before); n != 0 || len(w.running("000001")) != 6 {
-			t.Errorf("%d starts anew, %d run", n, len(w.running("000001")))
+func TestDelegatedRenewalsKeepACutZonesTasks(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(onZone("000001", "b", 6))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
+		sim.leadOutside("b")
+		time.Sleep(2 * sim.settings.Lease) // all workers have gone home
+		before := sim.startsSoFar()
+		sim.cutZone("b")
+		time.Sleep(sim.settings.hold() + sim.settings.Lease - 2*sim.settings.Report)
+		sim.cutZone("")
+		time.Sleep(sim.settings.Lease)
+		if n := sim.restarts(before); n != 0 || len(sim.running("000001")) != 6 {
+			t.Errorf("%d starts anew, %d run", n, len(sim.running("000001")))
 		}
 	})
 }
 
 // A job may be cancelled while its tasks are kept on loan behind a cut: they
 // must be gone in time, though the node there can't know.
-func TestALoanEndsBeforeACancelIsDue(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(onZone("000001", "b", 6))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 6 })
-		w.leadOutside("b")
-		time.Sleep(2 * w.settings.Lease)
-		w.cutZone("b")
-		w.cancel("000001")
-		time.Sleep(w.settings.Cancel)
-		if n := len(w.running("000001")); n != 0 {
+func TestADelegationEndsBeforeACancelIsDue(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(onZone("000001", "b", 6))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
+		sim.leadOutside("b")
+		time.Sleep(2 * sim.settings.Lease)
+		sim.cutZone("b")
+		sim.cancel("000001")
+		time.Sleep(sim.settings.Cancel)
+		if n := len(sim.running("000001")); n != 0 {
 			t.Errorf("%d tasks outlive their cancel", n)
 		}
 	})
@@ -67,29 +67,29 @@
 
 // A machine whose tasks are to be stopped is left out of the loan: it was
 // cancelled before the last word with the leader, so the loan may outlast it.
-func TestALoanLeavesOutWhatIsToStop(t *testing.T) {
+func TestADelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
-		d := newDesk(t, s)
+		d := newTestDispatcher(t, s)
 		j := d.accept(service("000001", 1))
-		d.enter(&attempt{job: j, task: 0, try: 1, on: d.up(7, "cpu", "a", false), session: 1, mine: true, seen: true})
-		d.publishLending(time.Now())
-		if span, barred := d.lender.lend("n1"); span <= 0 || len(barred) != 0 {
-			t.Errorf("lent for %v, without %v", span, barred)
+		d.enter(&attempt{job: j, task: 0, try: 1, on: d.up(7, "cpu", "a", false), session: 1, ownTerm: true, seen: true})
+		d.publishDelegation(time.Now())
+		if span, excluded := d.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
+			t.Errorf("lent for %v, without %v", span, excluded)
 		}
 		j.phase = storage.Cancelled
-		d.leaving[j.spec.ID] = j
+		d.cancelling[j.spec.ID] = j
 		time.Sleep(time.Second)
-		d.publishLending(time.Now())
-		if _, barred := d.lender.lend("n1"); len(barred) != 1 || barred[0] != 7 {
-			t.Errorf("left out: %v", barred)
+		d.publishDelegation(time.Now())
+		if _, excluded := d.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
+			t.Errorf("left out: %v", excluded)
 		}
-		if _, barred := d.lender.lend("n2"); len(barred) != 0 {
-			t.Errorf("left out in the other zone: %v", barred)
+		if _, excluded := d.delegator.delegate("n2"); len(excluded) != 0 {
+			t.Errorf("left out in the other zone: %v", excluded)
 		}
 		d.stepDown("told to")
-		if span, _ := d.lender.lend("n1"); span != 0 {
+		if span, _ := d.delegator.delegate("n1"); span != 0 {
 			t.Errorf("one that has resigned lends %v", span)
 		}
 	})
@@ -97,35 +97,35 @@
 
 // What has been lent counts to the bound after which a silent machine is called
 // empty, until the borrower tells what it did.
-func TestAMachineOnLoanIsNotCalledEmpty(t *testing.T) {
+func TestAMachineUnderDelegationIsNotCalledEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
-		d := newDesk(t, s)
-		words := &fakeNode{w: &world{}, words: make(map[string]PeerWord)}
+		d := newTestDispatcher(t, s)
+		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]PeerReport)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
-		own := m.answered.Add(s.leaseBound())
-		d.publishLending(time.Now())
-		d.learnSolos()
+		own := m.lastAnswered.Add(s.leaseBound())
+		d.publishDelegation(time.Now())
+		d.updatePeerRenewals()
 		if !d.emptyBy(m).Equal(own) {
 			t.Error("the bound of a machine that nobody else may renew has moved")
 		}
-		span, _ := d.lender.lend("n1")
+		span, _ := d.delegator.delegate("n1")
 		until := time.Now().Add(span)
-		d.learnSolos()
+		d.updatePeerRenewals()
 		if want := until.Add(s.leaseBound()); !d.emptyBy(m).Equal(want) {
 			t.Errorf("empty by %v, lent until %v", d.emptyBy(m), until)
 		}
 		time.Sleep(s.leaseBound() + time.Second)
 		now := time.Now()
-		words.words["n1"] = PeerWord{PeerState: PeerState{Up: time.Hour, Alone: time.Hour}, Sent: now, Got: now}
-		d.learnSolos()
+		words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Got: now}
+		d.updatePeerRenewals()
 		if !d.emptyBy(m).Equal(own) {
 			t.Errorf("it renewed nothing, and yet the bound is %v", d.emptyBy(m).Sub(own))
 		}
-		words.words["n1"] = PeerWord{PeerState: PeerState{Up: time.Hour, Alone: 10 * time.Second}, Sent: now, Got: now}
-		d.learnSolos()
+		words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Got: now}
+		d.updatePeerRenewals()
 		if !d.emptyBy(m).After(now) {
 			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
 		}
@@ -134,22 +134,22 @@
 
 // A late copy of a report must not be renewed alone either, nor a report of a
 // worker that knows a higher token.
-func TestOnlyThePresentIsRenewedAlone(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lead := w.awaitLeader()
+func TestOnlyThePresentIsRenewedByDelegation(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		var n *fakeNode
-		for _, o := range w.nodes {
+		for _, o := range sim.nodes {
 			if o != lead {
 				n = o
 			}
 		}
 		time.Sleep(5 * time.Second)
 		machine := 900
-		report := func(seq, token uint64) BeatAnswer {
+		report := func(seq, token uint64) HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
-			return n.node.Beat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
+			return n.node.Heartbeat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
 		}
 		for !report(5, 0).Accepted { // sent home to the other node of the zone
 			machine++
@@ -176,50 +176,50 @@
 // A leader that no longer reached its workers kept its lead, and all leases ran
 // out. Their reports come by way of the others, and the lead goes there.
 func TestALeaderWithoutWorkersHandsOver(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 12))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 12 })
-		old := w.awaitLeader()
-		time.Sleep(2 * w.settings.Lease)
-		before := w.startsSoFar()
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 12))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 12 })
+		old := sim.awaitLeader()
+		time.Sleep(2 * sim.settings.Lease)
+		before := sim.startsSoFar()
 		old.cutWork.Store(true)
-		time.Sleep(2 * w.settings.Report)
+		time.Sleep(2 * sim.settings.Report)
 		for i := range 20 { // direct orders that go nowhere
-			w.submit(service(fmt.Sprintf("%06d", 100+i), 1))
+			sim.submit(service(fmt.Sprintf("%06d", 100+i), 1))
 			time.Sleep(time.Second)
 		}
-		w.eventually("another node leads", time.Minute, func() bool { n := w.leader(); return n != nil && n != old })
-		time.Sleep(w.settings.Lease)
-		if n := w.restarts(before); n != 20 || len(w.running("000001")) != 12 {
-			t.Errorf("%d starts, %d run", n, len(w.running("000001")))
+		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
+		time.Sleep(sim.settings.Lease)
+		if n := sim.restarts(before); n != 20 || len(sim.running("000001")) != 12 {
+			t.Errorf("%d starts, %d run", n, len(sim.running("000001")))
 		}
 	})
 }
 
 // Workers report to a node of their own zone, and are sent there once.
-func TestAWorkerIsSentHomeOnce(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.awaitLeader()
+func TestAWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
-		away, home := w.nodes[0], w.nodes[1]
+		away, node := sim.nodes[0], sim.nodes[1]
 		seq := uint64(0)
-		report := func(n *fakeNode) BeatAnswer {
+		report := func(n *fakeNode) HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
 			seq++
-			return n.node.Beat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: home.zone, Session: 1, Seq: seq})
+			return n.node.Heartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Session: 1, Seq: seq})
 		}
-		if a := report(away); a.Leader != home.name {
+		if a := report(away); a.Leader != node.name {
 			t.Fatalf("not sent home: %+v", a)
 		}
-		if a := report(home); !a.Accepted {
+		if a := report(node); !a.Accepted {
 			t.Errorf("not taken at home: %+v", a)
 		}
 		if a := report(away); !a.Accepted {
 			t.Errorf("sent home again at once: %+v", a)
 		}
-		time.Sleep(homeLeases * w.settings.Lease)
-		if a := report(away); a.Leader != home.name {
+		time.Sleep(affinityLeases * sim.settings.Lease)
+		if a := report(away); a.Leader != node.name {
 			t.Errorf("not sent home later: %+v", a)
 		}
 	})
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -19,13 +19,13 @@
 	typ  *storage.MachineType
 
 	session, seq, token uint64
-	lastBeat            time.Time    // the last newer report, or answer to a direct command
-	reported            time.Time    // the last newer report; until there is one, since when we know of it
-	answered            time.Time    // the last report that was answered 200
+	lastHeard           time.Time    // the last newer report, or answer to a direct command
+	lastReport          time.Time    // the last newer report; until there is one, since when we know of it
+	lastAnswered        time.Time    // the last report that was answered 200
 	heard               bool         // has reported under this term's token
 	lapsed              uint64       // a session that has surely ended
 	ended               []TaskReport // exited tasks in the last report
-	strays              []TaskReport // live tasks without a booking
+	orphans             []TaskReport // live tasks without a booking
 	recorded            bool         // its record is durable or on its way
 
 	born      time.Time // first known of; the hire, if that was seen
@@ -35,20 +35,20 @@
 	returning bool   // the cloud has been or will be told to take it
 	noticeAt  time.Time
 
-	attempts map[TaskID]*attempt
-	booked   *storage.Room                        // by all attempts, as the books have it
-	live     [storage.Production + 1]storage.Room // by attempts of each priority that aren't being stopped
-	stopping storage.Room                         // by those that are
-	idle     time.Time                            // since when it has none
-	tainted  map[taskTry]bool                     // ended attempts that must not be forgotten yet
-	images   map[string]image
-
-	inFlight  int // direct orders not yet answered
-	failures  int // failed tasks of different jobs without a success between
-	lastFail  string
-	unheeding bool // didn't do as it was told when that was last looked at
-	lapses    int  // sessions lost while its reports came
-	pauseTill time.Time
+	attempts  map[TaskID]*attempt
+	booked    *storage.Room                        // by all attempts, as the books have it
+	live      [storage.Production + 1]storage.Room // by attempts of each priority that aren't being stopped
+	stopping  storage.Room                         // by those that are
+	idleSince time.Time                            // since when it has none
+	retained  map[taskTry]bool                     // ended attempts that must not be forgotten yet
+	images    map[string]image
+
+	inFlight     int // direct orders not yet answered
+	failures     int // failed tasks of different jobs without a success between
+	lastFail     string
+	unresponsive bool // didn't do as it was told when that was last looked at
+	lapses       int  // sessions lost while its reports came
+	pauseTill    time.Time
 }
 
 // image is a cached image, as reckoned from what ran.
@@ -59,9 +59,9 @@
 
 func newMachine(id int, now time.Time) *machine {
 	return &machine{
-		id: id, born: now, idle: now, reported: now,
+		id: id, born: now, idleSince: now, lastReport: now,
 		attempts: make(map[TaskID]*attempt),
-		tainted:  make(map[taskTry]bool),
+		retained: make(map[taskTry]bool),
 		images:   make(map[string]image),
 	}
 }
@@ -76,13 +76,13 @@
 // out, however well the machine can be reached.
 func (m *machine) ready(now time.Time, fresh time.Duration) bool {
 	return m.heard && m.typ != nil && m.draining == "" && !m.returning && !m.failed &&
-		now.Sub(m.lastBeat) <= fresh && now.Sub(m.reported) <= fresh && !now.Before(m.pauseTill)
+		now.Sub(m.lastHeard) <= fresh && now.Sub(m.lastReport) <= fresh && !now.Before(m.pauseTill)
 }
 
 // troubled tells whether the machine is left alone because it fails tasks or
 // doesn't hear: its room then helps nobody.
-func (m *machine) troubled(now time.Time) bool {
-	return now.Before(m.pauseTill) && (m.lapses > 0 || m.failures > 0 || m.unheeding)
+func (m *machine) inTrouble(now time.Time) bool {
+	return now.Before(m.pauseTill) && (m.lapses > 0 || m.failures > 0 || m.unresponsive)
 }
 
 // useImage notes that an image is in use and forgets the least recently used
@@ -151,7 +151,7 @@
 	m := d.machines[id]
 	if m == nil {
 		m = newMachine(id, time.Now())
-		m.booked = d.books.Machine(id)
+		m.booked = d.reservations.Machine(id)
 		d.machines[id] = m
 		i, _ := d.position(id)
 		d.order = slices.Insert(d.order, i, m)
--- a/internal/coordination/mail.go
+++ b/internal/coordination/mail.go
@@ -25,36 +25,23 @@
 // reports may be late, and their answers count from when they are given.
 
 const (
-	askPrefix    = "mail/ask/"
-	answerPrefix = "mail/answer/"
+	relayRequestPrefix  = "mail/ask/"
+	relayResponsePrefix = "mail/answer/"
 	// mailShare of the change budget is each mail writer's.
-	mailShare = 0.1
+	relayShare = 0.1
 	// gatherPerReport is how long a batch gathers, in report intervals.
 	gatherPerReport = 0.1
 	// mailBatch bounds the items of a batch, mailPieces its values.
-	mailBatch  = 192
-	mailPieces = 4
+	relayBatchSize = 192
+	relayFragments = 4
 	// mailPatience is how long the answers to a batch may take.
-	mailPatience = 2 * time.Second
+	relayTimeout = 2 * time.Second
 	// mailQueue bounds what waits for the next batch.
-	mailQueue = 512
+	relayQueue = 512
 )
 
-// letter is one item of a batch.
-type letter struct {
-	User   *UserRequest
-	Report *Report
-}
-
-// mailReply is the answer to one letter; Done tells that there is one.
-type mailReply struct {
-	Done bool
-	User *Answer
-	Beat *BeatAnswer
-}
-
 // piece is one value of a batch that is split over several keys.
-type piece struct {
+type batchFragment struct {
 	Run    uint64 `json:"r"`
 	Serial uint64 `json:"s"`
 	Of     int    `json:"n"`
@@ -63,7 +50,7 @@
 
 // encodePieces compresses a batch into values under the limit, or returns nil
 // if it takes too many.
-func encodePieces(batch any, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
+func encodeBatch(batch any, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	var buf bytes.Buffer
 	z, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
@@ -78,12 +65,12 @@
 	raw := buf.Bytes()
 	room := limits.ValueBytes*2/3 - 64 // base64 takes a third more
 	n := (len(raw) + room - 1) / room
-	if n > min(mailPieces, limits.TxnOps) {
+	if n > min(relayFragments, limits.TxnOps) {
 		return nil, nil
 	}
 	var out []json.RawMessage
 	for i := 0; i < n; i++ {
-		p, err := json.Marshal(piece{run, serial, n, raw[i*room : min(len(raw), (i+1)*room)]})
+		p, err := json.Marshal(batchFragment{run, serial, n, raw[i*room : min(len(raw), (i+1)*room)]})
 		if err != nil {
 			return nil, fmt.Errorf("encode mail: %w", err)
 		}
@@ -93,9 +80,9 @@
 }
 
 // decodePieces reads a batch whose pieces are all there, in order.
-func decodePieces(pieces []piece, batch any) error {
+func decodeBatch(fragments []batchFragment, batch any) error {
 	var raw []byte
-	for _, p := range pieces {
+	for _, p := range fragments {
 		raw = append(raw, p.Data...)
 	}
 	z := flate.NewReader(bytes.NewReader(raw))
@@ -108,33 +95,33 @@
 
 // parcelID tells batches of one sender apart: a transaction that is carried out
 // late brings an old batch among newer ones.
-type parcelID struct {
+type batchID struct {
 	sender string
 	run    uint64
 	serial uint64
 }
 
 // collect sorts changed keys into whole batches.
-func collect(changes []storage.Item, prefix string) map[parcelID][]piece {
-	pieces := make(map[parcelID][]piece)
+func collectBatches(changes []storage.Item, prefix string) map[batchID][]batchFragment {
+	fragments := make(map[batchID][]batchFragment)
 	for _, it := range changes {
 		name, _, ok := strings.Cut(strings.TrimPrefix(it.Key, prefix), "/")
-		var p piece
+		var p batchFragment
 		if !ok || it.Data == nil || json.Unmarshal(it.Data, &p) != nil {
 			continue
 		}
-		id := parcelID{name, p.Run, p.Serial}
-		pieces[id] = append(pieces[id], p)
+		id := batchID{name, p.Run, p.Serial}
+		fragments[id] = append(fragments[id], p)
 	}
-	for id, ps := range pieces {
+	for id, ps := range fragments {
 		if len(ps) != ps[0].Of {
-			delete(pieces, id)
+			delete(fragments, id)
 		}
 	}
-	return pieces
+	return fragments
 }
 
-func mailOps(prefix, name string, values []json.RawMessage) []storage.Op {
+func relayOps(prefix, name string, values []json.RawMessage) []storage.Op {
 	var ops []storage.Op
 	for i, v := range values {
 		ops = append(ops, storage.Op{Key: fmt.Sprintf("%s%s/%d", prefix, name, i), Data: v})
@@ -143,37 +130,37 @@
 }
 
 // mailer is the actor of a follower's mail.
-type mailer struct {
-	settings *Settings
-	svc      storage.StateService
-	log      *slog.Logger
-	in       chan posted
-	run1     uint64 // this process's own mark on its batches
-	serial   uint64
-	limiter  *rate.Limiter
-	ceiling  *storage.Ceiling
-	taken    moment // when the state service last took a batch
+type relayClient struct {
+	settings     *Settings
+	svc          storage.StateService
+	log          *slog.Logger
+	in           chan queuedRequest
+	processID    uint64 // this process's own mark on its batches
+	serial       uint64
+	limiter      *rate.Limiter
+	limitTracker *storage.LimitTracker
+	lastAccepted atomicTime // when the state service last took a batch
 }
 
-type posted struct {
+type queuedRequest struct {
 	letter
 	ctx   context.Context // ends when the sender no longer waits
 	reply chan mailReply
 }
 
-func newMailer(s *Settings, deps Deps, ceiling *storage.Ceiling) *mailer {
-	return &mailer{
-		ceiling: ceiling, settings: s, svc: deps.State, log: deps.Log, in: make(chan posted, mailQueue), run1: deps.Rand.Uint64(),
-		limiter: mailLimiter(s),
+func newRelayClient(s *Settings, deps Deps, ceiling *storage.LimitTracker) *relayClient {
+	return &relayClient{
+		limitTracker: ceiling, settings: s, svc: deps.State, log: deps.Log, in: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
+		limiter: relayLimiter(s),
 	}
 }
 
-func mailLimiter(s *Settings) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(s.State.ChangesPerS*mailShare), max(1, int(s.State.ChangesPerS*mailShare)))
+func relayLimiter(s *Settings) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(s.State.ChangesPerS*relayShare), max(1, int(s.State.ChangesPerS*relayShare)))
 }
 
-func (m *mailer) send(ctx context.Context, l letter) mailReply {
-	p := posted{l, ctx, make(chan mailReply, 1)}
+func (m *relayClient) send(ctx context.Context, l letter) mailReply {
+	p := queuedRequest{l, ctx, make(chan mailReply, 1)}
 	select {
 	case m.in <- p:
 	default:
@@ -187,7 +174,7 @@
 	}
 }
 
-func (m *mailer) user(ctx context.Context, req UserRequest) Answer {
+func (m *relayClient) user(ctx context.Context, req UserRequest) Answer {
 	if r := m.send(ctx, letter{User: &req}); r.Done && r.User != nil {
 		return *r.User
 	}
@@ -195,24 +182,24 @@
 }
 
 // beats mails reports; nil means that nobody has decided on them.
-func (m *mailer) beats(ctx context.Context, reports []*Report) []BeatAnswer {
-	var out []BeatAnswer
+func (m *relayClient) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+	var out []HeartbeatResponse
 	for _, report := range reports {
 		r := m.send(ctx, letter{Report: report})
 		if !r.Done || r.Beat == nil {
 			return nil
 		}
-		out = append(out, *r.Beat)
+		out = append(out, HeartbeatResponse(*r.Beat))
 	}
 	return out
 }
 
 // run sends batch after batch, each once the one before it is over.
-func (m *mailer) run(ctx context.Context) {
+func (m *relayClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		batch := m.gather(ctx)
 		// Whose sender has given up is not worth the budget.
-		batch = slices.DeleteFunc(batch, func(p posted) bool { return p.ctx.Err() != nil })
+		batch = slices.DeleteFunc(batch, func(p queuedRequest) bool { return p.ctx.Err() != nil })
 		for len(batch) > 0 && ctx.Err() == nil {
 			batch = m.deliver(ctx, batch)
 		}
@@ -221,31 +208,31 @@
 
 // gather takes the first letter and those that come soon after. Users wait for
 // their answers, so a user's letter ends the gathering.
-func (m *mailer) gather(ctx context.Context) []posted {
-	var batch []posted
+func (m *relayClient) gather(ctx context.Context) []queuedRequest {
+	var batch []queuedRequest
 	soon := make(<-chan time.Time)
-	for len(batch) < mailBatch {
+	for len(batch) < relayBatchSize {
 		select {
 		case <-ctx.Done():
 			return nil
 		case p := <-m.in:
 			batch = append(batch, p)
 			if p.User != nil {
-				return m.rest(batch)
+				return m.drain(batch)
 			}
 			if len(batch) == 1 {
 				soon = time.After(scale(m.settings.Report, gatherPerReport))
 			}
 		case <-soon:
-			return m.rest(batch)
+			return m.drain(batch)
 		}
 	}
 	return batch
 }
 
 // rest adds what waits already.
-func (m *mailer) rest(batch []posted) []posted {
-	for len(batch) < mailBatch {
+func (m *relayClient) drain(batch []queuedRequest) []queuedRequest {
+	for len(batch) < relayBatchSize {
 		select {
 		case p := <-m.in:
 			batch = append(batch, p)
@@ -257,8 +244,8 @@
 }
 
 // deliver sends a batch, or the half of it that fits, and returns the rest.
-func (m *mailer) deliver(ctx context.Context, batch []posted) []posted {
-	ctx, cancel := context.WithTimeout(ctx, mailPatience)
+func (m *relayClient) deliver(ctx context.Context, batch []queuedRequest) []queuedRequest {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	m.serial++
 	n := len(batch)
@@ -269,7 +256,7 @@
 			letters = append(letters, p.letter)
 		}
 		var err error
-		if values, err = encodePieces(letters, m.run1, m.serial, m.ceiling.Limits()); err != nil {
+		if values, err = encodeBatch(letters, m.processID, m.serial, m.limitTracker.Limits()); err != nil {
 			m.log.Error("mail not encoded", "err", err)
 		}
 		if values != nil {
@@ -292,61 +279,61 @@
 	return batch[n:]
 }
 
-func (m *mailer) exchange(ctx context.Context, values []json.RawMessage) ([]mailReply, error) {
+func (m *relayClient) exchange(ctx context.Context, values []json.RawMessage) ([]mailReply, error) {
 	if err := m.limiter.WaitN(ctx, min(len(values), m.limiter.Burst())); err != nil {
 		return nil, err
 	}
-	rev, err := m.svc.Txn(ctx, nil, mailOps(askPrefix, m.settings.Node, values))
+	rev, err := m.svc.Txn(ctx, nil, relayOps(relayRequestPrefix, m.settings.Node, values))
 	if err != nil {
-		m.ceiling.Learn(err)
+		m.limitTracker.Learn(err)
 		return nil, err
 	}
-	m.taken.mark(time.Now())
-	prefix := answerPrefix + m.settings.Node + "/"
+	m.lastAccepted.mark(time.Now())
+	prefix := relayResponsePrefix + m.settings.Node + "/"
 	for {
-		changes, next, err := m.svc.Watch(ctx, prefix, rev, mailPatience)
+		changes, next, err := m.svc.Watch(ctx, prefix, rev, relayTimeout)
 		if err != nil {
 			return nil, err
 		}
 		rev = next
-		for _, pieces := range collect(changes, answerPrefix) {
-			if pieces[0].Serial != m.serial || pieces[0].Run != m.run1 {
+		for _, fragments := range collectBatches(changes, relayResponsePrefix) {
+			if fragments[0].Serial != m.serial || fragments[0].Run != m.processID {
 				continue
 			}
 			var replies []mailReply
-			err := decodePieces(pieces, &replies)
+			err := decodeBatch(fragments, &replies)
 			return replies, err
 		}
 	}
 }
 
 // postmaster is the leader's actor that answers the mail.
-type postmaster struct {
-	settings *Settings
-	svc      storage.StateService
-	log      *slog.Logger
-	guard    storage.Guard
-	desk     *dispatcher
-	limiter  *rate.Limiter
-	ceiling  *storage.Ceiling
-	latest   map[string]parcelID // by sender
+type relayServer struct {
+	settings     *Settings
+	svc          storage.StateService
+	log          *slog.Logger
+	guard        storage.Guard
+	dispatcher   *dispatcher
+	limiter      *rate.Limiter
+	limitTracker *storage.LimitTracker
+	latest       map[string]batchID // by sender
 }
 
-func newPostmaster(s *Settings, deps Deps, ceiling *storage.Ceiling, guard storage.Guard, desk *dispatcher) *postmaster {
-	return &postmaster{ceiling: ceiling, settings: s, svc: deps.State, log: deps.Log, guard: guard, desk: desk, limiter: mailLimiter(s), latest: make(map[string]parcelID)}
+func newRelayServer(s *Settings, deps Deps, ceiling *storage.LimitTracker, guard storage.Guard, disp *dispatcher) *relayServer {
+	return &relayServer{limitTracker: ceiling, settings: s, svc: deps.State, log: deps.Log, guard: guard, dispatcher: disp, limiter: relayLimiter(s), latest: make(map[string]batchID)}
 }
 
-func (p *postmaster) run(ctx context.Context) {
+func (p *relayServer) run(ctx context.Context) {
 	hold := p.settings.Lease
 	rev := p.guard.Version
 	for ctx.Err() == nil {
 		wctx, cancel := context.WithTimeout(ctx, 2*hold)
-		changes, next, err := p.svc.Watch(wctx, askPrefix, rev, hold)
+		changes, next, err := p.svc.Watch(wctx, relayRequestPrefix, rev, hold)
 		cancel()
 		if err != nil {
 			// What was asked meanwhile is asked again.
-			lctx, cancel := context.WithTimeout(ctx, mailPatience)
-			if _, _, now, lerr := p.svc.List(lctx, askPrefix, "", 1); lerr == nil {
+			lctx, cancel := context.WithTimeout(ctx, relayTimeout)
+			if _, _, now, lerr := p.svc.List(lctx, relayRequestPrefix, "", 1); lerr == nil {
 				rev = now
 			}
 			cancel()
@@ -354,23 +341,23 @@
 			continue
 		}
 		rev = next
-		for id, pieces := range collect(changes, askPrefix) {
-			if !p.isNews(id) {
+		for id, fragments := range collectBatches(changes, relayRequestPrefix) {
+			if !p.isLatest(id) {
 				continue
 			}
 			var letters []letter
-			if err := decodePieces(pieces, &letters); err != nil {
+			if err := decodeBatch(fragments, &letters); err != nil {
 				p.log.Error("mail not understood", "from", id.sender, "err", err)
 				continue
 			}
-			p.answer(ctx, id.sender, pieces[0], letters)
+			p.answer(ctx, id.sender, fragments[0], letters)
 		}
 	}
 }
 
 // isNews notes a batch and tells whether it is the sender's latest. Who sent an
 // earlier one has given up on it, and its reports may be old.
-func (p *postmaster) isNews(id parcelID) bool {
+func (p *relayServer) isLatest(id batchID) bool {
 	if last, ok := p.latest[id.sender]; ok && last.run == id.run && id.serial <= last.serial {
 		return false
 	}
@@ -379,8 +366,8 @@
 }
 
 // answer has the dispatcher answer the letters and sends the answers back.
-func (p *postmaster) answer(ctx context.Context, name string, ask piece, letters []letter) {
-	actx, cancel := context.WithTimeout(ctx, mailPatience/2)
+func (p *relayServer) answer(ctx context.Context, name string, ask batchFragment, letters []letter) {
+	actx, cancel := context.WithTimeout(ctx, relayTimeout/2)
 	defer cancel()
 	replies := make([]mailReply, len(letters))
 	type answered struct {
@@ -393,14 +380,15 @@
 			r := mailReply{Done: true}
 			switch {
 			case l.User != nil:
-				a := p.desk.user(actx, *l.User)
+				a := p.dispatcher.user(actx, *l.User)
 				r.User = &a
 			case l.Report != nil:
-				b := BeatAnswer{Undecided: true}
-				if got := p.desk.beats(actx, []*Report{l.Report}); len(got) > 0 {
+				b := HeartbeatResponse{Undecided: true}
+				if got := p.dispatcher.heartbeats(actx, []*Report{l.Report}); len(got) > 0 {
 					b = got[0]
 				}
-				r.Beat = &b
+				answer := BeatAnswer(b)
+				r.Beat = &answer
 			}
 			answers <- answered{i, r}
 		}()
@@ -409,7 +397,7 @@
 		a := <-answers
 		replies[a.i] = a.r
 	}
-	values, err := encodePieces(replies, ask.Run, ask.Serial, p.ceiling.Limits())
+	values, err := encodeBatch(replies, ask.Run, ask.Serial, p.limitTracker.Limits())
 	if err != nil || values == nil {
 		p.log.Error("mail not answered", "to", name, "letters", len(letters), "err", err)
 		return
@@ -417,8 +405,8 @@
 	if err := p.limiter.WaitN(ctx, min(len(values), p.limiter.Burst())); err != nil {
 		return
 	}
-	if _, err := p.svc.Txn(actx, []storage.Guard{p.guard}, mailOps(answerPrefix, name, values)); err != nil {
-		p.ceiling.Learn(err)
+	if _, err := p.svc.Txn(actx, []storage.Guard{p.guard}, relayOps(relayResponsePrefix, name, values)); err != nil {
+		p.limitTracker.Learn(err)
 		p.log.Debug("mail not answered", "to", name, "err", err)
 		return
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -36,34 +36,34 @@
 
 // Node is one controller: it follows or leads, and answers users and workers.
 type Node struct {
-	settings *Settings
-	deps     Deps
-	lead     *leadership
-	mail     *mailer
-	courier  *courier
-	ceiling  *storage.Ceiling
-	roles    chan Role
-	view     atomic.Pointer[view] // published by the node's own goroutine
+	settings     *Settings
+	deps         Deps
+	lead         *leadership
+	relay        *relayClient
+	forwarder    *forwarder
+	limitTracker *storage.LimitTracker
+	roles        chan Role
+	view         atomic.Pointer[view] // published by the node's own goroutine
 }
 
 // view is what request handlers need to know, replaced as a whole.
 type view struct {
-	role Role
-	desk *dispatcher // only while leading with the state loaded
+	role       Role
+	dispatcher *dispatcher // only while leading with the state loaded
 }
 
 // NewNode makes a node; Run starts it.
 func NewNode(s *Settings, deps Deps) *Node {
 	limits := s.State
-	limits.Patience = scale(s.Tuning.LeaderLease, writeShare)
-	n := &Node{settings: s, deps: deps, ceiling: storage.NewCeiling(limits), roles: make(chan Role, 16)}
+	limits.RequestTimeout = scale(s.Tuning.LeaderLease, writeShare)
+	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
 	n.lead = &leadership{
 		svc: deps.State, settings: s, log: deps.Log,
 		run:    fmt.Sprintf("%016x", deps.Rand.Uint64()),
 		resign: make(chan resignation, 4), peers: deps.Peers, began: time.Now(),
 	}
-	n.mail = newMailer(s, deps, n.ceiling)
-	n.courier = newCourier(n)
+	n.relay = newRelayClient(s, deps, n.limitTracker)
+	n.forwarder = newForwarder(n)
 	n.view.Store(&view{})
 	return n
 }
@@ -79,20 +79,20 @@
 	}
 	g.Go(func() error { n.lead.Run(ctx); return nil })
 	g.Go(func() error { n.follow(ctx); return nil })
-	g.Go(func() error { n.mail.run(ctx); return nil })
-	g.Go(func() error { n.courier.run(ctx); return nil })
+	g.Go(func() error { n.relay.run(ctx); return nil })
+	g.Go(func() error { n.forwarder.run(ctx); return nil })
 	return g.Wait()
 }
 
 // follow turns changes of role into terms begun and ended.
 func (n *Node) follow(ctx context.Context) {
 	var end context.CancelFunc
-	var desk *dispatcher
+	var disp *dispatcher
 	loaded := make(chan *dispatcher, 1)
 	stop := func() {
 		if end != nil {
 			end()
-			end, desk = nil, nil
+			end, disp = nil, nil
 		}
 	}
 	defer stop()
@@ -106,14 +106,14 @@
 			if end == nil || !cur.role.Leading || cur.role.Term != d.term {
 				continue // of a term that is over; the present one stays
 			}
-			desk, role = d, cur.role
+			disp, role = d, cur.role
 		case role = <-n.roles:
 		}
 		cur := n.view.Load()
 		if end != nil && (!role.Leading || role.Term != cur.role.Term) {
 			stop()
 		}
-		n.publish(role, desk)
+		n.publish(role, disp)
 		if role.Leading && end == nil {
 			tctx, cancel := context.WithCancel(ctx)
 			end = cancel
@@ -122,13 +122,13 @@
 	}
 }
 
-func (n *Node) publish(role Role, desk *dispatcher) {
-	if desk != nil && desk.term != role.Term {
-		desk = nil
+func (n *Node) publish(role Role, disp *dispatcher) {
+	if disp != nil && disp.term != role.Term {
+		disp = nil
 	}
-	n.view.Store(&view{role: role, desk: desk})
-	if desk != nil {
-		desk.post(roleMsg{role})
+	n.view.Store(&view{role: role, dispatcher: disp})
+	if disp != nil {
+		disp.post(roleMsg{role})
 	}
 }
 
@@ -136,7 +136,7 @@
 func (n *Node) term(ctx context.Context, role Role, loaded chan<- *dispatcher) {
 	started := time.Now()
 	log := n.deps.Log.With("term", role.Term)
-	journal, err := storage.OpenJournal(ctx, n.deps.State, n.ceiling, role.Guard)
+	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
 	if err != nil {
 		if ctx.Err() == nil {
 			log.Error("state not loaded", "err", err)
@@ -152,14 +152,14 @@
 	}
 	c := newCapacity(n.settings, n.deps, role.Term, d, journal, log)
 	d.capacity = c
-	d.hears = func() time.Duration { return n.courier.heard.since(time.Since(n.lead.began)) }
-	log.Info("take-over", "jobs", len(d.jobs), "machines", len(d.machines), "attempts", d.books.Attempts(), "took", time.Since(started))
+	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.since(time.Since(n.lead.began)) }
+	log.Info("take-over", "jobs", len(d.jobs), "machines", len(d.machines), "attempts", d.reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
 	d.ctx, c.ctx = gctx, gctx // before any of the actors can speak to another
 	g.Go(func() error { return journal.Run(gctx) })
 	g.Go(func() error { return d.run(gctx) })
 	g.Go(func() error { return c.run(gctx) })
-	g.Go(func() error { newPostmaster(n.settings, n.deps, n.ceiling, role.Guard, d).run(gctx); return nil })
+	g.Go(func() error { newRelayServer(n.settings, n.deps, n.limitTracker, role.Guard, d).run(gctx); return nil })
 	select {
 	case loaded <- d:
 	case <-ctx.Done():
@@ -185,17 +185,17 @@
 // other. While nobody leads all nodes that see each other are as good. That the
 // load balancer asks is noted, for it tells that this node isn't cut off.
 func (n *Node) Able() bool {
-	n.courier.probed.mark(time.Now())
+	n.forwarder.lastProbe.mark(time.Now())
 	v := n.view.Load()
 	if v.role.Leading && time.Now().Before(v.role.Certain) {
 		return true
 	}
 	leader, _ := n.leader(v)
 	if leader != "" && leader != n.settings.Node {
-		return n.deps.Peers.Unheard(leader) <= n.settings.Tuning.LeaderLease
+		return n.deps.Peers.SilentFor(leader) <= n.settings.Tuning.LeaderLease
 	}
 	for _, p := range n.settings.Peers {
-		if n.deps.Peers.Unheard(p.Name) == 0 {
+		if n.deps.Peers.SilentFor(p.Name) == 0 {
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 // peers: this node alone may have lost the state service.
 func (n *Node) leader(v *view) (name string, term uint64) {
 	name, term = v.role.Leader, v.role.Term
-	if told, t := n.deps.Peers.Known(); t > term && told != n.settings.Node {
+	if told, t := n.deps.Peers.KnownLeader(); t > term && told != n.settings.Node {
 		return told, t
 	}
 	return name, term
@@ -215,8 +215,8 @@
 // User answers a user's request here, if this node leads, or by the leader.
 func (n *Node) User(ctx context.Context, req UserRequest) Answer {
 	v := n.view.Load()
-	if v.desk != nil {
-		return v.desk.user(ctx, req)
+	if v.dispatcher != nil {
+		return v.dispatcher.user(ctx, req)
 	}
 	leader, _ := n.leader(v)
 	if leader == "" || leader == n.settings.Node {
@@ -224,10 +224,10 @@
 	}
 	asked := time.Now()
 	var a Answer
-	if n.useMail(leader) {
+	if n.useRelay(leader) {
 		// The leader's answer was carried by a transaction that its key guards,
 		// so only what changes from poll to poll can be outdated.
-		if a = n.mail.user(ctx, req); req.Op != OpPoll {
+		if a = n.relay.user(ctx, req); req.Op != OpPoll {
 			return a
 		}
 	} else {
@@ -245,51 +245,53 @@
 // hearsState tells whether the state service has answered this node lately:
 // its leadership, or its mail while that leads to the leader.
 func (n *Node) hearsState() bool {
-	since := min(n.lead.state().SinceState, n.mail.taken.since(math.MaxInt64))
-	return since < mailPatience+n.settings.Tuning.LeaderLease
+	since := min(n.lead.status().SinceState, n.relay.lastAccepted.since(math.MaxInt64))
+	return since < relayTimeout+n.settings.Tuning.LeaderLease
 }
 
 // useMail tells whether the leader lives, for its key outlasts its grant's
 // life, and yet can't be reached: then only the state service leads to it.
-func (n *Node) useMail(leader string) bool {
-	return n.deps.Peers.Unheard(leader) > n.settings.Tuning.LeaderLease
+func (n *Node) useRelay(leader string) bool {
+	return n.deps.Peers.SilentFor(leader) > n.settings.Tuning.LeaderLease
 }
 
 // Local answers a request that another node forwarded.
 func (n *Node) Local(ctx context.Context, req UserRequest) Answer {
 	if req.Op == OpPing {
-		return Answer{Peer: n.state(req.ID)}
+		return Answer{Peer: n.status(req.ID).Wire()}
 	}
-	if v := n.view.Load(); v.desk != nil {
-		return v.desk.user(ctx, req)
+	if v := n.view.Load(); v.dispatcher != nil {
+		return v.dispatcher.user(ctx, req)
 	}
 	return Unavailable(req.ID, "not the leader")
 }
 
 // state is what this node tells a peer of itself.
-func (n *Node) state(peer string) PeerState {
+func (n *Node) status(peer string) PeerStatus {
 	v := n.view.Load()
-	st := n.lead.state()
+	st := n.lead.status()
 	st.Version = PeerVersion
 	if r := v.role; !r.Leading || time.Now().Before(r.Certain) {
 		st.Leader, st.Term = r.Leader, r.Term
 	}
-	st.Hears, st.Alone = n.courier.heard.since(st.Up), n.courier.alone.since(st.Up)
-	if v.desk != nil {
-		st.LendTerm = v.desk.term
-		st.Lends, st.Barred = v.desk.lender.lend(peer)
+	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.since(st.Uptime), n.forwarder.lastDelegated.since(st.Uptime)
+	if v.dispatcher != nil {
+		st.DelegationTerm = v.dispatcher.term
+		st.DelegatesFor, st.Excluded = v.dispatcher.delegator.delegate(peer)
 	}
 	return st
 }
 
 // Beat answers a worker's report.
-func (n *Node) Beat(ctx context.Context, r *Report) BeatAnswer { return n.courier.beat(ctx, r) }
+func (n *Node) Heartbeat(ctx context.Context, r *Report) HeartbeatResponse {
+	return n.forwarder.heartbeat(ctx, r)
+}
 
 // LocalBeats answers reports that another node hands on; nil means that this
 // node doesn't decide on them.
-func (n *Node) LocalBeats(ctx context.Context, reports []*Report) []BeatAnswer {
-	if v := n.view.Load(); v.desk != nil {
-		return v.desk.beats(ctx, reports)
+func (n *Node) LocalHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+	if v := n.view.Load(); v.dispatcher != nil {
+		return v.dispatcher.heartbeats(ctx, reports)
 	}
 	return nil
 }
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -29,7 +29,7 @@
 				out = append(out, Order{Verb: Start, ID: a.id(), Try: a.try})
 			}
 			out = append(out, Order{Verb: Stop, ID: a.id(), Try: a.try})
-		case a.stop && !a.seen && a.beatSeq != 0 && a.direct != directInFlight && r.Token == d.term:
+		case a.stop && !a.seen && a.orderedSeq != 0 && a.direct != directInFlight && r.Token == d.term:
 			d.free(a, "its start was not executed")
 		case a.stop:
 		case !a.seen && a.durable && a.job.phase == storage.Open && d.certain(now) && !m.returning:
@@ -37,17 +37,17 @@
 			out = append(out, Order{Verb: Start, ID: a.id(), Try: a.try})
 		}
 	}
-	for _, t := range m.strays {
+	for _, t := range m.orphans {
 		out = append(out, Order{Verb: Stop, ID: t.ID, Try: t.Try})
 	}
-	m.strays = m.strays[:0]
+	m.orphans = m.orphans[:0]
 	for _, t := range m.ended {
 		if a := m.attempts[t.ID]; a != nil && a.try == t.Try {
 			continue
 		}
 		// A start that went directly may be repeated late: only an attempt
 		// that the worker still knows makes that harmless.
-		if m.tainted[taskTry{t.ID, t.Try}] || !d.certain(now) || !d.pageSettled(t.ID) {
+		if m.retained[taskTry{t.ID, t.Try}] || !d.certain(now) || !d.pageSettled(t.ID) {
 			continue
 		}
 		out = append(out, Order{Verb: Forget, ID: t.ID, Try: t.Try})
@@ -92,37 +92,37 @@
 		ctx, cancel := context.WithTimeout(d.ctx, limit)
 		defer cancel()
 		outcome, report := d.deps.Workers.Orders(ctx, addr, d.term, session, orders)
-		d.post(directMsg{machine: id, greet: len(orders) == 0, starts: starts, outcome: outcome, report: report})
+		d.post(directMsg{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
 	}()
 }
 
 // greet spreads our token to one worker, unless as many as the sockets allow
 // are being told already: then its own next report brings it the token.
-func (d *dispatcher) greet(m *machine) bool {
-	if d.greeting >= d.settings.greets() {
+func (d *dispatcher) announceToken(m *machine) bool {
+	if d.announcing >= d.settings.maxAnnouncements() {
 		return false
 	}
 	if m.token >= d.term || m.returning || m.addr == "" || m.session == 0 {
 		return true // knows it, or can't be told
 	}
-	d.greeting++
-	d.send(m, nil, nil, scale(d.settings.Report, greetPerReport))
+	d.announcing++
+	d.send(m, nil, nil, scale(d.settings.Report, announcePerReport))
 	return true
 }
 
 // greetPerReport is how long a worker has to take our token, in report
 // intervals: behind a cut it would only hold a socket.
-const greetPerReport = 0.25
+const announcePerReport = 0.25
 
 // spreadToken tells all known workers at the start of a term that their old
 // leader's commands are over, some at a time.
-func (d *dispatcher) spreadToken() {
-	for len(d.ungreeted) > 0 {
-		m := d.ungreeted[0]
-		if d.machines[m.id] == m && !d.greet(m) {
+func (d *dispatcher) announceTokens() {
+	for len(d.unannounced) > 0 {
+		m := d.unannounced[0]
+		if d.machines[m.id] == m && !d.announceToken(m) {
 			return
 		}
-		d.ungreeted = d.ungreeted[1:]
+		d.unannounced = d.unannounced[1:]
 	}
 }
 
@@ -134,9 +134,9 @@
 		m.inFlight = max(0, m.inFlight-1)
 		d.reached(m, msg.outcome == Executed || msg.outcome == Rejected, now)
 	}
-	if msg.greet {
-		d.greeting--
-		d.spreadToken()
+	if msg.announcement {
+		d.announcing--
+		d.announceTokens()
 	}
 	defer d.dropUnsent(msg.starts)
 	for _, a := range msg.starts {
--- a/internal/coordination/paired_guards_test.go
+++ b/internal/coordination/paired_guards_test.go
@@ -18,7 +18,7 @@
 // on.
 func TestNothingIsDecidedWithoutACertainLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		d.accept(service("000001", 1))
 		r := d.role
 		r.Certain = time.Now()
@@ -41,8 +41,8 @@
 // report without it proves its place empty, and a cancelled job lets go of it.
 func TestAReportUnderOurTokenProvesAnEarlierStartAbsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := sweep("000001", 1)
-		d := newDesk(t, grownSettings())
+		spec := arrayJob("000001", 1)
+		d := newTestDispatcher(t, grownSettings())
 		if err := d.load([]storage.Record{
 			record(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Try: 5, Machine: 7, Session: 1}}}),
@@ -54,7 +54,7 @@
 			if len(m.attempts) != 1 {
 				t.Fatalf("freed by a report under token %d", token)
 			}
-			d.handleBeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: uint64(seq + 1), Token: token})
+			d.handleHeartbeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: uint64(seq + 1), Token: token})
 		}
 		if len(m.attempts) != 0 || *m.booked != (storage.Room{}) {
 			t.Errorf("%d attempts and %+v are still booked", len(m.attempts), *m.booked)
@@ -64,24 +64,24 @@
 
 // A batch of mail that is carried out late, behind a newer one of its sender, is not
 // acted on: its sender has given up on it, and its reports may be old.
-func TestALateBatchOfMailIsNotActedOn(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.awaitLeader()
-		client := &storagetest.Client{Service: w.state, Cut: new(atomic.Bool)}
+func TestALateRelayBatchIsNotActedOn(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.awaitLeader()
+		client := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
 		send := func(serial uint64, spec storage.Spec) {
-			values, err := encodePieces([]letter{{User: &UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}}}, 1, serial, w.settings.State)
+			values, err := encodeBatch([]letter{{User: &UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}}}, 1, serial, sim.settings.State)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := client.Txn(context.Background(), nil, mailOps(askPrefix, "n9", values)); err != nil {
+			if _, err := client.Txn(context.Background(), nil, relayOps(relayRequestPrefix, "n9", values)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		known := func(id string) bool { return w.poll(id).Code == CodeOK }
-		w.submit(service("000009", 1)) // the machine types are known
-		w.upload(service("000001", 1))
+		known := func(id string) bool { return sim.poll(id).Code == CodeOK }
+		sim.submit(service("000009", 1)) // the machine types are known
+		sim.upload(service("000001", 1))
 		send(8, service("000001", 1))
-		w.eventually("the batch is acted on", 10*time.Second, func() bool { return known("000001") })
+		sim.eventually("the batch is acted on", 10*time.Second, func() bool { return known("000001") })
 		send(7, service("000002", 1))
 		time.Sleep(10 * time.Second)
 		if known("000002") {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -21,13 +21,13 @@
 // round is one round of placement: the ready machines' room, and what has been
 // learnt of it so far.
 type round struct {
-	now    time.Time
-	slots  []*slot
-	zones  []string
-	dry    dryness // shapes that found no free room
-	hard   dryness // shapes for which nothing can be stopped either
-	booked []*attempt
-	held   bool // room is kept for a gang that found too little
+	now           time.Time
+	candidates    []*candidate
+	zones         []string
+	exhausted     exhaustedShapes // shapes that found no free room
+	unpreemptable exhaustedShapes // shapes for which nothing can be stopped either
+	booked        []*attempt
+	held          bool // room is kept for a gang that found too little
 }
 
 // placeRound books room for waiting tasks, the most urgent first, and starts
@@ -43,8 +43,8 @@
 	}
 	d.byUrgency(waiting, now)
 	d.learnPerGPU(now)
-	r := &round{now: now, slots: d.readySlots(now), dry: make(dryness), hard: make(dryness)}
-	r.zones = zonesOf(r.slots)
+	r := &round{now: now, candidates: d.readyCandidates(now), exhausted: make(exhaustedShapes), unpreemptable: make(exhaustedShapes)}
+	r.zones = zonesOf(r.candidates)
 	for _, j := range waiting {
 		if len(r.booked) >= scanLimit {
 			d.place = true // the rest in the next round
@@ -99,11 +99,11 @@
 
 func (d *dispatcher) withinLimit(j *job) bool {
 	team := d.settings.team(j.spec.Team)
-	return team != nil && storage.Within(d.books.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
+	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
 }
 
 // bookOn enters an attempt and takes its room from the slot.
-func (d *dispatcher) bookOn(j *job, task int, s *slot, now time.Time) *attempt {
+func (d *dispatcher) bookOn(j *job, task int, s *candidate, now time.Time) *attempt {
 	s.free = s.free.Minus(j.spec.Room)
 	return d.book(j, task, s.on, now)
 }
@@ -111,7 +111,7 @@
 // book enters an attempt; it may start once its page is durable.
 func (d *dispatcher) book(j *job, task int, m *machine, now time.Time) *attempt {
 	d.nextTry++
-	a := &attempt{job: j, task: task, try: d.nextTry, on: m, session: m.session, mine: true, booked: now}
+	a := &attempt{job: j, task: task, try: d.nextTry, on: m, session: m.session, ownTerm: true, booked: now}
 	d.enter(a)
 	d.markPage(j, task)
 	return a
@@ -148,21 +148,21 @@
 }
 
 // admits tells whether the kind of machine and its zone suit a task of the job.
-func (s *slot) admits(j *job, zones *zoneCheck) bool {
+func (s *candidate) admits(j *job, zones *zoneCheck) bool {
 	return (!s.spot || j.spec.Spot) && s.zone != "" && allowed(j.spec.Types, s.kind) && zones.allows(s.zone)
 }
 
 // choose picks a machine by the power of two choices among the best kind of
 // eligible machines.
-func (d *dispatcher) choose(j *job, r *round, zones *zoneCheck) *slot {
+func (d *dispatcher) choose(j *job, r *round, zones *zoneCheck) *candidate {
 	sh := j.shape()
-	from := r.dry.from(sh, zones, r.zones)
-	if from >= len(r.slots) {
+	from := r.exhausted.from(sh, zones, r.zones)
+	if from >= len(r.candidates) {
 		return nil
 	}
-	var best []*slot
+	var best []*candidate
 	tier := 0
-	for _, s := range r.slots[from:] {
+	for _, s := range r.candidates[from:] {
 		if !j.spec.Room.Fits(s.free) || !s.admits(j, zones) {
 			continue
 		}
@@ -175,17 +175,17 @@
 		}
 	}
 	if len(best) == 0 {
-		r.dry.note(sh, zones, r.zones, len(r.slots))
+		r.exhausted.note(sh, zones, r.zones, len(r.candidates))
 		return nil
 	}
 	return d.sample(j, best)
 }
 
 // sample returns the better of two random slots: the fuller, to pack.
-func (d *dispatcher) sample(j *job, slots []*slot) *slot {
-	pick := slots[d.rand.IntN(len(slots))]
+func (d *dispatcher) sample(j *job, candidates []*candidate) *candidate {
+	pick := candidates[d.rand.IntN(len(candidates))]
 	for i := 1; i < samples; i++ {
-		if o := slots[d.rand.IntN(len(slots))]; o.freeShare(j) < pick.freeShare(j) {
+		if o := candidates[d.rand.IntN(len(candidates))]; o.freeShare(j) < pick.freeShare(j) {
 			pick = o
 		}
 	}
@@ -201,7 +201,7 @@
 	tierTrouble                     // tasks have failed here lately
 )
 
-func (d *dispatcher) tier(j *job, s *slot) int {
+func (d *dispatcher) tier(j *job, s *candidate) int {
 	t := 0
 	if j.spec.Room.GPUs == 0 && s.typ.Room.GPUs == 0 {
 		t |= tierSmall
@@ -223,7 +223,7 @@
 
 // strands tells whether a task without accelerators would leave too little of
 // the rest for the tasks that need the machine's free ones.
-func (d *dispatcher) strands(j *job, s *slot) bool {
+func (d *dispatcher) strands(j *job, s *candidate) bool {
 	if j.spec.Room.GPUs > 0 || s.typ.Room.GPUs == 0 {
 		return false
 	}
@@ -233,7 +233,7 @@
 }
 
 // freeShare is how much of what matters to the job is free.
-func (s *slot) freeShare(j *job) float64 {
+func (s *candidate) freeShare(j *job) float64 {
 	if j.spec.Room.GPUs > 0 && s.typ.Room.GPUs > 0 {
 		return s.free.GPUs / s.typ.Room.GPUs
 	}
--- a/internal/coordination/ports.go
+++ b/internal/coordination/ports.go
@@ -83,7 +83,7 @@
 }
 
 // BeatAnswer is the answer to a worker's report.
-type BeatAnswer struct {
+type HeartbeatResponse struct {
 	Accepted bool
 	Token    uint64
 	Orders   []Order
@@ -143,17 +143,17 @@
 func (a *Answer) decided() bool { return a.Code != CodeUnavailable && a.Code != CodeBusy }
 
 // PeerState is what a node tells another of itself.
-type PeerState struct {
-	Up         time.Duration // since its process began
-	SinceState time.Duration // since its leadership last heard the state service
-	Leader     string        // who leads, as it knows first-hand; "": nobody it knows of
-	Term       uint64
-	Hears      time.Duration // since a worker last reported to it; Up if none has
-	Alone      time.Duration // since it last renewed a lease alone; Up if it never has
-	Lends      time.Duration // if it leads: how long the asker may renew leases alone
-	LendTerm   uint64        // under that token
-	Barred     []int         // but not these machines'
-	Version    int           // of what it writes and sends; 0: one that doesn't tell
+type PeerStatus struct {
+	Uptime                time.Duration // since its process began
+	SinceState            time.Duration // since its leadership last heard the state service
+	Leader                string        // who leads, as it knows first-hand; "": nobody it knows of
+	Term                  uint64
+	SinceHeartbeat        time.Duration // since a worker last reported to it; Up if none has
+	SinceDelegatedRenewal time.Duration // since it last renewed a lease alone; Up if it never has
+	DelegatesFor          time.Duration // if it leads: how long the asker may renew leases alone
+	DelegationTerm        uint64        // under that token
+	Excluded              []int         // but not these machines'
+	Version               int           // of what it writes and sends; 0: one that doesn't tell
 }
 
 // PeerVersion is this version's: the first that begins gangs by the page of the
@@ -212,7 +212,7 @@
 // Cloud rents machines.
 type Cloud interface {
 	Catalogue(ctx context.Context) ([]storage.MachineType, error)
-	Hire(ctx context.Context, name string, h storage.HireRecord) ([]int, error)
+	Rent(ctx context.Context, name string, h storage.RentalRecord) ([]int, error)
 	Return(ctx context.Context, machines []int) error
 	// List reads a page of the machines after one of that number; with noMachine,
 	// from the first.
@@ -238,8 +238,8 @@
 )
 
 // PeerWord is what a peer has told of itself, and when it was asked.
-type PeerWord struct {
-	PeerState
+type PeerReport struct {
+	PeerStatus
 	Sent, Got time.Time // by our clock: before and after what it tells of
 }
 
@@ -248,15 +248,15 @@
 	// Forward asks the named node; an error means that no answer came.
 	Forward(ctx context.Context, node string, req UserRequest) (Answer, error)
 	// Beats hands reports to the named node, which answers each.
-	Beats(ctx context.Context, node string, reports []*Report) ([]BeatAnswer, error)
+	Heartbeats(ctx context.Context, node string, reports []*Report) ([]HeartbeatResponse, error)
 	// Told is the named node's latest word; ok is false if there is none.
-	Told(node string) (w PeerWord, ok bool)
+	Status(node string) (w PeerReport, ok bool)
 	// Unheard is for how long the named node has been out of reach; 0: it is
 	// in reach.
-	Unheard(node string) time.Duration
+	SilentFor(node string) time.Duration
 	// Known is the latest leader that the peers have told of lately, with its
 	// term; 0: none.
-	Known() (leader string, term uint64)
+	KnownLeader() (leader string, term uint64)
 }
 
 // Unavailable is the answer of a node that can't decide now.
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -12,13 +12,13 @@
 // nobody else counts on the claimed room. It returns the machine's zone.
 func (d *dispatcher) preempt(j *job, r *round, zones *zoneCheck) (zone string, ok bool) {
 	sh := j.shape()
-	if j.spec.Priority <= storage.BestEffort || r.hard.from(sh, zones, r.zones) >= len(r.slots) {
+	if j.spec.Priority <= storage.BestEffort || r.unpreemptable.from(sh, zones, r.zones) >= len(r.candidates) {
 		return "", false
 	}
-	var best *slot
+	var best *candidate
 	var victims []*attempt
 	bestCost := 0.0
-	for _, s := range r.slots {
+	for _, s := range r.candidates {
 		if !j.spec.Room.Fits(s.typ.Room) || !s.admits(j, zones) {
 			continue
 		}
@@ -31,7 +31,7 @@
 		}
 	}
 	if best == nil {
-		r.hard.note(sh, zones, r.zones, len(r.slots))
+		r.unpreemptable.note(sh, zones, r.zones, len(r.candidates))
 		return "", false
 	}
 	for _, v := range victims {
@@ -47,7 +47,7 @@
 }
 
 // claim takes room from what is free and what is being freed.
-func (s *slot) claim(r storage.Room) {
+func (s *candidate) claim(r storage.Room) {
 	all := s.free.Plus(s.freeing).Minus(r)
 	s.free = storage.Room{CPUs: min(s.free.CPUs, all.CPUs), GPUs: min(s.free.GPUs, all.GPUs), MemoryGB: min(s.free.MemoryGB, all.MemoryGB)}
 	s.freeing = all.Minus(s.free)
@@ -56,7 +56,7 @@
 // victims chooses tasks of lower priority in the slot whose end makes that much
 // room, the cheapest to lose first. Room that is being freed already
 // counts: then there is nothing to stop.
-func (d *dispatcher) victims(s *slot, room storage.Room, rank storage.Priority, now time.Time) ([]*attempt, float64, bool) {
+func (d *dispatcher) victims(s *candidate, room storage.Room, rank storage.Priority, now time.Time) ([]*attempt, float64, bool) {
 	free := s.free.Plus(s.freeing)
 	if room.Fits(free) {
 		return nil, 0, true
--- a/internal/coordination/pressure.go
+++ b/internal/coordination/pressure.go
@@ -18,11 +18,11 @@
 
 // demand is a group of alike tasks in a trial packing.
 type demand struct {
-	job   *job
-	zones zoneCheck
-	n     int
-	kept  bool    // room to keep, not a task
-	runS  float64 // run time of a task of other work than services
+	job      *job
+	zones    zoneCheck
+	n        int
+	headroom bool    // room to keep, not a task
+	runS     float64 // run time of a task of other work than services
 }
 
 // demands lists the waiting tasks, most urgent first, then the room to keep.
@@ -43,7 +43,7 @@
 			}
 		}
 		for ; !j.spec.Gang && n < j.tries(); n++ {
-			used := d.books.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
+			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
 			if !storage.Within(used, team.Limit) {
 				break
 			}
@@ -65,8 +65,8 @@
 	fullest := d.onFullest()
 	for _, n := range names {
 		c := d.classes[n]
-		if k := max(d.reserve(c, now), fullest[n]); k > 0 {
-			out = append(out, d.keepFor(c, k)...)
+		if k := max(d.headroom(c, now), fullest[n]); k > 0 {
+			out = append(out, d.headroomFor(c, k)...)
 		}
 	}
 	return out
@@ -76,7 +76,7 @@
 // limit, or none.
 func (d *dispatcher) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
 	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
-	if !storage.Within(d.books.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
+	if !storage.Within(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
 		return 0
 	}
 	teams[j.spec.Team] = all
@@ -91,14 +91,14 @@
 }
 
 // keep is a demand for room to keep, for n tasks like those of j.
-func keep(j *job, n int) *demand {
+func headroomDemand(j *job, n int) *demand {
 	model := modelOf(j)
-	return &demand{job: model, zones: newZoneCheck(model), n: n, kept: true}
+	return &demand{job: model, zones: newZoneCheck(model), n: n, headroom: true}
 }
 
 // keepFor demands room for n tasks like those of a class. What spread jobs must
 // have in another zone, half of each rounded down, is kept in every zone.
-func (d *dispatcher) keepFor(c *class, n int) []*demand {
+func (d *dispatcher) headroomFor(c *class, n int) []*demand {
 	var out []*demand
 	if zones := d.zonesFor(c.last); c.last.spec.Spread && len(zones) > 1 {
 		each := int(math.Round(c.elsewhere() * float64(n)))
@@ -106,7 +106,7 @@
 			if each == 0 {
 				break
 			}
-			dm := keep(c.last, each)
+			dm := headroomDemand(c.last, each)
 			dm.job.spec.Zone = z
 			dm.zones = newZoneCheck(dm.job)
 			out = append(out, dm)
@@ -114,7 +114,7 @@
 		n -= each * len(zones)
 	}
 	if n > 0 {
-		out = append(out, keep(c.last, n))
+		out = append(out, headroomDemand(c.last, n))
 	}
 	return out
 }
@@ -134,12 +134,12 @@
 
 // packing is a trial packing of the demands into the machines' room.
 type packing struct {
-	slots []*slot
-	zones []string
-	dry   dryness
-	wants []offer // machines that would hold what found no slot
-	limit int     // the most that may be wanted
-	sizes map[string]int
+	candidates []*candidate
+	zones      []string
+	exhausted  exhaustedShapes
+	wanted     []offer // machines that would hold what found no slot
+	limit      int     // the most that may be wanted
+	sizes      map[string]int
 }
 
 // shortage packs the demands into the slots and finds the offers that would
@@ -147,37 +147,37 @@
 // machine of its own when the places that it has will take it before a new
 // machine were up.
 func (d *dispatcher) shortage(p *packing, demands []*demand, size int, now time.Time) {
-	p.zones, p.limit, p.sizes = zonesOf(p.slots), wantSteps*d.settings.Tuning.growBound(size), make(map[string]int)
+	p.zones, p.limit, p.sizes = zonesOf(p.candidates), wantedSteps*d.settings.Tuning.growBound(size), make(map[string]int)
 	for _, m := range d.order {
 		p.sizes[m.zone]++
 	}
-	e := &ending{places: d.batchPlaces(), usual: d.usualBatch(now)}
-	late := make(map[string]*lateness)
+	e := &batchWork{places: d.batchPlaces(), usual: d.usualBatch(now)}
+	late := make(map[string]*lateHedge)
 	for i := 0; i < len(demands); i++ {
 		dm := demands[i]
 		coming := d.pack(p, dm, e, now)
-		if !dm.job.spec.Service || dm.kept || coming == 0 {
+		if !dm.job.spec.Service || dm.headroom || coming == 0 {
 			continue
 		}
 		l := late[dm.job.spec.Class]
 		if l == nil {
-			l = &lateness{}
+			l = &lateHedge{}
 			late[dm.job.spec.Class] = l
 		}
 		if extra := l.more(coming, d.perMachine(dm.job)); extra > 0 {
-			demands = append(demands, keep(dm.job, extra))
+			demands = append(demands, headroomDemand(dm.job, extra))
 		}
 	}
 }
 
 // wantSteps is for how many steps of growth a look finds wants: those that boot
 // longest go first.
-const wantSteps = 4
+const wantedSteps = 4
 
 // lateness reckons, class by class, for how many tasks to rent once more.
-type lateness struct{ coming, hedged float64 }
+type lateHedge struct{ coming, hedged float64 }
 
-func (l *lateness) more(coming int, perMachine float64) int {
+func (l *lateHedge) more(coming int, perMachine float64) int {
 	l.coming += float64(coming)
 	machines := l.coming / perMachine
 	extra := int(perMachine*min(lateShare*machines, math.Sqrt(machines)) - l.hedged)
@@ -195,7 +195,7 @@
 }
 
 // ending is what a packing knows of work that ends.
-type ending struct {
+type batchWork struct {
 	places int     // that it holds or has been given
 	usual  float64 // that it usually takes
 	behind int     // tasks left over so far
@@ -203,14 +203,14 @@
 
 // pack puts a demand's tasks into slots, wanting new ones where it must, and
 // returns how many count on machines that aren't up yet.
-func (d *dispatcher) pack(p *packing, dm *demand, e *ending, now time.Time) (coming int) {
+func (d *dispatcher) pack(p *packing, dm *demand, e *batchWork, now time.Time) (coming int) {
 	if s := &dm.job.spec; s.Gang && s.SameZone && len(dm.job.attempts) == 0 {
-		if zone := gangZone(p.slots, dm); zone != "" {
+		if zone := gangZone(p.candidates, dm); zone != "" {
 			dm.zones.add(zone, 1) // all of it there
 		}
 	}
 	for dm.n > 0 {
-		if s := d.bestSlot(p, dm); s != nil {
+		if s := d.bestCandidate(p, dm); s != nil {
 			coming += s.put(dm, e)
 			continue
 		}
@@ -222,20 +222,20 @@
 			}
 		}
 		o, ok := d.bestOffer(p, dm, now)
-		if !ok || len(p.wants) >= p.limit {
+		if !ok || len(p.wanted) >= p.limit {
 			break
 		}
 		typ := d.types[o.kind]
 		if dm.job.spec.Room.GPUs == 0 && typ.Room.GPUs > 0 {
 			// Only the dear kind is left: first count on those that boot anyway.
-			if s := d.fullest(p.slots, dm.job, &dm.zones, lastResort); s != nil {
+			if s := d.fullest(p.candidates, dm.job, &dm.zones, lastResort); s != nil {
 				coming += s.put(dm, e)
 				continue
 			}
 		}
-		p.wants = append(p.wants, o)
+		p.wanted = append(p.wanted, o)
 		p.sizes[o.zone]++
-		p.slots = append(p.slots, &slot{offer: o, typ: typ, free: typ.Room, booting: true, plain: dm.job.spec.Room.GPUs == 0})
+		p.candidates = append(p.candidates, &candidate{offer: o, typ: typ, free: typ.Room, booting: true, plain: dm.job.spec.Room.GPUs == 0})
 		if !slices.Contains(p.zones, o.zone) {
 			p.zones = append(p.zones, o.zone)
 		}
@@ -248,7 +248,7 @@
 
 // put packs one task of a demand here and returns 1 if it counts on a machine
 // that isn't up yet.
-func (s *slot) put(dm *demand, e *ending) int {
+func (s *candidate) put(dm *demand, e *batchWork) int {
 	s.free = s.free.Minus(dm.job.spec.Room)
 	s.packed = append(s.packed, dm)
 	dm.zones.add(s.zone, 1)
@@ -294,36 +294,36 @@
 }
 
 // bestSlot finds the fullest slot that takes one more task of the demand.
-func (d *dispatcher) bestSlot(p *packing, dm *demand) *slot {
+func (d *dispatcher) bestCandidate(p *packing, dm *demand) *candidate {
 	sh := dm.job.shape()
-	from := p.dry.from(sh, &dm.zones, p.zones)
-	if from >= len(p.slots) {
+	from := p.exhausted.from(sh, &dm.zones, p.zones)
+	if from >= len(p.candidates) {
 		return nil
 	}
-	best := d.fullest(p.slots[from:], dm.job, &dm.zones, d.sensible)
+	best := d.fullest(p.candidates[from:], dm.job, &dm.zones, d.sensible)
 	if best == nil {
-		p.dry.note(sh, &dm.zones, p.zones, len(p.slots))
+		p.exhausted.note(sh, &dm.zones, p.zones, len(p.candidates))
 	}
 	return best
 }
 
 // sensible tells whether a task without accelerators may count on the slot's
 // machine if it has some: smaller machines come sooner and cost little.
-func (d *dispatcher) sensible(s *slot, j *job) bool {
+func (d *dispatcher) sensible(s *candidate, j *job) bool {
 	return !s.booting || !j.spec.Service || j.spec.Room.GPUs > 0 || s.typ.Room.GPUs == 0
 }
 
 // lastResort takes any slot that has the room.
-func lastResort(*slot, *job) bool { return true }
+func lastResort(*candidate, *job) bool { return true }
 
 // fullest finds the fullest slot for a task of the job, among those that suit.
 // A task without accelerators must leave enough of the rest for those that are
 // free, but on a machine that is rented for such tasks.
-func (d *dispatcher) fullest(slots []*slot, j *job, zones *zoneCheck, suits func(*slot, *job) bool) *slot {
+func (d *dispatcher) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
 	room := j.spec.Room
-	var best *slot
+	var best *candidate
 	bestFree := 0.0
-	for _, s := range slots {
+	for _, s := range candidates {
 		if !room.Fits(s.free) || !s.admits(j, zones) || !suits(s, j) || !s.plain && d.strands(j, s) {
 			continue
 		}
@@ -352,7 +352,7 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				if spot && (!s.Spot || t.SpotPrice <= 0) || !spot && dm.kept && s.Spot {
+				if spot && (!s.Spot || t.SpotPrice <= 0) || !spot && dm.headroom && s.Spot {
 					continue
 				}
 				o := offer{name, zone, spot}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -12,34 +12,34 @@
 }
 
 // handleBeat takes a worker's report and answers it.
-func (d *dispatcher) handleBeat(r *Report) BeatAnswer {
+func (d *dispatcher) handleHeartbeat(r *Report) HeartbeatResponse {
 	now := time.Now()
 	if r.Token > d.term {
 		d.stepDown("a worker knows a higher token")
-		return BeatAnswer{}
+		return HeartbeatResponse{}
 	}
 	if now.After(d.role.HoldOut) {
 		// A successor may have told a user that a job is cancelled, counting
 		// on the workers' leases to end.
-		return BeatAnswer{Busy: true}
+		return HeartbeatResponse{Busy: true}
 	}
-	if d.goneBefore[r.Machine] {
-		return BeatAnswer{Busy: true}
+	if d.removed[r.Machine] {
+		return HeartbeatResponse{Busy: true}
 	}
 	m := d.machine(r.Machine)
 	if m.stale(r) {
 		// A late copy: it neither shows the present nor renews the lease.
-		return BeatAnswer{Busy: true}
+		return HeartbeatResponse{Busy: true}
 	}
 	first := m.token < d.term
 	d.apply(m, r, true, now)
-	m.answered = now
+	m.lastAnswered = now
 	if first && r.Token < d.term {
 		// The worker must have seen our token before its reports prove
 		// anything; telling it directly saves an interval.
-		d.greet(m)
+		d.announceToken(m)
 	}
-	return BeatAnswer{Accepted: true, Token: d.term, Orders: d.ordersFor(m, r, now)}
+	return HeartbeatResponse{Accepted: true, Token: d.term, Orders: d.ordersFor(m, r, now)}
 }
 
 func (d *dispatcher) stepDown(reason string) { d.giveUp(reason, false) }
@@ -51,7 +51,7 @@
 	r := d.role
 	r.Certain, r.HoldOut = time.Time{}, time.Time{}
 	d.setRole(r)
-	d.lender.now.Store(nil)
+	d.delegator.terms.Store(nil)
 	select {
 	case d.resign <- resignation{d.term, standBack}:
 	default:
@@ -77,16 +77,16 @@
 	}
 	if r.Token == d.term && !m.heard && r.Session > m.lapsed {
 		// From here on only our own answers renew its lease.
-		m.heard, m.answered = true, now
+		m.heard, m.lastAnswered = true, now
 		if len(m.attempts) == 0 {
-			m.idle = now
+			m.idleSince = now
 		}
 		d.log.Debug("machine ready", "machine", m.id, "type", m.kind, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.born))
 		d.place = true
 	}
-	m.lastBeat = now
+	m.lastHeard = now
 	if beat {
-		m.reported = now
+		m.lastReport = now
 	}
 	if r.Notice != nil && m.noticeAt.IsZero() {
 		m.noticeAt = now.Add(seconds(*r.Notice))
@@ -99,7 +99,7 @@
 		d.applyTask(m, r, t, now)
 	}
 	if beat {
-		d.watchHeed(m, r, now)
+		d.watchCompliance(m, r, now)
 	}
 	for _, a := range m.sortedAttempts() {
 		if !listed[taskTry{a.id(), a.try}] && d.provedAbsent(a, r, beat) {
@@ -110,7 +110,7 @@
 
 // sessionEnded clears what an ended session has killed.
 func (d *dispatcher) sessionEnded(m *machine, r *Report, now time.Time) {
-	if m.heard && now.Sub(m.lastBeat) <= d.settings.fresh() {
+	if m.heard && now.Sub(m.lastHeard) <= d.settings.fresh() {
 		// Its reports came and our answers went nowhere: it is deaf.
 		m.lapses++
 		m.pauseTill = now.Add(scale(d.settings.Lease, float64(min(m.lapses, pauseLeases))))
@@ -121,20 +121,20 @@
 			d.free(a, "a later session")
 		}
 	}
-	clear(m.tainted)
+	clear(m.retained)
 	m.recorded = false
 	// The new session's lease began before now. Counting on from the answers
 	// to the one before would call its tasks gone while they run.
-	m.answered = now
+	m.lastAnswered = now
 }
 
 // watchHeed leaves a machine alone whose reports come but which doesn't do as
 // it is told.
-func (d *dispatcher) watchHeed(m *machine, r *Report, now time.Time) {
-	m.unheeding = false
+func (d *dispatcher) watchCompliance(m *machine, r *Report, now time.Time) {
+	m.unresponsive = false
 	for _, a := range m.attempts {
-		if !a.seen && a.beatSeq != 0 && r.Seq > a.beatSeq+1 && now.Sub(a.booked) > 2*d.settings.Report {
-			m.unheeding = true
+		if !a.seen && a.orderedSeq != 0 && r.Seq > a.orderedSeq+1 && now.Sub(a.booked) > 2*d.settings.Report {
+			m.unresponsive = true
 			m.pauseTill = now.Add(d.settings.fresh())
 			d.log.Debug("machine takes no orders", "machine", m.id)
 			return
@@ -148,10 +148,10 @@
 	switch {
 	case r.Token != d.term || r.Session != a.session:
 		return false
-	case !a.mine:
+	case !a.ownTerm:
 		// An earlier leader's commands are void where our token is known.
 		return true
-	case !a.sent() || a.loose():
+	case !a.sent() || a.startUnresolved():
 		return false
 	case !beat:
 		// An answer that carries the start may still be on its way.
@@ -170,8 +170,8 @@
 		switch t.State {
 		case Pulling:
 		case Gathering:
-			if a.gathers.IsZero() {
-				a.gathers = now
+			if a.gatheringSince.IsZero() {
+				a.gatheringSince = now
 			}
 			m.useImage(a.job.spec.Image, a.job.spec.ImageGB, now)
 		case Running, Saving:
@@ -210,7 +210,7 @@
 		d.markPage(j, a.task)
 		return
 	}
-	m.strays = append(m.strays, t)
+	m.orphans = append(m.orphans, t)
 }
 
 // ended takes in an attempt's end.
@@ -250,12 +250,12 @@
 // enter books an attempt.
 func (d *dispatcher) enter(a *attempt) {
 	if a.job.phase == storage.Cancelled {
-		d.leaving[a.job.spec.ID] = a.job
+		d.cancelling[a.job.spec.ID] = a.job
 	}
 	a.job.attempts[a.task] = a
 	a.job.setTask(a.task, taskActive)
 	a.on.attempts[a.id()] = a
-	d.books.Book(a.on.id, a.job.spec.Team, a.job.spec.Room)
+	d.reservations.Reserve(a.on.id, a.job.spec.Team, a.job.spec.Room)
 	a.on.hold(a, 1)
 	if a.job.spec.Gang {
 		a.job.noteGang(a)
@@ -272,12 +272,12 @@
 	delete(j.attempts, a.task)
 	delete(m.attempts, a.id())
 	if len(m.attempts) == 0 {
-		m.idle = time.Now()
+		m.idleSince = time.Now()
 	}
-	d.books.Release(m.id, j.spec.Team, j.spec.Room)
+	d.reservations.Release(m.id, j.spec.Team, j.spec.Room)
 	m.hold(a, -1)
 	if a.direct != directNone {
-		m.tainted[taskTry{a.id(), a.try}] = true
+		m.retained[taskTry{a.id(), a.try}] = true
 	}
 	j.setTask(a.task, taskWaiting)
 	d.markPage(j, a.task)
@@ -285,7 +285,7 @@
 		d.lost(a)
 	}
 	if m.draining != "" && len(m.attempts) == 0 {
-		d.viewAt = time.Time{} // to be returned; the next drain waits for it
+		d.snapshotAt = time.Time{} // to be returned; the next drain waits for it
 	}
 	d.log.Debug("attempt over", "job", j.spec.ID, "task", a.task, "try", a.try, "machine", m.id, "why", why)
 	d.retire(j)
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -58,12 +58,12 @@
 
 // Tuning holds the operators' own settings.
 type Tuning struct {
-	UpWindow    time.Duration // pressure must hold this long before growth
-	DownWindow  time.Duration // healthy time before a machine is returned
-	Cooldown    time.Duration // after a return
-	GrowStep    int           // machines per growth step of a small fleet
-	LeaderLease time.Duration // life of the leadership grant
-	Reserve     float64       // standard deviations of arrivals to keep room for
+	UpWindow           time.Duration // pressure must hold this long before growth
+	DownWindow         time.Duration // healthy time before a machine is returned
+	Cooldown           time.Duration // after a return
+	GrowStep           int           // machines per growth step of a small fleet
+	LeaderLease        time.Duration // life of the leadership grant
+	HeadroomDeviations float64       // standard deviations of arrivals to keep room for
 }
 
 // growBound is the most machines that one step may rent: the operators' figure,
@@ -86,8 +86,8 @@
 	downPerLease    = 1.0
 	coolPerLease    = 0.25
 	leaderPerLease  = 0.08
-	growStepDefault = 4 * hireMost // DESIGN starts at 4
-	reserveDefault  = 1.0
+	growStepDefault = 4 * maxRental // DESIGN starts at 4
+	headroomDefault = 1.0
 
 	// driftBound covers the workers' and our own steady clocks.
 	driftBound = 1.002
@@ -102,12 +102,12 @@
 // DefaultTuning derives the operators' defaults from the platform's figures.
 func (s *Settings) DefaultTuning() Tuning {
 	return Tuning{
-		UpWindow:    scale(s.Report, upPerReport),
-		DownWindow:  scale(s.Lease, downPerLease),
-		Cooldown:    scale(s.Lease, coolPerLease),
-		GrowStep:    growStepDefault,
-		LeaderLease: scale(s.Lease, leaderPerLease),
-		Reserve:     reserveDefault,
+		UpWindow:           scale(s.Report, upPerReport),
+		DownWindow:         scale(s.Lease, downPerLease),
+		Cooldown:           scale(s.Lease, coolPerLease),
+		GrowStep:           growStepDefault,
+		LeaderLease:        scale(s.Lease, leaderPerLease),
+		HeadroomDeviations: headroomDefault,
 	}
 }
 
@@ -132,7 +132,7 @@
 // strangerBound is the same for a worker that this term hasn't heard of,
 // counted from the take-over: an earlier leader may have renewed its lease
 // until the end of its hold.
-func (s *Settings) strangerBound() time.Duration {
+func (s *Settings) unconfirmedBound() time.Duration {
 	return scale(s.hold(), driftBound) + s.leaseBound()
 }
 
@@ -140,10 +140,10 @@
 func (s *Settings) fresh() time.Duration { return freshIntervals * s.Report }
 
 // greetSockets is the share of the sockets that spreading a token may take.
-const greetSockets = 1.0 / 16
+const announceSockets = 1.0 / 16
 
 // greets is how many workers may be told our token at a time.
-func (s *Settings) greets() int { return max(1, int(float64(s.Sockets)*greetSockets)) }
+func (s *Settings) maxAnnouncements() int { return max(1, int(float64(s.Sockets)*announceSockets)) }
 
 func (s *Settings) team(name string) *Team {
 	for i := range s.Teams {
