--- a/internal/coordination/slot.go
+++ b/internal/coordination/slot.go
@@ -10,7 +10,7 @@
 
 // slot is a machine's free room, in a round of placement or a trial packing.
 // A round makes its slots once; what it books or claims is taken from them.
-type slot struct {
+type candidate struct {
 	offer
 	typ     *storage.MachineType
 	free    storage.Room
@@ -18,27 +18,27 @@
 	plain   bool      // to be rented for tasks without accelerators
 	on      *machine  // nil: not yet rented
 	packed  []*demand // what a trial packing has put here, a task each
-	hosts   int       // tasks that a search for spare machines has moved here
+	moved   int       // tasks that a search for spare machines has moved here
 
 	freeing storage.Room // held by attempts that are being stopped
 }
 
 // readySlots returns the free room on the ready machines, in their order.
-func (d *dispatcher) readySlots(now time.Time) []*slot {
-	slots := make([]*slot, 0, len(d.order))
-	room := make([]slot, len(d.order)) // in one piece
+func (d *dispatcher) readyCandidates(now time.Time) []*candidate {
+	candidates := make([]*candidate, 0, len(d.order))
+	room := make([]candidate, len(d.order)) // in one piece
 	fresh := d.settings.fresh()
 	for i, m := range d.order {
 		if m.ready(now, fresh) {
-			room[i] = slotOf(m)
-			slots = append(slots, &room[i])
+			room[i] = candidateOf(m)
+			candidates = append(candidates, &room[i])
 		}
 	}
-	return slots
+	return candidates
 }
 
-func slotOf(m *machine) slot {
-	return slot{
+func candidateOf(m *machine) candidate {
+	return candidate{
 		offer: offer{m.kind, m.zone, m.spot}, typ: m.typ, on: m, booting: !m.heard,
 		free: m.typ.Room.Minus(*m.booked), freeing: m.stopping,
 	}
@@ -105,16 +105,16 @@
 // dryness remembers, by shape and zone, up to which slot none takes a task.
 // Within a round room only shrinks, so that holds to its end; slots that are
 // added come after.
-type dryness map[shape][]dryZone
+type exhaustedShapes map[shape][]exhaustedZone
 
-type dryZone struct {
+type exhaustedZone struct {
 	zone string
 	upto int
 }
 
 // from is the first slot worth looking at, of those in the zones that the
 // check allows.
-func (n dryness) from(s shape, z *zoneCheck, zones []string) int {
+func (n exhaustedShapes) from(s shape, z *zoneCheck, zones []string) int {
 	from := math.MaxInt
 	for _, zone := range zones {
 		if z.allows(zone) {
@@ -124,7 +124,7 @@
 	return from
 }
 
-func (n dryness) upto(s shape, zone string) int {
+func (n exhaustedShapes) upto(s shape, zone string) int {
 	for _, d := range n[s] {
 		if d.zone == zone {
 			return d.upto
@@ -134,14 +134,14 @@
 }
 
 // note marks all zones that the check allows as dry up to a slot.
-func (n dryness) note(s shape, z *zoneCheck, zones []string, upto int) {
+func (n exhaustedShapes) note(s shape, z *zoneCheck, zones []string, upto int) {
 	for _, zone := range zones {
 		if !z.allows(zone) {
 			continue
 		}
-		i := slices.IndexFunc(n[s], func(d dryZone) bool { return d.zone == zone })
+		i := slices.IndexFunc(n[s], func(d exhaustedZone) bool { return d.zone == zone })
 		if i < 0 {
-			n[s] = append(n[s], dryZone{zone, upto})
+			n[s] = append(n[s], exhaustedZone{zone, upto})
 		} else {
 			n[s][i].upto = upto
 		}
@@ -149,9 +149,9 @@
 }
 
 // zonesOf lists the zones of the slots.
-func zonesOf(slots []*slot) []string {
+func zonesOf(candidates []*candidate) []string {
 	var out []string
-	for _, s := range slots {
+	for _, s := range candidates {
 		if !slices.Contains(out, s.zone) {
 			out = append(out, s.zone)
 		}
--- a/internal/coordination/spare.go
+++ b/internal/coordination/spare.go
@@ -10,9 +10,9 @@
 const (
 	// spareTries bounds how many machines with tasks one look tries to do
 	// without; the next look goes on where it stopped.
-	spareTries = 8
+	surplusTries = 8
 	// sparesPerLook is the share of the fleet that one look may find to spare.
-	sparesPerLook = 1.0 / 32
+	surplusPerSnapshot = 1.0 / 32
 )
 
 // noMachine stands for none: the cloud numbers its machines from 0.
@@ -20,36 +20,36 @@
 
 // spare is a machine that the fleet can do without, and how many attempts it
 // had when that was found.
-type spare struct{ machine, attempts int }
+type surplusMachine struct{ machine, attempts int }
 
 // spares finds machines without which all that waits, all that is to be kept
 // and what runs would still fit, trying first those that waste the most money.
 // The packing has just shown what fits with them. They are drained and returned
 // one after the other.
-func (d *dispatcher) spares(p *packing, now time.Time) []spare {
-	most := max(1, int(sparesPerLook*float64(len(p.slots))))
-	var out []spare
-	busy, skip := 0, d.spareFrom // machines with tasks seen, and those tried at the last look
-	d.spareFrom = 0
-	for _, s := range d.wasters(p, now) {
+func (d *dispatcher) findSurplus(p *packing, now time.Time) []surplusMachine {
+	most := max(1, int(surplusPerSnapshot*float64(len(p.candidates))))
+	var out []surplusMachine
+	busy, skip := 0, d.surplusFrom // machines with tasks seen, and those tried at the last look
+	d.surplusFrom = 0
+	for _, s := range d.byWaste(p, now) {
 		if len(out) == most {
 			break
 		}
-		if s.hosts > 0 {
+		if s.moved > 0 {
 			continue // takes what leaves another
 		}
 		if len(s.on.attempts) > 0 || len(s.packed) > 0 {
 			if busy++; busy <= skip {
 				continue
 			}
-			if busy > skip+spareTries {
-				d.spareFrom = busy - 1
+			if busy > skip+surplusTries {
+				d.surplusFrom = busy - 1
 				break
 			}
 		}
-		if d.canSpare(p, s, now) {
+		if d.canRemove(p, s, now) {
 			s.free = storage.Room{CPUs: -1}
-			out = append(out, spare{s.on.id, len(s.on.attempts)})
+			out = append(out, surplusMachine{s.on.id, len(s.on.attempts)})
 		}
 	}
 	return out
@@ -61,15 +61,15 @@
 
 // restsBriefly tells whether the machine has had no tasks for a short time only.
 func (m *machine) restsBriefly(now time.Time) bool {
-	return len(m.attempts) == 0 && now.Sub(m.idle) < seconds(idlePerBoot*m.typ.BootS)
+	return len(m.attempts) == 0 && now.Sub(m.idleSince) < seconds(idlePerBoot*m.typ.BootS)
 }
 
 // wasters lists the slots of the ready machines, those that waste the most
 // money first.
-func (d *dispatcher) wasters(p *packing, now time.Time) []*slot {
-	waste := make(map[*slot]float64)
-	var out []*slot
-	for _, s := range p.slots {
+func (d *dispatcher) byWaste(p *packing, now time.Time) []*candidate {
+	waste := make(map[*candidate]float64)
+	var out []*candidate
+	for _, s := range p.candidates {
 		if s.on == nil || !s.on.ready(now, d.settings.fresh()) || s.on.restsBriefly(now) {
 			continue
 		}
@@ -103,9 +103,9 @@
 // canSpare tries to move what runs in a slot, and what the packing has put
 // there, into the room that the packing has left elsewhere. Replicas must find
 // their images where they go.
-func (d *dispatcher) canSpare(p *packing, s *slot, now time.Time) bool {
-	ready := func(o *slot, _ *job) bool { return o != s && o.on != nil && !o.booting }
-	undo, ok := d.tryMove(s.on, p.slots, true, now, func(o *slot, j *job) bool {
+func (d *dispatcher) canRemove(p *packing, s *candidate, now time.Time) bool {
+	ready := func(o *candidate, _ *job) bool { return o != s && o.on != nil && !o.booting }
+	undo, ok := d.tryMove(s.on, p.candidates, true, now, func(o *candidate, j *job) bool {
 		if !ready(o, j) {
 			return false
 		}
@@ -118,7 +118,7 @@
 	}
 	for _, dm := range s.packed {
 		zones := newZoneCheck(dm.job)
-		o := d.fullest(p.slots, dm.job, &zones, ready)
+		o := d.fullest(p.candidates, dm.job, &zones, ready)
 		if o == nil {
 			undo()
 			return false
@@ -129,12 +129,12 @@
 }
 
 // take uses room of the slot; the returned function gives it back, after undo.
-func (s *slot) take(j *job, undo func()) func() {
+func (s *candidate) take(j *job, undo func()) func() {
 	s.free = s.free.Minus(j.spec.Room)
-	s.hosts++
+	s.moved++
 	return func() {
 		s.free = s.free.Plus(j.spec.Room)
-		s.hosts--
+		s.moved--
 		undo()
 	}
 }
@@ -142,7 +142,7 @@
 // tryMove tries to pack a machine's services into the slots, and with saving
 // also what would be stopped because it can save its progress. The rest may
 // finish, or waits for room. undo gives the room back.
-func (d *dispatcher) tryMove(m *machine, slots []*slot, saving bool, now time.Time, suits func(*slot, *job) bool) (undo func(), ok bool) {
+func (d *dispatcher) tryMove(m *machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.sortedAttempts() {
 		if !a.job.spec.Service && !(saving && a.job.spec.CheckpointS > 0 && !a.job.spec.Gang) {
@@ -153,7 +153,7 @@
 		}
 		zones := newZoneCheck(a.job)
 		zones.add(m.zone, -1)
-		s := d.fullest(slots, a.job, &zones, suits)
+		s := d.fullest(candidates, a.job, &zones, suits)
 		if s == nil {
 			return undo, false
 		}
@@ -185,10 +185,10 @@
 const (
 	// strangerLease is how much of a lease after a take-over a machine may
 	// stay unheard before it counts as lost.
-	strangerLease = 0.5
+	unconfirmedLease = 0.5
 	// strangerShare of the machines may be lost at a time; if more are silent,
 	// the trouble is ours or a zone's.
-	strangerShare = 0.25
+	unconfirmedShare = 0.25
 )
 
 // lostStrangers finds machines that carry services and have not been heard
@@ -196,8 +196,8 @@
 // cover an earlier leader's hold and so is long; a deletion's 200 proves them
 // empty sooner. That is done only where their services find room elsewhere: a
 // machine that comes back has its images.
-func (d *dispatcher) lostStrangers(now time.Time) []int {
-	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.Lease, strangerLease), d.settings.fresh()) {
+func (d *dispatcher) lostUnconfirmed(now time.Time) []int {
+	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.Lease, unconfirmedLease), d.settings.fresh()) {
 		return nil
 	}
 	var silent []*machine
@@ -207,18 +207,18 @@
 			continue
 		}
 		carrying++
-		if !m.heard && m.lastBeat.IsZero() && m.typ != nil {
+		if !m.heard && m.lastHeard.IsZero() && m.typ != nil {
 			silent = append(silent, m)
 		}
 	}
-	if float64(len(silent)) > max(1, strangerShare*float64(carrying)) {
+	if float64(len(silent)) > max(1, unconfirmedShare*float64(carrying)) {
 		return nil
 	}
 	var lost []int
-	slots := d.readySlots(now)
+	candidates := d.readyCandidates(now)
 	d.learnPerGPU(now)
 	for _, m := range silent {
-		undo, ok := d.tryMove(m, slots, false, now, lastResort)
+		undo, ok := d.tryMove(m, candidates, false, now, lastResort)
 		if ok {
 			d.log.Info("unheard since the take-over", "machine", m.id, "attempts", len(m.attempts))
 			lost = append(lost, m.id)
--- a/internal/coordination/stories_test.go
+++ b/internal/coordination/stories_test.go
@@ -11,75 +11,75 @@
 )
 
 func TestAcceptanceSurvivesTheEndOfAllNodes(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(sweep("000001", 3))
-		w.submit(service("000002", 2))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000002")) == 2 })
-		for _, n := range w.nodes {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(arrayJob("000001", 3))
+		sim.submit(service("000002", 2))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000002")) == 2 })
+		for _, n := range sim.nodes {
 			n.kill()
 		}
 		time.Sleep(5 * time.Second)
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			n.start()
 		}
-		if a := w.poll("000001"); a.Code != CodeOK {
+		if a := sim.poll("000001"); a.Code != CodeOK {
 			t.Fatalf("forgotten: %+v", a)
 		}
-		if a := w.ask(OpSubmit, "000001", sweep("000001", 3)); a.Code != CodeOK {
+		if a := sim.ask(OpSubmit, "000001", arrayJob("000001", 3)); a.Code != CodeOK {
 			t.Fatalf("a repeated submission is answered %+v", a)
 		}
-		w.eventually("the sweep is done", 3*time.Minute, func() bool { return w.poll("000001").State == StateDone })
-		if len(w.running("000002")) != 2 {
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		if len(sim.running("000002")) != 2 {
 			t.Fatal("the service didn't go on")
 		}
-		if a := w.poll("999999"); a.Code != CodeNotFound {
+		if a := sim.poll("999999"); a.Code != CodeNotFound {
 			t.Fatalf("invented: %+v", a)
 		}
 	})
 }
 
 func TestTakeOverNeverRunsATaskTwice(t *testing.T) {
-	inWorld(t, func(w *world) {
+	inSimulation(t, func(sim *simulation) {
 		for i, id := range []string{"000001", "000002", "000003"} {
-			s := sweep(id, 6)
+			s := arrayJob(id, 6)
 			s.Service = i == 0
-			w.submit(s)
+			sim.submit(s)
 		}
 		for range 6 {
 			time.Sleep(7 * time.Second)
-			old := w.awaitLeader()
+			old := sim.awaitLeader()
 			old.kill()
 			time.Sleep(4 * time.Second)
 			old.start()
 		}
-		w.eventually("both sweeps are done", 5*time.Minute, func() bool {
-			return w.poll("000002").State == StateDone && w.poll("000003").State == StateDone
+		sim.eventually("both sweeps are done", 5*time.Minute, func() bool {
+			return sim.poll("000002").State == StateDone && sim.poll("000003").State == StateDone
 		})
-		w.eventually("the service runs", time.Minute, func() bool { return len(w.running("000001")) == 6 })
+		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.running("000001")) == 6 })
 	})
 }
 
 // A leader that alone has lost the state service and its peers goes on hearing
 // its workers; its successor must not start their tasks before they are gone.
 func TestADeposedLeaderIsWithoutEffect(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 2))
-		w.submit(sweep("000002", 1))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 2 })
-		w.eventually("the sweep is done", 2*time.Minute, func() bool { return w.poll("000002").State == StateDone })
-		old := w.awaitLeader()
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 2))
+		sim.submit(arrayJob("000002", 1))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
+		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000002").State == StateDone })
+		old := sim.awaitLeader()
 		oldTerm := old.node.view.Load().role.Term
 		old.cutState.Store(true)
 		old.cutPeers.Store(true)
-		for _, wk := range w.all() {
+		for _, wk := range sim.all() {
 			wk.only.Store(old)
 		}
 		cutoff := func(op UserOp, id string) Answer {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			return old.node.User(ctx, UserRequest{Op: op, ID: id, Spec: sweep(id, 1)})
+			return old.node.User(ctx, UserRequest{Op: op, ID: id, Spec: arrayJob(id, 1)})
 		}
-		time.Sleep(2 * w.settings.Tuning.LeaderLease)
+		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
 		if a := cutoff(OpPoll, "000001"); a.Code != CodeUnavailable {
 			t.Errorf("an uncertain leader tells %+v", a)
 		}
@@ -89,32 +89,32 @@
 		if a := cutoff(OpSubmit, "000003"); a.Code != CodeUnavailable {
 			t.Errorf("an uncertain leader accepts: %+v", a)
 		}
-		w.eventually("a successor leads", time.Minute, func() bool {
-			n := w.leader()
+		sim.eventually("a successor leads", time.Minute, func() bool {
+			n := sim.leader()
 			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
 		})
-		w.cancel("000001")
-		w.eventually("the cancelled tasks are gone", w.settings.Cancel, func() bool { return len(w.running("000001")) == 0 })
-		w.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().desk == nil })
+		sim.cancel("000001")
+		sim.eventually("the cancelled tasks are gone", sim.settings.Cancel, func() bool { return len(sim.running("000001")) == 0 })
+		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().dispatcher == nil })
 	})
 }
 
 // Orders sent directly may be executed minutes late, after a cancel too.
 func TestALateDirectStartIsHarmless(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 1))
-		w.eventually("a machine is up", 2*time.Minute, func() bool { return len(w.running("000001")) == 1 })
-		for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 1))
+		sim.eventually("a machine is up", 2*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
+		for _, wk := range sim.all() {
 			wk.hang.Store(true)
 		}
-		w.submit(service("000002", 2))
+		sim.submit(service("000002", 2))
 		time.Sleep(200 * time.Millisecond)
-		w.cancel("000002")
-		time.Sleep(2 * w.settings.Cancel)
-		for _, wk := range w.all() {
+		sim.cancel("000002")
+		time.Sleep(2 * sim.settings.Cancel)
+		for _, wk := range sim.all() {
 			wk.catchUp()
 		}
-		if n := len(w.running("000002")); n != 0 {
+		if n := len(sim.running("000002")); n != 0 {
 			t.Fatalf("%d cancelled tasks run", n)
 		}
 	})
@@ -122,12 +122,12 @@
 
 // A repeat of a start that was answered would start a forgotten attempt anew.
 func TestARepeatedDirectStartIsHarmless(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(sweep("000001", 1))
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(arrayJob("000001", 1))
 		var k workerKey
 		var on *fakeWorker
-		w.eventually("the task runs", 2*time.Minute, func() bool {
-			for id, wk := range w.running("000001") {
+		sim.eventually("the task runs", 2*time.Minute, func() bool {
+			for id, wk := range sim.running("000001") {
 				on = wk
 				for key := range wk.tasks {
 					if key.ID == id {
@@ -137,66 +137,66 @@
 			}
 			return on != nil
 		})
-		w.eventually("the sweep is done", 2*time.Minute, func() bool { return w.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
 		time.Sleep(30 * time.Second)
-		before := w.startsSoFar()
+		before := sim.startsSoFar()
 		on.direct(on.token, on.session, []Order{{Verb: Start, ID: k.ID, Try: k.Try}})
-		if w.startsSoFar() != before {
+		if sim.startsSoFar() != before {
 			t.Fatal("a repeated order started a finished task anew")
 		}
 	})
 }
 
 func TestCancelBeatsAStartAndHoldsPastACut(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 2))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 2 })
-		for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 2))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
+		for _, wk := range sim.all() {
 			wk.cut.Store(true)
 		}
-		w.cancel("000001")
-		w.eventually("the tasks are gone", w.settings.Cancel, func() bool { return len(w.running("000001")) == 0 })
-		for _, wk := range w.all() {
+		sim.cancel("000001")
+		sim.eventually("the tasks are gone", sim.settings.Cancel, func() bool { return len(sim.running("000001")) == 0 })
+		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
 		time.Sleep(time.Minute)
-		if len(w.running("000001")) != 0 {
+		if len(sim.running("000001")) != 0 {
 			t.Fatal("a cancelled task runs")
 		}
-		if a := w.poll("000001"); a.State != StateCancelled {
+		if a := sim.poll("000001"); a.State != StateCancelled {
 			t.Fatalf("went back: %+v", a)
 		}
 	})
 }
 
-func TestAnUnansweredHireRentsOnce(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.locked(func() { w.cloud.loseOne = true })
-		w.submit(service("000001", 1))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 1 })
+func TestAnUnansweredRentalRentsOnce(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.locked(func() { sim.cloud.loseOne = true })
+		sim.submit(service("000001", 1))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
 		repeated := false
-		w.mu.Lock()
-		for _, n := range w.cloud.asked {
+		sim.mu.Lock()
+		for _, n := range sim.cloud.asked {
 			repeated = repeated || n > 1
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if !repeated {
 			t.Fatal("the hire wasn't repeated under its name")
 		}
-		if len(w.all()) > 2 {
-			t.Fatalf("%d machines for one task", len(w.all()))
+		if len(sim.all()) > 2 {
+			t.Fatalf("%d machines for one task", len(sim.all()))
 		}
 	})
 }
 
 func TestADrainCompletesBeforeTheReturn(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(sweep("000001", 12))
-		w.submit(service("000002", 1))
-		w.eventually("the sweep is done", 5*time.Minute, func() bool { return w.poll("000001").State == StateDone })
-		grown := len(w.all())
-		w.eventually("machines are returned", 5*time.Minute, func() bool {
-			for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(arrayJob("000001", 12))
+		sim.submit(service("000002", 1))
+		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		grown := len(sim.all())
+		sim.eventually("machines are returned", 5*time.Minute, func() bool {
+			for _, wk := range sim.all() {
 				if !wk.dead.Load() {
 					continue
 				}
@@ -210,7 +210,7 @@
 			}
 			return grown <= 1
 		})
-		if len(w.running("000002")) != 1 {
+		if len(sim.running("000002")) != 1 {
 			t.Fatal("the service was lost")
 		}
 	})
@@ -219,56 +219,56 @@
 // Tasks on a machine that has fallen silent count to their team's limit until
 // their place is proved empty.
 func TestLimitsHoldWhileAPlaceIsUnproved(t *testing.T) {
-	inWorld(t, func(w *world) {
+	inSimulation(t, func(sim *simulation) {
 		s := service("000001", 2)
 		s.Team, s.Room.GPUs = "small", 1
-		w.submit(s)
-		w.eventually("the service runs", 3*time.Minute, func() bool { return len(w.running("000001")) == 2 })
-		for _, wk := range w.running("000001") {
+		sim.submit(s)
+		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
+		for _, wk := range sim.running("000001") {
 			wk.cut.Store(true)
 		}
-		o := sweep("000002", 2)
+		o := arrayJob("000002", 2)
 		o.Team, o.Room.GPUs = "small", 1
-		w.submit(o)
+		sim.submit(o)
 		time.Sleep(30 * time.Second)
-		for _, wk := range w.all() {
+		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
-		w.eventually("the service runs again", 3*time.Minute, func() bool { return len(w.running("000001")) == 2 })
-		w.cancel("000001")
-		w.eventually("the sweep is done", 3*time.Minute, func() bool { return w.poll("000002").State == StateDone })
+		sim.eventually("the service runs again", 3*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
+		sim.cancel("000001")
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000002").State == StateDone })
 	})
 }
 
 func TestATotalOutageCostsNoTasks(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 3))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 3 })
-		w.state.Outage(true)
-		before := w.startsSoFar()
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 3))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 3 })
+		sim.state.Outage(true)
+		before := sim.startsSoFar()
 		time.Sleep(3 * time.Minute)
-		w.state.Outage(false)
+		sim.state.Outage(false)
 		time.Sleep(time.Minute)
-		if len(w.running("000001")) != 3 || w.startsSoFar() != before {
-			t.Fatalf("%d of 3 run, %d starts anew", len(w.running("000001")), w.startsSoFar()-before)
+		if len(sim.running("000001")) != 3 || sim.startsSoFar() != before {
+			t.Fatalf("%d of 3 run, %d starts anew", len(sim.running("000001")), sim.startsSoFar()-before)
 		}
 	})
 }
 
 // A peer that has restarted can't know whether it led meanwhile.
 func TestARestartedPeerDoesNotConfirmAnOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lead := w.awaitLeader()
+	inSimulation(t, func(sim *simulation) {
+		lead := sim.awaitLeader()
 		time.Sleep(10 * time.Second)
 		term := lead.node.view.Load().role.Term
 		cut := time.Now()
 		lead.cutState.Store(true)
-		w.state.Outage(true)
+		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
 		if !lead.node.lead.leaderless(context.Background(), term, cut) {
 			t.Error("peers that heard nothing since don't confirm")
 		}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if n != lead {
 				n.restart()
 				break
@@ -282,16 +282,16 @@
 }
 
 func TestADeafMachineLosesItsTasksAndGetsNoMore(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 4))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 4 })
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 4))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 4 })
 		var deaf *fakeWorker
-		for _, wk := range w.running("000001") {
+		for _, wk := range sim.running("000001") {
 			deaf = wk
 		}
 		deaf.deaf.Store(true)
-		w.eventually("its tasks run elsewhere", 4*time.Minute, func() bool {
-			on := w.running("000001")
+		sim.eventually("its tasks run elsewhere", 4*time.Minute, func() bool {
+			on := sim.running("000001")
 			for _, wk := range on {
 				if wk == deaf {
 					return false
@@ -304,55 +304,55 @@
 
 // A late copy neither shows the present nor renews a lease.
 func TestALateCopyOfAReportIsNotTaken(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 1))
-		w.eventually("the service runs", 2*time.Minute, func() bool { return len(w.running("000001")) == 1 })
-		lead := w.awaitLeader()
-		for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 1))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
+		lead := sim.awaitLeader()
+		for _, wk := range sim.all() {
 			old := wk.report()
 			old.Tasks = nil
 			time.Sleep(10 * time.Second)
-			if a := lead.node.Beat(context.Background(), old); a.Accepted {
+			if a := lead.node.Heartbeat(context.Background(), old); a.Accepted {
 				t.Error("a copy is accepted")
 			}
 		}
 		time.Sleep(5 * time.Second)
-		if w.startsSoFar() != 1 || len(w.running("000001")) != 1 {
-			t.Fatalf("%d starts, %d run", w.startsSoFar(), len(w.running("000001")))
+		if sim.startsSoFar() != 1 || len(sim.running("000001")) != 1 {
+			t.Fatalf("%d starts, %d run", sim.startsSoFar(), len(sim.running("000001")))
 		}
 	})
 }
 
 func TestAMistakenJobDoesNotWearOutMachines(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(sweep("000001", 4))
-		w.eventually("machines are up", 2*time.Minute, func() bool { return len(w.running("000001")) == 4 })
-		for _, wk := range w.all() {
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(arrayJob("000001", 4))
+		sim.eventually("machines are up", 2*time.Minute, func() bool { return len(sim.running("000001")) == 4 })
+		for _, wk := range sim.all() {
 			wk.sick.Store(true) // now every task fails, as a mistaken job's would
 		}
 		time.Sleep(40 * time.Second)
-		before := w.startsSoFar()
+		before := sim.startsSoFar()
 		time.Sleep(5 * time.Minute)
-		if n := w.startsSoFar() - before; n > 60 {
+		if n := sim.startsSoFar() - before; n > 60 {
 			t.Errorf("%d starts in five minutes", n)
 		}
-		for _, wk := range w.all() {
+		for _, wk := range sim.all() {
 			wk.sick.Store(false)
 		}
-		w.eventually("the job is done", 5*time.Minute, func() bool { return w.poll("000001").State == StateDone })
+		sim.eventually("the job is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
 	})
 }
 
 func TestASpotNoticeMovesTheTasks(t *testing.T) {
-	inWorld(t, func(w *world) {
-		s := sweep("000001", 2)
+	inSimulation(t, func(sim *simulation) {
+		s := arrayJob("000001", 2)
 		s.Spot, s.EstimateS, s.CheckpointS, s.SaveS = true, 100, 5, 1
-		w.submit(s)
-		w.eventually("the tasks run", 2*time.Minute, func() bool { return len(w.running("000001")) == 2 })
+		sim.submit(s)
+		sim.eventually("the tasks run", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
 		notice := 10.0
 		var taken []*fakeWorker
-		for _, wk := range w.running("000001") {
-			w.locked(func() { wk.notice = &notice })
+		for _, wk := range sim.running("000001") {
+			sim.locked(func() { wk.notice = &notice })
 			taken = append(taken, wk)
 		}
 		time.Sleep(10 * time.Second)
@@ -366,18 +366,18 @@
 			}
 			wk.dead.Store(true)
 		}
-		w.eventually("the sweep is done", 5*time.Minute, func() bool { return w.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
 	})
 }
 
 // Where the leader is out of reach, what comes to a follower goes by mail.
-func TestAFollowerBeyondACutMailsTheLeader(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lead := w.awaitLeader()
+func TestAFollowerBeyondACutRelaysThroughTheStateService(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		lead := sim.awaitLeader()
 		var follower *fakeNode
-		for i, n := range w.nodes {
+		for i, n := range sim.nodes {
 			if n != lead {
-				follower = w.nodes[i]
+				follower = sim.nodes[i]
 			}
 		}
 		time.Sleep(5 * time.Second)
@@ -385,49 +385,49 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		spec := service("000001", 1)
-		w.upload(spec)
+		sim.upload(spec)
 		if a := follower.node.User(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
 			t.Fatalf("not accepted by mail: %+v", a)
 		}
-		a := follower.node.Beat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Session: 1, Seq: 1})
+		a := follower.node.Heartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Session: 1, Seq: 1})
 		if !a.Accepted || a.Token != lead.node.view.Load().role.Term {
 			t.Fatalf("no report by mail: %+v", a)
 		}
 	})
 }
 
-func TestRefusedHiresGoElsewhere(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.locked(func() { w.cloud.full = func(h storage.HireRecord) bool { return h.Zone == "a" || h.Type == "cpu" } })
-		w.submit(service("000001", 1))
-		w.eventually("the service runs", 3*time.Minute, func() bool { return len(w.running("000001")) == 1 })
+func TestRefusedRentalsGoElsewhere(t *testing.T) {
+	inSimulation(t, func(sim *simulation) {
+		sim.locked(func() { sim.cloud.full = func(h storage.RentalRecord) bool { return h.Zone == "a" || h.Type == "cpu" } })
+		sim.submit(service("000001", 1))
+		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
 		s := service("000002", 1)
 		s.Types, s.Zone = []string{"cpu"}, "a"
-		w.submit(s)
+		sim.submit(s)
 		time.Sleep(time.Minute)
-		w.locked(func() { w.cloud.full = nil })
-		w.eventually("it runs once there is room", 3*time.Minute, func() bool { return len(w.running("000002")) == 1 })
+		sim.locked(func() { sim.cloud.full = nil })
+		sim.eventually("it runs once there is room", 3*time.Minute, func() bool { return len(sim.running("000002")) == 1 })
 	})
 }
 
 func TestPlacementKeepsZonesAndSpot(t *testing.T) {
-	inWorld(t, func(w *world) {
+	inSimulation(t, func(sim *simulation) {
 		spread, same := service("000001", 5), service("000002", 3)
 		spread.Spread, same.SameZone = true, true
-		w.submit(spread)
-		w.submit(same)
-		spot := sweep("000003", 4)
+		sim.submit(spread)
+		sim.submit(same)
+		spot := arrayJob("000003", 4)
 		spot.Spot = true
-		w.submit(spot)
-		w.eventually("all run", 4*time.Minute, func() bool {
-			return len(w.running("000001")) == 5 && len(w.running("000002")) == 3 && w.poll("000003").State == StateDone
+		sim.submit(spot)
+		sim.eventually("all run", 4*time.Minute, func() bool {
+			return len(sim.running("000001")) == 5 && len(sim.running("000002")) == 3 && sim.poll("000003").State == StateDone
 		})
 	})
 }
 
 func TestWhatCanNeverRunIsRefused(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.awaitLeader()
+	inSimulation(t, func(sim *simulation) {
+		sim.awaitLeader()
 		for name, change := range map[string]func(*storage.Spec){
 			"unknown team":  func(s *storage.Spec) { s.Team = "strangers" },
 			"too large":     func(s *storage.Spec) { s.Room.CPUs = 65 },
@@ -436,13 +436,13 @@
 			"limit for all": func(s *storage.Spec) { s.Team, s.Room.GPUs, s.Service, s.Tasks = "small", 1, true, 3 },
 			"unknown zone":  func(s *storage.Spec) { s.Zone = "c" },
 		} {
-			s := sweep("000001", 1)
+			s := arrayJob("000001", 1)
 			change(&s)
-			if a := w.ask(OpSubmit, s.ID, s); a.Code != CodeUnfit || a.Reason == "" {
+			if a := sim.ask(OpSubmit, s.ID, s); a.Code != CodeUnfit || a.Reason == "" {
 				t.Errorf("%s: %+v", name, a)
 			}
 		}
-		if a := w.poll("000001"); a.Code != CodeNotFound {
+		if a := sim.poll("000001"); a.Code != CodeNotFound {
 			t.Errorf("a refused job is known: %+v", a)
 		}
 	})
@@ -451,34 +451,34 @@
 // Workers must remember attempts that were started directly; a new token ends
 // that before their reports grow too large.
 func TestReportsStayBoundedOverManyTasks(t *testing.T) {
-	inWorld(t, func(w *world) {
-		s := sweep("000001", 1500)
+	inSimulation(t, func(sim *simulation) {
+		s := arrayJob("000001", 1500)
 		s.Room = storage.Room{CPUs: 0.1, MemoryGB: 0.1}
 		s.EstimateS = 2
-		w.submit(s)
-		w.eventually("the sweep is done", 30*time.Minute, func() bool {
-			for _, wk := range w.all() {
-				if n := len(wk.report().Tasks); n > 2*taintLimit {
+		sim.submit(s)
+		sim.eventually("the sweep is done", 30*time.Minute, func() bool {
+			for _, wk := range sim.all() {
+				if n := len(wk.report().Tasks); n > 2*retainLimit {
 					t.Fatalf("a report of %d tasks", n)
 				}
 			}
-			return w.poll("000001").State == StateDone
+			return sim.poll("000001").State == StateDone
 		})
 	})
 }
 
 // Room is kept for what is expected; a class that has ceased expects nothing.
 func TestAnIdleFleetIsGivenBack(t *testing.T) {
-	inWorld(t, func(w *world) {
+	inSimulation(t, func(sim *simulation) {
 		for i := range 12 {
-			w.submit(service(fmt.Sprintf("%06d", i), 1))
+			sim.submit(service(fmt.Sprintf("%06d", i), 1))
 			time.Sleep(10 * time.Second)
 		}
 		for i := range 12 {
-			w.cancel(fmt.Sprintf("%06d", i))
+			sim.cancel(fmt.Sprintf("%06d", i))
 		}
-		w.eventually("all machines are given back", 90*time.Second, func() bool {
-			for _, wk := range w.all() {
+		sim.eventually("all machines are given back", 90*time.Second, func() bool {
+			for _, wk := range sim.all() {
 				if !wk.dead.Load() {
 					return false
 				}
@@ -491,23 +491,23 @@
 // A session that is first heard of in the answer to a direct order has its
 // lease from then on; the bound of the session before says nothing of its tasks.
 func TestANewSessionHeardDirectlyHasItsOwnLease(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit(service("000001", 1))
-		w.submit(service("000003", 4))
-		w.eventually("the services run", 2*time.Minute, func() bool { return len(w.running("000001"))+len(w.running("000003")) == 5 })
+	inSimulation(t, func(sim *simulation) {
+		sim.submit(service("000001", 1))
+		sim.submit(service("000003", 4))
+		sim.eventually("the services run", 2*time.Minute, func() bool { return len(sim.running("000001"))+len(sim.running("000003")) == 5 })
 		var on *fakeWorker
-		for _, wk := range w.running("000001") {
+		for _, wk := range sim.running("000001") {
 			on = wk
 		}
 		on.mute.Store(true)
 		var leased time.Time
-		w.locked(func() { leased = on.leased })
-		time.Sleep(time.Until(leased.Add(w.settings.Lease + 50*time.Millisecond)))
-		w.cancel("000001") // the stop tells of the new session
+		sim.locked(func() { leased = on.leased })
+		time.Sleep(time.Until(leased.Add(sim.settings.Lease + 50*time.Millisecond)))
+		sim.cancel("000001") // the stop tells of the new session
 		for i := range 3 {
-			w.submit(service(fmt.Sprintf("%06d", 10+i), 1))
+			sim.submit(service(fmt.Sprintf("%06d", 10+i), 1))
 		}
-		time.Sleep(w.settings.Lease - 2*time.Second) // others have booted meanwhile
+		time.Sleep(sim.settings.Lease - 2*time.Second) // others have booted meanwhile
 		on.mute.Store(false)
 		time.Sleep(10 * time.Second)
 	})
@@ -518,22 +518,22 @@
 // list it. It was called absent, started elsewhere, and ran twice.
 func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t, grownSettings())
+		d := newTestDispatcher(t, grownSettings())
 		m := d.machine(1)
 		m.addr, m.session = "1", 1
-		j := d.accept(sweep("000001", 1))
+		j := d.accept(arrayJob("000001", 1))
 		a := &attempt{job: j, task: 0, try: 1, on: m, session: 1, durable: true} // loaded
 		d.enter(a)
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 1, Token: d.term - 1}
-		if got := d.handleBeat(r); len(got.Orders) != 1 || got.Orders[0].Verb != Start {
+		if got := d.handleHeartbeat(r); len(got.Orders) != 1 || got.Orders[0].Verb != Start {
 			t.Fatalf("answered %+v", got)
 		}
-		d.handleDirect(directMsg{machine: 1, greet: true, outcome: Executed,
+		d.handleDirect(directMsg{machine: 1, announcement: true, outcome: Executed,
 			report: &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 2, Token: d.term}})
 		if j.attempts[0] != a {
 			t.Error("the attempt is called absent while its start is on the way")
 		}
-		if got := d.handleBeat(&Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 3, Token: d.term}); len(got.Orders) != 1 {
+		if got := d.handleHeartbeat(&Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 3, Token: d.term}); len(got.Orders) != 1 {
 			t.Errorf("not ordered again: %+v", got)
 		}
 	})
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -77,7 +77,7 @@
 			groups[j.spec.Priority] = append(groups[j.spec.Priority], j)
 		}
 	}
-	f := &filling{pace: d.batchPace(now), now: now, keys: keys}
+	f := &deadlineAdmission{pace: d.batchPace(now), now: now, keys: keys}
 	for p := storage.Production; p >= storage.BestEffort; p-- {
 		left := groups[p]
 		for rank := rankLastCall; rank < rankRest; rank++ {
@@ -88,7 +88,7 @@
 }
 
 // filling ranks jobs into the places that come free.
-type filling struct {
+type deadlineAdmission struct {
 	pace  float64 // places a second; 0: not known
 	ahead int     // tasks ranked so far
 	now   time.Time
@@ -102,7 +102,7 @@
 }
 
 // fill ranks the jobs that can be in time and returns the others.
-func (f *filling) fill(jobs []*job, rank int, bounds func(*job) []time.Time) (left []*job) {
+func (f *deadlineAdmission) fill(jobs []*job, rank int, bounds func(*job) []time.Time) (left []*job) {
 	var bids earliest
 	for _, j := range jobs {
 		if b := (bid{j, f.coming(bounds(j))}); len(b.by) > 0 {
@@ -134,7 +134,7 @@
 }
 
 // coming leaves out what is past.
-func (f *filling) coming(by []time.Time) []time.Time {
+func (f *deadlineAdmission) coming(by []time.Time) []time.Time {
 	for len(by) > 0 && !by[0].After(f.now) {
 		by = by[1:]
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -192,7 +192,7 @@
 		return
 	case j.phase == storage.Open:
 		j.phase = storage.Cancelled
-		d.leaving[j.spec.ID] = j
+		d.cancelling[j.spec.ID] = j
 		d.leave(j, now)
 		d.log.Debug("cancel", "job", j.spec.ID, "attempts", len(j.attempts))
 		d.markJob(j)
--- a/internal/coordination/versions_test.go
+++ b/internal/coordination/versions_test.go
@@ -44,19 +44,19 @@
 		t.Run(c.version+"/"+c.file, func(t *testing.T) {
 			var items []storage.Item
 			frozen(t, c.version, c.file, &items)
-			inWorldWith(t, func(s *Settings) { s.State.Next = c.next }, func(w *world) {
-				w.awaitLeader()
-				for _, n := range w.nodes {
+			inSimulationWith(t, func(s *Settings) { s.State.Next = c.next }, func(sim *simulation) {
+				sim.awaitLeader()
+				for _, n := range sim.nodes {
 					n.kill()
 				}
 				time.Sleep(time.Minute)
-				w.state.Trouble(func(s *storagetest.Service) {
+				sim.state.Trouble(func(s *storagetest.Service) {
 					s.Restore(items)
 					if c.next != nil {
 						s.ValueBytes, s.TxnOps = c.next.ValueBytes, c.next.TxnOps
 					}
 				})
-				w.leadOn(c.next != nil)
+				sim.leadOn(c.next != nil)
 			})
 		})
 	}
@@ -64,9 +64,9 @@
 
 // leadOn starts the nodes on a store that freeze_test.go has written, and checks that
 // all of it is known and goes on.
-func (w *world) leadOn(longRecordToo bool) {
-	t := w.t
-	array, replicas, gang := sweep("000001", 70), service("000002", 3), sweep("000005", 3)
+func (sim *simulation) leadOn(longRecordToo bool) {
+	t := sim.t
+	array, replicas, gang := arrayJob("000001", 70), service("000002", 3), arrayJob("000005", 3)
 	array.Spot, replicas.Spread, replicas.Types, gang.Gang, gang.SameZone = true, true, []string{"cpu"}, true, true
 	submitted := []storage.Spec{array, replicas, gang}
 	want := map[string]JobState{"000001": StatePending, "000002": StatePending, "000003": StateDone, "000004": StateCancelled, "000005": StatePending}
@@ -75,63 +75,63 @@
 		want["000006"] = StatePending
 	}
 	for _, s := range submitted {
-		w.upload(s)
+		sim.upload(s)
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.start()
 	}
-	lead := w.awaitLeader()
+	lead := sim.awaitLeader()
 	if term := lead.node.view.Load().role.Term; term != 2 {
 		t.Errorf("leads term %d after the earlier version's first", term)
 	}
 	for id, state := range want {
-		w.locked(func() { w.askedOff[id] = id == "000004" })
-		w.locked(func() {
+		sim.locked(func() { sim.askedOff[id] = id == "000004" })
+		sim.locked(func() {
 			for i := range 2 {
-				w.ran[TaskID{"000003", i}] = true
+				sim.ran[TaskID{"000003", i}] = true
 			}
 		})
-		if a := w.poll(id); a.Code != CodeOK || a.State != state {
+		if a := sim.poll(id); a.Code != CodeOK || a.State != state {
 			t.Errorf("job %s is told %+v", id, a)
 		}
 	}
-	done := w.poll("000001").Done
+	done := sim.poll("000001").Done
 	if done <= 20 || done >= 70 {
 		t.Errorf("%d tasks of the array are done", done)
 	}
 	// Its machines are gone: all that was on them is begun anew in time.
-	w.locked(func() {
+	sim.locked(func() {
 		for i := range 70 {
-			w.ran[TaskID{"000001", i}] = true // those done before are not ours to check
+			sim.ran[TaskID{"000001", i}] = true // those done before are not ours to check
 		}
 	})
-	w.runs("000002", 3)
+	sim.runs("000002", 3)
 	if longRecordToo {
-		w.runs("000006", 1)
+		sim.runs("000006", 1)
 	}
-	w.done("000001")
-	w.done("000005")
+	sim.done("000001")
+	sim.done("000005")
 }
 
-func TestEarlierVersionsMailIsRead(t *testing.T) {
+func TestEarlierVersionsRelayBatchesAreRead(t *testing.T) {
 	for _, version := range earlierVersions {
-		t.Run(version, func(t *testing.T) { readsMail(t, version) })
+		t.Run(version, func(t *testing.T) { readsRelayBatches(t, version) })
 	}
 }
 
-func readsMail(t *testing.T, version string) {
+func readsRelayBatches(t *testing.T, version string) {
 	decode := func(name string, into any) {
 		var raw []json.RawMessage
 		frozen(t, version, name, &raw)
-		var pieces []piece
+		var fragments []batchFragment
 		for _, r := range raw {
-			var p piece
+			var p batchFragment
 			if err := json.Unmarshal(r, &p); err != nil {
 				t.Fatal(err)
 			}
-			pieces = append(pieces, p)
+			fragments = append(fragments, p)
 		}
-		if err := decodePieces(pieces, into); err != nil {
+		if err := decodeBatch(fragments, into); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -19,7 +19,7 @@
 
 // world is a small deployment in memory and simulated time: nodes, a state
 // service, a cloud, workers and the cuts between them. It watches the rules.
-type world struct {
+type simulation struct {
 	t        *testing.T
 	settings Settings
 	state    *storagetest.Service
@@ -29,7 +29,7 @@
 	workers  map[int]*fakeWorker
 	specs    map[string]storage.Spec
 	cancelAt map[string]time.Time // when a user was told so
-	told     map[string]JobState  // the latest that a user was told, running as pending
+	answered map[string]JobState  // the latest that a user was told, running as pending
 	askedOff map[string]bool      // jobs that a user asked to cancel
 	ran      map[TaskID]bool      // tasks that have completed
 	kept     []*Report            // copies of reports, to come again late
@@ -43,7 +43,7 @@
 }
 
 type fakeNode struct {
-	w        *world
+	sim      *simulation
 	name     string
 	zone     string
 	node     *Node                // its latest process, for the story
@@ -51,9 +51,9 @@
 	end      context.CancelFunc
 	cutState atomic.Bool
 	cutPeers atomic.Bool
-	cutWork  atomic.Bool         // it doesn't reach the workers, nor they it
-	holdUp   atomic.Int64        // its answers to other nodes' users come so much later
-	words    map[string]PeerWord // what the others told last
+	cutWork  atomic.Bool           // it doesn't reach the workers, nor they it
+	holdUp   atomic.Int64          // its answers to other nodes' users come so much later
+	statuses map[string]PeerReport // what the others told last
 }
 
 var testTypes = []storage.MachineType{
@@ -62,16 +62,16 @@
 }
 
 // inWorld runs a story in simulated time.
-func inWorld(t *testing.T, story func(w *world)) {
+func inSimulation(t *testing.T, story func(sim *simulation)) {
 	t.Helper()
-	inWorldWith(t, func(*Settings) {}, story)
+	inSimulationWith(t, func(*Settings) {}, story)
 }
 
 // inWorldWith runs a story in simulated time, with settings of its own.
-func inWorldWith(t *testing.T, change func(*Settings), story func(w *world)) {
+func inSimulationWith(t *testing.T, change func(*Settings), story func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		sim := &simulation{
 			t: t,
 			settings: Settings{
 				Zones: []string{"a", "b"}, Report: 3 * time.Second, Lease: 22 * time.Second, Cancel: 52 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second,
@@ -80,48 +80,48 @@
 				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
 			},
 			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
-			told: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), together: make(map[string]int),
+			answered: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), together: make(map[string]int),
 			log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
-		change(&w.settings)
-		w.settings.Tuning = w.settings.DefaultTuning()
-		w.state = storagetest.NewService()
-		w.cloud = &fakeCloud{w: w, hires: make(map[string][]int)}
+		change(&sim.settings)
+		sim.settings.Tuning = sim.settings.DefaultTuning()
+		sim.state = storagetest.NewService()
+		sim.cloud = &fakeCloud{sim: sim, rentals: make(map[string][]int)}
 		for i, zone := range []string{"a", "b", "a"} {
-			w.nodes = append(w.nodes, &fakeNode{w: w, name: fmt.Sprintf("n%d", i), zone: zone})
+			sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
 		}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			n.start()
 		}
-		go w.watch()
+		go sim.watch()
 		defer func() {
-			for _, n := range w.nodes {
+			for _, n := range sim.nodes {
 				n.kill()
 			}
-			w.mu.Lock()
-			w.over.Store(true)
-			w.mu.Unlock()
-			for _, wk := range w.all() {
+			sim.mu.Lock()
+			sim.over.Store(true)
+			sim.mu.Unlock()
+			for _, wk := range sim.all() {
 				wk.dead.Store(true)
 			}
-			w.state.Close()
+			sim.state.Close()
 			time.Sleep(time.Minute)
 		}()
-		story(w)
+		story(sim)
 	})
 }
 
 func (n *fakeNode) start() {
-	s := n.w.settings
+	s := n.sim.settings
 	s.Node, s.Zone = n.name, n.zone
-	for _, o := range n.w.nodes {
+	for _, o := range n.sim.nodes {
 		if o != n {
 			s.Peers = append(s.Peers, Peer{Name: o.name, Zone: o.zone})
 		}
 	}
 	n.node = NewNode(&s, Deps{
-		State: &storagetest.Client{Service: n.w.state, Cut: &n.cutState}, Cloud: n.w.cloud, Workers: n, Peers: n,
-		Log: n.w.log, Rand: rand.New(rand.NewPCG(7, uint64(len(n.name)))),
+		State: &storagetest.Client{Service: n.sim.state, Cut: &n.cutState}, Cloud: n.sim.cloud, Workers: n, Peers: n,
+		Log: n.sim.log, Rand: rand.New(rand.NewPCG(7, uint64(len(n.name)))),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.end = cancel
@@ -129,7 +129,7 @@
 	go n.ping(ctx)
 	go func() {
 		if err := n.node.Run(ctx); err != nil {
-			n.w.t.Errorf("node ended: %v", err)
+			n.sim.t.Errorf("node ended: %v", err)
 		}
 	}()
 }
@@ -146,7 +146,7 @@
 
 // Forward is the peer link.
 func (n *fakeNode) Forward(ctx context.Context, name string, req UserRequest) (Answer, error) {
-	for _, o := range n.w.nodes {
+	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			a := live.Local(ctx, req)
 			if req.Op != OpPing {
@@ -159,10 +159,10 @@
 }
 
 // Beats is the peer link for reports.
-func (n *fakeNode) Beats(ctx context.Context, name string, reports []*Report) ([]BeatAnswer, error) {
-	for _, o := range n.w.nodes {
+func (n *fakeNode) Heartbeats(ctx context.Context, name string, reports []*Report) ([]HeartbeatResponse, error) {
+	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			if answers := live.LocalBeats(ctx, reports); answers != nil {
+			if answers := live.LocalHeartbeats(ctx, reports); answers != nil {
 				return answers, nil
 			}
 		}
@@ -172,19 +172,19 @@
 
 // ping asks the others for their word, as the link does.
 func (n *fakeNode) ping(ctx context.Context) {
-	n.w.mu.Lock()
-	n.words = make(map[string]PeerWord)
-	n.w.mu.Unlock()
+	n.sim.mu.Lock()
+	n.statuses = make(map[string]PeerReport)
+	n.sim.mu.Unlock()
 	for ctx.Err() == nil {
-		for _, o := range n.w.nodes {
+		for _, o := range n.sim.nodes {
 			if o == n {
 				continue
 			}
 			sent := time.Now()
 			if a, err := n.Forward(ctx, o.name, UserRequest{Op: OpPing, ID: n.name}); err == nil {
-				n.w.mu.Lock()
-				n.words[o.name] = PeerWord{PeerState: a.Peer, Sent: sent, Got: time.Now()}
-				n.w.mu.Unlock()
+				n.sim.mu.Lock()
+				n.statuses[o.name] = PeerReport{PeerStatus: a.Peer.Status(), Sent: sent, Got: time.Now()}
+				n.sim.mu.Unlock()
 			}
 		}
 		time.Sleep(250 * time.Millisecond)
@@ -192,17 +192,17 @@
 }
 
 // Told is a node's latest word.
-func (n *fakeNode) Told(name string) (PeerWord, bool) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	w, ok := n.words[name]
+func (n *fakeNode) Status(name string) (PeerReport, bool) {
+	n.sim.mu.Lock()
+	defer n.sim.mu.Unlock()
+	w, ok := n.statuses[name]
 	return w, ok
 }
 
 // Known is the latest leader that the other nodes tell of.
-func (n *fakeNode) Known() (leader string, term uint64) {
-	for _, o := range n.w.nodes {
-		if w, ok := n.Told(o.name); ok && o.live.Load() != nil && !o.cutPeers.Load() && !n.cutPeers.Load() && w.Term > term {
+func (n *fakeNode) KnownLeader() (leader string, term uint64) {
+	for _, o := range n.sim.nodes {
+		if w, ok := n.Status(o.name); ok && o.live.Load() != nil && !o.cutPeers.Load() && !n.cutPeers.Load() && w.Term > term {
 			leader, term = w.Leader, w.Term
 		}
 	}
@@ -210,22 +210,22 @@
 }
 
 // Unheard is the peer link's measure of silence.
-func (n *fakeNode) Unheard(string) time.Duration {
+func (n *fakeNode) SilentFor(string) time.Duration {
 	if n.cutPeers.Load() {
 		return time.Hour
 	}
 	return 0
 }
 
-func (w *world) leader() *fakeNode {
+func (sim *simulation) leader() *fakeNode {
 	var lead *fakeNode
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.end == nil {
 			continue
 		}
-		if v := n.node.view.Load(); v.desk != nil && time.Now().Before(v.role.Certain) {
+		if v := n.node.view.Load(); v.dispatcher != nil && time.Now().Before(v.role.Certain) {
 			if lead != nil {
-				w.t.Fatal("two nodes lead for certain")
+				sim.t.Fatal("two nodes lead for certain")
 			}
 			lead = n
 		}
@@ -234,41 +234,41 @@
 }
 
 // awaitLeader waits until some node leads with the state loaded.
-func (w *world) awaitLeader() *fakeNode {
+func (sim *simulation) awaitLeader() *fakeNode {
 	for range 300 {
-		if n := w.leader(); n != nil {
+		if n := sim.leader(); n != nil {
 			return n
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatal("no leader")
+	sim.t.Fatal("no leader")
 	return nil
 }
 
 // ask puts a user's request to the nodes in turn until one decides it.
-func (w *world) ask(op UserOp, id string, spec storage.Spec) Answer {
+func (sim *simulation) ask(op UserOp, id string, spec storage.Spec) Answer {
 	for try := range 120 {
-		if a := w.look(w.nodes[try%len(w.nodes)], op, id, spec); a.decided() {
+		if a := sim.askNode(sim.nodes[try%len(sim.nodes)], op, id, spec); a.decided() {
 			return a
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	w.t.Fatalf("no node decides on job %s", id)
+	sim.t.Fatalf("no node decides on job %s", id)
 	return Answer{}
 }
 
 // look puts one request to one node, and checks that the answer is no older
 // than what any node had told before it was asked.
-func (w *world) look(n *fakeNode, op UserOp, id string, spec storage.Spec) Answer {
+func (sim *simulation) askNode(n *fakeNode, op UserOp, id string, spec storage.Spec) Answer {
 	live := n.live.Load()
 	if live == nil {
 		return Unavailable(id, "not running")
 	}
 	var before JobState
 	var known bool
-	w.locked(func() {
-		before, known = w.told[id]
-		w.askedOff[id] = w.askedOff[id] || op == OpCancel
+	sim.locked(func() {
+		before, known = sim.answered[id]
+		sim.askedOff[id] = sim.askedOff[id] || op == OpCancel
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	a := live.User(ctx, UserRequest{Op: op, ID: id, Spec: spec})
@@ -276,11 +276,11 @@
 	if !a.decided() {
 		return a
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	if a.Code == CodeNotFound || a.Code == CodeUnfit {
 		if known {
-			w.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
+			sim.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
 		}
 		return a
 	}
@@ -289,46 +289,46 @@
 		now = a.State
 	}
 	if known && before != StatePending && now != before {
-		w.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
+		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
 	}
 	switch {
-	case now == StateCancelled && !w.askedOff[id]:
-		w.t.Errorf("went_back: nobody cancelled job %s", id)
-	case now == StateCancelled && w.cancelAt[id].IsZero():
-		w.cancelAt[id] = time.Now()
+	case now == StateCancelled && !sim.askedOff[id]:
+		sim.t.Errorf("went_back: nobody cancelled job %s", id)
+	case now == StateCancelled && sim.cancelAt[id].IsZero():
+		sim.cancelAt[id] = time.Now()
 	case now == StateDone:
-		for _, wk := range w.workers {
+		for _, wk := range sim.workers {
 			wk.settle()
 		}
-		for i := range w.specs[id].Tasks {
-			if !w.ran[TaskID{id, i}] {
-				w.t.Errorf("not_done: job %s without task %d", id, i)
+		for i := range sim.specs[id].Tasks {
+			if !sim.ran[TaskID{id, i}] {
+				sim.t.Errorf("not_done: job %s without task %d", id, i)
 			}
 		}
 	}
-	if w.told[id] == StatePending {
-		w.told[id] = now
+	if sim.answered[id] == StatePending {
+		sim.answered[id] = now
 	}
 	return a
 }
 
 // watch looks out for tasks that outlive their job's cancel.
-func (w *world) watch() {
-	for !w.over.Load() {
+func (sim *simulation) watch() {
+	for !sim.over.Load() {
 		time.Sleep(250 * time.Millisecond)
-		w.locked(func() {
-			w.gather()
-			for _, wk := range w.workers {
+		sim.locked(func() {
+			sim.gather()
+			for _, wk := range sim.workers {
 				if wk.dead.Load() || wk.still.Load() {
 					continue // one that stands still runs nothing, unless it goes on
 				}
 				wk.settle()
 				for k, t := range wk.tasks {
 					job := k.ID.Job
-					at, ok := w.cancelAt[job]
-					if ok && t.state != Ended && time.Since(at) > w.settings.Cancel && !w.overrun[job] {
-						w.overrun[job] = true
-						w.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
+					at, ok := sim.cancelAt[job]
+					if ok && t.state != Ended && time.Since(at) > sim.settings.Cancel && !sim.overrun[job] {
+						sim.overrun[job] = true
+						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
 					}
 				}
 			}
@@ -338,27 +338,27 @@
 
 // gather has the tasks of gangs find each other: by the number of the attempt they
 // start together, and notice that one is gone.
-func (w *world) gather() {
+func (sim *simulation) gather() {
 	type attemptKey struct {
 		job string
 		try uint64
 	}
 	now := time.Now()
 	gangs := make(map[attemptKey][]*workerTask)
-	for _, wk := range w.workers {
+	for _, wk := range sim.workers {
 		if wk.dead.Load() || wk.still.Load() {
 			continue
 		}
 		wk.settle()
 		for k, t := range wk.tasks {
-			if w.specs[k.ID.Job].Gang {
+			if sim.specs[k.ID.Job].Gang {
 				g := attemptKey{k.ID.Job, k.Try}
 				gangs[g] = append(gangs[g], t)
 			}
 		}
 	}
 	for g, tasks := range gangs {
-		spec := w.specs[g.job]
+		spec := sim.specs[g.job]
 		waiting, running, done := 0, 0, 0
 		for _, t := range tasks {
 			switch {
@@ -374,10 +374,10 @@
 			switch {
 			case waiting == spec.Tasks:
 				t.state, t.since, t.ends = Running, now, now.Add(seconds(spec.EstimateS))
-			case t.state == Gathering && now.Sub(t.since) > w.settings.GangWait:
+			case t.state == Gathering && now.Sub(t.since) > sim.settings.GangWait:
 				t.state, t.cause = Ended, CausePeers
 			case t.state != Running || running+done == spec.Tasks:
-			case t.since.After(now.Add(-w.settings.GangPeer)) && t.ends.IsZero():
+			case t.since.After(now.Add(-sim.settings.GangPeer)) && t.ends.IsZero():
 			case !t.ends.IsZero() && running+done < spec.Tasks:
 				t.ends, t.since = time.Time{}, now // it notices soon
 			case t.ends.IsZero():
@@ -385,24 +385,24 @@
 			}
 		}
 		if waiting == spec.Tasks {
-			w.together[g.job]++
+			sim.together[g.job]++
 		}
 	}
 }
 
 // upload makes a job's description known to the workers.
-func (w *world) upload(spec storage.Spec) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.specs[spec.ID] = spec
+func (sim *simulation) upload(spec storage.Spec) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.specs[spec.ID] = spec
 }
 
 // all lists the machines that ever came up.
-func (w *world) all() []*fakeWorker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) all() []*fakeWorker {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var out []*fakeWorker
-	for _, wk := range w.workers {
+	for _, wk := range sim.workers {
 		out = append(out, wk)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].id < out[b].id })
@@ -410,16 +410,16 @@
 }
 
 // locked runs f under the world's lock.
-func (w *world) locked(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) locked(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	f()
 }
 
 // cutZone cuts a zone off from everything, or with "" ends that.
-func (w *world) cutZone(zone string) {
-	w.apart.Store(&zone)
-	for _, n := range w.nodes {
+func (sim *simulation) cutZone(zone string) {
+	sim.apart.Store(&zone)
+	for _, n := range sim.nodes {
 		n.cutState.Store(n.zone == zone)
 		n.cutPeers.Store(n.zone == zone)
 	}
@@ -427,62 +427,62 @@
 
 // reaches tells whether the network leads from a worker to a node and back.
 func (n *fakeNode) reaches(wk *fakeWorker) bool {
-	apart := n.w.apart.Load()
+	apart := n.sim.apart.Load()
 	return !n.cutWork.Load() && (wk.only.Load() == nil || wk.only.Load() == n) &&
 		(apart == nil || n.zone == wk.zone || n.zone != *apart && wk.zone != *apart)
 }
 
-func (w *world) startsSoFar() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.starts
+func (sim *simulation) startsSoFar() int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.starts
 }
 
-func (w *world) submit(spec storage.Spec) {
-	w.t.Helper()
-	w.upload(spec)
-	if a := w.ask(OpSubmit, spec.ID, spec); a.Code != CodeCreated && a.Code != CodeOK {
-		w.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
+func (sim *simulation) submit(spec storage.Spec) {
+	sim.t.Helper()
+	sim.upload(spec)
+	if a := sim.ask(OpSubmit, spec.ID, spec); a.Code != CodeCreated && a.Code != CodeOK {
+		sim.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
 	}
 }
 
-func (w *world) cancel(id string) {
-	w.t.Helper()
-	if a := w.ask(OpCancel, id, storage.Spec{}); a.Code != CodeOK || a.State != StateCancelled {
-		w.t.Fatalf("job %s not cancelled: %+v", id, a)
+func (sim *simulation) cancel(id string) {
+	sim.t.Helper()
+	if a := sim.ask(OpCancel, id, storage.Spec{}); a.Code != CodeOK || a.State != StateCancelled {
+		sim.t.Fatalf("job %s not cancelled: %+v", id, a)
 	}
 }
 
-func (w *world) poll(id string) Answer { return w.ask(OpPoll, id, storage.Spec{}) }
+func (sim *simulation) poll(id string) Answer { return sim.ask(OpPoll, id, storage.Spec{}) }
 
 // eventually waits for a condition.
-func (w *world) eventually(what string, within time.Duration, ok func() bool) {
-	w.t.Helper()
+func (sim *simulation) eventually(what string, within time.Duration, ok func() bool) {
+	sim.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	w.t.Fatalf("within %v not seen: %s", within, what)
+	sim.t.Fatalf("within %v not seen: %s", within, what)
 }
 
-func sweep(id string, tasks int) storage.Spec {
+func arrayJob(id string, tasks int) storage.Spec {
 	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
 		Room: storage.Room{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
 func service(id string, tasks int) storage.Spec {
-	s := sweep(id, tasks)
+	s := arrayJob(id, tasks)
 	s.Class, s.Service, s.Priority, s.EstimateS = "service", true, storage.Production, 0
 	return s
 }
 
 // running lists where a job's tasks run now.
-func (w *world) running(id string) map[TaskID]*fakeWorker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) running(id string) map[TaskID]*fakeWorker {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	out := make(map[TaskID]*fakeWorker)
-	for _, wk := range w.workers {
+	for _, wk := range sim.workers {
 		wk.settle()
 		for k, t := range wk.tasks {
 			if k.ID.Job == id && !wk.dead.Load() && t.state != Ended {
@@ -495,7 +495,7 @@
 
 // fakeWorker follows the protocol's worker.
 type fakeWorker struct {
-	w       *world
+	sim     *simulation
 	id      int
 	kind    string
 	zone    string
@@ -537,14 +537,14 @@
 	orders         []Order
 }
 
-func (w *world) addWorker(id int, kind, zone string, spot bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.over.Load() {
+func (sim *simulation) addWorker(id int, kind, zone string, spot bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.over.Load() {
 		return
 	}
-	wk := &fakeWorker{w: w, id: id, kind: kind, zone: zone, spot: spot, session: 1, leased: time.Now(), tasks: make(map[workerKey]*workerTask)}
-	w.workers[id] = wk
+	wk := &fakeWorker{sim: sim, id: id, kind: kind, zone: zone, spot: spot, session: 1, leased: time.Now(), tasks: make(map[workerKey]*workerTask)}
+	sim.workers[id] = wk
 	go wk.run()
 }
 
@@ -558,8 +558,8 @@
 }
 
 func (wk *fakeWorker) report() *Report {
-	wk.w.mu.Lock()
-	defer wk.w.mu.Unlock()
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
 	return wk.makeReport()
 }
 
@@ -581,7 +581,7 @@
 		return
 	}
 	now := time.Now()
-	if now.Sub(wk.leased) > wk.w.settings.Lease {
+	if now.Sub(wk.leased) > wk.sim.settings.Lease {
 		clear(wk.tasks)
 		wk.session++
 		wk.seq, wk.leased = 0, now
@@ -592,29 +592,29 @@
 			if wk.sick.Load() {
 				t.cause = CauseError
 			}
-			wk.w.ran[k.ID] = wk.w.ran[k.ID] || t.cause == CauseDone
+			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == CauseDone
 		}
 	}
 }
 
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
-		pause := wk.w.settings.Report
+		pause := wk.sim.settings.Report
 		if !wk.cut.Load() && !wk.mute.Load() && !wk.still.Load() {
-			pause = wk.beat()
+			pause = wk.heartbeat()
 		}
 		time.Sleep(pause)
 	}
 }
 
 // beat reports and returns when to report again.
-func (wk *fakeWorker) beat() time.Duration {
-	n := wk.w.nodes[wk.node%len(wk.w.nodes)]
+func (wk *fakeWorker) heartbeat() time.Duration {
+	n := wk.sim.nodes[wk.node%len(wk.sim.nodes)]
 	r := wk.report()
 	sent := time.Now()
-	wk.w.locked(func() {
-		if wk.w.keeping {
-			wk.w.kept = append(wk.w.kept, r)
+	wk.sim.locked(func() {
+		if wk.sim.keeping {
+			wk.sim.kept = append(wk.sim.kept, r)
 		}
 	})
 	live := n.live.Load()
@@ -623,17 +623,17 @@
 		if live == nil {
 			return workerPause // refused
 		}
-		return workerPatience + workerPause
+		return workerTimeout + workerPause
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), workerPatience)
-	a := live.Beat(ctx, r)
+	ctx, cancel := context.WithTimeout(context.Background(), workerTimeout)
+	a := live.Heartbeat(ctx, r)
 	cancel()
-	wk.w.mu.Lock()
-	defer wk.w.mu.Unlock()
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
 	switch {
 	case wk.deaf.Load() || wk.cut.Load() || wk.dead.Load() || wk.still.Load() || !n.reaches(wk):
 	case !a.Accepted:
-		for i, o := range wk.w.nodes {
+		for i, o := range wk.sim.nodes {
 			if o.name == a.Leader && o != n {
 				wk.node = i
 				return 0
@@ -643,12 +643,12 @@
 		return workerPause
 	case a.Token >= wk.token && r.Session == wk.session:
 		wk.token, wk.leased = a.Token, sent
-		wk.obey(a.Orders)
+		wk.execute(a.Orders)
 	}
-	return wk.w.settings.Report
+	return wk.sim.settings.Report
 }
 
-func (wk *fakeWorker) obey(orders []Order) {
+func (wk *fakeWorker) execute(orders []Order) {
 	wk.settle()
 	for _, o := range orders {
 		k := workerKey{o.ID, o.Try}
@@ -660,7 +660,7 @@
 			}
 		case Stop:
 			if t != nil && t.state != Ended {
-				spec := wk.w.specs[o.ID.Job]
+				spec := wk.sim.specs[o.ID.Job]
 				t.saved = spec.Gang && t.state == Running && o.GraceS >= spec.SaveS
 				t.state, t.cause = Ended, CauseStopped
 			}
@@ -674,48 +674,48 @@
 
 // launch starts a task and checks the rules at that moment.
 func (wk *fakeWorker) launch(k workerKey) *workerTask {
-	w := wk.w
-	spec, ok := w.specs[k.ID.Job]
+	sim := wk.sim
+	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
 		return &workerTask{state: Ended, cause: CauseUnknown}
 	}
-	w.starts++
+	sim.starts++
 	free := wk.typ().Room
 	for o, t := range wk.tasks {
 		if t.state != Ended {
-			free = free.Minus(w.specs[o.ID.Job].Room)
+			free = free.Minus(sim.specs[o.ID.Job].Room)
 		}
 	}
 	if !spec.Room.Fits(free) {
 		return &workerTask{state: Ended, cause: CauseFull}
 	}
 	used, zones := spec.Room, map[string]int{wk.zone: 1}
-	for _, other := range w.workers {
+	for _, other := range sim.workers {
 		other.settle()
 		for o, t := range other.tasks {
 			if other.dead.Load() || t.state == Ended {
 				continue
 			}
 			if o.ID == k.ID {
-				w.t.Errorf("ran_twice: %v on %d and %d", k.ID, other.id, wk.id)
+				sim.t.Errorf("ran_twice: %v on %d and %d", k.ID, other.id, wk.id)
 			}
-			if w.specs[o.ID.Job].Team == spec.Team {
-				used = used.Plus(w.specs[o.ID.Job].Room)
+			if sim.specs[o.ID.Job].Team == spec.Team {
+				used = used.Plus(sim.specs[o.ID.Job].Room)
 			}
 			if o.ID.Job == k.ID.Job {
 				zones[other.zone]++
 			}
 		}
 	}
-	if team := w.settings.team(spec.Team); !storage.Within(used, team.Limit) {
-		w.t.Errorf("quota: team %s uses %+v", spec.Team, used)
+	if team := sim.settings.team(spec.Team); !storage.Within(used, team.Limit) {
+		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
 	}
 	if wk.spot && !spec.Spot || !allowed(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
 		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
-		w.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
+		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
 	}
-	if at, ok := w.cancelAt[k.ID.Job]; ok && time.Since(at) > w.settings.Cancel {
-		w.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
+	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.Cancel {
+		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
 	}
 	t := &workerTask{state: Running}
 	switch {
@@ -733,15 +733,15 @@
 func (n *fakeNode) Orders(ctx context.Context, addr string, token, session uint64, orders []Order) (Outcome, *Report) {
 	var id int
 	if _, err := fmt.Sscan(addr, &id); err != nil {
-		n.w.t.Errorf("address %q", addr)
+		n.sim.t.Errorf("address %q", addr)
 	}
-	n.w.mu.Lock()
-	wk := n.w.workers[id]
+	n.sim.mu.Lock()
+	wk := n.sim.workers[id]
 	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.deaf.Load() || !n.reaches(wk)
 	if !lost && (wk.hang.Load() || wk.still.Load()) {
 		wk.late = append(wk.late, lateOrders{token, session, orders})
 	}
-	n.w.mu.Unlock()
+	n.sim.mu.Unlock()
 	switch {
 	case lost:
 		<-ctx.Done()
@@ -756,45 +756,45 @@
 // catchUp executes the orders that a hang has held back.
 func (wk *fakeWorker) catchUp() {
 	var late []lateOrders
-	wk.w.locked(func() { late = wk.late })
+	wk.sim.locked(func() { late = wk.late })
 	for _, l := range late {
 		wk.direct(l.token, l.session, l.orders)
 	}
 }
 
 func (wk *fakeWorker) direct(token, session uint64, orders []Order) (Outcome, *Report) {
-	wk.w.mu.Lock()
-	defer wk.w.mu.Unlock()
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
 	wk.settle()
 	if token < wk.token || session != wk.session {
 		return Rejected, wk.makeReport()
 	}
 	wk.token = token
-	wk.obey(orders)
+	wk.execute(orders)
 	return Executed, wk.makeReport()
 }
 
 // fakeCloud rents workers by the protocol.
 type fakeCloud struct {
-	w       *world
+	sim     *simulation
 	next    int
-	hires   map[string][]int
+	rentals map[string][]int
 	asked   map[string]int
 	loseOne bool // the answer to the next hire is lost
-	full    func(storage.HireRecord) bool
+	full    func(storage.RentalRecord) bool
 	boot    time.Duration // 0: by type
 }
 
 func (c *fakeCloud) Catalogue(context.Context) ([]storage.MachineType, error) { return testTypes, nil }
 
-func (c *fakeCloud) Hire(_ context.Context, name string, h storage.HireRecord) ([]int, error) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
+func (c *fakeCloud) Rent(_ context.Context, name string, h storage.RentalRecord) ([]int, error) {
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
 	if c.asked == nil {
 		c.asked = make(map[string]int)
 	}
 	c.asked[name]++
-	if got, ok := c.hires[name]; ok {
+	if got, ok := c.rentals[name]; ok {
 		return got, nil
 	}
 	if c.full != nil && c.full(h) {
@@ -809,9 +809,9 @@
 		if boot == 0 {
 			boot = 15 * time.Second
 		}
-		time.AfterFunc(boot, func() { c.w.addWorker(id, h.Type, h.Zone, h.Spot) })
+		time.AfterFunc(boot, func() { c.sim.addWorker(id, h.Type, h.Zone, h.Spot) })
 	}
-	c.hires[name] = got
+	c.rentals[name] = got
 	if c.loseOne {
 		c.loseOne = false
 		return nil, ErrCloud
@@ -820,10 +820,10 @@
 }
 
 func (c *fakeCloud) Return(_ context.Context, machines []int) error {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
 	for _, id := range machines {
-		if wk := c.w.workers[id]; wk != nil {
+		if wk := c.sim.workers[id]; wk != nil {
 			wk.dead.Store(true)
 		}
 	}
@@ -831,10 +831,10 @@
 }
 
 func (c *fakeCloud) List(_ context.Context, after, _ int) ([]Listed, bool, error) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
 	var out []Listed
-	for id, wk := range c.w.workers {
+	for id, wk := range c.sim.workers {
 		if id > after && !wk.dead.Load() {
 			out = append(out, Listed{Machine: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: Up})
 		}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -51,7 +51,7 @@
 }
 
 // NewRental puts a hire on the wire.
-func NewRental(name string, h storage.HireRecord) Rental {
+func NewRental(name string, h storage.RentalRecord) Rental {
 	return Rental{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
 }
 
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -174,9 +174,9 @@
 	}
 	if next := f.Params.State.Next; next != nil {
 		l := &storage.Limits{
-			RequestsPerS: c.spare("params.state.next.rps", next.RPS, 0.1), ChangesPerS: c.spare("params.state.next.write_rps", next.WriteRPS, 0.1),
-			ValueBytes: int(c.spare("params.state.next.value_kb", next.ValueKB, 1) * 1024),
-			TxnOps:     int(c.spare("params.state.next.txn_ops", float64(next.TxnOps), 3)),
+			RequestsPerS: c.optional("params.state.next.rps", next.RPS, 0.1), ChangesPerS: c.optional("params.state.next.write_rps", next.WriteRPS, 0.1),
+			ValueBytes: int(c.optional("params.state.next.value_kb", next.ValueKB, 1) * 1024),
+			TxnOps:     int(c.optional("params.state.next.txn_ops", float64(next.TxnOps), 3)),
 		}
 		s.State.Next = l
 	}
@@ -244,7 +244,7 @@
 		"fleet.cooldown":     span(&t.Cooldown),
 		"leader.lease":       span(&t.LeaderLease),
 		"fleet.grow.step":    func(k, v string) { t.GrowStep = c.parseCount(k, v, 1, 50) },
-		"fleet.reserve.luck": func(k, v string) { t.Reserve = c.parseAmount(k, v, 0, 10) },
+		"fleet.reserve.luck": func(k, v string) { t.HeadroomDeviations = c.parseAmount(k, v, 0, 10) },
 	}
 	for _, key := range p.Keys() {
 		set := known[key]
@@ -273,7 +273,7 @@
 }
 
 // spare is amount for a figure that may be left out.
-func (c *checker) spare(field string, v, least float64) float64 {
+func (c *checker) optional(field string, v, least float64) float64 {
 	if v == 0 {
 		return 0
 	}
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -126,18 +126,18 @@
 }
 
 // BeatAnswer is the answer to a report.
-type BeatAnswer struct {
+type HeartbeatResponse struct {
 	Token  uint64  `json:"Baton"`
 	Orders []order `json:"Orders"`
 }
 
 // NewBeatAnswer puts the answer to a report on the wire.
-func NewBeatAnswer(a coordination.BeatAnswer) BeatAnswer {
-	return BeatAnswer{Token: a.Token, Orders: newOrders(a.Orders)}
+func NewHeartbeatResponse(a coordination.HeartbeatResponse) HeartbeatResponse {
+	return HeartbeatResponse{Token: a.Token, Orders: newOrders(a.Orders)}
 }
 
 // Elsewhere tells a worker where to report.
-type Elsewhere struct {
+type Redirect struct {
 	Leader string `json:"Steward,omitempty"`
 	Error  string `json:"error"`
 }
--- a/internal/storage/books.go
+++ b/internal/storage/books.go
@@ -2,19 +2,19 @@
 
 // Books holds the room that is booked on machines and by teams. A booking
 // stays until its place is proved empty, so unproved tasks count to both.
-type Books struct {
+type Reservations struct {
 	machines map[int]*Room
 	teams    map[string]Room
 	attempts int
 }
 
 // NewBooks returns empty books.
-func NewBooks() *Books {
-	return &Books{machines: make(map[int]*Room), teams: make(map[string]Room)}
+func NewReservations() *Reservations {
+	return &Reservations{machines: make(map[int]*Room), teams: make(map[string]Room)}
 }
 
 // Book enters one attempt's room.
-func (b *Books) Book(machine int, team string, r Room) {
+func (b *Reservations) Reserve(machine int, team string, r Room) {
 	held := b.Machine(machine)
 	*held = held.Plus(r)
 	b.teams[team] = b.teams[team].Plus(r)
@@ -22,7 +22,7 @@
 }
 
 // Release takes one attempt's room out again.
-func (b *Books) Release(machine int, team string, r Room) {
+func (b *Reservations) Release(machine int, team string, r Room) {
 	held := b.Machine(machine)
 	*held = held.Minus(r)
 	b.teams[team] = b.teams[team].Minus(r)
@@ -30,7 +30,7 @@
 }
 
 // Machine returns what is booked on a machine, to be read at any time.
-func (b *Books) Machine(id int) *Room {
+func (b *Reservations) Machine(id int) *Room {
 	held := b.machines[id]
 	if held == nil {
 		held = new(Room)
@@ -40,10 +40,10 @@
 }
 
 // Team returns what a team has booked.
-func (b *Books) Team(name string) Room { return b.teams[name] }
+func (b *Reservations) Team(name string) Room { return b.teams[name] }
 
 // Attempts returns how many attempts are booked.
-func (b *Books) Attempts() int { return b.attempts }
+func (b *Reservations) Attempts() int { return b.attempts }
 
 // Within tells whether used stays within limit, where 0 means no limit.
 func Within(used, limit Room) bool {
--- a/internal/storage/ceiling.go
+++ b/internal/storage/ceiling.go
@@ -9,7 +9,7 @@
 // service may lower its limits at some moment, without notice, to figures that
 // are known before: they are taken up on the first sign. The larger ones serve
 // better while they last.
-type Ceiling struct {
+type LimitTracker struct {
 	next *Limits
 	now  atomic.Pointer[Limits]
 
@@ -17,19 +17,19 @@
 }
 
 // NewCeiling starts with the limits as they are said to be now.
-func NewCeiling(l Limits) *Ceiling {
-	c := &Ceiling{next: l.Next}
+func NewLimitTracker(l Limits) *LimitTracker {
+	c := &LimitTracker{next: l.Next}
 	c.now.Store(&l)
 	return c
 }
 
 // Limits are those to keep to.
-func (c *Ceiling) Limits() Limits { return *c.now.Load() }
+func (c *LimitTracker) Limits() Limits { return *c.now.Load() }
 
 // Learn takes up the lower limits if a refusal is a sign of them: a request that
 // is called malformed has grown too large, and one too many came too fast. It
 // tells whether that changes what may be sent.
-func (c *Ceiling) Learn(err error) bool {
+func (c *LimitTracker) Learn(err error) bool {
 	if c.next == nil {
 		return false
 	}
@@ -54,7 +54,7 @@
 
 // Lowered tells whether the service has shown that it takes less than it did, and
 // so that no version is left that doesn't know of that.
-func (c *Ceiling) Lowered() bool { return c.lowered.Load() }
+func (c *LimitTracker) Lowered() bool { return c.lowered.Load() }
 
 // lower returns the smaller limit; 0 says none.
 func lower[T int | float64](now, next T) T {
--- a/internal/storage/ceiling_test.go
+++ b/internal/storage/ceiling_test.go
@@ -17,14 +17,14 @@
 )
 
 // falling are limits that fall at some moment, and with which figures.
-func falling() *storage.Ceiling { return fallingWith(0) }
+func fallingLimits() *storage.LimitTracker { return fallingLimitsWith(0) }
 
 // fallingWith are the same, with how long an answer is waited for; 0: for ever.
-func fallingWith(patience time.Duration) *storage.Ceiling {
+func fallingLimitsWith(patience time.Duration) *storage.LimitTracker {
 	l := limits
-	l.Patience = patience
+	l.RequestTimeout = patience
 	l.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
-	return storage.NewCeiling(l)
+	return storage.NewLimitTracker(l)
 }
 
 // big is a record's data of so many bytes, with its number in it: of every other
@@ -49,7 +49,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		svc, guard := lead(t)
-		ceiling := falling()
+		ceiling := fallingLimits()
 		_, write := openUnder(ctx, t, svc, ceiling, guard)
 		const records = 40
 		for i := range records {
@@ -113,7 +113,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		svc, guard := lead(t)
 		svc.ValueBytes, svc.TxnOps = 2048, 3
-		ceiling := falling()
+		ceiling := fallingLimits()
 		ceiling.Learn(storage.ErrMalformed)
 		_, write := openUnder(ctx, t, svc, ceiling, guard)
 		if err := write(map[string]any{"p1": big(1, 6000)}); err != nil {
@@ -149,7 +149,7 @@
 }
 
 func TestTheCeilingFallsOnTheFirstSign(t *testing.T) {
-	c := falling()
+	c := fallingLimits()
 	if c.Learn(storage.ErrRefused) || c.Learn(nil) || c.Learn(storage.ErrUnknown) {
 		t.Error("taken for a sign")
 	}
@@ -165,7 +165,7 @@
 	if l := c.Limits(); l.ValueBytes != 2048 || l.TxnOps != 4 {
 		t.Errorf("after a malformed one: %+v", l)
 	}
-	if storage.NewCeiling(limits).Learn(storage.ErrMalformed) {
+	if storage.NewLimitTracker(limits).Learn(storage.ErrMalformed) {
 		t.Error("learnt what isn't known")
 	}
 }
@@ -178,7 +178,7 @@
 		defer cancel()
 		svc, guard := lead(t)
 		svc.ValueBytes, svc.TxnOps = 2048, 4
-		ceiling := falling()
+		ceiling := fallingLimits()
 		ceiling.Learn(storage.ErrMalformed)
 		_, write := openUnder(ctx, t, svc, ceiling, guard)
 		const rounds, pages = 20, 8
@@ -219,7 +219,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		svc, guard := lead(t)
-		_, write := openUnder(ctx, t, svc, falling(), guard)
+		_, write := openUnder(ctx, t, svc, fallingLimits(), guard)
 		want := make(map[string]string)
 		put := func(batch map[string]any) {
 			if err := write(batch); err != nil {
@@ -274,7 +274,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		svc, guard := lead(t)
-		_, write := openUnder(ctx, t, svc, falling(), guard)
+		_, write := openUnder(ctx, t, svc, fallingLimits(), guard)
 		if err := write(map[string]any{"a": 1}); err != nil {
 			t.Fatal(err)
 		}
@@ -298,7 +298,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		svc, guard := lead(t)
-		_, write := openUnder(ctx, t, svc, fallingWith(time.Second), guard)
+		_, write := openUnder(ctx, t, svc, fallingLimitsWith(time.Second), guard)
 		if err := write(map[string]any{"a": 1}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -31,7 +31,7 @@
 	}
 	last := &m.chunks[len(chunks)-1] // ours: the caller may go on without what is moved
 	last.records = last.records[:len(last.records):len(last.records)]
-	m.room = j.rawRoom(j.moved) * (j.room() - len(last.data)) / j.room()
+	m.room = j.rawRoom(j.compactionRatio) * (j.room() - len(last.data)) / j.room()
 	return m
 }
 
@@ -52,7 +52,7 @@
 // moveAll moves records as far as that goes, and tells whether it was all.
 func (m *compaction) moveAll(records []Record) bool {
 	for _, r := range records {
-		if !m.move(m.journal.fitted([]Record{r})) {
+		if !m.move(m.journal.fragmentLarge([]Record{r})) {
 			return false
 		}
 		m.writing[r.Key] = true
@@ -66,7 +66,7 @@
 	for _, p := range fragments {
 		n := p.size()
 		if n > room {
-			puts, room = puts+1, m.journal.rawRoom(m.journal.moved)-2
+			puts, room = puts+1, m.journal.rawRoom(m.journal.compactionRatio)-2
 		}
 		room -= n
 		size += n
@@ -79,7 +79,7 @@
 		n := p.size()
 		if n > m.room {
 			m.chunks = append(m.chunks[:len(m.chunks):len(m.chunks)], chunk{})
-			m.room = m.journal.rawRoom(m.journal.moved) - 2
+			m.room = m.journal.rawRoom(m.journal.compactionRatio) - 2
 		}
 		m.room -= n
 		last := &m.chunks[len(m.chunks)-1]
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -25,7 +25,7 @@
 			`["p000007/2",{"d":[0,2],"a":[{"t":3,"y":9,"m":7,"r":4}]}]`},
 		{storage.MachineKey(7), storage.MachineRecord{Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Session: 4, Returning: true, Images: map[string]float64{"img": 1.5}},
 			`["m7",{"a":"10.0.0.7:9000","t":"cpu","z":"a","l":true,"r":4,"x":true,"i":{"img":1.5}}]`},
-		{storage.HireKey("r-1-2"), storage.HireRecord{Type: "cpu", Zone: "a", Spot: true, Count: 5}, `["hr-1-2",{"t":"cpu","z":"a","l":true,"n":5}]`},
+		{storage.RentalKey("r-1-2"), storage.RentalRecord{Type: "cpu", Zone: "a", Spot: true, Count: 5}, `["hr-1-2",{"t":"cpu","z":"a","l":true,"n":5}]`},
 		{storage.FleetKey, storage.FleetRecord{Desired: 9, Term: 3}, `["f",{"n":9,"t":3}]`},
 		{storage.CatalogueKey, []storage.MachineType{{Name: "cpu", Room: room, CacheGB: 60, FetchGBPS: 1.5, Price: 2, SpotPrice: 1, BootS: 15, Zones: []string{"a"}}},
 			`["c",[{"n":"cpu","r":{"c":2,"g":1,"m":4.5},"c":60,"f":1.5,"p":2,"sp":1,"b":15,"z":["a"]}]]`},
--- a/internal/storage/fragment.go
+++ b/internal/storage/fragment.go
@@ -18,7 +18,7 @@
 type fragment struct {
 	index, of int
 	tag       uint64 // tells the fragments of one record's one writing from all others
-	piece     []byte
+	data      []byte
 }
 
 // fragmentFrame is what a fragment takes in a chunk beside its key and its piece.
@@ -36,7 +36,7 @@
 }
 
 func (p *fragment) marshal(key string) ([]byte, error) {
-	return json.Marshal([]any{key, p.piece, p.index, p.of, p.tag})
+	return json.Marshal([]any{key, p.data, p.index, p.of, p.tag})
 }
 
 // fragmentFields is how many fields a fragment's record has.
@@ -44,7 +44,7 @@
 
 func unmarshalFragment(fields []json.RawMessage) (*fragment, error) {
 	var p fragment
-	for i, to := range []any{&p.piece, &p.index, &p.of, &p.tag} {
+	for i, to := range []any{&p.data, &p.index, &p.of, &p.tag} {
 		if err := json.Unmarshal(fields[i+1], to); err != nil {
 			return nil, fmt.Errorf("fragment of a record: %w", err)
 		}
@@ -56,7 +56,7 @@
 }
 
 // gathered is what has been read of a record in fragments.
-type gathered struct {
+type partialRecord struct {
 	chunk uint64 // of the first fragment
 	tag   uint64
 	next  int
@@ -64,21 +64,21 @@
 }
 
 // gather takes in a fragment, and returns the record once it is whole.
-func (j *Journal) gather(seq uint64, r Record) (whole bool, chunk uint64, data []byte) {
+func (j *Journal) addFragment(seq uint64, r Record) (whole bool, chunk uint64, data []byte) {
 	p := r.fragment
-	g := j.parts[r.Key]
+	g := j.partial[r.Key]
 	if p.index == 0 {
-		g = &gathered{chunk: seq, tag: p.tag}
-		j.parts[r.Key] = g
+		g = &partialRecord{chunk: seq, tag: p.tag}
+		j.partial[r.Key] = g
 	}
 	if g == nil || g.tag != p.tag || g.next != p.index {
 		return false, 0, nil
 	}
 	g.next++
-	g.data = append(g.data, p.piece...)
+	g.data = append(g.data, p.data...)
 	if g.next < p.of {
 		return false, 0, nil
 	}
-	delete(j.parts, r.Key)
+	delete(j.partial, r.Key)
 	return true, g.chunk, g.data
 }
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -37,10 +37,10 @@
 	compactForced = 2 // its living records into a new one, and its deletion
 	// listPatience is how many times the patience for a request a page may take:
 	// it is large, and to be understood.
-	listPatience = 8
+	listTimeouts = 8
 	// mostPatience is up to how many times the patience a request gets that has
 	// gone unanswered before: the service may be slow.
-	mostPatience = 16
+	maxTimeouts = 16
 	// retryPause is how long the journal waits after a refused request.
 	retryPause = 100 * time.Millisecond
 )
@@ -67,32 +67,32 @@
 
 // Journal is the actor that writes records under a leader's term.
 type Journal struct {
-	svc     StateService
-	ceiling *Ceiling
-	limits  Limits // the ceiling's, as of the last commit
-	lead    Guard
-	limiter *rate.Limiter
-	in      chan Batch
-
-	entities  map[string]entity
-	liveBytes int
-	chunks    []chunkInfo
-	parts     map[string]*gathered // records of which not all fragments are read or written
-	splits    uint64               // records that were written in fragments
-	packs     bool                 // chunks are compressed
-	packer    packer
-	ratio     float64 // by which they are expected to shrink
-	moved     float64 // likewise what compaction moves, which is of other kinds
-	next      uint64
-	last      uint64 // version of chunk next-1, 0 if unknown
+	svc          StateService
+	limitTracker *LimitTracker
+	limits       Limits // the ceiling's, as of the last commit
+	lead         Guard
+	limiter      *rate.Limiter
+	in           chan Batch
+
+	entities         map[string]entity
+	liveBytes        int
+	chunks           []chunkInfo
+	partial          map[string]*partialRecord // records of which not all fragments are read or written
+	fragmented       uint64                    // records that were written in fragments
+	compress         bool                      // chunks are compressed
+	compressor       compressor
+	compressionRatio float64 // by which they are expected to shrink
+	compactionRatio  float64 // likewise what compaction moves, which is of other kinds
+	next             uint64
+	last             uint64 // version of chunk next-1, 0 if unknown
 }
 
 // OpenJournal reads all chunks; lead is the leadership key with the version
 // that every write is guarded by.
-func OpenJournal(ctx context.Context, svc StateService, ceiling *Ceiling, lead Guard) (*Journal, error) {
+func OpenJournal(ctx context.Context, svc StateService, ceiling *LimitTracker, lead Guard) (*Journal, error) {
 	limits := ceiling.Limits()
 	j := &Journal{
-		svc: svc, ceiling: ceiling, limits: limits, lead: lead, parts: make(map[string]*gathered), ratio: packsFirst, moved: packsFirst,
+		svc: svc, limitTracker: ceiling, limits: limits, lead: lead, partial: make(map[string]*partialRecord), compressionRatio: initialRatio, compactionRatio: initialRatio,
 		limiter:  rate.NewLimiter(limits.pace()),
 		in:       make(chan Batch, 16),
 		entities: make(map[string]entity),
@@ -100,7 +100,7 @@
 	}
 	after := ""
 	for {
-		lctx, cancel := limits.bound(ctx, listPatience)
+		lctx, cancel := limits.bound(ctx, listTimeouts)
 		items, more, _, err := svc.List(lctx, chunkPrefix, after, 1000)
 		cancel()
 		if errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknown) {
@@ -130,7 +130,7 @@
 		return fmt.Errorf("chunk key %q: %w", it.Key, err)
 	}
 	var records []Record
-	plain, err := unpack(it.Data)
+	plain, err := decompress(it.Data)
 	if err != nil {
 		return fmt.Errorf("chunk %q: %w", it.Key, err)
 	}
@@ -152,7 +152,7 @@
 				info.keys = append(info.keys, r.Key)
 			}
 			var whole bool
-			if whole, chunk, data = j.gather(seq, r); !whole {
+			if whole, chunk, data = j.addFragment(seq, r); !whole {
 				continue
 			}
 		} else {
@@ -173,11 +173,11 @@
 }
 
 // heed takes up what the ceiling has become.
-func (j *Journal) heed() {
-	patience := j.limits.Patience
-	j.limits = j.ceiling.Limits()
-	j.limits.Patience = patience
-	j.packs = j.ceiling.Lowered()
+func (j *Journal) applyLimits() {
+	patience := j.limits.RequestTimeout
+	j.limits = j.limitTracker.Limits()
+	j.limits.RequestTimeout = patience
+	j.compress = j.limitTracker.Lowered()
 	limit, burst := j.limits.pace()
 	j.limiter.SetLimit(limit)
 	j.limiter.SetBurst(burst)
@@ -187,12 +187,12 @@
 func (j *Journal) room() int { return int(float64(j.limits.ValueBytes) * valueShare) }
 
 // fitted returns the records with those in fragments that are too large for a chunk.
-func (j *Journal) fitted(records []Record) []Record {
+func (j *Journal) fragmentLarge(records []Record) []Record {
 	out := records[:0:0]
 	for _, r := range records {
 		if r.fragment == nil && !j.fits(r) {
-			j.splits++
-			out = append(out, split(r, j.sureRoom(), j.lead.Version<<20|j.splits&(1<<20-1))...)
+			j.fragmented++
+			out = append(out, split(r, j.guaranteedRoom(), j.lead.Version<<20|j.fragmented&(1<<20-1))...)
 		} else {
 			out = append(out, r)
 		}
@@ -203,7 +203,7 @@
 // size is what a record takes in a chunk, at the most.
 func (r *Record) size() int {
 	if r.fragment != nil {
-		return len(r.Key) + fragmentFrame + (len(r.fragment.piece)+2)/3*4
+		return len(r.Key) + fragmentFrame + (len(r.fragment.data)+2)/3*4
 	}
 	return len(r.Key) + len(r.Data) + 8
 }
@@ -270,20 +270,20 @@
 		return err
 	}
 	*batches = j.drain(*batches)
-	j.heed()
+	j.applyLimits()
 	records := merge(*batches)
-	for pending := j.fitted(records); len(pending) > 0; {
+	for pending := j.fragmentLarge(records); len(pending) > 0; {
 		chunks, rest, err := j.cut(pending)
 		if err != nil {
 			return err
 		}
 		err = j.write(ctx, chunks)
-		if errors.Is(err, ErrMalformed) && j.ceiling.Learn(err) {
+		if errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err) {
 			// The service's limits have fallen: all of it once more, in smaller
 			// pieces. What was written stands, and the later record wins.
-			slog.Info("the state service takes less", "value_bytes", j.ceiling.Limits().ValueBytes, "txn_ops", j.ceiling.Limits().TxnOps)
-			j.heed()
-			pending = j.fitted(records)
+			slog.Info("the state service takes less", "value_bytes", j.limitTracker.Limits().ValueBytes, "txn_ops", j.limitTracker.Limits().TxnOps)
+			j.applyLimits()
+			pending = j.fragmentLarge(records)
 			continue
 		}
 		if err != nil {
@@ -325,14 +325,14 @@
 		full := n < len(records)
 		data, err := j.encode(records[:n])
 		for err == nil && len(data) > j.room() && n > 1 {
-			j.learnRatio(len(data), full)
+			j.updateRatio(len(data), full)
 			n = max(1, min(n-1, j.howMany(records)))
 			data, err = j.encode(records[:n])
 		}
 		if err != nil {
 			return nil, nil, err
 		}
-		j.learnRatio(len(data), full)
+		j.updateRatio(len(data), full)
 		chunks = append(chunks, chunk{records[:n:n], data})
 		total += len(data)
 		records = records[n:]
@@ -342,7 +342,7 @@
 
 // howMany of the first records are expected to fit into a chunk, at the least one.
 func (j *Journal) howMany(records []Record) int {
-	size, limit := 2, j.rawRoom(j.ratio)
+	size, limit := 2, j.rawRoom(j.compressionRatio)
 	for i := range records {
 		if size += records[i].size(); size > limit && i > 0 {
 			return i
@@ -400,7 +400,7 @@
 // many of those may be deleted with them. Of an old chunk that is larger than the
 // budget or the service now allows for, a part is moved at a time.
 func (j *Journal) compact(chunks []chunk) ([]chunk, int) {
-	need := j.liveBytes/j.rawRoom(j.moved) + 1
+	need := j.liveBytes/j.rawRoom(j.compactionRatio) + 1
 	excess := len(j.chunks) - compactFactor*need - compactSlack
 	spare := int(j.limiter.Tokens()) / 2
 	if excess > compactBehind {
@@ -415,11 +415,11 @@
 	}
 	moved, err := m.encode()
 	if err != nil {
-		j.moved = max(packsLeast, j.moved*3/4)
+		j.compactionRatio = max(minRatio, j.compactionRatio*3/4)
 		return chunks, 0
 	}
 	if n > 0 {
-		j.moved = min(packsMost, j.moved*33/32)
+		j.compactionRatio = min(maxRatio, j.compactionRatio*33/32)
 	}
 	return moved, n
 }
@@ -450,10 +450,10 @@
 
 // bound gives a request so many times the patience.
 func (l *Limits) bound(ctx context.Context, times int) (context.Context, context.CancelFunc) {
-	if l.Patience <= 0 {
+	if l.RequestTimeout <= 0 {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, time.Duration(times)*l.Patience)
+	return context.WithTimeout(ctx, time.Duration(times)*l.RequestTimeout)
 }
 
 // settle repeats a transaction until it is known to be applied or barred. One
@@ -461,7 +461,7 @@
 // the first one's chunk.
 func (j *Journal) settle(ctx context.Context, guards []Guard, ops []Op) (uint64, error) {
 	unsure := false
-	for times := 1; ; times = min(2*times, mostPatience) {
+	for times := 1; ; times = min(2*times, maxTimeouts) {
 		tctx, cancel := j.limits.bound(ctx, times)
 		version, err := j.svc.Txn(tctx, guards, ops)
 		cancel()
@@ -493,8 +493,8 @@
 		default:
 			return 0, fmt.Errorf("journal commit: %w", err)
 		}
-		if j.ceiling.Learn(err) {
-			j.heed()
+		if j.limitTracker.Learn(err) {
+			j.applyLimits()
 		}
 		slog.Debug("journal retries", "chunk", ops[0].Key, "err", err)
 		if !Sleep(ctx, retryPause) {
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -28,10 +28,10 @@
 // open starts a journal; the returned function appends and waits.
 func open(ctx context.Context, t *testing.T, svc *storagetest.Client, guard storage.Guard) (*storage.Journal, func(map[string]any) error) {
 	t.Helper()
-	return openUnder(ctx, t, svc, storage.NewCeiling(limits), guard)
+	return openUnder(ctx, t, svc, storage.NewLimitTracker(limits), guard)
 }
 
-func openUnder(ctx context.Context, t *testing.T, svc *storagetest.Client, ceiling *storage.Ceiling, guard storage.Guard) (*storage.Journal, func(map[string]any) error) {
+func openUnder(ctx context.Context, t *testing.T, svc *storagetest.Client, ceiling *storage.LimitTracker, guard storage.Guard) (*storage.Journal, func(map[string]any) error) {
 	t.Helper()
 	j, err := storage.OpenJournal(ctx, svc, ceiling, guard)
 	if err != nil {
@@ -57,7 +57,7 @@
 // reread returns what a successor finds.
 func reread(ctx context.Context, t *testing.T, svc *storagetest.Client, guard storage.Guard) map[string]string {
 	t.Helper()
-	j, err := storage.OpenJournal(ctx, svc, storage.NewCeiling(limits), guard)
+	j, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(limits), guard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/packing.go
+++ b/internal/storage/packing.go
@@ -16,13 +16,13 @@
 const inflateLimit = 1 << 20
 
 // packer encodes chunks. It belongs to one journal.
-type packer struct {
+type compressor struct {
 	z   *flate.Writer
 	buf bytes.Buffer
 }
 
 // pack compresses a chunk's records into a value.
-func (p *packer) pack(plain []byte) (json.RawMessage, error) {
+func (p *compressor) compress(plain []byte) (json.RawMessage, error) {
 	p.buf.Reset()
 	if p.z == nil {
 		z, err := flate.NewWriter(&p.buf, flate.BestSpeed)
@@ -43,7 +43,7 @@
 }
 
 // unpack returns a chunk's records as they were before pack.
-func unpack(value json.RawMessage) ([]byte, error) {
+func decompress(value json.RawMessage) ([]byte, error) {
 	if len(value) == 0 || value[0] != '"' {
 		return value, nil
 	}
@@ -66,52 +66,52 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode chunk: %w", err)
 	}
-	if !j.packs {
+	if !j.compress {
 		return plain, nil
 	}
-	return j.packer.pack(plain)
+	return j.compressor.compress(plain)
 }
 
 const (
 	// packsFirst is by how much chunks are expected to shrink at first.
-	packsFirst = 2.0
+	initialRatio = 2.0
 	// packsLeast is what surely fits, for base64 takes a third more.
-	packsLeast = 0.7
-	packsMost  = 16.0
+	minRatio = 0.7
+	maxRatio = 16.0
 )
 
 // learnRatio takes in by how much a chunk has shrunk. full tells that it held as
 // much as was expected to fit.
-func (j *Journal) learnRatio(value int, full bool) {
+func (j *Journal) updateRatio(value int, full bool) {
 	switch {
-	case !j.packs:
+	case !j.compress:
 	case value > j.room():
-		j.ratio = max(packsLeast, j.ratio*3/4)
+		j.compressionRatio = max(minRatio, j.compressionRatio*3/4)
 	case full && value < j.room()*3/4:
-		j.ratio = min(packsMost, j.ratio*9/8)
+		j.compressionRatio = min(maxRatio, j.compressionRatio*9/8)
 	}
 }
 
 // rawRoom is how many bytes of records a chunk is expected to hold.
 func (j *Journal) rawRoom(ratio float64) int {
-	if !j.packs {
+	if !j.compress {
 		return j.room()
 	}
 	return int(float64(j.room()) * ratio)
 }
 
 // sureRoom is how many bytes of records fit into a chunk whatever they are.
-func (j *Journal) sureRoom() int {
-	if !j.packs {
+func (j *Journal) guaranteedRoom() int {
+	if !j.compress {
 		return j.room()
 	}
-	return int(float64(j.room()) * packsLeast)
+	return int(float64(j.room()) * minRatio)
 }
 
 // fits tells whether a record fits into a chunk whole.
 func (j *Journal) fits(r Record) bool {
-	if r.size()+2 <= j.sureRoom() || !j.packs {
-		return r.size()+2 <= j.sureRoom()
+	if r.size()+2 <= j.guaranteedRoom() || !j.compress {
+		return r.size()+2 <= j.guaranteedRoom()
 	}
 	value, err := j.encode([]Record{r})
 	return err == nil && len(value) <= j.room()
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -127,7 +127,7 @@
 }
 
 // HireRecord is a rental request, recorded under its name before it is sent.
-type HireRecord struct {
+type RentalRecord struct {
 	Type  string `json:"t"`
 	Zone  string `json:"z"`
 	Spot  bool   `json:"l,omitempty"`
@@ -211,7 +211,7 @@
 	KindJob       = 'j'
 	KindPage      = 'p'
 	KindMachine   = 'm'
-	KindHire      = 'h'
+	KindRental    = 'h'
 	KindFleet     = 'f'
 	KindCatalogue = 'c'
 )
@@ -226,7 +226,7 @@
 func MachineKey(n int) string { return "m" + strconv.Itoa(n) }
 
 // HireKey names a hire's record.
-func HireKey(name string) string { return "h" + name }
+func RentalKey(name string) string { return "h" + name }
 
 // FleetKey and CatalogueKey name the two single records.
 const (
--- a/internal/storage/service.go
+++ b/internal/storage/service.go
@@ -16,7 +16,7 @@
 	TxnOps       int
 	// Patience is how long the journal waits for one answer before it asks
 	// again; a request may never get one. 0: for ever.
-	Patience time.Duration
+	RequestTimeout time.Duration
 	// Next are the limits that the service will have from some moment on; nil:
 	// not said. A figure of 0 stays as it is.
 	Next *Limits
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -38,7 +38,7 @@
 	LoseAnswers int
 	// Late, if set, tells for each transaction after how long it is carried out;
 	// one for which that isn't 0 gets no answer.
-	Late func() time.Duration
+	Delay func() time.Duration
 	// Slow is added to the time that each request takes.
 	Slow time.Duration
 	// ValueBytes and TxnOps are the service's limits, which may fall.
@@ -266,8 +266,8 @@
 		c.LoseAnswers--
 	}
 	var late time.Duration
-	if c.Late != nil {
-		late = c.Late()
+	if c.Delay != nil {
+		late = c.Delay()
 	}
 	c.mu.Unlock()
 	if drop {
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -17,7 +17,7 @@
 
 // answering is a node that answers at once.
 func answering() *stub {
-	return &stub{answer: coordination.Answer{Code: coordination.CodeOK, ID: "000412", State: coordination.StateRunning, Running: 3}, beat: coordination.BeatAnswer{Accepted: true, Token: 7}}
+	return &stub{answer: coordination.Answer{Code: coordination.CodeOK, ID: "000412", State: coordination.StateRunning, Running: 3}, beat: coordination.HeartbeatResponse{Accepted: true, Token: 7}}
 }
 
 func serveBench(b *testing.B) (addr string) {
@@ -69,7 +69,7 @@
 }
 
 // BenchmarkBeatRequest is a worker's report of eight tasks on its open connection.
-func BenchmarkBeatRequest(b *testing.B) {
+func BenchmarkHeartbeatRequest(b *testing.B) {
 	body := reportBody(8)
 	benchRequest(b, []byte(fmt.Sprintf("POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
 }
@@ -80,7 +80,7 @@
 }
 
 // BenchmarkPeerBeats is a batch of 16 reports handed to another node.
-func BenchmarkPeerBeats(b *testing.B) {
+func BenchmarkPeerHeartbeats(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -100,7 +100,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := p.Beats(ctx, "n1", reports); err != nil {
+		if _, err := p.Heartbeats(ctx, "n1", reports); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/transport/cloud.go
+++ b/internal/transport/cloud.go
@@ -74,7 +74,7 @@
 }
 
 // Hire rents machines under a request name.
-func (c *CloudClient) Hire(ctx context.Context, name string, h storage.HireRecord) ([]int, error) {
+func (c *CloudClient) Rent(ctx context.Context, name string, h storage.RentalRecord) ([]int, error) {
 	var names protocol.MachineNames
 	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, h), &names); err != nil {
 		return nil, err
--- a/internal/transport/door.go
+++ b/internal/transport/door.go
@@ -13,57 +13,57 @@
 const (
 	// workerSockets may stay open between two reports; beyond that a worker's
 	// connection is closed with its answer.
-	workerSockets = 1.0 / 2
+	workerShare = 1.0 / 2
 	// doorSockets may be open in all; then idle workers' connections are closed
 	// to let others in.
-	doorSockets = 2.0 / 3
+	acceptedShare = 2.0 / 3
 	// shedShare of the idle workers' connections is closed at a time.
 	shedShare = 1.0 / 8
 	// orderSockets may be held by direct orders, idleSockets by connections kept
 	// for the next ones.
-	orderSockets = 1.0 / 6
-	idleSockets  = 1.0 / 12
+	directOrderShare = 1.0 / 6
+	idleOrderShare   = 1.0 / 12
 )
 
 func socketShare(sockets int, share float64) int { return max(1, int(float64(sockets)*share)) }
 
 // door is a listener that keeps its guests within the node's sockets. What it
 // keeps of them belongs to the goroutine that accepts; guests only publish.
-type door struct {
+type connLimiter struct {
 	net.Listener
-	most, mostWorkers int64
-	open, workers     atomic.Int64
-	guests            []*guest
-	left              chan struct{} // wakes an Accept that waits for room
-	shut              chan struct{}
-	once              sync.Once
+	maxOpen, maxWorkers int64
+	open, workers       atomic.Int64
+	conns               []*limitedConn
+	left                chan struct{} // wakes an Accept that waits for room
+	shut                chan struct{}
+	once                sync.Once
 }
 
 // guest is one accepted connection.
-type guest struct {
+type limitedConn struct {
 	net.Conn
-	door   *door
-	worker atomic.Bool // has reported
-	busy   atomic.Bool // is being answered
-	closed atomic.Bool
+	limiter *connLimiter
+	worker  atomic.Bool // has reported
+	busy    atomic.Bool // is being answered
+	closed  atomic.Bool
 }
 
-func newDoor(l net.Listener, sockets int) *door {
-	return &door{
-		Listener: l, most: int64(socketShare(sockets, doorSockets)), mostWorkers: int64(socketShare(sockets, workerSockets)),
+func newConnLimiter(l net.Listener, sockets int) *connLimiter {
+	return &connLimiter{
+		Listener: l, maxOpen: int64(socketShare(sockets, acceptedShare)), maxWorkers: int64(socketShare(sockets, workerShare)),
 		left: make(chan struct{}, 1), shut: make(chan struct{}),
 	}
 }
 
 // Close ends accepting.
-func (d *door) Close() error {
+func (d *connLimiter) Close() error {
 	d.once.Do(func() { close(d.shut) })
 	return d.Listener.Close()
 }
 
 // Accept takes the next connection, once there is room for it.
-func (d *door) Accept() (net.Conn, error) {
-	for d.open.Load() >= d.most && !d.shed() {
+func (d *connLimiter) Accept() (net.Conn, error) {
+	for d.open.Load() >= d.maxOpen && !d.shed() {
 		select {
 		case <-d.left:
 		case <-d.shut:
@@ -74,34 +74,34 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &guest{Conn: c, door: d}
+	g := &limitedConn{Conn: c, limiter: d}
 	d.open.Add(1)
-	d.guests = append(d.guests, g)
-	if int64(len(d.guests)) > 2*d.open.Load() {
+	d.conns = append(d.conns, g)
+	if int64(len(d.conns)) > 2*d.open.Load() {
 		d.sweep()
 	}
 	return g, nil
 }
 
 // sweep forgets the guests that have left.
-func (d *door) sweep() {
-	kept := d.guests[:0]
-	for _, g := range d.guests {
+func (d *connLimiter) sweep() {
+	kept := d.conns[:0]
+	for _, g := range d.conns {
 		if !g.closed.Load() {
 			kept = append(kept, g)
 		}
 	}
-	clear(d.guests[len(kept):])
-	d.guests = kept
+	clear(d.conns[len(kept):])
+	d.conns = kept
 }
 
 // shed closes some of the workers' connections that wait for the next report,
 // those that have been open the longest.
-func (d *door) shed() bool {
+func (d *connLimiter) shed() bool {
 	d.sweep()
-	most := max(1, int(shedShare*float64(d.most)))
+	most := max(1, int(shedShare*float64(d.maxOpen)))
 	n := 0
-	for _, g := range d.guests {
+	for _, g := range d.conns {
 		if n == most {
 			break
 		}
@@ -114,16 +114,16 @@
 }
 
 // Close ends the connection, once.
-func (g *guest) Close() error {
+func (g *limitedConn) Close() error {
 	if g.closed.Swap(true) {
 		return net.ErrClosed
 	}
 	if g.worker.Load() {
-		g.door.workers.Add(-1)
+		g.limiter.workers.Add(-1)
 	}
-	g.door.open.Add(-1)
+	g.limiter.open.Add(-1)
 	select {
-	case g.door.left <- struct{}{}:
+	case g.limiter.left <- struct{}{}:
 	default:
 	}
 	return g.Conn.Close()
@@ -131,24 +131,24 @@
 
 // reports notes that the guest is a worker and tells whether its connection may
 // stay open.
-func (g *guest) reports() (stays bool) {
+func (g *limitedConn) markWorker() (stays bool) {
 	if !g.worker.Swap(true) {
-		g.door.workers.Add(1)
+		g.limiter.workers.Add(1)
 	}
-	return g.door.workers.Load() <= g.door.mostWorkers
+	return g.limiter.workers.Load() <= g.limiter.maxWorkers
 }
 
-type guestKey struct{}
+type limitedConnKey struct{}
 
 // withGuest lets requests know their guest.
-func withGuest(ctx context.Context, c net.Conn) context.Context {
-	if g, ok := c.(*guest); ok {
-		return context.WithValue(ctx, guestKey{}, g)
+func withLimitedConn(ctx context.Context, c net.Conn) context.Context {
+	if g, ok := c.(*limitedConn); ok {
+		return context.WithValue(ctx, limitedConnKey{}, g)
 	}
 	return ctx
 }
 
-func guestOf(ctx context.Context) *guest {
-	g, _ := ctx.Value(guestKey{}).(*guest)
+func limitedConnOf(ctx context.Context) *limitedConn {
+	g, _ := ctx.Value(limitedConnKey{}).(*limitedConn)
 	return g
 }
--- a/internal/transport/door_test.go
+++ b/internal/transport/door_test.go
@@ -85,7 +85,7 @@
 			kept = append(kept, c)
 		}
 	}
-	if n := len(kept); n != socketShare(sockets, workerSockets) {
+	if n := len(kept); n != socketShare(sockets, workerShare) {
 		t.Errorf("%d workers' connections stay open", n)
 	}
 	// Users fill what is left; then workers' connections make room.
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -29,7 +29,7 @@
 
 const (
 	// peerPatience is how long another node may take to answer.
-	peerPatience = time.Second
+	peerTimeout = time.Second
 	// peerPause is how long a peer that couldn't be reached is left alone.
 	peerPause = 250 * time.Millisecond
 	// peerQueue bounds the requests that wait for one peer.
@@ -79,12 +79,12 @@
 }
 
 // Beats hands reports to the named node.
-func (p *Peers) Beats(ctx context.Context, node string, reports []*coordination.Report) ([]coordination.BeatAnswer, error) {
+func (p *Peers) Heartbeats(ctx context.Context, node string, reports []*coordination.Report) ([]coordination.HeartbeatResponse, error) {
 	a, err := p.ask(ctx, node, peerAsk{Reports: reports})
 	if err == nil && len(a.Beats) != len(reports) {
 		err = fmt.Errorf("%w: it decides on no reports", errPeer)
 	}
-	return a.Beats, err
+	return coordination.ResponsesFromWire(a.Beats), err
 }
 
 func (p *Peers) ask(ctx context.Context, node string, ask peerAsk) (peerAnswer, error) {
@@ -93,7 +93,7 @@
 		return peerAnswer{}, fmt.Errorf("%w: unknown node %q", errPeer, node)
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, peerPatience)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	c := call{ask: ask, reply: make(chan result, 1)}
 	select {
@@ -103,7 +103,7 @@
 	}
 	select {
 	case r := <-c.reply:
-		if r.err == nil && time.Since(began) > peerPatience {
+		if r.err == nil && time.Since(began) > peerTimeout {
 			// This process stood still: what was true then may not be now.
 			return peerAnswer{}, fmt.Errorf("%w: answered too late", errPeer)
 		}
@@ -114,22 +114,22 @@
 }
 
 // Told is the named node's latest word of itself.
-func (p *Peers) Told(node string) (coordination.PeerWord, bool) {
+func (p *Peers) Status(node string) (coordination.PeerReport, bool) {
 	l := p.links[node]
 	if l == nil {
-		return coordination.PeerWord{}, false
+		return coordination.PeerReport{}, false
 	}
-	w, ok := l.told.Load().(coordination.PeerWord)
+	w, ok := l.status.Load().(coordination.PeerReport)
 	return w, ok
 }
 
 // Unheard is for how long the named node has been out of reach.
-func (p *Peers) Unheard(node string) time.Duration {
+func (p *Peers) SilentFor(node string) time.Duration {
 	l := p.links[node]
 	if l == nil {
 		return 0
 	}
-	heard, ok := l.heard.Load().(time.Time)
+	heard, ok := l.lastHeard.Load().(time.Time)
 	if !ok {
 		// Never heard, maybe because a cut is older than this process.
 		if d := time.Since(l.made); d > 2*pingPause {
@@ -144,9 +144,9 @@
 }
 
 // Known is the latest leader that a peer in reach has told of.
-func (p *Peers) Known() (leader string, term uint64) {
+func (p *Peers) KnownLeader() (leader string, term uint64) {
 	for name, l := range p.links {
-		if st, ok := l.told.Load().(coordination.PeerWord); ok && st.Leader != "" && st.Term > term && p.Unheard(name) == 0 {
+		if st, ok := l.status.Load().(coordination.PeerReport); ok && st.Leader != "" && st.Term > term && p.SilentFor(name) == 0 {
 			leader, term = st.Leader, st.Term
 		}
 	}
@@ -177,13 +177,13 @@
 	events chan any
 	log    *slog.Logger
 
-	conn     net.Conn
-	enc      *gob.Encoder
-	pending  map[uint64]pendingCall
-	serial   uint64
-	downTill time.Time
-	heard    atomic.Value // time.Time of the last answer, published for others
-	told     atomic.Value // coordination.PeerWord of the last answered ping, likewise
+	conn      net.Conn
+	enc       *gob.Encoder
+	pending   map[uint64]pendingCall
+	serial    uint64
+	downTill  time.Time
+	lastHeard atomic.Value // time.Time of the last answer, published for others
+	status    atomic.Value // coordination.PeerWord of the last answered ping, likewise
 }
 
 // brokenMsg tells that reading from a connection has ended.
@@ -207,10 +207,10 @@
 		case e := <-l.events:
 			switch e := e.(type) {
 			case peerAnswer:
-				l.heard.Store(time.Now())
+				l.lastHeard.Store(time.Now())
 				if p, ok := l.pending[e.Serial]; ok {
 					if p.ask.Req.Op == coordination.OpPing && p.ask.Reports == nil {
-						l.told.Store(coordination.PeerWord{PeerState: e.Answer.Peer, Sent: p.at, Got: time.Now()})
+						l.status.Store(coordination.PeerReport{PeerStatus: e.Answer.Peer.Status(), Sent: p.at, Got: time.Now()})
 					}
 					delete(l.pending, e.Serial)
 					p.reply <- result{answer: e}
@@ -238,7 +238,7 @@
 			c.reply <- result{err: errPeer}
 			return
 		}
-		d := net.Dialer{Timeout: peerPatience / 2}
+		d := net.Dialer{Timeout: peerTimeout / 2}
 		conn, err := d.DialContext(ctx, "tcp", l.addr)
 		if err != nil {
 			l.log.Debug("peer not reached", "err", err)
@@ -251,7 +251,7 @@
 	}
 	l.serial++
 	l.pending[l.serial] = pendingCall{c, time.Now()}
-	if err := l.conn.SetWriteDeadline(time.Now().Add(peerPatience)); err != nil {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(peerTimeout)); err != nil {
 		l.drop(err)
 		return
 	}
@@ -284,7 +284,7 @@
 // a cut it would only hang.
 func (l *link) expire(now time.Time) {
 	for _, p := range l.pending {
-		if now.Sub(p.at) > 2*peerPatience {
+		if now.Sub(p.at) > 2*peerTimeout {
 			l.drop(errPeer)
 			return
 		}
@@ -307,7 +307,7 @@
 // Local is what answers the other nodes.
 type Local interface {
 	Local(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	LocalBeats(ctx context.Context, reports []*coordination.Report) []coordination.BeatAnswer
+	LocalHeartbeats(ctx context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse
 }
 
 // ServePeers answers the other nodes' requests on l until ctx ends.
@@ -344,7 +344,7 @@
 			case <-ctx.Done():
 				return
 			case a := <-answers:
-				if err := conn.SetWriteDeadline(time.Now().Add(2 * peerPatience)); err != nil {
+				if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
 					return
 				}
 				if err := enc.Encode(a); err != nil {
@@ -361,11 +361,11 @@
 			return
 		}
 		go func() {
-			actx, done := context.WithTimeout(ctx, peerPatience)
+			actx, done := context.WithTimeout(ctx, peerTimeout)
 			defer done()
 			a := peerAnswer{Serial: ask.Serial}
 			if ask.Reports != nil {
-				a.Beats = local.LocalBeats(actx, ask.Reports)
+				a.Beats = coordination.WireResponses(local.LocalHeartbeats(actx, ask.Reports))
 			} else {
 				a.Answer = local.Local(actx, ask.Req)
 			}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -20,16 +20,16 @@
 // How long the parties wait for an answer, by the protocol; the server's own
 // limits are shares of these.
 const (
-	submitPatience = 5 * time.Second
-	pollPatience   = 2 * time.Second
-	beatPatience   = 4 * time.Second
-	patienceShare  = 0.6
+	submitTimeout    = 5 * time.Second
+	pollTimeout      = 2 * time.Second
+	heartbeatTimeout = 4 * time.Second
+	timeoutShare     = 0.6
 )
 
 // Controller is what the server serves.
 type Controller interface {
 	User(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	Beat(ctx context.Context, r *coordination.Report) coordination.BeatAnswer
+	Heartbeat(ctx context.Context, r *coordination.Report) coordination.HeartbeatResponse
 	Able() bool
 }
 
@@ -46,9 +46,9 @@
 	s := &Server{node: node, sockets: sockets, log: log}
 	s.http = &http.Server{
 		Handler:           s,
-		ConnContext:       withGuest,
-		ReadHeaderTimeout: submitPatience,
-		ReadTimeout:       2 * submitPatience,
+		ConnContext:       withLimitedConn,
+		ReadHeaderTimeout: submitTimeout,
+		ReadTimeout:       2 * submitTimeout,
 		IdleTimeout:       time.Minute,
 		MaxHeaderBytes:    16 << 10,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
@@ -60,7 +60,7 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
-	if err := s.http.Serve(newDoor(l, s.sockets)); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(newConnLimiter(l, s.sockets)); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
@@ -78,11 +78,11 @@
 	switch {
 	case path == "/agent/beat":
 		if onlyMethod(w, r, http.MethodPost) {
-			s.beat(w, r)
+			s.heartbeat(w, r)
 		}
 	case path == "/up":
 		if onlyMethod(w, r, http.MethodGet) {
-			s.up(w)
+			s.health(w)
 		}
 	case path == "/v1/jobs":
 		if onlyMethod(w, r, http.MethodPost) {
@@ -92,12 +92,12 @@
 		rest := strings.TrimPrefix(path, "/v1/jobs/")
 		if id, ok := strings.CutSuffix(rest, "/cancel"); ok {
 			if onlyMethod(w, r, http.MethodPost) {
-				s.about(w, r, coordination.OpCancel, id, submitPatience)
+				s.jobRequest(w, r, coordination.OpCancel, id, submitTimeout)
 			}
 			return
 		}
 		if onlyMethod(w, r, http.MethodGet) {
-			s.about(w, r, coordination.OpPoll, rest, pollPatience)
+			s.jobRequest(w, r, coordination.OpPoll, rest, pollTimeout)
 		}
 	default:
 		refuse(w, http.StatusNotFound, "no such path", 0)
@@ -113,7 +113,7 @@
 	return false
 }
 
-func (s *Server) up(w http.ResponseWriter) {
+func (s *Server) health(w http.ResponseWriter) {
 	if !s.node.Able() {
 		refuse(w, http.StatusServiceUnavailable, "not able to take requests", 1)
 		return
@@ -146,20 +146,20 @@
 		refuse(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	s.ask(w, r, coordination.UserRequest{Op: coordination.OpSubmit, ID: spec.ID, Spec: spec}, submitPatience)
+	s.ask(w, r, coordination.UserRequest{Op: coordination.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
 }
 
-func (s *Server) about(w http.ResponseWriter, r *http.Request, op coordination.UserOp, name string, patience time.Duration) {
+func (s *Server) jobRequest(w http.ResponseWriter, r *http.Request, op coordination.UserOp, name string, timeout time.Duration) {
 	id, ok := protocol.JobID(name)
 	if !ok {
 		refuse(w, http.StatusNotFound, "no such job", 0)
 		return
 	}
-	s.ask(w, r, coordination.UserRequest{Op: op, ID: id}, patience)
+	s.ask(w, r, coordination.UserRequest{Op: op, ID: id}, timeout)
 }
 
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, req coordination.UserRequest, patience time.Duration) {
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(patience)*patienceShare))
+func (s *Server) ask(w http.ResponseWriter, r *http.Request, req coordination.UserRequest, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(timeout)*timeoutShare))
 	defer cancel()
 	a := s.node.User(ctx, req)
 	switch a.Code {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (s *Server) beat(w http.ResponseWriter, r *http.Request) {
+func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
@@ -189,26 +189,26 @@
 		refuse(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	if g := guestOf(r.Context()); g != nil {
+	if g := limitedConnOf(r.Context()); g != nil {
 		g.busy.Store(true)
 		defer g.busy.Store(false)
-		if !g.reports() {
+		if !g.markWorker() {
 			w.Header().Set("Connection", "close")
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(beatPatience)*patienceShare))
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(heartbeatTimeout)*timeoutShare))
 	defer cancel()
-	a := s.node.Beat(ctx, report)
+	a := s.node.Heartbeat(ctx, report)
 	if !a.Accepted {
 		w.Header().Set("Connection", "close") // it goes elsewhere
 	}
 	switch {
 	case a.Accepted:
-		reply(w, http.StatusOK, protocol.NewBeatAnswer(a))
+		reply(w, http.StatusOK, protocol.NewHeartbeatResponse(a))
 	case a.Busy:
 		refuse(w, http.StatusServiceUnavailable, "not able to take reports now", 1)
 	default:
-		reply(w, http.StatusMisdirectedRequest, protocol.Elsewhere{Leader: a.Leader, Error: "not the leader"})
+		reply(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: a.Leader, Error: "not the leader"})
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -19,7 +19,7 @@
 // stub is a controller that gives one answer.
 type stub struct {
 	answer coordination.Answer
-	beat   coordination.BeatAnswer
+	beat   coordination.HeartbeatResponse
 	asked  coordination.UserRequest
 }
 
@@ -27,8 +27,10 @@
 	s.asked = req
 	return s.answer
 }
-func (s *stub) Beat(context.Context, *coordination.Report) coordination.BeatAnswer { return s.beat }
-func (s *stub) Able() bool                                                         { return true }
+func (s *stub) Heartbeat(context.Context, *coordination.Report) coordination.HeartbeatResponse {
+	return s.beat
+}
+func (s *stub) Able() bool { return true }
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -43,7 +45,7 @@
 	for _, tc := range []struct {
 		name, method, path, body string
 		answer                   coordination.Answer
-		beat                     coordination.BeatAnswer
+		beat                     coordination.HeartbeatResponse
 		status                   int
 		contains                 string
 	}{
@@ -61,9 +63,9 @@
 		{name: "wrong method", method: "DELETE", path: "/v1/jobs/job-000412", answer: ok, status: 405},
 		{name: "wrong path", method: "GET", path: "/v2", status: 404},
 		{name: "up", method: "GET", path: "/up", status: 200},
-		{name: "report", method: "POST", path: "/agent/beat", body: beat, beat: coordination.BeatAnswer{Accepted: true, Token: 41}, status: 200, contains: `{"Baton":41,"Orders":[]}`},
-		{name: "report elsewhere", method: "POST", path: "/agent/beat", body: beat, beat: coordination.BeatAnswer{Leader: "herder-2"}, status: 421, contains: `"Steward":"herder-2"`},
-		{name: "report to nobody", method: "POST", path: "/agent/beat", body: beat, beat: coordination.BeatAnswer{Busy: true}, status: 503},
+		{name: "report", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Accepted: true, Token: 41}, status: 200, contains: `{"Baton":41,"Orders":[]}`},
+		{name: "report elsewhere", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Leader: "herder-2"}, status: 421, contains: `"Steward":"herder-2"`},
+		{name: "report to nobody", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Busy: true}, status: 503},
 		{name: "malformed report", method: "POST", path: "/agent/beat", body: "{}", status: 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -135,13 +137,13 @@
 	return coordination.Answer{Code: coordination.CodeOK, ID: req.ID, Peer: coordination.PeerState{Leader: req.ID}}
 }
 
-func (fakeLocal) LocalBeats(_ context.Context, reports []*coordination.Report) []coordination.BeatAnswer {
-	var out []coordination.BeatAnswer
+func (fakeLocal) LocalHeartbeats(_ context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse {
+	var out []coordination.HeartbeatResponse
 	for _, r := range reports {
 		if r.Machine != 1 {
 			return nil
 		}
-		out = append(out, coordination.BeatAnswer{Accepted: true, Token: r.Token})
+		out = append(out, coordination.HeartbeatResponse{Accepted: true, Token: r.Token})
 	}
 	return out
 }
@@ -164,17 +166,17 @@
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	beats, err := p.Beats(ctx, "n1", []*coordination.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
+	beats, err := p.Heartbeats(ctx, "n1", []*coordination.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
 	if err != nil || len(beats) != 2 || beats[1].Token != 8 {
 		t.Errorf("reports: %+v, %v", beats, err)
 	}
-	if _, err := p.Beats(ctx, "n1", []*coordination.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
+	if _, err := p.Heartbeats(ctx, "n1", []*coordination.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
 		t.Errorf("reports that aren't decided on: %v", err)
 	}
-	if w, ok := p.Told("n1"); !ok || w.Leader != "n0" || w.Got.Before(w.Sent) {
+	if w, ok := p.Status("n1"); !ok || w.Leader != "n0" || w.Got.Before(w.Sent) {
 		t.Errorf("told %+v", w)
 	}
-	if d := p.Unheard("n1"); d != 0 {
+	if d := p.SilentFor("n1"); d != 0 {
 		t.Errorf("unheard for %v", d)
 	}
 	stop()
--- a/internal/transport/versions_test.go
+++ b/internal/transport/versions_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p := state.Answer.Peer; p.Leader != "n2" || p.Term != 4 || p.Lends != 20*time.Second || len(p.Barred) != 2 || p.Version != number {
+	if p := state.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegatesFor != 20*time.Second || len(p.Excluded) != 2 || p.Version != number {
 		t.Errorf("word %+v", p)
 	}
 	if a := user.Answer; a.State != coordination.StateRunning || a.Holds != time.Second || a.Running != 2 {
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -25,7 +25,7 @@
 // NewWorkerClient makes a client that keeps one idle connection a worker, as
 // far as the sockets allow.
 func NewWorkerClient(sockets int, log *slog.Logger) *WorkerClient {
-	return &WorkerClient{newClient(1, socketShare(sockets, idleSockets), idleOrders), make(chan struct{}, socketShare(sockets, orderSockets)), log}
+	return &WorkerClient{newClient(1, socketShare(sockets, idleOrderShare), idleOrders), make(chan struct{}, socketShare(sockets, directOrderShare)), log}
 }
 
 // Orders sends orders and returns the worker's report after them.
