--- a/cmd/sagevale/main.go
+++ b/cmd/sagevale/main.go
@@ -37,6 +37,9 @@
 			if err != nil {
 				return err
 			}
+			for _, warning := range settings.Warnings {
+				fmt.Fprintln(cmd.ErrOrStderr(), "sagevale: warning:", warning)
+			}
 			if check {
 				fmt.Fprintln(cmd.OutOrStdout(), "settings are fine")
 				return nil
--- a/internal/coordination/homing.go
+++ b/internal/coordination/affinity.go
@@ -7,19 +7,19 @@
 
 // Workers report to a node of their own zone, so that a cut between zones
 // leaves them with it, and the nodes of a zone share its workers: one node's
-// sockets don't hold them all. A worker that comes to another node is sent home
+// sockets don't hold them all. A worker that comes to another node is redirected
 // once; if it is back soon, it couldn't report there, and stays.
 
 const (
-	// homeLeases is how long a worker that was sent home may stay elsewhere, in
+	// affinityLeases is how long a worker that was redirected may stay elsewhere, in
 	// leases.
 	affinityLeases = 2
-	// tryPause is how often a worker is sent to a node that hears none: it may
+	// affinityProbePause is how often a worker is sent to a node that hears none: it may
 	// have just begun, or be cut off from them.
 	affinityProbePause = time.Second
 )
 
-// homing knows where workers belong. It is the courier's own.
+// affinity knows where workers belong. It is the forwarder's own.
 type affinity struct {
 	node   *Node
 	names  []string // all nodes
@@ -37,7 +37,7 @@
 	return h
 }
 
-// of returns the node that a worker should report to; "" if it may stay here.
+// nodeFor returns the node that a worker should report to; "" if it may stay here.
 func (h *affinity) nodeFor(r *Report, worker *knownWorker, now time.Time) string {
 	self := h.node.settings.Node
 	if !worker.redirected.IsZero() && now.Sub(worker.redirected) < affinityLeases*h.node.settings.Lease {
@@ -57,7 +57,7 @@
 	return node
 }
 
-// share picks one of the nodes that suit, the same one for a machine each time.
+// pick picks one of the nodes that suit, the same one for a machine each time.
 func (h *affinity) pick(machine int, suits func(string) bool) string {
 	var names []string
 	for _, n := range h.names {
@@ -71,7 +71,7 @@
 	return names[machine%len(names)]
 }
 
-// fit tells whether a node can hand reports to the leader.
+// canForward tells whether a node can hand reports to the leader.
 func (h *affinity) canForward(name, leader string) bool {
 	if name == h.node.settings.Node {
 		return true
@@ -80,7 +80,7 @@
 	return ok && w.Leader == leader && h.node.deps.Peers.SilentFor(name) == 0
 }
 
-// hears tells whether a node hears workers; now and then one is sent to a node
+// hearsWorkers tells whether a node hears workers; now and then one is sent to a node
 // that hears none.
 func (h *affinity) hearsWorkers(name string, now time.Time) bool {
 	if w, ok := h.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Got) < h.node.settings.Report {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -17,7 +17,7 @@
 	benchArrays   = 600  // of twelve tasks
 )
 
-// benchDesk is a desk with a fleet that carries services and sweeps.
+// newBenchDispatcher is a dispatcher with a fleet that carries services and arrays.
 func newBenchDispatcher(b *testing.B) *dispatcher {
 	b.Helper()
 	d := newTestDispatcher(b, grownSettings())
@@ -57,7 +57,7 @@
 	return s
 }
 
-// BenchmarkReport is a report of an ordinary machine and its answer.
+// BenchmarkHeartbeat is a report of an ordinary machine and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchDispatcher(b)
 	m := d.order[1]
@@ -86,7 +86,7 @@
 }
 
 // BenchmarkRoundOfOne is a round that places a service of one task while 200
-// sweeps wait for accelerators.
+// arrays wait for accelerators.
 func BenchmarkRoundOfOne(b *testing.B) {
 	d := newBenchDispatcher(b)
 	for i := range 200 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// BenchmarkFleetView is a look at the fleet on a quiet moment.
+// BenchmarkFleetSnapshot is a snapshot of the fleet at a quiet time.
 func BenchmarkFleetSnapshot(b *testing.B) {
 	d := newBenchDispatcher(b)
 	for b.Loop() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// BenchmarkFleetViewBacklog is a look while 200 sweeps of 40 tasks wait.
+// BenchmarkFleetSnapshotBacklog is a snapshot while 200 arrays of 40 tasks wait.
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
 	d := newBenchDispatcher(b)
 	for i := range 200 {
@@ -121,7 +121,7 @@
 	}
 }
 
-// BenchmarkTick is the clock's work besides looks and rounds.
+// BenchmarkTick is the clock's work besides snapshots and rounds.
 func BenchmarkTick(b *testing.B) {
 	d := newBenchDispatcher(b)
 	d.snapshotAt = time.Now().Add(time.Hour)
--- a/internal/coordination/capacity.go
+++ b/internal/coordination/capacity.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -24,7 +23,7 @@
 	// returnBatch is how many machines one deletion names at the most, the
 	// cloud's limit.
 	returnBatch = 100
-	// hireMost is how many machines one rental names at the most, the cloud's limit.
+	// maxRental is how many machines one rental names at the most, the cloud's limit.
 	maxRental = 50
 	// listPage is the cloud's largest page.
 	listPage = 500
@@ -52,10 +51,10 @@
 	healthySince time.Time
 	coolTill     time.Time
 	frozenTill   time.Time
-	surplus      []surplusMachine // to be drained one after the other, as of the last look
+	surplus      []surplusMachine // to be drained one after the other, as of the last snapshot
 	drained      bool             // the last drain is over
 	drains       int              // how many were asked for
-	size         int              // of the fleet, as of the last look, less what was drained since
+	size         int              // of the fleet, as of the last snapshot, less what was drained since
 	toReturn     []int            // to be asked of the cloud
 	returning    bool             // a deletion is on its way
 	listing      bool
@@ -186,62 +185,6 @@
 	}
 }
 
-// trouble freezes resizing for a while after a cloud failure.
-func (c *capacity) freeze(what string, err error, now time.Time) {
-	c.frozenTill = now.Add(c.settings.Report)
-	c.healthySince = time.Time{}
-	c.log.Info("cloud failure", "call", what, "err", err)
-}
-
-// call runs one cloud call within the budget; done gets its context.
-func (c *capacity) call(f func(ctx context.Context)) {
-	go func() {
-		if err := c.limiter.Wait(c.ctx); err != nil {
-			return
-		}
-		ctx, cancel := context.WithTimeout(c.ctx, scale(c.settings.Lease, 0.5))
-		defer cancel()
-		f(ctx)
-	}()
-}
-
-// poll reads the machine list and the catalogue when they are due.
-func (c *capacity) poll(now time.Time) {
-	if !c.listing && now.Sub(c.lastList) >= c.settings.ListLag/listsPerLag {
-		c.listing, c.lastList = true, now
-		c.call(func(ctx context.Context) {
-			machines, err := c.listAll(ctx)
-			c.post(listAnswer{machines, err})
-		})
-	}
-	if !c.pricing && now.Sub(c.lastPrices) >= catalogueLeases*c.settings.Lease {
-		c.pricing, c.lastPrices = true, now
-		c.call(func(ctx context.Context) {
-			types, err := c.cloud.Catalogue(ctx)
-			c.post(pricesAnswer{types, err})
-		})
-	}
-}
-
-func (c *capacity) listAll(ctx context.Context) ([]Listed, error) {
-	var out []Listed
-	after := noMachine
-	for {
-		page, more, err := c.cloud.List(ctx, after, listPage)
-		if err != nil {
-			return nil, err
-		}
-		out = append(out, page...)
-		if !more || len(page) == 0 {
-			return out, nil
-		}
-		after = page[len(page)-1].Machine
-		if err := c.limiter.Wait(ctx); err != nil {
-			return nil, err
-		}
-	}
-}
-
 // reconcile follows the design: growth after sustained pressure in bounded
 // steps, one drained machine at a time after a healthy window and a cooldown.
 func (c *capacity) reconcile(v fleetSnapshot, now time.Time) {
@@ -261,7 +204,7 @@
 		c.healthySince = now
 	}
 	c.surplus, c.size = nil, v.size
-	if v.drains == c.drains { // an older look doesn't know of the last drain
+	if v.drains == c.drains { // an older snapshot doesn't know of the last drain
 		c.drained = !v.draining
 	}
 	switch {
@@ -273,7 +216,7 @@
 	}
 }
 
-// grow records the new size with the term and the names of the hires in one
+// grow records the new size with the term and the names of the rentals in one
 // conditional write, and asks the cloud after that.
 func (c *capacity) grow(v fleetSnapshot, now time.Time) {
 	n := min(len(v.wanted), c.settings.Tuning.growBound(v.size))
@@ -287,37 +230,20 @@
 		name := fmt.Sprintf("r-%d-%d", c.term, c.nextRental)
 		rec, err := storage.NewRecord(storage.RentalKey(name), h)
 		if err != nil {
-			c.log.Error("hire not encoded", "err", err)
+			c.log.Error("rental not encoded", "err", err)
 			continue
 		}
 		c.rentals[name] = &rental{RentalRecord: h}
 		names = append(names, name)
 		records = append(records, rec)
-		c.log.Info("grow", "hire", name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "desired", c.desired)
+		c.log.Info("grow", "rental", name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "desired", c.desired)
 	}
 	c.upSince = now // what is still missing must hold for another window
 	c.coolTill = now.Add(c.settings.Tuning.Cooldown)
 	c.record(records, recordedMsg{rentals: names})
 }
 
-// hiresFor gathers the wanted machines into rentals, in the order of their
-// first mention, none larger than the cloud takes.
-func rentalsFor(wanted []offer) []storage.RentalRecord {
-	var out []storage.RentalRecord
-	last := make(map[offer]int)
-	for _, o := range wanted {
-		i, ok := last[o]
-		if !ok || out[i].Count == maxRental {
-			i = len(out)
-			last[o] = i
-			out = append(out, storage.RentalRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
-		}
-		out[i].Count++
-	}
-	return out
-}
-
-// shrink has the next spare machine drained, once the one before it is. Each
+// shrink has the next surplus machine drained, once the one before it is. Each
 // step is one machine and one conditional write of size and term.
 func (c *capacity) shrink(now time.Time) {
 	if len(c.surplus) == 0 || !c.drained || c.recording || now.Before(c.coolTill) {
@@ -365,66 +291,3 @@
 		c.dispatch.post(drainMsg{*m.drain, "spare"})
 	}
 }
-
-// askHires sends the recorded hires; one without an answer is repeated under
-// its own name, so that it rents once.
-func (c *capacity) sendRentals(now time.Time) {
-	for name, h := range c.rentals {
-		if !h.durable || h.asking || now.Before(h.retryAt) {
-			continue
-		}
-		h.asking = true
-		rec := h.RentalRecord
-		c.call(func(ctx context.Context) {
-			machines, err := c.cloud.Rent(ctx, name, rec)
-			c.post(rentalAnswer{name, machines, err})
-		})
-	}
-}
-
-func (c *capacity) handleRental(m rentalAnswer, now time.Time) {
-	h := c.rentals[m.name]
-	if h == nil {
-		return
-	}
-	h.asking = false
-	o := offer{h.Type, h.Zone, h.Spot}
-	switch {
-	case m.err == nil:
-		c.log.Info("hired", "hire", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(m.machines))
-		c.dispatch.post(rentedMsg{h.RentalRecord, m.machines})
-		if len(m.machines) < h.Count {
-			c.dispatch.post(refusedMsg{o})
-		}
-	case errors.Is(m.err, ErrNoCapacity), errors.Is(m.err, ErrMalformed):
-		c.log.Info("hire refused", "hire", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "err", m.err)
-		c.dispatch.post(refusedMsg{o})
-	default:
-		c.freeze("hire", m.err, now)
-		h.retryAt = now.Add(c.settings.Report / 2)
-		return
-	}
-	delete(c.rentals, m.name)
-	rec := storage.Record{Key: storage.RentalKey(m.name)}
-	c.journal.Append(c.ctx, storage.Batch{Records: []storage.Record{rec}})
-}
-
-// giveBack asks the cloud to take machines whose return is durable, all that
-// have gathered at once.
-func (c *capacity) returnMachines(ids []int) {
-	for _, id := range ids {
-		if !slices.Contains(c.toReturn, id) {
-			c.toReturn = append(c.toReturn, id)
-		}
-	}
-	if c.returning || len(c.toReturn) == 0 {
-		return
-	}
-	c.returning = true
-	n := min(len(c.toReturn), returnBatch)
-	batch := c.toReturn[:n:n]
-	c.toReturn = c.toReturn[n:]
-	c.call(func(ctx context.Context) {
-		c.post(returnAnswer{batch, c.cloud.Return(ctx, batch)})
-	})
-}
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -118,10 +118,10 @@
 	return c.last.spec.EstimateS
 }
 
-// reserve is how many tasks of the class to keep room for. Of services, those
-// expected to come while a machine boots beyond those that leave, and some for luck. Of other work of
+// headroom is how many tasks of the class to keep room for. Of services, those
+// expected to come while a machine boots beyond those that leave, and some headroom. Of other work of
 // some priority that may use spot machines, what its usual number of running
-// tasks, and some for luck, exceeds the present one by.
+// tasks, and some headroom, exceeds the present one by.
 func (d *dispatcher) headroom(c *class, now time.Time) int {
 	s := &c.last.spec
 	batch := !s.Service
@@ -150,7 +150,7 @@
 // for them, others may wait for machines.
 const gangBoots = 2
 
-// reserveGang is how many tasks of a class of gangs to keep room for: what their
+// gangHeadroom is how many tasks of a class of gangs to keep room for: what their
 // usual number exceeds the present one by, and at the least the largest gang of late.
 func (d *dispatcher) gangHeadroom(c *class, now time.Time) int {
 	within := d.settings.startWithin(c.last.spec.Class)
@@ -239,7 +239,7 @@
 }
 
 // learnPerGPU reckons, once an interval, the most CPUs and memory that open jobs
-// take with an accelerator. Rounds and looks begin with it.
+// take with an accelerator. Rounds and snapshots begin with it.
 func (d *dispatcher) learnPerGPU(now time.Time) {
 	if !d.perGPUAt.IsZero() && now.Sub(d.perGPUAt) <= d.settings.Report {
 		return
--- /dev/null
+++ b/internal/coordination/cloud_calls.go
@@ -0,0 +1,146 @@
+package coordination
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+// freeze freezes resizing for a while after a cloud failure.
+func (c *capacity) freeze(what string, err error, now time.Time) {
+	c.frozenTill = now.Add(c.settings.Report)
+	c.healthySince = time.Time{}
+	c.log.Info("cloud failure", "call", what, "err", err)
+}
+
+// call runs one cloud call within the budget; done gets its context.
+func (c *capacity) call(f func(ctx context.Context)) {
+	go func() {
+		if err := c.limiter.Wait(c.ctx); err != nil {
+			return
+		}
+		ctx, cancel := context.WithTimeout(c.ctx, scale(c.settings.Lease, 0.5))
+		defer cancel()
+		f(ctx)
+	}()
+}
+
+// poll reads the machine list and the catalogue when they are due.
+func (c *capacity) poll(now time.Time) {
+	if !c.listing && now.Sub(c.lastList) >= c.settings.ListLag/listsPerLag {
+		c.listing, c.lastList = true, now
+		c.call(func(ctx context.Context) {
+			machines, err := c.listAll(ctx)
+			c.post(listAnswer{machines, err})
+		})
+	}
+	if !c.pricing && now.Sub(c.lastPrices) >= catalogueLeases*c.settings.Lease {
+		c.pricing, c.lastPrices = true, now
+		c.call(func(ctx context.Context) {
+			types, err := c.cloud.Catalogue(ctx)
+			c.post(pricesAnswer{types, err})
+		})
+	}
+}
+
+func (c *capacity) listAll(ctx context.Context) ([]Listed, error) {
+	var out []Listed
+	after := noMachine
+	for {
+		page, more, err := c.cloud.List(ctx, after, listPage)
+		if err != nil {
+			return nil, err
+		}
+		out = append(out, page...)
+		if !more || len(page) == 0 {
+			return out, nil
+		}
+		after = page[len(page)-1].Machine
+		if err := c.limiter.Wait(ctx); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// rentalsFor gathers the wanted machines into rentals, in the order of their
+// first mention, none larger than the cloud takes.
+func rentalsFor(wanted []offer) []storage.RentalRecord {
+	var out []storage.RentalRecord
+	last := make(map[offer]int)
+	for _, o := range wanted {
+		i, ok := last[o]
+		if !ok || out[i].Count == maxRental {
+			i = len(out)
+			last[o] = i
+			out = append(out, storage.RentalRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
+		}
+		out[i].Count++
+	}
+	return out
+}
+
+// sendRentals sends the recorded rentals; one without an answer is repeated under
+// its own name, so that it rents once.
+func (c *capacity) sendRentals(now time.Time) {
+	for name, h := range c.rentals {
+		if !h.durable || h.asking || now.Before(h.retryAt) {
+			continue
+		}
+		h.asking = true
+		rec := h.RentalRecord
+		c.call(func(ctx context.Context) {
+			machines, err := c.cloud.Rent(ctx, name, rec)
+			c.post(rentalAnswer{name, machines, err})
+		})
+	}
+}
+
+func (c *capacity) handleRental(m rentalAnswer, now time.Time) {
+	h := c.rentals[m.name]
+	if h == nil {
+		return
+	}
+	h.asking = false
+	o := offer{h.Type, h.Zone, h.Spot}
+	switch {
+	case m.err == nil:
+		c.log.Info("rented", "rental", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(m.machines))
+		c.dispatch.post(rentedMsg{h.RentalRecord, m.machines})
+		if len(m.machines) < h.Count {
+			c.dispatch.post(refusedMsg{o})
+		}
+	case errors.Is(m.err, ErrNoCapacity), errors.Is(m.err, ErrMalformed):
+		c.log.Info("rental refused", "rental", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "err", m.err)
+		c.dispatch.post(refusedMsg{o})
+	default:
+		c.freeze("hire", m.err, now)
+		h.retryAt = now.Add(c.settings.Report / 2)
+		return
+	}
+	delete(c.rentals, m.name)
+	rec := storage.Record{Key: storage.RentalKey(m.name)}
+	c.journal.Append(c.ctx, storage.Batch{Records: []storage.Record{rec}})
+}
+
+// returnMachines asks the cloud to take machines whose return is durable, all that
+// have gathered at once.
+func (c *capacity) returnMachines(ids []int) {
+	for _, id := range ids {
+		if !slices.Contains(c.toReturn, id) {
+			c.toReturn = append(c.toReturn, id)
+		}
+	}
+	if c.returning || len(c.toReturn) == 0 {
+		return
+	}
+	c.returning = true
+	n := min(len(c.toReturn), returnBatch)
+	batch := c.toReturn[:n:n]
+	c.toReturn = c.toReturn[n:]
+	c.call(func(ctx context.Context) {
+		c.post(returnAnswer{batch, c.cloud.Return(ctx, batch)})
+	})
+}
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/combined_faults_test.go
@@ -10,9 +10,9 @@
 )
 
 // The operators' list of troubles that broke rules where two of them met. Each
-// story brings one meeting about; the world watches the rules all the while:
+// scenario brings one combination of faults about; the simulation watches the rules all the while:
 // launch checks places, limits and doubles, watch what outlives a cancel, look
-// what users are told. docs/meetings.md names the code that guards each.
+// what users are told. docs/combined-faults.md names the code that guards each.
 
 // crash ends a node; it is back after a while, or stays away with 0.
 func (sim *simulation) crash(n *fakeNode, back time.Duration) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// keep begins to keep copies of all reports; replay brings them to a node again.
+// keepReports begins to keep copies of all reports; replay brings them to a node again.
 func (sim *simulation) keepReports() { sim.locked(func() { sim.keeping = true }) }
 
 func (sim *simulation) replay(nodes ...*fakeNode) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// closeLook asks all nodes again and again within milliseconds.
+// askEverywhere asks all nodes again and again within milliseconds.
 func (sim *simulation) askEverywhere(id string) {
 	for range 3 {
 		for _, n := range sim.nodes {
@@ -101,7 +101,7 @@
 	return spec
 }
 
-// lasting is a sweep whose tasks run for so long.
+// lasting is an array whose tasks run for so long.
 func lasting(id string, tasks int, run time.Duration) storage.Spec {
 	s := arrayJob(id, tasks)
 	s.EstimateS = run.Seconds()
@@ -181,8 +181,8 @@
 	}
 }
 
-// meetings are the others of the list, by name.
-var meetings = []struct {
+// combinations are the others of the list, by name.
+var combinations = []struct {
 	name  string
 	story func(sim *simulation)
 }{
@@ -702,7 +702,7 @@
 }
 
 func TestCombinedFaults(t *testing.T) {
-	for _, m := range meetings {
+	for _, m := range combinations {
 		t.Run(m.name, func(t *testing.T) { inSimulation(t, m.story) })
 	}
 }
--- a/internal/coordination/loan.go
+++ b/internal/coordination/delegation.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A leader lends the nodes that it hears the right to renew the leases of the
+// A leader delegates to the nodes that it hears the right to renew the leases of the
 // workers in their own zone while they can't reach it: behind a cut of their
-// zone, or in the seconds in which nobody leads. The loan is as long as the
+// zone, or in the seconds in which nobody leads. The delegation is as long as the
 // leader's own hold without the state service, and for the same reason: a user
 // may be told that a job is cancelled as soon as the leader, or a successor,
 // can't reach the workers; their tasks must be gone within cancel_s, so the last
@@ -17,16 +17,16 @@
 // word with the leader. Workers that are still to stop tasks of a cancelled job are
 // left out, and a renewal carries no orders.
 //
-// The leader reckons with what it has lent: see aloneBound.
+// The leader reckons with what it has delegated: see delegatedLeaseBound.
 
-// loan is the right to renew leases for a while.
+// delegation is the right to renew leases for a while.
 type delegation struct {
 	term     uint64
 	until    time.Time
 	excluded []int
 }
 
-// borrow takes in what the peers that lead have lent. A loan outlasts the word
+// refreshDelegation takes in what the peers that lead have delegated. A delegation outlasts the status
 // that gave it: its giver may since have ended, or begun anew.
 func (c *forwarder) refreshDelegation() {
 	for _, p := range c.settings.Peers {
@@ -41,7 +41,7 @@
 	}
 }
 
-// answerAlone answers a report on which no leader has decided.
+// answerDelegated answers a report on which no leader has decided.
 func (c *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- c.decideDelegated(p, now)
 }
@@ -64,7 +64,7 @@
 	return HeartbeatResponse{Accepted: true, Token: grant.term}
 }
 
-// islanded tells whether this node alone seems to be cut off: it hears neither
+// isolated tells whether this node alone seems to be cut off: it hears neither
 // the state service nor a peer, but the load balancer still asks it. Then its
 // workers are better off with the other nodes.
 func (c *forwarder) isolated() bool {
@@ -83,7 +83,7 @@
 // this node still counts as in its reach.
 const probeMissed = 5 * time.Second / 2
 
-// mayTurnAway tells whether a worker can ask all other nodes in vain and be
+// mayRedirect tells whether a worker can ask all other nodes in vain and be
 // back here within its lease.
 func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
 	round := time.Duration(len(c.settings.Peers))*(workerTimeout+workerPause) + workerPause
@@ -91,24 +91,24 @@
 }
 
 const (
-	// workerPatience is how long a worker waits for an answer, by the
+	// workerTimeout is how long a worker waits for an answer, by the
 	// protocol, and workerPause how long before it tries the next node.
 	workerTimeout = 4 * time.Second
 	workerPause   = time.Second
 )
 
-// lending is what the dispatcher publishes of its lead, for loans.
+// delegationTerms is what the dispatcher publishes of its lead, for delegations.
 type delegationTerms struct {
 	at       time.Time // as of when barred is complete
 	holdOut  time.Time
 	excluded map[string][]int // by zone
 }
 
-// lender is the leader's side of the loans.
+// delegator is the leader's side of the delegations.
 type delegator struct {
 	hold  time.Duration
 	terms atomic.Pointer[delegationTerms]
-	until map[string]*atomic.Int64 // what each peer has been lent at the most, in ns after began
+	until map[string]*atomic.Int64 // what each peer has been delegated at the most, in ns after began
 	zones map[string]string
 	began time.Time
 }
@@ -121,7 +121,7 @@
 	return l
 }
 
-// lend returns for how long a peer may renew leases alone, counted from when it
+// delegate returns for how long a peer may renew leases alone, counted from when it
 // asked, and which machines it may not.
 func (l *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
@@ -147,7 +147,7 @@
 	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
 }
 
-// lent is until when a peer may renew leases at the most; zero: nothing lent.
+// delegatedUntil is until when a peer may renew leases at the most; zero: nothing delegated.
 func (l *delegator) delegatedUntil(peer string) time.Time {
 	if v := l.until[peer].Load(); v != 0 {
 		return l.began.Add(time.Duration(v))
@@ -155,11 +155,11 @@
 	return time.Time{}
 }
 
-// lendPerReport is how old what the loans depend on may be, in report
-// intervals: a loan counts from there.
+// delegationPerReport is how old what the delegations depend on may be, in report
+// intervals: a delegation counts from there.
 const delegationPerReport = 0.02
 
-// publishLending renews what the loans depend on.
+// publishDelegation renews what the delegations depend on.
 func (d *dispatcher) publishDelegation(now time.Time) {
 	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.Report, delegationPerReport) {
 		return
@@ -178,7 +178,7 @@
 	d.delegator.terms.Store(p)
 }
 
-// aloneBound is when a machine's lease has surely ended that this leader last
+// delegatedLeaseBound is when a machine's lease has surely ended that this leader last
 // answered when m tells, if peers in its zone may have renewed it alone since.
 func (d *dispatcher) delegatedLeaseBound(m *machine) time.Time {
 	end := m.lastAnswered.Add(d.settings.leaseBound())
@@ -204,7 +204,7 @@
 	return end
 }
 
-// solo is what is known of a peer's renewals under our loans.
+// peerRenewals is what is known of a peer's renewals under our delegations.
 type peerRenewals struct {
 	zone  string
 	until time.Time // until when it may renew at the most
@@ -212,12 +212,12 @@
 	asked time.Time
 }
 
-// near tells whether the peer may renew the machine's lease at all.
+// covers tells whether the peer may renew the machine's lease at all.
 func (s *peerRenewals) covers(m *machine) bool {
 	return s.zone == m.zone || s.zone == "" || m.zone == ""
 }
 
-// learnSolos asks what the peers have told, once for a tick.
+// updatePeerRenewals asks what the peers have told, once for a tick.
 func (d *dispatcher) updatePeerRenewals() {
 	d.peerRenewals = d.peerRenewals[:0]
 	for _, p := range d.settings.Peers {
--- a/internal/coordination/loan_test.go
+++ b/internal/coordination/delegation_test.go
@@ -30,13 +30,13 @@
 func (sim *simulation) restarts(before int) int { return sim.startsSoFar() - before }
 
 // Behind a zone's cut all leases ran out though a node of the zone heard its
-// workers. It renews them on loan, for longer than a lease.
+// workers. It renews them by delegation, for longer than a lease.
 func TestDelegatedRenewalsKeepACutZonesTasks(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
 		sim.submit(onZone("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
 		sim.leadOutside("b")
-		time.Sleep(2 * sim.settings.Lease) // all workers have gone home
+		time.Sleep(2 * sim.settings.Lease) // all workers have gone to nodes of their zone
 		before := sim.startsSoFar()
 		sim.cutZone("b")
 		time.Sleep(sim.settings.hold() + sim.settings.Lease - 2*sim.settings.Report)
@@ -48,7 +48,7 @@
 	})
 }
 
-// A job may be cancelled while its tasks are kept on loan behind a cut: they
+// A job may be cancelled while its tasks are kept by delegation behind a cut: they
 // must be gone in time, though the node there can't know.
 func TestADelegationEndsBeforeACancelIsDue(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
@@ -65,8 +65,8 @@
 	})
 }
 
-// A machine whose tasks are to be stopped is left out of the loan: it was
-// cancelled before the last word with the leader, so the loan may outlast it.
+// A machine whose tasks are to be stopped is left out of the delegation: it was
+// cancelled before the last exchange with the leader, so the delegation may outlast it.
 func TestADelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
@@ -95,7 +95,7 @@
 	})
 }
 
-// What has been lent counts to the bound after which a silent machine is called
+// What has been delegated counts to the bound after which a silent machine is called
 // empty, until the borrower tells what it did.
 func TestAMachineUnderDelegationIsNotCalledEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -151,7 +151,7 @@
 			defer cancel()
 			return n.node.Heartbeat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
 		}
-		for !report(5, 0).Accepted { // sent home to the other node of the zone
+		for !report(5, 0).Accepted { // redirected to the other node of the zone
 			machine++
 		}
 		n.cutPeers.Store(true)
--- /dev/null
+++ b/internal/coordination/demand.go
@@ -0,0 +1,126 @@
+package coordination
+
+import (
+	"math"
+	"slices"
+	"sort"
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+// demand is a group of alike tasks in a trial packing.
+type demand struct {
+	job      *job
+	zones    zoneCheck
+	n        int
+	headroom bool    // room to keep, not a task
+	runS     float64 // run time of a task of other work than services
+}
+
+// demands lists the waiting tasks, most urgent first, then the room to keep.
+func (d *dispatcher) demands(now time.Time) []*demand {
+	waiting := d.waitingJobs(now)
+	d.byUrgency(waiting, now)
+	var out []*demand
+	teams := make(map[string]storage.Room)
+	for _, j := range waiting {
+		team := d.settings.team(j.spec.Team)
+		if team == nil {
+			continue
+		}
+		n := 0
+		if j.spec.Gang {
+			if n = d.gangDemand(j, team, teams); n == 0 {
+				continue
+			}
+		}
+		for ; !j.spec.Gang && n < j.tries(); n++ {
+			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
+			if !storage.Within(used, team.Limit) {
+				break
+			}
+			teams[j.spec.Team] = teams[j.spec.Team].Plus(j.spec.Room)
+		}
+		if n > 0 {
+			dm := &demand{job: j, zones: newZoneCheck(j), n: n}
+			if !j.spec.Service {
+				dm.runS = d.runTime(j)
+			}
+			out = append(out, dm)
+		}
+	}
+	names := make([]string, 0, len(d.classes))
+	for n := range d.classes {
+		names = append(names, n)
+	}
+	sort.Strings(names)
+	fullest := d.onFullest()
+	for _, n := range names {
+		c := d.classes[n]
+		if k := max(d.headroom(c, now), fullest[n]); k > 0 {
+			out = append(out, d.headroomFor(c, k)...)
+		}
+	}
+	return out
+}
+
+// gangDemand is how many tasks a gang waits for: all of them within the team's
+// limit, or none.
+func (d *dispatcher) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
+	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
+	if !storage.Within(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
+		return 0
+	}
+	teams[j.spec.Team] = all
+	return j.waiting
+}
+
+// modelOf returns a job like j whose tasks may be in any of its zones.
+func modelOf(j *job) *job {
+	model := &job{spec: j.spec, types: j.types, fits: j.fits}
+	model.spec.Spread, model.spec.SameZone = false, j.spec.SameZone && j.spec.Gang
+	return model
+}
+
+// headroomDemand is a demand for room to keep, for n tasks like those of j.
+func headroomDemand(j *job, n int) *demand {
+	model := modelOf(j)
+	return &demand{job: model, zones: newZoneCheck(model), n: n, headroom: true}
+}
+
+// headroomFor demands room for n tasks like those of a class. What spread jobs must
+// have in another zone, half of each rounded down, is kept in every zone.
+func (d *dispatcher) headroomFor(c *class, n int) []*demand {
+	var out []*demand
+	if zones := d.zonesFor(c.last); c.last.spec.Spread && len(zones) > 1 {
+		each := int(math.Round(c.elsewhere() * float64(n)))
+		for _, z := range zones {
+			if each == 0 {
+				break
+			}
+			dm := headroomDemand(c.last, each)
+			dm.job.spec.Zone = z
+			dm.zones = newZoneCheck(dm.job)
+			out = append(out, dm)
+		}
+		n -= each * len(zones)
+	}
+	if n > 0 {
+		out = append(out, headroomDemand(c.last, n))
+	}
+	return out
+}
+
+// zonesFor lists the zones with a type that holds a task of the job.
+func (d *dispatcher) zonesFor(j *job) []string {
+	var out []string
+	for _, name := range d.fitsOf(j) {
+		for _, z := range d.types[name].Zones {
+			if (j.spec.Zone == "" || j.spec.Zone == z) && !slices.Contains(out, z) {
+				out = append(out, z)
+			}
+		}
+	}
+	return out
+}
--- a/internal/coordination/dispatcher.go
+++ b/internal/coordination/dispatcher.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"math/rand/v2"
 	"slices"
-	"sort"
 	"sync/atomic"
 	"time"
 
@@ -16,9 +15,9 @@
 const (
 	// tickPerReport is the dispatcher's clock, in report intervals.
 	tickPerReport = 0.15
-	// viewPerReport is how often the fleet is looked at, in report intervals.
+	// snapshotPerReport is how often the fleet is reviewed, in report intervals.
 	snapshotPerReport = 0.25
-	// viewRest is the least pause between two looks, in durations of a look.
+	// snapshotRest is the least pause between two snapshots, in durations of one.
 	snapshotRest = 10
 	// stallPerReport is how long a commit may take, in report intervals,
 	// before those who wait for it are told to come back.
@@ -85,7 +84,7 @@
 	unreached      map[int]bool         // machines that report but take no direct orders, since one last did
 	sinceHeartbeat func() time.Duration // since a worker last reported to this node
 	roundAt        time.Time            // placement rests until then
-	snapshotAt     time.Time            // the next look at the fleet
+	snapshotAt     time.Time            // the next snapshot of the fleet
 }
 
 // Messages to the dispatcher.
@@ -170,7 +169,7 @@
 	}
 }
 
-// lasting bounds for how long an answer may be told that isn't final. This
+// withValidity bounds for how long an answer may be told that isn't final. This
 // process may have stood still since it was given.
 func (d *dispatcher) withValidity(a Answer, asked time.Time) Answer {
 	if a.final() || !a.decided() {
@@ -190,7 +189,7 @@
 	d.certainTill.Store(&r.Certain)
 }
 
-// beats hands workers' reports to the dispatcher; nil means that it doesn't
+// heartbeats hands workers' reports to the dispatcher; nil means that it doesn't
 // decide on them.
 func (d *dispatcher) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
 	reply := make(chan []HeartbeatResponse, 1)
@@ -304,78 +303,6 @@
 // certain tells whether this node surely leads now.
 func (d *dispatcher) certain(now time.Time) bool { return now.Before(d.role.Certain) }
 
-// mark notes that an entity's record must be written; data is asked for its
-// value when it is.
-func (d *dispatcher) mark(key string, data func() any) { d.dirty[key] = data }
-
-func (d *dispatcher) markJob(j *job) {
-	d.mark(storage.JobKey(j.spec.ID), func() any { return j.record() })
-}
-
-func (d *dispatcher) markPage(j *job, task int) {
-	p := task / storage.PageTasks
-	d.mark(storage.PageKey(j.spec.ID, p), func() any {
-		if rec := j.page(p); rec != nil {
-			return rec
-		}
-		return nil
-	})
-}
-
-func (d *dispatcher) markMachine(m *machine) {
-	m.recorded = true
-	d.mark(storage.MachineKey(m.id), func() any { return m.record() })
-}
-
-// pageSettled tells whether a task's page is durable as it stands.
-func (d *dispatcher) pageSettled(id TaskID) bool {
-	key := storage.PageKey(id.Job, id.Task/storage.PageTasks)
-	_, dirty := d.dirty[key]
-	return !dirty && !d.writing[key]
-}
-
-// onCommit calls f once all that is dirty now is durable.
-func (d *dispatcher) onCommit(f func(error)) { d.committed = append(d.committed, f) }
-
-// flush hands what is dirty to the journal, unless a commit is under way:
-// then it joins the next one.
-func (d *dispatcher) flush() {
-	if !d.commitAt.IsZero() || (len(d.dirty) == 0 && len(d.committed) == 0) {
-		return
-	}
-	keys := make([]string, 0, len(d.dirty))
-	for k := range d.dirty {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	batch := storage.Batch{Ack: func(err error) { d.post(committedMsg{err}) }}
-	d.writing = make(map[string]bool, len(keys))
-	for _, k := range keys {
-		rec, err := storage.NewRecord(k, d.dirty[k]())
-		if err != nil {
-			d.log.Error("record not encoded", "key", k, "err", err)
-			continue
-		}
-		batch.Records = append(batch.Records, rec)
-		d.writing[k] = true
-	}
-	clear(d.dirty)
-	d.inCommit, d.committed = d.committed, nil
-	d.commitAt = time.Now()
-	d.journal.Append(d.ctx, batch)
-}
-
-func (d *dispatcher) handleCommitted(err error) {
-	calls := d.inCommit
-	if len(d.committed) == 0 {
-		defer func() { d.waiters = d.waiters[:0] }()
-	}
-	d.inCommit, d.writing, d.commitAt = nil, nil, time.Time{}
-	for _, f := range calls {
-		f(err)
-	}
-}
-
 // noteVersions tells the operators once all nodes are of this version: from here on
 // what it alone understands may be asked. A node that can't be heard may be an old one.
 func (d *dispatcher) noteVersions() {
--- /dev/null
+++ b/internal/coordination/fake_cloud_test.go
@@ -0,0 +1,84 @@
+package coordination
+
+import (
+	"context"
+	"fmt"
+	"sort"
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+var testTypes = []storage.MachineType{
+	{Name: "cpu", Room: storage.Room{CPUs: 8, MemoryGB: 32}, CacheGB: 60, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 15, Zones: []string{"a", "b"}},
+	{Name: "gpu", Room: storage.Room{CPUs: 64, GPUs: 8, MemoryGB: 256}, CacheGB: 400, FetchGBPS: 4, Price: 20, SpotPrice: 7, BootS: 60, Zones: []string{"a", "b"}},
+}
+
+// fakeCloud rents workers by the protocol.
+type fakeCloud struct {
+	sim     *simulation
+	next    int
+	rentals map[string][]int
+	asked   map[string]int
+	loseOne bool // the answer to the next rental is lost
+	full    func(storage.RentalRecord) bool
+	boot    time.Duration // 0: by type
+}
+
+func (c *fakeCloud) Catalogue(context.Context) ([]storage.MachineType, error) { return testTypes, nil }
+
+func (c *fakeCloud) Rent(_ context.Context, name string, h storage.RentalRecord) ([]int, error) {
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
+	if c.asked == nil {
+		c.asked = make(map[string]int)
+	}
+	c.asked[name]++
+	if got, ok := c.rentals[name]; ok {
+		return got, nil
+	}
+	if c.full != nil && c.full(h) {
+		return nil, ErrNoCapacity
+	}
+	var got []int
+	for range h.Count {
+		id := c.next
+		c.next++
+		got = append(got, id)
+		boot := c.boot
+		if boot == 0 {
+			boot = 15 * time.Second
+		}
+		time.AfterFunc(boot, func() { c.sim.addWorker(id, h.Type, h.Zone, h.Spot) })
+	}
+	c.rentals[name] = got
+	if c.loseOne {
+		c.loseOne = false
+		return nil, ErrCloud
+	}
+	return got, nil
+}
+
+func (c *fakeCloud) Return(_ context.Context, machines []int) error {
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
+	for _, id := range machines {
+		if wk := c.sim.workers[id]; wk != nil {
+			wk.dead.Store(true)
+		}
+	}
+	return nil
+}
+
+func (c *fakeCloud) List(_ context.Context, after, _ int) ([]Listed, bool, error) {
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
+	var out []Listed
+	for id, wk := range c.sim.workers {
+		if id > after && !wk.dead.Load() {
+			out = append(out, Listed{Machine: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: Up})
+		}
+	}
+	sort.Slice(out, func(a, b int) bool { return out[a].Machine < out[b].Machine })
+	return out, false, nil
+}
--- /dev/null
+++ b/internal/coordination/fake_node_test.go
@@ -0,0 +1,162 @@
+package coordination
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"sagevale/internal/storage/storagetest"
+)
+
+type fakeNode struct {
+	sim      *simulation
+	name     string
+	zone     string
+	node     *Node                // its latest process, for the scenario
+	live     atomic.Pointer[Node] // the same; nil once it has ended
+	end      context.CancelFunc
+	cutState atomic.Bool
+	cutPeers atomic.Bool
+	cutWork  atomic.Bool           // it doesn't reach the workers, nor they it
+	holdUp   atomic.Int64          // its answers to other nodes' users come so much later
+	statuses map[string]PeerReport // what the others told last
+}
+
+func (n *fakeNode) start() {
+	s := n.sim.settings
+	s.Node, s.Zone = n.name, n.zone
+	for _, o := range n.sim.nodes {
+		if o != n {
+			s.Peers = append(s.Peers, Peer{Name: o.name, Zone: o.zone})
+		}
+	}
+	n.node = NewNode(&s, Deps{
+		State: &storagetest.Client{Service: n.sim.state, Cut: &n.cutState}, Cloud: n.sim.cloud, Workers: n, Peers: n,
+		Log: n.sim.log, Rand: rand.New(rand.NewPCG(7, uint64(len(n.name)))),
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	n.end = cancel
+	n.live.Store(n.node)
+	go n.ping(ctx)
+	go func() {
+		if err := n.node.Run(ctx); err != nil {
+			n.sim.t.Errorf("node ended: %v", err)
+		}
+	}()
+}
+
+func (n *fakeNode) kill() {
+	if n.end != nil {
+		n.live.Store(nil)
+		n.end()
+		n.end = nil
+	}
+}
+
+func (n *fakeNode) restart() { n.kill(); n.start() }
+
+// Forward is the peer link.
+func (n *fakeNode) Forward(ctx context.Context, name string, req UserRequest) (Answer, error) {
+	for _, o := range n.sim.nodes {
+		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
+			a := live.Local(ctx, req)
+			if req.Op != OpPing {
+				time.Sleep(time.Duration(o.holdUp.Load()))
+			}
+			return a, nil
+		}
+	}
+	return Answer{}, fmt.Errorf("no way to %s", name)
+}
+
+// Heartbeats is the peer link for reports.
+func (n *fakeNode) Heartbeats(ctx context.Context, name string, reports []*Report) ([]HeartbeatResponse, error) {
+	for _, o := range n.sim.nodes {
+		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
+			if answers := live.LocalHeartbeats(ctx, reports); answers != nil {
+				return answers, nil
+			}
+		}
+	}
+	return nil, fmt.Errorf("no way to %s", name)
+}
+
+// ping asks the others for their status, as the link does.
+func (n *fakeNode) ping(ctx context.Context) {
+	n.sim.mu.Lock()
+	n.statuses = make(map[string]PeerReport)
+	n.sim.mu.Unlock()
+	for ctx.Err() == nil {
+		for _, o := range n.sim.nodes {
+			if o == n {
+				continue
+			}
+			sent := time.Now()
+			if a, err := n.Forward(ctx, o.name, UserRequest{Op: OpPing, ID: n.name}); err == nil {
+				n.sim.mu.Lock()
+				n.statuses[o.name] = PeerReport{PeerStatus: a.Peer.Status(), Sent: sent, Got: time.Now()}
+				n.sim.mu.Unlock()
+			}
+		}
+		time.Sleep(250 * time.Millisecond)
+	}
+}
+
+// Status is a node's latest status.
+func (n *fakeNode) Status(name string) (PeerReport, bool) {
+	n.sim.mu.Lock()
+	defer n.sim.mu.Unlock()
+	w, ok := n.statuses[name]
+	return w, ok
+}
+
+// KnownLeader is the latest leader that the other nodes tell of.
+func (n *fakeNode) KnownLeader() (leader string, term uint64) {
+	for _, o := range n.sim.nodes {
+		if w, ok := n.Status(o.name); ok && o.live.Load() != nil && !o.cutPeers.Load() && !n.cutPeers.Load() && w.Term > term {
+			leader, term = w.Leader, w.Term
+		}
+	}
+	return leader, term
+}
+
+// SilentFor is the peer link's measure of silence.
+func (n *fakeNode) SilentFor(string) time.Duration {
+	if n.cutPeers.Load() {
+		return time.Hour
+	}
+	return 0
+}
+
+// reaches tells whether the network leads from a worker to a node and back.
+func (n *fakeNode) reaches(wk *fakeWorker) bool {
+	apart := n.sim.apart.Load()
+	return !n.cutWork.Load() && (wk.only.Load() == nil || wk.only.Load() == n) &&
+		(apart == nil || n.zone == wk.zone || n.zone != *apart && wk.zone != *apart)
+}
+
+// Orders is a node's direct way to the workers.
+func (n *fakeNode) Orders(ctx context.Context, addr string, token, session uint64, orders []Order) (Outcome, *Report) {
+	var id int
+	if _, err := fmt.Sscan(addr, &id); err != nil {
+		n.sim.t.Errorf("address %q", addr)
+	}
+	n.sim.mu.Lock()
+	wk := n.sim.workers[id]
+	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.deaf.Load() || !n.reaches(wk)
+	if !lost && (wk.hang.Load() || wk.still.Load()) {
+		wk.late = append(wk.late, lateOrders{token, session, orders})
+	}
+	n.sim.mu.Unlock()
+	switch {
+	case lost:
+		<-ctx.Done()
+		return NotSent, nil
+	case wk.hang.Load(), wk.still.Load():
+		<-ctx.Done()
+		return Unresolved, nil
+	}
+	return wk.direct(token, session, orders)
+}
--- /dev/null
+++ b/internal/coordination/fake_worker_test.go
@@ -0,0 +1,268 @@
+package coordination
+
+import (
+	"context"
+	"fmt"
+	"sort"
+	"sync/atomic"
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+// fakeWorker follows the protocol's worker.
+type fakeWorker struct {
+	sim     *simulation
+	id      int
+	kind    string
+	zone    string
+	spot    bool
+	dead    atomic.Bool
+	cut     atomic.Bool              // nothing passes in either direction
+	only    atomic.Pointer[fakeNode] // nothing passes to or from other nodes
+	deaf    atomic.Bool              // its reports pass, answers and orders don't
+	mute    atomic.Bool              // orders pass, its reports don't
+	hang    atomic.Bool              // orders reach it only later: see late
+	still   atomic.Bool              // it stands still, and may go on at any time
+	sick    atomic.Bool              // every task fails
+	fetches atomic.Bool              // no image ever comes
+	notice  *float64
+	session uint64
+	seq     uint64
+	token   uint64
+	node    int
+	leased  time.Time // when the last answered report was sent
+	tasks   map[workerKey]*workerTask
+	late    []lateOrders
+}
+
+type workerKey struct {
+	ID  TaskID
+	Try uint64
+}
+
+type workerTask struct {
+	state TaskState
+	cause EndCause
+	ends  time.Time
+	since time.Time // in its state, of a gang's task
+	saved bool
+}
+
+type lateOrders struct {
+	token, session uint64
+	orders         []Order
+}
+
+func (sim *simulation) addWorker(id int, kind, zone string, spot bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.over.Load() {
+		return
+	}
+	wk := &fakeWorker{sim: sim, id: id, kind: kind, zone: zone, spot: spot, session: 1, leased: time.Now(), tasks: make(map[workerKey]*workerTask)}
+	sim.workers[id] = wk
+	go wk.run()
+}
+
+func (wk *fakeWorker) typ() storage.MachineType {
+	for _, t := range testTypes {
+		if t.Name == wk.kind {
+			return t
+		}
+	}
+	return storage.MachineType{}
+}
+
+func (wk *fakeWorker) report() *Report {
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
+	return wk.makeReport()
+}
+
+func (wk *fakeWorker) makeReport() *Report {
+	wk.settle()
+	wk.seq++
+	r := &Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot,
+		Session: wk.session, Seq: wk.seq, Token: wk.token, Notice: wk.notice}
+	for k, t := range wk.tasks {
+		r.Tasks = append(r.Tasks, TaskReport{ID: k.ID, Try: k.Try, State: t.state, Cause: t.cause, Saved: t.saved})
+	}
+	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Try < r.Tasks[b].Try })
+	return r
+}
+
+// settle ends what has run long enough, and everything with the lease.
+func (wk *fakeWorker) settle() {
+	if wk.still.Load() {
+		return
+	}
+	now := time.Now()
+	if now.Sub(wk.leased) > wk.sim.settings.Lease {
+		clear(wk.tasks)
+		wk.session++
+		wk.seq, wk.leased = 0, now
+	}
+	for k, t := range wk.tasks {
+		if t.state == Running && !t.ends.IsZero() && now.After(t.ends) {
+			t.state, t.cause = Ended, CauseDone
+			if wk.sick.Load() {
+				t.cause = CauseError
+			}
+			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == CauseDone
+		}
+	}
+}
+
+func (wk *fakeWorker) run() {
+	for !wk.dead.Load() {
+		pause := wk.sim.settings.Report
+		if !wk.cut.Load() && !wk.mute.Load() && !wk.still.Load() {
+			pause = wk.heartbeat()
+		}
+		time.Sleep(pause)
+	}
+}
+
+// heartbeat reports and returns when to report again.
+func (wk *fakeWorker) heartbeat() time.Duration {
+	n := wk.sim.nodes[wk.node%len(wk.sim.nodes)]
+	r := wk.report()
+	sent := time.Now()
+	wk.sim.locked(func() {
+		if wk.sim.keeping {
+			wk.sim.kept = append(wk.sim.kept, r)
+		}
+	})
+	live := n.live.Load()
+	if live == nil || !n.reaches(wk) {
+		wk.node++
+		if live == nil {
+			return workerPause // refused
+		}
+		return workerTimeout + workerPause
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), workerTimeout)
+	a := live.Heartbeat(ctx, r)
+	cancel()
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
+	switch {
+	case wk.deaf.Load() || wk.cut.Load() || wk.dead.Load() || wk.still.Load() || !n.reaches(wk):
+	case !a.Accepted:
+		for i, o := range wk.sim.nodes {
+			if o.name == a.Leader && o != n {
+				wk.node = i
+				return 0
+			}
+		}
+		wk.node++
+		return workerPause
+	case a.Token >= wk.token && r.Session == wk.session:
+		wk.token, wk.leased = a.Token, sent
+		wk.execute(a.Orders)
+	}
+	return wk.sim.settings.Report
+}
+
+func (wk *fakeWorker) execute(orders []Order) {
+	wk.settle()
+	for _, o := range orders {
+		k := workerKey{o.ID, o.Try}
+		t := wk.tasks[k]
+		switch o.Verb {
+		case Start:
+			if t == nil {
+				wk.tasks[k] = wk.launch(k)
+			}
+		case Stop:
+			if t != nil && t.state != Ended {
+				spec := wk.sim.specs[o.ID.Job]
+				t.saved = spec.Gang && t.state == Running && o.GraceS >= spec.SaveS
+				t.state, t.cause = Ended, CauseStopped
+			}
+		case Forget:
+			if t != nil && t.state == Ended {
+				delete(wk.tasks, k)
+			}
+		}
+	}
+}
+
+// launch starts a task and checks the rules at that moment.
+func (wk *fakeWorker) launch(k workerKey) *workerTask {
+	sim := wk.sim
+	spec, ok := sim.specs[k.ID.Job]
+	if !ok {
+		return &workerTask{state: Ended, cause: CauseUnknown}
+	}
+	sim.starts++
+	free := wk.typ().Room
+	for o, t := range wk.tasks {
+		if t.state != Ended {
+			free = free.Minus(sim.specs[o.ID.Job].Room)
+		}
+	}
+	if !spec.Room.Fits(free) {
+		return &workerTask{state: Ended, cause: CauseFull}
+	}
+	used, zones := spec.Room, map[string]int{wk.zone: 1}
+	for _, other := range sim.workers {
+		other.settle()
+		for o, t := range other.tasks {
+			if other.dead.Load() || t.state == Ended {
+				continue
+			}
+			if o.ID == k.ID {
+				sim.t.Errorf("ran_twice: %v on %d and %d", k.ID, other.id, wk.id)
+			}
+			if sim.specs[o.ID.Job].Team == spec.Team {
+				used = used.Plus(sim.specs[o.ID.Job].Room)
+			}
+			if o.ID.Job == k.ID.Job {
+				zones[other.zone]++
+			}
+		}
+	}
+	if team := sim.settings.team(spec.Team); !storage.Within(used, team.Limit) {
+		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
+	}
+	if wk.spot && !spec.Spot || !allowed(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
+		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
+		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
+	}
+	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.Cancel {
+		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
+	}
+	t := &workerTask{state: Running}
+	switch {
+	case wk.fetches.Load():
+		t.state = Pulling
+	case spec.Gang:
+		t.state, t.since = Gathering, time.Now()
+	case !spec.Service:
+		t.ends = time.Now().Add(seconds(spec.EstimateS))
+	}
+	return t
+}
+
+// catchUp executes the orders that a hang has held back.
+func (wk *fakeWorker) catchUp() {
+	var late []lateOrders
+	wk.sim.locked(func() { late = wk.late })
+	for _, l := range late {
+		wk.direct(l.token, l.session, l.orders)
+	}
+}
+
+func (wk *fakeWorker) direct(token, session uint64, orders []Order) (Outcome, *Report) {
+	wk.sim.mu.Lock()
+	defer wk.sim.mu.Unlock()
+	wk.settle()
+	if token < wk.token || session != wk.session {
+		return Rejected, wk.makeReport()
+	}
+	wk.token = token
+	wk.execute(orders)
+	return Executed, wk.makeReport()
+}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,7 +14,7 @@
 	spot bool
 }
 
-// fleetView is what the capacity actor needs to know, once a second.
+// fleetSnapshot is what the capacity actor needs to know, once a second.
 type fleetSnapshot struct {
 	wanted   []offer            // machines that would cover the pressure, in order
 	healthy  bool               // every machine's reports are fresh and nothing is unproved
@@ -29,14 +29,14 @@
 }
 
 const (
-	// bootPatience: a machine that is not up after this many times its boot
+	// bootOverdueTimes: a machine that is not up after this many times its boot
 	// time no longer counts as coming; some take several times as long, some
-	// never come. After deadPatience times it is returned: another comes sooner.
+	// never come. After bootDeadTimes times it is returned: another comes sooner.
 	bootOverdueTimes = 1.6
 	bootDeadTimes    = 2.0
 )
 
-// fleetView reckons the pressure: the waiting tasks' requested room minus the
+// snapshotFleet reckons the pressure: the waiting tasks' requested room minus the
 // free room on ready and booting machines, by a trial packing.
 func (d *dispatcher) snapshotFleet(now time.Time) fleetSnapshot {
 	v := fleetSnapshot{healthy: true, settled: d.listed, drains: d.drains}
@@ -129,7 +129,7 @@
 	d.place = true
 }
 
-// drainSpare drains a machine that the fleet can do without, unless it has got
+// drainSurplus drains a machine that the fleet can do without, unless it has got
 // work since that was found. An empty one is returned at once.
 func (d *dispatcher) drainSurplus(msg drainMsg) {
 	d.drains++
@@ -179,7 +179,7 @@
 	}
 }
 
-// gone forgets a machine that the cloud has surely taken.
+// removeMachine forgets a machine that the cloud has surely taken.
 func (d *dispatcher) removeMachine(id int, why string) {
 	m := d.machines[id]
 	if m == nil {
@@ -212,7 +212,7 @@
 	d.place = true
 }
 
-// giveBack has machines returned, once it is durable that they will be. The
+// returnMachines has machines returned, once it is durable that they will be. The
 // cloud may carry out a deletion late, so there is no way back from here.
 func (d *dispatcher) returnMachines(ids []int) {
 	if len(ids) == 0 {
--- a/internal/coordination/courier.go
+++ b/internal/coordination/forwarder.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Every worker's report passes the courier of the node that it reaches. It
+// Every worker's report passes the forwarder of the node that it reaches. It
 // hands the report to whoever leads: to this node's own dispatcher, in batches
-// to the leader over the peer link, or by mail where only the state service
+// to the leader over the peer link, or through the relay where only the state service
 // leads there. The worker's answer is always the leader's own, under its token,
 // so leases go on counting from the leader's answers. Only while no leader can
-// be reached the courier answers alone, within what the last one lent it: see
-// loan.go.
+// be reached the forwarder answers alone, within what the last one delegated it: see
+// delegation.go.
 
 const (
-	// courierQueue bounds the reports that wait for the courier.
+	// forwarderQueue bounds the reports that wait for the forwarder.
 	forwarderQueue = 1024
 	// batchPerReport is how long reports gather for the leader, in report
 	// intervals, and batchMost how many one batch holds.
 	batchPerReport = 1.0 / 128
 	batchMost      = 128
-	// rememberLeases is how long a silent worker is remembered, in leases.
+	// workerMemoryLeases is how long a silent worker is remembered, in leases.
 	workerMemoryLeases = 2
 )
 
-// courier is the actor of the reports that reach this node.
+// forwarder is the actor of the reports that reach this node.
 type forwarder struct {
 	node          *Node
 	settings      *Settings
@@ -44,7 +44,7 @@
 	lastProbe     atomicTime // when the load balancer last asked
 }
 
-// caller is what is remembered of a worker that reports here.
+// knownWorker is what is remembered of a worker that reports here.
 type knownWorker struct {
 	session, seq uint64
 	digest       uint64    // of the last report that the leader answered
@@ -53,7 +53,7 @@
 	redirected   time.Time
 }
 
-// parcel is a report on its way.
+// pendingReport is a report on its way.
 type pendingReport struct {
 	report *Report
 	ctx    context.Context
@@ -61,7 +61,7 @@
 	reply  chan HeartbeatResponse
 }
 
-// delivery is what became of a batch; without answers nobody decided on it.
+// decidedBatch is what became of a batch; without answers nobody decided on it.
 type decidedBatch struct {
 	reports []pendingReport
 	answers []HeartbeatResponse
@@ -74,7 +74,7 @@
 	}
 }
 
-// beat takes in a report and returns its answer. What can't be taken is
+// heartbeat takes in a report and returns its answer. What can't be taken is
 // answered at once.
 func (c *forwarder) heartbeat(ctx context.Context, r *Report) HeartbeatResponse {
 	p := pendingReport{report: r, ctx: ctx, reply: make(chan HeartbeatResponse, 1)}
@@ -123,7 +123,7 @@
 	}
 }
 
-// moment is a point in time that one goroutine publishes for others.
+// atomicTime is a point in time that one goroutine publishes for others.
 type atomicTime struct{ at atomic.Pointer[time.Time] }
 
 func (m *atomicTime) mark(now time.Time) { m.at.Store(&now) }
@@ -136,7 +136,7 @@
 	return never
 }
 
-// take sends one report on its way.
+// accept sends one report on its way.
 func (c *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
 	c.lastHeartbeat.mark(now)
@@ -168,7 +168,7 @@
 	}
 }
 
-// gather adds a report to the batch for the leader.
+// enqueue adds a report to the batch for the leader.
 func (c *forwarder) enqueue(ctx context.Context, p pendingReport, leader string) {
 	if c.leader != leader {
 		c.send(ctx)
@@ -197,7 +197,7 @@
 	}
 }
 
-// deliver asks for the answers to a batch and brings them back to the actor.
+// decide asks for the answers to a batch and brings them back to the actor.
 func (c *forwarder) decide(ctx context.Context, batch []pendingReport, ask func(context.Context, []*Report) []HeartbeatResponse) {
 	actx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -211,7 +211,7 @@
 	}
 }
 
-// delivered passes the leader's answers on to the workers. A report on which
+// handleDecided passes the leader's answers on to the workers. A report on which
 // nobody has decided may be answered alone.
 func (c *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
--- a/internal/coordination/freeze_test.go
+++ b/internal/coordination/freeze_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestFreeze writes what this version leaves in the state service, and a batch of
-// its mail, to the folder that FREEZE names: see the README.md of each folder in testdata.
+// the relay, to the folder that FREEZE names: see the README.md of each folder in testdata.
 func TestFreeze(t *testing.T) {
 	dir := os.Getenv("FREEZE")
 	write := func(name string, v any) {
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 	}
-	// freezeStore plays the story and writes the keys that it leaves.
+	// freezeStore plays the scenario and writes the keys that it leaves.
 	freezeStore := func(name string, sim *simulation) {
 		sw := arrayJob("000001", 70)
 		sw.EstimateS, sw.Spot, sw.DeadlineS, sw.CheckpointS, sw.SaveS = 30, true, 900, 10, 2
--- a/internal/coordination/gang_page_test.go
+++ b/internal/coordination/gang_page_test.go
@@ -8,7 +8,7 @@
 	"sagevale/internal/storage"
 )
 
-// What the page on gangs says, line by line, where the stories of gang_test.go don't
+// What the page on gangs says, line by line, where the scenarios of gang_test.go don't
 // show it: docs/design.md has the list.
 
 // rivalGangs are two gangs of three tasks that run, each with two tasks that fill a
--- /dev/null
+++ b/internal/coordination/gang_placement.go
@@ -0,0 +1,187 @@
+package coordination
+
+import (
+	"sagevale/internal/storage"
+)
+
+// placeGang reserves room for all waiting tasks of a gang in one decision, or for
+// none: they are all of its tasks, or what is to be replaced of an attempt that
+// hasn't run.
+func (d *dispatcher) placeGang(j *job, r *round) {
+	if len(j.attempts) > 0 && !j.whole() {
+		if j.gang.over {
+			d.disband(j)
+		}
+		return // the earlier attempt isn't over everywhere
+	}
+	if !d.gangWithinLimit(j) {
+		return
+	}
+	plan := d.planGang(j, r)
+	if plan == nil {
+		if !d.preemptGang(j, r) {
+			d.holdForGang(j, r)
+		}
+		return
+	}
+	if len(j.attempts) == 0 {
+		d.nextTry++
+		j.gang = gang{try: d.nextTry}
+	}
+	try := j.gang.try
+	for _, s := range plan {
+		task, ok := j.nextWaiting()
+		if !ok {
+			return
+		}
+		d.nextTry++
+		a := &attempt{job: j, task: task, try: try, on: s.on, session: s.on.session, ownTerm: true, booked: r.now}
+		d.enter(a)
+		d.markPage(j, task)
+		r.booked = append(r.booked, a)
+	}
+}
+
+// gangWithinLimit tells whether the team may hold all that waits of a gang.
+func (d *dispatcher) gangWithinLimit(j *job) bool {
+	team := d.settings.team(j.spec.Team)
+	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
+}
+
+// planGang finds a candidate for each waiting task of a gang and takes the room there,
+// or takes none. Among several zones that would do it takes the one where the
+// tasks start soonest.
+func (d *dispatcher) planGang(j *job, r *round) []*candidate {
+	var best []*candidate
+	bestTiers := 0
+	for _, group := range d.gangCandidates(j, r) {
+		plan, tiers := d.planIn(j, group)
+		if plan != nil && (best == nil || tiers < bestTiers) {
+			best, bestTiers = plan, tiers
+		}
+	}
+	for _, s := range best {
+		s.free = s.free.Minus(j.spec.Room)
+	}
+	return best
+}
+
+// gangCandidates lists the candidates that a gang may use, by zone if all its tasks must be
+// in one.
+func (d *dispatcher) gangCandidates(j *job, r *round) [][]*candidate {
+	zones := newZoneCheck(j)
+	var groups [][]*candidate
+	for _, zone := range r.zones {
+		var group []*candidate
+		for _, s := range r.candidates {
+			if s.zone == zone && s.admits(j, &zones) && !j.gang.left[s.on.id] {
+				group = append(group, s)
+			}
+		}
+		switch {
+		case len(group) == 0:
+		case j.spec.SameZone || len(groups) == 0:
+			groups = append(groups, group)
+		default:
+			groups[0] = append(groups[0], group...)
+		}
+	}
+	return groups
+}
+
+// planIn finds candidates for all waiting tasks among some, each the better of two
+// samples of the best tier, without taking the room for good.
+func (d *dispatcher) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
+	room := 0
+	for _, s := range group {
+		if j.spec.Room.Fits(s.free) {
+			room += fitCount(s.free, j.spec.Room)
+		}
+	}
+	if room < j.waiting {
+		return nil, 0
+	}
+	zones := newZoneCheck(j)
+	defer func() {
+		for _, s := range plan {
+			s.free = s.free.Plus(j.spec.Room)
+		}
+		if len(plan) < j.waiting {
+			plan = nil
+		}
+	}()
+	for range j.waiting {
+		var best []*candidate
+		tier := 0
+		for _, s := range group {
+			if !j.spec.Room.Fits(s.free) || !zones.allows(s.zone) {
+				continue
+			}
+			if t := d.tier(j, s); best == nil || t < tier {
+				best, tier = append(best[:0], s), t
+			} else if t == tier {
+				best = append(best, s)
+			}
+		}
+		if len(best) == 0 {
+			return plan, tiers
+		}
+		pick := d.sample(j, best)
+		pick.free = pick.free.Minus(j.spec.Room)
+		zones.add(pick.zone, 1)
+		plan, tiers = append(plan, pick), tiers+tier
+	}
+	return plan, tiers
+}
+
+// holdForGang keeps what room there is for a gang that finds too little, from work
+// that is less urgent; only for one gang in a round, so that two never hold parts of
+// the room that each lacks.
+func (d *dispatcher) holdForGang(j *job, r *round) {
+	if r.held || r.now.Sub(j.submitted) < d.settings.Report {
+		return
+	}
+	var best []*candidate
+	most := 0
+	for _, group := range d.gangCandidates(j, r) {
+		n := 0
+		for _, s := range group {
+			n += s.tasksOf(j)
+		}
+		if n > most {
+			best, most = group, n
+		}
+	}
+	r.held = most > 0
+	left := j.waiting
+	for _, s := range best {
+		n := min(left, s.tasksOf(j))
+		s.claim(j.spec.Room.Times(n))
+		left -= n
+	}
+}
+
+// tasksOf is how many tasks of a job fit into what is free in the candidate and what is
+// being freed.
+func (s *candidate) tasksOf(j *job) int {
+	if free := s.free.Plus(s.freeing); j.spec.Room.Fits(free) {
+		return fitCount(free, j.spec.Room)
+	}
+	return 0
+}
+
+// gangZone is where most tasks of a gang fit that must all be in one zone.
+func gangZone(candidates []*candidate, dm *demand) string {
+	room := make(map[string]int)
+	best := ""
+	for _, s := range candidates {
+		if !dm.job.spec.Room.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
+			continue
+		}
+		room[s.zone] += fitCount(s.free, dm.job.spec.Room)
+		if best == "" || room[s.zone] > room[best] || room[s.zone] == room[best] && s.zone < best {
+			best = s.zone
+		}
+	}
+	return best
+}
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -438,7 +438,7 @@
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
 		j.attempts[1].state = Pulling
-		d.snapshotAt = time.Now().Add(time.Hour) // no look at the fleet here
+		d.snapshotAt = time.Now().Add(time.Hour) // no snapshot of the fleet here
 		if d.tick(); j.attempts[1].stop {
 			t.Error("given up at once")
 		}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// What guards a meeting, taken alone: the stories show that a meeting is
+// What guards against a combination of faults, taken alone: the scenarios show that it is
 // survived, these tests that the guard does its part.
 
 // A successor may have told the user something newer once our lead may have
@@ -134,7 +134,7 @@
 	return r
 }
 
-// A letter that is carried out late comes among newer ones of its sender: the
+// A batch that is carried out late comes among newer ones of its sender: the
 // newer must not be lost, and nobody waits for the older.
 func TestALateRelayBatchNeitherHidesNorFollowsANewerOne(t *testing.T) {
 	change := func(run, serial uint64, of, i int) storage.Item {
@@ -210,7 +210,7 @@
 			})
 		})
 		t.Run("prolonged by the peers' word", func(t *testing.T) {
-			// What a peer does after its word it does after we asked for it.
+			// What a peer does after its status it does after we asked for it.
 			asked := time.Now()
 			if !endOf(asked.Add(s.hold())).Before(due(asked)) {
 				t.Error("beyond a cancel that is confirmed right after the word")
@@ -248,7 +248,7 @@
 	}
 }
 
-// sayings is a peer link whose nodes say always the same of themselves.
+// scriptedPeers is a peer link whose nodes say always the same of themselves.
 type scriptedPeers map[string]PeerStatus
 
 func (s scriptedPeers) Forward(_ context.Context, node string, _ UserRequest) (Answer, error) {
@@ -272,7 +272,7 @@
 		sim.state.Trouble(func(s *storagetest.Service) {
 			s.Delay = func() time.Duration {
 				if n++; n == 1 {
-					return time.Hour // never, as far as the story goes
+					return time.Hour // never, as far as the scenario goes
 				}
 				return 0
 			}
@@ -288,7 +288,7 @@
 	})
 }
 
-// A machine that has tasks of a cancelled job is left out of a loan.
+// A machine that has tasks of a cancelled job is left out of a delegation.
 func TestAnExcludedMachineIsNotRenewedByDelegation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
@@ -414,7 +414,7 @@
 }
 
 // A session that is first heard of directly has its own lease, whenever the one
-// before was last answered. The story of it no longer places work there, since
+// before was last answered. The scenario of it no longer places work there, since
 // such a machine isn't ready; the bound must hold all the same.
 func TestTheBoundOfANewSessionCountsFromItsFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -8,11 +8,11 @@
 // workers.
 
 const (
-	// deafOrders is how many machines whose reports arrive must be out of reach
+	// unreachableMachines is how many machines whose reports arrive must be out of reach
 	// of direct orders, with none reached in between, before the lead is handed
 	// over.
 	unreachableMachines = 8
-	// standBack is how long the node then leaves the lead to others, in grant
+	// standDownLeases is how long the node then leaves the lead to others, in grant
 	// lives.
 	standDownLeases = 4
 )
@@ -39,7 +39,7 @@
 	standDown bool
 }
 
-// othersHear tells whether a peer in reach hears workers itself.
+// peerHearsWorkers tells whether a peer in reach hears workers itself.
 func (d *dispatcher) peerHearsWorkers() bool {
 	for _, p := range d.settings.Peers {
 		if w, ok := d.deps.Peers.Status(p.Name); ok && d.deps.Peers.SilentFor(p.Name) == 0 && w.SinceHeartbeat < d.settings.Report {
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -84,7 +84,7 @@
 // before that answer comes proves nothing of it, even under our token.
 func (a *attempt) orderedIn(r *Report) { a.orderedSeq, a.ownTerm = r.Seq, true }
 
-// loose tells whether a direct start may still be executed.
+// startUnresolved tells whether a direct start may still be executed.
 func (a *attempt) startUnresolved() bool {
 	return a.direct == directInFlight || a.direct == directUnresolved
 }
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -59,13 +59,13 @@
 	log            *slog.Logger
 }
 
-// state is what this node tells its peers.
+// status is what this node tells its peers.
 func (l *leadership) status() PeerStatus {
 	up := time.Since(l.began)
 	return PeerStatus{Uptime: up, SinceState: up - time.Duration(l.lastHeard.Load())}
 }
 
-// hear notes an answer of the state service.
+// markHeard notes an answer of the state service.
 func (l *leadership) markHeard() { l.lastHeard.Store(int64(time.Since(l.began))) }
 
 // leaderless tells whether all peers confirm that they can't have led since
--- a/internal/coordination/leases.go
+++ b/internal/coordination/leases.go
@@ -22,7 +22,7 @@
 }
 
 // emptyBy is when a machine that stays silent has surely lost its lease. Until
-// it has heard our token, an earlier leader, or a peer with a loan of that one,
+// it has heard our token, an earlier leader, or a peer with a delegation of that one,
 // may have been renewing it.
 func (d *dispatcher) emptyBy(m *machine) time.Time {
 	bound := d.delegatedLeaseBound(m)
@@ -34,7 +34,7 @@
 	return bound
 }
 
-// taintLimit is how many ended attempts a worker may have to remember for us.
+// retainLimit is how many ended attempts a worker may have to remember for us.
 // A report must stay well under the 64 KiB of a request.
 const retainLimit = 256
 
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -28,7 +28,7 @@
 	orphans             []TaskReport // live tasks without a booking
 	recorded            bool         // its record is durable or on its way
 
-	born      time.Time // first known of; the hire, if that was seen
+	born      time.Time // first known of; the rental, if that was seen
 	listedAt  time.Time // last seen in the cloud's list
 	failed    bool
 	draining  string // why nothing more is placed here; "" if ready
@@ -36,7 +36,7 @@
 	noticeAt  time.Time
 
 	attempts  map[TaskID]*attempt
-	booked    *storage.Room                        // by all attempts, as the books have it
+	booked    *storage.Room                        // by all attempts, as reserved
 	live      [storage.Production + 1]storage.Room // by attempts of each priority that aren't being stopped
 	stopping  storage.Room                         // by those that are
 	idleSince time.Time                            // since when it has none
@@ -79,7 +79,7 @@
 		now.Sub(m.lastHeard) <= fresh && now.Sub(m.lastReport) <= fresh && !now.Before(m.pauseTill)
 }
 
-// troubled tells whether the machine is left alone because it fails tasks or
+// inTrouble tells whether the machine is left alone because it fails tasks or
 // doesn't hear: its room then helps nobody.
 func (m *machine) inTrouble(now time.Time) bool {
 	return now.Before(m.pauseTill) && (m.lapses > 0 || m.failures > 0 || m.unresponsive)
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -202,7 +202,7 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader is who leads, first-hand or, where that is later, by the word of the
+// leader is who leads, first-hand or, where that is later, by the status of the
 // peers: this node alone may have lost the state service.
 func (n *Node) leader(v *view) (name string, term uint64) {
 	name, term = v.role.Leader, v.role.Term
@@ -243,13 +243,13 @@
 }
 
 // hearsState tells whether the state service has answered this node lately:
-// its leadership, or its mail while that leads to the leader.
+// its leadership, or its relay while that leads to the leader.
 func (n *Node) hearsState() bool {
 	since := min(n.lead.status().SinceState, n.relay.lastAccepted.since(math.MaxInt64))
 	return since < relayTimeout+n.settings.Tuning.LeaderLease
 }
 
-// useMail tells whether the leader lives, for its key outlasts its grant's
+// useRelay tells whether the leader lives, for its key outlasts its grant's
 // life, and yet can't be reached: then only the state service leads to it.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.SilentFor(leader) > n.settings.Tuning.LeaderLease
@@ -266,7 +266,7 @@
 	return Unavailable(req.ID, "not the leader")
 }
 
-// state is what this node tells a peer of itself.
+// status is what this node tells a peer of itself.
 func (n *Node) status(peer string) PeerStatus {
 	v := n.view.Load()
 	st := n.lead.status()
@@ -282,12 +282,12 @@
 	return st
 }
 
-// Beat answers a worker's report.
+// Heartbeat answers a worker's report.
 func (n *Node) Heartbeat(ctx context.Context, r *Report) HeartbeatResponse {
 	return n.forwarder.heartbeat(ctx, r)
 }
 
-// LocalBeats answers reports that another node hands on; nil means that this
+// LocalHeartbeats answers reports that another node hands on; nil means that this
 // node doesn't decide on them.
 func (n *Node) LocalHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
 	if v := n.view.Load(); v.dispatcher != nil {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -96,7 +96,7 @@
 	}()
 }
 
-// greet spreads our token to one worker, unless as many as the sockets allow
+// announceToken spreads our token to one worker, unless as many as the sockets allow
 // are being told already: then its own next report brings it the token.
 func (d *dispatcher) announceToken(m *machine) bool {
 	if d.announcing >= d.settings.maxAnnouncements() {
@@ -110,11 +110,11 @@
 	return true
 }
 
-// greetPerReport is how long a worker has to take our token, in report
+// announcePerReport is how long a worker has to take our token, in report
 // intervals: behind a cut it would only hold a socket.
 const announcePerReport = 0.25
 
-// spreadToken tells all known workers at the start of a term that their old
+// announceTokens tells all known workers at the start of a term that their old
 // leader's commands are over, some at a time.
 func (d *dispatcher) announceTokens() {
 	for len(d.unannounced) > 0 {
--- a/internal/coordination/pressure.go
+++ b/internal/coordination/packing.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"sagevale/internal/storage"
@@ -11,138 +10,22 @@
 
 const (
 	// lateShare of the machines that waiting services count on is rented for
-	// once more, for some come late and some never; of many, luck evens out,
+	// once more, for some come late and some never; of many, chance evens out,
 	// and their square root is enough.
 	lateShare = 0.5
 )
 
-// demand is a group of alike tasks in a trial packing.
-type demand struct {
-	job      *job
-	zones    zoneCheck
-	n        int
-	headroom bool    // room to keep, not a task
-	runS     float64 // run time of a task of other work than services
-}
-
-// demands lists the waiting tasks, most urgent first, then the room to keep.
-func (d *dispatcher) demands(now time.Time) []*demand {
-	waiting := d.waitingJobs(now)
-	d.byUrgency(waiting, now)
-	var out []*demand
-	teams := make(map[string]storage.Room)
-	for _, j := range waiting {
-		team := d.settings.team(j.spec.Team)
-		if team == nil {
-			continue
-		}
-		n := 0
-		if j.spec.Gang {
-			if n = d.gangDemand(j, team, teams); n == 0 {
-				continue
-			}
-		}
-		for ; !j.spec.Gang && n < j.tries(); n++ {
-			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
-			if !storage.Within(used, team.Limit) {
-				break
-			}
-			teams[j.spec.Team] = teams[j.spec.Team].Plus(j.spec.Room)
-		}
-		if n > 0 {
-			dm := &demand{job: j, zones: newZoneCheck(j), n: n}
-			if !j.spec.Service {
-				dm.runS = d.runTime(j)
-			}
-			out = append(out, dm)
-		}
-	}
-	names := make([]string, 0, len(d.classes))
-	for n := range d.classes {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	fullest := d.onFullest()
-	for _, n := range names {
-		c := d.classes[n]
-		if k := max(d.headroom(c, now), fullest[n]); k > 0 {
-			out = append(out, d.headroomFor(c, k)...)
-		}
-	}
-	return out
-}
-
-// gangDemand is how many tasks a gang waits for: all of them within the team's
-// limit, or none.
-func (d *dispatcher) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
-	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
-	if !storage.Within(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
-		return 0
-	}
-	teams[j.spec.Team] = all
-	return j.waiting
-}
-
-// modelOf returns a job like j whose tasks may be in any of its zones.
-func modelOf(j *job) *job {
-	model := &job{spec: j.spec, types: j.types, fits: j.fits}
-	model.spec.Spread, model.spec.SameZone = false, j.spec.SameZone && j.spec.Gang
-	return model
-}
-
-// keep is a demand for room to keep, for n tasks like those of j.
-func headroomDemand(j *job, n int) *demand {
-	model := modelOf(j)
-	return &demand{job: model, zones: newZoneCheck(model), n: n, headroom: true}
-}
-
-// keepFor demands room for n tasks like those of a class. What spread jobs must
-// have in another zone, half of each rounded down, is kept in every zone.
-func (d *dispatcher) headroomFor(c *class, n int) []*demand {
-	var out []*demand
-	if zones := d.zonesFor(c.last); c.last.spec.Spread && len(zones) > 1 {
-		each := int(math.Round(c.elsewhere() * float64(n)))
-		for _, z := range zones {
-			if each == 0 {
-				break
-			}
-			dm := headroomDemand(c.last, each)
-			dm.job.spec.Zone = z
-			dm.zones = newZoneCheck(dm.job)
-			out = append(out, dm)
-		}
-		n -= each * len(zones)
-	}
-	if n > 0 {
-		out = append(out, headroomDemand(c.last, n))
-	}
-	return out
-}
-
-// zonesFor lists the zones with a type that holds a task of the job.
-func (d *dispatcher) zonesFor(j *job) []string {
-	var out []string
-	for _, name := range d.fitsOf(j) {
-		for _, z := range d.types[name].Zones {
-			if (j.spec.Zone == "" || j.spec.Zone == z) && !slices.Contains(out, z) {
-				out = append(out, z)
-			}
-		}
-	}
-	return out
-}
-
 // packing is a trial packing of the demands into the machines' room.
 type packing struct {
 	candidates []*candidate
 	zones      []string
 	exhausted  exhaustedShapes
-	wanted     []offer // machines that would hold what found no slot
+	wanted     []offer // machines that would hold what found no candidate
 	limit      int     // the most that may be wanted
 	sizes      map[string]int
 }
 
-// shortage packs the demands into the slots and finds the offers that would
+// shortage packs the demands into the candidates and finds the offers that would
 // hold what is left, cheapest for its share first. Work that ends needs no
 // machine of its own when the places that it has will take it before a new
 // machine were up.
@@ -170,11 +53,11 @@
 	}
 }
 
-// wantSteps is for how many steps of growth a look finds wants: those that boot
+// wantedSteps is for how many steps of growth a snapshot finds wanted machines: those that boot
 // longest go first.
 const wantedSteps = 4
 
-// lateness reckons, class by class, for how many tasks to rent once more.
+// lateHedge reckons, class by class, for how many tasks to rent once more.
 type lateHedge struct{ coming, hedged float64 }
 
 func (l *lateHedge) more(coming int, perMachine float64) int {
@@ -194,14 +77,14 @@
 	return float64(n)
 }
 
-// ending is what a packing knows of work that ends.
+// batchWork is what a packing knows of work that ends.
 type batchWork struct {
 	places int     // that it holds or has been given
 	usual  float64 // that it usually takes
 	behind int     // tasks left over so far
 }
 
-// pack puts a demand's tasks into slots, wanting new ones where it must, and
+// pack puts a demand's tasks into candidates, wanting new ones where it must, and
 // returns how many count on machines that aren't up yet.
 func (d *dispatcher) pack(p *packing, dm *demand, e *batchWork, now time.Time) (coming int) {
 	if s := &dm.job.spec; s.Gang && s.SameZone && len(dm.job.attempts) == 0 {
@@ -293,7 +176,7 @@
 	return n
 }
 
-// bestSlot finds the fullest slot that takes one more task of the demand.
+// bestCandidate finds the fullest candidate that takes one more task of the demand.
 func (d *dispatcher) bestCandidate(p *packing, dm *demand) *candidate {
 	sh := dm.job.shape()
 	from := p.exhausted.from(sh, &dm.zones, p.zones)
@@ -307,16 +190,16 @@
 	return best
 }
 
-// sensible tells whether a task without accelerators may count on the slot's
+// sensible tells whether a task without accelerators may count on the candidate's
 // machine if it has some: smaller machines come sooner and cost little.
 func (d *dispatcher) sensible(s *candidate, j *job) bool {
 	return !s.booting || !j.spec.Service || j.spec.Room.GPUs > 0 || s.typ.Room.GPUs == 0
 }
 
-// lastResort takes any slot that has the room.
+// lastResort takes any candidate that has the room.
 func lastResort(*candidate, *job) bool { return true }
 
-// fullest finds the fullest slot for a task of the job, among those that suit.
+// fullest finds the fullest candidate for a task of the job, among those that suit.
 // A task without accelerators must leave enough of the rest for those that are
 // free, but on a machine that is rented for such tasks.
 func (d *dispatcher) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
--- a/internal/coordination/paired_guards_test.go
+++ b/internal/coordination/paired_guards_test.go
@@ -11,7 +11,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// Guards that stand behind another one, each alone: the stories don't fail where
+// Guards that stand behind another one, each alone: the scenarios don't fail where
 // either is taken out.
 
 // Nothing is decided by a node whose lead may have ended, whoever passes its answers
@@ -62,7 +62,7 @@
 	})
 }
 
-// A batch of mail that is carried out late, behind a newer one of its sender, is not
+// A relay batch that is carried out late, behind a newer one of its sender, is not
 // acted on: its sender has given up on it, and its reports may be old.
 func TestALateRelayBatchIsNotActedOn(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -30,7 +30,7 @@
 	held          bool // room is kept for a gang that found too little
 }
 
-// placeRound books room for waiting tasks, the most urgent first, and starts
+// placeRound reserves room for waiting tasks, the most urgent first, and starts
 // them once the bookings are durable.
 func (d *dispatcher) placeRound(now time.Time) {
 	d.place = false
@@ -102,7 +102,7 @@
 	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
 }
 
-// bookOn enters an attempt and takes its room from the slot.
+// bookOn enters an attempt and takes its room from the candidate.
 func (d *dispatcher) bookOn(j *job, task int, s *candidate, now time.Time) *attempt {
 	s.free = s.free.Minus(j.spec.Room)
 	return d.book(j, task, s.on, now)
@@ -181,7 +181,7 @@
 	return d.sample(j, best)
 }
 
-// sample returns the better of two random slots: the fuller, to pack.
+// sample returns the better of two random candidates: the fuller, to pack.
 func (d *dispatcher) sample(j *job, candidates []*candidate) *candidate {
 	pick := candidates[d.rand.IntN(len(candidates))]
 	for i := 1; i < samples; i++ {
--- a/internal/coordination/ports.go
+++ b/internal/coordination/ports.go
@@ -82,7 +82,7 @@
 	GraceS float64
 }
 
-// BeatAnswer is the answer to a worker's report.
+// HeartbeatResponse is the answer to a worker's report.
 type HeartbeatResponse struct {
 	Accepted bool
 	Token    uint64
@@ -142,7 +142,7 @@
 // decided tells whether the answer says anything of the job.
 func (a *Answer) decided() bool { return a.Code != CodeUnavailable && a.Code != CodeBusy }
 
-// PeerState is what a node tells another of itself.
+// PeerStatus is what a node tells another of itself.
 type PeerStatus struct {
 	Uptime                time.Duration // since its process began
 	SinceState            time.Duration // since its leadership last heard the state service
@@ -234,10 +234,10 @@
 	OpSubmit UserOp = iota
 	OpPoll
 	OpCancel
-	OpPing // another node, ID, tests the link and asks for a loan
+	OpPing // another node, ID, tests the link and asks for a delegation
 )
 
-// PeerWord is what a peer has told of itself, and when it was asked.
+// PeerReport is what a peer has told of itself, and when it was asked.
 type PeerReport struct {
 	PeerStatus
 	Sent, Got time.Time // by our clock: before and after what it tells of
@@ -247,14 +247,14 @@
 type PeerLink interface {
 	// Forward asks the named node; an error means that no answer came.
 	Forward(ctx context.Context, node string, req UserRequest) (Answer, error)
-	// Beats hands reports to the named node, which answers each.
+	// Heartbeats hands reports to the named node, which answers each.
 	Heartbeats(ctx context.Context, node string, reports []*Report) ([]HeartbeatResponse, error)
-	// Told is the named node's latest word; ok is false if there is none.
+	// Status is the named node's latest status; ok is false if there is none.
 	Status(node string) (w PeerReport, ok bool)
-	// Unheard is for how long the named node has been out of reach; 0: it is
+	// SilentFor is for how long the named node has been out of reach; 0: it is
 	// in reach.
 	SilentFor(node string) time.Duration
-	// Known is the latest leader that the peers have told of lately, with its
+	// KnownLeader is the latest leader that the peers have told of lately, with its
 	// term; 0: none.
 	KnownLeader() (leader string, term uint64)
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -53,7 +53,7 @@
 	s.freeing = all.Minus(s.free)
 }
 
-// victims chooses tasks of lower priority in the slot whose end makes that much
+// victims chooses tasks of lower priority in the candidate whose end makes that much
 // room, the cheapest to lose first. Room that is being freed already
 // counts: then there is nothing to stop.
 func (d *dispatcher) victims(s *candidate, room storage.Room, rank storage.Priority, now time.Time) ([]*attempt, float64, bool) {
--- /dev/null
+++ b/internal/coordination/relay.go
@@ -0,0 +1,125 @@
+package coordination
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/gob"
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+// A follower that is cut off from a living leader, but not from the state
+// service, hands on what reaches it through the relay: one key holds its latest batch of
+// users' requests and workers' reports, another the leader's answers. To the
+// leader it is but a slower way to arrive, so all its rules hold as they are:
+// reports may be late, and their answers count from when they are given.
+
+const (
+	relayRequestPrefix  = "mail/ask/"
+	relayResponsePrefix = "mail/answer/"
+	// relayShare of the change budget is each relay writer's.
+	relayShare = 0.1
+	// gatherPerReport is how long a batch gathers, in report intervals.
+	gatherPerReport = 0.1
+	// relayBatchSize bounds the items of a batch, relayFragments its values.
+	relayBatchSize = 192
+	relayFragments = 4
+	// relayTimeout is how long the answers to a batch may take.
+	relayTimeout = 2 * time.Second
+	// relayQueue bounds what waits for the next batch.
+	relayQueue = 512
+)
+
+// batchFragment is one value of a batch that is split over several keys.
+type batchFragment struct {
+	Run    uint64 `json:"r"`
+	Serial uint64 `json:"s"`
+	Of     int    `json:"n"`
+	Data   []byte `json:"d"`
+}
+
+// encodeBatch compresses a batch into values under the limit, or returns nil
+// if it takes too many.
+func encodeBatch(batch any, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
+	var buf bytes.Buffer
+	z, err := flate.NewWriter(&buf, flate.BestSpeed)
+	if err != nil {
+		return nil, err
+	}
+	if err := gob.NewEncoder(z).Encode(batch); err != nil {
+		return nil, fmt.Errorf("encode mail: %w", err)
+	}
+	if err := z.Close(); err != nil {
+		return nil, fmt.Errorf("compress mail: %w", err)
+	}
+	raw := buf.Bytes()
+	room := limits.ValueBytes*2/3 - 64 // base64 takes a third more
+	n := (len(raw) + room - 1) / room
+	if n > min(relayFragments, limits.TxnOps) {
+		return nil, nil
+	}
+	var out []json.RawMessage
+	for i := 0; i < n; i++ {
+		p, err := json.Marshal(batchFragment{run, serial, n, raw[i*room : min(len(raw), (i+1)*room)]})
+		if err != nil {
+			return nil, fmt.Errorf("encode mail: %w", err)
+		}
+		out = append(out, p)
+	}
+	return out, nil
+}
+
+// decodeBatch reads a batch whose fragments are all there, in order.
+func decodeBatch(fragments []batchFragment, batch any) error {
+	var raw []byte
+	for _, p := range fragments {
+		raw = append(raw, p.Data...)
+	}
+	z := flate.NewReader(bytes.NewReader(raw))
+	defer z.Close()
+	if err := gob.NewDecoder(io.LimitReader(z, 4<<20)).Decode(batch); err != nil {
+		return fmt.Errorf("decode mail: %w", err)
+	}
+	return nil
+}
+
+// batchID tells batches of one sender apart: a transaction that is carried out
+// late brings an old batch among newer ones.
+type batchID struct {
+	sender string
+	run    uint64
+	serial uint64
+}
+
+// collectBatches sorts changed keys into whole batches.
+func collectBatches(changes []storage.Item, prefix string) map[batchID][]batchFragment {
+	fragments := make(map[batchID][]batchFragment)
+	for _, it := range changes {
+		name, _, ok := strings.Cut(strings.TrimPrefix(it.Key, prefix), "/")
+		var p batchFragment
+		if !ok || it.Data == nil || json.Unmarshal(it.Data, &p) != nil {
+			continue
+		}
+		id := batchID{name, p.Run, p.Serial}
+		fragments[id] = append(fragments[id], p)
+	}
+	for id, ps := range fragments {
+		if len(ps) != ps[0].Of {
+			delete(fragments, id)
+		}
+	}
+	return fragments
+}
+
+func relayOps(prefix, name string, values []json.RawMessage) []storage.Op {
+	var ops []storage.Op
+	for i, v := range values {
+		ops = append(ops, storage.Op{Key: fmt.Sprintf("%s%s/%d", prefix, name, i), Data: v})
+	}
+	return ops
+}
--- /dev/null
+++ b/internal/coordination/relay_client.go
@@ -0,0 +1,191 @@
+package coordination
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"sagevale/internal/storage"
+)
+
+// relayClient is the actor of a follower's relay.
+type relayClient struct {
+	settings     *Settings
+	svc          storage.StateService
+	log          *slog.Logger
+	in           chan queuedRequest
+	processID    uint64 // this process's own mark on its batches
+	serial       uint64
+	limiter      *rate.Limiter
+	limitTracker *storage.LimitTracker
+	lastAccepted atomicTime // when the state service last took a batch
+}
+
+type queuedRequest struct {
+	letter
+	ctx   context.Context // ends when the sender no longer waits
+	reply chan mailReply
+}
+
+func newRelayClient(s *Settings, deps Deps, ceiling *storage.LimitTracker) *relayClient {
+	return &relayClient{
+		limitTracker: ceiling, settings: s, svc: deps.State, log: deps.Log, in: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
+		limiter: relayLimiter(s),
+	}
+}
+
+func relayLimiter(s *Settings) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(s.State.ChangesPerS*relayShare), max(1, int(s.State.ChangesPerS*relayShare)))
+}
+
+func (m *relayClient) send(ctx context.Context, l letter) mailReply {
+	p := queuedRequest{l, ctx, make(chan mailReply, 1)}
+	select {
+	case m.in <- p:
+	default:
+		return mailReply{}
+	}
+	select {
+	case r := <-p.reply:
+		return r
+	case <-ctx.Done():
+		return mailReply{}
+	}
+}
+
+func (m *relayClient) user(ctx context.Context, req UserRequest) Answer {
+	if r := m.send(ctx, letter{User: &req}); r.Done && r.User != nil {
+		return *r.User
+	}
+	return Unavailable(req.ID, "leader out of reach")
+}
+
+// heartbeats relays reports; nil means that nobody has decided on them.
+func (m *relayClient) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+	var out []HeartbeatResponse
+	for _, report := range reports {
+		r := m.send(ctx, letter{Report: report})
+		if !r.Done || r.Beat == nil {
+			return nil
+		}
+		out = append(out, HeartbeatResponse(*r.Beat))
+	}
+	return out
+}
+
+// run sends batch after batch, each once the one before it is over.
+func (m *relayClient) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		batch := m.gather(ctx)
+		// Whose sender has given up is not worth the budget.
+		batch = slices.DeleteFunc(batch, func(p queuedRequest) bool { return p.ctx.Err() != nil })
+		for len(batch) > 0 && ctx.Err() == nil {
+			batch = m.deliver(ctx, batch)
+		}
+	}
+}
+
+// gather takes the first request and those that come soon after. Users wait for
+// their answers, so a user's request ends the gathering.
+func (m *relayClient) gather(ctx context.Context) []queuedRequest {
+	var batch []queuedRequest
+	soon := make(<-chan time.Time)
+	for len(batch) < relayBatchSize {
+		select {
+		case <-ctx.Done():
+			return nil
+		case p := <-m.in:
+			batch = append(batch, p)
+			if p.User != nil {
+				return m.drain(batch)
+			}
+			if len(batch) == 1 {
+				soon = time.After(scale(m.settings.Report, gatherPerReport))
+			}
+		case <-soon:
+			return m.drain(batch)
+		}
+	}
+	return batch
+}
+
+// drain adds what waits already.
+func (m *relayClient) drain(batch []queuedRequest) []queuedRequest {
+	for len(batch) < relayBatchSize {
+		select {
+		case p := <-m.in:
+			batch = append(batch, p)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// deliver sends a batch, or the half of it that fits, and returns the rest.
+func (m *relayClient) deliver(ctx context.Context, batch []queuedRequest) []queuedRequest {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+	defer cancel()
+	m.serial++
+	n := len(batch)
+	var values []json.RawMessage
+	for ; n > 0; n /= 2 {
+		letters := make([]letter, 0, n)
+		for _, p := range batch[:n] {
+			letters = append(letters, p.letter)
+		}
+		var err error
+		if values, err = encodeBatch(letters, m.processID, m.serial, m.limitTracker.Limits()); err != nil {
+			m.log.Error("relay not encoded", "err", err)
+		}
+		if values != nil {
+			break
+		}
+	}
+	replies := make([]mailReply, len(batch))
+	if n > 0 {
+		got, err := m.exchange(ctx, values)
+		if err != nil {
+			m.log.Debug("relay unanswered", "requests", n, "err", err)
+		}
+		copy(replies, got)
+	} else {
+		n = 1 // a single request that doesn't fit
+	}
+	for i, p := range batch[:n] {
+		p.reply <- replies[i]
+	}
+	return batch[n:]
+}
+
+func (m *relayClient) exchange(ctx context.Context, values []json.RawMessage) ([]mailReply, error) {
+	if err := m.limiter.WaitN(ctx, min(len(values), m.limiter.Burst())); err != nil {
+		return nil, err
+	}
+	rev, err := m.svc.Txn(ctx, nil, relayOps(relayRequestPrefix, m.settings.Node, values))
+	if err != nil {
+		m.limitTracker.Learn(err)
+		return nil, err
+	}
+	m.lastAccepted.mark(time.Now())
+	prefix := relayResponsePrefix + m.settings.Node + "/"
+	for {
+		changes, next, err := m.svc.Watch(ctx, prefix, rev, relayTimeout)
+		if err != nil {
+			return nil, err
+		}
+		rev = next
+		for _, fragments := range collectBatches(changes, relayResponsePrefix) {
+			if fragments[0].Serial != m.serial || fragments[0].Run != m.processID {
+				continue
+			}
+			var replies []mailReply
+			err := decodeBatch(fragments, &replies)
+			return replies, err
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/relay_server.go
@@ -0,0 +1,116 @@
+package coordination
+
+import (
+	"context"
+	"log/slog"
+
+	"golang.org/x/time/rate"
+
+	"sagevale/internal/storage"
+)
+
+// relayServer is the leader's actor that answers relayed requests.
+type relayServer struct {
+	settings     *Settings
+	svc          storage.StateService
+	log          *slog.Logger
+	guard        storage.Guard
+	dispatcher   *dispatcher
+	limiter      *rate.Limiter
+	limitTracker *storage.LimitTracker
+	latest       map[string]batchID // by sender
+}
+
+func newRelayServer(s *Settings, deps Deps, ceiling *storage.LimitTracker, guard storage.Guard, disp *dispatcher) *relayServer {
+	return &relayServer{limitTracker: ceiling, settings: s, svc: deps.State, log: deps.Log, guard: guard, dispatcher: disp, limiter: relayLimiter(s), latest: make(map[string]batchID)}
+}
+
+func (p *relayServer) run(ctx context.Context) {
+	hold := p.settings.Lease
+	rev := p.guard.Version
+	for ctx.Err() == nil {
+		wctx, cancel := context.WithTimeout(ctx, 2*hold)
+		changes, next, err := p.svc.Watch(wctx, relayRequestPrefix, rev, hold)
+		cancel()
+		if err != nil {
+			// What was asked meanwhile is asked again.
+			lctx, cancel := context.WithTimeout(ctx, relayTimeout)
+			if _, _, now, lerr := p.svc.List(lctx, relayRequestPrefix, "", 1); lerr == nil {
+				rev = now
+			}
+			cancel()
+			storage.Sleep(ctx, p.settings.Tuning.LeaderLease/touchesPerLease)
+			continue
+		}
+		rev = next
+		for id, fragments := range collectBatches(changes, relayRequestPrefix) {
+			if !p.isLatest(id) {
+				continue
+			}
+			var letters []letter
+			if err := decodeBatch(fragments, &letters); err != nil {
+				p.log.Error("relay not understood", "from", id.sender, "err", err)
+				continue
+			}
+			p.answer(ctx, id.sender, fragments[0], letters)
+		}
+	}
+}
+
+// isLatest notes a batch and tells whether it is the sender's latest. Who sent an
+// earlier one has given up on it, and its reports may be old.
+func (p *relayServer) isLatest(id batchID) bool {
+	if last, ok := p.latest[id.sender]; ok && last.run == id.run && id.serial <= last.serial {
+		return false
+	}
+	p.latest[id.sender] = id
+	return true
+}
+
+// answer has the dispatcher answer the requests and sends the answers back.
+func (p *relayServer) answer(ctx context.Context, name string, ask batchFragment, letters []letter) {
+	actx, cancel := context.WithTimeout(ctx, relayTimeout/2)
+	defer cancel()
+	replies := make([]mailReply, len(letters))
+	type answered struct {
+		i int
+		r mailReply
+	}
+	answers := make(chan answered, len(letters))
+	for i, l := range letters {
+		go func() {
+			r := mailReply{Done: true}
+			switch {
+			case l.User != nil:
+				a := p.dispatcher.user(actx, *l.User)
+				r.User = &a
+			case l.Report != nil:
+				b := HeartbeatResponse{Undecided: true}
+				if got := p.dispatcher.heartbeats(actx, []*Report{l.Report}); len(got) > 0 {
+					b = got[0]
+				}
+				answer := BeatAnswer(b)
+				r.Beat = &answer
+			}
+			answers <- answered{i, r}
+		}()
+	}
+	for range letters {
+		a := <-answers
+		replies[a.i] = a.r
+	}
+	values, err := encodeBatch(replies, ask.Run, ask.Serial, p.limitTracker.Limits())
+	if err != nil || values == nil {
+		p.log.Error("relay not answered", "to", name, "requests", len(letters), "err", err)
+		return
+	}
+	if err := p.limiter.WaitN(ctx, min(len(values), p.limiter.Burst())); err != nil {
+		return
+	}
+	if _, err := p.svc.Txn(actx, []storage.Guard{p.guard}, relayOps(relayResponsePrefix, name, values)); err != nil {
+		p.limitTracker.Learn(err)
+		p.log.Debug("relay not answered", "to", name, "err", err)
+		return
+	}
+	p.log.Debug("relay answered", "to", name, "requests", len(letters))
+}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,7 +11,7 @@
 	try uint64
 }
 
-// handleBeat takes a worker's report and answers it.
+// handleHeartbeat takes a worker's report and answers it.
 func (d *dispatcher) handleHeartbeat(r *Report) HeartbeatResponse {
 	now := time.Now()
 	if r.Token > d.term {
@@ -44,7 +44,7 @@
 
 func (d *dispatcher) stepDown(reason string) { d.giveUp(reason, false) }
 
-// giveUp gives up the lead. Nothing is lent from here on.
+// giveUp gives up the lead. Nothing is delegated from here on.
 func (d *dispatcher) giveUp(reason string, standBack bool) {
 	d.log.Info("stepping down", "reason", reason)
 	d.resigned = true
@@ -128,7 +128,7 @@
 	m.lastAnswered = now
 }
 
-// watchHeed leaves a machine alone whose reports come but which doesn't do as
+// watchCompliance leaves a machine alone whose reports come but which doesn't do as
 // it is told.
 func (d *dispatcher) watchCompliance(m *machine, r *Report, now time.Time) {
 	m.unresponsive = false
@@ -247,7 +247,7 @@
 	d.finish(j)
 }
 
-// enter books an attempt.
+// enter reserves the room of an attempt.
 func (d *dispatcher) enter(a *attempt) {
 	if a.job.phase == storage.Cancelled {
 		d.cancelling[a.job.spec.ID] = a.job
@@ -262,7 +262,7 @@
 	}
 }
 
-// free takes an attempt out of the books: its place is proved empty, or its
+// free takes an attempt out of the reservations: its place is proved empty, or its
 // start was never sent.
 func (d *dispatcher) free(a *attempt, why string) {
 	j, m := a.job, a.on
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/scale_test.go
@@ -15,7 +15,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// desk is a dispatcher without the actors around it, for what a look or a
+// newTestDispatcher makes a dispatcher without the actors around it, for what a snapshot or a
 // round decides. Its clock stands still unless the test moves it.
 func newTestDispatcher(tb testing.TB, s Settings) *dispatcher {
 	tb.Helper()
@@ -72,7 +72,7 @@
 	return j
 }
 
-// look makes one trial packing of all that waits and is to be kept.
+// trialPacking makes one trial packing of all that waits and is to be kept.
 func (d *dispatcher) trialPacking() *packing {
 	p := &packing{exhausted: make(exhaustedShapes), candidates: d.readyCandidates(time.Now())}
 	d.shortage(p, d.demands(time.Now()), len(d.order), time.Now())
@@ -191,7 +191,7 @@
 	})
 }
 
-// What a shape has searched in vain isn't searched again, but for slots that
+// What a shape has searched in vain isn't searched again, but for candidates that
 // were added since.
 func TestAShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/stories_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -370,7 +370,7 @@
 	})
 }
 
-// Where the leader is out of reach, what comes to a follower goes by mail.
+// Where the leader is out of reach, what comes to a follower goes through the relay.
 func TestAFollowerBeyondACutRelaysThroughTheStateService(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -54,6 +54,7 @@
 	MemoryMB           float64
 	Sockets            int
 	Tuning             Tuning
+	Warnings           []string // what operators should change, though it is taken as it is
 }
 
 // Tuning holds the operators' own settings.
@@ -129,7 +130,7 @@
 	return scale(s.Lease, driftBound) + s.Report/10
 }
 
-// strangerBound is the same for a worker that this term hasn't heard of,
+// unconfirmedBound is the same for a worker that this term hasn't heard of,
 // counted from the take-over: an earlier leader may have renewed its lease
 // until the end of its hold.
 func (s *Settings) unconfirmedBound() time.Duration {
@@ -139,10 +140,10 @@
 // fresh is how long a machine's last report counts.
 func (s *Settings) fresh() time.Duration { return freshIntervals * s.Report }
 
-// greetSockets is the share of the sockets that spreading a token may take.
+// announceSockets is the share of the sockets that spreading a token may take.
 const announceSockets = 1.0 / 16
 
-// greets is how many workers may be told our token at a time.
+// maxAnnouncements is how many workers may be told our token at a time.
 func (s *Settings) maxAnnouncements() int { return max(1, int(float64(s.Sockets)*announceSockets)) }
 
 func (s *Settings) team(name string) *Team {
--- /dev/null
+++ b/internal/coordination/simulation_test.go
@@ -0,0 +1,361 @@
+package coordination
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"sort"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+)
+
+// simulation is a small deployment in memory and simulated time: nodes, a state
+// service, a cloud, workers and the cuts between them. It watches the rules.
+type simulation struct {
+	t        *testing.T
+	settings Settings
+	state    *storagetest.Service
+	cloud    *fakeCloud
+	nodes    []*fakeNode
+	mu       sync.Mutex // guards what follows, and all workers and the cloud
+	workers  map[int]*fakeWorker
+	specs    map[string]storage.Spec
+	cancelAt map[string]time.Time // when a user was told so
+	answered map[string]JobState  // the latest that a user was told, running as pending
+	askedOff map[string]bool      // jobs that a user asked to cancel
+	ran      map[TaskID]bool      // tasks that have completed
+	kept     []*Report            // copies of reports, to come again late
+	keeping  bool
+	together map[string]int  // how often a gang has begun
+	overrun  map[string]bool // cancelled jobs seen beyond their time
+	starts   int
+	apart    atomic.Pointer[string] // a zone that is cut off from everything
+	over     atomic.Bool            // machines that boot now stay away
+	log      *slog.Logger
+}
+
+// inSimulation runs a scenario in simulated time.
+func inSimulation(t *testing.T, story func(sim *simulation)) {
+	t.Helper()
+	inSimulationWith(t, func(*Settings) {}, story)
+}
+
+// inSimulationWith runs a scenario in simulated time, with settings of its own.
+func inSimulationWith(t *testing.T, change func(*Settings), story func(sim *simulation)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		sim := &simulation{
+			t: t,
+			settings: Settings{
+				Zones: []string{"a", "b"}, Report: 3 * time.Second, Lease: 22 * time.Second, Cancel: 52 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second,
+				Teams:    []Team{{Name: "team"}, {Name: "small", Limit: storage.Room{GPUs: 2}}},
+				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
+				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
+			},
+			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
+			answered: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), together: make(map[string]int),
+			log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		}
+		change(&sim.settings)
+		sim.settings.Tuning = sim.settings.DefaultTuning()
+		sim.state = storagetest.NewService()
+		sim.cloud = &fakeCloud{sim: sim, rentals: make(map[string][]int)}
+		for i, zone := range []string{"a", "b", "a"} {
+			sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
+		}
+		for _, n := range sim.nodes {
+			n.start()
+		}
+		go sim.watch()
+		defer func() {
+			for _, n := range sim.nodes {
+				n.kill()
+			}
+			sim.mu.Lock()
+			sim.over.Store(true)
+			sim.mu.Unlock()
+			for _, wk := range sim.all() {
+				wk.dead.Store(true)
+			}
+			sim.state.Close()
+			time.Sleep(time.Minute)
+		}()
+		story(sim)
+	})
+}
+
+func (sim *simulation) leader() *fakeNode {
+	var lead *fakeNode
+	for _, n := range sim.nodes {
+		if n.end == nil {
+			continue
+		}
+		if v := n.node.view.Load(); v.dispatcher != nil && time.Now().Before(v.role.Certain) {
+			if lead != nil {
+				sim.t.Fatal("two nodes lead for certain")
+			}
+			lead = n
+		}
+	}
+	return lead
+}
+
+// awaitLeader waits until some node leads with the state loaded.
+func (sim *simulation) awaitLeader() *fakeNode {
+	for range 300 {
+		if n := sim.leader(); n != nil {
+			return n
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	sim.t.Fatal("no leader")
+	return nil
+}
+
+// ask puts a user's request to the nodes in turn until one decides it.
+func (sim *simulation) ask(op UserOp, id string, spec storage.Spec) Answer {
+	for try := range 120 {
+		if a := sim.askNode(sim.nodes[try%len(sim.nodes)], op, id, spec); a.decided() {
+			return a
+		}
+		time.Sleep(500 * time.Millisecond)
+	}
+	sim.t.Fatalf("no node decides on job %s", id)
+	return Answer{}
+}
+
+// askNode puts one request to one node, and checks that the answer is no older
+// than what any node had told before it was asked.
+func (sim *simulation) askNode(n *fakeNode, op UserOp, id string, spec storage.Spec) Answer {
+	live := n.live.Load()
+	if live == nil {
+		return Unavailable(id, "not running")
+	}
+	var before JobState
+	var known bool
+	sim.locked(func() {
+		before, known = sim.answered[id]
+		sim.askedOff[id] = sim.askedOff[id] || op == OpCancel
+	})
+	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	a := live.User(ctx, UserRequest{Op: op, ID: id, Spec: spec})
+	cancel()
+	if !a.decided() {
+		return a
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if a.Code == CodeNotFound || a.Code == CodeUnfit {
+		if known {
+			sim.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
+		}
+		return a
+	}
+	now := StatePending
+	if a.final() {
+		now = a.State
+	}
+	if known && before != StatePending && now != before {
+		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
+	}
+	switch {
+	case now == StateCancelled && !sim.askedOff[id]:
+		sim.t.Errorf("went_back: nobody cancelled job %s", id)
+	case now == StateCancelled && sim.cancelAt[id].IsZero():
+		sim.cancelAt[id] = time.Now()
+	case now == StateDone:
+		for _, wk := range sim.workers {
+			wk.settle()
+		}
+		for i := range sim.specs[id].Tasks {
+			if !sim.ran[TaskID{id, i}] {
+				sim.t.Errorf("not_done: job %s without task %d", id, i)
+			}
+		}
+	}
+	if sim.answered[id] == StatePending {
+		sim.answered[id] = now
+	}
+	return a
+}
+
+// watch looks out for tasks that outlive their job's cancel.
+func (sim *simulation) watch() {
+	for !sim.over.Load() {
+		time.Sleep(250 * time.Millisecond)
+		sim.locked(func() {
+			sim.gather()
+			for _, wk := range sim.workers {
+				if wk.dead.Load() || wk.still.Load() {
+					continue // one that stands still runs nothing, unless it goes on
+				}
+				wk.settle()
+				for k, t := range wk.tasks {
+					job := k.ID.Job
+					at, ok := sim.cancelAt[job]
+					if ok && t.state != Ended && time.Since(at) > sim.settings.Cancel && !sim.overrun[job] {
+						sim.overrun[job] = true
+						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
+					}
+				}
+			}
+		})
+	}
+}
+
+// gather has the tasks of gangs find each other: by the number of the attempt they
+// start together, and notice that one is gone.
+func (sim *simulation) gather() {
+	type attemptKey struct {
+		job string
+		try uint64
+	}
+	now := time.Now()
+	gangs := make(map[attemptKey][]*workerTask)
+	for _, wk := range sim.workers {
+		if wk.dead.Load() || wk.still.Load() {
+			continue
+		}
+		wk.settle()
+		for k, t := range wk.tasks {
+			if sim.specs[k.ID.Job].Gang {
+				g := attemptKey{k.ID.Job, k.Try}
+				gangs[g] = append(gangs[g], t)
+			}
+		}
+	}
+	for g, tasks := range gangs {
+		spec := sim.specs[g.job]
+		waiting, running, done := 0, 0, 0
+		for _, t := range tasks {
+			switch {
+			case t.state == Gathering:
+				waiting++
+			case t.state == Running:
+				running++
+			case t.cause == CauseDone:
+				done++
+			}
+		}
+		for _, t := range tasks {
+			switch {
+			case waiting == spec.Tasks:
+				t.state, t.since, t.ends = Running, now, now.Add(seconds(spec.EstimateS))
+			case t.state == Gathering && now.Sub(t.since) > sim.settings.GangWait:
+				t.state, t.cause = Ended, CausePeers
+			case t.state != Running || running+done == spec.Tasks:
+			case t.since.After(now.Add(-sim.settings.GangPeer)) && t.ends.IsZero():
+			case !t.ends.IsZero() && running+done < spec.Tasks:
+				t.ends, t.since = time.Time{}, now // it notices soon
+			case t.ends.IsZero():
+				t.state, t.cause = Ended, CausePeers
+			}
+		}
+		if waiting == spec.Tasks {
+			sim.together[g.job]++
+		}
+	}
+}
+
+// upload makes a job's description known to the workers.
+func (sim *simulation) upload(spec storage.Spec) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.specs[spec.ID] = spec
+}
+
+// all lists the machines that ever came up.
+func (sim *simulation) all() []*fakeWorker {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var out []*fakeWorker
+	for _, wk := range sim.workers {
+		out = append(out, wk)
+	}
+	sort.Slice(out, func(a, b int) bool { return out[a].id < out[b].id })
+	return out
+}
+
+// locked runs f under the simulation's lock.
+func (sim *simulation) locked(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	f()
+}
+
+// cutZone cuts a zone off from everything, or with "" ends that.
+func (sim *simulation) cutZone(zone string) {
+	sim.apart.Store(&zone)
+	for _, n := range sim.nodes {
+		n.cutState.Store(n.zone == zone)
+		n.cutPeers.Store(n.zone == zone)
+	}
+}
+
+func (sim *simulation) startsSoFar() int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.starts
+}
+
+func (sim *simulation) submit(spec storage.Spec) {
+	sim.t.Helper()
+	sim.upload(spec)
+	if a := sim.ask(OpSubmit, spec.ID, spec); a.Code != CodeCreated && a.Code != CodeOK {
+		sim.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
+	}
+}
+
+func (sim *simulation) cancel(id string) {
+	sim.t.Helper()
+	if a := sim.ask(OpCancel, id, storage.Spec{}); a.Code != CodeOK || a.State != StateCancelled {
+		sim.t.Fatalf("job %s not cancelled: %+v", id, a)
+	}
+}
+
+func (sim *simulation) poll(id string) Answer { return sim.ask(OpPoll, id, storage.Spec{}) }
+
+// eventually waits for a condition.
+func (sim *simulation) eventually(what string, within time.Duration, ok func() bool) {
+	sim.t.Helper()
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		if ok() {
+			return
+		}
+	}
+	sim.t.Fatalf("within %v not seen: %s", within, what)
+}
+
+func arrayJob(id string, tasks int) storage.Spec {
+	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
+		Room: storage.Room{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
+}
+
+func service(id string, tasks int) storage.Spec {
+	s := arrayJob(id, tasks)
+	s.Class, s.Service, s.Priority, s.EstimateS = "service", true, storage.Production, 0
+	return s
+}
+
+// running lists where a job's tasks run now.
+func (sim *simulation) running(id string) map[TaskID]*fakeWorker {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	out := make(map[TaskID]*fakeWorker)
+	for _, wk := range sim.workers {
+		wk.settle()
+		for k, t := range wk.tasks {
+			if k.ID.Job == id && !wk.dead.Load() && t.state != Ended {
+				out[k.ID] = wk
+			}
+		}
+	}
+	return out
+}
--- a/internal/coordination/spare.go
+++ b/internal/coordination/surplus.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// spareTries bounds how many machines with tasks one look tries to do
-	// without; the next look goes on where it stopped.
+	// surplusTries bounds how many machines with tasks one snapshot tries to do
+	// without; the next snapshot goes on where it stopped.
 	surplusTries = 8
-	// sparesPerLook is the share of the fleet that one look may find to spare.
+	// surplusPerSnapshot is the share of the fleet that one snapshot may find surplus.
 	surplusPerSnapshot = 1.0 / 32
 )
 
 // noMachine stands for none: the cloud numbers its machines from 0.
 const noMachine = -1
 
-// spare is a machine that the fleet can do without, and how many attempts it
+// surplusMachine is a machine that the fleet can do without, and how many attempts it
 // had when that was found.
 type surplusMachine struct{ machine, attempts int }
 
-// spares finds machines without which all that waits, all that is to be kept
+// findSurplus finds machines without which all that waits, all that is to be kept
 // and what runs would still fit, trying first those that waste the most money.
 // The packing has just shown what fits with them. They are drained and returned
 // one after the other.
 func (d *dispatcher) findSurplus(p *packing, now time.Time) []surplusMachine {
 	most := max(1, int(surplusPerSnapshot*float64(len(p.candidates))))
 	var out []surplusMachine
-	busy, skip := 0, d.surplusFrom // machines with tasks seen, and those tried at the last look
+	busy, skip := 0, d.surplusFrom // machines with tasks seen, and those tried at the last snapshot
 	d.surplusFrom = 0
 	for _, s := range d.byWaste(p, now) {
 		if len(out) == most {
@@ -64,7 +64,7 @@
 	return len(m.attempts) == 0 && now.Sub(m.idleSince) < seconds(idlePerBoot*m.typ.BootS)
 }
 
-// wasters lists the slots of the ready machines, those that waste the most
+// byWaste lists the candidates of the ready machines, those that waste the most
 // money first.
 func (d *dispatcher) byWaste(p *packing, now time.Time) []*candidate {
 	waste := make(map[*candidate]float64)
@@ -100,7 +100,7 @@
 	return share
 }
 
-// canSpare tries to move what runs in a slot, and what the packing has put
+// canRemove tries to move what runs in a candidate, and what the packing has put
 // there, into the room that the packing has left elsewhere. Replicas must find
 // their images where they go.
 func (d *dispatcher) canRemove(p *packing, s *candidate, now time.Time) bool {
@@ -128,7 +128,7 @@
 	return true
 }
 
-// take uses room of the slot; the returned function gives it back, after undo.
+// take uses room of the candidate; the returned function gives it back, after undo.
 func (s *candidate) take(j *job, undo func()) func() {
 	s.free = s.free.Minus(j.spec.Room)
 	s.moved++
@@ -139,7 +139,7 @@
 	}
 }
 
-// tryMove tries to pack a machine's services into the slots, and with saving
+// tryMove tries to pack a machine's services into the candidates, and with saving
 // also what would be stopped because it can save its progress. The rest may
 // finish, or waits for room. undo gives the room back.
 func (d *dispatcher) tryMove(m *machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *job) bool) (undo func(), ok bool) {
@@ -181,50 +181,3 @@
 	}
 	return slack >= 0 && slack < moveMargin*cost
 }
-
-const (
-	// strangerLease is how much of a lease after a take-over a machine may
-	// stay unheard before it counts as lost.
-	unconfirmedLease = 0.5
-	// strangerShare of the machines may be lost at a time; if more are silent,
-	// the trouble is ours or a zone's.
-	unconfirmedShare = 0.25
-)
-
-// lostStrangers finds machines that carry services and have not been heard
-// since the take-over, while nearly all others have. Their lease bound must
-// cover an earlier leader's hold and so is long; a deletion's 200 proves them
-// empty sooner. That is done only where their services find room elsewhere: a
-// machine that comes back has its images.
-func (d *dispatcher) lostUnconfirmed(now time.Time) []int {
-	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.Lease, unconfirmedLease), d.settings.fresh()) {
-		return nil
-	}
-	var silent []*machine
-	carrying := 0
-	for _, m := range d.order {
-		if len(m.attempts) == 0 || m.returning {
-			continue
-		}
-		carrying++
-		if !m.heard && m.lastHeard.IsZero() && m.typ != nil {
-			silent = append(silent, m)
-		}
-	}
-	if float64(len(silent)) > max(1, unconfirmedShare*float64(carrying)) {
-		return nil
-	}
-	var lost []int
-	candidates := d.readyCandidates(now)
-	d.learnPerGPU(now)
-	for _, m := range silent {
-		undo, ok := d.tryMove(m, candidates, false, now, lastResort)
-		if ok {
-			d.log.Info("unheard since the take-over", "machine", m.id, "attempts", len(m.attempts))
-			lost = append(lost, m.id)
-		} else {
-			undo()
-		}
-	}
-	return lost
-}
--- /dev/null
+++ b/internal/coordination/unconfirmed.go
@@ -0,0 +1,52 @@
+package coordination
+
+import (
+	"time"
+)
+
+const (
+	// unconfirmedLease is how much of a lease after a take-over a machine may
+	// stay unheard before it counts as lost.
+	unconfirmedLease = 0.5
+	// unconfirmedShare of the machines may be lost at a time; if more are silent,
+	// the trouble is ours or a zone's.
+	unconfirmedShare = 0.25
+)
+
+// lostUnconfirmed finds machines that carry services and have not been heard
+// since the take-over, while nearly all others have. Their lease bound must
+// cover an earlier leader's hold and so is long; a deletion's 200 proves them
+// empty sooner. That is done only where their services find room elsewhere: a
+// machine that comes back has its images.
+func (d *dispatcher) lostUnconfirmed(now time.Time) []int {
+	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.Lease, unconfirmedLease), d.settings.fresh()) {
+		return nil
+	}
+	var silent []*machine
+	carrying := 0
+	for _, m := range d.order {
+		if len(m.attempts) == 0 || m.returning {
+			continue
+		}
+		carrying++
+		if !m.heard && m.lastHeard.IsZero() && m.typ != nil {
+			silent = append(silent, m)
+		}
+	}
+	if float64(len(silent)) > max(1, unconfirmedShare*float64(carrying)) {
+		return nil
+	}
+	var lost []int
+	candidates := d.readyCandidates(now)
+	d.learnPerGPU(now)
+	for _, m := range silent {
+		undo, ok := d.tryMove(m, candidates, false, now, lastResort)
+		if ok {
+			d.log.Info("unheard since the take-over", "machine", m.id, "attempts", len(m.attempts))
+			lost = append(lost, m.id)
+		} else {
+			undo()
+		}
+	}
+	return lost
+}
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -87,7 +87,7 @@
 	return keys
 }
 
-// filling ranks jobs into the places that come free.
+// deadlineAdmission ranks jobs into the places that come free.
 type deadlineAdmission struct {
 	pace  float64 // places a second; 0: not known
 	ahead int     // tasks ranked so far
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -50,7 +50,7 @@
 	Count int    `json:"Count"`
 }
 
-// NewRental puts a hire on the wire.
+// NewRental puts a rental on the wire.
 func NewRental(name string, h storage.RentalRecord) Rental {
 	return Rental{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -132,6 +132,34 @@
 "Cpus":8.0,"Gpus":1.0,"MemoryGb":64.0,"Kit":"img-07","ImageGb":6.2,"Breeds":["g8"],"Pasture":null,"SamePlace":true,
 "Scatter":false,"Loaner":true,"ExpectedS":240.0,"BookmarkS":30.0,"StowS":4.0,"DueS":900.0,"Novel":{}}`
 
+// The property for headroom was called otherwise first: that name goes on being taken,
+// with a warning, but not beside the new one.
+func TestADeprecatedPropertyIsTakenWithAWarning(t *testing.T) {
+	for _, c := range []struct {
+		file     string
+		want     float64
+		warnings int
+		fails    bool
+	}{
+		{"fleet.headroom.deviations = 2.5\n", 2.5, 0, false},
+		{"fleet.reserve.luck = 2.5\n", 2.5, 1, false},
+		{"fleet.reserve.luck = 2.5\nfleet.headroom.deviations = 2.5\n", 0, 1, true},
+		{"fleet.reserve.luck = much\n", 0, 1, true},
+	} {
+		s, err := ParseSettings("s.toml", []byte(goodSettings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		err = parseProperties("p", []byte(c.file), s)
+		if (err != nil) != c.fails || len(s.Warnings) != c.warnings || !c.fails && s.Tuning.HeadroomDeviations != c.want {
+			t.Errorf("%q: %v, %v, %v", c.file, s.Tuning.HeadroomDeviations, s.Warnings, err)
+		}
+		if err != nil && (!strings.HasPrefix(err.Error(), "p: fleet.reserve.luck: ") || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%q: %v", c.file, err)
+		}
+	}
+}
+
 func TestSubmissionsAreChecked(t *testing.T) {
 	spec, err := ParseSubmission([]byte(goodJob))
 	if err != nil || spec.ID != "000412" || spec.Tasks != 16 || !spec.SameZone || spec.DeadlineS != 900 {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -220,6 +220,12 @@
 	return s, nil
 }
 
+// headroomProperty was called otherwise first; operators' files may still say so.
+const (
+	headroomProperty           = "fleet.headroom.deviations"
+	deprecatedHeadroomProperty = "fleet.reserve.luck"
+)
+
 // parseProperties checks the operators' own settings.
 func parseProperties(file string, raw []byte, s *coordination.Settings) error {
 	p, err := properties.Load(raw, properties.UTF8)
@@ -239,12 +245,20 @@
 		}
 	}
 	known := map[string]func(string, string){
-		"fleet.up.window":    span(&t.UpWindow),
-		"fleet.down.window":  span(&t.DownWindow),
-		"fleet.cooldown":     span(&t.Cooldown),
-		"leader.lease":       span(&t.LeaderLease),
-		"fleet.grow.step":    func(k, v string) { t.GrowStep = c.parseCount(k, v, 1, 50) },
-		"fleet.reserve.luck": func(k, v string) { t.HeadroomDeviations = c.parseAmount(k, v, 0, 10) },
+		"fleet.up.window":   span(&t.UpWindow),
+		"fleet.down.window": span(&t.DownWindow),
+		"fleet.cooldown":    span(&t.Cooldown),
+		"leader.lease":      span(&t.LeaderLease),
+		"fleet.grow.step":   func(k, v string) { t.GrowStep = c.parseCount(k, v, 1, 50) },
+
+		headroomProperty: func(k, v string) { t.HeadroomDeviations = c.parseAmount(k, v, 0, 10) },
+	}
+	known[deprecatedHeadroomProperty] = known[headroomProperty]
+	if _, old := p.Get(deprecatedHeadroomProperty); old {
+		s.Warnings = append(s.Warnings, fmt.Sprintf("%s: %s: is deprecated, use %s", file, deprecatedHeadroomProperty, headroomProperty))
+		if _, both := p.Get(headroomProperty); both {
+			c.fail(deprecatedHeadroomProperty, "is the deprecated name of "+headroomProperty+", which is given too")
+		}
 	}
 	for _, key := range p.Keys() {
 		set := known[key]
@@ -272,7 +286,7 @@
 	err  error
 }
 
-// spare is amount for a figure that may be left out.
+// optional is amount for a figure that may be left out.
 func (c *checker) optional(field string, v, least float64) float64 {
 	if v == 0 {
 		return 0
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -125,18 +125,18 @@
 	GraceS *float64 `json:"LeewayS,omitempty"`
 }
 
-// BeatAnswer is the answer to a report.
+// HeartbeatResponse is the answer to a report.
 type HeartbeatResponse struct {
 	Token  uint64  `json:"Baton"`
 	Orders []order `json:"Orders"`
 }
 
-// NewBeatAnswer puts the answer to a report on the wire.
+// NewHeartbeatResponse puts the answer to a report on the wire.
 func NewHeartbeatResponse(a coordination.HeartbeatResponse) HeartbeatResponse {
 	return HeartbeatResponse{Token: a.Token, Orders: newOrders(a.Orders)}
 }
 
-// Elsewhere tells a worker where to report.
+// Redirect tells a worker where to report.
 type Redirect struct {
 	Leader string `json:"Steward,omitempty"`
 	Error  string `json:"error"`
--- a/internal/storage/packing.go
+++ b/internal/storage/compression.go
@@ -15,13 +15,13 @@
 // inflateLimit bounds what one chunk may be unpacked to.
 const inflateLimit = 1 << 20
 
-// packer encodes chunks. It belongs to one journal.
+// compressor encodes chunks. It belongs to one journal.
 type compressor struct {
 	z   *flate.Writer
 	buf bytes.Buffer
 }
 
-// pack compresses a chunk's records into a value.
+// compress compresses a chunk's records into a value.
 func (p *compressor) compress(plain []byte) (json.RawMessage, error) {
 	p.buf.Reset()
 	if p.z == nil {
@@ -42,7 +42,7 @@
 	return json.Marshal(p.buf.Bytes())
 }
 
-// unpack returns a chunk's records as they were before pack.
+// decompress returns a chunk's records as they were before pack.
 func decompress(value json.RawMessage) ([]byte, error) {
 	if len(value) == 0 || value[0] != '"' {
 		return value, nil
@@ -73,14 +73,14 @@
 }
 
 const (
-	// packsFirst is by how much chunks are expected to shrink at first.
+	// initialRatio is by how much chunks are expected to shrink at first.
 	initialRatio = 2.0
-	// packsLeast is what surely fits, for base64 takes a third more.
+	// minRatio is what surely fits, for base64 takes a third more.
 	minRatio = 0.7
 	maxRatio = 16.0
 )
 
-// learnRatio takes in by how much a chunk has shrunk. full tells that it held as
+// updateRatio takes in by how much a chunk has shrunk. full tells that it held as
 // much as was expected to fit.
 func (j *Journal) updateRatio(value int, full bool) {
 	switch {
@@ -100,7 +100,7 @@
 	return int(float64(j.room()) * ratio)
 }
 
-// sureRoom is how many bytes of records fit into a chunk whatever they are.
+// guaranteedRoom is how many bytes of records fit into a chunk whatever they are.
 func (j *Journal) guaranteedRoom() int {
 	if !j.compress {
 		return j.room()
--- a/internal/storage/fragment.go
+++ b/internal/storage/fragment.go
@@ -14,14 +14,14 @@
 // service has called a whole record malformed, and that it does only when no such
 // version is left.
 
-// fragment is a piece of a record's data.
+// fragment is one part of a record's data.
 type fragment struct {
 	index, of int
 	tag       uint64 // tells the fragments of one record's one writing from all others
 	data      []byte
 }
 
-// fragmentFrame is what a fragment takes in a chunk beside its key and its piece.
+// fragmentFrame is what a fragment takes in a chunk beside its key and its data.
 const fragmentFrame = 64
 
 // split cuts a record into fragments of at most limit bytes each.
@@ -55,7 +55,7 @@
 	return &p, nil
 }
 
-// gathered is what has been read of a record in fragments.
+// partialRecord is what has been read of a record in fragments.
 type partialRecord struct {
 	chunk uint64 // of the first fragment
 	tag   uint64
@@ -63,7 +63,7 @@
 	data  []byte
 }
 
-// gather takes in a fragment, and returns the record once it is whole.
+// addFragment takes in a fragment, and returns the record once it is whole.
 func (j *Journal) addFragment(seq uint64, r Record) (whole bool, chunk uint64, data []byte) {
 	p := r.fragment
 	g := j.partial[r.Key]
--- a/internal/storage/ceiling.go
+++ b/internal/storage/limit_tracker.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// Ceiling is what the state service takes, as far as this process has seen. The
+// LimitTracker is what the state service takes, as far as this process has seen. The
 // service may lower its limits at some moment, without notice, to figures that
 // are known before: they are taken up on the first sign. The larger ones serve
 // better while they last.
@@ -16,7 +16,7 @@
 	lowered atomic.Bool // a request has been called malformed that once was none
 }
 
-// NewCeiling starts with the limits as they are said to be now.
+// NewLimitTracker starts with the limits as they are said to be now.
 func NewLimitTracker(l Limits) *LimitTracker {
 	c := &LimitTracker{next: l.Next}
 	c.now.Store(&l)
--- a/internal/storage/ceiling_test.go
+++ b/internal/storage/limit_tracker_test.go
@@ -16,10 +16,10 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// falling are limits that fall at some moment, and with which figures.
+// fallingLimits are limits that fall at some moment, and with which figures.
 func fallingLimits() *storage.LimitTracker { return fallingLimitsWith(0) }
 
-// fallingWith are the same, with how long an answer is waited for; 0: for ever.
+// fallingLimitsWith are the same, with how long an answer is waited for; 0: for ever.
 func fallingLimitsWith(patience time.Duration) *storage.LimitTracker {
 	l := limits
 	l.RequestTimeout = patience
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,6 +1,6 @@
 // Package storage keeps what must outlive every controller: the records of
-// jobs, attempts, machines and hires, the journal that writes them to the
-// state service in group commits, and the books of room that follow from them.
+// jobs, attempts, machines and rentals, the journal that writes them to the
+// state service in group commits, and the reservations of room that follow from them.
 package storage
 
 import (
@@ -126,7 +126,7 @@
 	Images map[string]float64 `json:"i,omitempty"`
 }
 
-// HireRecord is a rental request, recorded under its name before it is sent.
+// RentalRecord is a rental request, recorded under its name before it is sent.
 type RentalRecord struct {
 	Type  string `json:"t"`
 	Zone  string `json:"z"`
@@ -156,7 +156,7 @@
 type Record struct {
 	Key      string
 	Data     json.RawMessage
-	fragment *fragment // a piece of the data instead of all of it; nil: all
+	fragment *fragment // one part of the data instead of all of it; nil: all
 }
 
 // NewRecord encodes data under key; nil data removes the entity.
@@ -225,7 +225,7 @@
 // MachineKey names a machine's record.
 func MachineKey(n int) string { return "m" + strconv.Itoa(n) }
 
-// HireKey names a hire's record.
+// RentalKey names a rental's record.
 func RentalKey(name string) string { return "h" + name }
 
 // FleetKey and CatalogueKey name the two single records.
--- a/internal/storage/books.go
+++ b/internal/storage/reservations.go
@@ -1,6 +1,6 @@
 package storage
 
-// Books holds the room that is booked on machines and by teams. A booking
+// Reservations holds the room that is booked on machines and by teams. A booking
 // stays until its place is proved empty, so unproved tasks count to both.
 type Reservations struct {
 	machines map[int]*Room
@@ -8,12 +8,12 @@
 	attempts int
 }
 
-// NewBooks returns empty books.
+// NewReservations returns an empty set of reservations.
 func NewReservations() *Reservations {
 	return &Reservations{machines: make(map[int]*Room), teams: make(map[string]Room)}
 }
 
-// Book enters one attempt's room.
+// Reserve enters one attempt's room.
 func (b *Reservations) Reserve(machine int, team string, r Room) {
 	held := b.Machine(machine)
 	*held = held.Plus(r)
--- a/internal/storage/service.go
+++ b/internal/storage/service.go
@@ -14,7 +14,7 @@
 	ChangesPerS  float64
 	ValueBytes   int
 	TxnOps       int
-	// Patience is how long the journal waits for one answer before it asks
+	// RequestTimeout is how long the journal waits for one answer before it asks
 	// again; a request may never get one. 0: for ever.
 	RequestTimeout time.Duration
 	// Next are the limits that the service will have from some moment on; nil:
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -36,7 +36,7 @@
 	Sent []Txn // every transaction that arrived
 	// LoseAnswers makes so many transactions be executed without an answer.
 	LoseAnswers int
-	// Late, if set, tells for each transaction after how long it is carried out;
+	// Delay, if set, tells for each transaction after how long it is carried out;
 	// one for which that isn't 0 gets no answer.
 	Delay func() time.Duration
 	// Slow is added to the time that each request takes.
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -68,7 +68,7 @@
 	return w.Bytes()
 }
 
-// BenchmarkBeatRequest is a worker's report of eight tasks on its open connection.
+// BenchmarkHeartbeatRequest is a worker's report of eight tasks on its open connection.
 func BenchmarkHeartbeatRequest(b *testing.B) {
 	body := reportBody(8)
 	benchRequest(b, []byte(fmt.Sprintf("POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
@@ -79,7 +79,7 @@
 	benchRequest(b, []byte("GET /v1/jobs/job-000412 HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
-// BenchmarkPeerBeats is a batch of 16 reports handed to another node.
+// BenchmarkPeerHeartbeats is a batch of 16 reports handed to another node.
 func BenchmarkPeerHeartbeats(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/cloud.go
+++ b/internal/transport/cloud.go
@@ -57,7 +57,7 @@
 	return fmt.Errorf("%w: status %d", coordination.ErrCloud, ex.status)
 }
 
-// noCapacity is how the cloud refuses a hire.
+// noCapacity is how the cloud refuses a rental.
 const noCapacity = "no capacity"
 
 // Catalogue reads the machine types.
@@ -73,7 +73,7 @@
 	return types, nil
 }
 
-// Hire rents machines under a request name.
+// Rent rents machines under a request name.
 func (c *CloudClient) Rent(ctx context.Context, name string, h storage.RentalRecord) ([]int, error) {
 	var names protocol.MachineNames
 	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, h), &names); err != nil {
--- a/internal/transport/door.go
+++ b/internal/transport/conn_limiter.go
@@ -11,15 +11,15 @@
 // and may be more than a node has sockets for: what they hold must leave room
 // for users, health checks, and what the node itself opens.
 const (
-	// workerSockets may stay open between two reports; beyond that a worker's
+	// workerShare may stay open between two reports; beyond that a worker's
 	// connection is closed with its answer.
 	workerShare = 1.0 / 2
-	// doorSockets may be open in all; then idle workers' connections are closed
+	// acceptedShare may be open in all; then idle workers' connections are closed
 	// to let others in.
 	acceptedShare = 2.0 / 3
 	// shedShare of the idle workers' connections is closed at a time.
 	shedShare = 1.0 / 8
-	// orderSockets may be held by direct orders, idleSockets by connections kept
+	// directOrderShare may be held by direct orders, idleOrderShare by connections kept
 	// for the next ones.
 	directOrderShare = 1.0 / 6
 	idleOrderShare   = 1.0 / 12
@@ -27,8 +27,8 @@
 
 func socketShare(sockets int, share float64) int { return max(1, int(float64(sockets)*share)) }
 
-// door is a listener that keeps its guests within the node's sockets. What it
-// keeps of them belongs to the goroutine that accepts; guests only publish.
+// connLimiter is a listener that keeps its connections within the node's sockets. What it
+// keeps of them belongs to the goroutine that accepts; connections only publish.
 type connLimiter struct {
 	net.Listener
 	maxOpen, maxWorkers int64
@@ -39,7 +39,7 @@
 	once                sync.Once
 }
 
-// guest is one accepted connection.
+// limitedConn is one accepted connection.
 type limitedConn struct {
 	net.Conn
 	limiter *connLimiter
@@ -83,7 +83,7 @@
 	return g, nil
 }
 
-// sweep forgets the guests that have left.
+// sweep forgets the connections that have left.
 func (d *connLimiter) sweep() {
 	kept := d.conns[:0]
 	for _, g := range d.conns {
@@ -129,7 +129,7 @@
 	return g.Conn.Close()
 }
 
-// reports notes that the guest is a worker and tells whether its connection may
+// markWorker notes that the connection is a worker and tells whether its connection may
 // stay open.
 func (g *limitedConn) markWorker() (stays bool) {
 	if !g.worker.Swap(true) {
@@ -140,7 +140,7 @@
 
 type limitedConnKey struct{}
 
-// withGuest lets requests know their guest.
+// withLimitedConn lets requests know their connection.
 func withLimitedConn(ctx context.Context, c net.Conn) context.Context {
 	if g, ok := c.(*limitedConn); ok {
 		return context.WithValue(ctx, limitedConnKey{}, g)
--- a/internal/transport/door_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -37,7 +37,7 @@
 
 // ask sends one request and returns the answer's head, and whether the
 // connection stays open. One that doesn't has been closed when ask returns: on a
-// busy machine the door else counts it for a while longer, and sheds others.
+// busy machine the limiter else counts it for a while longer, and sheds others.
 func ask(t *testing.T, c net.Conn, req string) (head string, stays bool) {
 	t.Helper()
 	if _, err := io.WriteString(c, req); err != nil {
--- /dev/null
+++ b/internal/transport/peer_link.go
@@ -0,0 +1,163 @@
+package transport
+
+import (
+	"context"
+	"encoding/gob"
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"sagevale/internal/coordination"
+)
+
+type call struct {
+	ask   peerAsk
+	reply chan result
+}
+
+type result struct {
+	answer peerAnswer
+	err    error
+}
+
+type pendingCall struct {
+	call
+	at time.Time
+}
+
+// link is the actor of one peer's connection.
+type link struct {
+	self   string // this node
+	addr   string
+	made   time.Time
+	calls  chan call
+	events chan any
+	log    *slog.Logger
+
+	conn      net.Conn
+	enc       *gob.Encoder
+	pending   map[uint64]pendingCall
+	serial    uint64
+	downTill  time.Time
+	lastHeard atomic.Value // time.Time of the last answer, published for others
+	status    atomic.Value // coordination.PeerReport of the last answered ping, likewise
+}
+
+// brokenMsg tells that reading from a connection has ended.
+type brokenMsg struct {
+	conn net.Conn
+	err  error
+}
+
+func (l *link) run(ctx context.Context) {
+	l.pending = make(map[uint64]pendingCall)
+	tick := time.NewTicker(pingPause)
+	defer tick.Stop()
+	l.ping(ctx)
+	for {
+		select {
+		case <-ctx.Done():
+			l.drop(ctx.Err())
+			return
+		case c := <-l.calls:
+			l.send(ctx, c)
+		case e := <-l.events:
+			switch e := e.(type) {
+			case peerAnswer:
+				l.lastHeard.Store(time.Now())
+				if p, ok := l.pending[e.Serial]; ok {
+					if p.ask.Req.Op == coordination.OpPing && p.ask.Reports == nil {
+						l.status.Store(coordination.PeerReport{PeerStatus: e.Answer.Peer.Status(), Sent: p.at, Got: time.Now()})
+					}
+					delete(l.pending, e.Serial)
+					p.reply <- result{answer: e}
+				}
+			case brokenMsg:
+				if e.conn == l.conn {
+					l.drop(e.err)
+				}
+			}
+		case <-tick.C:
+			l.expire(time.Now())
+			l.ping(ctx)
+		}
+	}
+}
+
+// ping tests the link.
+func (l *link) ping(ctx context.Context) {
+	l.send(ctx, call{ask: peerAsk{Req: coordination.UserRequest{Op: coordination.OpPing, ID: l.self}}, reply: make(chan result, 1)})
+}
+
+func (l *link) send(ctx context.Context, c call) {
+	if l.conn == nil {
+		if time.Now().Before(l.downTill) {
+			c.reply <- result{err: errPeer}
+			return
+		}
+		d := net.Dialer{Timeout: peerTimeout / 2}
+		conn, err := d.DialContext(ctx, "tcp", l.addr)
+		if err != nil {
+			l.log.Debug("peer not reached", "err", err)
+			l.downTill = time.Now().Add(peerPause)
+			c.reply <- result{err: errPeer}
+			return
+		}
+		l.conn, l.enc = conn, gob.NewEncoder(conn)
+		go read(ctx, conn, l.events)
+	}
+	l.serial++
+	l.pending[l.serial] = pendingCall{c, time.Now()}
+	if err := l.conn.SetWriteDeadline(time.Now().Add(peerTimeout)); err != nil {
+		l.drop(err)
+		return
+	}
+	c.ask.Serial = l.serial
+	if err := l.enc.Encode(c.ask); err != nil {
+		l.drop(err)
+	}
+}
+
+func read(ctx context.Context, conn net.Conn, events chan<- any) {
+	dec := gob.NewDecoder(conn)
+	for {
+		var a peerAnswer
+		if err := dec.Decode(&a); err != nil {
+			select {
+			case events <- brokenMsg{conn, err}:
+			case <-ctx.Done():
+			}
+			return
+		}
+		select {
+		case events <- a:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// expire gives up on a connection that has left a request unanswered: behind
+// a cut it would only hang.
+func (l *link) expire(now time.Time) {
+	for _, p := range l.pending {
+		if now.Sub(p.at) > 2*peerTimeout {
+			l.drop(errPeer)
+			return
+		}
+	}
+}
+
+func (l *link) drop(err error) {
+	if l.conn != nil {
+		l.log.Debug("peer connection dropped", "err", err)
+		l.conn.Close()
+		l.conn, l.enc = nil, nil
+		l.downTill = time.Now().Add(peerPause)
+	}
+	for serial, p := range l.pending {
+		delete(l.pending, serial)
+		p.reply <- result{err: errPeer}
+	}
+}
--- /dev/null
+++ b/internal/transport/peer_server.go
@@ -0,0 +1,85 @@
+package transport
+
+import (
+	"context"
+	"encoding/gob"
+	"log/slog"
+	"net"
+	"time"
+
+	"sagevale/internal/coordination"
+	"sagevale/internal/storage"
+)
+
+// Local is what answers the other nodes.
+type Local interface {
+	Local(ctx context.Context, req coordination.UserRequest) coordination.Answer
+	LocalHeartbeats(ctx context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse
+}
+
+// ServePeers answers the other nodes' requests on l until ctx ends.
+func ServePeers(ctx context.Context, l net.Listener, local Local, log *slog.Logger) error {
+	stop := context.AfterFunc(ctx, func() { l.Close() })
+	defer stop()
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			if ctx.Err() != nil {
+				return nil
+			}
+			log.Error("peer not accepted", "err", err)
+			if !storage.Sleep(ctx, peerPause) {
+				return nil
+			}
+			continue
+		}
+		go servePeer(ctx, conn, local, log)
+	}
+}
+
+func servePeer(ctx context.Context, conn net.Conn, local Local, log *slog.Logger) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	answers := make(chan peerAnswer, peerQueue)
+	go func() {
+		defer cancel()
+		enc := gob.NewEncoder(conn)
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case a := <-answers:
+				if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
+					return
+				}
+				if err := enc.Encode(a); err != nil {
+					return
+				}
+			}
+		}
+	}()
+	dec := gob.NewDecoder(conn)
+	for {
+		var ask peerAsk
+		if err := dec.Decode(&ask); err != nil {
+			log.Debug("peer has gone", "err", err)
+			return
+		}
+		go func() {
+			actx, done := context.WithTimeout(ctx, peerTimeout)
+			defer done()
+			a := peerAnswer{Serial: ask.Serial}
+			if ask.Reports != nil {
+				a.Beats = coordination.WireResponses(local.LocalHeartbeats(actx, ask.Reports))
+			} else {
+				a.Answer = local.Local(actx, ask.Req)
+			}
+			select {
+			case answers <- a:
+			case <-ctx.Done():
+			}
+		}()
+	}
+}
