--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -9,16 +9,24 @@
 	"os"
 	"runtime/debug"
 	"strings"
+	"time"
 
 	"golang.org/x/sync/errgroup"
 
 	"sagevale/internal/coordination"
+	"sagevale/internal/telemetry"
 	"sagevale/internal/transport"
 )
 
 // heapShare of the memory quota is the Go runtime's soft limit.
 const heapShare = 0.7
 
+// usageReports is how often the process logs what it uses, in report intervals.
+const usageReports = 2.5
+
+// began is when the program was started, but for loading it.
+var began = time.Now()
+
 // serve runs one controller until it fails.
 func serve(ctx context.Context, s *coordination.Settings) error {
 	debug.SetMemoryLimit(int64(s.MemoryMB * heapShare * (1 << 20)))
@@ -41,12 +49,18 @@
 		Log:     log,
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	log.Info("serving", "users", s.Listen, "peers", s.PeerListen, "version", version)
+	log.Info("serving", "users", s.Listen, "peers", s.PeerListen, "version", version, "after", time.Since(began))
+	server := transport.NewServer(node, s.Sockets, log)
+	usage := &telemetry.Reporter{
+		Log: log, Interval: time.Duration(usageReports * float64(s.Report)), CPUShare: s.CPUShare,
+		Gauges: func() []any { return []any{"role", node.Role(), "connections", server.Connections()} },
+	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return node.Run(ctx) })
-	g.Go(func() error { return transport.NewServer(node, s.Sockets, log).Serve(ctx, users) })
+	g.Go(func() error { return server.Serve(ctx, users) })
 	g.Go(func() error { return transport.ServePeers(ctx, peerListener, node, log) })
 	g.Go(func() error { peers.Run(ctx); return nil })
+	g.Go(func() error { usage.Run(ctx); return nil })
 	return g.Wait()
 }
 
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -180,6 +180,20 @@
 	}
 }
 
+// Role names what this node does at present, for operators.
+func (n *Node) Role() string {
+	v := n.view.Load()
+	switch {
+	case v.dispatcher != nil:
+		return "leader"
+	case v.role.Leading:
+		return "taking over"
+	case v.role.Leader != "":
+		return "follower"
+	}
+	return "without a leader"
+}
+
 // Able tells whether users should be sent here: not where a leader lives but is
 // out of reach, nor where this node neither leads for certain nor reaches any
 // other. While nobody leads all nodes that see each other are as good. That the
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"sagevale/internal/coordination"
@@ -37,6 +38,7 @@
 type Server struct {
 	node    Controller
 	sockets int
+	limiter atomic.Pointer[connLimiter] // once it serves
 	log     *slog.Logger
 	http    *http.Server
 }
@@ -60,12 +62,23 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
-	if err := s.http.Serve(newConnLimiter(l, s.sockets)); !errors.Is(err, http.ErrServerClosed) {
+	limiter := newConnLimiter(l, s.sockets)
+	s.limiter.Store(limiter)
+	if err := s.http.Serve(limiter); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
+// Connections is how many accepted connections are open.
+func (s *Server) Connections() int64 {
+	limiter := s.limiter.Load()
+	if limiter == nil {
+		return 0
+	}
+	return limiter.open.Load()
+}
+
 // ServeHTTP answers one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer func() {
