--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"log/slog"
+	"runtime"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -14,6 +15,7 @@
 func run(t *testing.T, level slog.Level, span time.Duration) string {
 	t.Helper()
 	var out bytes.Buffer
+	runtime.GC() // the live heap is known from the first collection on
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r := &Reporter{
