--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -18,10 +18,8 @@
 const (
 	// forwarderQueue bounds the reports that wait for the forwarder.
 	forwarderQueue = 1024
-	// batchPerReport is how long reports gather for the leader, in report
-	// intervals, and batchMost how many one batch holds.
-	batchPerReport = 1.0 / 128
-	batchMost      = 128
+	// batchMost is how many reports one batch for the leader holds.
+	batchMost = 128
 	// workerMemoryLeases is how long a silent worker is remembered, in leases.
 	workerMemoryLeases = 2
 )
@@ -178,7 +176,7 @@
 	if len(c.pending) >= batchMost {
 		c.send(ctx)
 	} else if c.flush == nil {
-		c.flush = time.After(scale(c.settings.Report, batchPerReport))
+		c.flush = time.After(c.settings.batchWindow())
 	}
 }
 
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -140,6 +140,25 @@
 // fresh is how long a machine's last report counts.
 func (s *Settings) fresh() time.Duration { return freshIntervals * s.Report }
 
+const (
+	// minBatchWindow and maxBatchWindow are the shortest and the longest time that
+	// reports gather for the leader, in report intervals.
+	minBatchWindow = 1.0 / 128
+	maxBatchWindow = 1.0 / 16
+	// ampleCPUShare is the share of a processor that affords the shortest window. Each
+	// batch wakes two processes, so the window widens as the share falls.
+	ampleCPUShare = 0.25
+)
+
+// batchWindow is how long a follower gathers reports for the leader.
+func (s *Settings) batchWindow() time.Duration {
+	window := minBatchWindow
+	if s.CPUShare > 0 {
+		window *= max(1, ampleCPUShare/s.CPUShare)
+	}
+	return scale(s.Report, min(window, maxBatchWindow))
+}
+
 // announceSockets is the share of the sockets that spreading a token may take.
 const announceSockets = 1.0 / 16
 
--- /dev/null
+++ b/internal/protocol/report_reader_test.go
@@ -0,0 +1,118 @@
+package protocol
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// wireReport is a report with so many running tasks.
+func wireReport(seq uint64, tasks int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, `{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":%d,"Baton":41,"WarningS":null,"Chores":[`, seq)
+	for i := range tasks {
+		if i > 0 {
+			b.WriteByte(',')
+		}
+		fmt.Fprintf(&b, `{"Chore":"job-%06d/%d","Try":%d,"Standing":"running"}`, 1000+i, i, 7+i)
+	}
+	b.WriteString("]}")
+	return b.String()
+}
+
+// Whatever comes on a connection, in any order, is read as if it came alone.
+func TestAReportIsReadTheSameBehindAnyOther(t *testing.T) {
+	bodies := []string{
+		wireReport(88, 3), wireReport(89, 3), wireReport(90, 3), wireReport(90, 2), wireReport(91, 0), wireReport(18446744073709551615, 3),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally": 88`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":088`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":0`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":-88`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":8e1`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":99999999999999999999`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally":88,"tally":88`, 1),
+		strings.Replace(wireReport(89, 3), `"Tally":89`, `"Tally":89,"tally":88`, 1),
+		strings.Replace(wireReport(88, 3), `"Tally":88`, `"x\"Tally":88,"\u0054ally":88`, 1),
+		strings.Replace(wireReport(89, 3), `"Tally":89`, `"x\"Tally":89,"\u0054ally":88`, 1),
+		strings.Replace(wireReport(88, 3), "running", "pulling", 1),
+		strings.Replace(wireReport(89, 3), "running", "pulling", 1),
+		strings.Replace(wireReport(88, 3), `"Ride":1`, `"Ride":2`, 1),
+		strings.Replace(wireReport(88, 3), `"WarningS":null`, `"WarningS":7.5`, 1),
+		strings.Replace(wireReport(89, 3), `"WarningS":null`, `"WarningS":7.5`, 1),
+		wireReport(88, 3) + "x", wireReport(88, 100), wireReport(89, 100), "{}", "", "null",
+	}
+	rng := rand.New(rand.NewPCG(1, 2))
+	var reader ReportReader
+	repeats := 0
+	for range 20000 {
+		body := []byte(bodies[rng.IntN(len(bodies))])
+		if reader.repeated(body) != nil {
+			repeats++
+		}
+		got, err := reader.Read(body)
+		want, wantErr := ParseReport(body)
+		if (err == nil) != (wantErr == nil) || !reflect.DeepEqual(got, want) {
+			t.Fatalf("%s\nis read as %+v, %v\nand alone as %+v, %v", body, got, err, want, wantErr)
+		}
+		if got != nil && rng.IntN(8) == 0 {
+			got.Seq, got.Token = 1, 1 // what is returned may be changed, but for its tasks
+		}
+	}
+	if repeats < 300 {
+		t.Errorf("only %d repeats were noticed", repeats)
+	}
+}
+
+// An unchanged report is the most frequent message by far: it is not decoded again.
+func TestAnUnchangedReportIsNotDecodedAgain(t *testing.T) {
+	var reader ReportReader
+	bodies := make([][]byte, 0, 64)
+	for i := range 64 {
+		bodies = append(bodies, []byte(wireReport(uint64(100+i), 8)))
+	}
+	i := 0
+	allocs := testing.AllocsPerRun(500, func() {
+		if _, err := reader.Read(bodies[i%len(bodies)]); err != nil {
+			t.Fatal(err)
+		}
+		i++
+	})
+	if allocs > 2 {
+		t.Errorf("%.0f allocations for an unchanged report", allocs)
+	}
+}
+
+// What is kept of a connection's last report is bounded.
+func TestALargeReportIsNotKept(t *testing.T) {
+	var reader ReportReader
+	if _, err := reader.Read([]byte(wireReport(1, 1000))); err != nil {
+		t.Fatal(err)
+	}
+	if reader.before != nil {
+		t.Errorf("%d bytes are kept", len(reader.before)+len(reader.after))
+	}
+}
+
+func BenchmarkUnchangedReport(b *testing.B) {
+	var reader ReportReader
+	body := []byte(wireReport(100, 8))
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := reader.Read(body); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkParseReport(b *testing.B) {
+	body := []byte(wireReport(100, 8))
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := ParseReport(body); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -5,6 +5,8 @@
 	"net"
 	"sync"
 	"sync/atomic"
+
+	"sagevale/internal/protocol"
 )
 
 // Shares of the node's sockets. A fleet's workers keep their connections open,
@@ -43,8 +45,9 @@
 type limitedConn struct {
 	net.Conn
 	limiter *connLimiter
-	worker  atomic.Bool // has reported
-	busy    atomic.Bool // is being answered
+	worker  atomic.Bool           // has reported
+	reports protocol.ReportReader // of the request under way, one at a time
+	busy    atomic.Bool           // is being answered
 	closed  atomic.Bool
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -11,11 +12,13 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"sagevale/internal/coordination"
 	"sagevale/internal/protocol"
+	"sagevale/internal/storage"
 )
 
 // How long the parties wait for an answer, by the protocol; the server's own
@@ -134,29 +137,39 @@
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// readBody reads a request's body within the protocol's limit.
-func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
-	if err != nil {
+// bodies holds buffers for requests' bodies; none outlasts its request.
+var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+
+// withBody reads a request's body within the protocol's limit and hands it to use,
+// which must not keep it.
+func withBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
+	buf := bodies.Get().(*bytes.Buffer)
+	defer bodies.Put(buf)
+	buf.Reset()
+	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBody+1)); err != nil {
 		refuse(w, http.StatusBadRequest, "body not readable", 0)
-		return nil, false
+		return
 	}
-	if len(body) > protocol.MaxBody {
+	if buf.Len() > protocol.MaxBody {
 		w.Header().Set("Connection", "close")
 		refuse(w, http.StatusBadRequest, "body over 64 KiB", 0)
-		return nil, false
+		return
 	}
-	return body, true
+	use(buf.Bytes())
 }
 
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
-	body, ok := readBody(w, r)
-	if !ok {
-		return
-	}
-	spec, err := protocol.ParseSubmission(body)
-	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error(), 0)
+	var spec storage.Spec
+	understood := false
+	withBody(w, r, func(body []byte) {
+		var err error
+		if spec, err = protocol.ParseSubmission(body); err != nil {
+			refuse(w, http.StatusBadRequest, err.Error(), 0)
+			return
+		}
+		understood = true
+	})
+	if !understood {
 		return
 	}
 	s.ask(w, r, coordination.UserRequest{Op: coordination.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
@@ -191,18 +204,30 @@
 	}
 }
 
-func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	body, ok := readBody(w, r)
-	if !ok {
-		return
+// readReport reads a worker's report, with what is known of its connection if there is
+// one; nil if it is refused.
+func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *coordination.Report) {
+	parse := protocol.ParseReport
+	if conn != nil {
+		parse = conn.reports.Read
 	}
-	report, err := protocol.ParseReport(body)
-	if err != nil {
-		s.log.Debug("report not understood", "err", err)
-		refuse(w, http.StatusBadRequest, err.Error(), 0)
+	withBody(w, r, func(body []byte) {
+		var err error
+		if report, err = parse(body); err != nil {
+			s.log.Debug("report not understood", "err", err)
+			refuse(w, http.StatusBadRequest, err.Error(), 0)
+		}
+	})
+	return report
+}
+
+func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
+	g := limitedConnOf(r.Context())
+	report := s.readReport(w, r, g)
+	if report == nil {
 		return
 	}
-	if g := limitedConnOf(r.Context()); g != nil {
+	if g != nil {
 		g.busy.Store(true)
 		defer g.busy.Store(false)
 		if !g.markWorker() {
