--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -18,8 +18,21 @@
 	"sagevale/internal/transport"
 )
 
-// heapShare of the memory quota is the Go runtime's soft limit.
-const heapShare = 0.7
+const (
+	// heapShare of the memory quota is the Go runtime's soft limit.
+	heapShare = 0.7
+	// smallHeapShare of the memory quota is what a small heap grows to before garbage is
+	// collected: on a small share of a processor a collection holds up all else for
+	// long.
+	smallHeapShare = 1.0 / 3
+	// minHeapMB is what the Go runtime lets a small heap grow to at 100 percent.
+	minHeapMB = 4
+)
+
+// gcPercent is the collector's percentage for a process with so much memory.
+func gcPercent(memoryMB float64) int {
+	return max(100, int(100*memoryMB*smallHeapShare/minHeapMB))
+}
 
 // usageReports is how often the process logs what it uses, in report intervals.
 const usageReports = 2.5
@@ -30,6 +43,7 @@
 // serve runs one controller until it fails.
 func serve(ctx context.Context, s *coordination.Settings) error {
 	debug.SetMemoryLimit(int64(s.MemoryMB * heapShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent(s.MemoryMB))
 	log := newLogger().With("node", s.Node)
 	slog.SetDefault(log) // for the layers that are handed none
 	users, err := net.Listen("tcp", s.Listen)
--- /dev/null
+++ b/internal/coordination/settings_test.go
@@ -0,0 +1,23 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+)
+
+// Each batch of reports wakes a follower and the leader: the smaller the share of a
+// processor, the fewer there may be.
+func TestBatchesWidenAsTheShareFalls(t *testing.T) {
+	for _, c := range []struct {
+		share float64
+		want  time.Duration
+	}{
+		{0, 31250 * time.Microsecond}, {1, 31250 * time.Microsecond}, {0.25, 31250 * time.Microsecond},
+		{0.125, 62500 * time.Microsecond}, {0.03125, 250 * time.Millisecond}, {0.001, 250 * time.Millisecond},
+	} {
+		s := Settings{Report: 4 * time.Second, CPUShare: c.share}
+		if got := s.batchWindow(); got != c.want {
+			t.Errorf("at a share of %v reports gather for %v", c.share, got)
+		}
+	}
+}
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -32,6 +32,7 @@
 	addr   string
 	made   time.Time
 	calls  chan call
+	test   chan struct{} // asks for a ping
 	events chan any
 	log    *slog.Logger
 
@@ -52,8 +53,6 @@
 
 func (l *link) run(ctx context.Context) {
 	l.pending = make(map[uint64]pendingCall)
-	tick := time.NewTicker(pingPause)
-	defer tick.Stop()
 	l.ping(ctx)
 	for {
 		select {
@@ -78,7 +77,7 @@
 					l.drop(e.err)
 				}
 			}
-		case <-tick.C:
+		case <-l.test:
 			l.expire(time.Now())
 			l.ping(ctx)
 		}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -30,10 +30,12 @@
 	peerPause = 250 * time.Millisecond
 	// peerQueue bounds the requests that wait for one peer.
 	peerQueue = 256
-	// pingPause is how often a link is tested, and pingMissed how long one
-	// that hears nothing counts as in reach.
-	pingPause  = 250 * time.Millisecond
-	pingMissed = 6 * pingPause
+	// pingPause is how often the links are tested, all at once so that the process
+	// wakes once for them; pingMissed is how long one that hears nothing counts as in
+	// reach, and firstAnswer how long one that has never been heard.
+	pingPause   = peerTimeout / 2
+	pingMissed  = 3 * pingPause
+	firstAnswer = peerTimeout / 2
 )
 
 var errPeer = errors.New("peer out of reach")
@@ -52,7 +54,7 @@
 	p := &Peers{links: make(map[string]*link), log: log}
 	for _, peer := range peers {
 		l := &link{
-			self: self, addr: peer.Addr, calls: make(chan call, peerQueue), events: make(chan any, peerQueue),
+			self: self, addr: peer.Addr, calls: make(chan call, peerQueue), test: make(chan struct{}, 1), events: make(chan any, peerQueue),
 			log: log.With("peer", peer.Name), made: time.Now(),
 		}
 		p.links[peer.Name] = l
@@ -65,7 +67,26 @@
 	for _, l := range p.links {
 		go l.run(ctx)
 	}
-	<-ctx.Done()
+	p.testLinks(ctx)
+}
+
+// testLinks has all links tested at the same moments.
+func (p *Peers) testLinks(ctx context.Context) {
+	tick := time.NewTicker(pingPause)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		for _, l := range p.links {
+			select {
+			case l.test <- struct{}{}:
+			default: // it is behind, and will be
+			}
+		}
+	}
 }
 
 // Forward asks the named node.
@@ -128,7 +149,7 @@
 	heard, ok := l.lastHeard.Load().(time.Time)
 	if !ok {
 		// Never heard, maybe because a cut is older than this process.
-		if d := time.Since(l.made); d > 2*pingPause {
+		if d := time.Since(l.made); d > firstAnswer {
 			return d
 		}
 		return 0
