--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -64,7 +64,7 @@
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	log.Info("serving", "users", s.Listen, "peers", s.PeerListen, "version", version, "after", time.Since(began))
-	server := transport.NewServer(node, s.Sockets, log)
+	server := transport.NewServer(node, transport.Bounds{Sockets: s.Sockets, MemoryMB: s.MemoryMB}, log)
 	usage := &telemetry.Reporter{
 		Log: log, Interval: time.Duration(usageReports * float64(s.Report)), CPUShare: s.CPUShare,
 		Gauges: func() []any { return []any{"role", node.Role(), "connections", server.Connections()} },
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -163,7 +163,7 @@
 		CloudRPS:   c.amount("params.cloud.rps", f.Params.Cloud.RPS, 0.01),
 		ListLag:    c.duration("params.cloud.list_lag_s", f.Params.Cloud.ListLagS, 0),
 		CPUShare:   c.amount("params.quota.cpu_share", f.Params.Quota.CPUShare, 0.0001),
-		MemoryMB:   c.amount("params.quota.ram_mb", f.Params.Quota.RAMMB, 1),
+		MemoryMB:   c.amount("params.quota.ram_mb", f.Params.Quota.RAMMB, minMemoryMB),
 		Sockets:    c.count("params.quota.sockets", f.Params.Quota.Sockets, 8),
 		State: storage.Limits{
 			RequestsPerS: c.amount("params.state.rps", f.Params.State.RPS, 0.1),
@@ -226,6 +226,9 @@
 	deprecatedHeadroomProperty = "fleet.reserve.luck"
 )
 
+// minMemoryMB is the least that a node serves in: at rest it holds about half of it.
+const minMemoryMB = 16
+
 // parseProperties checks the operators' own settings.
 func parseProperties(file string, raw []byte, s *coordination.Settings) error {
 	p, err := properties.Load(raw, properties.UTF8)
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -28,7 +28,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	go func() { _ = NewServer(answering(), 1000, quiet).Serve(ctx, l) }()
+	go func() { _ = NewServer(answering(), Bounds{Sockets: 1000}, quiet).Serve(ctx, l) }()
 	return l.Addr().String()
 }
 
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -51,9 +51,9 @@
 	closed  atomic.Bool
 }
 
-func newConnLimiter(l net.Listener, sockets int) *connLimiter {
+func newConnLimiter(l net.Listener, bounds Bounds) *connLimiter {
 	return &connLimiter{
-		Listener: l, maxOpen: int64(socketShare(sockets, acceptedShare)), maxWorkers: int64(socketShare(sockets, workerShare)),
+		Listener: l, maxOpen: int64(bounds.connections()), maxWorkers: int64(bounds.workers()),
 		left: make(chan struct{}, 1), shut: make(chan struct{}),
 	}
 }
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -66,7 +66,7 @@
 	l := &pipes{make(chan net.Conn), make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- NewServer(answering(), sockets, quiet).Serve(ctx, l) }()
+	go func() { served <- NewServer(answering(), Bounds{Sockets: sockets}, quiet).Serve(ctx, l) }()
 	open := func() net.Conn {
 		ours, theirs := net.Pipe()
 		l.conns <- theirs
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -40,15 +40,16 @@
 // Server answers users and workers over HTTP.
 type Server struct {
 	node    Controller
-	sockets int
+	bounds  Bounds
+	bodies  bodyAdmission
 	limiter atomic.Pointer[connLimiter] // once it serves
 	log     *slog.Logger
 	http    *http.Server
 }
 
-// NewServer makes a server for a node that has so many sockets.
-func NewServer(node Controller, sockets int, log *slog.Logger) *Server {
-	s := &Server{node: node, sockets: sockets, log: log}
+// NewServer makes a server for a node within its bounds.
+func NewServer(node Controller, bounds Bounds, log *slog.Logger) *Server {
+	s := &Server{node: node, bounds: bounds, bodies: newBodyAdmission(bounds), log: log}
 	s.http = &http.Server{
 		Handler:           s,
 		ConnContext:       withLimitedConn,
@@ -65,7 +66,7 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
-	limiter := newConnLimiter(l, s.sockets)
+	limiter := newConnLimiter(l, s.bounds)
 	s.limiter.Store(limiter)
 	if err := s.http.Serve(limiter); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -137,31 +138,54 @@
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// bodies holds buffers for requests' bodies; none outlasts its request.
-var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// buffers are for requests' bodies; none outlasts its request.
+var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // withBody reads a request's body within the protocol's limit and hands it to use,
 // which must not keep it.
-func withBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
-	buf := bodies.Get().(*bytes.Buffer)
-	defer bodies.Put(buf)
+func (s *Server) withBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
+	if r.ContentLength > protocol.MaxBody {
+		refuseLarge(w)
+		return
+	}
+	release, ok := s.bodies.admit(r.ContentLength)
+	if !ok {
+		w.Header().Set("Connection", "close")
+		refuse(w, http.StatusServiceUnavailable, "too many large requests at once", 1)
+		return
+	}
+	defer release()
+	buf := buffers.Get().(*bytes.Buffer)
+	defer func() {
+		if buf.Cap() <= pooledBody {
+			buffers.Put(buf)
+		}
+	}()
 	buf.Reset()
+	if r.ContentLength > 0 {
+		buf.Grow(int(r.ContentLength) + bytes.MinRead) // it need not grow while it is read
+	}
 	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBody+1)); err != nil {
 		refuse(w, http.StatusBadRequest, "body not readable", 0)
 		return
 	}
 	if buf.Len() > protocol.MaxBody {
-		w.Header().Set("Connection", "close")
-		refuse(w, http.StatusBadRequest, "body over 64 KiB", 0)
+		refuseLarge(w)
 		return
 	}
 	use(buf.Bytes())
 }
 
+// refuseLarge refuses a body over the limit, and what may be left of it.
+func refuseLarge(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	refuse(w, http.StatusBadRequest, "body over 64 KiB", 0)
+}
+
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	var spec storage.Spec
 	understood := false
-	withBody(w, r, func(body []byte) {
+	s.withBody(w, r, func(body []byte) {
 		var err error
 		if spec, err = protocol.ParseSubmission(body); err != nil {
 			refuse(w, http.StatusBadRequest, err.Error(), 0)
@@ -211,7 +235,7 @@
 	if conn != nil {
 		parse = conn.reports.Read
 	}
-	withBody(w, r, func(body []byte) {
+	s.withBody(w, r, func(body []byte) {
 		var err error
 		if report, err = parse(body); err != nil {
 			s.log.Debug("report not understood", "err", err)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -69,7 +69,7 @@
 		{name: "malformed report", method: "POST", path: "/agent/beat", body: "{}", status: 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := NewServer(&stub{answer: tc.answer, beat: tc.beat}, 1000, quiet)
+			s := NewServer(&stub{answer: tc.answer, beat: tc.beat}, Bounds{Sockets: 1000}, quiet)
 			w := httptest.NewRecorder()
 			s.ServeHTTP(w, httptest.NewRequest(tc.method, tc.path, strings.NewReader(tc.body)))
 			if w.Code != tc.status || !strings.Contains(w.Body.String(), tc.contains) {
