--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -176,7 +176,7 @@
 	if len(c.pending) >= batchMost {
 		c.send(ctx)
 	} else if c.flush == nil {
-		c.flush = time.After(c.settings.batchWindow())
+		c.flush = time.After(c.settings.BatchWindow())
 	}
 }
 
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -150,13 +150,13 @@
 	ampleCPUShare = 0.25
 )
 
-// batchWindow is how long a follower gathers reports for the leader.
-func (s *Settings) batchWindow() time.Duration {
+// BatchWindow is how long a follower gathers reports, and polls, for the leader.
+func (s *Settings) BatchWindow() time.Duration {
 	window := minBatchWindow
 	if s.CPUShare > 0 {
 		window *= max(1, ampleCPUShare/s.CPUShare)
 	}
-	return scale(s.Report, min(window, maxBatchWindow))
+	return min(scale(s.Report, min(window, maxBatchWindow)), scale(workerTimeout, maxBatchWindow))
 }
 
 // announceSockets is the share of the sockets that spreading a token may take.
--- a/internal/coordination/settings_test.go
+++ b/internal/coordination/settings_test.go
@@ -8,6 +8,9 @@
 // Each batch of reports wakes a follower and the leader: the smaller the share of a
 // processor, the fewer there may be.
 func TestBatchesWidenAsTheShareFalls(t *testing.T) {
+	if got := (&Settings{Report: time.Minute, CPUShare: 0.001}).BatchWindow(); got > workerTimeout/8 {
+		t.Errorf("reports gather for %v, and a worker waits for %v", got, workerTimeout)
+	}
 	for _, c := range []struct {
 		share float64
 		want  time.Duration
@@ -16,7 +19,7 @@
 		{0.125, 62500 * time.Microsecond}, {0.03125, 250 * time.Millisecond}, {0.001, 250 * time.Millisecond},
 	} {
 		s := Settings{Report: 4 * time.Second, CPUShare: c.share}
-		if got := s.batchWindow(); got != c.want {
+		if got := s.BatchWindow(); got != c.want {
 			t.Errorf("at a share of %v reports gather for %v", c.share, got)
 		}
 	}
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"bufio"
 	"context"
 	"encoding/gob"
 	"log/slog"
@@ -37,7 +38,10 @@
 	log    *slog.Logger
 
 	conn      net.Conn
+	out       *bufio.Writer
 	enc       *gob.Encoder
+	window    time.Duration    // for which what can wait is gathered
+	flushDue  <-chan time.Time // when that is over; nil: nothing waits
 	pending   map[uint64]pendingCall
 	serial    uint64
 	downTill  time.Time
@@ -77,6 +81,8 @@
 					l.drop(e.err)
 				}
 			}
+		case <-l.flushDue:
+			l.flush()
 		case <-l.test:
 			l.expire(time.Now())
 			l.ping(ctx)
@@ -103,17 +109,43 @@
 			c.reply <- result{err: errPeer}
 			return
 		}
-		l.conn, l.enc = conn, gob.NewEncoder(conn)
+		l.use(conn)
 		go read(ctx, conn, l.events)
 	}
 	l.serial++
 	l.pending[l.serial] = pendingCall{c, time.Now()}
-	if err := l.conn.SetWriteDeadline(time.Now().Add(peerTimeout)); err != nil {
+	c.ask.Serial = l.serial
+	err := l.conn.SetWriteDeadline(time.Now().Add(peerTimeout + l.window))
+	if err == nil {
+		err = l.enc.Encode(c.ask)
+	}
+	switch {
+	case err != nil:
 		l.drop(err)
+	case !c.ask.mayWait():
+		l.flush()
+	case l.flushDue == nil:
+		l.flushDue = time.After(l.window)
+	}
+}
+
+// use takes up a connection.
+func (l *link) use(conn net.Conn) {
+	l.conn, l.out = conn, bufio.NewWriter(conn)
+	l.enc = gob.NewEncoder(l.out)
+}
+
+// mayWait tells whether a request may be gathered with others: polls are many and not
+// urgent, and each message by itself would wake the peer.
+func (a *peerAsk) mayWait() bool { return a.Reports == nil && a.Req.Op == coordination.OpPoll }
+
+// flush sends what has gathered.
+func (l *link) flush() {
+	l.flushDue = nil
+	if l.conn == nil {
 		return
 	}
-	c.ask.Serial = l.serial
-	if err := l.enc.Encode(c.ask); err != nil {
+	if err := l.out.Flush(); err != nil {
 		l.drop(err)
 	}
 }
@@ -152,7 +184,7 @@
 	if l.conn != nil {
 		l.log.Debug("peer connection dropped", "err", err)
 		l.conn.Close()
-		l.conn, l.enc = nil, nil
+		l.conn, l.out, l.enc, l.flushDue = nil, nil, nil, nil
 		l.downTill = time.Now().Add(peerPause)
 	}
 	for serial, p := range l.pending {
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"bufio"
 	"context"
 	"encoding/gob"
 	"log/slog"
@@ -45,7 +46,8 @@
 	answers := make(chan peerAnswer, peerQueue)
 	go func() {
 		defer cancel()
-		enc := gob.NewEncoder(conn)
+		out := bufio.NewWriter(conn)
+		enc := gob.NewEncoder(out)
 		for {
 			select {
 			case <-ctx.Done():
@@ -57,6 +59,12 @@
 				if err := enc.Encode(a); err != nil {
 					return
 				}
+				if len(answers) > 0 {
+					continue // they go together
+				}
+				if err := out.Flush(); err != nil {
+					return
+				}
 			}
 		}
 	}()
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -49,12 +49,12 @@
 
 var _ coordination.PeerLink = (*Peers)(nil)
 
-// NewPeers makes the links; Run starts them.
-func NewPeers(self string, peers []coordination.Peer, log *slog.Logger) *Peers {
+// NewPeers makes the links; Run starts them. What can wait is gathered for a window.
+func NewPeers(self string, peers []coordination.Peer, window time.Duration, log *slog.Logger) *Peers {
 	p := &Peers{links: make(map[string]*link), log: log}
 	for _, peer := range peers {
 		l := &link{
-			self: self, addr: peer.Addr, calls: make(chan call, peerQueue), test: make(chan struct{}, 1), events: make(chan any, peerQueue),
+			self: self, addr: peer.Addr, window: window, calls: make(chan call, peerQueue), test: make(chan struct{}, 1), events: make(chan any, peerQueue),
 			log: log.With("peer", peer.Name), made: time.Now(),
 		}
 		p.links[peer.Name] = l
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -2,9 +2,13 @@
 
 import (
 	"context"
+	"errors"
+	"net"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"sagevale/internal/coordination"
 )
 
 // All links are tested at the same moments, so that a process wakes once for them.
@@ -43,3 +47,72 @@
 		}
 	})
 }
+
+// countedConn counts what is written to it.
+type countedConn struct {
+	net.Conn
+	writes int
+	broken bool
+}
+
+func (c *countedConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *countedConn) Close() error                     { return nil }
+func (c *countedConn) Write(b []byte) (int, error) {
+	if c.broken {
+		return 0, errors.New("broken")
+	}
+	c.writes++
+	return len(b), nil
+}
+
+// gatheringLink is a link on a connection that counts its writes.
+func gatheringLink() (*link, *countedConn) {
+	conn := &countedConn{}
+	l := &link{window: time.Second, pending: make(map[uint64]pendingCall), log: quiet}
+	l.use(conn)
+	return l, conn
+}
+
+func request(l *link, op coordination.UserOp, reports ...*coordination.Report) chan result {
+	reply := make(chan result, 1)
+	l.send(context.Background(), call{ask: peerAsk{Req: coordination.UserRequest{Op: op, ID: "000001"}, Reports: reports}, reply: reply})
+	return reply
+}
+
+// Each message by itself wakes the peer: polls gather, and go with the first request
+// that can't wait.
+func TestPollsGatherOnALink(t *testing.T) {
+	for name, urgent := range map[string]func(l *link){
+		"the window ends":    func(l *link) { l.flush() },
+		"a submission":       func(l *link) { request(l, coordination.OpSubmit) },
+		"a cancel":           func(l *link) { request(l, coordination.OpCancel) },
+		"a ping":             func(l *link) { request(l, coordination.OpPing) },
+		"a batch of reports": func(l *link) { request(l, coordination.OpSubmit, &coordination.Report{Machine: 1}) },
+	} {
+		l, conn := gatheringLink()
+		for range 10 {
+			request(l, coordination.OpPoll)
+		}
+		if conn.writes != 0 || l.flushDue == nil {
+			t.Errorf("%s: %d writes before, due %v", name, conn.writes, l.flushDue != nil)
+		}
+		urgent(l)
+		if conn.writes != 1 || l.flushDue != nil {
+			t.Errorf("%s: %d writes after", name, conn.writes)
+		}
+	}
+}
+
+// What has gathered when a connection breaks is answered as out of reach.
+func TestGatheredPollsFailWithTheirConnection(t *testing.T) {
+	l, conn := gatheringLink()
+	reply := request(l, coordination.OpPoll)
+	conn.broken = true
+	l.flush()
+	if r := <-reply; r.err == nil {
+		t.Errorf("answered %+v", r.answer)
+	}
+	if l.conn != nil || l.flushDue != nil {
+		t.Error("the connection is kept")
+	}
+}
