--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -22,12 +22,12 @@
 	if _, err := fmt.Sscanf(strings.TrimPrefix(it.Key, chunkPrefix), "%d", &seq); err != nil {
 		return fmt.Errorf("chunk key %q: %w", it.Key, err)
 	}
-	var records []Record
 	plain, err := decompress(it.Data)
 	if err != nil {
 		return fmt.Errorf("chunk %q: %w", it.Key, err)
 	}
-	if err := json.Unmarshal(plain, &records); err != nil {
+	records, err := parseRecords(plain)
+	if err != nil {
 		return fmt.Errorf("chunk %q: %w", it.Key, err)
 	}
 	j.note(seq, records)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -4,9 +4,11 @@
 package storage
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"strconv"
+	"unicode/utf8"
 )
 
 // Priority orders jobs; a larger value goes first.
@@ -184,26 +186,61 @@
 
 // UnmarshalJSON reads the pair that MarshalJSON writes.
 func (r *Record) UnmarshalJSON(b []byte) error {
-	var pair []json.RawMessage
-	if err := json.Unmarshal(b, &pair); err != nil {
+	var parts []json.RawMessage
+	if err := json.Unmarshal(b, &parts); err != nil {
 		return err
 	}
-	if len(pair) == 0 || len(pair) > 2 && len(pair) != fragmentFields {
-		return fmt.Errorf("a record has %d parts", len(pair))
+	var err error
+	*r, err = recordOf(parts)
+	return err
+}
+
+// recordOf makes a record of its parts: the key, then its data or a fragment of it.
+func recordOf(parts []json.RawMessage) (Record, error) {
+	if len(parts) == 0 || len(parts) > 2 && len(parts) != fragmentFields {
+		return Record{}, fmt.Errorf("a record has %d parts", len(parts))
 	}
-	if err := json.Unmarshal(pair[0], &r.Key); err != nil {
-		return err
+	var r Record
+	var err error
+	if r.Key, err = parseKey(parts[0]); err != nil {
+		return Record{}, err
 	}
-	r.Data, r.fragment = nil, nil
-	switch len(pair) {
+	switch len(parts) {
 	case 2:
-		r.Data = pair[1]
+		r.Data = parts[1]
 	case fragmentFields:
-		var err error
-		r.fragment, err = unmarshalFragment(pair)
-		return err
+		if r.fragment, err = unmarshalFragment(parts); err != nil {
+			return Record{}, err
+		}
+	}
+	return r, nil
+}
+
+// parseKey reads a record's key; nearly all stand for themselves.
+func parseKey(raw json.RawMessage) (key string, err error) {
+	if len(raw) >= 2 && raw[0] == '"' && bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw) {
+		return string(raw[1 : len(raw)-1]), nil
+	}
+	err = json.Unmarshal(raw, &key)
+	return key, err
+}
+
+// parseRecords reads a chunk's records. A take-over reads all of them: decoding them at
+// once costs less than half of decoding each by UnmarshalJSON.
+func parseRecords(plain []byte) ([]Record, error) {
+	var all [][]json.RawMessage
+	if err := json.Unmarshal(plain, &all); err != nil {
+		return nil, err
+	}
+	records := make([]Record, 0, len(all))
+	for _, parts := range all {
+		r, err := recordOf(parts)
+		if err != nil {
+			return nil, err
+		}
+		records = append(records, r)
 	}
-	return nil
+	return records, nil
 }
 
 // Kinds of record, by the first letter of their keys.
--- /dev/null
+++ b/internal/storage/records_test.go
@@ -0,0 +1,79 @@
+package storage
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"testing"
+)
+
+// chunkOf is a chunk's value with so many pages of attempts.
+func chunkOf(tb testing.TB, pages int) []byte {
+	tb.Helper()
+	var records []Record
+	for i := range pages {
+		page := PageRecord{Done: []int{0, 3}}
+		for task := range 5 {
+			page.Attempts = append(page.Attempts, AttemptRecord{Task: task, Try: uint64(167772160 + i), Machine: 231 + i, Session: 1})
+		}
+		r, err := NewRecord(PageKey(fmt.Sprintf("%06d", i), 0), page)
+		if err != nil {
+			tb.Fatal(err)
+		}
+		records = append(records, r)
+	}
+	raw, err := json.Marshal(records)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return raw
+}
+
+// Records are read at once as each is read by itself, and refused alike.
+func TestRecordsReadAtOnceAreReadTheSame(t *testing.T) {
+	for _, raw := range []string{
+		string(chunkOf(t, 3)), `[]`, `[["m8"]]`, `[["m8",null]]`, `[["a\u0062",{"x":1}]]`, `[["k","cGllY2U=",0,2,7]]`,
+		`[["k","cGllY2U=",2,2,7]]`, `[[]]`, `[["a",1,2]]`, `[[7,1]]`, `{}`, `[["a",1]`, `null`, `[null]`, `[["a",1],7]`,
+	} {
+		var want []Record
+		wantErr := json.Unmarshal([]byte(raw), &want)
+		got, err := parseRecords([]byte(raw))
+		if (err == nil) != (wantErr == nil) || err == nil && len(want) > 0 && !reflect.DeepEqual(got, want) {
+			t.Errorf("%s is read as %+v, %v; each by itself as %+v, %v", raw, got, err, want, wantErr)
+		}
+	}
+}
+
+// A take-over reads every chunk while nobody leads.
+func TestReadingAChunkAllocatesLittle(t *testing.T) {
+	raw := chunkOf(t, 40)
+	allocs := testing.AllocsPerRun(50, func() {
+		if _, err := parseRecords(raw); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if perRecord := allocs / 40; perRecord > 7 {
+		t.Errorf("%.1f allocations a record", perRecord)
+	}
+}
+
+func BenchmarkParseRecords(b *testing.B) {
+	raw := chunkOf(b, 40)
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := parseRecords(raw); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkUnmarshalRecords(b *testing.B) {
+	raw := chunkOf(b, 40)
+	b.ReportAllocs()
+	for b.Loop() {
+		var records []Record
+		if err := json.Unmarshal(raw, &records); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
