--- a/internal/coordination/fake_node_test.go
+++ b/internal/coordination/fake_node_test.go
@@ -138,7 +138,10 @@
 }
 
 // Orders is a node's direct way to the workers.
-func (n *fakeNode) Orders(ctx context.Context, addr string, token, session uint64, orders []Order) (Outcome, *Report) {
+func (n *fakeNode) Orders(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report) {
+	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
+		return NotSent, nil
+	}
 	var id int
 	if _, err := fmt.Sscan(addr, &id); err != nil {
 		n.sim.t.Errorf("address %q", addr)
--- /dev/null
+++ b/internal/coordination/lean_test.go
@@ -0,0 +1,140 @@
+package coordination
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// Nodes with little processor and memory: they fall behind, and must keep every rule all
+// the same. The simulation watches the rules.
+
+// lean has the nodes run on a few hundredths of a processor.
+func lean(s *Settings) { s.CPUShare, s.MemoryMB, s.Report = 0.036, 65, 4*time.Second }
+
+// A process that falls behind fires its timers late and gets to each step late: between
+// a check and its effect the lead may be over.
+func TestASlowProcessorKeepsTheRules(t *testing.T) {
+	for _, most := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
+		t.Run(most.String(), func(t *testing.T) {
+			inSimulationWith(t, lean, func(sim *simulation) {
+				sim.submit(service("000001", 6))
+				sim.runs("000001", 6)
+				sim.slow.Store(int64(most))
+				for i := range 3 {
+					sim.submit(lasting(fmt.Sprintf("%06d", 100+i), 3, time.Hour)) // to be cancelled
+					sim.submit(lasting(fmt.Sprintf("%06d", 103+i), 3, 20*time.Second))
+				}
+				sim.submit(gangOf("000200", 4))
+				sim.crash(sim.awaitLeader(), time.Second)
+				sim.cancel("000100")
+				sim.refuseLeader()
+				time.Sleep(2 * sim.settings.Tuning.LeaderLease)
+				sim.cancel("000101")
+				for _, n := range sim.nodes {
+					n.cutState.Store(false)
+				}
+				sim.outage(sim.settings.Lease)
+				for _, n := range sim.nodes {
+					n.restart()
+				}
+				sim.cancel("000102")
+				sim.slow.Store(0)
+				for _, id := range []string{"000103", "000104", "000105", "000200"} {
+					sim.done(id)
+				}
+				for _, id := range []string{"000100", "000101", "000102"} {
+					sim.gone(id)
+				}
+				sim.runs("000001", 6)
+			})
+		})
+	}
+}
+
+// All controllers come back at once, and all workers report to them in the same moments:
+// nothing is lost, and nothing begins anew.
+func TestAFullTakeOverLosesNothing(t *testing.T) {
+	inSimulationWith(t, lean, func(sim *simulation) {
+		const jobs, tasks = 20, 8
+		for i := range jobs {
+			sim.submit(service(fmt.Sprintf("%06d", 1+i), tasks))
+		}
+		for i := range jobs {
+			sim.runs(fmt.Sprintf("%06d", 1+i), tasks)
+		}
+		starts := sim.startsSoFar()
+		for _, n := range sim.nodes {
+			n.kill()
+		}
+		time.Sleep(5 * time.Second)
+		sim.slow.Store(int64(5 * time.Millisecond))
+		for _, n := range sim.nodes {
+			n.start()
+		}
+		lead := sim.awaitLeader()
+		time.Sleep(2 * sim.settings.Report)
+		sim.slow.Store(0)
+		for i := range jobs {
+			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != StateRunning || a.Running != tasks {
+				t.Errorf("two report intervals after the take-over: %+v", a)
+			}
+		}
+		if got := sim.startsSoFar(); got != starts {
+			t.Errorf("%d tasks began anew", got-starts)
+		}
+		sim.submit(arrayJob("000900", 4))
+		sim.done("000900")
+		if sim.leader() != lead {
+			t.Error("the lead changed hands")
+		}
+	})
+}
+
+// Work that doesn't fit into the memory is told when to come back; the rest goes on.
+func TestWorkBeyondTheMemoryIsToldToComeBack(t *testing.T) {
+	inSimulationWith(t, func(s *Settings) { lean(s); s.MemoryMB = 16 }, func(sim *simulation) {
+		sim.submit(service("000001", 2)) // the machine types are known
+		most := sim.settings.maxTasks()
+		large := arrayJob("000002", most+1)
+		a := sim.askNode(sim.awaitLeader(), OpSubmit, large.ID, large)
+		if a.Code != CodeBusy || a.RetryS < 1 {
+			t.Errorf("a job of %d tasks is answered %+v", large.Tasks, a)
+		}
+		sim.submit(arrayJob("000003", 3))
+		sim.done("000003")
+		sim.runs("000001", 2)
+	})
+}
+
+// An order that has waited until its sender's lead may be over isn't sent: a successor
+// may have confirmed a cancel by then.
+func TestAStartIsNotSentAfterTheLead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestDispatcher(t, grownSettings())
+		sent := make(chan time.Time, 2)
+		d.deps.Workers = boundRecorder{sent}
+		m := d.up(7, "cpu", "a", false)
+		a := d.book(d.accept(service("000001", 1)), 0, m, time.Now())
+		d.start([]*attempt{a})
+		if bound := <-sent; !bound.Equal(d.role.Certain) {
+			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.Certain)
+		}
+		a.seen = true
+		d.stop(a, 0)
+		d.stopSeen(m)
+		if bound := <-sent; !bound.IsZero() {
+			t.Errorf("a stop is bound by %v", bound)
+		}
+	})
+}
+
+// boundRecorder tells until when orders may be sent.
+type boundRecorder struct{ sent chan time.Time }
+
+func (b boundRecorder) Orders(_ context.Context, _ string, _, _ uint64, _ []Order, sendBy time.Time) (Outcome, *Report) {
+	b.sent <- sendBy
+	return NotSent, nil
+}
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -88,10 +88,14 @@
 func (d *dispatcher) send(m *machine, orders []Order, starts []*attempt, limit time.Duration) {
 	addr, session, id := m.addr, m.session, m.id
 	m.inFlight++
+	var sendBy time.Time
+	if len(starts) > 0 {
+		sendBy = d.role.Certain // a process that falls behind may get to it late
+	}
 	go func() {
 		ctx, cancel := context.WithTimeout(d.ctx, limit)
 		defer cancel()
-		outcome, report := d.deps.Workers.Orders(ctx, addr, d.term, session, orders)
+		outcome, report := d.deps.Workers.Orders(ctx, addr, d.term, session, orders, sendBy)
 		d.post(directMsg{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
 	}()
 }
--- a/internal/coordination/ports.go
+++ b/internal/coordination/ports.go
@@ -173,7 +173,9 @@
 
 // WorkerLink sends commands straight to workers.
 type WorkerLink interface {
-	Orders(ctx context.Context, addr string, token, session uint64, orders []Order) (Outcome, *Report)
+	// Orders sends a command, unless it can't before sendBy: its sender may have lost
+	// the lead by then. A zero sendBy is no bound.
+	Orders(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report)
 }
 
 // MachineState is a machine's state in the cloud's list.
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -40,7 +40,7 @@
 // silentWorkers never get a direct order.
 type silentWorkers struct{}
 
-func (silentWorkers) Orders(context.Context, string, uint64, uint64, []Order) (Outcome, *Report) {
+func (silentWorkers) Orders(context.Context, string, uint64, uint64, []Order, time.Time) (Outcome, *Report) {
 	return NotSent, nil
 }
 
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"math/rand/v2"
 	"sort"
 	"sync"
 	"sync/atomic"
@@ -39,8 +40,37 @@
 	apart    atomic.Pointer[string] // a zone that is cut off from everything
 	over     atomic.Bool            // machines that boot now stay away
 	log      *slog.Logger
+	slow     atomic.Int64 // up to how long each log record holds up its node, in ns
 }
 
+// slowProcessor holds up whoever logs: what comes between a check and its effect on a
+// processor that falls behind.
+type slowProcessor struct {
+	slog.Handler
+	sim  *simulation
+	mu   sync.Mutex
+	rand *rand.Rand
+}
+
+// Enabled has all levels logged while the processor is slow.
+func (p *slowProcessor) Enabled(context.Context, slog.Level) bool { return p.sim.slow.Load() > 0 }
+
+// Handle takes its time.
+func (p *slowProcessor) Handle(context.Context, slog.Record) error {
+	most := p.sim.slow.Load()
+	if most <= 0 {
+		return nil
+	}
+	p.mu.Lock()
+	pause := p.rand.Int64N(most)
+	p.mu.Unlock()
+	time.Sleep(time.Duration(pause))
+	return nil
+}
+
+// WithAttrs keeps the handler as it is.
+func (p *slowProcessor) WithAttrs([]slog.Attr) slog.Handler { return p }
+
 // inSimulation runs a scenario in simulated time.
 func inSimulation(t *testing.T, story func(sim *simulation)) {
 	t.Helper()
@@ -61,8 +91,8 @@
 			},
 			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
 			answered: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), together: make(map[string]int),
-			log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
+		sim.log = slog.New(&slowProcessor{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
 		change(&sim.settings)
 		sim.settings.Tuning = sim.settings.DefaultTuning()
 		sim.state = storagetest.NewService()
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -124,7 +124,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if out, _ := w.Orders(ctx, l.Addr().String(), 41, 1, orders); out != coordination.Executed {
+		if out, _ := w.Orders(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != coordination.Executed {
 			b.Fatal(out)
 		}
 		cancel()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -96,7 +96,7 @@
 		defer srv.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		out, _ := w.Orders(ctx, strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders)
+		out, _ := w.Orders(ctx, strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Time{})
 		return out
 	}
 	say := func(status int, body string) http.HandlerFunc {
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if out, _ := w.Orders(context.Background(), l.Addr().String(), 1, 1, orders); out != coordination.NotSent {
+	if out, _ := w.Orders(context.Background(), l.Addr().String(), 1, 1, orders, time.Time{}); out != coordination.NotSent {
 		t.Errorf("refused connection: %v", out)
 	}
 }
@@ -148,6 +148,23 @@
 	return out
 }
 
+// Orders that have waited for a free connection until it is too late aren't sent.
+func TestOrdersThatWaitedTooLongAreNotSent(t *testing.T) {
+	reached := make(chan struct{}, 1)
+	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached <- struct{}{} }))
+	defer srv.Close()
+	orders := []coordination.Order{{Verb: coordination.Start, ID: coordination.TaskID{Job: "000412", Task: 3}, Try: 2}}
+	out, _ := NewWorkerClient(100, quiet).Orders(context.Background(), strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Now())
+	if out != coordination.NotSent {
+		t.Errorf("told %v", out)
+	}
+	select {
+	case <-reached:
+		t.Error("sent all the same")
+	default:
+	}
+}
+
 func TestPeersForwardAndNoticeSilence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -28,14 +28,18 @@
 	return &WorkerClient{newClient(1, socketShare(sockets, idleOrderShare), idleOrders), make(chan struct{}, socketShare(sockets, directOrderShare)), log}
 }
 
-// Orders sends orders and returns the worker's report after them.
-func (w *WorkerClient) Orders(ctx context.Context, addr string, token, session uint64, orders []coordination.Order) (coordination.Outcome, *coordination.Report) {
+// Orders sends orders, unless they have waited here until sendBy, and returns the
+// worker's report after them.
+func (w *WorkerClient) Orders(ctx context.Context, addr string, token, session uint64, orders []coordination.Order, sendBy time.Time) (coordination.Outcome, *coordination.Report) {
 	select {
 	case w.slots <- struct{}{}:
 		defer func() { <-w.slots }()
 	case <-ctx.Done():
 		return coordination.NotSent, nil
 	}
+	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
+		return coordination.NotSent, nil
+	}
 	ex, sent, err := w.c.do(ctx, http.MethodPost, "http://"+addr+"/orders", protocol.NewDirectOrders(token, session, orders))
 	switch {
 	case err != nil && !sent:
