--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -159,6 +159,21 @@
 	return min(scale(s.Report, min(window, maxBatchWindow)), scale(workerTimeout, maxBatchWindow))
 }
 
+// fastLinkTests and slowLinkTests are how often the links between nodes are tested with
+// an ample share of a processor and with little.
+const (
+	fastLinkTests = 250 * time.Millisecond
+	slowLinkTests = 2 * fastLinkTests
+)
+
+// LinkTests is how often the links between nodes are tested.
+func (s *Settings) LinkTests() time.Duration {
+	if s.CPUShare <= 0 {
+		return fastLinkTests
+	}
+	return min(slowLinkTests, scale(fastLinkTests, max(1, ampleCPUShare/s.CPUShare)))
+}
+
 // announceSockets is the share of the sockets that spreading a token may take.
 const announceSockets = 1.0 / 16
 
--- a/internal/coordination/settings_test.go
+++ b/internal/coordination/settings_test.go
@@ -24,3 +24,13 @@
 		}
 	}
 }
+
+// Links are tested as often as ever with an ample share of a processor, half as often
+// with little.
+func TestLinksAreTestedLessOftenWithLittleProcessor(t *testing.T) {
+	for share, want := range map[float64]time.Duration{0: fastLinkTests, 1: fastLinkTests, 0.25: fastLinkTests, 0.2: 5 * fastLinkTests / 4, 0.036: slowLinkTests} {
+		if got := (&Settings{CPUShare: share}).LinkTests(); got != want {
+			t.Errorf("at a share of %v every %v", share, got)
+		}
+	}
+}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -30,11 +30,9 @@
 	peerPause = 250 * time.Millisecond
 	// peerQueue bounds the requests that wait for one peer.
 	peerQueue = 256
-	// pingPause is how often the links are tested, all at once so that the process
-	// wakes once for them; pingMissed is how long one that hears nothing counts as in
-	// reach, and firstAnswer how long one that has never been heard.
-	pingPause   = peerTimeout / 2
-	pingMissed  = 3 * pingPause
+	// pingMissed is how long a link that hears nothing counts as in reach, and
+	// firstAnswer how long one that has never been heard.
+	pingMissed  = 3 * peerTimeout / 2
 	firstAnswer = peerTimeout / 2
 )
 
@@ -44,17 +42,24 @@
 // that owns its connection.
 type Peers struct {
 	links map[string]*link
+	pings time.Duration // how often they are tested, all at once: the process wakes once
 	log   *slog.Logger
 }
 
 var _ coordination.PeerLink = (*Peers)(nil)
 
-// NewPeers makes the links; Run starts them. What can wait is gathered for a window.
-func NewPeers(self string, peers []coordination.Peer, window time.Duration, log *slog.Logger) *Peers {
-	p := &Peers{links: make(map[string]*link), log: log}
+// Pace is how the links spare the processor.
+type Pace struct {
+	Window time.Duration // for which what can wait is gathered
+	Pings  time.Duration // how often all links are tested
+}
+
+// NewPeers makes the links; Run starts them.
+func NewPeers(self string, peers []coordination.Peer, pace Pace, log *slog.Logger) *Peers {
+	p := &Peers{links: make(map[string]*link), pings: pace.Pings, log: log}
 	for _, peer := range peers {
 		l := &link{
-			self: self, addr: peer.Addr, window: window, calls: make(chan call, peerQueue), test: make(chan struct{}, 1), events: make(chan any, peerQueue),
+			self: self, addr: peer.Addr, window: pace.Window, calls: make(chan call, peerQueue), test: make(chan struct{}, 1), events: make(chan any, peerQueue),
 			log: log.With("peer", peer.Name), made: time.Now(),
 		}
 		p.links[peer.Name] = l
@@ -72,7 +77,7 @@
 
 // testLinks has all links tested at the same moments.
 func (p *Peers) testLinks(ctx context.Context) {
-	tick := time.NewTicker(pingPause)
+	tick := time.NewTicker(p.pings)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -14,8 +14,9 @@
 // All links are tested at the same moments, so that a process wakes once for them.
 func TestLinksAreTestedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
+		const pings = 500 * time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
-		p := &Peers{links: map[string]*link{"a": {test: make(chan struct{}, 1)}, "b": {test: make(chan struct{}, 1)}, "stuck": {test: make(chan struct{}, 1)}}}
+		p := &Peers{pings: pings, links: map[string]*link{"a": {test: make(chan struct{}, 1)}, "b": {test: make(chan struct{}, 1)}, "stuck": {test: make(chan struct{}, 1)}}}
 		done := make(chan struct{})
 		go func() { p.testLinks(ctx); close(done) }()
 		moments := make(map[time.Time]int)
@@ -37,7 +38,7 @@
 		cancel()
 		<-done
 		<-heard
-		if want := int(span / pingPause); len(moments) != want {
+		if want := int(span / pings); len(moments) != want {
 			t.Errorf("woken %d times, not %d", len(moments), want)
 		}
 		for at, n := range moments {
