--- a/cmd/sagevale/models.go
+++ b/cmd/sagevale/models.go
@@ -33,7 +33,7 @@
 	}
 	pace := activator.Pace{
 		Retry: s.WakeInterval(), Timeout: s.UsageInterval(), Wait: s.WakeInterval(), Usage: s.UsageInterval(),
-		Repeat: s.Lease, Remember: 2 * tuning.Policy.IdleWindow,
+		Repeat: s.WorkerLease, Remember: 2 * tuning.Policy.IdleWindow,
 	}
 	limits := activator.Limits{Hold: tuning.Hold, Held: tuning.Held, Concurrent: tuning.Concurrent}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -44,7 +44,7 @@
 func serve(ctx context.Context, s *coordination.Settings) error {
 	debug.SetMemoryLimit(int64(s.MemoryMB * heapShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent(s.MemoryMB))
-	log := newLogger().With("node", s.Node)
+	log := newLogger().With("node", s.NodeName)
 	slog.SetDefault(log) // for the layers that are handed none
 	users, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -54,9 +54,9 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	peers := transport.NewPeers(s.Node, s.Peers, transport.Pace{Window: s.BatchWindow(), Pings: s.LinkTests(), Queue: s.QueueSize()}, log)
-	node := coordination.NewNode(s, coordination.Deps{
-		State:   transport.NewStateClient(s.StateAddr),
+	peers := transport.NewPeers(s.NodeName, s.Peers, transport.Pace{Window: s.BatchWindow(), Pings: s.LinkTestInterval(), Queue: s.QueueSize()}, log)
+	node := coordination.NewNode(s, coordination.Dependencies{
+		State:   transport.NewKeyValueClient(s.StateAddr),
 		Cloud:   transport.NewCloudClient(s.CloudAddr),
 		Workers: transport.NewWorkerClient(s.Sockets, log),
 		Peers:   peers,
@@ -70,7 +70,7 @@
 	}
 	server := transport.NewServer(node, transport.Bounds{Sockets: s.Sockets - models.sockets(), MemoryMB: s.MemoryMB}, log)
 	usage := &telemetry.Reporter{
-		Log: log, Interval: time.Duration(usageReports * float64(s.Report)), CPUShare: s.CPUShare,
+		Log: log, Interval: time.Duration(usageReports * float64(s.HeartbeatInterval)), CPUShare: s.CPUShare,
 		Gauges: func() []any {
 			return append([]any{"role", node.Role(), "connections", server.Connections()}, node.ArchiveGauges()...)
 		},
--- a/cmd/sagevale/status.go
+++ b/cmd/sagevale/status.go
@@ -25,7 +25,7 @@
 	subject string
 	short   string // of the subject
 	status  string // of its status
-	write   func(ctx context.Context, svc storage.StateService, settings *coordination.Settings, out io.Writer) error
+	write   func(ctx context.Context, svc storage.KeyValueStore, settings *coordination.Settings, out io.Writer) error
 }
 
 // build makes the commands.
@@ -49,7 +49,7 @@
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), statusTimeout)
 			defer cancel()
-			if err := s.write(ctx, transport.NewStateClient(settings.StateAddr), settings, cmd.OutOrStdout()); err != nil {
+			if err := s.write(ctx, transport.NewKeyValueClient(settings.StateAddr), settings, cmd.OutOrStdout()); err != nil {
 				return fmt.Errorf("%s status: %w", s.subject, err)
 			}
 			return nil
--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -188,7 +188,7 @@
 		w.ordered = append(w.ordered, instance{r.Generation, r.Replica})
 	case Stop:
 		w.remove(r.Replica)
-	case Book, Drain, Nothing:
+	case Reserve, Drain, Nothing:
 	}
 }
 
@@ -227,7 +227,7 @@
 	if r := w.view.Replica; r != NoReplica {
 		w.remove(r)
 		w.gone[r] = true
-		w.happen(Gone{w.view.Generation, r, failed}, fate, attemptFirst)
+		w.happen(ReplicaGone{w.view.Generation, r, failed}, fate, attemptFirst)
 	}
 }
 
@@ -235,13 +235,13 @@
 func (w *world) book(fate int) {
 	if w.view.Replica == NoReplica {
 		w.attempts++
-		w.happen(Booked{w.view.Generation, w.attempts}, fate, false)
+		w.happen(Reserved{w.view.Generation, w.attempts}, fate, false)
 	}
 }
 
 func (w *world) answer(fate int) {
 	for i := range w.live {
-		w.happen(Answering{i.generation, i.attempt}, fate, false)
+		w.happen(Serving{i.generation, i.attempt}, fate, false)
 		return
 	}
 }
@@ -423,7 +423,7 @@
 				return next, action
 			}
 			r.Replica = NoReplica
-			return r.enter(Starting, now), Book
+			return r.enter(Starting, now), Reserve
 		},
 		"demand for an earlier generation wakes": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if _, demand := e.(Demand); demand && r.State == Stopping {
@@ -445,7 +445,7 @@
 			return r.enter(Stopping, now), Stop
 		},
 		"the word on an earlier replica counts": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if gone, ok := e.(Gone); ok && r.Replica != NoReplica {
+			if gone, ok := e.(ReplicaGone); ok && r.Replica != NoReplica {
 				gone.Generation, gone.Attempt = r.Generation, r.Replica
 				e = gone
 			}
--- a/internal/activation/record.go
+++ b/internal/activation/record.go
@@ -109,7 +109,7 @@
 		return r, r.Pending(now)
 	}
 	r.Replica = lostReplica // its place was proved empty, and that was all that became durable
-	return r.Apply(Gone{Generation: r.Generation, Attempt: lostReplica}, p, now)
+	return r.Apply(ReplicaGone{Generation: r.Generation, Attempt: lostReplica}, p, now)
 }
 
 // lostReplica stands for an attempt whose record is gone already.
@@ -121,8 +121,8 @@
 	return r
 }
 
-// Rests is how long no replica may be booked yet.
-func (r *Record) Rests(now time.Time) time.Duration {
+// BackoffRemaining is how long no replica may be booked yet.
+func (r *Record) BackoffRemaining(now time.Time) time.Duration {
 	return max(0, time.UnixMilli(r.NotBeforeMS).Sub(now))
 }
 
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -17,7 +17,7 @@
 // The actions.
 const (
 	Nothing Action = iota
-	Book           // book room for the next replica, and tell by Booked
+	Reserve        // book room for the next replica, and tell by Booked
 	Start          // start the booked replica, by the ordinary path of any task
 	Stop           // stop the replica, and tell by Gone once its place is proved empty
 	Drain          // have every node pass no more requests on, and tell by Drained
@@ -27,20 +27,20 @@
 type (
 	// Demand is a request for the model at some node, which knows of this generation.
 	Demand struct{ Generation uint64 }
-	// Booked tells that room has been reserved for the next replica. Attempts are numbered by the
+	// Reserved tells that room has been reserved for the next replica. Attempts are numbered by the
 	// scheduler, which never uses a number again.
-	Booked struct {
+	Reserved struct {
 		Generation uint64
 		Attempt    uint64
 	}
-	// Answering tells that a replica answers requests.
-	Answering struct {
+	// Serving tells that a replica answers requests.
+	Serving struct {
 		Generation uint64
 		Attempt    uint64
 	}
-	// Gone tells that a replica's place is proved empty. Failed: it ended by itself, rather than
+	// ReplicaGone tells that a replica's place is proved empty. Failed: it ended by itself, rather than
 	// with its machine or by an order.
-	Gone struct {
+	ReplicaGone struct {
 		Generation uint64
 		Attempt    uint64
 		Failed     bool
@@ -54,7 +54,7 @@
 	// because its lease has run out, and that nothing is in flight.
 	Drained struct{ Drain uint64 }
 	// Tick tells that time has passed, and for how long the present replica has been booked.
-	Tick struct{ Booked time.Duration }
+	Tick struct{ ReservedFor time.Duration }
 )
 
 // Apply moves a record by an event. A record that stays as it is needs no write. What is late,
@@ -70,8 +70,8 @@
 			return Stop
 		case r.Replica != NoReplica:
 			return Start
-		case r.Rests(now) == 0:
-			return Book
+		case r.BackoffRemaining(now) == 0:
+			return Reserve
 		}
 	case Draining:
 		return Drain
@@ -91,7 +91,7 @@
 	next := r.enter(Starting, now)
 	next.Generation++
 	next.Failures, next.Abandoned, next.WakeWanted, next.NotBeforeMS = 0, false, false, 0
-	return next, Book
+	return next, Reserve
 }
 
 func (e Demand) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
@@ -100,7 +100,7 @@
 	}
 	switch r.State {
 	case "", Idle, Failed:
-		if r.Rests(now) == 0 && r.Replica == NoReplica {
+		if r.BackoffRemaining(now) == 0 && r.Replica == NoReplica {
 			return r.wake(now)
 		}
 	case Draining:
@@ -115,13 +115,13 @@
 // revive calls a drain off.
 func (r Record) revive(now time.Time) (Record, Action) {
 	if r.Replica == NoReplica {
-		return r.enter(Starting, now), Book
+		return r.enter(Starting, now), Reserve
 	}
 	return r.enter(Ready, now), Nothing
 }
 
-func (e Booked) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
-	if r.State != Starting || e.Generation != r.Generation || r.Replica != NoReplica || r.Rests(now) > 0 {
+func (e Reserved) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
+	if r.State != Starting || e.Generation != r.Generation || r.Replica != NoReplica || r.BackoffRemaining(now) > 0 {
 		return r, Nothing
 	}
 	r.Replica = e.Attempt
@@ -133,14 +133,14 @@
 	return generation == r.Generation && r.Replica != NoReplica && r.Replica == attempt
 }
 
-func (e Answering) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
+func (e Serving) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if r.State != Starting || r.Abandoned || !r.isReplica(e.Generation, e.Attempt) {
 		return r, Nothing
 	}
 	return r.enter(Ready, now), Nothing
 }
 
-func (e Gone) apply(r Record, p *Policy, now time.Time) (Record, Action) {
+func (e ReplicaGone) apply(r Record, p *Policy, now time.Time) (Record, Action) {
 	if !r.isReplica(e.Generation, e.Attempt) {
 		return r, Nothing
 	}
@@ -173,7 +173,7 @@
 func (r Record) startAnew(failed bool, p *Policy, now time.Time) (Record, Action) {
 	next := r.enter(Starting, now)
 	if !failed {
-		return next, Book
+		return next, Reserve
 	}
 	next.Failures++
 	if next.Failures >= p.Attempts {
@@ -209,9 +209,9 @@
 
 func (e Tick) apply(r Record, p *Policy, now time.Time) (Record, Action) {
 	switch {
-	case r.State == Starting && r.Replica == NoReplica && r.Rests(now) == 0:
-		return r, Book
-	case r.State == Starting && r.Replica != NoReplica && e.Booked > p.StartWithin:
+	case r.State == Starting && r.Replica == NoReplica && r.BackoffRemaining(now) == 0:
+		return r, Reserve
+	case r.State == Starting && r.Replica != NoReplica && e.ReservedFor > p.StartWithin:
 		r.Abandoned = true
 		return r, Stop
 	case r.State == Draining && r.age(now) > p.DrainTimeout:
@@ -233,11 +233,11 @@
 	switch e := e.(type) {
 	case Demand:
 		return "demand"
-	case Booked:
+	case Reserved:
 		return "room is booked"
-	case Answering:
+	case Serving:
 		return "it answers"
-	case Gone:
+	case ReplicaGone:
 		if e.Failed {
 			return "its replica failed"
 		}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -23,8 +23,8 @@
 	longestRetryS = 30
 )
 
-// Gate is the admission of submissions. It is not safe for concurrent use.
-type Gate struct {
+// Limiter is the admission of submissions. It is not safe for concurrent use.
+type Limiter struct {
 	longest time.Duration // the longest that a submission may wait to be recorded
 	pace    float64       // submissions recorded a second while others wait
 	waiting map[string]int
@@ -33,19 +33,19 @@
 	turn    time.Time // when the one who was refused last is to return
 }
 
-// New returns a gate that admits what is expected to be recorded within longest. pace is how
+// NewLimiter returns a gate that admits what is expected to be recorded within longest. pace is how
 // many submissions a second are expected to be recorded before that is measured, and teams how
 // many teams there are.
-func New(longest time.Duration, pace float64, teams int) *Gate {
-	return &Gate{longest: longest, pace: pace, waiting: make(map[string]int), teams: teams}
+func NewLimiter(longest time.Duration, pace float64, teams int) *Limiter {
+	return &Limiter{longest: longest, pace: pace, waiting: make(map[string]int), teams: teams}
 }
 
 // room is how many submissions may wait, if so many can be recorded at once.
-func (g *Gate) room(atOnce int) int { return max(least, atOnce+int(g.pace*g.longest.Seconds())) }
+func (g *Limiter) room(atOnce int) int { return max(least, atOnce+int(g.pace*g.longest.Seconds())) }
 
 // Admit tells whether a team's submission may wait to be recorded, and counts it then. atOnce
 // is how many submissions can be recorded without regard to the pace.
-func (g *Gate) Admit(team string, atOnce int) bool {
+func (g *Limiter) Admit(team string, atOnce int) bool {
 	room := g.room(atOnce)
 	switch {
 	case g.total >= room:
@@ -60,7 +60,7 @@
 
 // share is how much of the room is a team's, beside the others that have submissions waiting, and
 // one that may have some soon.
-func (g *Gate) share(team string, room int) int {
+func (g *Limiter) share(team string, room int) int {
 	active := len(g.waiting)
 	if g.waiting[team] == 0 {
 		active++
@@ -69,7 +69,7 @@
 }
 
 // Recorded takes in that a submission which was admitted waits no longer.
-func (g *Gate) Recorded(team string) {
+func (g *Limiter) Recorded(team string) {
 	g.total--
 	if g.waiting[team]--; g.waiting[team] <= 0 {
 		delete(g.waiting, team)
@@ -78,7 +78,7 @@
 
 // Measured takes in that so many submissions were recorded in a time, as many as could be: others
 // had to be left behind.
-func (g *Gate) Measured(recorded int, took time.Duration) {
+func (g *Limiter) Measured(recorded int, took time.Duration) {
 	if recorded <= 0 || took <= 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 
 // RetryS gives a submission that is refused now a turn, and returns when it should come again, in
 // whole seconds from 1.
-func (g *Gate) RetryS(now time.Time) int {
+func (g *Limiter) RetryS(now time.Time) int {
 	if g.turn.Before(now) {
 		g.turn = now
 	}
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func newGate(pace float64) *Gate { return New(2*time.Second, pace, 5) }
+func newGate(pace float64) *Limiter { return NewLimiter(2*time.Second, pace, 5) }
 
 // The gate admits what is recorded in time at the pace that is measured, and more once that rises.
 func TestTheGateFollowsThePace(t *testing.T) {
@@ -47,7 +47,7 @@
 		t.Errorf("the flood holds %d of 200", g.waiting["flood"])
 	}
 	{
-		alone := New(2*time.Second, 100, 1)
+		alone := NewLimiter(2*time.Second, 100, 1)
 		for range 1000 {
 			alone.Admit("only", 0)
 		}
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -22,9 +22,9 @@
 // Result is what is known of a job.
 type Result struct {
 	Knowledge Knowledge
-	Final     Final  // if found
-	Term      uint64 // if absent: of the leader for which that holds; 0: of none
-	Key       string // if damaged: of the page
+	Final     FinalState // if found
+	Term      uint64     // if absent: of the leader for which that holds; 0: of none
+	Key       string     // if damaged: of the page
 }
 
 // heldPage is a page as it is held in memory.
@@ -62,10 +62,10 @@
 }
 
 // Lookup tells what is known of a job.
-func (x *Index) Lookup(rank Rank) Result { return x.current.Load().lookup(rank) }
+func (x *Index) Lookup(rank JobNumber) Result { return x.current.Load().lookup(rank) }
 
-func (s *snapshot) lookup(rank Rank) Result {
-	i, _ := slices.BinarySearchFunc(s.pages, rank, func(p *heldPage, r Rank) int { return cmp.Compare(p.upper, r) })
+func (s *snapshot) lookup(rank JobNumber) Result {
+	i, _ := slices.BinarySearchFunc(s.pages, rank, func(p *heldPage, r JobNumber) int { return cmp.Compare(p.upper, r) })
 	switch {
 	case len(s.pages) == 0 && s.complete:
 		return Result{Knowledge: Absent, Term: s.term}
@@ -78,7 +78,7 @@
 }
 
 // lookup tells what a page that covers the rank says of it.
-func (p *heldPage) lookup(rank Rank, term uint64) Result {
+func (p *heldPage) lookup(rank JobNumber, term uint64) Result {
 	p.used.Store(true)
 	if final, found := p.find(rank); found {
 		return Result{Knowledge: Found, Final: final}
@@ -86,8 +86,8 @@
 	return Result{Knowledge: Absent, Term: max(term, p.term)}
 }
 
-// ExactIn tells whether the whole index is exact for a term's leader.
-func (x *Index) ExactIn(term uint64) bool { return x.current.Load().term == term }
+// CompleteFor tells whether the whole index is exact for a term's leader.
+func (x *Index) CompleteFor(term uint64) bool { return x.current.Load().term == term }
 
 // edit publishes a changed copy of the snapshot.
 func (x *Index) edit(f func(s *snapshot)) {
@@ -106,7 +106,7 @@
 func (x *Index) put(pages []*heldPage) {
 	x.edit(func(s *snapshot) {
 		for _, p := range pages {
-			i, there := slices.BinarySearchFunc(s.pages, p.upper, func(held *heldPage, r Rank) int { return cmp.Compare(held.upper, r) })
+			i, there := slices.BinarySearchFunc(s.pages, p.upper, func(held *heldPage, r JobNumber) int { return cmp.Compare(held.upper, r) })
 			switch {
 			case !there:
 				s.pages = slices.Insert(s.pages, i, p)
@@ -118,7 +118,7 @@
 }
 
 // remove takes in that a page was removed with a revision.
-func (x *Index) remove(upper Rank, revision uint64) {
+func (x *Index) remove(upper JobNumber, revision uint64) {
 	x.edit(func(s *snapshot) {
 		s.pages = slices.DeleteFunc(s.pages, func(p *heldPage) bool { return p.upper == upper && p.version < revision })
 	})
--- a/internal/archive/keeper.go
+++ b/internal/archive/keeper.go
@@ -33,10 +33,10 @@
 var (
 	// ErrBusy: too much is asked; to be asked again later.
 	ErrBusy = errors.New("too many questions to the archive")
-	// ErrNotExact: the pages, as this leader knows them, may be outdated.
-	ErrNotExact = errors.New("the archive's pages aren't all read yet")
-	// ErrDeposed: another controller leads.
-	ErrDeposed = errors.New("leadership has moved on")
+	// ErrIncomplete: the pages, as this leader knows them, may be outdated.
+	ErrIncomplete = errors.New("the archive's pages aren't all read yet")
+	// ErrLeadershipLost: another controller leads.
+	ErrLeadershipLost = errors.New("leadership has moved on")
 )
 
 // Settings are the keeper's.
@@ -47,12 +47,12 @@
 	Follow      bool          // hold pages also while another controller leads
 }
 
-// Keeper is the actor of one controller that reads the archive's pages, and while the controller
+// Archiver is the actor of one controller that reads the archive's pages, and while the controller
 // leads writes them.
-type Keeper struct {
+type Archiver struct {
 	Index *Index
 
-	svc      storage.StateService
+	svc      storage.KeyValueStore
 	limits   *storage.LimitTracker
 	settings Settings
 	log      *slog.Logger
@@ -60,32 +60,32 @@
 	writes   *rate.Limiter
 	in       chan request
 
-	lead       *Lead     // nil: another controller leads
-	revision   uint64    // of the state service, up to which changes are known
-	caughtUp   time.Time // when that was
-	loading    bool      // the pages are being read, after cursor
+	lead       *Leadership // nil: another controller leads
+	revision   uint64      // of the state service, up to which changes are known
+	caughtUp   time.Time   // when that was
+	loading    bool        // the pages are being read, after cursor
 	cursor     string
-	seen       map[Rank]bool // pages that the load has seen
-	loadedFrom uint64        // the revision at which the load began
-	wake       time.Time     // when the next step is due by itself
-	reported   string        // the last trouble that was logged as an error
+	seen       map[JobNumber]bool // pages that the load has seen
+	loadedFrom uint64             // the revision at which the load began
+	wake       time.Time          // when the next step is due by itself
+	reported   string             // the last trouble that was logged as an error
 }
 
-// Lead is a term of leadership.
-type Lead struct {
+// Leadership is a term of leadership.
+type Leadership struct {
 	Term  uint64
 	Guard storage.Guard // the leadership key
 }
 
 // request is what the keeper is asked; it answers by itself.
 type request interface {
-	serve(ctx context.Context, k *Keeper)
+	serve(ctx context.Context, k *Archiver)
 }
 
-// NewKeeper makes a keeper; Run starts it.
-func NewKeeper(svc storage.StateService, limits *storage.LimitTracker, settings Settings, log *slog.Logger) *Keeper {
+// NewArchiver makes a keeper; Run starts it.
+func NewArchiver(svc storage.KeyValueStore, limits *storage.LimitTracker, settings Settings, log *slog.Logger) *Archiver {
 	now := limits.Limits()
-	return &Keeper{
+	return &Archiver{
 		Index: NewIndex(settings.MemoryBytes), svc: svc, limits: limits, settings: settings, log: log,
 		reads:  rate.NewLimiter(rate.Limit(now.RequestsPerS*readShare), max(leastBurst, int(now.RequestsPerS*readShare))),
 		writes: rate.NewLimiter(rate.Limit(now.ChangesPerS*writeShare), max(leastBurst, int(now.ChangesPerS*writeShare))),
@@ -94,7 +94,7 @@
 }
 
 // Run serves until ctx ends. Without a lead, and unless it follows, it asks the state service nothing.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Archiver) Run(ctx context.Context) {
 	if k.settings.Follow {
 		k.wake = time.Now()
 	}
@@ -118,7 +118,7 @@
 }
 
 // ask hands a request to the keeper, or tells at once that it is too much.
-func (k *Keeper) ask(r request) error {
+func (k *Archiver) ask(r request) error {
 	select {
 	case k.in <- r:
 		return nil
@@ -128,12 +128,12 @@
 }
 
 // call gives one request to the state service its time.
-func (k *Keeper) call(ctx context.Context) (context.Context, context.CancelFunc) {
+func (k *Archiver) call(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, k.settings.CallTime)
 }
 
 // applyLimits takes up what the state service's limits have become.
-func (k *Keeper) applyLimits() storage.Limits {
+func (k *Archiver) applyLimits() storage.Limits {
 	now := k.limits.Limits()
 	k.reads.SetLimit(rate.Limit(now.RequestsPerS * readShare))
 	k.writes.SetLimit(rate.Limit(now.ChangesPerS * writeShare))
@@ -141,16 +141,16 @@
 }
 
 // beginTerm and endTerm say who leads.
-type beginTerm struct{ lead Lead }
+type beginTerm struct{ lead Leadership }
 
-func (r beginTerm) serve(_ context.Context, k *Keeper) {
+func (r beginTerm) serve(_ context.Context, k *Archiver) {
 	k.lead = &r.lead
 	k.wake = time.Now()
 }
 
 type endTerm struct{ term uint64 }
 
-func (r endTerm) serve(_ context.Context, k *Keeper) {
+func (r endTerm) serve(_ context.Context, k *Archiver) {
 	if k.lead == nil || k.lead.Term != r.term {
 		return
 	}
@@ -160,17 +160,17 @@
 	}
 }
 
-// Begin says that this controller leads. What is asked from now on is read for the term. It doesn't wait for a
+// BeginTerm says that this controller leads. What is asked from now on is read for the term. It doesn't wait for a
 // request that is under way: a take-over has other things to do.
-func (k *Keeper) Begin(ctx context.Context, lead Lead) {
+func (k *Archiver) BeginTerm(ctx context.Context, lead Leadership) {
 	select {
 	case k.in <- beginTerm{lead}:
 	case <-ctx.Done():
 	}
 }
 
-// End says that a term is over.
-func (k *Keeper) End(ctx context.Context, term uint64) {
+// EndTerm says that a term is over.
+func (k *Archiver) EndTerm(ctx context.Context, term uint64) {
 	select {
 	case k.in <- endTerm{term}:
 	case <-ctx.Done():
@@ -178,18 +178,18 @@
 }
 
 // exact tells whether the index is known to be exact in the present term.
-func (k *Keeper) exact() bool {
-	return k.lead != nil && k.Index.ExactIn(k.lead.Term)
+func (k *Archiver) exact() bool {
+	return k.lead != nil && k.Index.CompleteFor(k.lead.Term)
 }
 
 // doubt has the index be brought up to date again before anything rests on it.
-func (k *Keeper) doubt() {
+func (k *Archiver) doubt() {
 	k.Index.edit(func(s *snapshot) { s.term = 0 })
 	k.wake = time.Now()
 }
 
 // report logs a damaged page once.
-func (k *Keeper) report(err error) {
+func (k *Archiver) report(err error) {
 	if err.Error() != k.reported {
 		k.reported = err.Error()
 		k.log.Error("archive", "err", err)
--- a/internal/archive/keeper_test.go
+++ b/internal/archive/keeper_test.go
@@ -50,8 +50,8 @@
 }
 
 // keeper starts a controller's keeper.
-func (f *fixture) keeper(follow bool) *Keeper {
-	k := NewKeeper(&storagetest.Client{Service: f.store, Cut: &f.cut}, f.limits,
+func (f *fixture) keeper(follow bool) *Archiver {
+	k := NewArchiver(&storagetest.Client{Service: f.store, Cut: &f.cut}, f.limits,
 		Settings{Refresh: 10 * time.Second, CallTime: time.Second, MemoryBytes: f.memory, Follow: follow}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stopped = append(f.stopped, cancel)
@@ -60,14 +60,14 @@
 }
 
 // lead makes a keeper the leader's: no other's writes are carried out from now on.
-func (f *fixture) lead(k *Keeper) Lead {
+func (f *fixture) lead(k *Archiver) Leadership {
 	f.term++
 	revision, err := f.store.Apply(nil, []storage.Op{{Key: leadKey, Data: []byte(fmt.Sprint(f.term))}})
 	if err != nil {
 		f.tb.Fatalf("%v", err)
 	}
-	lead := Lead{f.term, storage.Guard{Key: leadKey, Version: revision}}
-	k.Begin(context.Background(), lead)
+	lead := Leadership{f.term, storage.Guard{Key: leadKey, Version: revision}}
+	k.BeginTerm(context.Background(), lead)
 	return lead
 }
 
@@ -80,14 +80,14 @@
 }
 
 // offer offers jobs until all are archived.
-func (f *fixture) offer(k *Keeper, entries []Entry) {
+func (f *fixture) offer(k *Archiver, entries []Entry) {
 	f.tb.Helper()
 	entries = slices.Clone(entries)
 	for range 2000 {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		ranks, _ := k.Offer(ctx, entries)
+		ranks, _ := k.Archive(ctx, entries)
 		cancel()
-		entries = slices.DeleteFunc(entries, func(e Entry) bool { return slices.Contains(ranks, e.Rank) })
+		entries = slices.DeleteFunc(entries, func(e Entry) bool { return slices.Contains(ranks, e.Number) })
 		if len(entries) == 0 {
 			return
 		}
@@ -97,7 +97,7 @@
 }
 
 // archived starts a leader's keeper and archives so many jobs.
-func (f *fixture) archived(n int) (*Keeper, []Entry) {
+func (f *fixture) archived(n int) (*Archiver, []Entry) {
 	f.tb.Helper()
 	k, all := f.keeper(false), jobs(n)
 	f.lead(k)
@@ -105,14 +105,14 @@
 	return k, all
 }
 
-func (f *fixture) read(k *Keeper, rank Rank) (Result, error) {
+func (f *fixture) read(k *Archiver, rank JobNumber) (Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	return k.Read(ctx, rank)
 }
 
 // wants reads a job's page, until it can be read, and compares.
-func (f *fixture) wants(k *Keeper, rank Rank, want Knowledge, final Final) {
+func (f *fixture) wants(k *Archiver, rank JobNumber, want Knowledge, final FinalState) {
 	f.tb.Helper()
 	var r Result
 	var err error
@@ -131,8 +131,8 @@
 func jobs(n int) []Entry {
 	var entries []Entry
 	for i := range n {
-		rank, _ := RankOf(fmt.Sprintf("%018d", i*999_999_999_937))
-		entries = append(entries, Entry{rank, Final{i%3 == 0, i % 200}})
+		rank, _ := ParseJobNumber(fmt.Sprintf("%018d", i*999_999_999_937))
+		entries = append(entries, Entry{rank, FinalState{i%3 == 0, i % 200}})
 	}
 	return entries
 }
@@ -159,17 +159,17 @@
 		later := f.keeper(false)
 		f.lead(later)
 		for _, e := range all {
-			for name, k := range map[string]*Keeper{"leader": leader, "follower": follower} {
-				if r := k.Index.Lookup(e.Rank); r.Knowledge != Found || r.Final != e.Final {
-					t.Fatalf("%s at the %s: %+v", e.Rank.ID(), name, r)
+			for name, k := range map[string]*Archiver{"leader": leader, "follower": follower} {
+				if r := k.Index.Lookup(e.Number); r.Knowledge != Found || r.Final != e.FinalState {
+					t.Fatalf("%s at the %s: %+v", e.Number.ID(), name, r)
 				}
 			}
-			f.wants(later, e.Rank, Found, e.Final)
+			f.wants(later, e.Number, Found, e.FinalState)
 		}
 		for _, id := range edgeIDs[2:] {
-			rank, _ := RankOf(id)
-			if _, there := slices.BinarySearchFunc(all, rank, func(e Entry, r Rank) int { return cmp.Compare(e.Rank, r) }); !there {
-				f.wants(later, rank, Absent, Final{})
+			rank, _ := ParseJobNumber(id)
+			if _, there := slices.BinarySearchFunc(all, rank, func(e Entry, r JobNumber) int { return cmp.Compare(e.Number, r) }); !there {
+				f.wants(later, rank, Absent, FinalState{})
 			}
 		}
 	})
@@ -184,21 +184,21 @@
 		f.offer(first, jobs(100)[:50])
 		time.Sleep(time.Minute)
 		late := jobs(100)[70]
-		if r := second.Index.Lookup(late.Rank); r.Knowledge != Absent || r.Term != 0 {
+		if r := second.Index.Lookup(late.Number); r.Knowledge != Absent || r.Term != 0 {
 			t.Errorf("a follower knows %+v", r)
 		}
 		f.offer(first, []Entry{late})
 		f.cut.Store(true)
 		lead := f.lead(second)
-		if r := second.Index.Lookup(late.Rank); r.Knowledge == Absent && r.Term == lead.Term {
+		if r := second.Index.Lookup(late.Number); r.Knowledge == Absent && r.Term == lead.Term {
 			t.Error("its old index proves that the job isn't archived")
 		}
-		if r, err := f.read(second, late.Rank); err == nil && r.Knowledge == Absent && r.Term == lead.Term {
+		if r, err := f.read(second, late.Number); err == nil && r.Knowledge == Absent && r.Term == lead.Term {
 			t.Errorf("cut off, it reads %+v", r)
 		}
 		f.cut.Store(false)
-		f.wants(second, late.Rank, Found, late.Final)
-		f.wants(second, late.Rank-1, Absent, Final{})
+		f.wants(second, late.Number, Found, late.FinalState)
+		f.wants(second, late.Number-1, Absent, FinalState{})
 	})
 }
 
@@ -217,14 +217,14 @@
 				f.offer(first, all[:100])
 				f.store.Trouble(trouble)
 				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-				_, _ = first.Offer(ctx, all[100:200])
+				_, _ = first.Archive(ctx, all[100:200])
 				cancel()
 				second := f.keeper(false)
 				f.lead(second)
 				f.offer(second, all[50:])
-				if _, err := first.Offer(context.Background(), all[200:]); err == nil {
+				if _, err := first.Archive(context.Background(), all[200:]); err == nil {
 					ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-					if ranks, _ := first.Offer(ctx, all[200:]); len(ranks) > 0 {
+					if ranks, _ := first.Archive(ctx, all[200:]); len(ranks) > 0 {
 						t.Error("a deposed leader archives")
 					}
 					cancel()
@@ -233,7 +233,7 @@
 				third := f.keeper(false)
 				f.lead(third)
 				for _, e := range all {
-					f.wants(third, e.Rank, Found, e.Final)
+					f.wants(third, e.Number, Found, e.FinalState)
 				}
 				time.Sleep(time.Minute) // until all pages are read
 				if n, err := third.Count(context.Background()); err != nil || n != len(all) {
@@ -280,7 +280,7 @@
 		later := f.keeper(false)
 		f.lead(later)
 		for _, e := range all {
-			f.wants(later, e.Rank, Found, e.Final)
+			f.wants(later, e.Number, Found, e.FinalState)
 		}
 		if after := later.Index.Stats(); after.Jobs != before.Jobs {
 			t.Errorf("%+v, then %+v", before, after)
@@ -295,8 +295,8 @@
 		f.lead(k)
 		e := jobs(5)[4]
 		f.offer(k, []Entry{e})
-		f.offer(k, []Entry{{e.Rank, Final{!e.Cancelled, 7}}})
-		f.wants(k, e.Rank, Found, e.Final)
+		f.offer(k, []Entry{{e.Number, FinalState{!e.Cancelled, 7}}})
+		f.wants(k, e.Number, Found, e.FinalState)
 	})
 }
 
@@ -319,13 +319,13 @@
 			}
 			harmed := 0
 			for _, e := range all {
-				if e.Rank <= lower || e.Rank > upper {
-					f.wants(later, e.Rank, Found, e.Final)
+				if e.Number <= lower || e.Number > upper {
+					f.wants(later, e.Number, Found, e.FinalState)
 					continue
 				}
 				harmed++
-				if r, err := f.read(later, e.Rank); err != nil || r.Knowledge != Damaged || r.Key != broken {
-					t.Errorf("%s: %s is %+v, %v", name, e.Rank.ID(), r, err)
+				if r, err := f.read(later, e.Number); err != nil || r.Knowledge != Damaged || r.Key != broken {
+					t.Errorf("%s: %s is %+v, %v", name, e.Number.ID(), r, err)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -333,10 +333,10 @@
 				t.Error("no job is in the damaged page")
 			}
 			time.Sleep(time.Minute)
-			if ranks, err := later.Offer(context.Background(), []Entry{{upper, Final{Done: 1}}}); len(ranks) > 0 {
+			if ranks, err := later.Archive(context.Background(), []Entry{{upper, FinalState{Done: 1}}}); len(ranks) > 0 {
 				t.Errorf("a job goes into the damaged page: %v", err)
 			}
-			if _, err := later.First(context.Background()); err != nil {
+			if _, err := later.FirstPage(context.Background()); err != nil {
 				t.Error(err)
 			}
 		}
@@ -363,9 +363,9 @@
 			time.Sleep(wait)
 			found := 0
 			for _, e := range all {
-				r, err := f.read(later, e.Rank)
+				r, err := f.read(later, e.Number)
 				if err == nil && r.Knowledge == Absent {
-					t.Fatalf("%s is called absent", e.Rank.ID())
+					t.Fatalf("%s is called absent", e.Number.ID())
 				}
 				if r.Knowledge == Found {
 					found++
@@ -394,7 +394,7 @@
 		replies := make(chan error, 1000)
 		for i := range 1000 {
 			go func() {
-				_, err := f.read(small, Rank(i*1_000_003+1))
+				_, err := f.read(small, JobNumber(i*1_000_003+1))
 				replies <- err
 			}()
 		}
@@ -440,18 +440,18 @@
 					f.offer(k, late)
 				} else {
 					for range 50 {
-						_, _ = k.Offer(context.Background(), late)
+						_, _ = k.Archive(context.Background(), late)
 						time.Sleep(200 * time.Millisecond)
 					}
 				}
 				later := f.keeper(false)
 				f.lead(later)
 				for _, e := range early {
-					f.wants(later, e.Rank, Found, e.Final)
+					f.wants(later, e.Number, Found, e.FinalState)
 				}
 				for _, e := range late {
-					if r, err := f.read(later, e.Rank); c.moves && (err != nil || r.Knowledge != Found) {
-						t.Errorf("%s: %+v %v", e.Rank.ID(), r, err)
+					if r, err := f.read(later, e.Number); c.moves && (err != nil || r.Knowledge != Found) {
+						t.Errorf("%s: %+v %v", e.Number.ID(), r, err)
 					}
 				}
 			})
@@ -466,14 +466,14 @@
 		k := f.keeper(false)
 		f.lead(k)
 		f.offer(k, all)
-		back := make(map[Rank]Final)
+		back := make(map[JobNumber]FinalState)
 		for steps := 0; ; steps++ {
 			if steps%3 == 2 {
 				k = f.keeper(false) // another leader goes on
 				f.lead(k)
 				time.Sleep(5 * time.Second)
 			}
-			page, err := k.First(context.Background())
+			page, err := k.FirstPage(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -481,20 +481,20 @@
 				break
 			}
 			for _, e := range page.Entries {
-				back[e.Rank] = e.Final
+				back[e.Number] = e.FinalState
 			}
 			for _, e := range all { // each is somewhere at every moment
-				if _, there := back[e.Rank]; !there {
-					f.wants(k, e.Rank, Found, e.Final)
-				} else if e.Rank <= page.Lower {
-					f.wants(k, e.Rank, Absent, Final{})
+				if _, there := back[e.Number]; !there {
+					f.wants(k, e.Number, Found, e.FinalState)
+				} else if e.Number <= page.Lower {
+					f.wants(k, e.Number, Absent, FinalState{})
 				}
 			}
-			if err := k.DropFirst(context.Background(), page.Upper-1); err != nil || len(f.store.Keys(prefix)) == 0 {
+			if err := k.DropFirstPage(context.Background(), page.Upper-1); err != nil || len(f.store.Keys(prefix)) == 0 {
 				t.Errorf("another page is dropped: %v", err)
 			}
 			f.store.Trouble(func(s *storagetest.Service) { s.LoseAnswers = steps % 2 })
-			_ = k.DropFirst(context.Background(), page.Upper)
+			_ = k.DropFirstPage(context.Background(), page.Upper)
 			time.Sleep(5 * time.Second)
 			if steps > 200 {
 				t.Fatal("it doesn't end")
@@ -503,9 +503,9 @@
 		if len(back) != len(all) || len(f.store.Keys(prefix)) != 0 {
 			t.Errorf("%d of %d jobs are back, and %d pages are left", len(back), len(all), len(f.store.Keys(prefix)))
 		}
-		f.wants(k, all[0].Rank, Absent, Final{})
+		f.wants(k, all[0].Number, Absent, FinalState{})
 		f.offer(k, all[:10])
-		f.wants(k, all[0].Rank, Found, all[0].Final)
+		f.wants(k, all[0].Number, Found, all[0].FinalState)
 	})
 }
 
@@ -521,7 +521,7 @@
 		if n, err := second.Count(context.Background()); err == nil {
 			t.Errorf("%d jobs are counted", n)
 		}
-		if page, err := second.First(context.Background()); err == nil {
+		if page, err := second.FirstPage(context.Background()); err == nil {
 			t.Errorf("page %+v is the first", page)
 		}
 		f.cut.Store(false)
@@ -538,7 +538,7 @@
 		k := f.keeper(false)
 		f.lead(k)
 		f.offer(k, jobs(300))
-		page, err := k.First(context.Background())
+		page, err := k.FirstPage(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -549,7 +549,7 @@
 		if _, err := f.store.Apply(nil, []storage.Op{{Key: pageKey(page.Upper), Data: data}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := k.DropFirst(context.Background(), page.Upper); err == nil || len(f.store.Keys(prefix)) == 0 {
+		if err := k.DropFirstPage(context.Background(), page.Upper); err == nil || len(f.store.Keys(prefix)) == 0 {
 			t.Errorf("it is dropped: %v", err)
 		}
 	})
@@ -567,11 +567,11 @@
 				f.cut.Store(true)
 				time.Sleep(30 * time.Second)
 				f.cut.Store(false)
-				for page, err := k.First(context.Background()); page.Upper != 0; page, err = k.First(context.Background()) {
+				for page, err := k.FirstPage(context.Background()); page.Upper != 0; page, err = k.FirstPage(context.Background()) {
 					if err != nil {
 						t.Fatal(err)
 					}
-					if err := k.DropFirst(context.Background(), page.Upper); err != nil {
+					if err := k.DropFirstPage(context.Background(), page.Upper); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -586,7 +586,7 @@
 					t.Errorf("%+v", stats)
 				}
 				last := jobs(301)[300]
-				if r := follower.Index.Lookup(last.Rank); r.Knowledge != Found || r.Final != last.Final {
+				if r := follower.Index.Lookup(last.Number); r.Knowledge != Found || r.Final != last.FinalState {
 					t.Errorf("%+v", r)
 				}
 			})
@@ -600,18 +600,18 @@
 		k, other := f.keeper(true), f.keeper(false)
 		first := f.lead(k)
 		second := f.lead(k)
-		k.End(context.Background(), first.Term)
+		k.EndTerm(context.Background(), first.Term)
 		all := jobs(30)
 		f.offer(k, all[:10])
 		time.Sleep(time.Minute)
-		k.End(context.Background(), second.Term)
+		k.EndTerm(context.Background(), second.Term)
 		f.lead(other)
 		f.offer(other, all[10:])
 		time.Sleep(time.Minute)
-		if r := k.Index.Lookup(all[29].Rank); r.Knowledge != Found {
+		if r := k.Index.Lookup(all[29].Number); r.Knowledge != Found {
 			t.Errorf("it doesn't follow: %+v", r)
 		}
-		if ranks, err := k.Offer(context.Background(), all[:1]); err == nil {
+		if ranks, err := k.Archive(context.Background(), all[:1]); err == nil {
 			t.Errorf("it archives %v", ranks)
 		}
 	})
@@ -621,7 +621,7 @@
 func TestAStaleKeeperLoadsAgain(t *testing.T) {
 	inFixture(t, func(f *fixture) {
 		_, all := f.archived(100)
-		k := NewKeeper(&storagetest.Client{Service: f.store}, f.limits, Settings{Refresh: 10 * time.Second, CallTime: time.Second, MemoryBytes: 1 << 20}, slog.New(slog.DiscardHandler))
+		k := NewArchiver(&storagetest.Client{Service: f.store}, f.limits, Settings{Refresh: 10 * time.Second, CallTime: time.Second, MemoryBytes: 1 << 20}, slog.New(slog.DiscardHandler))
 		k.refresh(context.Background())
 		first := k.loadedFrom
 		time.Sleep(30 * time.Second)
@@ -637,7 +637,7 @@
 		if k.loadedFrom == first {
 			t.Error("it asks for the changes of ten minutes")
 		}
-		if r := k.Index.Lookup(all[50].Rank); r.Knowledge != Found {
+		if r := k.Index.Lookup(all[50].Number); r.Knowledge != Found {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -650,7 +650,7 @@
 		k, all := f.archived(100)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		q := question{ctx, all[50].Rank, make(chan answer, 1)}
+		q := question{ctx, all[50].Number, make(chan answer, 1)}
 		k.in <- q
 		time.Sleep(time.Second)
 		if len(q.reply) > 0 {
@@ -680,19 +680,19 @@
 type history struct {
 	*fixture
 	t       *rapid.T
-	final   map[Rank]Final // all that ever became final
-	table   map[Rank]Final // what the journal holds
-	leader  *Keeper
-	present Lead
-	watcher *Keeper // a follower's
+	final   map[JobNumber]FinalState // all that ever became final
+	table   map[JobNumber]FinalState // what the journal holds
+	leader  *Archiver
+	present Leadership
+	watcher *Archiver // a follower's
 }
 
-func (h *history) ranks() *rapid.Generator[Rank] {
+func (h *history) ranks() *rapid.Generator[JobNumber] {
 	// Few ids, so that histories meet, some far apart.
-	return rapid.Custom(func(t *rapid.T) Rank {
-		rank, _ := RankOf(fmt.Sprintf("%06d", rapid.IntRange(0, 400).Draw(t, "id")))
+	return rapid.Custom(func(t *rapid.T) JobNumber {
+		rank, _ := ParseJobNumber(fmt.Sprintf("%06d", rapid.IntRange(0, 400).Draw(t, "id")))
 		if rapid.Bool().Draw(t, "far") {
-			rank, _ = RankOf(fmt.Sprintf("9%017d", rapid.IntRange(0, 400).Draw(t, "id")*777_777_777))
+			rank, _ = ParseJobNumber(fmt.Sprintf("9%017d", rapid.IntRange(0, 400).Draw(t, "id")*777_777_777))
 		}
 		return rank
 	})
@@ -701,7 +701,7 @@
 func (h *history) finishJobs() {
 	for _, rank := range rapid.SliceOfN(h.ranks(), 1, 60).Draw(h.t, "finished") {
 		if _, there := h.final[rank]; !there {
-			h.final[rank] = Final{rapid.Bool().Draw(h.t, "cancelled"), rapid.IntRange(0, 1000).Draw(h.t, "done")}
+			h.final[rank] = FinalState{rapid.Bool().Draw(h.t, "cancelled"), rapid.IntRange(0, 1000).Draw(h.t, "done")}
 			h.table[rank] = h.final[rank]
 		}
 	}
@@ -713,10 +713,10 @@
 	for rank, final := range h.table {
 		entries = append(entries, Entry{rank, final})
 	}
-	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Rank, b.Rank) })
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Number, b.Number) })
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	ranks, err := h.leader.Offer(ctx, entries)
+	ranks, err := h.leader.Archive(ctx, entries)
 	if err != nil {
 		return
 	}
@@ -790,7 +790,7 @@
 }
 
 func playHistory(t *rapid.T) {
-	h := &history{fixture: newFixture(t), t: t, final: make(map[Rank]Final), table: make(map[Rank]Final)}
+	h := &history{fixture: newFixture(t), t: t, final: make(map[JobNumber]FinalState), table: make(map[JobNumber]FinalState)}
 	defer h.end()
 	h.watcher = h.keeper(true)
 	h.memory = rapid.SampledFrom([]int{1 << 20, 300}).Draw(t, "memory")
--- a/internal/archive/move.go
+++ b/internal/archive/move.go
@@ -19,13 +19,13 @@
 }
 
 type moved struct {
-	ranks []Rank
+	ranks []JobNumber
 	err   error
 }
 
-// Offer archives some of the jobs, which must be in order: those of the page that most of them belong to. It returns which of
+// Archive archives some of the jobs, which must be in order: those of the page that most of them belong to. It returns which of
 // them are archived durably now. Where the budget allows nothing yet, that is none.
-func (k *Keeper) Offer(ctx context.Context, entries []Entry) ([]Rank, error) {
+func (k *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	o := offer{entries, make(chan moved, 1)}
 	if err := k.ask(o); err != nil {
 		return nil, err
@@ -38,15 +38,15 @@
 	}
 }
 
-func (o offer) serve(ctx context.Context, k *Keeper) {
+func (o offer) serve(ctx context.Context, k *Archiver) {
 	ranks, err := k.move(ctx, o.entries)
 	o.reply <- moved{ranks, err}
 }
 
 // move archives the jobs of one page.
-func (k *Keeper) move(ctx context.Context, entries []Entry) ([]Rank, error) {
+func (k *Archiver) move(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	if !k.exact() {
-		return nil, ErrNotExact
+		return nil, ErrIncomplete
 	}
 	limits := k.applyLimits()
 	changes := min(int(k.writes.Tokens()), k.writes.Burst())
@@ -72,27 +72,27 @@
 	if err := k.write(ctx, held, pages, nil); err != nil {
 		return nil, err
 	}
-	ranks := make([]Rank, 0, len(group))
+	ranks := make([]JobNumber, 0, len(group))
 	for i := range group {
-		ranks = append(ranks, group[i].Rank)
+		ranks = append(ranks, group[i].Number)
 	}
 	return ranks, nil
 }
 
 // largestGroup finds the page that most of the entries belong to; nil stands for the first page of all, which
 // doesn't exist yet. Damaged pages get nothing.
-func (k *Keeper) largestGroup(entries []Entry) (page *heldPage, group []Entry) {
+func (k *Archiver) largestGroup(entries []Entry) (page *heldPage, group []Entry) {
 	pages := k.Index.current.Load().pages
 	if len(pages) == 0 {
 		return nil, entries
 	}
 	for len(entries) > 0 {
-		i, _ := slices.BinarySearchFunc(pages, entries[0].Rank, func(p *heldPage, r Rank) int { return cmp.Compare(p.upper, r) })
+		i, _ := slices.BinarySearchFunc(pages, entries[0].Number, func(p *heldPage, r JobNumber) int { return cmp.Compare(p.upper, r) })
 		if i == len(pages) {
 			break // the last page is missing
 		}
-		end, _ := slices.BinarySearchFunc(entries, pages[i].upper+1, func(e Entry, r Rank) int { return cmp.Compare(e.Rank, r) })
-		if covers := !pages[i].damaged && entries[0].Rank > pages[i].lower; covers && end > len(group) {
+		end, _ := slices.BinarySearchFunc(entries, pages[i].upper+1, func(e Entry, r JobNumber) int { return cmp.Compare(e.Number, r) })
+		if covers := !pages[i].damaged && entries[0].Number > pages[i].lower; covers && end > len(group) {
 			page, group = pages[i], entries[:end]
 		}
 		entries = entries[end:]
@@ -101,9 +101,9 @@
 }
 
 // unpack returns a page with its entries, which may have to be read again.
-func (k *Keeper) unpack(ctx context.Context, held *heldPage) (Page, error) {
+func (k *Archiver) unpack(ctx context.Context, held *heldPage) (Page, error) {
 	if held == nil {
-		return Page{Upper: LastRank}, nil
+		return Page{Upper: LastJobNumber}, nil
 	}
 	if !held.evicted {
 		return held.page(), nil
@@ -116,7 +116,7 @@
 	}
 	if it.Version != held.version {
 		k.doubt()
-		return Page{}, ErrNotExact
+		return Page{}, ErrIncomplete
 	}
 	page, err := decode(it.Key, it.Data)
 	if err != nil {
@@ -129,7 +129,7 @@
 // write replaces a page by others of the same range, in one transaction that is guarded by the lead and by the
 // versions of all pages that it touches; also is another page that it removes. It may be carried out late, twice or without an answer: then the
 // pages are read again before anything rests on them.
-func (k *Keeper) write(ctx context.Context, held *heldPage, pages []Page, also *heldPage) error {
+func (k *Archiver) write(ctx context.Context, held *heldPage, pages []Page, also *heldPage) error {
 	guards, ops, written, err := k.transaction(held, pages, also)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 }
 
 // transaction makes the guards and changes of a write, and the pages as they are held then.
-func (k *Keeper) transaction(held *heldPage, pages []Page, also *heldPage) (guards []storage.Guard, ops []storage.Op, written []*heldPage, err error) {
+func (k *Archiver) transaction(held *heldPage, pages []Page, also *heldPage) (guards []storage.Guard, ops []storage.Op, written []*heldPage, err error) {
 	guards = []storage.Guard{k.lead.Guard}
 	if held != nil {
 		guards = append(guards, storage.Guard{Key: held.key, Version: held.version})
@@ -185,13 +185,13 @@
 }
 
 // failed sorts a write's failure: after all but a plain refusal the pages have to be read again.
-func (k *Keeper) failed(err error) error {
+func (k *Archiver) failed(err error) error {
 	var conflict *storage.ConflictError
 	switch {
 	case errors.As(err, &conflict) && slices.Contains(conflict.Failed, k.lead.Guard.Key):
 		k.doubt()
-		return ErrDeposed
-	case errors.Is(err, storage.ErrMalformed), errors.Is(err, storage.ErrTooMany):
+		return ErrLeadershipLost
+	case errors.Is(err, storage.ErrMalformed), errors.Is(err, storage.ErrRateLimited):
 		k.limits.Learn(err)
 	case errors.Is(err, storage.ErrRefused):
 	default:
--- a/internal/archive/page.go
+++ b/internal/archive/page.go
@@ -14,19 +14,19 @@
 	"sagevale/internal/storage"
 )
 
-// Final is the final state of a job.
-type Final struct {
+// FinalState is the final state of a job.
+type FinalState struct {
 	Cancelled bool // else done
 	Done      int  // tasks that are done
 }
 
-// FinalOf is the final state of a job's record.
-func FinalOf(phase storage.Phase, done int) Final {
-	return Final{Cancelled: phase == storage.Cancelled, Done: done}
+// FinalStateOf is the final state of a job's record.
+func FinalStateOf(phase storage.Phase, done int) FinalState {
+	return FinalState{Cancelled: phase == storage.Cancelled, Done: done}
 }
 
 // Phase is the job's phase.
-func (f Final) Phase() storage.Phase {
+func (f FinalState) Phase() storage.Phase {
 	if f.Cancelled {
 		return storage.Cancelled
 	}
@@ -35,13 +35,13 @@
 
 // Entry is one archived job.
 type Entry struct {
-	Rank Rank
-	Final
+	Number JobNumber
+	FinalState
 }
 
 // Page is the archived jobs of the ranks above Lower up to Upper, in order.
 type Page struct {
-	Lower, Upper Rank
+	Lower, Upper JobNumber
 	Entries      []Entry
 }
 
@@ -52,19 +52,19 @@
 const keyDigits = 19
 
 // pageKey is the key of the page whose range ends with upper.
-func pageKey(upper Rank) string {
+func pageKey(upper JobNumber) string {
 	number := strconv.FormatUint(uint64(upper), 10)
 	return prefix + strings.Repeat("0", keyDigits-len(number)) + number
 }
 
 // upperOf reads the end of a page's range from its key.
-func upperOf(key string) (Rank, error) {
+func upperOf(key string) (JobNumber, error) {
 	number, ok := strings.CutPrefix(key, prefix)
 	upper, err := strconv.ParseUint(number, 10, 64)
-	if !ok || err != nil || len(number) != keyDigits || upper < 1 || Rank(upper) > LastRank {
+	if !ok || err != nil || len(number) != keyDigits || upper < 1 || JobNumber(upper) > LastJobNumber {
 		return 0, &DamagedError{Key: key, Reason: "it is no page's key"}
 	}
-	return Rank(upper), nil
+	return JobNumber(upper), nil
 }
 
 // DamagedError tells that a stored page can't be understood. Nothing is guessed from it.
@@ -101,21 +101,21 @@
 	before := p.Lower
 	for i := range p.Entries {
 		body = appendEntry(body, before, &p.Entries[i])
-		before = p.Entries[i].Rank
+		before = p.Entries[i].Number
 	}
 	return binary.LittleEndian.AppendUint32(body, checksum(pageKey(p.Upper), body))
 }
 
-func appendEntry(body []byte, before Rank, e *Entry) []byte {
+func appendEntry(body []byte, before JobNumber, e *Entry) []byte {
 	state := uint64(e.Done) << 1
 	if e.Cancelled {
 		state |= 1
 	}
-	return binary.AppendUvarint(binary.AppendUvarint(body, uint64(e.Rank-before)), state)
+	return binary.AppendUvarint(binary.AppendUvarint(body, uint64(e.Number-before)), state)
 }
 
 // entryBytes is what an entry takes behind one of rank before.
-func entryBytes(before Rank, e *Entry) int {
+func entryBytes(before JobNumber, e *Entry) int {
 	var buffer [mostEntryBytes]byte
 	return len(appendEntry(buffer[:0], before, e))
 }
@@ -145,7 +145,7 @@
 
 // packedPage is a page whose entries are read where they are needed.
 type packedPage struct {
-	lower, upper Rank
+	lower, upper JobNumber
 	count        int
 	packed       []byte
 }
@@ -169,14 +169,14 @@
 		return fmt.Errorf("format %d is not known, only %d", body[0], pageFormat)
 	}
 	lower, n := binary.Uvarint(body[1:])
-	if n <= 0 || Rank(lower) >= p.upper {
+	if n <= 0 || JobNumber(lower) >= p.upper {
 		return errOrder
 	}
 	count, m := binary.Uvarint(body[1+n:])
 	if m <= 0 || count > uint64(len(body)) {
 		return errTooShort
 	}
-	p.lower, p.count = Rank(lower), int(count)
+	p.lower, p.count = JobNumber(lower), int(count)
 	walked := 0
 	rest := p.each(func(Entry) bool { walked++; return true })
 	if walked != p.count || rest != 0 {
@@ -204,8 +204,8 @@
 			return len(body)
 		}
 		body = body[n+m:]
-		rank += Rank(distance)
-		if !f(Entry{Rank: rank, Final: Final{Cancelled: state&1 != 0, Done: int(state >> 1)}}) {
+		rank += JobNumber(distance)
+		if !f(Entry{Number: rank, FinalState: FinalState{Cancelled: state&1 != 0, Done: int(state >> 1)}}) {
 			return len(body)
 		}
 	}
@@ -216,12 +216,12 @@
 const mostTasks = 1 << 32
 
 // find looks for a rank.
-func (p *packedPage) find(rank Rank) (final Final, found bool) {
+func (p *packedPage) find(rank JobNumber) (final FinalState, found bool) {
 	p.each(func(e Entry) bool {
-		if e.Rank == rank {
-			final, found = e.Final, true
+		if e.Number == rank {
+			final, found = e.FinalState, true
 		}
-		return e.Rank < rank
+		return e.Number < rank
 	})
 	return final, found
 }
--- a/internal/archive/page_test.go
+++ b/internal/archive/page_test.go
@@ -26,45 +26,45 @@
 func TestRanksStandForIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawID(t, "a"), drawID(t, "b")
-		ra, _ := RankOf(a)
-		rb, _ := RankOf(b)
-		if ra.ID() != a || ra < 1 || ra > LastRank {
+		ra, _ := ParseJobNumber(a)
+		rb, _ := ParseJobNumber(b)
+		if ra.ID() != a || ra < 1 || ra > LastJobNumber {
 			t.Fatalf("%s has rank %d, which has id %s", a, ra, ra.ID())
 		}
 		if (ra == rb) != (a == b) || (pageKey(ra) < pageKey(rb)) != (ra < rb) {
 			t.Fatalf("%s and %s have ranks %d and %d", a, b, ra, rb)
 		}
 	})
-	if r, _ := RankOf("999999999999999999"); r != LastRank {
-		t.Errorf("the last id has rank %d of %d", r, LastRank)
+	if r, _ := ParseJobNumber("999999999999999999"); r != LastJobNumber {
+		t.Errorf("the last id has rank %d of %d", r, LastJobNumber)
 	}
 	for _, id := range []string{"", "12345", "1234567890123456789", "12345x", "-12345", "１２３４５６"} {
-		if _, ok := RankOf(id); ok {
+		if _, ok := ParseJobNumber(id); ok {
 			t.Errorf("%q has a rank", id)
 		}
 	}
 }
 
 // drawEntries draws jobs in order; some lie close together, some far apart.
-func drawEntries(t *rapid.T, name string, lower, upper Rank, most int) []Entry {
+func drawEntries(t *rapid.T, name string, lower, upper JobNumber, most int) []Entry {
 	var entries []Entry
 	for i := range rapid.IntRange(0, most).Draw(t, name) {
-		rank := Rank(rapid.Uint64Range(uint64(lower)+1, uint64(upper)).Draw(t, fmt.Sprintf("%s %d", name, i)))
-		if len(entries) > 0 && rapid.Bool().Draw(t, "close") && entries[len(entries)-1].Rank < upper {
-			rank = entries[len(entries)-1].Rank + 1
+		rank := JobNumber(rapid.Uint64Range(uint64(lower)+1, uint64(upper)).Draw(t, fmt.Sprintf("%s %d", name, i)))
+		if len(entries) > 0 && rapid.Bool().Draw(t, "close") && entries[len(entries)-1].Number < upper {
+			rank = entries[len(entries)-1].Number + 1
 		}
-		entries = append(entries, Entry{rank, Final{rapid.Bool().Draw(t, "cancelled"), rapid.IntRange(0, 100_000).Draw(t, "done")}})
+		entries = append(entries, Entry{rank, FinalState{rapid.Bool().Draw(t, "cancelled"), rapid.IntRange(0, 100_000).Draw(t, "done")}})
 	}
-	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Rank, b.Rank) })
-	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.Rank == b.Rank })
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Number, b.Number) })
+	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.Number == b.Number })
 }
 
-func drawRange(t *rapid.T) (lower, upper Rank) {
-	a := rapid.Uint64Range(0, uint64(LastRank)-1).Draw(t, "lower")
+func drawRange(t *rapid.T) (lower, upper JobNumber) {
+	a := rapid.Uint64Range(0, uint64(LastJobNumber)-1).Draw(t, "lower")
 	if rapid.Bool().Draw(t, "whole") {
-		return 0, LastRank
+		return 0, LastJobNumber
 	}
-	return Rank(a), Rank(rapid.Uint64Range(a+1, uint64(LastRank)).Draw(t, "upper"))
+	return JobNumber(a), JobNumber(rapid.Uint64Range(a+1, uint64(LastJobNumber)).Draw(t, "upper"))
 }
 
 func TestAPageIsReadAsItWasWritten(t *testing.T) {
@@ -88,12 +88,12 @@
 			t.Fatalf("%+v is read as %+v", page, again)
 		}
 		for _, e := range page.Entries {
-			if final, found := read.find(e.Rank); !found || final != e.Final {
-				t.Fatalf("%d is found as %v %v", e.Rank, final, found)
+			if final, found := read.find(e.Number); !found || final != e.FinalState {
+				t.Fatalf("%d is found as %v %v", e.Number, final, found)
 			}
 		}
 		// The same value under another page's key is damaged.
-		if other := pageKey(upper%LastRank + 1); other != pageKey(upper) {
+		if other := pageKey(upper%LastJobNumber + 1); other != pageKey(upper) {
 			if _, err := decode(other, value); err == nil {
 				t.Fatal("read under another key")
 			}
@@ -124,9 +124,9 @@
 		if len(pages) > parts {
 			t.Fatalf("%d parts, of %d", len(pages), parts)
 		}
-		want := make(map[Rank]Final)
+		want := make(map[JobNumber]FinalState)
 		for _, e := range append(slices.Clone(taken), page.Entries...) { // what was there stays
-			want[e.Rank] = e.Final
+			want[e.Number] = e.FinalState
 		}
 		from, n := lower, 0
 		for i := range pages {
@@ -138,7 +138,7 @@
 			}
 			from = pages[i].Upper
 			for _, e := range pages[i].Entries {
-				if n++; want[e.Rank] != e.Final || e.Rank <= pages[i].Lower || e.Rank > pages[i].Upper {
+				if n++; want[e.Number] != e.FinalState || e.Number <= pages[i].Lower || e.Number > pages[i].Upper {
 					t.Fatalf("%+v in part %d", e, i)
 				}
 			}
@@ -150,7 +150,7 @@
 }
 
 func TestDamagedPagesNameTheirKeys(t *testing.T) {
-	page := Page{0, 100, []Entry{{7, Final{Done: 3}}, {9, Final{Cancelled: true}}}}
+	page := Page{0, 100, []Entry{{7, FinalState{Done: 3}}, {9, FinalState{Cancelled: true}}}}
 	packed := pack(&page)
 	good, err := encode(packed)
 	if err != nil {
@@ -195,7 +195,7 @@
 // FuzzDecode: whatever is stored under a page's key is read or called damaged, and what is read is written
 // the same. The checksum is made to fit, so that what lies behind it is reached.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte{}, uint64(LastRank))
+	f.Add([]byte{}, uint64(LastJobNumber))
 	f.Add([]byte{pageFormat, 0, 0}, uint64(100))
 	f.Add([]byte{pageFormat, 0, 2, 7, 6, 2, 1}, uint64(100))
 	f.Add([]byte{pageFormat, 0, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 0}, uint64(100))
@@ -203,7 +203,7 @@
 	f.Add([]byte{pageFormat, 0, 1, 0xff, 1, 0}, uint64(100))
 	f.Add([]byte{pageFormat, 9, 0xff, 0xff, 0xff, 0xff, 0x0f}, uint64(100))
 	f.Fuzz(func(t *testing.T, body []byte, last uint64) {
-		upper := Rank(last%uint64(LastRank) + 1)
+		upper := JobNumber(last%uint64(LastJobNumber) + 1)
 		sum := checksum(pageKey(upper), body)
 		value, err := encode(append(slices.Clone(body), byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24)))
 		if err != nil {
@@ -215,10 +215,10 @@
 		}
 		page := read.page()
 		for i, before := 0, page.Lower; i < len(page.Entries); i++ {
-			if rank := page.Entries[i].Rank; rank <= before || rank > upper {
+			if rank := page.Entries[i].Number; rank <= before || rank > upper {
 				t.Fatalf("out of order or range: %+v", page)
 			}
-			before = page.Entries[i].Rank
+			before = page.Entries[i].Number
 		}
 		again := packedPage{upper: upper, packed: pack(&page)}
 		if err := again.check(pageKey(upper)); err != nil || len(page.Entries) != read.count {
@@ -232,18 +232,18 @@
 
 // What is older than what is held changes nothing.
 func TestTheIndexKeepsTheLaterVersion(t *testing.T) {
-	held := func(version uint64, final Final) *heldPage {
-		p := Page{0, LastRank, []Entry{{5, final}}}
+	held := func(version uint64, final FinalState) *heldPage {
+		p := Page{0, LastJobNumber, []Entry{{5, final}}}
 		return &heldPage{packedPage: packedPage{p.Lower, p.Upper, 1, pack(&p)}, key: pageKey(p.Upper), version: version}
 	}
 	x := NewIndex(1 << 20)
-	x.put([]*heldPage{held(4, Final{Done: 4})})
-	x.put([]*heldPage{held(3, Final{Done: 3})})
-	x.remove(LastRank, 2)
+	x.put([]*heldPage{held(4, FinalState{Done: 4})})
+	x.put([]*heldPage{held(3, FinalState{Done: 3})})
+	x.remove(LastJobNumber, 2)
 	if r := x.Lookup(5); r.Knowledge != Found || r.Final.Done != 4 {
 		t.Errorf("%+v", r)
 	}
-	x.remove(LastRank, 5)
+	x.remove(LastJobNumber, 5)
 	if r := x.Lookup(5); r.Knowledge != Unknown {
 		t.Errorf("%+v", r)
 	}
@@ -252,10 +252,10 @@
 func TestTheIndexEvictsWhatIsNotLookedAt(t *testing.T) {
 	x := NewIndex(3000)
 	var pages []*heldPage
-	for i := range Rank(10) {
+	for i := range JobNumber(10) {
 		p := Page{i * 1000, (i + 1) * 1000, nil}
 		for r := p.Lower + 1; r <= p.Lower+400; r++ {
-			p.Entries = append(p.Entries, Entry{r, Final{Done: 1}})
+			p.Entries = append(p.Entries, Entry{r, FinalState{Done: 1}})
 		}
 		pages = append(pages, &heldPage{packedPage: packedPage{p.Lower, p.Upper, len(p.Entries), pack(&p)}, key: pageKey(p.Upper), version: 1})
 	}
@@ -271,7 +271,7 @@
 		t.Errorf("the page that is asked for is evicted: %+v", r)
 	}
 	unknown := 0
-	for i := range Rank(10) {
+	for i := range JobNumber(10) {
 		if x.Lookup(i*1000+1).Knowledge == Unknown {
 			unknown++
 		}
--- a/internal/archive/rank.go
+++ b/internal/archive/rank.go
@@ -17,8 +17,8 @@
 	"strconv"
 )
 
-// Rank stands for a job's id: ids of fewer digits come first, then smaller numbers. The first is 1.
-type Rank uint64
+// JobNumber stands for a job's id: ids of fewer digits come first, then smaller numbers. The first is 1.
+type JobNumber uint64
 
 // The digits of a job's id, by the protocol.
 const (
@@ -26,12 +26,12 @@
 	maxDigits = 18
 )
 
-// LastRank is that of the largest id.
-var LastRank = firstRank(maxDigits+1) - 1
+// LastJobNumber is that of the largest id.
+var LastJobNumber = firstRank(maxDigits+1) - 1
 
 // firstRank is the rank of the smallest id of so many digits.
-func firstRank(digits int) Rank {
-	first, count := Rank(1), Rank(1)
+func firstRank(digits int) JobNumber {
+	first, count := JobNumber(1), JobNumber(1)
 	for d := range digits {
 		if d >= minDigits {
 			first += count
@@ -41,23 +41,23 @@
 	return first
 }
 
-// RankOf returns the rank of a job's id without its prefix; ok is false if it is no id.
-func RankOf(id string) (rank Rank, ok bool) {
+// ParseJobNumber returns the rank of a job's id without its prefix; ok is false if it is no id.
+func ParseJobNumber(id string) (rank JobNumber, ok bool) {
 	if len(id) < minDigits || len(id) > maxDigits {
 		return 0, false
 	}
-	var number Rank
+	var number JobNumber
 	for _, digit := range []byte(id) {
 		if digit < '0' || digit > '9' {
 			return 0, false
 		}
-		number = 10*number + Rank(digit-'0')
+		number = 10*number + JobNumber(digit-'0')
 	}
 	return firstRank(len(id)) + number, true
 }
 
 // ID returns the id of a rank, without its prefix.
-func (r Rank) ID() string {
+func (r JobNumber) ID() string {
 	digits := minDigits
 	for digits < maxDigits && r >= firstRank(digits+1) {
 		digits++
--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -11,7 +11,7 @@
 
 // refresh does one step of bringing the index up to date: the next pages of a load, or the changes
 // since.
-func (k *Keeper) refresh(ctx context.Context) {
+func (k *Archiver) refresh(ctx context.Context) {
 	began := time.Now()
 	if !k.exact() && began.Sub(k.caughtUp) > staleRefreshes*k.settings.Refresh {
 		k.loading = true
@@ -41,7 +41,7 @@
 }
 
 // load reads the next pages; after the last one changes are looked for that came meanwhile.
-func (k *Keeper) load(ctx context.Context) error {
+func (k *Archiver) load(ctx context.Context) error {
 	cctx, cancel := k.call(ctx)
 	defer cancel()
 	items, more, revision, err := k.svc.List(cctx, prefix, k.cursor, loadPages)
@@ -49,7 +49,7 @@
 		return err
 	}
 	if !k.loading || k.cursor == "" {
-		k.loading, k.loadedFrom, k.seen = true, revision, make(map[Rank]bool)
+		k.loading, k.loadedFrom, k.seen = true, revision, make(map[JobNumber]bool)
 	}
 	pages := k.hold(items, 0)
 	for _, p := range pages {
@@ -70,7 +70,7 @@
 }
 
 // hold makes held pages of stored ones; what is no page at all is named and left out.
-func (k *Keeper) hold(items []storage.Item, term uint64) []*heldPage {
+func (k *Archiver) hold(items []storage.Item, term uint64) []*heldPage {
 	pages := make([]*heldPage, 0, len(items))
 	for _, it := range items {
 		page, err := hold(it, term)
@@ -86,7 +86,7 @@
 
 // catchUp takes in the changes since the last look. If it was begun in this term, the index is exact then: no other
 // controller writes pages any longer.
-func (k *Keeper) catchUp(ctx context.Context) error {
+func (k *Archiver) catchUp(ctx context.Context) error {
 	cctx, cancel := k.call(ctx)
 	defer cancel()
 	changes, revision, err := k.svc.Watch(cctx, prefix, k.revision, 0)
@@ -110,7 +110,7 @@
 // question asks for one job's page to be read.
 type question struct {
 	ctx   context.Context // ends when nobody waits for the answer any longer
-	rank  Rank
+	rank  JobNumber
 	reply chan answer
 }
 
@@ -120,7 +120,7 @@
 }
 
 // Read tells what is known of a job after its page was read, if that is needed. Where too much is asked it fails at once.
-func (k *Keeper) Read(ctx context.Context, rank Rank) (Result, error) {
+func (k *Archiver) Read(ctx context.Context, rank JobNumber) (Result, error) {
 	q := question{ctx, rank, make(chan answer, 1)}
 	if err := k.ask(q); err != nil {
 		return Result{}, err
@@ -133,7 +133,7 @@
 	}
 }
 
-func (q question) serve(ctx context.Context, k *Keeper) {
+func (q question) serve(ctx context.Context, k *Archiver) {
 	if q.ctx.Err() != nil {
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // readPage looks a job up, and reads its page unless what is held is exact.
-func (k *Keeper) readPage(ctx context.Context, rank Rank) (Result, error) {
+func (k *Archiver) readPage(ctx context.Context, rank JobNumber) (Result, error) {
 	held := k.Index.Lookup(rank)
 	if held.Knowledge == Found || k.lead == nil || held.Knowledge == Absent && held.Term == k.lead.Term {
 		return held, nil
@@ -160,7 +160,7 @@
 		return Result{}, err
 	case len(items) == 0:
 		// None at all: only the whole of the archive tells whether that may be.
-		return Result{}, ErrNotExact
+		return Result{}, ErrIncomplete
 	}
 	pages := k.hold(items, k.lead.Term)
 	k.Index.put(pages)
--- a/internal/archive/split.go
+++ b/internal/archive/split.go
@@ -48,11 +48,11 @@
 		if size > most {
 			break
 		}
-		before = entries[i].Rank
+		before = entries[i].Number
 		taken++
 	}
 	for i := range entries[:taken] {
-		at, there := slices.BinarySearchFunc(merged, entries[i].Rank, func(e Entry, r Rank) int { return cmp.Compare(e.Rank, r) })
+		at, there := slices.BinarySearchFunc(merged, entries[i].Number, func(e Entry, r JobNumber) int { return cmp.Compare(e.Number, r) })
 		if !there {
 			merged = slices.Insert(merged, at, entries[i])
 		}
@@ -65,7 +65,7 @@
 	size, before := frameBytes, p.Lower
 	for i := range p.Entries {
 		size += entryBytes(before, &p.Entries[i])
-		before = p.Entries[i].Rank
+		before = p.Entries[i].Number
 	}
 	return size
 }
@@ -91,13 +91,13 @@
 		e := &p.Entries[i]
 		before := part.Lower
 		if n := len(part.Entries); n > 0 {
-			before = part.Entries[n-1].Rank
+			before = part.Entries[n-1].Number
 		}
 		part.Entries = append(part.Entries, *e)
 		if taken += entryBytes(before, e); taken >= each && i < len(p.Entries)-1 {
-			part.Upper = e.Rank
+			part.Upper = e.Number
 			parts = append(parts, part)
-			part, taken = Page{Lower: e.Rank}, 0
+			part, taken = Page{Lower: e.Number}, 0
 		}
 	}
 	part.Upper = p.Upper
@@ -108,7 +108,7 @@
 // is stored. Tools and tests begin with it.
 func Build(entries []Entry, limits *storage.Limits) ([]storage.Op, error) {
 	var ops []storage.Op
-	for _, page := range split(Page{Upper: LastRank, Entries: entries}, room(limits)) {
+	for _, page := range split(Page{Upper: LastJobNumber, Entries: entries}, room(limits)) {
 		data, err := encode(pack(&page))
 		if err != nil {
 			return nil, err
--- a/internal/archive/stored.go
+++ b/internal/archive/stored.go
@@ -14,9 +14,9 @@
 }
 
 // ReadStored reads all pages. It writes nothing.
-func ReadStored(ctx context.Context, svc storage.StateService) (Stored, error) {
+func ReadStored(ctx context.Context, svc storage.KeyValueStore) (Stored, error) {
 	var stored Stored
-	var lower Rank
+	var lower JobNumber
 	for after := ""; ; {
 		items, more, _, err := svc.List(ctx, prefix, after, loadPages)
 		if err != nil {
@@ -30,14 +30,14 @@
 			break
 		}
 	}
-	if stored.Pages > 0 && lower != LastRank {
-		stored.Damaged = append(stored.Damaged, fmt.Sprintf("key %s is missing", pageKey(LastRank)))
+	if stored.Pages > 0 && lower != LastJobNumber {
+		stored.Damaged = append(stored.Damaged, fmt.Sprintf("key %s is missing", pageKey(LastJobNumber)))
 	}
 	return stored, nil
 }
 
 // add counts a page, whose range should begin where the one before it ended, and returns where it ends.
-func (s *Stored) add(it storage.Item, lower Rank) Rank {
+func (s *Stored) add(it storage.Item, lower JobNumber) JobNumber {
 	s.Pages++
 	s.Bytes += len(it.Key) + len(it.Data)
 	page, err := decode(it.Key, it.Data)
--- a/internal/archive/withdraw.go
+++ b/internal/archive/withdraw.go
@@ -7,7 +7,7 @@
 
 // withdrawal is what the keeper is asked to bring the archived jobs back.
 type withdrawal struct {
-	serveWith func(ctx context.Context, k *Keeper) withdrawn
+	serveWith func(ctx context.Context, k *Archiver) withdrawn
 	reply     chan withdrawn
 }
 
@@ -17,15 +17,15 @@
 	err   error
 }
 
-func (w withdrawal) serve(ctx context.Context, k *Keeper) {
+func (w withdrawal) serve(ctx context.Context, k *Archiver) {
 	if !k.exact() {
-		w.reply <- withdrawn{err: ErrNotExact}
+		w.reply <- withdrawn{err: ErrIncomplete}
 		return
 	}
 	w.reply <- w.serveWith(ctx, k)
 }
 
-func (k *Keeper) withdraw(ctx context.Context, serve func(context.Context, *Keeper) withdrawn) withdrawn {
+func (k *Archiver) withdraw(ctx context.Context, serve func(context.Context, *Archiver) withdrawn) withdrawn {
 	w := withdrawal{serve, make(chan withdrawn, 1)}
 	if err := k.ask(w); err != nil {
 		return withdrawn{err: err}
@@ -40,18 +40,18 @@
 
 // Count tells how many jobs are archived, damaged pages counted as one each. All that was offered
 // before is in it.
-func (k *Keeper) Count(ctx context.Context) (int, error) {
-	r := k.withdraw(ctx, func(_ context.Context, k *Keeper) withdrawn {
+func (k *Archiver) Count(ctx context.Context) (int, error) {
+	r := k.withdraw(ctx, func(_ context.Context, k *Archiver) withdrawn {
 		stats := k.Index.Stats()
 		return withdrawn{count: stats.Jobs + stats.Damaged}
 	})
 	return r.count, r.err
 }
 
-// First returns the first page; without entries if there is none. Its jobs may be brought back to where they came from, and then be
+// FirstPage returns the first page; without entries if there is none. Its jobs may be brought back to where they came from, and then be
 // dropped here: whoever leads next goes on with what is left.
-func (k *Keeper) First(ctx context.Context) (Page, error) {
-	r := k.withdraw(ctx, func(ctx context.Context, k *Keeper) withdrawn {
+func (k *Archiver) FirstPage(ctx context.Context) (Page, error) {
+	r := k.withdraw(ctx, func(ctx context.Context, k *Archiver) withdrawn {
 		pages := k.Index.current.Load().pages
 		if len(pages) == 0 {
 			return withdrawn{}
@@ -65,13 +65,13 @@
 	return r.page, r.err
 }
 
-// DropFirst removes the first page, whose jobs are durable elsewhere, if its range still ends there. The next page
+// DropFirstPage removes the first page, whose jobs are durable elsewhere, if its range still ends there. The next page
 // takes its range over, so that no range is without a page.
-func (k *Keeper) DropFirst(ctx context.Context, upper Rank) error {
-	return k.withdraw(ctx, func(ctx context.Context, k *Keeper) withdrawn { return withdrawn{err: k.dropFirst(ctx, upper)} }).err
+func (k *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
+	return k.withdraw(ctx, func(ctx context.Context, k *Archiver) withdrawn { return withdrawn{err: k.dropFirst(ctx, upper)} }).err
 }
 
-func (k *Keeper) dropFirst(ctx context.Context, upper Rank) error {
+func (k *Archiver) dropFirst(ctx context.Context, upper JobNumber) error {
 	limits := k.applyLimits()
 	pages := k.Index.current.Load().pages
 	if len(pages) == 0 || pages[0].upper != upper || !k.writes.AllowN(time.Now(), 2) {
--- a/internal/boots/boots.go
+++ b/internal/boots/boots.go
@@ -37,11 +37,11 @@
 // has none.
 type History struct{ boots []boot }
 
-// Up takes in that a machine has come up after so many nominal boot times.
-func (h *History) Up(now time.Time, times float64) { h.add(boot{now, times, true}) }
+// RecordProvisioned takes in that a machine has come up after so many nominal boot times.
+func (h *History) RecordProvisioned(now time.Time, times float64) { h.add(boot{now, times, true}) }
 
-// GivenUp takes in that a machine was waited for in vain for so many nominal boot times.
-func (h *History) GivenUp(now time.Time, times float64) { h.add(boot{now, times, false}) }
+// RecordAbandoned takes in that a machine was waited for in vain for so many nominal boot times.
+func (h *History) RecordAbandoned(now time.Time, times float64) { h.add(boot{now, times, false}) }
 
 func (h *History) add(b boot) {
 	if len(h.boots) == kept {
--- a/internal/boots/boots_test.go
+++ b/internal/boots/boots_test.go
@@ -27,10 +27,10 @@
 	} {
 		var h History
 		for _, times := range c.up {
-			h.Up(now, times)
+			h.RecordProvisioned(now, times)
 		}
 		for _, times := range c.givenUp {
-			h.GivenUp(now, times)
+			h.RecordAbandoned(now, times)
 		}
 		if got := h.Slowness(now, nominal, c.late); got != c.slowness {
 			t.Errorf("%s: slowness %v, not %v", name, got, c.slowness)
@@ -44,7 +44,7 @@
 	}
 	var h History
 	for range 1000 {
-		h.Up(now, 1)
+		h.RecordProvisioned(now, 1)
 	}
 	if len(h.boots) > kept {
 		t.Errorf("%d boots are kept", len(h.boots))
--- a/internal/coordination/activation.go
+++ b/internal/coordination/activation.go
@@ -57,35 +57,35 @@
 	return max(2, int(float64(s.Sockets)*modelSocketShare/2))
 }
 
-// MostHeld is how many requests for models its connections allow a controller to hold.
-func (s *Settings) MostHeld() int { return max(1, int(float64(s.ModelConnections())*heldShare)) }
+// MaxHeldRequests is how many requests for models its connections allow a controller to hold.
+func (s *Settings) MaxHeldRequests() int { return max(1, int(float64(s.ModelConnections())*heldShare)) }
 
 // defaultHeld is how many requests may be held at a time.
 func (s *Settings) defaultHeld() int {
 	byMemory := int(s.MemoryMB * (1 << 20) * heldMemoryShare / heldBytes)
-	return max(1, min(byMemory, s.MostHeld()))
+	return max(1, min(byMemory, s.MaxHeldRequests()))
 }
 
 func (s *Settings) defaultActivation() ActivationTuning {
 	return ActivationTuning{
 		Policy: activation.Policy{
-			IdleWindow: scale(s.Lease, idlePerLease), DrainTimeout: scale(s.Lease, drainPerLease),
-			StartWithin: scale(s.Lease, startPerLease), StableAfter: scale(s.Lease, stablePerLease),
-			Attempts: startAttempts, Backoff: scale(s.Lease, backoffPerLease), Cooldown: scale(s.Lease, cooldownPerLease),
+			IdleWindow: scale(s.WorkerLease, idlePerLease), DrainTimeout: scale(s.WorkerLease, drainPerLease),
+			StartWithin: scale(s.WorkerLease, startPerLease), StableAfter: scale(s.WorkerLease, stablePerLease),
+			Attempts: startAttempts, Backoff: scale(s.WorkerLease, backoffPerLease), Cooldown: scale(s.WorkerLease, cooldownPerLease),
 		},
 		Body: defaultBody, Held: s.defaultHeld(), Concurrent: defaultConcurrent,
 	}
 }
 
 // RoutingLease is the longest that a controller may pass requests on by one answer of the leader.
-func (s *Settings) RoutingLease() time.Duration { return s.Report }
+func (s *Settings) RoutingLease() time.Duration { return s.HeartbeatInterval }
 
 // wakeIntervals is how many times within a report interval a controller asks again for a model that
 // doesn't answer yet.
 const wakeIntervals = 8
 
 // WakeInterval is for how long a controller goes by an answer that a model isn't ready.
-func (s *Settings) WakeInterval() time.Duration { return s.Report / wakeIntervals }
+func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakeIntervals }
 
 // managedService is a service that may be at zero, as the leader holds it.
 type managedService struct {
@@ -114,7 +114,7 @@
 // mayPlace tells whether the service's task may be placed: its wake is durable, and nothing else is to
 // be awaited. A service that isn't managed, nil, always may.
 func (s *managedService) mayPlace(now time.Time) bool {
-	return s == nil || s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Book
+	return s == nil || s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
 }
 
 // replica returns the attempt that the record is about, or nil.
@@ -366,7 +366,7 @@
 		return
 	}
 	switch s.record.Pending(now) {
-	case activation.Book:
+	case activation.Reserve:
 		c.host.placeSoon()
 	case activation.Stop:
 		if a := s.replica(); a != nil && !a.stop {
@@ -380,7 +380,7 @@
 // booked takes in an attempt that was booked, or found on a machine.
 func (c *activationController) booked(a *attempt, now time.Time) {
 	if s := a.job.managed; s != nil && !a.stop && c.resumed {
-		c.apply(s, activation.Booked{Generation: s.record.Generation, Attempt: a.try}, now)
+		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.try}, now)
 	}
 }
 
@@ -391,7 +391,7 @@
 		return
 	}
 	starting := s.record.State == activation.Starting
-	c.apply(s, activation.Answering{Generation: s.record.Generation, Attempt: a.try}, now)
+	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.try}, now)
 	if starting && s.record.State == activation.Ready && !s.wokenAt.IsZero() {
 		c.starts.Note(s.job.spec.Class, now.Sub(s.wokenAt))
 		s.wokenAt = time.Time{}
@@ -401,7 +401,7 @@
 // gone takes in that an attempt's place is proved empty.
 func (c *activationController) gone(a *attempt, now time.Time) {
 	if s := a.job.managed; s != nil {
-		c.apply(s, activation.Gone{Generation: s.record.Generation, Attempt: a.try, Failed: a.failed}, now)
+		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.try, Failed: a.failed}, now)
 	}
 }
 
@@ -413,7 +413,7 @@
 		if a := s.replica(); a != nil {
 			booked = now.Sub(a.booked)
 		}
-		c.apply(s, activation.Tick{Booked: booked}, now)
+		c.apply(s, activation.Tick{ReservedFor: booked}, now)
 		c.tendUsage(s, now)
 		c.answerWatchers(s, now)
 	}
--- a/internal/coordination/activation_guards_test.go
+++ b/internal/coordination/activation_guards_test.go
@@ -21,7 +21,7 @@
 func coldDispatcher(t *testing.T) (*dispatcher, *job, *machine) {
 	t.Helper()
 	s := grownSettings()
-	s.Node, s.Peers = "n0", []Peer{{Name: "n1"}, {Name: "n2"}}
+	s.NodeName, s.Peers = "n0", []Peer{{Name: "n1"}, {Name: "n2"}}
 	s.Tuning.Activation.Classes = []string{coldClass}
 	d := newTestDispatcher(t, s)
 	d.setGates(openActivation)
@@ -74,7 +74,7 @@
 		},
 		"a commit that fails tells nobody that it starts": func(t *testing.T, d *dispatcher, _ *job, _ *machine) {
 			reply := d.asked(0, 0)
-			d.commit(storage.ErrDeposed)
+			d.commit(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
 				t.Errorf("%+v", r)
 			}
@@ -166,7 +166,7 @@
 		spec := model(coldModel)
 		if err := d.load([]storage.Record{
 			record(t, storage.JobKey(coldModel), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
-			record(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Try: 5, Machine: 1, Session: 1}}}),
+			record(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -177,7 +177,7 @@
 		ctx, end := context.WithCancel(context.Background())
 		d.ctx = ctx
 		go func() { _ = d.run(ctx) }()
-		time.Sleep(scale(d.settings.Report, tickPerReport/2)) // before the clock's first look
+		time.Sleep(scale(d.settings.HeartbeatInterval, tickPerReport/2)) // before the clock's first look
 		end()
 		synctest.Wait()
 		if !j.attempts[0].stop {
--- a/internal/coordination/activation_status.go
+++ b/internal/coordination/activation_status.go
@@ -32,7 +32,7 @@
 }
 
 // ReadActivationStatus reads the journal. It writes nothing.
-func ReadActivationStatus(ctx context.Context, svc storage.StateService, s *Settings) (ActivationStatus, error) {
+func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (ActivationStatus, error) {
 	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
 	if err != nil {
 		return ActivationStatus{}, err
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, a := range page.Attempts {
-		service.Record.Replica, service.Machine = a.Try, a.Machine
+		service.Record.Replica, service.Machine = a.Number, a.Machine
 	}
 }
 
@@ -106,8 +106,8 @@
 		s.Why = s.Damaged
 	case !s.Managed:
 		s.Why = "runs always: it has several tasks, or was accepted before this was in force"
-	case s.Record.Rests(now) > 0:
-		s.Why = "rests for " + s.Record.Rests(now).Round(time.Second).String() + " after starts that failed"
+	case s.Record.BackoffRemaining(now) > 0:
+		s.Why = "rests for " + s.Record.BackoffRemaining(now).Round(time.Second).String() + " after starts that failed"
 	case s.Record.State == activation.Starting && s.Record.Replica == activation.NoReplica:
 		s.Why = "there was demand; waits for room on a machine"
 	case s.Record.State == activation.Starting:
--- a/internal/coordination/affinity.go
+++ b/internal/coordination/affinity.go
@@ -28,7 +28,7 @@
 }
 
 func newAffinity(n *Node) affinity {
-	h := affinity{node: n, names: []string{n.settings.Node}, zones: map[string]string{n.settings.Node: n.settings.Zone}, probed: make(map[string]time.Time)}
+	h := affinity{node: n, names: []string{n.settings.NodeName}, zones: map[string]string{n.settings.NodeName: n.settings.Zone}, probed: make(map[string]time.Time)}
 	for _, p := range n.settings.Peers {
 		h.names = append(h.names, p.Name)
 		h.zones[p.Name] = p.Zone
@@ -39,8 +39,8 @@
 
 // nodeFor returns the node that a worker should report to; "" if it may stay here.
 func (h *affinity) nodeFor(r *Report, worker *knownWorker, now time.Time) string {
-	self := h.node.settings.Node
-	if !worker.redirected.IsZero() && now.Sub(worker.redirected) < affinityLeases*h.node.settings.Lease {
+	self := h.node.settings.NodeName
+	if !worker.redirected.IsZero() && now.Sub(worker.redirected) < affinityLeases*h.node.settings.WorkerLease {
 		return ""
 	}
 	leader, _ := h.node.leader(h.node.view.Load())
@@ -73,17 +73,17 @@
 
 // canForward tells whether a node can hand reports to the leader.
 func (h *affinity) canForward(name, leader string) bool {
-	if name == h.node.settings.Node {
+	if name == h.node.settings.NodeName {
 		return true
 	}
 	w, ok := h.node.deps.Peers.Status(name)
-	return ok && w.Leader == leader && h.node.deps.Peers.SilentFor(name) == 0
+	return ok && w.Leader == leader && h.node.deps.Peers.UnreachableFor(name) == 0
 }
 
 // hearsWorkers tells whether a node hears workers; now and then one is sent to a node
 // that hears none.
 func (h *affinity) hearsWorkers(name string, now time.Time) bool {
-	if w, ok := h.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Got) < h.node.settings.Report {
+	if w, ok := h.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < h.node.settings.HeartbeatInterval {
 		return true
 	}
 	if now.Sub(h.probed[name]) < affinityProbePause {
--- a/internal/coordination/archive_status.go
+++ b/internal/coordination/archive_status.go
@@ -18,7 +18,7 @@
 }
 
 // ReadArchiveStatus reads all pages and the journal. It writes nothing.
-func ReadArchiveStatus(ctx context.Context, svc storage.StateService, s *Settings) (ArchiveStatus, error) {
+func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (ArchiveStatus, error) {
 	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
 	if err != nil {
 		return ArchiveStatus{}, err
@@ -31,7 +31,7 @@
 }
 
 // countJournal counts the jobs whose records are in the journal.
-func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.StateService, s *Settings) error {
+func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.KeyValueStore, s *Settings) error {
 	journal, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
 		return err
--- a/internal/coordination/archive_withdrawal.go
+++ b/internal/coordination/archive_withdrawal.go
@@ -26,7 +26,7 @@
 
 // restoreFirst brings the jobs of the first page back.
 func (t termGates) restoreFirst(ctx context.Context) error {
-	page, err := t.dispatcher.archive.First(ctx)
+	page, err := t.dispatcher.archive.FirstPage(ctx)
 	if err != nil || page.Upper == 0 {
 		return err
 	}
@@ -42,5 +42,5 @@
 	if err != nil {
 		return err
 	}
-	return t.dispatcher.archive.DropFirst(ctx, page.Upper)
+	return t.dispatcher.archive.DropFirstPage(ctx, page.Upper)
 }
--- a/internal/coordination/archiving.go
+++ b/internal/coordination/archiving.go
@@ -17,9 +17,9 @@
 
 // ArchiveTuning is the operators' part of the archive.
 type ArchiveTuning struct {
-	Enabled     bool // finished jobs are archived
-	Keep        int  // so many of them stay in the journal
-	MemoryBytes int  // of the archive's pages held in memory
+	Enabled       bool // finished jobs are archived
+	KeepInJournal int  // so many of them stay in the journal
+	MemoryBytes   int  // of the archive's pages held in memory
 }
 
 const (
@@ -38,7 +38,7 @@
 
 func (s *Settings) defaultArchive() ArchiveTuning {
 	quota := s.MemoryMB * (1 << 20)
-	return ArchiveTuning{Keep: int(quota * keepShare / finishedBytes), MemoryBytes: int(quota * pagesShare)}
+	return ArchiveTuning{KeepInJournal: int(quota * keepShare / finishedBytes), MemoryBytes: int(quota * pagesShare)}
 }
 
 // mayRestore is how many archived jobs may be brought back into the journal.
@@ -47,10 +47,10 @@
 }
 
 // newArchive makes the node's keeper of the archive.
-func newArchive(s *Settings, deps Deps, limits *storage.LimitTracker) *archive.Keeper {
+func newArchive(s *Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
-	return archive.NewKeeper(deps.State, limits, archive.Settings{
-		Refresh: s.Lease, CallTime: s.callTime(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
+	return archive.NewArchiver(deps.State, limits, archive.Settings{
+		Refresh: s.WorkerLease, CallTime: s.callTime(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
 	}, deps.Log)
 }
 
@@ -62,7 +62,7 @@
 		err    error
 	}
 	movedMsg struct {
-		ranks []archive.Rank
+		ranks []archive.JobNumber
 		err   error
 	}
 	restoreMsg struct {
@@ -72,7 +72,7 @@
 )
 
 // archivedAnswer tells a user of an archived job.
-func archivedAnswer(id string, final archive.Final) Answer {
+func archivedAnswer(id string, final archive.FinalState) Answer {
 	state := StateDone
 	if final.Cancelled {
 		state = StateCancelled
@@ -82,7 +82,7 @@
 
 // archived answers a request from the archive's pages in memory, if they hold the job. Any node may.
 func (n *Node) archived(req UserRequest) (a Answer, ok bool) {
-	rank, ok := archive.RankOf(req.ID)
+	rank, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
 		return Answer{}, false
 	}
@@ -93,7 +93,7 @@
 // answerArchived sees to a request for a job that isn't held, and tells whether it has answered it, or will once the job's page has been
 // read. It returns false if the job is known not to be archived, or nothing may be told anyway.
 func (d *dispatcher) answerArchived(m userMsg, now time.Time) bool {
-	rank, ok := archive.RankOf(m.req.ID)
+	rank, ok := archive.ParseJobNumber(m.req.ID)
 	if !d.archiveUsed || !ok {
 		return false
 	}
@@ -110,7 +110,7 @@
 }
 
 // readArchive has a job's page read and brings the result back to the dispatcher.
-func (d *dispatcher) readArchive(m userMsg, rank archive.Rank) {
+func (d *dispatcher) readArchive(m userMsg, rank archive.JobNumber) {
 	ctx, cancel := context.WithTimeout(d.ctx, d.settings.callTime())
 	defer cancel()
 	result, err := d.archive.Read(ctx, rank)
@@ -138,7 +138,7 @@
 
 // settleArchived makes a job final that is held as open though it is archived: the final record wins.
 func (d *dispatcher) settleArchived(j *job) {
-	rank, ok := archive.RankOf(j.spec.ID)
+	rank, ok := archive.ParseJobNumber(j.spec.ID)
 	if !d.archiveUsed || !ok || j.phase != storage.Open {
 		return
 	}
@@ -158,7 +158,7 @@
 
 // compareArchive looks once a term, when all pages are read, for open jobs that are archived.
 func (d *dispatcher) compareArchive() {
-	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.ExactIn(d.term) {
+	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.CompleteFor(d.term) {
 		return
 	}
 	d.archiveCompared = true
@@ -176,7 +176,7 @@
 // moveFinished offers finished jobs to the archive, where there are more than are to be kept.
 func (d *dispatcher) moveFinished(now time.Time) {
 	tuning := &d.settings.Tuning.Archive
-	if !tuning.Enabled || d.moving || !d.certain(now) || d.jobs.finished.Len() <= tuning.Keep || !d.mayUse(upgrade.JobArchive) {
+	if !tuning.Enabled || d.moving || !d.certain(now) || d.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
 		return
 	}
 	d.moving = true
@@ -190,7 +190,7 @@
 func (d *dispatcher) offer(entries []archive.Entry) {
 	ctx, cancel := context.WithTimeout(d.ctx, offerCalls*d.settings.callTime())
 	defer cancel()
-	ranks, err := d.archive.Offer(ctx, entries)
+	ranks, err := d.archive.Archive(ctx, entries)
 	d.post(movedMsg{ranks, err})
 }
 
@@ -227,7 +227,7 @@
 		return
 	}
 	for _, e := range m.entries {
-		if d.jobs.get(e.Rank.ID()) != nil {
+		if d.jobs.get(e.Number.ID()) != nil {
 			continue // its record was never removed
 		}
 		j := restored(e)
--- a/internal/coordination/archiving_bench_test.go
+++ b/internal/coordination/archiving_bench_test.go
@@ -33,7 +33,7 @@
 func BenchmarkFinishedInTheJournal(b *testing.B) {
 	records := make([]storage.Record, 0, finishedJobs)
 	for i := range finishedJobs {
-		r, err := storage.NewRecord(storage.JobKey(finishedJobID(i)), storage.JobRecord{Phase: storage.Done, Tasks: 10, AtMS: 1_796_000_000_000, DoneOf: 10})
+		r, err := storage.NewRecord(storage.JobKey(finishedJobID(i)), storage.JobRecord{Phase: storage.Done, Tasks: 10, SubmittedMS: 1_796_000_000_000, DoneTasks: 10})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 	for b.Loop() {
 		before := liveHeap()
 		began := time.Now()
-		k := archive.NewKeeper(&storagetest.Client{Service: service}, storage.NewLimitTracker(limits),
+		k := archive.NewArchiver(&storagetest.Client{Service: service}, storage.NewLimitTracker(limits),
 			archive.Settings{Refresh: time.Hour, CallTime: time.Minute, MemoryBytes: 1 << 30, Follow: true}, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(b.Context())
 		go k.Run(ctx)
@@ -79,10 +79,10 @@
 func seedPages(b *testing.B, service *storagetest.Service, limits *storage.Limits) (bytes int) {
 	entries := make([]archive.Entry, 0, finishedJobs)
 	for i := range finishedJobs {
-		rank, _ := archive.RankOf(finishedJobID(i))
-		entries = append(entries, archive.Entry{Rank: rank, Final: archive.Final{Done: 10}})
+		rank, _ := archive.ParseJobNumber(finishedJobID(i))
+		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: 10}})
 	}
-	slices.SortFunc(entries, func(a, b archive.Entry) int { return cmp.Compare(a.Rank, b.Rank) })
+	slices.SortFunc(entries, func(a, b archive.Entry) int { return cmp.Compare(a.Number, b.Number) })
 	ops, err := archive.Build(entries, limits)
 	if err == nil {
 		_, err = service.Apply(nil, ops)
--- a/internal/coordination/archiving_test.go
+++ b/internal/coordination/archiving_test.go
@@ -24,7 +24,7 @@
 // inArchiving runs a scenario whose finished jobs are archived, but for so many.
 func inArchiving(t *testing.T, keep int, story func(sim *simulation)) {
 	t.Helper()
-	inSimulationTuned(t, func(*Settings) {}, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.Keep = true, keep }, story)
+	inSimulationTuned(t, func(*Settings) {}, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
 }
 
 // status is what an operator is told of the archive.
@@ -262,7 +262,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001", "000002")
 		sim.archivedAll(2)
-		time.Sleep(2 * sim.settings.Lease) // the followers look
+		time.Sleep(2 * sim.settings.WorkerLease) // the followers look
 		sim.state.Outage(true)
 		defer sim.state.Outage(false)
 		for range 30 {
@@ -288,7 +288,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
 		sim.archivedAll(1)
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.finish("000002")
 		sim.archivedAll(2)
 		lead := sim.awaitLeader()
@@ -397,9 +397,9 @@
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		rank, _ := archive.RankOf("000002")
-		one, _ := archive.RankOf("000001")
-		ops, err := archive.Build([]archive.Entry{{Rank: one, Final: archive.Final{Done: 2}}, {Rank: rank, Final: archive.Final{Cancelled: true}}}, &sim.settings.State)
+		rank, _ := archive.ParseJobNumber("000002")
+		one, _ := archive.ParseJobNumber("000001")
+		ops, err := archive.Build([]archive.Entry{{Number: one, FinalState: archive.FinalState{Done: 2}}, {Number: rank, FinalState: archive.FinalState{Cancelled: true}}}, &sim.settings.State)
 		if err != nil || len(ops) != 1 {
 			t.Fatal(ops, err)
 		}
@@ -421,7 +421,7 @@
 // The limits fall below the pages that are stored: they are told as ever, and further jobs are archived.
 func TestLimitsFallBelowTheArchive(t *testing.T) {
 	next := &storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 8}
-	inSimulationTuned(t, func(s *Settings) { s.State.Next = next }, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.Keep = true, 0 }, func(sim *simulation) {
+	inSimulationTuned(t, func(s *Settings) { s.State.Next = next }, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
 		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
@@ -448,8 +448,8 @@
 	time.Sleep(time.Minute)
 	entries := make([]archive.Entry, 0, jobs)
 	for i := range jobs {
-		rank, _ := archive.RankOf(archivedID(i))
-		entries = append(entries, archive.Entry{Rank: rank, Final: archive.Final{Done: i % 50}})
+		rank, _ := archive.ParseJobNumber(archivedID(i))
+		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: i % 50}})
 	}
 	ops, err := archive.Build(entries, &sim.settings.State)
 	if err == nil {
@@ -458,7 +458,7 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	record, err := upgrade.Use(sim.cluster(), upgrade.JobArchive, sim.cluster().Term)
+	record, err := upgrade.MarkGateUsed(sim.cluster(), upgrade.JobArchive, sim.cluster().Term)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
@@ -738,7 +738,7 @@
 		id := fmt.Sprintf("%06d", i+1)
 		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.final() })
 	}
-	sim.eventually("archived", 2*time.Minute, func() bool { return sim.status().Backlog <= sim.settings.Tuning.Archive.Keep })
+	sim.eventually("archived", 2*time.Minute, func() bool { return sim.status().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range next - 1 {
 		id := fmt.Sprintf("%06d", i+1)
 		sim.told(id, sim.poll(id).State)
@@ -755,14 +755,14 @@
 
 // What an archived job's record becomes when it is brought back is read by earlier versions as a final job.
 func TestARestoredRecord(t *testing.T) {
-	rank, _ := archive.RankOf("000412")
-	for _, final := range []archive.Final{{Done: 12}, {Cancelled: true, Done: 3}} {
-		data, err := json.Marshal(restored(archive.Entry{Rank: rank, Final: final}).record())
+	rank, _ := archive.ParseJobNumber("000412")
+	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
+		data, err := json.Marshal(restored(archive.Entry{Number: rank, FinalState: final}).record())
 		if err != nil {
 			t.Fatal(err)
 		}
 		var r storage.JobRecord
-		if err := json.Unmarshal(data, &r); err != nil || r.Phase != final.Phase() || r.DoneOf != final.Done || r.Spec != nil {
+		if err := json.Unmarshal(data, &r); err != nil || r.Phase != final.Phase() || r.DoneTasks != final.Done || r.Spec != nil {
 			t.Errorf("%s: %+v %v", data, r, err)
 		}
 	}
@@ -781,7 +781,7 @@
 			{archive.Result{Knowledge: archive.Absent}, CodeUnavailable},
 			{archive.Result{}, CodeUnavailable},
 			{archive.Result{Knowledge: archive.Absent, Term: d.term}, CodeNotFound},
-			{archive.Result{Knowledge: archive.Found, Final: archive.Final{Done: 1}}, CodeOK},
+			{archive.Result{Knowledge: archive.Found, Final: archive.FinalState{Done: 1}}, CodeOK},
 		} {
 			reply := make(chan Answer, 1)
 			d.handleArchiveRead(archiveReadMsg{user: userMsg{req: UserRequest{Op: OpPoll, ID: "000001"}, reply: reply}, result: c.result})
@@ -797,10 +797,10 @@
 func TestAnOfferUnderWayIsAUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		rank, _ := archive.RankOf("000001")
+		rank, _ := archive.ParseJobNumber("000001")
 		restore := func() error {
 			reply := make(chan error, 1)
-			d.restore(restoreMsg{[]archive.Entry{{Rank: rank}}, reply})
+			d.restore(restoreMsg{[]archive.Entry{{Number: rank}}, reply})
 			d.commit(nil)
 			return <-reply
 		}
@@ -857,8 +857,8 @@
 		d := newTestDispatcher(t, grownSettings())
 		service := storagetest.NewService()
 		defer service.Close()
-		rank, _ := archive.RankOf("000001")
-		ops, err := archive.Build([]archive.Entry{{Rank: rank, Final: archive.Final{Done: 1}}}, &d.settings.State)
+		rank, _ := archive.ParseJobNumber("000001")
+		ops, err := archive.Build([]archive.Entry{{Number: rank, FinalState: archive.FinalState{Done: 1}}}, &d.settings.State)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -867,9 +867,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.archive = newArchive(d.settings, Deps{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
+		d.archive = newArchive(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
 		go d.archive.Run(ctx)
-		d.archive.Begin(ctx, archive.Lead{Term: d.term, Guard: storage.Guard{Key: leadKey, Version: version}})
+		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadKey, Version: version}})
 		time.Sleep(time.Minute)
 		answer := make(chan error, 1) // of the journal
 		go func() {
@@ -881,7 +881,7 @@
 		for _, c := range []struct {
 			committed error
 			pages     int
-		}{{errMoving, 1}, {storage.ErrDeposed, 1}, {nil, 0}} {
+		}{{errMoving, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
 			answer <- c.committed
 			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.committed) || len(service.Keys(archivePrefix)) != c.pages {
 				t.Errorf("%v: %d pages left, %v", c.committed, len(service.Keys(archivePrefix)), err)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	d.unmark()
-	d.firstJob = time.Now().Add(-3 * d.settings.Lease)
+	d.firstJob = time.Now().Add(-3 * d.settings.WorkerLease)
 	return d
 }
 
--- a/internal/coordination/booting.go
+++ b/internal/coordination/booting.go
@@ -56,8 +56,8 @@
 		return
 	}
 	m.bornSeen = false // once
-	d.boots.ofType(m.kind).Up(now, m.bootsSoFar(now))
-	d.boots.ofOffer(m.offer()).Up(now, m.bootsSoFar(now))
+	d.boots.ofType(m.kind).RecordProvisioned(now, m.bootsSoFar(now))
+	d.boots.ofOffer(m.offer()).RecordProvisioned(now, m.bootsSoFar(now))
 }
 
 // noteGivenUp takes in that a machine is returned because it hasn't come up.
@@ -66,8 +66,8 @@
 		return
 	}
 	m.bornSeen = false
-	d.boots.ofType(m.kind).GivenUp(now, m.bootsSoFar(now))
-	d.boots.ofOffer(m.offer()).GivenUp(now, m.bootsSoFar(now))
+	d.boots.ofType(m.kind).RecordAbandoned(now, m.bootsSoFar(now))
+	d.boots.ofOffer(m.offer()).RecordAbandoned(now, m.bootsSoFar(now))
 }
 
 // learnSlowness reckons, type by type, how slow boots are.
@@ -118,5 +118,5 @@
 	if m.lastHeard.IsZero() {
 		return d.bootDead(m, now)
 	}
-	return now.Sub(m.lastHeard) > d.settings.Lease+seconds(m.typ.BootS)
+	return now.Sub(m.lastHeard) > d.settings.WorkerLease+seconds(m.typ.BootS)
 }
--- a/internal/coordination/booting_test.go
+++ b/internal/coordination/booting_test.go
@@ -49,7 +49,7 @@
 func TestMachinesThatNeverComeAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		rental := storage.RentalRecord{Type: "cpu", Zone: "a"}
+		rental := storage.LaunchRecord{Type: "cpu", Zone: "a"}
 		d.handleRented(rentedMsg{rental, []int{1, 2, 3, 4, 5, 6}})
 		time.Sleep(15 * time.Second)
 		for id := range 4 {
--- a/internal/coordination/bounds_test.go
+++ b/internal/coordination/bounds_test.go
@@ -20,22 +20,22 @@
 // slowCloud lists many machines, each page after a second.
 type slowCloud struct{ machines int }
 
-func (c slowCloud) Catalogue(context.Context) ([]storage.MachineType, error) { return nil, nil }
+func (c slowCloud) MachineTypes(context.Context) ([]storage.MachineType, error) { return nil, nil }
 
-func (c slowCloud) Rent(context.Context, string, storage.RentalRecord) ([]int, error) {
+func (c slowCloud) Launch(context.Context, string, storage.LaunchRecord) ([]int, error) {
 	return nil, nil
 }
 
-func (c slowCloud) Return(context.Context, []int) error { return nil }
+func (c slowCloud) Terminate(context.Context, []int) error { return nil }
 
-func (c slowCloud) List(ctx context.Context, after, limit int) (page []Listed, more bool, err error) {
+func (c slowCloud) List(ctx context.Context, after, limit int) (page []ListedMachine, more bool, err error) {
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
 	for id := after + 1; id < c.machines && len(page) < limit; id++ {
-		page = append(page, Listed{Machine: id})
+		page = append(page, ListedMachine{Machine: id})
 	}
 	return page, after+1+len(page) < c.machines, nil
 }
@@ -44,7 +44,7 @@
 func TestALongMachineListIsReadWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		s.Lease, s.CloudRPS = 12*time.Second, 3
+		s.WorkerLease, s.CloudRPS = 12*time.Second, 3
 		c := &capacity{settings: &s, cloud: slowCloud{manyMachines}, ctx: t.Context(), limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), 1)}
 		machines, pages, err := c.listAll()
 		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPage {
--- a/internal/coordination/capacity.go
+++ b/internal/coordination/capacity.go
@@ -67,7 +67,7 @@
 }
 
 type rental struct {
-	storage.RentalRecord
+	storage.LaunchRecord
 	durable bool
 	asking  bool
 	retryAt time.Time
@@ -93,7 +93,7 @@
 		err      error
 	}
 	listAnswer struct {
-		machines []Listed
+		machines []ListedMachine
 		pages    int
 		err      error
 	}
@@ -103,7 +103,7 @@
 	}
 )
 
-func newCapacity(s *Settings, deps Deps, term uint64, d *dispatcher, journal *storage.Journal, log *slog.Logger) *capacity {
+func newCapacity(s *Settings, deps Dependencies, term uint64, d *dispatcher, journal *storage.Journal, log *slog.Logger) *capacity {
 	c := &capacity{
 		settings: s, cloud: deps.Cloud, term: term, dispatch: d, journal: journal, log: log,
 		mailbox: make(chan any, 256),
@@ -112,7 +112,7 @@
 		rentals: make(map[string]*rental), drained: true,
 	}
 	for name, h := range d.rentals {
-		c.rentals[name] = &rental{RentalRecord: h, durable: true}
+		c.rentals[name] = &rental{LaunchRecord: h, durable: true}
 	}
 	return c
 }
@@ -126,7 +126,7 @@
 }
 
 func (c *capacity) run(ctx context.Context) error {
-	tick := time.NewTicker(scale(c.settings.Report, tickPerReport))
+	tick := time.NewTicker(scale(c.settings.HeartbeatInterval, tickPerReport))
 	defer tick.Stop()
 	cool := time.NewTimer(0) // ends the pause after a drain
 	defer cool.Stop()
@@ -180,7 +180,7 @@
 		c.pricing = false
 		if m.err != nil {
 			c.freeze("catalogue", m.err, now)
-			c.lastPrices = now.Add(-catalogueLeases*c.settings.Lease + c.settings.Report)
+			c.lastPrices = now.Add(-catalogueLeases*c.settings.WorkerLease + c.settings.HeartbeatInterval)
 			return
 		}
 		c.dispatch.post(catalogueMsg{m.types})
@@ -193,7 +193,7 @@
 // steps, one drained machine at a time after a healthy window and a cooldown.
 func (c *capacity) reconcile(v fleetSnapshot, now time.Time) {
 	// A new leader first hears the machines; the very first has none to hear.
-	fresh := c.term > 1 && now.Sub(c.began) < c.settings.Report
+	fresh := c.term > 1 && now.Sub(c.began) < c.settings.HeartbeatInterval
 	frozen := now.Before(c.frozenTill) || fresh || !v.settled
 	if len(v.wanted) == 0 {
 		c.upSince = time.Time{}
@@ -211,8 +211,8 @@
 	if v.drains == c.drains { // an older snapshot doesn't know of the last drain
 		c.drained = !v.draining
 	}
-	pressed := len(v.wanted) > 0 && now.Sub(c.upSince) >= c.settings.Tuning.UpWindow
-	healthy := !v.draining && !c.healthySince.IsZero() && now.Sub(c.healthySince) >= c.settings.Tuning.DownWindow
+	pressed := len(v.wanted) > 0 && now.Sub(c.upSince) >= c.settings.Tuning.ScaleOutWindow
+	healthy := !v.draining && !c.healthySince.IsZero() && now.Sub(c.healthySince) >= c.settings.Tuning.ScaleInWindow
 	switch {
 	case frozen || c.recording || len(c.rentals) > 0:
 	case pressed && v.hurried > 0:
@@ -237,12 +237,12 @@
 	for _, h := range rentalsFor(v.wanted[:n]) {
 		c.nextRental++
 		name := fmt.Sprintf("r-%d-%d", c.term, c.nextRental)
-		rec, err := storage.NewRecord(storage.RentalKey(name), h)
+		rec, err := storage.NewRecord(storage.LaunchKey(name), h)
 		if err != nil {
 			c.log.Error("rental not encoded", "err", err)
 			continue
 		}
-		c.rentals[name] = &rental{RentalRecord: h}
+		c.rentals[name] = &rental{LaunchRecord: h}
 		names = append(names, name)
 		records = append(records, rec)
 		c.log.Info("grow", "rental", name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "desired", c.desired)
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -104,11 +104,11 @@
 
 // rate is that of a class's arrivals within the window.
 func (d *dispatcher) rate(c *class, now time.Time) classstats.Rate {
-	since := now.Add(-scale(d.settings.Lease, rateLeases))
-	if start := d.firstJob.Add(d.settings.Lease); start.After(since) {
+	since := now.Add(-scale(d.settings.WorkerLease, rateLeases))
+	if start := d.firstJob.Add(d.settings.WorkerLease); start.After(since) {
 		since = start
 	}
-	if now.Sub(since) < d.settings.Lease {
+	if now.Sub(since) < d.settings.WorkerLease {
 		return classstats.Rate{}
 	}
 	return c.RateSince(since, now)
@@ -169,7 +169,7 @@
 // learnPerGPU reckons, once an interval, the most CPUs and memory that open jobs
 // take with an accelerator. Rounds and snapshots begin with it.
 func (d *dispatcher) learnPerGPU(now time.Time) {
-	if !d.perGPUAt.IsZero() && now.Sub(d.perGPUAt) <= d.settings.Report {
+	if !d.perGPUAt.IsZero() && now.Sub(d.perGPUAt) <= d.settings.HeartbeatInterval {
 		return
 	}
 	d.perGPUAt = now
--- a/internal/coordination/cloud_calls.go
+++ b/internal/coordination/cloud_calls.go
@@ -11,7 +11,7 @@
 
 // freeze freezes resizing for a while after a cloud failure.
 func (c *capacity) freeze(what string, err error, now time.Time) {
-	c.frozenTill = now.Add(c.settings.Report)
+	c.frozenTill = now.Add(c.settings.HeartbeatInterval)
 	c.healthySince = time.Time{}
 	c.log.Info("cloud failure", "call", what, "err", err)
 }
@@ -32,7 +32,7 @@
 const callPerLease = 0.5
 
 func (c *capacity) callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.ctx, scale(c.settings.Lease, callPerLease))
+	return context.WithTimeout(c.ctx, scale(c.settings.WorkerLease, callPerLease))
 }
 
 // listEvery is how long after one reading of the machine list the next one begins: a long list
@@ -51,10 +51,10 @@
 			c.post(listAnswer{machines, pages, err})
 		})
 	}
-	if !c.pricing && now.Sub(c.lastPrices) >= catalogueLeases*c.settings.Lease {
+	if !c.pricing && now.Sub(c.lastPrices) >= catalogueLeases*c.settings.WorkerLease {
 		c.pricing, c.lastPrices = true, now
 		c.call(func(ctx context.Context) {
-			types, err := c.cloud.Catalogue(ctx)
+			types, err := c.cloud.MachineTypes(ctx)
 			c.post(pricesAnswer{types, err})
 		})
 	}
@@ -62,7 +62,7 @@
 
 // listAll reads the whole machine list. Each page is a call of its own, so that the list may be of
 // any length.
-func (c *capacity) listAll() (all []Listed, pages int, err error) {
+func (c *capacity) listAll() (all []ListedMachine, pages int, err error) {
 	after := noMachine
 	for {
 		page, more, err := c.listOne(after)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *capacity) listOne(after int) (page []Listed, more bool, err error) {
+func (c *capacity) listOne(after int) (page []ListedMachine, more bool, err error) {
 	ctx, cancel := c.callContext()
 	defer cancel()
 	return c.cloud.List(ctx, after, listPage)
@@ -89,15 +89,15 @@
 
 // rentalsFor gathers the wanted machines into rentals, in the order of their
 // first mention, none larger than the cloud takes.
-func rentalsFor(wanted []offer) []storage.RentalRecord {
-	var out []storage.RentalRecord
+func rentalsFor(wanted []offer) []storage.LaunchRecord {
+	var out []storage.LaunchRecord
 	last := make(map[offer]int)
 	for _, o := range wanted {
 		i, ok := last[o]
 		if !ok || out[i].Count == maxRental {
 			i = len(out)
 			last[o] = i
-			out = append(out, storage.RentalRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
+			out = append(out, storage.LaunchRecord{Type: o.kind, Zone: o.zone, Spot: o.spot})
 		}
 		out[i].Count++
 	}
@@ -112,9 +112,9 @@
 			continue
 		}
 		h.asking = true
-		rec := h.RentalRecord
+		rec := h.LaunchRecord
 		c.call(func(ctx context.Context) {
-			machines, err := c.cloud.Rent(ctx, name, rec)
+			machines, err := c.cloud.Launch(ctx, name, rec)
 			c.post(rentalAnswer{name, machines, err})
 		})
 	}
@@ -130,7 +130,7 @@
 	switch {
 	case m.err == nil:
 		c.log.Info("rented", "rental", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(m.machines))
-		c.dispatch.post(rentedMsg{h.RentalRecord, m.machines})
+		c.dispatch.post(rentedMsg{h.LaunchRecord, m.machines})
 		if len(m.machines) < h.Count {
 			c.dispatch.post(refusedMsg{o})
 		}
@@ -139,11 +139,11 @@
 		c.dispatch.post(refusedMsg{o})
 	default:
 		c.freeze("hire", m.err, now)
-		h.retryAt = now.Add(c.settings.Report / 2)
+		h.retryAt = now.Add(c.settings.HeartbeatInterval / 2)
 		return
 	}
 	delete(c.rentals, m.name)
-	rec := storage.Record{Key: storage.RentalKey(m.name)}
+	rec := storage.Record{Key: storage.LaunchKey(m.name)}
 	c.journal.Append(c.ctx, storage.Batch{Records: []storage.Record{rec}})
 }
 
@@ -163,6 +163,6 @@
 	batch := c.toReturn[:n:n]
 	c.toReturn = c.toReturn[n:]
 	c.call(func(ctx context.Context) {
-		c.post(returnAnswer{batch, c.cloud.Return(ctx, batch)})
+		c.post(returnAnswer{batch, c.cloud.Terminate(ctx, batch)})
 	})
 }
--- a/internal/coordination/cold_start_test.go
+++ b/internal/coordination/cold_start_test.go
@@ -49,10 +49,10 @@
 		}
 		for _, req := range wakes {
 			req.Wait = 0
-			live.LocalWake(sim.t.Context(), req)
+			live.HandleForwardedWake(sim.t.Context(), req)
 		}
 		for _, report := range usages {
-			live.LocalUsage(sim.t.Context(), report)
+			live.HandleForwardedUsage(sim.t.Context(), report)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		sim.submit(service("000001", 2))
 		sim.runs("000001", 2)
 		sim.submit(model(coldModel))
-		time.Sleep(2 * sim.settings.Report)
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		if n := len(sim.launchesOf(coldModel)); n != 0 {
 			t.Errorf("started %d times without demand", n)
 		}
@@ -358,7 +358,7 @@
 		}
 	}
 	sim.awaitReady(clients)
-	time.Sleep(2 * sim.settings.Lease) // what comes late has come
+	time.Sleep(2 * sim.settings.WorkerLease) // what comes late has come
 	sim.awaitReady(clients)
 	sim.judge(1)
 }
@@ -506,7 +506,7 @@
 			}
 			rest(clients, true)
 			sim.awaitZero()
-			time.Sleep(sim.settings.Lease)
+			time.Sleep(sim.settings.WorkerLease)
 			if s := sim.modelStatus(); s.Record.State != activation.Idle || s.Record.Replica != activation.NoReplica || s.Why != "" {
 				t.Errorf("status %+v", s)
 			}
@@ -531,7 +531,7 @@
 				clients := sim.demand()
 				sim.awaitReady(clients)
 				rest(clients, true)
-				time.Sleep(sim.settings.Report)
+				time.Sleep(sim.settings.HeartbeatInterval)
 				n := sim.followers(sim.awaitLeader())[0]
 				silence(n)
 				time.Sleep(4 * coldIdle)
@@ -576,7 +576,7 @@
 	time.Sleep(coldIdle/2 + after)
 	rest(clients, false)
 	sim.awaitReady(clients)
-	time.Sleep(2 * sim.settings.Lease)
+	time.Sleep(2 * sim.settings.WorkerLease)
 	sim.awaitReady(clients)
 	sim.judge(1, 2)
 }
@@ -625,7 +625,7 @@
 				told := <-cancelled
 				sim.crash(sim.awaitLeader(), time.Second)
 				sim.gone(coldModel)
-				time.Sleep(sim.settings.Cancel)
+				time.Sleep(sim.settings.CancelTimeout)
 				for _, l := range sim.launchesOf(coldModel) {
 					if l.at.After(told) {
 						t.Errorf("started %v after its user was told", l.at.Sub(told))
@@ -663,7 +663,7 @@
 				if sim.awaitLeader() != back {
 					t.Error("it doesn't lead")
 				}
-				time.Sleep(sim.settings.Lease)
+				time.Sleep(sim.settings.WorkerLease)
 				sim.runs(coldModel, 1)
 				if n := len(sim.launchesOf(coldModel)); n != 1 {
 					t.Errorf("%d starts", n)
--- a/internal/coordination/combined_faults_test.go
+++ b/internal/coordination/combined_faults_test.go
@@ -44,11 +44,11 @@
 		sim.runs("000001", 4)
 		sim.runs("000002", 4)
 		sim.leadOutside("b")
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.cutZone("b")
-		time.Sleep(sim.settings.Lease / 2)
+		time.Sleep(sim.settings.WorkerLease / 2)
 		sim.cancel("000001")
-		time.Sleep(sim.settings.Cancel + sim.settings.Lease)
+		time.Sleep(sim.settings.CancelTimeout + sim.settings.WorkerLease)
 		sim.cutZone("")
 		sim.runs("000002", 4)
 	}},
@@ -111,7 +111,7 @@
 		go sim.askNode(old, OpCancel, "000002", storage.Spec{})
 		sim.cancel("000003")
 		sim.askEverywhere("000003")
-		sim.outage(sim.settings.Cancel + 10*time.Second)
+		sim.outage(sim.settings.CancelTimeout + 10*time.Second)
 		old.cutState.Store(false)
 		sim.cancel("000002")
 		sim.gone("000001")
@@ -161,7 +161,7 @@
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, n := range sim.nodes {
 			n.start()
 		}
@@ -183,9 +183,9 @@
 			}
 		}
 		sim.crash(sim.awaitLeader(), time.Second)
-		time.Sleep(sim.settings.Lease / 2)
+		time.Sleep(sim.settings.WorkerLease / 2)
 		sim.cancel("000002")
-		time.Sleep(sim.settings.Lease)
+		time.Sleep(sim.settings.WorkerLease)
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 			wk.deaf.Store(false)
--- a/internal/coordination/combined_machine_faults_test.go
+++ b/internal/coordination/combined_machine_faults_test.go
@@ -28,7 +28,7 @@
 		for _, wk := range sim.machinesOf("000002")[:1] {
 			wk.dead.Store(true)
 		}
-		time.Sleep(3 * sim.settings.Lease)
+		time.Sleep(3 * sim.settings.WorkerLease)
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
@@ -93,7 +93,7 @@
 		sim.cancel("000002")
 		sim.crash(sim.awaitLeader(), 3*time.Second)
 		before := sim.startsSoFar()
-		time.Sleep(4 * sim.settings.Lease)
+		time.Sleep(4 * sim.settings.WorkerLease)
 		sim.gone("000002")
 		if n := sim.startsSoFar() - before; n > 2*6 {
 			sim.t.Errorf("%d starts while some machines are mute", n)
@@ -110,13 +110,13 @@
 		sim.submit(lasting("000002", 4, 20*time.Second))
 		sim.runs("000001", 4)
 		sim.keepReports()
-		time.Sleep(3 * sim.settings.Report)
+		time.Sleep(3 * sim.settings.HeartbeatInterval)
 		sim.locked(func() { sim.keeping = false })
 		sim.cancel("000001")
 		sim.crash(sim.awaitLeader(), time.Second)
 		next := sim.awaitLeader()
 		sim.replay(next)
-		time.Sleep(sim.settings.Report)
+		time.Sleep(sim.settings.HeartbeatInterval)
 		sim.replay(next)
 		sim.gone("000001")
 		sim.done("000002")
@@ -141,17 +141,17 @@
 		sim.submit(service("000002", 2))
 		sim.runs("000001", 4)
 		sim.keepReports()
-		time.Sleep(2 * sim.settings.Report)
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
 			wk.cut.Store(true) // its session ends, its tasks go elsewhere
 		}
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
 		for range 5 {
 			sim.replay(sim.nodes...)
-			time.Sleep(sim.settings.Report)
+			time.Sleep(sim.settings.HeartbeatInterval)
 		}
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.replay(sim.nodes...)
@@ -160,7 +160,7 @@
 	}},
 	{"more work than room, urgent and not, over slow links", func(sim *simulation) {
 		sim.locked(func() {
-			sim.cloud.full = func(h storage.RentalRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
+			sim.cloud.full = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
 		})
 		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
 		for i := range 10 {
@@ -185,12 +185,12 @@
 		time.Sleep(time.Second)
 		sim.cancel("000001")
 		sim.cancel("000002")
-		time.Sleep(sim.settings.Lease * 3 / 4)
+		time.Sleep(sim.settings.WorkerLease * 3 / 4)
 		for _, wk := range sim.all() {
 			wk.still.Store(false)
 			wk.catchUp()
 		}
-		time.Sleep(sim.settings.Cancel)
+		time.Sleep(sim.settings.CancelTimeout)
 		sim.gone("000001")
 		sim.gone("000002")
 	}},
@@ -203,7 +203,7 @@
 		}
 		sim.crash(sim.awaitLeader(), 2*time.Second)
 		sim.cancel("000001")
-		time.Sleep(sim.settings.Lease / 2)
+		time.Sleep(sim.settings.WorkerLease / 2)
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
@@ -215,7 +215,7 @@
 		sim.submit(lasting("000002", 4, 30*time.Second))
 		sim.runs("000001", 4)
 		sim.keepReports()
-		time.Sleep(2 * sim.settings.Report)
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		sim.done("000002")
 		sim.locked(func() { sim.keeping = false })
 		for range 3 {
@@ -228,7 +228,7 @@
 			old.start()
 		}
 		before := sim.startsSoFar()
-		time.Sleep(sim.settings.Lease)
+		time.Sleep(sim.settings.WorkerLease)
 		sim.runs("000001", 4)
 		if sim.startsSoFar() != before {
 			sim.t.Errorf("%d starts anew", sim.startsSoFar()-before)
@@ -249,7 +249,7 @@
 		sim.cancel("000001")
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.cancel("000002")
-		time.Sleep(sim.settings.Lease * 2 / 3)
+		time.Sleep(sim.settings.WorkerLease * 2 / 3)
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 			wk.still.Store(false)
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -20,16 +20,18 @@
 )
 
 // commitBytes is how much one commit holds.
-func (s *Settings) commitBytes() int { return s.State.BytesIn(scale(s.Report, commitPerReport)) }
+func (s *Settings) commitBytes() int {
+	return s.State.BytesWithin(scale(s.HeartbeatInterval, commitPerReport))
+}
 
 // submissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
 // the protocol, and the answer has to travel.
 const submissionWait = 3 * time.Second
 
 // newAdmission admits submissions that are expected to be recorded while their users wait.
-func (d *dispatcher) newAdmission() *admission.Gate {
-	pace := float64(d.settings.State.BytesIn(time.Second)) / acceptanceBytes
-	return admission.New(submissionWait, pace, len(d.settings.Teams))
+func (d *dispatcher) newAdmission() *admission.Limiter {
+	pace := float64(d.settings.State.BytesWithin(time.Second)) / acceptanceBytes
+	return admission.NewLimiter(submissionWait, pace, len(d.settings.Teams))
 }
 
 // admit tells whether a team's submission may wait to be recorded.
@@ -55,7 +57,7 @@
 	if j.urgent() || j.phase == storage.Cancelled {
 		return groupcommit.Urgent
 	}
-	return groupcommit.Prompt
+	return groupcommit.Interactive
 }
 
 // pageLane is the lane of a job's pages, in which its tasks' starts become durable.
@@ -83,7 +85,7 @@
 
 // pageSettled tells whether a task's page is durable as it stands.
 func (d *dispatcher) pageSettled(id TaskID) bool {
-	return d.queue.Settled(storage.PageKey(id.Job, id.Task/storage.PageTasks))
+	return d.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
 }
 
 // onCommit calls f once all that is marked now is durable.
--- a/internal/coordination/delegation.go
+++ b/internal/coordination/delegation.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	for _, p := range c.settings.Peers {
-		if c.node.deps.Peers.SilentFor(p.Name) == 0 {
+		if c.node.deps.Peers.UnreachableFor(p.Name) == 0 {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 // back here within its lease.
 func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
 	round := time.Duration(len(c.settings.Peers))*(workerTimeout+workerPause) + workerPause
-	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAnswered)+round+c.settings.Report < c.settings.Lease
+	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAnswered)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
 }
 
 const (
@@ -171,7 +171,7 @@
 
 // publishDelegation renews what the delegations depend on.
 func (d *dispatcher) publishDelegation(now time.Time) {
-	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.Report, delegationPerReport) {
+	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.HeartbeatInterval, delegationPerReport) {
 		return
 	}
 	p := &delegationTerms{at: now, holdOut: d.role.HoldOut, excluded: make(map[string][]int)}
@@ -238,7 +238,7 @@
 		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.began) {
 			// A process that has begun since may have renewed in its earlier
 			// run until then.
-			s.last = w.Got.Add(-scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/driftBound))
+			s.last = w.Received.Add(-scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/driftBound))
 			s.asked = w.Sent
 		}
 		d.peerRenewals = append(d.peerRenewals, s)
--- a/internal/coordination/delegation_test.go
+++ b/internal/coordination/delegation_test.go
@@ -37,12 +37,12 @@
 		sim.submit(onZone("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
 		sim.leadOutside("b")
-		time.Sleep(2 * sim.settings.Lease) // all workers have gone to nodes of their zone
+		time.Sleep(2 * sim.settings.WorkerLease) // all workers have gone to nodes of their zone
 		before := sim.startsSoFar()
 		sim.cutZone("b")
-		time.Sleep(sim.settings.hold() + sim.settings.Lease - 2*sim.settings.Report)
+		time.Sleep(sim.settings.hold() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
 		sim.cutZone("")
-		time.Sleep(sim.settings.Lease)
+		time.Sleep(sim.settings.WorkerLease)
 		if n := sim.restarts(before); n != 0 || len(sim.running("000001")) != 6 {
 			t.Errorf("%d starts anew, %d run", n, len(sim.running("000001")))
 		}
@@ -56,10 +56,10 @@
 		sim.submit(onZone("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
 		sim.leadOutside("b")
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.cutZone("b")
 		sim.cancel("000001")
-		time.Sleep(sim.settings.Cancel)
+		time.Sleep(sim.settings.CancelTimeout)
 		if n := len(sim.running("000001")); n != 0 {
 			t.Errorf("%d tasks outlive their cancel", n)
 		}
@@ -103,7 +103,7 @@
 		s := grownSettings()
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
 		d := newTestDispatcher(t, s)
-		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]PeerReport)}
+		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
 		own := m.lastAnswered.Add(s.leaseBound())
@@ -120,12 +120,12 @@
 		}
 		time.Sleep(s.leaseBound() + time.Second)
 		now := time.Now()
-		words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Got: now}
+		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		d.updatePeerRenewals()
 		if !d.emptyBy(m).Equal(own) {
 			t.Errorf("it renewed nothing, and yet the bound is %v", d.emptyBy(m).Sub(own))
 		}
-		words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Got: now}
+		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		d.updatePeerRenewals()
 		if !d.emptyBy(m).After(now) {
 			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
@@ -150,7 +150,7 @@
 		report := func(seq, token uint64) HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
-			return n.node.Heartbeat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
+			return n.node.HandleHeartbeat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
 		}
 		for !report(5, 0).Accepted { // redirected to the other node of the zone
 			machine++
@@ -173,7 +173,7 @@
 		if a := report(8, later-1); !a.Accepted || a.Token != later-1 || len(a.Orders) != 0 {
 			t.Errorf("a worker with a raised token is answered %+v", a)
 		}
-		n.node.Able() // the balancer asks: only this node is cut off
+		n.node.Ready() // the balancer asks: only this node is cut off
 		if a := report(9, term); a.Accepted {
 			t.Error("a worker is kept that is better off elsewhere")
 		}
@@ -187,16 +187,16 @@
 		sim.submit(service("000001", 12))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 12 })
 		old := sim.awaitLeader()
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		before := sim.startsSoFar()
 		old.cutWork.Store(true)
-		time.Sleep(2 * sim.settings.Report)
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for i := range 20 { // direct orders that go nowhere
 			sim.submit(service(fmt.Sprintf("%06d", 100+i), 1))
 			time.Sleep(time.Second)
 		}
 		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
-		time.Sleep(sim.settings.Lease)
+		time.Sleep(sim.settings.WorkerLease)
 		if n := sim.restarts(before); n != 20 || len(sim.running("000001")) != 12 {
 			t.Errorf("%d starts, %d run", n, len(sim.running("000001")))
 		}
@@ -214,7 +214,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
 			seq++
-			return n.node.Heartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Session: 1, Seq: seq})
+			return n.node.HandleHeartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Session: 1, Seq: seq})
 		}
 		if a := report(away); a.Leader != node.name {
 			t.Fatalf("not sent home: %+v", a)
@@ -225,7 +225,7 @@
 		if a := report(away); !a.Accepted {
 			t.Errorf("sent home again at once: %+v", a)
 		}
-		time.Sleep(affinityLeases * sim.settings.Lease)
+		time.Sleep(affinityLeases * sim.settings.WorkerLease)
 		if a := report(away); a.Leader != node.name {
 			t.Errorf("not sent home later: %+v", a)
 		}
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -40,7 +40,7 @@
 		}
 		for ; !j.spec.Gang && n < j.tries(); n++ {
 			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
-			if !storage.Within(used, team.Limit) {
+			if !storage.WithinLimit(used, team.Limit) {
 				break
 			}
 			teams[j.spec.Team] = teams[j.spec.Team].Plus(j.spec.Room)
@@ -89,7 +89,7 @@
 // limit, or none.
 func (d *dispatcher) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
 	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
-	if !storage.Within(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
+	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
 		return 0
 	}
 	teams[j.spec.Team] = all
--- a/internal/coordination/dispatcher.go
+++ b/internal/coordination/dispatcher.go
@@ -36,7 +36,7 @@
 // leadership. All its fields are its own; others speak to it by messages.
 type dispatcher struct {
 	settings    *Settings
-	deps        Deps
+	deps        Dependencies
 	term        uint64
 	tokens      fencing.Tokens // that workers are commanded under in this term
 	role        Role
@@ -59,7 +59,7 @@
 	types           map[string]*storage.MachineType
 	typeNames       []string
 	jobs            *jobTable
-	archive         *archive.Keeper
+	archive         *archive.Archiver
 	archiveUsed     bool // jobs may be archived
 	archiveCompared bool // with the open jobs
 	moving          bool // finished jobs are offered to the archive
@@ -68,7 +68,7 @@
 	order           []*machine // the same, by number
 	reservations    *storage.Reservations
 	classes         map[string]*class
-	rentals         map[string]storage.RentalRecord // open at the take-over
+	rentals         map[string]storage.LaunchRecord // open at the take-over
 	desired         int
 	nextTry         uint64
 	refused         map[offer]time.Time
@@ -76,8 +76,8 @@
 	keptRoom        []*demand // what room is kept for, as of the last snapshot
 
 	queue     *groupcommit.Queue // what is to become durable
-	bulkPace  *groupcommit.BulkPace
-	admission *admission.Gate
+	bulkPace  *groupcommit.BulkPacer
+	admission *admission.Limiter
 	accepted  int // submissions that the last commit made durable
 	waiters   []*waiter
 	commitAt  time.Time // when the commit under way began; zero: none
@@ -133,9 +133,9 @@
 	}
 	committedMsg struct{ err error }
 	catalogueMsg struct{ types []storage.MachineType }
-	listMsg      struct{ machines []Listed }
+	listMsg      struct{ machines []ListedMachine }
 	rentedMsg    struct {
-		rental   storage.RentalRecord
+		rental   storage.LaunchRecord
 		machines []int
 	}
 	refusedMsg  struct{ offer offer }
@@ -146,16 +146,16 @@
 	}
 )
 
-func newDispatcher(s *Settings, deps Deps, role Role, journal *storage.Journal, resign chan<- resignation, log *slog.Logger) (*dispatcher, error) {
+func newDispatcher(s *Settings, deps Dependencies, role Role, journal *storage.Journal, resign chan<- resignation, log *slog.Logger) (*dispatcher, error) {
 	d := &dispatcher{
 		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
 		mailbox: make(chan any, s.QueueSize()), closed: make(chan struct{}), ctx: context.Background(),
 		began: time.Now(), types: make(map[string]*storage.MachineType),
 		jobs: newJobTable(), machines: make(map[int]*machine),
-		reservations: storage.NewReservations(), classes: make(map[string]*class), rentals: make(map[string]storage.RentalRecord),
+		reservations: storage.NewReservations(), classes: make(map[string]*class), rentals: make(map[string]storage.LaunchRecord),
 		nextTry: role.Term * tryStride, boots: newBootTimes(), refused: make(map[offer]time.Time),
-		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPace(scale(s.Report, commitPerReport)), removed: make(map[int]bool), place: true,
+		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(scale(s.HeartbeatInterval, commitPerReport)), removed: make(map[int]bool), place: true,
 		delegator: newDelegator(s), unreached: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 		gates: role.cluster.record, requestGate: func(upgrade.GateName) {},
 	}
@@ -234,7 +234,7 @@
 	d.unannounced = slices.Clone(d.order)
 	d.announceTokens()
 	d.activation.resume(time.Now())
-	tick := time.NewTicker(scale(d.settings.Report, tickPerReport))
+	tick := time.NewTicker(scale(d.settings.HeartbeatInterval, tickPerReport))
 	defer tick.Stop()
 	rest := time.NewTimer(0) // ends placement's rest
 	defer rest.Stop()
@@ -313,7 +313,7 @@
 		m.reply <- gateUses{d.jobs.openGangs(), d.archiveUsed, d.moving, d.activation.uses()}
 	case catalogueMsg:
 		d.setTypes(m.types)
-		d.mark(storage.CatalogueKey, func() any { return m.types })
+		d.mark(storage.MachineTypesKey, func() any { return m.types })
 		d.place = true
 	case listMsg:
 		d.handleList(m.machines)
@@ -359,6 +359,6 @@
 		v := d.snapshotFleet(now)
 		d.returnMachines(append(append(v.emptied, v.lost...), d.lostUnconfirmed(now)...))
 		d.capacity.post(snapshotMsg{v})
-		d.snapshotAt = now.Add(max(scale(d.settings.Report, snapshotPerReport), snapshotRest*time.Since(now)))
+		d.snapshotAt = now.Add(max(scale(d.settings.HeartbeatInterval, snapshotPerReport), snapshotRest*time.Since(now)))
 	}
 }
--- a/internal/coordination/fake_cloud_test.go
+++ b/internal/coordination/fake_cloud_test.go
@@ -21,14 +21,16 @@
 	rentals map[string][]int
 	asked   map[string]int
 	loseOne bool // the answer to the next rental is lost
-	full    func(storage.RentalRecord) bool
+	full    func(storage.LaunchRecord) bool
 	boot    time.Duration // 0: by type
 	gone    map[int]bool  // returned before they came up
 }
 
-func (c *fakeCloud) Catalogue(context.Context) ([]storage.MachineType, error) { return testTypes, nil }
+func (c *fakeCloud) MachineTypes(context.Context) ([]storage.MachineType, error) {
+	return testTypes, nil
+}
 
-func (c *fakeCloud) Rent(_ context.Context, name string, h storage.RentalRecord) ([]int, error) {
+func (c *fakeCloud) Launch(_ context.Context, name string, h storage.LaunchRecord) ([]int, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
 	if c.asked == nil {
@@ -70,7 +72,7 @@
 	return gone
 }
 
-func (c *fakeCloud) Return(_ context.Context, machines []int) error {
+func (c *fakeCloud) Terminate(_ context.Context, machines []int) error {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
 	for _, id := range machines {
@@ -85,13 +87,13 @@
 	return nil
 }
 
-func (c *fakeCloud) List(_ context.Context, after, _ int) ([]Listed, bool, error) {
+func (c *fakeCloud) List(_ context.Context, after, _ int) ([]ListedMachine, bool, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
-	var out []Listed
+	var out []ListedMachine
 	for id, wk := range c.sim.workers {
 		if id > after && !wk.dead.Load() {
-			out = append(out, Listed{Machine: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: Up})
+			out = append(out, ListedMachine{Machine: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: Up})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Machine < out[b].Machine })
--- a/internal/coordination/fake_node_test.go
+++ b/internal/coordination/fake_node_test.go
@@ -25,7 +25,7 @@
 	cutWork  atomic.Bool                       // it doesn't reach the workers, nor they it
 	frozen   atomic.Pointer[chan struct{}]     // it stands still until that is closed; nil: it doesn't
 	holdUp   atomic.Int64                      // its answers to other nodes' users come so much later
-	statuses map[string]PeerReport             // what the others told last
+	statuses map[string]ObservedStatus         // what the others told last
 	upgrade  func(*upgrade.Settings)           // changes what its next process brings to an upgrade
 	refused  atomic.Pointer[error]             // why its process ended by itself
 	tracker  atomic.Pointer[activator.Tracker] // of its latest process, where services may be at zero
@@ -36,7 +36,7 @@
 func (n *fakeNode) start() {
 	n.unregistered.Store(nil)
 	s := n.sim.settings
-	s.Node, s.Zone = n.name, n.zone
+	s.NodeName, s.Zone = n.name, n.zone
 	for _, o := range n.sim.nodes {
 		if o != n {
 			s.Peers = append(s.Peers, Peer{Name: o.name, Zone: o.zone})
@@ -46,7 +46,7 @@
 		n.upgrade(&s.Tuning.Upgrade)
 	}
 	n.refused.Store(nil)
-	n.node = NewNode(&s, Deps{
+	n.node = NewNode(&s, Dependencies{
 		State: gatedState{&storagetest.Client{Service: n.sim.state, Cut: &n.cutState}, n}, Cloud: n.sim.cloud, Workers: n, Peers: n,
 		Log: n.sim.log, Rand: rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // so that no two processes are alike
 	})
@@ -72,8 +72,8 @@
 
 // track runs the process's tracker of models.
 func (n *fakeNode) track(ctx context.Context, node *Node, s *Settings) {
-	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.Report, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
-		Repeat: s.Lease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
+	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
+		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
 	limits := activator.Limits{Held: 100, Concurrent: 10, Hold: s.Tuning.Activation.Hold}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
@@ -105,7 +105,7 @@
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			n.gate()
 			o.gate()
-			a := live.Local(ctx, req)
+			a := live.HandleForwardedRequest(ctx, req)
 			o.gate()
 			n.gate()
 			if ctx.Err() != nil {
@@ -127,7 +127,7 @@
 			n.gate()
 			o.gate()
 			n.sim.noteUsage(report)
-			response := live.LocalUsage(ctx, report)
+			response := live.HandleForwardedUsage(ctx, report)
 			o.gate()
 			n.gate()
 			return response, ctx.Err()
@@ -143,7 +143,7 @@
 			n.gate()
 			o.gate()
 			n.sim.noteWakeRequest(req)
-			response := live.LocalWake(ctx, req)
+			response := live.HandleForwardedWake(ctx, req)
 			o.gate()
 			n.gate()
 			time.Sleep(time.Duration(o.holdUp.Load()))
@@ -153,13 +153,13 @@
 	return activation.WakeResponse{}, fmt.Errorf("no way to %s", name)
 }
 
-// Heartbeats is the peer link for reports.
-func (n *fakeNode) Heartbeats(ctx context.Context, name string, reports []*Report) ([]HeartbeatResponse, error) {
+// ForwardHeartbeats is the peer link for reports.
+func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*Report) ([]HeartbeatResponse, error) {
 	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			n.gate()
 			o.gate()
-			answers := live.LocalHeartbeats(ctx, reports)
+			answers := live.HandleForwardedHeartbeats(ctx, reports)
 			o.gate()
 			n.gate()
 			if answers != nil && ctx.Err() == nil {
@@ -173,7 +173,7 @@
 // ping asks the others for their status, as the link does.
 func (n *fakeNode) ping(ctx context.Context) {
 	n.sim.mu.Lock()
-	n.statuses = make(map[string]PeerReport)
+	n.statuses = make(map[string]ObservedStatus)
 	n.sim.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, o := range n.sim.nodes {
@@ -183,7 +183,7 @@
 			sent := time.Now()
 			if a, err := n.Forward(ctx, o.name, UserRequest{Op: OpPing, ID: n.name}); err == nil {
 				n.sim.mu.Lock()
-				n.statuses[o.name] = PeerReport{PeerStatus: a.Peer.Status(), Sent: sent, Got: time.Now()}
+				n.statuses[o.name] = ObservedStatus{PeerStatus: a.Peer.Status(), Sent: sent, Received: time.Now()}
 				n.sim.mu.Unlock()
 			}
 		}
@@ -192,7 +192,7 @@
 }
 
 // Status is a node's latest status.
-func (n *fakeNode) Status(name string) (PeerReport, bool) {
+func (n *fakeNode) Status(name string) (ObservedStatus, bool) {
 	n.sim.mu.Lock()
 	defer n.sim.mu.Unlock()
 	w, ok := n.statuses[name]
@@ -209,8 +209,8 @@
 	return leader, term
 }
 
-// SilentFor is the peer link's measure of silence.
-func (n *fakeNode) SilentFor(string) time.Duration {
+// UnreachableFor is the peer link's measure of silence.
+func (n *fakeNode) UnreachableFor(string) time.Duration {
 	if n.cutPeers.Load() {
 		return time.Hour
 	}
@@ -224,8 +224,8 @@
 		(apart == nil || n.zone == wk.zone || n.zone != *apart && wk.zone != *apart)
 }
 
-// Orders is a node's direct way to the workers.
-func (n *fakeNode) Orders(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report) {
+// SendCommands is a node's direct way to the workers.
+func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report) {
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return NotSent, nil
 	}
--- a/internal/coordination/fake_worker_test.go
+++ b/internal/coordination/fake_worker_test.go
@@ -109,7 +109,7 @@
 		return
 	}
 	now := time.Now()
-	if now.Sub(wk.leased) > wk.sim.settings.Lease {
+	if now.Sub(wk.leased) > wk.sim.settings.WorkerLease {
 		clear(wk.tasks)
 		wk.session++
 		wk.seq, wk.leased = 0, now
@@ -127,7 +127,7 @@
 
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
-		pause := wk.sim.settings.Report
+		pause := wk.sim.settings.HeartbeatInterval
 		if !wk.cut.Load() && !wk.mute.Load() && !wk.still.Load() {
 			pause = wk.heartbeat()
 		}
@@ -155,7 +155,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), workerTimeout)
 	n.gate()
-	a := live.Heartbeat(ctx, r)
+	a := live.HandleHeartbeat(ctx, r)
 	n.gate()
 	cancel()
 	wk.sim.mu.Lock()
@@ -178,7 +178,7 @@
 		wk.token, wk.leased = a.Token, sent
 		wk.execute(a.Orders)
 	}
-	return wk.sim.settings.Report
+	return wk.sim.settings.HeartbeatInterval
 }
 
 func (wk *fakeWorker) execute(orders []Order) {
@@ -244,14 +244,14 @@
 			}
 		}
 	}
-	if team := sim.settings.team(spec.Team); !storage.Within(used, team.Limit) {
+	if team := sim.settings.team(spec.Team); !storage.WithinLimit(used, team.Limit) {
 		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
 	}
 	if wk.spot && !spec.Spot || !allowed(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
 		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
 		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
 	}
-	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.Cancel {
+	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
 		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
 	}
 	sim.launches[k.ID.Job] = append(sim.launches[k.ID.Job], launch{time.Now(), k.Try, wk.id})
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -127,7 +127,7 @@
 
 // handleList takes in what the cloud lists. Absence from a list proves
 // nothing; a machine is only let go once its lease has surely ended too.
-func (d *dispatcher) handleList(machines []Listed) {
+func (d *dispatcher) handleList(machines []ListedMachine) {
 	now := time.Now()
 	d.listed = true
 	seen := make(map[int]bool, len(machines))
@@ -152,7 +152,7 @@
 		m.failed = l.State == Failed
 	}
 	for _, m := range slices.Clone(d.order) {
-		silent := now.Sub(m.lastHeard) > d.settings.Lease && now.Sub(m.born) > d.settings.Lease+4*d.settings.ListLag
+		silent := now.Sub(m.lastHeard) > d.settings.WorkerLease && now.Sub(m.born) > d.settings.WorkerLease+4*d.settings.ListLag
 		if !seen[m.id] && !m.returning && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.emptyBy(m)) {
 			d.removeMachine(m.id, "no longer listed")
 		}
--- a/internal/coordination/fleet_scenarios_test.go
+++ b/internal/coordination/fleet_scenarios_test.go
@@ -128,7 +128,7 @@
 
 func TestRefusedRentalsGoElsewhere(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
-		sim.locked(func() { sim.cloud.full = func(h storage.RentalRecord) bool { return h.Zone == "a" || h.Type == "cpu" } })
+		sim.locked(func() { sim.cloud.full = func(h storage.LaunchRecord) bool { return h.Zone == "a" || h.Type == "cpu" } })
 		sim.submit(service("000001", 1))
 		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
 		s := service("000002", 1)
@@ -168,7 +168,7 @@
 		} {
 			s := arrayJob("000001", 1)
 			change(&s)
-			if a := sim.ask(OpSubmit, s.ID, s); a.Code != CodeUnfit || a.Reason == "" {
+			if a := sim.ask(OpSubmit, s.ID, s); a.Code != CodeInfeasible || a.Reason == "" {
 				t.Errorf("%s: %+v", name, a)
 			}
 		}
--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -88,7 +88,7 @@
 }
 
 func (c *forwarder) run(ctx context.Context) {
-	sweep := time.NewTicker(c.settings.Lease)
+	sweep := time.NewTicker(c.settings.WorkerLease)
 	defer sweep.Stop()
 	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / touchesPerLease)
 	defer refresh.Stop()
@@ -113,7 +113,7 @@
 // sweep forgets the workers that report here no longer.
 func (c *forwarder) sweep(now time.Time) {
 	for id, worker := range c.workers {
-		if now.Sub(worker.lastSeen) > workerMemoryLeases*c.settings.Lease {
+		if now.Sub(worker.lastSeen) > workerMemoryLeases*c.settings.WorkerLease {
 			delete(c.workers, id)
 		}
 	}
@@ -153,9 +153,9 @@
 	switch {
 	case v.dispatcher != nil:
 		go c.decide(ctx, []pendingReport{p}, v.dispatcher.heartbeats)
-	case leader == "" || leader == c.settings.Node:
+	case leader == "" || leader == c.settings.NodeName:
 		c.answerDelegated(p, now)
-	case c.node.deps.Peers.SilentFor(leader) > 0:
+	case c.node.deps.Peers.UnreachableFor(leader) > 0:
 		// Naming a leader that is out of reach would cost the worker seconds
 		// of its lease.
 		go c.decide(ctx, []pendingReport{p}, c.node.relay.heartbeats)
@@ -184,7 +184,7 @@
 	c.pending, c.flush = nil, nil
 	if len(batch) > 0 {
 		go c.decide(ctx, batch, func(ctx context.Context, reports []*Report) []HeartbeatResponse {
-			answers, err := c.node.deps.Peers.Heartbeats(ctx, leader, reports)
+			answers, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
 				return nil
 			}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -137,7 +137,7 @@
 	}
 	left := m.noticeAt.Sub(now)
 	ends := seconds(d.runTime(j)) - now.Sub(a.started)
-	if ends > left && seconds(j.spec.SaveS)+d.settings.Report/2 < left && d.gangReachable(j, now) {
+	if ends > left && seconds(j.spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
 		d.stopGang(j)
 	}
 }
--- a/internal/coordination/gang_page_test.go
+++ b/internal/coordination/gang_page_test.go
@@ -58,7 +58,7 @@
 		name    string
 		trouble func(d *dispatcher, m *machine)
 	}{
-		{"its machine is silent", func(d *dispatcher, m *machine) { m.lastHeard = m.lastHeard.Add(-2 * d.settings.Report) }},
+		{"its machine is silent", func(d *dispatcher, m *machine) { m.lastHeard = m.lastHeard.Add(-2 * d.settings.HeartbeatInterval) }},
 		{"its machine leaves orders unanswered", func(_ *dispatcher, m *machine) { m.inFlight = directMost }},
 		{"its machine reports and can't be reached", func(d *dispatcher, m *machine) { d.unreached[m.id] = true }},
 		{"its machine doesn't do as it is told", func(_ *dispatcher, m *machine) { m.unresponsive = true }},
--- a/internal/coordination/gang_placement.go
+++ b/internal/coordination/gang_placement.go
@@ -45,7 +45,7 @@
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
 func (d *dispatcher) gangWithinLimit(j *job) bool {
 	team := d.settings.team(j.spec.Team)
-	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
+	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
 }
 
 // planGang finds a candidate for each waiting task of a gang and takes the room there,
@@ -138,7 +138,7 @@
 // that is less urgent; only for one gang in a round, so that two never hold parts of
 // the room that each lacks.
 func (d *dispatcher) holdForGang(j *job, r *round) {
-	if r.held || r.now.Sub(j.submitted) < d.settings.Report {
+	if r.held || r.now.Sub(j.submitted) < d.settings.HeartbeatInterval {
 		return
 	}
 	var best []*candidate
--- a/internal/coordination/gang_preemption.go
+++ b/internal/coordination/gang_preemption.go
@@ -26,7 +26,7 @@
 // reachable tells whether a direct order is likely to reach a machine at once.
 func (d *dispatcher) reachable(m *machine, now time.Time) bool {
 	return m.addr != "" && m.inFlight < directMost && !m.unresponsive && !d.unreached[m.id] &&
-		now.Sub(m.lastHeard) <= scale(d.settings.Report, reachableReports)
+		now.Sub(m.lastHeard) <= scale(d.settings.HeartbeatInterval, reachableReports)
 }
 
 // claimed is a candidate that a gang may take once some of its tasks are stopped.
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -141,7 +141,7 @@
 		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
 		sim.leadOutside("b")
 		sim.cutZone("b")
-		time.Sleep(2 * sim.settings.Lease)
+		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.cutZone("")
 		sim.done("000003")
 	}},
@@ -183,7 +183,7 @@
 	}},
 	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
 		sim.locked(func() {
-			sim.cloud.full = func(h storage.RentalRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
+			sim.cloud.full = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
 		})
 		for i := range 6 {
 			sim.submit(lasting(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
@@ -228,7 +228,7 @@
 			if id == "000002" {
 				s.Room.CPUs = 1000
 			}
-			if a := sim.ask(OpSubmit, id, s); a.Code != CodeUnfit {
+			if a := sim.ask(OpSubmit, id, s); a.Code != CodeInfeasible {
 				t.Errorf("job %s is answered %+v", id, a)
 			}
 		}
@@ -320,7 +320,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
-				{Task: 0, Try: 5, Machine: 1, Session: 1}, {Task: 1, Try: 9, Machine: 2, Session: 1}}})}); err != nil {
+				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
 		d.setTypes(testTypes)
--- a/internal/coordination/gates.go
+++ b/internal/coordination/gates.go
@@ -56,7 +56,7 @@
 // them if the lead isn't certain.
 func (d *dispatcher) failGateWaiters(now time.Time) {
 	d.gateWaiters = slices.DeleteFunc(d.gateWaiters, func(w gateWaiter) bool {
-		late := !d.certain(now) || now.Sub(w.since) > scale(d.settings.Report, stallPerReport)
+		late := !d.certain(now) || now.Sub(w.since) > scale(d.settings.HeartbeatInterval, stallPerReport)
 		if late {
 			w.msg.reply <- Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -23,7 +23,7 @@
 			d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
 		}
 		for range 2 * freshIntervals {
-			time.Sleep(s.Report)
+			time.Sleep(s.HeartbeatInterval)
 			answer()
 		}
 		if m.ready(time.Now(), s.fresh()) {
@@ -69,7 +69,7 @@
 		if err := d.load(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := d.jobs.get("000001"); j.phase != storage.Done || d.queue.Waiting(groupcommit.Prompt) == 0 {
+		if j := d.jobs.get("000001"); j.phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
 			t.Errorf("phase %v", j.phase)
 		}
 	})
@@ -231,7 +231,7 @@
 		for i := range 12 {
 			d.failed(d.accept(arrayJob(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
 			d.sessionEnded(m, &Report{Machine: 7, Session: uint64(i + 2)}, time.Now())
-			if pause := time.Until(m.pauseTill); pause > 2*s.Lease {
+			if pause := time.Until(m.pauseTill); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
 			}
 		}
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -22,10 +22,10 @@
 	switch {
 	case ok:
 		clear(d.unreached)
-	case m.lastHeard.IsZero() || now.Sub(m.lastHeard) > 2*d.settings.Report:
+	case m.lastHeard.IsZero() || now.Sub(m.lastHeard) > 2*d.settings.HeartbeatInterval:
 	default:
 		d.unreached[m.id] = true
-		if len(d.unreached) >= min(unreachableMachines, max(1, len(d.order))) && d.sinceHeartbeat() > d.settings.Report && d.peerHearsWorkers() {
+		if len(d.unreached) >= min(unreachableMachines, max(1, len(d.order))) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
 			d.log.Info("handing over", "unreached", len(d.unreached))
 			clear(d.unreached)
 			d.giveUp("this node doesn't reach the workers", true)
@@ -42,7 +42,7 @@
 // peerHearsWorkers tells whether a peer in reach hears workers itself.
 func (d *dispatcher) peerHearsWorkers() bool {
 	for _, p := range d.settings.Peers {
-		if w, ok := d.deps.Peers.Status(p.Name); ok && d.deps.Peers.SilentFor(p.Name) == 0 && w.SinceHeartbeat < d.settings.Report {
+		if w, ok := d.deps.Peers.Status(p.Name); ok && d.deps.Peers.UnreachableFor(p.Name) == 0 && w.SinceHeartbeat < d.settings.HeartbeatInterval {
 			return true
 		}
 	}
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -196,7 +196,7 @@
 	}
 	for i := lo; i < hi; i++ {
 		if a := j.attempts[i]; a != nil {
-			rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: a.task, Try: a.try, Machine: a.on.id, Session: a.session})
+			rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: a.task, Number: a.try, Machine: a.on.id, Incarnation: a.session})
 		}
 	}
 	if len(rec.Done) == 0 && len(rec.Attempts) == 0 {
@@ -207,12 +207,12 @@
 
 // record encodes the job itself. A final job without attempts keeps no spec.
 func (j *job) record() *storage.JobRecord {
-	rec := &storage.JobRecord{Phase: j.phase, Tasks: j.spec.Tasks, AtMS: j.submitted.UnixMilli()}
+	rec := &storage.JobRecord{Phase: j.phase, Tasks: j.spec.Tasks, SubmittedMS: j.submitted.UnixMilli()}
 	if j.phase == storage.Open || len(j.attempts) > 0 {
 		rec.Spec = &j.spec
 	}
 	if j.phase != storage.Open {
-		rec.DoneOf = j.done
+		rec.DoneTasks = j.done
 	}
 	if j.phase == storage.Open && j.managed != nil {
 		rec.Activation = j.managed.stored()
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -21,12 +21,12 @@
 	// finished are the final jobs that are durable and have no attempt anywhere, in the order
 	// of the archive.
 	finished *btree.BTreeG[finishedJob]
-	next     archive.Rank // where the next look at the finished ones begins
+	next     archive.JobNumber // where the next look at the finished ones begins
 }
 
 // finishedJob is a job that may be archived.
 type finishedJob struct {
-	rank archive.Rank
+	rank archive.JobNumber
 	job  *job
 }
 
@@ -73,13 +73,13 @@
 
 // finish counts a job among those that may be archived.
 func (t *jobTable) finish(j *job) {
-	if rank, ok := archive.RankOf(j.spec.ID); ok {
+	if rank, ok := archive.ParseJobNumber(j.spec.ID); ok {
 		t.finished.ReplaceOrInsert(finishedJob{rank, j})
 	}
 }
 
 // remove forgets a job that is archived, and returns it; nil: it isn't held.
-func (t *jobTable) remove(rank archive.Rank) *job {
+func (t *jobTable) remove(rank archive.JobNumber) *job {
 	f, held := t.finished.Delete(finishedJob{rank: rank})
 	if !held {
 		return nil
@@ -93,12 +93,12 @@
 func (t *jobTable) nextFinished(most int) []archive.Entry {
 	entries := make([]archive.Entry, 0, min(most, t.finished.Len()))
 	t.finished.AscendGreaterOrEqual(finishedJob{rank: t.next}, func(f finishedJob) bool {
-		entries = append(entries, archive.Entry{Rank: f.rank, Final: archive.FinalOf(f.job.phase, f.job.done)})
+		entries = append(entries, archive.Entry{Number: f.rank, FinalState: archive.FinalStateOf(f.job.phase, f.job.done)})
 		return len(entries) < most
 	})
 	t.next = 0
 	if len(entries) == most {
-		t.next = entries[most-1].Rank + 1
+		t.next = entries[most-1].Number + 1
 	}
 	return entries
 }
@@ -124,7 +124,7 @@
 
 // restored makes a final job of an archived one.
 func restored(e archive.Entry) *job {
-	j := newJob(storage.Spec{ID: e.Rank.ID()}, unknownTime)
+	j := newJob(storage.Spec{ID: e.Number.ID()}, unknownTime)
 	j.phase, j.done, j.known, j.settled = e.Phase(), e.Done, true, true
 	j.spec.Tasks, j.tasks = e.Done, nil
 	return j
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -20,7 +20,7 @@
 		finished := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("%06d", rapid.IntRange(0, 20).Draw(t, "id"))
-			rank, _ := archive.RankOf(id)
+			rank, _ := archive.ParseJobNumber(id)
 			j := table.get(id)
 			switch step := rapid.IntRange(0, 3).Draw(t, "step"); {
 			case j == nil:
@@ -58,13 +58,13 @@
 	listed := make(map[string]bool)
 	table.next = 0
 	for range len(finished)/most + 1 {
-		before := archive.Rank(0)
+		before := archive.JobNumber(0)
 		for _, e := range table.nextFinished(most) {
-			if e.Rank <= before || !finished[e.Rank.ID()] {
-				t.Fatalf("%s is listed out of order, or isn't finished", e.Rank.ID())
+			if e.Number <= before || !finished[e.Number.ID()] {
+				t.Fatalf("%s is listed out of order, or isn't finished", e.Number.ID())
 			}
-			before = e.Rank
-			listed[e.Rank.ID()] = true
+			before = e.Number
+			listed[e.Number.ID()] = true
 		}
 	}
 	if len(listed) != len(finished) {
--- a/internal/coordination/leader_gap_test.go
+++ b/internal/coordination/leader_gap_test.go
@@ -28,7 +28,7 @@
 					for _, wk := range sim.all() {
 						wk.only.Store(old)
 					}
-					time.Sleep(2 * sim.settings.Report)
+					time.Sleep(2 * sim.settings.HeartbeatInterval)
 					old.cutState.Store(true)
 					old.cutPeers.Store(peers == "cut")
 					cancelled := make(chan struct{})
@@ -51,7 +51,7 @@
 						}
 					}
 					<-cancelled
-					time.Sleep(sim.settings.Cancel + sim.settings.Lease)
+					time.Sleep(sim.settings.CancelTimeout + sim.settings.WorkerLease)
 					old.cutState.Store(false)
 					old.cutPeers.Store(false)
 					sim.state.Outage(false)
@@ -98,7 +98,7 @@
 					continue
 				}
 				for _, id := range []string{"000001", "999999"} {
-					if a := live.Local(t.Context(), UserRequest{Op: OpPoll, ID: id}); a.decided() {
+					if a := live.HandleForwardedRequest(t.Context(), UserRequest{Op: OpPoll, ID: id}); a.decided() {
 						t.Fatalf("%s answers %+v with nothing loaded", n.name, a)
 					}
 				}
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -50,7 +50,7 @@
 // leadership is the actor that competes for the lead and keeps it. It tells
 // each change of role through tell, which must not block for long.
 type leadership struct {
-	svc            storage.StateService
+	svc            storage.KeyValueStore
 	settings       *Settings
 	run            string // unlike any other process's
 	tell           func(Role)
@@ -162,7 +162,7 @@
 		l.pause(ctx)
 		return
 	}
-	if rec.Node == l.settings.Node {
+	if rec.Node == l.settings.NodeName {
 		l.log.Info("ending the grant of an earlier run", "term", rec.Term)
 		if err := l.revoke(ctx, item.Lease); err != nil {
 			l.pause(ctx)
@@ -247,7 +247,7 @@
 	}
 	tokens := fencing.TermTokens(term.Number + 1)
 	term.Number, term.Fence = tokens.Last, cluster.record.Fence
-	rec, err := json.Marshal(leadRecord{Node: l.settings.Node, Run: l.run, Term: tokens.First})
+	rec, err := json.Marshal(leadRecord{Node: l.settings.NodeName, Run: l.run, Term: tokens.First})
 	if err != nil {
 		return fmt.Errorf("encode lead: %w", err)
 	}
@@ -285,7 +285,7 @@
 			alone = confirmed
 		}
 		return Role{
-			Leading: true, Leader: l.settings.Node, Term: term, Guard: guard,
+			Leading: true, Leader: l.settings.NodeName, Term: term, Guard: guard,
 			Certain: certain, HoldOut: alone.Add(l.settings.hold()),
 			cluster: cluster,
 		}
--- a/internal/coordination/lean_test.go
+++ b/internal/coordination/lean_test.go
@@ -12,7 +12,7 @@
 // the same. The simulation watches the rules.
 
 // lean has the nodes run on a few hundredths of a processor.
-func lean(s *Settings) { s.CPUShare, s.MemoryMB, s.Report = 0.036, 65, 4*time.Second }
+func lean(s *Settings) { s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second }
 
 // A process that falls behind fires its timers late and gets to each step late: between
 // a check and its effect the lead may be over.
@@ -36,7 +36,7 @@
 				for _, n := range sim.nodes {
 					n.cutState.Store(false)
 				}
-				sim.outage(sim.settings.Lease)
+				sim.outage(sim.settings.WorkerLease)
 				for _, n := range sim.nodes {
 					n.restart()
 				}
@@ -75,7 +75,7 @@
 			n.start()
 		}
 		lead := sim.awaitLeader()
-		time.Sleep(2 * sim.settings.Report)
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		sim.slow.Store(0)
 		for i := range jobs {
 			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != StateRunning || a.Running != tasks {
@@ -134,7 +134,7 @@
 // boundRecorder tells until when orders may be sent.
 type boundRecorder struct{ sent chan time.Time }
 
-func (b boundRecorder) Orders(_ context.Context, _ string, _, _ uint64, _ []Order, sendBy time.Time) (Outcome, *Report) {
+func (b boundRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []Order, sendBy time.Time) (Outcome, *Report) {
 	b.sent <- sendBy
 	return NotSent, nil
 }
--- a/internal/coordination/lease_guards_test.go
+++ b/internal/coordination/lease_guards_test.go
@@ -67,20 +67,20 @@
 // end its tasks come before cancel_s after the earliest cancel that the renewer
 // can't know of. docs/design.md has the argument.
 func TestEveryRenewalEndsBeforeAnUnknownCancelIsDue(t *testing.T) {
-	for _, s := range []Settings{grownSettings(), {Report: 2 * time.Second, Lease: 12 * time.Second, Cancel: 42 * time.Second},
-		{Report: 5 * time.Second, Lease: 26500 * time.Millisecond, Cancel: 56500 * time.Millisecond}} {
+	for _, s := range []Settings{grownSettings(), {HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
+		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond}} {
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
 		s.Tuning = s.DefaultTuning()
 		// endOf is when a lease renewed then has ended on any worker's clock.
-		endOf := func(renewed time.Time) time.Time { return renewed.Add(scale(s.Lease, 1.0005)) }
-		due := func(confirmed time.Time) time.Time { return confirmed.Add(scale(s.Cancel, 1/1.0005)) }
+		endOf := func(renewed time.Time) time.Time { return renewed.Add(scale(s.WorkerLease, 1.0005)) }
+		due := func(confirmed time.Time) time.Time { return confirmed.Add(scale(s.CancelTimeout, 1/1.0005)) }
 		t.Run("the leader's own answers", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
 				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
 				last := time.Time{}
-				for seq := uint64(1); time.Since(certain) < 2*s.Cancel; seq++ {
+				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
 					r := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: seq, Token: 2}
 					if d.handleHeartbeat(r).Accepted {
 						last = time.Now()
@@ -98,12 +98,12 @@
 				certain := time.Now()
 				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
 				c := newForwarder(&Node{settings: &s})
-				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]PeerReport)}
+				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 				c.node.deps.Peers = words
-				for time.Since(certain) < s.Cancel {
+				for time.Since(certain) < s.CancelTimeout {
 					d.publishDelegation(time.Now())
 					span, excluded := d.delegator.delegate("n1")
-					words.statuses["n1"] = PeerReport{PeerStatus: PeerStatus{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Got: time.Now()}
+					words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Received: time.Now()}
 					c.refreshDelegation()
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -166,15 +166,15 @@
 	return activation.WakeResponse{}, errors.New("not scripted")
 }
 
-func (s scriptedPeers) Heartbeats(context.Context, string, []*Report) ([]HeartbeatResponse, error) {
+func (s scriptedPeers) ForwardHeartbeats(context.Context, string, []*Report) ([]HeartbeatResponse, error) {
 	return nil, nil
 }
 
-func (s scriptedPeers) Status(node string) (PeerReport, bool) {
-	return PeerReport{PeerStatus: s[node]}, true
+func (s scriptedPeers) Status(node string) (ObservedStatus, bool) {
+	return ObservedStatus{PeerStatus: s[node]}, true
 }
 
-func (s scriptedPeers) SilentFor(string) time.Duration { return 0 }
+func (s scriptedPeers) UnreachableFor(string) time.Duration { return 0 }
 
 func (s scriptedPeers) KnownLeader() (string, uint64) { return "", 0 }
 
@@ -204,10 +204,10 @@
 		s := grownSettings()
 		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
-		time.Sleep(s.Lease)
+		time.Sleep(s.WorkerLease)
 		heard := time.Now()
 		d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 2, Seq: 1, Token: d.term}, false, heard)
-		if by := d.emptyBy(m); by.Before(heard.Add(s.Lease)) {
+		if by := d.emptyBy(m); by.Before(heard.Add(s.WorkerLease)) {
 			t.Errorf("called empty %v after the session's first word", by.Sub(heard))
 		}
 	})
@@ -221,10 +221,10 @@
 		d := newTestDispatcher(t, s)
 		spec := service("000001", 1)
 		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Try: 5, Machine: 1, Session: 1}}})}); err != nil {
+			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(s.hold() + s.Lease)
+		time.Sleep(s.hold() + s.WorkerLease)
 		if d.expire(time.Now()); len(d.jobs.get("000001").attempts) != 1 {
 			t.Error("called empty while an earlier leader's last lease may last")
 		}
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -50,7 +50,7 @@
 func (d *dispatcher) loadRecord(r storage.Record) error {
 	rest := r.Key[1:]
 	switch r.Key[0] {
-	case storage.KindCatalogue:
+	case storage.KindMachineTypes:
 		var types []storage.MachineType
 		if err := json.Unmarshal(r.Data, &types); err != nil {
 			return err
@@ -62,8 +62,8 @@
 			return err
 		}
 		d.desired = f.Desired
-	case storage.KindRental:
-		var h storage.RentalRecord
+	case storage.KindLaunch:
+		var h storage.LaunchRecord
 		if err := json.Unmarshal(r.Data, &h); err != nil {
 			return err
 		}
@@ -79,11 +79,11 @@
 		}
 		m := d.machine(id)
 		m.born = d.began
-		m.addr, m.kind, m.zone, m.spot, m.session = rec.Addr, rec.Type, rec.Zone, rec.Spot, rec.Session
+		m.addr, m.kind, m.zone, m.spot, m.session = rec.Addr, rec.Type, rec.Zone, rec.Spot, rec.Incarnation
 		for name, gb := range rec.Images {
 			m.images[name] = image{gb, d.began}
 		}
-		m.returning, m.recorded, m.typ = rec.Returning, true, d.types[rec.Type]
+		m.returning, m.recorded, m.typ = rec.Terminating, true, d.types[rec.Type]
 	case storage.KindJob:
 		var rec storage.JobRecord
 		if err := json.Unmarshal(r.Data, &rec); err != nil {
@@ -107,10 +107,10 @@
 		spec = *rec.Spec
 	}
 	spec.ID = id
-	j := newJob(spec, time.UnixMilli(rec.AtMS))
+	j := newJob(spec, time.UnixMilli(rec.SubmittedMS))
 	j.phase, j.known, j.settled = rec.Phase, true, rec.Phase != storage.Open
 	if j.settled {
-		j.done = rec.DoneOf
+		j.done = rec.DoneTasks
 		if rec.Spec == nil {
 			j.tasks, j.waiting = nil, 0
 		}
@@ -143,9 +143,9 @@
 	}
 	for _, ar := range rec.Attempts {
 		m := d.machine(ar.Machine)
-		a := &attempt{job: j, task: ar.Task, try: ar.Try, on: m, session: ar.Session, durable: true, booked: d.began}
+		a := &attempt{job: j, task: ar.Task, try: ar.Number, on: m, session: ar.Incarnation, durable: true, booked: d.began}
 		d.enter(a)
-		m.session = max(m.session, ar.Session)
+		m.session = max(m.session, ar.Incarnation)
 	}
 }
 
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -126,7 +126,7 @@
 }
 
 func (m *machine) record() *storage.MachineRecord {
-	rec := &storage.MachineRecord{Addr: m.addr, Type: m.kind, Zone: m.zone, Spot: m.spot, Session: m.session, Returning: m.returning}
+	rec := &storage.MachineRecord{Addr: m.addr, Type: m.kind, Zone: m.zone, Spot: m.spot, Incarnation: m.session, Terminating: m.returning}
 	if len(m.images) > 0 {
 		rec.Images = make(map[string]float64, len(m.images))
 		for name, im := range m.images {
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -39,7 +39,7 @@
 }
 
 // readCluster reads the cluster record.
-func readCluster(ctx context.Context, svc storage.StateService) (clusterState, error) {
+func readCluster(ctx context.Context, svc storage.KeyValueStore) (clusterState, error) {
 	item, err := svc.Get(ctx, clusterKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return clusterState{record: upgrade.Initial()}, nil
@@ -58,7 +58,7 @@
 // writes. The registration outlasts the process: until another one of the same node
 // replaces it, the fleet counts this node by it.
 type membership struct {
-	svc      storage.StateService
+	svc      storage.KeyValueStore
 	settings *Settings
 	session  string
 	log      *slog.Logger
@@ -122,12 +122,12 @@
 			return fmt.Errorf("grant session: %w", err)
 		}
 	}
-	registration := upgrade.NewRegistration(m.settings.Node, m.session, own.Versions)
+	registration := upgrade.NewRegistration(m.settings.NodeName, m.session, own.Versions)
 	version, err := m.write(ctx, []storage.Guard{
 		{Key: clusterKey, Version: cluster.version},
 		{Key: m.registrationKey(), Version: earlier.Version},
 	}, &registration)
-	if errors.Is(err, storage.ErrNoLease) {
+	if errors.Is(err, storage.ErrLeaseExpired) {
 		m.lease = 0
 	}
 	if err != nil {
@@ -145,7 +145,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode session: %w", err)
 	}
-	ops := []storage.Op{{Key: sessionPrefix + m.settings.Node, Data: session, Lease: m.lease}}
+	ops := []storage.Op{{Key: sessionPrefix + m.settings.NodeName, Data: session, Lease: m.lease}}
 	if registration != nil {
 		data, err := json.Marshal(registration)
 		if err != nil {
@@ -156,9 +156,9 @@
 	return m.svc.Txn(ctx, guards, ops)
 }
 
-func (m *membership) registrationKey() string { return registrationPrefix + m.settings.Node }
+func (m *membership) registrationKey() string { return registrationPrefix + m.settings.NodeName }
 
-func (m *membership) sessionLife() time.Duration { return sessionLeases * m.settings.Lease }
+func (m *membership) sessionLife() time.Duration { return sessionLeases * m.settings.WorkerLease }
 
 // keepSession renews the session, and begins it anew where it ran out, until another
 // process of this node has registered.
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -22,9 +22,9 @@
 // harmless.
 const writeShare = 0.2
 
-// Deps are the outside parts that a node speaks to.
-type Deps struct {
-	State   storage.StateService
+// Dependencies are the outside parts that a node speaks to.
+type Dependencies struct {
+	State   storage.KeyValueStore
 	Cloud   Cloud
 	Workers WorkerLink
 	Peers   PeerLink
@@ -35,13 +35,13 @@
 // Node is one controller: it follows or leads, and answers users and workers.
 type Node struct {
 	settings     *Settings
-	deps         Deps
+	deps         Dependencies
 	lead         *leadership
 	membership   *membership
 	relay        *relayClient
 	forwarder    *forwarder
 	limitTracker *storage.LimitTracker
-	archive      *archive.Keeper
+	archive      *archive.Archiver
 	roles        chan Role
 	view         atomic.Pointer[view] // published by the node's own goroutine
 }
@@ -53,7 +53,7 @@
 }
 
 // NewNode makes a node; Run starts it.
-func NewNode(s *Settings, deps Deps) *Node {
+func NewNode(s *Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = scale(s.Tuning.LeaderLease, writeShare)
 	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
@@ -178,10 +178,10 @@
 	}
 	err = g.Wait()
 	d.close()
-	n.archive.End(context.WithoutCancel(ctx), role.Term)
+	n.archive.EndTerm(context.WithoutCancel(ctx), role.Term)
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
-	case errors.Is(err, storage.ErrDeposed):
+	case errors.Is(err, storage.ErrLeadershipLost):
 		log.Info("term ended", "err", err) // a successor leads, or will
 		n.resign(role.Term)
 	default:
@@ -194,7 +194,7 @@
 func (n *Node) beginArchive(ctx context.Context, d *dispatcher, role Role) {
 	d.archive = n.archive
 	if d.archiveUsed || n.settings.Tuning.Archive.Enabled {
-		n.archive.Begin(ctx, archive.Lead{Term: role.Term, Guard: role.Guard})
+		n.archive.BeginTerm(ctx, archive.Leadership{Term: role.Term, Guard: role.Guard})
 	}
 }
 
@@ -220,22 +220,22 @@
 	return "without a leader"
 }
 
-// Able tells whether users should be sent here: not where a leader lives but is
+// Ready tells whether users should be sent here: not where a leader lives but is
 // out of reach, nor where this node neither leads for certain nor reaches any
 // other. While nobody leads all nodes that see each other are as good. That the
 // load balancer asks is noted, for it tells that this node isn't cut off.
-func (n *Node) Able() bool {
+func (n *Node) Ready() bool {
 	n.forwarder.lastProbe.mark(time.Now())
 	v := n.view.Load()
 	if v.role.Leading && time.Now().Before(v.role.Certain) {
 		return true
 	}
 	leader, _ := n.leader(v)
-	if leader != "" && leader != n.settings.Node {
-		return n.deps.Peers.SilentFor(leader) <= n.settings.Tuning.LeaderLease
+	if leader != "" && leader != n.settings.NodeName {
+		return n.deps.Peers.UnreachableFor(leader) <= n.settings.Tuning.LeaderLease
 	}
 	for _, p := range n.settings.Peers {
-		if n.deps.Peers.SilentFor(p.Name) == 0 {
+		if n.deps.Peers.UnreachableFor(p.Name) == 0 {
 			return true
 		}
 	}
@@ -246,14 +246,14 @@
 // peers: this node alone may have lost the state service.
 func (n *Node) leader(v *view) (name string, term uint64) {
 	name, term = v.role.Leader, v.role.Term
-	if told, t := n.deps.Peers.KnownLeader(); t > term && told != n.settings.Node {
+	if told, t := n.deps.Peers.KnownLeader(); t > term && told != n.settings.NodeName {
 		return told, t
 	}
 	return name, term
 }
 
-// User answers a user's request here, if this node leads, or by the leader.
-func (n *Node) User(ctx context.Context, req UserRequest) Answer {
+// HandleUserRequest answers a user's request here, if this node leads, or by the leader.
+func (n *Node) HandleUserRequest(ctx context.Context, req UserRequest) Answer {
 	v := n.view.Load()
 	if v.dispatcher != nil {
 		return v.dispatcher.user(ctx, req)
@@ -262,7 +262,7 @@
 		return a
 	}
 	leader, _ := n.leader(v)
-	if leader == "" || leader == n.settings.Node {
+	if leader == "" || leader == n.settings.NodeName {
 		return Unavailable(req.ID, "no leader yet")
 	}
 	asked := time.Now()
@@ -295,11 +295,11 @@
 // useRelay tells whether the leader lives, for its key outlasts its grant's
 // life, and yet can't be reached: then only the state service leads to it.
 func (n *Node) useRelay(leader string) bool {
-	return n.deps.Peers.SilentFor(leader) > n.settings.Tuning.LeaderLease
+	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
 
-// Local answers a request that another node forwarded.
-func (n *Node) Local(ctx context.Context, req UserRequest) Answer {
+// HandleForwardedRequest answers a request that another node forwarded.
+func (n *Node) HandleForwardedRequest(ctx context.Context, req UserRequest) Answer {
 	if req.Op == OpPing {
 		return Answer{Peer: n.status(req.ID).Wire()}
 	}
@@ -325,14 +325,14 @@
 	return st
 }
 
-// Heartbeat answers a worker's report.
-func (n *Node) Heartbeat(ctx context.Context, r *Report) HeartbeatResponse {
+// HandleHeartbeat answers a worker's report.
+func (n *Node) HandleHeartbeat(ctx context.Context, r *Report) HeartbeatResponse {
 	return n.forwarder.heartbeat(ctx, r)
 }
 
-// LocalHeartbeats answers reports that another node hands on; nil means that this
+// HandleForwardedHeartbeats answers reports that another node hands on; nil means that this
 // node doesn't decide on them.
-func (n *Node) LocalHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
 	if v := n.view.Load(); v.dispatcher != nil {
 		return v.dispatcher.heartbeats(ctx, reports)
 	}
--- a/internal/coordination/opportunistic.go
+++ b/internal/coordination/opportunistic.go
@@ -74,7 +74,7 @@
 // footholdDue tells whether an opportunistic job has waited so long for its first place that a
 // machine of any price is rented for it.
 func (d *dispatcher) footholdDue(j *job, now time.Time) bool {
-	return j.held() == 0 && now.Sub(j.submitted) > footholdLeases*d.settings.Lease
+	return j.held() == 0 && now.Sub(j.submitted) > footholdLeases*d.settings.WorkerLease
 }
 
 // placePrice is what a machine of an offer costs for each task of that room.
--- a/internal/coordination/opportunistic_test.go
+++ b/internal/coordination/opportunistic_test.go
@@ -68,7 +68,7 @@
 		if cheap, dear := wanted(); cheap+dear != 0 {
 			t.Errorf("%d machines while cheap ones are refused", cheap+dear)
 		}
-		time.Sleep(footholdLeases*d.settings.Lease + time.Second)
+		time.Sleep(footholdLeases*d.settings.WorkerLease + time.Second)
 		refuse()
 		if cheap, dear := wanted(); cheap != 0 || dear != 1 {
 			t.Errorf("%d and %d machines for a job that waits for its first place", cheap, dear)
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -47,7 +47,7 @@
 		}
 		// A start that went directly may be repeated late: only an attempt
 		// that the worker still knows makes that harmless.
-		if m.fence.MustRemember(taskTry{t.ID, t.Try}) || !d.certain(now) || !d.pageSettled(t.ID) {
+		if m.fence.MustRetain(taskTry{t.ID, t.Try}) || !d.certain(now) || !d.pageSettled(t.ID) {
 			continue
 		}
 		out = append(out, Order{Verb: Forget, ID: t.ID, Try: t.Try})
@@ -82,7 +82,7 @@
 	for _, a := range starts {
 		a.direct, a.directToken = directInFlight, m.fence.Token()
 	}
-	d.send(m, orders, starts, d.settings.Report)
+	d.send(m, orders, starts, d.settings.HeartbeatInterval)
 }
 
 func (d *dispatcher) send(m *machine, orders []Order, starts []*attempt, limit time.Duration) {
@@ -95,7 +95,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(d.ctx, limit)
 		defer cancel()
-		outcome, report := d.deps.Workers.Orders(ctx, addr, token, session, orders, sendBy)
+		outcome, report := d.deps.Workers.SendCommands(ctx, addr, token, session, orders, sendBy)
 		d.post(directMsg{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
 	}()
 }
@@ -110,7 +110,7 @@
 		return true // knows it, or can't be told
 	}
 	d.announcing++
-	d.send(m, nil, nil, scale(d.settings.Report, announcePerReport))
+	d.send(m, nil, nil, scale(d.settings.HeartbeatInterval, announcePerReport))
 	return true
 }
 
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -267,7 +267,7 @@
 					continue
 				}
 				o := offer{name, zone, spot}
-				if at, ok := d.refused[o]; ok && now.Sub(at) < d.settings.Lease || !suits(o) {
+				if at, ok := d.refused[o]; ok && now.Sub(at) < d.settings.WorkerLease || !suits(o) {
 					continue
 				}
 				price := t.Price
--- a/internal/coordination/paired_guards_test.go
+++ b/internal/coordination/paired_guards_test.go
@@ -32,8 +32,8 @@
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
-		if d.jobs.count() != 1 || d.queue.Waiting(groupcommit.Prompt) != 0 || d.jobs.get("000001").phase != storage.Open {
-			t.Errorf("%d jobs, %d records to write", d.jobs.count(), d.queue.Waiting(groupcommit.Prompt))
+		if d.jobs.count() != 1 || d.queue.Waiting(groupcommit.Interactive) != 0 || d.jobs.get("000001").phase != storage.Open {
+			t.Errorf("%d jobs, %d records to write", d.jobs.count(), d.queue.Waiting(groupcommit.Interactive))
 		}
 	})
 }
@@ -46,7 +46,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		if err := d.load([]storage.Record{
 			record(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Try: 5, Machine: 7, Session: 1}}}),
+			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -115,7 +115,7 @@
 
 func (d *dispatcher) withinLimit(j *job) bool {
 	team := d.settings.team(j.spec.Team)
-	return team != nil && storage.Within(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
+	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
 }
 
 // bookOn enters an attempt and takes its room from the candidate.
--- a/internal/coordination/ports.go
+++ b/internal/coordination/ports.go
@@ -103,7 +103,7 @@
 	CodeCreated     Code = iota // accepted just now
 	CodeOK                      // known, with its state
 	CodeNotFound                // never accepted
-	CodeUnfit                   // can never run
+	CodeInfeasible              // can never run
 	CodeUnavailable             // can't decide now
 	CodeBusy                    // too much asked
 )
@@ -187,7 +187,7 @@
 type WorkerLink interface {
 	// Orders sends a command, unless it can't before sendBy: its sender may have lost
 	// the lead by then. A zero sendBy is no bound.
-	Orders(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report)
+	SendCommands(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report)
 }
 
 // MachineState is a machine's state in the cloud's list.
@@ -200,8 +200,8 @@
 	Failed
 )
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	Machine int
 	Addr    string
 	Type    string
@@ -225,12 +225,12 @@
 
 // Cloud rents machines.
 type Cloud interface {
-	Catalogue(ctx context.Context) ([]storage.MachineType, error)
-	Rent(ctx context.Context, name string, h storage.RentalRecord) ([]int, error)
-	Return(ctx context.Context, machines []int) error
+	MachineTypes(ctx context.Context) ([]storage.MachineType, error)
+	Launch(ctx context.Context, name string, h storage.LaunchRecord) ([]int, error)
+	Terminate(ctx context.Context, machines []int) error
 	// List reads a page of the machines after one of that number; with noMachine,
 	// from the first.
-	List(ctx context.Context, after int, limit int) (machines []Listed, more bool, err error)
+	List(ctx context.Context, after int, limit int) (machines []ListedMachine, more bool, err error)
 }
 
 // UserRequest is what a user asks, as it is forwarded between nodes.
@@ -251,10 +251,10 @@
 	OpPing // another node, ID, tests the link and asks for a delegation
 )
 
-// PeerReport is what a peer has told of itself, and when it was asked.
-type PeerReport struct {
+// ObservedStatus is what a peer has told of itself, and when it was asked.
+type ObservedStatus struct {
 	PeerStatus
-	Sent, Got time.Time // by our clock: before and after what it tells of
+	Sent, Received time.Time // by our clock: before and after what it tells of
 }
 
 // PeerLink forwards users' requests and workers' reports to another node.
@@ -262,16 +262,16 @@
 	// Forward asks the named node; an error means that no answer came.
 	Forward(ctx context.Context, node string, req UserRequest) (Answer, error)
 	// Heartbeats hands reports to the named node, which answers each.
-	Heartbeats(ctx context.Context, node string, reports []*Report) ([]HeartbeatResponse, error)
+	ForwardHeartbeats(ctx context.Context, node string, reports []*Report) ([]HeartbeatResponse, error)
 	// Wake tells the named node of demand for a model; an error means that no answer came.
 	Wake(ctx context.Context, node string, req activation.WakeRequest) (activation.WakeResponse, error)
 	// ReportUsage tells the named node how models are used here; an error means that no answer came.
 	ReportUsage(ctx context.Context, node string, report activation.UsageReport) (activation.UsageResponse, error)
 	// Status is the named node's latest status; ok is false if there is none.
-	Status(node string) (w PeerReport, ok bool)
-	// SilentFor is for how long the named node has been out of reach; 0: it is
+	Status(node string) (w ObservedStatus, ok bool)
+	// UnreachableFor is for how long the named node has been out of reach; 0: it is
 	// in reach.
-	SilentFor(node string) time.Duration
+	UnreachableFor(node string) time.Duration
 	// KnownLeader is the latest leader that the peers have told of lately, with its
 	// term; 0: none.
 	KnownLeader() (leader string, term uint64)
--- a/internal/coordination/relay_client.go
+++ b/internal/coordination/relay_client.go
@@ -15,7 +15,7 @@
 // relayClient is the actor of a follower's relay.
 type relayClient struct {
 	settings     *Settings
-	svc          storage.StateService
+	svc          storage.KeyValueStore
 	log          *slog.Logger
 	in           chan queuedRequest
 	processID    uint64 // this process's own mark on its batches
@@ -31,7 +31,7 @@
 	reply chan mailReply
 }
 
-func newRelayClient(s *Settings, deps Deps, limitTracker *storage.LimitTracker) *relayClient {
+func newRelayClient(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker) *relayClient {
 	return &relayClient{
 		limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, in: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
 		limiter: relayLimiter(s),
@@ -104,7 +104,7 @@
 				return m.drain(batch)
 			}
 			if len(batch) == 1 {
-				soon = time.After(scale(m.settings.Report, gatherPerReport))
+				soon = time.After(scale(m.settings.HeartbeatInterval, gatherPerReport))
 			}
 		case <-soon:
 			return m.drain(batch)
@@ -166,13 +166,13 @@
 	if err := m.limiter.WaitN(ctx, min(len(values), m.limiter.Burst())); err != nil {
 		return nil, err
 	}
-	rev, err := m.svc.Txn(ctx, nil, relayOps(relayRequestPrefix, m.settings.Node, values))
+	rev, err := m.svc.Txn(ctx, nil, relayOps(relayRequestPrefix, m.settings.NodeName, values))
 	if err != nil {
 		m.limitTracker.Learn(err)
 		return nil, err
 	}
 	m.lastAccepted.mark(time.Now())
-	prefix := relayResponsePrefix + m.settings.Node + "/"
+	prefix := relayResponsePrefix + m.settings.NodeName + "/"
 	for {
 		changes, next, err := m.svc.Watch(ctx, prefix, rev, relayTimeout)
 		if err != nil {
--- a/internal/coordination/relay_server.go
+++ b/internal/coordination/relay_server.go
@@ -12,7 +12,7 @@
 // relayServer is the leader's actor that answers relayed requests.
 type relayServer struct {
 	settings     *Settings
-	svc          storage.StateService
+	svc          storage.KeyValueStore
 	log          *slog.Logger
 	guard        storage.Guard
 	dispatcher   *dispatcher
@@ -21,12 +21,12 @@
 	latest       map[string]batchID // by sender
 }
 
-func newRelayServer(s *Settings, deps Deps, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *dispatcher) *relayServer {
+func newRelayServer(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *dispatcher) *relayServer {
 	return &relayServer{limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, guard: guard, dispatcher: dispatcher, limiter: relayLimiter(s), latest: make(map[string]batchID)}
 }
 
 func (p *relayServer) run(ctx context.Context) {
-	hold := p.settings.Lease
+	hold := p.settings.WorkerLease
 	rev := p.guard.Version
 	for ctx.Err() == nil {
 		wctx, cancel := context.WithTimeout(ctx, 2*hold)
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -72,7 +72,7 @@
 		d.sessionEnded(m, r, now)
 	}
 	m.session, m.seq, m.token = r.Session, r.Seq, max(m.token, r.Token)
-	m.fence.Shown(r.Token)
+	m.fence.ObserveToken(r.Token)
 	if m.kind != r.Type || m.addr != r.Addr || m.zone != r.Zone {
 		m.addr, m.kind, m.zone, m.spot, m.typ = r.Addr, r.Type, r.Zone, r.Spot, d.types[r.Type]
 		m.recorded = false
@@ -123,7 +123,7 @@
 	if m.heard && now.Sub(m.lastHeard) <= d.settings.fresh() {
 		// Its reports came and our answers went nowhere: it is deaf.
 		m.lapses++
-		m.pauseTill = now.Add(scale(d.settings.Lease, float64(min(m.lapses, pauseLeases))))
+		m.pauseTill = now.Add(scale(d.settings.WorkerLease, float64(min(m.lapses, pauseLeases))))
 		d.log.Info("machine lost its session", "machine", m.id, "session", r.Session, "lapses", m.lapses)
 	}
 	for _, a := range m.sortedAttempts() {
@@ -131,7 +131,7 @@
 			d.free(a, "a later session")
 		}
 	}
-	m.fence.SessionEnded()
+	m.fence.IncarnationEnded()
 	m.recorded = false
 	// The new session's lease began before now. Counting on from the answers
 	// to the one before would call its tasks gone while they run.
@@ -143,7 +143,7 @@
 func (d *dispatcher) watchCompliance(m *machine, r *Report, now time.Time) {
 	m.unresponsive = false
 	for _, a := range m.attempts {
-		if !a.seen && a.orderedSeq != 0 && r.Seq > a.orderedSeq+1 && now.Sub(a.booked) > 2*d.settings.Report {
+		if !a.seen && a.orderedSeq != 0 && r.Seq > a.orderedSeq+1 && now.Sub(a.booked) > 2*d.settings.HeartbeatInterval {
 			m.unresponsive = true
 			m.pauseTill = now.Add(d.settings.fresh())
 			d.log.Debug("machine takes no orders", "machine", m.id)
@@ -247,9 +247,9 @@
 		}
 		j.gang.over = j.gang.over || j.gang.ran
 	case CauseFull, CauseBusy:
-		m.pauseTill = now.Add(d.settings.Report)
+		m.pauseTill = now.Add(d.settings.HeartbeatInterval)
 	case CauseUnknown:
-		j.pauseTill = now.Add(d.settings.Report)
+		j.pauseTill = now.Add(d.settings.HeartbeatInterval)
 	}
 	d.log.Debug("attempt ended", "job", j.spec.ID, "task", a.task, "try", a.try, "machine", m.id, "cause", t.Cause, "saved", t.Saved)
 	d.free(a, "ended")
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -30,7 +30,7 @@
 	}
 	now := time.Now()
 	role := Role{Leading: true, Term: 2, Certain: now.Add(time.Hour), HoldOut: now.Add(time.Hour)}
-	d, err := newDispatcher(&s, Deps{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, make(chan resignation, 1), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d, err := newDispatcher(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, make(chan resignation, 1), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -51,14 +51,14 @@
 // silentWorkers never get a direct order.
 type silentWorkers struct{}
 
-func (silentWorkers) Orders(context.Context, string, uint64, uint64, []Order, time.Time) (Outcome, *Report) {
+func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []Order, time.Time) (Outcome, *Report) {
 	return NotSent, nil
 }
 
 // grownSettings are figures of a large site.
 func grownSettings() Settings {
 	s := Settings{
-		Zones: []string{"a", "b"}, Report: 4 * time.Second, Lease: 22 * time.Second, Cancel: 52 * time.Second,
+		Zones: []string{"a", "b"}, HeartbeatInterval: 4 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second,
 		Teams:    []Team{{Name: "team"}},
 		State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 		CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
@@ -145,7 +145,7 @@
 }
 
 func TestAStepAtMostDoublesTheFleet(t *testing.T) {
-	tuning := Tuning{GrowStep: 50}
+	tuning := Tuning{ScaleOutStep: 50}
 	for size, want := range map[int]int{0: 50, 30: 50, 51: 51, 400: 400} {
 		if got := tuning.growBound(size); got != want {
 			t.Errorf("a fleet of %d may grow by %d, not %d", size, got, want)
@@ -167,7 +167,7 @@
 func TestRoomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		d.firstJob = time.Now().Add(-3 * d.settings.Lease)
+		d.firstJob = time.Now().Add(-3 * d.settings.WorkerLease)
 		for i := range 4 {
 			d.up(i+1, "cpu", "a", false) // ample room, all in one zone
 		}
@@ -268,7 +268,7 @@
 				cut = append(cut, wk)
 			}
 		}
-		time.Sleep(sim.settings.Lease + 8*time.Second)
+		time.Sleep(sim.settings.WorkerLease + 8*time.Second)
 		for _, wk := range cut {
 			if wk.dead.Load() {
 				t.Error("a machine was returned that is cut off")
@@ -291,14 +291,14 @@
 		sim.upload(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if a := old.node.User(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
+		if a := old.node.HandleUserRequest(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
 			t.Errorf("not forwarded: %+v", a)
 		}
-		if !old.node.Able() {
+		if !old.node.Ready() {
 			t.Error("it isn't well though it reaches the leader")
 		}
 		at := sim.leader()
-		a := old.node.Heartbeat(ctx, &Report{Machine: 900, Session: 1, Seq: 1, Zone: "a"})
+		a := old.node.HandleHeartbeat(ctx, &Report{Machine: 900, Session: 1, Seq: 1, Zone: "a"})
 		if handed := a.Accepted && a.Token == at.node.view.Load().role.Term; !handed && (a.Leader == "" || a.Leader == old.name) {
 			t.Errorf("a worker's report is answered %+v", a)
 		}
@@ -311,14 +311,14 @@
 		lead := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		for _, n := range sim.nodes {
-			if !n.node.Able() {
+			if !n.node.Ready() {
 				t.Errorf("%s is unwell on a quiet day", n.name)
 			}
 			n.cutPeers.Store(n != lead)
 		}
 		for _, n := range sim.nodes {
-			if n.node.Able() != (n == lead) {
-				t.Errorf("%s: able %v", n.name, n.node.Able())
+			if n.node.Ready() != (n == lead) {
+				t.Errorf("%s: able %v", n.name, n.node.Ready())
 			}
 		}
 	})
--- a/internal/coordination/scenario_steps_test.go
+++ b/internal/coordination/scenario_steps_test.go
@@ -56,7 +56,7 @@
 		for _, r := range kept {
 			if live := n.live.Load(); live != nil {
 				copied := *r
-				live.Heartbeat(sim.t.Context(), &copied)
+				live.HandleHeartbeat(sim.t.Context(), &copied)
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 // gone waits until a cancelled job's tasks are gone; watch has the time.
 func (sim *simulation) gone(id string) {
 	sim.t.Helper()
-	sim.eventually("job "+id+" is gone", sim.settings.Cancel+time.Second, func() bool { return len(sim.running(id)) == 0 })
+	sim.eventually("job "+id+" is gone", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.running(id)) == 0 })
 }
 
 // onLimit is a job of the team whose limit is two accelerators.
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -78,7 +78,7 @@
 		cutoff := func(op UserOp, id string) Answer {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			return old.node.User(ctx, UserRequest{Op: op, ID: id, Spec: arrayJob(id, 1)})
+			return old.node.HandleUserRequest(ctx, UserRequest{Op: op, ID: id, Spec: arrayJob(id, 1)})
 		}
 		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
 		if a := cutoff(OpPoll, "000001"); a.Code != CodeUnavailable {
@@ -95,7 +95,7 @@
 			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
 		})
 		sim.cancel("000001")
-		sim.eventually("the cancelled tasks are gone", sim.settings.Cancel, func() bool { return len(sim.running("000001")) == 0 })
+		sim.eventually("the cancelled tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.running("000001")) == 0 })
 		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().dispatcher == nil })
 	})
 }
@@ -111,7 +111,7 @@
 		sim.submit(service("000002", 2))
 		time.Sleep(200 * time.Millisecond)
 		sim.cancel("000002")
-		time.Sleep(2 * sim.settings.Cancel)
+		time.Sleep(2 * sim.settings.CancelTimeout)
 		for _, wk := range sim.all() {
 			wk.catchUp()
 		}
@@ -156,7 +156,7 @@
 			wk.cut.Store(true)
 		}
 		sim.cancel("000001")
-		sim.eventually("the tasks are gone", sim.settings.Cancel, func() bool { return len(sim.running("000001")) == 0 })
+		sim.eventually("the tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.running("000001")) == 0 })
 		for _, wk := range sim.all() {
 			wk.cut.Store(false)
 		}
@@ -242,7 +242,7 @@
 			old := wk.report()
 			old.Tasks = nil
 			time.Sleep(10 * time.Second)
-			if a := lead.node.Heartbeat(context.Background(), old); a.Accepted {
+			if a := lead.node.HandleHeartbeat(context.Background(), old); a.Accepted {
 				t.Error("a copy is accepted")
 			}
 		}
@@ -269,10 +269,10 @@
 		defer cancel()
 		spec := service("000001", 1)
 		sim.upload(spec)
-		if a := follower.node.User(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
+		if a := follower.node.HandleUserRequest(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
 			t.Fatalf("not accepted by mail: %+v", a)
 		}
-		a := follower.node.Heartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Session: 1, Seq: 1})
+		a := follower.node.HandleHeartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Session: 1, Seq: 1})
 		if !a.Accepted || a.Token != lead.node.view.Load().role.Term {
 			t.Fatalf("no report by mail: %+v", a)
 		}
@@ -289,7 +289,7 @@
 		sim.submit(s)
 		sim.eventually("the sweep is done", 30*time.Minute, func() bool {
 			for _, wk := range sim.all() {
-				if n := len(wk.report().Tasks); n > 2*fencing.Most {
+				if n := len(wk.report().Tasks); n > 2*fencing.MaxRetained {
 					t.Fatalf("a report of %d tasks", n)
 				}
 			}
@@ -312,12 +312,12 @@
 		on.mute.Store(true)
 		var leased time.Time
 		sim.locked(func() { leased = on.leased })
-		time.Sleep(time.Until(leased.Add(sim.settings.Lease + 50*time.Millisecond)))
+		time.Sleep(time.Until(leased.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
 		sim.cancel("000001") // the stop tells of the new session
 		for i := range 3 {
 			sim.submit(service(fmt.Sprintf("%06d", 10+i), 1))
 		}
-		time.Sleep(sim.settings.Lease - 2*time.Second) // others have booted meanwhile
+		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // others have booted meanwhile
 		on.mute.Store(false)
 		time.Sleep(10 * time.Second)
 	})
