--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -34,7 +34,7 @@
 
 // Settings is what the platform and the operators set, checked.
 type Settings struct {
-	Node, Zone         string
+	NodeName, Zone     string
 	Listen, PeerListen string
 	Peers              []Peer
 	CloudAddr          string
@@ -43,11 +43,11 @@
 	ClockError         time.Duration
 	Teams              []Team
 	Objectives         []Objective
-	Report             time.Duration // a worker's report interval
-	Lease              time.Duration // a worker's lease
+	HeartbeatInterval  time.Duration // a worker's report interval
+	WorkerLease        time.Duration // a worker's lease
 	GangWait           time.Duration // how long a gang's tasks wait for each other; 0: not said
-	GangPeer           time.Duration // how soon they notice that one is gone, or must all be told to stop
-	Cancel             time.Duration // how long a cancelled job's tasks may stay
+	GangStopWindow     time.Duration // how soon they notice that one is gone, or must all be told to stop
+	CancelTimeout      time.Duration // how long a cancelled job's tasks may stay
 	State              storage.Limits
 	CloudRPS           float64
 	ListLag            time.Duration
@@ -60,10 +60,10 @@
 
 // Tuning holds the operators' own settings.
 type Tuning struct {
-	UpWindow           time.Duration // pressure must hold this long before growth
-	DownWindow         time.Duration // healthy time before a machine is returned
+	ScaleOutWindow     time.Duration // pressure must hold this long before growth
+	ScaleInWindow      time.Duration // healthy time before a machine is returned
 	Cooldown           time.Duration // after a return
-	GrowStep           int           // machines per growth step of a small fleet
+	ScaleOutStep       int           // machines per growth step of a small fleet
 	LeaderLease        time.Duration // life of the leadership grant
 	HeadroomDeviations float64       // standard deviations of arrivals to keep room for
 	Upgrade            upgrade.Settings
@@ -74,7 +74,7 @@
 
 // growBound is the most machines that one step may rent: the operators' figure,
 // or as many as the fleet has, so that a fleet of any size at most doubles.
-func (t *Tuning) growBound(size int) int { return max(t.GrowStep, size) }
+func (t *Tuning) growBound(size int) int { return max(t.ScaleOutStep, size) }
 
 // coolFleet is the fleet that the cooldown is meant for. A larger one returns
 // its machines faster in proportion, still one at a time, so that a whole fleet
@@ -111,11 +111,11 @@
 // DefaultTuning derives the operators' defaults from the platform's figures.
 func (s *Settings) DefaultTuning() Tuning {
 	return Tuning{
-		UpWindow:           scale(s.Report, upPerReport),
-		DownWindow:         scale(s.Lease, downPerLease),
-		Cooldown:           scale(s.Lease, coolPerLease),
-		GrowStep:           growStepDefault,
-		LeaderLease:        scale(s.Lease, leaderPerLease),
+		ScaleOutWindow:     scale(s.HeartbeatInterval, upPerReport),
+		ScaleInWindow:      scale(s.WorkerLease, downPerLease),
+		Cooldown:           scale(s.WorkerLease, coolPerLease),
+		ScaleOutStep:       growStepDefault,
+		LeaderLease:        scale(s.WorkerLease, leaderPerLease),
 		HeadroomDeviations: headroomDefault,
 		Upgrade:            s.defaultUpgrade(),
 		Archive:            s.defaultArchive(),
@@ -127,8 +127,8 @@
 // defaultUpgrade is the policy that finalizes nothing by itself.
 func (s *Settings) defaultUpgrade() upgrade.Settings {
 	settings := upgrade.DefaultSettings()
-	settings.Policy.Soak = scale(s.Lease, soakPerLease)
-	settings.Policy.ReleaseAfter = scale(s.Lease, releasePerLease)
+	settings.Policy.Soak = scale(s.WorkerLease, soakPerLease)
+	settings.Policy.ReleaseAfter = scale(s.WorkerLease, releasePerLease)
 	return settings
 }
 
@@ -144,13 +144,13 @@
 // grant ends must see the tasks gone within cancel_s, even where the workers
 // hear only the old leader.
 func (s *Settings) hold() time.Duration {
-	return max(0, s.Cancel-s.Lease-scale(s.Cancel, driftBound-1)-scale(s.Report, holdMargin))
+	return max(0, s.CancelTimeout-s.WorkerLease-scale(s.CancelTimeout, driftBound-1)-scale(s.HeartbeatInterval, holdMargin))
 }
 
 // leaseBound is how long after an answered report a silent worker's tasks may
 // still be there.
 func (s *Settings) leaseBound() time.Duration {
-	return scale(s.Lease, driftBound) + s.Report/10
+	return scale(s.WorkerLease, driftBound) + s.HeartbeatInterval/10
 }
 
 // unconfirmedBound is the same for a worker that this term hasn't heard of,
@@ -161,7 +161,7 @@
 }
 
 // fresh is how long a machine's last report counts.
-func (s *Settings) fresh() time.Duration { return freshIntervals * s.Report }
+func (s *Settings) fresh() time.Duration { return freshIntervals * s.HeartbeatInterval }
 
 const (
 	// minBatchWindow and maxBatchWindow are the shortest and the longest time that
@@ -179,7 +179,7 @@
 	if s.CPUShare > 0 {
 		window *= max(1, ampleCPUShare/s.CPUShare)
 	}
-	return min(scale(s.Report, min(window, maxBatchWindow)), scale(workerTimeout, maxBatchWindow))
+	return min(scale(s.HeartbeatInterval, min(window, maxBatchWindow)), scale(workerTimeout, maxBatchWindow))
 }
 
 // fastLinkTests and slowLinkTests are how often the links between nodes are tested with
@@ -189,8 +189,8 @@
 	slowLinkTests = 2 * fastLinkTests
 )
 
-// LinkTests is how often the links between nodes are tested.
-func (s *Settings) LinkTests() time.Duration {
+// LinkTestInterval is how often the links between nodes are tested.
+func (s *Settings) LinkTestInterval() time.Duration {
 	if s.CPUShare <= 0 {
 		return fastLinkTests
 	}
--- a/internal/coordination/settings_test.go
+++ b/internal/coordination/settings_test.go
@@ -8,7 +8,7 @@
 // Each batch of reports wakes a follower and the leader: the smaller the share of a
 // processor, the fewer there may be.
 func TestBatchesWidenAsTheShareFalls(t *testing.T) {
-	if got := (&Settings{Report: time.Minute, CPUShare: 0.001}).BatchWindow(); got > workerTimeout/8 {
+	if got := (&Settings{HeartbeatInterval: time.Minute, CPUShare: 0.001}).BatchWindow(); got > workerTimeout/8 {
 		t.Errorf("reports gather for %v, and a worker waits for %v", got, workerTimeout)
 	}
 	for _, c := range []struct {
@@ -18,7 +18,7 @@
 		{0, 31250 * time.Microsecond}, {1, 31250 * time.Microsecond}, {0.25, 31250 * time.Microsecond},
 		{0.125, 62500 * time.Microsecond}, {0.03125, 250 * time.Millisecond}, {0.001, 250 * time.Millisecond},
 	} {
-		s := Settings{Report: 4 * time.Second, CPUShare: c.share}
+		s := Settings{HeartbeatInterval: 4 * time.Second, CPUShare: c.share}
 		if got := s.BatchWindow(); got != c.want {
 			t.Errorf("at a share of %v reports gather for %v", c.share, got)
 		}
@@ -29,7 +29,7 @@
 // with little.
 func TestLinksAreTestedLessOftenWithLittleProcessor(t *testing.T) {
 	for share, want := range map[float64]time.Duration{0: fastLinkTests, 1: fastLinkTests, 0.25: fastLinkTests, 0.2: 5 * fastLinkTests / 4, 0.036: slowLinkTests} {
-		if got := (&Settings{CPUShare: share}).LinkTests(); got != want {
+		if got := (&Settings{CPUShare: share}).LinkTestInterval(); got != want {
 			t.Errorf("at a share of %v every %v", share, got)
 		}
 	}
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -116,7 +116,7 @@
 		sim := &simulation{
 			t: t,
 			settings: Settings{
-				Zones: []string{"a", "b"}, Report: 3 * time.Second, Lease: 22 * time.Second, Cancel: 52 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second,
+				Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second, GangWait: 45 * time.Second, GangStopWindow: 4 * time.Second,
 				Teams:    []Team{{Name: "team"}, {Name: "small", Limit: storage.Room{GPUs: 2}}},
 				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
@@ -211,7 +211,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	n.gate()
-	a := live.User(ctx, UserRequest{Op: op, ID: id, Spec: spec})
+	a := live.HandleUserRequest(ctx, UserRequest{Op: op, ID: id, Spec: spec})
 	n.gate()
 	late := ctx.Err() != nil
 	cancel()
@@ -223,7 +223,7 @@
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if a.Code == CodeNotFound || a.Code == CodeUnfit {
+	if a.Code == CodeNotFound || a.Code == CodeInfeasible {
 		if known {
 			sim.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
 		}
@@ -271,7 +271,7 @@
 				for k, t := range wk.tasks {
 					job := k.ID.Job
 					at, ok := sim.cancelAt[job]
-					if ok && t.state != Ended && time.Since(at) > sim.settings.Cancel && !sim.overrun[job] {
+					if ok && t.state != Ended && time.Since(at) > sim.settings.CancelTimeout && !sim.overrun[job] {
 						sim.overrun[job] = true
 						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
 					}
@@ -322,7 +322,7 @@
 			case t.state == Gathering && now.Sub(t.since) > sim.settings.GangWait:
 				t.state, t.cause = Ended, CausePeers
 			case t.state != Running || running+done == spec.Tasks:
-			case t.since.After(now.Add(-sim.settings.GangPeer)) && t.ends.IsZero():
+			case t.since.After(now.Add(-sim.settings.GangStopWindow)) && t.ends.IsZero():
 			case !t.ends.IsZero() && running+done < spec.Tasks:
 				t.ends, t.since = time.Time{}, now // it notices soon
 			case t.ends.IsZero():
--- a/internal/coordination/standstill_test.go
+++ b/internal/coordination/standstill_test.go
@@ -30,32 +30,32 @@
 // gatedState is a node's way to the state service. Each call is held up before it is sent and
 // before its answer is learnt.
 type gatedState struct {
-	storage.StateService
+	storage.KeyValueStore
 	node *fakeNode
 }
 
 func (g gatedState) Get(ctx context.Context, key string) (storage.Item, error) {
 	g.node.gate()
 	defer g.node.gate()
-	return g.StateService.Get(ctx, key)
+	return g.KeyValueStore.Get(ctx, key)
 }
 
 func (g gatedState) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
 	g.node.gate()
 	defer g.node.gate()
-	return g.StateService.Txn(ctx, guards, ops)
+	return g.KeyValueStore.Txn(ctx, guards, ops)
 }
 
 func (g gatedState) Grant(ctx context.Context, life time.Duration) (uint64, error) {
 	g.node.gate()
 	defer g.node.gate()
-	return g.StateService.Grant(ctx, life)
+	return g.KeyValueStore.Grant(ctx, life)
 }
 
 func (g gatedState) Touch(ctx context.Context, lease uint64) error {
 	g.node.gate()
 	defer g.node.gate()
-	return g.StateService.Touch(ctx, lease)
+	return g.KeyValueStore.Touch(ctx, lease)
 }
 
 // work submits services and arrays, and waits until they run.
--- a/internal/coordination/task_failures.go
+++ b/internal/coordination/task_failures.go
@@ -15,12 +15,12 @@
 	if j.failures.AtFault() {
 		d.clearMachines(j)
 		m.clearFailures(j)
-		j.pauseTill = now.Add(j.failures.Backoff(d.settings.Report))
+		j.pauseTill = now.Add(j.failures.Backoff(d.settings.HeartbeatInterval))
 		d.log.Info("job fails wherever it runs", "job", j.spec.ID, "pause", j.pauseTill.Sub(now))
 		return
 	}
 	if m.failures.AtFault() {
-		pause := scale(d.settings.Lease, float64(min(1+m.failures.Excess(), pauseLeases)))
+		pause := scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), pauseLeases)))
 		m.pauseTill = now.Add(pause)
 		d.log.Info("machine fails several jobs", "machine", m.id, "pause", pause)
 	}
--- a/internal/coordination/unconfirmed.go
+++ b/internal/coordination/unconfirmed.go
@@ -19,7 +19,7 @@
 // empty sooner. That is done only where their services find room elsewhere: a
 // machine that comes back has its images.
 func (d *dispatcher) lostUnconfirmed(now time.Time) []int {
-	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.Lease, unconfirmedLease), d.settings.fresh()) {
+	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.WorkerLease, unconfirmedLease), d.settings.fresh()) {
 		return nil
 	}
 	var silent []*machine
--- a/internal/coordination/unregistered_test.go
+++ b/internal/coordination/unregistered_test.go
@@ -37,7 +37,7 @@
 }
 
 // contend takes the lead wherever it finds it free, and holds it for a while.
-func (p *unregisteredProcess) contend(ctx context.Context, svc storage.StateService, life time.Duration, node string) {
+func (p *unregisteredProcess) contend(ctx context.Context, svc storage.KeyValueStore, life time.Duration, node string) {
 	for storage.Sleep(ctx, life/20) {
 		if _, err := svc.Get(ctx, leadKey); err == nil {
 			continue
@@ -153,7 +153,7 @@
 	storage.KindJob:     {"f", "n", "a", "s", "d"},
 	storage.KindPage:    {"d", "a"},
 	storage.KindMachine: {"a", "t", "z", "l", "r", "x", "i"},
-	storage.KindRental:  {"t", "z", "l", "n"},
+	storage.KindLaunch:  {"t", "z", "l", "n"},
 	storage.KindFleet:   {"n", "t"},
 }
 
--- a/internal/coordination/upgrade_controller.go
+++ b/internal/coordination/upgrade_controller.go
@@ -25,7 +25,7 @@
 // the record, so what it holds is exact: the take-over was guarded by the record that the
 // term began with.
 type upgradeController struct {
-	svc      storage.StateService
+	svc      storage.KeyValueStore
 	settings *Settings
 	peers    PeerLink
 	log      *slog.Logger
@@ -47,7 +47,7 @@
 	changed chan struct{}
 }
 
-func newUpgradeController(s *Settings, deps Deps, role Role, users gateUsage, log *slog.Logger) *upgradeController {
+func newUpgradeController(s *Settings, deps Dependencies, role Role, users gateUsage, log *slog.Logger) *upgradeController {
 	return &upgradeController{
 		svc: deps.State, settings: s, peers: deps.Peers, log: log, lead: role.Guard, term: role.Term, users: users,
 		cluster: role.cluster, outdated: true, unusedSince: make(map[upgrade.GateName]time.Time),
@@ -87,7 +87,7 @@
 	if c.cluster.record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.record.Phase == upgrade.Withdrawing {
 		return 0
 	}
-	return c.settings.Report
+	return c.settings.HeartbeatInterval
 }
 
 // pause is how long nothing needs to be looked at.
@@ -95,7 +95,7 @@
 	if c.outdated || c.cluster.record.Phase == upgrade.Withdrawing {
 		return c.settings.Tuning.LeaderLease / upgradeTicks
 	}
-	return c.settings.Report
+	return c.settings.HeartbeatInterval
 }
 
 // advance takes the steps that can be taken now. An error ends the term.
@@ -133,7 +133,7 @@
 // returned.
 func (c *upgradeController) tolerate(what string, err error) error {
 	var damaged *upgrade.DamagedError
-	if err == nil || errors.Is(err, storage.ErrDeposed) || errors.As(err, &damaged) {
+	if err == nil || errors.Is(err, storage.ErrLeadershipLost) || errors.As(err, &damaged) {
 		return err
 	}
 	c.outdated = true
@@ -208,7 +208,7 @@
 	version, err := c.svc.Txn(tctx, guards, ops)
 	var conflict *storage.ConflictError
 	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, c.lead.Key) {
-		return storage.ErrDeposed
+		return storage.ErrLeadershipLost
 	}
 	if err != nil {
 		return err
--- a/internal/coordination/upgrade_members.go
+++ b/internal/coordination/upgrade_members.go
@@ -46,7 +46,7 @@
 
 // members lists all controllers with what is known of their versions.
 func (c *upgradeController) members() []upgrade.Member {
-	members := []upgrade.Member{c.member(c.settings.Node)}
+	members := []upgrade.Member{c.member(c.settings.NodeName)}
 	for _, p := range c.settings.Peers {
 		m := c.member(p.Name)
 		if status, ok := c.peers.Status(p.Name); ok {
@@ -76,7 +76,7 @@
 
 // watchRegistrations tells the actor of each change of a registration.
 func (c *upgradeController) watchRegistrations(ctx context.Context) {
-	hold := c.settings.Lease
+	hold := c.settings.WorkerLease
 	revision := c.lead.Version
 	for ctx.Err() == nil {
 		wctx, cancel := context.WithTimeout(ctx, hold+c.settings.Tuning.LeaderLease)
--- a/internal/coordination/upgrade_release_test.go
+++ b/internal/coordination/upgrade_release_test.go
@@ -143,7 +143,7 @@
 	t.Helper()
 	client := &storagetest.Client{Service: storagetest.NewService()}
 	settings := grownSettings()
-	settings.Node, settings.Peers = "n0", nil
+	settings.NodeName, settings.Peers = "n0", nil
 	settings.Tuning.Upgrade.Policy = upgrade.Policy{Hold: true, ReleaseAfter: releaseAfter}
 	record := gangInUse()
 	registration, err := json.Marshal(upgrade.NewRegistration("n0", "run", upgrade.Supported))
@@ -162,7 +162,7 @@
 	}
 	role := Role{Term: 1, Guard: storage.Guard{Key: leadKey, Version: revision}, cluster: clusterState{record, revision}}
 	log := slog.New(slog.DiscardHandler)
-	c := newUpgradeController(&settings, Deps{State: client, Log: log}, role, users, log)
+	c := newUpgradeController(&settings, Dependencies{State: client, Log: log}, role, users, log)
 	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
 	return c, client
 }
--- a/internal/coordination/upgrade_status.go
+++ b/internal/coordination/upgrade_status.go
@@ -32,7 +32,7 @@
 }
 
 // ReadUpgradeStatus reads where an upgrade stands. It writes nothing.
-func ReadUpgradeStatus(ctx context.Context, svc storage.StateService, s *Settings) (UpgradeStatus, error) {
+func ReadUpgradeStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (UpgradeStatus, error) {
 	items, _, _, err := svc.List(ctx, upgradePrefix, "", upgradeKeysMost)
 	if err != nil {
 		return UpgradeStatus{}, fmt.Errorf("state service: %w", err)
@@ -51,7 +51,7 @@
 	return status, status.readLeader(ctx, svc)
 }
 
-func (u *UpgradeStatus) readLeader(ctx context.Context, svc storage.StateService) error {
+func (u *UpgradeStatus) readLeader(ctx context.Context, svc storage.KeyValueStore) error {
 	item, err := svc.Get(ctx, leadKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil
@@ -69,7 +69,7 @@
 
 // nodeVersions lists the nodes of the settings, and any other that has registered.
 func nodeVersions(s *Settings, registrations map[string]registrationState, items []storage.Item) []NodeVersions {
-	names := []string{s.Node}
+	names := []string{s.NodeName}
 	for _, p := range s.Peers {
 		names = append(names, p.Name)
 	}
--- a/internal/coordination/upgrade_uses.go
+++ b/internal/coordination/upgrade_uses.go
@@ -32,7 +32,7 @@
 	if c.inForce().Gate(gate).Usable() {
 		return c.tolerate("gates not published", c.publish(ctx))
 	}
-	next, err := upgrade.Use(c.cluster.record, gate, c.term)
+	next, err := upgrade.MarkGateUsed(c.cluster.record, gate, c.term)
 	if err != nil {
 		c.log.Debug("gate not used", "err", err)
 		return nil
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -234,7 +234,7 @@
 		var used storage.Room
 		for _, j := range jobs {
 			used = used.Plus(j.spec.Room.Times(j.spec.Tasks - j.done))
-			out[j] = storage.Within(used, guarantee)
+			out[j] = storage.WithinLimit(used, guarantee)
 		}
 	}
 	return out
--- a/internal/coordination/usage.go
+++ b/internal/coordination/usage.go
@@ -11,7 +11,7 @@
 const usageIntervals = 2
 
 // UsageInterval is how often a controller tells the leader how models are used.
-func (s *Settings) UsageInterval() time.Duration { return s.Report }
+func (s *Settings) UsageInterval() time.Duration { return s.HeartbeatInterval }
 
 // usageReportMsg brings the dispatcher a controller's usage.
 type usageReportMsg struct {
@@ -26,7 +26,7 @@
 
 // ReportUsage tells the leader how models are used at this node.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
-	report.Node, report.Session = n.settings.Node, n.lead.run
+	report.Node, report.Session = n.settings.NodeName, n.lead.run
 	v := n.view.Load()
 	if v.dispatcher != nil {
 		return v.dispatcher.reportUsage(ctx, report)
@@ -42,8 +42,8 @@
 	return response
 }
 
-// LocalUsage answers a report that another node sent.
-func (n *Node) LocalUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
+// HandleForwardedUsage answers a report that another node sent.
+func (n *Node) HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	if v := n.view.Load(); v.dispatcher != nil {
 		return v.dispatcher.reportUsage(ctx, report)
 	}
@@ -85,7 +85,7 @@
 
 // controllers lists the fleet's controllers.
 func (s *Settings) controllers() []string {
-	names := []string{s.Node}
+	names := []string{s.NodeName}
 	for _, p := range s.Peers {
 		names = append(names, p.Name)
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -50,7 +50,7 @@
 // stalled tells whether the commit under way takes too long to let others
 // wait behind it.
 func (d *dispatcher) stalled(now time.Time) bool {
-	return !d.commitAt.IsZero() && now.Sub(d.commitAt) > scale(d.settings.Report, stallPerReport)
+	return !d.commitAt.IsZero() && now.Sub(d.commitAt) > scale(d.settings.HeartbeatInterval, stallPerReport)
 }
 
 func (d *dispatcher) handleUser(m userMsg) {
@@ -110,7 +110,7 @@
 		}
 		spec := m.req.Spec
 		if reason := d.unfit(&spec); reason != "" {
-			m.reply <- Answer{Code: CodeUnfit, ID: spec.ID, Reason: reason}
+			m.reply <- Answer{Code: CodeInfeasible, ID: spec.ID, Reason: reason}
 			return
 		}
 		if spec.Gang && !d.mayUse(upgrade.GangJobs) {
@@ -122,7 +122,7 @@
 			return
 		}
 		if d.jobs.openTasks+spec.Tasks > d.settings.maxTasks() {
-			m.reply <- Answer{Code: CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetryS: int(d.settings.Lease.Seconds())}
+			m.reply <- Answer{Code: CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetryS: int(d.settings.WorkerLease.Seconds())}
 			return
 		}
 		if !d.admit(spec.Team) {
@@ -172,7 +172,7 @@
 	if s.Service || s.Gang {
 		need = need.Times(s.Tasks)
 	}
-	if !storage.Within(need, team.Limit) {
+	if !storage.WithinLimit(need, team.Limit) {
 		return "the job needs more than its team's limit"
 	}
 	return ""
--- a/internal/coordination/wake.go
+++ b/internal/coordination/wake.go
@@ -45,7 +45,7 @@
 // why not. Earlier versions would take the messages for something else.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader, _ = n.leader(v)
-	if leader == "" || leader == n.settings.Node {
+	if leader == "" || leader == n.settings.NodeName {
 		return "", "no leader yet"
 	}
 	if status, ok := n.deps.Peers.Status(leader); !ok || status.Version < firstWithActivation {
@@ -54,8 +54,8 @@
 	return leader, ""
 }
 
-// LocalWake answers a wake request that another node sent.
-func (n *Node) LocalWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
+// HandleForwardedWake answers a wake request that another node sent.
+func (n *Node) HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	if v := n.view.Load(); v.dispatcher != nil {
 		return v.dispatcher.wake(ctx, req)
 	}
@@ -194,7 +194,7 @@
 			response.Expected = c.starts.Expected(s.job.spec.Class, now.Sub(s.wokenAt))
 		}
 	case activation.Failed:
-		response.Expected = s.record.Rests(now)
+		response.Expected = s.record.BackoffRemaining(now)
 	case activation.Idle, activation.Draining, activation.Stopping:
 	}
 	return response
--- a/internal/coordination/worker_tokens.go
+++ b/internal/coordination/worker_tokens.go
@@ -28,14 +28,14 @@
 		return
 	}
 	if m.fence.RaiseIfDue(max(d.settings.Tuning.Fencing.Window, len(m.attempts)), m.inFlight > 0) {
-		d.log.Debug("token raised", "machine", m.id, "token", m.fence.Token(), "remembers", m.fence.Remembered())
+		d.log.Debug("token raised", "machine", m.id, "token", m.fence.Token(), "remembers", m.fence.Retained())
 	}
 }
 
 // patientDirect is how many live attempts a worker may have, and ended ones to remember, for other
 // than urgent work to be started on it directly: all of them may have to be remembered. The rest is left for urgent work, so that a flood of short tasks
 // doesn't end terms.
-const patientDirect = fencing.Most / 2
+const patientDirect = fencing.MaxRetained / 2
 
 // mayStartDirectly tells whether a task of a job may be started straight on a worker. One that has to
 // remember too much gets its starts with the answers to its reports, which are never carried out
@@ -44,7 +44,7 @@
 	if d.fencingInForce() {
 		return !m.fence.Full()
 	}
-	return j.urgent() || m.fence.Remembered()+len(m.attempts) <= patientDirect
+	return j.urgent() || m.fence.Retained()+len(m.attempts) <= patientDirect
 }
 
 // handleLaterToken takes in a token beyond this term's. A successor has given it, unless our
@@ -60,7 +60,7 @@
 // resignToForget gives up the lead once some worker has to remember too much and its token
 // can't be raised: under the next term's token all earlier direct starts are void.
 func (d *dispatcher) resignToForget(now time.Time) {
-	if d.fencingInForce() || !d.certain(now) || now.Sub(d.began) < d.settings.Lease {
+	if d.fencingInForce() || !d.certain(now) || now.Sub(d.began) < d.settings.WorkerLease {
 		return
 	}
 	for _, m := range d.machines {
--- a/internal/coordination/worker_tokens_test.go
+++ b/internal/coordination/worker_tokens_test.go
@@ -51,7 +51,7 @@
 		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		for end := time.Now().Add(30 * time.Minute); time.Now().Before(end); time.Sleep(3 * time.Second) {
-			if n := sim.mostRemembered(); n > fencing.Most/2 {
+			if n := sim.mostRemembered(); n > fencing.MaxRetained/2 {
 				t.Fatalf("a report of %d tasks", n)
 			}
 		}
@@ -133,7 +133,7 @@
 		{"the leader alone is refused, then all", func(sim *simulation) {
 			lead := sim.refuseLeader()
 			sim.cancel("000003")
-			sim.outage(sim.settings.Cancel + 5*time.Second)
+			sim.outage(sim.settings.CancelTimeout + 5*time.Second)
 			lead.cutState.Store(false)
 		}},
 		{"writes are late", func(sim *simulation) {
@@ -167,7 +167,7 @@
 				if n := sim.poll("000002").Done; n <= before && n < 4000 {
 					t.Errorf("the sweep stands still at %d tasks", n)
 				}
-				if n := sim.mostRemembered(); n > fencing.Most/2 {
+				if n := sim.mostRemembered(); n > fencing.MaxRetained/2 {
 					t.Errorf("a report of %d tasks", n)
 				}
 			})
@@ -199,7 +199,7 @@
 			return len(sessions) > 0
 		})
 		sim.cutZone(cut)
-		time.Sleep(sim.settings.Lease + 2*time.Second)
+		time.Sleep(sim.settings.WorkerLease + 2*time.Second)
 		for wk, session := range sessions {
 			if wk.report().Session != session {
 				t.Errorf("worker %d has lost its lease behind the cut", wk.id)
@@ -240,7 +240,7 @@
 		}
 		sim.submit(sweep("000002", 700))
 		sim.done("000002")
-		if n := sim.mostRemembered(); n < fencing.Most || n > fencing.Most+fencing.Most/2 {
+		if n := sim.mostRemembered(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
 			t.Errorf("a report of %d tasks", n)
 		}
 		if d.resigned {
@@ -248,7 +248,7 @@
 		}
 		sim.awaitLeader().kill()
 		sim.awaitLeader()
-		sim.eventually("all is forgotten under the next term", time.Minute, func() bool { return sim.mostRemembered() < fencing.Most/2 })
+		sim.eventually("all is forgotten under the next term", time.Minute, func() bool { return sim.mostRemembered() < fencing.MaxRetained/2 })
 	})
 }
 
@@ -304,8 +304,8 @@
 			t.Fatal("its lease never ends")
 		}
 		r.Session, r.Seq = 2, 1
-		if d.handleHeartbeat(r); !m.heard || m.fence.Remembered() != 0 {
-			t.Errorf("a later session is heard %v, and remembers %d", m.heard, m.fence.Remembered())
+		if d.handleHeartbeat(r); !m.heard || m.fence.Retained() != 0 {
+			t.Errorf("a later session is heard %v, and remembers %d", m.heard, m.fence.Retained())
 		}
 	})
 }
--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -1,8 +1,8 @@
 package fencing
 
-// Most is how many ended attempts a worker may have to remember. Beyond it nothing more is
+// MaxRetained is how many ended attempts a worker may have to remember. Beyond it nothing more is
 // started on the worker directly, so that its report stays well under the 64 KiB of a request.
-const Most = 256
+const MaxRetained = 256
 
 // Fence is what a leader knows of one worker's token, and the ended attempts that the
 // worker must remember, each by a key K. It is not safe for concurrent use.
@@ -21,9 +21,9 @@
 // Token is the token to command the worker under.
 func (f *Fence[K]) Token() uint64 { return f.token }
 
-// Shown takes in the token that a report shows; the report must be newer than all before
+// ObserveToken takes in the token that a report shows; the report must be newer than all before
 // it. Commands under lower tokens are dead from here on.
-func (f *Fence[K]) Shown(token uint64) {
+func (f *Fence[K]) ObserveToken(token uint64) {
 	if token <= f.shown {
 		return
 	}
@@ -46,21 +46,21 @@
 	}
 }
 
-// MustRemember tells whether the worker must not be told to forget an attempt.
-func (f *Fence[K]) MustRemember(attempt K) bool {
+// MustRetain tells whether the worker must not be told to forget an attempt.
+func (f *Fence[K]) MustRetain(attempt K) bool {
 	_, retained := f.retained[attempt]
 	return retained
 }
 
-// Remembered is how many ended attempts the worker must remember.
-func (f *Fence[K]) Remembered() int { return len(f.retained) }
+// Retained is how many ended attempts the worker must remember.
+func (f *Fence[K]) Retained() int { return len(f.retained) }
 
 // Full tells that nothing more may be started directly.
-func (f *Fence[K]) Full() bool { return len(f.retained) >= Most }
+func (f *Fence[K]) Full() bool { return len(f.retained) >= MaxRetained }
 
-// SessionEnded takes in that the worker has begun a later session, in which commands to the
+// IncarnationEnded takes in that the worker has begun a later session, in which commands to the
 // earlier ones are dead.
-func (f *Fence[K]) SessionEnded() { clear(f.retained) }
+func (f *Fence[K]) IncarnationEnded() { clear(f.retained) }
 
 // Exhausted tells that the term has no higher token for the worker.
 func (f *Fence[K]) Exhausted() bool { return f.token == f.tokens.Last }
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -165,10 +165,10 @@
 		for a := range p.booked {
 			w.release(p, a)
 		}
-		p.fence.SessionEnded()
+		p.fence.IncarnationEnded()
 	}
 	p.session, p.seq = r.session, r.seq
-	p.fence.Shown(r.token)
+	p.fence.ObserveToken(r.token)
 	p.heard = p.heard || p.fence.tokens.Contains(r.token)
 	for _, a := range r.ended {
 		if _, booked := p.booked[a]; booked {
@@ -178,7 +178,7 @@
 			w.release(p, a)
 		}
 	}
-	w.most = max(w.most, p.fence.Remembered())
+	w.most = max(w.most, p.fence.Retained())
 	p.fence.RaiseIfDue(w.window, false)
 	if token := p.fence.Token(); heard && r.session == worker.session && token >= worker.token {
 		worker.token = token
@@ -192,7 +192,7 @@
 		w.begin(worker, a)
 	}
 	for _, a := range r.ended {
-		if _, booked := p.booked[a]; !booked && !p.fence.MustRemember(a) {
+		if _, booked := p.booked[a]; !booked && !p.fence.MustRetain(a) {
 			delete(worker.tasks, a)
 			worker.forgotten[a] = true
 		}
@@ -277,7 +277,7 @@
 		if len(w.faults) > 0 {
 			t.Fatalf("seed %d: %s", seed, w.faults[0])
 		}
-		if w.most > Most/2 {
+		if w.most > MaxRetained/2 {
 			t.Errorf("seed %d: a worker remembers %d attempts", seed, w.most)
 		}
 	}
@@ -297,19 +297,19 @@
 	if f.RaiseIfDue(4, false) {
 		t.Error("raised before the worker has shown the token")
 	}
-	f.Shown(10)
+	f.ObserveToken(10)
 	if f.RaiseIfDue(5, false) || f.RaiseIfDue(4, true) || !f.RaiseIfDue(4, false) || f.Token() != 11 {
 		t.Errorf("raised to %d", f.Token())
 	}
 	retain(4)
-	if f.Shown(11); f.Remembered() != 4 || f.MustRemember(1000) || !f.MustRemember(1100) {
-		t.Errorf("%d remembered", f.Remembered())
+	if f.ObserveToken(11); f.Retained() != 4 || f.MustRetain(1000) || !f.MustRetain(1100) {
+		t.Errorf("%d remembered", f.Retained())
 	}
-	f.Shown(12) // a faulty worker takes one that it was never given
-	if retain(Most); f.Token() != 12 || !f.Exhausted() || f.RaiseIfDue(1, false) || !f.Full() {
-		t.Errorf("token %d, %d remembered", f.Token(), f.Remembered())
+	f.ObserveToken(12) // a faulty worker takes one that it was never given
+	if retain(MaxRetained); f.Token() != 12 || !f.Exhausted() || f.RaiseIfDue(1, false) || !f.Full() {
+		t.Errorf("token %d, %d remembered", f.Token(), f.Retained())
 	}
-	if f.SessionEnded(); f.Full() || f.Remembered() != 0 {
+	if f.IncarnationEnded(); f.Full() || f.Retained() != 0 {
 		t.Error("remembered over sessions")
 	}
 }
--- a/internal/fleetload/seed.go
+++ b/internal/fleetload/seed.go
@@ -47,7 +47,7 @@
 	}
 	now := time.Now().UnixMilli()
 	for i := range e.config.Finished {
-		r, err := storage.NewRecord(storage.JobKey(finishedID(i)), storage.JobRecord{Phase: storage.Done, Tasks: finishedTasks, AtMS: now, DoneOf: finishedTasks})
+		r, err := storage.NewRecord(storage.JobKey(finishedID(i)), storage.JobRecord{Phase: storage.Done, Tasks: finishedTasks, SubmittedMS: now, DoneTasks: finishedTasks})
 		if err != nil {
 			return err
 		}
@@ -66,14 +66,14 @@
 func (e *Experiment) seedArchive() error {
 	entries := make([]archive.Entry, 0, e.config.Archived)
 	for i := range e.config.Archived {
-		rank, ok := archive.RankOf(finishedID(e.config.Finished + i))
+		rank, ok := archive.ParseJobNumber(finishedID(e.config.Finished + i))
 		if !ok {
 			return fmt.Errorf("%q is no id", finishedID(e.config.Finished+i))
 		}
-		entries = append(entries, archive.Entry{Rank: rank, Final: archive.Final{Done: finishedTasks}})
+		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: finishedTasks}})
 	}
 	slices.SortFunc(entries, func(a, b archive.Entry) int {
-		if a.Rank < b.Rank {
+		if a.Number < b.Number {
 			return -1
 		}
 		return 1
@@ -88,7 +88,7 @@
 	for _, gate := range upgrade.Gates {
 		record.Gates[gate.Name] = upgrade.GateState{Since: gate.Since, Phase: upgrade.GateOpen}
 	}
-	if record, err = upgrade.Use(record, upgrade.JobArchive, 0); err != nil {
+	if record, err = upgrade.MarkGateUsed(record, upgrade.JobArchive, 0); err != nil {
 		return err
 	}
 	data, err := json.Marshal(record)
--- a/internal/groupcommit/pace.go
+++ b/internal/groupcommit/pace.go
@@ -16,21 +16,21 @@
 	leastPause = time.Millisecond
 )
 
-// BulkPace keeps the bulk lane from using up the changes that the journal has saved. Without it
+// BulkPacer keeps the bulk lane from using up the changes that the journal has saved. Without it
 // every commit beside a backlog waits for the journal's rate, and whoever needs a commit waits
 // for the one under way and for the next. With it bulk goes at the journal's rate, and the other
 // lanes find changes saved. It is not safe for concurrent use.
-type BulkPace struct {
+type BulkPacer struct {
 	longest time.Duration // the longest that bulk is held back
 	held    time.Time     // since when it is; zero: it isn't
 }
 
-// NewBulkPace holds bulk back for at most longest at a time.
-func NewBulkPace(longest time.Duration) *BulkPace { return &BulkPace{longest: longest} }
+// NewBulkPacer holds bulk back for at most longest at a time.
+func NewBulkPacer(longest time.Duration) *BulkPacer { return &BulkPacer{longest: longest} }
 
 // Allow returns how many changes the bulk lane may use, with so many saved of at most burst. 0
 // holds it back; it is allowed all once it has been held back for too long.
-func (p *BulkPace) Allow(now time.Time, saved, burst float64) float64 {
+func (p *BulkPacer) Allow(now time.Time, saved, burst float64) float64 {
 	spare := saved - reserveShare*burst
 	if spare >= leastShare*burst {
 		p.held = time.Time{}
@@ -47,7 +47,7 @@
 }
 
 // Due is in what time bulk that is held back may be allowed, at a rate of changes a second.
-func (p *BulkPace) Due(now time.Time, saved, burst, rate float64) time.Duration {
+func (p *BulkPacer) Due(now time.Time, saved, burst, rate float64) time.Duration {
 	due := p.longest - now.Sub(p.held)
 	if missing := (reserveShare+leastShare)*burst - saved; rate > 0 {
 		due = min(due, time.Duration(missing/rate*float64(time.Second)))
--- a/internal/groupcommit/pace_test.go
+++ b/internal/groupcommit/pace_test.go
@@ -10,7 +10,7 @@
 func TestBulkLeavesSavedChangesToTheOthers(t *testing.T) {
 	const burst, rate = 32.0, 28.0
 	now := time.Now()
-	p := NewBulkPace(300 * time.Millisecond)
+	p := NewBulkPacer(300 * time.Millisecond)
 	for _, c := range []struct{ saved, want float64 }{{32, 16}, {20, 4}, {19.9, 0}, {16, 0}, {0, 0}} {
 		if got := p.Allow(now, c.saved, burst); got != c.want {
 			t.Errorf("with %v saved %v changes are allowed, not %v", c.saved, got, c.want)
@@ -43,7 +43,7 @@
 	if _, ok := q.Next(1000, unencodable); ok {
 		t.Error("held bulk is committed")
 	}
-	q.Mark(Prompt, "job", value(100))
+	q.Mark(Interactive, "job", value(100))
 	records, _ := q.Next(1000, unencodable)
 	if got := keys(records); len(got) != 1 || got[0] != "job" {
 		t.Errorf("committed %v", got)
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -20,8 +20,8 @@
 const (
 	// Urgent is for urgent jobs and their starts.
 	Urgent Lane = iota
-	// Prompt is for what the users of other jobs wait for: acceptances, cancellations, ends.
-	Prompt
+	// Interactive is for what the users of other jobs wait for: acceptances, cancellations, ends.
+	Interactive
 	// Bulk is for everything else.
 	Bulk
 	lanes
@@ -115,8 +115,8 @@
 	}
 }
 
-// Settled tells whether an entity is durable as it stands.
-func (q *Queue) Settled(key string) bool {
+// Durable tells whether an entity is durable as it stands.
+func (q *Queue) Durable(key string) bool {
 	for i := range q.lanes {
 		if _, dirty := q.lanes[i].dirty[key]; dirty {
 			return false
@@ -139,7 +139,7 @@
 }
 
 // OnAllDurable calls once all that is marked now is durable, or with the error of a commit that failed.
-func (q *Queue) OnAllDurable(call func(error)) { q.OnDurable(call, Urgent, Prompt, Bulk) }
+func (q *Queue) OnAllDurable(call func(error)) { q.OnDurable(call, Urgent, Interactive, Bulk) }
 
 // LimitBulk lets a commit hold so many bytes of the bulk lane, but at least one record if it may hold
 // any; 0 holds the lane back.
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	q.full = q.Waiting(Prompt) > 0
+	q.full = q.Waiting(Interactive) > 0
 	return records, true
 }
 
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -105,9 +105,9 @@
 			"mark": func(t *rapid.T) {
 				h.mark(Lane(rapid.IntRange(0, int(lanes)-1).Draw(t, "lane")), rapid.StringMatching("[a-f]").Draw(t, "key"))
 			},
-			"awaitAll":    func(t *rapid.T) { h.await(t, Urgent, Prompt, Bulk) },
-			"awaitUrgent": func(t *rapid.T) { h.await(t, Urgent, Prompt) },
-			"awaitPrompt": func(t *rapid.T) { h.await(t, Prompt) },
+			"awaitAll":    func(t *rapid.T) { h.await(t, Urgent, Interactive, Bulk) },
+			"awaitUrgent": func(t *rapid.T) { h.await(t, Urgent, Interactive) },
+			"awaitPrompt": func(t *rapid.T) { h.await(t, Interactive) },
 			"begin": func(t *rapid.T) {
 				if h.writing != nil {
 					if _, ok := h.queue.Next(100, unencodable); ok {
@@ -124,8 +124,8 @@
 			},
 			"": func(t *rapid.T) {
 				for key, v := range h.values {
-					if settled := h.durable[key] == v && h.writing[key] == 0; settled != h.queue.Settled(key) {
-						t.Fatalf("%s at %d, durable %d: settled is %v", key, v, h.durable[key], h.queue.Settled(key))
+					if settled := h.durable[key] == v && h.writing[key] == 0; settled != h.queue.Durable(key) {
+						t.Fatalf("%s at %d, durable %d: settled is %v", key, v, h.durable[key], h.queue.Durable(key))
 					}
 				}
 			},
@@ -166,7 +166,7 @@
 		if len(records) > 25 {
 			t.Errorf("a commit of %d records of 100 bytes in 2,000", len(records))
 		}
-		if full := q.Committed(nil); full != (flood == Prompt) {
+		if full := q.Committed(nil); full != (flood == Interactive) {
 			t.Errorf("a flood in lane %d: full is %v", flood, full)
 		}
 	}
@@ -194,8 +194,8 @@
 // What can't be encoded is told and left out; a failed commit is told to all who wait.
 func TestWhatFailsIsTold(t *testing.T) {
 	q := New()
-	q.Mark(Prompt, "bad", func() any { return func() {} })
-	q.Mark(Prompt, "good", value(1))
+	q.Mark(Interactive, "bad", func() any { return func() {} })
+	q.Mark(Interactive, "good", value(1))
 	var told string
 	records, ok := q.Next(1000, func(key string, err error) { told = key })
 	if !ok || told != "bad" || len(records) != 1 || records[0].Key != "good" {
--- a/internal/loopbacktest/state.go
+++ b/internal/loopbacktest/state.go
@@ -17,7 +17,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// StateService serves the stand-in of the state service over HTTP, and counts.
+// KeyValueStore serves the stand-in of the state service over HTTP, and counts.
 type StateService struct {
 	Store    *storagetest.Service
 	Requests atomic.Int64
@@ -84,7 +84,7 @@
 		status = http.StatusNotFound
 	case errors.Is(err, storage.ErrCompacted):
 		status = http.StatusGone
-	case errors.Is(err, storage.ErrNoLease), errors.Is(err, storage.ErrMalformed):
+	case errors.Is(err, storage.ErrLeaseExpired), errors.Is(err, storage.ErrMalformed):
 		status = http.StatusBadRequest
 	}
 	reply(w, status, map[string]string{"error": err.Error()})
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -111,14 +111,14 @@
 		}
 	}
 	switch {
-	case policy.IdleWindow < s.Report:
+	case policy.IdleWindow < s.HeartbeatInterval:
 		c.fail(activationIdle, "must not be shorter than report_s")
 	case policy.Cooldown <= s.RoutingLease():
 		c.fail(activationCooldown, fmt.Sprintf("must be longer than a controller may go by an earlier answer, %v", s.RoutingLease()))
 	case policy.StartWithin < policy.Backoff:
 		c.fail(activationStart, "must not be shorter than "+activationBackoff)
-	case tuning.Held > s.MostHeld():
-		c.fail(activationHeld, fmt.Sprintf("must not be above %d, three quarters of the connections that sockets allows for models", s.MostHeld()))
+	case tuning.Held > s.MaxHeldRequests():
+		c.fail(activationHeld, fmt.Sprintf("must not be above %d, three quarters of the connections that sockets allows for models", s.MaxHeldRequests()))
 	case tuning.Listen != "" && len(tuning.Classes) == 0:
 		c.fail(activationListen, "needs "+activationClasses)
 	case tuning.Listen == "" && len(tuning.Classes) > 0:
--- a/internal/protocol/archive_properties.go
+++ b/internal/protocol/archive_properties.go
@@ -20,7 +20,7 @@
 // archiveProperties adds the properties on the archive to those known.
 func (c *checker) archiveProperties(known map[string]func(string, string), tuning *coordination.ArchiveTuning) {
 	known[archiveEnabledProperty] = func(key, value string) { tuning.Enabled = c.parseBool(key, value) }
-	known[archiveKeepProperty] = func(key, value string) { tuning.Keep = c.parseCount(key, value, 0, mostKept) }
+	known[archiveKeepProperty] = func(key, value string) { tuning.KeepInJournal = c.parseCount(key, value, 0, mostKept) }
 	known[archiveMemoryProperty] = func(key, value string) {
 		tuning.MemoryBytes = int(c.parseAmount(key, value, leastArchiveMB, mostArchiveMB) * (1 << 20))
 	}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -51,7 +51,7 @@
 }
 
 // NewRental puts a rental on the wire.
-func NewRental(name string, h storage.RentalRecord) Rental {
+func NewRental(name string, h storage.LaunchRecord) Rental {
 	return Rental{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
 }
 
@@ -101,8 +101,8 @@
 }
 
 // Listed takes the page off the wire.
-func (l MachineList) Listed() ([]coordination.Listed, error) {
-	out := make([]coordination.Listed, 0, len(l.Machines))
+func (l MachineList) Listed() ([]coordination.ListedMachine, error) {
+	out := make([]coordination.ListedMachine, 0, len(l.Machines))
 	for _, m := range l.Machines {
 		id, err := ParseMachine(m.ID)
 		if err != nil {
@@ -112,7 +112,7 @@
 		if !ok {
 			return nil, fmt.Errorf("unknown machine state %q", m.State)
 		}
-		out = append(out, coordination.Listed{Machine: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeS: m.AgeS})
+		out = append(out, coordination.ListedMachine{Machine: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeS: m.AgeS})
 	}
 	return out, nil
 }
--- a/internal/protocol/fencing_properties.go
+++ b/internal/protocol/fencing_properties.go
@@ -16,7 +16,7 @@
 // fencingProperties adds the properties on workers' tokens to those known.
 func (c *checker) fencingProperties(known map[string]func(string, string), tuning *coordination.FencingTuning) {
 	known[fencingEnabledProperty] = func(key, value string) { tuning.Enabled = c.parseBool(key, value) }
-	known[fencingWindowProperty] = func(key, value string) { tuning.Window = c.parseCount(key, value, 1, fencing.Most/2) }
+	known[fencingWindowProperty] = func(key, value string) { tuning.Window = c.parseCount(key, value, 1, fencing.MaxRetained/2) }
 }
 
 // parseBool reads a property that is either true or false.
--- a/internal/protocol/properties.go
+++ b/internal/protocol/properties.go
@@ -28,11 +28,11 @@
 		return func(key, v string) { *d = c.parseSpan(key, v) }
 	}
 	known := map[string]func(string, string){
-		"fleet.up.window":   span(&t.UpWindow),
-		"fleet.down.window": span(&t.DownWindow),
+		"fleet.up.window":   span(&t.ScaleOutWindow),
+		"fleet.down.window": span(&t.ScaleInWindow),
 		"fleet.cooldown":    span(&t.Cooldown),
 		"leader.lease":      span(&t.LeaderLease),
-		"fleet.grow.step":   func(k, v string) { t.GrowStep = c.parseCount(k, v, 1, 50) },
+		"fleet.grow.step":   func(k, v string) { t.ScaleOutStep = c.parseCount(k, v, 1, 50) },
 
 		headroomProperty: func(k, v string) { t.HeadroomDeviations = c.parseAmount(k, v, 0, 10) },
 	}
@@ -55,13 +55,13 @@
 		}
 		set(key, strings.TrimSpace(p.GetString(key, "")))
 	}
-	if c.err == nil && (t.LeaderLease < 100*time.Millisecond || t.LeaderLease > s.Lease) {
+	if c.err == nil && (t.LeaderLease < 100*time.Millisecond || t.LeaderLease > s.WorkerLease) {
 		c.fail("leader.lease", "must be from 100ms to the workers' lease_s")
 	}
 	if policy := &t.Upgrade.Policy; c.err == nil && policy.Target > t.Upgrade.Versions.Max {
 		c.fail(targetProperty, fmt.Sprintf("version %d is unknown here: this program has versions %s", policy.Target, t.Upgrade.Versions))
 	}
-	if c.err == nil && t.DownWindow <= t.UpWindow {
+	if c.err == nil && t.ScaleInWindow <= t.ScaleOutWindow {
 		c.fail("fleet.down.window", "must be longer than fleet.up.window")
 	}
 	if c.err == nil {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Lease != 22*time.Second || s.Teams[0].Limit.GPUs != 8 || s.State.ValueBytes != 8192 {
+	if s.WorkerLease != 22*time.Second || s.Teams[0].Limit.GPUs != 8 || s.State.ValueBytes != 8192 {
 		t.Fatalf("misread: %+v", s)
 	}
 }
@@ -62,7 +62,7 @@
 // the times of gangs and the limits that will be.
 func TestTheChangeRequestsSettingsMayBeLeftOut(t *testing.T) {
 	s, err := ParseSettings("s.toml", []byte(goodSettings))
-	if err != nil || s.State.Next != nil || s.GangWait != 0 || s.GangPeer != 0 {
+	if err != nil || s.State.Next != nil || s.GangWait != 0 || s.GangStopWindow != 0 {
 		t.Fatalf("misread: %+v, %v", s, err)
 	}
 	raw := strings.NewReplacer("cancel_s = 52.0", "cancel_s = 52.0\ngang_wait_s = 45.0\ngang_peer_s = 4.0",
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := s.State.Next; n == nil || n.ValueBytes != 2048 || n.TxnOps != 4 || n.ChangesPerS != 0 || s.GangWait != 45*time.Second || s.GangPeer != 4*time.Second {
+	if n := s.State.Next; n == nil || n.ValueBytes != 2048 || n.TxnOps != 4 || n.ChangesPerS != 0 || s.GangWait != 45*time.Second || s.GangStopWindow != 4*time.Second {
 		t.Errorf("misread: %+v", s)
 	}
 }
@@ -128,7 +128,7 @@
 	if err := parseProperties("p", []byte("# ours\nfleet.cooldown = 7s\nfleet.grow.step: 2\n"), s); err != nil {
 		t.Fatal(err)
 	}
-	if s.Tuning.Cooldown != 7*time.Second || s.Tuning.GrowStep != 2 {
+	if s.Tuning.Cooldown != 7*time.Second || s.Tuning.ScaleOutStep != 2 {
 		t.Fatalf("not applied: %+v", s.Tuning)
 	}
 	for _, bad := range []string{"fleet.colour = red", "fleet.cooldown = soon", "fleet.grow.step = 51", "leader.lease = 1h", "fleet.down.window = 1ms"} {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -142,24 +142,24 @@
 	}
 	c := checker{file: file}
 	s := &coordination.Settings{
-		Node:       c.text("host_name", f.HostName),
-		Zone:       c.text("zone", f.Zone),
-		Listen:     c.addr("serve_on", f.ServeOn),
-		PeerListen: c.addr("peer_listen", f.PeerListen),
-		CloudAddr:  c.addr("endpoints.cloud", f.Endpoints.Cloud),
-		StateAddr:  c.addr("endpoints.state", f.Endpoints.State),
-		Zones:      f.Params.Zones,
-		ClockError: c.duration("params.clock_error_ms", f.Params.ClockErrorMS/1000, 0),
-		Report:     c.duration("params.workers.report_s", f.Params.Workers.ReportS, 0.01),
-		Lease:      c.duration("params.workers.lease_s", f.Params.Workers.LeaseS, 0.01),
-		Cancel:     c.duration("params.workers.cancel_s", f.Params.Workers.CancelS, 0.01),
-		GangWait:   c.duration("params.workers.gang_wait_s", f.Params.Workers.GangWaitS, 0),
-		GangPeer:   c.duration("params.workers.gang_peer_s", f.Params.Workers.GangPeerS, 0),
-		CloudRPS:   c.amount("params.cloud.rps", f.Params.Cloud.RPS, 0.01),
-		ListLag:    c.duration("params.cloud.list_lag_s", f.Params.Cloud.ListLagS, 0),
-		CPUShare:   c.amount("params.quota.cpu_share", f.Params.Quota.CPUShare, 0.0001),
-		MemoryMB:   c.amount("params.quota.ram_mb", f.Params.Quota.RAMMB, minMemoryMB),
-		Sockets:    c.count("params.quota.sockets", f.Params.Quota.Sockets, 8),
+		NodeName:          c.text("host_name", f.HostName),
+		Zone:              c.text("zone", f.Zone),
+		Listen:            c.addr("serve_on", f.ServeOn),
+		PeerListen:        c.addr("peer_listen", f.PeerListen),
+		CloudAddr:         c.addr("endpoints.cloud", f.Endpoints.Cloud),
+		StateAddr:         c.addr("endpoints.state", f.Endpoints.State),
+		Zones:             f.Params.Zones,
+		ClockError:        c.duration("params.clock_error_ms", f.Params.ClockErrorMS/1000, 0),
+		HeartbeatInterval: c.duration("params.workers.report_s", f.Params.Workers.ReportS, 0.01),
+		WorkerLease:       c.duration("params.workers.lease_s", f.Params.Workers.LeaseS, 0.01),
+		CancelTimeout:     c.duration("params.workers.cancel_s", f.Params.Workers.CancelS, 0.01),
+		GangWait:          c.duration("params.workers.gang_wait_s", f.Params.Workers.GangWaitS, 0),
+		GangStopWindow:    c.duration("params.workers.gang_peer_s", f.Params.Workers.GangPeerS, 0),
+		CloudRPS:          c.amount("params.cloud.rps", f.Params.Cloud.RPS, 0.01),
+		ListLag:           c.duration("params.cloud.list_lag_s", f.Params.Cloud.ListLagS, 0),
+		CPUShare:          c.amount("params.quota.cpu_share", f.Params.Quota.CPUShare, 0.0001),
+		MemoryMB:          c.amount("params.quota.ram_mb", f.Params.Quota.RAMMB, minMemoryMB),
+		Sockets:           c.count("params.quota.sockets", f.Params.Quota.Sockets, 8),
 		State: storage.Limits{
 			RequestsPerS: c.amount("params.state.rps", f.Params.State.RPS, 0.1),
 			ChangesPerS:  c.amount("params.state.write_rps", f.Params.State.WriteRPS, 0.1),
@@ -171,7 +171,7 @@
 		Teams:      c.teams(&f),
 		Objectives: c.objectives(&f),
 	}
-	if c.err == nil && s.Lease <= s.Report {
+	if c.err == nil && s.WorkerLease <= s.HeartbeatInterval {
 		c.fail("params.workers.lease_s", "must be longer than report_s")
 	}
 	if c.err != nil {
--- a/internal/protocol/upgrade_properties_test.go
+++ b/internal/protocol/upgrade_properties_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	good := defaults.Tuning.Upgrade
-	if p := good.Policy; p.Soak != 30*defaults.Lease || p.ReleaseAfter != 30*defaults.Lease || p.AutoFinalize || p.Hold || p.Target != 0 {
+	if p := good.Policy; p.Soak != 30*defaults.WorkerLease || p.ReleaseAfter != 30*defaults.WorkerLease || p.AutoFinalize || p.Hold || p.Target != 0 {
 		t.Errorf("the default is %+v", p)
 	}
 	held, target, finalizing := good, good, good
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -18,16 +18,16 @@
 		data any
 		want string
 	}{
-		{storage.JobKey("000007"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 3, AtMS: 99, Spec: &spec, DoneOf: 1},
+		{storage.JobKey("000007"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 3, SubmittedMS: 99, Spec: &spec, DoneTasks: 1},
 			`["j000007",{"f":2,"n":3,"a":99,"s":{"b":"c","o":"t","s":true,"gg":true,"u":2,"n":3,"r":{"c":2,"g":1,"m":4.5},"t":["cpu"],"z":"a","sz":true,"sp":true,"l":true,"i":"img","ig":1.5,"e":30,"k":10,"ks":2,"d":90},"d":1}]`},
 		{storage.JobKey("000008"), storage.JobRecord{Tasks: 1}, `["j000008",{"n":1}]`},
-		{storage.PageKey("000007", 2), storage.PageRecord{Done: []int{0, 2}, Attempts: []storage.AttemptRecord{{Task: 3, Try: 9, Machine: 7, Session: 4}}},
+		{storage.PageKey("000007", 2), storage.PageRecord{Done: []int{0, 2}, Attempts: []storage.AttemptRecord{{Task: 3, Number: 9, Machine: 7, Incarnation: 4}}},
 			`["p000007/2",{"d":[0,2],"a":[{"t":3,"y":9,"m":7,"r":4}]}]`},
-		{storage.MachineKey(7), storage.MachineRecord{Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Session: 4, Returning: true, Images: map[string]float64{"img": 1.5}},
+		{storage.MachineKey(7), storage.MachineRecord{Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Incarnation: 4, Terminating: true, Images: map[string]float64{"img": 1.5}},
 			`["m7",{"a":"10.0.0.7:9000","t":"cpu","z":"a","l":true,"r":4,"x":true,"i":{"img":1.5}}]`},
-		{storage.RentalKey("r-1-2"), storage.RentalRecord{Type: "cpu", Zone: "a", Spot: true, Count: 5}, `["hr-1-2",{"t":"cpu","z":"a","l":true,"n":5}]`},
+		{storage.LaunchKey("r-1-2"), storage.LaunchRecord{Type: "cpu", Zone: "a", Spot: true, Count: 5}, `["hr-1-2",{"t":"cpu","z":"a","l":true,"n":5}]`},
 		{storage.FleetKey, storage.FleetRecord{Desired: 9, Term: 3}, `["f",{"n":9,"t":3}]`},
-		{storage.CatalogueKey, []storage.MachineType{{Name: "cpu", Room: room, CacheGB: 60, FetchGBPS: 1.5, Price: 2, SpotPrice: 1, BootS: 15, Zones: []string{"a"}}},
+		{storage.MachineTypesKey, []storage.MachineType{{Name: "cpu", Room: room, CacheGB: 60, FetchGBPS: 1.5, Price: 2, SpotPrice: 1, BootS: 15, Zones: []string{"a"}}},
 			`["c",[{"n":"cpu","r":{"c":2,"g":1,"m":4.5},"c":60,"f":1.5,"p":2,"sp":1,"b":15,"z":["a"]}]]`},
 		{storage.MachineKey(8), nil, `["m8"]`},
 	} {
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -43,8 +43,8 @@
 	retryPause = 100 * time.Millisecond
 )
 
-// ErrDeposed says that the leadership key has changed hands.
-var ErrDeposed = errors.New("leadership has moved on")
+// ErrLeadershipLost says that the leadership key has changed hands.
+var ErrLeadershipLost = errors.New("leadership has moved on")
 
 // Batch is a set of records that become durable together, and what to do
 // then. Ack is called from the journal's goroutine and must not block.
@@ -55,7 +55,7 @@
 
 // Journal is the actor that writes records under a leader's term.
 type Journal struct {
-	svc          StateService
+	svc          KeyValueStore
 	limitTracker *LimitTracker
 	limits       Limits // the limit tracker's, as of the last commit
 	lead         Guard
@@ -80,7 +80,7 @@
 
 // OpenJournal reads all chunks; lead is the leadership key with the version
 // that every write is guarded by.
-func OpenJournal(ctx context.Context, svc StateService, limitTracker *LimitTracker, lead Guard) (*Journal, error) {
+func OpenJournal(ctx context.Context, svc KeyValueStore, limitTracker *LimitTracker, lead Guard) (*Journal, error) {
 	limits := limitTracker.Limits()
 	j := &Journal{
 		svc: svc, limitTracker: limitTracker, limits: limits, lead: lead, partial: make(map[string]*partialRecord), compressionRatio: initialRatio, compactionRatio: initialRatio,
@@ -96,7 +96,7 @@
 		lctx, cancel := limits.bound(ctx, listTimeouts)
 		items, more, _, err := svc.List(lctx, chunkPrefix, after, 1000)
 		cancel()
-		if errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrRefused) || errors.Is(err, ErrOutcomeUnknown) {
 			if !Sleep(ctx, retryPause) {
 				return nil, ctx.Err()
 			}
@@ -146,7 +146,7 @@
 }
 
 // Run commits batches until ctx ends or the leadership has moved on; then it
-// returns ErrDeposed.
+// returns ErrLeadershipLost.
 func (j *Journal) Run(ctx context.Context) error {
 	for {
 		var batches []Batch
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -131,7 +131,7 @@
 		if _, err := svc.Apply(nil, []storage.Op{{Key: "lead", Data: []byte(`2`)}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := write(map[string]any{"ja": 2}); !errors.Is(err, storage.ErrDeposed) {
+		if err := write(map[string]any{"ja": 2}); !errors.Is(err, storage.ErrLeadershipLost) {
 			t.Errorf("got %v", err)
 		}
 		if got := reread(ctx, t, svc, guard)["ja"]; got != "1" {
@@ -157,7 +157,7 @@
 					page.Done = append(page.Done, n, n)
 					continue
 				}
-				page.Attempts = append(page.Attempts, storage.AttemptRecord{Task: n, Try: 1<<40 + uint64(n), Machine: 999999, Session: 99})
+				page.Attempts = append(page.Attempts, storage.AttemptRecord{Task: n, Number: 1<<40 + uint64(n), Machine: 999999, Incarnation: 99})
 			}
 			data[storage.PageKey("000001", p)] = page
 		}
--- a/internal/storage/journal_write.go
+++ b/internal/storage/journal_write.go
@@ -57,9 +57,9 @@
 	data    json.RawMessage
 }
 
-// BytesIn is how many bytes of records are written in a time at the journal's share of the
+// BytesWithin is how many bytes of records are written in a time at the journal's share of the
 // changes; at the least what one transaction takes.
-func (l *Limits) BytesIn(d time.Duration) int {
+func (l *Limits) BytesWithin(d time.Duration) int {
 	value := valueShare * float64(l.ValueBytes)
 	transaction := min(float64(max(1, l.TxnOps/2))*value, txnBytes)
 	return int(max(transaction, changeShare*l.ChangesPerS*d.Seconds()*value))
@@ -224,11 +224,11 @@
 		case errors.As(err, &conflict):
 			for _, k := range conflict.Failed {
 				if k == j.lead.Key {
-					return 0, ErrDeposed
+					return 0, ErrLeadershipLost
 				}
 			}
 			if !unsure {
-				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrDeposed, conflict.Failed)
+				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrLeadershipLost, conflict.Failed)
 			}
 			gctx, cancel := j.limits.bound(ctx, times)
 			item, err := j.svc.Get(gctx, ops[0].Key)
@@ -237,10 +237,10 @@
 				return item.Version, nil
 			}
 			if errors.Is(err, ErrNotFound) {
-				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrDeposed, conflict.Failed)
+				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrLeadershipLost, conflict.Failed)
 			}
 		case errors.Is(err, ErrRefused):
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrOutcomeUnknown):
 			unsure = true
 		default:
 			return 0, fmt.Errorf("journal commit: %w", err)
--- a/internal/storage/limit_tracker.go
+++ b/internal/storage/limit_tracker.go
@@ -39,7 +39,7 @@
 	case errors.Is(err, ErrMalformed):
 		l.ValueBytes, l.TxnOps = lower(l.ValueBytes, c.next.ValueBytes), lower(l.TxnOps, c.next.TxnOps)
 		fallthrough // both fall at the same moment
-	case errors.Is(err, ErrTooMany):
+	case errors.Is(err, ErrRateLimited):
 		l.ChangesPerS, l.RequestsPerS = lower(l.ChangesPerS, c.next.ChangesPerS), lower(l.RequestsPerS, c.next.RequestsPerS)
 	}
 	if l == *old {
--- a/internal/storage/limit_tracker_test.go
+++ b/internal/storage/limit_tracker_test.go
@@ -150,10 +150,10 @@
 
 func TestTheCeilingFallsOnTheFirstSign(t *testing.T) {
 	c := fallingLimits()
-	if c.Learn(storage.ErrRefused) || c.Learn(nil) || c.Learn(storage.ErrUnknown) {
+	if c.Learn(storage.ErrRefused) || c.Learn(nil) || c.Learn(storage.ErrOutcomeUnknown) {
 		t.Error("taken for a sign")
 	}
-	if !c.Learn(fmt.Errorf("status: %w", storage.ErrTooMany)) {
+	if !c.Learn(fmt.Errorf("status: %w", storage.ErrRateLimited)) {
 		t.Error("too many requests are no sign")
 	}
 	if l := c.Limits(); l.ChangesPerS != 15 || l.ValueBytes != 8192 || l.RequestsPerS != 100 {
@@ -188,7 +188,7 @@
 			for p := range pages {
 				var rec storage.PageRecord
 				for i := range storage.PageTasks / 2 {
-					rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: i, Try: uint64(5<<24 + 1000*round + 40*p + i), Machine: 100 + (i*7+p)%90, Session: 1})
+					rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: i, Number: uint64(5<<24 + 1000*round + 40*p + i), Machine: 100 + (i*7+p)%90, Incarnation: 1})
 				}
 				batch[storage.PageKey(fmt.Sprint(p), 0)] = rec
 				raw, _ := json.Marshal(rec)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -88,11 +88,11 @@
 
 // JobRecord is the lasting record of a job. Final jobs keep no spec.
 type JobRecord struct {
-	Phase  Phase `json:"f,omitempty"`
-	Tasks  int   `json:"n"`
-	AtMS   int64 `json:"a,omitempty"`
-	Spec   *Spec `json:"s,omitempty"`
-	DoneOf int   `json:"d,omitempty"`
+	Phase       Phase `json:"f,omitempty"`
+	Tasks       int   `json:"n"`
+	SubmittedMS int64 `json:"a,omitempty"`
+	Spec        *Spec `json:"s,omitempty"`
+	DoneTasks   int   `json:"d,omitempty"`
 	// Activation is the lifecycle of an open service that may be at zero, behind a gate.
 	Activation json.RawMessage `json:"w,omitempty"`
 }
@@ -103,10 +103,10 @@
 
 // AttemptRecord is one attempt that may be on a machine.
 type AttemptRecord struct {
-	Task    int    `json:"t"`
-	Try     uint64 `json:"y"`
-	Machine int    `json:"m"`
-	Session uint64 `json:"r"`
+	Task        int    `json:"t"`
+	Number      uint64 `json:"y"`
+	Machine     int    `json:"m"`
+	Incarnation uint64 `json:"r"`
 }
 
 // PageRecord holds the done tasks (as ranges) and the attempts of one page of
@@ -119,19 +119,19 @@
 // MachineRecord is what must be known of a machine that carries bookings or
 // is being returned.
 type MachineRecord struct {
-	Addr      string `json:"a,omitempty"`
-	Type      string `json:"t,omitempty"`
-	Zone      string `json:"z,omitempty"`
-	Spot      bool   `json:"l,omitempty"`
-	Session   uint64 `json:"r,omitempty"`
-	Returning bool   `json:"x,omitempty"`
+	Addr        string `json:"a,omitempty"`
+	Type        string `json:"t,omitempty"`
+	Zone        string `json:"z,omitempty"`
+	Spot        bool   `json:"l,omitempty"`
+	Incarnation uint64 `json:"r,omitempty"`
+	Terminating bool   `json:"x,omitempty"`
 	// Images are those that it has fetched, with their size in GB: a new leader
 	// would otherwise place as if every image but the running ones were to fetch.
 	Images map[string]float64 `json:"i,omitempty"`
 }
 
-// RentalRecord is a rental request, recorded under its name before it is sent.
-type RentalRecord struct {
+// LaunchRecord is a rental request, recorded under its name before it is sent.
+type LaunchRecord struct {
 	Type  string `json:"t"`
 	Zone  string `json:"z"`
 	Spot  bool   `json:"l,omitempty"`
@@ -247,12 +247,12 @@
 
 // Kinds of record, by the first letter of their keys.
 const (
-	KindJob       = 'j'
-	KindPage      = 'p'
-	KindMachine   = 'm'
-	KindRental    = 'h'
-	KindFleet     = 'f'
-	KindCatalogue = 'c'
+	KindJob          = 'j'
+	KindPage         = 'p'
+	KindMachine      = 'm'
+	KindLaunch       = 'h'
+	KindFleet        = 'f'
+	KindMachineTypes = 'c'
 )
 
 // JobKey names a job's record.
@@ -264,13 +264,13 @@
 // MachineKey names a machine's record.
 func MachineKey(n int) string { return "m" + strconv.Itoa(n) }
 
-// RentalKey names a rental's record.
-func RentalKey(name string) string { return "h" + name }
+// LaunchKey names a rental's record.
+func LaunchKey(name string) string { return "h" + name }
 
-// FleetKey and CatalogueKey name the two single records.
+// FleetKey and MachineTypesKey name the two single records.
 const (
-	FleetKey     = "f"
-	CatalogueKey = "c"
+	FleetKey        = "f"
+	MachineTypesKey = "c"
 )
 
 // IsFinished tells whether a job's record is that of a finished job without attempts.
--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -14,7 +14,7 @@
 	for i := range pages {
 		page := PageRecord{Done: []int{0, 3}}
 		for task := range 5 {
-			page.Attempts = append(page.Attempts, AttemptRecord{Task: task, Try: uint64(167772160 + i), Machine: 231 + i, Session: 1})
+			page.Attempts = append(page.Attempts, AttemptRecord{Task: task, Number: uint64(167772160 + i), Machine: 231 + i, Incarnation: 1})
 		}
 		r, err := NewRecord(PageKey(fmt.Sprintf("%06d", i), 0), page)
 		if err != nil {
--- a/internal/storage/reservations.go
+++ b/internal/storage/reservations.go
@@ -45,8 +45,8 @@
 // Attempts returns how many attempts are booked.
 func (b *Reservations) Attempts() int { return b.attempts }
 
-// Within tells whether used stays within limit, where 0 means no limit.
-func Within(used, limit Room) bool {
+// WithinLimit tells whether used stays within limit, where 0 means no limit.
+func WithinLimit(used, limit Room) bool {
 	return (limit.CPUs <= 0 || used.CPUs <= limit.CPUs+roomSlack) &&
 		(limit.GPUs <= 0 || used.GPUs <= limit.GPUs+roomSlack)
 }
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -24,15 +24,15 @@
 
 // knownFields are those of each kind of record.
 var knownFields = map[byte][]string{
-	KindJob:     upgrade.FieldsOf(JobRecord{}),
-	KindPage:    upgrade.FieldsOf(PageRecord{}),
-	KindMachine: upgrade.FieldsOf(MachineRecord{}),
-	KindRental:  upgrade.FieldsOf(RentalRecord{}),
-	KindFleet:   upgrade.FieldsOf(FleetRecord{}),
+	KindJob:     upgrade.FieldNames(JobRecord{}),
+	KindPage:    upgrade.FieldNames(PageRecord{}),
+	KindMachine: upgrade.FieldNames(MachineRecord{}),
+	KindLaunch:  upgrade.FieldNames(LaunchRecord{}),
+	KindFleet:   upgrade.FieldNames(FleetRecord{}),
 }
 
 // specFields are those of a job's specification.
-var specFields = upgrade.FieldsOf(Spec{})
+var specFields = upgrade.FieldNames(Spec{})
 
 // keepUnknown returns the records with what later versions wrote into the ones before them.
 func (j *Journal) keepUnknown(records []Record) []Record {
--- a/internal/storage/service.go
+++ b/internal/storage/service.go
@@ -50,12 +50,12 @@
 	ErrNotFound = errors.New("not found")
 	// ErrRefused: the request was not executed and may be sent again (429, 503).
 	ErrRefused = errors.New("refused for now")
-	// ErrUnknown: no answer; the request may have been executed, or may be later.
-	ErrUnknown = errors.New("outcome unknown")
-	// ErrNoLease: a change names a lease that has ended.
-	ErrNoLease = errors.New("no such lease")
-	// ErrTooMany: refused, for requests or changes come too fast.
-	ErrTooMany = fmt.Errorf("too many: %w", ErrRefused)
+	// ErrOutcomeUnknown: no answer; the request may have been executed, or may be later.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
+	// ErrLeaseExpired: a change names a lease that has ended.
+	ErrLeaseExpired = errors.New("no such lease")
+	// ErrRateLimited: refused, for requests or changes come too fast.
+	ErrRateLimited = fmt.Errorf("too many: %w", ErrRefused)
 	// ErrMalformed: not executed, and won't be as it is.
 	ErrMalformed = errors.New("state service calls the request malformed")
 	// ErrCompacted: the changes asked for are no longer kept.
@@ -67,8 +67,8 @@
 
 func (e *ConflictError) Error() string { return "guards failed" }
 
-// StateService is the small consistent store that outlives the controllers.
-type StateService interface {
+// KeyValueStore is the small consistent store that outlives the controllers.
+type KeyValueStore interface {
 	Get(ctx context.Context, key string) (Item, error)
 	List(ctx context.Context, prefix, after string, limit int) (items []Item, more bool, revision uint64, err error)
 	Txn(ctx context.Context, guards []Guard, ops []Op) (revision uint64, err error)
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -185,7 +185,7 @@
 	}
 	for _, o := range ops {
 		if _, ok := s.leases[o.Lease]; o.Lease != 0 && !ok {
-			return 0, storage.ErrNoLease
+			return 0, storage.ErrLeaseExpired
 		}
 	}
 	s.rev++
@@ -208,13 +208,13 @@
 	Cut *atomic.Bool
 }
 
-var _ storage.StateService = (*Client)(nil)
+var _ storage.KeyValueStore = (*Client)(nil)
 
 // enter waits the latency and refuses during an outage or cut.
 func (c *Client) enter(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", storage.ErrUnknown, ctx.Err())
+		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, ctx.Err())
 	case <-time.After(2*time.Millisecond + c.slow()):
 	}
 	c.mu.Lock()
@@ -327,16 +327,16 @@
 	}
 	if drop {
 		<-ctx.Done()
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	if late > 0 {
 		time.AfterFunc(late, func() { _, _ = c.Apply(guards, ops) })
 		<-ctx.Done() // the connection stays open, without an answer
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	rev, err := c.Apply(guards, ops)
 	if lose {
-		return 0, storage.ErrUnknown
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return rev, err
 }
@@ -427,7 +427,7 @@
 		case <-end:
 			return nil, rev, nil
 		case <-ctx.Done():
-			return nil, 0, storage.ErrUnknown
+			return nil, 0, storage.ErrOutcomeUnknown
 		}
 	}
 }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -100,7 +100,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := p.Heartbeats(ctx, "n1", reports); err != nil {
+		if _, err := p.ForwardHeartbeats(ctx, "n1", reports); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -124,7 +124,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if out, _ := w.Orders(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != coordination.Executed {
+		if out, _ := w.SendCommands(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != coordination.Executed {
 			b.Fatal(out)
 		}
 		cancel()
--- a/internal/transport/cloud.go
+++ b/internal/transport/cloud.go
@@ -60,8 +60,8 @@
 // noCapacity is how the cloud refuses a rental.
 const noCapacity = "no capacity"
 
-// Catalogue reads the machine types.
-func (c *CloudClient) Catalogue(ctx context.Context) ([]storage.MachineType, error) {
+// MachineTypes reads the machine types.
+func (c *CloudClient) MachineTypes(ctx context.Context) ([]storage.MachineType, error) {
 	var cat protocol.Catalogue
 	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &cat); err != nil {
 		return nil, err
@@ -73,8 +73,8 @@
 	return types, nil
 }
 
-// Rent rents machines under a request name.
-func (c *CloudClient) Rent(ctx context.Context, name string, h storage.RentalRecord) ([]int, error) {
+// Launch rents machines under a request name.
+func (c *CloudClient) Launch(ctx context.Context, name string, h storage.LaunchRecord) ([]int, error) {
 	var names protocol.MachineNames
 	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, h), &names); err != nil {
 		return nil, err
@@ -86,13 +86,13 @@
 	return ids, nil
 }
 
-// Return has machines taken; once it succeeds, they are gone.
-func (c *CloudClient) Return(ctx context.Context, machines []int) error {
+// Terminate has machines taken; once it succeeds, they are gone.
+func (c *CloudClient) Terminate(ctx context.Context, machines []int) error {
 	return c.send(ctx, http.MethodPost, "/rentals/delete", protocol.NewMachineNames(machines), nil)
 }
 
 // List reads a page of the machine list.
-func (c *CloudClient) List(ctx context.Context, after int, limit int) ([]coordination.Listed, bool, error) {
+func (c *CloudClient) List(ctx context.Context, after int, limit int) ([]coordination.ListedMachine, bool, error) {
 	q := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
 		q.Set("From", protocol.MachineName(after))
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -69,7 +69,7 @@
 	serial    uint64
 	downTill  time.Time
 	lastHeard atomic.Value // time.Time of the last answer, published for others
-	status    atomic.Value // coordination.PeerReport of the last answered ping, likewise
+	status    atomic.Value // coordination.ObservedStatus of the last answered ping, likewise
 }
 
 // brokenMsg tells that reading from a connection has ended.
@@ -94,7 +94,7 @@
 				l.lastHeard.Store(time.Now())
 				if p, ok := l.pending[e.Serial]; ok {
 					if p.isPing() {
-						l.status.Store(coordination.PeerReport{PeerStatus: e.Answer.Peer.Status(), Sent: p.at, Got: time.Now()})
+						l.status.Store(coordination.ObservedStatus{PeerStatus: e.Answer.Peer.Status(), Sent: p.at, Received: time.Now()})
 					}
 					delete(l.pending, e.Serial)
 					p.reply <- result{answer: e}
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -13,31 +13,31 @@
 	"sagevale/internal/storage"
 )
 
-// Local is what answers the other nodes.
-type Local interface {
-	Local(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	LocalHeartbeats(ctx context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse
-	LocalWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
-	LocalUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
+// PeerHandler is what answers the other nodes.
+type PeerHandler interface {
+	HandleForwardedRequest(ctx context.Context, req coordination.UserRequest) coordination.Answer
+	HandleForwardedHeartbeats(ctx context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse
+	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
+	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
 // answerOf has a message answered.
-func answerOf(ctx context.Context, ask *receivedAsk, local Local) any {
+func answerOf(ctx context.Context, ask *receivedAsk, local PeerHandler) any {
 	switch {
 	case ask.Wake != nil:
-		response := local.LocalWake(ctx, *ask.Wake)
+		response := local.HandleForwardedWake(ctx, *ask.Wake)
 		return wakeAnswer{ask.Serial, &response}
 	case ask.Usage != nil:
-		response := local.LocalUsage(ctx, *ask.Usage)
+		response := local.HandleForwardedUsage(ctx, *ask.Usage)
 		return usageAnswer{ask.Serial, &response}
 	case ask.Reports != nil:
-		return peerAnswer{Serial: ask.Serial, Beats: coordination.WireResponses(local.LocalHeartbeats(ctx, ask.Reports))}
+		return peerAnswer{Serial: ask.Serial, Beats: coordination.WireResponses(local.HandleForwardedHeartbeats(ctx, ask.Reports))}
 	}
-	return peerAnswer{Serial: ask.Serial, Answer: local.Local(ctx, ask.Req)}
+	return peerAnswer{Serial: ask.Serial, Answer: local.HandleForwardedRequest(ctx, ask.Req)}
 }
 
 // ServePeers answers the other nodes' requests on l until ctx ends.
-func ServePeers(ctx context.Context, l net.Listener, local Local, log *slog.Logger) error {
+func ServePeers(ctx context.Context, l net.Listener, local PeerHandler, log *slog.Logger) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-func servePeer(ctx context.Context, conn net.Conn, local Local, log *slog.Logger) {
+func servePeer(ctx context.Context, conn net.Conn, local PeerHandler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -149,8 +149,8 @@
 	return a.Answer, err
 }
 
-// Heartbeats hands reports to the named node.
-func (p *Peers) Heartbeats(ctx context.Context, node string, reports []*coordination.Report) ([]coordination.HeartbeatResponse, error) {
+// ForwardHeartbeats hands reports to the named node.
+func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*coordination.Report) ([]coordination.HeartbeatResponse, error) {
 	a, err := p.ask(ctx, node, call{ask: peerAsk{Reports: reports}})
 	if err == nil && len(a.Beats) != len(reports) {
 		err = fmt.Errorf("%w: it decides on no reports", errPeer)
@@ -209,17 +209,17 @@
 }
 
 // Status is the named node's latest status.
-func (p *Peers) Status(node string) (coordination.PeerReport, bool) {
+func (p *Peers) Status(node string) (coordination.ObservedStatus, bool) {
 	l := p.links[node]
 	if l == nil {
-		return coordination.PeerReport{}, false
+		return coordination.ObservedStatus{}, false
 	}
-	w, ok := l.status.Load().(coordination.PeerReport)
+	w, ok := l.status.Load().(coordination.ObservedStatus)
 	return w, ok
 }
 
-// SilentFor is for how long the named node has been out of reach.
-func (p *Peers) SilentFor(node string) time.Duration {
+// UnreachableFor is for how long the named node has been out of reach.
+func (p *Peers) UnreachableFor(node string) time.Duration {
 	l := p.links[node]
 	if l == nil {
 		return 0
@@ -241,7 +241,7 @@
 // KnownLeader is the latest leader that a peer in reach has told of.
 func (p *Peers) KnownLeader() (leader string, term uint64) {
 	for name, l := range p.links {
-		if st, ok := l.status.Load().(coordination.PeerReport); ok && st.Leader != "" && st.Term > term && p.SilentFor(name) == 0 {
+		if st, ok := l.status.Load().(coordination.ObservedStatus); ok && st.Leader != "" && st.Term > term && p.UnreachableFor(name) == 0 {
 			leader, term = st.Leader, st.Term
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -32,9 +32,9 @@
 
 // Controller is what the server serves.
 type Controller interface {
-	User(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	Heartbeat(ctx context.Context, r *coordination.Report) coordination.HeartbeatResponse
-	Able() bool
+	HandleUserRequest(ctx context.Context, req coordination.UserRequest) coordination.Answer
+	HandleHeartbeat(ctx context.Context, r *coordination.Report) coordination.HeartbeatResponse
+	Ready() bool
 }
 
 // Server answers users and workers over HTTP.
@@ -131,7 +131,7 @@
 }
 
 func (s *Server) health(w http.ResponseWriter) {
-	if !s.node.Able() {
+	if !s.node.Ready() {
 		refuse(w, http.StatusServiceUnavailable, "not able to take requests", 1)
 		return
 	}
@@ -211,7 +211,7 @@
 func (s *Server) ask(w http.ResponseWriter, r *http.Request, req coordination.UserRequest, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(timeout)*timeoutShare))
 	defer cancel()
-	a := s.node.User(ctx, req)
+	a := s.node.HandleUserRequest(ctx, req)
 	switch a.Code {
 	case coordination.CodeCreated:
 		reply(w, http.StatusCreated, protocol.NewJobAnswer(a))
@@ -219,7 +219,7 @@
 		reply(w, http.StatusOK, protocol.NewJobAnswer(a))
 	case coordination.CodeNotFound:
 		refuse(w, http.StatusNotFound, a.Reason, 0)
-	case coordination.CodeUnfit:
+	case coordination.CodeInfeasible:
 		refuse(w, http.StatusUnprocessableEntity, a.Reason, 0)
 	case coordination.CodeBusy:
 		refuse(w, http.StatusTooManyRequests, a.Reason, a.RetryS)
@@ -260,7 +260,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(heartbeatTimeout)*timeoutShare))
 	defer cancel()
-	a := s.node.Heartbeat(ctx, report)
+	a := s.node.HandleHeartbeat(ctx, report)
 	if !a.Accepted {
 		w.Header().Set("Connection", "close") // it goes elsewhere
 	}
--- a/internal/transport/state.go
+++ b/internal/transport/state.go
@@ -12,25 +12,25 @@
 	"sagevale/internal/storage"
 )
 
-// StateClient speaks to the state service.
-type StateClient struct {
+// KeyValueClient speaks to the state service.
+type KeyValueClient struct {
 	base string
 	c    *client
 }
 
-var _ storage.StateService = (*StateClient)(nil)
+var _ storage.KeyValueStore = (*KeyValueClient)(nil)
 
-// NewStateClient makes a client of the state service at addr.
-func NewStateClient(addr string) *StateClient {
-	return &StateClient{"http://" + addr, newClient(4, 8, time.Minute)}
+// NewKeyValueClient makes a client of the state service at addr.
+func NewKeyValueClient(addr string) *KeyValueClient {
+	return &KeyValueClient{"http://" + addr, newClient(4, 8, time.Minute)}
 }
 
 // send makes one request and sorts its outcome into the errors of storage.
-func (s *StateClient) send(ctx context.Context, method, path string, in, out any) error {
+func (s *KeyValueClient) send(ctx context.Context, method, path string, in, out any) error {
 	ex, sent, err := s.c.do(ctx, method, s.base+path, in)
 	if err != nil {
 		if sent {
-			return fmt.Errorf("%w: %w", storage.ErrUnknown, err)
+			return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
 		}
 		return fmt.Errorf("%w: %w", storage.ErrRefused, err)
 	}
@@ -40,7 +40,7 @@
 			return nil
 		}
 		if err := decode(ex.body, out); err != nil {
-			return fmt.Errorf("%w: %w", storage.ErrUnknown, err)
+			return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
 		}
 		return nil
 	case http.StatusNotFound:
@@ -54,17 +54,17 @@
 	case http.StatusGone:
 		return storage.ErrCompacted
 	case http.StatusTooManyRequests:
-		return storage.ErrTooMany
+		return storage.ErrRateLimited
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", storage.ErrRefused, ex.status)
 	case http.StatusBadRequest:
 		return fmt.Errorf("%w: %.200s", storage.ErrMalformed, ex.body)
 	}
-	return fmt.Errorf("%w: status %d", storage.ErrUnknown, ex.status)
+	return fmt.Errorf("%w: status %d", storage.ErrOutcomeUnknown, ex.status)
 }
 
 // Get reads one key.
-func (s *StateClient) Get(ctx context.Context, key string) (storage.Item, error) {
+func (s *KeyValueClient) Get(ctx context.Context, key string) (storage.Item, error) {
 	var it protocol.StoredItem
 	if err := s.send(ctx, http.MethodGet, "/store/"+key, nil, &it); err != nil {
 		return storage.Item{}, err
@@ -73,7 +73,7 @@
 }
 
 // List reads a page of keys.
-func (s *StateClient) List(ctx context.Context, prefix, after string, limit int) ([]storage.Item, bool, uint64, error) {
+func (s *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) ([]storage.Item, bool, uint64, error) {
 	q := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
 	if after != "" {
 		q.Set("From", after)
@@ -90,7 +90,7 @@
 }
 
 // Txn sends a transaction.
-func (s *StateClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
+func (s *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
 	var a protocol.TxnAnswer
 	if err := s.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &a); err != nil {
 		return 0, err
@@ -99,7 +99,7 @@
 }
 
 // Grant asks for a lease.
-func (s *StateClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+func (s *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
 	var l protocol.Lease
 	if err := s.send(ctx, http.MethodPost, "/grants", protocol.Life{LifeMS: life.Milliseconds()}, &l); err != nil {
 		return 0, err
@@ -108,17 +108,17 @@
 }
 
 // Touch renews a lease.
-func (s *StateClient) Touch(ctx context.Context, lease uint64) error {
+func (s *KeyValueClient) Touch(ctx context.Context, lease uint64) error {
 	return s.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
 }
 
 // Revoke ends a lease.
-func (s *StateClient) Revoke(ctx context.Context, lease uint64) error {
+func (s *KeyValueClient) Revoke(ctx context.Context, lease uint64) error {
 	return s.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
 // Watch waits for changes under prefix.
-func (s *StateClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
+func (s *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
 	q := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	var ch protocol.Changes
 	if err := s.send(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, &ch); err != nil {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -24,14 +24,14 @@
 	asked  coordination.UserRequest
 }
 
-func (s *stub) User(_ context.Context, req coordination.UserRequest) coordination.Answer {
+func (s *stub) HandleUserRequest(_ context.Context, req coordination.UserRequest) coordination.Answer {
 	s.asked = req
 	return s.answer
 }
-func (s *stub) Heartbeat(context.Context, *coordination.Report) coordination.HeartbeatResponse {
+func (s *stub) HandleHeartbeat(context.Context, *coordination.Report) coordination.HeartbeatResponse {
 	return s.beat
 }
-func (s *stub) Able() bool { return true }
+func (s *stub) Ready() bool { return true }
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -54,7 +54,7 @@
 		{name: "submit again", method: "POST", path: "/v1/jobs", body: job, answer: ok, status: 200, contains: `"Standing":"running","done":3,"running":13`},
 		{name: "malformed", method: "POST", path: "/v1/jobs", body: `{"Id":7}`, status: 400, contains: `"error":"Id`},
 		{name: "too large", method: "POST", path: "/v1/jobs", body: strings.Repeat(" ", 65<<10) + job, status: 400, contains: "64 KiB"},
-		{name: "unfit", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeUnfit, Reason: "unknown team"}, status: 422, contains: "unknown team"},
+		{name: "unfit", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeInfeasible, Reason: "unknown team"}, status: 422, contains: "unknown team"},
 		{name: "unavailable", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Unavailable("000412", "no leader yet"), status: 503, contains: "no leader yet"},
 		{name: "busy", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeBusy, RetryS: 7}, status: 429},
 		{name: "poll", method: "GET", path: "/v1/jobs/job-000412", answer: ok, status: 200, contains: `"Id":"job-000412"`},
@@ -97,7 +97,7 @@
 		defer srv.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		out, _ := w.Orders(ctx, strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Time{})
+		out, _ := w.SendCommands(ctx, strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Time{})
 		return out
 	}
 	say := func(status int, body string) http.HandlerFunc {
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if out, _ := w.Orders(context.Background(), l.Addr().String(), 1, 1, orders, time.Time{}); out != coordination.NotSent {
+	if out, _ := w.SendCommands(context.Background(), l.Addr().String(), 1, 1, orders, time.Time{}); out != coordination.NotSent {
 		t.Errorf("refused connection: %v", out)
 	}
 }
@@ -134,19 +134,19 @@
 // fakeLocal is a node that other nodes ask; it decides on machine 1 only.
 type fakeLocal struct{}
 
-func (fakeLocal) Local(_ context.Context, req coordination.UserRequest) coordination.Answer {
+func (fakeLocal) HandleForwardedRequest(_ context.Context, req coordination.UserRequest) coordination.Answer {
 	return coordination.Answer{Code: coordination.CodeOK, ID: req.ID, Peer: coordination.PeerState{Leader: req.ID}}
 }
 
-func (fakeLocal) LocalUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
+func (fakeLocal) HandleForwardedUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.Known, Draining: []activation.DrainOrder{{Model: report.Models[0].Model, Drain: report.Serial}}}
 }
 
-func (fakeLocal) LocalWake(_ context.Context, req activation.WakeRequest) activation.WakeResponse {
+func (fakeLocal) HandleForwardedWake(_ context.Context, req activation.WakeRequest) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: req.Generation, Machine: req.Model}
 }
 
-func (fakeLocal) LocalHeartbeats(_ context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse {
+func (fakeLocal) HandleForwardedHeartbeats(_ context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse {
 	var out []coordination.HeartbeatResponse
 	for _, r := range reports {
 		if r.Machine != 1 {
@@ -163,7 +163,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached <- struct{}{} }))
 	defer srv.Close()
 	orders := []coordination.Order{{Verb: coordination.Start, ID: coordination.TaskID{Job: "000412", Task: 3}, Try: 2}}
-	out, _ := NewWorkerClient(100, quiet).Orders(context.Background(), strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Now())
+	out, _ := NewWorkerClient(100, quiet).SendCommands(context.Background(), strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Now())
 	if out != coordination.NotSent {
 		t.Errorf("told %v", out)
 	}
@@ -192,17 +192,17 @@
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	beats, err := p.Heartbeats(ctx, "n1", []*coordination.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
+	beats, err := p.ForwardHeartbeats(ctx, "n1", []*coordination.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
 	if err != nil || len(beats) != 2 || beats[1].Token != 8 {
 		t.Errorf("reports: %+v, %v", beats, err)
 	}
-	if _, err := p.Heartbeats(ctx, "n1", []*coordination.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
+	if _, err := p.ForwardHeartbeats(ctx, "n1", []*coordination.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
 		t.Errorf("reports that aren't decided on: %v", err)
 	}
-	if w, ok := p.Status("n1"); !ok || w.Leader != "n0" || w.Got.Before(w.Sent) {
+	if w, ok := p.Status("n1"); !ok || w.Leader != "n0" || w.Received.Before(w.Sent) {
 		t.Errorf("told %+v", w)
 	}
-	if d := p.SilentFor("n1"); d != 0 {
+	if d := p.UnreachableFor("n1"); d != 0 {
 		t.Errorf("unheard for %v", d)
 	}
 	stop()
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -28,9 +28,9 @@
 	return &WorkerClient{newClient(1, socketShare(sockets, idleOrderShare), idleOrders), make(chan struct{}, socketShare(sockets, directOrderShare)), log}
 }
 
-// Orders sends orders, unless they have waited here until sendBy, and returns the
+// SendCommands sends orders, unless they have waited here until sendBy, and returns the
 // worker's report after them.
-func (w *WorkerClient) Orders(ctx context.Context, addr string, token, session uint64, orders []coordination.Order, sendBy time.Time) (coordination.Outcome, *coordination.Report) {
+func (w *WorkerClient) SendCommands(ctx context.Context, addr string, token, session uint64, orders []coordination.Order, sendBy time.Time) (coordination.Outcome, *coordination.Report) {
 	select {
 	case w.slots <- struct{}{}:
 		defer func() { <-w.slots }()
--- a/internal/upgrade/admission.go
+++ b/internal/upgrade/admission.go
@@ -57,7 +57,7 @@
 // MayLead tells whether a process may lead: it reads all that may have been written under
 // the gates. A gate that was never used doesn't keep an older version from leading, for
 // nothing depends on it yet.
-func MayLead(r Record, versions Range, known Catalogue) error {
+func MayLead(r Record, versions Range, known GateList) error {
 	for _, name := range r.GateNames() {
 		g := r.Gates[name]
 		if _, ok := known.find(name); g.Used && (!ok || g.Since > versions.Max) {
--- a/internal/upgrade/decode_test.go
+++ b/internal/upgrade/decode_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := Use(record, GangJobs, 5)
+	next, err := MarkGateUsed(record, GangJobs, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -11,7 +11,7 @@
 // does what coordination does with this package; whatever it doesn't know it can't use.
 
 // modelGates are this program's gates and those of versions to come.
-var modelGates = append(append(Catalogue{}, Gates...),
+var modelGates = append(append(GateList{}, Gates...),
 	Gate{Name: "test-three", Since: 3},
 	Gate{Name: "test-four", Since: 4, DependsOn: []GateName{"test-three"}},
 	Gate{Name: "test-five", Since: 5, DependsOn: []GateName{"test-four"}},
@@ -28,7 +28,7 @@
 }
 
 // known is the gates that the process knows.
-func (p *process) known() Catalogue {
+func (p *process) known() GateList {
 	if !p.registers {
 		return nil
 	}
@@ -374,7 +374,7 @@
 			w.dependants[name]++
 		}
 	default:
-		if record, err := Use(w.leader.record, name, w.leader.term); err == nil {
+		if record, err := MarkGateUsed(w.leader.record, name, w.leader.term); err == nil {
 			if _, ok := w.leader.process.known().find(name); ok {
 				w.send(record, false, fate)
 			}
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -120,8 +120,8 @@
 
 // recordFields and gateFields name the fields that are known.
 var (
-	recordFields = FieldsOf(Record{})
-	gateFields   = FieldsOf(GateState{})
+	recordFields = FieldNames(Record{})
+	gateFields   = FieldNames(GateState{})
 )
 
 // plainRecord is Record without its methods.
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -4,7 +4,7 @@
 // want.
 type Settings struct {
 	Versions Range
-	Known    Catalogue
+	Known    GateList
 	Policy   Policy
 }
 
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -26,7 +26,7 @@
 	Record   Record
 	Members  []Member // every controller of the fleet, the leader among them
 	Versions Range    // the leader's own
-	Known    Catalogue
+	Known    GateList
 	Usage    Usage
 	Unused   map[GateName]time.Duration // for how long nothing has depended on a gate
 	Blocked  *BlockedError              // why the uses of a gate can't be undone; nil: they can
@@ -296,7 +296,7 @@
 func adopt(s *Situation) Step {
 	for _, gate := range s.Known {
 		if state, there := s.Record.Gates[gate.Name]; there && !state.Used && s.Usage[gate.Name] > 0 {
-			record, err := Use(s.Record, gate.Name, s.Term)
+			record, err := MarkGateUsed(s.Record, gate.Name, s.Term)
 			if err != nil {
 				continue
 			}
@@ -377,8 +377,8 @@
 
 func (e *BlockedError) Error() string { return fmt.Sprintf("gate %s: %s", e.Gate, e.Reason) }
 
-// Use notes that something is about to depend on a gate, and raises the fence with it.
-func Use(r Record, name GateName, term uint64) (Record, error) {
+// MarkGateUsed notes that something is about to depend on a gate, and raises the fence with it.
+func MarkGateUsed(r Record, name GateName, term uint64) (Record, error) {
 	gate := r.Gate(name)
 	if gate.Phase != GateOpen {
 		return Record{}, &GateClosedError{Gate: name}
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -267,7 +267,7 @@
 	s := Situation{
 		Record:   Record{Schema: 1, Active: 2, Phase: Soaking},
 		Members:  []Member{{Node: "n0", Registered: &registration}, {Node: "n1", Unregistered: Version2}},
-		Versions: Supported, Known: Catalogue{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}},
+		Versions: Supported, Known: GateList{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}},
 	}
 	if step := Next(s); step.Changed {
 		t.Errorf("%s", step.What)
--- a/internal/upgrade/unknown.go
+++ b/internal/upgrade/unknown.go
@@ -16,8 +16,8 @@
 
 var errNoObject = errors.New("it is no JSON object")
 
-// FieldsOf lists the JSON names of a struct's exported fields.
-func FieldsOf(of any) []string {
+// FieldNames lists the JSON names of a struct's exported fields.
+func FieldNames(of any) []string {
 	var names []string
 	t := reflect.TypeOf(of)
 	for i := range t.NumField() {
--- a/internal/upgrade/version.go
+++ b/internal/upgrade/version.go
@@ -86,12 +86,12 @@
 	DependsOn []GateName // gates that must be open before it
 }
 
-// Catalogue is the gates that a program knows, each behind those it depends on.
-type Catalogue []Gate
+// GateList is the gates that a program knows, each behind those it depends on.
+type GateList []Gate
 
 // Gates is this program's catalogue. Whatever registers knows the fence, so that is no
 // matter of its version.
-var Gates = Catalogue{
+var Gates = GateList{
 	{Name: FencedTerm, Since: Baseline},
 	{Name: CompressedChunks, Since: Version2},
 	{Name: GangJobs, Since: Version2},
@@ -101,7 +101,7 @@
 }
 
 // find returns a gate by its name.
-func (c Catalogue) find(name GateName) (Gate, bool) {
+func (c GateList) find(name GateName) (Gate, bool) {
 	for _, g := range c {
 		if g.Name == name {
 			return g, true
@@ -111,8 +111,8 @@
 }
 
 // UpTo returns the gates of the versions up to v: what a program of that version knows.
-func (c Catalogue) UpTo(v Version) Catalogue {
-	var known Catalogue
+func (c GateList) UpTo(v Version) GateList {
+	var known GateList
 	for _, g := range c {
 		if g.Since <= v {
 			known = append(known, g)
