--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -82,7 +82,7 @@
 
 // Drained tells whether no controller passes requests on to a model any more: it has said so of this
 // very drain, with nothing in flight; or it is silent, and the answers that it went by have run out by
-// routedTill.
+// routedUntil.
 func (u *Usage) Drained(model string, drain uint64, routedTill, now time.Time) bool {
 	for _, controller := range u.controllers {
 		latest := u.of(controller, now)
--- a/internal/archive/keeper_test.go
+++ b/internal/archive/keeper_test.go
@@ -20,7 +20,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// leadKey is the leadership key of these tests.
+// leaderKey is the leadership key of these tests.
 const leadKey = "lead"
 
 // fixture is a state service with controllers' keepers, in simulated time.
--- a/internal/coordination/activation.go
+++ b/internal/coordination/activation.go
@@ -95,8 +95,8 @@
 	unwritten int             // moves of the record that aren't durable yet
 	wokenAt   time.Time       // when the present wake began, if that was in this term
 	watchers  []wakeWatcher   // nodes that wait for it to start
-	// routedTill is until when some node may pass requests on by an answer of this term or the one before.
-	routedTill time.Time
+	// routedUntil is until when some node may pass requests on by an answer of this term or the one before.
+	routedUntil time.Time
 }
 
 // stored is the record as it goes into the job's.
@@ -120,7 +120,7 @@
 // replica returns the attempt that the record is about, or nil.
 func (s *managedService) replica() *attempt {
 	for _, a := range s.job.attempts {
-		if a.try == s.record.Replica {
+		if a.number == s.record.Replica {
 			return a
 		}
 	}
@@ -133,10 +133,10 @@
 	recordJob(j *job, then func(error))
 	// afterJobCommit calls then once a job's record is durable as it is marked now.
 	afterJobCommit(j *job, then func(error))
-	// stop has an attempt stopped.
-	stop(a *attempt, graceS float64)
-	// orderStops tells the workers of a job's stopped attempts directly.
-	orderStops(j *job)
+	// stopAttempt has an attempt stopped.
+	stopAttempt(a *attempt, graceSeconds float64)
+	// commandJobStops tells the workers of a job's stopped attempts directly.
+	commandJobStops(j *job)
 	// placeSoon has placement look at the jobs.
 	placeSoon()
 	// mayUse tells whether something new may depend on a gate, and asks for its use.
@@ -144,16 +144,16 @@
 }
 
 // recordJob is part of activationHost.
-func (d *dispatcher) recordJob(j *job, then func(error)) {
+func (d *scheduler) recordJob(j *job, then func(error)) {
 	d.markJob(j)
 	d.onJobCommit(j, then)
 }
 
 // afterJobCommit is part of activationHost.
-func (d *dispatcher) afterJobCommit(j *job, then func(error)) { d.onJobCommit(j, then) }
+func (d *scheduler) afterJobCommit(j *job, then func(error)) { d.onJobCommit(j, then) }
 
 // placeSoon is part of activationHost.
-func (d *dispatcher) placeSoon() { d.place = true }
+func (d *scheduler) placeSoon() { d.placementDue = true }
 
 // activationController moves the lifecycles of the services that may be at zero. Each move is
 // durable before anything rests on it. It belongs to the dispatcher's goroutine.
@@ -191,8 +191,8 @@
 // uses counts what depends on the gate.
 func (c *activationController) uses() int { return len(c.services) + c.removing }
 
-// begin takes in a service that was just submitted. It is idle; the job's record tells so.
-func (c *activationController) begin(j *job, now time.Time) {
+// track takes in a service that was just submitted. It is idle; the job's record tells so.
+func (c *activationController) track(j *job, now time.Time) {
 	c.hold(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
@@ -203,24 +203,24 @@
 	}
 }
 
-// takeOver gives records to services that have run without, once the gate is in use: from here on they
+// adoptPostponed gives records to services that have run without, once the gate is in use: from here on they
 // go to zero as any other.
-func (c *activationController) takeOver(now time.Time) {
+func (c *activationController) adoptPostponed(now time.Time) {
 	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.host.mayUse(upgrade.Activation) {
 		return
 	}
 	for _, j := range c.postponed {
-		if !j.known {
+		if !j.acknowledged {
 			continue
 		}
 		next := activation.Record{State: activation.Starting, Generation: 1, SinceMS: now.UnixMilli()}
 		for _, a := range j.attempts {
-			next.Replica = a.try
-			if a.answers() {
+			next.Replica = a.number
+			if a.serving() {
 				next.State = activation.Ready
 			}
 		}
-		s := &managedService{job: j, routedTill: now.Add(scale(c.settings.RoutingLease(), driftBound))}
+		s := &managedService{job: j, routedUntil: now.Add(scale(c.settings.RoutingLease(), driftBound))}
 		c.hold(s)
 		c.set(s, next, "its class is listed")
 	}
@@ -251,10 +251,10 @@
 		}
 		replica := activation.NoReplica
 		for _, a := range s.job.attempts {
-			replica = a.try
+			replica = a.number
 		}
 		next, _ := s.record.Restore(replica, &c.tuning.Policy, now)
-		s.routedTill = now.Add(scale(c.settings.RoutingLease(), driftBound))
+		s.routedUntil = now.Add(scale(c.settings.RoutingLease(), driftBound))
 		c.set(s, next, "another leader")
 	}
 	c.bringUpUnlisted()
@@ -288,7 +288,7 @@
 // bringUp removes a service's record: it runs like any other.
 func (c *activationController) bringUp(s *managedService) {
 	c.log.Info("activation", "job", s.job.spec.ID, "step", "runs always from now on", "generation", s.record.Generation)
-	c.end(s.job)
+	c.release(s.job)
 	c.postpone(s.job)
 	c.removing++
 	c.host.recordJob(s.job, func(err error) {
@@ -299,8 +299,8 @@
 	c.host.placeSoon()
 }
 
-// end lets go of a service, which is cancelled or runs always from now on.
-func (c *activationController) end(j *job) {
+// release lets go of a service, which is cancelled or runs always from now on.
+func (c *activationController) release(j *job) {
 	delete(c.services, j.spec.ID)
 	delete(c.postponed, j.spec.ID)
 	delete(c.awake, j.spec.ID)
@@ -369,52 +369,52 @@
 	case activation.Reserve:
 		c.host.placeSoon()
 	case activation.Stop:
-		if a := s.replica(); a != nil && !a.stop {
-			c.host.stop(a, 0)
-			c.host.orderStops(s.job)
+		if a := s.replica(); a != nil && !a.stopping {
+			c.host.stopAttempt(a, 0)
+			c.host.commandJobStops(s.job)
 		}
 	case activation.Nothing, activation.Start, activation.Drain:
 	}
 }
 
-// booked takes in an attempt that was booked, or found on a machine.
-func (c *activationController) booked(a *attempt, now time.Time) {
-	if s := a.job.managed; s != nil && !a.stop && c.resumed {
-		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.try}, now)
+// attemptReserved takes in an attempt that was attemptReserved, or found on a machine.
+func (c *activationController) attemptReserved(a *attempt, now time.Time) {
+	if s := a.job.managed; s != nil && !a.stopping && c.resumed {
+		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.number}, now)
 	}
 }
 
-// running takes in that an attempt runs: its model answers.
-func (c *activationController) running(a *attempt, now time.Time) {
+// attemptRunning takes in that an attempt runs: its model answers.
+func (c *activationController) attemptRunning(a *attempt, now time.Time) {
 	s := a.job.managed
 	if s == nil {
 		return
 	}
 	starting := s.record.State == activation.Starting
-	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.try}, now)
+	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.number}, now)
 	if starting && s.record.State == activation.Ready && !s.wokenAt.IsZero() {
 		c.starts.Note(s.job.spec.Class, now.Sub(s.wokenAt))
 		s.wokenAt = time.Time{}
 	}
 }
 
-// gone takes in that an attempt's place is proved empty.
-func (c *activationController) gone(a *attempt, now time.Time) {
+// attemptRemoved takes in that an attempt's place is proved empty.
+func (c *activationController) attemptRemoved(a *attempt, now time.Time) {
 	if s := a.job.managed; s != nil {
-		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.try, Failed: a.failed}, now)
+		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.number, Failed: a.failed}, now)
 	}
 }
 
 // tick does what the clock asks for. Idle services cost nothing.
 func (c *activationController) tick(now time.Time) {
-	c.takeOver(now)
+	c.adoptPostponed(now)
 	for _, s := range c.awake {
 		var booked time.Duration
 		if a := s.replica(); a != nil {
-			booked = now.Sub(a.booked)
+			booked = now.Sub(a.reservedAt)
 		}
 		c.apply(s, activation.Tick{ReservedFor: booked}, now)
-		c.tendUsage(s, now)
+		c.checkUsage(s, now)
 		c.answerWatchers(s, now)
 	}
 }
--- a/internal/coordination/activation_guards_test.go
+++ b/internal/coordination/activation_guards_test.go
@@ -18,7 +18,7 @@
 var openActivation = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: upgrade.GateOpen, Used: true}}}
 
 // coldDispatcher leads three controllers, with a model at zero beside a machine.
-func coldDispatcher(t *testing.T) (*dispatcher, *job, *machine) {
+func coldDispatcher(t *testing.T) (*scheduler, *job, *machine) {
 	t.Helper()
 	s := grownSettings()
 	s.NodeName, s.Peers = "n0", []Peer{{Name: "n1"}, {Name: "n2"}}
@@ -36,31 +36,31 @@
 }
 
 // asked puts demand to the dispatcher; ok is false if it isn't answered yet.
-func (d *dispatcher) asked(generation uint64, wait time.Duration) (reply chan activation.WakeResponse) {
+func (d *scheduler) asked(generation uint64, wait time.Duration) (reply chan activation.WakeResponse) {
 	reply = make(chan activation.WakeResponse, 1)
 	d.handleWake(wakeMsg{activation.WakeRequest{Model: coldModel, Generation: generation, Wait: wait}, reply})
 	return reply
 }
 
 // started brings a model up on a machine.
-func started(d *dispatcher, j *job, m *machine) *attempt {
+func started(d *scheduler, j *job, m *machine) *attempt {
 	d.asked(j.managed.record.Generation, 0)
 	d.commit(nil)
 	d.placeRound(time.Now())
 	d.commit(nil)
 	a := j.attempts[0]
-	d.report(m, TaskReport{ID: a.id(), Try: a.try, State: Running})
+	d.report(m, TaskReport{ID: a.id(), Try: a.number, State: Running})
 	d.commit(nil)
 	return a
 }
 
-func (d *dispatcher) report(m *machine, tasks ...TaskReport) {
-	d.apply(m, &Report{Machine: m.id, Addr: m.addr, Type: m.kind, Zone: m.zone, Session: 1, Seq: m.seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
+func (d *scheduler) report(m *machine, tasks ...TaskReport) {
+	d.applyReport(m, &Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Session: 1, Seq: m.seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
 func TestGuardsOfAColdStart(t *testing.T) {
-	for name, story := range map[string]func(t *testing.T, d *dispatcher, j *job, m *machine){
-		"nothing is told or placed before the wake is durable": func(t *testing.T, d *dispatcher, j *job, _ *machine) {
+	for name, story := range map[string]func(t *testing.T, d *scheduler, j *job, m *machine){
+		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *job, _ *machine) {
 			reply := d.asked(0, 0)
 			d.placeRound(time.Now())
 			if len(reply) > 0 || len(j.attempts) > 0 {
@@ -72,25 +72,25 @@
 				t.Errorf("%+v, %d placed", r, len(j.attempts))
 			}
 		},
-		"a commit that fails tells nobody that it starts": func(t *testing.T, d *dispatcher, _ *job, _ *machine) {
+		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *job, _ *machine) {
 			reply := d.asked(0, 0)
 			d.commit(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
 				t.Errorf("%+v", r)
 			}
 		},
-		"who doesn't lead for certain decides nothing": func(t *testing.T, d *dispatcher, j *job, _ *machine) {
+		"who doesn't lead for certain decides nothing": func(t *testing.T, d *scheduler, j *job, _ *machine) {
 			certain := d.role
-			certain.Certain = time.Now().Add(time.Second)
+			certain.LeaseValidUntil = time.Now().Add(time.Second)
 			d.setRole(certain)
-			if r := d.withinLead(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Holds > time.Second {
+			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Holds > time.Second {
 				t.Errorf("holds for %v", r.Holds)
 			}
 			time.Sleep(time.Second)
 			if r := <-d.asked(0, 0); r.Verdict != activation.Undecided || j.managed.record.Generation != 0 {
 				t.Errorf("%+v, %s", r, j.managed.record)
 			}
-			if r := d.withinLead(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
+			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
 				t.Errorf("told after the lead may have ended: %+v", r)
 			}
 			reply := make(chan activation.UsageResponse, 1)
@@ -99,13 +99,13 @@
 				t.Errorf("%+v", r)
 			}
 		},
-		"a late start of a model at zero is stopped": func(t *testing.T, d *dispatcher, j *job, m *machine) {
+		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *job, m *machine) {
 			d.report(m, TaskReport{ID: TaskID{coldModel, 0}, Try: 3, State: Running})
-			if a := j.attempts[0]; a == nil || !a.stop {
+			if a := j.attempts[0]; a == nil || !a.stopping {
 				t.Errorf("%+v", a)
 			}
 		},
-		"an overrun is durable before the stop": func(t *testing.T, d *dispatcher, j *job, _ *machine) {
+		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *job, _ *machine) {
 			d.asked(0, 0)
 			d.commit(nil)
 			d.placeRound(time.Now())
@@ -114,26 +114,26 @@
 			time.Sleep(d.settings.Tuning.Activation.Policy.StartWithin + time.Second)
 			d.activation.tick(time.Now())
 			d.activation.tick(time.Now())
-			if a.stop {
+			if a.stopping {
 				t.Error("stopped before that is durable")
 			}
 			d.commit(nil)
-			if !a.stop {
+			if !a.stopping {
 				t.Error("not stopped")
 			}
 		},
-		"what is to be stopped isn't routed to": func(t *testing.T, d *dispatcher, j *job, m *machine) {
+		"what is to be stopped isn't routed to": func(t *testing.T, d *scheduler, j *job, m *machine) {
 			a := started(d, j, m)
 			if r := <-d.asked(1, 0); !r.Ready() {
 				t.Errorf("%+v", r)
 			}
-			d.stop(a, 0)
+			d.stopAttempt(a, 0)
 			if r := <-d.asked(1, 0); r.Ready() {
 				t.Errorf("routed to what is being stopped: %+v", r)
 			}
 		},
-		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *dispatcher, j *job, _ *machine) {
-			if d.classes[coldClass] != nil || d.present(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
+		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *scheduler, j *job, _ *machine) {
+			if d.classes[coldClass] != nil || d.currentTasks(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
 				t.Error("room is kept or wanted")
 			}
 			if d.activation.uses() != 1 {
@@ -171,19 +171,19 @@
 			t.Fatal(err)
 		}
 		j := d.jobs.get(coldModel)
-		if j.attempts[0].stop {
+		if j.attempts[0].stopping {
 			t.Error("stopped before the term's actors run")
 		}
 		ctx, end := context.WithCancel(context.Background())
-		d.ctx = ctx
+		d.lifetime = ctx
 		go func() { _ = d.run(ctx) }()
-		time.Sleep(scale(d.settings.HeartbeatInterval, tickPerReport/2)) // before the clock's first look
+		time.Sleep(scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the clock's first look
 		end()
 		synctest.Wait()
-		if !j.attempts[0].stop {
+		if !j.attempts[0].stopping {
 			t.Error("not stopped")
 		}
-		if till := j.managed.routedTill; till.Sub(d.began) < d.settings.RoutingLease() {
+		if till := j.managed.routedUntil; till.Sub(d.termStarted) < d.settings.RoutingLease() {
 			t.Errorf("routed till %v", till)
 		}
 	})
--- a/internal/coordination/archive_withdrawal.go
+++ b/internal/coordination/archive_withdrawal.go
@@ -11,30 +11,30 @@
 // back: into the journal, and then out of the archive. Whoever leads next goes on with what is left.
 func (t termGates) countArchived(ctx context.Context, record upgrade.Record) (int, error) {
 	gate := record.Gate(upgrade.JobArchive)
-	count, err := t.dispatcher.archive.Count(ctx)
+	count, err := t.scheduler.archive.Count(ctx)
 	if err != nil || gate.Phase != upgrade.GateWithdrawing || count == 0 {
 		return count, err
 	}
-	if most := t.dispatcher.settings.mayRestore(); count > most {
+	if most := t.scheduler.settings.mayRestore(); count > most {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: fmt.Sprintf("%d jobs are archived, and only %d fit in memory", count, most)}
 	}
 	if err := t.restoreFirst(ctx); err != nil {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: err.Error()}
 	}
-	return t.dispatcher.archive.Count(ctx)
+	return t.scheduler.archive.Count(ctx)
 }
 
 // restoreFirst brings the jobs of the first page back.
 func (t termGates) restoreFirst(ctx context.Context) error {
-	page, err := t.dispatcher.archive.FirstPage(ctx)
+	page, err := t.scheduler.archive.FirstPage(ctx)
 	if err != nil || page.Upper == 0 {
 		return err
 	}
 	reply := make(chan error, 1)
-	t.dispatcher.post(restoreMsg{page.Entries, reply})
+	t.scheduler.post(restoreMsg{page.Entries, reply})
 	select {
 	case err = <-reply:
-	case <-t.dispatcher.closed:
+	case <-t.scheduler.closed:
 		err = errTermEnded
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -42,5 +42,5 @@
 	if err != nil {
 		return err
 	}
-	return t.dispatcher.archive.DropFirstPage(ctx, page.Upper)
+	return t.scheduler.archive.DropFirstPage(ctx, page.Upper)
 }
--- a/internal/coordination/archiving.go
+++ b/internal/coordination/archiving.go
@@ -32,8 +32,8 @@
 	pagesShare = 1.0 / 16
 	// restoreShare of it may go to finished jobs that are brought back.
 	restoreShare = 0.25
-	// offerMost is how many finished jobs are offered to the archive at a time.
-	offerMost = 4096
+	// maxArchiveBatch is how many finished jobs are offered to the archive at a time.
+	maxArchiveBatch = 4096
 )
 
 func (s *Settings) defaultArchive() ArchiveTuning {
@@ -61,9 +61,9 @@
 		result archive.Result
 		err    error
 	}
-	movedMsg struct {
-		ranks []archive.JobNumber
-		err   error
+	archivedMsg struct {
+		jobs []archive.JobNumber
+		err  error
 	}
 	restoreMsg struct {
 		entries []archive.Entry
@@ -92,7 +92,7 @@
 
 // answerArchived sees to a request for a job that isn't held, and tells whether it has answered it, or will once the job's page has been
 // read. It returns false if the job is known not to be archived, or nothing may be told anyway.
-func (d *dispatcher) answerArchived(m userMsg, now time.Time) bool {
+func (d *scheduler) answerArchived(m userMsg, now time.Time) bool {
 	rank, ok := archive.ParseJobNumber(m.req.ID)
 	if !d.archiveUsed || !ok {
 		return false
@@ -102,7 +102,7 @@
 	case r.Knowledge == archive.Found:
 		m.reply <- archivedAnswer(m.req.ID, r.Final)
 		return true
-	case m.absent, r.Knowledge == archive.Absent && r.Term == d.term, !d.certain(now):
+	case m.absent, r.Knowledge == archive.Absent && r.Term == d.term, !d.leaseValid(now):
 		return false
 	}
 	go d.readArchive(m, rank)
@@ -110,8 +110,8 @@
 }
 
 // readArchive has a job's page read and brings the result back to the dispatcher.
-func (d *dispatcher) readArchive(m userMsg, rank archive.JobNumber) {
-	ctx, cancel := context.WithTimeout(d.ctx, d.settings.callTime())
+func (d *scheduler) readArchive(m userMsg, rank archive.JobNumber) {
+	ctx, cancel := context.WithTimeout(d.lifetime, d.settings.callTime())
 	defer cancel()
 	result, err := d.archive.Read(ctx, rank)
 	d.post(archiveReadMsg{m, result, err})
@@ -119,7 +119,7 @@
 
 // handleArchiveRead goes on with a request whose job's page was read. Only a page that was read in this term
 // tells that a job isn't archived.
-func (d *dispatcher) handleArchiveRead(m archiveReadMsg) {
+func (d *scheduler) handleArchiveRead(m archiveReadMsg) {
 	id := m.user.req.ID
 	switch {
 	case m.err != nil:
@@ -136,8 +136,8 @@
 	}
 }
 
-// settleArchived makes a job final that is held as open though it is archived: the final record wins.
-func (d *dispatcher) settleArchived(j *job) {
+// finalizeArchived makes a job final that is held as open though it is archived: the final record wins.
+func (d *scheduler) finalizeArchived(j *job) {
 	rank, ok := archive.ParseJobNumber(j.spec.ID)
 	if !d.archiveUsed || !ok || j.phase != storage.Open {
 		return
@@ -147,100 +147,100 @@
 		return
 	}
 	d.log.Error("an open job is archived as final", "job", j.spec.ID, "phase", r.Final.Phase())
-	j.phase, j.done, j.known, j.settled = r.Final.Phase(), r.Final.Done, true, true
-	d.activation.end(j)
-	d.jobs.cancel(j)
+	j.phase, j.done, j.acknowledged, j.finalDurable = r.Final.Phase(), r.Final.Done, true, true
+	d.activation.release(j)
+	d.jobs.trackCancelling(j)
 	d.markJob(j)
-	d.stopAll(j)
-	d.orderStops(j)
+	d.stopJob(j)
+	d.commandJobStops(j)
 	d.retire(j)
 }
 
 // compareArchive looks once a term, when all pages are read, for open jobs that are archived.
-func (d *dispatcher) compareArchive() {
+func (d *scheduler) compareArchive() {
 	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.CompleteFor(d.term) {
 		return
 	}
 	d.archiveCompared = true
 	for _, j := range d.jobs.open {
-		d.settleArchived(j)
+		d.finalizeArchived(j)
 	}
 }
 
 // useArchive notes that jobs may be archived from now on, or were in an earlier term. That holds for the rest of the term,
 // whatever becomes of the gate.
-func (d *dispatcher) useArchive() {
+func (d *scheduler) useArchive() {
 	d.archiveUsed = d.archiveUsed || d.gates.Gate(upgrade.JobArchive).Used
 }
 
-// moveFinished offers finished jobs to the archive, where there are more than are to be kept.
-func (d *dispatcher) moveFinished(now time.Time) {
+// archiveFinished offers finished jobs to the archive, where there are more than are to be kept.
+func (d *scheduler) archiveFinished(now time.Time) {
 	tuning := &d.settings.Tuning.Archive
-	if !tuning.Enabled || d.moving || !d.certain(now) || d.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
+	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
 		return
 	}
-	d.moving = true
-	go d.offer(d.jobs.nextFinished(offerMost))
+	d.archiving = true
+	go d.offerToArchive(d.jobs.nextFinished(maxArchiveBatch))
 }
 
-// offerCalls is how many calls to the state service an offer may take, behind others.
-const offerCalls = 4
+// archiveCalls is how many calls to the state service an offer may take, behind others.
+const archiveCalls = 4
 
-// offer hands finished jobs to the archive, and brings back which of them are durable there.
-func (d *dispatcher) offer(entries []archive.Entry) {
-	ctx, cancel := context.WithTimeout(d.ctx, offerCalls*d.settings.callTime())
+// offerToArchive hands finished jobs to the archive, and brings back which of them are durable there.
+func (d *scheduler) offerToArchive(entries []archive.Entry) {
+	ctx, cancel := context.WithTimeout(d.lifetime, archiveCalls*d.settings.callTime())
 	defer cancel()
 	ranks, err := d.archive.Archive(ctx, entries)
-	d.post(movedMsg{ranks, err})
+	d.post(archivedMsg{ranks, err})
 }
 
-// handleMoved forgets jobs that are archived, and has their records removed.
-func (d *dispatcher) handleMoved(m movedMsg) {
-	d.moving = false
+// handleArchived forgets jobs that are archived, and has their records removed.
+func (d *scheduler) handleArchived(m archivedMsg) {
+	d.archiving = false
 	if m.err != nil {
 		d.log.Debug("nothing archived", "err", m.err)
 		return
 	}
-	for _, rank := range m.ranks {
-		j := d.jobs.remove(rank)
+	for _, rank := range m.jobs {
+		j := d.jobs.removeFinished(rank)
 		if j == nil {
 			continue
 		}
 		d.queue.Mark(jobLane(j), storage.JobKey(j.spec.ID), removed)
 		for _, key := range j.storedPages {
-			d.mark(key, removed)
+			d.markRecord(key, removed)
 		}
 	}
-	if len(m.ranks) > 0 {
-		d.log.Debug("archived", "jobs", len(m.ranks), "left", d.jobs.finished.Len())
+	if len(m.jobs) > 0 {
+		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.jobs.finished.Len())
 	}
 }
 
-// errMoving says that jobs are on their way to the archive.
-var errMoving = errors.New("jobs are being archived")
+// errArchivingInProgress says that jobs are on their way to the archive.
+var errArchivingInProgress = errors.New("jobs are being archived")
 
-// restore takes archived jobs back into the journal. While an offer is under way nothing is taken back: its answer could remove a job
+// restoreArchived takes archived jobs back into the journal. While an offer is under way nothing is taken back: its answer could remove a job
 // from the journal whose page is dropped then.
-func (d *dispatcher) restore(m restoreMsg) {
-	if d.moving {
-		m.reply <- errMoving
+func (d *scheduler) restoreArchived(m restoreMsg) {
+	if d.archiving {
+		m.reply <- errArchivingInProgress
 		return
 	}
 	for _, e := range m.entries {
 		if d.jobs.get(e.Number.ID()) != nil {
 			continue // its record was never removed
 		}
-		j := restored(e)
+		j := restoredJob(e)
 		d.jobs.load(j)
-		d.finished(j)
+		d.trackFinished(j)
 		d.markJob(j)
 	}
 	d.onCommit(func(err error) { m.reply <- err })
 }
 
-// finished notes that a job may be archived.
-func (d *dispatcher) finished(j *job) {
+// trackFinished notes that a job may be archived.
+func (d *scheduler) trackFinished(j *job) {
 	if d.settings.Tuning.Archive.Enabled {
-		d.jobs.finish(j)
+		d.jobs.trackFinished(j)
 	}
 }
--- a/internal/coordination/archiving_test.go
+++ b/internal/coordination/archiving_test.go
@@ -757,7 +757,7 @@
 func TestARestoredRecord(t *testing.T) {
 	rank, _ := archive.ParseJobNumber("000412")
 	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
-		data, err := json.Marshal(restored(archive.Entry{Number: rank, FinalState: final}).record())
+		data, err := json.Marshal(restoredJob(archive.Entry{Number: rank, FinalState: final}).record())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -800,7 +800,7 @@
 		rank, _ := archive.ParseJobNumber("000001")
 		restore := func() error {
 			reply := make(chan error, 1)
-			d.restore(restoreMsg{[]archive.Entry{{Number: rank}}, reply})
+			d.restoreArchived(restoreMsg{[]archive.Entry{{Number: rank}}, reply})
 			d.commit(nil)
 			return <-reply
 		}
@@ -818,14 +818,14 @@
 		if uses() != 0 {
 			t.Error("an idle leader uses the gate")
 		}
-		d.moving = true
-		if err := restore(); !errors.Is(err, errMoving) || d.jobs.get("000001") != nil {
+		d.archiving = true
+		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.jobs.get("000001") != nil {
 			t.Errorf("brought back: %v", err)
 		}
 		if uses() == 0 {
 			t.Error("an offer under way is no use")
 		}
-		d.moving = false
+		d.archiving = false
 		if err := restore(); err != nil || d.jobs.get("000001") == nil {
 			t.Errorf("not brought back: %v", err)
 		}
@@ -862,14 +862,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ops = append(ops, storage.Op{Key: leadKey, Data: json.RawMessage(`{}`)})
+		ops = append(ops, storage.Op{Key: leaderKey, Data: json.RawMessage(`{}`)})
 		version, err := service.Apply(nil, ops)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.archive = newArchive(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
 		go d.archive.Run(ctx)
-		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadKey, Version: version}})
+		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leaderKey, Version: version}})
 		time.Sleep(time.Minute)
 		answer := make(chan error, 1) // of the journal
 		go func() {
@@ -881,7 +881,7 @@
 		for _, c := range []struct {
 			committed error
 			pages     int
-		}{{errMoving, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
+		}{{errArchivingInProgress, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
 			answer <- c.committed
 			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.committed) || len(service.Keys(archivePrefix)) != c.pages {
 				t.Errorf("%v: %d pages left, %v", c.committed, len(service.Keys(archivePrefix)), err)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -18,7 +18,7 @@
 )
 
 // newBenchDispatcher is a dispatcher with a fleet that carries services and arrays.
-func newBenchDispatcher(b *testing.B) *dispatcher {
+func newBenchDispatcher(b *testing.B) *scheduler {
 	b.Helper()
 	d := newTestDispatcher(b, grownSettings())
 	for i := range benchMachines {
@@ -36,16 +36,16 @@
 	for i := range benchArrays {
 		d.accept(benchArray(100000+i, 12))
 	}
-	for d.place = true; d.place; {
+	for d.placementDue = true; d.placementDue; {
 		d.placeRound(time.Now())
 	}
-	for _, m := range d.order {
+	for _, m := range d.machineOrder {
 		for _, a := range m.attempts {
-			a.durable, a.seen, a.state, a.started = true, true, Running, time.Now()
+			a.durable, a.reported, a.state, a.started = true, true, Running, time.Now()
 		}
 	}
 	d.unmark()
-	d.firstJob = time.Now().Add(-3 * d.settings.WorkerLease)
+	d.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 	return d
 }
 
@@ -59,10 +59,10 @@
 // BenchmarkHeartbeat is a report of an ordinary machine and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchDispatcher(b)
-	m := d.order[1]
-	r := &Report{Machine: m.id, Addr: m.addr, Type: m.kind, Zone: m.zone, Session: 1, Token: d.term}
+	m := d.machineOrder[1]
+	r := &Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Session: 1, Token: d.term}
 	for _, a := range m.sortedAttempts() {
-		r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: a.try, State: Running})
+		r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: a.number, State: Running})
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 	for b.Loop() {
@@ -96,7 +96,7 @@
 	for b.Loop() {
 		j := d.accept(s)
 		d.placeRound(time.Now())
-		d.free(j.attempts[0], "placed")
+		d.removeAttempt(j.attempts[0], "placed")
 		delete(d.jobs.open, s.ID)
 	}
 }
@@ -123,7 +123,7 @@
 // BenchmarkTick is the clock's work besides snapshots and rounds.
 func BenchmarkTick(b *testing.B) {
 	d := newBenchDispatcher(b)
-	d.snapshotAt = time.Now().Add(time.Hour)
+	d.nextSnapshot = time.Now().Add(time.Hour)
 	for b.Loop() {
 		d.tick()
 		d.publishDelegation(time.Now())
@@ -141,7 +141,7 @@
 		}
 		records = append(records, r)
 	}
-	for _, m := range d.order {
+	for _, m := range d.machineOrder {
 		add(storage.MachineKey(m.id), m.record())
 	}
 	for id, j := range d.jobs.open {
@@ -166,7 +166,7 @@
 			for i := range services {
 				j := newJob(model(fmt.Sprintf("%06d", i)), time.Now())
 				d.jobs.insert(j)
-				d.activation.begin(j, time.Now())
+				d.activation.track(j, time.Now())
 			}
 			for b.Loop() {
 				d.activation.tick(time.Now())
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -22,7 +22,7 @@
 )
 
 // admits tells whether a user's request may join what waits for the dispatcher.
-func (d *dispatcher) admits(op UserOp) bool {
+func (d *scheduler) admits(op UserOp) bool {
 	share := questionShare
 	if op == OpSubmit {
 		share = submissionShare
@@ -30,14 +30,14 @@
 	return float64(len(d.mailbox)) < share*float64(cap(d.mailbox))
 }
 
-// scanLimit bounds the tasks placed in one round, so that a flood of tasks doesn't hold up the
+// maxPlacementsPerRound bounds the tasks placed in one round, so that a flood of tasks doesn't hold up the
 // answers to workers. It bounds no rate: placement rests in proportion to a round, and a larger
 // one would only make urgent work wait longer for the next.
-const scanLimit = 512
+const maxPlacementsPerRound = 512
 
-// ordersMost is how many orders one answer to a report carries: they stay within a line of
+// maxCommands is how many orders one answer to a report carries: they stay within a line of
 // 64 KiB. The rest goes with the next answer.
-const ordersMost = 512
+const maxCommands = 512
 
 // busySpread is within how many seconds those are told to return who found the mailbox full: it
 // is empty again after a round, and they shouldn't return together.
--- a/internal/coordination/bounds_test.go
+++ b/internal/coordination/bounds_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
 		s.WorkerLease, s.CloudRPS = 12*time.Second, 3
-		c := &capacity{settings: &s, cloud: slowCloud{manyMachines}, ctx: t.Context(), limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), 1)}
+		c := &autoscaler{settings: &s, cloud: slowCloud{manyMachines}, ctx: t.Context(), limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), 1)}
 		machines, pages, err := c.listAll()
 		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPage {
 			t.Fatalf("%d machines on %d pages: %v", len(machines), pages, err)
@@ -84,7 +84,7 @@
 		if report(manyMachines / 8); !busy(OpPoll) || !busy(OpCancel) {
 			t.Error("users don't leave room for reports")
 		}
-		if a := d.user(ctx, UserRequest{Op: OpPoll, ID: "000001"}); a.Code != CodeBusy || a.RetryS < 1 || a.RetryS > busySpread {
+		if a := d.userRequest(ctx, UserRequest{Op: OpPoll, ID: "000001"}); a.Code != CodeBusy || a.RetryS < 1 || a.RetryS > busySpread {
 			t.Errorf("answered %+v", a)
 		}
 		if report(manyMachines/8 - 1); len(d.mailbox) != manyMachines {
@@ -99,15 +99,15 @@
 		d := newTestDispatcher(t, grownSettings())
 		d.up(1, "cpu", "a", false)
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 5, Token: d.term}
-		for i := range 3 * ordersMost / 2 {
+		for i := range 3 * maxCommands / 2 {
 			r.Tasks = append(r.Tasks, TaskReport{ID: TaskID{fmt.Sprintf("%06d", i), 0}, Try: uint64(i), State: Running})
 		}
-		if a := d.handleHeartbeat(r); !a.Accepted || len(a.Orders) != ordersMost || slices.ContainsFunc(a.Orders, func(o Order) bool { return o.Verb != Stop }) {
+		if a := d.handleHeartbeat(r); !a.Accepted || len(a.Orders) != maxCommands || slices.ContainsFunc(a.Orders, func(o Order) bool { return o.Verb != Stop }) {
 			t.Errorf("%d orders", len(a.Orders))
 		}
 		r.Seq++
-		r.Tasks = r.Tasks[ordersMost:]
-		if a := d.handleHeartbeat(r); len(a.Orders) != ordersMost/2 {
+		r.Tasks = r.Tasks[maxCommands:]
+		if a := d.handleHeartbeat(r); len(a.Orders) != maxCommands/2 {
 			t.Errorf("%d orders for the rest", len(a.Orders))
 		}
 	})
@@ -165,14 +165,14 @@
 			d.markPage(j, 0)
 		}
 		urgent := d.accept(service("900000", 1))
-		a := d.book(urgent, 0, m, time.Now())
+		a := d.reserve(urgent, 0, m, time.Now())
 		d.startWhenDurable([]*attempt{a})
 		for range 2 {
 			if _, ok := d.queue.Next(d.settings.commitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
 				d.handleCommitted(nil)
 			}
 		}
-		if !a.durable || a.direct != directInFlight {
+		if !a.durable || a.delivery != deliveryInFlight {
 			t.Error("an urgent task waits for what isn't")
 		}
 	})
--- a/internal/coordination/ask.go
+++ b/internal/coordination/call.go
@@ -11,12 +11,12 @@
 	errMailboxFull = errors.New("too much asked at once")
 	// errSteppingDown: the term has ended; it may have been decided.
 	errSteppingDown = errors.New("leader is stepping down")
-	// errNotInTime: the caller's time ran out; it may yet be decided.
-	errNotInTime = errors.New("not decided in time")
+	// errDeadline: the caller's time ran out; it may yet be decided.
+	errDeadline = errors.New("not decided in time")
 )
 
-// ask posts a message to the dispatcher and waits for the reply to it. A full mailbox is told at once.
-func ask[Reply any](ctx context.Context, d *dispatcher, message any, reply <-chan Reply) (Reply, error) {
+// call posts a message to the dispatcher and waits for the reply to it. A full mailbox is told at once.
+func call[Reply any](ctx context.Context, d *scheduler, message any, reply <-chan Reply) (Reply, error) {
 	var none Reply
 	select {
 	case d.mailbox <- message:
@@ -31,6 +31,6 @@
 	case <-d.closed:
 		return none, errSteppingDown
 	case <-ctx.Done():
-		return none, errNotInTime
+		return none, errDeadline
 	}
 }
--- a/internal/coordination/candidate.go
+++ b/internal/coordination/candidate.go
@@ -10,24 +10,24 @@
 // candidate is a machine's free room, in a round of placement or a trial packing.
 // A round makes its candidates once; what it reserves or claims is taken from them.
 type candidate struct {
-	offer
-	typ     *storage.MachineType
-	free    storage.Room
-	booting bool
-	plain   bool      // to be rented for tasks without accelerators
-	on      *machine  // nil: not yet rented
-	packed  []*demand // what a trial packing has put here, a task each
-	moved   int       // tasks that a search for surplus machines has moved here
+	offering
+	machineType *storage.MachineType
+	free        storage.Room
+	booting     bool
+	forCPUOnly  bool      // to be rented for tasks without accelerators
+	machine     *machine  // nil: not yet rented
+	packed      []*demand // what a trial packing has put here, a task each
+	moved       int       // tasks that a search for surplus machines has moved here
 
-	freeing storage.Room // held by attempts that are being stopped
+	releasing storage.Room // held by attempts that are being stopped
 }
 
 // readyCandidates returns the free room on the ready machines, in their order.
-func (d *dispatcher) readyCandidates(now time.Time) []*candidate {
-	candidates := make([]*candidate, 0, len(d.order))
-	room := make([]candidate, len(d.order)) // in one allocation
+func (d *scheduler) readyCandidates(now time.Time) []*candidate {
+	candidates := make([]*candidate, 0, len(d.machineOrder))
+	room := make([]candidate, len(d.machineOrder)) // in one allocation
 	fresh := d.settings.fresh()
-	for i, m := range d.order {
+	for i, m := range d.machineOrder {
 		if m.ready(now, fresh) {
 			room[i] = candidateOf(m)
 			candidates = append(candidates, &room[i])
@@ -38,8 +38,8 @@
 
 func candidateOf(m *machine) candidate {
 	return candidate{
-		offer: offer{m.kind, m.zone, m.spot}, typ: m.typ, on: m, booting: !m.heard,
-		free: m.typ.Room.Minus(*m.booked), freeing: m.stopping,
+		offering: offering{m.typeName, m.zone, m.spot}, machineType: m.machineType, machine: m, booting: !m.confirmed,
+		free: m.machineType.Room.Minus(*m.reserved), releasing: m.stopping,
 	}
 }
 
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -17,9 +17,9 @@
 // rateLeases is the window of the arrival rate, in worker leases.
 const rateLeases = 8.0
 
-// arrival notes a job of its class. What comes within a lease of the first job
+// noteArrival notes a job of its class. What comes within a lease of the first job
 // ever is the fleet's start, not a rate. Services that may be at zero are no arrivals.
-func (d *dispatcher) arrival(j *job) {
+func (d *scheduler) noteArrival(j *job) {
 	if j.managed != nil {
 		return // its task comes with demand
 	}
@@ -28,44 +28,44 @@
 		c = &class{}
 		d.classes[j.spec.Class] = c
 	}
-	if d.firstJob.IsZero() || j.submitted.Before(d.firstJob) {
-		d.firstJob = j.submitted
+	if d.firstArrival.IsZero() || j.submitted.Before(d.firstArrival) {
+		d.firstArrival = j.submitted
 	}
 	c.last = j
 	c.Arrived(j.submitted, j.spec.Tasks)
 }
 
-// leave notes that a job of its class has been cancelled.
-func (d *dispatcher) leave(j *job, now time.Time) {
+// noteDeparture notes that a job of its class has been cancelled.
+func (d *scheduler) noteDeparture(j *job, now time.Time) {
 	if c := d.classes[j.spec.Class]; c != nil && j.managed == nil {
 		c.Departed(now, j.spec.Tasks)
 	}
 }
 
-// ran takes a finished task's run time, and what its owner had expected, into
+// noteRunTime takes a finished task's run time, and what its owner had expected, into
 // its class's means.
-func (d *dispatcher) ran(a *attempt, now time.Time) {
+func (d *scheduler) noteRunTime(a *attempt, now time.Time) {
 	if c := d.classes[a.job.spec.Class]; c != nil && !a.started.IsZero() {
 		c.Ran(now.Sub(a.started).Seconds(), a.job.spec.EstimateS)
 	}
 }
 
 // runTime is how long a task of the job runs, in seconds.
-func (d *dispatcher) runTime(j *job) float64 {
+func (d *scheduler) runTime(j *job) float64 {
 	if c := d.classes[j.spec.Class]; c != nil {
 		return c.RunS(j.spec.EstimateS)
 	}
 	return j.spec.EstimateS
 }
 
-// usualRun is how long a task of the class usually runs, in seconds.
-func (c *class) usualRun() float64 { return c.MeanRunS(c.last.spec.EstimateS) }
+// typicalRunSeconds is how long a task of the class usually runs, in seconds.
+func (c *class) typicalRunSeconds() float64 { return c.MeanRunS(c.last.spec.EstimateS) }
 
 // headroom is how many tasks of the class to keep room for. Of services, those
 // expected to come while a machine boots beyond those that leave, and some headroom. Of other work of
 // some priority that may use spot machines, what its usual number of running
 // tasks, and some headroom, exceeds the present one by.
-func (d *dispatcher) headroom(c *class, now time.Time) int {
+func (d *scheduler) headroom(c *class, now time.Time) int {
 	s := &c.last.spec
 	batch := !s.Service
 	if s.Gang {
@@ -75,15 +75,15 @@
 		return 0
 	}
 	rate := d.rate(c, now)
-	if rate.WindowS == 0 || d.present(s.Class) == 0 {
+	if rate.WindowS == 0 || d.currentTasks(s.Class) == 0 {
 		return 0 // no rate yet, or a class that has ceased
 	}
 	deviations := d.settings.Tuning.HeadroomDeviations
 	if batch {
-		return max(0, int(rate.Expected(c.usualRun(), deviations))-d.present(s.Class))
+		return max(0, int(rate.Expected(c.typicalRunSeconds(), deviations))-d.currentTasks(s.Class))
 	}
 	rate.Tasks = max(0, rate.Tasks-float64(c.DepartedSince(now.Add(-seconds(rate.WindowS)))))
-	return int(math.Ceil(rate.Expected(d.leastBoot(c.last), deviations) - 0.5))
+	return int(math.Ceil(rate.Expected(d.minBootSeconds(c.last), deviations) - 0.5))
 }
 
 // gangBoots: gangs that are to start within so many boots find room that is kept
@@ -92,20 +92,20 @@
 
 // gangHeadroom is how many tasks of a class of gangs to keep room for: what their
 // usual number exceeds the present one by, and at the least the largest gang of late.
-func (d *dispatcher) gangHeadroom(c *class, now time.Time) int {
+func (d *scheduler) gangHeadroom(c *class, now time.Time) int {
 	within := d.settings.startWithin(c.last.spec.Class)
 	rate := d.rate(c, now)
-	if within <= 0 || within.Seconds() >= gangBoots*d.leastBoot(c.last) || rate.WindowS == 0 || rate.Tasks == 0 {
+	if within <= 0 || within.Seconds() >= gangBoots*d.minBootSeconds(c.last) || rate.WindowS == 0 || rate.Tasks == 0 {
 		return 0
 	}
-	usual := rate.Expected(c.usualRun(), d.settings.Tuning.HeadroomDeviations)
-	return max(c.LargestJob(), int(usual)-d.present(c.last.spec.Class))
+	usual := rate.Expected(c.typicalRunSeconds(), d.settings.Tuning.HeadroomDeviations)
+	return max(c.LargestJob(), int(usual)-d.currentTasks(c.last.spec.Class))
 }
 
 // rate is that of a class's arrivals within the window.
-func (d *dispatcher) rate(c *class, now time.Time) classstats.Rate {
+func (d *scheduler) rate(c *class, now time.Time) classstats.Rate {
 	since := now.Add(-scale(d.settings.WorkerLease, rateLeases))
-	if start := d.firstJob.Add(d.settings.WorkerLease); start.After(since) {
+	if start := d.firstArrival.Add(d.settings.WorkerLease); start.After(since) {
 		since = start
 	}
 	if now.Sub(since) < d.settings.WorkerLease {
@@ -114,13 +114,13 @@
 	return c.RateSince(since, now)
 }
 
-// onFullest counts by class the services on the machine whose loss would cost
+// servicesOnFullestMachine counts by class the services on the machine whose loss would cost
 // the most room: there should be room for them elsewhere.
-func (d *dispatcher) onFullest() map[string]int {
+func (d *scheduler) servicesOnFullestMachine() map[string]int {
 	var fullest *machine
 	most := 0.0
-	for _, m := range d.order {
-		if m.typ == nil || !m.heard {
+	for _, m := range d.machineOrder {
+		if m.machineType == nil || !m.confirmed {
 			continue
 		}
 		room := storage.Room{}
@@ -144,8 +144,8 @@
 	return out
 }
 
-// present counts a class's booked and waiting tasks, but for services that may be at zero.
-func (d *dispatcher) present(class string) int {
+// currentTasks counts a class's booked and waiting tasks, but for services that may be at zero.
+func (d *scheduler) currentTasks(class string) int {
 	n := 0
 	for _, j := range d.jobs.open {
 		if j.spec.Class == class && j.phase == storage.Open && j.managed == nil {
@@ -155,10 +155,10 @@
 	return n
 }
 
-// leastBoot is the least boot time of the types that hold a task.
-func (d *dispatcher) leastBoot(j *job) float64 {
+// minBootSeconds is the least boot time of the types that hold a task.
+func (d *scheduler) minBootSeconds(j *job) float64 {
 	boot := 0.0
-	for _, name := range d.fitsOf(j) {
+	for _, name := range d.feasibleTypesOf(j) {
 		if b := d.types[name].BootS; boot == 0 || b < boot {
 			boot = b
 		}
@@ -166,9 +166,9 @@
 	return boot
 }
 
-// learnPerGPU reckons, once an interval, the most CPUs and memory that open jobs
+// updatePerGPU reckons, once an interval, the most CPUs and memory that open jobs
 // take with an accelerator. Rounds and snapshots begin with it.
-func (d *dispatcher) learnPerGPU(now time.Time) {
+func (d *scheduler) updatePerGPU(now time.Time) {
 	if !d.perGPUAt.IsZero() && now.Sub(d.perGPUAt) <= d.settings.HeartbeatInterval {
 		return
 	}
--- a/internal/coordination/cold_start_test.go
+++ b/internal/coordination/cold_start_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-func (sim *simulation) launchesOf(id string) (out []launch) {
-	sim.locked(func() { out = append(out, sim.launches[id]...) })
+func (sim *simulation) launchesOf(id string) (out []startRecord) {
+	sim.locked(func() { out = append(out, sim.startsByJob[id]...) })
 	return out
 }
 
@@ -283,7 +283,7 @@
 func writesRecords(tx storagetest.Txn) bool {
 	led := false
 	for _, g := range tx.Guards {
-		led = led || g.Key == leadKey
+		led = led || g.Key == leaderKey
 	}
 	for _, op := range tx.Ops {
 		led = led && !strings.HasPrefix(op.Key, upgradePrefix)
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// commitPerReport is how long one commit may take at the journal's pace, in report
+	// commitPerHeartbeat is how long one commit may take at the journal's pace, in report
 	// intervals: what waits behind it waits as long.
-	commitPerReport = 0.07
+	commitPerHeartbeat = 0.07
 	// acceptanceBytes is about what the record of an accepted job takes. It gives the pace
 	// of acceptances until that is measured.
 	acceptanceBytes = 250
@@ -21,30 +21,32 @@
 
 // commitBytes is how much one commit holds.
 func (s *Settings) commitBytes() int {
-	return s.State.BytesWithin(scale(s.HeartbeatInterval, commitPerReport))
+	return s.State.BytesWithin(scale(s.HeartbeatInterval, commitPerHeartbeat))
 }
 
-// submissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
+// maxSubmissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
 // the protocol, and the answer has to travel.
-const submissionWait = 3 * time.Second
+const maxSubmissionWait = 3 * time.Second
 
 // newAdmission admits submissions that are expected to be recorded while their users wait.
-func (d *dispatcher) newAdmission() *admission.Limiter {
+func (d *scheduler) newAdmission() *admission.Limiter {
 	pace := float64(d.settings.State.BytesWithin(time.Second)) / acceptanceBytes
-	return admission.NewLimiter(submissionWait, pace, len(d.settings.Teams))
+	return admission.NewLimiter(maxSubmissionWait, pace, len(d.settings.Teams))
 }
 
 // admit tells whether a team's submission may wait to be recorded.
-func (d *dispatcher) admit(team string) bool {
+func (d *scheduler) admit(team string) bool {
 	return d.admission.Admit(team, d.journal.Spare()/acceptanceBytes)
 }
 
-// mark notes that an entity's record must be written; data is asked for its value when it
+// markRecord notes that an entity's record must be written; data is asked for its value when it
 // is. It returns nil to remove the entity.
-func (d *dispatcher) mark(key string, data func() any) { d.queue.Mark(groupcommit.Bulk, key, data) }
+func (d *scheduler) markRecord(key string, data func() any) {
+	d.queue.Mark(groupcommit.Bulk, key, data)
+}
 
 // markJob notes that a job's own record must be written: users wait for that.
-func (d *dispatcher) markJob(j *job) {
+func (d *scheduler) markJob(j *job) {
 	d.queue.Mark(jobLane(j), storage.JobKey(j.spec.ID), func() any { return j.record() })
 }
 
@@ -68,7 +70,7 @@
 	return groupcommit.Bulk
 }
 
-func (d *dispatcher) markPage(j *job, task int) {
+func (d *scheduler) markPage(j *job, task int) {
 	p := task / storage.PageTasks
 	d.queue.Mark(pageLane(j), storage.PageKey(j.spec.ID, p), func() any {
 		if rec := j.page(p); rec != nil {
@@ -78,25 +80,25 @@
 	})
 }
 
-func (d *dispatcher) markMachine(m *machine) {
+func (d *scheduler) markMachine(m *machine) {
 	m.recorded = true
-	d.mark(storage.MachineKey(m.id), func() any { return m.record() })
+	d.markRecord(storage.MachineKey(m.id), func() any { return m.record() })
 }
 
-// pageSettled tells whether a task's page is durable as it stands.
-func (d *dispatcher) pageSettled(id TaskID) bool {
+// pageDurable tells whether a task's page is durable as it stands.
+func (d *scheduler) pageDurable(id TaskID) bool {
 	return d.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
 }
 
 // onCommit calls f once all that is marked now is durable.
-func (d *dispatcher) onCommit(f func(error)) { d.queue.OnAllDurable(f) }
+func (d *scheduler) onCommit(f func(error)) { d.queue.OnAllDurable(f) }
 
 // onJobCommit calls f once a job's own record is durable as it is marked now.
-func (d *dispatcher) onJobCommit(j *job, f func(error)) { d.queue.OnDurable(f, jobLane(j)) }
+func (d *scheduler) onJobCommit(j *job, f func(error)) { d.queue.OnDurable(f, jobLane(j)) }
 
 // startWhenDurable starts what was booked once its jobs and pages are durable. Urgent work doesn't
 // wait for the rest.
-func (d *dispatcher) startWhenDurable(booked []*attempt) {
+func (d *scheduler) startWhenDurable(booked []*attempt) {
 	var urgent, others []*attempt
 	for _, a := range booked {
 		if a.job.urgent() {
@@ -108,7 +110,7 @@
 	starts := func(booked []*attempt) func(error) {
 		return func(err error) {
 			if err == nil {
-				d.start(booked)
+				d.startReserved(booked)
 			}
 		}
 	}
@@ -122,7 +124,7 @@
 
 // flush hands what is marked to the journal, as much as one commit holds, unless one is
 // under way. Of the bulk lane it takes what leaves changes for the others.
-func (d *dispatcher) flush() {
+func (d *scheduler) flush() {
 	if !d.queue.Idle() {
 		return
 	}
@@ -133,12 +135,12 @@
 	if !ok {
 		return
 	}
-	d.commitAt = time.Now()
-	d.journal.Append(d.ctx, storage.Batch{Records: records, Ack: func(err error) { d.post(committedMsg{err}) }})
+	d.commitStarted = time.Now()
+	d.journal.Append(d.lifetime, storage.Batch{Records: records, Ack: func(err error) { d.post(committedMsg{err}) }})
 }
 
 // limitBulk lets the bulk lane use what the journal has saved beyond a reserve.
-func (d *dispatcher) limitBulk(now time.Time) {
+func (d *scheduler) limitBulk(now time.Time) {
 	if d.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
 	}
@@ -149,7 +151,7 @@
 
 // bulkHeld tells whether records wait only because the bulk lane is held back, and in what time
 // it is to be looked at again.
-func (d *dispatcher) bulkHeld(now time.Time) (again time.Duration, held bool) {
+func (d *scheduler) bulkHeld(now time.Time) (again time.Duration, held bool) {
 	if !d.queue.Idle() || d.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
@@ -158,14 +160,14 @@
 }
 
 // handleCommitted takes in what became of the commit under way.
-func (d *dispatcher) handleCommitted(err error) {
-	took := time.Since(d.commitAt)
-	d.commitAt = time.Time{}
-	d.accepted = 0
+func (d *scheduler) handleCommitted(err error) {
+	took := time.Since(d.commitStarted)
+	d.commitStarted = time.Time{}
+	d.acceptedInCommit = 0
 	if full := d.queue.Committed(err); full && !d.journal.HasSavings() {
-		d.admission.Measured(d.accepted, took)
+		d.admission.Measured(d.acceptedInCommit, took)
 	}
-	d.waiters = slices.DeleteFunc(d.waiters, func(w *waiter) bool { return w.told })
+	d.waiters = slices.DeleteFunc(d.waiters, func(w *waiter) bool { return w.answered })
 }
 
 // removed is the value of an entity that is to be removed.
--- a/internal/coordination/delegation.go
+++ b/internal/coordination/delegation.go
@@ -61,8 +61,8 @@
 		return HeartbeatResponse{Busy: true}
 	}
 	// The leader must be able to learn of this before the worker does.
-	c.lastDelegated.mark(now)
-	worker.lastAnswered = now
+	c.lastDelegated.Mark(now)
+	worker.lastAcknowledged = now
 	return HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
@@ -86,7 +86,7 @@
 			return false
 		}
 	}
-	return c.lastProbe.since(math.MaxInt64) < probeMissed
+	return c.lastProbe.Since(math.MaxInt64) < probeMissed
 }
 
 // probeMissed is how long after the load balancer's last probe, one a second,
@@ -97,7 +97,7 @@
 // back here within its lease.
 func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
 	round := time.Duration(len(c.settings.Peers))*(workerTimeout+workerPause) + workerPause
-	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAnswered)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
+	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
 }
 
 const (
@@ -109,22 +109,22 @@
 
 // delegationTerms is what the dispatcher publishes of its lead, for delegations.
 type delegationTerms struct {
-	at       time.Time // as of when barred is complete
-	holdOut  time.Time
-	excluded map[string][]int // by zone
+	at         time.Time // as of when barred is complete
+	renewUntil time.Time
+	excluded   map[string][]int // by zone
 }
 
 // delegator is the leader's side of the delegations.
 type delegator struct {
-	hold  time.Duration
-	terms atomic.Pointer[delegationTerms]
-	until map[string]*atomic.Int64 // what each peer has been delegated at the most, in ns after began
-	zones map[string]string
-	began time.Time
+	renewalGrace time.Duration
+	terms        atomic.Pointer[delegationTerms]
+	until        map[string]*atomic.Int64 // what each peer has been delegated at the most, in ns after began
+	zones        map[string]string
+	began        time.Time
 }
 
 func newDelegator(s *Settings) *delegator {
-	l := &delegator{hold: s.hold(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
+	l := &delegator{renewalGrace: s.renewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
 	for _, p := range s.Peers {
 		l.until[p.Name], l.zones[p.Name] = new(atomic.Int64), p.Zone
 	}
@@ -139,9 +139,9 @@
 	if p == nil || until == nil || l.zones[peer] == "" {
 		return 0, nil
 	}
-	end := p.at.Add(l.hold)
-	if p.holdOut.Before(end) {
-		end = p.holdOut
+	end := p.at.Add(l.renewalGrace)
+	if p.renewUntil.Before(end) {
+		end = p.renewUntil
 	}
 	if !now.Before(end) {
 		return 0, nil
@@ -165,23 +165,23 @@
 	return time.Time{}
 }
 
-// delegationPerReport is how old what the delegations depend on may be, in report
+// delegationPerHeartbeat is how old what the delegations depend on may be, in report
 // intervals: a delegation counts from there.
-const delegationPerReport = 0.02
+const delegationPerHeartbeat = 0.02
 
 // publishDelegation renews what the delegations depend on.
-func (d *dispatcher) publishDelegation(now time.Time) {
-	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.HeartbeatInterval, delegationPerReport) {
+func (d *scheduler) publishDelegation(now time.Time) {
+	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.HeartbeatInterval, delegationPerHeartbeat) {
 		return
 	}
-	p := &delegationTerms{at: now, holdOut: d.role.HoldOut, excluded: make(map[string][]int)}
+	p := &delegationTerms{at: now, renewUntil: d.role.RenewUntil, excluded: make(map[string][]int)}
 	for id, j := range d.jobs.cancelling {
 		if len(j.attempts) == 0 {
 			delete(d.jobs.cancelling, id)
 		}
 		for _, a := range j.attempts {
-			if z := a.on.zone; !slices.Contains(p.excluded[z], a.on.id) {
-				p.excluded[z] = append(p.excluded[z], a.on.id)
+			if z := a.machine.zone; !slices.Contains(p.excluded[z], a.machine.id) {
+				p.excluded[z] = append(p.excluded[z], a.machine.id)
 			}
 		}
 	}
@@ -190,8 +190,8 @@
 
 // delegatedLeaseBound is when a machine's lease has surely ended that this leader last
 // answered when m tells, if peers in its zone may have renewed it alone since.
-func (d *dispatcher) delegatedLeaseBound(m *machine) time.Time {
-	end := m.lastAnswered.Add(d.settings.leaseBound())
+func (d *scheduler) delegatedLeaseBound(m *machine) time.Time {
+	end := m.lastAcknowledged.Add(d.settings.leaseBound())
 	for i := range d.peerRenewals {
 		s := &d.peerRenewals[i]
 		if !s.covers(m) {
@@ -228,14 +228,14 @@
 }
 
 // updatePeerRenewals asks what the peers have told, once for a tick.
-func (d *dispatcher) updatePeerRenewals() {
+func (d *scheduler) updatePeerRenewals() {
 	d.peerRenewals = d.peerRenewals[:0]
 	for _, p := range d.settings.Peers {
 		s := peerRenewals{zone: p.Zone, until: d.delegator.delegatedUntil(p.Name)}
 		if s.until.IsZero() {
 			continue
 		}
-		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.began) {
+		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.termStarted) {
 			// A process that has begun since may have renewed in its earlier
 			// run until then.
 			s.last = w.Received.Add(-scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/driftBound))
--- a/internal/coordination/delegation_test.go
+++ b/internal/coordination/delegation_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(2 * sim.settings.WorkerLease) // all workers have gone to nodes of their zone
 		before := sim.startsSoFar()
 		sim.cutZone("b")
-		time.Sleep(sim.settings.hold() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
+		time.Sleep(sim.settings.renewalGrace() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
 		sim.cutZone("")
 		time.Sleep(sim.settings.WorkerLease)
 		if n := sim.restarts(before); n != 0 || len(sim.running("000001")) != 6 {
@@ -74,13 +74,13 @@
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
 		d := newTestDispatcher(t, s)
 		j := d.accept(service("000001", 1))
-		d.enter(&attempt{job: j, task: 0, try: 1, on: d.up(7, "cpu", "a", false), session: 1, ownTerm: true, seen: true})
+		d.addAttempt(&attempt{job: j, task: 0, number: 1, machine: d.up(7, "cpu", "a", false), incarnation: 1, thisTerm: true, reported: true})
 		d.publishDelegation(time.Now())
 		if span, excluded := d.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
 			t.Errorf("lent for %v, without %v", span, excluded)
 		}
 		j.phase = storage.Cancelled
-		d.jobs.cancel(j)
+		d.jobs.trackCancelling(j)
 		time.Sleep(time.Second)
 		d.publishDelegation(time.Now())
 		if _, excluded := d.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
@@ -89,7 +89,7 @@
 		if _, excluded := d.delegator.delegate("n2"); len(excluded) != 0 {
 			t.Errorf("left out in the other zone: %v", excluded)
 		}
-		d.stepDown("told to")
+		d.resignLeadership("told to")
 		if span, _ := d.delegator.delegate("n1"); span != 0 {
 			t.Errorf("one that has resigned lends %v", span)
 		}
@@ -106,28 +106,28 @@
 		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
-		own := m.lastAnswered.Add(s.leaseBound())
+		own := m.lastAcknowledged.Add(s.leaseBound())
 		d.publishDelegation(time.Now())
 		d.updatePeerRenewals()
-		if !d.emptyBy(m).Equal(own) {
+		if !d.provenEmptyAt(m).Equal(own) {
 			t.Error("the bound of a machine that nobody else may renew has moved")
 		}
 		span, _ := d.delegator.delegate("n1")
 		until := time.Now().Add(span)
 		d.updatePeerRenewals()
-		if want := until.Add(s.leaseBound()); !d.emptyBy(m).Equal(want) {
-			t.Errorf("empty by %v, lent until %v", d.emptyBy(m), until)
+		if want := until.Add(s.leaseBound()); !d.provenEmptyAt(m).Equal(want) {
+			t.Errorf("empty by %v, lent until %v", d.provenEmptyAt(m), until)
 		}
 		time.Sleep(s.leaseBound() + time.Second)
 		now := time.Now()
 		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		d.updatePeerRenewals()
-		if !d.emptyBy(m).Equal(own) {
-			t.Errorf("it renewed nothing, and yet the bound is %v", d.emptyBy(m).Sub(own))
+		if !d.provenEmptyAt(m).Equal(own) {
+			t.Errorf("it renewed nothing, and yet the bound is %v", d.provenEmptyAt(m).Sub(own))
 		}
 		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		d.updatePeerRenewals()
-		if !d.emptyBy(m).After(now) {
+		if !d.provenEmptyAt(m).After(now) {
 			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
 		}
 	})
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -22,7 +22,7 @@
 
 // demands lists the waiting tasks, most urgent first, then the room to keep, and opportunistic
 // work last.
-func (d *dispatcher) demands(now time.Time) []*demand {
+func (d *scheduler) demands(now time.Time) []*demand {
 	waiting := d.waitingJobs(now)
 	d.byUrgency(waiting, now)
 	var out, opportunistic []*demand
@@ -38,7 +38,7 @@
 				continue
 			}
 		}
-		for ; !j.spec.Gang && n < j.tries(); n++ {
+		for ; !j.spec.Gang && n < j.startable(); n++ {
 			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
 			if !storage.WithinLimit(used, team.Limit) {
 				break
@@ -59,8 +59,8 @@
 		}
 		out = append(out, dm)
 	}
-	d.keptRoom = d.headroomDemands(now)
-	for _, kept := range d.keptRoom {
+	d.keptHeadroom = d.headroomDemands(now)
+	for _, kept := range d.keptHeadroom {
 		packed := *kept // packing counts it down
 		out = append(out, &packed)
 	}
@@ -68,14 +68,14 @@
 }
 
 // headroomDemands lists the room to keep, class by class.
-func (d *dispatcher) headroomDemands(now time.Time) []*demand {
+func (d *scheduler) headroomDemands(now time.Time) []*demand {
 	var out []*demand
 	names := make([]string, 0, len(d.classes))
 	for n := range d.classes {
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	fullest := d.onFullest()
+	fullest := d.servicesOnFullestMachine()
 	for _, n := range names {
 		c := d.classes[n]
 		if k := max(d.headroom(c, now), fullest[n]); k > 0 {
@@ -87,31 +87,31 @@
 
 // gangDemand is how many tasks a gang waits for: all of them within the team's
 // limit, or none.
-func (d *dispatcher) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
+func (d *scheduler) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
 	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
-	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.whole() {
+	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
 		return 0
 	}
 	teams[j.spec.Team] = all
 	return j.waiting
 }
 
-// modelOf returns a job like j whose tasks may be in any of its zones.
-func modelOf(j *job) *job {
-	model := &job{spec: j.spec, types: j.types, fits: j.fits}
+// templateOf returns a job like j whose tasks may be in any of its zones.
+func templateOf(j *job) *job {
+	model := &job{spec: j.spec, allowedTypes: j.allowedTypes, feasibleTypes: j.feasibleTypes}
 	model.spec.Spread, model.spec.SameZone = false, j.spec.SameZone && j.spec.Gang
 	return model
 }
 
 // headroomDemand is a demand for room to keep, for n tasks like those of j.
 func headroomDemand(j *job, n int) *demand {
-	model := modelOf(j)
+	model := templateOf(j)
 	return &demand{job: model, zones: newZoneCheck(model), n: n, headroom: true}
 }
 
 // headroomFor demands room for n tasks like those of a class. What spread jobs must
 // have in another zone, half of each rounded down, is kept in every zone.
-func (d *dispatcher) headroomFor(c *class, n int) []*demand {
+func (d *scheduler) headroomFor(c *class, n int) []*demand {
 	var out []*demand
 	if zones := d.zonesFor(c.last); c.last.spec.Spread && len(zones) > 1 {
 		each := int(math.Round(c.SecondZoneShare() * float64(n)))
@@ -133,9 +133,9 @@
 }
 
 // zonesFor lists the zones with a type that holds a task of the job.
-func (d *dispatcher) zonesFor(j *job) []string {
+func (d *scheduler) zonesFor(j *job) []string {
 	var out []string
-	for _, name := range d.fitsOf(j) {
+	for _, name := range d.feasibleTypesOf(j) {
 		for _, z := range d.types[name].Zones {
 			if (j.spec.Zone == "" || j.spec.Zone == z) && !slices.Contains(out, z) {
 				out = append(out, z)
--- a/internal/coordination/exhausted_shapes.go
+++ b/internal/coordination/exhausted_shapes.go
@@ -23,11 +23,11 @@
 
 // shape is the job's, as far as that doesn't depend on its team.
 func (j *job) shape() shape {
-	return shape{room: j.spec.Room, types: j.types, spot: j.spec.Spot, service: j.spec.Service, rank: j.spec.Priority}
+	return shape{room: j.spec.Room, types: j.allowedTypes, spot: j.spec.Spot, service: j.spec.Service, rank: j.spec.Priority}
 }
 
 // shapeOf is a job's shape.
-func (d *dispatcher) shapeOf(j *job) shape {
+func (d *scheduler) shapeOf(j *job) shape {
 	s := j.shape()
 	s.opportunistic = d.settings.opportunistic(&j.spec)
 	return s
--- a/internal/coordination/fake_worker_test.go
+++ b/internal/coordination/fake_worker_test.go
@@ -53,8 +53,8 @@
 	fails bool // it ends in an error
 }
 
-// launch is a start that a worker took on.
-type launch struct {
+// startRecord is a start that a worker took on.
+type startRecord struct {
 	at      time.Time
 	try     uint64
 	machine int
@@ -189,7 +189,7 @@
 		switch o.Verb {
 		case Start:
 			if t == nil {
-				wk.tasks[k] = wk.launch(k)
+				wk.tasks[k] = wk.startTask(k)
 			}
 		case Stop:
 			if t != nil && t.state != Ended {
@@ -206,8 +206,8 @@
 	}
 }
 
-// launch starts a task and checks the rules at that moment.
-func (wk *fakeWorker) launch(k workerKey) *workerTask {
+// startTask starts a task and checks the rules at that moment.
+func (wk *fakeWorker) startTask(k workerKey) *workerTask {
 	sim := wk.sim
 	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
@@ -254,7 +254,7 @@
 	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
 		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
 	}
-	sim.launches[k.ID.Job] = append(sim.launches[k.ID.Job], launch{time.Now(), k.Try, wk.id})
+	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{time.Now(), k.Try, wk.id})
 	t := &workerTask{state: Running}
 	if after, fails := sim.failing[k.ID.Job]; fails {
 		t.fails, t.ends = true, time.Now().Add(after)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -7,49 +7,49 @@
 	"sagevale/internal/storage"
 )
 
-// offer is a kind of machine that the cloud may rent.
-type offer struct {
-	kind string
-	zone string
-	spot bool
+// offering is a kind of machine that the cloud may rent.
+type offering struct {
+	typeName string
+	zone     string
+	spot     bool
 }
 
 // fleetSnapshot is what the capacity actor needs to know, once a second.
 type fleetSnapshot struct {
-	wanted   []offer            // machines that would cover the pressure, in order
-	hurried  int                // how many of them are for other than opportunistic work; they come first
-	healthy  bool               // every machine's reports are fresh and nothing is unproved
-	surplus  []surplusMachine   // machines that could be returned, one after the other
-	emptied  []int              // drained machines without tasks, to be returned
-	lost     []int              // failed, silent or never-up machines, to be returned
-	drains   int                // how many drains had been asked for
-	draining bool               // a drain is still open
-	size     int                // machines that are or may be ours
-	settled  bool               // a cloud list has been seen in this term
-	boots    map[string]float64 // how long the types boot, in seconds
+	desired          []offering         // machines that would cover the pressure, in order
+	nonOpportunistic int                // how many of them are for other than opportunistic work; they come first
+	healthy          bool               // every machine's reports are fresh and nothing is unproved
+	surplus          []surplusMachine   // machines that could be returned, one after the other
+	emptied          []int              // drained machines without tasks, to be returned
+	lost             []int              // failed, silent or never-up machines, to be returned
+	drains           int                // how many drains had been asked for
+	draining         bool               // a drain is still open
+	size             int                // machines that are or may be ours
+	settled          bool               // a cloud list has been seen in this term
+	bootSeconds      map[string]float64 // how long the types boot, in seconds
 }
 
 // snapshotFleet reckons the pressure: the waiting tasks' requested room minus the
 // free room on ready and booting machines, by a trial packing.
-func (d *dispatcher) snapshotFleet(now time.Time) fleetSnapshot {
-	v := fleetSnapshot{healthy: true, settled: d.listed, drains: d.drains}
+func (d *scheduler) snapshotFleet(now time.Time) fleetSnapshot {
+	v := fleetSnapshot{healthy: true, settled: d.machinesListed, drains: d.drainsRequested}
 	p := &packing{exhausted: make(exhaustedShapes)}
-	d.learnSlowness(now)
+	d.updateSlowness(now)
 	fresh := d.settings.fresh()
-	for _, m := range d.order {
-		silent := now.Sub(m.lastHeard) > fresh
+	for _, m := range d.machineOrder {
+		silent := now.Sub(m.lastContact) > fresh
 		switch {
-		case m.returning, m.failed:
+		case m.terminating, m.failed:
 			v.lost = append(v.lost, m.id)
 			continue
-		case !m.heard && len(m.attempts) == 0 && m.typ != nil && d.givenUp(m, now):
-			d.noteGivenUp(m, now)
+		case !m.confirmed && len(m.attempts) == 0 && m.machineType != nil && d.abandoned(m, now):
+			d.noteAbandoned(m, now)
 			v.lost = append(v.lost, m.id)
 			v.size++
 			continue
 		}
 		v.size++
-		if m.draining != "" {
+		if m.drainReason != "" {
 			if len(m.attempts) == 0 {
 				v.emptied = append(v.emptied, m.id)
 			} else {
@@ -57,24 +57,24 @@
 			}
 			continue
 		}
-		if m.heard && silent {
+		if m.confirmed && silent {
 			v.healthy = false
 			continue
 		}
-		if m.typ == nil || m.inTrouble(now) || (!m.heard && d.bootOverdue(m, now)) {
+		if m.machineType == nil || m.quarantined(now) || (!m.confirmed && d.provisioningOverdue(m, now)) {
 			continue
 		}
 		s := candidateOf(m)
 		p.candidates = append(p.candidates, &s)
 	}
-	if d.certain(now) {
-		d.learnPerGPU(now)
+	if d.leaseValid(now) {
+		d.updatePerGPU(now)
 		d.shortage(p, d.demands(now), v.size, now)
-		v.wanted, v.hurried, v.boots = p.wanted, p.hurried(), make(map[string]float64, len(d.types))
+		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, len(d.types))
 		for name, t := range d.types {
-			v.boots[name] = t.BootS
+			v.bootSeconds[name] = t.BootS
 		}
-		if v.hurried == 0 && v.healthy && !v.draining {
+		if v.nonOpportunistic == 0 && v.healthy && !v.draining {
 			v.surplus = d.findSurplus(p, now)
 		}
 	}
@@ -84,12 +84,12 @@
 // drain has nothing more placed on a machine and moves its tasks: services and
 // what can save its progress restart elsewhere, others may finish unless the
 // machine is being taken.
-func (d *dispatcher) drain(m *machine, reason string) {
-	if m.draining != "" || m.returning {
+func (d *scheduler) drain(m *machine, reason string) {
+	if m.drainReason != "" || m.terminating {
 		return
 	}
-	m.draining = reason
-	d.log.Info("drain", "machine", m.id, "type", m.kind, "spot", m.spot, "reason", reason, "tasks", len(m.attempts))
+	m.drainReason = reason
+	d.log.Info("drain", "machine", m.id, "type", m.typeName, "spot", m.spot, "reason", reason, "tasks", len(m.attempts))
 	now := time.Now()
 	for _, a := range m.sortedAttempts() {
 		s := &a.job.spec
@@ -97,53 +97,53 @@
 		case s.Gang:
 			d.drainGang(a, now)
 		case s.Service:
-			d.stop(a, 0)
+			d.stopAttempt(a, 0)
 		case s.CheckpointS > 0:
-			d.stop(a, s.SaveS) // goes on elsewhere from where it was
-		case m.noticeAt.IsZero():
-		case !a.seen || a.state == Pulling || seconds(s.EstimateS)-now.Sub(a.started) > m.noticeAt.Sub(now):
-			d.stop(a, 0)
+			d.stopAttempt(a, s.SaveS) // goes on elsewhere from where it was
+		case m.preemptionAt.IsZero():
+		case !a.reported || a.state == Pulling || seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
+			d.stopAttempt(a, 0)
 		}
 	}
-	d.stopSeen(m)
-	d.place = true
+	d.commandStops(m)
+	d.placementDue = true
 }
 
 // drainSurplus drains a machine that the fleet can do without, unless it has got
 // work since that was found. An empty one is returned at once.
-func (d *dispatcher) drainSurplus(msg drainMsg) {
-	d.drains++
+func (d *scheduler) drainSurplus(msg drainMsg) {
+	d.drainsRequested++
 	m := d.machines[msg.surplus.machine]
 	if m == nil || len(m.attempts) > msg.surplus.attempts {
-		d.capacity.post(drainedMsg{})
+		d.autoscaler.post(drainedMsg{})
 		return
 	}
 	d.drain(m, msg.reason)
 	if len(m.attempts) == 0 {
-		d.returnMachines([]int{m.id})
-		d.capacity.post(drainedMsg{})
+		d.terminateMachines([]int{m.id})
+		d.autoscaler.post(drainedMsg{})
 	}
 }
 
 // handleList takes in what the cloud lists. Absence from a list proves
 // nothing; a machine is only let go once its lease has surely ended too.
-func (d *dispatcher) handleList(machines []ListedMachine) {
+func (d *scheduler) handleList(machines []ListedMachine) {
 	now := time.Now()
-	d.listed = true
+	d.machinesListed = true
 	seen := make(map[int]bool, len(machines))
 	for _, l := range machines {
 		seen[l.Machine] = true
 		m, known := d.machines[l.Machine]
 		if !known {
-			if d.removed[l.Machine] {
+			if d.terminated[l.Machine] {
 				continue
 			}
-			m = d.machine(l.Machine)
-			m.born, m.bornSeen = now.Add(-seconds(l.AgeS)), true
+			m = d.machineFor(l.Machine)
+			m.firstSeen, m.provisioningObserved = now.Add(-seconds(l.AgeS)), true
 			d.log.Info("unexpected machine", "machine", l.Machine, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
 		}
-		if m.kind == "" {
-			m.kind, m.zone, m.spot, m.typ = l.Type, l.Zone, l.Spot, d.types[l.Type]
+		if m.typeName == "" {
+			m.typeName, m.zone, m.spot, m.machineType = l.Type, l.Zone, l.Spot, d.types[l.Type]
 		}
 		if m.addr == "" {
 			m.addr = l.Addr
@@ -151,63 +151,63 @@
 		m.listedAt = now
 		m.failed = l.State == Failed
 	}
-	for _, m := range slices.Clone(d.order) {
-		silent := now.Sub(m.lastHeard) > d.settings.WorkerLease && now.Sub(m.born) > d.settings.WorkerLease+4*d.settings.ListLag
-		if !seen[m.id] && !m.returning && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.emptyBy(m)) {
+	for _, m := range slices.Clone(d.machineOrder) {
+		silent := now.Sub(m.lastContact) > d.settings.WorkerLease && now.Sub(m.firstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
+		if !seen[m.id] && !m.terminating && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.provenEmptyAt(m)) {
 			d.removeMachine(m.id, "no longer listed")
 		}
 	}
 }
 
 // removeMachine forgets a machine that the cloud has surely taken.
-func (d *dispatcher) removeMachine(id int, why string) {
+func (d *scheduler) removeMachine(id int, why string) {
 	m := d.machines[id]
 	if m == nil {
 		return
 	}
 	for _, a := range m.sortedAttempts() {
-		d.free(a, "its machine is gone")
+		d.removeAttempt(a, "its machine is gone")
 	}
 	d.dropMachine(m)
-	d.mark(storage.MachineKey(id), removed)
+	d.markRecord(storage.MachineKey(id), removed)
 	d.log.Info("machine gone", "machine", id, "why", why)
-	d.place = true
+	d.placementDue = true
 }
 
-func (d *dispatcher) handleRented(msg rentedMsg) {
+func (d *scheduler) handleLaunched(msg launchedMsg) {
 	now := time.Now()
 	for _, id := range msg.machines {
 		m, known := d.machines[id]
 		if !known {
-			if d.removed[id] {
+			if d.terminated[id] {
 				continue
 			}
-			m = d.machine(id)
-			m.born, m.bornSeen, m.listedAt = now, true, now
+			m = d.machineFor(id)
+			m.firstSeen, m.provisioningObserved, m.listedAt = now, true, now
 		}
-		if m.kind == "" {
-			m.kind, m.zone, m.spot, m.typ = msg.rental.Type, msg.rental.Zone, msg.rental.Spot, d.types[msg.rental.Type]
+		if m.typeName == "" {
+			m.typeName, m.zone, m.spot, m.machineType = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.types[msg.launch.Type]
 		}
 	}
-	d.place = true
+	d.placementDue = true
 }
 
-// returnMachines has machines returned, once it is durable that they will be. The
+// terminateMachines has machines returned, once it is durable that they will be. The
 // cloud may carry out a deletion late, so there is no way back from here.
-func (d *dispatcher) returnMachines(ids []int) {
+func (d *scheduler) terminateMachines(ids []int) {
 	if len(ids) == 0 {
 		return
 	}
 	for _, id := range ids {
-		if m := d.machines[id]; !m.returning {
-			d.log.Info("return", "machine", id, "type", m.kind, "spot", m.spot, "draining", m.draining, "failed", m.failed, "age", time.Since(m.born))
-			m.returning = true
+		if m := d.machines[id]; !m.terminating {
+			d.log.Info("return", "machine", id, "type", m.typeName, "spot", m.spot, "draining", m.drainReason, "failed", m.failed, "age", time.Since(m.firstSeen))
+			m.terminating = true
 			d.markMachine(m)
 		}
 	}
 	d.onCommit(func(err error) {
 		if err == nil {
-			d.capacity.post(returnMsg{ids})
+			d.autoscaler.post(terminateMsg{ids})
 		}
 	})
 }
--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -16,8 +16,8 @@
 // delegation.go.
 
 const (
-	// batchMost is how many reports one batch for the leader holds.
-	batchMost = 128
+	// maxBatchReports is how many reports one batch for the leader holds.
+	maxBatchReports = 128
 	// workerMemoryLeases is how long a silent worker is remembered, in leases.
 	workerMemoryLeases = 2
 )
@@ -42,11 +42,11 @@
 
 // knownWorker is what is remembered of a worker that reports here.
 type knownWorker struct {
-	session, seq uint64
-	digest       uint64    // of the last report that the leader answered
-	lastAnswered time.Time // when a report of its was last answered 200
-	lastSeen     time.Time
-	redirected   time.Time
+	incarnation, seq uint64
+	digest           uint64    // of the last report that the leader answered
+	lastAcknowledged time.Time // when a report of its was last answered 200
+	lastSeen         time.Time
+	redirected       time.Time
 }
 
 // pendingReport is a report on its way.
@@ -59,8 +59,8 @@
 
 // decidedBatch is what became of a batch; without answers nobody decided on it.
 type decidedBatch struct {
-	reports []pendingReport
-	answers []HeartbeatResponse
+	reports   []pendingReport
+	responses []HeartbeatResponse
 }
 
 func newForwarder(n *Node) *forwarder {
@@ -90,7 +90,7 @@
 func (c *forwarder) run(ctx context.Context) {
 	sweep := time.NewTicker(c.settings.WorkerLease)
 	defer sweep.Stop()
-	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / touchesPerLease)
+	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / renewalsPerLease)
 	defer refresh.Stop()
 	for {
 		select {
@@ -122,10 +122,10 @@
 // atomicTime is a point in time that one goroutine publishes for others.
 type atomicTime struct{ at atomic.Pointer[time.Time] }
 
-func (m *atomicTime) mark(now time.Time) { m.at.Store(&now) }
+func (m *atomicTime) Mark(now time.Time) { m.at.Store(&now) }
 
-// since is how long ago it was; never if there was none yet.
-func (m *atomicTime) since(never time.Duration) time.Duration {
+// Since is how long ago it was; never if there was none yet.
+func (m *atomicTime) Since(never time.Duration) time.Duration {
 	if at := m.at.Load(); at != nil {
 		return time.Since(*at)
 	}
@@ -135,7 +135,7 @@
 // accept sends one report on its way.
 func (c *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
-	c.lastHeartbeat.mark(now)
+	c.lastHeartbeat.Mark(now)
 	p.digest = c.digest(p.report)
 	worker := c.workers[p.report.Machine]
 	if worker == nil {
@@ -151,8 +151,8 @@
 	v := c.node.view.Load()
 	leader, _ := c.node.leader(v)
 	switch {
-	case v.dispatcher != nil:
-		go c.decide(ctx, []pendingReport{p}, v.dispatcher.heartbeats)
+	case v.scheduler != nil:
+		go c.decide(ctx, []pendingReport{p}, v.scheduler.heartbeats)
 	case leader == "" || leader == c.settings.NodeName:
 		c.answerDelegated(p, now)
 	case c.node.deps.Peers.UnreachableFor(leader) > 0:
@@ -171,7 +171,7 @@
 		c.leader = leader
 	}
 	c.pending = append(c.pending, p)
-	if len(c.pending) >= batchMost {
+	if len(c.pending) >= maxBatchReports {
 		c.send(ctx)
 	} else if c.flush == nil {
 		c.flush = time.After(c.settings.BatchWindow())
@@ -212,21 +212,21 @@
 func (c *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
 	for i, p := range d.reports {
-		if i >= len(d.answers) || d.answers[i].Undecided {
+		if i >= len(d.responses) || d.responses[i].Undecided {
 			c.answerDelegated(p, now)
 			continue
 		}
 		worker := c.workers[p.report.Machine]
-		if a := d.answers[i]; a.Accepted && worker != nil && !worker.stale(p.report) {
-			worker.session, worker.seq, worker.digest, worker.lastAnswered = p.report.Session, p.report.Seq, p.digest, now
+		if a := d.responses[i]; a.Accepted && worker != nil && !worker.stale(p.report) {
+			worker.incarnation, worker.seq, worker.digest, worker.lastAcknowledged = p.report.Session, p.report.Seq, p.digest, now
 		}
-		p.reply <- d.answers[i]
+		p.reply <- d.responses[i]
 	}
 }
 
 // stale tells whether a report is a late copy of what was answered already.
 func (worker *knownWorker) stale(r *Report) bool {
-	return r.Session < worker.session || r.Session == worker.session && r.Seq <= worker.seq
+	return r.Session < worker.incarnation || r.Session == worker.incarnation && r.Seq <= worker.seq
 }
 
 // digest sums up what a report tells, but for its number.
--- a/internal/coordination/gang_page_test.go
+++ b/internal/coordination/gang_page_test.go
@@ -13,7 +13,7 @@
 
 // rivalGangs are two gangs of three tasks that run, each with two tasks that fill a
 // machine and one elsewhere; the machine of the first one's third task is returned.
-func rivalGangs(d *dispatcher, now time.Time) (first, second *job, elsewhere *machine) {
+func rivalGangs(d *scheduler, now time.Time) (first, second *job, elsewhere *machine) {
 	for m := 1; m <= 4; m++ {
 		d.up(m, "cpu", "a", false)
 	}
@@ -22,10 +22,10 @@
 		spec.Room, spec.Priority = storage.Room{CPUs: 4, MemoryGB: 8}, storage.Normal
 		j := d.accept(spec)
 		for i, m := range machines {
-			d.enter(&attempt{job: j, task: i, try: try, on: d.machines[m], session: 1, ownTerm: true, durable: true, seen: true,
-				state: Running, booked: now, started: now.Add(-time.Minute)})
+			d.addAttempt(&attempt{job: j, task: i, number: try, machine: d.machines[m], incarnation: 1, thisTerm: true, durable: true, reported: true,
+				state: Running, reservedAt: now, started: now.Add(-time.Minute)})
 		}
-		j.gang.ran = true
+		j.gang.started = true
 		return j
 	}
 	first, second = enter("000001", 8, 1, 1, 3), enter("000002", 9, 2, 2, 4)
@@ -41,9 +41,9 @@
 // stops counts a job's attempts that are to be stopped, and those that may save.
 func stops(j *job) (stopped, saving int) {
 	for _, a := range j.attempts {
-		if a.stop {
+		if a.stopping {
 			stopped++
-			if a.graceS > 0 {
+			if a.graceSeconds > 0 {
 				saving++
 			}
 		}
@@ -56,12 +56,12 @@
 func TestAGangThatCantBeStoppedInOrderIsSpared(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble func(d *dispatcher, m *machine)
+		trouble func(d *scheduler, m *machine)
 	}{
-		{"its machine is silent", func(d *dispatcher, m *machine) { m.lastHeard = m.lastHeard.Add(-2 * d.settings.HeartbeatInterval) }},
-		{"its machine leaves orders unanswered", func(_ *dispatcher, m *machine) { m.inFlight = directMost }},
-		{"its machine reports and can't be reached", func(d *dispatcher, m *machine) { d.unreached[m.id] = true }},
-		{"its machine doesn't do as it is told", func(_ *dispatcher, m *machine) { m.unresponsive = true }},
+		{"its machine is silent", func(d *scheduler, m *machine) { m.lastContact = m.lastContact.Add(-2 * d.settings.HeartbeatInterval) }},
+		{"its machine leaves orders unanswered", func(_ *scheduler, m *machine) { m.inFlight = maxInFlightCommands }},
+		{"its machine reports and can't be reached", func(d *scheduler, m *machine) { d.commandsFailing[m.id] = true }},
+		{"its machine doesn't do as it is told", func(_ *scheduler, m *machine) { m.unresponsive = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -87,8 +87,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
-		elsewhere.inFlight = directMost
-		d.machines[4].inFlight = directMost
+		elsewhere.inFlight = maxInFlightCommands
+		d.machines[4].inFlight = maxInFlightCommands
 		d.accept(urgentService())
 		d.placeRound(time.Now())
 		n1, saving1 := stops(first)
@@ -108,10 +108,10 @@
 			first, _, elsewhere := rivalGangs(d, time.Now())
 			first.spec.EstimateS = 1000
 			if !reachable {
-				elsewhere.inFlight = directMost
+				elsewhere.inFlight = maxInFlightCommands
 			}
 			m := d.machines[1]
-			m.noticeAt = time.Now().Add(10 * time.Second)
+			m.preemptionAt = time.Now().Add(10 * time.Second)
 			d.drain(m, "spot notice")
 			if n, saving := stops(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
 				t.Errorf("reachable %v: %d tasks are stopped, %d with time to save", reachable, n, saving)
@@ -126,11 +126,11 @@
 		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
-		d.applyTask(one, &Report{Session: 1}, TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CausePeers}, time.Now())
-		if one.failures.Suspected() || !one.pauseTill.IsZero() || len(j.failures.Machines()) != 0 {
+		d.applyTaskReport(one, &Report{Session: 1}, TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CausePeers}, time.Now())
+		if one.failures.Suspected() || !one.quarantinedUntil.IsZero() || len(j.failures.Machines()) != 0 {
 			t.Errorf("failures of the machine %+v, of the job %+v", one.failures, j.failures)
 		}
-		if a := j.attempts[1]; a == nil || !a.stop {
+		if a := j.attempts[1]; a == nil || !a.stopping {
 			t.Error("the rest of an attempt that can't be completed goes on")
 		}
 	})
@@ -145,17 +145,17 @@
 		spec := gangOf("000001", 2)
 		spec.Room.CPUs = 4
 		j := d.gangOn(spec, Gathering, full, full)
-		d.free(j.attempts[0], "its machine is gone")
+		d.removeAttempt(j.attempts[0], "its machine is gone")
 		blocker := service("000002", 1)
 		blocker.Room.CPUs = 4
-		d.book(d.accept(blocker), 0, full, time.Now())
+		d.reserve(d.accept(blocker), 0, full, time.Now())
 		d.placeRound(time.Now())
 		if a := j.attempts[0]; a != nil {
-			t.Errorf("replaced on machine %d of another zone", a.on.id)
+			t.Errorf("replaced on machine %d of another zone", a.machine.id)
 		}
-		d.free(j.attempts[1], "ended")
+		d.removeAttempt(j.attempts[1], "ended")
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 || j.attempts[0].on != other {
+		if len(j.attempts) != 2 || j.attempts[0].machine != other {
 			t.Errorf("begun anew with %d tasks", len(j.attempts))
 		}
 	})
@@ -172,7 +172,7 @@
 		if a := j.answer(CodeOK); a.Running != 3 || a.State != StateRunning {
 			t.Errorf("told %+v", a)
 		}
-		d.free(j.attempts[0], "ended")
+		d.removeAttempt(j.attempts[0], "ended")
 		if a := j.answer(CodeOK); a.Running != 2 || a.State != StateRunning {
 			t.Errorf("told %+v", a)
 		}
@@ -193,11 +193,11 @@
 			d.placeRound(time.Now())
 			for _, j := range []*job{array, replicas} {
 				for _, a := range j.gangAttempts() {
-					if id, taken := used[a.try]; taken {
+					if id, taken := used[a.number]; taken {
 						t.Errorf("%v starts under the number of %v", a.id(), id)
 					}
-					used[a.try] = a.id()
-					d.free(a, "lost")
+					used[a.number] = a.id()
+					d.removeAttempt(a, "lost")
 				}
 			}
 		}
@@ -235,9 +235,9 @@
 			{ID: TaskID{"000001", 1}, Try: 9, State: Gathering},
 			{ID: TaskID{"999999", 0}, Try: 9, State: Running},
 		} {
-			d.applyTask(m, &Report{Session: 1}, r, time.Now())
+			d.applyTaskReport(m, &Report{Session: 1}, r, time.Now())
 		}
-		if n, _ := stops(j); j.done != 0 || len(j.attempts) != 2 || n != 0 || !j.gang.ran || j.gang.over {
+		if n, _ := stops(j); j.done != 0 || len(j.attempts) != 2 || n != 0 || !j.gang.started || j.gang.failed {
 			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.done, len(j.attempts), n, j.gang)
 		}
 	})
--- a/internal/coordination/gang_placement.go
+++ b/internal/coordination/gang_placement.go
@@ -7,10 +7,10 @@
 // placeGang reserves room for all waiting tasks of a gang in one decision, or for
 // none: they are all of its tasks, or what is to be replaced of an attempt that
 // hasn't run.
-func (d *dispatcher) placeGang(j *job, r *round) {
-	if len(j.attempts) > 0 && !j.whole() {
-		if j.gang.over {
-			d.disband(j)
+func (d *scheduler) placeGang(j *job, r *round) {
+	if len(j.attempts) > 0 && !j.gangCompletable() {
+		if j.gang.failed {
+			d.abortGang(j)
 		}
 		return // the earlier attempt isn't over everywhere
 	}
@@ -20,30 +20,30 @@
 	plan := d.planGang(j, r)
 	if plan == nil {
 		if !d.preemptGang(j, r) {
-			d.holdForGang(j, r)
+			d.reserveForGang(j, r)
 		}
 		return
 	}
 	if len(j.attempts) == 0 {
-		d.nextTry++
-		j.gang = gang{try: d.nextTry}
+		d.lastAttempt++
+		j.gang = gang{number: d.lastAttempt}
 	}
-	try := j.gang.try
+	try := j.gang.number
 	for _, s := range plan {
 		task, ok := j.nextWaiting()
 		if !ok {
 			return
 		}
-		d.nextTry++
-		a := &attempt{job: j, task: task, try: try, on: s.on, session: s.on.session, ownTerm: true, booked: r.now}
-		d.enter(a)
+		d.lastAttempt++
+		a := &attempt{job: j, task: task, number: try, machine: s.machine, incarnation: s.machine.incarnation, thisTerm: true, reservedAt: r.now}
+		d.addAttempt(a)
 		d.markPage(j, task)
-		r.booked = append(r.booked, a)
+		r.reserved = append(r.reserved, a)
 	}
 }
 
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
-func (d *dispatcher) gangWithinLimit(j *job) bool {
+func (d *scheduler) gangWithinLimit(j *job) bool {
 	team := d.settings.team(j.spec.Team)
 	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
 }
@@ -51,7 +51,7 @@
 // planGang finds a candidate for each waiting task of a gang and takes the room there,
 // or takes none. Among several zones that would do it takes the one where the
 // tasks start soonest.
-func (d *dispatcher) planGang(j *job, r *round) []*candidate {
+func (d *scheduler) planGang(j *job, r *round) []*candidate {
 	var best []*candidate
 	bestTiers := 0
 	for _, group := range d.gangCandidates(j, r) {
@@ -68,13 +68,13 @@
 
 // gangCandidates lists the candidates that a gang may use, by zone if all its tasks must be
 // in one.
-func (d *dispatcher) gangCandidates(j *job, r *round) [][]*candidate {
+func (d *scheduler) gangCandidates(j *job, r *round) [][]*candidate {
 	zones := newZoneCheck(j)
 	var groups [][]*candidate
 	for _, zone := range r.zones {
 		var group []*candidate
 		for _, s := range r.candidates {
-			if s.zone == zone && s.admits(j, &zones) && !j.gang.left[s.on.id] {
+			if s.zone == zone && s.admits(j, &zones) && !j.gang.exitedOn[s.machine.id] {
 				group = append(group, s)
 			}
 		}
@@ -91,7 +91,7 @@
 
 // planIn finds candidates for all waiting tasks among some, each the better of two
 // samples of the best tier, without taking the room for good.
-func (d *dispatcher) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
+func (d *scheduler) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
 	room := 0
 	for _, s := range group {
 		if j.spec.Room.Fits(s.free) {
@@ -134,11 +134,11 @@
 	return plan, tiers
 }
 
-// holdForGang keeps what room there is for a gang that finds too little, from work
+// reserveForGang keeps what room there is for a gang that finds too little, from work
 // that is less urgent; only for one gang in a round, so that two never hold parts of
 // the room that each lacks.
-func (d *dispatcher) holdForGang(j *job, r *round) {
-	if r.held || r.now.Sub(j.submitted) < d.settings.HeartbeatInterval {
+func (d *scheduler) reserveForGang(j *job, r *round) {
+	if r.gangHolds || r.now.Sub(j.submitted) < d.settings.HeartbeatInterval {
 		return
 	}
 	var best []*candidate
@@ -146,25 +146,25 @@
 	for _, group := range d.gangCandidates(j, r) {
 		n := 0
 		for _, s := range group {
-			n += s.tasksOf(j)
+			n += s.capacityFor(j)
 		}
 		if n > most {
 			best, most = group, n
 		}
 	}
-	r.held = most > 0
+	r.gangHolds = most > 0
 	left := j.waiting
 	for _, s := range best {
-		n := min(left, s.tasksOf(j))
-		s.claim(j.spec.Room.Times(n))
+		n := min(left, s.capacityFor(j))
+		s.takeReleasing(j.spec.Room.Times(n))
 		left -= n
 	}
 }
 
-// tasksOf is how many tasks of a job fit into what is free in the candidate and what is
+// capacityFor is how many tasks of a job fit into what is free in the candidate and what is
 // being freed.
-func (s *candidate) tasksOf(j *job) int {
-	if free := s.free.Plus(s.freeing); j.spec.Room.Fits(free) {
+func (s *candidate) capacityFor(j *job) int {
+	if free := s.free.Plus(s.releasing); j.spec.Room.Fits(free) {
 		return fitCount(free, j.spec.Room)
 	}
 	return 0
--- a/internal/coordination/gang_preemption.go
+++ b/internal/coordination/gang_preemption.go
@@ -10,9 +10,9 @@
 // gangReachable tells whether all of a gang's tasks can be told to stop within
 // gang_peer_s of each other, as far as is known. Where one can't, the others exit
 // without it and the save fails.
-func (d *dispatcher) gangReachable(j *job, now time.Time) bool {
+func (d *scheduler) gangReachable(j *job, now time.Time) bool {
 	for _, a := range j.attempts {
-		if !d.reachable(a.on, now) {
+		if !d.reachable(a.machine, now) {
 			return false
 		}
 	}
@@ -24,58 +24,58 @@
 const reachableReports = 1.5
 
 // reachable tells whether a direct order is likely to reach a machine at once.
-func (d *dispatcher) reachable(m *machine, now time.Time) bool {
-	return m.addr != "" && m.inFlight < directMost && !m.unresponsive && !d.unreached[m.id] &&
-		now.Sub(m.lastHeard) <= scale(d.settings.HeartbeatInterval, reachableReports)
+func (d *scheduler) reachable(m *machine, now time.Time) bool {
+	return m.addr != "" && m.inFlight < maxInFlightCommands && !m.unresponsive && !d.commandsFailing[m.id] &&
+		now.Sub(m.lastContact) <= scale(d.settings.HeartbeatInterval, reachableReports)
 }
 
-// claimed is a candidate that a gang may take once some of its tasks are stopped.
-type claimed struct {
-	s       *candidate
-	tasks   int
-	victims []*attempt
-	cost    float64
+// gangPreemption is a candidate that a gang may take once some of its tasks are stopped.
+type gangPreemption struct {
+	candidate *candidate
+	tasks     int
+	victims   []*attempt
+	cost      float64
 }
 
 // preemptGang makes room for all waiting tasks of a gang by stopping work of lower
 // priority, the least worth for its room first, or stops nothing.
-func (d *dispatcher) preemptGang(j *job, r *round) bool {
+func (d *scheduler) preemptGang(j *job, r *round) bool {
 	if j.spec.Priority <= storage.BestEffort || j.spec.Spread {
 		return false
 	}
-	var best []claimed
+	var best []gangPreemption
 	bestCost := 0.0
 	for _, group := range d.gangCandidates(j, r) {
-		if plan, cost := d.gangClaims(j, group, r.now); plan != nil && (best == nil || cost < bestCost) {
+		if plan, cost := d.planGangPreemption(j, group, r.now); plan != nil && (best == nil || cost < bestCost) {
 			best, bestCost = plan, cost
 		}
 	}
 	for _, c := range best {
 		for _, v := range c.victims {
-			d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.on.id, "for", j.spec.ID)
-			c.s.freeing = c.s.freeing.Plus(v.job.spec.Room)
+			d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.machine.id, "for", j.spec.ID)
+			c.candidate.releasing = c.candidate.releasing.Plus(v.job.spec.Room)
 			d.preemptOne(v, r.now)
 		}
-		c.s.claim(j.spec.Room.Times(c.tasks))
-		d.stopSeen(c.s.on)
+		c.candidate.takeReleasing(j.spec.Room.Times(c.tasks))
+		d.commandStops(c.candidate.machine)
 	}
 	return best != nil
 }
 
-// gangClaims finds candidates for all waiting tasks of a gang, with what must be stopped
+// planGangPreemption finds candidates for all waiting tasks of a gang, with what must be stopped
 // there.
-func (d *dispatcher) gangClaims(j *job, group []*candidate, now time.Time) (plan []claimed, cost float64) {
-	var all []claimed
+func (d *scheduler) planGangPreemption(j *job, group []*candidate, now time.Time) (plan []gangPreemption, cost float64) {
+	var all []gangPreemption
 	room := 0
 	for _, s := range group {
-		most := s.free.Plus(s.freeing)
-		for _, live := range s.on.live[:j.spec.Priority] {
+		most := s.free.Plus(s.releasing)
+		for _, live := range s.machine.running[:j.spec.Priority] {
 			most = most.Plus(live)
 		}
 		if !j.spec.Room.Fits(most) {
 			continue
 		}
-		c := claimed{s: s, tasks: min(j.waiting, fitCount(most, j.spec.Room))}
+		c := gangPreemption{candidate: s, tasks: min(j.waiting, fitCount(most, j.spec.Room))}
 		if victims, cost, ok := d.victims(s, j.spec.Room.Times(c.tasks), preemptor{priority: j.spec.Priority}, now); ok {
 			c.victims, c.cost = victims, cost
 			all = append(all, c)
@@ -85,7 +85,7 @@
 	if room < j.waiting {
 		return nil, 0
 	}
-	slices.SortStableFunc(all, func(a, b claimed) int {
+	slices.SortStableFunc(all, func(a, b gangPreemption) int {
 		switch x, y := a.cost/float64(a.tasks), b.cost/float64(b.tasks); {
 		case x < y:
 			return -1
@@ -99,7 +99,7 @@
 		all = all[1:]
 		if c.tasks > left {
 			c.tasks = left
-			c.victims, c.cost, _ = d.victims(c.s, j.spec.Room.Times(left), preemptor{priority: j.spec.Priority}, now)
+			c.victims, c.cost, _ = d.victims(c.candidate, j.spec.Room.Times(left), preemptor{priority: j.spec.Priority}, now)
 		}
 		plan, left, cost = append(plan, c), left-c.tasks, cost+c.cost
 	}
@@ -108,13 +108,13 @@
 
 // preemptOne stops a task for a more urgent one; with a gang's, the gang: in order,
 // or at once where its progress can't be saved all the same.
-func (d *dispatcher) preemptOne(v *attempt, now time.Time) {
+func (d *scheduler) preemptOne(v *attempt, now time.Time) {
 	switch {
-	case !v.job.spec.Gang || !v.job.gang.ran:
-		d.stop(v, v.job.spec.SaveS)
+	case !v.job.spec.Gang || !v.job.gang.started:
+		d.stopAttempt(v, v.job.spec.SaveS)
 	case d.gangReachable(v.job, now):
 		d.stopGang(v.job)
 	default:
-		d.disband(v.job)
+		d.abortGang(v.job)
 	}
 }
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -247,12 +247,12 @@
 		for i := range 4 {
 			m := d.up(i, "cpu", "a", false)
 			for k := range 2 {
-				d.enter(&attempt{job: j, task: 2*i + k, try: uint64(1 + 2*i + k), on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
+				d.addAttempt(&attempt{job: j, task: 2*i + k, number: uint64(1 + 2*i + k), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
 			}
 		}
 		stopped := func() (n int) {
 			for _, a := range j.attempts {
-				if a.stop {
+				if a.stopping {
 					n++
 				}
 			}
@@ -264,7 +264,7 @@
 			t.Errorf("%d stopped for a gang that finds no room all the same", n)
 		}
 		g := d.accept(gangOf("000003", 5))
-		d.jobs.get("000002").pauseTill = time.Now().Add(time.Hour)
+		d.jobs.get("000002").retryAfter = time.Now().Add(time.Hour)
 		time.Sleep(time.Second)
 		d.placeRound(time.Now())
 		if n := stopped(); n != 3 || len(g.attempts) != 0 {
@@ -276,8 +276,8 @@
 			t.Errorf("%d stopped at the second look", n)
 		}
 		for _, a := range j.gangAttempts() {
-			if a.stop {
-				d.free(a, "stopped")
+			if a.stopping {
+				d.removeAttempt(a, "stopped")
 			}
 		}
 		d.placeRound(time.Now())
@@ -298,15 +298,15 @@
 			machines = append(machines, d.up(i, "cpu", "a", false))
 		}
 		for i := range 4 {
-			d.enter(&attempt{job: g, task: i, try: 9, on: machines[i/2], session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
+			d.addAttempt(&attempt{job: g, task: i, number: 9, machine: machines[i/2], incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
 		}
-		g.gang.ran = true
+		g.gang.started = true
 		urgent := service("000002", 1)
 		urgent.Room = storage.Room{CPUs: 8, MemoryGB: 8}
 		d.accept(urgent)
 		d.placeRound(time.Now())
 		for _, a := range g.gangAttempts() {
-			if !a.stop || a.graceS != g.spec.SaveS || !a.stopSent {
+			if !a.stopping || a.graceSeconds != g.spec.SaveS || !a.stopCommanded {
 				t.Errorf("task %d: %+v", a.task, a)
 			}
 		}
@@ -329,14 +329,14 @@
 			d.up(i, "cpu", "a", false)
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 || !j.attempts[0].stop || !j.attempts[1].stop {
+		if len(j.attempts) != 2 || !j.attempts[0].stopping || !j.attempts[1].stopping {
 			t.Errorf("attempts %+v", j.attempts)
 		}
 		for _, a := range j.gangAttempts() {
-			d.free(a, "proved gone")
+			d.removeAttempt(a, "proved gone")
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 3 || len(map[uint64]bool{j.attempts[0].try: true, j.attempts[1].try: true, j.attempts[2].try: true}) != 1 {
+		if len(j.attempts) != 3 || len(map[uint64]bool{j.attempts[0].number: true, j.attempts[1].number: true, j.attempts[2].number: true}) != 1 {
 			t.Errorf("attempts %+v", j.attempts)
 		}
 	})
@@ -352,20 +352,20 @@
 		}
 		d.accept(gangOf("000001", 9)) // eight fit in zone a, four in b
 		p := d.trialPacking()
-		if len(p.wanted) != 1 || p.wanted[0].zone != "a" {
-			t.Errorf("wanted %+v", p.wanted)
+		if len(p.desired) != 1 || p.desired[0].zone != "a" {
+			t.Errorf("wanted %+v", p.desired)
 		}
 	})
 }
 
 // gangOn enters a gang's attempt with a task on each of the machines.
-func (d *dispatcher) gangOn(spec storage.Spec, state TaskState, machines ...*machine) *job {
+func (d *scheduler) gangOn(spec storage.Spec, state TaskState, machines ...*machine) *job {
 	j := d.accept(spec)
 	for i, m := range machines {
-		d.enter(&attempt{job: j, task: i, try: 9, on: m, session: 1, ownTerm: true, durable: true, seen: true, state: state, booked: time.Now(), started: time.Now(), gatheringSince: time.Now()})
+		d.addAttempt(&attempt{job: j, task: i, number: 9, machine: m, incarnation: 1, thisTerm: true, durable: true, reported: true, state: state, reservedAt: time.Now(), started: time.Now(), gatheringSince: time.Now()})
 	}
-	d.nextTry = 9
-	j.gang.ran = state == Running
+	d.lastAttempt = 9
+	j.gang.started = state == Running
 	return j
 }
 
@@ -376,9 +376,9 @@
 		d := newTestDispatcher(t, grownSettings())
 		j := d.gangOn(gangOf("000001", 3), Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
 		d.up(4, "cpu", "a", false)
-		d.free(j.attempts[0], "its machine is gone")
+		d.removeAttempt(j.attempts[0], "its machine is gone")
 		for _, a := range j.gangAttempts() {
-			if !a.stop || a.graceS != 0 {
+			if !a.stopping || a.graceSeconds != 0 {
 				t.Errorf("task %d goes on: %+v", a.task, a)
 			}
 		}
@@ -387,10 +387,10 @@
 			t.Errorf("%d attempts while the earlier one isn't over", len(j.attempts))
 		}
 		for _, a := range j.gangAttempts() {
-			d.free(a, "ended")
+			d.removeAttempt(a, "ended")
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 3 || j.attempts[0].try == 9 {
+		if len(j.attempts) != 3 || j.attempts[0].number == 9 {
 			t.Errorf("begun anew as %+v", j.gang)
 		}
 	})
@@ -404,13 +404,13 @@
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, one)
 		j.attempts[0].state = Ended
-		d.ended(j.attempts[0], TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CauseStopped}, time.Now())
+		d.attemptExited(j.attempts[0], TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CauseStopped}, time.Now())
 		if len(j.attempts) != 1 {
 			t.Fatalf("%d attempts are left", len(j.attempts))
 		}
-		one.images["img"] = image{gb: 1} // the better place, but for that
+		one.images["img"] = image{sizeGB: 1} // the better place, but for that
 		d.placeRound(time.Now())
-		if a := j.attempts[0]; a == nil || a.on != two || a.try != 9 {
+		if a := j.attempts[0]; a == nil || a.machine != two || a.number != 9 {
 			t.Errorf("replaced by %+v", a)
 		}
 	})
@@ -421,7 +421,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 3), Running, m, m, m)
-		d.ended(j.attempts[1], TaskReport{ID: TaskID{"000001", 1}, Try: 9, State: Ended, Cause: CauseDone}, time.Now())
+		d.attemptExited(j.attempts[1], TaskReport{ID: TaskID{"000001", 1}, Try: 9, State: Ended, Cause: CauseDone}, time.Now())
 		if j.done != 3 || j.phase != storage.Done {
 			t.Errorf("%d of 3 done, phase %v", j.done, j.phase)
 		}
@@ -438,13 +438,13 @@
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
 		j.attempts[1].state = Pulling
-		d.snapshotAt = time.Now().Add(time.Hour) // no snapshot of the fleet here
-		if d.tick(); j.attempts[1].stop {
+		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
+		if d.tick(); j.attempts[1].stopping {
 			t.Error("given up at once")
 		}
 		time.Sleep(s.GangWait * 45 / 100) // within the machines' leases
-		if d.tick(); j.attempts[0].stop || !j.attempts[1].stop {
-			t.Errorf("the waiting one: %v, the other: %v", j.attempts[0].stop, j.attempts[1].stop)
+		if d.tick(); j.attempts[0].stopping || !j.attempts[1].stopping {
+			t.Errorf("the waiting one: %v, the other: %v", j.attempts[0].stopping, j.attempts[1].stopping)
 		}
 	})
 }
@@ -462,8 +462,8 @@
 		if len(j.attempts) != 0 || d.gangDemand(j, s.team("small"), make(map[string]storage.Room)) != 0 {
 			t.Error("placed, or rented for, beyond the limit")
 		}
-		d.free(other.attempts[0], "ended")
-		other.pauseTill = time.Now().Add(time.Hour)
+		d.removeAttempt(other.attempts[0], "ended")
+		other.retryAfter = time.Now().Add(time.Hour)
 		d.placeRound(time.Now())
 		if len(j.attempts) != 2 {
 			t.Errorf("%d of 2 placed within the limit", len(j.attempts))
--- a/internal/coordination/gates.go
+++ b/internal/coordination/gates.go
@@ -12,7 +12,7 @@
 
 // mayUse tells whether something new may depend on a gate. An open gate is taken into use
 // before its first dependant is made, so that no version that lacks it can lead then.
-func (d *dispatcher) mayUse(name upgrade.GateName) bool {
+func (d *scheduler) mayUse(name upgrade.GateName) bool {
 	gate := d.gates.Gate(name)
 	if gate.Phase == upgrade.GateOpen && !gate.Used {
 		d.requestGate(name)
@@ -28,7 +28,7 @@
 
 // awaitGate keeps a submission until the use of an open gate is durable, as it would wait
 // for a commit. Where the gate is closed its user is told at once to come back.
-func (d *dispatcher) awaitGate(m userMsg, name upgrade.GateName, now time.Time) {
+func (d *scheduler) awaitGate(m userMsg, name upgrade.GateName, now time.Time) {
 	if d.gates.Gate(name).Phase != upgrade.GateOpen {
 		m.reply <- Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
 		return
@@ -37,7 +37,7 @@
 }
 
 // setGates takes in what is in force, and goes on with what waited for it.
-func (d *dispatcher) setGates(record upgrade.Record) {
+func (d *scheduler) setGates(record upgrade.Record) {
 	d.gates = record
 	d.useArchive()
 	d.activation.setGate(record.Gate(upgrade.Activation))
@@ -54,9 +54,9 @@
 
 // failGateWaiters tells those to come back who have waited for a gate for too long; all of
 // them if the lead isn't certain.
-func (d *dispatcher) failGateWaiters(now time.Time) {
+func (d *scheduler) failGateWaiters(now time.Time) {
 	d.gateWaiters = slices.DeleteFunc(d.gateWaiters, func(w gateWaiter) bool {
-		late := !d.certain(now) || now.Sub(w.since) > scale(d.settings.HeartbeatInterval, stallPerReport)
+		late := !d.leaseValid(now) || now.Sub(w.since) > scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 		if late {
 			w.msg.reply <- Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
@@ -82,19 +82,19 @@
 // termGates publishes what is in force to one term's actors. Each confirms it before
 // what depends on a gate is counted, so nothing can be missed.
 type termGates struct {
-	dispatcher *dispatcher
-	journal    *storage.Journal
+	scheduler *scheduler
+	journal   *storage.Journal
 }
 
 // setGates publishes a record; with count it also returns what depends on each gate.
 func (t termGates) setGates(ctx context.Context, record upgrade.Record, count bool) (upgrade.Usage, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
-	t.dispatcher.post(gatesMsg{record, reply})
+	t.scheduler.post(gatesMsg{record, reply})
 	var uses gateUses
 	select {
 	case uses = <-reply:
-	case <-t.dispatcher.closed:
+	case <-t.scheduler.closed:
 		return nil, errTermEnded
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -102,7 +102,7 @@
 	if !count {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, t.dispatcher.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.callTime())
 	defer cancel()
 	encoded, err := t.journal.MigrateStep(ctx)
 	if err != nil {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -20,7 +20,7 @@
 		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		answer := func() {
-			d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
+			d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
 		}
 		for range 2 * freshIntervals {
 			time.Sleep(s.HeartbeatInterval)
@@ -43,14 +43,14 @@
 		d := newTestDispatcher(t, grownSettings())
 		j := d.accept(service("000001", 1))
 		m := d.up(7, "cpu", "a", false)
-		a := d.book(j, 0, m, time.Now())
+		a := d.reserve(j, 0, m, time.Now())
 		j.phase = storage.Cancelled
-		d.start([]*attempt{a})
-		if a.direct != directNone {
+		d.startReserved([]*attempt{a})
+		if a.delivery != deliveryNone {
 			t.Error("started directly")
 		}
 		a.durable = true
-		for _, o := range d.ordersFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()) {
+		for _, o := range d.commandsFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()) {
 			if o.Verb == Start {
 				t.Error("started with the answer to a report")
 			}
@@ -141,9 +141,9 @@
 		d := newTestDispatcher(t, grownSettings())
 		j := d.accept(arrayJob("000001", 1))
 		m := d.up(7, "cpu", "a", false)
-		a := d.book(j, 0, m, time.Now())
+		a := d.reserve(j, 0, m, time.Now())
 		orders := func() []Order {
-			return d.ordersFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now())
+			return d.commandsFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now())
 		}
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the booking is durable", o)
@@ -153,8 +153,8 @@
 		if o := orders(); len(o) != 1 || o[0].Verb != Start {
 			t.Errorf("ordered %+v", o)
 		}
-		d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term,
-			Tasks: []TaskReport{{ID: a.id(), Try: a.try, State: Ended, Cause: CauseDone}}}, true, time.Now())
+		d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term,
+			Tasks: []TaskReport{{ID: a.id(), Try: a.number, State: Ended, Cause: CauseDone}}}, true, time.Now())
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the end is durable", o)
 		}
@@ -230,8 +230,8 @@
 		m := d.up(7, "cpu", "a", false)
 		for i := range 12 {
 			d.failed(d.accept(arrayJob(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
-			d.sessionEnded(m, &Report{Machine: 7, Session: uint64(i + 2)}, time.Now())
-			if pause := time.Until(m.pauseTill); pause > 2*s.WorkerLease {
+			d.incarnationEnded(m, &Report{Machine: 7, Session: uint64(i + 2)}, time.Now())
+			if pause := time.Until(m.quarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
 			}
 		}
@@ -249,7 +249,7 @@
 		left := func() (n int) {
 			for _, j := range jobs {
 				for _, a := range j.attempts {
-					if a.direct != directNone {
+					if a.delivery != deliveryNone {
 						n++
 					}
 				}
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -17,18 +17,18 @@
 	standDownLeases = 4
 )
 
-// reached notes whether a machine that reports could be reached directly.
-func (d *dispatcher) reached(m *machine, ok bool, now time.Time) {
+// noteReachable notes whether a machine that reports could be noteReachable directly.
+func (d *scheduler) noteReachable(m *machine, ok bool, now time.Time) {
 	switch {
 	case ok:
-		clear(d.unreached)
-	case m.lastHeard.IsZero() || now.Sub(m.lastHeard) > 2*d.settings.HeartbeatInterval:
+		clear(d.commandsFailing)
+	case m.lastContact.IsZero() || now.Sub(m.lastContact) > 2*d.settings.HeartbeatInterval:
 	default:
-		d.unreached[m.id] = true
-		if len(d.unreached) >= min(unreachableMachines, max(1, len(d.order))) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
-			d.log.Info("handing over", "unreached", len(d.unreached))
-			clear(d.unreached)
-			d.giveUp("this node doesn't reach the workers", true)
+		d.commandsFailing[m.id] = true
+		if len(d.commandsFailing) >= min(unreachableMachines, max(1, len(d.machineOrder))) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
+			d.log.Info("handing over", "unreached", len(d.commandsFailing))
+			clear(d.commandsFailing)
+			d.resignOnce("this node doesn't reach the workers", true)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 }
 
 // peerHearsWorkers tells whether a peer in reach hears workers itself.
-func (d *dispatcher) peerHearsWorkers() bool {
+func (d *scheduler) peerHearsWorkers() bool {
 	for _, p := range d.settings.Peers {
 		if w, ok := d.deps.Peers.Status(p.Name); ok && d.deps.Peers.UnreachableFor(p.Name) == 0 && w.SinceHeartbeat < d.settings.HeartbeatInterval {
 			return true
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -18,26 +18,26 @@
 
 // job is a job with its tasks. The dispatcher owns it.
 type job struct {
-	spec      storage.Spec
-	phase     storage.Phase
-	submitted time.Time
-	known     bool // its acceptance is durable
-	settled   bool // its final phase is durable
-
-	tasks    []taskState // nil once final and empty
-	waiting  int
-	done     int
-	cursor   int // no task before it is waiting
-	attempts map[int]*attempt
-	fits     []string // machine types that may hold a task; nil: not yet known
-	types    string   // the allowed types in one string
+	spec         storage.Spec
+	phase        storage.Phase
+	submitted    time.Time
+	acknowledged bool // its acceptance is durable
+	finalDurable bool // its final phase is durable
+
+	tasks         []taskState // nil once final and empty
+	waiting       int
+	done          int
+	cursor        int // no task before it is waiting
+	attempts      map[int]*attempt
+	feasibleTypes []string // machine types that may hold a task; nil: not yet known
+	allowedTypes  string   // the allowed types in one string
 
 	storedPages []string // keys of page records that the term began with, of a final job
 
 	gang gang // of a job whose tasks run together
 
-	failures  failures.Job
-	pauseTill time.Time
+	failures   failures.Job
+	retryAfter time.Time
 
 	managed *managedService // of a service that may be at zero; nil: it always runs
 }
@@ -45,60 +45,60 @@
 // attempt is one booked try of a task on a machine. It stays until its place
 // is proved empty.
 type attempt struct {
-	job     *job
-	task    int
-	try     uint64
-	on      *machine
-	session uint64
-	ownTerm bool // booked or ordered in this term
-	durable bool
-	booked  time.Time
-
-	seen           bool
+	job         *job
+	task        int
+	number      uint64
+	machine     *machine
+	incarnation uint64
+	thisTerm    bool // booked or ordered in this term
+	durable     bool
+	reservedAt  time.Time
+
+	reported       bool
 	failed         bool // it ended by itself, and not as it should
 	state          TaskState
 	started        time.Time
 	gatheringSince time.Time // since when it waits for the others of its gang
 
-	stop     bool // to be stopped
-	stopSent bool // has been told so directly
-	graceS   float64
+	stopping      bool // to be stopped
+	stopCommanded bool // has been told so directly
+	graceSeconds  float64
 
-	orderedSeq  uint64 // the report whose answer last carried its start; 0: none
-	direct      directState
-	directToken uint64 // under which its start was sent straight to the worker
+	commandedSeq  uint64 // the report whose answer last carried its start; 0: none
+	delivery      delivery
+	deliveryToken uint64 // under which its start was sent straight to the worker
 }
 
-// directState tells what is known of a start sent straight to the worker.
-type directState uint8
+// delivery tells what is known of a start sent straight to the worker.
+type delivery uint8
 
 const (
-	directNone       directState = iota
-	directInFlight               // no answer yet
-	directUnresolved             // no answer came: it may be executed minutes late
-	directSettled                // answered
+	deliveryNone       delivery = iota
+	deliveryInFlight            // no answer yet
+	deliveryUnresolved          // no answer came: it may be executed minutes late
+	deliverySettled             // answered
 )
 
 func (a *attempt) id() TaskID { return TaskID{a.job.spec.ID, a.task} }
 
-// sent tells whether a start may have reached the worker.
-func (a *attempt) sent() bool {
-	return !a.ownTerm || a.seen || a.orderedSeq != 0 || a.direct != directNone
+// maybeDelivered tells whether a start may have reached the worker.
+func (a *attempt) maybeDelivered() bool {
+	return !a.thisTerm || a.reported || a.commandedSeq != 0 || a.delivery != deliveryNone
 }
 
-// orderedIn notes that the answer to a report carries the start. One that an
+// noteCommanded notes that the answer to a report carries the start. One that an
 // earlier leader booked is ours from here on: a report that the worker makes
 // before that answer comes proves nothing of it, even under our token.
-func (a *attempt) orderedIn(r *Report) { a.orderedSeq, a.ownTerm = r.Seq, true }
+func (a *attempt) noteCommanded(r *Report) { a.commandedSeq, a.thisTerm = r.Seq, true }
 
 // startUnresolved tells whether a direct start may still be executed.
 func (a *attempt) startUnresolved() bool {
-	return a.direct == directInFlight || a.direct == directUnresolved
+	return a.delivery == deliveryInFlight || a.delivery == deliveryUnresolved
 }
 
 func newJob(spec storage.Spec, at time.Time) *job {
 	return &job{
-		spec: spec, submitted: at, types: strings.Join(spec.Types, ","),
+		spec: spec, submitted: at, allowedTypes: strings.Join(spec.Types, ","),
 		tasks:   make([]taskState, spec.Tasks),
 		waiting: spec.Tasks, attempts: make(map[int]*attempt),
 	}
@@ -115,9 +115,9 @@
 	return 0, false
 }
 
-// tries is how many of the waiting tasks may start now: one at a time of a job
+// startable is how many of the waiting tasks may start now: one at a time of a job
 // that seems to fail everywhere.
-func (j *job) tries() int {
+func (j *job) startable() int {
 	if !j.failures.AtFault() {
 		return j.waiting
 	}
@@ -144,7 +144,7 @@
 func (j *job) runningTasks() int {
 	n := 0
 	for _, a := range j.attempts {
-		if a.seen && (a.state == Running || a.state == Saving) {
+		if a.reported && (a.state == Running || a.state == Saving) {
 			n++
 		}
 	}
@@ -155,7 +155,7 @@
 func (j *job) zoneCounts() map[string]int {
 	out := make(map[string]int, 2)
 	for _, a := range j.attempts {
-		out[a.on.zone]++
+		out[a.machine.zone]++
 	}
 	return out
 }
@@ -196,7 +196,7 @@
 	}
 	for i := lo; i < hi; i++ {
 		if a := j.attempts[i]; a != nil {
-			rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: a.task, Number: a.try, Machine: a.on.id, Incarnation: a.session})
+			rec.Attempts = append(rec.Attempts, storage.AttemptRecord{Task: a.task, Number: a.number, Machine: a.machine.id, Incarnation: a.incarnation})
 		}
 	}
 	if len(rec.Done) == 0 && len(rec.Attempts) == 0 {
@@ -223,9 +223,9 @@
 // state is what users see; only durable facts count as final.
 func (j *job) state() JobState {
 	switch {
-	case j.settled && j.phase == storage.Done:
+	case j.finalDurable && j.phase == storage.Done:
 		return StateDone
-	case j.settled && j.phase == storage.Cancelled:
+	case j.finalDurable && j.phase == storage.Cancelled:
 		return StateCancelled
 	case j.runningTasks() > 0:
 		return StateRunning
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -20,14 +20,14 @@
 	openTasks  int             // tasks kept in memory
 	// finished are the final jobs that are durable and have no attempt anywhere, in the order
 	// of the archive.
-	finished *btree.BTreeG[finishedJob]
-	next     archive.JobNumber // where the next look at the finished ones begins
+	finished      *btree.BTreeG[finishedJob]
+	archiveCursor archive.JobNumber // where the next look at the finished ones begins
 }
 
 // finishedJob is a job that may be archived.
 type finishedJob struct {
-	rank archive.JobNumber
-	job  *job
+	number archive.JobNumber
+	job    *job
 }
 
 // finishedDegree is the tree's: a node holds up to twice as many jobs.
@@ -36,7 +36,7 @@
 func newJobTable() *jobTable {
 	return &jobTable{
 		all: make(map[string]*job), open: make(map[string]*job), cancelling: make(map[string]*job),
-		finished: btree.NewG(finishedDegree, func(a, b finishedJob) bool { return a.rank < b.rank }),
+		finished: btree.NewG(finishedDegree, func(a, b finishedJob) bool { return a.number < b.number }),
 	}
 }
 
@@ -49,38 +49,38 @@
 // insert takes in a job that was just submitted.
 func (t *jobTable) insert(j *job) {
 	t.all[j.spec.ID] = j
-	t.hold(j)
+	t.trackOpen(j)
 }
 
 // load takes in a job from its record.
 func (t *jobTable) load(j *job) { t.all[j.spec.ID] = j }
 
-// hold counts a job among those that are open or have attempts left.
-func (t *jobTable) hold(j *job) {
+// trackOpen counts a job among those that are open or have attempts left.
+func (t *jobTable) trackOpen(j *job) {
 	t.open[j.spec.ID] = j
 	t.openTasks += len(j.tasks)
 }
 
-// release lets go of a final job's tasks, none of which can be anywhere.
-func (t *jobTable) release(j *job) {
+// releaseTasks lets go of a final job's tasks, none of which can be anywhere.
+func (t *jobTable) releaseTasks(j *job) {
 	t.openTasks -= len(j.tasks)
 	j.tasks, j.waiting = nil, 0
 	delete(t.open, j.spec.ID)
 }
 
-// cancel counts a job among the cancelled ones with attempts left.
-func (t *jobTable) cancel(j *job) { t.cancelling[j.spec.ID] = j }
+// trackCancelling counts a job among the cancelled ones with attempts left.
+func (t *jobTable) trackCancelling(j *job) { t.cancelling[j.spec.ID] = j }
 
-// finish counts a job among those that may be archived.
-func (t *jobTable) finish(j *job) {
+// trackFinished counts a job among those that may be archived.
+func (t *jobTable) trackFinished(j *job) {
 	if rank, ok := archive.ParseJobNumber(j.spec.ID); ok {
 		t.finished.ReplaceOrInsert(finishedJob{rank, j})
 	}
 }
 
-// remove forgets a job that is archived, and returns it; nil: it isn't held.
-func (t *jobTable) remove(rank archive.JobNumber) *job {
-	f, held := t.finished.Delete(finishedJob{rank: rank})
+// removeFinished forgets a job that is archived, and returns it; nil: it isn't held.
+func (t *jobTable) removeFinished(rank archive.JobNumber) *job {
+	f, held := t.finished.Delete(finishedJob{number: rank})
 	if !held {
 		return nil
 	}
@@ -92,13 +92,13 @@
 // the last one it begins anew.
 func (t *jobTable) nextFinished(most int) []archive.Entry {
 	entries := make([]archive.Entry, 0, min(most, t.finished.Len()))
-	t.finished.AscendGreaterOrEqual(finishedJob{rank: t.next}, func(f finishedJob) bool {
-		entries = append(entries, archive.Entry{Number: f.rank, FinalState: archive.FinalStateOf(f.job.phase, f.job.done)})
+	t.finished.AscendGreaterOrEqual(finishedJob{number: t.archiveCursor}, func(f finishedJob) bool {
+		entries = append(entries, archive.Entry{Number: f.number, FinalState: archive.FinalStateOf(f.job.phase, f.job.done)})
 		return len(entries) < most
 	})
-	t.next = 0
+	t.archiveCursor = 0
 	if len(entries) == most {
-		t.next = entries[most-1].Number + 1
+		t.archiveCursor = entries[most-1].Number + 1
 	}
 	return entries
 }
@@ -122,10 +122,10 @@
 // unknownTime is when a job was submitted whose archive entry doesn't tell.
 var unknownTime = time.UnixMilli(0)
 
-// restored makes a final job of an archived one.
-func restored(e archive.Entry) *job {
+// restoredJob makes a final job of an archived one.
+func restoredJob(e archive.Entry) *job {
 	j := newJob(storage.Spec{ID: e.Number.ID()}, unknownTime)
-	j.phase, j.done, j.known, j.settled = e.Phase(), e.Done, true, true
+	j.phase, j.done, j.acknowledged, j.finalDurable = e.Phase(), e.Done, true, true
 	j.spec.Tasks, j.tasks = e.Done, nil
 	return j
 }
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -28,13 +28,13 @@
 				table.insert(j)
 				tasks[id] = j.spec.Tasks
 			case step < 2 && tasks[id] > 0:
-				table.release(j)
+				table.releaseTasks(j)
 				j.phase = storage.Done
 				delete(tasks, id)
-				table.finish(j)
+				table.trackFinished(j)
 				finished[id] = true
 			case step == 2:
-				removed := table.remove(rank)
+				removed := table.removeFinished(rank)
 				if (removed != nil) != finished[id] || removed != nil && removed != j {
 					t.Fatalf("%s is removed as %v", id, removed)
 				}
@@ -56,7 +56,7 @@
 func checkRound(t *rapid.T, table *jobTable, finished map[string]bool) {
 	most := rapid.IntRange(1, 7).Draw(t, "most")
 	listed := make(map[string]bool)
-	table.next = 0
+	table.archiveCursor = 0
 	for range len(finished)/most + 1 {
 		before := archive.JobNumber(0)
 		for _, e := range table.nextFinished(most) {
--- a/internal/coordination/leader_gap_test.go
+++ b/internal/coordination/leader_gap_test.go
@@ -83,7 +83,7 @@
 			for _, n := range sim.nodes {
 				if live := n.live.Load(); live != nil {
 					v := live.view.Load()
-					leads, loaded = leads || v.role.Leading, loaded || v.dispatcher != nil
+					leads, loaded = leads || v.role.Leading, loaded || v.scheduler != nil
 				}
 			}
 			if loaded {
@@ -94,7 +94,7 @@
 			}
 			for _, n := range sim.nodes {
 				live := n.live.Load()
-				if live == nil || live.view.Load().dispatcher != nil {
+				if live == nil || live.view.Load().scheduler != nil {
 					continue
 				}
 				for _, id := range []string{"000001", "999999"} {
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -16,35 +16,35 @@
 
 // The keys of leadership in the state service.
 const (
-	leadKey = "lead"
-	termKey = "term"
+	leaderKey = "lead"
+	termKey   = "term"
 )
 
 const (
-	// touchesPerLease is how often a leader renews its grant within its life.
-	touchesPerLease = 5
+	// renewalsPerLease is how often a leader renews its grant within its life.
+	renewalsPerLease = 5
 	// callShare of the grant's life is the longest that one call may take.
 	callShare = 0.4
 	// watchLeases is how many grant lives one watch is held.
 	watchLeases = 4
 )
 
-// leadRecord is the value of the leadership key.
-type leadRecord struct {
-	Node string `json:"n"`
-	Run  string `json:"r"` // the process that holds it
-	Term uint64 `json:"t"`
+// leaderRecord is the value of the leadership key.
+type leaderRecord struct {
+	Node    string `json:"n"`
+	Process string `json:"r"` // the process that holds it
+	Term    uint64 `json:"t"`
 }
 
 // Role tells who leads, as this node knows it.
 type Role struct {
-	Leading bool
-	Leader  string // name of the leader, if known
-	Term    uint64
-	Guard   storage.Guard
-	Certain time.Time    // until when this node's own grant surely holds
-	HoldOut time.Time    // until when it may still renew workers' leases
-	cluster clusterState // as the take-over was guarded by it
+	Leading         bool
+	Leader          string // name of the leader, if known
+	Term            uint64
+	Guard           storage.Guard
+	LeaseValidUntil time.Time    // until when this node's own grant surely holds
+	RenewUntil      time.Time    // until when it may still renew workers' leases
+	cluster         clusterState // as the take-over was guarded by it
 }
 
 // leadership is the actor that competes for the lead and keeps it. It tells
@@ -52,26 +52,26 @@
 type leadership struct {
 	svc            storage.KeyValueStore
 	settings       *Settings
-	run            string // unlike any other process's
-	tell           func(Role)
+	process        string // unlike any other process's
+	publish        func(Role)
 	resign         chan resignation
 	peers          PeerLink
 	registered     func() bool // this process has told which versions it reads and writes
 	began          time.Time
 	standDownUntil time.Time    // the lead is left to others until then
-	lastHeard      atomic.Int64 // when the state service last answered, after began
-	reported       string       // the last trouble that was logged as an error
+	lastContact    atomic.Int64 // when the state service last answered, after began
+	lastLogged     string       // the last trouble that was logged as an error
 	log            *slog.Logger
 }
 
 // status is what this node tells its peers.
 func (l *leadership) status() PeerStatus {
 	up := time.Since(l.began)
-	return PeerStatus{Uptime: up, SinceState: up - time.Duration(l.lastHeard.Load())}
+	return PeerStatus{Uptime: up, SinceState: up - time.Duration(l.lastContact.Load())}
 }
 
-// markHeard notes an answer of the state service.
-func (l *leadership) markHeard() { l.lastHeard.Store(int64(time.Since(l.began))) }
+// markContact notes an answer of the state service.
+func (l *leadership) markContact() { l.lastContact.Store(int64(time.Since(l.began))) }
 
 // leaderless tells whether all peers confirm that they can't have led since
 // cut, the earliest end of our own grant: each has been up since before it and
@@ -101,21 +101,21 @@
 // serve beside what is in force.
 func (l *leadership) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		item, err := l.get(ctx, leadKey)
+		item, err := l.get(ctx, leaderKey)
 		switch {
 		case errors.Is(err, storage.ErrNotFound) && time.Now().Before(l.standDownUntil):
 			l.pause(ctx)
 		case errors.Is(err, storage.ErrNotFound):
-			err := l.contend(ctx)
+			err := l.acquire(ctx)
 			if upgrade.IsRefusal(err) {
 				return err
 			}
 			if err != nil {
-				l.report(err)
+				l.logNotAcquired(err)
 				l.pause(ctx)
 			}
 		case err != nil:
-			l.tell(Role{})
+			l.publish(Role{})
 			l.pause(ctx)
 		default:
 			l.follow(ctx, item)
@@ -124,16 +124,16 @@
 	return nil
 }
 
-// report logs why no lead was taken; what operators must mend, once as an error.
-func (l *leadership) report(err error) {
+// logNotAcquired logs why no lead was taken; what operators must mend, once as an error.
+func (l *leadership) logNotAcquired(err error) {
 	var damaged *upgrade.DamagedError
 	var unreadable *upgrade.UnreadableGateError
 	if !errors.As(err, &damaged) && !errors.As(err, &unreadable) {
 		l.log.Debug("no lead taken", "err", err)
 		return
 	}
-	if err.Error() != l.reported {
-		l.reported = err.Error()
+	if err.Error() != l.lastLogged {
+		l.lastLogged = err.Error()
 		l.log.Error("no lead taken", "err", err)
 	}
 }
@@ -143,20 +143,20 @@
 	defer cancel()
 	item, err := l.svc.Get(ctx, key)
 	if err == nil || errors.Is(err, storage.ErrNotFound) {
-		l.markHeard()
+		l.markContact()
 	}
 	return item, err
 }
 
 func (l *leadership) pause(ctx context.Context) {
-	storage.Sleep(ctx, l.settings.Tuning.LeaderLease/(4*touchesPerLease))
+	storage.Sleep(ctx, l.settings.Tuning.LeaderLease/(4*renewalsPerLease))
 }
 
 // follow waits for the end of another's lead. A record of an earlier process
 // of this very node proves that process dead, so its grant is ended at once.
 // A record of our own is a take-over whose answer was lost.
 func (l *leadership) follow(ctx context.Context, item storage.Item) {
-	var rec leadRecord
+	var rec leaderRecord
 	if err := json.Unmarshal(item.Data, &rec); err != nil {
 		l.log.Error("unreadable leadership record", "err", err)
 		l.pause(ctx)
@@ -169,12 +169,12 @@
 		}
 		return
 	}
-	l.tell(Role{Leader: rec.Node, Term: rec.Term})
+	l.publish(Role{Leader: rec.Node, Term: rec.Term})
 	after := item.Version
 	for ctx.Err() == nil {
 		hold := watchLeases * l.settings.Tuning.LeaderLease
 		wctx, cancel := context.WithTimeout(ctx, hold+l.settings.Tuning.LeaderLease)
-		changes, rev, err := l.svc.Watch(wctx, leadKey, after, hold)
+		changes, rev, err := l.svc.Watch(wctx, leaderKey, after, hold)
 		cancel()
 		if err != nil {
 			l.pause(ctx)
@@ -216,8 +216,8 @@
 	return cluster, upgrade.MayLead(cluster.record, own.Versions, own.Known)
 }
 
-// contend tries to take the lead and, if it succeeds, leads until deposed.
-func (l *leadership) contend(ctx context.Context) error {
+// acquire tries to take the lead and, if it succeeds, leads until deposed.
+func (l *leadership) acquire(ctx context.Context) error {
 	life := l.settings.Tuning.LeaderLease
 	cluster, err := l.eligible(ctx)
 	if err != nil {
@@ -230,7 +230,7 @@
 	if err != nil {
 		return fmt.Errorf("grant: %w", err)
 	}
-	l.markHeard()
+	l.markContact()
 	var term upgrade.Term
 	termItem, err := l.svc.Get(cctx, termKey)
 	switch {
@@ -247,7 +247,7 @@
 	}
 	tokens := fencing.TermTokens(term.Number + 1)
 	term.Number, term.Fence = tokens.Last, cluster.record.Fence
-	rec, err := json.Marshal(leadRecord{Node: l.settings.NodeName, Run: l.run, Term: tokens.First})
+	rec, err := json.Marshal(leaderRecord{Node: l.settings.NodeName, Process: l.process, Term: tokens.First})
 	if err != nil {
 		return fmt.Errorf("encode lead: %w", err)
 	}
@@ -256,8 +256,8 @@
 		return fmt.Errorf("encode term: %w", err)
 	}
 	version, err := l.svc.Txn(cctx,
-		[]storage.Guard{{Key: leadKey}, {Key: termKey, Version: termItem.Version}, {Key: clusterKey, Version: cluster.version}},
-		[]storage.Op{{Key: leadKey, Data: rec, Lease: lease}, {Key: termKey, Data: next}})
+		[]storage.Guard{{Key: leaderKey}, {Key: termKey, Version: termItem.Version}, {Key: clusterKey, Version: cluster.version}},
+		[]storage.Op{{Key: leaderKey, Data: rec, Lease: lease}, {Key: termKey, Data: next}})
 	if err != nil {
 		// A take-over whose answer was lost, or that comes late, must not
 		// stand: ending the grant removes the key or bars the transaction.
@@ -267,15 +267,15 @@
 		return fmt.Errorf("take the lead: %w", err)
 	}
 	// Peers are told that we may have led, whatever comes of this lead.
-	l.markHeard()
+	l.markContact()
 	l.log.Info("took the lead", "term", tokens.First)
-	l.lead(ctx, lease, tokens.First, cluster, storage.Guard{Key: leadKey, Version: version}, sent)
+	l.renew(ctx, lease, tokens.First, cluster, storage.Guard{Key: leaderKey, Version: version}, sent)
 	return nil
 }
 
-// lead renews the grant until it is lost, given up, or without the state
+// renew renews the grant until it is lost, given up, or without the state
 // service for longer than the hold allows.
-func (l *leadership) lead(ctx context.Context, lease, term uint64, cluster clusterState, guard storage.Guard, sent time.Time) {
+func (l *leadership) renew(ctx context.Context, lease, term uint64, cluster clusterState, guard storage.Guard, sent time.Time) {
 	life := l.settings.Tuning.LeaderLease
 	var confirmed time.Time // when all peers last confirmed that nobody leads
 	role := func() Role {
@@ -286,11 +286,11 @@
 		}
 		return Role{
 			Leading: true, Leader: l.settings.NodeName, Term: term, Guard: guard,
-			Certain: certain, HoldOut: alone.Add(l.settings.hold()),
+			LeaseValidUntil: certain, RenewUntil: alone.Add(l.settings.renewalGrace()),
 			cluster: cluster,
 		}
 	}
-	l.tell(role())
+	l.publish(role())
 	reason := "stopped"
 	for ctx.Err() == nil {
 		select {
@@ -303,21 +303,21 @@
 				if err := l.revoke(ctx, lease); err != nil {
 					l.log.Debug("grant not ended", "err", err)
 				}
-				l.deposed(term, reason)
+				l.lost(term, reason)
 				return
 			}
 			continue
 		case <-ctx.Done():
-		case <-time.After(life / touchesPerLease):
+		case <-time.After(life / renewalsPerLease):
 		}
 		at := time.Now()
 		tctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
 		err := l.svc.Touch(tctx, lease)
 		cancel()
 		if err == nil {
-			l.markHeard()
+			l.markContact()
 			sent = at
-			l.tell(role())
+			l.publish(role())
 			continue
 		}
 		if errors.Is(err, storage.ErrNotFound) {
@@ -328,19 +328,19 @@
 			reason = "a peer knows a later leader"
 			break
 		}
-		if at := time.Now(); at.After(role().Certain) && l.leaderless(ctx, term, role().Certain) {
+		if at := time.Now(); at.After(role().LeaseValidUntil) && l.leaderless(ctx, term, role().LeaseValidUntil) {
 			confirmed = at
-			l.tell(role())
+			l.publish(role())
 		}
-		if time.Now().After(role().HoldOut) {
+		if time.Now().After(role().RenewUntil) {
 			reason = "state service out of reach for too long"
 			break
 		}
 	}
-	l.deposed(term, reason)
+	l.lost(term, reason)
 }
 
-func (l *leadership) deposed(term uint64, reason string) {
+func (l *leadership) lost(term uint64, reason string) {
 	l.log.Info("lost the lead", "term", term, "reason", reason)
-	l.tell(Role{})
+	l.publish(Role{})
 }
--- a/internal/coordination/lean_test.go
+++ b/internal/coordination/lean_test.go
@@ -117,14 +117,14 @@
 		sent := make(chan time.Time, 2)
 		d.deps.Workers = boundRecorder{sent}
 		m := d.up(7, "cpu", "a", false)
-		a := d.book(d.accept(service("000001", 1)), 0, m, time.Now())
-		d.start([]*attempt{a})
-		if bound := <-sent; !bound.Equal(d.role.Certain) {
-			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.Certain)
+		a := d.reserve(d.accept(service("000001", 1)), 0, m, time.Now())
+		d.startReserved([]*attempt{a})
+		if bound := <-sent; !bound.Equal(d.role.LeaseValidUntil) {
+			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.LeaseValidUntil)
 		}
-		a.seen = true
-		d.stop(a, 0)
-		d.stopSeen(m)
+		a.reported = true
+		d.stopAttempt(a, 0)
+		d.commandStops(m)
 		if bound := <-sent; !bound.IsZero() {
 			t.Errorf("a stop is bound by %v", bound)
 		}
--- a/internal/coordination/lease_guards_test.go
+++ b/internal/coordination/lease_guards_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		r := d.role
-		r.Certain = time.Now().Add(time.Second)
+		r.LeaseValidUntil = time.Now().Add(time.Second)
 		d.setRole(r)
 		asked := time.Now()
 		running := Answer{Code: CodeOK, ID: "000001", State: StateRunning}
@@ -78,7 +78,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
+				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.renewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
 					r := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: seq, Token: 2}
@@ -96,7 +96,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, Certain: certain, HoldOut: certain.Add(s.hold())})
+				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.renewalGrace())})
 				c := newForwarder(&Node{settings: &s})
 				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 				c.node.deps.Peers = words
@@ -115,7 +115,7 @@
 		t.Run("prolonged by the peers' word", func(t *testing.T) {
 			// What a peer does after its status it does after we asked for it.
 			asked := time.Now()
-			if !endOf(asked.Add(s.hold())).Before(due(asked)) {
+			if !endOf(asked.Add(s.renewalGrace())).Before(due(asked)) {
 				t.Error("beyond a cancel that is confirmed right after the word")
 			}
 		})
@@ -186,7 +186,7 @@
 		c := newForwarder(&Node{settings: &s})
 		c.delegation = delegation{tokens: fencing.TermTokens(2), until: time.Now().Add(time.Minute), excluded: []int{7}}
 		for machine, renewed := range map[int]bool{7: false, 8: true} {
-			c.workers[machine] = &knownWorker{session: 1, seq: 1, lastAnswered: time.Now()}
+			c.workers[machine] = &knownWorker{incarnation: 1, seq: 1, lastAcknowledged: time.Now()}
 			r := &Report{Machine: machine, Zone: "a", Session: 1, Seq: 2, Token: 2}
 			p := pendingReport{report: r, digest: c.workers[machine].digest}
 			if a := c.decideDelegated(p, time.Now()); a.Accepted != renewed {
@@ -206,8 +206,8 @@
 		m := d.up(7, "cpu", "a", false)
 		time.Sleep(s.WorkerLease)
 		heard := time.Now()
-		d.apply(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 2, Seq: 1, Token: d.term}, false, heard)
-		if by := d.emptyBy(m); by.Before(heard.Add(s.WorkerLease)) {
+		d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 2, Seq: 1, Token: d.term}, false, heard)
+		if by := d.provenEmptyAt(m); by.Before(heard.Add(s.WorkerLease)) {
 			t.Errorf("called empty %v after the session's first word", by.Sub(heard))
 		}
 	})
@@ -224,12 +224,12 @@
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(s.hold() + s.WorkerLease)
-		if d.expire(time.Now()); len(d.jobs.get("000001").attempts) != 1 {
+		time.Sleep(s.renewalGrace() + s.WorkerLease)
+		if d.expireLeases(time.Now()); len(d.jobs.get("000001").attempts) != 1 {
 			t.Error("called empty while an earlier leader's last lease may last")
 		}
 		time.Sleep(time.Second)
-		if d.expire(time.Now()); len(d.jobs.get("000001").attempts) != 0 {
+		if d.expireLeases(time.Now()); len(d.jobs.get("000001").attempts) != 0 {
 			t.Error("never called empty")
 		}
 	})
@@ -244,14 +244,14 @@
 			d.up(7, "cpu", "a", false)
 			d.up(8, "cpu", "a", false)
 			if !certain {
-				d.role.Certain = time.Now()
+				d.role.LeaseValidUntil = time.Now()
 			}
 			later := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 9, Token: d.tokens.Last + 1}
 			if a := d.handleHeartbeat(later); a.Accepted {
 				t.Errorf("certain %v: answered under the earlier term", certain)
 			}
-			d.handleDirect(directMsg{machine: 7, outcome: Rejected, report: later})
-			if leads := d.certain(time.Now()); leads != certain || len(d.resign) > 0 == certain {
+			d.handleDelivered(deliveredMsg{machine: 7, outcome: Rejected, report: later})
+			if leads := d.leaseValid(time.Now()); leads != certain || len(d.resign) > 0 == certain {
 				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, len(d.resign))
 			}
 			other := d.handleHeartbeat(&Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Session: 1, Seq: 10, Token: d.term})
--- a/internal/coordination/load.go
+++ b/internal/coordination/load.go
@@ -12,7 +12,7 @@
 
 // load rebuilds the state from the records: single ones first, then machines
 // and jobs, then the pages that refer to both.
-func (d *dispatcher) load(records []storage.Record) error {
+func (d *scheduler) load(records []storage.Record) error {
 	order := func(key string) int { return strings.IndexByte("cfhmjp", key[0]) }
 	sort.SliceStable(records, func(a, b int) bool { return order(records[a].Key) < order(records[b].Key) })
 	for _, r := range records {
@@ -22,32 +22,32 @@
 	}
 	for _, j := range d.jobs.inOrder() {
 		if j.tasks != nil {
-			d.arrival(j)
+			d.noteArrival(j)
 		}
 		if j.phase == storage.Open && j.managed == nil {
 			d.activation.postpone(j)
 		}
 		if j.phase == storage.Open || len(j.attempts) > 0 {
-			d.jobs.hold(j)
+			d.jobs.trackOpen(j)
 			// Its pages may have become durable and its own record not.
 			if j.spec.Gang && j.done > 0 {
-				d.gangDone(j) // an earlier version noted them one by one
+				d.completeGang(j) // an earlier version noted them one by one
 			}
 			d.finish(j)
 		} else {
 			j.tasks, j.waiting = nil, 0
-			d.finished(j)
+			d.trackFinished(j)
 		}
 		if j.phase != storage.Open {
-			d.jobs.cancel(j)
-			d.stopAll(j)
+			d.jobs.trackCancelling(j)
+			d.stopJob(j)
 		}
 	}
 	d.activation.loaded(time.Now())
 	return nil
 }
 
-func (d *dispatcher) loadRecord(r storage.Record) error {
+func (d *scheduler) loadRecord(r storage.Record) error {
 	rest := r.Key[1:]
 	switch r.Key[0] {
 	case storage.KindMachineTypes:
@@ -67,7 +67,7 @@
 		if err := json.Unmarshal(r.Data, &h); err != nil {
 			return err
 		}
-		d.rentals[rest] = h
+		d.openLaunches[rest] = h
 	case storage.KindMachine:
 		var rec storage.MachineRecord
 		if err := json.Unmarshal(r.Data, &rec); err != nil {
@@ -77,13 +77,13 @@
 		if _, err := fmt.Sscan(rest, &id); err != nil {
 			return err
 		}
-		m := d.machine(id)
-		m.born = d.began
-		m.addr, m.kind, m.zone, m.spot, m.session = rec.Addr, rec.Type, rec.Zone, rec.Spot, rec.Incarnation
+		m := d.machineFor(id)
+		m.firstSeen = d.termStarted
+		m.addr, m.typeName, m.zone, m.spot, m.incarnation = rec.Addr, rec.Type, rec.Zone, rec.Spot, rec.Incarnation
 		for name, gb := range rec.Images {
-			m.images[name] = image{gb, d.began}
+			m.images[name] = image{gb, d.termStarted}
 		}
-		m.returning, m.recorded, m.typ = rec.Terminating, true, d.types[rec.Type]
+		m.terminating, m.recorded, m.machineType = rec.Terminating, true, d.types[rec.Type]
 	case storage.KindJob:
 		var rec storage.JobRecord
 		if err := json.Unmarshal(r.Data, &rec); err != nil {
@@ -101,15 +101,15 @@
 	return nil
 }
 
-func (d *dispatcher) loadJob(id string, rec storage.JobRecord) {
+func (d *scheduler) loadJob(id string, rec storage.JobRecord) {
 	spec := storage.Spec{Tasks: rec.Tasks}
 	if rec.Spec != nil {
 		spec = *rec.Spec
 	}
 	spec.ID = id
 	j := newJob(spec, time.UnixMilli(rec.SubmittedMS))
-	j.phase, j.known, j.settled = rec.Phase, true, rec.Phase != storage.Open
-	if j.settled {
+	j.phase, j.acknowledged, j.finalDurable = rec.Phase, true, rec.Phase != storage.Open
+	if j.finalDurable {
 		j.done = rec.DoneTasks
 		if rec.Spec == nil {
 			j.tasks, j.waiting = nil, 0
@@ -121,12 +121,12 @@
 	d.jobs.load(j)
 }
 
-func (d *dispatcher) loadPage(id, key string, rec storage.PageRecord) {
+func (d *scheduler) loadPage(id, key string, rec storage.PageRecord) {
 	j := d.jobs.get(id)
 	switch {
 	case j == nil && d.archiveUsed:
-		d.mark(key, removed) // its job was archived, and the removal cut short
-	case j != nil && j.settled:
+		d.markRecord(key, removed) // its job was archived, and the removal cut short
+	case j != nil && j.finalDurable:
 		j.storedPages = append(j.storedPages, key)
 	}
 	if j == nil || j.tasks == nil {
@@ -138,18 +138,18 @@
 			j.setTask(t, taskDone)
 		}
 	}
-	if j.settled {
+	if j.finalDurable {
 		j.done = doneBefore
 	}
 	for _, ar := range rec.Attempts {
-		m := d.machine(ar.Machine)
-		a := &attempt{job: j, task: ar.Task, try: ar.Number, on: m, session: ar.Incarnation, durable: true, booked: d.began}
-		d.enter(a)
-		m.session = max(m.session, ar.Incarnation)
+		m := d.machineFor(ar.Machine)
+		a := &attempt{job: j, task: ar.Task, number: ar.Number, machine: m, incarnation: ar.Incarnation, durable: true, reservedAt: d.termStarted}
+		d.addAttempt(a)
+		m.incarnation = max(m.incarnation, ar.Incarnation)
 	}
 }
 
-func (d *dispatcher) setTypes(types []storage.MachineType) {
+func (d *scheduler) setTypes(types []storage.MachineType) {
 	d.types = make(map[string]*storage.MachineType, len(types))
 	d.typeNames = d.typeNames[:0]
 	for i := range types {
@@ -158,9 +158,9 @@
 		d.typeNames = append(d.typeNames, t.Name)
 	}
 	for _, m := range d.machines {
-		m.typ = d.types[m.kind]
+		m.machineType = d.types[m.typeName]
 	}
 	for _, j := range d.jobs.all {
-		j.fits = nil
+		j.feasibleTypes = nil
 	}
 }
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -26,8 +26,8 @@
 	// sessionLeases is the life of a session's lease, in workers' leases. It only tells
 	// operators that the process lives, so it is long and costs next to nothing.
 	sessionLeases = 8
-	// sessionTouches is how often a session is renewed within its life.
-	sessionTouches = 3
+	// sessionRenewals is how often a session is renewed within its life.
+	sessionRenewals = 3
 	// registrationCalls is how many calls a registration takes, one after the other.
 	registrationCalls = 4
 )
@@ -66,7 +66,7 @@
 	registered atomic.Bool // published for the leadership
 	version    uint64      // of our registration in the state service
 	lease      uint64      // of our session
-	told       string      // the last trouble that was logged
+	lastLogged string      // the last trouble that was logged
 }
 
 // Run registers the process, then keeps its session. It returns an error if this process
@@ -78,23 +78,23 @@
 			return err
 		}
 		if err != nil {
-			m.report(err)
-			storage.Sleep(ctx, m.settings.Tuning.LeaderLease/touchesPerLease)
+			m.logNotRegistered(err)
+			storage.Sleep(ctx, m.settings.Tuning.LeaderLease/renewalsPerLease)
 		}
 	}
 	m.keepSession(ctx)
 	return nil
 }
 
-// report logs a trouble once.
-func (m *membership) report(err error) {
+// logNotRegistered logs a trouble once.
+func (m *membership) logNotRegistered(err error) {
 	level := slog.LevelDebug
 	var damaged *upgrade.DamagedError
 	if errors.As(err, &damaged) {
 		level = slog.LevelError
 	}
-	if err.Error() != m.told {
-		m.told = err.Error()
+	if err.Error() != m.lastLogged {
+		m.lastLogged = err.Error()
 		m.log.Log(context.Background(), level, "not registered", "err", err)
 	}
 }
@@ -163,14 +163,14 @@
 // keepSession renews the session, and begins it anew where it ran out, until another
 // process of this node has registered.
 func (m *membership) keepSession(ctx context.Context) {
-	for storage.Sleep(ctx, m.sessionLife()/sessionTouches) {
-		if err := m.touchSession(ctx); err != nil {
+	for storage.Sleep(ctx, m.sessionLife()/sessionRenewals) {
+		if err := m.renewSession(ctx); err != nil {
 			m.log.Debug("session not renewed", "err", err)
 		}
 	}
 }
 
-func (m *membership) touchSession(ctx context.Context) error {
+func (m *membership) renewSession(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.settings.callTime())
 	defer cancel()
 	err := m.svc.Touch(ctx, m.lease)
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -36,7 +36,7 @@
 type Node struct {
 	settings     *Settings
 	deps         Dependencies
-	lead         *leadership
+	leadership   *leadership
 	membership   *membership
 	relay        *relayClient
 	forwarder    *forwarder
@@ -48,8 +48,8 @@
 
 // view is what request handlers need to know, replaced as a whole.
 type view struct {
-	role       Role
-	dispatcher *dispatcher // only while leading with the state loaded
+	role      Role
+	scheduler *scheduler // only while leading with the state loaded
 }
 
 // NewNode makes a node; Run starts it.
@@ -57,13 +57,13 @@
 	limits := s.State
 	limits.RequestTimeout = scale(s.Tuning.LeaderLease, writeShare)
 	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
-	n.lead = &leadership{
+	n.leadership = &leadership{
 		svc: deps.State, settings: s, log: deps.Log,
-		run:    fmt.Sprintf("%016x", deps.Rand.Uint64()),
-		resign: make(chan resignation, 4), peers: deps.Peers, began: time.Now(),
+		process: fmt.Sprintf("%016x", deps.Rand.Uint64()),
+		resign:  make(chan resignation, 4), peers: deps.Peers, began: time.Now(),
 	}
-	n.membership = &membership{svc: deps.State, settings: s, session: n.lead.run, log: deps.Log}
-	n.lead.registered = n.membership.registered.Load
+	n.membership = &membership{svc: deps.State, settings: s, session: n.leadership.process, log: deps.Log}
+	n.leadership.registered = n.membership.registered.Load
 	n.archive = newArchive(s, deps, n.limitTracker)
 	n.relay = newRelayClient(s, deps, n.limitTracker)
 	n.forwarder = newForwarder(n)
@@ -74,14 +74,14 @@
 // Run serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	n.lead.tell = func(r Role) {
+	n.leadership.publish = func(r Role) {
 		select {
 		case n.roles <- r:
 		case <-ctx.Done():
 		}
 	}
 	g.Go(func() error { return n.membership.Run(ctx) })
-	g.Go(func() error { return n.lead.Run(ctx) })
+	g.Go(func() error { return n.leadership.Run(ctx) })
 	g.Go(func() error { n.follow(ctx); return nil })
 	g.Go(func() error { n.relay.run(ctx); return nil })
 	g.Go(func() error { n.archive.Run(ctx); return nil })
@@ -92,8 +92,8 @@
 // follow turns changes of role into terms begun and ended.
 func (n *Node) follow(ctx context.Context) {
 	var end context.CancelFunc
-	var leading *dispatcher
-	loaded := make(chan *dispatcher, 1)
+	var leading *scheduler
+	loaded := make(chan *scheduler, 1)
 	stop := func() {
 		if end != nil {
 			end()
@@ -127,18 +127,18 @@
 	}
 }
 
-func (n *Node) publish(role Role, leading *dispatcher) {
+func (n *Node) publish(role Role, leading *scheduler) {
 	if leading != nil && leading.term != role.Term {
 		leading = nil
 	}
-	n.view.Store(&view{role: role, dispatcher: leading})
+	n.view.Store(&view{role: role, scheduler: leading})
 	if leading != nil {
 		leading.post(roleMsg{role})
 	}
 }
 
 // term loads the state under a fresh lead, then runs its actors.
-func (n *Node) term(ctx context.Context, role Role, loaded chan<- *dispatcher) {
+func (n *Node) term(ctx context.Context, role Role, loaded chan<- *scheduler) {
 	started := time.Now()
 	log := n.deps.Log.With("term", role.Term)
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
@@ -149,15 +149,15 @@
 		}
 		return
 	}
-	d, err := newDispatcher(n.settings, n.deps, role, journal, n.lead.resign, log)
+	d, err := newScheduler(n.settings, n.deps, role, journal, n.leadership.resign, log)
 	if err != nil {
 		log.Error("state not understood", "err", err)
 		n.resign(role.Term)
 		return
 	}
-	c := newCapacity(n.settings, n.deps, role.Term, d, journal, log)
-	d.capacity = c
-	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.since(time.Since(n.lead.began)) }
+	c := newAutoscaler(n.settings, n.deps, role.Term, d, journal, log)
+	d.autoscaler = c
+	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(time.Since(n.leadership.began)) }
 	u := newUpgradeController(n.settings, n.deps, role, termGates{d, journal}, log)
 	d.requestGate = u.requestUse
 	d.gates = role.cluster.record
@@ -166,7 +166,7 @@
 	journal.SetEncoding(encodingOf(role.cluster.record))
 	log.Info("take-over", "jobs", d.jobs.count(), "machines", len(d.machines), "attempts", d.reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
-	d.ctx, c.ctx = gctx, gctx // before any of the actors can speak to another
+	d.lifetime, c.ctx = gctx, gctx // before any of the actors can speak to another
 	g.Go(func() error { return journal.Run(gctx) })
 	g.Go(func() error { return d.run(gctx) })
 	g.Go(func() error { return c.run(gctx) })
@@ -191,7 +191,7 @@
 }
 
 // beginArchive has the archive's pages be read for a term, if there may be any.
-func (n *Node) beginArchive(ctx context.Context, d *dispatcher, role Role) {
+func (n *Node) beginArchive(ctx context.Context, d *scheduler, role Role) {
 	d.archive = n.archive
 	if d.archiveUsed || n.settings.Tuning.Archive.Enabled {
 		n.archive.BeginTerm(ctx, archive.Leadership{Term: role.Term, Guard: role.Guard})
@@ -201,7 +201,7 @@
 // resign asks the leadership to end a term, unless it is ending anyway.
 func (n *Node) resign(term uint64) {
 	select {
-	case n.lead.resign <- resignation{term: term}:
+	case n.leadership.resign <- resignation{term: term}:
 	default:
 	}
 }
@@ -210,7 +210,7 @@
 func (n *Node) Role() string {
 	v := n.view.Load()
 	switch {
-	case v.dispatcher != nil:
+	case v.scheduler != nil:
 		return "leader"
 	case v.role.Leading:
 		return "taking over"
@@ -225,9 +225,9 @@
 // other. While nobody leads all nodes that see each other are as good. That the
 // load balancer asks is noted, for it tells that this node isn't cut off.
 func (n *Node) Ready() bool {
-	n.forwarder.lastProbe.mark(time.Now())
+	n.forwarder.lastProbe.Mark(time.Now())
 	v := n.view.Load()
-	if v.role.Leading && time.Now().Before(v.role.Certain) {
+	if v.role.Leading && time.Now().Before(v.role.LeaseValidUntil) {
 		return true
 	}
 	leader, _ := n.leader(v)
@@ -255,8 +255,8 @@
 // HandleUserRequest answers a user's request here, if this node leads, or by the leader.
 func (n *Node) HandleUserRequest(ctx context.Context, req UserRequest) Answer {
 	v := n.view.Load()
-	if v.dispatcher != nil {
-		return v.dispatcher.user(ctx, req)
+	if v.scheduler != nil {
+		return v.scheduler.userRequest(ctx, req)
 	}
 	if a, ok := n.archived(req); ok {
 		return a
@@ -288,7 +288,7 @@
 // hearsState tells whether the state service has answered this node lately:
 // its leadership, or its relay while that leads to the leader.
 func (n *Node) hearsState() bool {
-	since := min(n.lead.status().SinceState, n.relay.lastAccepted.since(math.MaxInt64))
+	since := min(n.leadership.status().SinceState, n.relay.lastAccepted.Since(math.MaxInt64))
 	return since < relayTimeout+n.settings.Tuning.LeaderLease
 }
 
@@ -303,8 +303,8 @@
 	if req.Op == OpPing {
 		return Answer{Peer: n.status(req.ID).Wire()}
 	}
-	if v := n.view.Load(); v.dispatcher != nil {
-		return v.dispatcher.user(ctx, req)
+	if v := n.view.Load(); v.scheduler != nil {
+		return v.scheduler.userRequest(ctx, req)
 	}
 	return Unavailable(req.ID, "not the leader")
 }
@@ -312,15 +312,15 @@
 // status is what this node tells a peer of itself.
 func (n *Node) status(peer string) PeerStatus {
 	v := n.view.Load()
-	st := n.lead.status()
+	st := n.leadership.status()
 	st.Version = PeerVersion
-	if r := v.role; !r.Leading || time.Now().Before(r.Certain) {
+	if r := v.role; !r.Leading || time.Now().Before(r.LeaseValidUntil) {
 		st.Leader, st.Term = r.Leader, r.Term
 	}
-	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.since(st.Uptime), n.forwarder.lastDelegated.since(st.Uptime)
-	if v.dispatcher != nil {
-		st.DelegationTerm = v.dispatcher.term
-		st.DelegatesFor, st.Excluded = v.dispatcher.delegator.delegate(peer)
+	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(st.Uptime), n.forwarder.lastDelegated.Since(st.Uptime)
+	if v.scheduler != nil {
+		st.DelegationTerm = v.scheduler.term
+		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(peer)
 	}
 	return st
 }
@@ -333,8 +333,8 @@
 // HandleForwardedHeartbeats answers reports that another node hands on; nil means that this
 // node doesn't decide on them.
 func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
-	if v := n.view.Load(); v.dispatcher != nil {
-		return v.dispatcher.heartbeats(ctx, reports)
+	if v := n.view.Load(); v.scheduler != nil {
+		return v.scheduler.heartbeats(ctx, reports)
 	}
 	return nil
 }
--- a/internal/coordination/opportunistic.go
+++ b/internal/coordination/opportunistic.go
@@ -16,9 +16,9 @@
 	// opportunisticPrice is how many times the least price of a task's place a machine may
 	// cost that is rented for opportunistic work.
 	opportunisticPrice = 2.0
-	// footholdLeases is how long a job waits for a cheap machine, in leases, before one of
+	// minimumAllocationLeases is how long a job waits for a cheap machine, in leases, before one of
 	// any price is rented for its first task.
-	footholdLeases = 2
+	minimumAllocationLeases = 2
 )
 
 // opportunistic tells whether a job of that spec is opportunistic work.
@@ -37,15 +37,15 @@
 	return true
 }
 
-// held is how many of the job's tasks have or had a place.
-func (j *job) held() int { return len(j.attempts) + j.done }
+// allocated is how many of the job's tasks have or had a place.
+func (j *job) allocated() int { return len(j.attempts) + j.done }
 
 // opportunisticShare is how many tasks of one opportunistic job a round places at the most, with
 // so many of them waiting.
-func opportunisticShare(jobs int) int { return max(1, scanLimit/max(1, jobs)) }
+func opportunisticShare(jobs int) int { return max(1, maxPlacementsPerRound/max(1, jobs)) }
 
 // opportunisticWaiting counts the opportunistic jobs among those that wait.
-func (d *dispatcher) opportunisticWaiting(waiting []*job) int {
+func (d *scheduler) opportunisticWaiting(waiting []*job) int {
 	n := 0
 	for _, j := range waiting {
 		if d.settings.opportunistic(&j.spec) {
@@ -55,13 +55,13 @@
 	return n
 }
 
-// withholdHeadroom takes the room that is kept for others from a round's candidates, before
+// reserveHeadroom takes the room that is kept for others from a round's candidates, before
 // opportunistic work is placed.
-func (d *dispatcher) withholdHeadroom(r *round) {
-	for _, kept := range d.keptRoom {
+func (d *scheduler) reserveHeadroom(r *round) {
+	for _, kept := range d.keptHeadroom {
 		zones := newZoneCheck(kept.job)
 		for n := kept.n; n > 0; n-- {
-			s := d.fullest(r.candidates, kept.job, &zones, lastResort)
+			s := d.fullest(r.candidates, kept.job, &zones, anyCandidate)
 			if s == nil {
 				break
 			}
@@ -71,15 +71,15 @@
 	}
 }
 
-// footholdDue tells whether an opportunistic job has waited so long for its first place that a
+// minimumAllocationDue tells whether an opportunistic job has waited so long for its first place that a
 // machine of any price is rented for it.
-func (d *dispatcher) footholdDue(j *job, now time.Time) bool {
-	return j.held() == 0 && now.Sub(j.submitted) > footholdLeases*d.settings.WorkerLease
+func (d *scheduler) minimumAllocationDue(j *job, now time.Time) bool {
+	return j.allocated() == 0 && now.Sub(j.submitted) > minimumAllocationLeases*d.settings.WorkerLease
 }
 
 // placePrice is what a machine of an offer costs for each task of that room.
-func (d *dispatcher) placePrice(o offer, room storage.Room) float64 {
-	typ := d.types[o.kind]
+func (d *scheduler) placePrice(o offering, room storage.Room) float64 {
+	typ := d.types[o.typeName]
 	price := typ.Price
 	if o.spot {
 		price = typ.SpotPrice
@@ -88,11 +88,11 @@
 }
 
 // leastPlacePrice is the least price of a task's place among the machines that a job may use.
-func (d *dispatcher) leastPlacePrice(j *job) float64 {
+func (d *scheduler) leastPlacePrice(j *job) float64 {
 	least := 0.0
-	for _, kind := range d.fitsOf(j) {
+	for _, kind := range d.feasibleTypesOf(j) {
 		spot := j.spec.Spot && d.types[kind].SpotPrice > 0
-		if price := d.placePrice(offer{kind: kind, spot: spot}, j.spec.Room); least == 0 || price < least {
+		if price := d.placePrice(offering{typeName: kind, spot: spot}, j.spec.Room); least == 0 || price < least {
 			least = price
 		}
 	}
@@ -101,6 +101,6 @@
 
 // cheapFor tells whether machines of an offer are cheap enough to be rented, or kept, for an
 // opportunistic job.
-func (d *dispatcher) cheapFor(o offer, j *job) bool {
+func (d *scheduler) cheapFor(o offering, j *job) bool {
 	return d.placePrice(o, j.spec.Room) <= opportunisticPrice*d.leastPlacePrice(j)
 }
--- a/internal/coordination/opportunistic_test.go
+++ b/internal/coordination/opportunistic_test.go
@@ -47,8 +47,8 @@
 		d := newTestDispatcher(t, grownSettings())
 		j := d.accept(idleJob("000001", 40))
 		wanted := func() (cheap, dear int) {
-			for _, o := range d.trialPacking().wanted {
-				if o.kind == "cpu" && o.spot {
+			for _, o := range d.trialPacking().desired {
+				if o.typeName == "cpu" && o.spot {
 					cheap++
 				} else {
 					dear++
@@ -61,21 +61,21 @@
 		}
 		refuse := func() {
 			for _, zone := range []string{"a", "b"} {
-				d.refused[offer{"cpu", zone, true}] = time.Now()
+				d.rejectedOfferings[offering{"cpu", zone, true}] = time.Now()
 			}
 		}
 		refuse()
 		if cheap, dear := wanted(); cheap+dear != 0 {
 			t.Errorf("%d machines while cheap ones are refused", cheap+dear)
 		}
-		time.Sleep(footholdLeases*d.settings.WorkerLease + time.Second)
+		time.Sleep(minimumAllocationLeases*d.settings.WorkerLease + time.Second)
 		refuse()
 		if cheap, dear := wanted(); cheap != 0 || dear != 1 {
 			t.Errorf("%d and %d machines for a job that waits for its first place", cheap, dear)
 		}
 		m := d.up(1, "cpu", "a", false)
-		d.book(j, 0, m, time.Now())
-		m.typ = nil // its room isn't of interest here
+		d.reserve(j, 0, m, time.Now())
+		m.machineType = nil // its room isn't of interest here
 		if cheap, dear := wanted(); cheap+dear != 0 {
 			t.Errorf("%d machines for a job that has begun", cheap+dear)
 		}
@@ -91,10 +91,10 @@
 		d.up(3, "gpu", "a", false)
 		training := service("000001", 1)
 		training.Room = storage.Room{CPUs: 8, GPUs: 1, MemoryGB: 8}
-		d.enter(&attempt{job: d.accept(training), task: 0, try: 1, on: d.machines[3], session: 1, ownTerm: true, seen: true})
+		d.addAttempt(&attempt{job: d.accept(training), task: 0, number: 1, machine: d.machines[3], incarnation: 1, thisTerm: true, reported: true})
 		d.perGPU, d.perGPUAt = storage.Room{CPUs: 8}, time.Now()
 		kept := newJob(service("000002", 1), time.Now())
-		d.keptRoom = []*demand{{job: kept, zones: newZoneCheck(kept), n: 2, headroom: true}}
+		d.keptHeadroom = []*demand{{job: kept, zones: newZoneCheck(kept), n: 2, headroom: true}}
 		idle := d.accept(idleJob("000003", 100))
 		for range 3 {
 			d.placeRound(time.Now())
@@ -102,8 +102,8 @@
 		if on := len(d.machines[3].attempts); on != 1 {
 			t.Errorf("%d idle tasks beside accelerators that need the processors", on-1)
 		}
-		if idle.held() != 3 {
-			t.Errorf("%d idle tasks on two machines of two places each, one of which is kept", idle.held())
+		if idle.allocated() != 3 {
+			t.Errorf("%d idle tasks on two machines of two places each, one of which is kept", idle.allocated())
 		}
 	})
 }
@@ -115,18 +115,18 @@
 		d := newTestDispatcher(t, grownSettings())
 		d.accept(idleJob("000001", 4000))
 		m := d.up(1, "gpu", "a", false) // with nothing to do
-		time.Sleep(seconds(idlePerBoot*m.typ.BootS) + time.Second)
+		time.Sleep(seconds(idlePerBoot*m.machineType.BootS) + time.Second)
 		d.up(1, "gpu", "a", false)
 		v := d.snapshotFleet(time.Now())
-		if len(v.wanted) != maxRental || v.hurried != 0 {
-			t.Errorf("%d machines wanted, %d in a hurry", len(v.wanted), v.hurried)
+		if len(v.desired) != maxLaunch || v.nonOpportunistic != 0 {
+			t.Errorf("%d machines wanted, %d in a hurry", len(v.desired), v.nonOpportunistic)
 		}
 		if len(v.surplus) != 1 {
 			t.Errorf("%d surplus machines beside wishes for cheap ones", len(v.surplus))
 		}
 		d.accept(service("000002", 40))
-		if v := d.snapshotFleet(time.Now()); v.hurried != len(v.wanted)-maxRental || v.hurried == 0 || len(v.surplus) != 0 {
-			t.Errorf("%d of %d machines in a hurry, %d surplus", v.hurried, len(v.wanted), len(v.surplus))
+		if v := d.snapshotFleet(time.Now()); v.nonOpportunistic != len(v.desired)-maxLaunch || v.nonOpportunistic == 0 || len(v.surplus) != 0 {
+			t.Errorf("%d of %d machines in a hurry, %d surplus", v.nonOpportunistic, len(v.desired), len(v.surplus))
 		}
 	})
 }
@@ -151,11 +151,11 @@
 				d.placeRound(time.Now())
 			}
 		}
-		if hurried.held() != 1 {
+		if hurried.allocated() != 1 {
 			t.Error("a job with a deadline waits behind opportunistic work")
 		}
 		for _, j := range jobs {
-			if n := j.held(); n < 30 || n > 60 {
+			if n := j.allocated(); n < 30 || n > 60 {
 				t.Errorf("job %s has %d of some 160 places", j.spec.ID, n)
 			}
 		}
@@ -173,7 +173,7 @@
 				m := d.up(1, "cpu", "a", true)
 				idle := d.accept(idleJob("000001", 2))
 				for i := range 2 {
-					d.enter(&attempt{job: idle, task: i, try: uint64(i + 1), on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
+					d.addAttempt(&attempt{job: idle, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
 				}
 				spec := idleJob("000002", 1)
 				spec.Team, spec.DeadlineS = "home", 600
@@ -181,7 +181,7 @@
 				d.placeRound(time.Now())
 				stopped := 0
 				for _, a := range idle.attempts {
-					if a.stop {
+					if a.stopping {
 						stopped++
 					}
 				}
@@ -205,7 +205,7 @@
 			m := d.up(1, "cpu", "a", spot)
 			spec := idleJob("000001", 1)
 			spec.CheckpointS, spec.SaveS = 30, 3
-			d.enter(&attempt{job: d.accept(spec), task: 0, try: 1, on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
+			d.addAttempt(&attempt{job: d.accept(spec), task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
 			p := d.trialPacking()
 			if surplus := len(d.findSurplus(p, time.Now())) > 0; surplus == spot {
 				t.Errorf("spot %v: surplus %v", spot, surplus)
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// lateShare of the machines that waiting services count on is rented for
+	// hedgeShare of the machines that waiting services count on is rented for
 	// once more, for some come late and some never; of many, chance evens out,
 	// and their square root is enough.
-	lateShare = 0.5
+	hedgeShare = 0.5
 )
 
 // packing is a trial packing of the demands into the machines' room.
 type packing struct {
-	candidates []*candidate
-	zones      []string
-	exhausted  exhaustedShapes
-	wanted     []offer // machines that would hold what found no candidate
-	limit      int     // the most that may be wanted
-	idle       int     // of them for opportunistic work, the last
-	sizes      map[string]int
+	candidates    []*candidate
+	zones         []string
+	exhausted     exhaustedShapes
+	desired       []offering // machines that would hold what found no candidate
+	maxDesired    int        // the most that may be wanted
+	opportunistic int        // of them for opportunistic work, the last
+	sizes         map[string]int
 }
 
 // shortage packs the demands into the candidates and finds the offers that would
 // hold what is left, cheapest for its share first. Work that ends needs no
 // machine of its own when the places that it has will take it before a new
 // machine were up.
-func (d *dispatcher) shortage(p *packing, demands []*demand, size int, now time.Time) {
-	p.zones, p.limit, p.sizes = zonesOf(p.candidates), wantedSteps*d.settings.Tuning.growBound(size), make(map[string]int)
-	for _, m := range d.order {
+func (d *scheduler) shortage(p *packing, demands []*demand, size int, now time.Time) {
+	p.zones, p.maxDesired, p.sizes = zonesOf(p.candidates), desiredSteps*d.settings.Tuning.maxScaleOut(size), make(map[string]int)
+	for _, m := range d.machineOrder {
 		p.sizes[m.zone]++
 	}
-	e := &batchWork{places: d.batchPlaces(), usual: d.usualBatch(now)}
-	late := make(map[string]*lateHedge)
+	e := &batchBacklog{places: d.batchPlaces(), expected: d.expectedBatchTasks(now)}
+	late := make(map[string]*provisioningHedge)
 	for i := 0; i < len(demands); i++ {
 		dm := demands[i]
 		coming := d.pack(p, dm, e, now)
@@ -45,52 +45,52 @@
 		}
 		l := late[dm.job.spec.Class]
 		if l == nil {
-			l = &lateHedge{}
+			l = &provisioningHedge{}
 			late[dm.job.spec.Class] = l
 		}
-		if extra := l.more(coming, d.perMachine(dm.job)); extra > 0 {
+		if extra := l.extra(coming, d.perMachine(dm.job)); extra > 0 {
 			demands = append(demands, headroomDemand(dm.job, extra))
 		}
 	}
 }
 
-// hurried is how many wanted machines are for other than opportunistic work.
-func (p *packing) hurried() int { return len(p.wanted) - p.idle }
+// nonOpportunistic is how many wanted machines are for other than opportunistic work.
+func (p *packing) nonOpportunistic() int { return len(p.desired) - p.opportunistic }
 
-// wantedSteps is for how many steps of growth a snapshot finds wanted machines: those that boot
+// desiredSteps is for how many steps of growth a snapshot finds wanted machines: those that boot
 // longest go first.
-const wantedSteps = 4
+const desiredSteps = 4
 
-// lateHedge reckons, class by class, for how many tasks to rent once more.
-type lateHedge struct{ coming, hedged float64 }
+// provisioningHedge reckons, class by class, for how many tasks to rent once more.
+type provisioningHedge struct{ coming, hedged float64 }
 
-func (l *lateHedge) more(coming int, perMachine float64) int {
+func (l *provisioningHedge) extra(coming int, perMachine float64) int {
 	l.coming += float64(coming)
 	machines := l.coming / perMachine
-	extra := int(perMachine*min(lateShare*machines, math.Sqrt(machines)) - l.hedged)
+	extra := int(perMachine*min(hedgeShare*machines, math.Sqrt(machines)) - l.hedged)
 	l.hedged += float64(max(0, extra))
 	return max(0, extra)
 }
 
 // perMachine is how many tasks of the job the best filled type holds.
-func (d *dispatcher) perMachine(j *job) float64 {
+func (d *scheduler) perMachine(j *job) float64 {
 	n := 1
-	for _, name := range d.fitsOf(j) {
+	for _, name := range d.feasibleTypesOf(j) {
 		n = max(n, fitCount(d.types[name].Room, j.spec.Room))
 	}
 	return float64(n)
 }
 
-// batchWork is what a packing knows of work that ends.
-type batchWork struct {
-	places int     // that it holds or has been given
-	usual  float64 // that it usually takes
-	behind int     // tasks left over so far
+// batchBacklog is what a packing knows of work that ends.
+type batchBacklog struct {
+	places   int     // that it holds or has been given
+	expected float64 // that it usually takes
+	behind   int     // tasks left over so far
 }
 
 // pack puts a demand's tasks into candidates, wanting new ones where it must, and
 // returns how many count on machines that aren't up yet.
-func (d *dispatcher) pack(p *packing, dm *demand, e *batchWork, now time.Time) (coming int) {
+func (d *scheduler) pack(p *packing, dm *demand, e *batchBacklog, now time.Time) (coming int) {
 	if s := &dm.job.spec; s.Gang && s.SameZone && len(dm.job.attempts) == 0 {
 		if zone := gangZone(p.candidates, dm); zone != "" {
 			dm.zones.add(zone, 1) // all of it there
@@ -103,40 +103,40 @@
 		}
 		if dm.runS > 0 && e.places > 0 && !dm.job.spec.Gang {
 			// What usually comes takes its places before the backlog does.
-			left := max(float64(e.places)-e.usual, leastLeft*float64(e.places))
-			if float64(e.behind+dm.n)*dm.runS/left < d.leastBoot(dm.job) {
+			left := max(float64(e.places)-e.expected, minBacklogShare*float64(e.places))
+			if float64(e.behind+dm.n)*dm.runS/left < d.minBootSeconds(dm.job) {
 				break
 			}
 		}
-		o, ok := d.bestOffer(p, dm, now)
-		if !ok || len(p.wanted) >= p.limit {
+		o, ok := d.bestOffering(p, dm, now)
+		if !ok || len(p.desired) >= p.maxDesired {
 			break
 		}
 		if dm.opportunistic {
-			if p.idle == maxRental {
+			if p.opportunistic == maxLaunch {
 				break // more at a time would hold up what others need
 			}
 			if !d.cheapFor(o, dm.job) {
-				if !d.footholdDue(dm.job, now) {
+				if !d.minimumAllocationDue(dm.job, now) {
 					break
 				}
 				dm.n = 1
 			}
 		}
-		typ := d.types[o.kind]
+		typ := d.types[o.typeName]
 		if dm.job.spec.Room.GPUs == 0 && typ.Room.GPUs > 0 {
 			// Only the dear kind is left: first count on those that boot anyway.
-			if s := d.fullest(p.candidates, dm.job, &dm.zones, lastResort); s != nil {
+			if s := d.fullest(p.candidates, dm.job, &dm.zones, anyCandidate); s != nil {
 				coming += s.put(dm, e)
 				continue
 			}
 		}
-		p.wanted = append(p.wanted, o)
+		p.desired = append(p.desired, o)
 		if dm.opportunistic {
-			p.idle++
+			p.opportunistic++
 		}
 		p.sizes[o.zone]++
-		p.candidates = append(p.candidates, &candidate{offer: o, typ: typ, free: typ.Room, booting: true, plain: dm.job.spec.Room.GPUs == 0})
+		p.candidates = append(p.candidates, &candidate{offering: o, machineType: typ, free: typ.Room, booting: true, forCPUOnly: dm.job.spec.Room.GPUs == 0})
 		if !slices.Contains(p.zones, o.zone) {
 			p.zones = append(p.zones, o.zone)
 		}
@@ -149,7 +149,7 @@
 
 // put packs one task of a demand here and returns 1 if it counts on a machine
 // that isn't up yet.
-func (s *candidate) put(dm *demand, e *batchWork) int {
+func (s *candidate) put(dm *demand, e *batchBacklog) int {
 	s.free = s.free.Minus(dm.job.spec.Room)
 	s.packed = append(s.packed, dm)
 	dm.zones.add(s.zone, 1)
@@ -163,12 +163,12 @@
 	return 0
 }
 
-// leastLeft is the share of its places that a backlog gets at the least.
-const leastLeft = 0.2
+// minBacklogShare is the share of its places that a backlog gets at the least.
+const minBacklogShare = 0.2
 
-// usualBatch is how many places ending work usually takes. While that can't be
+// expectedBatchTasks is how many places ending work usually takes. While that can't be
 // told yet, more may come than there are places.
-func (d *dispatcher) usualBatch(now time.Time) float64 {
+func (d *scheduler) expectedBatchTasks(now time.Time) float64 {
 	n := 0.0
 	for _, c := range d.classes {
 		if c.last.spec.Service || d.settings.opportunistic(&c.last.spec) {
@@ -178,13 +178,13 @@
 		if rate.WindowS == 0 {
 			return math.Inf(1)
 		}
-		n += rate.Expected(c.usualRun(), 0)
+		n += rate.Expected(c.typicalRunSeconds(), 0)
 	}
 	return n
 }
 
 // batchPlaces counts the places that ending work holds now.
-func (d *dispatcher) batchPlaces() int {
+func (d *scheduler) batchPlaces() int {
 	n := 0
 	for _, j := range d.jobs.open {
 		if !j.spec.Service && !d.settings.opportunistic(&j.spec) {
@@ -195,40 +195,40 @@
 }
 
 // bestCandidate finds the fullest candidate that takes one more task of the demand.
-func (d *dispatcher) bestCandidate(p *packing, dm *demand) *candidate {
+func (d *scheduler) bestCandidate(p *packing, dm *demand) *candidate {
 	sh := d.shapeOf(dm.job)
 	from := p.exhausted.from(sh, &dm.zones, p.zones)
 	if from >= len(p.candidates) {
 		return nil
 	}
-	best := d.fullest(p.candidates[from:], dm.job, &dm.zones, d.sensible)
+	best := d.fullest(p.candidates[from:], dm.job, &dm.zones, d.mayAwaitMachine)
 	if best == nil {
 		p.exhausted.note(sh, &dm.zones, p.zones, len(p.candidates))
 	}
 	return best
 }
 
-// sensible tells whether a task without accelerators may count on the candidate's
+// mayAwaitMachine tells whether a task without accelerators may count on the candidate's
 // machine if it has some: smaller machines come sooner and cost little.
-func (d *dispatcher) sensible(s *candidate, j *job) bool {
-	return !s.booting || !j.spec.Service || j.spec.Room.GPUs > 0 || s.typ.Room.GPUs == 0
+func (d *scheduler) mayAwaitMachine(s *candidate, j *job) bool {
+	return !s.booting || !j.spec.Service || j.spec.Room.GPUs > 0 || s.machineType.Room.GPUs == 0
 }
 
-// lastResort takes any candidate that has the room.
-func lastResort(*candidate, *job) bool { return true }
+// anyCandidate takes any candidate that has the room.
+func anyCandidate(*candidate, *job) bool { return true }
 
 // fullest finds the fullest candidate for a task of the job, among those that suit.
 // A task without accelerators must leave enough of the rest for those that are
 // free, but on a machine that is rented for such tasks.
-func (d *dispatcher) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
+func (d *scheduler) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
 	room := j.spec.Room
 	var best *candidate
 	bestFree := 0.0
 	for _, s := range candidates {
-		if !room.Fits(s.free) || !s.admits(j, zones) || !suits(s, j) || !s.plain && d.strands(j, s) {
+		if !room.Fits(s.free) || !s.admits(j, zones) || !suits(s, j) || !s.forCPUOnly && d.strandsGPUs(j, s) {
 			continue
 		}
-		f := s.free.CPUs/s.typ.Room.CPUs + 2*s.free.GPUs
+		f := s.free.CPUs/s.machineType.Room.CPUs + 2*s.free.GPUs
 		if j.spec.Spot && !s.spot {
 			f += 100
 		}
@@ -239,23 +239,23 @@
 	return best
 }
 
-// bestOffer finds the machine that holds what is left of a demand at the least
+// bestOffering finds the machine that holds what is left of a demand at the least
 // price a task, among those that the cloud hasn't refused lately. Those that were rented and
 // didn't come up are taken if there are no others.
-func (d *dispatcher) bestOffer(p *packing, dm *demand, now time.Time) (offer, bool) {
-	best, ok := d.cheapestOffer(p, dm, now, func(o offer) bool { return !d.undelivered(o, now) })
+func (d *scheduler) bestOffering(p *packing, dm *demand, now time.Time) (offering, bool) {
+	best, ok := d.cheapestOffering(p, dm, now, func(o offering) bool { return !d.failsToProvision(o, now) })
 	if !ok {
-		best, ok = d.cheapestOffer(p, dm, now, func(offer) bool { return true })
+		best, ok = d.cheapestOffering(p, dm, now, func(offering) bool { return true })
 	}
 	return best, ok
 }
 
-// cheapestOffer is the cheapest of the offers that suit.
-func (d *dispatcher) cheapestOffer(p *packing, dm *demand, now time.Time, suits func(offer) bool) (offer, bool) {
+// cheapestOffering is the cheapest of the offers that suit.
+func (d *scheduler) cheapestOffering(p *packing, dm *demand, now time.Time, suits func(offering) bool) (offering, bool) {
 	s := &dm.job.spec
-	var best offer
+	var best offering
 	bestCost := math.Inf(1)
-	for _, name := range d.fitsOf(dm.job) {
+	for _, name := range d.feasibleTypesOf(dm.job) {
 		t := d.types[name]
 		fit := fitCount(t.Room, s.Room)
 		for _, zone := range t.Zones {
@@ -266,8 +266,8 @@
 				if spot && (!s.Spot || t.SpotPrice <= 0) || !spot && dm.headroom && s.Spot {
 					continue
 				}
-				o := offer{name, zone, spot}
-				if at, ok := d.refused[o]; ok && now.Sub(at) < d.settings.WorkerLease || !suits(o) {
+				o := offering{name, zone, spot}
+				if at, ok := d.rejectedOfferings[o]; ok && now.Sub(at) < d.settings.WorkerLease || !suits(o) {
 					continue
 				}
 				price := t.Price
--- a/internal/coordination/paired_guards_test.go
+++ b/internal/coordination/paired_guards_test.go
@@ -22,7 +22,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		d.accept(service("000001", 1))
 		r := d.role
-		r.Certain = time.Now()
+		r.LeaseValidUntil = time.Now()
 		d.setRole(r)
 		d.unmark()
 		for op, id := range map[UserOp]string{OpSubmit: "000002", OpPoll: "000001", OpCancel: "000001"} {
@@ -57,8 +57,8 @@
 			}
 			d.handleHeartbeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: uint64(seq + 1), Token: token})
 		}
-		if len(m.attempts) != 0 || *m.booked != (storage.Room{}) {
-			t.Errorf("%d attempts and %+v are still booked", len(m.attempts), *m.booked)
+		if len(m.attempts) != 0 || *m.reserved != (storage.Room{}) {
+			t.Errorf("%d attempts and %+v are still booked", len(m.attempts), *m.reserved)
 		}
 	})
 }
--- /dev/null
+++ b/internal/coordination/placement.go
@@ -0,0 +1,231 @@
+package coordination
+
+import (
+	"time"
+
+	"sagevale/internal/storage"
+)
+
+const (
+	// samples is the number of machines that a placement chooses between
+	// (DESIGN: power of two choices).
+	samples = 2
+	// roundPause is how long placement rests after a round, in durations of
+	// that round: what comes meanwhile widens the next.
+	roundPause = 8
+)
+
+// round is one round of placement: the ready machines' room, and what has been
+// learnt of it so far.
+type round struct {
+	now                time.Time
+	candidates         []*candidate
+	zones              []string
+	exhausted          exhaustedShapes // shapes that found no free room
+	unpreemptable      exhaustedShapes // shapes for which nothing can be stopped either
+	reserved           []*attempt
+	gangHolds          bool          // room is kept for a gang that found too little
+	opportunisticShare int           // how many tasks of one opportunistic job are placed
+	headroomReserved   bool          // the room that is kept for others is taken out of the candidates
+	guaranteed         map[*job]bool // the jobs within their team's guarantee; nil: not yet looked for
+}
+
+// placeRound reserves room for waiting tasks, the most urgent first, and starts
+// them once the bookings are durable.
+func (d *scheduler) placeRound(now time.Time) {
+	d.placementDue = false
+	if !d.leaseValid(now) || d.stalled(now) {
+		return
+	}
+	waiting := d.waitingJobs(now)
+	if len(waiting) == 0 {
+		return
+	}
+	d.byUrgency(waiting, now)
+	d.updatePerGPU(now)
+	r := &round{now: now, candidates: d.readyCandidates(now), exhausted: make(exhaustedShapes), unpreemptable: make(exhaustedShapes)}
+	r.zones = zonesOf(r.candidates)
+	r.opportunisticShare = opportunisticShare(d.opportunisticWaiting(waiting))
+	for _, j := range waiting {
+		if len(r.reserved) >= maxPlacementsPerRound {
+			d.placementDue = true // the rest in the next round
+			break
+		}
+		switch {
+		case j.spec.Gang:
+			d.placeGang(j, r)
+		case d.settings.opportunistic(&j.spec):
+			d.placeOpportunistic(j, r)
+		default:
+			d.placeJob(j, r)
+		}
+	}
+	d.startWhenDurable(r.reserved)
+}
+
+// placeOpportunistic places a job's share of what is idle.
+func (d *scheduler) placeOpportunistic(j *job, r *round) {
+	if !r.headroomReserved {
+		r.headroomReserved = true
+		d.reserveHeadroom(r)
+	}
+	before := len(r.reserved)
+	d.placeTasks(j, min(r.opportunisticShare, j.startable()), r)
+	if j.waiting > 0 && len(r.reserved)-before == r.opportunisticShare {
+		d.placementDue = true // there may be more room
+	}
+}
+
+// waitingJobs lists the open jobs with tasks to place.
+func (d *scheduler) waitingJobs(now time.Time) []*job {
+	var waiting []*job
+	for _, j := range d.jobs.open {
+		if j.phase == storage.Open && j.waiting > 0 && !now.Before(j.retryAfter) && j.managed.mayPlace(now) {
+			waiting = append(waiting, j)
+		}
+	}
+	return waiting
+}
+
+// placeJob places what it can of a job's tasks, or makes room for them.
+func (d *scheduler) placeJob(j *job, r *round) { d.placeTasks(j, j.startable(), r) }
+
+// placeTasks places up to so many of a job's tasks, or makes room for them.
+func (d *scheduler) placeTasks(j *job, tasks int, r *round) {
+	zones := newZoneCheck(j)
+	best := shortlist{job: j, round: r, zones: &zones}
+	for n := tasks; n > 0 && len(r.reserved) < maxPlacementsPerRound; n-- {
+		task, ok := j.nextWaiting()
+		if !ok || !d.withinLimit(j) {
+			return
+		}
+		if s := d.choose(&best); s != nil {
+			r.reserved = append(r.reserved, d.reserveOn(j, task, s, r.now))
+			zones.add(s.zone, 1)
+			d.noteReserved(&best, s)
+			continue
+		}
+		zone, ok := d.preempt(j, r, &zones)
+		if !ok {
+			return
+		}
+		zones.add(zone, 1) // claimed there
+	}
+}
+
+func (d *scheduler) withinLimit(j *job) bool {
+	team := d.settings.team(j.spec.Team)
+	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
+}
+
+// reserveOn enters an attempt and takes its room from the candidate.
+func (d *scheduler) reserveOn(j *job, task int, s *candidate, now time.Time) *attempt {
+	s.free = s.free.Minus(j.spec.Room)
+	return d.reserve(j, task, s.machine, now)
+}
+
+// reserve enters an attempt; it may start once its page is durable.
+func (d *scheduler) reserve(j *job, task int, m *machine, now time.Time) *attempt {
+	d.lastAttempt++
+	a := &attempt{job: j, task: task, number: d.lastAttempt, machine: m, incarnation: m.incarnation, thisTerm: true, reservedAt: now}
+	d.addAttempt(a)
+	d.markPage(j, task)
+	return a
+}
+
+// startReserved sends the durable attempts to their workers.
+func (d *scheduler) startReserved(booked []*attempt) {
+	now := time.Now()
+	if !d.leaseValid(now) {
+		for _, a := range booked {
+			a.durable = true
+		}
+		return
+	}
+	orders := make(map[*machine][]Order)
+	starts := make(map[*machine][]*attempt)
+	for _, a := range booked {
+		if a.job.attempts[a.task] != a {
+			continue
+		}
+		a.durable = true
+		m := a.machine
+		// Its cancel may be on its way to being durable, and the order would
+		// come after a user was told.
+		if a.job.phase != storage.Open || a.stopping || m.terminating || a.incarnation != m.incarnation || a.maybeDelivered() {
+			continue
+		}
+		if !d.mayStartDirectly(m, a.job) {
+			continue // with the answer to a report
+		}
+		orders[m] = append(orders[m], Order{Verb: Start, ID: a.id(), Try: a.number})
+		starts[m] = append(starts[m], a)
+	}
+	for m, o := range orders {
+		d.sendCommands(m, o, starts[m])
+	}
+}
+
+// admits tells whether the kind of machine and its zone suit a task of the job.
+func (s *candidate) admits(j *job, zones *zoneCheck) bool {
+	return (!s.spot || j.spec.Spot) && s.zone != "" && allowed(j.spec.Types, s.typeName) && zones.allows(s.zone)
+}
+
+// sample returns the better of two random candidates: the fuller, to pack.
+func (d *scheduler) sample(j *job, candidates []*candidate) *candidate {
+	pick := candidates[d.rand.IntN(len(candidates))]
+	for i := 1; i < samples; i++ {
+		if o := candidates[d.rand.IntN(len(candidates))]; o.freeShare(j) < pick.freeShare(j) {
+			pick = o
+		}
+	}
+	return pick
+}
+
+// The tiers of machines, as weights of what speaks against one.
+const (
+	tierCPUOnly         = 1 << iota // a task without accelerators where it keeps a machine busy that could be returned
+	tierOnDemandForSpot             // a job that may use spot on an ordinary machine
+	tierImageMissing                // the image must be fetched
+	tierStrandsGPUs                 // leaves accelerators that nobody can use
+	tierSuspected                   // tasks have failed here lately
+)
+
+func (d *scheduler) tier(j *job, s *candidate) int {
+	t := 0
+	if j.spec.Room.GPUs == 0 && s.machineType.Room.GPUs == 0 {
+		t |= tierCPUOnly
+	}
+	if j.spec.Spot && !s.spot {
+		t |= tierOnDemandForSpot
+	}
+	if _, ok := s.machine.images[j.spec.Image]; !ok {
+		t |= tierImageMissing
+	}
+	if d.strandsGPUs(j, s) {
+		t |= tierStrandsGPUs
+	}
+	if s.machine.failures.Suspected() || s.machine.lostIncarnations > 0 {
+		t |= tierSuspected
+	}
+	return t
+}
+
+// strandsGPUs tells whether a task without accelerators would leave too little of
+// the rest for the tasks that need the machine's free ones.
+func (d *scheduler) strandsGPUs(j *job, s *candidate) bool {
+	if j.spec.Room.GPUs > 0 || s.machineType.Room.GPUs == 0 {
+		return false
+	}
+	need := d.perGPU
+	left := s.free.Minus(j.spec.Room)
+	return left.CPUs < need.CPUs*s.free.GPUs || left.MemoryGB < need.MemoryGB*s.free.GPUs
+}
+
+// freeShare is how much of what matters to the job is free.
+func (s *candidate) freeShare(j *job) float64 {
+	if j.spec.Room.GPUs > 0 && s.machineType.Room.GPUs > 0 {
+		return s.free.GPUs / s.machineType.Room.GPUs
+	}
+	return s.free.CPUs / s.machineType.Room.CPUs
+}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -10,18 +10,18 @@
 // being freed already, or else the one where stopping work of lower priority
 // costs least. The task is placed once that is gone; until the round ends
 // nobody else counts on the claimed room. It returns the machine's zone.
-func (d *dispatcher) preempt(j *job, r *round, zones *zoneCheck) (zone string, ok bool) {
+func (d *scheduler) preempt(j *job, r *round, zones *zoneCheck) (zone string, ok bool) {
 	by := d.preemptorOf(j, r)
 	sh := d.shapeOf(j)
 	sh.guaranteed = by.guaranteed
-	if by.bound() <= storage.BestEffort || r.unpreemptable.from(sh, zones, r.zones) >= len(r.candidates) {
+	if by.priorityBound() <= storage.BestEffort || r.unpreemptable.from(sh, zones, r.zones) >= len(r.candidates) {
 		return "", false
 	}
 	var best *candidate
 	var victims []*attempt
 	bestCost := 0.0
 	for _, s := range r.candidates {
-		if !j.spec.Room.Fits(s.typ.Room) || !s.admits(j, zones) {
+		if !j.spec.Room.Fits(s.machineType.Room) || !s.admits(j, zones) {
 			continue
 		}
 		v, cost, ok := d.victims(s, j.spec.Room, by, r.now)
@@ -37,22 +37,22 @@
 		return "", false
 	}
 	for _, v := range victims {
-		d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.on.id, "for", j.spec.ID)
-		best.freeing = best.freeing.Plus(v.job.spec.Room)
+		d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.machine.id, "for", j.spec.ID)
+		best.releasing = best.releasing.Plus(v.job.spec.Room)
 		d.preemptOne(v, r.now)
 	}
-	best.claim(j.spec.Room)
+	best.takeReleasing(j.spec.Room)
 	if len(victims) > 0 {
-		d.stopSeen(best.on)
+		d.commandStops(best.machine)
 	}
 	return best.zone, true
 }
 
-// claim takes room from what is free and what is being freed.
-func (s *candidate) claim(r storage.Room) {
-	all := s.free.Plus(s.freeing).Minus(r)
+// takeReleasing takes room from what is free and what is being freed.
+func (s *candidate) takeReleasing(r storage.Room) {
+	all := s.free.Plus(s.releasing).Minus(r)
 	s.free = storage.Room{CPUs: min(s.free.CPUs, all.CPUs), GPUs: min(s.free.GPUs, all.GPUs), MemoryGB: min(s.free.MemoryGB, all.MemoryGB)}
-	s.freeing = all.Minus(s.free)
+	s.releasing = all.Minus(s.free)
 }
 
 // preemptor is what makes room for itself: work of a priority, which may also stop opportunistic
@@ -63,18 +63,18 @@
 }
 
 // preemptorOf is a job as a preemptor.
-func (d *dispatcher) preemptorOf(j *job, r *round) preemptor {
+func (d *scheduler) preemptorOf(j *job, r *round) preemptor {
 	if j.spec.Priority > storage.BestEffort {
 		return preemptor{priority: j.spec.Priority} // all opportunistic work has less
 	}
 	if r.guaranteed == nil {
-		r.guaranteed = d.guaranteed()
+		r.guaranteed = d.jobsWithinGuarantee()
 	}
 	return preemptor{priority: j.spec.Priority, guaranteed: r.guaranteed[j]}
 }
 
-// bound is the least priority that it can't preempt any work of.
-func (p preemptor) bound() storage.Priority {
+// priorityBound is the least priority that it can't preempt any work of.
+func (p preemptor) priorityBound() storage.Priority {
 	if p.guaranteed {
 		return p.priority + 1
 	}
@@ -82,28 +82,28 @@
 }
 
 // mayStop tells whether a preemptor may stop an attempt.
-func (d *dispatcher) mayStop(p preemptor, a *attempt) bool {
+func (d *scheduler) mayStop(p preemptor, a *attempt) bool {
 	return a.job.spec.Priority < p.priority || p.guaranteed && d.settings.opportunistic(&a.job.spec)
 }
 
 // victims chooses tasks in the candidate that the preemptor may stop and whose end makes that much
 // room, the cheapest to lose first. Room that is being freed already
 // counts: then there is nothing to stop.
-func (d *dispatcher) victims(s *candidate, room storage.Room, by preemptor, now time.Time) ([]*attempt, float64, bool) {
-	free := s.free.Plus(s.freeing)
+func (d *scheduler) victims(s *candidate, room storage.Room, by preemptor, now time.Time) ([]*attempt, float64, bool) {
+	free := s.free.Plus(s.releasing)
 	if room.Fits(free) {
 		return nil, 0, true
 	}
 	most := free
-	for _, live := range s.on.live[:by.bound()] {
+	for _, live := range s.machine.running[:by.priorityBound()] {
 		most = most.Plus(live)
 	}
 	if !room.Fits(most) {
 		return nil, 0, false
 	}
 	var lower []*attempt
-	for _, a := range s.on.sortedAttempts() {
-		if !a.stop && d.mayStop(by, a) {
+	for _, a := range s.machine.sortedAttempts() {
+		if !a.stopping && d.mayStop(by, a) {
 			lower = append(lower, a)
 		}
 	}
@@ -112,35 +112,35 @@
 	for len(lower) > 0 && !room.Fits(free) {
 		k := 0
 		for i := range lower {
-			if d.lossOf(lower[i], now) < d.lossOf(lower[k], now) {
+			if d.preemptionCost(lower[i], now) < d.preemptionCost(lower[k], now) {
 				k = i
 			}
 		}
 		a := lower[k]
 		lower = append(lower[:k], lower[k+1:]...)
 		out = append(out, a)
-		cost += d.lossOf(a, now)
+		cost += d.preemptionCost(a, now)
 		free = free.Plus(a.job.spec.Room)
 	}
 	return out, cost, room.Fits(free)
 }
 
-// lossOf is the work lost if an attempt is stopped, in machine seconds.
-func (d *dispatcher) lossOf(a *attempt, now time.Time) float64 {
+// preemptionCost is the work lost if an attempt is stopped, in machine seconds.
+func (d *scheduler) preemptionCost(a *attempt, now time.Time) float64 {
 	size := max(a.job.spec.Room.CPUs, 1) + 16*a.job.spec.Room.GPUs
-	if !a.seen || a.state == Pulling || a.state == Gathering {
+	if !a.reported || a.state == Pulling || a.state == Gathering {
 		return size
 	}
 	if a.job.spec.Gang {
 		size *= float64(len(a.job.attempts)) // all are stopped with it
 	}
-	return size * (1 + d.lostSeconds(a, now))
+	return size * (1 + d.lostWorkSeconds(a, now))
 }
 
-// lostSeconds is how long a task has run for nothing if it is stopped: since its last
+// lostWorkSeconds is how long a task has run for nothing if it is stopped: since its last
 // checkpoint, at the most, where its progress can't be saved, and otherwise the time
 // that the saving takes.
-func (d *dispatcher) lostSeconds(a *attempt, now time.Time) float64 {
+func (d *scheduler) lostWorkSeconds(a *attempt, now time.Time) float64 {
 	ran := now.Sub(a.started).Seconds()
 	switch spec := &a.job.spec; {
 	case spec.CheckpointS <= 0:
