--- a/internal/coordination/booting_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -50,39 +50,39 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		rental := storage.LaunchRecord{Type: "cpu", Zone: "a"}
-		d.handleRented(rentedMsg{rental, []int{1, 2, 3, 4, 5, 6}})
+		d.handleLaunched(launchedMsg{rental, []int{1, 2, 3, 4, 5, 6}})
 		time.Sleep(15 * time.Second)
 		for id := range 4 {
 			d.up(id+3, "cpu", "a", false)
 		}
 		time.Sleep(15 * time.Second)
 		v := d.snapshotFleet(time.Now())
-		if len(v.lost) != 0 || !d.bootOverdue(d.machines[1], time.Now()) {
-			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.bootOverdue(d.machines[1], time.Now()))
+		if len(v.lost) != 0 || !d.provisioningOverdue(d.machines[1], time.Now()) {
+			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.provisioningOverdue(d.machines[1], time.Now()))
 		}
 		time.Sleep(6 * time.Second)
 		if v := d.snapshotFleet(time.Now()); len(v.lost) != 2 {
 			t.Errorf("%v are returned, not two", v.lost)
 		}
-		if d.undelivered(offer{"cpu", "a", false}, time.Now()) {
+		if d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
 			t.Error("an offer that mostly delivers is avoided")
 		}
-		d.returnMachines([]int{1, 2})
-		d.handleRented(rentedMsg{rental, []int{7, 8, 9}})
+		d.terminateMachines([]int{1, 2})
+		d.handleLaunched(launchedMsg{rental, []int{7, 8, 9}})
 		time.Sleep(2 * time.Minute)
 		d.snapshotFleet(time.Now())
 		d.accept(service("000001", 400))
-		if !d.undelivered(offer{"cpu", "a", false}, time.Now()) {
+		if !d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
 			t.Error("an offer that doesn't deliver isn't avoided")
 		}
-		for _, o := range d.trialPacking().wanted {
+		for _, o := range d.trialPacking().desired {
 			if o.zone == "a" {
 				t.Errorf("%+v is rented though it doesn't deliver", o)
 				break
 			}
 		}
 		time.Sleep(6 * time.Minute)
-		if d.undelivered(offer{"cpu", "a", false}, time.Now()) {
+		if d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
 			t.Error("an offer is avoided for good")
 		}
 	})
--- a/internal/coordination/relay.go
+++ b/internal/coordination/relay.go
@@ -24,8 +24,8 @@
 	relayResponsePrefix = "mail/answer/"
 	// relayShare of the change budget is each relay writer's.
 	relayShare = 0.1
-	// gatherPerReport is how long a batch gathers, in report intervals.
-	gatherPerReport = 0.1
+	// gatherPerHeartbeat is how long a batch gathers, in report intervals.
+	gatherPerHeartbeat = 0.1
 	// relayBatchSize bounds the items of a batch, relayFragments its values.
 	relayBatchSize = 192
 	relayFragments = 4
--- a/internal/coordination/relay_client.go
+++ b/internal/coordination/relay_client.go
@@ -17,7 +17,7 @@
 	settings     *Settings
 	svc          storage.KeyValueStore
 	log          *slog.Logger
-	in           chan queuedRequest
+	queue        chan queuedRequest
 	processID    uint64 // this process's own mark on its batches
 	serial       uint64
 	limiter      *rate.Limiter
@@ -33,7 +33,7 @@
 
 func newRelayClient(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker) *relayClient {
 	return &relayClient{
-		limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, in: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
+		limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, queue: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
 		limiter: relayLimiter(s),
 	}
 }
@@ -45,7 +45,7 @@
 func (m *relayClient) send(ctx context.Context, l letter) mailReply {
 	p := queuedRequest{l, ctx, make(chan mailReply, 1)}
 	select {
-	case m.in <- p:
+	case m.queue <- p:
 	default:
 		return mailReply{}
 	}
@@ -98,13 +98,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case p := <-m.in:
+		case p := <-m.queue:
 			batch = append(batch, p)
 			if p.User != nil {
 				return m.drain(batch)
 			}
 			if len(batch) == 1 {
-				soon = time.After(scale(m.settings.HeartbeatInterval, gatherPerReport))
+				soon = time.After(scale(m.settings.HeartbeatInterval, gatherPerHeartbeat))
 			}
 		case <-soon:
 			return m.drain(batch)
@@ -117,7 +117,7 @@
 func (m *relayClient) drain(batch []queuedRequest) []queuedRequest {
 	for len(batch) < relayBatchSize {
 		select {
-		case p := <-m.in:
+		case p := <-m.queue:
 			batch = append(batch, p)
 		default:
 			return batch
@@ -171,7 +171,7 @@
 		m.limitTracker.Learn(err)
 		return nil, err
 	}
-	m.lastAccepted.mark(time.Now())
+	m.lastAccepted.Mark(time.Now())
 	prefix := relayResponsePrefix + m.settings.NodeName + "/"
 	for {
 		changes, next, err := m.svc.Watch(ctx, prefix, rev, relayTimeout)
--- a/internal/coordination/relay_server.go
+++ b/internal/coordination/relay_server.go
@@ -15,14 +15,14 @@
 	svc          storage.KeyValueStore
 	log          *slog.Logger
 	guard        storage.Guard
-	dispatcher   *dispatcher
+	scheduler    *scheduler
 	limiter      *rate.Limiter
 	limitTracker *storage.LimitTracker
 	latest       map[string]batchID // by sender
 }
 
-func newRelayServer(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *dispatcher) *relayServer {
-	return &relayServer{limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, guard: guard, dispatcher: dispatcher, limiter: relayLimiter(s), latest: make(map[string]batchID)}
+func newRelayServer(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *scheduler) *relayServer {
+	return &relayServer{limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, guard: guard, scheduler: dispatcher, limiter: relayLimiter(s), latest: make(map[string]batchID)}
 }
 
 func (p *relayServer) run(ctx context.Context) {
@@ -39,7 +39,7 @@
 				rev = now
 			}
 			cancel()
-			storage.Sleep(ctx, p.settings.Tuning.LeaderLease/touchesPerLease)
+			storage.Sleep(ctx, p.settings.Tuning.LeaderLease/renewalsPerLease)
 			continue
 		}
 		rev = next
@@ -82,11 +82,11 @@
 			r := mailReply{Done: true}
 			switch {
 			case l.User != nil:
-				a := p.dispatcher.user(actx, *l.User)
+				a := p.scheduler.userRequest(actx, *l.User)
 				r.User = &a
 			case l.Report != nil:
 				b := HeartbeatResponse{Undecided: true}
-				if got := p.dispatcher.heartbeats(actx, []*Report{l.Report}); len(got) > 0 {
+				if got := p.scheduler.heartbeats(actx, []*Report{l.Report}); len(got) > 0 {
 					b = got[0]
 				}
 				answer := BeatAnswer(b)
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -19,34 +19,34 @@
 
 // newTestDispatcher makes a dispatcher without the actors around it, for what a snapshot or a
 // round decides. Its clock stands still unless the test moves it.
-func newTestDispatcher(tb testing.TB, s Settings) *dispatcher {
+func newTestDispatcher(tb testing.TB, s Settings) *scheduler {
 	tb.Helper()
 	svc := storagetest.NewService()
 	tb.Cleanup(svc.Close)
 	client := &storagetest.Client{Service: svc, Cut: new(atomic.Bool)}
-	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leadKey})
+	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leaderKey})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := time.Now()
-	role := Role{Leading: true, Term: 2, Certain: now.Add(time.Hour), HoldOut: now.Add(time.Hour)}
-	d, err := newDispatcher(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, make(chan resignation, 1), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	role := Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
+	d, err := newScheduler(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, make(chan resignation, 1), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	d.setTypes(testTypes)
-	d.listed = true
+	d.machinesListed = true
 	return d
 }
 
 // commit has all that is marked become durable, or fail.
-func (d *dispatcher) commit(err error) {
+func (d *scheduler) commit(err error) {
 	d.queue.Next(math.MaxInt, func(key string, err error) { panic(key) })
 	d.handleCommitted(err)
 }
 
 // unmark forgets what is to become durable, with those who wait for it.
-func (d *dispatcher) unmark() { d.queue = groupcommit.New() }
+func (d *scheduler) unmark() { d.queue = groupcommit.New() }
 
 // silentWorkers never get a direct order.
 type silentWorkers struct{}
@@ -68,25 +68,25 @@
 }
 
 // up makes a machine that has just reported under the present token.
-func (d *dispatcher) up(id int, kind, zone string, spot bool) *machine {
-	m := d.machine(id)
-	d.apply(m, &Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Session: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
+func (d *scheduler) up(id int, kind, zone string, spot bool) *machine {
+	m := d.machineFor(id)
+	d.applyReport(m, &Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Session: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
 	return m
 }
 
 // accept enters a job as if its acceptance were durable.
-func (d *dispatcher) accept(spec storage.Spec) *job {
+func (d *scheduler) accept(spec storage.Spec) *job {
 	j := newJob(spec, time.Now())
-	j.known = true
+	j.acknowledged = true
 	d.jobs.insert(j)
-	d.arrival(j)
+	d.noteArrival(j)
 	return j
 }
 
 // trialPacking makes one trial packing of all that waits and is to be kept.
-func (d *dispatcher) trialPacking() *packing {
+func (d *scheduler) trialPacking() *packing {
 	p := &packing{exhausted: make(exhaustedShapes), candidates: d.readyCandidates(time.Now())}
-	d.shortage(p, d.demands(time.Now()), len(d.order), time.Now())
+	d.shortage(p, d.demands(time.Now()), len(d.machineOrder), time.Now())
 	return p
 }
 
@@ -99,13 +99,13 @@
 // The cloud calls a rental of more than fifty machines malformed, and that
 // looked like a type that is sold out.
 func TestRentalsStayWithinWhatTheCloudTakes(t *testing.T) {
-	var wanted []offer
+	var wanted []offering
 	for i := range 173 {
-		wanted = append(wanted, offer{"gpu", []string{"a", "b"}[i%2], i%5 == 0})
+		wanted = append(wanted, offering{"gpu", []string{"a", "b"}[i%2], i%5 == 0})
 	}
 	total := 0
-	for _, h := range rentalsFor(wanted) {
-		if h.Count < 1 || h.Count > maxRental {
+	for _, h := range launchesFor(wanted) {
+		if h.Count < 1 || h.Count > maxLaunch {
 			t.Errorf("a rental of %d machines", h.Count)
 		}
 		total += h.Count
@@ -137,7 +137,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		for name, got := range sim.cloud.rentals {
-			if len(got) > maxRental {
+			if len(got) > maxLaunch {
 				t.Errorf("rental %s is of %d machines", name, len(got))
 			}
 		}
@@ -147,7 +147,7 @@
 func TestAStepAtMostDoublesTheFleet(t *testing.T) {
 	tuning := Tuning{ScaleOutStep: 50}
 	for size, want := range map[int]int{0: 50, 30: 50, 51: 51, 400: 400} {
-		if got := tuning.growBound(size); got != want {
+		if got := tuning.maxScaleOut(size); got != want {
 			t.Errorf("a fleet of %d may grow by %d, not %d", size, got, want)
 		}
 	}
@@ -156,7 +156,7 @@
 // One machine at a time is returned, but a large fleet must not take hours.
 func TestTheCooldownFollowsTheFleet(t *testing.T) {
 	s := grownSettings()
-	small, large := s.Tuning.cooldown(coolFleet/2), s.Tuning.cooldown(8*coolFleet)
+	small, large := s.Tuning.cooldown(cooldownFleetSize/2), s.Tuning.cooldown(8*cooldownFleetSize)
 	if small != s.Tuning.Cooldown || large != s.Tuning.Cooldown/8 {
 		t.Errorf("cooldowns of %v and %v", small, large)
 	}
@@ -167,17 +167,17 @@
 func TestRoomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		d.firstJob = time.Now().Add(-3 * d.settings.WorkerLease)
+		d.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 		for i := range 4 {
 			d.up(i+1, "cpu", "a", false) // ample room, all in one zone
 		}
 		j := d.accept(spread("000001", 4))
 		for i := range 4 {
-			d.enter(&attempt{job: j, task: i, try: uint64(i), on: d.up(10+i, "gpu", "b", false), session: 1, ownTerm: true, seen: true})
+			d.addAttempt(&attempt{job: j, task: i, number: uint64(i), machine: d.up(10+i, "gpu", "b", false), incarnation: 1, thisTerm: true, reported: true})
 		}
 		d.perGPU, d.perGPUAt = storage.Room{CPUs: 8}, time.Now() // nothing to spare beside accelerators
 		var inB int
-		for _, o := range d.trialPacking().wanted {
+		for _, o := range d.trialPacking().desired {
 			if o.zone == "b" {
 				inB++
 			}
@@ -196,7 +196,7 @@
 		s := service("000001", 40)
 		s.Types = []string{"gpu"}
 		d.accept(s)
-		if n := len(d.trialPacking().wanted); n != 2 {
+		if n := len(d.trialPacking().desired); n != 2 {
 			t.Errorf("%d machines of 32 places for 40 tasks", n)
 		}
 	})
@@ -215,12 +215,12 @@
 		r.zones = zonesOf(r.candidates)
 		d.placeJob(j, r)
 		zones := newZoneCheck(j)
-		if len(r.booked) != 400 || r.exhausted.from(j.shape(), &zones, r.zones) != len(r.candidates) {
-			t.Fatalf("%d booked, searched up to %d", len(r.booked), r.exhausted.from(j.shape(), &zones, r.zones))
+		if len(r.reserved) != 400 || r.exhausted.from(j.shape(), &zones, r.zones) != len(r.candidates) {
+			t.Fatalf("%d booked, searched up to %d", len(r.reserved), r.exhausted.from(j.shape(), &zones, r.zones))
 		}
 		added := candidateOf(d.up(200, "cpu", "a", false))
 		r.candidates = append(r.candidates, &added)
-		if s := d.choose(&shortlist{job: j, round: r, zones: &zones}); s == nil || s.on.id != 200 {
+		if s := d.choose(&shortlist{job: j, round: r, zones: &zones}); s == nil || s.machine.id != 200 {
 			t.Error("the slot that was added isn't found")
 		}
 	})
@@ -237,7 +237,7 @@
 		for i := range 10 {
 			m := d.up(i+1, "cpu", "a", false)
 			for k := range 4 {
-				d.enter(&attempt{job: j, task: 4*i + k, try: uint64(4*i + k + 1), on: m, session: 1, ownTerm: true, seen: true, state: Running, started: time.Now()})
+				d.addAttempt(&attempt{job: j, task: 4*i + k, number: uint64(4*i + k + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
 			}
 		}
 		d.accept(service("000002", 12))
@@ -245,7 +245,7 @@
 		d.placeRound(time.Now()) // what is being freed isn't made room for twice
 		stopped := 0
 		for _, a := range j.attempts {
-			if a.stop {
+			if a.stopping {
 				stopped++
 			}
 		}
@@ -286,7 +286,7 @@
 		time.Sleep(5 * time.Second)
 		old.cutState.Store(true)
 		sim.eventually("a successor leads", 30*time.Second, func() bool { n := sim.leader(); return n != nil && n != old })
-		sim.eventually("the old leader has stepped down", 3*time.Second, func() bool { return old.node.view.Load().dispatcher == nil })
+		sim.eventually("the old leader has stepped down", 3*time.Second, func() bool { return old.node.view.Load().scheduler == nil })
 		spec := arrayJob("000001", 1)
 		sim.upload(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -329,9 +329,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		role := d.role
-		d.stepDown("told to")
+		d.resignLeadership("told to")
 		d.handle(roleMsg{role})
-		if d.certain(time.Now()) || time.Now().Before(d.role.HoldOut) {
+		if d.leaseValid(time.Now()) || time.Now().Before(d.role.RenewUntil) {
 			t.Error("a resigned leader is certain")
 		}
 	})
@@ -346,14 +346,14 @@
 		j := d.accept(arrayJob("000001", 1))
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Token: d.term}
 		for try := uint64(1); try <= 2; try++ {
-			a := &attempt{job: j, task: 0, try: try, on: m, session: 1, ownTerm: true, durable: true, direct: directSettled, directToken: d.term}
-			d.enter(a)
+			a := &attempt{job: j, task: 0, number: try, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term}
+			d.addAttempt(a)
 			r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: try, State: Ended, Cause: CauseStopped})
 			r.Seq = m.seq + 1
-			d.apply(m, r, true, time.Now())
+			d.applyReport(m, r, true, time.Now())
 		}
 		d.unmark()
-		for _, o := range d.ordersFor(m, r, time.Now()) {
+		for _, o := range d.commandsFor(m, r, time.Now()) {
 			if o.Verb == Forget {
 				t.Errorf("try %d is to be forgotten", o.Try)
 			}
@@ -367,14 +367,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		for i := range 400 {
-			m := d.machine(i + 1)
-			m.addr, m.session = fmt.Sprint(i+1), 1
+			m := d.machineFor(i + 1)
+			m.addr, m.incarnation = fmt.Sprint(i+1), 1
 		}
-		d.unannounced = append(d.unannounced, d.order...)
+		d.tokenPending = append(d.tokenPending, d.machineOrder...)
 		told := 0
-		for d.announceTokens(); d.announcing > 0; {
-			if d.announcing > d.settings.maxAnnouncements() {
-				t.Fatalf("%d greets at a time", d.announcing)
+		for d.announceTokens(); d.announcements > 0; {
+			if d.announcements > d.settings.maxAnnouncements() {
+				t.Fatalf("%d greets at a time", d.announcements)
 			}
 			d.handle(<-d.mailbox)
 			told++
@@ -402,7 +402,7 @@
 		if err := next.loadRecord(rec); err != nil {
 			t.Fatal(err)
 		}
-		if im, ok := next.machines[1].images["seldom"]; !ok || im.gb != 5 {
+		if im, ok := next.machines[1].images["seldom"]; !ok || im.sizeGB != 5 {
 			t.Errorf("the next leader knows %+v", next.machines[1].images)
 		}
 	})
@@ -437,7 +437,7 @@
 			s := arrayJob("000001", 1)
 			s.EstimateS, s.DeadlineS, s.CheckpointS, s.SaveS, s.ImageGB = 60, due, 10, 4, 5
 			j := newJob(s, time.Now())
-			a := &attempt{job: j, on: d.up(1, "cpu", "a", false), seen: true, started: time.Now()}
+			a := &attempt{job: j, machine: d.up(1, "cpu", "a", false), reported: true, started: time.Now()}
 			if got := d.lateByMove(a, time.Now()); got != late {
 				t.Errorf("due in %v s: late by a move %v", due, got)
 			}
@@ -455,14 +455,14 @@
 		j := d.accept(arrayJob("000001", 10))
 		sent := 0
 		for i := range 10 {
-			a := &attempt{job: j, task: i, try: uint64(i + 1), on: m, session: 1, ownTerm: true, durable: true}
-			d.enter(a)
-			d.direct(m, []Order{{Verb: Start, ID: a.id(), Try: a.try}}, []*attempt{a})
-			if a.direct == directInFlight {
+			a := &attempt{job: j, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, durable: true}
+			d.addAttempt(a)
+			d.sendCommands(m, []Order{{Verb: Start, ID: a.id(), Try: a.number}}, []*attempt{a})
+			if a.delivery == deliveryInFlight {
 				sent++
 			}
 		}
-		if sent != directMost {
+		if sent != maxInFlightCommands {
 			t.Errorf("%d orders at a time", sent)
 		}
 		for range sent {
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -96,7 +96,7 @@
 		})
 		sim.cancel("000001")
 		sim.eventually("the cancelled tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.running("000001")) == 0 })
-		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().dispatcher == nil })
+		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
 	})
 }
 
@@ -195,7 +195,7 @@
 		lead.cutState.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
-		if !lead.node.lead.leaderless(context.Background(), term, cut) {
+		if !lead.node.leadership.leaderless(context.Background(), term, cut) {
 			t.Error("peers that heard nothing since don't confirm")
 		}
 		for _, n := range sim.nodes {
@@ -205,7 +205,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if lead.node.lead.leaderless(context.Background(), term, cut) {
+		if lead.node.leadership.leaderless(context.Background(), term, cut) {
 			t.Error("a restarted peer confirms what it can't know")
 		}
 	})
@@ -329,16 +329,16 @@
 func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		m := d.machine(1)
-		m.addr, m.session = "1", 1
+		m := d.machineFor(1)
+		m.addr, m.incarnation = "1", 1
 		j := d.accept(arrayJob("000001", 1))
-		a := &attempt{job: j, task: 0, try: 1, on: m, session: 1, durable: true} // loaded
-		d.enter(a)
+		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, durable: true} // loaded
+		d.addAttempt(a)
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 1, Token: d.term - 1}
 		if got := d.handleHeartbeat(r); len(got.Orders) != 1 || got.Orders[0].Verb != Start {
 			t.Fatalf("answered %+v", got)
 		}
-		d.handleDirect(directMsg{machine: 1, announcement: true, outcome: Executed,
+		d.handleDelivered(deliveredMsg{machine: 1, announcement: true, outcome: Executed,
 			report: &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 2, Token: d.term}})
 		if j.attempts[0] != a {
 			t.Error("the attempt is called absent while its start is on the way")
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -72,31 +72,31 @@
 	Activation         ActivationTuning
 }
 
-// growBound is the most machines that one step may rent: the operators' figure,
+// maxScaleOut is the most machines that one step may rent: the operators' figure,
 // or as many as the fleet has, so that a fleet of any size at most doubles.
-func (t *Tuning) growBound(size int) int { return max(t.ScaleOutStep, size) }
+func (t *Tuning) maxScaleOut(size int) int { return max(t.ScaleOutStep, size) }
 
-// coolFleet is the fleet that the cooldown is meant for. A larger one returns
+// cooldownFleetSize is the fleet that the cooldown is meant for. A larger one returns
 // its machines faster in proportion, still one at a time, so that a whole fleet
 // of any size above takes as long to return.
-const coolFleet = 16
+const cooldownFleetSize = 16
 
 // cooldown is the pause after a machine of a fleet of that size was drained.
 func (t *Tuning) cooldown(size int) time.Duration {
-	return scale(t.Cooldown, min(1, coolFleet/float64(max(size, 1))))
+	return scale(t.Cooldown, min(1, cooldownFleetSize/float64(max(size, 1))))
 }
 
 // Ratios of the tuning defaults to the settings' figures.
 const (
-	upPerReport     = 0.3 // DESIGN starts at 10 s
-	downPerLease    = 1.0
-	coolPerLease    = 0.25
-	leaderPerLease  = 0.08
-	growStepDefault = 4 * maxRental // DESIGN starts at 4
-	headroomDefault = 1.0
-	soakPerLease    = 30
-	releasePerLease = 30
-	fencingWindow   = 16
+	scaleOutWindowPerHeartbeat = 0.3 // DESIGN starts at 10 s
+	scaleInWindowPerLease      = 1.0
+	cooldownPerLeaseOfWorkers  = 0.25
+	leaderLeasePerLease        = 0.08
+	defaultScaleOutStep        = 4 * maxLaunch // DESIGN starts at 4
+	headroomDefault            = 1.0
+	soakPerLease               = 30
+	releasePerLease            = 30
+	fencingWindow              = 16
 
 	// driftBound covers the workers' and our own steady clocks.
 	driftBound = 1.002
@@ -111,11 +111,11 @@
 // DefaultTuning derives the operators' defaults from the platform's figures.
 func (s *Settings) DefaultTuning() Tuning {
 	return Tuning{
-		ScaleOutWindow:     scale(s.HeartbeatInterval, upPerReport),
-		ScaleInWindow:      scale(s.WorkerLease, downPerLease),
-		Cooldown:           scale(s.WorkerLease, coolPerLease),
-		ScaleOutStep:       growStepDefault,
-		LeaderLease:        scale(s.WorkerLease, leaderPerLease),
+		ScaleOutWindow:     scale(s.HeartbeatInterval, scaleOutWindowPerHeartbeat),
+		ScaleInWindow:      scale(s.WorkerLease, scaleInWindowPerLease),
+		Cooldown:           scale(s.WorkerLease, cooldownPerLeaseOfWorkers),
+		ScaleOutStep:       defaultScaleOutStep,
+		LeaderLease:        scale(s.WorkerLease, leaderLeasePerLease),
 		HeadroomDeviations: headroomDefault,
 		Upgrade:            s.defaultUpgrade(),
 		Archive:            s.defaultArchive(),
@@ -139,11 +139,11 @@
 // callTime is the longest that one call of the leadership may take.
 func (s *Settings) callTime() time.Duration { return scale(s.Tuning.LeaderLease, callShare) }
 
-// hold is how long after the end of its own grant a leader may still renew
+// renewalGrace is how long after the end of its own grant a leader may still renew
 // the leases of workers: a successor that acknowledges a cancel the moment the
 // grant ends must see the tasks gone within cancel_s, even where the workers
 // hear only the old leader.
-func (s *Settings) hold() time.Duration {
+func (s *Settings) renewalGrace() time.Duration {
 	return max(0, s.CancelTimeout-s.WorkerLease-scale(s.CancelTimeout, driftBound-1)-scale(s.HeartbeatInterval, holdMargin))
 }
 
@@ -157,7 +157,7 @@
 // counted from the take-over: an earlier leader may have renewed its lease
 // until the end of its hold.
 func (s *Settings) unconfirmedBound() time.Duration {
-	return scale(s.hold(), driftBound) + s.leaseBound()
+	return scale(s.renewalGrace(), driftBound) + s.leaseBound()
 }
 
 // fresh is how long a machine's last report counts.
--- a/internal/coordination/shortlist.go
+++ b/internal/coordination/shortlist.go
@@ -14,7 +14,7 @@
 
 // choose picks a machine by the power of two choices among the best kind of
 // eligible machines.
-func (d *dispatcher) choose(list *shortlist) *candidate {
+func (d *scheduler) choose(list *shortlist) *candidate {
 	if list.zones.counts != nil { // a task booked in one zone may close it to the next
 		list.candidates = slices.DeleteFunc(list.candidates, func(s *candidate) bool { return !list.zones.allows(s.zone) })
 	}
@@ -28,7 +28,7 @@
 }
 
 // search looks through the round's candidates for those of the best tier.
-func (d *dispatcher) search(list *shortlist) {
+func (d *scheduler) search(list *shortlist) {
 	j, r := list.job, list.round
 	sh := d.shapeOf(j)
 	from := r.exhausted.from(sh, list.zones, r.zones)
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, s := range r.candidates[from:] {
-		if !j.spec.Room.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strands(j, s) {
+		if !j.spec.Room.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strandsGPUs(j, s) {
 			continue
 		}
 		t := d.tier(j, s)
@@ -52,9 +52,9 @@
 	}
 }
 
-// booked takes in that a task was booked on a candidate, which may have become too full or of another tier.
-func (d *dispatcher) booked(list *shortlist, s *candidate) {
-	fits := list.job.spec.Room.Fits(s.free) && !(d.settings.opportunistic(&list.job.spec) && d.strands(list.job, s))
+// noteReserved takes in that a task was noteReserved on a candidate, which may have become too full or of another tier.
+func (d *scheduler) noteReserved(list *shortlist, s *candidate) {
+	fits := list.job.spec.Room.Fits(s.free) && !(d.settings.opportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
 	switch tier := d.tier(list.job, s); {
 	case fits && tier == list.tier:
 	case fits && tier < list.tier:
--- a/internal/coordination/shortlist_test.go
+++ b/internal/coordination/shortlist_test.go
@@ -46,9 +46,9 @@
 			if s == nil {
 				return
 			}
-			d.bookOn(j, task, s, r.now)
+			d.reserveOn(j, task, s, r.now)
 			zones.add(s.zone, 1)
-			d.booked(&kept, s)
+			d.noteReserved(&kept, s)
 		}
 	})
 }
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -42,7 +42,7 @@
 	overrun      map[string]bool // cancelled jobs seen beyond their time
 	mistaken     map[string]bool // jobs that fail wherever they run
 	starts       int
-	launches     map[string][]launch      // starts that a worker took on, by job
+	startsByJob  map[string][]startRecord // starts that a worker took on, by job
 	wakes        []activation.WakeRequest // that nodes sent each other, to come again late
 	served       []porcupine.Operation    // requests to models that were passed on
 	usages       []activation.UsageReport // likewise
@@ -123,7 +123,7 @@
 			},
 			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
 			answered: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), mistaken: make(map[string]bool), together: make(map[string]int),
-			launches: make(map[string][]launch), failing: make(map[string]time.Duration),
+			startsByJob: make(map[string][]startRecord), failing: make(map[string]time.Duration),
 		}
 		sim.log = slog.New(&slowProcessor{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
 		change(&sim.settings)
@@ -162,7 +162,7 @@
 		if live == nil {
 			continue
 		}
-		if v := live.view.Load(); v.dispatcher != nil && time.Now().Before(v.role.Certain) {
+		if v := live.view.Load(); v.scheduler != nil && time.Now().Before(v.role.LeaseValidUntil) {
 			if lead != nil {
 				sim.t.Fatal("two nodes lead for certain")
 			}
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// surplusTries bounds how many machines with tasks one snapshot tries to do
+	// maxSurplusAttempts bounds how many machines with tasks one snapshot tries to do
 	// without; the next snapshot goes on where it stopped.
-	surplusTries = 8
+	maxSurplusAttempts = 8
 	// surplusPerSnapshot is the share of the fleet that one snapshot may find surplus.
 	surplusPerSnapshot = 1.0 / 32
 )
@@ -26,11 +26,11 @@
 // and what runs would still fit, trying first those that waste the most money.
 // The packing has just shown what fits with them. They are drained and returned
 // one after the other.
-func (d *dispatcher) findSurplus(p *packing, now time.Time) []surplusMachine {
+func (d *scheduler) findSurplus(p *packing, now time.Time) []surplusMachine {
 	most := max(1, int(surplusPerSnapshot*float64(len(p.candidates))))
 	var out []surplusMachine
-	busy, skip := 0, d.surplusFrom // machines with tasks seen, and those tried at the last snapshot
-	d.surplusFrom = 0
+	busy, skip := 0, d.surplusCursor // machines with tasks seen, and those tried at the last snapshot
+	d.surplusCursor = 0
 	for _, s := range d.byWaste(p, now) {
 		if len(out) == most {
 			break
@@ -38,18 +38,18 @@
 		if s.moved > 0 {
 			continue // takes what leaves another
 		}
-		if len(s.on.attempts) > 0 || len(s.packed) > 0 {
+		if len(s.machine.attempts) > 0 || len(s.packed) > 0 {
 			if busy++; busy <= skip {
 				continue
 			}
-			if busy > skip+surplusTries {
-				d.surplusFrom = busy - 1
+			if busy > skip+maxSurplusAttempts {
+				d.surplusCursor = busy - 1
 				break
 			}
 		}
 		if d.canRemove(p, s, now) {
 			s.free = storage.Room{CPUs: -1}
-			out = append(out, surplusMachine{s.on.id, len(s.on.attempts)})
+			out = append(out, surplusMachine{s.machine.id, len(s.machine.attempts)})
 		}
 	}
 	return out
@@ -59,25 +59,25 @@
 // one that is needed again boots, and is paid for, that long.
 const idlePerBoot = 0.25
 
-// restsBriefly tells whether the machine has had no tasks for a short time only.
-func (m *machine) restsBriefly(now time.Time) bool {
-	return len(m.attempts) == 0 && now.Sub(m.idleSince) < seconds(idlePerBoot*m.typ.BootS)
+// brieflyIdle tells whether the machine has had no tasks for a short time only.
+func (m *machine) brieflyIdle(now time.Time) bool {
+	return len(m.attempts) == 0 && now.Sub(m.idleSince) < seconds(idlePerBoot*m.machineType.BootS)
 }
 
 // byWaste lists the candidates of the ready machines, those that waste the most
 // money first.
-func (d *dispatcher) byWaste(p *packing, now time.Time) []*candidate {
+func (d *scheduler) byWaste(p *packing, now time.Time) []*candidate {
 	waste := make(map[*candidate]float64)
 	var out []*candidate
 	for _, s := range p.candidates {
-		if s.on == nil || !s.on.ready(now, d.settings.fresh()) || s.on.restsBriefly(now) {
+		if s.machine == nil || !s.machine.ready(now, d.settings.fresh()) || s.machine.brieflyIdle(now) {
 			continue
 		}
-		price := s.typ.Price
+		price := s.machineType.Price
 		if s.spot {
-			price = s.typ.SpotPrice
+			price = s.machineType.SpotPrice
 		}
-		if w := price * (1 - d.bookedShare(s.on)); w > 0 {
+		if w := price * (1 - d.reservedShare(s.machine)); w > 0 {
 			waste[s] = w
 			out = append(out, s)
 		}
@@ -86,13 +86,13 @@
 		if waste[out[a]] != waste[out[b]] {
 			return waste[out[a]] > waste[out[b]]
 		}
-		return out[a].on.id < out[b].on.id
+		return out[a].machine.id < out[b].machine.id
 	})
 	return out
 }
 
-func (d *dispatcher) bookedShare(m *machine) float64 {
-	used, all := m.booked, m.typ.Room
+func (d *scheduler) reservedShare(m *machine) float64 {
+	used, all := m.reserved, m.machineType.Room
 	share := used.CPUs / all.CPUs
 	if all.GPUs > 0 {
 		share = max(share, used.GPUs/all.GPUs)
@@ -103,13 +103,13 @@
 // canRemove tries to move what runs in a candidate, and what the packing has put
 // there, into the room that the packing has left elsewhere. Replicas must find
 // their images where they go.
-func (d *dispatcher) canRemove(p *packing, s *candidate, now time.Time) bool {
-	ready := func(o *candidate, _ *job) bool { return o != s && o.on != nil && !o.booting }
-	undo, ok := d.tryMove(s.on, p.candidates, true, now, func(o *candidate, j *job) bool {
+func (d *scheduler) canRemove(p *packing, s *candidate, now time.Time) bool {
+	ready := func(o *candidate, _ *job) bool { return o != s && o.machine != nil && !o.booting }
+	undo, ok := d.tryMove(s.machine, p.candidates, true, now, func(o *candidate, j *job) bool {
 		if !ready(o, j) {
 			return false
 		}
-		_, cached := o.on.images[j.spec.Image]
+		_, cached := o.machine.images[j.spec.Image]
 		return cached || !j.spec.Service
 	})
 	if !ok {
@@ -117,7 +117,7 @@
 		return false
 	}
 	for _, dm := range s.packed {
-		if dm.opportunistic && !d.cheapFor(s.offer, dm.job) {
+		if dm.opportunistic && !d.cheapFor(s.offering, dm.job) {
 			continue // it waits for cheaper room
 		}
 		zones := newZoneCheck(dm.job)
@@ -145,13 +145,13 @@
 // tryMove tries to pack a machine's services into the candidates, and with saving
 // also what would be stopped because it can save its progress. The rest may
 // finish, or waits for room. undo gives the room back.
-func (d *dispatcher) tryMove(m *machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *job) bool) (undo func(), ok bool) {
+func (d *scheduler) tryMove(m *machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.sortedAttempts() {
 		if !a.job.spec.Service && !(saving && a.job.spec.CheckpointS > 0 && !a.job.spec.Gang) {
 			continue
 		}
-		if saving && d.settings.opportunistic(&a.job.spec) && !d.cheapFor(offer{m.kind, m.zone, m.spot}, a.job) {
+		if saving && d.settings.opportunistic(&a.job.spec) && !d.cheapFor(offering{m.typeName, m.zone, m.spot}, a.job) {
 			continue // it waits for cheaper room
 		}
 		if saving && d.lateByMove(a, now) {
@@ -174,16 +174,16 @@
 
 // lateByMove tells whether saving a task and fetching its image elsewhere may
 // cost it a deadline that it would meet where it is.
-func (d *dispatcher) lateByMove(a *attempt, now time.Time) bool {
+func (d *scheduler) lateByMove(a *attempt, now time.Time) bool {
 	s := &a.job.spec
 	if s.Service || s.DeadlineS <= 0 || a.started.IsZero() {
 		return false
 	}
 	left := max(0, d.runTime(a.job)-now.Sub(a.started).Seconds())
-	slack := a.job.due().Sub(now).Seconds() - left
+	slack := a.job.deadline().Sub(now).Seconds() - left
 	cost := s.SaveS
-	if a.on.typ != nil && a.on.typ.FetchGBPS > 0 {
-		cost += s.ImageGB / a.on.typ.FetchGBPS
+	if a.machine.machineType != nil && a.machine.machineType.FetchGBPS > 0 {
+		cost += s.ImageGB / a.machine.machineType.FetchGBPS
 	}
 	return slack >= 0 && slack < moveMargin*cost
 }
--- a/internal/coordination/task_failures.go
+++ b/internal/coordination/task_failures.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// pauseLeases is the longest that a machine in trouble is left alone, in leases:
+// maxQuarantineLeases is the longest that a machine in trouble is left alone, in leases:
 // beyond that, work would wait for long beside its room.
-const pauseLeases = 2
+const maxQuarantineLeases = 2
 
 // failed attributes a task's failure to its job or its machine. A job that fails wherever it runs
 // is retried a task at a time, after longer and longer pauses, and its machines are cleared of
 // it; a machine on which several jobs fail is left alone for a while.
-func (d *dispatcher) failed(j *job, m *machine, booked, now time.Time) {
+func (d *scheduler) failed(j *job, m *machine, booked, now time.Time) {
 	j.failures.Failed(m.id, booked, now)
 	m.failures.Failed(j.spec.ID)
 	if j.failures.AtFault() {
 		d.clearMachines(j)
 		m.clearFailures(j)
-		j.pauseTill = now.Add(j.failures.Backoff(d.settings.HeartbeatInterval))
-		d.log.Info("job fails wherever it runs", "job", j.spec.ID, "pause", j.pauseTill.Sub(now))
+		j.retryAfter = now.Add(j.failures.Backoff(d.settings.HeartbeatInterval))
+		d.log.Info("job fails wherever it runs", "job", j.spec.ID, "pause", j.retryAfter.Sub(now))
 		return
 	}
 	if m.failures.AtFault() {
-		pause := scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), pauseLeases)))
-		m.pauseTill = now.Add(pause)
+		pause := scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), maxQuarantineLeases)))
+		m.quarantinedUntil = now.Add(pause)
 		d.log.Info("machine fails several jobs", "machine", m.id, "pause", pause)
 	}
 }
 
 // clearMachines clears the machines that a job at fault has failed on.
-func (d *dispatcher) clearMachines(j *job) {
+func (d *scheduler) clearMachines(j *job) {
 	for _, id := range j.failures.Machines() {
 		if m := d.machines[id]; m != nil {
 			m.clearFailures(j)
@@ -40,14 +40,14 @@
 func (m *machine) clearFailures(j *job) {
 	paused := m.failures.AtFault()
 	m.failures.Clear(j.spec.ID)
-	if paused && !m.failures.AtFault() && m.lapses == 0 && !m.unresponsive {
-		m.pauseTill = time.Time{}
+	if paused && !m.failures.AtFault() && m.lostIncarnations == 0 && !m.unresponsive {
+		m.quarantinedUntil = time.Time{}
 	}
 }
 
 // recallFailures takes in what a worker's first report of this term tells of failures that an
 // earlier leader has dealt with: a job that fails wherever it runs isn't started everywhere anew.
-func (d *dispatcher) recallFailures(m *machine, r *Report) {
+func (d *scheduler) recallFailures(m *machine, r *Report) {
 	for _, t := range r.Tasks {
 		j := d.jobs.get(t.ID.Job)
 		if t.State != Ended || t.Cause != CauseError || j == nil || j.done > 0 {
--- a/internal/coordination/task_failures_test.go
+++ b/internal/coordination/task_failures_test.go
@@ -35,7 +35,7 @@
 				if n := sim.startsSoFar() - before; n > 8 {
 					t.Errorf("%d starts of a mistaken job in two minutes", n)
 				}
-				for id, m := range sim.awaitLeader().node.view.Load().dispatcher.suspects() {
+				for id, m := range sim.awaitLeader().node.view.Load().scheduler.suspects() {
 					t.Errorf("machine %d is suspected for a mistaken job: %+v", id, m)
 				}
 				sim.submit(lasting("000004", 4, 10*time.Second))
@@ -49,7 +49,7 @@
 }
 
 // suspects are the machines that the leader suspects; it is read while nothing else happens.
-func (d *dispatcher) suspects() map[int]string {
+func (d *scheduler) suspects() map[int]string {
 	synctest.Wait()
 	out := make(map[int]string)
 	for id, m := range d.machines {
@@ -96,7 +96,7 @@
 			}
 			faulty := 0
 			for _, m := range d.machines {
-				if m.failures.AtFault() && m.inTrouble(time.Now()) {
+				if m.failures.AtFault() && m.quarantined(time.Now()) {
 					faulty++
 				}
 			}
@@ -115,30 +115,30 @@
 		start := func(spec storage.Spec) (direct int) {
 			for _, task := range []int{0, 1} {
 				m.inFlight = 0 // each is answered
-				a := d.book(d.accept(spec), task, m, time.Now())
-				d.start([]*attempt{a})
-				if a.direct != directNone {
+				a := d.reserve(d.accept(spec), task, m, time.Now())
+				d.startReserved([]*attempt{a})
+				if a.delivery != deliveryNone {
 					direct++
-					a.direct = directSettled
+					a.delivery = deliverySettled
 				}
-				d.free(a, "ended")
+				d.removeAttempt(a, "ended")
 			}
 			return direct
 		}
 		short := 0
-		for i := range patientDirect {
+		for i := range maxDirectBacklog {
 			short += start(arrayJob(fmt.Sprintf("%06d", i), 2))
 		}
-		if short < patientDirect/2 || short > patientDirect || m.fence.Full() {
+		if short < maxDirectBacklog/2 || short > maxDirectBacklog || m.fence.Full() {
 			t.Errorf("%d short tasks were started directly", short)
 		}
 		if n := start(service("900000", 2)); n != 2 {
 			t.Errorf("%d of 2 urgent tasks are started directly", n)
 		}
-		a := d.book(d.accept(arrayJob("900001", 2)), 0, m, time.Now())
+		a := d.reserve(d.accept(arrayJob("900001", 2)), 0, m, time.Now())
 		a.durable = true
 		time.Sleep(time.Second)
-		if orders := d.ordersFor(m, &Report{Machine: 1, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != Start {
+		if orders := d.commandsFor(m, &Report{Machine: 1, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != Start {
 			t.Errorf("a task that isn't started directly gets %v with the report's answer", orders)
 		}
 	})
--- a/internal/coordination/unconfirmed.go
+++ b/internal/coordination/unconfirmed.go
@@ -13,23 +13,23 @@
 	unconfirmedShare = 0.25
 )
 
-// lostUnconfirmed finds machines that carry services and have not been heard
+// abandonUnconfirmed finds machines that carry services and have not been heard
 // since the take-over, while nearly all others have. Their lease bound must
 // cover an earlier leader's hold and so is long; a deletion's 200 proves them
 // empty sooner. That is done only where their services find room elsewhere: a
 // machine that comes back has its images.
-func (d *dispatcher) lostUnconfirmed(now time.Time) []int {
-	if !d.certain(now) || now.Sub(d.began) < max(scale(d.settings.WorkerLease, unconfirmedLease), d.settings.fresh()) {
+func (d *scheduler) abandonUnconfirmed(now time.Time) []int {
+	if !d.leaseValid(now) || now.Sub(d.termStarted) < max(scale(d.settings.WorkerLease, unconfirmedLease), d.settings.fresh()) {
 		return nil
 	}
 	var silent []*machine
 	carrying := 0
-	for _, m := range d.order {
-		if len(m.attempts) == 0 || m.returning {
+	for _, m := range d.machineOrder {
+		if len(m.attempts) == 0 || m.terminating {
 			continue
 		}
 		carrying++
-		if !m.heard && m.lastHeard.IsZero() && m.typ != nil {
+		if !m.confirmed && m.lastContact.IsZero() && m.machineType != nil {
 			silent = append(silent, m)
 		}
 	}
@@ -38,9 +38,9 @@
 	}
 	var lost []int
 	candidates := d.readyCandidates(now)
-	d.learnPerGPU(now)
+	d.updatePerGPU(now)
 	for _, m := range silent {
-		undo, ok := d.tryMove(m, candidates, false, now, lastResort)
+		undo, ok := d.tryMove(m, candidates, false, now, anyCandidate)
 		if ok {
 			d.log.Info("unheard since the take-over", "machine", m.id, "attempts", len(m.attempts))
 			lost = append(lost, m.id)
--- a/internal/coordination/unregistered_test.go
+++ b/internal/coordination/unregistered_test.go
@@ -39,7 +39,7 @@
 // contend takes the lead wherever it finds it free, and holds it for a while.
 func (p *unregisteredProcess) contend(ctx context.Context, svc storage.KeyValueStore, life time.Duration, node string) {
 	for storage.Sleep(ctx, life/20) {
-		if _, err := svc.Get(ctx, leadKey); err == nil {
+		if _, err := svc.Get(ctx, leaderKey); err == nil {
 			continue
 		}
 		lease, err := svc.Grant(ctx, life)
@@ -51,10 +51,10 @@
 		if err == nil && json.Unmarshal(item.Data, &term) != nil {
 			continue // "term record: ..."
 		}
-		lead, _ := json.Marshal(leadRecord{Node: node, Run: "earlier", Term: term + 1})
+		lead, _ := json.Marshal(leaderRecord{Node: node, Process: "earlier", Term: term + 1})
 		next, _ := json.Marshal(term + 1)
-		if _, err = svc.Txn(ctx, []storage.Guard{{Key: leadKey}, {Key: termKey, Version: item.Version}},
-			[]storage.Op{{Key: leadKey, Data: lead, Lease: lease}, {Key: termKey, Data: next}}); err != nil {
+		if _, err = svc.Txn(ctx, []storage.Guard{{Key: leaderKey}, {Key: termKey, Version: item.Version}},
+			[]storage.Op{{Key: leaderKey, Data: lead, Lease: lease}, {Key: termKey, Data: next}}); err != nil {
 			continue
 		}
 		p.led.Add(1)
--- a/internal/coordination/upgrade_controller.go
+++ b/internal/coordination/upgrade_controller.go
@@ -18,7 +18,7 @@
 const (
 	// upgradeTicks is how often a leader looks at an upgrade under way, within the life
 	// of its grant; one that is settled is looked at once a report interval.
-	upgradeTicks = touchesPerLease
+	upgradeTicks = renewalsPerLease
 )
 
 // upgradeController is the leader's actor that moves the cluster record. Only it writes
@@ -29,7 +29,7 @@
 	settings *Settings
 	peers    PeerLink
 	log      *slog.Logger
-	lead     storage.Guard
+	leader   storage.Guard
 	term     uint64
 	users    gateUsage
 
@@ -49,7 +49,7 @@
 
 func newUpgradeController(s *Settings, deps Dependencies, role Role, users gateUsage, log *slog.Logger) *upgradeController {
 	return &upgradeController{
-		svc: deps.State, settings: s, peers: deps.Peers, log: log, lead: role.Guard, term: role.Term, users: users,
+		svc: deps.State, settings: s, peers: deps.Peers, log: log, leader: role.Guard, term: role.Term, users: users,
 		cluster: role.cluster, outdated: true, unusedSince: make(map[upgrade.GateName]time.Time),
 		uses: make(chan upgrade.GateName, len(s.Tuning.Upgrade.Known)+1), changed: make(chan struct{}, 1),
 	}
@@ -112,7 +112,7 @@
 		}
 		step := upgrade.Next(situation)
 		if !step.Changed {
-			c.tellWaiting(ctx, step.Waiting)
+			c.publishWaiting(ctx, step.Waiting)
 			return nil
 		}
 		if step.Releases != "" {
@@ -187,7 +187,7 @@
 // registration that the step rests on: an older process that has registered meanwhile
 // bars it, as does a later leader.
 func (c *upgradeController) store(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
-	guards := []storage.Guard{c.lead, {Key: clusterKey, Version: c.cluster.version}}
+	guards := []storage.Guard{c.leader, {Key: clusterKey, Version: c.cluster.version}}
 	for _, m := range members {
 		guards = append(guards, storage.Guard{Key: registrationPrefix + m.Node, Version: c.registrations[m.Node].version})
 	}
@@ -207,7 +207,7 @@
 	defer cancel()
 	version, err := c.svc.Txn(tctx, guards, ops)
 	var conflict *storage.ConflictError
-	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, c.lead.Key) {
+	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, c.leader.Key) {
 		return storage.ErrLeadershipLost
 	}
 	if err != nil {
@@ -223,8 +223,8 @@
 	Waiting string `json:"waiting"`
 }
 
-// tellWaiting notes what the upgrade waits for, where it has changed.
-func (c *upgradeController) tellWaiting(ctx context.Context, waiting string) {
+// publishWaiting notes what the upgrade waits for, where it has changed.
+func (c *upgradeController) publishWaiting(ctx context.Context, waiting string) {
 	if waiting == c.waiting {
 		return
 	}
@@ -235,7 +235,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.callTime())
 	defer cancel()
-	if _, err := c.svc.Txn(ctx, []storage.Guard{c.lead}, []storage.Op{{Key: waitingKey, Data: data}}); err != nil {
+	if _, err := c.svc.Txn(ctx, []storage.Guard{c.leader}, []storage.Op{{Key: waitingKey, Data: data}}); err != nil {
 		c.log.Debug("waiting not told", "err", err)
 		return
 	}
--- a/internal/coordination/upgrade_members.go
+++ b/internal/coordination/upgrade_members.go
@@ -77,7 +77,7 @@
 // watchRegistrations tells the actor of each change of a registration.
 func (c *upgradeController) watchRegistrations(ctx context.Context) {
 	hold := c.settings.WorkerLease
-	revision := c.lead.Version
+	revision := c.leader.Version
 	for ctx.Err() == nil {
 		wctx, cancel := context.WithTimeout(ctx, hold+c.settings.Tuning.LeaderLease)
 		changes, next, err := c.svc.Watch(wctx, registrationPrefix, revision, hold)
@@ -86,7 +86,7 @@
 		case errors.Is(err, storage.ErrCompacted):
 			revision, _ = c.latestRevision(ctx)
 		case err != nil:
-			storage.Sleep(ctx, c.settings.Tuning.LeaderLease/touchesPerLease)
+			storage.Sleep(ctx, c.settings.Tuning.LeaderLease/renewalsPerLease)
 			continue
 		case len(changes) == 0:
 			revision = next
--- a/internal/coordination/upgrade_races_test.go
+++ b/internal/coordination/upgrade_races_test.go
@@ -113,7 +113,7 @@
 		}
 		sim.nodes[0].kill()
 		time.Sleep(5 * time.Second)
-		sim.onceBefore(leadKey, "", func() { sim.apply(clusterKey, gangInUse()) })
+		sim.onceBefore(leaderKey, "", func() { sim.apply(clusterKey, gangInUse()) })
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
--- a/internal/coordination/upgrade_release_test.go
+++ b/internal/coordination/upgrade_release_test.go
@@ -155,12 +155,12 @@
 		t.Fatal(err)
 	}
 	revision, err := client.Apply(nil, []storage.Op{
-		{Key: leadKey, Data: []byte(`{}`)}, {Key: clusterKey, Data: data}, {Key: registrationPrefix + "n0", Data: registration},
+		{Key: leaderKey, Data: []byte(`{}`)}, {Key: clusterKey, Data: data}, {Key: registrationPrefix + "n0", Data: registration},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	role := Role{Term: 1, Guard: storage.Guard{Key: leadKey, Version: revision}, cluster: clusterState{record, revision}}
+	role := Role{Term: 1, Guard: storage.Guard{Key: leaderKey, Version: revision}, cluster: clusterState{record, revision}}
 	log := slog.New(slog.DiscardHandler)
 	c := newUpgradeController(&settings, Dependencies{State: client, Log: log}, role, users, log)
 	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
--- a/internal/coordination/upgrade_status.go
+++ b/internal/coordination/upgrade_status.go
@@ -52,16 +52,16 @@
 }
 
 func (u *UpgradeStatus) readLeader(ctx context.Context, svc storage.KeyValueStore) error {
-	item, err := svc.Get(ctx, leadKey)
+	item, err := svc.Get(ctx, leaderKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("state service: %w", err)
 	}
-	var lead leadRecord
+	var lead leaderRecord
 	if err := json.Unmarshal(item.Data, &lead); err != nil {
-		return &upgrade.DamagedError{Key: leadKey, Reason: err.Error()}
+		return &upgrade.DamagedError{Key: leaderKey, Reason: err.Error()}
 	}
 	u.Leader, u.Term = lead.Node, lead.Term
 	return nil
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -8,9 +8,9 @@
 	"sagevale/internal/storage"
 )
 
-// due is when the job should be complete; jobs without a deadline come as if
-// they had been due at once.
-func (j *job) due() time.Time {
+// deadline is when the job should be complete; jobs without a deadline come as if
+// they had been deadline at once.
+func (j *job) deadline() time.Time {
 	if j.spec.DeadlineS > 0 {
 		return j.submitted.Add(seconds(j.spec.DeadlineS))
 	}
@@ -19,32 +19,32 @@
 
 // The ranks of waiting work of one priority, first to last.
 const (
-	rankLastCall      = iota // its class's bound on waiting is nearly missed
-	rankTimely               // it can start as promptly as its team's guarantee has it, or be done by its deadline
+	rankStartAtRisk   = iota // its class's bound on waiting is nearly missed
+	rankOnTime               // it can start as promptly as its team's guarantee has it, or be done by its deadline
 	rankLate                 // it can be done within lateTimes its deadline
-	rankRest                 // a lost deadline isn't made better by losing others
+	rankHopeless             // a lost deadline isn't made better by losing others
 	rankOpportunistic        // nobody has stated when it should be done
 )
 
 const (
 	// lateTimes a deadline is how long late work is still worth hurrying.
 	lateTimes = 1.5
-	// lastCall is how much of its class's bound on waiting a job has left when
+	// startAtRiskShare is how much of its class's bound on waiting a job has left when
 	// it is called before all others.
-	lastCall = 1.0 / 8
+	startAtRiskShare = 1.0 / 8
 )
 
 // urgency is a waiting job's place among those of its priority.
 type urgency struct {
-	rank   int
-	within bool      // its team's guarantee covers it
-	by     time.Time // when it must start for what its rank is about
-	held   int       // places it has or had, if it is opportunistic: jobs with few come first
+	rank        int
+	withinQuota bool      // its team's guarantee covers it
+	startBy     time.Time // when it must start for what its rank is about
+	allocated   int       // places it has or had, if it is opportunistic: jobs with few come first
 }
 
 // byUrgency sorts waiting jobs: priority first, then what can still be in time
 // for something, then the work within its team's guarantee, then the earlier due.
-func (d *dispatcher) byUrgency(jobs []*job, now time.Time) {
+func (d *scheduler) byUrgency(jobs []*job, now time.Time) {
 	keys := d.urgencies(jobs, now)
 	sort.SliceStable(jobs, func(x, y int) bool {
 		a, b := jobs[x], jobs[y]
@@ -54,12 +54,12 @@
 			return a.spec.Priority > b.spec.Priority
 		case ka.rank != kb.rank:
 			return ka.rank < kb.rank
-		case ka.within != kb.within:
-			return ka.within
-		case ka.held != kb.held:
-			return ka.held < kb.held
-		case !ka.by.Equal(kb.by):
-			return ka.by.Before(kb.by)
+		case ka.withinQuota != kb.withinQuota:
+			return ka.withinQuota
+		case ka.allocated != kb.allocated:
+			return ka.allocated < kb.allocated
+		case !ka.startBy.Equal(kb.startBy):
+			return ka.startBy.Before(kb.startBy)
 		}
 		return a.spec.ID < b.spec.ID
 	})
@@ -69,26 +69,26 @@
 // are if the largest of those that stand in the others' way are let go: each
 // rank takes its jobs by when they must start, as long as places come free fast
 // enough, and lets go of the largest so far where they don't.
-func (d *dispatcher) urgencies(jobs []*job, now time.Time) map[*job]urgency {
+func (d *scheduler) urgencies(jobs []*job, now time.Time) map[*job]urgency {
 	keys := make(map[*job]urgency, len(jobs))
-	within := d.guaranteed()
+	within := d.jobsWithinGuarantee()
 	groups := make(map[storage.Priority][]*job)
 	for _, j := range jobs {
 		switch {
 		case d.settings.opportunistic(&j.spec):
-			keys[j] = urgency{rank: rankOpportunistic, by: j.due(), held: j.held()}
+			keys[j] = urgency{rank: rankOpportunistic, startBy: j.deadline(), allocated: j.allocated()}
 		case j.spec.Service || j.spec.DeadlineS <= 0:
-			keys[j] = urgency{rank: rankTimely, within: within[j], by: j.due()}
+			keys[j] = urgency{rank: rankOnTime, withinQuota: within[j], startBy: j.deadline()}
 		default:
-			keys[j] = urgency{rank: rankRest, within: within[j], by: j.due()}
+			keys[j] = urgency{rank: rankHopeless, withinQuota: within[j], startBy: j.deadline()}
 			groups[j.spec.Priority] = append(groups[j.spec.Priority], j)
 		}
 	}
 	f := &deadlineAdmission{pace: d.batchPace(now), now: now, keys: keys}
 	for p := storage.Production; p >= storage.BestEffort; p-- {
 		left := groups[p]
-		for rank := rankLastCall; rank < rankRest; rank++ {
-			left = f.fill(left, rank, func(j *job) []time.Time { return d.startBy(j, rank, keys[j].within, now) })
+		for rank := rankStartAtRisk; rank < rankHopeless; rank++ {
+			left = f.fill(left, rank, func(j *job) []time.Time { return d.startBy(j, rank, keys[j].withinQuota, now) })
 		}
 	}
 	return keys
@@ -102,40 +102,40 @@
 	keys  map[*job]urgency
 }
 
-// bid is a job with the times by which it must start, the next one first.
-type bid struct {
-	j  *job
-	by []time.Time
+// admissionCandidate is a job with the times by which it must start, the next one first.
+type admissionCandidate struct {
+	job     *job
+	startBy []time.Time
 }
 
 // fill ranks the jobs that can be in time and returns the others.
 func (f *deadlineAdmission) fill(jobs []*job, rank int, bounds func(*job) []time.Time) (left []*job) {
-	var bids earliest
+	var bids earliestFirst
 	for _, j := range jobs {
-		if b := (bid{j, f.coming(bounds(j))}); len(b.by) > 0 {
+		if b := (admissionCandidate{j, f.coming(bounds(j))}); len(b.startBy) > 0 {
 			bids = append(bids, b)
 		} else {
 			left = append(left, j)
 		}
 	}
 	heap.Init(&bids)
-	var taken largest
+	var taken largestFirst
 	for len(bids) > 0 {
-		b := heap.Pop(&bids).(bid)
-		f.ahead += b.j.tries()
+		b := heap.Pop(&bids).(admissionCandidate)
+		f.ahead += b.job.startable()
 		heap.Push(&taken, b)
-		f.keys[b.j] = urgency{rank: rank, within: f.keys[b.j].within, by: b.by[0]}
-		if f.pace == 0 || !f.now.Add(seconds(float64(f.ahead)/f.pace)).After(b.by[0]) {
+		f.keys[b.job] = urgency{rank: rank, withinQuota: f.keys[b.job].withinQuota, startBy: b.startBy[0]}
+		if f.pace == 0 || !f.now.Add(seconds(float64(f.ahead)/f.pace)).After(b.startBy[0]) {
 			continue
 		}
-		out := heap.Pop(&taken).(bid)
-		f.ahead -= out.j.tries()
-		if out.by = out.by[1:]; len(out.by) > 0 {
+		out := heap.Pop(&taken).(admissionCandidate)
+		f.ahead -= out.job.startable()
+		if out.startBy = out.startBy[1:]; len(out.startBy) > 0 {
 			heap.Push(&bids, out) // it has a later chance
 			continue
 		}
-		f.keys[out.j] = urgency{rank: rankRest, within: f.keys[out.j].within, by: out.j.due()}
-		left = append(left, out.j)
+		f.keys[out.job] = urgency{rank: rankHopeless, withinQuota: f.keys[out.job].withinQuota, startBy: out.job.deadline()}
+		left = append(left, out.job)
 	}
 	return left
 }
@@ -150,16 +150,16 @@
 
 // startBy is when a job must start to be in time for what a rank is about, its
 // chances in order; none if that doesn't concern it.
-func (d *dispatcher) startBy(j *job, rank int, within bool, now time.Time) []time.Time {
+func (d *scheduler) startBy(j *job, rank int, within bool, now time.Time) []time.Time {
 	run := seconds(d.runTime(j))
 	switch rank {
-	case rankLastCall:
+	case rankStartAtRisk:
 		bound := d.settings.startWithin(j.spec.Class)
-		if by := j.submitted.Add(bound); by.Sub(now) < scale(bound, lastCall) {
+		if by := j.submitted.Add(bound); by.Sub(now) < scale(bound, startAtRiskShare) {
 			return []time.Time{by}
 		}
-	case rankTimely:
-		due, prompt := j.due().Add(-run), j.submitted.Add(d.settings.promptStart())
+	case rankOnTime:
+		due, prompt := j.deadline().Add(-run), j.submitted.Add(d.settings.promptStart())
 		switch {
 		case !within:
 			return []time.Time{due}
@@ -174,7 +174,7 @@
 }
 
 // batchPace is how many places ending work gives free in a second; 0: not known.
-func (d *dispatcher) batchPace(now time.Time) float64 {
+func (d *scheduler) batchPace(now time.Time) float64 {
 	places, runS := 0, 0.0
 	for _, j := range d.jobs.open {
 		if n := len(j.attempts); !j.spec.Service && n > 0 && !d.settings.opportunistic(&j.spec) {
@@ -188,39 +188,39 @@
 	return float64(places) * float64(places) / runS
 }
 
-// earliest is a heap of bids, those that must start first on top.
-type earliest []bid
+// earliestFirst is a heap of bids, those that must start first on top.
+type earliestFirst []admissionCandidate
 
-func (h earliest) Len() int { return len(h) }
-func (h earliest) Less(a, b int) bool {
-	if !h[a].by[0].Equal(h[b].by[0]) {
-		return h[a].by[0].Before(h[b].by[0])
+func (h earliestFirst) Len() int { return len(h) }
+func (h earliestFirst) Less(a, b int) bool {
+	if !h[a].startBy[0].Equal(h[b].startBy[0]) {
+		return h[a].startBy[0].Before(h[b].startBy[0])
 	}
-	return h[a].j.spec.ID < h[b].j.spec.ID
+	return h[a].job.spec.ID < h[b].job.spec.ID
 }
-func (h earliest) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
-func (h *earliest) Push(x any)   { *h = append(*h, x.(bid)) }
-func (h *earliest) Pop() any     { return pop((*[]bid)(h)) }
+func (h earliestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h *earliestFirst) Push(x any)   { *h = append(*h, x.(admissionCandidate)) }
+func (h *earliestFirst) Pop() any     { return pop((*[]admissionCandidate)(h)) }
 
-// largest is a heap of bids, the one with the most tasks on top.
-type largest []bid
+// largestFirst is a heap of bids, the one with the most tasks on top.
+type largestFirst []admissionCandidate
 
-func (h largest) Len() int           { return len(h) }
-func (h largest) Less(a, b int) bool { return h[a].j.tries() > h[b].j.tries() }
-func (h largest) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *largest) Push(x any)        { *h = append(*h, x.(bid)) }
-func (h *largest) Pop() any          { return pop((*[]bid)(h)) }
+func (h largestFirst) Len() int           { return len(h) }
+func (h largestFirst) Less(a, b int) bool { return h[a].job.startable() > h[b].job.startable() }
+func (h largestFirst) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *largestFirst) Push(x any)        { *h = append(*h, x.(admissionCandidate)) }
+func (h *largestFirst) Pop() any          { return pop((*[]admissionCandidate)(h)) }
 
-func pop(list *[]bid) bid {
+func pop(list *[]admissionCandidate) admissionCandidate {
 	n := len(*list) - 1
 	b := (*list)[n]
 	*list = (*list)[:n]
 	return b
 }
 
-// guaranteed finds the open jobs that lie within their team's guarantee: they
+// jobsWithinGuarantee finds the open jobs that lie within their team's guarantee: they
 // fit into it together with the team's earlier unfinished jobs.
-func (d *dispatcher) guaranteed() map[*job]bool {
+func (d *scheduler) jobsWithinGuarantee() map[*job]bool {
 	byTeam := make(map[string][]*job)
 	for _, j := range d.jobs.open {
 		if t := d.settings.team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Room{}) {
--- a/internal/coordination/usage.go
+++ b/internal/coordination/usage.go
@@ -26,10 +26,10 @@
 
 // ReportUsage tells the leader how models are used at this node.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
-	report.Node, report.Session = n.settings.NodeName, n.lead.run
+	report.Node, report.Session = n.settings.NodeName, n.leadership.process
 	v := n.view.Load()
-	if v.dispatcher != nil {
-		return v.dispatcher.reportUsage(ctx, report)
+	if v.scheduler != nil {
+		return v.scheduler.reportUsage(ctx, report)
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
@@ -44,16 +44,16 @@
 
 // HandleForwardedUsage answers a report that another node sent.
 func (n *Node) HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
-	if v := n.view.Load(); v.dispatcher != nil {
-		return v.dispatcher.reportUsage(ctx, report)
+	if v := n.view.Load(); v.scheduler != nil {
+		return v.scheduler.reportUsage(ctx, report)
 	}
 	return usageUndecided("not the leader")
 }
 
 // reportUsage hands a controller's usage to the dispatcher.
-func (d *dispatcher) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
+func (d *scheduler) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	reply := make(chan activation.UsageResponse, 1)
-	response, err := ask(ctx, d, usageReportMsg{report, reply}, reply)
+	response, err := call(ctx, d, usageReportMsg{report, reply}, reply)
 	if err != nil {
 		return usageUndecided(err.Error())
 	}
@@ -61,9 +61,9 @@
 }
 
 // handleUsage takes in a controller's usage.
-func (d *dispatcher) handleUsage(m usageReportMsg) {
+func (d *scheduler) handleUsage(m usageReportMsg) {
 	now := time.Now()
-	if !d.certain(now) {
+	if !d.leaseValid(now) {
 		m.reply <- usageUndecided("leadership not certain")
 		return
 	}
@@ -92,8 +92,8 @@
 	return names
 }
 
-// tendUsage has a service that nobody uses drain, and one that has drained stop.
-func (c *activationController) tendUsage(s *managedService, now time.Time) {
+// checkUsage has a service that nobody uses drain, and one that has drained stop.
+func (c *activationController) checkUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.unwritten > 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 			c.apply(s, activation.Quiet{Generation: s.record.Generation, Since: since}, now)
 		}
 	case activation.Draining:
-		if c.usage.Drained(s.job.spec.ID, s.record.Drain, s.routedTill, now) {
+		if c.usage.Drained(s.job.spec.ID, s.record.Drain, s.routedUntil, now) {
 			c.apply(s, activation.Drained{Drain: s.record.Drain}, now)
 		}
 	case activation.Idle, activation.Starting, activation.Stopping, activation.Failed:
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -10,56 +10,56 @@
 
 // waiter is a user whose answer hangs on a commit.
 type waiter struct {
-	id    string
-	reply chan Answer
-	told  bool
+	id       string
+	reply    chan Answer
+	answered bool
 }
 
-func (w *waiter) tell(a Answer) {
-	if !w.told {
-		w.told = true
+func (w *waiter) answer(a Answer) {
+	if !w.answered {
+		w.answered = true
 		w.reply <- a
 	}
 }
 
 // whenDurable answers a user once a job's record is durable as it is marked now. A user
-// whose commit takes too long is told to come back: see failWaiting.
-func (d *dispatcher) whenDurable(j *job, reply chan Answer, then func() Answer) {
+// whose commit takes too long is told to come back: see failWaiters.
+func (d *scheduler) whenDurable(j *job, reply chan Answer, then func() Answer) {
 	id := j.spec.ID
 	w := &waiter{id: id, reply: reply}
 	d.waiters = append(d.waiters, w)
 	d.onJobCommit(j, func(err error) {
 		if err != nil {
-			w.tell(Unavailable(id, "not recorded"))
+			w.answer(Unavailable(id, "not recorded"))
 			return
 		}
 		a := then()
-		w.tell(a)
+		w.answer(a)
 	})
 }
 
-// failWaiting answers all who wait for a commit, at once.
-func (d *dispatcher) failWaiting(a Answer) {
+// failWaiters answers all who wait for a commit, at once.
+func (d *scheduler) failWaiters(a Answer) {
 	for _, w := range d.waiters {
 		a.ID = w.id
-		w.tell(a)
+		w.answer(a)
 	}
 	d.waiters = d.waiters[:0]
 }
 
 // stalled tells whether the commit under way takes too long to let others
 // wait behind it.
-func (d *dispatcher) stalled(now time.Time) bool {
-	return !d.commitAt.IsZero() && now.Sub(d.commitAt) > scale(d.settings.HeartbeatInterval, stallPerReport)
+func (d *scheduler) stalled(now time.Time) bool {
+	return !d.commitStarted.IsZero() && now.Sub(d.commitStarted) > scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
-func (d *dispatcher) handleUser(m userMsg) {
+func (d *scheduler) handleUser(m userMsg) {
 	now := time.Now()
 	j := d.jobs.get(m.req.ID)
 	if j != nil {
-		d.settleArchived(j)
+		d.finalizeArchived(j)
 	}
-	if j != nil && j.settled {
+	if j != nil && j.finalDurable {
 		m.reply <- j.answer(CodeOK)
 		return
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	// Anything that isn't final may be outdated by a successor.
-	if !d.certain(now) {
+	if !d.leaseValid(now) {
 		m.reply <- Unavailable(m.req.ID, "leadership not certain")
 		return
 	}
@@ -83,19 +83,19 @@
 	}
 }
 
-func (d *dispatcher) poll(m userMsg, j *job) {
+func (d *scheduler) poll(m userMsg, j *job) {
 	switch {
 	case j == nil:
 		m.reply <- Answer{Code: CodeNotFound, ID: m.req.ID, Reason: "no such job"}
-	case !j.known:
+	case !j.acknowledged:
 		m.reply <- Unavailable(m.req.ID, "acceptance not yet recorded")
 	default:
 		m.reply <- j.answer(CodeOK)
 	}
 }
 
-func (d *dispatcher) submit(m userMsg, j *job, now time.Time) {
-	if j != nil && j.known {
+func (d *scheduler) submit(m userMsg, j *job, now time.Time) {
+	if j != nil && j.acknowledged {
 		m.reply <- j.answer(CodeOK)
 		return
 	}
@@ -109,7 +109,7 @@
 			return
 		}
 		spec := m.req.Spec
-		if reason := d.unfit(&spec); reason != "" {
+		if reason := d.infeasible(&spec); reason != "" {
 			m.reply <- Answer{Code: CodeInfeasible, ID: spec.ID, Reason: reason}
 			return
 		}
@@ -132,40 +132,40 @@
 		j = newJob(spec, now)
 		d.jobs.insert(j)
 		if d.activation.applies(&spec) && d.mayUse(upgrade.Activation) {
-			d.activation.begin(j, now)
+			d.activation.track(j, now)
 		}
 		if j.managed == nil {
 			d.activation.postpone(j)
 		}
-		d.arrival(j)
+		d.noteArrival(j)
 		d.markJob(j)
 		d.onJobCommit(j, func(error) {
 			d.admission.Recorded(spec.Team)
-			d.accepted++
+			d.acceptedInCommit++
 		})
-		d.place = true
+		d.placementDue = true
 		d.log.Debug("accept", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "estimate", spec.EstimateS, "due", spec.DeadlineS, "team", spec.Team)
 	}
 	d.whenDurable(j, m.reply, func() Answer {
-		j.known = true
+		j.acknowledged = true
 		return Answer{Code: CodeCreated, ID: j.spec.ID, State: StatePending}
 	})
 	// Others may wait for the same commit; the job is known however the
 	// first of them fares.
 	d.onJobCommit(j, func(err error) {
 		if err == nil {
-			j.known = true
+			j.acknowledged = true
 		}
 	})
 }
 
-// unfit tells why a job can never run.
-func (d *dispatcher) unfit(s *storage.Spec) string {
+// infeasible tells why a job can never run.
+func (d *scheduler) infeasible(s *storage.Spec) string {
 	team := d.settings.team(s.Team)
 	if team == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
-	if len(d.fitting(s)) == 0 {
+	if len(d.feasibleTypes(s)) == 0 {
 		return "a task fits no allowed machine type"
 	}
 	need := s.Room
@@ -178,16 +178,16 @@
 	return ""
 }
 
-// fitsOf is fitting, kept with the job.
-func (d *dispatcher) fitsOf(j *job) []string {
-	if j.fits == nil {
-		j.fits = d.fitting(&j.spec)
+// feasibleTypesOf is fitting, kept with the job.
+func (d *scheduler) feasibleTypesOf(j *job) []string {
+	if j.feasibleTypes == nil {
+		j.feasibleTypes = d.feasibleTypes(&j.spec)
 	}
-	return j.fits
+	return j.feasibleTypes
 }
 
-// fitting returns the names of the allowed machine types that hold a task.
-func (d *dispatcher) fitting(s *storage.Spec) []string {
+// feasibleTypes returns the names of the allowed machine types that hold a task.
+func (d *scheduler) feasibleTypes(s *storage.Spec) []string {
 	var out []string
 	for _, name := range d.typeNames {
 		t := d.types[name]
@@ -211,28 +211,28 @@
 	return false
 }
 
-func (d *dispatcher) cancel(m userMsg, j *job, now time.Time) {
+func (d *scheduler) cancel(m userMsg, j *job, now time.Time) {
 	switch {
 	case j == nil:
 		m.reply <- Answer{Code: CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 		return
-	case !j.known, d.stalled(now):
+	case !j.acknowledged, d.stalled(now):
 		m.reply <- Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	case j.phase == storage.Open:
 		j.phase = storage.Cancelled
-		d.jobs.cancel(j)
-		d.leave(j, now)
-		d.activation.end(j)
+		d.jobs.trackCancelling(j)
+		d.noteDeparture(j, now)
+		d.activation.release(j)
 		d.log.Debug("cancel", "job", j.spec.ID, "attempts", len(j.attempts))
 		d.markJob(j)
 		d.onJobCommit(j, func(err error) {
 			if err != nil {
 				return
 			}
-			j.settled = true
-			d.stopAll(j)
-			d.orderStops(j)
+			j.finalDurable = true
+			d.stopJob(j)
+			d.commandJobStops(j)
 			d.retire(j)
 		})
 	}
@@ -240,7 +240,7 @@
 }
 
 // finish makes a job done whose tasks have all completed.
-func (d *dispatcher) finish(j *job) {
+func (d *scheduler) finish(j *job) {
 	if j.phase != storage.Open || j.done < j.spec.Tasks || j.spec.Service {
 		return
 	}
@@ -249,33 +249,33 @@
 	d.log.Debug("done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks, "after", time.Since(j.submitted), "due", j.spec.DeadlineS)
 	d.onJobCommit(j, func(err error) {
 		if err == nil {
-			j.settled = true
+			j.finalDurable = true
 			d.retire(j)
 		}
 	})
 }
 
 // retire lets go of a final job's tasks once none of them can be anywhere.
-func (d *dispatcher) retire(j *job) {
-	if !j.settled || len(j.attempts) > 0 || j.tasks == nil {
+func (d *scheduler) retire(j *job) {
+	if !j.finalDurable || len(j.attempts) > 0 || j.tasks == nil {
 		return
 	}
 	for p := 0; p*storage.PageTasks < len(j.tasks); p++ {
 		d.queue.Mark(pageLane(j), storage.PageKey(j.spec.ID, p), removed)
 	}
-	d.jobs.release(j)
+	d.jobs.releaseTasks(j)
 	d.markJob(j)
 	d.onCommit(func(err error) {
 		if err == nil {
-			d.finished(j)
+			d.trackFinished(j)
 		}
 	})
 }
 
-// stopAll has every attempt of a job stopped at once.
-func (d *dispatcher) stopAll(j *job) {
+// stopJob has every attempt of a job stopped at once.
+func (d *scheduler) stopJob(j *job) {
 	for _, a := range j.attempts {
-		d.stop(a, 0)
+		d.stopAttempt(a, 0)
 	}
 }
 
--- a/internal/coordination/wake.go
+++ b/internal/coordination/wake.go
@@ -23,8 +23,8 @@
 // Wake tells the leader of demand for a model, and returns where the model stands.
 func (n *Node) Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	v := n.view.Load()
-	if v.dispatcher != nil {
-		return v.dispatcher.wake(ctx, req)
+	if v.scheduler != nil {
+		return v.scheduler.wake(ctx, req)
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
@@ -56,30 +56,30 @@
 
 // HandleForwardedWake answers a wake request that another node sent.
 func (n *Node) HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
-	if v := n.view.Load(); v.dispatcher != nil {
-		return v.dispatcher.wake(ctx, req)
+	if v := n.view.Load(); v.scheduler != nil {
+		return v.scheduler.wake(ctx, req)
 	}
 	return undecided("not the leader")
 }
 
 // wake asks the dispatcher on behalf of a node. A full mailbox is answered at once.
-func (d *dispatcher) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
+func (d *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	asked := time.Now()
-	response, err := ask(ctx, d, wakeMsg{req, reply}, reply)
+	response, err := call(ctx, d, wakeMsg{req, reply}, reply)
 	if err != nil {
 		return undecided(err.Error())
 	}
-	return d.withinLead(response, asked)
+	return d.withLeaseBound(response, asked)
 }
 
-// withinLead bounds for how long an answer may be gone by: until the lead may have ended. This process
+// withLeaseBound bounds for how long an answer may be gone by: until the lead may have ended. This process
 // may have stood still since it was given.
-func (d *dispatcher) withinLead(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
+func (d *scheduler) withLeaseBound(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
 	if response.Verdict == activation.Undecided {
 		return response
 	}
-	certain := d.certainTill.Load()
+	certain := d.leaseValidUntil.Load()
 	if certain == nil || !time.Now().Before(*certain) {
 		return undecided("leadership not certain")
 	}
@@ -88,15 +88,15 @@
 }
 
 // handleWake takes in demand for a model, and answers once what it moved is durable.
-func (d *dispatcher) handleWake(m wakeMsg) {
+func (d *scheduler) handleWake(m wakeMsg) {
 	now := time.Now()
 	j := d.jobs.get(m.req.Model)
 	switch {
-	case !d.certain(now):
+	case !d.leaseValid(now):
 		m.reply <- undecided("leadership not certain")
 	case j == nil:
 		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: d.settings.WakeInterval()}
-	case !j.known:
+	case !j.acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
 	case j.phase != storage.Open || !j.spec.Service:
 		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: d.settings.WakeInterval()}
@@ -165,15 +165,15 @@
 func (c *activationController) alwaysUp(j *job) activation.WakeResponse {
 	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: runsAlways}
 	for _, a := range j.attempts {
-		if a.answers() {
-			response.State, response.Machine, response.Holds = activation.Ready, a.on.addr, c.settings.RoutingLease()
+		if a.serving() {
+			response.State, response.Machine, response.Holds = activation.Ready, a.machine.addr, c.settings.RoutingLease()
 		}
 	}
 	return response
 }
 
-// answers tells whether an attempt runs and isn't to be stopped.
-func (a *attempt) answers() bool { return a.seen && a.state == Running && !a.stop }
+// serving tells whether an attempt runs and isn't to be stopped.
+func (a *attempt) serving() bool { return a.reported && a.state == Running && !a.stopping }
 
 // response tells where a service stands.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
@@ -185,9 +185,9 @@
 	}
 	switch s.record.State {
 	case activation.Ready:
-		if a := s.replica(); a != nil && a.answers() {
-			response.Machine, response.Holds = a.on.addr, c.settings.RoutingLease()
-			s.routedTill = now.Add(scale(c.settings.RoutingLease(), driftBound))
+		if a := s.replica(); a != nil && a.serving() {
+			response.Machine, response.Holds = a.machine.addr, c.settings.RoutingLease()
+			s.routedUntil = now.Add(scale(c.settings.RoutingLease(), driftBound))
 		}
 	case activation.Starting:
 		if !s.wokenAt.IsZero() {
--- a/internal/coordination/worker_tokens_test.go
+++ b/internal/coordination/worker_tokens_test.go
@@ -214,13 +214,13 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001") // takes a gate into use, which writes the term anew
-		first := sim.awaitLeader().node.view.Load().dispatcher
+		first := sim.awaitLeader().node.view.Load().scheduler
 		sim.awaitLeader().kill()
-		next := sim.awaitLeader().node.view.Load().dispatcher
+		next := sim.awaitLeader().node.view.Load().scheduler
 		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.PerTerm {
 			t.Errorf("tokens %+v and then %+v", first.tokens, next.tokens)
 		}
-		if room := next.nextTry - first.nextTry; room < fencing.PerTerm*tryStride {
+		if room := next.lastAttempt - first.lastAttempt; room < fencing.PerTerm*attemptStride {
 			t.Errorf("only %d attempts in a term", room)
 		}
 	})
@@ -234,7 +234,7 @@
 		sim.runs("000001", 1)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		time.Sleep(10 * time.Second)
-		d := sim.awaitLeader().node.view.Load().dispatcher
+		d := sim.awaitLeader().node.view.Load().scheduler
 		for _, wk := range sim.all() { // each knows the term's last token
 			wk.direct(d.tokens.Last, wk.session, nil)
 		}
@@ -286,26 +286,26 @@
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.accept(arrayJob("000001", 1))
-		a := &attempt{job: j, task: 0, try: 1, on: m, session: 1, ownTerm: true, durable: true, direct: directSettled, directToken: d.term, seen: true}
-		d.enter(a)
+		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term, reported: true}
+		d.addAttempt(a)
 		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 5, Token: d.term + 1}
 		if d.handleHeartbeat(r); len(m.attempts) != 0 {
 			t.Error("an attempt that is gone is booked on")
 		}
-		stopped := &attempt{job: j, task: 0, try: 3, on: m, session: 1, ownTerm: true, durable: true, orderedSeq: 5, stop: true}
-		d.enter(stopped)
+		stopped := &attempt{job: j, task: 0, number: 3, machine: m, incarnation: 1, thisTerm: true, durable: true, commandedSeq: 5, stopping: true}
+		d.addAttempt(stopped)
 		r.Seq++
 		if d.handleHeartbeat(r); len(m.attempts) != 0 {
 			t.Error("a stopped attempt whose start was not carried out is booked on")
 		}
-		m.fence.Retain(taskTry{a.id(), 2}, d.term+1)
-		d.expire(time.Now().Add(time.Hour))
-		if m.heard {
+		m.fence.Retain(attemptKey{a.id(), 2}, d.term+1)
+		d.expireLeases(time.Now().Add(time.Hour))
+		if m.confirmed {
 			t.Fatal("its lease never ends")
 		}
 		r.Session, r.Seq = 2, 1
-		if d.handleHeartbeat(r); !m.heard || m.fence.Retained() != 0 {
-			t.Errorf("a later session is heard %v, and remembers %d", m.heard, m.fence.Retained())
+		if d.handleHeartbeat(r); !m.confirmed || m.fence.Retained() != 0 {
+			t.Errorf("a later session is heard %v, and remembers %d", m.confirmed, m.fence.Retained())
 		}
 	})
 }
@@ -322,7 +322,7 @@
 		s := grownSettings()
 		l := &leadership{svc: client, settings: &s, registered: func() bool { return true }, log: slog.New(slog.DiscardHandler)}
 		var damaged *upgrade.DamagedError
-		if err := l.contend(t.Context()); !errors.As(err, &damaged) || damaged.Key != termKey {
+		if err := l.acquire(t.Context()); !errors.As(err, &damaged) || damaged.Key != termKey {
 			t.Errorf("took the lead: %v", err)
 		}
 	})
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// firstJob numbers the first job that is submitted.
+// firstArrival numbers the first job that is submitted.
 const firstJob = 1
 
 func (l *load) newJob(shape string, tasks int) loopbacktest.Job {
