--- a/internal/coordination/activation.go
+++ b/internal/coordination/activation.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -69,9 +70,9 @@
 func (s *Settings) defaultActivation() ActivationTuning {
 	return ActivationTuning{
 		Policy: activation.Policy{
-			IdleWindow: scale(s.WorkerLease, idlePerLease), DrainTimeout: scale(s.WorkerLease, drainPerLease),
-			StartWithin: scale(s.WorkerLease, startPerLease), StableAfter: scale(s.WorkerLease, stablePerLease),
-			Attempts: startAttempts, Backoff: scale(s.WorkerLease, backoffPerLease), Cooldown: scale(s.WorkerLease, cooldownPerLease),
+			IdleWindow: clock.Scale(s.WorkerLease, idlePerLease), DrainTimeout: clock.Scale(s.WorkerLease, drainPerLease),
+			StartWithin: clock.Scale(s.WorkerLease, startPerLease), StableAfter: clock.Scale(s.WorkerLease, stablePerLease),
+			Attempts: startAttempts, Backoff: clock.Scale(s.WorkerLease, backoffPerLease), Cooldown: clock.Scale(s.WorkerLease, cooldownPerLease),
 		},
 		Body: defaultBody, Held: s.defaultHeld(), Concurrent: defaultConcurrent,
 	}
@@ -220,7 +221,7 @@
 				next.State = activation.Ready
 			}
 		}
-		s := &managedService{job: j, routedUntil: now.Add(scale(c.settings.RoutingLease(), driftBound))}
+		s := &managedService{job: j, routedUntil: now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))}
 		c.hold(s)
 		c.set(s, next, "its class is listed")
 	}
@@ -254,7 +255,7 @@
 			replica = a.number
 		}
 		next, _ := s.record.Restore(replica, &c.tuning.Policy, now)
-		s.routedUntil = now.Add(scale(c.settings.RoutingLease(), driftBound))
+		s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
 		c.set(s, next, "another leader")
 	}
 	c.bringUpUnlisted()
--- a/internal/coordination/activation_guards_test.go
+++ b/internal/coordination/activation_guards_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -177,7 +178,7 @@
 		ctx, end := context.WithCancel(context.Background())
 		d.lifetime = ctx
 		go func() { _ = d.run(ctx) }()
-		time.Sleep(scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the clock's first look
+		time.Sleep(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the clock's first look
 		end()
 		synctest.Wait()
 		if !j.attempts[0].stopping {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -10,6 +10,7 @@
 
 	"golang.org/x/time/rate"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -126,7 +127,7 @@
 }
 
 func (c *autoscaler) run(ctx context.Context) error {
-	tick := time.NewTicker(scale(c.settings.HeartbeatInterval, tickPerHeartbeat))
+	tick := time.NewTicker(clock.Scale(c.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
 	cool := time.NewTimer(0) // ends the pause after a drain
 	defer cool.Stop()
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"sagevale/internal/classstats"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -82,7 +83,7 @@
 	if batch {
 		return max(0, int(rate.Expected(c.typicalRunSeconds(), deviations))-d.currentTasks(s.Class))
 	}
-	rate.Tasks = max(0, rate.Tasks-float64(c.DepartedSince(now.Add(-seconds(rate.WindowS)))))
+	rate.Tasks = max(0, rate.Tasks-float64(c.DepartedSince(now.Add(-clock.Seconds(rate.WindowS)))))
 	return int(math.Ceil(rate.Expected(d.minBootSeconds(c.last), deviations) - 0.5))
 }
 
@@ -104,7 +105,7 @@
 
 // rate is that of a class's arrivals within the window.
 func (d *scheduler) rate(c *class, now time.Time) classstats.Rate {
-	since := now.Add(-scale(d.settings.WorkerLease, rateLeases))
+	since := now.Add(-clock.Scale(d.settings.WorkerLease, rateLeases))
 	if start := d.firstArrival.Add(d.settings.WorkerLease); start.After(since) {
 		since = start
 	}
--- a/internal/coordination/cloud_calls.go
+++ b/internal/coordination/cloud_calls.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -32,7 +33,7 @@
 const callPerLease = 0.5
 
 func (c *autoscaler) callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.ctx, scale(c.settings.WorkerLease, callPerLease))
+	return context.WithTimeout(c.ctx, clock.Scale(c.settings.WorkerLease, callPerLease))
 }
 
 // listEvery is how long after one reading of the machine list the next one begins: a long list
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -110,7 +111,7 @@
 		return true // knows it, or can't be told
 	}
 	d.announcements++
-	d.deliver(m, nil, nil, scale(d.settings.HeartbeatInterval, announcePerHeartbeat))
+	d.deliver(m, nil, nil, clock.Scale(d.settings.HeartbeatInterval, announcePerHeartbeat))
 	return true
 }
 
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/admission"
+	"sagevale/internal/clock"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 )
@@ -21,7 +22,7 @@
 
 // commitBytes is how much one commit holds.
 func (s *Settings) commitBytes() int {
-	return s.State.BytesWithin(scale(s.HeartbeatInterval, commitPerHeartbeat))
+	return s.State.BytesWithin(clock.Scale(s.HeartbeatInterval, commitPerHeartbeat))
 }
 
 // maxSubmissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
--- a/internal/coordination/delegation.go
+++ b/internal/coordination/delegation.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/fencing"
 )
 
@@ -36,7 +37,7 @@
 		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < c.delegation.tokens.First {
 			continue
 		}
-		until := w.Sent.Add(scale(w.DelegatesFor, 1/driftBound))
+		until := w.Sent.Add(clock.Scale(w.DelegatesFor, 1/clock.DriftBound))
 		if w.DelegationTerm > c.delegation.tokens.First || until.After(c.delegation.until) {
 			c.delegation = delegation{w.delegationTokens(), until, w.Excluded}
 		}
@@ -171,7 +172,7 @@
 
 // publishDelegation renews what the delegations depend on.
 func (d *scheduler) publishDelegation(now time.Time) {
-	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < scale(d.settings.HeartbeatInterval, delegationPerHeartbeat) {
+	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < clock.Scale(d.settings.HeartbeatInterval, delegationPerHeartbeat) {
 		return
 	}
 	p := &delegationTerms{at: now, renewUntil: d.role.RenewUntil, excluded: make(map[string][]int)}
@@ -238,7 +239,7 @@
 		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.termStarted) {
 			// A process that has begun since may have renewed in its earlier
 			// run until then.
-			s.last = w.Received.Add(-scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/driftBound))
+			s.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
 			s.asked = w.Sent
 		}
 		d.peerRenewals = append(d.peerRenewals, s)
--- a/internal/coordination/fake_worker_test.go
+++ b/internal/coordination/fake_worker_test.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -265,7 +266,7 @@
 	case spec.Gang:
 		t.state, t.since = Gathering, time.Now()
 	case !spec.Service && t.ends.IsZero():
-		t.ends = time.Now().Add(seconds(spec.EstimateS))
+		t.ends = time.Now().Add(clock.Seconds(spec.EstimateS))
 	}
 	return t
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -101,7 +102,7 @@
 		case s.CheckpointS > 0:
 			d.stopAttempt(a, s.SaveS) // goes on elsewhere from where it was
 		case m.preemptionAt.IsZero():
-		case !a.reported || a.state == Pulling || seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
+		case !a.reported || a.state == Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
 			d.stopAttempt(a, 0)
 		}
 	}
@@ -139,7 +140,7 @@
 				continue
 			}
 			m = d.machineFor(l.Machine)
-			m.firstSeen, m.provisioningObserved = now.Add(-seconds(l.AgeS)), true
+			m.firstSeen, m.provisioningObserved = now.Add(-clock.Seconds(l.AgeS)), true
 			d.log.Info("unexpected machine", "machine", l.Machine, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
 		}
 		if m.typeName == "" {
--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"hash/maphash"
-	"sync/atomic"
 	"time"
+
+	"sagevale/internal/clock"
 )
 
 // Every worker's report passes the forwarder of the node that it reaches. It
@@ -35,9 +36,9 @@
 	flush         <-chan time.Time
 	affinity      affinity
 	delegation    delegation
-	lastHeartbeat atomicTime // when a worker last reported here
-	lastDelegated atomicTime // when this node last renewed a lease alone
-	lastProbe     atomicTime // when the load balancer last asked
+	lastHeartbeat clock.AtomicTime // when a worker last reported here
+	lastDelegated clock.AtomicTime // when this node last renewed a lease alone
+	lastProbe     clock.AtomicTime // when the load balancer last asked
 }
 
 // knownWorker is what is remembered of a worker that reports here.
@@ -119,19 +120,6 @@
 	}
 }
 
-// atomicTime is a point in time that one goroutine publishes for others.
-type atomicTime struct{ at atomic.Pointer[time.Time] }
-
-func (m *atomicTime) Mark(now time.Time) { m.at.Store(&now) }
-
-// Since is how long ago it was; never if there was none yet.
-func (m *atomicTime) Since(never time.Duration) time.Duration {
-	if at := m.at.Load(); at != nil {
-		return time.Since(*at)
-	}
-	return never
-}
-
 // accept sends one report on its way.
 func (c *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -136,8 +137,8 @@
 		return
 	}
 	left := m.preemptionAt.Sub(now)
-	ends := seconds(d.runTime(j)) - now.Sub(a.started)
-	if ends > left && seconds(j.spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
+	ends := clock.Seconds(d.runTime(j)) - now.Sub(a.started)
+	if ends > left && clock.Seconds(j.spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
 		d.stopGang(j)
 	}
 }
@@ -145,7 +146,7 @@
 // replaceStalledGangTasks looks for tasks that keep the others of their gang waiting, on
 // machines that hang or fetch for too long, and has them start elsewhere.
 func (d *scheduler) replaceStalledGangTasks(now time.Time) {
-	patience := scale(d.settings.GangWait, gatherPatience)
+	patience := clock.Scale(d.settings.GangWait, gatherPatience)
 	for _, j := range d.jobs.open {
 		if !j.spec.Gang || j.phase != storage.Open || patience <= 0 || !j.gangCompletable() || j.gatherTime(now) < patience {
 			continue
--- a/internal/coordination/gang_preemption.go
+++ b/internal/coordination/gang_preemption.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -26,7 +27,7 @@
 // reachable tells whether a direct order is likely to reach a machine at once.
 func (d *scheduler) reachable(m *machine, now time.Time) bool {
 	return m.addr != "" && m.inFlight < maxInFlightCommands && !m.unresponsive && !d.commandsFailing[m.id] &&
-		now.Sub(m.lastContact) <= scale(d.settings.HeartbeatInterval, reachableReports)
+		now.Sub(m.lastContact) <= clock.Scale(d.settings.HeartbeatInterval, reachableReports)
 }
 
 // gangPreemption is a candidate that a gang may take once some of its tasks are stopped.
--- a/internal/coordination/gates.go
+++ b/internal/coordination/gates.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -56,7 +57,7 @@
 // them if the lead isn't certain.
 func (d *scheduler) failGateWaiters(now time.Time) {
 	d.gateWaiters = slices.DeleteFunc(d.gateWaiters, func(w gateWaiter) bool {
-		late := !d.leaseValid(now) || now.Sub(w.since) > scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
+		late := !d.leaseValid(now) || now.Sub(w.since) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 		if late {
 			w.msg.reply <- Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
--- a/internal/coordination/gates_test.go
+++ b/internal/coordination/gates_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -60,7 +61,7 @@
 		if a := sim.askNode(lead, OpSubmit, "000002", gang("000002")); a.Code != CodeUnavailable || a.RetryS == 0 {
 			t.Errorf("answered %+v", a)
 		}
-		if took := time.Since(began); took > scale(sim.settings.HeartbeatInterval, 0.7) {
+		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
 			t.Errorf("told to come back after %v", took)
 		}
 		sim.state.Trouble(func(s *storagetest.Service) { s.Drop = nil })
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -96,7 +97,7 @@
 		m.lastHeartbeat = now
 	}
 	if r.Notice != nil && m.preemptionAt.IsZero() {
-		m.preemptionAt = now.Add(seconds(*r.Notice))
+		m.preemptionAt = now.Add(clock.Seconds(*r.Notice))
 		d.drain(m, "spot notice")
 	}
 	listed := make(map[attemptKey]bool, len(r.Tasks))
@@ -123,7 +124,7 @@
 	if m.confirmed && now.Sub(m.lastContact) <= d.settings.fresh() {
 		// Its reports came and our answers went nowhere: it is deaf.
 		m.lostIncarnations++
-		m.quarantinedUntil = now.Add(scale(d.settings.WorkerLease, float64(min(m.lostIncarnations, maxQuarantineLeases))))
+		m.quarantinedUntil = now.Add(clock.Scale(d.settings.WorkerLease, float64(min(m.lostIncarnations, maxQuarantineLeases))))
 		d.log.Info("machine lost its session", "machine", m.id, "session", r.Session, "lapses", m.lostIncarnations)
 	}
 	for _, a := range m.sortedAttempts() {
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -84,7 +85,7 @@
 	for _, p := range l.settings.Peers {
 		go func() {
 			a, err := l.peers.Forward(ctx, p.Name, UserRequest{Op: OpPing})
-			since := scale(time.Since(cut), driftBound)
+			since := clock.Scale(time.Since(cut), clock.DriftBound)
 			peer := a.Peer.Status()
 			answers <- err == nil && peer.Term <= term && peer.Uptime > since && peer.SinceState > since
 		}()
@@ -149,7 +150,7 @@
 }
 
 func (l *leadership) pause(ctx context.Context) {
-	storage.Sleep(ctx, l.settings.Tuning.LeaderLease/(4*renewalsPerLease))
+	clock.Sleep(ctx, l.settings.Tuning.LeaderLease/(4*renewalsPerLease))
 }
 
 // follow waits for the end of another's lead. A record of an earlier process
@@ -279,7 +280,7 @@
 	life := l.settings.Tuning.LeaderLease
 	var confirmed time.Time // when all peers last confirmed that nobody leads
 	role := func() Role {
-		certain := sent.Add(scale(life, 1/driftBound))
+		certain := sent.Add(clock.Scale(life, 1/clock.DriftBound))
 		alone := certain
 		if confirmed.After(alone) {
 			alone = confirmed
--- a/internal/coordination/lease_guards_test.go
+++ b/internal/coordination/lease_guards_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 )
@@ -72,8 +73,8 @@
 		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
 		s.Tuning = s.DefaultTuning()
 		// endOf is when a lease renewed then has ended on any worker's clock.
-		endOf := func(renewed time.Time) time.Time { return renewed.Add(scale(s.WorkerLease, 1.0005)) }
-		due := func(confirmed time.Time) time.Time { return confirmed.Add(scale(s.CancelTimeout, 1/1.0005)) }
+		endOf := func(renewed time.Time) time.Time { return renewed.Add(clock.Scale(s.WorkerLease, 1.0005)) }
+		due := func(confirmed time.Time) time.Time { return confirmed.Add(clock.Scale(s.CancelTimeout, 1/1.0005)) }
 		t.Run("the leader's own answers", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -79,7 +80,7 @@
 		}
 		if err != nil {
 			m.logNotRegistered(err)
-			storage.Sleep(ctx, m.settings.Tuning.LeaderLease/renewalsPerLease)
+			clock.Sleep(ctx, m.settings.Tuning.LeaderLease/renewalsPerLease)
 		}
 	}
 	m.keepSession(ctx)
@@ -163,7 +164,7 @@
 // keepSession renews the session, and begins it anew where it ran out, until another
 // process of this node has registered.
 func (m *membership) keepSession(ctx context.Context) {
-	for storage.Sleep(ctx, m.sessionLife()/sessionRenewals) {
+	for clock.Sleep(ctx, m.sessionLife()/sessionRenewals) {
 		if err := m.renewSession(ctx); err != nil {
 			m.log.Debug("session not renewed", "err", err)
 		}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sagevale/internal/archive"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -55,7 +56,7 @@
 // NewNode makes a node; Run starts it.
 func NewNode(s *Settings, deps Dependencies) *Node {
 	limits := s.State
-	limits.RequestTimeout = scale(s.Tuning.LeaderLease, writeShare)
+	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
 	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
 	n.leadership = &leadership{
 		svc: deps.State, settings: s, log: deps.Log,
@@ -279,7 +280,7 @@
 			return Unavailable(req.ID, "leader out of reach")
 		}
 	}
-	if a.Holds > 0 && !a.final() && time.Since(asked) > scale(a.Holds, 1/driftBound) {
+	if a.Holds > 0 && !a.final() && time.Since(asked) > clock.Scale(a.Holds, 1/clock.DriftBound) {
 		return Unavailable(req.ID, "the leader's answer came late")
 	}
 	return a
--- a/internal/coordination/opportunistic_test.go
+++ b/internal/coordination/opportunistic_test.go
@@ -6,6 +6,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -115,7 +116,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		d.accept(idleJob("000001", 4000))
 		m := d.up(1, "gpu", "a", false) // with nothing to do
-		time.Sleep(seconds(idlePerBoot*m.machineType.BootS) + time.Second)
+		time.Sleep(clock.Seconds(idlePerBoot*m.machineType.BootS) + time.Second)
 		d.up(1, "gpu", "a", false)
 		v := d.snapshotFleet(time.Now())
 		if len(v.desired) != maxLaunch || v.nonOpportunistic != 0 {
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"sagevale/internal/boots"
+	"sagevale/internal/clock"
 )
 
 const (
@@ -81,7 +82,7 @@
 		}
 	}
 	for kind, typ := range d.types {
-		slowness := d.provisioning.ofType(kind).Slowness(now, seconds(typ.BootS), late[kind])
+		slowness := d.provisioning.ofType(kind).Slowness(now, clock.Seconds(typ.BootS), late[kind])
 		if slowness > 1 && d.provisioning.slowness[kind] <= 1 {
 			d.log.Info("machines boot slowly", "type", kind, "times", slowness)
 		}
@@ -91,7 +92,7 @@
 
 // provisioningExceeds tells whether a machine has had so many times its boot time.
 func (m *machine) provisioningExceeds(now time.Time, times float64) bool {
-	return m.machineType != nil && now.Sub(m.firstSeen) > seconds(m.machineType.BootS*times)+firstReportGrace
+	return m.machineType != nil && now.Sub(m.firstSeen) > clock.Seconds(m.machineType.BootS*times)+firstReportGrace
 }
 
 // provisioningOverdue tells whether a machine that isn't up no longer counts as coming. Where all boots of
@@ -109,7 +110,7 @@
 // failsToProvision tells whether machines of an offer were rented of late and mostly didn't come up.
 func (d *scheduler) failsToProvision(o offering, now time.Time) bool {
 	history := d.provisioning.offerings[o]
-	return history != nil && history.Failing(now, seconds(d.types[o.typeName].BootS))
+	return history != nil && history.Failing(now, clock.Seconds(d.types[o.typeName].BootS))
 }
 
 // abandoned tells whether a machine is let go that isn't heard: one that was up
@@ -120,5 +121,5 @@
 	if m.lastContact.IsZero() {
 		return d.provisioningFailed(m, now)
 	}
-	return now.Sub(m.lastContact) > d.settings.WorkerLease+seconds(m.machineType.BootS)
+	return now.Sub(m.lastContact) > d.settings.WorkerLease+clock.Seconds(m.machineType.BootS)
 }
--- a/internal/coordination/relay_client.go
+++ b/internal/coordination/relay_client.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/time/rate"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -22,7 +23,7 @@
 	serial       uint64
 	limiter      *rate.Limiter
 	limitTracker *storage.LimitTracker
-	lastAccepted atomicTime // when the state service last took a batch
+	lastAccepted clock.AtomicTime // when the state service last took a batch
 }
 
 type queuedRequest struct {
@@ -104,7 +105,7 @@
 				return m.drain(batch)
 			}
 			if len(batch) == 1 {
-				soon = time.After(scale(m.settings.HeartbeatInterval, gatherPerHeartbeat))
+				soon = time.After(clock.Scale(m.settings.HeartbeatInterval, gatherPerHeartbeat))
 			}
 		case <-soon:
 			return m.drain(batch)
--- a/internal/coordination/relay_server.go
+++ b/internal/coordination/relay_server.go
@@ -6,6 +6,7 @@
 
 	"golang.org/x/time/rate"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -39,7 +40,7 @@
 				rev = now
 			}
 			cancel()
-			storage.Sleep(ctx, p.settings.Tuning.LeaderLease/renewalsPerLease)
+			clock.Sleep(ctx, p.settings.Tuning.LeaderLease/renewalsPerLease)
 			continue
 		}
 		rev = next
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -12,6 +12,7 @@
 
 	"sagevale/internal/admission"
 	"sagevale/internal/archive"
+	"sagevale/internal/clock"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
@@ -155,7 +156,7 @@
 		jobs: newJobTable(), machines: make(map[int]*machine),
 		reservations: storage.NewReservations(), classes: make(map[string]*class), openLaunches: make(map[string]storage.LaunchRecord),
 		lastAttempt: role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
-		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(scale(s.HeartbeatInterval, commitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
+		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, commitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
 		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 		gates: role.cluster.record, requestGate: func(upgrade.GateName) {},
 	}
@@ -234,7 +235,7 @@
 	d.tokenPending = slices.Clone(d.machineOrder)
 	d.announceTokens()
 	d.activation.resume(time.Now())
-	tick := time.NewTicker(scale(d.settings.HeartbeatInterval, tickPerHeartbeat))
+	tick := time.NewTicker(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
 	rest := time.NewTimer(0) // ends placement's rest
 	defer rest.Stop()
@@ -359,6 +360,6 @@
 		v := d.snapshotFleet(now)
 		d.terminateMachines(append(append(v.emptied, v.lost...), d.abandonUnconfirmed(now)...))
 		d.autoscaler.post(snapshotMsg{v})
-		d.nextSnapshot = now.Add(max(scale(d.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
+		d.nextSnapshot = now.Add(max(clock.Scale(d.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
 	}
 }
--- a/internal/coordination/settings.go
+++ b/internal/coordination/settings.go
@@ -5,6 +5,7 @@
 import (
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -83,7 +84,7 @@
 
 // cooldown is the pause after a machine of a fleet of that size was drained.
 func (t *Tuning) cooldown(size int) time.Duration {
-	return scale(t.Cooldown, min(1, cooldownFleetSize/float64(max(size, 1))))
+	return clock.Scale(t.Cooldown, min(1, cooldownFleetSize/float64(max(size, 1))))
 }
 
 // Ratios of the tuning defaults to the settings' figures.
@@ -98,8 +99,6 @@
 	releasePerLease            = 30
 	fencingWindow              = 16
 
-	// driftBound covers the workers' and our own steady clocks.
-	driftBound = 1.002
 	// holdMargin is what a hold leaves of cancel_s - lease_s, in report
 	// intervals, beside the drift of the clocks: a worker takes a moment to end
 	// its tasks.
@@ -111,11 +110,11 @@
 // DefaultTuning derives the operators' defaults from the platform's figures.
 func (s *Settings) DefaultTuning() Tuning {
 	return Tuning{
-		ScaleOutWindow:     scale(s.HeartbeatInterval, scaleOutWindowPerHeartbeat),
-		ScaleInWindow:      scale(s.WorkerLease, scaleInWindowPerLease),
-		Cooldown:           scale(s.WorkerLease, cooldownPerLeaseOfWorkers),
+		ScaleOutWindow:     clock.Scale(s.HeartbeatInterval, scaleOutWindowPerHeartbeat),
+		ScaleInWindow:      clock.Scale(s.WorkerLease, scaleInWindowPerLease),
+		Cooldown:           clock.Scale(s.WorkerLease, cooldownPerLeaseOfWorkers),
 		ScaleOutStep:       defaultScaleOutStep,
-		LeaderLease:        scale(s.WorkerLease, leaderLeasePerLease),
+		LeaderLease:        clock.Scale(s.WorkerLease, leaderLeasePerLease),
 		HeadroomDeviations: headroomDefault,
 		Upgrade:            s.defaultUpgrade(),
 		Archive:            s.defaultArchive(),
@@ -127,37 +126,33 @@
 // defaultUpgrade is the policy that finalizes nothing by itself.
 func (s *Settings) defaultUpgrade() upgrade.Settings {
 	settings := upgrade.DefaultSettings()
-	settings.Policy.Soak = scale(s.WorkerLease, soakPerLease)
-	settings.Policy.ReleaseAfter = scale(s.WorkerLease, releasePerLease)
+	settings.Policy.Soak = clock.Scale(s.WorkerLease, soakPerLease)
+	settings.Policy.ReleaseAfter = clock.Scale(s.WorkerLease, releasePerLease)
 	return settings
 }
 
-func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // callTime is the longest that one call of the leadership may take.
-func (s *Settings) callTime() time.Duration { return scale(s.Tuning.LeaderLease, callShare) }
+func (s *Settings) callTime() time.Duration { return clock.Scale(s.Tuning.LeaderLease, callShare) }
 
 // renewalGrace is how long after the end of its own grant a leader may still renew
 // the leases of workers: a successor that acknowledges a cancel the moment the
 // grant ends must see the tasks gone within cancel_s, even where the workers
 // hear only the old leader.
 func (s *Settings) renewalGrace() time.Duration {
-	return max(0, s.CancelTimeout-s.WorkerLease-scale(s.CancelTimeout, driftBound-1)-scale(s.HeartbeatInterval, holdMargin))
+	return max(0, s.CancelTimeout-s.WorkerLease-clock.Scale(s.CancelTimeout, clock.DriftBound-1)-clock.Scale(s.HeartbeatInterval, holdMargin))
 }
 
 // leaseBound is how long after an answered report a silent worker's tasks may
 // still be there.
 func (s *Settings) leaseBound() time.Duration {
-	return scale(s.WorkerLease, driftBound) + s.HeartbeatInterval/10
+	return clock.Scale(s.WorkerLease, clock.DriftBound) + s.HeartbeatInterval/10
 }
 
 // unconfirmedBound is the same for a worker that this term hasn't heard of,
 // counted from the take-over: an earlier leader may have renewed its lease
 // until the end of its hold.
 func (s *Settings) unconfirmedBound() time.Duration {
-	return scale(s.renewalGrace(), driftBound) + s.leaseBound()
+	return clock.Scale(s.renewalGrace(), clock.DriftBound) + s.leaseBound()
 }
 
 // fresh is how long a machine's last report counts.
@@ -179,7 +174,7 @@
 	if s.CPUShare > 0 {
 		window *= max(1, ampleCPUShare/s.CPUShare)
 	}
-	return min(scale(s.HeartbeatInterval, min(window, maxBatchWindow)), scale(workerTimeout, maxBatchWindow))
+	return min(clock.Scale(s.HeartbeatInterval, min(window, maxBatchWindow)), clock.Scale(workerTimeout, maxBatchWindow))
 }
 
 // fastLinkTests and slowLinkTests are how often the links between nodes are tested with
@@ -194,7 +189,7 @@
 	if s.CPUShare <= 0 {
 		return fastLinkTests
 	}
-	return min(slowLinkTests, scale(fastLinkTests, max(1, ampleCPUShare/s.CPUShare)))
+	return min(slowLinkTests, clock.Scale(fastLinkTests, max(1, ampleCPUShare/s.CPUShare)))
 }
 
 // announceSockets is the share of the sockets that spreading a token may take.
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -16,6 +16,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -318,7 +319,7 @@
 		for _, t := range tasks {
 			switch {
 			case waiting == spec.Tasks:
-				t.state, t.since, t.ends = Running, now, now.Add(seconds(spec.EstimateS))
+				t.state, t.since, t.ends = Running, now, now.Add(clock.Seconds(spec.EstimateS))
 			case t.state == Gathering && now.Sub(t.since) > sim.settings.GangWait:
 				t.state, t.cause = Ended, CausePeers
 			case t.state != Running || running+done == spec.Tasks:
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -4,6 +4,7 @@
 	"sort"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -61,7 +62,7 @@
 
 // brieflyIdle tells whether the machine has had no tasks for a short time only.
 func (m *machine) brieflyIdle(now time.Time) bool {
-	return len(m.attempts) == 0 && now.Sub(m.idleSince) < seconds(idlePerBoot*m.machineType.BootS)
+	return len(m.attempts) == 0 && now.Sub(m.idleSince) < clock.Seconds(idlePerBoot*m.machineType.BootS)
 }
 
 // byWaste lists the candidates of the ready machines, those that waste the most
--- a/internal/coordination/task_failures.go
+++ b/internal/coordination/task_failures.go
@@ -1,6 +1,9 @@
 package coordination
 
-import "time"
+import (
+	"sagevale/internal/clock"
+	"time"
+)
 
 // maxQuarantineLeases is the longest that a machine in trouble is left alone, in leases:
 // beyond that, work would wait for long beside its room.
@@ -20,7 +23,7 @@
 		return
 	}
 	if m.failures.AtFault() {
-		pause := scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), maxQuarantineLeases)))
+		pause := clock.Scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), maxQuarantineLeases)))
 		m.quarantinedUntil = now.Add(pause)
 		d.log.Info("machine fails several jobs", "machine", m.id, "pause", pause)
 	}
--- a/internal/coordination/unregistered_test.go
+++ b/internal/coordination/unregistered_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -38,7 +39,7 @@
 
 // contend takes the lead wherever it finds it free, and holds it for a while.
 func (p *unregisteredProcess) contend(ctx context.Context, svc storage.KeyValueStore, life time.Duration, node string) {
-	for storage.Sleep(ctx, life/20) {
+	for clock.Sleep(ctx, life/20) {
 		if _, err := svc.Get(ctx, leaderKey); err == nil {
 			continue
 		}
@@ -58,7 +59,7 @@
 			continue
 		}
 		p.led.Add(1)
-		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && storage.Sleep(ctx, life/5); {
+		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, life/5); {
 			if svc.Touch(ctx, lease) != nil {
 				break
 			}
--- a/internal/coordination/upgrade_members.go
+++ b/internal/coordination/upgrade_members.go
@@ -5,6 +5,7 @@
 	"errors"
 	"strings"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -86,7 +87,7 @@
 		case errors.Is(err, storage.ErrCompacted):
 			revision, _ = c.latestRevision(ctx)
 		case err != nil:
-			storage.Sleep(ctx, c.settings.Tuning.LeaderLease/renewalsPerLease)
+			clock.Sleep(ctx, c.settings.Tuning.LeaderLease/renewalsPerLease)
 			continue
 		case len(changes) == 0:
 			revision = next
--- a/internal/coordination/upgrade_test.go
+++ b/internal/coordination/upgrade_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -352,7 +353,7 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(service("000001", 2))
-		slow := scale(sim.settings.callTime(), 0.3) // three calls take less than callTime, four more
+		slow := clock.Scale(sim.settings.callTime(), 0.3) // three calls take less than callTime, four more
 		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = slow })
 		for _, n := range sim.nodes {
 			n.restart()
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -12,7 +13,7 @@
 // they had been deadline at once.
 func (j *job) deadline() time.Time {
 	if j.spec.DeadlineS > 0 {
-		return j.submitted.Add(seconds(j.spec.DeadlineS))
+		return j.submitted.Add(clock.Seconds(j.spec.DeadlineS))
 	}
 	return j.submitted
 }
@@ -125,7 +126,7 @@
 		f.ahead += b.job.startable()
 		heap.Push(&taken, b)
 		f.keys[b.job] = urgency{rank: rank, withinQuota: f.keys[b.job].withinQuota, startBy: b.startBy[0]}
-		if f.pace == 0 || !f.now.Add(seconds(float64(f.ahead)/f.pace)).After(b.startBy[0]) {
+		if f.pace == 0 || !f.now.Add(clock.Seconds(float64(f.ahead)/f.pace)).After(b.startBy[0]) {
 			continue
 		}
 		out := heap.Pop(&taken).(admissionCandidate)
@@ -151,11 +152,11 @@
 // startBy is when a job must start to be in time for what a rank is about, its
 // chances in order; none if that doesn't concern it.
 func (d *scheduler) startBy(j *job, rank int, within bool, now time.Time) []time.Time {
-	run := seconds(d.runTime(j))
+	run := clock.Seconds(d.runTime(j))
 	switch rank {
 	case rankStartAtRisk:
 		bound := d.settings.startWithin(j.spec.Class)
-		if by := j.submitted.Add(bound); by.Sub(now) < scale(bound, startAtRiskShare) {
+		if by := j.submitted.Add(bound); by.Sub(now) < clock.Scale(bound, startAtRiskShare) {
 			return []time.Time{by}
 		}
 	case rankOnTime:
@@ -168,7 +169,7 @@
 		}
 		return []time.Time{due, prompt}
 	case rankLate:
-		return []time.Time{j.submitted.Add(seconds(j.spec.DeadlineS * lateTimes)).Add(-run)}
+		return []time.Time{j.submitted.Add(clock.Seconds(j.spec.DeadlineS * lateTimes)).Add(-run)}
 	}
 	return nil
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -50,7 +51,7 @@
 // stalled tells whether the commit under way takes too long to let others
 // wait behind it.
 func (d *scheduler) stalled(now time.Time) bool {
-	return !d.commitStarted.IsZero() && now.Sub(d.commitStarted) > scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
+	return !d.commitStarted.IsZero() && now.Sub(d.commitStarted) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
 func (d *scheduler) handleUser(m userMsg) {
--- a/internal/coordination/wake.go
+++ b/internal/coordination/wake.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -83,7 +84,7 @@
 	if certain == nil || !time.Now().Before(*certain) {
 		return undecided("leadership not certain")
 	}
-	response.Holds = min(response.Holds, scale(certain.Sub(asked), 1/driftBound))
+	response.Holds = min(response.Holds, clock.Scale(certain.Sub(asked), 1/clock.DriftBound))
 	return response
 }
 
@@ -187,7 +188,7 @@
 	case activation.Ready:
 		if a := s.replica(); a != nil && a.serving() {
 			response.Machine, response.Holds = a.machine.addr, c.settings.RoutingLease()
-			s.routedUntil = now.Add(scale(c.settings.RoutingLease(), driftBound))
+			s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
 		}
 	case activation.Starting:
 		if !s.wokenAt.IsZero() {
--- a/internal/storage/encoding.go
+++ b/internal/storage/encoding.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"slices"
+
+	"sagevale/internal/clock"
 )
 
 // Encoding is what the journal may write. Compressed chunks and records in fragments are
@@ -124,7 +126,7 @@
 func (j *Journal) awaitEncoding(ctx context.Context, records []Record) error {
 	for !j.mayWrite(PlainWherePossible) && slices.ContainsFunc(records, func(r Record) bool { return !j.fits(r) }) {
 		j.encodingNeeded()
-		if !Sleep(ctx, retryPause) {
+		if !clock.Sleep(ctx, retryPause) {
 			return ctx.Err()
 		}
 	}
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"golang.org/x/time/rate"
+
+	"sagevale/internal/clock"
 )
 
 // The journal keeps the records in numbered chunks. A commit writes the
@@ -97,7 +99,7 @@
 		items, more, _, err := svc.List(lctx, chunkPrefix, after, 1000)
 		cancel()
 		if errors.Is(err, ErrRefused) || errors.Is(err, ErrOutcomeUnknown) {
-			if !Sleep(ctx, retryPause) {
+			if !clock.Sleep(ctx, retryPause) {
 				return nil, ctx.Err()
 			}
 			continue
@@ -221,15 +223,3 @@
 	}
 	return nil
 }
-
-// Sleep waits for d, or until ctx ends; it returns whether d passed.
-func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
--- a/internal/storage/journal_write.go
+++ b/internal/storage/journal_write.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"log/slog"
 	"time"
+
+	"sagevale/internal/clock"
 )
 
 // room is how many bytes of records a chunk holds.
@@ -249,7 +251,7 @@
 			j.applyLimits()
 		}
 		slog.Debug("journal retries", "chunk", ops[0].Key, "err", err)
-		if !Sleep(ctx, retryPause) {
+		if !clock.Sleep(ctx, retryPause) {
 			return 0, ctx.Err()
 		}
 	}
--- a/internal/storage/limit_tracker_test.go
+++ b/internal/storage/limit_tracker_test.go
@@ -12,6 +12,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -124,7 +125,7 @@
 		go func() { _ = write(map[string]any{"p1": big(5, 7000)}) }()
 		synctest.Wait()
 		for range 200 {
-			storage.Sleep(ctx, 100_000_000)
+			clock.Sleep(ctx, 100_000_000)
 		}
 		cancel()
 		svc.Trouble(func(s *storagetest.Service) { s.Drop = nil })
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/clock"
 	"sagevale/internal/coordination"
-	"sagevale/internal/storage"
 )
 
 // PeerHandler is what answers the other nodes.
@@ -47,7 +47,7 @@
 				return nil
 			}
 			log.Error("peer not accepted", "err", err)
-			if !storage.Sleep(ctx, peerPause) {
+			if !clock.Sleep(ctx, peerPause) {
 				return nil
 			}
 			continue
