--- a/cmd/sagevale/activation.go
+++ b/cmd/sagevale/activation.go
@@ -7,6 +7,7 @@
 	"text/tabwriter"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 	"sagevale/internal/storage"
 )
@@ -16,7 +17,7 @@
 	subject: "activation",
 	short:   "Tell where services stand that hold no machine without demand",
 	status:  "Read the gate and each service's state, generation and place from the state service",
-	write: func(ctx context.Context, svc storage.KeyValueStore, settings *coordination.Settings, out io.Writer) error {
+	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
 		status, err := coordination.ReadActivationStatus(ctx, svc, settings)
 		if err != nil {
 			return err
--- a/cmd/sagevale/archive.go
+++ b/cmd/sagevale/archive.go
@@ -6,6 +6,7 @@
 	"io"
 	"text/tabwriter"
 
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 	"sagevale/internal/storage"
 )
@@ -15,7 +16,7 @@
 	subject: "archive",
 	short:   "Tell where the archive of finished jobs stands",
 	status:  "Read the archive's pages, its backlog in the journal and its gate from the state service",
-	write: func(ctx context.Context, svc storage.KeyValueStore, settings *coordination.Settings, out io.Writer) error {
+	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
 		status, err := coordination.ReadArchiveStatus(ctx, svc, settings)
 		if err != nil {
 			return err
--- a/cmd/sagevale/main.go
+++ b/cmd/sagevale/main.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 	"sagevale/internal/protocol"
 )
 
@@ -23,10 +23,10 @@
 }
 
 func newCommand() *cobra.Command {
-	var config, props string
+	var configPath, propertiesPath string
 	var check bool
-	load := func(cmd *cobra.Command) (*coordination.Settings, error) {
-		settings, err := protocol.LoadSettings(config, props)
+	load := func(cmd *cobra.Command) (*config.Settings, error) {
+		settings, err := protocol.LoadSettings(configPath, propertiesPath)
 		if err != nil {
 			return nil, err
 		}
@@ -55,8 +55,8 @@
 			return serve(cmd.Context(), settings)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&config, "config", "", "the platform's settings (TOML)")
-	cmd.PersistentFlags().StringVar(&props, "properties", "", "the operators' own settings (Java-style properties, optional)")
+	cmd.PersistentFlags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
+	cmd.PersistentFlags().StringVar(&propertiesPath, "properties", "", "the operators' own settings (Java-style properties, optional)")
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	if err := cmd.MarkPersistentFlagRequired("config"); err != nil {
 		panic(err)
--- a/cmd/sagevale/models.go
+++ b/cmd/sagevale/models.go
@@ -8,6 +8,7 @@
 	"net"
 
 	"sagevale/internal/activator"
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 	"sagevale/internal/protocol"
 )
@@ -22,7 +23,7 @@
 }
 
 // newModelEdge listens where the settings say.
-func newModelEdge(s *coordination.Settings, node *coordination.Node, log *slog.Logger) (*modelEdge, error) {
+func newModelEdge(s *config.Settings, node *coordination.Node, log *slog.Logger) (*modelEdge, error) {
 	tuning := &s.Tuning.Activation
 	if tuning.Listen == "" {
 		return nil, nil
--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -13,6 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 	"sagevale/internal/telemetry"
 	"sagevale/internal/transport"
@@ -41,7 +42,7 @@
 var began = time.Now()
 
 // serve runs one controller until it fails.
-func serve(ctx context.Context, s *coordination.Settings) error {
+func serve(ctx context.Context, s *config.Settings) error {
 	debug.SetMemoryLimit(int64(s.MemoryMB * heapShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent(s.MemoryMB))
 	log := newLogger().With("node", s.NodeName)
--- a/cmd/sagevale/status.go
+++ b/cmd/sagevale/status.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/transport"
 )
@@ -17,7 +17,7 @@
 const statusTimeout = 10 * time.Second
 
 // loader reads the settings that a command was given.
-type loader func(*cobra.Command) (*coordination.Settings, error)
+type loader func(*cobra.Command) (*config.Settings, error)
 
 // statusCommand is a subject of the operators with the one command status, which reads the state service and
 // writes nothing there.
@@ -25,7 +25,7 @@
 	subject string
 	short   string // of the subject
 	status  string // of its status
-	write   func(ctx context.Context, svc storage.KeyValueStore, settings *coordination.Settings, out io.Writer) error
+	write   func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error
 }
 
 // build makes the commands.
--- a/cmd/sagevale/upgrade.go
+++ b/cmd/sagevale/upgrade.go
@@ -7,6 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 	"sagevale/internal/storage"
 )
@@ -16,7 +17,7 @@
 	subject: "upgrade",
 	short:   "Tell where an upgrade of the controllers stands",
 	status:  "Read the active version, the gates and each controller's versions from the state service",
-	write: func(ctx context.Context, svc storage.KeyValueStore, settings *coordination.Settings, out io.Writer) error {
+	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
 		status, err := coordination.ReadUpgradeStatus(ctx, svc, settings)
 		if err != nil {
 			return err
--- a/internal/coordination/settings_test.go
+++ b/internal/config/settings_test.go
@@ -1,4 +1,4 @@
-package coordination
+package config
 
 import (
 	"testing"
@@ -7,9 +7,9 @@
 
 // Each batch of reports wakes a follower and the leader: the smaller the share of a
 // processor, the fewer there may be.
-func TestBatchesWidenAsTheShareFalls(t *testing.T) {
-	if got := (&Settings{HeartbeatInterval: time.Minute, CPUShare: 0.001}).BatchWindow(); got > workerTimeout/8 {
-		t.Errorf("reports gather for %v, and a worker waits for %v", got, workerTimeout)
+func TestBatchWindowWidensAsCPUShareFalls(t *testing.T) {
+	if got := (&Settings{HeartbeatInterval: time.Minute, CPUShare: 0.001}).BatchWindow(); got > WorkerResponseTimeout/8 {
+		t.Errorf("reports gather for %v, and a worker waits for %v", got, WorkerResponseTimeout)
 	}
 	for _, c := range []struct {
 		share float64
@@ -27,8 +27,8 @@
 
 // Links are tested as often as ever with an ample share of a processor, half as often
 // with little.
-func TestLinksAreTestedLessOftenWithLittleProcessor(t *testing.T) {
-	for share, want := range map[float64]time.Duration{0: fastLinkTests, 1: fastLinkTests, 0.25: fastLinkTests, 0.2: 5 * fastLinkTests / 4, 0.036: slowLinkTests} {
+func TestLinkTestIntervalFollowsCPUShare(t *testing.T) {
+	for share, want := range map[float64]time.Duration{0: minLinkTestInterval, 1: minLinkTestInterval, 0.25: minLinkTestInterval, 0.2: 5 * minLinkTestInterval / 4, 0.036: maxLinkTestInterval} {
 		if got := (&Settings{CPUShare: share}).LinkTestInterval(); got != want {
 			t.Errorf("at a share of %v every %v", share, got)
 		}
--- a/internal/coordination/activation.go
+++ b/internal/coordination/activation.go
@@ -8,85 +8,12 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
 
-// ActivationTuning is the operators' part of services that may be at zero.
-type ActivationTuning struct {
-	Classes []string // whose services of one task run only once there is demand
-	Policy  activation.Policy
-	Listen  string // where requests for the models are taken; "": nowhere
-	Target  string // address of a model's server, as package activator has it; "": its default
-	Body    int64  // the largest request that is passed on, in bytes
-	// Hold is the longest that a request waits for a model that starts; 0: none does. Held is how many do
-	// at a time, and Concurrent how many requests are passed on to one model at a time.
-	Hold             time.Duration
-	Held, Concurrent int
-}
-
 // Ratios of the defaults to the workers' lease.
-const (
-	startPerLease    = 10.0
-	stablePerLease   = 1.0
-	backoffPerLease  = 0.1
-	cooldownPerLease = 4.0
-	idlePerLease     = 30.0
-	drainPerLease    = 2.0
-	startAttempts    = 5
-)
-
-const (
-	// defaultBody is the largest request that is passed on.
-	defaultBody = 4 << 20
-	// heldBytes is about what a held request takes at its peak: its connection's buffers, its goroutines'
-	// stacks, and garbage (measured on the loopback, docs/cold-starts.md).
-	heldBytes = 64 << 10
-	// heldMemoryShare of the memory quota may go to held requests.
-	heldMemoryShare = 1.0 / 16
-	// modelSocketShare of the sockets go to requests for models, each of which takes two: its client's
-	// connection, and the one to the model.
-	modelSocketShare = 1.0 / 4
-	// heldShare of the connections may be held; the others are passed on, or told at once when to come again.
-	heldShare = 3.0 / 4
-	// defaultConcurrent is how many requests are passed on to one model at a time.
-	defaultConcurrent = 64
-)
-
-// ModelConnections is how many connections of clients of models a controller takes at a time.
-func (s *Settings) ModelConnections() int {
-	return max(2, int(float64(s.Sockets)*modelSocketShare/2))
-}
-
-// MaxHeldRequests is how many requests for models its connections allow a controller to hold.
-func (s *Settings) MaxHeldRequests() int { return max(1, int(float64(s.ModelConnections())*heldShare)) }
-
-// defaultHeld is how many requests may be held at a time.
-func (s *Settings) defaultHeld() int {
-	byMemory := int(s.MemoryMB * (1 << 20) * heldMemoryShare / heldBytes)
-	return max(1, min(byMemory, s.MaxHeldRequests()))
-}
-
-func (s *Settings) defaultActivation() ActivationTuning {
-	return ActivationTuning{
-		Policy: activation.Policy{
-			IdleWindow: clock.Scale(s.WorkerLease, idlePerLease), DrainTimeout: clock.Scale(s.WorkerLease, drainPerLease),
-			StartWithin: clock.Scale(s.WorkerLease, startPerLease), StableAfter: clock.Scale(s.WorkerLease, stablePerLease),
-			Attempts: startAttempts, Backoff: clock.Scale(s.WorkerLease, backoffPerLease), Cooldown: clock.Scale(s.WorkerLease, cooldownPerLease),
-		},
-		Body: defaultBody, Held: s.defaultHeld(), Concurrent: defaultConcurrent,
-	}
-}
-
-// RoutingLease is the longest that a controller may pass requests on by one answer of the leader.
-func (s *Settings) RoutingLease() time.Duration { return s.HeartbeatInterval }
-
-// wakeIntervals is how many times within a report interval a controller asks again for a model that
-// doesn't answer yet.
-const wakeIntervals = 8
-
-// WakeInterval is for how long a controller goes by an answer that a model isn't ready.
-func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakeIntervals }
 
 // managedService is a service that may be at zero, as the leader holds it.
 type managedService struct {
@@ -159,8 +86,8 @@
 // activationController moves the lifecycles of the services that may be at zero. Each move is
 // durable before anything rests on it. It belongs to the dispatcher's goroutine.
 type activationController struct {
-	tuning   *ActivationTuning
-	settings *Settings
+	tuning   *config.Activation
+	settings *config.Settings
 	host     activationHost
 	log      *slog.Logger
 	gate     upgrade.GateState
@@ -175,11 +102,11 @@
 	resumed   bool // the term's actors run; attempts that were found before are known by loaded
 }
 
-func newActivationController(settings *Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
+func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
 	return &activationController{
 		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, host: host, log: log,
 		services: make(map[string]*managedService), postponed: make(map[string]*job), awake: make(map[string]*managedService),
-		usage: activation.NewUsage(settings.controllers(), usageIntervals*settings.UsageInterval()),
+		usage: activation.NewUsage(settings.ControllerNames(), usageIntervals*settings.UsageInterval()),
 	}
 }
 
--- a/internal/coordination/activation_guards_test.go
+++ b/internal/coordination/activation_guards_test.go
@@ -8,6 +8,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -22,7 +23,7 @@
 func coldDispatcher(t *testing.T) (*scheduler, *job, *machine) {
 	t.Helper()
 	s := grownSettings()
-	s.NodeName, s.Peers = "n0", []Peer{{Name: "n1"}, {Name: "n2"}}
+	s.NodeName, s.Peers = "n0", []config.Peer{{Name: "n1"}, {Name: "n2"}}
 	s.Tuning.Activation.Classes = []string{coldClass}
 	d := newTestDispatcher(t, s)
 	d.setGates(openActivation)
--- a/internal/coordination/activation_status.go
+++ b/internal/coordination/activation_status.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -32,7 +33,7 @@
 }
 
 // ReadActivationStatus reads the journal. It writes nothing.
-func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (ActivationStatus, error) {
+func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ActivationStatus, error) {
 	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
 	if err != nil {
 		return ActivationStatus{}, err
@@ -66,7 +67,7 @@
 }
 
 // serviceStatus reads a job's record; nil: it is of no concern here.
-func serviceStatus(r storage.Record, tuning *ActivationTuning) *ServiceStatus {
+func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
 	var job storage.JobRecord
 	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.Open || job.Spec == nil || !job.Spec.Service {
 		return nil
--- a/internal/coordination/archive_status.go
+++ b/internal/coordination/archive_status.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"sagevale/internal/archive"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -18,7 +19,7 @@
 }
 
 // ReadArchiveStatus reads all pages and the journal. It writes nothing.
-func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (ArchiveStatus, error) {
+func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ArchiveStatus, error) {
 	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
 	if err != nil {
 		return ArchiveStatus{}, err
@@ -31,7 +32,7 @@
 }
 
 // countJournal counts the jobs whose records are in the journal.
-func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.KeyValueStore, s *Settings) error {
+func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) error {
 	journal, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
 		return err
--- a/internal/coordination/archive_withdrawal.go
+++ b/internal/coordination/archive_withdrawal.go
@@ -15,7 +15,7 @@
 	if err != nil || gate.Phase != upgrade.GateWithdrawing || count == 0 {
 		return count, err
 	}
-	if most := t.scheduler.settings.mayRestore(); count > most {
+	if most := t.scheduler.settings.MaxRestoredJobs(); count > most {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: fmt.Sprintf("%d jobs are archived, and only %d fit in memory", count, most)}
 	}
 	if err := t.restoreFirst(ctx); err != nil {
--- a/internal/coordination/archiving.go
+++ b/internal/coordination/archiving.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/archive"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -15,42 +16,17 @@
 // job's record is removed. A leader that ends in between leaves the job in both places, and the next one
 // offers it again.
 
-// ArchiveTuning is the operators' part of the archive.
-type ArchiveTuning struct {
-	Enabled       bool // finished jobs are archived
-	KeepInJournal int  // so many of them stay in the journal
-	MemoryBytes   int  // of the archive's pages held in memory
-}
-
 const (
-	// finishedBytes is what a finished job takes of the leader's memory.
-	finishedBytes = 560
-	// keepShare of the memory quota may go to finished jobs that aren't archived: the more there are, the
-	// more of them go into one write of a page.
-	keepShare = 0.01
-	// pagesShare of it may go to the archive's pages.
-	pagesShare = 1.0 / 16
-	// restoreShare of it may go to finished jobs that are brought back.
-	restoreShare = 0.25
+
 	// maxArchiveBatch is how many finished jobs are offered to the archive at a time.
 	maxArchiveBatch = 4096
 )
 
-func (s *Settings) defaultArchive() ArchiveTuning {
-	quota := s.MemoryMB * (1 << 20)
-	return ArchiveTuning{KeepInJournal: int(quota * keepShare / finishedBytes), MemoryBytes: int(quota * pagesShare)}
-}
-
-// mayRestore is how many archived jobs may be brought back into the journal.
-func (s *Settings) mayRestore() int {
-	return int(s.MemoryMB * (1 << 20) * restoreShare / finishedBytes)
-}
-
 // newArchive makes the node's keeper of the archive.
-func newArchive(s *Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
+func newArchive(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
-		Refresh: s.WorkerLease, CallTime: s.callTime(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
+		Refresh: s.WorkerLease, CallTime: s.CallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
 	}, deps.Log)
 }
 
@@ -111,7 +87,7 @@
 
 // readArchive has a job's page read and brings the result back to the dispatcher.
 func (d *scheduler) readArchive(m userMsg, rank archive.JobNumber) {
-	ctx, cancel := context.WithTimeout(d.lifetime, d.settings.callTime())
+	ctx, cancel := context.WithTimeout(d.lifetime, d.settings.CallTimeout())
 	defer cancel()
 	result, err := d.archive.Read(ctx, rank)
 	d.post(archiveReadMsg{m, result, err})
@@ -188,7 +164,7 @@
 
 // offerToArchive hands finished jobs to the archive, and brings back which of them are durable there.
 func (d *scheduler) offerToArchive(entries []archive.Entry) {
-	ctx, cancel := context.WithTimeout(d.lifetime, archiveCalls*d.settings.callTime())
+	ctx, cancel := context.WithTimeout(d.lifetime, archiveCalls*d.settings.CallTimeout())
 	defer cancel()
 	ranks, err := d.archive.Archive(ctx, entries)
 	d.post(archivedMsg{ranks, err})
--- a/internal/coordination/archiving_test.go
+++ b/internal/coordination/archiving_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"sagevale/internal/archive"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -24,7 +25,7 @@
 // inArchiving runs a scenario whose finished jobs are archived, but for so many.
 func inArchiving(t *testing.T, keep int, story func(sim *simulation)) {
 	t.Helper()
-	inSimulationTuned(t, func(*Settings) {}, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
+	inSimulationTuned(t, func(*config.Settings) {}, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
 }
 
 // status is what an operator is told of the archive.
@@ -345,8 +346,8 @@
 
 // A burst of polls for jobs that nobody submitted, at a leader that holds no pages, starves neither its lease nor commits.
 func TestABurstOfUnknownPolls(t *testing.T) {
-	inSimulationTuned(t, func(*Settings) {}, func(tuning *Tuning) {
-		tuning.Archive = ArchiveTuning{Enabled: true, MemoryBytes: 1}
+	inSimulationTuned(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
+		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
 	}, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -421,7 +422,7 @@
 // The limits fall below the pages that are stored: they are told as ever, and further jobs are archived.
 func TestLimitsFallBelowTheArchive(t *testing.T) {
 	next := &storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 8}
-	inSimulationTuned(t, func(s *Settings) { s.State.Next = next }, func(tuning *Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
+	inSimulationTuned(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
 		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
@@ -577,9 +578,9 @@
 
 // An archive that doesn't fit into the leader's memory isn't brought back, and operators are told why.
 func TestAnArchiveThatCantBeBroughtBack(t *testing.T) {
-	inSimulationTuned(t, func(s *Settings) { s.MemoryMB = 16 }, func(tuning *Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
+	inSimulationTuned(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.seedArchive(sim.settings.mayRestore() + 1000)
+		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
 		back := sim.nodes[0]
 		if sim.awaitLeader() == back {
 			back = sim.nodes[1]
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -26,8 +27,7 @@
 	// maxTerminate is how many machines one deletion names at the most, the
 	// cloud's limit.
 	maxTerminate = 100
-	// maxLaunch is how many machines one rental names at the most, the cloud's limit.
-	maxLaunch = 50
+
 	// listPage is the cloud's largest page.
 	listPage = 500
 )
@@ -35,7 +35,7 @@
 // autoscaler is the actor that owns the fleet's desired size. It grows and
 // shrinks in bounded steps and alone speaks to the cloud.
 type autoscaler struct {
-	settings  *Settings
+	settings  *config.Settings
 	cloud     Cloud
 	term      uint64
 	scheduler *scheduler
@@ -104,7 +104,7 @@
 	}
 )
 
-func newAutoscaler(s *Settings, deps Dependencies, term uint64, d *scheduler, journal *storage.Journal, log *slog.Logger) *autoscaler {
+func newAutoscaler(s *config.Settings, deps Dependencies, term uint64, d *scheduler, journal *storage.Journal, log *slog.Logger) *autoscaler {
 	c := &autoscaler{
 		settings: s, cloud: deps.Cloud, term: term, scheduler: d, journal: journal, log: log,
 		mailbox: make(chan any, 256),
@@ -229,7 +229,7 @@
 // scaleOut records the new size with the term and the names of the rentals in one
 // conditional write, and asks the cloud after that.
 func (c *autoscaler) scaleOut(v fleetSnapshot, now time.Time) {
-	n := min(len(v.desired), c.settings.Tuning.maxScaleOut(v.size))
+	n := min(len(v.desired), c.settings.Tuning.MaxScaleOut(v.size))
 	// What boots longest is needed first.
 	slices.SortStableFunc(v.desired, func(a, b offering) int { return cmp.Compare(v.bootSeconds[b.typeName], v.bootSeconds[a.typeName]) })
 	c.desired = v.size + n
@@ -261,7 +261,7 @@
 	next := c.surplus[0]
 	c.surplus = c.surplus[1:]
 	c.drainCompleted = false
-	c.cooldownUntil = now.Add(c.settings.Tuning.cooldown(c.size))
+	c.cooldownUntil = now.Add(c.settings.Tuning.CooldownFor(c.size))
 	c.size--
 	c.desired = c.size
 	c.log.Info("shrink", "machine", next.machine, "desired", c.desired)
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -5,14 +5,6 @@
 // What may wait or be done at once, derived from the settings or from the fleet. Each bound
 // is listed in docs/limits.md with what happens where it is reached.
 
-// leastQueue is the least that the queues of a node's actors hold.
-const leastQueue = 2048
-
-// QueueSize is how many requests the queues of a node's actors hold. Every accepted connection
-// brings one request at a time, and so does every exchange with a worker or a peer, each of
-// which has a socket: a queue of as many can't overflow by them.
-func (s *Settings) QueueSize() int { return max(leastQueue, s.Sockets) }
-
 // submissionShare of the dispatcher's mailbox may be filled when a submission comes, and
 // questionShare when a question or a cancellation does: the rest is left for the workers' reports,
 // without which leases end.
--- a/internal/coordination/bounds_test.go
+++ b/internal/coordination/bounds_test.go
@@ -168,7 +168,7 @@
 		a := d.reserve(urgent, 0, m, time.Now())
 		d.startWhenDurable([]*attempt{a})
 		for range 2 {
-			if _, ok := d.queue.Next(d.settings.commitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
+			if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
 				d.handleCommitted(nil)
 			}
 		}
@@ -189,7 +189,7 @@
 		d.markJob(j) // for something else, at the end of the lane
 		reply := make(chan Answer, 1)
 		d.handleUser(userMsg{req: UserRequest{Op: OpCancel, ID: "900000"}, reply: reply})
-		if _, ok := d.queue.Next(d.settings.commitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
+		if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
 			t.Fatal("nothing to write")
 		}
 		d.handleCommitted(nil)
--- a/internal/coordination/candidate.go
+++ b/internal/coordination/candidate.go
@@ -26,7 +26,7 @@
 func (d *scheduler) readyCandidates(now time.Time) []*candidate {
 	candidates := make([]*candidate, 0, len(d.machineOrder))
 	room := make([]candidate, len(d.machineOrder)) // in one allocation
-	fresh := d.settings.fresh()
+	fresh := d.settings.ReportFreshness()
 	for i, m := range d.machineOrder {
 		if m.ready(now, fresh) {
 			room[i] = candidateOf(m)
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -94,7 +94,7 @@
 // gangHeadroom is how many tasks of a class of gangs to keep room for: what their
 // usual number exceeds the present one by, and at the least the largest gang of late.
 func (d *scheduler) gangHeadroom(c *class, now time.Time) int {
-	within := d.settings.startWithin(c.last.spec.Class)
+	within := d.settings.StartObjective(c.last.spec.Class)
 	rate := d.rate(c, now)
 	if within <= 0 || within.Seconds() >= gangBoots*d.minBootSeconds(c.last) || rate.WindowS == 0 || rate.Tasks == 0 {
 		return 0
--- a/internal/coordination/cloud_calls.go
+++ b/internal/coordination/cloud_calls.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -95,7 +96,7 @@
 	last := make(map[offering]int)
 	for _, o := range wanted {
 		i, ok := last[o]
-		if !ok || out[i].Count == maxLaunch {
+		if !ok || out[i].Count == config.MaxLaunchMachines {
 			i = len(out)
 			last[o] = i
 			out = append(out, storage.LaunchRecord{Type: o.typeName, Zone: o.zone, Spot: o.spot})
--- a/internal/coordination/cold_start_test.go
+++ b/internal/coordination/cold_start_test.go
@@ -15,6 +15,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/activator"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -78,12 +79,12 @@
 // inColdStartOf does so with controllers in these zones.
 func inColdStartOf(t *testing.T, controllers []string, story func(sim *simulation)) {
 	t.Helper()
-	tune := func(tuning *Tuning) {
+	tune := func(tuning *config.Tuning) {
 		tuning.Activation.Classes = []string{coldClass}
 		tuning.Activation.Policy.IdleWindow = coldIdle
 		tuning.Activation.Hold = coldHold
 	}
-	inSimulationOf(t, controllers, func(*Settings) {}, tune, func(sim *simulation) {
+	inSimulationOf(t, controllers, func(*config.Settings) {}, tune, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(service("000001", 2))
 		sim.runs("000001", 2)
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -104,7 +104,7 @@
 // announceToken spreads our token to one worker, unless as many as the sockets allow
 // are being told already: then its own next report brings it the token.
 func (d *scheduler) announceToken(m *machine) bool {
-	if d.announcements >= d.settings.maxAnnouncements() {
+	if d.announcements >= d.settings.MaxTokenAnnouncements() {
 		return false
 	}
 	if m.token >= d.tokens.First || m.terminating || m.addr == "" || m.incarnation == 0 {
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -6,25 +6,17 @@
 	"time"
 
 	"sagevale/internal/admission"
-	"sagevale/internal/clock"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 )
 
 const (
-	// commitPerHeartbeat is how long one commit may take at the journal's pace, in report
-	// intervals: what waits behind it waits as long.
-	commitPerHeartbeat = 0.07
+
 	// acceptanceBytes is about what the record of an accepted job takes. It gives the pace
 	// of acceptances until that is measured.
 	acceptanceBytes = 250
 )
 
-// commitBytes is how much one commit holds.
-func (s *Settings) commitBytes() int {
-	return s.State.BytesWithin(clock.Scale(s.HeartbeatInterval, commitPerHeartbeat))
-}
-
 // maxSubmissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
 // the protocol, and the answer has to travel.
 const maxSubmissionWait = 3 * time.Second
@@ -130,7 +122,7 @@
 		return
 	}
 	d.limitBulk(time.Now())
-	records, ok := d.queue.Next(d.settings.commitBytes(), func(key string, err error) {
+	records, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) {
 		d.log.Error("record not encoded", "key", key, "err", err)
 	})
 	if !ok {
--- a/internal/coordination/delegation.go
+++ b/internal/coordination/delegation.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 )
 
@@ -97,17 +98,10 @@
 // mayRedirect tells whether a worker can ask all other nodes in vain and be
 // back here within its lease.
 func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
-	round := time.Duration(len(c.settings.Peers))*(workerTimeout+workerPause) + workerPause
+	round := time.Duration(len(c.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
 	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
 }
 
-const (
-	// workerTimeout is how long a worker waits for an answer, by the
-	// protocol, and workerPause how long before it tries the next node.
-	workerTimeout = 4 * time.Second
-	workerPause   = time.Second
-)
-
 // delegationTerms is what the dispatcher publishes of its lead, for delegations.
 type delegationTerms struct {
 	at         time.Time // as of when barred is complete
@@ -124,8 +118,8 @@
 	began        time.Time
 }
 
-func newDelegator(s *Settings) *delegator {
-	l := &delegator{renewalGrace: s.renewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
+func newDelegator(s *config.Settings) *delegator {
+	l := &delegator{renewalGrace: s.RenewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
 	for _, p := range s.Peers {
 		l.until[p.Name], l.zones[p.Name] = new(atomic.Int64), p.Zone
 	}
@@ -192,7 +186,7 @@
 // delegatedLeaseBound is when a machine's lease has surely ended that this leader last
 // answered when m tells, if peers in its zone may have renewed it alone since.
 func (d *scheduler) delegatedLeaseBound(m *machine) time.Time {
-	end := m.lastAcknowledged.Add(d.settings.leaseBound())
+	end := m.lastAcknowledged.Add(d.settings.LeaseBound())
 	for i := range d.peerRenewals {
 		s := &d.peerRenewals[i]
 		if !s.covers(m) {
@@ -200,14 +194,14 @@
 		}
 		// What it has renewed, as far as is known, and what it may have since
 		// it was last asked.
-		if b := s.last.Add(d.settings.leaseBound()); !s.last.IsZero() && b.After(end) {
+		if b := s.last.Add(d.settings.LeaseBound()); !s.last.IsZero() && b.After(end) {
 			end = b
 		}
 	}
 	for i := range d.peerRenewals {
 		s := &d.peerRenewals[i]
 		if s.covers(m) && s.asked.Before(end) {
-			if b := s.until.Add(d.settings.leaseBound()); b.After(end) {
+			if b := s.until.Add(d.settings.LeaseBound()); b.After(end) {
 				end = b
 			}
 		}
--- a/internal/coordination/delegation_test.go
+++ b/internal/coordination/delegation_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 )
@@ -40,7 +41,7 @@
 		time.Sleep(2 * sim.settings.WorkerLease) // all workers have gone to nodes of their zone
 		before := sim.startsSoFar()
 		sim.cutZone("b")
-		time.Sleep(sim.settings.renewalGrace() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
+		time.Sleep(sim.settings.RenewalGrace() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
 		sim.cutZone("")
 		time.Sleep(sim.settings.WorkerLease)
 		if n := sim.restarts(before); n != 0 || len(sim.running("000001")) != 6 {
@@ -71,7 +72,7 @@
 func TestADelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		s.Peers = []Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
+		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
 		d := newTestDispatcher(t, s)
 		j := d.accept(service("000001", 1))
 		d.addAttempt(&attempt{job: j, task: 0, number: 1, machine: d.up(7, "cpu", "a", false), incarnation: 1, thisTerm: true, reported: true})
@@ -101,12 +102,12 @@
 func TestAMachineUnderDelegationIsNotCalledEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
+		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
 		d := newTestDispatcher(t, s)
 		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
-		own := m.lastAcknowledged.Add(s.leaseBound())
+		own := m.lastAcknowledged.Add(s.LeaseBound())
 		d.publishDelegation(time.Now())
 		d.updatePeerRenewals()
 		if !d.provenEmptyAt(m).Equal(own) {
@@ -115,10 +116,10 @@
 		span, _ := d.delegator.delegate("n1")
 		until := time.Now().Add(span)
 		d.updatePeerRenewals()
-		if want := until.Add(s.leaseBound()); !d.provenEmptyAt(m).Equal(want) {
+		if want := until.Add(s.LeaseBound()); !d.provenEmptyAt(m).Equal(want) {
 			t.Errorf("empty by %v, lent until %v", d.provenEmptyAt(m), until)
 		}
-		time.Sleep(s.leaseBound() + time.Second)
+		time.Sleep(s.LeaseBound() + time.Second)
 		now := time.Now()
 		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		d.updatePeerRenewals()
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -28,7 +29,7 @@
 	var out, opportunistic []*demand
 	teams := make(map[string]storage.Room)
 	for _, j := range waiting {
-		team := d.settings.team(j.spec.Team)
+		team := d.settings.Team(j.spec.Team)
 		if team == nil {
 			continue
 		}
@@ -49,7 +50,7 @@
 			continue
 		}
 		dm := &demand{job: j, zones: newZoneCheck(j), n: n}
-		if d.settings.opportunistic(&j.spec) {
+		if d.settings.IsOpportunistic(&j.spec) {
 			dm.opportunistic = true
 			opportunistic = append(opportunistic, dm)
 			continue
@@ -87,7 +88,7 @@
 
 // gangDemand is how many tasks a gang waits for: all of them within the team's
 // limit, or none.
-func (d *scheduler) gangDemand(j *job, team *Team, teams map[string]storage.Room) int {
+func (d *scheduler) gangDemand(j *job, team *config.Team, teams map[string]storage.Room) int {
 	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
 	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
 		return 0
--- a/internal/coordination/exhausted_shapes.go
+++ b/internal/coordination/exhausted_shapes.go
@@ -29,7 +29,7 @@
 // shapeOf is a job's shape.
 func (d *scheduler) shapeOf(j *job) shape {
 	s := j.shape()
-	s.opportunistic = d.settings.opportunistic(&j.spec)
+	s.opportunistic = d.settings.IsOpportunistic(&j.spec)
 	return s
 }
 
--- a/internal/coordination/fake_node_test.go
+++ b/internal/coordination/fake_node_test.go
@@ -9,6 +9,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/activator"
+	"sagevale/internal/config"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
 )
@@ -39,7 +40,7 @@
 	s.NodeName, s.Zone = n.name, n.zone
 	for _, o := range n.sim.nodes {
 		if o != n {
-			s.Peers = append(s.Peers, Peer{Name: o.name, Zone: o.zone})
+			s.Peers = append(s.Peers, config.Peer{Name: o.name, Zone: o.zone})
 		}
 	}
 	if n.upgrade != nil {
@@ -71,7 +72,7 @@
 }
 
 // track runs the process's tracker of models.
-func (n *fakeNode) track(ctx context.Context, node *Node, s *Settings) {
+func (n *fakeNode) track(ctx context.Context, node *Node, s *config.Settings) {
 	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
 	limits := activator.Limits{Held: 100, Concurrent: 10, Hold: s.Tuning.Activation.Hold}
--- a/internal/coordination/fake_worker_test.go
+++ b/internal/coordination/fake_worker_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -150,11 +151,11 @@
 	if live == nil || !n.reaches(wk) {
 		wk.node++
 		if live == nil {
-			return workerPause // refused
+			return config.WorkerRetryPause // refused
 		}
-		return workerTimeout + workerPause
+		return config.WorkerResponseTimeout + config.WorkerRetryPause
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), workerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), config.WorkerResponseTimeout)
 	n.gate()
 	a := live.HandleHeartbeat(ctx, r)
 	n.gate()
@@ -162,9 +163,9 @@
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	switch {
-	case time.Since(sent) > workerTimeout: // it has gone on to the next node
+	case time.Since(sent) > config.WorkerResponseTimeout: // it has gone on to the next node
 		wk.node++
-		return workerPause
+		return config.WorkerRetryPause
 	case wk.deaf.Load() || wk.cut.Load() || wk.dead.Load() || wk.still.Load() || !n.reaches(wk):
 	case !a.Accepted:
 		for i, o := range wk.sim.nodes {
@@ -174,7 +175,7 @@
 			}
 		}
 		wk.node++
-		return workerPause
+		return config.WorkerRetryPause
 	case a.Token >= wk.token && r.Session == wk.session:
 		wk.token, wk.leased = a.Token, sent
 		wk.execute(a.Orders)
@@ -245,7 +246,7 @@
 			}
 		}
 	}
-	if team := sim.settings.team(spec.Team); !storage.WithinLimit(used, team.Limit) {
+	if team := sim.settings.Team(spec.Team); !storage.WithinLimit(used, team.Limit) {
 		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
 	}
 	if wk.spot && !spec.Spot || !allowed(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -36,7 +36,7 @@
 	v := fleetSnapshot{healthy: true, settled: d.machinesListed, drains: d.drainsRequested}
 	p := &packing{exhausted: make(exhaustedShapes)}
 	d.updateSlowness(now)
-	fresh := d.settings.fresh()
+	fresh := d.settings.ReportFreshness()
 	for _, m := range d.machineOrder {
 		silent := now.Sub(m.lastContact) > fresh
 		switch {
--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 )
 
 // Every worker's report passes the forwarder of the node that it reaches. It
@@ -26,7 +27,7 @@
 // forwarder is the actor of the reports that reach this node.
 type forwarder struct {
 	node          *Node
-	settings      *Settings
+	settings      *config.Settings
 	in            chan pendingReport
 	decided       chan decidedBatch
 	workers       map[int]*knownWorker
--- a/internal/coordination/freeze_test.go
+++ b/internal/coordination/freeze_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -62,7 +63,7 @@
 		write(name, items)
 	}
 	inSimulation(t, func(sim *simulation) { freezeStore("store.json", sim) })
-	inSimulationWith(t, func(s *Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+	inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
 		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		freezeStore("store-lowered.json", sim)
 	})
--- a/internal/coordination/gang_placement.go
+++ b/internal/coordination/gang_placement.go
@@ -44,7 +44,7 @@
 
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
 func (d *scheduler) gangWithinLimit(j *job) bool {
-	team := d.settings.team(j.spec.Team)
+	team := d.settings.Team(j.spec.Team)
 	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
 }
 
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -6,6 +6,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -453,13 +454,13 @@
 func TestAGangWaitsForItsTeamsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		s.Teams = append(s.Teams, Team{Name: "small", Limit: storage.Room{GPUs: 2}})
+		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Room{GPUs: 2}})
 		d := newTestDispatcher(t, s)
 		m := d.up(1, "gpu", "a", false)
 		other := d.gangOn(onLimit(gangOf("000001", 1)), Running, m)
 		j := d.accept(onLimit(gangOf("000002", 2)))
 		d.placeRound(time.Now())
-		if len(j.attempts) != 0 || d.gangDemand(j, s.team("small"), make(map[string]storage.Room)) != 0 {
+		if len(j.attempts) != 0 || d.gangDemand(j, s.Team("small"), make(map[string]storage.Room)) != 0 {
 			t.Error("placed, or rented for, beyond the limit")
 		}
 		d.removeAttempt(other.attempts[0], "ended")
--- a/internal/coordination/gates.go
+++ b/internal/coordination/gates.go
@@ -103,7 +103,7 @@
 	if !count {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.CallTimeout())
 	defer cancel()
 	encoded, err := t.journal.MigrateStep(ctx)
 	if err != nil {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
@@ -22,15 +23,15 @@
 		answer := func() {
 			d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
 		}
-		for range 2 * freshIntervals {
+		for range 2 * config.FreshIntervals {
 			time.Sleep(s.HeartbeatInterval)
 			answer()
 		}
-		if m.ready(time.Now(), s.fresh()) {
+		if m.ready(time.Now(), s.ReportFreshness()) {
 			t.Error("ready without a report")
 		}
 		d.up(7, "cpu", "a", false)
-		if !m.ready(time.Now(), s.fresh()) {
+		if !m.ready(time.Now(), s.ReportFreshness()) {
 			t.Error("not ready after a report")
 		}
 	})
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -121,7 +121,7 @@
 
 // incarnationEnded clears what an ended session has killed.
 func (d *scheduler) incarnationEnded(m *machine, r *Report, now time.Time) {
-	if m.confirmed && now.Sub(m.lastContact) <= d.settings.fresh() {
+	if m.confirmed && now.Sub(m.lastContact) <= d.settings.ReportFreshness() {
 		// Its reports came and our answers went nowhere: it is deaf.
 		m.lostIncarnations++
 		m.quarantinedUntil = now.Add(clock.Scale(d.settings.WorkerLease, float64(min(m.lostIncarnations, maxQuarantineLeases))))
@@ -146,7 +146,7 @@
 	for _, a := range m.attempts {
 		if !a.reported && a.commandedSeq != 0 && r.Seq > a.commandedSeq+1 && now.Sub(a.reservedAt) > 2*d.settings.HeartbeatInterval {
 			m.unresponsive = true
-			m.quarantinedUntil = now.Add(d.settings.fresh())
+			m.quarantinedUntil = now.Add(d.settings.ReportFreshness())
 			d.log.Debug("machine takes no orders", "machine", m.id)
 			return
 		}
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -24,8 +25,7 @@
 const (
 	// renewalsPerLease is how often a leader renews its grant within its life.
 	renewalsPerLease = 5
-	// callShare of the grant's life is the longest that one call may take.
-	callShare = 0.4
+
 	// watchLeases is how many grant lives one watch is held.
 	watchLeases = 4
 )
@@ -52,7 +52,7 @@
 // each change of role through tell, which must not block for long.
 type leadership struct {
 	svc            storage.KeyValueStore
-	settings       *Settings
+	settings       *config.Settings
 	process        string // unlike any other process's
 	publish        func(Role)
 	resign         chan resignation
@@ -79,7 +79,7 @@
 // hasn't heard the state service after it. A peer that has restarted can't
 // know what it did before, so it can't confirm, whatever else it says.
 func (l *leadership) leaderless(ctx context.Context, term uint64, cut time.Time) bool {
-	ctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 	defer cancel()
 	answers := make(chan bool, len(l.settings.Peers))
 	for _, p := range l.settings.Peers {
@@ -140,7 +140,7 @@
 }
 
 func (l *leadership) get(ctx context.Context, key string) (storage.Item, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 	defer cancel()
 	item, err := l.svc.Get(ctx, key)
 	if err == nil || errors.Is(err, storage.ErrNotFound) {
@@ -189,7 +189,7 @@
 }
 
 func (l *leadership) revoke(ctx context.Context, lease uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 	defer cancel()
 	err := l.svc.Revoke(ctx, lease)
 	if errors.Is(err, storage.ErrNotFound) {
@@ -203,7 +203,7 @@
 	if !l.registered() {
 		return clusterState{}, errUnregistered
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 	defer cancel()
 	cluster, err := readCluster(ctx, l.svc)
 	if err != nil {
@@ -225,7 +225,7 @@
 		return err
 	}
 	sent := time.Now()
-	cctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+	cctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 	defer cancel()
 	lease, err := l.svc.Grant(cctx, life)
 	if err != nil {
@@ -287,7 +287,7 @@
 		}
 		return Role{
 			Leading: true, Leader: l.settings.NodeName, Term: term, Guard: guard,
-			LeaseValidUntil: certain, RenewUntil: alone.Add(l.settings.renewalGrace()),
+			LeaseValidUntil: certain, RenewUntil: alone.Add(l.settings.RenewalGrace()),
 			cluster: cluster,
 		}
 	}
@@ -312,7 +312,7 @@
 		case <-time.After(life / renewalsPerLease):
 		}
 		at := time.Now()
-		tctx, cancel := context.WithTimeout(ctx, l.settings.callTime())
+		tctx, cancel := context.WithTimeout(ctx, l.settings.CallTimeout())
 		err := l.svc.Touch(tctx, lease)
 		cancel()
 		if err == nil {
--- a/internal/coordination/lean_test.go
+++ b/internal/coordination/lean_test.go
@@ -6,13 +6,15 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"sagevale/internal/config"
 )
 
 // Nodes with little processor and memory: they fall behind, and must keep every rule all
 // the same. The simulation watches the rules.
 
 // lean has the nodes run on a few hundredths of a processor.
-func lean(s *Settings) { s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second }
+func lean(s *config.Settings) { s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second }
 
 // A process that falls behind fires its timers late and gets to each step late: between
 // a check and its effect the lead may be over.
@@ -95,9 +97,9 @@
 
 // Work that doesn't fit into the memory is told when to come back; the rest goes on.
 func TestWorkBeyondTheMemoryIsToldToComeBack(t *testing.T) {
-	inSimulationWith(t, func(s *Settings) { lean(s); s.MemoryMB = 16 }, func(sim *simulation) {
+	inSimulationWith(t, func(s *config.Settings) { lean(s); s.MemoryMB = 16 }, func(sim *simulation) {
 		sim.submit(service("000001", 2)) // the machine types are known
-		most := sim.settings.maxTasks()
+		most := sim.settings.MaxOpenTasks()
 		large := arrayJob("000002", most+1)
 		a := sim.askNode(sim.awaitLeader(), OpSubmit, large.ID, large)
 		if a.Code != CodeBusy || a.RetryS < 1 {
--- a/internal/coordination/lease_guards_test.go
+++ b/internal/coordination/lease_guards_test.go
@@ -9,6 +9,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 )
@@ -68,9 +69,9 @@
 // end its tasks come before cancel_s after the earliest cancel that the renewer
 // can't know of. docs/design.md has the argument.
 func TestEveryRenewalEndsBeforeAnUnknownCancelIsDue(t *testing.T) {
-	for _, s := range []Settings{grownSettings(), {HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
+	for _, s := range []config.Settings{grownSettings(), {HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
 		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond}} {
-		s.Peers = []Peer{{Name: "n1", Zone: "a"}}
+		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
 		s.Tuning = s.DefaultTuning()
 		// endOf is when a lease renewed then has ended on any worker's clock.
 		endOf := func(renewed time.Time) time.Time { return renewed.Add(clock.Scale(s.WorkerLease, 1.0005)) }
@@ -79,7 +80,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.renewalGrace())})
+				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
 					r := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: seq, Token: 2}
@@ -97,7 +98,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.renewalGrace())})
+				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
 				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
 				c.node.deps.Peers = words
@@ -116,7 +117,7 @@
 		t.Run("prolonged by the peers' word", func(t *testing.T) {
 			// What a peer does after its status it does after we asked for it.
 			asked := time.Now()
-			if !endOf(asked.Add(s.renewalGrace())).Before(due(asked)) {
+			if !endOf(asked.Add(s.RenewalGrace())).Before(due(asked)) {
 				t.Error("beyond a cancel that is confirmed right after the word")
 			}
 		})
@@ -142,7 +143,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := grownSettings()
-				s.Peers = []Peer{{Name: "n1"}, {Name: "n2"}}
+				s.Peers = []config.Peer{{Name: "n1"}, {Name: "n2"}}
 				l := &leadership{settings: &s, peers: scriptedPeers{"n1": {Uptime: time.Hour, SinceState: time.Hour}, "n2": {Uptime: c.up, SinceState: c.since, Term: c.term}}}
 				if got := l.leaderless(t.Context(), 2, time.Now().Add(-10*time.Second)); got != c.confirms {
 					t.Errorf("confirmed: %v", got)
@@ -225,7 +226,7 @@
 			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(s.renewalGrace() + s.WorkerLease)
+		time.Sleep(s.RenewalGrace() + s.WorkerLease)
 		if d.expireLeases(time.Now()); len(d.jobs.get("000001").attempts) != 1 {
 			t.Error("called empty while an earlier leader's last lease may last")
 		}
--- a/internal/coordination/leases.go
+++ b/internal/coordination/leases.go
@@ -27,7 +27,7 @@
 func (d *scheduler) provenEmptyAt(m *machine) time.Time {
 	bound := d.delegatedLeaseBound(m)
 	if !m.confirmed {
-		if b := d.termStarted.Add(d.settings.unconfirmedBound()); b.After(bound) {
+		if b := d.termStarted.Add(d.settings.UnconfirmedLeaseBound()); b.After(bound) {
 			return b
 		}
 	}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -60,7 +61,7 @@
 // replaces it, the fleet counts this node by it.
 type membership struct {
 	svc      storage.KeyValueStore
-	settings *Settings
+	settings *config.Settings
 	session  string
 	log      *slog.Logger
 
@@ -104,7 +105,7 @@
 // record is guarded: an activation that rests on the earlier registration and this one
 // can't both succeed unseen by each other.
 func (m *membership) register(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, registrationCalls*m.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, registrationCalls*m.settings.CallTimeout())
 	defer cancel()
 	cluster, err := readCluster(ctx, m.svc)
 	if err != nil {
@@ -172,7 +173,7 @@
 }
 
 func (m *membership) renewSession(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, m.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, m.settings.CallTimeout())
 	defer cancel()
 	err := m.svc.Touch(ctx, m.lease)
 	if !errors.Is(err, storage.ErrNotFound) {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -14,6 +14,7 @@
 
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -35,7 +36,7 @@
 
 // Node is one controller: it follows or leads, and answers users and workers.
 type Node struct {
-	settings     *Settings
+	settings     *config.Settings
 	deps         Dependencies
 	leadership   *leadership
 	membership   *membership
@@ -54,7 +55,7 @@
 }
 
 // NewNode makes a node; Run starts it.
-func NewNode(s *Settings, deps Dependencies) *Node {
+func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
 	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
--- a/internal/coordination/opportunistic.go
+++ b/internal/coordination/opportunistic.go
@@ -21,22 +21,6 @@
 	minimumAllocationLeases = 2
 )
 
-// opportunistic tells whether a job of that spec is opportunistic work.
-func (s *Settings) opportunistic(spec *storage.Spec) bool {
-	if spec.Priority > storage.BestEffort || spec.DeadlineS > 0 || spec.Service || spec.Gang {
-		return false
-	}
-	if team := s.team(spec.Team); team != nil && team.Guarantee != (storage.Room{}) {
-		return false
-	}
-	for i := range s.Objectives {
-		if s.Objectives[i].Class == spec.Class {
-			return false
-		}
-	}
-	return true
-}
-
 // allocated is how many of the job's tasks have or had a place.
 func (j *job) allocated() int { return len(j.attempts) + j.done }
 
@@ -48,7 +32,7 @@
 func (d *scheduler) opportunisticWaiting(waiting []*job) int {
 	n := 0
 	for _, j := range waiting {
-		if d.settings.opportunistic(&j.spec) {
+		if d.settings.IsOpportunistic(&j.spec) {
 			n++
 		}
 	}
--- a/internal/coordination/opportunistic_test.go
+++ b/internal/coordination/opportunistic_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -19,8 +20,8 @@
 
 func TestWhatIsOpportunistic(t *testing.T) {
 	s := grownSettings()
-	s.Teams = append(s.Teams, Team{Name: "guaranteed", Guarantee: storage.Room{CPUs: 1}})
-	s.Objectives = []Objective{{Kind: "finished", Class: "promised"}}
+	s.Teams = append(s.Teams, config.Team{Name: "guaranteed", Guarantee: storage.Room{CPUs: 1}})
+	s.Objectives = []config.Objective{{Kind: "finished", Class: "promised"}}
 	for name, c := range map[string]struct {
 		change func(*storage.Spec)
 		want   bool
@@ -36,7 +37,7 @@
 	} {
 		spec := idleJob("000001", 1)
 		c.change(&spec)
-		if got := s.opportunistic(&spec); got != c.want {
+		if got := s.IsOpportunistic(&spec); got != c.want {
 			t.Errorf("%s: opportunistic %v", name, got)
 		}
 	}
@@ -119,14 +120,14 @@
 		time.Sleep(clock.Seconds(idlePerBoot*m.machineType.BootS) + time.Second)
 		d.up(1, "gpu", "a", false)
 		v := d.snapshotFleet(time.Now())
-		if len(v.desired) != maxLaunch || v.nonOpportunistic != 0 {
+		if len(v.desired) != config.MaxLaunchMachines || v.nonOpportunistic != 0 {
 			t.Errorf("%d machines wanted, %d in a hurry", len(v.desired), v.nonOpportunistic)
 		}
 		if len(v.surplus) != 1 {
 			t.Errorf("%d surplus machines beside wishes for cheap ones", len(v.surplus))
 		}
 		d.accept(service("000002", 40))
-		if v := d.snapshotFleet(time.Now()); v.nonOpportunistic != len(v.desired)-maxLaunch || v.nonOpportunistic == 0 || len(v.surplus) != 0 {
+		if v := d.snapshotFleet(time.Now()); v.nonOpportunistic != len(v.desired)-config.MaxLaunchMachines || v.nonOpportunistic == 0 || len(v.surplus) != 0 {
 			t.Errorf("%d of %d machines in a hurry, %d surplus", v.nonOpportunistic, len(v.desired), len(v.surplus))
 		}
 	})
@@ -169,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := grownSettings()
-				s.Teams = append(s.Teams, Team{Name: "home", Guarantee: storage.Room{CPUs: guarantee, MemoryGB: 100}})
+				s.Teams = append(s.Teams, config.Team{Name: "home", Guarantee: storage.Room{CPUs: guarantee, MemoryGB: 100}})
 				d := newTestDispatcher(t, s)
 				m := d.up(1, "cpu", "a", true)
 				idle := d.accept(idleJob("000001", 2))
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -31,7 +32,7 @@
 // machine of its own when the places that it has will take it before a new
 // machine were up.
 func (d *scheduler) shortage(p *packing, demands []*demand, size int, now time.Time) {
-	p.zones, p.maxDesired, p.sizes = zonesOf(p.candidates), desiredSteps*d.settings.Tuning.maxScaleOut(size), make(map[string]int)
+	p.zones, p.maxDesired, p.sizes = zonesOf(p.candidates), desiredSteps*d.settings.Tuning.MaxScaleOut(size), make(map[string]int)
 	for _, m := range d.machineOrder {
 		p.sizes[m.zone]++
 	}
@@ -113,7 +114,7 @@
 			break
 		}
 		if dm.opportunistic {
-			if p.opportunistic == maxLaunch {
+			if p.opportunistic == config.MaxLaunchMachines {
 				break // more at a time would hold up what others need
 			}
 			if !d.cheapFor(o, dm.job) {
@@ -171,7 +172,7 @@
 func (d *scheduler) expectedBatchTasks(now time.Time) float64 {
 	n := 0.0
 	for _, c := range d.classes {
-		if c.last.spec.Service || d.settings.opportunistic(&c.last.spec) {
+		if c.last.spec.Service || d.settings.IsOpportunistic(&c.last.spec) {
 			continue
 		}
 		rate := d.rate(c, now)
@@ -187,7 +188,7 @@
 func (d *scheduler) batchPlaces() int {
 	n := 0
 	for _, j := range d.jobs.open {
-		if !j.spec.Service && !d.settings.opportunistic(&j.spec) {
+		if !j.spec.Service && !d.settings.IsOpportunistic(&j.spec) {
 			n += len(j.attempts)
 		}
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -54,7 +54,7 @@
 		switch {
 		case j.spec.Gang:
 			d.placeGang(j, r)
-		case d.settings.opportunistic(&j.spec):
+		case d.settings.IsOpportunistic(&j.spec):
 			d.placeOpportunistic(j, r)
 		default:
 			d.placeJob(j, r)
@@ -114,7 +114,7 @@
 }
 
 func (d *scheduler) withinLimit(j *job) bool {
-	team := d.settings.team(j.spec.Team)
+	team := d.settings.Team(j.spec.Team)
 	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
 }
 
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -83,7 +83,7 @@
 
 // mayStop tells whether a preemptor may stop an attempt.
 func (d *scheduler) mayStop(p preemptor, a *attempt) bool {
-	return a.job.spec.Priority < p.priority || p.guaranteed && d.settings.opportunistic(&a.job.spec)
+	return a.job.spec.Priority < p.priority || p.guaranteed && d.settings.IsOpportunistic(&a.job.spec)
 }
 
 // victims chooses tasks in the candidate that the preemptor may stop and whose end makes that much
--- a/internal/coordination/relay_client.go
+++ b/internal/coordination/relay_client.go
@@ -10,12 +10,13 @@
 	"golang.org/x/time/rate"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
 // relayClient is the actor of a follower's relay.
 type relayClient struct {
-	settings     *Settings
+	settings     *config.Settings
 	svc          storage.KeyValueStore
 	log          *slog.Logger
 	queue        chan queuedRequest
@@ -32,14 +33,14 @@
 	reply chan mailReply
 }
 
-func newRelayClient(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker) *relayClient {
+func newRelayClient(s *config.Settings, deps Dependencies, limitTracker *storage.LimitTracker) *relayClient {
 	return &relayClient{
 		limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, queue: make(chan queuedRequest, relayQueue), processID: deps.Rand.Uint64(),
 		limiter: relayLimiter(s),
 	}
 }
 
-func relayLimiter(s *Settings) *rate.Limiter {
+func relayLimiter(s *config.Settings) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(s.State.ChangesPerS*relayShare), max(1, int(s.State.ChangesPerS*relayShare)))
 }
 
--- a/internal/coordination/relay_server.go
+++ b/internal/coordination/relay_server.go
@@ -7,12 +7,13 @@
 	"golang.org/x/time/rate"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
 // relayServer is the leader's actor that answers relayed requests.
 type relayServer struct {
-	settings     *Settings
+	settings     *config.Settings
 	svc          storage.KeyValueStore
 	log          *slog.Logger
 	guard        storage.Guard
@@ -22,7 +23,7 @@
 	latest       map[string]batchID // by sender
 }
 
-func newRelayServer(s *Settings, deps Dependencies, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *scheduler) *relayServer {
+func newRelayServer(s *config.Settings, deps Dependencies, limitTracker *storage.LimitTracker, guard storage.Guard, dispatcher *scheduler) *relayServer {
 	return &relayServer{limitTracker: limitTracker, settings: s, svc: deps.State, log: deps.Log, guard: guard, scheduler: dispatcher, limiter: relayLimiter(s), latest: make(map[string]batchID)}
 }
 
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -12,6 +12,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
@@ -19,7 +20,7 @@
 
 // newTestDispatcher makes a dispatcher without the actors around it, for what a snapshot or a
 // round decides. Its clock stands still unless the test moves it.
-func newTestDispatcher(tb testing.TB, s Settings) *scheduler {
+func newTestDispatcher(tb testing.TB, s config.Settings) *scheduler {
 	tb.Helper()
 	svc := storagetest.NewService()
 	tb.Cleanup(svc.Close)
@@ -56,10 +57,10 @@
 }
 
 // grownSettings are figures of a large site.
-func grownSettings() Settings {
-	s := Settings{
+func grownSettings() config.Settings {
+	s := config.Settings{
 		Zones: []string{"a", "b"}, HeartbeatInterval: 4 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second,
-		Teams:    []Team{{Name: "team"}},
+		Teams:    []config.Team{{Name: "team"}},
 		State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 		CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
 	}
@@ -105,7 +106,7 @@
 	}
 	total := 0
 	for _, h := range launchesFor(wanted) {
-		if h.Count < 1 || h.Count > maxLaunch {
+		if h.Count < 1 || h.Count > config.MaxLaunchMachines {
 			t.Errorf("a rental of %d machines", h.Count)
 		}
 		total += h.Count
@@ -137,7 +138,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		for name, got := range sim.cloud.rentals {
-			if len(got) > maxLaunch {
+			if len(got) > config.MaxLaunchMachines {
 				t.Errorf("rental %s is of %d machines", name, len(got))
 			}
 		}
@@ -145,9 +146,9 @@
 }
 
 func TestAStepAtMostDoublesTheFleet(t *testing.T) {
-	tuning := Tuning{ScaleOutStep: 50}
+	tuning := config.Tuning{ScaleOutStep: 50}
 	for size, want := range map[int]int{0: 50, 30: 50, 51: 51, 400: 400} {
-		if got := tuning.maxScaleOut(size); got != want {
+		if got := tuning.MaxScaleOut(size); got != want {
 			t.Errorf("a fleet of %d may grow by %d, not %d", size, got, want)
 		}
 	}
@@ -156,7 +157,7 @@
 // One machine at a time is returned, but a large fleet must not take hours.
 func TestTheCooldownFollowsTheFleet(t *testing.T) {
 	s := grownSettings()
-	small, large := s.Tuning.cooldown(cooldownFleetSize/2), s.Tuning.cooldown(8*cooldownFleetSize)
+	small, large := s.Tuning.CooldownFor(config.CooldownFleetSize/2), s.Tuning.CooldownFor(8*config.CooldownFleetSize)
 	if small != s.Tuning.Cooldown || large != s.Tuning.Cooldown/8 {
 		t.Errorf("cooldowns of %v and %v", small, large)
 	}
@@ -373,7 +374,7 @@
 		d.tokenPending = append(d.tokenPending, d.machineOrder...)
 		told := 0
 		for d.announceTokens(); d.announcements > 0; {
-			if d.announcements > d.settings.maxAnnouncements() {
+			if d.announcements > d.settings.MaxTokenAnnouncements() {
 				t.Fatalf("%d greets at a time", d.announcements)
 			}
 			d.handle(<-d.mailbox)
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -13,6 +13,7 @@
 	"sagevale/internal/admission"
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
@@ -36,7 +37,7 @@
 // scheduler is the actor for jobs, bookings and placement during one term of
 // leadership. All its fields are its own; others speak to it by messages.
 type scheduler struct {
-	settings        *Settings
+	settings        *config.Settings
 	deps            Dependencies
 	term            uint64
 	tokens          fencing.Tokens // that workers are commanded under in this term
@@ -147,7 +148,7 @@
 	}
 )
 
-func newScheduler(s *Settings, deps Dependencies, role Role, journal *storage.Journal, resign chan<- resignation, log *slog.Logger) (*scheduler, error) {
+func newScheduler(s *config.Settings, deps Dependencies, role Role, journal *storage.Journal, resign chan<- resignation, log *slog.Logger) (*scheduler, error) {
 	d := &scheduler{
 		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
@@ -156,7 +157,7 @@
 		jobs: newJobTable(), machines: make(map[int]*machine),
 		reservations: storage.NewReservations(), classes: make(map[string]*class), openLaunches: make(map[string]storage.LaunchRecord),
 		lastAttempt: role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
-		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, commitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
+		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
 		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 		gates: role.cluster.record, requestGate: func(upgrade.GateName) {},
 	}
--- a/internal/coordination/shortlist.go
+++ b/internal/coordination/shortlist.go
@@ -54,7 +54,7 @@
 
 // noteReserved takes in that a task was noteReserved on a candidate, which may have become too full or of another tier.
 func (d *scheduler) noteReserved(list *shortlist, s *candidate) {
-	fits := list.job.spec.Room.Fits(s.free) && !(d.settings.opportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
+	fits := list.job.spec.Room.Fits(s.free) && !(d.settings.IsOpportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
 	switch tier := d.tier(list.job, s); {
 	case fits && tier == list.tier:
 	case fits && tier < list.tier:
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -17,6 +17,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -25,7 +26,7 @@
 // service, a cloud, workers and the cuts between them. It watches the rules.
 type simulation struct {
 	t            *testing.T
-	settings     Settings
+	settings     config.Settings
 	state        *storagetest.Service
 	cloud        *fakeCloud
 	nodes        []*fakeNode
@@ -89,13 +90,13 @@
 // inSimulation runs a scenario in simulated time.
 func inSimulation(t *testing.T, story func(sim *simulation)) {
 	t.Helper()
-	inSimulationWith(t, func(*Settings) {}, story)
+	inSimulationWith(t, func(*config.Settings) {}, story)
 }
 
 // inSimulationWith runs a scenario in simulated time, with settings of its own.
-func inSimulationWith(t *testing.T, change func(*Settings), story func(sim *simulation)) {
+func inSimulationWith(t *testing.T, change func(*config.Settings), story func(sim *simulation)) {
 	t.Helper()
-	inSimulationTuned(t, change, func(*Tuning) {}, story)
+	inSimulationTuned(t, change, func(*config.Tuning) {}, story)
 }
 
 // threeControllers and fiveControllers are the zones of a deployment's controllers.
@@ -105,20 +106,20 @@
 )
 
 // inSimulationTuned runs a scenario with the operators' settings changed too.
-func inSimulationTuned(t *testing.T, change func(*Settings), tune func(*Tuning), story func(sim *simulation)) {
+func inSimulationTuned(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
 	t.Helper()
 	inSimulationOf(t, threeControllers, change, tune, story)
 }
 
 // inSimulationOf runs a scenario with controllers in these zones.
-func inSimulationOf(t *testing.T, controllers []string, change func(*Settings), tune func(*Tuning), story func(sim *simulation)) {
+func inSimulationOf(t *testing.T, controllers []string, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{
 			t: t,
-			settings: Settings{
+			settings: config.Settings{
 				Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second, GangWait: 45 * time.Second, GangStopWindow: 4 * time.Second,
-				Teams:    []Team{{Name: "team"}, {Name: "small", Limit: storage.Room{GPUs: 2}}},
+				Teams:    []config.Team{{Name: "team"}, {Name: "small", Limit: storage.Room{GPUs: 2}}},
 				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
 			},
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -71,7 +71,7 @@
 	waste := make(map[*candidate]float64)
 	var out []*candidate
 	for _, s := range p.candidates {
-		if s.machine == nil || !s.machine.ready(now, d.settings.fresh()) || s.machine.brieflyIdle(now) {
+		if s.machine == nil || !s.machine.ready(now, d.settings.ReportFreshness()) || s.machine.brieflyIdle(now) {
 			continue
 		}
 		price := s.machineType.Price
@@ -152,7 +152,7 @@
 		if !a.job.spec.Service && !(saving && a.job.spec.CheckpointS > 0 && !a.job.spec.Gang) {
 			continue
 		}
-		if saving && d.settings.opportunistic(&a.job.spec) && !d.cheapFor(offering{m.typeName, m.zone, m.spot}, a.job) {
+		if saving && d.settings.IsOpportunistic(&a.job.spec) && !d.cheapFor(offering{m.typeName, m.zone, m.spot}, a.job) {
 			continue // it waits for cheaper room
 		}
 		if saving && d.lateByMove(a, now) {
--- a/internal/coordination/unconfirmed.go
+++ b/internal/coordination/unconfirmed.go
@@ -21,7 +21,7 @@
 // empty sooner. That is done only where their services find room elsewhere: a
 // machine that comes back has its images.
 func (d *scheduler) abandonUnconfirmed(now time.Time) []int {
-	if !d.leaseValid(now) || now.Sub(d.termStarted) < max(clock.Scale(d.settings.WorkerLease, unconfirmedLease), d.settings.fresh()) {
+	if !d.leaseValid(now) || now.Sub(d.termStarted) < max(clock.Scale(d.settings.WorkerLease, unconfirmedLease), d.settings.ReportFreshness()) {
 		return nil
 	}
 	var silent []*machine
--- a/internal/coordination/unregistered_test.go
+++ b/internal/coordination/unregistered_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -161,7 +162,7 @@
 // While version 1 is active nothing is written that 3661d31 can't read, not even where the
 // state service takes less: chunks are plain, records whole, fields known.
 func TestOnlyWhat3661d31ReadsIsWrittenBesideIt(t *testing.T) {
-	inSimulationWith(t, func(s *Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
+	inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(service("000001", 3))
 		sim.submit(arrayJob("000002", 60))
--- a/internal/coordination/upgrade_controller.go
+++ b/internal/coordination/upgrade_controller.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -26,7 +27,7 @@
 // term began with.
 type upgradeController struct {
 	svc      storage.KeyValueStore
-	settings *Settings
+	settings *config.Settings
 	peers    PeerLink
 	log      *slog.Logger
 	leader   storage.Guard
@@ -47,7 +48,7 @@
 	changed chan struct{}
 }
 
-func newUpgradeController(s *Settings, deps Dependencies, role Role, users gateUsage, log *slog.Logger) *upgradeController {
+func newUpgradeController(s *config.Settings, deps Dependencies, role Role, users gateUsage, log *slog.Logger) *upgradeController {
 	return &upgradeController{
 		svc: deps.State, settings: s, peers: deps.Peers, log: log, leader: role.Guard, term: role.Term, users: users,
 		cluster: role.cluster, outdated: true, unusedSince: make(map[upgrade.GateName]time.Time),
@@ -144,7 +145,7 @@
 // read reads the record and the registrations. The record is nobody else's to write, but
 // an answer may have been lost.
 func (c *upgradeController) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, c.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	items, _, _, err := c.svc.List(ctx, upgradePrefix, "", upgradeKeysMost)
 	if err != nil {
@@ -203,7 +204,7 @@
 		}
 		ops = append(ops, storage.Op{Key: termKey, Data: term})
 	}
-	tctx, cancel := context.WithTimeout(ctx, c.settings.callTime())
+	tctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	version, err := c.svc.Txn(tctx, guards, ops)
 	var conflict *storage.ConflictError
@@ -233,7 +234,7 @@
 		c.log.Error("waiting not encoded", "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	if _, err := c.svc.Txn(ctx, []storage.Guard{c.leader}, []storage.Op{{Key: waitingKey, Data: data}}); err != nil {
 		c.log.Debug("waiting not told", "err", err)
--- a/internal/coordination/upgrade_members.go
+++ b/internal/coordination/upgrade_members.go
@@ -103,7 +103,7 @@
 }
 
 func (c *upgradeController) latestRevision(ctx context.Context) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.settings.callTime())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	_, _, revision, err := c.svc.List(ctx, registrationPrefix, "", 1)
 	return revision, err
--- a/internal/coordination/upgrade_rollback_test.go
+++ b/internal/coordination/upgrade_rollback_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -86,7 +87,7 @@
 	for kills := range 4 {
 		t.Run(fmt.Sprint(kills), func(t *testing.T) {
 			next := &storage.Limits{ChangesPerS: 30, ValueBytes: 3072, TxnOps: 6}
-			inSimulationWith(t, func(s *Settings) { s.State.Next = next }, func(sim *simulation) {
+			inSimulationWith(t, func(s *config.Settings) { s.State.Next = next }, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				for i := range 12 {
 					sim.submit(arrayJob(fmt.Sprintf("%06d", i+1), 40))
--- a/internal/coordination/upgrade_status.go
+++ b/internal/coordination/upgrade_status.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strings"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -32,7 +33,7 @@
 }
 
 // ReadUpgradeStatus reads where an upgrade stands. It writes nothing.
-func ReadUpgradeStatus(ctx context.Context, svc storage.KeyValueStore, s *Settings) (UpgradeStatus, error) {
+func ReadUpgradeStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (UpgradeStatus, error) {
 	items, _, _, err := svc.List(ctx, upgradePrefix, "", upgradeKeysMost)
 	if err != nil {
 		return UpgradeStatus{}, fmt.Errorf("state service: %w", err)
@@ -68,7 +69,7 @@
 }
 
 // nodeVersions lists the nodes of the settings, and any other that has registered.
-func nodeVersions(s *Settings, registrations map[string]registrationState, items []storage.Item) []NodeVersions {
+func nodeVersions(s *config.Settings, registrations map[string]registrationState, items []storage.Item) []NodeVersions {
 	names := []string{s.NodeName}
 	for _, p := range s.Peers {
 		names = append(names, p.Name)
--- a/internal/coordination/upgrade_test.go
+++ b/internal/coordination/upgrade_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -165,7 +166,7 @@
 		}, func(*simulation) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inSimulationWith(t, func(s *Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+			inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
 				sim.allAt(upgrade.Version1)
 				sim.submit(service("000001", 3))
 				sim.runs("000001", 3)
@@ -353,7 +354,7 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(service("000001", 2))
-		slow := clock.Scale(sim.settings.callTime(), 0.3) // three calls take less than callTime, four more
+		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four more
 		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = slow })
 		for _, n := range sim.nodes {
 			n.restart()
--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -76,7 +76,7 @@
 	groups := make(map[storage.Priority][]*job)
 	for _, j := range jobs {
 		switch {
-		case d.settings.opportunistic(&j.spec):
+		case d.settings.IsOpportunistic(&j.spec):
 			keys[j] = urgency{rank: rankOpportunistic, startBy: j.deadline(), allocated: j.allocated()}
 		case j.spec.Service || j.spec.DeadlineS <= 0:
 			keys[j] = urgency{rank: rankOnTime, withinQuota: within[j], startBy: j.deadline()}
@@ -155,12 +155,12 @@
 	run := clock.Seconds(d.runTime(j))
 	switch rank {
 	case rankStartAtRisk:
-		bound := d.settings.startWithin(j.spec.Class)
+		bound := d.settings.StartObjective(j.spec.Class)
 		if by := j.submitted.Add(bound); by.Sub(now) < clock.Scale(bound, startAtRiskShare) {
 			return []time.Time{by}
 		}
 	case rankOnTime:
-		due, prompt := j.deadline().Add(-run), j.submitted.Add(d.settings.promptStart())
+		due, prompt := j.deadline().Add(-run), j.submitted.Add(d.settings.GuaranteedStartObjective())
 		switch {
 		case !within:
 			return []time.Time{due}
@@ -178,7 +178,7 @@
 func (d *scheduler) batchPace(now time.Time) float64 {
 	places, runS := 0, 0.0
 	for _, j := range d.jobs.open {
-		if n := len(j.attempts); !j.spec.Service && n > 0 && !d.settings.opportunistic(&j.spec) {
+		if n := len(j.attempts); !j.spec.Service && n > 0 && !d.settings.IsOpportunistic(&j.spec) {
 			places += n
 			runS += float64(n) * d.runTime(j)
 		}
@@ -224,14 +224,14 @@
 func (d *scheduler) jobsWithinGuarantee() map[*job]bool {
 	byTeam := make(map[string][]*job)
 	for _, j := range d.jobs.open {
-		if t := d.settings.team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Room{}) {
+		if t := d.settings.Team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Room{}) {
 			byTeam[t.Name] = append(byTeam[t.Name], j)
 		}
 	}
 	out := make(map[*job]bool)
 	for name, jobs := range byTeam {
 		sort.Slice(jobs, func(x, y int) bool { return jobs[x].submitted.Before(jobs[y].submitted) })
-		guarantee := d.settings.team(name).Guarantee
+		guarantee := d.settings.Team(name).Guarantee
 		var used storage.Room
 		for _, j := range jobs {
 			used = used.Plus(j.spec.Room.Times(j.spec.Tasks - j.done))
--- a/internal/coordination/usage.go
+++ b/internal/coordination/usage.go
@@ -10,9 +10,6 @@
 // usageIntervals is how many report intervals of usage may pass until a controller counts as silent.
 const usageIntervals = 2
 
-// UsageInterval is how often a controller tells the leader how models are used.
-func (s *Settings) UsageInterval() time.Duration { return s.HeartbeatInterval }
-
 // usageReportMsg brings the dispatcher a controller's usage.
 type usageReportMsg struct {
 	report activation.UsageReport
@@ -83,15 +80,6 @@
 	return orders
 }
 
-// controllers lists the fleet's controllers.
-func (s *Settings) controllers() []string {
-	names := []string{s.NodeName}
-	for _, p := range s.Peers {
-		names = append(names, p.Name)
-	}
-	return names
-}
-
 // checkUsage has a service that nobody uses drain, and one that has drained stop.
 func (c *activationController) checkUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.unwritten > 0 {
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -122,7 +122,7 @@
 			d.awaitGate(m, upgrade.Activation, now)
 			return
 		}
-		if d.jobs.openTasks+spec.Tasks > d.settings.maxTasks() {
+		if d.jobs.openTasks+spec.Tasks > d.settings.MaxOpenTasks() {
 			m.reply <- Answer{Code: CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetryS: int(d.settings.WorkerLease.Seconds())}
 			return
 		}
@@ -162,7 +162,7 @@
 
 // infeasible tells why a job can never run.
 func (d *scheduler) infeasible(s *storage.Spec) string {
-	team := d.settings.team(s.Team)
+	team := d.settings.Team(s.Team)
 	if team == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
@@ -282,11 +282,3 @@
 
 // bytesPerTask is what a waiting task may cost in memory, with its share of
 // records; half of the quota may go to tasks.
-const (
-	bytesPerTask = 256
-	taskShare    = 0.5
-)
-
-func (s *Settings) maxTasks() int {
-	return int(s.MemoryMB * (1 << 20) * taskShare / bytesPerTask)
-}
--- a/internal/coordination/versions_test.go
+++ b/internal/coordination/versions_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -44,7 +45,7 @@
 		t.Run(c.version+"/"+c.file, func(t *testing.T) {
 			var items []storage.Item
 			frozen(t, c.version, c.file, &items)
-			inSimulationWith(t, func(s *Settings) { s.State.Next = c.next }, func(sim *simulation) {
+			inSimulationWith(t, func(s *config.Settings) { s.State.Next = c.next }, func(sim *simulation) {
 				sim.awaitLeader()
 				for _, n := range sim.nodes {
 					n.kill()
--- a/internal/coordination/worker_tokens.go
+++ b/internal/coordination/worker_tokens.go
@@ -7,14 +7,6 @@
 	"sagevale/internal/upgrade"
 )
 
-// FencingTuning is how workers' tokens are raised within a term.
-type FencingTuning struct {
-	Enabled bool
-	// Window is how many ended attempts a worker remembers before its token is raised. A
-	// worker with more live tasks than that remembers as many.
-	Window int
-}
-
 // fencingInForce tells whether tokens are raised within the term: then peers renew leases by
 // the range of tokens, which earlier versions don't know.
 func (d *scheduler) fencingInForce() bool {
--- a/internal/coordination/worker_tokens_test.go
+++ b/internal/coordination/worker_tokens_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
@@ -18,8 +19,10 @@
 // withFencing runs a scenario in which workers' tokens are raised after so many ended attempts.
 func withFencing(t *testing.T, window int, story func(sim *simulation)) {
 	t.Helper()
-	sweepers := func(s *Settings) { s.Teams = append(s.Teams, Team{Name: "sweepers", Limit: storage.Room{CPUs: 2}}) }
-	inSimulationTuned(t, sweepers, func(tuning *Tuning) { tuning.Fencing = FencingTuning{Enabled: true, Window: window} }, story)
+	sweepers := func(s *config.Settings) {
+		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Room{CPUs: 2}})
+	}
+	inSimulationTuned(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
 }
 
 // sweep is an array of many short tasks, few of which run at a time.
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sagevale/internal/activator"
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 )
 
 // The operators' properties on services that may be at zero.
@@ -37,7 +37,7 @@
 )
 
 // activationProperties adds the properties on services that may be at zero to those known.
-func (c *checker) activationProperties(known map[string]func(string, string), s *coordination.Settings) {
+func (c *checker) activationProperties(known map[string]func(string, string), s *config.Settings) {
 	tuning := &s.Tuning.Activation
 	policy := &tuning.Policy
 	spans := map[string]*time.Duration{
@@ -98,7 +98,7 @@
 }
 
 // checkActivation tells what contradicts itself in the properties on services that may be at zero.
-func (c *checker) checkActivation(s *coordination.Settings) {
+func (c *checker) checkActivation(s *config.Settings) {
 	tuning := &s.Tuning.Activation
 	policy := &tuning.Policy
 	known := make(map[string]bool)
--- a/internal/protocol/archive_properties.go
+++ b/internal/protocol/archive_properties.go
@@ -1,6 +1,6 @@
 package protocol
 
-import "sagevale/internal/coordination"
+import "sagevale/internal/config"
 
 // The operators' properties on the archive of finished jobs.
 const (
@@ -18,7 +18,7 @@
 )
 
 // archiveProperties adds the properties on the archive to those known.
-func (c *checker) archiveProperties(known map[string]func(string, string), tuning *coordination.ArchiveTuning) {
+func (c *checker) archiveProperties(known map[string]func(string, string), tuning *config.Archive) {
 	known[archiveEnabledProperty] = func(key, value string) { tuning.Enabled = c.parseBool(key, value) }
 	known[archiveKeepProperty] = func(key, value string) { tuning.KeepInJournal = c.parseCount(key, value, 0, mostKept) }
 	known[archiveMemoryProperty] = func(key, value string) {
--- a/internal/protocol/fencing_properties.go
+++ b/internal/protocol/fencing_properties.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 )
 
@@ -14,7 +14,7 @@
 )
 
 // fencingProperties adds the properties on workers' tokens to those known.
-func (c *checker) fencingProperties(known map[string]func(string, string), tuning *coordination.FencingTuning) {
+func (c *checker) fencingProperties(known map[string]func(string, string), tuning *config.Fencing) {
 	known[fencingEnabledProperty] = func(key, value string) { tuning.Enabled = c.parseBool(key, value) }
 	known[fencingWindowProperty] = func(key, value string) { tuning.Window = c.parseCount(key, value, 1, fencing.MaxRetained/2) }
 }
--- a/internal/protocol/properties.go
+++ b/internal/protocol/properties.go
@@ -7,7 +7,7 @@
 
 	"github.com/magiconair/properties"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 )
 
 // headroomProperty was called otherwise first; operators' files may still say so.
@@ -17,7 +17,7 @@
 )
 
 // parseProperties checks the operators' own settings.
-func parseProperties(file string, raw []byte, s *coordination.Settings) error {
+func parseProperties(file string, raw []byte, s *config.Settings) error {
 	p, err := properties.Load(raw, properties.UTF8)
 	if err != nil {
 		return &FieldError{File: file, Reason: reason(err)}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -10,7 +10,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
 
@@ -92,7 +92,7 @@
 
 // LoadSettings reads and checks the platform's file and, if a path is given,
 // the operators' properties.
-func LoadSettings(path, propertiesPath string) (*coordination.Settings, error) {
+func LoadSettings(path, propertiesPath string) (*config.Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &FieldError{File: path, Reason: reason(err)}
@@ -125,7 +125,7 @@
 }
 
 // ParseSettings checks the platform's settings.
-func ParseSettings(file string, raw []byte) (*coordination.Settings, error) {
+func ParseSettings(file string, raw []byte) (*config.Settings, error) {
 	var f settingsFile
 	if err := toml.Unmarshal(raw, &f); err != nil {
 		var de *toml.DecodeError
@@ -141,7 +141,7 @@
 		return nil, &FieldError{File: file, Reason: reason(err)}
 	}
 	c := checker{file: file}
-	s := &coordination.Settings{
+	s := &config.Settings{
 		NodeName:          c.text("host_name", f.HostName),
 		Zone:              c.text("zone", f.Zone),
 		Listen:            c.addr("serve_on", f.ServeOn),
@@ -199,11 +199,11 @@
 }
 
 // peers reads the other controllers.
-func (c *checker) peers(f *settingsFile) []coordination.Peer {
-	var peers []coordination.Peer
+func (c *checker) peers(f *settingsFile) []config.Peer {
+	var peers []config.Peer
 	for i, p := range f.Seeds {
 		field := fmt.Sprintf("seeds[%d].", i)
-		peers = append(peers, coordination.Peer{
+		peers = append(peers, config.Peer{
 			Name: c.text(field+"host_name", p.HostName), Zone: p.Zone, Addr: c.addr(field+"addr", p.Addr),
 		})
 		if p.HostName == f.HostName {
@@ -214,12 +214,12 @@
 }
 
 // teams reads the teams with their guarantees and limits.
-func (c *checker) teams(f *settingsFile) []coordination.Team {
-	var teams []coordination.Team
+func (c *checker) teams(f *settingsFile) []config.Team {
+	var teams []config.Team
 	seen := make(map[string]bool)
 	for i, t := range f.Params.Teams {
 		field := fmt.Sprintf("params.teams[%d].", i)
-		teams = append(teams, coordination.Team{
+		teams = append(teams, config.Team{
 			Name:      c.text(field+"name", t.Name),
 			Guarantee: storage.Room{CPUs: c.amount(field+"cpus", t.CPUs, 0), GPUs: c.amount(field+"gpus", t.GPUs, 0)},
 			Limit:     storage.Room{CPUs: c.amount(field+"cpus_max", t.CPUsMax, 0), GPUs: c.amount(field+"gpus_max", t.GPUsMax, 0)},
@@ -233,11 +233,11 @@
 }
 
 // objectives reads the aims at start and finish.
-func (c *checker) objectives(f *settingsFile) []coordination.Objective {
-	var objectives []coordination.Objective
+func (c *checker) objectives(f *settingsFile) []config.Objective {
+	var objectives []config.Objective
 	for i, o := range f.Params.Objectives {
 		field := fmt.Sprintf("params.objectives[%d].", i)
-		objectives = append(objectives, coordination.Objective{
+		objectives = append(objectives, config.Objective{
 			Kind: o.Kind, Class: o.Class, Share: c.amount(field+"share", o.Share, 0), Times: o.Times,
 			Within: c.duration(field+"within_s", o.WithinS, 0),
 		})
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 )
 
@@ -88,7 +89,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	go func() { _ = ServePeers(ctx, l, fakeLocal{}, quiet) }()
-	p := NewPeers("n0", []coordination.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
+	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
 	go p.Run(ctx)
 	var reports []*coordination.Report
 	for range 16 {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 )
 
@@ -104,7 +105,7 @@
 }
 
 // NewPeers makes the links; Run starts them.
-func NewPeers(self string, peers []coordination.Peer, pace Pace, log *slog.Logger) *Peers {
+func NewPeers(self string, peers []config.Peer, pace Pace, log *slog.Logger) *Peers {
 	p := &Peers{links: make(map[string]*link), pings: pace.Pings, log: log}
 	for _, peer := range peers {
 		l := &link{
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/config"
 	"sagevale/internal/coordination"
 )
 
@@ -184,7 +185,7 @@
 	sctx, stop := context.WithCancel(ctx)
 	served := make(chan error, 1)
 	go func() { served <- ServePeers(sctx, l, fakeLocal{}, quiet) }()
-	p := NewPeers("n0", []coordination.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
+	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
 	go p.Run(ctx)
 	for _, id := range []string{"000001", "000002"} {
 		a, err := p.Forward(ctx, "n1", coordination.UserRequest{Op: coordination.OpPoll, ID: id})
