--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -85,7 +85,7 @@
 	g.pace += paceWeight * (float64(recorded)/took.Seconds() - g.pace)
 }
 
-// RetryS gives a submission that is refused now a turn, and returns when it should come again, in
+// RetrySeconds gives a submission that is refused now a turn, and returns when it should come again, in
 // whole seconds from 1.
 func (g *Limiter) RetryS(now time.Time) int {
 	if g.turn.Before(now) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,8 +19,8 @@
 // Team is a team's guaranteed quota and its limit. A zero amount means none.
 type Team struct {
 	Name      string
-	Guarantee storage.Room
-	Limit     storage.Room
+	Guarantee storage.Resources
+	Limit     storage.Resources
 }
 
 // The kinds of objectives that scheduling goes by.
@@ -113,7 +113,7 @@
 	if spec.Priority > storage.BestEffort || spec.DeadlineS > 0 || spec.Service || spec.Gang {
 		return false
 	}
-	if team := s.Team(spec.Team); team != nil && team.Guarantee != (storage.Room{}) {
+	if team := s.Team(spec.Team); team != nil && team.Guarantee != (storage.Resources{}) {
 		return false
 	}
 	for i := range s.Objectives {
--- a/internal/coordination/activation_guards_test.go
+++ b/internal/coordination/activation_guards_test.go
@@ -7,10 +7,13 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 // What guards a cold start, each guard alone: the scenarios show that troubles are survived, these tests
@@ -28,10 +31,10 @@
 	d := newTestDispatcher(t, s)
 	d.setGates(openActivation)
 	d.activation.resume(time.Now())
-	reply := make(chan Answer, 1)
-	d.handleUser(userMsg{req: UserRequest{Op: OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: reply})
+	reply := make(chan api.Response, 1)
+	d.handleUser(userMsg{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: reply})
 	d.commit(nil)
-	if a := <-reply; a.Code != CodeCreated {
+	if a := <-reply; a.Code != api.CodeCreated {
 		t.Fatalf("answered %+v", a)
 	}
 	return d, d.jobs.get(coldModel), d.up(7, "cpu", "a", false)
@@ -51,13 +54,13 @@
 	d.placeRound(time.Now())
 	d.commit(nil)
 	a := j.attempts[0]
-	d.report(m, TaskReport{ID: a.id(), Try: a.number, State: Running})
+	d.report(m, worker.TaskReport{ID: a.id(), Attempt: a.number, State: worker.Running})
 	d.commit(nil)
 	return a
 }
 
-func (d *scheduler) report(m *machine, tasks ...TaskReport) {
-	d.applyReport(m, &Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Session: 1, Seq: m.seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
+func (d *scheduler) report(m *machine, tasks ...worker.TaskReport) {
+	d.applyReport(m, &worker.Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Incarnation: 1, Seq: m.seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
 func TestGuardsOfAColdStart(t *testing.T) {
@@ -102,7 +105,7 @@
 			}
 		},
 		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *job, m *machine) {
-			d.report(m, TaskReport{ID: TaskID{coldModel, 0}, Try: 3, State: Running})
+			d.report(m, worker.TaskReport{ID: worker.TaskID{Job: coldModel, Task: 0}, Attempt: 3, State: worker.Running})
 			if a := j.attempts[0]; a == nil || !a.stopping {
 				t.Errorf("%+v", a)
 			}
@@ -141,7 +144,7 @@
 			if d.activation.uses() != 1 {
 				t.Errorf("%d uses", d.activation.uses())
 			}
-			d.cancel(userMsg{reply: make(chan Answer, 1)}, j, time.Now())
+			d.cancel(userMsg{reply: make(chan api.Response, 1)}, j, time.Now())
 			d.commit(nil)
 			if d.activation.uses() != 0 || j.record().Activation != nil {
 				t.Errorf("%d uses", d.activation.uses())
@@ -200,7 +203,7 @@
 			s.Tuning.Activation.Classes = []string{coldClass}
 			d := newTestDispatcher(t, s)
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
-			d.handleUser(userMsg{req: UserRequest{Op: OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan Answer, 1)})
+			d.handleUser(userMsg{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan api.Response, 1)})
 			j := d.jobs.get(coldModel)
 			if accepted := j != nil; accepted != want.accepted || accepted && (j.managed != nil) != want.managed {
 				t.Errorf("gate %q: %+v", phase, j)
@@ -228,7 +231,7 @@
 		lead.holdUp.Store(0)
 		sim.locked(func() {
 			for name, status := range follower.statuses {
-				status.Version = firstWithTokenRanges
+				status.Version = peer.VersionTokenRanges
 				follower.statuses[name] = status
 			}
 		})
--- a/internal/coordination/affinity.go
+++ b/internal/coordination/affinity.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"sagevale/internal/worker"
 )
 
 // Workers report to a node of their own zone, so that a cut between zones
@@ -38,9 +40,9 @@
 }
 
 // nodeFor returns the node that a worker should report to; "" if it may stay here.
-func (h *affinity) nodeFor(r *Report, worker *knownWorker, now time.Time) string {
+func (h *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
 	self := h.node.settings.NodeName
-	if !worker.redirected.IsZero() && now.Sub(worker.redirected) < affinityLeases*h.node.settings.WorkerLease {
+	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*h.node.settings.WorkerLease {
 		return ""
 	}
 	leader, _ := h.node.leader(h.node.view.Load())
--- a/internal/coordination/archiving.go
+++ b/internal/coordination/archiving.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
@@ -48,19 +49,19 @@
 )
 
 // archivedAnswer tells a user of an archived job.
-func archivedAnswer(id string, final archive.FinalState) Answer {
-	state := StateDone
+func archivedAnswer(id string, final archive.FinalState) api.Response {
+	state := api.StateDone
 	if final.Cancelled {
-		state = StateCancelled
+		state = api.StateCancelled
 	}
-	return Answer{Code: CodeOK, ID: id, State: state, Done: final.Done}
+	return api.Response{Code: api.CodeOK, ID: id, State: state, Done: final.Done}
 }
 
 // archived answers a request from the archive's pages in memory, if they hold the job. Any node may.
-func (n *Node) archived(req UserRequest) (a Answer, ok bool) {
+func (n *Node) archived(req api.Request) (a api.Response, ok bool) {
 	rank, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
-		return Answer{}, false
+		return api.Response{}, false
 	}
 	r := n.archive.Index.Lookup(rank)
 	return archivedAnswer(req.ID, r.Final), r.Knowledge == archive.Found
@@ -99,16 +100,16 @@
 	id := m.user.req.ID
 	switch {
 	case m.err != nil:
-		m.user.reply <- Unavailable(id, m.err.Error())
+		m.user.reply <- api.Unavailable(id, m.err.Error())
 	case m.result.Knowledge == archive.Found:
 		m.user.reply <- archivedAnswer(id, m.result.Final)
 	case m.result.Knowledge == archive.Absent && m.result.Term == d.term:
 		m.user.absent = true
 		d.handleUser(m.user)
 	case m.result.Knowledge == archive.Damaged:
-		m.user.reply <- Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
+		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
 	default:
-		m.user.reply <- Unavailable(id, "the archive isn't read yet")
+		m.user.reply <- api.Unavailable(id, "the archive isn't read yet")
 	}
 }
 
--- a/internal/coordination/archiving_test.go
+++ b/internal/coordination/archiving_test.go
@@ -13,6 +13,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
@@ -61,18 +62,18 @@
 }
 
 // told checks what every node tells of a job that is over, whatever is asked.
-func (sim *simulation) told(id string, want JobState) {
+func (sim *simulation) told(id string, want api.JobState) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
-		for _, op := range []UserOp{OpPoll, OpSubmit, OpCancel} {
-			var a Answer
+		for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+			var a api.Response
 			for range 20 {
-				if a = sim.askNode(n, op, id, arrayJob(id, 2)); a.decided() {
+				if a = sim.askNode(n, op, id, arrayJob(id, 2)); a.Decided() {
 					break
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
-			if a.Code != CodeOK || a.State != want {
+			if a.Code != api.CodeOK || a.State != want {
 				sim.t.Errorf("%s answers %v of job %s by %+v", n.name, op, id, a)
 			}
 		}
@@ -91,11 +92,11 @@
 		sim.archivedAll(4)
 		check := func() {
 			sim.t.Helper()
-			sim.told("000000", StateCancelled)
+			sim.told("000000", api.StateCancelled)
 			for _, id := range []string{"999999999999999999", "0000000", "555555"} {
-				sim.told(id, StateDone)
+				sim.told(id, api.StateDone)
 			}
-			if a := sim.poll("000001"); a.Code != CodeNotFound {
+			if a := sim.poll("000001"); a.Code != api.CodeNotFound {
 				t.Errorf("a job that nobody submitted: %+v", a)
 			}
 		}
@@ -111,7 +112,7 @@
 		sim.finish("000001")
 		sim.archivedAll(5)
 		check2 := sim.poll("000001")
-		if check2.State != StateDone || check2.Done != 2 {
+		if check2.State != api.StateDone || check2.Done != 2 {
 			t.Errorf("%+v", check2)
 		}
 	})
@@ -210,8 +211,8 @@
 				sim.awaitLeader()
 				sim.archivedAll(2)
 				stop()
-				sim.told("000001", StateDone)
-				sim.told("000007", StateDone)
+				sim.told("000001", api.StateDone)
+				sim.told("000007", api.StateDone)
 				sim.runs("000009", 2)
 			})
 		})
@@ -232,7 +233,7 @@
 	var over atomic.Bool
 	var wait sync.WaitGroup
 	for _, n := range sim.nodes {
-		for _, op := range []UserOp{OpPoll, OpSubmit} {
+		for _, op := range []api.Op{api.OpPoll, api.OpSubmit} {
 			wait.Go(func() {
 				for !over.Load() {
 					sim.askNode(n, op, id, spec)
@@ -252,7 +253,7 @@
 		s.EstimateS = 3
 		sim.submit(s)
 		sim.archivedAll(1)
-		sim.told("000001", StateDone)
+		sim.told("000001", api.StateDone)
 	})
 }
 
@@ -268,11 +269,11 @@
 		defer sim.state.Outage(false)
 		for range 30 {
 			for _, n := range sim.nodes {
-				for _, op := range []UserOp{OpPoll, OpSubmit, OpCancel} {
-					if a := sim.askNode(n, op, "000002", arrayJob("000002", 2)); a.Code != CodeOK || a.State != StateDone {
+				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+					if a := sim.askNode(n, op, "000002", arrayJob("000002", 2)); a.Code != api.CodeOK || a.State != api.StateDone {
 						t.Fatalf("%s answers %v by %+v", n.name, op, a)
 					}
-					if a := sim.askNode(n, op, "000003", arrayJob("000003", 2)); a.Code == CodeCreated || a.Code == CodeOK {
+					if a := sim.askNode(n, op, "000003", arrayJob("000003", 2)); a.Code == api.CodeCreated || a.Code == api.CodeOK {
 						t.Fatalf("%s answers %v of an unknown job by %+v", n.name, op, a)
 					}
 				}
@@ -301,8 +302,8 @@
 		next := sim.awaitLeader()
 		for range 10 {
 			for _, id := range []string{"000002", "000003"} {
-				for _, op := range []UserOp{OpPoll, OpSubmit, OpCancel} {
-					if a := sim.askNode(next, op, id, arrayJob(id, 2)); a.decided() && !a.final() {
+				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+					if a := sim.askNode(next, op, id, arrayJob(id, 2)); a.Decided() && !a.Final() {
 						t.Fatalf("%v of job %s is answered %+v", op, id, a)
 					}
 				}
@@ -311,7 +312,7 @@
 		}
 		sim.state.Trouble(func(s *storagetest.Service) { s.Refuse = nil })
 		lead.start()
-		sim.told("000002", StateDone)
+		sim.told("000002", api.StateDone)
 		sim.finish("000003")
 	})
 }
@@ -329,9 +330,9 @@
 		}
 		lead := sim.awaitLeader()
 		for range 5 {
-			for _, op := range []UserOp{OpPoll, OpSubmit, OpCancel} {
+			for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 				for _, id := range []string{"000001", "000002"} {
-					if a := sim.askNode(lead, op, id, arrayJob(id, 2)); a.Code != CodeUnavailable || a.RetryS < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
+					if a := sim.askNode(lead, op, id, arrayJob(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
 						t.Errorf("%v of job %s is answered %+v", op, id, a)
 					}
 				}
@@ -359,10 +360,10 @@
 		for i := range 60 {
 			wait.Go(func() {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					switch a := sim.askNode(lead, OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
-					case CodeNotFound:
+					switch a := sim.askNode(lead, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
+					case api.CodeNotFound:
 						unknown.Add(1)
-					case CodeUnavailable:
+					case api.CodeUnavailable:
 						busy.Add(1)
 					}
 				}
@@ -412,10 +413,10 @@
 			n.start()
 		}
 		sim.awaitLeader()
-		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == StateCancelled })
+		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
 		sim.gone("000002")
 		sim.archivedAll(2)
-		sim.told("000002", StateCancelled)
+		sim.told("000002", api.StateCancelled)
 	})
 }
 
@@ -432,8 +433,8 @@
 		}
 		sim.finish(ids...)
 		sim.archivedAll(1520)
-		sim.told(ids[3], StateDone)
-		sim.told(archivedID(700), StateDone)
+		sim.told(ids[3], api.StateDone)
+		sim.told(archivedID(700), api.StateDone)
 	})
 }
 
@@ -483,15 +484,15 @@
 			began := time.Now()
 			for decided := false; !decided; time.Sleep(10 * time.Millisecond) {
 				if lead := sim.leader(); lead != nil {
-					a := sim.askNode(lead, OpPoll, "000001", storage.Spec{})
-					decided = a.decided()
+					a := sim.askNode(lead, api.OpPoll, "000001", storage.Spec{})
+					decided = a.Decided()
 				}
 			}
 			answered = time.Since(began)
 			sim.submit(arrayJob("000002", 2))
 			accepted = time.Since(began)
 			lead.start()
-			sim.told(archivedID(jobs-1), StateDone)
+			sim.told(archivedID(jobs-1), api.StateDone)
 		})
 		return answered, accepted
 	}
@@ -536,16 +537,16 @@
 				}
 				sim.allAt(upgrade.Version3)
 				sim.awaitLeader()
-				sim.told("000001", StateDone)
-				sim.told("000002", StateCancelled)
-				sim.told(archivedID(1234), StateDone)
+				sim.told("000001", api.StateDone)
+				sim.told("000002", api.StateCancelled)
+				sim.told(archivedID(1234), api.StateDone)
 				if a := sim.poll(archivedID(1234)); a.Done != 1234%50 {
 					t.Errorf("%+v", a)
 				}
 				sim.allAt(upgrade.Current)
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.archivedAll(2002)
-				sim.told("000001", StateDone)
+				sim.told("000001", api.StateDone)
 			})
 		})
 	}
@@ -565,13 +566,13 @@
 		sim.eventually("some are back", time.Minute, func() bool { s := sim.status(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
 		back.replace(upgrade.Current)
 		for i := range 5 {
-			sim.told(archivedID(i*700), StateDone)
+			sim.told(archivedID(i*700), api.StateDone)
 		}
 		sim.awaitLeader().restart()
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.archivedAll(3000)
 		for i := range 5 {
-			sim.told(archivedID(i*700), StateDone)
+			sim.told(archivedID(i*700), api.StateDone)
 		}
 	})
 }
@@ -590,7 +591,7 @@
 		if s := sim.status(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
 			t.Errorf("%+v", s)
 		}
-		sim.told(archivedID(77), StateDone)
+		sim.told(archivedID(77), api.StateDone)
 	})
 }
 
@@ -622,7 +623,7 @@
 					n.start()
 				}
 				sim.awaitLeader()
-				sim.told("000001", StateDone)
+				sim.told("000001", api.StateDone)
 			})
 		})
 	}
@@ -683,7 +684,7 @@
 			}
 			return true
 		})
-		sim.told("000001", StateDone)
+		sim.told("000001", api.StateDone)
 	})
 }
 
@@ -710,7 +711,7 @@
 			next++
 		case 4:
 			if id := fmt.Sprintf("%06d", 1+random.IntN(next)); sim.knows(id) {
-				sim.ask(OpCancel, id, storage.Spec{})
+				sim.ask(api.OpCancel, id, storage.Spec{})
 			}
 		case 5:
 			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
@@ -727,7 +728,7 @@
 		default:
 			id := fmt.Sprintf("%06d", 1+random.IntN(next+2))
 			for _, n := range sim.nodes {
-				sim.askNode(n, OpPoll, id, storage.Spec{})
+				sim.askNode(n, api.OpPoll, id, storage.Spec{})
 			}
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
@@ -737,7 +738,7 @@
 	sim.awaitLeader()
 	for i := range next - 1 {
 		id := fmt.Sprintf("%06d", i+1)
-		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.final() })
+		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.Final() })
 	}
 	sim.eventually("archived", 2*time.Minute, func() bool { return sim.status().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range next - 1 {
@@ -776,16 +777,16 @@
 		d := newTestDispatcher(t, grownSettings())
 		for _, c := range []struct {
 			result archive.Result
-			want   Code
+			want   api.Code
 		}{
-			{archive.Result{Knowledge: archive.Absent, Term: d.term + 1}, CodeUnavailable},
-			{archive.Result{Knowledge: archive.Absent}, CodeUnavailable},
-			{archive.Result{}, CodeUnavailable},
-			{archive.Result{Knowledge: archive.Absent, Term: d.term}, CodeNotFound},
-			{archive.Result{Knowledge: archive.Found, Final: archive.FinalState{Done: 1}}, CodeOK},
+			{archive.Result{Knowledge: archive.Absent, Term: d.term + 1}, api.CodeUnavailable},
+			{archive.Result{Knowledge: archive.Absent}, api.CodeUnavailable},
+			{archive.Result{}, api.CodeUnavailable},
+			{archive.Result{Knowledge: archive.Absent, Term: d.term}, api.CodeNotFound},
+			{archive.Result{Knowledge: archive.Found, Final: archive.FinalState{Done: 1}}, api.CodeOK},
 		} {
-			reply := make(chan Answer, 1)
-			d.handleArchiveRead(archiveReadMsg{user: userMsg{req: UserRequest{Op: OpPoll, ID: "000001"}, reply: reply}, result: c.result})
+			reply := make(chan api.Response, 1)
+			d.handleArchiveRead(archiveReadMsg{user: userMsg{req: api.Request{Op: api.OpPoll, ID: "000001"}, reply: reply}, result: c.result})
 			if a := <-reply; a.Code != c.want {
 				t.Errorf("%+v is answered %+v", c.result, a)
 			}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // The hot paths at fleet size, 2,000 machines and 12,000 attempts, to be
@@ -41,7 +42,7 @@
 	}
 	for _, m := range d.machineOrder {
 		for _, a := range m.attempts {
-			a.durable, a.reported, a.state, a.started = true, true, Running, time.Now()
+			a.durable, a.reported, a.state, a.started = true, true, worker.Running, time.Now()
 		}
 	}
 	d.unmark()
@@ -51,7 +52,7 @@
 
 func benchArray(id, tasks int) storage.Spec {
 	s := arrayJob(fmt.Sprintf("%06d", id), tasks)
-	s.Room, s.Spot, s.DeadlineS = storage.Room{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
+	s.Resources, s.Spot, s.DeadlineS = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
 	s.Image, s.ImageGB = fmt.Sprintf("big-%d", id%4), 34
 	return s
 }
@@ -60,9 +61,9 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchDispatcher(b)
 	m := d.machineOrder[1]
-	r := &Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Session: 1, Token: d.term}
+	r := &worker.Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Incarnation: 1, Token: d.term}
 	for _, a := range m.sortedAttempts() {
-		r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: a.number, State: Running})
+		r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.id(), Attempt: a.number, State: worker.Running})
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 	for b.Loop() {
@@ -76,7 +77,7 @@
 	d := newBenchDispatcher(b)
 	for i := range 200 {
 		s := spread(fmt.Sprintf("%06d", 200000+i), 6)
-		s.Room = storage.Room{CPUs: 65}
+		s.Resources = storage.Resources{CPUs: 65}
 		d.accept(s)
 	}
 	for b.Loop() {
@@ -92,7 +93,7 @@
 		d.accept(benchArray(200000+i, 40))
 	}
 	s := service("300000", 1)
-	s.Room = storage.Room{CPUs: 0.1}
+	s.Resources = storage.Resources{CPUs: 0.1}
 	for b.Loop() {
 		j := d.accept(s)
 		d.placeRound(time.Now())
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -1,6 +1,10 @@
 package coordination
 
-import "math/rand/v2"
+import (
+	"math/rand/v2"
+
+	"sagevale/internal/api"
+)
 
 // What may wait or be done at once, derived from the settings or from the fleet. Each bound
 // is listed in docs/limits.md with what happens where it is reached.
@@ -14,9 +18,9 @@
 )
 
 // admits tells whether a user's request may join what waits for the dispatcher.
-func (d *scheduler) admits(op UserOp) bool {
+func (d *scheduler) admits(op api.Op) bool {
 	share := questionShare
-	if op == OpSubmit {
+	if op == api.OpSubmit {
 		share = submissionShare
 	}
 	return float64(len(d.mailbox)) < share*float64(cap(d.mailbox))
--- a/internal/coordination/bounds_test.go
+++ b/internal/coordination/bounds_test.go
@@ -10,7 +10,9 @@
 
 	"golang.org/x/time/rate"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // What bounds the size of a fleet: at 6,000 machines nothing that was fixed stands in the way.
@@ -74,17 +76,17 @@
 			}
 			synctest.Wait()
 		}
-		busy := func(op UserOp) bool { return !d.admits(op) }
-		if report(manyMachines*3/4 - 1); busy(OpSubmit) || busy(OpPoll) || busy(OpCancel) {
+		busy := func(op api.Op) bool { return !d.admits(op) }
+		if report(manyMachines*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("users are turned away from a mailbox a quarter empty")
 		}
-		if report(2); !busy(OpSubmit) || busy(OpPoll) || busy(OpCancel) {
+		if report(2); !busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("submissions don't leave room for questions and cancellations")
 		}
-		if report(manyMachines / 8); !busy(OpPoll) || !busy(OpCancel) {
+		if report(manyMachines / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
 			t.Error("users don't leave room for reports")
 		}
-		if a := d.userRequest(ctx, UserRequest{Op: OpPoll, ID: "000001"}); a.Code != CodeBusy || a.RetryS < 1 || a.RetryS > busySpread {
+		if a := d.userRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
 			t.Errorf("answered %+v", a)
 		}
 		if report(manyMachines/8 - 1); len(d.mailbox) != manyMachines {
@@ -98,17 +100,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		d.up(1, "cpu", "a", false)
-		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 5, Token: d.term}
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term}
 		for i := range 3 * maxCommands / 2 {
-			r.Tasks = append(r.Tasks, TaskReport{ID: TaskID{fmt.Sprintf("%06d", i), 0}, Try: uint64(i), State: Running})
+			r.Tasks = append(r.Tasks, worker.TaskReport{ID: worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}, Attempt: uint64(i), State: worker.Running})
 		}
-		if a := d.handleHeartbeat(r); !a.Accepted || len(a.Orders) != maxCommands || slices.ContainsFunc(a.Orders, func(o Order) bool { return o.Verb != Stop }) {
-			t.Errorf("%d orders", len(a.Orders))
+		if a := d.handleHeartbeat(r); !a.Accepted || len(a.Commands) != maxCommands || slices.ContainsFunc(a.Commands, func(o worker.Command) bool { return o.Verb != worker.Stop }) {
+			t.Errorf("%d orders", len(a.Commands))
 		}
 		r.Seq++
 		r.Tasks = r.Tasks[maxCommands:]
-		if a := d.handleHeartbeat(r); len(a.Orders) != maxCommands/2 {
-			t.Errorf("%d orders for the rest", len(a.Orders))
+		if a := d.handleHeartbeat(r); len(a.Commands) != maxCommands/2 {
+			t.Errorf("%d orders for the rest", len(a.Commands))
 		}
 	})
 }
@@ -118,15 +120,15 @@
 func TestAFloodOfSubmissionsIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		submit := func(i int) (Answer, bool) {
-			reply := make(chan Answer, 1)
+		submit := func(i int) (api.Response, bool) {
+			reply := make(chan api.Response, 1)
 			spec := arrayJob(fmt.Sprintf("%06d", i), 1)
-			d.handleUser(userMsg{req: UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}, reply: reply})
+			d.handleUser(userMsg{req: api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, reply: reply})
 			select {
 			case a := <-reply:
 				return a, true
 			default:
-				return Answer{}, false
+				return api.Response{}, false
 			}
 		}
 		admitted, longest := 0, 0
@@ -135,17 +137,17 @@
 			switch {
 			case !refused:
 				admitted++
-			case a.Code != CodeBusy || a.RetryS < 1:
+			case a.Code != api.CodeBusy || a.RetrySeconds < 1:
 				t.Fatalf("answered %+v", a)
 			default:
-				longest = max(longest, a.RetryS)
+				longest = max(longest, a.RetrySeconds)
 			}
 		}
 		if admitted == 0 || admitted > 10000 || longest < 10 {
 			t.Errorf("%d of 20,000 admitted at once, the rest within %d s", admitted, longest)
 		}
 		d.commit(nil)
-		if a, told := submit(0); !told || a.Code != CodeOK {
+		if a, told := submit(0); !told || a.Code != api.CodeOK {
 			t.Errorf("a repeat is answered %+v", a)
 		}
 		if _, refused := submit(30000); refused {
@@ -187,15 +189,15 @@
 			d.markJob(d.accept(arrayJob(fmt.Sprintf("%06d", i), 1)))
 		}
 		d.markJob(j) // for something else, at the end of the lane
-		reply := make(chan Answer, 1)
-		d.handleUser(userMsg{req: UserRequest{Op: OpCancel, ID: "900000"}, reply: reply})
+		reply := make(chan api.Response, 1)
+		d.handleUser(userMsg{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
 		if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
 			t.Fatal("nothing to write")
 		}
 		d.handleCommitted(nil)
 		select {
 		case a := <-reply:
-			if a.State != StateCancelled {
+			if a.State != api.StateCancelled {
 				t.Errorf("answered %+v", a)
 			}
 		default:
--- a/internal/coordination/candidate.go
+++ b/internal/coordination/candidate.go
@@ -12,14 +12,14 @@
 type candidate struct {
 	offering
 	machineType *storage.MachineType
-	free        storage.Room
+	free        storage.Resources
 	booting     bool
 	forCPUOnly  bool      // to be rented for tasks without accelerators
 	machine     *machine  // nil: not yet rented
 	packed      []*demand // what a trial packing has put here, a task each
 	moved       int       // tasks that a search for surplus machines has moved here
 
-	releasing storage.Room // held by attempts that are being stopped
+	releasing storage.Resources // held by attempts that are being stopped
 }
 
 // readyCandidates returns the free room on the ready machines, in their order.
@@ -39,7 +39,7 @@
 func candidateOf(m *machine) candidate {
 	return candidate{
 		offering: offering{m.typeName, m.zone, m.spot}, machineType: m.machineType, machine: m, booting: !m.confirmed,
-		free: m.machineType.Room.Minus(*m.reserved), releasing: m.stopping,
+		free: m.machineType.Resources.Sub(*m.reserved), releasing: m.stopping,
 	}
 }
 
--- a/internal/coordination/classes.go
+++ b/internal/coordination/classes.go
@@ -124,10 +124,10 @@
 		if m.machineType == nil || !m.confirmed {
 			continue
 		}
-		room := storage.Room{}
+		room := storage.Resources{}
 		for _, a := range m.attempts {
 			if a.job.spec.Service {
-				room = room.Plus(a.job.spec.Room)
+				room = room.Add(a.job.spec.Resources)
 			}
 		}
 		if room.GPUs > most {
@@ -137,7 +137,7 @@
 	out := make(map[string]int)
 	if fullest != nil {
 		for _, a := range fullest.attempts {
-			if a.job.spec.Service && a.job.spec.Room.GPUs > 0 {
+			if a.job.spec.Service && a.job.spec.Resources.GPUs > 0 {
 				out[a.job.spec.Class]++
 			}
 		}
@@ -174,11 +174,11 @@
 		return
 	}
 	d.perGPUAt = now
-	d.perGPU = storage.Room{}
+	d.perGPU = storage.Resources{}
 	for _, j := range d.jobs.open {
-		if g := j.spec.Room.GPUs; g > 0 {
-			d.perGPU.CPUs = max(d.perGPU.CPUs, j.spec.Room.CPUs/g)
-			d.perGPU.MemoryGB = max(d.perGPU.MemoryGB, j.spec.Room.MemoryGB/g)
+		if g := j.spec.Resources.GPUs; g > 0 {
+			d.perGPU.CPUs = max(d.perGPU.CPUs, j.spec.Resources.CPUs/g)
+			d.perGPU.MemoryGB = max(d.perGPU.MemoryGB, j.spec.Resources.MemoryGB/g)
 		}
 	}
 }
--- a/internal/coordination/cold_start_test.go
+++ b/internal/coordination/cold_start_test.go
@@ -19,6 +19,7 @@
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 // The model that the cold starts are about, and its class; after how long without requests it goes
@@ -370,8 +371,8 @@
 		for _, wk := range sim.workers {
 			wk.fetches.Store(false)
 			for _, t := range wk.tasks {
-				if t.state == Pulling {
-					t.state = Running
+				if t.state == worker.Pulling {
+					t.state = worker.Running
 				}
 			}
 		}
--- a/internal/coordination/combined_faults_test.go
+++ b/internal/coordination/combined_faults_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -108,7 +109,7 @@
 		time.Sleep(10 * time.Second)
 		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 0 })
 		old := sim.refuseLeader()
-		go sim.askNode(old, OpCancel, "000002", storage.Spec{})
+		go sim.askNode(old, api.OpCancel, "000002", storage.Spec{})
 		sim.cancel("000003")
 		sim.askEverywhere("000003")
 		sim.outage(sim.settings.CancelTimeout + 10*time.Second)
@@ -133,8 +134,8 @@
 		old.cutPeers.Store(true)
 		old.cutState.Store(true)
 		for range 20 {
-			sim.askNode(old, OpPoll, "000001", storage.Spec{})
-			sim.askNode(old, OpCancel, "000002", storage.Spec{})
+			sim.askNode(old, api.OpPoll, "000001", storage.Spec{})
+			sim.askNode(old, api.OpCancel, "000002", storage.Spec{})
 			time.Sleep(200 * time.Millisecond)
 		}
 		sim.cancel("000001")
@@ -238,7 +239,7 @@
 				id := fmt.Sprintf("%06d", i+1)
 				sim.eventually("job "+id+" is done", 5*time.Minute, func() bool {
 					sim.askEverywhere(id)
-					return sim.poll(id).State == StateDone
+					return sim.poll(id).State == api.StateDone
 				})
 				sim.askEverywhere(id)
 			}
@@ -254,7 +255,7 @@
 		for i := range 6 {
 			id := fmt.Sprintf("%06d", i+1)
 			old := sim.awaitLeader()
-			go sim.askNode(old, OpCancel, id, storage.Spec{})
+			go sim.askNode(old, api.OpCancel, id, storage.Spec{})
 			switch i % 3 {
 			case 0:
 				old.kill()
@@ -283,8 +284,8 @@
 			time.Sleep(9900*time.Millisecond + time.Duration(i)*10*time.Millisecond)
 			sim.askEverywhere(id)
 			sim.eventually("a final state", time.Minute, func() bool {
-				a := sim.ask(OpCancel, id, storage.Spec{})
-				return a.final()
+				a := sim.ask(api.OpCancel, id, storage.Spec{})
+				return a.Final()
 			})
 			sim.askEverywhere(id)
 		}
--- a/internal/coordination/combined_machine_faults_test.go
+++ b/internal/coordination/combined_machine_faults_test.go
@@ -62,7 +62,7 @@
 		const jobs = 480
 		for i := range jobs {
 			s := lasting(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
-			s.Room.CPUs = 0.5
+			s.Resources.CPUs = 0.5
 			sim.submit(s)
 			if i%4 == 0 {
 				sim.cancel(s.ID)
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -6,19 +6,20 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // commandsFor makes the orders that go with the answer to a report.
-func (d *scheduler) commandsFor(m *machine, r *Report, now time.Time) []Order {
-	var out []Order
+func (d *scheduler) commandsFor(m *machine, r *worker.Report, now time.Time) []worker.Command {
+	var out []worker.Command
 	for _, a := range m.sortedAttempts() {
-		if a.incarnation != r.Session {
+		if a.incarnation != r.Incarnation {
 			continue
 		}
 		switch {
 		case a.stopping && a.reported:
-			if a.state != Saving || a.graceSeconds == 0 {
-				out = append(out, Order{Verb: Stop, ID: a.id(), Try: a.number, GraceS: a.graceSeconds})
+			if a.state != worker.Saving || a.graceSeconds == 0 {
+				out = append(out, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
 			}
 		case a.stopping && !a.maybeDelivered():
 			d.removeAttempt(a, "stopped before its start")
@@ -27,41 +28,41 @@
 			// the attempt and end it makes the late start void.
 			if d.leaseValid(now) {
 				a.noteCommanded(r)
-				out = append(out, Order{Verb: Start, ID: a.id(), Try: a.number})
+				out = append(out, worker.Command{Verb: worker.Start, ID: a.id(), Attempt: a.number})
 			}
-			out = append(out, Order{Verb: Stop, ID: a.id(), Try: a.number})
+			out = append(out, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number})
 		case a.stopping && !a.reported && a.commandedSeq != 0 && a.delivery != deliveryInFlight && d.tokens.Contains(r.Token):
 			d.removeAttempt(a, "its start was not executed")
 		case a.stopping:
 		case !a.reported && a.durable && a.job.phase == storage.Open && d.leaseValid(now) && !m.terminating:
 			a.noteCommanded(r)
-			out = append(out, Order{Verb: Start, ID: a.id(), Try: a.number})
+			out = append(out, worker.Command{Verb: worker.Start, ID: a.id(), Attempt: a.number})
 		}
 	}
 	for _, t := range m.orphans {
-		out = append(out, Order{Verb: Stop, ID: t.ID, Try: t.Try})
+		out = append(out, worker.Command{Verb: worker.Stop, ID: t.ID, Attempt: t.Attempt})
 	}
 	m.orphans = m.orphans[:0]
 	for _, t := range m.exited {
-		if a := m.attempts[t.ID]; a != nil && a.number == t.Try {
+		if a := m.attempts[t.ID]; a != nil && a.number == t.Attempt {
 			continue
 		}
 		// A start that went directly may be repeated late: only an attempt
 		// that the worker still knows makes that harmless.
-		if m.fence.MustRetain(attemptKey{t.ID, t.Try}) || !d.leaseValid(now) || !d.pageDurable(t.ID) {
+		if m.fence.MustRetain(attemptKey{t.ID, t.Attempt}) || !d.leaseValid(now) || !d.pageDurable(t.ID) {
 			continue
 		}
-		out = append(out, Order{Verb: Forget, ID: t.ID, Try: t.Try})
+		out = append(out, worker.Command{Verb: worker.Forget, ID: t.ID, Attempt: t.Attempt})
 	}
 	return out[:min(len(out), maxCommands)]
 }
 
 // commandJobStops tells the workers of a job's stopped attempts directly.
 func (d *scheduler) commandJobStops(j *job) {
-	orders := make(map[*machine][]Order)
+	orders := make(map[*machine][]worker.Command)
 	for _, a := range j.attempts {
 		if a.stopping && a.incarnation == a.machine.incarnation {
-			orders[a.machine] = append(orders[a.machine], Order{Verb: Stop, ID: a.id(), Try: a.number, GraceS: a.graceSeconds})
+			orders[a.machine] = append(orders[a.machine], worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
 		}
 	}
 	for m, o := range orders {
@@ -76,7 +77,7 @@
 
 // sendCommands sends orders straight to a worker. The starts among them are loose
 // until the answer comes.
-func (d *scheduler) sendCommands(m *machine, orders []Order, starts []*attempt) {
+func (d *scheduler) sendCommands(m *machine, orders []worker.Command, starts []*attempt) {
 	if m.addr == "" || m.incarnation == 0 || m.inFlight >= maxInFlightCommands {
 		return
 	}
@@ -86,7 +87,7 @@
 	d.deliver(m, orders, starts, d.settings.HeartbeatInterval)
 }
 
-func (d *scheduler) deliver(m *machine, orders []Order, starts []*attempt, limit time.Duration) {
+func (d *scheduler) deliver(m *machine, orders []worker.Command, starts []*attempt, limit time.Duration) {
 	addr, token, session, id := m.addr, m.fence.Token(), m.incarnation, m.id
 	m.inFlight++
 	var sendBy time.Time
@@ -137,7 +138,7 @@
 	m := d.machines[msg.machine]
 	if m != nil {
 		m.inFlight = max(0, m.inFlight-1)
-		d.noteReachable(m, msg.outcome == Executed || msg.outcome == Rejected, now)
+		d.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
 	}
 	if msg.announcement {
 		d.announcements--
@@ -146,11 +147,11 @@
 	defer d.dropUnsent(msg.starts)
 	for _, a := range msg.starts {
 		switch msg.outcome {
-		case Executed:
+		case worker.Executed:
 			a.delivery = deliverySettled
-		case NotSent, Rejected:
+		case worker.NotSent, worker.Rejected:
 			a.delivery = deliveryNone
-		case Unresolved:
+		case worker.Unresolved:
 			a.delivery = deliveryUnresolved
 		}
 	}
@@ -182,11 +183,11 @@
 
 // commandStops tells one worker directly what to stop.
 func (d *scheduler) commandStops(m *machine) {
-	var orders []Order
+	var orders []worker.Command
 	for _, a := range m.sortedAttempts() {
-		if a.stopping && a.reported && a.state != Saving && !a.stopCommanded {
+		if a.stopping && a.reported && a.state != worker.Saving && !a.stopCommanded {
 			a.stopCommanded = true
-			orders = append(orders, Order{Verb: Stop, ID: a.id(), Try: a.number, GraceS: a.graceSeconds})
+			orders = append(orders, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
 		}
 	}
 	if len(orders) > 0 {
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -8,6 +8,7 @@
 	"sagevale/internal/admission"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 const (
@@ -79,7 +80,7 @@
 }
 
 // pageDurable tells whether a task's page is durable as it stands.
-func (d *scheduler) pageDurable(id TaskID) bool {
+func (d *scheduler) pageDurable(id worker.TaskID) bool {
 	return d.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
 }
 
--- a/internal/coordination/delegation.go
+++ b/internal/coordination/delegation.go
@@ -9,6 +9,7 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/worker"
 )
 
 // A leader delegates to the nodes that it hears the right to renew the leases of the
@@ -40,7 +41,7 @@
 		}
 		until := w.Sent.Add(clock.Scale(w.DelegatesFor, 1/clock.DriftBound))
 		if w.DelegationTerm > c.delegation.tokens.First || until.After(c.delegation.until) {
-			c.delegation = delegation{w.delegationTokens(), until, w.Excluded}
+			c.delegation = delegation{w.DelegationTokens(), until, w.Excluded}
 		}
 	}
 }
@@ -50,30 +51,22 @@
 	p.reply <- c.decideDelegated(p, now)
 }
 
-func (c *forwarder) decideDelegated(p pendingReport, now time.Time) HeartbeatResponse {
+func (c *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
 	c.refreshDelegation()
-	r, worker, grant := p.report, c.workers[p.report.Machine], &c.delegation
+	r, known, grant := p.report, c.workers[p.report.Machine], &c.delegation
 	switch {
-	case worker == nil || worker.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != c.settings.Zone,
+	case known == nil || known.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != c.settings.Zone,
 		slices.Contains(grant.excluded, r.Machine), c.isolated():
-		return HeartbeatResponse{Busy: true}
-	case p.digest != worker.digest && c.mayRedirect(worker, now):
+		return worker.HeartbeatResponse{Busy: true}
+	case p.digest != known.digest && c.mayRedirect(known, now):
 		// It has news, which only a leader can act on: maybe the next node
 		// finds one.
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	// The leader must be able to learn of this before the worker does.
 	c.lastDelegated.Mark(now)
-	worker.lastAcknowledged = now
-	return HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
-}
-
-// delegationTokens is under which tokens a leader delegates. Earlier versions have one a term.
-func (s *PeerStatus) delegationTokens() fencing.Tokens {
-	if s.Version < firstWithTokenRanges {
-		return fencing.Tokens{First: s.DelegationTerm, Last: s.DelegationTerm}
-	}
-	return fencing.TermTokens(s.DelegationTerm)
+	known.lastAcknowledged = now
+	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
 // isolated tells whether this node alone seems to be cut off: it hears neither
@@ -97,9 +90,9 @@
 
 // mayRedirect tells whether a worker can ask all other nodes in vain and be
 // back here within its lease.
-func (c *forwarder) mayRedirect(worker *knownWorker, now time.Time) bool {
+func (c *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
 	round := time.Duration(len(c.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
-	return len(c.settings.Peers) > 0 && now.Sub(worker.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
+	return len(c.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
 }
 
 // delegationTerms is what the dispatcher publishes of its lead, for delegations.
--- a/internal/coordination/delegation_test.go
+++ b/internal/coordination/delegation_test.go
@@ -9,7 +9,9 @@
 
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // onZone is a service whose tasks all run in one zone.
@@ -104,7 +106,7 @@
 		s := grownSettings()
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
 		d := newTestDispatcher(t, s)
-		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
+		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
 		own := m.lastAcknowledged.Add(s.LeaseBound())
@@ -121,12 +123,12 @@
 		}
 		time.Sleep(s.LeaseBound() + time.Second)
 		now := time.Now()
-		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
+		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		d.updatePeerRenewals()
 		if !d.provenEmptyAt(m).Equal(own) {
 			t.Errorf("it renewed nothing, and yet the bound is %v", d.provenEmptyAt(m).Sub(own))
 		}
-		words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
+		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		d.updatePeerRenewals()
 		if !d.provenEmptyAt(m).After(now) {
 			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
@@ -148,10 +150,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		machine := 900
-		report := func(seq, token uint64) HeartbeatResponse {
+		report := func(seq, token uint64) worker.HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
-			return n.node.HandleHeartbeat(ctx, &Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Session: 1, Seq: seq, Token: token})
+			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Incarnation: 1, Seq: seq, Token: token})
 		}
 		for !report(5, 0).Accepted { // redirected to the other node of the zone
 			machine++
@@ -166,12 +168,12 @@
 		if a := report(6, later); a.Accepted {
 			t.Error("a worker with a later leader's token is answered")
 		}
-		if a := report(7, term); !a.Accepted || a.Token != term || len(a.Orders) != 0 {
+		if a := report(7, term); !a.Accepted || a.Token != term || len(a.Commands) != 0 {
 			t.Errorf("the present report is answered %+v", a)
 		}
 		// A token that the leader has raised within its term is the worker's own: under a
 		// lower one it would drop the answer.
-		if a := report(8, later-1); !a.Accepted || a.Token != later-1 || len(a.Orders) != 0 {
+		if a := report(8, later-1); !a.Accepted || a.Token != later-1 || len(a.Commands) != 0 {
 			t.Errorf("a worker with a raised token is answered %+v", a)
 		}
 		n.node.Ready() // the balancer asks: only this node is cut off
@@ -211,11 +213,11 @@
 		time.Sleep(5 * time.Second)
 		away, node := sim.nodes[0], sim.nodes[1]
 		seq := uint64(0)
-		report := func(n *fakeNode) HeartbeatResponse {
+		report := func(n *fakeNode) worker.HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
 			seq++
-			return n.node.HandleHeartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Session: 1, Seq: seq})
+			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Incarnation: 1, Seq: seq})
 		}
 		if a := report(away); a.Leader != node.name {
 			t.Fatalf("not sent home: %+v", a)
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -27,7 +27,7 @@
 	waiting := d.waitingJobs(now)
 	d.byUrgency(waiting, now)
 	var out, opportunistic []*demand
-	teams := make(map[string]storage.Room)
+	teams := make(map[string]storage.Resources)
 	for _, j := range waiting {
 		team := d.settings.Team(j.spec.Team)
 		if team == nil {
@@ -40,11 +40,11 @@
 			}
 		}
 		for ; !j.spec.Gang && n < j.startable(); n++ {
-			used := d.reservations.Team(j.spec.Team).Plus(teams[j.spec.Team]).Plus(j.spec.Room)
+			used := d.reservations.Team(j.spec.Team).Add(teams[j.spec.Team]).Add(j.spec.Resources)
 			if !storage.WithinLimit(used, team.Limit) {
 				break
 			}
-			teams[j.spec.Team] = teams[j.spec.Team].Plus(j.spec.Room)
+			teams[j.spec.Team] = teams[j.spec.Team].Add(j.spec.Resources)
 		}
 		if n == 0 {
 			continue
@@ -88,9 +88,9 @@
 
 // gangDemand is how many tasks a gang waits for: all of them within the team's
 // limit, or none.
-func (d *scheduler) gangDemand(j *job, team *config.Team, teams map[string]storage.Room) int {
-	all := teams[j.spec.Team].Plus(j.spec.Room.Times(j.waiting))
-	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
+func (d *scheduler) gangDemand(j *job, team *config.Team, teams map[string]storage.Resources) int {
+	all := teams[j.spec.Team].Add(j.spec.Resources.Mul(j.waiting))
+	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
 		return 0
 	}
 	teams[j.spec.Team] = all
--- a/internal/coordination/exhausted_shapes.go
+++ b/internal/coordination/exhausted_shapes.go
@@ -11,7 +11,7 @@
 // zones. Rounds remember which shapes have found no room, so that a thousand
 // like tasks cost one search.
 type shape struct {
-	room    storage.Room
+	room    storage.Resources
 	types   string
 	spot    bool
 	service bool
@@ -23,7 +23,7 @@
 
 // shape is the job's, as far as that doesn't depend on its team.
 func (j *job) shape() shape {
-	return shape{room: j.spec.Room, types: j.allowedTypes, spot: j.spec.Spot, service: j.spec.Service, rank: j.spec.Priority}
+	return shape{room: j.spec.Resources, types: j.allowedTypes, spot: j.spec.Spot, service: j.spec.Service, rank: j.spec.Priority}
 }
 
 // shapeOf is a job's shape.
--- a/internal/coordination/fake_cloud_test.go
+++ b/internal/coordination/fake_cloud_test.go
@@ -10,8 +10,8 @@
 )
 
 var testTypes = []storage.MachineType{
-	{Name: "cpu", Room: storage.Room{CPUs: 8, MemoryGB: 32}, CacheGB: 60, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 15, Zones: []string{"a", "b"}},
-	{Name: "gpu", Room: storage.Room{CPUs: 64, GPUs: 8, MemoryGB: 256}, CacheGB: 400, FetchGBPS: 4, Price: 20, SpotPrice: 7, BootS: 60, Zones: []string{"a", "b"}},
+	{Name: "cpu", Resources: storage.Resources{CPUs: 8, MemoryGB: 32}, CacheGB: 60, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 15, Zones: []string{"a", "b"}},
+	{Name: "gpu", Resources: storage.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}, CacheGB: 400, FetchGBPS: 4, Price: 20, SpotPrice: 7, BootS: 60, Zones: []string{"a", "b"}},
 }
 
 // fakeCloud rents workers by the protocol.
--- a/internal/coordination/fake_node_test.go
+++ b/internal/coordination/fake_node_test.go
@@ -9,9 +9,12 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/activator"
+	"sagevale/internal/api"
 	"sagevale/internal/config"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 type fakeNode struct {
@@ -26,7 +29,7 @@
 	cutWork  atomic.Bool                       // it doesn't reach the workers, nor they it
 	frozen   atomic.Pointer[chan struct{}]     // it stands still until that is closed; nil: it doesn't
 	holdUp   atomic.Int64                      // its answers to other nodes' users come so much later
-	statuses map[string]ObservedStatus         // what the others told last
+	statuses map[string]peer.ObservedStatus    // what the others told last
 	upgrade  func(*upgrade.Settings)           // changes what its next process brings to an upgrade
 	refused  atomic.Pointer[error]             // why its process ended by itself
 	tracker  atomic.Pointer[activator.Tracker] // of its latest process, where services may be at zero
@@ -98,10 +101,10 @@
 func (n *fakeNode) restart() { n.kill(); n.start() }
 
 // Forward is the peer link.
-func (n *fakeNode) Forward(ctx context.Context, name string, req UserRequest) (Answer, error) {
+func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
 	for _, o := range n.sim.nodes {
-		if old := o.unregistered.Load(); o.name == name && old != nil && req.Op == OpPing && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			return Answer{Peer: PeerState{Version: old.told}}, nil
+		if old := o.unregistered.Load(); o.name == name && old != nil && req.Op == api.OpPing && !o.cutPeers.Load() && !n.cutPeers.Load() {
+			return api.Response{Peer: peer.Status{Version: old.told}}, nil
 		}
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			n.gate()
@@ -110,15 +113,15 @@
 			o.gate()
 			n.gate()
 			if ctx.Err() != nil {
-				return Answer{}, ctx.Err()
+				return api.Response{}, ctx.Err()
 			}
-			if req.Op != OpPing {
+			if req.Op != api.OpPing {
 				time.Sleep(time.Duration(o.holdUp.Load()))
 			}
 			return a, nil
 		}
 	}
-	return Answer{}, fmt.Errorf("no way to %s", name)
+	return api.Response{}, fmt.Errorf("no way to %s", name)
 }
 
 // ReportUsage is the peer link for usage.
@@ -155,7 +158,7 @@
 }
 
 // ForwardHeartbeats is the peer link for reports.
-func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*Report) ([]HeartbeatResponse, error) {
+func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			n.gate()
@@ -174,7 +177,7 @@
 // ping asks the others for their status, as the link does.
 func (n *fakeNode) ping(ctx context.Context) {
 	n.sim.mu.Lock()
-	n.statuses = make(map[string]ObservedStatus)
+	n.statuses = make(map[string]peer.ObservedStatus)
 	n.sim.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, o := range n.sim.nodes {
@@ -182,9 +185,9 @@
 				continue
 			}
 			sent := time.Now()
-			if a, err := n.Forward(ctx, o.name, UserRequest{Op: OpPing, ID: n.name}); err == nil {
+			if a, err := n.Forward(ctx, o.name, api.Request{Op: api.OpPing, ID: n.name}); err == nil {
 				n.sim.mu.Lock()
-				n.statuses[o.name] = ObservedStatus{PeerStatus: a.Peer.Status(), Sent: sent, Received: time.Now()}
+				n.statuses[o.name] = peer.ObservedStatus{Status: a.Peer, Sent: sent, Received: time.Now()}
 				n.sim.mu.Unlock()
 			}
 		}
@@ -193,7 +196,7 @@
 }
 
 // Status is a node's latest status.
-func (n *fakeNode) Status(name string) (ObservedStatus, bool) {
+func (n *fakeNode) Status(name string) (peer.ObservedStatus, bool) {
 	n.sim.mu.Lock()
 	defer n.sim.mu.Unlock()
 	w, ok := n.statuses[name]
@@ -226,9 +229,9 @@
 }
 
 // SendCommands is a node's direct way to the workers.
-func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, session uint64, orders []Order, sendBy time.Time) (Outcome, *Report) {
+func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, session uint64, orders []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
-		return NotSent, nil
+		return worker.NotSent, nil
 	}
 	n.gate() // between the check and the sending
 	var id int
@@ -248,10 +251,10 @@
 	switch {
 	case lost:
 		<-ctx.Done()
-		return NotSent, nil
+		return worker.NotSent, nil
 	case wk.hang.Load(), wk.still.Load():
 		<-ctx.Done()
-		return Unresolved, nil
+		return worker.Unresolved, nil
 	}
 	return wk.direct(token, session, orders)
 }
--- a/internal/coordination/fake_worker_test.go
+++ b/internal/coordination/fake_worker_test.go
@@ -11,6 +11,7 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // fakeWorker follows the protocol's worker.
@@ -42,13 +43,13 @@
 }
 
 type workerKey struct {
-	ID  TaskID
+	ID  worker.TaskID
 	Try uint64
 }
 
 type workerTask struct {
-	state TaskState
-	cause EndCause
+	state worker.TaskState
+	cause worker.ExitCause
 	ends  time.Time
 	since time.Time // in its state, of a gang's task
 	saved bool
@@ -64,7 +65,7 @@
 
 type lateOrders struct {
 	token, session uint64
-	orders         []Order
+	orders         []worker.Command
 }
 
 func (sim *simulation) addWorker(id int, kind, zone string, spot bool) {
@@ -87,21 +88,21 @@
 	return storage.MachineType{}
 }
 
-func (wk *fakeWorker) report() *Report {
+func (wk *fakeWorker) report() *worker.Report {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	return wk.makeReport()
 }
 
-func (wk *fakeWorker) makeReport() *Report {
+func (wk *fakeWorker) makeReport() *worker.Report {
 	wk.settle()
 	wk.seq++
-	r := &Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot,
-		Session: wk.session, Seq: wk.seq, Token: wk.token, Notice: wk.notice}
+	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot,
+		Incarnation: wk.session, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.notice}
 	for k, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, TaskReport{ID: k.ID, Try: k.Try, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Try, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
-	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Try < r.Tasks[b].Try })
+	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Attempt < r.Tasks[b].Attempt })
 	return r
 }
 
@@ -117,12 +118,12 @@
 		wk.seq, wk.leased = 0, now
 	}
 	for k, t := range wk.tasks {
-		if t.state == Running && !t.ends.IsZero() && now.After(t.ends) {
-			t.state, t.cause = Ended, CauseDone
+		if t.state == worker.Running && !t.ends.IsZero() && now.After(t.ends) {
+			t.state, t.cause = worker.Exited, worker.CauseDone
 			if t.fails || wk.sick.Load() || wk.sim.mistaken[k.ID.Job] {
-				t.cause = CauseError
+				t.cause = worker.CauseError
 			}
-			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == CauseDone
+			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == worker.CauseDone
 		}
 	}
 }
@@ -176,31 +177,31 @@
 		}
 		wk.node++
 		return config.WorkerRetryPause
-	case a.Token >= wk.token && r.Session == wk.session:
+	case a.Token >= wk.token && r.Incarnation == wk.session:
 		wk.token, wk.leased = a.Token, sent
-		wk.execute(a.Orders)
+		wk.execute(a.Commands)
 	}
 	return wk.sim.settings.HeartbeatInterval
 }
 
-func (wk *fakeWorker) execute(orders []Order) {
+func (wk *fakeWorker) execute(orders []worker.Command) {
 	wk.settle()
 	for _, o := range orders {
-		k := workerKey{o.ID, o.Try}
+		k := workerKey{o.ID, o.Attempt}
 		t := wk.tasks[k]
 		switch o.Verb {
-		case Start:
+		case worker.Start:
 			if t == nil {
 				wk.tasks[k] = wk.startTask(k)
 			}
-		case Stop:
-			if t != nil && t.state != Ended {
+		case worker.Stop:
+			if t != nil && t.state != worker.Exited {
 				spec := wk.sim.specs[o.ID.Job]
-				t.saved = spec.Gang && t.state == Running && o.GraceS >= spec.SaveS
-				t.state, t.cause = Ended, CauseStopped
+				t.saved = spec.Gang && t.state == worker.Running && o.GraceSeconds >= spec.SaveS
+				t.state, t.cause = worker.Exited, worker.CauseStopped
 			}
-		case Forget:
-			if t != nil && t.state == Ended {
+		case worker.Forget:
+			if t != nil && t.state == worker.Exited {
 				delete(wk.tasks, k)
 				wk.forgot[k] = true
 			}
@@ -213,33 +214,33 @@
 	sim := wk.sim
 	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
-		return &workerTask{state: Ended, cause: CauseUnknown}
+		return &workerTask{state: worker.Exited, cause: worker.CauseUnknown}
 	}
 	sim.starts++
 	if wk.forgot[k] {
 		sim.t.Errorf("forgotten attempt %v began anew on %d", k, wk.id)
 	}
-	free := wk.typ().Room
+	free := wk.typ().Resources
 	for o, t := range wk.tasks {
-		if t.state != Ended {
-			free = free.Minus(sim.specs[o.ID.Job].Room)
+		if t.state != worker.Exited {
+			free = free.Sub(sim.specs[o.ID.Job].Resources)
 		}
 	}
-	if !spec.Room.Fits(free) {
-		return &workerTask{state: Ended, cause: CauseFull}
+	if !spec.Resources.Fits(free) {
+		return &workerTask{state: worker.Exited, cause: worker.CauseFull}
 	}
-	used, zones := spec.Room, map[string]int{wk.zone: 1}
+	used, zones := spec.Resources, map[string]int{wk.zone: 1}
 	for _, other := range sim.workers {
 		other.settle()
 		for o, t := range other.tasks {
-			if other.dead.Load() || t.state == Ended {
+			if other.dead.Load() || t.state == worker.Exited {
 				continue
 			}
 			if o.ID == k.ID {
 				sim.t.Errorf("ran_twice: %v on %d and %d", k.ID, other.id, wk.id)
 			}
 			if sim.specs[o.ID.Job].Team == spec.Team {
-				used = used.Plus(sim.specs[o.ID.Job].Room)
+				used = used.Add(sim.specs[o.ID.Job].Resources)
 			}
 			if o.ID.Job == k.ID.Job {
 				zones[other.zone]++
@@ -257,15 +258,15 @@
 		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
 	}
 	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{time.Now(), k.Try, wk.id})
-	t := &workerTask{state: Running}
+	t := &workerTask{state: worker.Running}
 	if after, fails := sim.failing[k.ID.Job]; fails {
 		t.fails, t.ends = true, time.Now().Add(after)
 	}
 	switch {
 	case wk.fetches.Load():
-		t.state = Pulling
+		t.state = worker.Pulling
 	case spec.Gang:
-		t.state, t.since = Gathering, time.Now()
+		t.state, t.since = worker.Gathering, time.Now()
 	case !spec.Service && t.ends.IsZero():
 		t.ends = time.Now().Add(clock.Seconds(spec.EstimateS))
 	}
@@ -281,14 +282,14 @@
 	}
 }
 
-func (wk *fakeWorker) direct(token, session uint64, orders []Order) (Outcome, *Report) {
+func (wk *fakeWorker) direct(token, session uint64, orders []worker.Command) (worker.Outcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	wk.settle()
 	if token < wk.token || session != wk.session {
-		return Rejected, wk.makeReport()
+		return worker.Rejected, wk.makeReport()
 	}
 	wk.token = token
 	wk.execute(orders)
-	return Executed, wk.makeReport()
+	return worker.Executed, wk.makeReport()
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -6,6 +6,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // offering is a kind of machine that the cloud may rent.
@@ -102,7 +103,7 @@
 		case s.CheckpointS > 0:
 			d.stopAttempt(a, s.SaveS) // goes on elsewhere from where it was
 		case m.preemptionAt.IsZero():
-		case !a.reported || a.state == Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
+		case !a.reported || a.state == worker.Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
 			d.stopAttempt(a, 0)
 		}
 	}
--- a/internal/coordination/fleet_scenarios_test.go
+++ b/internal/coordination/fleet_scenarios_test.go
@@ -5,7 +5,9 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 func TestAnUnansweredRentalRentsOnce(t *testing.T) {
@@ -32,7 +34,7 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.submit(arrayJob("000001", 12))
 		sim.submit(service("000002", 1))
-		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		grown := len(sim.all())
 		sim.eventually("machines are returned", 5*time.Minute, func() bool {
 			for _, wk := range sim.all() {
@@ -40,7 +42,7 @@
 					continue
 				}
 				for k, task := range wk.tasks {
-					if task.state != Ended {
+					if task.state != worker.Exited {
 						t.Fatalf("task %v was on a returned machine", k.ID)
 					}
 				}
@@ -60,14 +62,14 @@
 func TestLimitsHoldWhileAPlaceIsUnproved(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
 		s := service("000001", 2)
-		s.Team, s.Room.GPUs = "small", 1
+		s.Team, s.Resources.GPUs = "small", 1
 		sim.submit(s)
 		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
 		for _, wk := range sim.running("000001") {
 			wk.cut.Store(true)
 		}
 		o := arrayJob("000002", 2)
-		o.Team, o.Room.GPUs = "small", 1
+		o.Team, o.Resources.GPUs = "small", 1
 		sim.submit(o)
 		time.Sleep(30 * time.Second)
 		for _, wk := range sim.all() {
@@ -75,7 +77,7 @@
 		}
 		sim.eventually("the service runs again", 3*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
 		sim.cancel("000001")
-		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000002").State == StateDone })
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
 	})
 }
 
@@ -95,7 +97,7 @@
 		for _, wk := range sim.all() {
 			wk.sick.Store(false)
 		}
-		sim.eventually("the job is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the job is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 	})
 }
 
@@ -115,14 +117,14 @@
 		for _, wk := range taken {
 			if len(wk.tasks) > 0 && !wk.dead.Load() {
 				for k, task := range wk.tasks {
-					if task.state != Ended {
+					if task.state != worker.Exited {
 						t.Errorf("task %v is still on a machine that is taken", k.ID)
 					}
 				}
 			}
 			wk.dead.Store(true)
 		}
-		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 	})
 }
 
@@ -150,7 +152,7 @@
 		spot.Spot = true
 		sim.submit(spot)
 		sim.eventually("all run", 4*time.Minute, func() bool {
-			return len(sim.running("000001")) == 5 && len(sim.running("000002")) == 3 && sim.poll("000003").State == StateDone
+			return len(sim.running("000001")) == 5 && len(sim.running("000002")) == 3 && sim.poll("000003").State == api.StateDone
 		})
 	})
 }
@@ -160,19 +162,19 @@
 		sim.awaitLeader()
 		for name, change := range map[string]func(*storage.Spec){
 			"unknown team":  func(s *storage.Spec) { s.Team = "strangers" },
-			"too large":     func(s *storage.Spec) { s.Room.CPUs = 65 },
+			"too large":     func(s *storage.Spec) { s.Resources.CPUs = 65 },
 			"unknown type":  func(s *storage.Spec) { s.Types = []string{"tpu"} },
-			"over a limit":  func(s *storage.Spec) { s.Team, s.Room.GPUs = "small", 3 },
-			"limit for all": func(s *storage.Spec) { s.Team, s.Room.GPUs, s.Service, s.Tasks = "small", 1, true, 3 },
+			"over a limit":  func(s *storage.Spec) { s.Team, s.Resources.GPUs = "small", 3 },
+			"limit for all": func(s *storage.Spec) { s.Team, s.Resources.GPUs, s.Service, s.Tasks = "small", 1, true, 3 },
 			"unknown zone":  func(s *storage.Spec) { s.Zone = "c" },
 		} {
 			s := arrayJob("000001", 1)
 			change(&s)
-			if a := sim.ask(OpSubmit, s.ID, s); a.Code != CodeInfeasible || a.Reason == "" {
+			if a := sim.ask(api.OpSubmit, s.ID, s); a.Code != api.CodeInfeasible || a.Reason == "" {
 				t.Errorf("%s: %+v", name, a)
 			}
 		}
-		if a := sim.poll("000001"); a.Code != CodeNotFound {
+		if a := sim.poll("000001"); a.Code != api.CodeNotFound {
 			t.Errorf("a refused job is known: %+v", a)
 		}
 	})
--- a/internal/coordination/forwarder.go
+++ b/internal/coordination/forwarder.go
@@ -7,6 +7,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/worker"
 )
 
 // Every worker's report passes the forwarder of the node that it reaches. It
@@ -53,16 +54,16 @@
 
 // pendingReport is a report on its way.
 type pendingReport struct {
-	report *Report
+	report *worker.Report
 	ctx    context.Context
 	digest uint64
-	reply  chan HeartbeatResponse
+	reply  chan worker.HeartbeatResponse
 }
 
 // decidedBatch is what became of a batch; without answers nobody decided on it.
 type decidedBatch struct {
 	reports   []pendingReport
-	responses []HeartbeatResponse
+	responses []worker.HeartbeatResponse
 }
 
 func newForwarder(n *Node) *forwarder {
@@ -74,18 +75,18 @@
 
 // heartbeat takes in a report and returns its answer. What can't be taken is
 // answered at once.
-func (c *forwarder) heartbeat(ctx context.Context, r *Report) HeartbeatResponse {
-	p := pendingReport{report: r, ctx: ctx, reply: make(chan HeartbeatResponse, 1)}
+func (c *forwarder) heartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
+	p := pendingReport{report: r, ctx: ctx, reply: make(chan worker.HeartbeatResponse, 1)}
 	select {
 	case c.in <- p:
 	default:
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	select {
 	case a := <-p.reply:
 		return a
 	case <-ctx.Done():
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 }
 
@@ -114,8 +115,8 @@
 
 // sweep forgets the workers that report here no longer.
 func (c *forwarder) sweep(now time.Time) {
-	for id, worker := range c.workers {
-		if now.Sub(worker.lastSeen) > workerMemoryLeases*c.settings.WorkerLease {
+	for id, known := range c.workers {
+		if now.Sub(known.lastSeen) > workerMemoryLeases*c.settings.WorkerLease {
 			delete(c.workers, id)
 		}
 	}
@@ -126,15 +127,15 @@
 	now := time.Now()
 	c.lastHeartbeat.Mark(now)
 	p.digest = c.digest(p.report)
-	worker := c.workers[p.report.Machine]
-	if worker == nil {
-		worker = &knownWorker{}
-		c.workers[p.report.Machine] = worker
+	known := c.workers[p.report.Machine]
+	if known == nil {
+		known = &knownWorker{}
+		c.workers[p.report.Machine] = known
 	}
-	worker.lastSeen = now
-	if node := c.affinity.nodeFor(p.report, worker, now); node != "" {
-		worker.redirected = now
-		p.reply <- HeartbeatResponse{Leader: node}
+	known.lastSeen = now
+	if node := c.affinity.nodeFor(p.report, known, now); node != "" {
+		known.redirected = now
+		p.reply <- worker.HeartbeatResponse{Leader: node}
 		return
 	}
 	v := c.node.view.Load()
@@ -172,7 +173,7 @@
 	batch, leader := c.pending, c.leader
 	c.pending, c.flush = nil, nil
 	if len(batch) > 0 {
-		go c.decide(ctx, batch, func(ctx context.Context, reports []*Report) []HeartbeatResponse {
+		go c.decide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 			answers, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
 				return nil
@@ -183,10 +184,10 @@
 }
 
 // decide asks for the answers to a batch and brings them back to the actor.
-func (c *forwarder) decide(ctx context.Context, batch []pendingReport, ask func(context.Context, []*Report) []HeartbeatResponse) {
+func (c *forwarder) decide(ctx context.Context, batch []pendingReport, ask func(context.Context, []*worker.Report) []worker.HeartbeatResponse) {
 	actx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	reports := make([]*Report, 0, len(batch))
+	reports := make([]*worker.Report, 0, len(batch))
 	for _, p := range batch {
 		reports = append(reports, p.report)
 	}
@@ -205,25 +206,25 @@
 			c.answerDelegated(p, now)
 			continue
 		}
-		worker := c.workers[p.report.Machine]
-		if a := d.responses[i]; a.Accepted && worker != nil && !worker.stale(p.report) {
-			worker.incarnation, worker.seq, worker.digest, worker.lastAcknowledged = p.report.Session, p.report.Seq, p.digest, now
+		known := c.workers[p.report.Machine]
+		if a := d.responses[i]; a.Accepted && known != nil && !known.stale(p.report) {
+			known.incarnation, known.seq, known.digest, known.lastAcknowledged = p.report.Incarnation, p.report.Seq, p.digest, now
 		}
 		p.reply <- d.responses[i]
 	}
 }
 
 // stale tells whether a report is a late copy of what was answered already.
-func (worker *knownWorker) stale(r *Report) bool {
-	return r.Session < worker.incarnation || r.Session == worker.incarnation && r.Seq <= worker.seq
+func (known *knownWorker) stale(r *worker.Report) bool {
+	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
 
 // digest sums up what a report tells, but for its number.
-func (c *forwarder) digest(r *Report) uint64 {
+func (c *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
 	h.SetSeed(c.seed)
-	maphash.WriteComparable(&h, r.Session)
-	maphash.WriteComparable(&h, r.Notice != nil)
+	maphash.WriteComparable(&h, r.Incarnation)
+	maphash.WriteComparable(&h, r.NoticeSeconds != nil)
 	for i := range r.Tasks {
 		maphash.WriteComparable(&h, r.Tasks[i])
 	}
--- a/internal/coordination/freeze_test.go
+++ b/internal/coordination/freeze_test.go
@@ -10,9 +10,12 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // TestFreeze writes what this version leaves in the state service, and a batch of
@@ -44,7 +47,7 @@
 		g := arrayJob("000005", 3)
 		g.Gang, g.SameZone, g.EstimateS = true, true, 600
 		sim.submit(g)
-		sim.eventually("done", 5*time.Minute, func() bool { return sim.poll("000003").State == StateDone })
+		sim.eventually("done", 5*time.Minute, func() bool { return sim.poll("000003").State == api.StateDone })
 		sim.cancel("000004")
 		sim.eventually("partly done", 5*time.Minute, func() bool { return sim.poll("000001").Done > 20 })
 		for _, n := range sim.nodes {
@@ -68,21 +71,21 @@
 		freezeStore("store-lowered.json", sim)
 	})
 	notice := 12.5
-	letters := []letter{
-		{User: &UserRequest{Op: OpSubmit, ID: "000007", Spec: arrayJob("000007", 2)}},
-		{User: &UserRequest{Op: OpCancel, ID: "000008"}},
-		{Report: &Report{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Session: 3, Seq: 9, Token: 4, Notice: &notice,
-			Tasks: []TaskReport{{ID: TaskID{"000001", 1}, Try: 5, State: Ended, Cause: CausePeers, Saved: true}, {ID: TaskID{"000001", 2}, Try: 6, State: Gathering}}}},
+	requests := []wire.RelayRequest{
+		{User: &api.Request{Op: api.OpSubmit, ID: "000007", Spec: arrayJob("000007", 2)}},
+		{User: &api.Request{Op: api.OpCancel, ID: "000008"}},
+		{Report: &worker.Report{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
+			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true}, {ID: worker.TaskID{Job: "000001", Task: 2}, Attempt: 6, State: worker.Gathering}}}},
 	}
-	ask, err := encodeBatch(letters, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
+	ask, err := encodeRequests(requests, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
 	write("letters.json", ask)
-	done := Answer{Code: CodeOK, ID: "000008", State: StateCancelled, Done: 1}
-	replies := []mailReply{{Done: true, User: &Answer{Code: CodeCreated, ID: "000007", Holds: time.Second}}, {Done: true, User: &done},
-		{Done: true, Beat: &BeatAnswer{Accepted: true, Token: 4, Orders: []Order{{Verb: Stop, ID: TaskID{"000001", 2}, Try: 6, GraceS: 2.5}}}}}
-	got, err := encodeBatch(replies, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
+	done := api.Response{Code: api.CodeOK, ID: "000008", State: api.StateCancelled, Done: 1}
+	responses := []wire.RelayResponse{{Answered: true, User: &api.Response{Code: api.CodeCreated, ID: "000007", ValidFor: time.Second}}, {Answered: true, User: &done},
+		{Answered: true, Heartbeat: &worker.HeartbeatResponse{Accepted: true, Token: 4, Commands: []worker.Command{{Verb: worker.Stop, ID: worker.TaskID{Job: "000001", Task: 2}, Attempt: 6, GraceSeconds: 2.5}}}}}
+	got, err := encodeResponses(responses, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/gang.go
+++ b/internal/coordination/gang.go
@@ -7,6 +7,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // A gang's tasks run at the same time or not at all. The workers find each other
@@ -34,7 +35,7 @@
 		return false
 	}
 	for _, a := range j.attempts {
-		if a.stopping || a.number != j.gang.number || !a.reported && !a.thisTerm || a.reported && a.state != Pulling && a.state != Gathering {
+		if a.stopping || a.number != j.gang.number || !a.reported && !a.thisTerm || a.reported && a.state != worker.Pulling && a.state != worker.Gathering {
 			return false
 		}
 	}
@@ -57,7 +58,7 @@
 		j.gang = gang{}
 		return
 	}
-	if a.reported && a.state == Ended {
+	if a.reported && a.state == worker.Exited {
 		if j.gang.exitedOn == nil {
 			j.gang.exitedOn = make(map[int]bool)
 		}
@@ -152,7 +153,7 @@
 			continue
 		}
 		for _, a := range j.gangAttempts() {
-			if j.attempts[a.task] == a && a.state != Gathering && now.Sub(a.reservedAt) > patience {
+			if j.attempts[a.task] == a && a.state != worker.Gathering && now.Sub(a.reservedAt) > patience {
 				d.log.Info("a gang's task doesn't come", "job", j.spec.ID, "task", a.task, "machine", a.machine.id)
 				d.stopAttempt(a, 0)
 			}
@@ -165,7 +166,7 @@
 func (j *job) gatherTime(now time.Time) time.Duration {
 	var longest time.Duration
 	for _, a := range j.attempts {
-		if a.reported && a.state == Gathering && !a.gatheringSince.IsZero() {
+		if a.reported && a.state == worker.Gathering && !a.gatheringSince.IsZero() {
 			longest = max(longest, now.Sub(a.gatheringSince))
 		}
 	}
--- a/internal/coordination/gang_page_test.go
+++ b/internal/coordination/gang_page_test.go
@@ -5,7 +5,9 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // What the page on gangs says, line by line, where the scenarios of gang_test.go don't
@@ -19,11 +21,11 @@
 	}
 	enter := func(id string, try uint64, machines ...int) *job {
 		spec := gangOf(id, 3)
-		spec.Room, spec.Priority = storage.Room{CPUs: 4, MemoryGB: 8}, storage.Normal
+		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
 		j := d.accept(spec)
 		for i, m := range machines {
 			d.addAttempt(&attempt{job: j, task: i, number: try, machine: d.machines[m], incarnation: 1, thisTerm: true, durable: true, reported: true,
-				state: Running, reservedAt: now, started: now.Add(-time.Minute)})
+				state: worker.Running, reservedAt: now, started: now.Add(-time.Minute)})
 		}
 		j.gang.started = true
 		return j
@@ -34,7 +36,7 @@
 
 func urgentService() storage.Spec {
 	s := service("000009", 1)
-	s.Room = storage.Room{CPUs: 8, MemoryGB: 8}
+	s.Resources = storage.Resources{CPUs: 8, MemoryGB: 8}
 	return s
 }
 
@@ -125,8 +127,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
-		d.applyTaskReport(one, &Report{Session: 1}, TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CausePeers}, time.Now())
+		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
+		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
 		if one.failures.Suspected() || !one.quarantinedUntil.IsZero() || len(j.failures.Machines()) != 0 {
 			t.Errorf("failures of the machine %+v, of the job %+v", one.failures, j.failures)
 		}
@@ -143,11 +145,11 @@
 		d := newTestDispatcher(t, grownSettings())
 		full, other := d.up(1, "cpu", "a", false), d.up(2, "cpu", "b", false)
 		spec := gangOf("000001", 2)
-		spec.Room.CPUs = 4
-		j := d.gangOn(spec, Gathering, full, full)
+		spec.Resources.CPUs = 4
+		j := d.gangOn(spec, worker.Gathering, full, full)
 		d.removeAttempt(j.attempts[0], "its machine is gone")
 		blocker := service("000002", 1)
-		blocker.Room.CPUs = 4
+		blocker.Resources.CPUs = 4
 		d.reserve(d.accept(blocker), 0, full, time.Now())
 		d.placeRound(time.Now())
 		if a := j.attempts[0]; a != nil {
@@ -167,13 +169,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 3), Running, m, m, m)
+		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
 		d.stopGang(j)
-		if a := j.answer(CodeOK); a.Running != 3 || a.State != StateRunning {
+		if a := j.answer(api.CodeOK); a.Running != 3 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
 		}
 		d.removeAttempt(j.attempts[0], "ended")
-		if a := j.answer(CodeOK); a.Running != 2 || a.State != StateRunning {
+		if a := j.answer(api.CodeOK); a.Running != 2 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
 		}
 	})
@@ -188,7 +190,7 @@
 			d.up(i, "cpu", "a", false)
 		}
 		array, replicas := d.accept(arrayJob("000001", 4)), d.accept(service("000002", 3))
-		used := make(map[uint64]TaskID)
+		used := make(map[uint64]worker.TaskID)
 		for range 3 {
 			d.placeRound(time.Now())
 			for _, j := range []*job{array, replicas} {
@@ -213,8 +215,8 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.submit(gangOf("000001", 2))
 		sim.done("000001")
-		for _, op := range []UserOp{OpSubmit, OpCancel, OpPoll} {
-			if a := sim.ask(op, "000001", gangOf("000001", 2)); a.Code != CodeOK || a.State != StateDone || a.Done != 2 {
+		for _, op := range []api.Op{api.OpSubmit, api.OpCancel, api.OpPoll} {
+			if a := sim.ask(op, "000001", gangOf("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
@@ -228,14 +230,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), Running, m, m)
-		for _, r := range []TaskReport{
-			{ID: TaskID{"000001", 7}, Try: 9, State: Ended, Cause: CauseDone},
-			{ID: TaskID{"000001", 0}, Try: 3, State: Ended, Cause: CausePeers},
-			{ID: TaskID{"000001", 1}, Try: 9, State: Gathering},
-			{ID: TaskID{"999999", 0}, Try: 9, State: Running},
+		j := d.gangOn(gangOf("000001", 2), worker.Running, m, m)
+		for _, r := range []worker.TaskReport{
+			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
+			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CausePeers},
+			{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Gathering},
+			{ID: worker.TaskID{Job: "999999", Task: 0}, Attempt: 9, State: worker.Running},
 		} {
-			d.applyTaskReport(m, &Report{Session: 1}, r, time.Now())
+			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
 		}
 		if n, _ := stops(j); j.done != 0 || len(j.attempts) != 2 || n != 0 || !j.gang.started || j.gang.failed {
 			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.done, len(j.attempts), n, j.gang)
--- a/internal/coordination/gang_placement.go
+++ b/internal/coordination/gang_placement.go
@@ -45,7 +45,7 @@
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
 func (d *scheduler) gangWithinLimit(j *job) bool {
 	team := d.settings.Team(j.spec.Team)
-	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room.Times(j.waiting)), team.Limit)
+	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(j.spec.Resources.Mul(j.waiting)), team.Limit)
 }
 
 // planGang finds a candidate for each waiting task of a gang and takes the room there,
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, s := range best {
-		s.free = s.free.Minus(j.spec.Room)
+		s.free = s.free.Sub(j.spec.Resources)
 	}
 	return best
 }
@@ -94,8 +94,8 @@
 func (d *scheduler) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
 	room := 0
 	for _, s := range group {
-		if j.spec.Room.Fits(s.free) {
-			room += fitCount(s.free, j.spec.Room)
+		if j.spec.Resources.Fits(s.free) {
+			room += fitCount(s.free, j.spec.Resources)
 		}
 	}
 	if room < j.waiting {
@@ -104,7 +104,7 @@
 	zones := newZoneCheck(j)
 	defer func() {
 		for _, s := range plan {
-			s.free = s.free.Plus(j.spec.Room)
+			s.free = s.free.Add(j.spec.Resources)
 		}
 		if len(plan) < j.waiting {
 			plan = nil
@@ -114,7 +114,7 @@
 		var best []*candidate
 		tier := 0
 		for _, s := range group {
-			if !j.spec.Room.Fits(s.free) || !zones.allows(s.zone) {
+			if !j.spec.Resources.Fits(s.free) || !zones.allows(s.zone) {
 				continue
 			}
 			if t := d.tier(j, s); best == nil || t < tier {
@@ -127,7 +127,7 @@
 			return plan, tiers
 		}
 		pick := d.sample(j, best)
-		pick.free = pick.free.Minus(j.spec.Room)
+		pick.free = pick.free.Sub(j.spec.Resources)
 		zones.add(pick.zone, 1)
 		plan, tiers = append(plan, pick), tiers+tier
 	}
@@ -156,7 +156,7 @@
 	left := j.waiting
 	for _, s := range best {
 		n := min(left, s.capacityFor(j))
-		s.takeReleasing(j.spec.Room.Times(n))
+		s.takeReleasing(j.spec.Resources.Mul(n))
 		left -= n
 	}
 }
@@ -164,8 +164,8 @@
 // capacityFor is how many tasks of a job fit into what is free in the candidate and what is
 // being freed.
 func (s *candidate) capacityFor(j *job) int {
-	if free := s.free.Plus(s.releasing); j.spec.Room.Fits(free) {
-		return fitCount(free, j.spec.Room)
+	if free := s.free.Add(s.releasing); j.spec.Resources.Fits(free) {
+		return fitCount(free, j.spec.Resources)
 	}
 	return 0
 }
@@ -175,10 +175,10 @@
 	room := make(map[string]int)
 	best := ""
 	for _, s := range candidates {
-		if !dm.job.spec.Room.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
+		if !dm.job.spec.Resources.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
 			continue
 		}
-		room[s.zone] += fitCount(s.free, dm.job.spec.Room)
+		room[s.zone] += fitCount(s.free, dm.job.spec.Resources)
 		if best == "" || room[s.zone] > room[best] || room[s.zone] == room[best] && s.zone < best {
 			best = s.zone
 		}
--- a/internal/coordination/gang_preemption.go
+++ b/internal/coordination/gang_preemption.go
@@ -54,10 +54,10 @@
 	for _, c := range best {
 		for _, v := range c.victims {
 			d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.machine.id, "for", j.spec.ID)
-			c.candidate.releasing = c.candidate.releasing.Plus(v.job.spec.Room)
+			c.candidate.releasing = c.candidate.releasing.Add(v.job.spec.Resources)
 			d.preemptOne(v, r.now)
 		}
-		c.candidate.takeReleasing(j.spec.Room.Times(c.tasks))
+		c.candidate.takeReleasing(j.spec.Resources.Mul(c.tasks))
 		d.commandStops(c.candidate.machine)
 	}
 	return best != nil
@@ -69,15 +69,15 @@
 	var all []gangPreemption
 	room := 0
 	for _, s := range group {
-		most := s.free.Plus(s.releasing)
+		most := s.free.Add(s.releasing)
 		for _, live := range s.machine.running[:j.spec.Priority] {
-			most = most.Plus(live)
+			most = most.Add(live)
 		}
-		if !j.spec.Room.Fits(most) {
+		if !j.spec.Resources.Fits(most) {
 			continue
 		}
-		c := gangPreemption{candidate: s, tasks: min(j.waiting, fitCount(most, j.spec.Room))}
-		if victims, cost, ok := d.victims(s, j.spec.Room.Times(c.tasks), preemptor{priority: j.spec.Priority}, now); ok {
+		c := gangPreemption{candidate: s, tasks: min(j.waiting, fitCount(most, j.spec.Resources))}
+		if victims, cost, ok := d.victims(s, j.spec.Resources.Mul(c.tasks), preemptor{priority: j.spec.Priority}, now); ok {
 			c.victims, c.cost = victims, cost
 			all = append(all, c)
 			room += c.tasks
@@ -100,7 +100,7 @@
 		all = all[1:]
 		if c.tasks > left {
 			c.tasks = left
-			c.victims, c.cost, _ = d.victims(c.candidate, j.spec.Room.Times(left), preemptor{priority: j.spec.Priority}, now)
+			c.victims, c.cost, _ = d.victims(c.candidate, j.spec.Resources.Mul(left), preemptor{priority: j.spec.Priority}, now)
 		}
 		plan, left, cost = append(plan, c), left-c.tasks, cost+c.cost
 	}
--- a/internal/coordination/gang_test.go
+++ b/internal/coordination/gang_test.go
@@ -6,8 +6,10 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // gangOf is a gang whose tasks must be in one zone.
@@ -31,7 +33,7 @@
 	for _, wk := range sim.workers {
 		wk.settle()
 		for k, t := range wk.tasks {
-			if k.ID.Job == id && t.state != Ended && !wk.dead.Load() {
+			if k.ID.Job == id && t.state != worker.Exited && !wk.dead.Load() {
 				out[k.Try]++
 			}
 		}
@@ -64,7 +66,7 @@
 		}
 		sim.submit(gangOf("000002", 3))
 		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.running("000002")) == 3 })
-		if a := sim.poll("000002"); a.State != StatePending || a.Running != 0 {
+		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
 			sim.t.Errorf("told %+v", a)
 		}
 	}},
@@ -104,8 +106,8 @@
 			wk.fetches.Store(false)
 			sim.locked(func() {
 				for k, t := range wk.tasks {
-					if k.ID.Job == "000002" && t.state == Pulling {
-						t.state, t.since = Gathering, time.Now()
+					if k.ID.Job == "000002" && t.state == worker.Pulling {
+						t.state, t.since = worker.Gathering, time.Now()
 					}
 				}
 			})
@@ -121,7 +123,7 @@
 		for i := range 12 {
 			id := fmt.Sprintf("%06d", 100+i)
 			sim.upload(gangOf(id, 5))
-			go sim.askNode(sim.awaitLeader(), OpSubmit, id, gangOf(id, 5))
+			go sim.askNode(sim.awaitLeader(), api.OpSubmit, id, gangOf(id, 5))
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			sim.crash(sim.awaitLeader(), time.Second)
 			sim.submit(gangOf(id, 5))
@@ -206,7 +208,7 @@
 	}},
 	{"more tasks than one transaction holds", func(sim *simulation) {
 		s := gangOf("000001", 400)
-		s.Room, s.SameZone = storage.Room{CPUs: 0.1, MemoryGB: 0.1}, false
+		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
 		sim.submit(s)
 		sim.done("000001")
 		if n := sim.begun("000001"); n != 1 {
@@ -227,9 +229,9 @@
 		sim.submit(service("000009", 1)) // the types are known
 		for id, s := range map[string]storage.Spec{"000001": onLimit(gangOf("000001", 3)), "000002": gangOf("000002", 2)} {
 			if id == "000002" {
-				s.Room.CPUs = 1000
+				s.Resources.CPUs = 1000
 			}
-			if a := sim.ask(OpSubmit, id, s); a.Code != CodeInfeasible {
+			if a := sim.ask(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
 				t.Errorf("job %s is answered %+v", id, a)
 			}
 		}
@@ -243,12 +245,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		low := lasting("000001", 8, time.Hour)
-		low.Priority, low.Room = storage.BestEffort, storage.Room{CPUs: 4, MemoryGB: 8}
+		low.Priority, low.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
 		j := d.accept(low)
 		for i := range 4 {
 			m := d.up(i, "cpu", "a", false)
 			for k := range 2 {
-				d.addAttempt(&attempt{job: j, task: 2*i + k, number: uint64(1 + 2*i + k), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
+				d.addAttempt(&attempt{job: j, task: 2*i + k, number: uint64(1 + 2*i + k), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
 			}
 		}
 		stopped := func() (n int) {
@@ -299,11 +301,11 @@
 			machines = append(machines, d.up(i, "cpu", "a", false))
 		}
 		for i := range 4 {
-			d.addAttempt(&attempt{job: g, task: i, number: 9, machine: machines[i/2], incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
+			d.addAttempt(&attempt{job: g, task: i, number: 9, machine: machines[i/2], incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
 		}
 		g.gang.started = true
 		urgent := service("000002", 1)
-		urgent.Room = storage.Room{CPUs: 8, MemoryGB: 8}
+		urgent.Resources = storage.Resources{CPUs: 8, MemoryGB: 8}
 		d.accept(urgent)
 		d.placeRound(time.Now())
 		for _, a := range g.gangAttempts() {
@@ -360,13 +362,13 @@
 }
 
 // gangOn enters a gang's attempt with a task on each of the machines.
-func (d *scheduler) gangOn(spec storage.Spec, state TaskState, machines ...*machine) *job {
+func (d *scheduler) gangOn(spec storage.Spec, state worker.TaskState, machines ...*machine) *job {
 	j := d.accept(spec)
 	for i, m := range machines {
 		d.addAttempt(&attempt{job: j, task: i, number: 9, machine: m, incarnation: 1, thisTerm: true, durable: true, reported: true, state: state, reservedAt: time.Now(), started: time.Now(), gatheringSince: time.Now()})
 	}
 	d.lastAttempt = 9
-	j.gang.started = state == Running
+	j.gang.started = state == worker.Running
 	return j
 }
 
@@ -375,7 +377,7 @@
 func TestALossEndsAnAttemptThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		j := d.gangOn(gangOf("000001", 3), Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
+		j := d.gangOn(gangOf("000001", 3), worker.Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
 		d.up(4, "cpu", "a", false)
 		d.removeAttempt(j.attempts[0], "its machine is gone")
 		for _, a := range j.gangAttempts() {
@@ -403,9 +405,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), Gathering, one, one)
-		j.attempts[0].state = Ended
-		d.attemptExited(j.attempts[0], TaskReport{ID: TaskID{"000001", 0}, Try: 9, State: Ended, Cause: CauseStopped}, time.Now())
+		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, one)
+		j.attempts[0].state = worker.Exited
+		d.attemptExited(j.attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
 		if len(j.attempts) != 1 {
 			t.Fatalf("%d attempts are left", len(j.attempts))
 		}
@@ -421,8 +423,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 3), Running, m, m, m)
-		d.attemptExited(j.attempts[1], TaskReport{ID: TaskID{"000001", 1}, Try: 9, State: Ended, Cause: CauseDone}, time.Now())
+		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
+		d.attemptExited(j.attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
 		if j.done != 3 || j.phase != storage.Done {
 			t.Errorf("%d of 3 done, phase %v", j.done, j.phase)
 		}
@@ -437,8 +439,8 @@
 		s.GangWait = 45 * time.Second
 		d := newTestDispatcher(t, s)
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), Gathering, one, two)
-		j.attempts[1].state = Pulling
+		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
+		j.attempts[1].state = worker.Pulling
 		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
 		if d.tick(); j.attempts[1].stopping {
 			t.Error("given up at once")
@@ -454,13 +456,13 @@
 func TestAGangWaitsForItsTeamsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := grownSettings()
-		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Room{GPUs: 2}})
+		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
 		d := newTestDispatcher(t, s)
 		m := d.up(1, "gpu", "a", false)
-		other := d.gangOn(onLimit(gangOf("000001", 1)), Running, m)
+		other := d.gangOn(onLimit(gangOf("000001", 1)), worker.Running, m)
 		j := d.accept(onLimit(gangOf("000002", 2)))
 		d.placeRound(time.Now())
-		if len(j.attempts) != 0 || d.gangDemand(j, s.Team("small"), make(map[string]storage.Room)) != 0 {
+		if len(j.attempts) != 0 || d.gangDemand(j, s.Team("small"), make(map[string]storage.Resources)) != 0 {
 			t.Error("placed, or rented for, beyond the limit")
 		}
 		d.removeAttempt(other.attempts[0], "ended")
--- a/internal/coordination/gates.go
+++ b/internal/coordination/gates.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -31,7 +32,7 @@
 // for a commit. Where the gate is closed its user is told at once to come back.
 func (d *scheduler) awaitGate(m userMsg, name upgrade.GateName, now time.Time) {
 	if d.gates.Gate(name).Phase != upgrade.GateOpen {
-		m.reply <- Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
+		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
 		return
 	}
 	d.gateWaiters = append(d.gateWaiters, gateWaiter{m, now})
@@ -59,7 +60,7 @@
 	d.gateWaiters = slices.DeleteFunc(d.gateWaiters, func(w gateWaiter) bool {
 		late := !d.leaseValid(now) || now.Sub(w.since) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 		if late {
-			w.msg.reply <- Unavailable(w.msg.req.ID, "state service slow or out of reach")
+			w.msg.reply <- api.Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
 		return late
 	})
--- a/internal/coordination/gates_test.go
+++ b/internal/coordination/gates_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
@@ -43,7 +44,7 @@
 		}
 		lead := sim.awaitLeader()
 		began := time.Now()
-		if a := sim.askNode(lead, OpSubmit, "000001", gang("000001")); a.Code != CodeCreated {
+		if a := sim.askNode(lead, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
@@ -58,7 +59,7 @@
 		lead = sim.awaitLeader()
 		time.Sleep(20 * time.Second) // a release is unanswered, and so are uses
 		began = time.Now()
-		if a := sim.askNode(lead, OpSubmit, "000002", gang("000002")); a.Code != CodeUnavailable || a.RetryS == 0 {
+		if a := sim.askNode(lead, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -7,10 +7,12 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
 )
 
 // A machine whose reports don't come through loses its lease, however well
@@ -21,7 +23,7 @@
 		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		answer := func() {
-			d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
+			d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
 		}
 		for range 2 * config.FreshIntervals {
 			time.Sleep(s.HeartbeatInterval)
@@ -51,8 +53,8 @@
 			t.Error("started directly")
 		}
 		a.durable = true
-		for _, o := range d.commandsFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()) {
-			if o.Verb == Start {
+		for _, o := range d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now()) {
+			if o.Verb == worker.Start {
 				t.Error("started with the answer to a report")
 			}
 		}
@@ -143,24 +145,24 @@
 		j := d.accept(arrayJob("000001", 1))
 		m := d.up(7, "cpu", "a", false)
 		a := d.reserve(j, 0, m, time.Now())
-		orders := func() []Order {
-			return d.commandsFor(m, &Report{Machine: 7, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now())
+		orders := func() []worker.Command {
+			return d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now())
 		}
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the booking is durable", o)
 		}
 		a.durable = true
 		d.unmark()
-		if o := orders(); len(o) != 1 || o[0].Verb != Start {
+		if o := orders(); len(o) != 1 || o[0].Verb != worker.Start {
 			t.Errorf("ordered %+v", o)
 		}
-		d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term,
-			Tasks: []TaskReport{{ID: a.id(), Try: a.number, State: Ended, Cause: CauseDone}}}, true, time.Now())
+		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term,
+			Tasks: []worker.TaskReport{{ID: a.id(), Attempt: a.number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the end is durable", o)
 		}
 		d.unmark()
-		if o := orders(); len(o) != 1 || o[0].Verb != Forget {
+		if o := orders(); len(o) != 1 || o[0].Verb != worker.Forget {
 			t.Errorf("ordered %+v", o)
 		}
 	})
@@ -170,54 +172,54 @@
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		tell := func(op UserOp, spec storage.Spec) (Answer, bool) {
-			reply := make(chan Answer, 1)
-			d.handleUser(userMsg{req: UserRequest{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
+		tell := func(op api.Op, spec storage.Spec) (api.Response, bool) {
+			reply := make(chan api.Response, 1)
+			d.handleUser(userMsg{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
 			select {
 			case a := <-reply:
 				return a, true
 			default:
-				return Answer{}, false
+				return api.Response{}, false
 			}
 		}
 		commit := func(err error) {
 			d.commit(err)
 		}
 		a, b := arrayJob("000001", 1), arrayJob("000002", 1)
-		if got, told := tell(OpSubmit, a); told {
+		if got, told := tell(api.OpSubmit, a); told {
 			t.Errorf("accepted before it is durable: %+v", got)
 		}
-		if got, _ := tell(OpPoll, a); got.Code != CodeUnavailable {
+		if got, _ := tell(api.OpPoll, a); got.Code != api.CodeUnavailable {
 			t.Errorf("told before it is durable: %+v", got)
 		}
-		tell(OpSubmit, b)
+		tell(api.OpSubmit, b)
 		commit(nil)
-		if got, _ := tell(OpPoll, a); got.Code != CodeOK {
+		if got, _ := tell(api.OpPoll, a); got.Code != api.CodeOK {
 			t.Errorf("not told: %+v", got)
 		}
-		if got, told := tell(OpCancel, a); told {
+		if got, told := tell(api.OpCancel, a); told {
 			t.Errorf("cancelled before it is durable: %+v", got)
 		}
-		if got, _ := tell(OpPoll, a); got.final() {
+		if got, _ := tell(api.OpPoll, a); got.Final() {
 			t.Errorf("cancelled before it is durable: %+v", got)
 		}
 		j := d.jobs.get(b.ID)
 		j.setTask(0, taskDone)
 		d.finish(j)
-		if got, _ := tell(OpPoll, b); got.final() {
+		if got, _ := tell(api.OpPoll, b); got.Final() {
 			t.Errorf("done before it is durable: %+v", got)
 		}
 		commit(nil)
 		for _, spec := range []storage.Spec{a, b} {
-			if got, _ := tell(OpPoll, spec); !got.final() {
+			if got, _ := tell(api.OpPoll, spec); !got.Final() {
 				t.Errorf("not told: %+v", got)
 			}
 		}
 		// A cancel of a done job tells that it is done; a repeat, what it is.
-		if got, _ := tell(OpCancel, b); got.Code != CodeOK || got.State != StateDone {
+		if got, _ := tell(api.OpCancel, b); got.Code != api.CodeOK || got.State != api.StateDone {
 			t.Errorf("a done job's cancel is answered %+v", got)
 		}
-		if got, _ := tell(OpSubmit, a); got.Code != CodeOK || got.State != StateCancelled {
+		if got, _ := tell(api.OpSubmit, a); got.Code != api.CodeOK || got.State != api.StateCancelled {
 			t.Errorf("a cancelled job's repeat is answered %+v", got)
 		}
 	})
@@ -231,7 +233,7 @@
 		m := d.up(7, "cpu", "a", false)
 		for i := range 12 {
 			d.failed(d.accept(arrayJob(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
-			d.incarnationEnded(m, &Report{Machine: 7, Session: uint64(i + 2)}, time.Now())
+			d.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.quarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
 			}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -5,32 +5,33 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 type attemptKey struct {
-	id     TaskID
+	id     worker.TaskID
 	number uint64
 }
 
 // handleHeartbeat takes a worker's report and answers it.
-func (d *scheduler) handleHeartbeat(r *Report) HeartbeatResponse {
+func (d *scheduler) handleHeartbeat(r *worker.Report) worker.HeartbeatResponse {
 	now := time.Now()
 	if r.Token > d.tokens.Last {
 		d.handleHigherToken(r, now)
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	if now.After(d.role.RenewUntil) {
 		// A successor may have told a user that a job is cancelled, counting
 		// on the workers' leases to end.
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	if d.terminated[r.Machine] {
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	m := d.machineFor(r.Machine)
 	if m.stale(r) {
 		// A late copy: it neither shows the present nor renews the lease.
-		return HeartbeatResponse{Busy: true}
+		return worker.HeartbeatResponse{Busy: true}
 	}
 	first := m.token < d.tokens.First
 	d.applyReport(m, r, true, now)
@@ -41,7 +42,7 @@
 		d.announceToken(m)
 	}
 	d.raiseToken(m)
-	return HeartbeatResponse{Accepted: true, Token: m.fence.Token(), Orders: d.commandsFor(m, r, now)}
+	return worker.HeartbeatResponse{Accepted: true, Token: m.fence.Token(), Commands: d.commandsFor(m, r, now)}
 }
 
 func (d *scheduler) resignLeadership(reason string) { d.resignOnce(reason, false) }
@@ -65,14 +66,14 @@
 
 // applyReport takes in what a report tells. beat says that it is a report, not the
 // answer to a direct command.
-func (d *scheduler) applyReport(m *machine, r *Report, beat bool, now time.Time) {
+func (d *scheduler) applyReport(m *machine, r *worker.Report, beat bool, now time.Time) {
 	if m.stale(r) {
 		return
 	}
-	if r.Session > m.incarnation {
+	if r.Incarnation > m.incarnation {
 		d.incarnationEnded(m, r, now)
 	}
-	m.incarnation, m.seq, m.token = r.Session, r.Seq, max(m.token, r.Token)
+	m.incarnation, m.seq, m.token = r.Incarnation, r.Seq, max(m.token, r.Token)
 	m.fence.ObserveToken(r.Token)
 	if m.typeName != r.Type || m.addr != r.Addr || m.zone != r.Zone {
 		m.addr, m.typeName, m.zone, m.spot, m.machineType = r.Addr, r.Type, r.Zone, r.Spot, d.types[r.Type]
@@ -81,7 +82,7 @@
 	if !m.recorded {
 		d.markMachine(m)
 	}
-	first := d.tokens.Contains(r.Token) && !m.confirmed && r.Session > m.expiredIncarnation
+	first := d.tokens.Contains(r.Token) && !m.confirmed && r.Incarnation > m.expiredIncarnation
 	if first {
 		// From here on only our own answers renew its lease.
 		m.confirmed, m.lastAcknowledged = true, now
@@ -96,14 +97,14 @@
 	if beat {
 		m.lastHeartbeat = now
 	}
-	if r.Notice != nil && m.preemptionAt.IsZero() {
-		m.preemptionAt = now.Add(clock.Seconds(*r.Notice))
+	if r.NoticeSeconds != nil && m.preemptionAt.IsZero() {
+		m.preemptionAt = now.Add(clock.Seconds(*r.NoticeSeconds))
 		d.drain(m, "spot notice")
 	}
 	listed := make(map[attemptKey]bool, len(r.Tasks))
 	m.exited = m.exited[:0]
 	for _, t := range r.Tasks {
-		listed[attemptKey{t.ID, t.Try}] = true
+		listed[attemptKey{t.ID, t.Attempt}] = true
 		d.applyTaskReport(m, r, t, now)
 	}
 	if first {
@@ -120,15 +121,15 @@
 }
 
 // incarnationEnded clears what an ended session has killed.
-func (d *scheduler) incarnationEnded(m *machine, r *Report, now time.Time) {
+func (d *scheduler) incarnationEnded(m *machine, r *worker.Report, now time.Time) {
 	if m.confirmed && now.Sub(m.lastContact) <= d.settings.ReportFreshness() {
 		// Its reports came and our answers went nowhere: it is deaf.
 		m.lostIncarnations++
 		m.quarantinedUntil = now.Add(clock.Scale(d.settings.WorkerLease, float64(min(m.lostIncarnations, maxQuarantineLeases))))
-		d.log.Info("machine lost its session", "machine", m.id, "session", r.Session, "lapses", m.lostIncarnations)
+		d.log.Info("machine lost its session", "machine", m.id, "session", r.Incarnation, "lapses", m.lostIncarnations)
 	}
 	for _, a := range m.sortedAttempts() {
-		if a.incarnation < r.Session {
+		if a.incarnation < r.Incarnation {
 			d.removeAttempt(a, "a later session")
 		}
 	}
@@ -141,7 +142,7 @@
 
 // watchCompliance leaves a machine alone whose reports come but which doesn't do as
 // it is told.
-func (d *scheduler) watchCompliance(m *machine, r *Report, now time.Time) {
+func (d *scheduler) watchCompliance(m *machine, r *worker.Report, now time.Time) {
 	m.unresponsive = false
 	for _, a := range m.attempts {
 		if !a.reported && a.commandedSeq != 0 && r.Seq > a.commandedSeq+1 && now.Sub(a.reservedAt) > 2*d.settings.HeartbeatInterval {
@@ -155,9 +156,9 @@
 
 // provedAbsent tells whether a newer report without the attempt proves that it
 // neither is on the machine nor can come there.
-func (d *scheduler) provedAbsent(a *attempt, r *Report, beat bool) bool {
+func (d *scheduler) provedAbsent(a *attempt, r *worker.Report, beat bool) bool {
 	switch {
-	case !d.tokens.Contains(r.Token) || r.Session != a.incarnation:
+	case !d.tokens.Contains(r.Token) || r.Incarnation != a.incarnation:
 		return false
 	case !a.thisTerm:
 		// An earlier leader's commands are void where our token is known.
@@ -173,36 +174,36 @@
 	return a.reported
 }
 
-func (d *scheduler) applyTaskReport(m *machine, r *Report, t TaskReport, now time.Time) {
+func (d *scheduler) applyTaskReport(m *machine, r *worker.Report, t worker.TaskReport, now time.Time) {
 	a := m.attempts[t.ID]
-	if a != nil && a.number == t.Try && a.incarnation == r.Session {
-		wasRunning := a.reported && a.state == Running
+	if a != nil && a.number == t.Attempt && a.incarnation == r.Incarnation {
+		wasRunning := a.reported && a.state == worker.Running
 		a.reported, a.state = true, t.State
 		switch t.State {
-		case Pulling:
-		case Gathering:
+		case worker.Pulling:
+		case worker.Gathering:
 			if a.gatheringSince.IsZero() {
 				a.gatheringSince = now
 			}
 			m.useImage(a.job.spec.Image, a.job.spec.ImageGB, now)
-		case Running, Saving:
+		case worker.Running, worker.Saving:
 			a.job.gang.started = a.job.spec.Gang
-			if !wasRunning && t.State == Running {
+			if !wasRunning && t.State == worker.Running {
 				a.started = now
 				d.log.Debug("task running", "job", a.job.spec.ID, "class", a.job.spec.Class, "task", a.task, "machine", m.id,
 					"since_submit", now.Sub(a.job.submitted), "since_booking", now.Sub(a.reservedAt))
 				d.activation.attemptRunning(a, now)
 			}
 			m.useImage(a.job.spec.Image, a.job.spec.ImageGB, now)
-		case Ended:
+		case worker.Exited:
 			d.attemptExited(a, t, now)
 			m.exited = append(m.exited, t)
 		}
 		return
 	}
 	j := d.jobs.get(t.ID.Job)
-	if t.State == Ended {
-		if j != nil && t.Cause == CauseDone && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting {
+	if t.State == worker.Exited {
+		if j != nil && t.Cause == worker.CauseDone && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting {
 			if j.spec.Gang {
 				d.completeGang(j)
 			}
@@ -215,8 +216,8 @@
 	}
 	// A live task without a booking: a command from before, executed late.
 	if j != nil && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting && a == nil {
-		d.log.Info("adopting an unbooked task", "machine", m.id, "job", t.ID.Job, "task", t.ID.Task, "try", t.Try)
-		a = &attempt{job: j, task: t.ID.Task, number: t.Try, machine: m, incarnation: r.Session, reservedAt: now, reported: true, state: t.State}
+		d.log.Info("adopting an unbooked task", "machine", m.id, "job", t.ID.Job, "task", t.ID.Task, "try", t.Attempt)
+		a = &attempt{job: j, task: t.ID.Task, number: t.Attempt, machine: m, incarnation: r.Incarnation, reservedAt: now, reported: true, state: t.State}
 		a.stopping = j.phase != storage.Open || !j.managed.mayPlace(now)
 		d.addAttempt(a)
 		d.markPage(j, a.task)
@@ -226,10 +227,10 @@
 }
 
 // attemptExited takes in an attempt's end.
-func (d *scheduler) attemptExited(a *attempt, t TaskReport, now time.Time) {
+func (d *scheduler) attemptExited(a *attempt, t worker.TaskReport, now time.Time) {
 	j, m := a.job, a.machine
 	switch t.Cause {
-	case CauseDone:
+	case worker.CauseDone:
 		j.failures.Succeeded()
 		m.failures.Succeeded()
 		d.noteRunTime(a, now)
@@ -237,9 +238,9 @@
 			d.completeGang(j)
 		}
 		j.setTask(a.task, taskDone)
-	case CausePeers:
+	case worker.CausePeers:
 		j.gang.failed = true // the gang's failure, not the machine's
-	case CauseError:
+	case worker.CauseError:
 		a.failed = true
 		if j.gang.failed {
 			m.failures.Failed(j.spec.ID) // the job's was counted with the first of the gang
@@ -247,9 +248,9 @@
 			d.failed(j, m, a.reservedAt, now)
 		}
 		j.gang.failed = j.gang.failed || j.gang.started
-	case CauseFull, CauseBusy:
+	case worker.CauseFull, worker.CauseBusy:
 		m.quarantinedUntil = now.Add(d.settings.HeartbeatInterval)
-	case CauseUnknown:
+	case worker.CauseUnknown:
 		j.retryAfter = now.Add(d.settings.HeartbeatInterval)
 	}
 	d.log.Debug("attempt ended", "job", j.spec.ID, "task", a.task, "try", a.number, "machine", m.id, "cause", t.Cause, "saved", t.Saved)
@@ -265,7 +266,7 @@
 	a.job.attempts[a.task] = a
 	a.job.setTask(a.task, taskActive)
 	a.machine.attempts[a.id()] = a
-	d.reservations.Reserve(a.machine.id, a.job.spec.Team, a.job.spec.Room)
+	d.reservations.Reserve(a.machine.id, a.job.spec.Team, a.job.spec.Resources)
 	a.machine.addUsage(a, 1)
 	if a.job.spec.Gang {
 		a.job.recordGangAttempt(a)
@@ -285,7 +286,7 @@
 	if len(m.attempts) == 0 {
 		m.idleSince = time.Now()
 	}
-	d.reservations.Release(m.id, j.spec.Team, j.spec.Room)
+	d.reservations.Release(m.id, j.spec.Team, j.spec.Resources)
 	m.addUsage(a, -1)
 	if a.delivery != deliveryNone {
 		m.fence.Retain(attemptKey{a.id(), a.number}, a.deliveryToken)
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -4,8 +4,10 @@
 	"strings"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/failures"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 type taskState uint8
@@ -56,7 +58,7 @@
 
 	reported       bool
 	failed         bool // it ended by itself, and not as it should
-	state          TaskState
+	state          worker.TaskState
 	started        time.Time
 	gatheringSince time.Time // since when it waits for the others of its gang
 
@@ -79,7 +81,7 @@
 	deliverySettled             // answered
 )
 
-func (a *attempt) id() TaskID { return TaskID{a.job.spec.ID, a.task} }
+func (a *attempt) id() worker.TaskID { return worker.TaskID{Job: a.job.spec.ID, Task: a.task} }
 
 // maybeDelivered tells whether a start may have reached the worker.
 func (a *attempt) maybeDelivered() bool {
@@ -89,7 +91,7 @@
 // noteCommanded notes that the answer to a report carries the start. One that an
 // earlier leader booked is ours from here on: a report that the worker makes
 // before that answer comes proves nothing of it, even under our token.
-func (a *attempt) noteCommanded(r *Report) { a.commandedSeq, a.thisTerm = r.Seq, true }
+func (a *attempt) noteCommanded(r *worker.Report) { a.commandedSeq, a.thisTerm = r.Seq, true }
 
 // startUnresolved tells whether a direct start may still be executed.
 func (a *attempt) startUnresolved() bool {
@@ -144,7 +146,7 @@
 func (j *job) runningTasks() int {
 	n := 0
 	for _, a := range j.attempts {
-		if a.reported && (a.state == Running || a.state == Saving) {
+		if a.reported && (a.state == worker.Running || a.state == worker.Saving) {
 			n++
 		}
 	}
@@ -221,22 +223,22 @@
 }
 
 // state is what users see; only durable facts count as final.
-func (j *job) state() JobState {
+func (j *job) state() api.JobState {
 	switch {
 	case j.finalDurable && j.phase == storage.Done:
-		return StateDone
+		return api.StateDone
 	case j.finalDurable && j.phase == storage.Cancelled:
-		return StateCancelled
+		return api.StateCancelled
 	case j.runningTasks() > 0:
-		return StateRunning
+		return api.StateRunning
 	}
-	return StatePending
+	return api.StatePending
 }
 
-func (j *job) answer(code Code) Answer {
-	a := Answer{Code: code, ID: j.spec.ID, State: j.state(), Done: j.done}
+func (j *job) answer(code api.Code) api.Response {
+	a := api.Response{Code: code, ID: j.spec.ID, State: j.state(), Done: j.done}
 	switch a.State {
-	case StateDone, StateCancelled:
+	case api.StateDone, api.StateCancelled:
 	default:
 		a.Running = j.runningTasks()
 	}
--- a/internal/coordination/leader_gap_test.go
+++ b/internal/coordination/leader_gap_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 )
@@ -36,8 +37,8 @@
 						defer close(cancelled)
 						for end := time.Now().Add(after + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 							for _, n := range sim.nodes {
-								sim.askNode(n, OpCancel, "000001", storage.Spec{})
-								sim.askNode(n, OpCancel, "000002", storage.Spec{})
+								sim.askNode(n, api.OpCancel, "000001", storage.Spec{})
+								sim.askNode(n, api.OpCancel, "000002", storage.Spec{})
 							}
 						}
 					}()
@@ -98,7 +99,7 @@
 					continue
 				}
 				for _, id := range []string{"000001", "999999"} {
-					if a := live.HandleForwardedRequest(t.Context(), UserRequest{Op: OpPoll, ID: id}); a.decided() {
+					if a := live.HandleForwardedRequest(t.Context(), api.Request{Op: api.OpPoll, ID: id}); a.Decided() {
 						t.Fatalf("%s answers %+v with nothing loaded", n.name, a)
 					}
 				}
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -9,9 +9,11 @@
 	"sync/atomic"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -66,9 +68,9 @@
 }
 
 // status is what this node tells its peers.
-func (l *leadership) status() PeerStatus {
+func (l *leadership) status() peer.Status {
 	up := time.Since(l.began)
-	return PeerStatus{Uptime: up, SinceState: up - time.Duration(l.lastContact.Load())}
+	return peer.Status{Uptime: up, SinceStoreContact: up - time.Duration(l.lastContact.Load())}
 }
 
 // markContact notes an answer of the state service.
@@ -84,10 +86,10 @@
 	answers := make(chan bool, len(l.settings.Peers))
 	for _, p := range l.settings.Peers {
 		go func() {
-			a, err := l.peers.Forward(ctx, p.Name, UserRequest{Op: OpPing})
+			a, err := l.peers.Forward(ctx, p.Name, api.Request{Op: api.OpPing})
 			since := clock.Scale(time.Since(cut), clock.DriftBound)
-			peer := a.Peer.Status()
-			answers <- err == nil && peer.Term <= term && peer.Uptime > since && peer.SinceState > since
+			peer := a.Peer
+			answers <- err == nil && peer.Term <= term && peer.Uptime > since && peer.SinceStoreContact > since
 		}()
 	}
 	for range l.settings.Peers {
--- a/internal/coordination/lean_test.go
+++ b/internal/coordination/lean_test.go
@@ -7,7 +7,9 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
+	"sagevale/internal/worker"
 )
 
 // Nodes with little processor and memory: they fall behind, and must keep every rule all
@@ -80,7 +82,7 @@
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		sim.slow.Store(0)
 		for i := range jobs {
-			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != StateRunning || a.Running != tasks {
+			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != api.StateRunning || a.Running != tasks {
 				t.Errorf("two report intervals after the take-over: %+v", a)
 			}
 		}
@@ -101,8 +103,8 @@
 		sim.submit(service("000001", 2)) // the machine types are known
 		most := sim.settings.MaxOpenTasks()
 		large := arrayJob("000002", most+1)
-		a := sim.askNode(sim.awaitLeader(), OpSubmit, large.ID, large)
-		if a.Code != CodeBusy || a.RetryS < 1 {
+		a := sim.askNode(sim.awaitLeader(), api.OpSubmit, large.ID, large)
+		if a.Code != api.CodeBusy || a.RetrySeconds < 1 {
 			t.Errorf("a job of %d tasks is answered %+v", large.Tasks, a)
 		}
 		sim.submit(arrayJob("000003", 3))
@@ -136,7 +138,7 @@
 // boundRecorder tells until when orders may be sent.
 type boundRecorder struct{ sent chan time.Time }
 
-func (b boundRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []Order, sendBy time.Time) (Outcome, *Report) {
+func (b boundRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	b.sent <- sendBy
-	return NotSent, nil
+	return worker.NotSent, nil
 }
--- a/internal/coordination/lease_guards_test.go
+++ b/internal/coordination/lease_guards_test.go
@@ -8,10 +8,13 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // What guards against a combination of faults, taken alone: the scenarios show that it is
@@ -26,18 +29,18 @@
 		r.LeaseValidUntil = time.Now().Add(time.Second)
 		d.setRole(r)
 		asked := time.Now()
-		running := Answer{Code: CodeOK, ID: "000001", State: StateRunning}
-		if a := d.withValidity(running, asked); a.Code != CodeOK || a.Holds != time.Second {
+		running := api.Response{Code: api.CodeOK, ID: "000001", State: api.StateRunning}
+		if a := d.withValidity(running, asked); a.Code != api.CodeOK || a.ValidFor != time.Second {
 			t.Errorf("told %+v", a)
 		}
 		time.Sleep(time.Second)
-		if a := d.withValidity(running, asked); a.Code != CodeUnavailable || a.RetryS == 0 {
+		if a := d.withValidity(running, asked); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.withValidity(Answer{Code: CodeNotFound}, asked); a.Code != CodeUnavailable {
+		if a := d.withValidity(api.Response{Code: api.CodeNotFound}, asked); a.Code != api.CodeUnavailable {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.withValidity(Answer{Code: CodeOK, State: StateDone}, asked); a.Code != CodeOK {
+		if a := d.withValidity(api.Response{Code: api.CodeOK, State: api.StateDone}, asked); a.Code != api.CodeOK {
 			t.Errorf("a final state isn't told: %+v", a)
 		}
 	})
@@ -54,10 +57,10 @@
 			if n == lead {
 				continue
 			}
-			if a := sim.askNode(n, OpPoll, "000001", storage.Spec{}); a.Code != CodeUnavailable {
+			if a := sim.askNode(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
 				t.Errorf("passed on late: %+v", a)
 			}
-			if a := sim.askNode(n, OpPoll, "000002", storage.Spec{}); !a.final() {
+			if a := sim.askNode(n, api.OpPoll, "000002", storage.Spec{}); !a.Final() {
 				t.Errorf("a final state isn't passed on: %+v", a)
 			}
 		}
@@ -83,7 +86,7 @@
 				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
-					r := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: seq, Token: 2}
+					r := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: 2}
 					if d.handleHeartbeat(r).Accepted {
 						last = time.Now()
 					}
@@ -100,12 +103,12 @@
 				certain := time.Now()
 				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
-				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]ObservedStatus)}
+				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 				c.node.deps.Peers = words
 				for time.Since(certain) < s.CancelTimeout {
 					d.publishDelegation(time.Now())
 					span, excluded := d.delegator.delegate("n1")
-					words.statuses["n1"] = ObservedStatus{PeerStatus: PeerStatus{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Received: time.Now()}
+					words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Received: time.Now()}
 					c.refreshDelegation()
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -144,7 +147,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := grownSettings()
 				s.Peers = []config.Peer{{Name: "n1"}, {Name: "n2"}}
-				l := &leadership{settings: &s, peers: scriptedPeers{"n1": {Uptime: time.Hour, SinceState: time.Hour}, "n2": {Uptime: c.up, SinceState: c.since, Term: c.term}}}
+				l := &leadership{settings: &s, peers: scriptedPeers{"n1": {Uptime: time.Hour, SinceStoreContact: time.Hour}, "n2": {Uptime: c.up, SinceStoreContact: c.since, Term: c.term}}}
 				if got := l.leaderless(t.Context(), 2, time.Now().Add(-10*time.Second)); got != c.confirms {
 					t.Errorf("confirmed: %v", got)
 				}
@@ -154,10 +157,10 @@
 }
 
 // scriptedPeers is a peer link whose nodes say always the same of themselves.
-type scriptedPeers map[string]PeerStatus
+type scriptedPeers map[string]peer.Status
 
-func (s scriptedPeers) Forward(_ context.Context, node string, _ UserRequest) (Answer, error) {
-	return Answer{Peer: s[node].Wire()}, nil
+func (s scriptedPeers) Forward(_ context.Context, node string, _ api.Request) (api.Response, error) {
+	return api.Response{Peer: s[node]}, nil
 }
 
 func (scriptedPeers) ReportUsage(context.Context, string, activation.UsageReport) (activation.UsageResponse, error) {
@@ -168,12 +171,12 @@
 	return activation.WakeResponse{}, errors.New("not scripted")
 }
 
-func (s scriptedPeers) ForwardHeartbeats(context.Context, string, []*Report) ([]HeartbeatResponse, error) {
+func (s scriptedPeers) ForwardHeartbeats(context.Context, string, []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	return nil, nil
 }
 
-func (s scriptedPeers) Status(node string) (ObservedStatus, bool) {
-	return ObservedStatus{PeerStatus: s[node]}, true
+func (s scriptedPeers) Status(node string) (peer.ObservedStatus, bool) {
+	return peer.ObservedStatus{Status: s[node]}, true
 }
 
 func (s scriptedPeers) UnreachableFor(string) time.Duration { return 0 }
@@ -189,7 +192,7 @@
 		c.delegation = delegation{tokens: fencing.TermTokens(2), until: time.Now().Add(time.Minute), excluded: []int{7}}
 		for machine, renewed := range map[int]bool{7: false, 8: true} {
 			c.workers[machine] = &knownWorker{incarnation: 1, seq: 1, lastAcknowledged: time.Now()}
-			r := &Report{Machine: machine, Zone: "a", Session: 1, Seq: 2, Token: 2}
+			r := &worker.Report{Machine: machine, Zone: "a", Incarnation: 1, Seq: 2, Token: 2}
 			p := pendingReport{report: r, digest: c.workers[machine].digest}
 			if a := c.decideDelegated(p, time.Now()); a.Accepted != renewed {
 				t.Errorf("machine %d: %+v", machine, a)
@@ -208,7 +211,7 @@
 		m := d.up(7, "cpu", "a", false)
 		time.Sleep(s.WorkerLease)
 		heard := time.Now()
-		d.applyReport(m, &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 2, Seq: 1, Token: d.term}, false, heard)
+		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: d.term}, false, heard)
 		if by := d.provenEmptyAt(m); by.Before(heard.Add(s.WorkerLease)) {
 			t.Errorf("called empty %v after the session's first word", by.Sub(heard))
 		}
@@ -248,15 +251,15 @@
 			if !certain {
 				d.role.LeaseValidUntil = time.Now()
 			}
-			later := &Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: 9, Token: d.tokens.Last + 1}
+			later := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 9, Token: d.tokens.Last + 1}
 			if a := d.handleHeartbeat(later); a.Accepted {
 				t.Errorf("certain %v: answered under the earlier term", certain)
 			}
-			d.handleDelivered(deliveredMsg{machine: 7, outcome: Rejected, report: later})
+			d.handleDelivered(deliveredMsg{machine: 7, outcome: worker.Rejected, report: later})
 			if leads := d.leaseValid(time.Now()); leads != certain || len(d.resign) > 0 == certain {
 				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, len(d.resign))
 			}
-			other := d.handleHeartbeat(&Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Session: 1, Seq: 10, Token: d.term})
+			other := d.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: d.term})
 			if other.Accepted != certain {
 				t.Errorf("certain %v: another worker is answered %+v", certain, other)
 			}
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -8,6 +8,7 @@
 	"sagevale/internal/failures"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // machine is one rented machine, as far as this term knows it. The dispatcher
@@ -21,14 +22,14 @@
 	machineType *storage.MachineType
 
 	incarnation, seq, token uint64
-	lastContact             time.Time    // the last newer report, or answer to a direct command
-	lastHeartbeat           time.Time    // the last newer report; until there is one, since when we know of it
-	lastAcknowledged        time.Time    // the last report that was answered 200
-	confirmed               bool         // has reported under this term's token
-	expiredIncarnation      uint64       // a session that has surely ended
-	exited                  []TaskReport // exited tasks in the last report
-	orphans                 []TaskReport // live tasks without a booking
-	recorded                bool         // its record is durable or on its way
+	lastContact             time.Time           // the last newer report, or answer to a direct command
+	lastHeartbeat           time.Time           // the last newer report; until there is one, since when we know of it
+	lastAcknowledged        time.Time           // the last report that was answered 200
+	confirmed               bool                // has reported under this term's token
+	expiredIncarnation      uint64              // a session that has surely ended
+	exited                  []worker.TaskReport // exited tasks in the last report
+	orphans                 []worker.TaskReport // live tasks without a booking
+	recorded                bool                // its record is durable or on its way
 
 	firstSeen            time.Time // first known of; the rental, if that was seen
 	provisioningObserved bool      // that is the rental, and it isn't known yet what becomes of it
@@ -38,12 +39,12 @@
 	terminating          bool   // the cloud has been or will be told to take it
 	preemptionAt         time.Time
 
-	attempts  map[TaskID]*attempt
-	reserved  *storage.Room                        // by all attempts, as reserved
-	running   [storage.Production + 1]storage.Room // by attempts of each priority that aren't being stopped
-	stopping  storage.Room                         // by those that are
-	idleSince time.Time                            // since when it has none
-	fence     *fencing.Fence[attemptKey]           // its token, and the ended attempts that it must remember
+	attempts  map[worker.TaskID]*attempt
+	reserved  *storage.Resources                        // by all attempts, as reserved
+	running   [storage.Production + 1]storage.Resources // by attempts of each priority that aren't being stopped
+	stopping  storage.Resources                         // by those that are
+	idleSince time.Time                                 // since when it has none
+	fence     *fencing.Fence[attemptKey]                // its token, and the ended attempts that it must remember
 	images    map[string]image
 
 	inFlight         int // direct orders not yet answered
@@ -62,15 +63,15 @@
 func newMachine(id int, tokens fencing.Tokens, now time.Time) *machine {
 	return &machine{
 		id: id, firstSeen: now, idleSince: now, lastHeartbeat: now,
-		attempts: make(map[TaskID]*attempt),
+		attempts: make(map[worker.TaskID]*attempt),
 		fence:    fencing.New[attemptKey](tokens),
 		images:   make(map[string]image),
 	}
 }
 
 // stale tells whether a report is a late copy of one already seen.
-func (m *machine) stale(r *Report) bool {
-	return r.Session < m.incarnation || r.Session == m.incarnation && r.Seq <= m.seq
+func (m *machine) stale(r *worker.Report) bool {
+	return r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Seq <= m.seq
 }
 
 // ready tells whether tasks may be placed on the machine. Answers to direct
@@ -122,7 +123,7 @@
 	if !a.stopping {
 		sum = &m.running[a.job.spec.Priority]
 	}
-	*sum = sum.Plus(a.job.spec.Room.Times(times))
+	*sum = sum.Add(a.job.spec.Resources.Mul(times))
 }
 
 func (m *machine) record() *storage.MachineRecord {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -12,11 +12,14 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 // writeShare of the leader's grant is how long the journal waits for an answer
@@ -255,7 +258,7 @@
 }
 
 // HandleUserRequest answers a user's request here, if this node leads, or by the leader.
-func (n *Node) HandleUserRequest(ctx context.Context, req UserRequest) Answer {
+func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
 		return v.scheduler.userRequest(ctx, req)
@@ -265,24 +268,24 @@
 	}
 	leader, _ := n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
-		return Unavailable(req.ID, "no leader yet")
+		return api.Unavailable(req.ID, "no leader yet")
 	}
 	asked := time.Now()
-	var a Answer
+	var a api.Response
 	if n.useRelay(leader) {
 		// The leader's answer was carried by a transaction that its key guards,
 		// so only what changes from poll to poll can be outdated.
-		if a = n.relay.user(ctx, req); req.Op != OpPoll {
+		if a = n.relay.user(ctx, req); req.Op != api.OpPoll {
 			return a
 		}
 	} else {
 		var err error
 		if a, err = n.deps.Peers.Forward(ctx, leader, req); err != nil {
-			return Unavailable(req.ID, "leader out of reach")
+			return api.Unavailable(req.ID, "leader out of reach")
 		}
 	}
-	if a.Holds > 0 && !a.final() && time.Since(asked) > clock.Scale(a.Holds, 1/clock.DriftBound) {
-		return Unavailable(req.ID, "the leader's answer came late")
+	if a.ValidFor > 0 && !a.Final() && time.Since(asked) > clock.Scale(a.ValidFor, 1/clock.DriftBound) {
+		return api.Unavailable(req.ID, "the leader's answer came late")
 	}
 	return a
 }
@@ -290,7 +293,7 @@
 // hearsState tells whether the state service has answered this node lately:
 // its leadership, or its relay while that leads to the leader.
 func (n *Node) hearsState() bool {
-	since := min(n.leadership.status().SinceState, n.relay.lastAccepted.Since(math.MaxInt64))
+	since := min(n.leadership.status().SinceStoreContact, n.relay.lastAccepted.Since(math.MaxInt64))
 	return since < relayTimeout+n.settings.Tuning.LeaderLease
 }
 
@@ -301,40 +304,40 @@
 }
 
 // HandleForwardedRequest answers a request that another node forwarded.
-func (n *Node) HandleForwardedRequest(ctx context.Context, req UserRequest) Answer {
-	if req.Op == OpPing {
-		return Answer{Peer: n.status(req.ID).Wire()}
+func (n *Node) HandleForwardedRequest(ctx context.Context, req api.Request) api.Response {
+	if req.Op == api.OpPing {
+		return api.Response{Peer: n.status(req.ID)}
 	}
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.userRequest(ctx, req)
 	}
-	return Unavailable(req.ID, "not the leader")
+	return api.Unavailable(req.ID, "not the leader")
 }
 
 // status is what this node tells a peer of itself.
-func (n *Node) status(peer string) PeerStatus {
+func (n *Node) status(asker string) peer.Status {
 	v := n.view.Load()
 	st := n.leadership.status()
-	st.Version = PeerVersion
+	st.Version = peer.Version
 	if r := v.role; !r.Leading || time.Now().Before(r.LeaseValidUntil) {
 		st.Leader, st.Term = r.Leader, r.Term
 	}
 	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(st.Uptime), n.forwarder.lastDelegated.Since(st.Uptime)
 	if v.scheduler != nil {
 		st.DelegationTerm = v.scheduler.term
-		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(peer)
+		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(asker)
 	}
 	return st
 }
 
 // HandleHeartbeat answers a worker's report.
-func (n *Node) HandleHeartbeat(ctx context.Context, r *Report) HeartbeatResponse {
+func (n *Node) HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
 	return n.forwarder.heartbeat(ctx, r)
 }
 
 // HandleForwardedHeartbeats answers reports that another node hands on; nil means that this
 // node doesn't decide on them.
-func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
+func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.heartbeats(ctx, reports)
 	}
--- a/internal/coordination/opportunistic.go
+++ b/internal/coordination/opportunistic.go
@@ -49,7 +49,7 @@
 			if s == nil {
 				break
 			}
-			s.free = s.free.Minus(kept.job.spec.Room)
+			s.free = s.free.Sub(kept.job.spec.Resources)
 			zones.add(s.zone, 1)
 		}
 	}
@@ -62,13 +62,13 @@
 }
 
 // placePrice is what a machine of an offer costs for each task of that room.
-func (d *scheduler) placePrice(o offering, room storage.Room) float64 {
+func (d *scheduler) placePrice(o offering, room storage.Resources) float64 {
 	typ := d.types[o.typeName]
 	price := typ.Price
 	if o.spot {
 		price = typ.SpotPrice
 	}
-	return price / float64(fitCount(typ.Room, room))
+	return price / float64(fitCount(typ.Resources, room))
 }
 
 // leastPlacePrice is the least price of a task's place among the machines that a job may use.
@@ -76,7 +76,7 @@
 	least := 0.0
 	for _, kind := range d.feasibleTypesOf(j) {
 		spot := j.spec.Spot && d.types[kind].SpotPrice > 0
-		if price := d.placePrice(offering{typeName: kind, spot: spot}, j.spec.Room); least == 0 || price < least {
+		if price := d.placePrice(offering{typeName: kind, spot: spot}, j.spec.Resources); least == 0 || price < least {
 			least = price
 		}
 	}
@@ -86,5 +86,5 @@
 // cheapFor tells whether machines of an offer are cheap enough to be rented, or kept, for an
 // opportunistic job.
 func (d *scheduler) cheapFor(o offering, j *job) bool {
-	return d.placePrice(o, j.spec.Room) <= opportunisticPrice*d.leastPlacePrice(j)
+	return d.placePrice(o, j.spec.Resources) <= opportunisticPrice*d.leastPlacePrice(j)
 }
--- a/internal/coordination/opportunistic_test.go
+++ b/internal/coordination/opportunistic_test.go
@@ -9,18 +9,19 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // idleJob is opportunistic work; a task takes half of a machine of the type cpu.
 func idleJob(id string, tasks int) storage.Spec {
 	s := arrayJob(id, tasks)
-	s.Class, s.Priority, s.Spot, s.Room.CPUs = "idle", storage.BestEffort, true, 4
+	s.Class, s.Priority, s.Spot, s.Resources.CPUs = "idle", storage.BestEffort, true, 4
 	return s
 }
 
 func TestWhatIsOpportunistic(t *testing.T) {
 	s := grownSettings()
-	s.Teams = append(s.Teams, config.Team{Name: "guaranteed", Guarantee: storage.Room{CPUs: 1}})
+	s.Teams = append(s.Teams, config.Team{Name: "guaranteed", Guarantee: storage.Resources{CPUs: 1}})
 	s.Objectives = []config.Objective{{Kind: "finished", Class: "promised"}}
 	for name, c := range map[string]struct {
 		change func(*storage.Spec)
@@ -92,9 +93,9 @@
 		d.up(2, "cpu", "a", false)
 		d.up(3, "gpu", "a", false)
 		training := service("000001", 1)
-		training.Room = storage.Room{CPUs: 8, GPUs: 1, MemoryGB: 8}
+		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
 		d.addAttempt(&attempt{job: d.accept(training), task: 0, number: 1, machine: d.machines[3], incarnation: 1, thisTerm: true, reported: true})
-		d.perGPU, d.perGPUAt = storage.Room{CPUs: 8}, time.Now()
+		d.perGPU, d.perGPUAt = storage.Resources{CPUs: 8}, time.Now()
 		kept := newJob(service("000002", 1), time.Now())
 		d.keptHeadroom = []*demand{{job: kept, zones: newZoneCheck(kept), n: 2, headroom: true}}
 		idle := d.accept(idleJob("000003", 100))
@@ -170,12 +171,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := grownSettings()
-				s.Teams = append(s.Teams, config.Team{Name: "home", Guarantee: storage.Room{CPUs: guarantee, MemoryGB: 100}})
+				s.Teams = append(s.Teams, config.Team{Name: "home", Guarantee: storage.Resources{CPUs: guarantee, MemoryGB: 100}})
 				d := newTestDispatcher(t, s)
 				m := d.up(1, "cpu", "a", true)
 				idle := d.accept(idleJob("000001", 2))
 				for i := range 2 {
-					d.addAttempt(&attempt{job: idle, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
+					d.addAttempt(&attempt{job: idle, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
 				}
 				spec := idleJob("000002", 1)
 				spec.Team, spec.DeadlineS = "home", 600
@@ -207,7 +208,7 @@
 			m := d.up(1, "cpu", "a", spot)
 			spec := idleJob("000001", 1)
 			spec.CheckpointS, spec.SaveS = 30, 3
-			d.addAttempt(&attempt{job: d.accept(spec), task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
+			d.addAttempt(&attempt{job: d.accept(spec), task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
 			p := d.trialPacking()
 			if surplus := len(d.findSurplus(p, time.Now())) > 0; surplus == spot {
 				t.Errorf("spot %v: surplus %v", spot, surplus)
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -77,7 +77,7 @@
 func (d *scheduler) perMachine(j *job) float64 {
 	n := 1
 	for _, name := range d.feasibleTypesOf(j) {
-		n = max(n, fitCount(d.types[name].Room, j.spec.Room))
+		n = max(n, fitCount(d.types[name].Resources, j.spec.Resources))
 	}
 	return float64(n)
 }
@@ -125,7 +125,7 @@
 			}
 		}
 		typ := d.types[o.typeName]
-		if dm.job.spec.Room.GPUs == 0 && typ.Room.GPUs > 0 {
+		if dm.job.spec.Resources.GPUs == 0 && typ.Resources.GPUs > 0 {
 			// Only the dear kind is left: first count on those that boot anyway.
 			if s := d.fullest(p.candidates, dm.job, &dm.zones, anyCandidate); s != nil {
 				coming += s.put(dm, e)
@@ -137,7 +137,7 @@
 			p.opportunistic++
 		}
 		p.sizes[o.zone]++
-		p.candidates = append(p.candidates, &candidate{offering: o, machineType: typ, free: typ.Room, booting: true, forCPUOnly: dm.job.spec.Room.GPUs == 0})
+		p.candidates = append(p.candidates, &candidate{offering: o, machineType: typ, free: typ.Resources, booting: true, forCPUOnly: dm.job.spec.Resources.GPUs == 0})
 		if !slices.Contains(p.zones, o.zone) {
 			p.zones = append(p.zones, o.zone)
 		}
@@ -151,7 +151,7 @@
 // put packs one task of a demand here and returns 1 if it counts on a machine
 // that isn't up yet.
 func (s *candidate) put(dm *demand, e *batchBacklog) int {
-	s.free = s.free.Minus(dm.job.spec.Room)
+	s.free = s.free.Sub(dm.job.spec.Resources)
 	s.packed = append(s.packed, dm)
 	dm.zones.add(s.zone, 1)
 	dm.n--
@@ -212,7 +212,7 @@
 // mayAwaitMachine tells whether a task without accelerators may count on the candidate's
 // machine if it has some: smaller machines come sooner and cost little.
 func (d *scheduler) mayAwaitMachine(s *candidate, j *job) bool {
-	return !s.booting || !j.spec.Service || j.spec.Room.GPUs > 0 || s.machineType.Room.GPUs == 0
+	return !s.booting || !j.spec.Service || j.spec.Resources.GPUs > 0 || s.machineType.Resources.GPUs == 0
 }
 
 // anyCandidate takes any candidate that has the room.
@@ -222,14 +222,14 @@
 // A task without accelerators must leave enough of the rest for those that are
 // free, but on a machine that is rented for such tasks.
 func (d *scheduler) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
-	room := j.spec.Room
+	room := j.spec.Resources
 	var best *candidate
 	bestFree := 0.0
 	for _, s := range candidates {
 		if !room.Fits(s.free) || !s.admits(j, zones) || !suits(s, j) || !s.forCPUOnly && d.strandsGPUs(j, s) {
 			continue
 		}
-		f := s.free.CPUs/s.machineType.Room.CPUs + 2*s.free.GPUs
+		f := s.free.CPUs/s.machineType.Resources.CPUs + 2*s.free.GPUs
 		if j.spec.Spot && !s.spot {
 			f += 100
 		}
@@ -258,7 +258,7 @@
 	bestCost := math.Inf(1)
 	for _, name := range d.feasibleTypesOf(dm.job) {
 		t := d.types[name]
-		fit := fitCount(t.Room, s.Room)
+		fit := fitCount(t.Resources, s.Resources)
 		for _, zone := range t.Zones {
 			if !dm.zones.allows(zone) {
 				continue
@@ -287,7 +287,7 @@
 }
 
 // fitCount is how many tasks of that room a machine holds.
-func fitCount(machine, task storage.Room) int {
+func fitCount(machine, task storage.Resources) int {
 	n := math.Inf(1)
 	if task.CPUs > 0 {
 		n = min(n, machine.CPUs/task.CPUs)
--- a/internal/coordination/paired_guards_test.go
+++ b/internal/coordination/paired_guards_test.go
@@ -7,9 +7,12 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // Guards that stand behind another one, each alone: the scenarios don't fail where
@@ -25,10 +28,10 @@
 		r.LeaseValidUntil = time.Now()
 		d.setRole(r)
 		d.unmark()
-		for op, id := range map[UserOp]string{OpSubmit: "000002", OpPoll: "000001", OpCancel: "000001"} {
-			reply := make(chan Answer, 1)
-			d.handleUser(userMsg{req: UserRequest{Op: op, ID: id, Spec: service(id, 1)}, reply: reply})
-			if a := <-reply; a.Code != CodeUnavailable || a.RetryS == 0 {
+		for op, id := range map[api.Op]string{api.OpSubmit: "000002", api.OpPoll: "000001", api.OpCancel: "000001"} {
+			reply := make(chan api.Response, 1)
+			d.handleUser(userMsg{req: api.Request{Op: op, ID: id, Spec: service(id, 1)}, reply: reply})
+			if a := <-reply; a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
@@ -55,9 +58,9 @@
 			if len(m.attempts) != 1 {
 				t.Fatalf("freed by a report under token %d", token)
 			}
-			d.handleHeartbeat(&Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Session: 1, Seq: uint64(seq + 1), Token: token})
+			d.handleHeartbeat(&worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: uint64(seq + 1), Token: token})
 		}
-		if len(m.attempts) != 0 || *m.reserved != (storage.Room{}) {
+		if len(m.attempts) != 0 || *m.reserved != (storage.Resources{}) {
 			t.Errorf("%d attempts and %+v are still booked", len(m.attempts), *m.reserved)
 		}
 	})
@@ -70,7 +73,7 @@
 		sim.awaitLeader()
 		client := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
 		send := func(serial uint64, spec storage.Spec) {
-			values, err := encodeBatch([]letter{{User: &UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}}}, 1, serial, sim.settings.State)
+			values, err := encodeRequests([]wire.RelayRequest{{User: &api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}}}, 1, serial, sim.settings.State)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,7 +81,7 @@
 				t.Fatal(err)
 			}
 		}
-		known := func(id string) bool { return sim.poll(id).Code == CodeOK }
+		known := func(id string) bool { return sim.poll(id).Code == api.CodeOK }
 		sim.submit(service("000009", 1)) // the machine types are known
 		sim.upload(service("000001", 1))
 		send(8, service("000001", 1))
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 const (
@@ -115,12 +116,12 @@
 
 func (d *scheduler) withinLimit(j *job) bool {
 	team := d.settings.Team(j.spec.Team)
-	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Plus(j.spec.Room), team.Limit)
+	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(j.spec.Resources), team.Limit)
 }
 
 // reserveOn enters an attempt and takes its room from the candidate.
 func (d *scheduler) reserveOn(j *job, task int, s *candidate, now time.Time) *attempt {
-	s.free = s.free.Minus(j.spec.Room)
+	s.free = s.free.Sub(j.spec.Resources)
 	return d.reserve(j, task, s.machine, now)
 }
 
@@ -142,7 +143,7 @@
 		}
 		return
 	}
-	orders := make(map[*machine][]Order)
+	orders := make(map[*machine][]worker.Command)
 	starts := make(map[*machine][]*attempt)
 	for _, a := range booked {
 		if a.job.attempts[a.task] != a {
@@ -158,7 +159,7 @@
 		if !d.mayStartDirectly(m, a.job) {
 			continue // with the answer to a report
 		}
-		orders[m] = append(orders[m], Order{Verb: Start, ID: a.id(), Try: a.number})
+		orders[m] = append(orders[m], worker.Command{Verb: worker.Start, ID: a.id(), Attempt: a.number})
 		starts[m] = append(starts[m], a)
 	}
 	for m, o := range orders {
@@ -193,7 +194,7 @@
 
 func (d *scheduler) tier(j *job, s *candidate) int {
 	t := 0
-	if j.spec.Room.GPUs == 0 && s.machineType.Room.GPUs == 0 {
+	if j.spec.Resources.GPUs == 0 && s.machineType.Resources.GPUs == 0 {
 		t |= tierCPUOnly
 	}
 	if j.spec.Spot && !s.spot {
@@ -214,18 +215,18 @@
 // strandsGPUs tells whether a task without accelerators would leave too little of
 // the rest for the tasks that need the machine's free ones.
 func (d *scheduler) strandsGPUs(j *job, s *candidate) bool {
-	if j.spec.Room.GPUs > 0 || s.machineType.Room.GPUs == 0 {
+	if j.spec.Resources.GPUs > 0 || s.machineType.Resources.GPUs == 0 {
 		return false
 	}
 	need := d.perGPU
-	left := s.free.Minus(j.spec.Room)
+	left := s.free.Sub(j.spec.Resources)
 	return left.CPUs < need.CPUs*s.free.GPUs || left.MemoryGB < need.MemoryGB*s.free.GPUs
 }
 
 // freeShare is how much of what matters to the job is free.
 func (s *candidate) freeShare(j *job) float64 {
-	if j.spec.Room.GPUs > 0 && s.machineType.Room.GPUs > 0 {
-		return s.free.GPUs / s.machineType.Room.GPUs
+	if j.spec.Resources.GPUs > 0 && s.machineType.Resources.GPUs > 0 {
+		return s.free.GPUs / s.machineType.Resources.GPUs
 	}
-	return s.free.CPUs / s.machineType.Room.CPUs
+	return s.free.CPUs / s.machineType.Resources.CPUs
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // preempt claims a machine for a task that finds no room: one where enough is
@@ -21,10 +22,10 @@
 	var victims []*attempt
 	bestCost := 0.0
 	for _, s := range r.candidates {
-		if !j.spec.Room.Fits(s.machineType.Room) || !s.admits(j, zones) {
+		if !j.spec.Resources.Fits(s.machineType.Resources) || !s.admits(j, zones) {
 			continue
 		}
-		v, cost, ok := d.victims(s, j.spec.Room, by, r.now)
+		v, cost, ok := d.victims(s, j.spec.Resources, by, r.now)
 		if ok && (best == nil || cost < bestCost) {
 			best, victims, bestCost = s, v, cost
 		}
@@ -38,10 +39,10 @@
 	}
 	for _, v := range victims {
 		d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.machine.id, "for", j.spec.ID)
-		best.releasing = best.releasing.Plus(v.job.spec.Room)
+		best.releasing = best.releasing.Add(v.job.spec.Resources)
 		d.preemptOne(v, r.now)
 	}
-	best.takeReleasing(j.spec.Room)
+	best.takeReleasing(j.spec.Resources)
 	if len(victims) > 0 {
 		d.commandStops(best.machine)
 	}
@@ -49,10 +50,10 @@
 }
 
 // takeReleasing takes room from what is free and what is being freed.
-func (s *candidate) takeReleasing(r storage.Room) {
-	all := s.free.Plus(s.releasing).Minus(r)
-	s.free = storage.Room{CPUs: min(s.free.CPUs, all.CPUs), GPUs: min(s.free.GPUs, all.GPUs), MemoryGB: min(s.free.MemoryGB, all.MemoryGB)}
-	s.releasing = all.Minus(s.free)
+func (s *candidate) takeReleasing(r storage.Resources) {
+	all := s.free.Add(s.releasing).Sub(r)
+	s.free = storage.Resources{CPUs: min(s.free.CPUs, all.CPUs), GPUs: min(s.free.GPUs, all.GPUs), MemoryGB: min(s.free.MemoryGB, all.MemoryGB)}
+	s.releasing = all.Sub(s.free)
 }
 
 // preemptor is what makes room for itself: work of a priority, which may also stop opportunistic
@@ -89,14 +90,14 @@
 // victims chooses tasks in the candidate that the preemptor may stop and whose end makes that much
 // room, the cheapest to lose first. Room that is being freed already
 // counts: then there is nothing to stop.
-func (d *scheduler) victims(s *candidate, room storage.Room, by preemptor, now time.Time) ([]*attempt, float64, bool) {
-	free := s.free.Plus(s.releasing)
+func (d *scheduler) victims(s *candidate, room storage.Resources, by preemptor, now time.Time) ([]*attempt, float64, bool) {
+	free := s.free.Add(s.releasing)
 	if room.Fits(free) {
 		return nil, 0, true
 	}
 	most := free
 	for _, live := range s.machine.running[:by.priorityBound()] {
-		most = most.Plus(live)
+		most = most.Add(live)
 	}
 	if !room.Fits(most) {
 		return nil, 0, false
@@ -120,15 +121,15 @@
 		lower = append(lower[:k], lower[k+1:]...)
 		out = append(out, a)
 		cost += d.preemptionCost(a, now)
-		free = free.Plus(a.job.spec.Room)
+		free = free.Add(a.job.spec.Resources)
 	}
 	return out, cost, room.Fits(free)
 }
 
 // preemptionCost is the work lost if an attempt is stopped, in machine seconds.
 func (d *scheduler) preemptionCost(a *attempt, now time.Time) float64 {
-	size := max(a.job.spec.Room.CPUs, 1) + 16*a.job.spec.Room.GPUs
-	if !a.reported || a.state == Pulling || a.state == Gathering {
+	size := max(a.job.spec.Resources.CPUs, 1) + 16*a.job.spec.Resources.GPUs
+	if !a.reported || a.state == worker.Pulling || a.state == worker.Gathering {
 		return size
 	}
 	if a.job.spec.Gang {
--- a/internal/coordination/relay.go
+++ b/internal/coordination/relay.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"compress/flate"
-	"encoding/gob"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -11,6 +10,7 @@
 	"time"
 
 	"sagevale/internal/storage"
+	wire "sagevale/internal/wire/coordination"
 )
 
 // A follower that is cut off from a living leader, but not from the state
@@ -46,15 +46,25 @@
 	Data   []byte `json:"d"`
 }
 
-// encodeBatch compresses a batch into values under the limit, or returns nil
+// encodeRequests compresses a batch of requests into values: see encodeBatch.
+func encodeRequests(requests []wire.RelayRequest, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
+	return encodeBatch(func(w io.Writer) error { return wire.EncodeRelayRequests(w, requests) }, run, serial, limits)
+}
+
+// encodeResponses compresses the answers to a batch into values: see encodeBatch.
+func encodeResponses(responses []wire.RelayResponse, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
+	return encodeBatch(func(w io.Writer) error { return wire.EncodeRelayResponses(w, responses) }, run, serial, limits)
+}
+
+// encodeBatch compresses what encode writes into values under the limit, or returns nil
 // if it takes too many.
-func encodeBatch(batch any, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
+func encodeBatch(encode func(io.Writer) error, run, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	var buf bytes.Buffer
 	z, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
-	if err := gob.NewEncoder(z).Encode(batch); err != nil {
+	if err := encode(z); err != nil {
 		return nil, fmt.Errorf("encode mail: %w", err)
 	}
 	if err := z.Close(); err != nil {
@@ -77,15 +87,33 @@
 	return out, nil
 }
 
-// decodeBatch reads a batch whose fragments are all there, in order.
-func decodeBatch(fragments []batchFragment, batch any) error {
+// decodeRequests reads a batch of requests whose fragments are all there, in order.
+func decodeRequests(fragments []batchFragment) (requests []wire.RelayRequest, err error) {
+	err = decodeBatch(fragments, func(r io.Reader) error {
+		requests, err = wire.DecodeRelayRequests(r)
+		return err
+	})
+	return requests, err
+}
+
+// decodeResponses reads the answers to a batch whose fragments are all there, in order.
+func decodeResponses(fragments []batchFragment) (responses []wire.RelayResponse, err error) {
+	err = decodeBatch(fragments, func(r io.Reader) error {
+		responses, err = wire.DecodeRelayResponses(r)
+		return err
+	})
+	return responses, err
+}
+
+// decodeBatch has decode read what the fragments, in order, hold.
+func decodeBatch(fragments []batchFragment, decode func(io.Reader) error) error {
 	var raw []byte
 	for _, p := range fragments {
 		raw = append(raw, p.Data...)
 	}
 	z := flate.NewReader(bytes.NewReader(raw))
 	defer z.Close()
-	if err := gob.NewDecoder(io.LimitReader(z, relayBatchSize*relayItemBytes)).Decode(batch); err != nil {
+	if err := decode(io.LimitReader(z, relayBatchSize*relayItemBytes)); err != nil {
 		return fmt.Errorf("decode mail: %w", err)
 	}
 	return nil
--- a/internal/coordination/relay_client.go
+++ b/internal/coordination/relay_client.go
@@ -9,9 +9,12 @@
 
 	"golang.org/x/time/rate"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // relayClient is the actor of a follower's relay.
@@ -28,9 +31,9 @@
 }
 
 type queuedRequest struct {
-	letter
+	wire.RelayRequest
 	ctx   context.Context // ends when the sender no longer waits
-	reply chan mailReply
+	reply chan wire.RelayResponse
 }
 
 func newRelayClient(s *config.Settings, deps Dependencies, limitTracker *storage.LimitTracker) *relayClient {
@@ -44,37 +47,37 @@
 	return rate.NewLimiter(rate.Limit(s.State.ChangesPerS*relayShare), max(1, int(s.State.ChangesPerS*relayShare)))
 }
 
-func (m *relayClient) send(ctx context.Context, l letter) mailReply {
-	p := queuedRequest{l, ctx, make(chan mailReply, 1)}
+func (m *relayClient) send(ctx context.Context, request wire.RelayRequest) wire.RelayResponse {
+	p := queuedRequest{request, ctx, make(chan wire.RelayResponse, 1)}
 	select {
 	case m.queue <- p:
 	default:
-		return mailReply{}
+		return wire.RelayResponse{}
 	}
 	select {
 	case r := <-p.reply:
 		return r
 	case <-ctx.Done():
-		return mailReply{}
+		return wire.RelayResponse{}
 	}
 }
 
-func (m *relayClient) user(ctx context.Context, req UserRequest) Answer {
-	if r := m.send(ctx, letter{User: &req}); r.Done && r.User != nil {
+func (m *relayClient) user(ctx context.Context, req api.Request) api.Response {
+	if r := m.send(ctx, wire.RelayRequest{User: &req}); r.Answered && r.User != nil {
 		return *r.User
 	}
-	return Unavailable(req.ID, "leader out of reach")
+	return api.Unavailable(req.ID, "leader out of reach")
 }
 
 // heartbeats relays reports; nil means that nobody has decided on them.
-func (m *relayClient) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
-	var out []HeartbeatResponse
+func (m *relayClient) heartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+	var out []worker.HeartbeatResponse
 	for _, report := range reports {
-		r := m.send(ctx, letter{Report: report})
-		if !r.Done || r.Beat == nil {
+		r := m.send(ctx, wire.RelayRequest{Report: report})
+		if !r.Answered || r.Heartbeat == nil {
 			return nil
 		}
-		out = append(out, HeartbeatResponse(*r.Beat))
+		out = append(out, *r.Heartbeat)
 	}
 	return out
 }
@@ -136,19 +139,19 @@
 	n := len(batch)
 	var values []json.RawMessage
 	for ; n > 0; n /= 2 {
-		letters := make([]letter, 0, n)
+		requests := make([]wire.RelayRequest, 0, n)
 		for _, p := range batch[:n] {
-			letters = append(letters, p.letter)
+			requests = append(requests, p.RelayRequest)
 		}
 		var err error
-		if values, err = encodeBatch(letters, m.processID, m.serial, m.limitTracker.Limits()); err != nil {
+		if values, err = encodeRequests(requests, m.processID, m.serial, m.limitTracker.Limits()); err != nil {
 			m.log.Error("relay not encoded", "err", err)
 		}
 		if values != nil {
 			break
 		}
 	}
-	replies := make([]mailReply, len(batch))
+	replies := make([]wire.RelayResponse, len(batch))
 	if n > 0 {
 		got, err := m.exchange(ctx, values)
 		if err != nil {
@@ -164,7 +167,7 @@
 	return batch[n:]
 }
 
-func (m *relayClient) exchange(ctx context.Context, values []json.RawMessage) ([]mailReply, error) {
+func (m *relayClient) exchange(ctx context.Context, values []json.RawMessage) ([]wire.RelayResponse, error) {
 	if err := m.limiter.WaitN(ctx, min(len(values), m.limiter.Burst())); err != nil {
 		return nil, err
 	}
@@ -185,9 +188,7 @@
 			if fragments[0].Serial != m.serial || fragments[0].Run != m.processID {
 				continue
 			}
-			var replies []mailReply
-			err := decodeBatch(fragments, &replies)
-			return replies, err
+			return decodeResponses(fragments)
 		}
 	}
 }
--- a/internal/coordination/relay_server.go
+++ b/internal/coordination/relay_server.go
@@ -9,6 +9,8 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // relayServer is the leader's actor that answers relayed requests.
@@ -49,12 +51,12 @@
 			if !p.isLatest(id) {
 				continue
 			}
-			var letters []letter
-			if err := decodeBatch(fragments, &letters); err != nil {
+			requests, err := decodeRequests(fragments)
+			if err != nil {
 				p.log.Error("relay not understood", "from", id.sender, "err", err)
 				continue
 			}
-			p.answer(ctx, id.sender, fragments[0], letters)
+			p.answer(ctx, id.sender, fragments[0], requests)
 		}
 	}
 }
@@ -70,40 +72,39 @@
 }
 
 // answer has the dispatcher answer the requests and sends the answers back.
-func (p *relayServer) answer(ctx context.Context, name string, ask batchFragment, letters []letter) {
+func (p *relayServer) answer(ctx context.Context, name string, ask batchFragment, requests []wire.RelayRequest) {
 	actx, cancel := context.WithTimeout(ctx, relayTimeout/2)
 	defer cancel()
-	replies := make([]mailReply, len(letters))
+	replies := make([]wire.RelayResponse, len(requests))
 	type answered struct {
 		i int
-		r mailReply
+		r wire.RelayResponse
 	}
-	answers := make(chan answered, len(letters))
-	for i, l := range letters {
+	answers := make(chan answered, len(requests))
+	for i, l := range requests {
 		go func() {
-			r := mailReply{Done: true}
+			r := wire.RelayResponse{Answered: true}
 			switch {
 			case l.User != nil:
 				a := p.scheduler.userRequest(actx, *l.User)
 				r.User = &a
 			case l.Report != nil:
-				b := HeartbeatResponse{Undecided: true}
-				if got := p.scheduler.heartbeats(actx, []*Report{l.Report}); len(got) > 0 {
+				b := worker.HeartbeatResponse{Undecided: true}
+				if got := p.scheduler.heartbeats(actx, []*worker.Report{l.Report}); len(got) > 0 {
 					b = got[0]
 				}
-				answer := BeatAnswer(b)
-				r.Beat = &answer
+				r.Heartbeat = &b
 			}
 			answers <- answered{i, r}
 		}()
 	}
-	for range letters {
+	for range requests {
 		a := <-answers
 		replies[a.i] = a.r
 	}
-	values, err := encodeBatch(replies, ask.Run, ask.Serial, p.limitTracker.Limits())
+	values, err := encodeResponses(replies, ask.Run, ask.Serial, p.limitTracker.Limits())
 	if err != nil || values == nil {
-		p.log.Error("relay not answered", "to", name, "requests", len(letters), "err", err)
+		p.log.Error("relay not answered", "to", name, "requests", len(requests), "err", err)
 		return
 	}
 	if err := p.limiter.WaitN(ctx, min(len(values), p.limiter.Burst())); err != nil {
@@ -114,5 +115,5 @@
 		p.log.Debug("relay not answered", "to", name, "err", err)
 		return
 	}
-	p.log.Debug("relay answered", "to", name, "requests", len(letters))
+	p.log.Debug("relay answered", "to", name, "requests", len(requests))
 }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -12,10 +12,12 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
 )
 
 // newTestDispatcher makes a dispatcher without the actors around it, for what a snapshot or a
@@ -52,8 +54,8 @@
 // silentWorkers never get a direct order.
 type silentWorkers struct{}
 
-func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []Order, time.Time) (Outcome, *Report) {
-	return NotSent, nil
+func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []worker.Command, time.Time) (worker.Outcome, *worker.Report) {
+	return worker.NotSent, nil
 }
 
 // grownSettings are figures of a large site.
@@ -71,7 +73,7 @@
 // up makes a machine that has just reported under the present token.
 func (d *scheduler) up(id int, kind, zone string, spot bool) *machine {
 	m := d.machineFor(id)
-	d.applyReport(m, &Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Session: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
+	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
 	return m
 }
 
@@ -176,7 +178,7 @@
 		for i := range 4 {
 			d.addAttempt(&attempt{job: j, task: i, number: uint64(i), machine: d.up(10+i, "gpu", "b", false), incarnation: 1, thisTerm: true, reported: true})
 		}
-		d.perGPU, d.perGPUAt = storage.Room{CPUs: 8}, time.Now() // nothing to spare beside accelerators
+		d.perGPU, d.perGPUAt = storage.Resources{CPUs: 8}, time.Now() // nothing to spare beside accelerators
 		var inB int
 		for _, o := range d.trialPacking().desired {
 			if o.zone == "b" {
@@ -238,7 +240,7 @@
 		for i := range 10 {
 			m := d.up(i+1, "cpu", "a", false)
 			for k := range 4 {
-				d.addAttempt(&attempt{job: j, task: 4*i + k, number: uint64(4*i + k + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: Running, started: time.Now()})
+				d.addAttempt(&attempt{job: j, task: 4*i + k, number: uint64(4*i + k + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
 			}
 		}
 		d.accept(service("000002", 12))
@@ -292,14 +294,14 @@
 		sim.upload(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if a := old.node.HandleUserRequest(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
+		if a := old.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
 			t.Errorf("not forwarded: %+v", a)
 		}
 		if !old.node.Ready() {
 			t.Error("it isn't well though it reaches the leader")
 		}
 		at := sim.leader()
-		a := old.node.HandleHeartbeat(ctx, &Report{Machine: 900, Session: 1, Seq: 1, Zone: "a"})
+		a := old.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Incarnation: 1, Seq: 1, Zone: "a"})
 		if handed := a.Accepted && a.Token == at.node.view.Load().role.Term; !handed && (a.Leader == "" || a.Leader == old.name) {
 			t.Errorf("a worker's report is answered %+v", a)
 		}
@@ -345,18 +347,18 @@
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.accept(arrayJob("000001", 1))
-		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Token: d.term}
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Token: d.term}
 		for try := uint64(1); try <= 2; try++ {
 			a := &attempt{job: j, task: 0, number: try, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term}
 			d.addAttempt(a)
-			r.Tasks = append(r.Tasks, TaskReport{ID: a.id(), Try: try, State: Ended, Cause: CauseStopped})
+			r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.id(), Attempt: try, State: worker.Exited, Cause: worker.CauseStopped})
 			r.Seq = m.seq + 1
 			d.applyReport(m, r, true, time.Now())
 		}
 		d.unmark()
 		for _, o := range d.commandsFor(m, r, time.Now()) {
-			if o.Verb == Forget {
-				t.Errorf("try %d is to be forgotten", o.Try)
+			if o.Verb == worker.Forget {
+				t.Errorf("try %d is to be forgotten", o.Attempt)
 			}
 		}
 	})
@@ -414,7 +416,7 @@
 func TestTheFirstMachineIsReturnedToo(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
 		sim.submit(arrayJob("000001", 8))
-		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		sim.eventually("all machines are given back", 2*time.Minute, func() bool {
 			for _, wk := range sim.all() {
 				if !wk.dead.Load() {
@@ -458,7 +460,7 @@
 		for i := range 10 {
 			a := &attempt{job: j, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, durable: true}
 			d.addAttempt(a)
-			d.sendCommands(m, []Order{{Verb: Start, ID: a.id(), Try: a.number}}, []*attempt{a})
+			d.sendCommands(m, []worker.Command{{Verb: worker.Start, ID: a.id(), Attempt: a.number}}, []*attempt{a})
 			if a.delivery == deliveryInFlight {
 				sent++
 			}
@@ -469,9 +471,9 @@
 		for range sent {
 			d.handle(<-d.mailbox)
 		}
-		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: m.seq + 1, Token: d.term}
-		if got := d.handleHeartbeat(r); len(got.Orders) != 10 {
-			t.Errorf("%d starts go with the report", len(got.Orders))
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term}
+		if got := d.handleHeartbeat(r); len(got.Commands) != 10 {
+			t.Errorf("%d starts go with the report", len(got.Commands))
 		}
 	})
 }
--- a/internal/coordination/scenario_steps_test.go
+++ b/internal/coordination/scenario_steps_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
 )
 
 // Steps that the scenarios share.
@@ -50,7 +52,7 @@
 func (sim *simulation) keepReports() { sim.locked(func() { sim.keeping = true }) }
 
 func (sim *simulation) replay(nodes ...*fakeNode) {
-	var kept []*Report
+	var kept []*worker.Report
 	sim.locked(func() { kept = sim.kept })
 	for _, n := range nodes {
 		for _, r := range kept {
@@ -66,8 +68,8 @@
 func (sim *simulation) askEverywhere(id string) {
 	for range 3 {
 		for _, n := range sim.nodes {
-			sim.askNode(n, OpPoll, id, storage.Spec{})
-			sim.askNode(n, OpSubmit, id, sim.specs[id])
+			sim.askNode(n, api.OpPoll, id, storage.Spec{})
+			sim.askNode(n, api.OpSubmit, id, sim.specs[id])
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -82,7 +84,7 @@
 // done waits until a job is done.
 func (sim *simulation) done(id string) {
 	sim.t.Helper()
-	sim.eventually("job "+id+" is done", 6*time.Minute, func() bool { return sim.poll(id).State == StateDone })
+	sim.eventually("job "+id+" is done", 6*time.Minute, func() bool { return sim.poll(id).State == api.StateDone })
 }
 
 // gone waits until a cancelled job's tasks are gone; watch has the time.
@@ -93,7 +95,7 @@
 
 // onLimit is a job of the team whose limit is two accelerators.
 func onLimit(spec storage.Spec) storage.Spec {
-	spec.Team, spec.Room.GPUs = "small", 1
+	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
 }
 
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -7,8 +7,10 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 func TestAcceptanceSurvivesTheEndOfAllNodes(t *testing.T) {
@@ -23,17 +25,17 @@
 		for _, n := range sim.nodes {
 			n.start()
 		}
-		if a := sim.poll("000001"); a.Code != CodeOK {
+		if a := sim.poll("000001"); a.Code != api.CodeOK {
 			t.Fatalf("forgotten: %+v", a)
 		}
-		if a := sim.ask(OpSubmit, "000001", arrayJob("000001", 3)); a.Code != CodeOK {
+		if a := sim.ask(api.OpSubmit, "000001", arrayJob("000001", 3)); a.Code != api.CodeOK {
 			t.Fatalf("a repeated submission is answered %+v", a)
 		}
-		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		if len(sim.running("000002")) != 2 {
 			t.Fatal("the service didn't go on")
 		}
-		if a := sim.poll("999999"); a.Code != CodeNotFound {
+		if a := sim.poll("999999"); a.Code != api.CodeNotFound {
 			t.Fatalf("invented: %+v", a)
 		}
 	})
@@ -54,7 +56,7 @@
 			old.start()
 		}
 		sim.eventually("both sweeps are done", 5*time.Minute, func() bool {
-			return sim.poll("000002").State == StateDone && sim.poll("000003").State == StateDone
+			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
 		})
 		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.running("000001")) == 6 })
 	})
@@ -67,7 +69,7 @@
 		sim.submit(service("000001", 2))
 		sim.submit(arrayJob("000002", 1))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
-		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000002").State == StateDone })
+		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
 		old := sim.awaitLeader()
 		oldTerm := old.node.view.Load().role.Term
 		old.cutState.Store(true)
@@ -75,19 +77,19 @@
 		for _, wk := range sim.all() {
 			wk.only.Store(old)
 		}
-		cutoff := func(op UserOp, id string) Answer {
+		cutoff := func(op api.Op, id string) api.Response {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			return old.node.HandleUserRequest(ctx, UserRequest{Op: op, ID: id, Spec: arrayJob(id, 1)})
+			return old.node.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: arrayJob(id, 1)})
 		}
 		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
-		if a := cutoff(OpPoll, "000001"); a.Code != CodeUnavailable {
+		if a := cutoff(api.OpPoll, "000001"); a.Code != api.CodeUnavailable {
 			t.Errorf("an uncertain leader tells %+v", a)
 		}
-		if a := cutoff(OpPoll, "000002"); a.Code != CodeOK || a.State != StateDone {
+		if a := cutoff(api.OpPoll, "000002"); a.Code != api.CodeOK || a.State != api.StateDone {
 			t.Errorf("a final state isn't told: %+v", a)
 		}
-		if a := cutoff(OpSubmit, "000003"); a.Code != CodeUnavailable {
+		if a := cutoff(api.OpSubmit, "000003"); a.Code != api.CodeUnavailable {
 			t.Errorf("an uncertain leader accepts: %+v", a)
 		}
 		sim.eventually("a successor leads", time.Minute, func() bool {
@@ -138,10 +140,10 @@
 			}
 			return on != nil
 		})
-		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000001").State == StateDone })
+		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		time.Sleep(30 * time.Second)
 		before := sim.startsSoFar()
-		on.direct(on.token, on.session, []Order{{Verb: Start, ID: k.ID, Try: k.Try}})
+		on.direct(on.token, on.session, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Try}})
 		if sim.startsSoFar() != before {
 			t.Fatal("a repeated order started a finished task anew")
 		}
@@ -164,7 +166,7 @@
 		if len(sim.running("000001")) != 0 {
 			t.Fatal("a cancelled task runs")
 		}
-		if a := sim.poll("000001"); a.State != StateCancelled {
+		if a := sim.poll("000001"); a.State != api.StateCancelled {
 			t.Fatalf("went back: %+v", a)
 		}
 	})
@@ -269,10 +271,10 @@
 		defer cancel()
 		spec := service("000001", 1)
 		sim.upload(spec)
-		if a := follower.node.HandleUserRequest(ctx, UserRequest{Op: OpSubmit, ID: spec.ID, Spec: spec}); a.Code != CodeCreated {
+		if a := follower.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
 			t.Fatalf("not accepted by mail: %+v", a)
 		}
-		a := follower.node.HandleHeartbeat(ctx, &Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Session: 1, Seq: 1})
+		a := follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Incarnation: 1, Seq: 1})
 		if !a.Accepted || a.Token != lead.node.view.Load().role.Term {
 			t.Fatalf("no report by mail: %+v", a)
 		}
@@ -284,7 +286,7 @@
 func TestReportsStayBoundedOverManyTasks(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
 		s := arrayJob("000001", 1500)
-		s.Room = storage.Room{CPUs: 0.1, MemoryGB: 0.1}
+		s.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
 		s.EstimateS = 2
 		sim.submit(s)
 		sim.eventually("the sweep is done", 30*time.Minute, func() bool {
@@ -293,7 +295,7 @@
 					t.Fatalf("a report of %d tasks", n)
 				}
 			}
-			return sim.poll("000001").State == StateDone
+			return sim.poll("000001").State == api.StateDone
 		})
 	})
 }
@@ -334,16 +336,16 @@
 		j := d.accept(arrayJob("000001", 1))
 		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, durable: true} // loaded
 		d.addAttempt(a)
-		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 1, Token: d.term - 1}
-		if got := d.handleHeartbeat(r); len(got.Orders) != 1 || got.Orders[0].Verb != Start {
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: d.term - 1}
+		if got := d.handleHeartbeat(r); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
 			t.Fatalf("answered %+v", got)
 		}
-		d.handleDelivered(deliveredMsg{machine: 1, announcement: true, outcome: Executed,
-			report: &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 2, Token: d.term}})
+		d.handleDelivered(deliveredMsg{machine: 1, announcement: true, outcome: worker.Executed,
+			report: &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 2, Token: d.term}})
 		if j.attempts[0] != a {
 			t.Error("the attempt is called absent while its start is on the way")
 		}
-		if got := d.handleHeartbeat(&Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 3, Token: d.term}); len(got.Orders) != 1 {
+		if got := d.handleHeartbeat(&worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 3, Token: d.term}); len(got.Commands) != 1 {
 			t.Errorf("not ordered again: %+v", got)
 		}
 	})
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sagevale/internal/admission"
+	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
@@ -18,6 +19,7 @@
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 const (
@@ -85,9 +87,9 @@
 	commitStarted    time.Time // when the commit under way began; zero: none
 	placementDue     bool      // something changed that placement should look at
 
-	machinesListed       bool         // the cloud's list has been seen in this term
-	terminated           map[int]bool // machines whose return the cloud has confirmed
-	perGPU               storage.Room // what is taken with an accelerator at the most
+	machinesListed       bool              // the cloud's list has been seen in this term
+	terminated           map[int]bool      // machines whose return the cloud has confirmed
+	perGPU               storage.Resources // what is taken with an accelerator at the most
 	perGPUAt             time.Time
 	firstArrival         time.Time            // when the first job ever came
 	tokenPending         []*machine           // known at the take-over and not yet told our token
@@ -106,20 +108,20 @@
 type (
 	roleMsg struct{ role Role }
 	userMsg struct {
-		req    UserRequest
-		reply  chan Answer
+		req    api.Request
+		reply  chan api.Response
 		absent bool // the job is known not to be archived
 	}
 	heartbeatsMsg struct {
-		reports []*Report
-		reply   chan []HeartbeatResponse
+		reports []*worker.Report
+		reply   chan []worker.HeartbeatResponse
 	}
 	deliveredMsg struct {
 		machine      int
 		announcement bool
 		starts       []*attempt
-		outcome      Outcome
-		report       *Report
+		outcome      worker.Outcome
+		report       *worker.Report
 	}
 	gatesMsg struct {
 		record upgrade.Record
@@ -181,34 +183,34 @@
 
 // userRequest asks the dispatcher on behalf of a userRequest. A full mailbox is answered at
 // once.
-func (d *scheduler) userRequest(ctx context.Context, req UserRequest) Answer {
+func (d *scheduler) userRequest(ctx context.Context, req api.Request) api.Response {
 	asked := time.Now()
-	busy := Answer{Code: CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetryS: busyRetryS()}
+	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetryS()}
 	if !d.admits(req.Op) {
 		return busy
 	}
-	reply := make(chan Answer, 1)
+	reply := make(chan api.Response, 1)
 	a, err := call(ctx, d, userMsg{req: req, reply: reply}, reply)
 	switch {
 	case errors.Is(err, errMailboxFull):
 		return busy
 	case err != nil:
-		return Unavailable(req.ID, err.Error())
+		return api.Unavailable(req.ID, err.Error())
 	}
 	return d.withValidity(a, asked)
 }
 
 // withValidity bounds for how long an answer may be told that isn't final. This
 // process may have stood still since it was given.
-func (d *scheduler) withValidity(a Answer, asked time.Time) Answer {
-	if a.final() || !a.decided() {
+func (d *scheduler) withValidity(a api.Response, asked time.Time) api.Response {
+	if a.Final() || !a.Decided() {
 		return a
 	}
 	certain := d.leaseValidUntil.Load()
 	if certain == nil || !time.Now().Before(*certain) {
-		return Unavailable(a.ID, "leadership not certain")
+		return api.Unavailable(a.ID, "leadership not certain")
 	}
-	a.Holds = certain.Sub(asked)
+	a.ValidFor = certain.Sub(asked)
 	return a
 }
 
@@ -220,8 +222,8 @@
 
 // heartbeats hands workers' reports to the dispatcher; nil means that it doesn't
 // decide on them.
-func (d *scheduler) heartbeats(ctx context.Context, reports []*Report) []HeartbeatResponse {
-	reply := make(chan []HeartbeatResponse, 1)
+func (d *scheduler) heartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+	reply := make(chan []worker.HeartbeatResponse, 1)
 	answers, err := call(ctx, d, heartbeatsMsg{reports, reply}, reply)
 	if err != nil {
 		return nil
@@ -245,7 +247,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			d.failWaiters(Unavailable("", "leader is stepping down"))
+			d.failWaiters(api.Unavailable("", "leader is stepping down"))
 			return ctx.Err()
 		case m := <-d.mailbox:
 			d.handle(m)
@@ -295,7 +297,7 @@
 	case userMsg:
 		d.handleUser(m)
 	case heartbeatsMsg:
-		answers := make([]HeartbeatResponse, 0, len(m.reports))
+		answers := make([]worker.HeartbeatResponse, 0, len(m.reports))
 		for _, r := range m.reports {
 			answers = append(answers, d.handleHeartbeat(r))
 		}
@@ -346,7 +348,7 @@
 func (d *scheduler) tick() {
 	now := time.Now()
 	if d.stalled(now) || !d.leaseValid(now) {
-		d.failWaiters(Unavailable("", "state service slow or out of reach"))
+		d.failWaiters(api.Unavailable("", "state service slow or out of reach"))
 	}
 	d.failGateWaiters(now)
 	d.compareArchive()
--- a/internal/coordination/shortlist.go
+++ b/internal/coordination/shortlist.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, s := range r.candidates[from:] {
-		if !j.spec.Room.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strandsGPUs(j, s) {
+		if !j.spec.Resources.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strandsGPUs(j, s) {
 			continue
 		}
 		t := d.tier(j, s)
@@ -54,7 +54,7 @@
 
 // noteReserved takes in that a task was noteReserved on a candidate, which may have become too full or of another tier.
 func (d *scheduler) noteReserved(list *shortlist, s *candidate) {
-	fits := list.job.spec.Room.Fits(s.free) && !(d.settings.IsOpportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
+	fits := list.job.spec.Resources.Fits(s.free) && !(d.settings.IsOpportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
 	switch tier := d.tier(list.job, s); {
 	case fits && tier == list.tier:
 	case fits && tier < list.tier:
--- a/internal/coordination/shortlist_test.go
+++ b/internal/coordination/shortlist_test.go
@@ -26,11 +26,11 @@
 				m.failures.Failed("000009")
 			}
 		}
-		d.perGPU = storage.Room{CPUs: float64(rapid.IntRange(0, 8).Draw(rt, "per gpu"))}
+		d.perGPU = storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(rt, "per gpu"))}
 		spec := service(fmt.Sprintf("%06d", 1), rapid.IntRange(1, 60).Draw(rt, "tasks"))
 		spec.Spread, spec.Spot = rapid.Bool().Draw(rt, "spread"), rapid.Bool().Draw(rt, "may use spot")
 		spec.SameZone = !spec.Spread && rapid.Bool().Draw(rt, "same zone")
-		spec.Room.GPUs = float64(rapid.IntRange(0, 1).Draw(rt, "gpus"))
+		spec.Resources.GPUs = float64(rapid.IntRange(0, 1).Draw(rt, "gpus"))
 		j := d.accept(spec)
 		r := &round{now: time.Now(), candidates: d.readyCandidates(time.Now()), exhausted: make(exhaustedShapes), unpreemptable: make(exhaustedShapes)}
 		r.zones = zonesOf(r.candidates)
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -16,10 +16,12 @@
 	"github.com/anishathalye/porcupine"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
 )
 
 // simulation is a small deployment in memory and simulated time: nodes, a state
@@ -33,11 +35,11 @@
 	mu           sync.Mutex // guards what follows, and all workers and the cloud
 	workers      map[int]*fakeWorker
 	specs        map[string]storage.Spec
-	cancelAt     map[string]time.Time // when a user was told so
-	answered     map[string]JobState  // the latest that a user was told, running as pending
-	askedOff     map[string]bool      // jobs that a user asked to cancel
-	ran          map[TaskID]bool      // tasks that have completed
-	kept         []*Report            // copies of reports, to come again late
+	cancelAt     map[string]time.Time    // when a user was told so
+	answered     map[string]api.JobState // the latest that a user was told, running as pending
+	askedOff     map[string]bool         // jobs that a user asked to cancel
+	ran          map[worker.TaskID]bool  // tasks that have completed
+	kept         []*worker.Report        // copies of reports, to come again late
 	keeping      bool
 	copying      bool            // copies of direct orders are kept, to be repeated late
 	together     map[string]int  // how often a gang has begun
@@ -119,12 +121,12 @@
 			t: t,
 			settings: config.Settings{
 				Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second, GangWait: 45 * time.Second, GangStopWindow: 4 * time.Second,
-				Teams:    []config.Team{{Name: "team"}, {Name: "small", Limit: storage.Room{GPUs: 2}}},
+				Teams:    []config.Team{{Name: "team"}, {Name: "small", Limit: storage.Resources{GPUs: 2}}},
 				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
 			},
 			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
-			answered: make(map[string]JobState), askedOff: make(map[string]bool), ran: make(map[TaskID]bool), overrun: make(map[string]bool), mistaken: make(map[string]bool), together: make(map[string]int),
+			answered: make(map[string]api.JobState), askedOff: make(map[string]bool), ran: make(map[worker.TaskID]bool), overrun: make(map[string]bool), mistaken: make(map[string]bool), together: make(map[string]int),
 			startsByJob: make(map[string][]startRecord), failing: make(map[string]time.Duration),
 		}
 		sim.log = slog.New(&slowProcessor{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
@@ -187,73 +189,73 @@
 }
 
 // ask puts a user's request to the nodes in turn until one decides it.
-func (sim *simulation) ask(op UserOp, id string, spec storage.Spec) Answer {
+func (sim *simulation) ask(op api.Op, id string, spec storage.Spec) api.Response {
 	for try := range 120 {
-		if a := sim.askNode(sim.nodes[try%len(sim.nodes)], op, id, spec); a.decided() {
+		if a := sim.askNode(sim.nodes[try%len(sim.nodes)], op, id, spec); a.Decided() {
 			return a
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 	sim.t.Fatalf("no node decides on job %s", id)
-	return Answer{}
+	return api.Response{}
 }
 
 // askNode puts one request to one node, and checks that the answer is no older
 // than what any node had told before it was asked.
-func (sim *simulation) askNode(n *fakeNode, op UserOp, id string, spec storage.Spec) Answer {
+func (sim *simulation) askNode(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.live.Load()
 	if live == nil {
-		return Unavailable(id, "not running")
+		return api.Unavailable(id, "not running")
 	}
-	var before JobState
+	var before api.JobState
 	var known bool
 	sim.locked(func() {
 		before, known = sim.answered[id]
-		sim.askedOff[id] = sim.askedOff[id] || op == OpCancel
+		sim.askedOff[id] = sim.askedOff[id] || op == api.OpCancel
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	n.gate()
-	a := live.HandleUserRequest(ctx, UserRequest{Op: op, ID: id, Spec: spec})
+	a := live.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: spec})
 	n.gate()
 	late := ctx.Err() != nil
 	cancel()
 	if late {
-		return Unavailable(id, "the user has gone")
+		return api.Unavailable(id, "the user has gone")
 	}
-	if !a.decided() {
+	if !a.Decided() {
 		return a
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if a.Code == CodeNotFound || a.Code == CodeInfeasible {
+	if a.Code == api.CodeNotFound || a.Code == api.CodeInfeasible {
 		if known {
 			sim.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
 		}
 		return a
 	}
-	now := StatePending
-	if a.final() {
+	now := api.StatePending
+	if a.Final() {
 		now = a.State
 	}
-	if known && before != StatePending && now != before {
+	if known && before != api.StatePending && now != before {
 		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
 	}
 	switch {
-	case now == StateCancelled && !sim.askedOff[id]:
+	case now == api.StateCancelled && !sim.askedOff[id]:
 		sim.t.Errorf("went_back: nobody cancelled job %s", id)
-	case now == StateCancelled && sim.cancelAt[id].IsZero():
+	case now == api.StateCancelled && sim.cancelAt[id].IsZero():
 		sim.cancelAt[id] = time.Now()
-	case now == StateDone:
+	case now == api.StateDone:
 		for _, wk := range sim.workers {
 			wk.settle()
 		}
 		for i := range sim.specs[id].Tasks {
-			if !sim.ran[TaskID{id, i}] {
+			if !sim.ran[worker.TaskID{Job: id, Task: i}] {
 				sim.t.Errorf("not_done: job %s without task %d", id, i)
 			}
 		}
 	}
-	if sim.answered[id] == StatePending {
+	if sim.answered[id] == api.StatePending {
 		sim.answered[id] = now
 	}
 	return a
@@ -273,7 +275,7 @@
 				for k, t := range wk.tasks {
 					job := k.ID.Job
 					at, ok := sim.cancelAt[job]
-					if ok && t.state != Ended && time.Since(at) > sim.settings.CancelTimeout && !sim.overrun[job] {
+					if ok && t.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overrun[job] {
 						sim.overrun[job] = true
 						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
 					}
@@ -309,26 +311,26 @@
 		waiting, running, done := 0, 0, 0
 		for _, t := range tasks {
 			switch {
-			case t.state == Gathering:
+			case t.state == worker.Gathering:
 				waiting++
-			case t.state == Running:
+			case t.state == worker.Running:
 				running++
-			case t.cause == CauseDone:
+			case t.cause == worker.CauseDone:
 				done++
 			}
 		}
 		for _, t := range tasks {
 			switch {
 			case waiting == spec.Tasks:
-				t.state, t.since, t.ends = Running, now, now.Add(clock.Seconds(spec.EstimateS))
-			case t.state == Gathering && now.Sub(t.since) > sim.settings.GangWait:
-				t.state, t.cause = Ended, CausePeers
-			case t.state != Running || running+done == spec.Tasks:
+				t.state, t.since, t.ends = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
+			case t.state == worker.Gathering && now.Sub(t.since) > sim.settings.GangWait:
+				t.state, t.cause = worker.Exited, worker.CausePeers
+			case t.state != worker.Running || running+done == spec.Tasks:
 			case t.since.After(now.Add(-sim.settings.GangStopWindow)) && t.ends.IsZero():
 			case !t.ends.IsZero() && running+done < spec.Tasks:
 				t.ends, t.since = time.Time{}, now // it notices soon
 			case t.ends.IsZero():
-				t.state, t.cause = Ended, CausePeers
+				t.state, t.cause = worker.Exited, worker.CausePeers
 			}
 		}
 		if waiting == spec.Tasks {
@@ -381,19 +383,19 @@
 func (sim *simulation) submit(spec storage.Spec) {
 	sim.t.Helper()
 	sim.upload(spec)
-	if a := sim.ask(OpSubmit, spec.ID, spec); a.Code != CodeCreated && a.Code != CodeOK {
+	if a := sim.ask(api.OpSubmit, spec.ID, spec); a.Code != api.CodeCreated && a.Code != api.CodeOK {
 		sim.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
 	}
 }
 
 func (sim *simulation) cancel(id string) {
 	sim.t.Helper()
-	if a := sim.ask(OpCancel, id, storage.Spec{}); a.Code != CodeOK || a.State != StateCancelled {
+	if a := sim.ask(api.OpCancel, id, storage.Spec{}); a.Code != api.CodeOK || a.State != api.StateCancelled {
 		sim.t.Fatalf("job %s not cancelled: %+v", id, a)
 	}
 }
 
-func (sim *simulation) poll(id string) Answer { return sim.ask(OpPoll, id, storage.Spec{}) }
+func (sim *simulation) poll(id string) api.Response { return sim.ask(api.OpPoll, id, storage.Spec{}) }
 
 // eventually waits for a condition.
 func (sim *simulation) eventually(what string, within time.Duration, ok func() bool) {
@@ -408,7 +410,7 @@
 
 func arrayJob(id string, tasks int) storage.Spec {
 	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
-		Room: storage.Room{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
+		Resources: storage.Resources{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
 func service(id string, tasks int) storage.Spec {
@@ -418,14 +420,14 @@
 }
 
 // running lists where a job's tasks run now.
-func (sim *simulation) running(id string) map[TaskID]*fakeWorker {
+func (sim *simulation) running(id string) map[worker.TaskID]*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	out := make(map[TaskID]*fakeWorker)
+	out := make(map[worker.TaskID]*fakeWorker)
 	for _, wk := range sim.workers {
 		wk.settle()
 		for k, t := range wk.tasks {
-			if k.ID.Job == id && !wk.dead.Load() && t.state != Ended {
+			if k.ID.Job == id && !wk.dead.Load() && t.state != worker.Exited {
 				out[k.ID] = wk
 			}
 		}
--- a/internal/coordination/standstill_test.go
+++ b/internal/coordination/standstill_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 )
 
@@ -89,8 +90,8 @@
 				sim.runs("000004", 2)
 				old := sim.awaitLeader()
 				old.freeze(c.span)
-				go sim.askNode(old, OpPoll, "000004", storage.Spec{})
-				go sim.askNode(old, OpCancel, "000004", storage.Spec{})
+				go sim.askNode(old, api.OpPoll, "000004", storage.Spec{})
+				go sim.askNode(old, api.OpCancel, "000004", storage.Spec{})
 				sim.cancel("000004")
 				sim.askEverywhere("000004")
 				time.Sleep(c.span)
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -49,7 +49,7 @@
 			}
 		}
 		if d.canRemove(p, s, now) {
-			s.free = storage.Room{CPUs: -1}
+			s.free = storage.Resources{CPUs: -1}
 			out = append(out, surplusMachine{s.machine.id, len(s.machine.attempts)})
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 func (d *scheduler) reservedShare(m *machine) float64 {
-	used, all := m.reserved, m.machineType.Room
+	used, all := m.reserved, m.machineType.Resources
 	share := used.CPUs / all.CPUs
 	if all.GPUs > 0 {
 		share = max(share, used.GPUs/all.GPUs)
@@ -134,10 +134,10 @@
 
 // take uses room of the candidate; the returned function gives it back, after undo.
 func (s *candidate) take(j *job, undo func()) func() {
-	s.free = s.free.Minus(j.spec.Room)
+	s.free = s.free.Sub(j.spec.Resources)
 	s.moved++
 	return func() {
-		s.free = s.free.Plus(j.spec.Room)
+		s.free = s.free.Add(j.spec.Resources)
 		s.moved--
 		undo()
 	}
--- a/internal/coordination/task_failures.go
+++ b/internal/coordination/task_failures.go
@@ -1,8 +1,10 @@
 package coordination
 
 import (
-	"sagevale/internal/clock"
 	"time"
+
+	"sagevale/internal/clock"
+	"sagevale/internal/worker"
 )
 
 // maxQuarantineLeases is the longest that a machine in trouble is left alone, in leases:
@@ -50,10 +52,10 @@
 
 // recallFailures takes in what a worker's first report of this term tells of failures that an
 // earlier leader has dealt with: a job that fails wherever it runs isn't started everywhere anew.
-func (d *scheduler) recallFailures(m *machine, r *Report) {
+func (d *scheduler) recallFailures(m *machine, r *worker.Report) {
 	for _, t := range r.Tasks {
 		j := d.jobs.get(t.ID.Job)
-		if t.State != Ended || t.Cause != CauseError || j == nil || j.done > 0 {
+		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.done > 0 {
 			continue
 		}
 		if j.failures.Recall(m.id, t.ID.Task); j.failures.AtFault() {
--- a/internal/coordination/task_failures_test.go
+++ b/internal/coordination/task_failures_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // A job that was submitted with a mistake, beside sound ones and a machine that is truly at fault,
@@ -138,7 +139,7 @@
 		a := d.reserve(d.accept(arrayJob("900001", 2)), 0, m, time.Now())
 		a.durable = true
 		time.Sleep(time.Second)
-		if orders := d.commandsFor(m, &Report{Machine: 1, Session: 1, Seq: m.seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != Start {
+		if orders := d.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != worker.Start {
 			t.Errorf("a task that isn't started directly gets %v with the report's answer", orders)
 		}
 	})
--- a/internal/coordination/upgrade_members.go
+++ b/internal/coordination/upgrade_members.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -67,7 +68,7 @@
 // its peers; 0: it registers.
 func unregisteredVersion(told int) upgrade.Version {
 	switch {
-	case told >= firstRegistering:
+	case told >= peer.VersionRegistering:
 		return 0
 	case told == int(upgrade.Version2):
 		return upgrade.Version2
--- a/internal/coordination/upgrade_races_test.go
+++ b/internal/coordination/upgrade_races_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -137,7 +138,7 @@
 		if sim.leader() != nil {
 			t.Error("a process of version 1 leads beside a gang job")
 		}
-		if a := sim.askNode(sim.nodes[0], OpPoll, "000001", storage.Spec{}); a.Code != CodeUnavailable {
+		if a := sim.askNode(sim.nodes[0], api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
 			t.Errorf("it answers %+v", a)
 		}
 		sim.nodes[1].start()
--- a/internal/coordination/upgrade_rollback_test.go
+++ b/internal/coordination/upgrade_rollback_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
@@ -36,11 +37,11 @@
 				refused := arrayJob("000003", 3)
 				refused.Gang = true
 				sim.eventually("answers", 10*time.Second, func() bool {
-					a := sim.askNode(back, OpPoll, "000002", storage.Spec{})
-					return a.decided()
+					a := sim.askNode(back, api.OpPoll, "000002", storage.Spec{})
+					return a.Decided()
 				})
 				sim.eventually("withdrawing", 10*time.Second, func() bool { return sim.cluster().Phase == upgrade.Withdrawing })
-				if a := sim.askNode(back, OpSubmit, refused.ID, refused); a.decided() {
+				if a := sim.askNode(back, api.OpSubmit, refused.ID, refused); a.Decided() {
 					t.Errorf("a gang job is taken during the withdrawal: %+v", a)
 				}
 				sim.done("000002")
--- a/internal/coordination/upgrade_test.go
+++ b/internal/coordination/upgrade_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
@@ -72,7 +73,7 @@
 		g.Gang = true
 		sim.upload(g)
 		for i, n := range sim.nodes {
-			if a := sim.askNode(sim.nodes[0], OpSubmit, g.ID, g); a.decided() {
+			if a := sim.askNode(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
 				t.Errorf("with %d nodes upgraded the gang job is answered %+v", i, a)
 			}
 			if r := sim.cluster(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
@@ -215,7 +216,7 @@
 			t.Errorf("%s leads", lead.name)
 		}
 		for _, n := range sim.nodes {
-			if a := sim.askNode(n, OpPoll, "000001", storage.Spec{}); a.Code != CodeUnavailable || a.RetryS == 0 {
+			if a := sim.askNode(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 				t.Errorf("%s answers %+v", n.name, a)
 			}
 		}
@@ -302,7 +303,7 @@
 		job := arrayJob(id, 1+random.IntN(4))
 		job.Gang = random.IntN(3) == 0 && sim.cluster().Gate(upgrade.GangJobs).Usable()
 		sim.upload(job)
-		sim.askNode(node, OpSubmit, id, job)
+		sim.askNode(node, api.OpSubmit, id, job)
 		time.Sleep(time.Duration(random.IntN(10_000)) * time.Millisecond)
 	}
 	sim.state.Outage(false)
