--- a/internal/coordination/urgency.go
+++ b/internal/coordination/urgency.go
@@ -224,7 +224,7 @@
 func (d *scheduler) jobsWithinGuarantee() map[*job]bool {
 	byTeam := make(map[string][]*job)
 	for _, j := range d.jobs.open {
-		if t := d.settings.Team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Room{}) {
+		if t := d.settings.Team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Resources{}) {
 			byTeam[t.Name] = append(byTeam[t.Name], j)
 		}
 	}
@@ -232,9 +232,9 @@
 	for name, jobs := range byTeam {
 		sort.Slice(jobs, func(x, y int) bool { return jobs[x].submitted.Before(jobs[y].submitted) })
 		guarantee := d.settings.Team(name).Guarantee
-		var used storage.Room
+		var used storage.Resources
 		for _, j := range jobs {
-			used = used.Plus(j.spec.Room.Times(j.spec.Tasks - j.done))
+			used = used.Add(j.spec.Resources.Mul(j.spec.Tasks - j.done))
 			out[j] = storage.WithinLimit(used, guarantee)
 		}
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -12,11 +13,11 @@
 // waiter is a user whose answer hangs on a commit.
 type waiter struct {
 	id       string
-	reply    chan Answer
+	reply    chan api.Response
 	answered bool
 }
 
-func (w *waiter) answer(a Answer) {
+func (w *waiter) answer(a api.Response) {
 	if !w.answered {
 		w.answered = true
 		w.reply <- a
@@ -25,13 +26,13 @@
 
 // whenDurable answers a user once a job's record is durable as it is marked now. A user
 // whose commit takes too long is told to come back: see failWaiters.
-func (d *scheduler) whenDurable(j *job, reply chan Answer, then func() Answer) {
+func (d *scheduler) whenDurable(j *job, reply chan api.Response, then func() api.Response) {
 	id := j.spec.ID
 	w := &waiter{id: id, reply: reply}
 	d.waiters = append(d.waiters, w)
 	d.onJobCommit(j, func(err error) {
 		if err != nil {
-			w.answer(Unavailable(id, "not recorded"))
+			w.answer(api.Unavailable(id, "not recorded"))
 			return
 		}
 		a := then()
@@ -40,7 +41,7 @@
 }
 
 // failWaiters answers all who wait for a commit, at once.
-func (d *scheduler) failWaiters(a Answer) {
+func (d *scheduler) failWaiters(a api.Response) {
 	for _, w := range d.waiters {
 		a.ID = w.id
 		w.answer(a)
@@ -61,7 +62,7 @@
 		d.finalizeArchived(j)
 	}
 	if j != nil && j.finalDurable {
-		m.reply <- j.answer(CodeOK)
+		m.reply <- j.answer(api.CodeOK)
 		return
 	}
 	if j == nil && d.answerArchived(m, now) {
@@ -69,49 +70,49 @@
 	}
 	// Anything that isn't final may be outdated by a successor.
 	if !d.leaseValid(now) {
-		m.reply <- Unavailable(m.req.ID, "leadership not certain")
+		m.reply <- api.Unavailable(m.req.ID, "leadership not certain")
 		return
 	}
 	switch m.req.Op {
-	case OpSubmit:
+	case api.OpSubmit:
 		d.submit(m, j, now)
-	case OpPoll:
+	case api.OpPoll:
 		d.poll(m, j)
-	case OpCancel:
+	case api.OpCancel:
 		d.cancel(m, j, now)
 	default:
-		m.reply <- Unavailable(m.req.ID, "unknown request")
+		m.reply <- api.Unavailable(m.req.ID, "unknown request")
 	}
 }
 
 func (d *scheduler) poll(m userMsg, j *job) {
 	switch {
 	case j == nil:
-		m.reply <- Answer{Code: CodeNotFound, ID: m.req.ID, Reason: "no such job"}
+		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 	case !j.acknowledged:
-		m.reply <- Unavailable(m.req.ID, "acceptance not yet recorded")
+		m.reply <- api.Unavailable(m.req.ID, "acceptance not yet recorded")
 	default:
-		m.reply <- j.answer(CodeOK)
+		m.reply <- j.answer(api.CodeOK)
 	}
 }
 
 func (d *scheduler) submit(m userMsg, j *job, now time.Time) {
 	if j != nil && j.acknowledged {
-		m.reply <- j.answer(CodeOK)
+		m.reply <- j.answer(api.CodeOK)
 		return
 	}
 	if d.stalled(now) {
-		m.reply <- Unavailable(m.req.ID, "state service slow or out of reach")
+		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	}
 	if j == nil {
 		if len(d.types) == 0 {
-			m.reply <- Unavailable(m.req.ID, "machine types not yet known")
+			m.reply <- api.Unavailable(m.req.ID, "machine types not yet known")
 			return
 		}
 		spec := m.req.Spec
 		if reason := d.infeasible(&spec); reason != "" {
-			m.reply <- Answer{Code: CodeInfeasible, ID: spec.ID, Reason: reason}
+			m.reply <- api.Response{Code: api.CodeInfeasible, ID: spec.ID, Reason: reason}
 			return
 		}
 		if spec.Gang && !d.mayUse(upgrade.GangJobs) {
@@ -123,11 +124,11 @@
 			return
 		}
 		if d.jobs.openTasks+spec.Tasks > d.settings.MaxOpenTasks() {
-			m.reply <- Answer{Code: CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetryS: int(d.settings.WorkerLease.Seconds())}
+			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(d.settings.WorkerLease.Seconds())}
 			return
 		}
 		if !d.admit(spec.Team) {
-			m.reply <- Answer{Code: CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetryS: d.admission.RetryS(now)}
+			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: d.admission.RetryS(now)}
 			return
 		}
 		j = newJob(spec, now)
@@ -147,9 +148,9 @@
 		d.placementDue = true
 		d.log.Debug("accept", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "estimate", spec.EstimateS, "due", spec.DeadlineS, "team", spec.Team)
 	}
-	d.whenDurable(j, m.reply, func() Answer {
+	d.whenDurable(j, m.reply, func() api.Response {
 		j.acknowledged = true
-		return Answer{Code: CodeCreated, ID: j.spec.ID, State: StatePending}
+		return api.Response{Code: api.CodeCreated, ID: j.spec.ID, State: api.StatePending}
 	})
 	// Others may wait for the same commit; the job is known however the
 	// first of them fares.
@@ -169,9 +170,9 @@
 	if len(d.feasibleTypes(s)) == 0 {
 		return "a task fits no allowed machine type"
 	}
-	need := s.Room
+	need := s.Resources
 	if s.Service || s.Gang {
-		need = need.Times(s.Tasks)
+		need = need.Mul(s.Tasks)
 	}
 	if !storage.WithinLimit(need, team.Limit) {
 		return "the job needs more than its team's limit"
@@ -192,7 +193,7 @@
 	var out []string
 	for _, name := range d.typeNames {
 		t := d.types[name]
-		if s.Room.Fits(t.Room) && allowed(s.Types, name) && (s.Zone == "" || allowed(t.Zones, s.Zone)) {
+		if s.Resources.Fits(t.Resources) && allowed(s.Types, name) && (s.Zone == "" || allowed(t.Zones, s.Zone)) {
 			out = append(out, name)
 		}
 	}
@@ -215,10 +216,10 @@
 func (d *scheduler) cancel(m userMsg, j *job, now time.Time) {
 	switch {
 	case j == nil:
-		m.reply <- Answer{Code: CodeNotFound, ID: m.req.ID, Reason: "no such job"}
+		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 		return
 	case !j.acknowledged, d.stalled(now):
-		m.reply <- Unavailable(m.req.ID, "state service slow or out of reach")
+		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	case j.phase == storage.Open:
 		j.phase = storage.Cancelled
@@ -237,7 +238,7 @@
 			d.retire(j)
 		})
 	}
-	d.whenDurable(j, m.reply, func() Answer { return j.answer(CodeOK) })
+	d.whenDurable(j, m.reply, func() api.Response { return j.answer(api.CodeOK) })
 }
 
 // finish makes a job done whose tasks have all completed.
--- a/internal/coordination/versions_test.go
+++ b/internal/coordination/versions_test.go
@@ -9,9 +9,11 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
 )
 
 // The versions in use lead in turn with this one: each reads what the others wrote.
@@ -70,10 +72,10 @@
 	array, replicas, gang := arrayJob("000001", 70), service("000002", 3), arrayJob("000005", 3)
 	array.Spot, replicas.Spread, replicas.Types, gang.Gang, gang.SameZone = true, true, []string{"cpu"}, true, true
 	submitted := []storage.Spec{array, replicas, gang}
-	want := map[string]JobState{"000001": StatePending, "000002": StatePending, "000003": StateDone, "000004": StateCancelled, "000005": StatePending}
+	want := map[string]api.JobState{"000001": api.StatePending, "000002": api.StatePending, "000003": api.StateDone, "000004": api.StateCancelled, "000005": api.StatePending}
 	if longRecordToo {
 		submitted = append(submitted, longRecord("000006"))
-		want["000006"] = StatePending
+		want["000006"] = api.StatePending
 	}
 	for _, s := range submitted {
 		sim.upload(s)
@@ -89,10 +91,10 @@
 		sim.locked(func() { sim.askedOff[id] = id == "000004" })
 		sim.locked(func() {
 			for i := range 2 {
-				sim.ran[TaskID{"000003", i}] = true
+				sim.ran[worker.TaskID{Job: "000003", Task: i}] = true
 			}
 		})
-		if a := sim.poll(id); a.Code != CodeOK || a.State != state {
+		if a := sim.poll(id); a.Code != api.CodeOK || a.State != state {
 			t.Errorf("job %s is told %+v", id, a)
 		}
 	}
@@ -103,7 +105,7 @@
 	// Its machines are gone: all that was on them is begun anew in time.
 	sim.locked(func() {
 		for i := range 70 {
-			sim.ran[TaskID{"000001", i}] = true // those done before are not ours to check
+			sim.ran[worker.TaskID{Job: "000001", Task: i}] = true // those done before are not ours to check
 		}
 	})
 	sim.runs("000002", 3)
@@ -121,7 +123,8 @@
 }
 
 func readsRelayBatches(t *testing.T, version string) {
-	decode := func(name string, into any) {
+	fragmentsOf := func(name string) []batchFragment {
+		t.Helper()
 		var raw []json.RawMessage
 		frozen(t, version, name, &raw)
 		var fragments []batchFragment
@@ -132,20 +135,22 @@
 			}
 			fragments = append(fragments, p)
 		}
-		if err := decodeBatch(fragments, into); err != nil {
-			t.Fatal(err)
-		}
+		return fragments
+	}
+	requests, err := decodeRequests(fragmentsOf("letters.json"))
+	if err != nil {
+		t.Fatal(err)
 	}
-	var letters []letter
-	decode("letters.json", &letters)
-	if len(letters) != 3 || letters[0].User.Spec.Tasks != 2 || letters[1].User.Op != OpCancel ||
-		letters[2].Report.Tasks[0].Cause != CausePeers || letters[2].Report.Tasks[1].State != Gathering || *letters[2].Report.Notice != 12.5 {
-		t.Errorf("letters %+v", letters)
+	if len(requests) != 3 || requests[0].User.Spec.Tasks != 2 || requests[1].User.Op != api.OpCancel ||
+		requests[2].Report.Tasks[0].Cause != worker.CausePeers || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
+		t.Errorf("requests %+v", requests)
+	}
+	responses, err := decodeResponses(fragmentsOf("replies.json"))
+	if err != nil {
+		t.Fatal(err)
 	}
-	var replies []mailReply
-	decode("replies.json", &replies)
-	if len(replies) != 3 || replies[0].User.Holds != time.Second || replies[1].User.State != StateCancelled || replies[2].Beat.Orders[0].GraceS != 2.5 {
-		t.Errorf("replies %+v", replies)
+	if len(responses) != 3 || responses[0].User.ValidFor != time.Second || responses[1].User.State != api.StateCancelled || responses[2].Heartbeat.Commands[0].GraceSeconds != 2.5 {
+		t.Errorf("responses %+v", responses)
 	}
 }
 
--- a/internal/coordination/wake.go
+++ b/internal/coordination/wake.go
@@ -7,7 +7,9 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // wakeMsg tells the dispatcher of demand for a model at some node.
@@ -49,7 +51,7 @@
 	if leader == "" || leader == n.settings.NodeName {
 		return "", "no leader yet"
 	}
-	if status, ok := n.deps.Peers.Status(leader); !ok || status.Version < firstWithActivation {
+	if status, ok := n.deps.Peers.Status(leader); !ok || status.Version < peer.VersionActivation {
 		return "", "the leader isn't known to take demand"
 	}
 	return leader, ""
@@ -174,7 +176,7 @@
 }
 
 // serving tells whether an attempt runs and isn't to be stopped.
-func (a *attempt) serving() bool { return a.reported && a.state == Running && !a.stopping }
+func (a *attempt) serving() bool { return a.reported && a.state == worker.Running && !a.stopping }
 
 // response tells where a service stands.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
--- a/internal/coordination/worker_tokens.go
+++ b/internal/coordination/worker_tokens.go
@@ -5,6 +5,7 @@
 
 	"sagevale/internal/fencing"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 // fencingInForce tells whether tokens are raised within the term: then peers renew leases by
@@ -41,7 +42,7 @@
 
 // handleHigherToken takes in a token beyond this term's. A successor has given it, unless our
 // lead is certain: then nobody can have, and the worker is left to itself.
-func (d *scheduler) handleHigherToken(r *Report, now time.Time) {
+func (d *scheduler) handleHigherToken(r *worker.Report, now time.Time) {
 	if d.leaseValid(now) {
 		d.log.Debug("worker knows a token that nobody can have given", "machine", r.Machine, "token", r.Token)
 		return
--- a/internal/coordination/worker_tokens_test.go
+++ b/internal/coordination/worker_tokens_test.go
@@ -14,13 +14,14 @@
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
 )
 
 // withFencing runs a scenario in which workers' tokens are raised after so many ended attempts.
 func withFencing(t *testing.T, window int, story func(sim *simulation)) {
 	t.Helper()
 	sweepers := func(s *config.Settings) {
-		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Room{CPUs: 2}})
+		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Resources{CPUs: 2}})
 	}
 	inSimulationTuned(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
 }
@@ -28,7 +29,7 @@
 // sweep is an array of many short tasks, few of which run at a time.
 func sweep(id string, tasks int) storage.Spec {
 	s := arrayJob(id, tasks)
-	s.Team, s.Room = "sweepers", storage.Room{CPUs: 0.1, MemoryGB: 0.1}
+	s.Team, s.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
 	s.EstimateS = 2
 	return s
 }
@@ -196,7 +197,7 @@
 			term := sim.awaitLeader().node.view.Load().role.Term
 			for _, wk := range sim.all() {
 				if r := wk.report(); r.Token > term && len(r.Tasks) > 0 && !wk.dead.Load() {
-					sessions[wk] = r.Session
+					sessions[wk] = r.Incarnation
 				}
 			}
 			return len(sessions) > 0
@@ -204,7 +205,7 @@
 		sim.cutZone(cut)
 		time.Sleep(sim.settings.WorkerLease + 2*time.Second)
 		for wk, session := range sessions {
-			if wk.report().Session != session {
+			if wk.report().Incarnation != session {
 				t.Errorf("worker %d has lost its lease behind the cut", wk.id)
 			}
 		}
@@ -291,7 +292,7 @@
 		j := d.accept(arrayJob("000001", 1))
 		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term, reported: true}
 		d.addAttempt(a)
-		r := &Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Session: 1, Seq: 5, Token: d.term + 1}
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term + 1}
 		if d.handleHeartbeat(r); len(m.attempts) != 0 {
 			t.Error("an attempt that is gone is booked on")
 		}
@@ -306,7 +307,7 @@
 		if m.confirmed {
 			t.Fatal("its lease never ends")
 		}
-		r.Session, r.Seq = 2, 1
+		r.Incarnation, r.Seq = 2, 1
 		if d.handleHeartbeat(r); !m.confirmed || m.fence.Retained() != 0 {
 			t.Errorf("a later session is heard %v, and remembers %d", m.confirmed, m.fence.Retained())
 		}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		out = append(out, storage.MachineType{
-			Name: t.Name, Room: storage.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB},
+			Name: t.Name, Resources: storage.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB},
 			CacheGB: t.CacheGB, FetchGBPS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones,
 		})
 	}
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -9,7 +9,7 @@
 	"regexp"
 	"strings"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
 	"sagevale/internal/storage"
 )
 
@@ -77,7 +77,7 @@
 	spec := storage.Spec{
 		Class: need(&c, "Bracket", s.Class), Team: need(&c, "Owner", s.Team),
 		Tasks: need(&c, "Chores", s.Tasks),
-		Room: storage.Room{
+		Resources: storage.Resources{
 			CPUs: c.part("Cpus", s.CPUs), GPUs: c.part("Gpus", s.GPUs), MemoryGB: c.part("MemoryGb", s.MemoryGB),
 		},
 		Image: need(&c, "Kit", s.Image), ImageGB: c.part("ImageGb", s.ImageGB),
@@ -172,13 +172,13 @@
 	Running  int    `json:"running"`
 }
 
-var standings = map[coordination.JobState]string{
-	coordination.StatePending: "pending", coordination.StateRunning: "running",
-	coordination.StateDone: "done", coordination.StateCancelled: "aborted",
+var standings = map[api.JobState]string{
+	api.StatePending: "pending", api.StateRunning: "running",
+	api.StateDone: "done", api.StateCancelled: "aborted",
 }
 
 // NewJobAnswer puts an answer on the wire.
-func NewJobAnswer(a coordination.Answer) JobAnswer {
+func NewJobAnswer(a api.Response) JobAnswer {
 	return JobAnswer{ID: idPrefix + a.ID, Standing: standings[a.State], Done: a.Done, Running: a.Running}
 }
 
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/worker"
 )
 
 const goodSettings = `
@@ -206,11 +206,11 @@
 			t.Errorf("progress %s changes the report: %+v, %v", progress, got, err)
 		}
 	}
-	for raw, want := range map[string]coordination.TaskReport{
-		`"Standing":"gathering"`:              {State: coordination.Gathering},
-		`"Standing":"ended","Cause":"peers"`:  {State: coordination.Ended, Cause: coordination.CausePeers},
-		`"Standing":"ended","Cause":"alone"`:  {State: coordination.Ended, Cause: coordination.CausePeers},
-		`"Standing":"running","Cause":"else"`: {State: coordination.Running},
+	for raw, want := range map[string]worker.TaskReport{
+		`"Standing":"gathering"`:              {State: worker.Gathering},
+		`"Standing":"ended","Cause":"peers"`:  {State: worker.Exited, Cause: worker.CausePeers},
+		`"Standing":"ended","Cause":"alone"`:  {State: worker.Exited, Cause: worker.CausePeers},
+		`"Standing":"running","Cause":"else"`: {State: worker.Running},
 	} {
 		got, err := ParseReport([]byte(strings.Replace(good, `"Standing":"running"`, raw, 1)))
 		if err != nil || got.Tasks[0].State != want.State || got.Tasks[0].Cause != want.Cause {
--- a/internal/protocol/report_reader.go
+++ b/internal/protocol/report_reader.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strconv"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/worker"
 )
 
 // maxRememberedReport is the largest report that a ReportReader keeps, in bytes: one of
@@ -18,11 +18,11 @@
 // before only in their number; those are not decoded again. The zero value is ready.
 type ReportReader struct {
 	before, after []byte // the last report's bytes around its number; nil: none is kept
-	last          coordination.Report
+	last          worker.Report
 }
 
 // Read is ParseReport. The tasks of the reports that it returns may be shared.
-func (p *ReportReader) Read(body []byte) (*coordination.Report, error) {
+func (p *ReportReader) Read(body []byte) (*worker.Report, error) {
 	if r := p.repeated(body); r != nil {
 		return r, nil
 	}
@@ -36,7 +36,7 @@
 }
 
 // repeated returns the report if it says what the last one said, under another number.
-func (p *ReportReader) repeated(body []byte) *coordination.Report {
+func (p *ReportReader) repeated(body []byte) *worker.Report {
 	if p.before == nil || len(body) <= len(p.before)+len(p.after) || !bytes.HasPrefix(body, p.before) || !bytes.HasSuffix(body, p.after) {
 		return nil
 	}
@@ -50,9 +50,9 @@
 }
 
 // remember keeps a report, if it is certain where its number stands.
-func (p *ReportReader) remember(body []byte, r *coordination.Report) {
+func (p *ReportReader) remember(body []byte, r *worker.Report) {
 	p.before, p.after = nil, nil
-	if len(body) > maxRememberedReport || r.Notice != nil || bytes.IndexByte(body, '\\') >= 0 {
+	if len(body) > maxRememberedReport || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
 		return // with escapes a field could have another spelling
 	}
 	// Fields are matched in any case: the one that was found must be the only one.
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -221,8 +221,8 @@
 		field := fmt.Sprintf("params.teams[%d].", i)
 		teams = append(teams, config.Team{
 			Name:      c.text(field+"name", t.Name),
-			Guarantee: storage.Room{CPUs: c.amount(field+"cpus", t.CPUs, 0), GPUs: c.amount(field+"gpus", t.GPUs, 0)},
-			Limit:     storage.Room{CPUs: c.amount(field+"cpus_max", t.CPUsMax, 0), GPUs: c.amount(field+"gpus_max", t.GPUsMax, 0)},
+			Guarantee: storage.Resources{CPUs: c.amount(field+"cpus", t.CPUs, 0), GPUs: c.amount(field+"gpus", t.GPUs, 0)},
+			Limit:     storage.Resources{CPUs: c.amount(field+"cpus_max", t.CPUsMax, 0), GPUs: c.amount(field+"gpus_max", t.GPUsMax, 0)},
 		})
 		if seen[t.Name] {
 			c.fail(field+"name", "names a team twice")
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/worker"
 )
 
 // machinePrefix begins every machine's name.
@@ -27,18 +27,18 @@
 	return n, nil
 }
 
-func taskName(id coordination.TaskID) string {
+func taskName(id worker.TaskID) string {
 	return idPrefix + id.Job + "/" + strconv.Itoa(id.Task)
 }
 
-func parseTask(s string) (coordination.TaskID, error) {
+func parseTask(s string) (worker.TaskID, error) {
 	job, task, ok := strings.Cut(s, "/")
 	id, valid := JobID(job)
 	n, err := strconv.Atoi(task)
 	if !ok || !valid || err != nil || n < 0 {
-		return coordination.TaskID{}, fmt.Errorf("%q is not a task's name", s)
+		return worker.TaskID{}, fmt.Errorf("%q is not a task's name", s)
 	}
-	return coordination.TaskID{Job: id, Task: n}, nil
+	return worker.TaskID{Job: id, Task: n}, nil
 }
 
 // report is a worker's report on the wire.
@@ -63,15 +63,15 @@
 	Saved bool   `json:"Stored"`
 }
 
-var taskStates = map[string]coordination.TaskState{
-	"pulling": coordination.Pulling, "running": coordination.Running, "saving": coordination.Saving, "ended": coordination.Ended,
-	"gathering": coordination.Gathering,
+var taskStates = map[string]worker.TaskState{
+	"pulling": worker.Pulling, "running": worker.Running, "saving": worker.Saving, "ended": worker.Exited,
+	"gathering": worker.Gathering,
 }
 
-var causes = map[string]coordination.EndCause{
-	"done": coordination.CauseDone, "stopped": coordination.CauseStopped, "error": coordination.CauseError,
-	"full": coordination.CauseFull, "busy": coordination.CauseBusy, "unknown": coordination.CauseUnknown,
-	"peers": coordination.CausePeers, "alone": coordination.CausePeers,
+var causes = map[string]worker.ExitCause{
+	"done": worker.CauseDone, "stopped": worker.CauseStopped, "error": worker.CauseError,
+	"full": worker.CauseFull, "busy": worker.CauseBusy, "unknown": worker.CauseUnknown,
+	"peers": worker.CausePeers, "alone": worker.CausePeers,
 }
 
 // leastNoticeS stands for a notice that has run out.
@@ -79,7 +79,7 @@
 
 // ParseReport checks a worker's report. One that can't be understood in full
 // is refused in full: a task that we overlooked would seem to be gone.
-func ParseReport(body []byte) (*coordination.Report, error) {
+func ParseReport(body []byte) (*worker.Report, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -91,14 +91,14 @@
 	if r.Session == 0 || r.Seq == 0 {
 		return nil, errors.New("report without Ride or Tally")
 	}
-	out := &coordination.Report{
+	out := &worker.Report{
 		Machine: machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Seq: r.Seq, Token: r.Token, Notice: r.NoticeS,
-		Tasks: make([]coordination.TaskReport, 0, len(r.Tasks)),
+		Incarnation: r.Session, Seq: r.Seq, Token: r.Token, NoticeSeconds: r.NoticeS,
+		Tasks: make([]worker.TaskReport, 0, len(r.Tasks)),
 	}
 	if r.NoticeS != nil {
 		// A gob between nodes would drop a zero.
-		*out.Notice = max(*r.NoticeS, leastNoticeS)
+		*out.NoticeSeconds = max(*r.NoticeS, leastNoticeS)
 	}
 	for _, t := range r.Tasks {
 		id, err := parseTask(t.Task)
@@ -110,10 +110,10 @@
 			return nil, fmt.Errorf("unknown task state %q", t.State)
 		}
 		cause, ok := causes[t.Cause]
-		if state == coordination.Ended && !ok {
+		if state == worker.Exited && !ok {
 			return nil, fmt.Errorf("unknown cause %q", t.Cause)
 		}
-		out.Tasks = append(out.Tasks, coordination.TaskReport{ID: id, Try: t.Try, State: state, Cause: cause, Saved: t.Saved})
+		out.Tasks = append(out.Tasks, worker.TaskReport{ID: id, Attempt: t.Try, State: state, Cause: cause, Saved: t.Saved})
 	}
 	return out, nil
 }
@@ -132,8 +132,8 @@
 }
 
 // NewHeartbeatResponse puts the answer to a report on the wire.
-func NewHeartbeatResponse(a coordination.HeartbeatResponse) HeartbeatResponse {
-	return HeartbeatResponse{Token: a.Token, Orders: newOrders(a.Orders)}
+func NewHeartbeatResponse(a worker.HeartbeatResponse) HeartbeatResponse {
+	return HeartbeatResponse{Token: a.Token, Orders: newOrders(a.Commands)}
 }
 
 // Redirect tells a worker where to report.
@@ -150,20 +150,20 @@
 }
 
 // NewDirectOrders puts direct orders on the wire.
-func NewDirectOrders(token, session uint64, orders []coordination.Order) DirectOrders {
+func NewDirectOrders(token, session uint64, orders []worker.Command) DirectOrders {
 	return DirectOrders{Token: token, Session: session, Orders: newOrders(orders)}
 }
 
-var verbs = map[coordination.Verb]string{
-	coordination.Start: "run", coordination.Stop: "stop", coordination.Forget: "forget",
+var verbs = map[worker.Verb]string{
+	worker.Start: "run", worker.Stop: "stop", worker.Forget: "forget",
 }
 
-func newOrders(in []coordination.Order) []order {
+func newOrders(in []worker.Command) []order {
 	out := make([]order, 0, len(in))
 	for _, o := range in {
-		w := order{Verb: verbs[o.Verb], Task: taskName(o.ID), Try: o.Try}
-		if o.Verb == coordination.Stop {
-			w.GraceS = &o.GraceS
+		w := order{Verb: verbs[o.Verb], Task: taskName(o.ID), Try: o.Attempt}
+		if o.Verb == worker.Stop {
+			w.GraceS = &o.GraceSeconds
 		}
 		out = append(out, w)
 	}
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -10,8 +10,8 @@
 // what this one writes: the bytes of a record stay as they are, whatever the fields of
 // its type are called. A new field may only be added, and left out where it is empty.
 func TestTheBytesOfRecordsStay(t *testing.T) {
-	room := storage.Room{CPUs: 2, GPUs: 1, MemoryGB: 4.5}
-	spec := storage.Spec{ID: "000007", Class: "c", Team: "t", Service: true, Gang: true, Priority: storage.High, Tasks: 3, Room: room, Types: []string{"cpu"},
+	room := storage.Resources{CPUs: 2, GPUs: 1, MemoryGB: 4.5}
+	spec := storage.Spec{ID: "000007", Class: "c", Team: "t", Service: true, Gang: true, Priority: storage.High, Tasks: 3, Resources: room, Types: []string{"cpu"},
 		Zone: "a", SameZone: true, Spread: true, Spot: true, Image: "img", ImageGB: 1.5, EstimateS: 30, CheckpointS: 10, SaveS: 2, DeadlineS: 90}
 	for _, c := range []struct {
 		key  string
@@ -27,7 +27,7 @@
 			`["m7",{"a":"10.0.0.7:9000","t":"cpu","z":"a","l":true,"r":4,"x":true,"i":{"img":1.5}}]`},
 		{storage.LaunchKey("r-1-2"), storage.LaunchRecord{Type: "cpu", Zone: "a", Spot: true, Count: 5}, `["hr-1-2",{"t":"cpu","z":"a","l":true,"n":5}]`},
 		{storage.FleetKey, storage.FleetRecord{Desired: 9, Term: 3}, `["f",{"n":9,"t":3}]`},
-		{storage.MachineTypesKey, []storage.MachineType{{Name: "cpu", Room: room, CacheGB: 60, FetchGBPS: 1.5, Price: 2, SpotPrice: 1, BootS: 15, Zones: []string{"a"}}},
+		{storage.MachineTypesKey, []storage.MachineType{{Name: "cpu", Resources: room, CacheGB: 60, FetchGBPS: 1.5, Price: 2, SpotPrice: 1, BootS: 15, Zones: []string{"a"}}},
 			`["c",[{"n":"cpu","r":{"c":2,"g":1,"m":4.5},"c":60,"f":1.5,"p":2,"sp":1,"b":15,"z":["a"]}]]`},
 		{storage.MachineKey(8), nil, `["m8"]`},
 	} {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -22,58 +22,58 @@
 	Production
 )
 
-// Room is an amount of a machine's resources.
-type Room struct {
+// Resources is an amount of a machine's resources.
+type Resources struct {
 	CPUs     float64 `json:"c,omitempty"`
 	GPUs     float64 `json:"g,omitempty"`
 	MemoryGB float64 `json:"m,omitempty"`
 }
 
-// roomSlack forgives the rounding of decimal sums.
-const roomSlack = 1e-6
+// roundingSlack forgives the rounding of decimal sums.
+const roundingSlack = 1e-6
 
-// Plus returns the sum of two amounts.
-func (r Room) Plus(o Room) Room {
-	return Room{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
+// Add returns the sum of two amounts.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
 }
 
-// Minus returns what is left of r without o.
-func (r Room) Minus(o Room) Room {
-	return Room{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
+// Sub returns what is left of r without o.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// Times returns n times the amount.
-func (r Room) Times(n int) Room {
+// Mul returns n times the amount.
+func (r Resources) Mul(n int) Resources {
 	f := float64(n)
-	return Room{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
+	return Resources{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
 }
 
 // Fits tells whether r fits into free.
-func (r Room) Fits(free Room) bool {
-	return r.CPUs <= free.CPUs+roomSlack && r.GPUs <= free.GPUs+roomSlack && r.MemoryGB <= free.MemoryGB+roomSlack
+func (r Resources) Fits(free Resources) bool {
+	return r.CPUs <= free.CPUs+roundingSlack && r.GPUs <= free.GPUs+roundingSlack && r.MemoryGB <= free.MemoryGB+roundingSlack
 }
 
 // Spec is a job as its user submitted it.
 type Spec struct {
-	ID          string   `json:"-"`
-	Class       string   `json:"b,omitempty"`
-	Team        string   `json:"o,omitempty"`
-	Service     bool     `json:"s,omitempty"`
-	Gang        bool     `json:"gg,omitempty"` // all tasks run together
-	Priority    Priority `json:"u,omitempty"`
-	Tasks       int      `json:"n"`
-	Room        Room     `json:"r"`
-	Types       []string `json:"t,omitempty"`
-	Zone        string   `json:"z,omitempty"`
-	SameZone    bool     `json:"sz,omitempty"`
-	Spread      bool     `json:"sp,omitempty"`
-	Spot        bool     `json:"l,omitempty"`
-	Image       string   `json:"i,omitempty"`
-	ImageGB     float64  `json:"ig,omitempty"`
-	EstimateS   float64  `json:"e,omitempty"`
-	CheckpointS float64  `json:"k,omitempty"`
-	SaveS       float64  `json:"ks,omitempty"`
-	DeadlineS   float64  `json:"d,omitempty"`
+	ID          string    `json:"-"`
+	Class       string    `json:"b,omitempty"`
+	Team        string    `json:"o,omitempty"`
+	Service     bool      `json:"s,omitempty"`
+	Gang        bool      `json:"gg,omitempty"` // all tasks run together
+	Priority    Priority  `json:"u,omitempty"`
+	Tasks       int       `json:"n"`
+	Resources   Resources `json:"r"`
+	Types       []string  `json:"t,omitempty"`
+	Zone        string    `json:"z,omitempty"`
+	SameZone    bool      `json:"sz,omitempty"`
+	Spread      bool      `json:"sp,omitempty"`
+	Spot        bool      `json:"l,omitempty"`
+	Image       string    `json:"i,omitempty"`
+	ImageGB     float64   `json:"ig,omitempty"`
+	EstimateS   float64   `json:"e,omitempty"`
+	CheckpointS float64   `json:"k,omitempty"`
+	SaveS       float64   `json:"ks,omitempty"`
+	DeadlineS   float64   `json:"d,omitempty"`
 }
 
 // Phase is the lasting part of a job's state.
@@ -146,14 +146,14 @@
 
 // MachineType is one entry of the cloud's catalogue.
 type MachineType struct {
-	Name      string   `json:"n"`
-	Room      Room     `json:"r"`
-	CacheGB   float64  `json:"c,omitempty"`
-	FetchGBPS float64  `json:"f,omitempty"`
-	Price     float64  `json:"p"`
-	SpotPrice float64  `json:"sp,omitempty"`
-	BootS     float64  `json:"b,omitempty"`
-	Zones     []string `json:"z"`
+	Name      string    `json:"n"`
+	Resources Resources `json:"r"`
+	CacheGB   float64   `json:"c,omitempty"`
+	FetchGBPS float64   `json:"f,omitempty"`
+	Price     float64   `json:"p"`
+	SpotPrice float64   `json:"sp,omitempty"`
+	BootS     float64   `json:"b,omitempty"`
+	Zones     []string  `json:"z"`
 }
 
 // Record is one entity's latest lasting state. Nil data removes the entity.
--- a/internal/storage/schema_test.go
+++ b/internal/storage/schema_test.go
@@ -17,7 +17,7 @@
 // An older leader rewrites what a newer one wrote: nothing that it doesn't know is lost.
 func TestAnOlderLeaderKeepsWhatANewerWrote(t *testing.T) {
 	j := &Journal{entities: map[string]entity{"j1": {data: json.RawMessage(laterJob)}}}
-	rewritten, err := NewRecord("j1", JobRecord{Tasks: 2, SubmittedMS: 5, DoneTasks: 1, Spec: &Spec{Class: "sweep", Tasks: 2, Room: Room{CPUs: 1}}})
+	rewritten, err := NewRecord("j1", JobRecord{Tasks: 2, SubmittedMS: 5, DoneTasks: 1, Spec: &Spec{Class: "sweep", Tasks: 2, Resources: Resources{CPUs: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -10,15 +10,16 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/api"
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/worker"
 )
 
 // What one request costs, all but the decision.
 
 // answering is a node that answers at once.
 func answering() *stub {
-	return &stub{answer: coordination.Answer{Code: coordination.CodeOK, ID: "000412", State: coordination.StateRunning, Running: 3}, beat: coordination.HeartbeatResponse{Accepted: true, Token: 7}}
+	return &stub{answer: api.Response{Code: api.CodeOK, ID: "000412", State: api.StateRunning, Running: 3}, beat: worker.HeartbeatResponse{Accepted: true, Token: 7}}
 }
 
 func serveBench(b *testing.B) (addr string) {
@@ -91,11 +92,11 @@
 	go func() { _ = ServePeers(ctx, l, fakeLocal{}, quiet) }()
 	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
 	go p.Run(ctx)
-	var reports []*coordination.Report
+	var reports []*worker.Report
 	for range 16 {
-		r := &coordination.Report{Machine: 1, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 88, Token: 41}
+		r := &worker.Report{Machine: 1, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Incarnation: 1, Seq: 88, Token: 41}
 		for i := range 8 {
-			r.Tasks = append(r.Tasks, coordination.TaskReport{ID: coordination.TaskID{Job: fmt.Sprintf("%06d", i), Task: i}, Try: 167772160, State: coordination.Running})
+			r.Tasks = append(r.Tasks, worker.TaskReport{ID: worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: i}, Attempt: 167772160, State: worker.Running})
 		}
 		reports = append(reports, r)
 	}
@@ -121,11 +122,11 @@
 	go func() { _ = srv.Serve(l) }()
 	b.Cleanup(func() { srv.Close() })
 	w := NewWorkerClient(1000, quiet)
-	orders := []coordination.Order{{Verb: coordination.Start, ID: coordination.TaskID{Job: "000412", Task: 3}, Try: 2}}
+	orders := []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000412", Task: 3}, Attempt: 2}}
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if out, _ := w.SendCommands(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != coordination.Executed {
+		if out, _ := w.SendCommands(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != worker.Executed {
 			b.Fatal(out)
 		}
 		cancel()
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -10,8 +10,11 @@
 	"time"
 
 	"sagevale/internal/activation"
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // TestFreeze writes the messages that this version's nodes exchange to the folder
@@ -31,17 +34,17 @@
 	}
 	notice := 12.5
 	spec := storage.Spec{ID: "000007", Class: "sweep", Team: "team", Gang: true, Priority: storage.High, Tasks: 3,
-		Room: storage.Room{CPUs: 2, GPUs: 1, MemoryGB: 4}, Types: []string{"cpu"}, Zone: "a", SameZone: true, Spread: true, Spot: true,
+		Resources: storage.Resources{CPUs: 2, GPUs: 1, MemoryGB: 4}, Types: []string{"cpu"}, Zone: "a", SameZone: true, Spread: true, Spot: true,
 		Image: "img", ImageGB: 1.5, EstimateS: 30, CheckpointS: 10, SaveS: 2, DeadlineS: 90}
 	write("asks.gob",
-		peerAsk{Serial: 1, Req: coordination.UserRequest{Op: coordination.OpPing, ID: "n1"}},
-		peerAsk{Serial: 2, Req: coordination.UserRequest{Op: coordination.OpSubmit, ID: "000007", Spec: spec}},
-		peerAsk{Serial: 3, Reports: []*coordination.Report{{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Session: 3, Seq: 9, Token: 4, Notice: &notice,
-			Tasks: []coordination.TaskReport{{ID: coordination.TaskID{Job: "000001", Task: 1}, Try: 5, State: coordination.Ended, Cause: coordination.CausePeers, Saved: true}}}}})
+		peerAsk{Serial: 1, Req: wire.UserRequest{Op: api.OpPing, ID: "n1"}},
+		peerAsk{Serial: 2, Req: wire.FromRequest(&api.Request{Op: api.OpSubmit, ID: "000007", Spec: spec})},
+		peerAsk{Serial: 3, Reports: wire.FromReports([]*worker.Report{{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
+			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true}}}})})
 	write("answers.gob", answersTelling(toldBy769a0b2)...)
 	write("answers-registering.gob", answersTelling(toldByRegistering)...)
 	write("answers-token-ranges.gob", answersTelling(toldByTokenRanges)...)
-	write("answers-activation.gob", answersTelling(coordination.PeerVersion)...)
+	write("answers-activation.gob", answersTelling(peer.Version)...)
 	write("wakes.gob",
 		wakeAsk{Serial: 4, Wake: &activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}},
 		wakeAnswer{Serial: 4, Wake: &activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
@@ -61,9 +64,9 @@
 // answersTelling are a node's answers to each kind of message.
 func answersTelling(version int) []any {
 	return []any{
-		peerAnswer{Serial: 1, Answer: coordination.Answer{Peer: coordination.PeerState{Up: time.Minute, SinceState: time.Second, Leader: "n2", Term: 4,
+		peerAnswer{Serial: 1, Answer: wire.Answer{Peer: wire.PeerState{Up: time.Minute, SinceState: time.Second, Leader: "n2", Term: 4,
 			Hears: time.Second, Alone: time.Hour, Lends: 20 * time.Second, LendTerm: 4, Barred: []int{7, 8}, Version: version}}},
-		peerAnswer{Serial: 2, Answer: coordination.Answer{Code: coordination.CodeOK, ID: "000007", State: coordination.StateRunning, Done: 1, Running: 2, Holds: time.Second}},
-		peerAnswer{Serial: 3, Beats: []coordination.BeatAnswer{{Accepted: true, Token: 4, Orders: []coordination.Order{{Verb: coordination.Stop, ID: coordination.TaskID{Job: "000001", Task: 1}, Try: 5, GraceS: 2.5}}}}},
+		peerAnswer{Serial: 2, Answer: wire.Answer{Code: api.CodeOK, ID: "000007", State: api.StateRunning, Done: 1, Running: 2, Holds: time.Second}},
+		peerAnswer{Serial: 3, Beats: wire.FromHeartbeatResponses([]worker.HeartbeatResponse{{Accepted: true, Token: 4, Commands: []worker.Command{{Verb: worker.Stop, ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, GraceSeconds: 2.5}}}})},
 	}
 }
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -10,7 +10,9 @@
 	"time"
 
 	"sagevale/internal/activation"
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
+	"sagevale/internal/peer"
+	wire "sagevale/internal/wire/coordination"
 )
 
 type call struct {
@@ -37,7 +39,7 @@
 
 // isPing tells whether a call asks for the peer's status.
 func (c *call) isPing() bool {
-	return c.asksUser() && c.ask.Req.Op == coordination.OpPing
+	return c.asksUser() && c.ask.Req.Op == api.OpPing
 }
 
 type result struct {
@@ -94,7 +96,7 @@
 				l.lastHeard.Store(time.Now())
 				if p, ok := l.pending[e.Serial]; ok {
 					if p.isPing() {
-						l.status.Store(coordination.ObservedStatus{PeerStatus: e.Answer.Peer.Status(), Sent: p.at, Received: time.Now()})
+						l.status.Store(peer.ObservedStatus{Status: e.Answer.Peer.Status(), Sent: p.at, Received: time.Now()})
 					}
 					delete(l.pending, e.Serial)
 					p.reply <- result{answer: e}
@@ -115,7 +117,7 @@
 
 // ping tests the link.
 func (l *link) ping(ctx context.Context) {
-	l.send(ctx, call{ask: peerAsk{Req: coordination.UserRequest{Op: coordination.OpPing, ID: l.self}}, reply: make(chan result, 1)})
+	l.send(ctx, call{ask: peerAsk{Req: wire.UserRequest{Op: api.OpPing, ID: l.self}}, reply: make(chan result, 1)})
 }
 
 func (l *link) send(ctx context.Context, c call) {
@@ -160,7 +162,7 @@
 // mayWait tells whether a request may be gathered with others: polls are many and not
 // urgent, and each message by itself would wake the peer.
 func (c *call) mayWait() bool {
-	return c.asksUser() && c.ask.Req.Op == coordination.OpPoll
+	return c.asksUser() && c.ask.Req.Op == api.OpPoll
 }
 
 // flush sends what has gathered.
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -9,14 +9,16 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/clock"
-	"sagevale/internal/coordination"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // PeerHandler is what answers the other nodes.
 type PeerHandler interface {
-	HandleForwardedRequest(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	HandleForwardedHeartbeats(ctx context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse
+	HandleForwardedRequest(ctx context.Context, req api.Request) api.Response
+	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
@@ -31,9 +33,10 @@
 		response := local.HandleForwardedUsage(ctx, *ask.Usage)
 		return usageAnswer{ask.Serial, &response}
 	case ask.Reports != nil:
-		return peerAnswer{Serial: ask.Serial, Beats: coordination.WireResponses(local.HandleForwardedHeartbeats(ctx, ask.Reports))}
+		return peerAnswer{Serial: ask.Serial, Beats: wire.FromHeartbeatResponses(local.HandleForwardedHeartbeats(ctx, wire.Reports(ask.Reports)))}
 	}
-	return peerAnswer{Serial: ask.Serial, Answer: local.HandleForwardedRequest(ctx, ask.Req)}
+	response := local.HandleForwardedRequest(ctx, ask.Req.Request())
+	return peerAnswer{Serial: ask.Serial, Answer: wire.FromResponse(&response)}
 }
 
 // ServePeers answers the other nodes' requests on l until ctx ends.
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -8,8 +8,12 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/coordination"
+	"sagevale/internal/peer"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // The gob messages between nodes. gob sends the fields of a type before the first message of it, so
@@ -19,15 +23,15 @@
 // peerAsk asks for a user's answer, or for those to reports.
 type peerAsk struct {
 	Serial  uint64
-	Req     coordination.UserRequest
-	Reports []*coordination.Report // if there are any, they are what is asked about
+	Req     wire.UserRequest
+	Reports []*wire.Report // if there are any, they are what is asked about
 }
 
 // peerAnswer answers a peerAsk.
 type peerAnswer struct {
 	Serial uint64
-	Answer coordination.Answer
-	Beats  []coordination.BeatAnswer
+	Answer wire.Answer
+	Beats  []wire.BeatAnswer
 }
 
 // wakeAsk tells of demand for a model. Only peers that say that they take it are sent it.
@@ -57,8 +61,8 @@
 // receivedAsk is any message that asks.
 type receivedAsk struct {
 	Serial  uint64
-	Req     coordination.UserRequest
-	Reports []*coordination.Report
+	Req     wire.UserRequest
+	Reports []*wire.Report
 	Wake    *activation.WakeRequest
 	Usage   *activation.UsageReport
 }
@@ -66,8 +70,8 @@
 // receivedAnswer is any message that answers.
 type receivedAnswer struct {
 	Serial uint64
-	Answer coordination.Answer
-	Beats  []coordination.BeatAnswer
+	Answer wire.Answer
+	Beats  []wire.BeatAnswer
 	Wake   *activation.WakeResponse
 	Usage  *activation.UsageResponse
 }
@@ -145,18 +149,18 @@
 }
 
 // Forward asks the named node.
-func (p *Peers) Forward(ctx context.Context, node string, req coordination.UserRequest) (coordination.Answer, error) {
-	a, err := p.ask(ctx, node, call{ask: peerAsk{Req: req}})
-	return a.Answer, err
+func (p *Peers) Forward(ctx context.Context, node string, req api.Request) (api.Response, error) {
+	a, err := p.ask(ctx, node, call{ask: peerAsk{Req: wire.FromRequest(&req)}})
+	return a.Answer.Response(), err
 }
 
 // ForwardHeartbeats hands reports to the named node.
-func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*coordination.Report) ([]coordination.HeartbeatResponse, error) {
-	a, err := p.ask(ctx, node, call{ask: peerAsk{Reports: reports}})
+func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
+	a, err := p.ask(ctx, node, call{ask: peerAsk{Reports: wire.FromReports(reports)}})
 	if err == nil && len(a.Beats) != len(reports) {
 		err = fmt.Errorf("%w: it decides on no reports", errPeer)
 	}
-	return coordination.ResponsesFromWire(a.Beats), err
+	return wire.HeartbeatResponses(a.Beats), err
 }
 
 // Wake tells the named node of demand for a model.
@@ -210,12 +214,12 @@
 }
 
 // Status is the named node's latest status.
-func (p *Peers) Status(node string) (coordination.ObservedStatus, bool) {
+func (p *Peers) Status(node string) (peer.ObservedStatus, bool) {
 	l := p.links[node]
 	if l == nil {
-		return coordination.ObservedStatus{}, false
+		return peer.ObservedStatus{}, false
 	}
-	w, ok := l.status.Load().(coordination.ObservedStatus)
+	w, ok := l.status.Load().(peer.ObservedStatus)
 	return w, ok
 }
 
@@ -242,7 +246,7 @@
 // KnownLeader is the latest leader that a peer in reach has told of.
 func (p *Peers) KnownLeader() (leader string, term uint64) {
 	for name, l := range p.links {
-		if st, ok := l.status.Load().(coordination.ObservedStatus); ok && st.Leader != "" && st.Term > term && p.UnreachableFor(name) == 0 {
+		if st, ok := l.status.Load().(peer.ObservedStatus); ok && st.Leader != "" && st.Term > term && p.UnreachableFor(name) == 0 {
 			leader, term = st.Leader, st.Term
 		}
 	}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -8,7 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // All links are tested at the same moments, so that a process wakes once for them.
@@ -74,9 +76,9 @@
 	return l, conn
 }
 
-func request(l *link, op coordination.UserOp, reports ...*coordination.Report) chan result {
+func request(l *link, op api.Op, reports ...*worker.Report) chan result {
 	reply := make(chan result, 1)
-	l.send(context.Background(), call{ask: peerAsk{Req: coordination.UserRequest{Op: op, ID: "000001"}, Reports: reports}, reply: reply})
+	l.send(context.Background(), call{ask: peerAsk{Req: wire.UserRequest{Op: op, ID: "000001"}, Reports: wire.FromReports(reports)}, reply: reply})
 	return reply
 }
 
@@ -85,14 +87,14 @@
 func TestPollsGatherOnALink(t *testing.T) {
 	for name, urgent := range map[string]func(l *link){
 		"the window ends":    func(l *link) { l.flush() },
-		"a submission":       func(l *link) { request(l, coordination.OpSubmit) },
-		"a cancel":           func(l *link) { request(l, coordination.OpCancel) },
-		"a ping":             func(l *link) { request(l, coordination.OpPing) },
-		"a batch of reports": func(l *link) { request(l, coordination.OpSubmit, &coordination.Report{Machine: 1}) },
+		"a submission":       func(l *link) { request(l, api.OpSubmit) },
+		"a cancel":           func(l *link) { request(l, api.OpCancel) },
+		"a ping":             func(l *link) { request(l, api.OpPing) },
+		"a batch of reports": func(l *link) { request(l, api.OpSubmit, &worker.Report{Machine: 1}) },
 	} {
 		l, conn := gatheringLink()
 		for range 10 {
-			request(l, coordination.OpPoll)
+			request(l, api.OpPoll)
 		}
 		if conn.writes != 0 || l.flushDue == nil {
 			t.Errorf("%s: %d writes before, due %v", name, conn.writes, l.flushDue != nil)
@@ -107,7 +109,7 @@
 // What has gathered when a connection breaks is answered as out of reach.
 func TestGatheredPollsFailWithTheirConnection(t *testing.T) {
 	l, conn := gatheringLink()
-	reply := request(l, coordination.OpPoll)
+	reply := request(l, api.OpPoll)
 	conn.broken = true
 	l.flush()
 	if r := <-reply; r.err == nil {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -16,9 +16,10 @@
 	"sync/atomic"
 	"time"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
 	"sagevale/internal/protocol"
 	"sagevale/internal/storage"
+	"sagevale/internal/worker"
 )
 
 // How long the parties wait for an answer, by the protocol; the server's own
@@ -32,8 +33,8 @@
 
 // Controller is what the server serves.
 type Controller interface {
-	HandleUserRequest(ctx context.Context, req coordination.UserRequest) coordination.Answer
-	HandleHeartbeat(ctx context.Context, r *coordination.Report) coordination.HeartbeatResponse
+	HandleUserRequest(ctx context.Context, req api.Request) api.Response
+	HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse
 	Ready() bool
 }
 
@@ -109,12 +110,12 @@
 		rest := strings.TrimPrefix(path, "/v1/jobs/")
 		if id, ok := strings.CutSuffix(rest, "/cancel"); ok {
 			if onlyMethod(w, r, http.MethodPost) {
-				s.jobRequest(w, r, coordination.OpCancel, id, submitTimeout)
+				s.jobRequest(w, r, api.OpCancel, id, submitTimeout)
 			}
 			return
 		}
 		if onlyMethod(w, r, http.MethodGet) {
-			s.jobRequest(w, r, coordination.OpPoll, rest, pollTimeout)
+			s.jobRequest(w, r, api.OpPoll, rest, pollTimeout)
 		}
 	default:
 		refuse(w, http.StatusNotFound, "no such path", 0)
@@ -196,41 +197,41 @@
 	if !understood {
 		return
 	}
-	s.ask(w, r, coordination.UserRequest{Op: coordination.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
+	s.ask(w, r, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
 }
 
-func (s *Server) jobRequest(w http.ResponseWriter, r *http.Request, op coordination.UserOp, name string, timeout time.Duration) {
+func (s *Server) jobRequest(w http.ResponseWriter, r *http.Request, op api.Op, name string, timeout time.Duration) {
 	id, ok := protocol.JobID(name)
 	if !ok {
 		refuse(w, http.StatusNotFound, "no such job", 0)
 		return
 	}
-	s.ask(w, r, coordination.UserRequest{Op: op, ID: id}, timeout)
+	s.ask(w, r, api.Request{Op: op, ID: id}, timeout)
 }
 
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, req coordination.UserRequest, timeout time.Duration) {
+func (s *Server) ask(w http.ResponseWriter, r *http.Request, req api.Request, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(timeout)*timeoutShare))
 	defer cancel()
 	a := s.node.HandleUserRequest(ctx, req)
 	switch a.Code {
-	case coordination.CodeCreated:
+	case api.CodeCreated:
 		reply(w, http.StatusCreated, protocol.NewJobAnswer(a))
-	case coordination.CodeOK:
+	case api.CodeOK:
 		reply(w, http.StatusOK, protocol.NewJobAnswer(a))
-	case coordination.CodeNotFound:
+	case api.CodeNotFound:
 		refuse(w, http.StatusNotFound, a.Reason, 0)
-	case coordination.CodeInfeasible:
+	case api.CodeInfeasible:
 		refuse(w, http.StatusUnprocessableEntity, a.Reason, 0)
-	case coordination.CodeBusy:
-		refuse(w, http.StatusTooManyRequests, a.Reason, a.RetryS)
+	case api.CodeBusy:
+		refuse(w, http.StatusTooManyRequests, a.Reason, a.RetrySeconds)
 	default:
-		refuse(w, http.StatusServiceUnavailable, a.Reason, a.RetryS)
+		refuse(w, http.StatusServiceUnavailable, a.Reason, a.RetrySeconds)
 	}
 }
 
 // readReport reads a worker's report, with what is known of its connection if there is
 // one; nil if it is refused.
-func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *coordination.Report) {
+func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *worker.Report) {
 	parse := protocol.ParseReport
 	if conn != nil {
 		parse = conn.reports.Read
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,22 +14,24 @@
 	"time"
 
 	"sagevale/internal/activation"
+	"sagevale/internal/api"
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/peer"
+	"sagevale/internal/worker"
 )
 
 // stub is a controller that gives one answer.
 type stub struct {
-	answer coordination.Answer
-	beat   coordination.HeartbeatResponse
-	asked  coordination.UserRequest
+	answer api.Response
+	beat   worker.HeartbeatResponse
+	asked  api.Request
 }
 
-func (s *stub) HandleUserRequest(_ context.Context, req coordination.UserRequest) coordination.Answer {
+func (s *stub) HandleUserRequest(_ context.Context, req api.Request) api.Response {
 	s.asked = req
 	return s.answer
 }
-func (s *stub) HandleHeartbeat(context.Context, *coordination.Report) coordination.HeartbeatResponse {
+func (s *stub) HandleHeartbeat(context.Context, *worker.Report) worker.HeartbeatResponse {
 	return s.beat
 }
 func (s *stub) Ready() bool { return true }
@@ -43,31 +45,31 @@
 const beat = `{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":1,"Baton":0,"Chores":[]}`
 
 func TestRequestsAreAnsweredByTheProtocol(t *testing.T) {
-	ok := coordination.Answer{Code: coordination.CodeOK, ID: "000412", State: coordination.StateRunning, Done: 3, Running: 13}
+	ok := api.Response{Code: api.CodeOK, ID: "000412", State: api.StateRunning, Done: 3, Running: 13}
 	for _, tc := range []struct {
 		name, method, path, body string
-		answer                   coordination.Answer
-		beat                     coordination.HeartbeatResponse
+		answer                   api.Response
+		beat                     worker.HeartbeatResponse
 		status                   int
 		contains                 string
 	}{
-		{name: "submit", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeCreated, ID: "000412"}, status: 201, contains: `"Standing":"pending"`},
+		{name: "submit", method: "POST", path: "/v1/jobs", body: job, answer: api.Response{Code: api.CodeCreated, ID: "000412"}, status: 201, contains: `"Standing":"pending"`},
 		{name: "submit again", method: "POST", path: "/v1/jobs", body: job, answer: ok, status: 200, contains: `"Standing":"running","done":3,"running":13`},
 		{name: "malformed", method: "POST", path: "/v1/jobs", body: `{"Id":7}`, status: 400, contains: `"error":"Id`},
 		{name: "too large", method: "POST", path: "/v1/jobs", body: strings.Repeat(" ", 65<<10) + job, status: 400, contains: "64 KiB"},
-		{name: "unfit", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeInfeasible, Reason: "unknown team"}, status: 422, contains: "unknown team"},
-		{name: "unavailable", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Unavailable("000412", "no leader yet"), status: 503, contains: "no leader yet"},
-		{name: "busy", method: "POST", path: "/v1/jobs", body: job, answer: coordination.Answer{Code: coordination.CodeBusy, RetryS: 7}, status: 429},
+		{name: "unfit", method: "POST", path: "/v1/jobs", body: job, answer: api.Response{Code: api.CodeInfeasible, Reason: "unknown team"}, status: 422, contains: "unknown team"},
+		{name: "unavailable", method: "POST", path: "/v1/jobs", body: job, answer: api.Unavailable("000412", "no leader yet"), status: 503, contains: "no leader yet"},
+		{name: "busy", method: "POST", path: "/v1/jobs", body: job, answer: api.Response{Code: api.CodeBusy, RetrySeconds: 7}, status: 429},
 		{name: "poll", method: "GET", path: "/v1/jobs/job-000412", answer: ok, status: 200, contains: `"Id":"job-000412"`},
-		{name: "unknown", method: "GET", path: "/v1/jobs/job-000413", answer: coordination.Answer{Code: coordination.CodeNotFound}, status: 404},
+		{name: "unknown", method: "GET", path: "/v1/jobs/job-000413", answer: api.Response{Code: api.CodeNotFound}, status: 404},
 		{name: "no job's name", method: "GET", path: "/v1/jobs/x", answer: ok, status: 404},
-		{name: "cancel", method: "POST", path: "/v1/jobs/job-000412/cancel", answer: coordination.Answer{Code: coordination.CodeOK, ID: "000412", State: coordination.StateCancelled}, status: 200, contains: `"aborted"`},
+		{name: "cancel", method: "POST", path: "/v1/jobs/job-000412/cancel", answer: api.Response{Code: api.CodeOK, ID: "000412", State: api.StateCancelled}, status: 200, contains: `"aborted"`},
 		{name: "wrong method", method: "DELETE", path: "/v1/jobs/job-000412", answer: ok, status: 405},
 		{name: "wrong path", method: "GET", path: "/v2", status: 404},
 		{name: "up", method: "GET", path: "/up", status: 200},
-		{name: "report", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Accepted: true, Token: 41}, status: 200, contains: `{"Baton":41,"Orders":[]}`},
-		{name: "report elsewhere", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Leader: "herder-2"}, status: 421, contains: `"Steward":"herder-2"`},
-		{name: "report to nobody", method: "POST", path: "/agent/beat", body: beat, beat: coordination.HeartbeatResponse{Busy: true}, status: 503},
+		{name: "report", method: "POST", path: "/agent/beat", body: beat, beat: worker.HeartbeatResponse{Accepted: true, Token: 41}, status: 200, contains: `{"Baton":41,"Orders":[]}`},
+		{name: "report elsewhere", method: "POST", path: "/agent/beat", body: beat, beat: worker.HeartbeatResponse{Leader: "herder-2"}, status: 421, contains: `"Steward":"herder-2"`},
+		{name: "report to nobody", method: "POST", path: "/agent/beat", body: beat, beat: worker.HeartbeatResponse{Busy: true}, status: 503},
 		{name: "malformed report", method: "POST", path: "/agent/beat", body: "{}", status: 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -92,8 +94,8 @@
 // been can't.
 func TestDirectOrdersTellWhatIsCertain(t *testing.T) {
 	w := NewWorkerClient(100, quiet)
-	orders := []coordination.Order{{Verb: coordination.Start, ID: coordination.TaskID{Job: "000001"}, Try: 1}}
-	ask := func(h http.HandlerFunc) coordination.Outcome {
+	orders := []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000001"}, Attempt: 1}}
+	ask := func(h http.HandlerFunc) worker.Outcome {
 		srv := httptest.NewServer(h)
 		defer srv.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -107,19 +109,19 @@
 			_, _ = io.WriteString(rw, body)
 		}
 	}
-	if out := ask(say(200, beat)); out != coordination.Executed {
+	if out := ask(say(200, beat)); out != worker.Executed {
 		t.Errorf("200: %v", out)
 	}
-	if out := ask(say(409, beat)); out != coordination.Rejected {
+	if out := ask(say(409, beat)); out != worker.Rejected {
 		t.Errorf("409: %v", out)
 	}
-	if out := ask(say(200, "{}")); out != coordination.Unresolved {
+	if out := ask(say(200, "{}")); out != worker.Unresolved {
 		t.Errorf("200 that isn't understood: %v", out)
 	}
-	if out := ask(say(500, "")); out != coordination.Unresolved {
+	if out := ask(say(500, "")); out != worker.Unresolved {
 		t.Errorf("500: %v", out)
 	}
-	if out := ask(func(http.ResponseWriter, *http.Request) { time.Sleep(300 * time.Millisecond) }); out != coordination.Unresolved {
+	if out := ask(func(http.ResponseWriter, *http.Request) { time.Sleep(300 * time.Millisecond) }); out != worker.Unresolved {
 		t.Errorf("no answer: %v", out)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,7 +129,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if out, _ := w.SendCommands(context.Background(), l.Addr().String(), 1, 1, orders, time.Time{}); out != coordination.NotSent {
+	if out, _ := w.SendCommands(context.Background(), l.Addr().String(), 1, 1, orders, time.Time{}); out != worker.NotSent {
 		t.Errorf("refused connection: %v", out)
 	}
 }
@@ -135,8 +137,8 @@
 // fakeLocal is a node that other nodes ask; it decides on machine 1 only.
 type fakeLocal struct{}
 
-func (fakeLocal) HandleForwardedRequest(_ context.Context, req coordination.UserRequest) coordination.Answer {
-	return coordination.Answer{Code: coordination.CodeOK, ID: req.ID, Peer: coordination.PeerState{Leader: req.ID}}
+func (fakeLocal) HandleForwardedRequest(_ context.Context, req api.Request) api.Response {
+	return api.Response{Code: api.CodeOK, ID: req.ID, Peer: peer.Status{Leader: req.ID}}
 }
 
 func (fakeLocal) HandleForwardedUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
@@ -147,13 +149,13 @@
 	return activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: req.Generation, Machine: req.Model}
 }
 
-func (fakeLocal) HandleForwardedHeartbeats(_ context.Context, reports []*coordination.Report) []coordination.HeartbeatResponse {
-	var out []coordination.HeartbeatResponse
+func (fakeLocal) HandleForwardedHeartbeats(_ context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+	var out []worker.HeartbeatResponse
 	for _, r := range reports {
 		if r.Machine != 1 {
 			return nil
 		}
-		out = append(out, coordination.HeartbeatResponse{Accepted: true, Token: r.Token})
+		out = append(out, worker.HeartbeatResponse{Accepted: true, Token: r.Token})
 	}
 	return out
 }
@@ -163,9 +165,9 @@
 	reached := make(chan struct{}, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached <- struct{}{} }))
 	defer srv.Close()
-	orders := []coordination.Order{{Verb: coordination.Start, ID: coordination.TaskID{Job: "000412", Task: 3}, Try: 2}}
+	orders := []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000412", Task: 3}, Attempt: 2}}
 	out, _ := NewWorkerClient(100, quiet).SendCommands(context.Background(), strings.TrimPrefix(srv.URL, "http://"), 1, 1, orders, time.Now())
-	if out != coordination.NotSent {
+	if out != worker.NotSent {
 		t.Errorf("told %v", out)
 	}
 	select {
@@ -188,16 +190,16 @@
 	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
 	go p.Run(ctx)
 	for _, id := range []string{"000001", "000002"} {
-		a, err := p.Forward(ctx, "n1", coordination.UserRequest{Op: coordination.OpPoll, ID: id})
+		a, err := p.Forward(ctx, "n1", api.Request{Op: api.OpPoll, ID: id})
 		if err != nil || a.ID != id {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	beats, err := p.ForwardHeartbeats(ctx, "n1", []*coordination.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
+	beats, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
 	if err != nil || len(beats) != 2 || beats[1].Token != 8 {
 		t.Errorf("reports: %+v, %v", beats, err)
 	}
-	if _, err := p.ForwardHeartbeats(ctx, "n1", []*coordination.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
+	if _, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 2}}); !errors.Is(err, errPeer) {
 		t.Errorf("reports that aren't decided on: %v", err)
 	}
 	if w, ok := p.Status("n1"); !ok || w.Leader != "n0" || w.Received.Before(w.Sent) {
@@ -210,10 +212,10 @@
 	if err := <-served; err != nil {
 		t.Errorf("serving ended: %v", err)
 	}
-	if _, err := p.Forward(ctx, "n1", coordination.UserRequest{}); !errors.Is(err, errPeer) {
+	if _, err := p.Forward(ctx, "n1", api.Request{}); !errors.Is(err, errPeer) {
 		t.Errorf("a peer that is gone: %v", err)
 	}
-	if _, err := p.Forward(ctx, "n9", coordination.UserRequest{}); !errors.Is(err, errPeer) {
+	if _, err := p.Forward(ctx, "n9", api.Request{}); !errors.Is(err, errPeer) {
 		t.Errorf("an unknown peer: %v", err)
 	}
 }
--- a/internal/transport/versions_test.go
+++ b/internal/transport/versions_test.go
@@ -10,15 +10,18 @@
 	"time"
 
 	"sagevale/internal/activation"
-	"sagevale/internal/coordination"
+	"sagevale/internal/api"
+	"sagevale/internal/peer"
 	"sagevale/internal/storage"
+	wire "sagevale/internal/wire/coordination"
+	"sagevale/internal/worker"
 )
 
 // The versions in use serve side by side with this one. Every folder of testdata holds
 // what nodes of one of them really sent each other.
 
 func TestEarlierVersionsMessagesAreRead(t *testing.T) {
-	for version, number := range map[string]int{"production": 0, "769a0b2": 2, "registering": 3, "token-ranges": 4, "activation": coordination.PeerVersion} {
+	for version, number := range map[string]int{"production": 0, "769a0b2": 2, "registering": 3, "token-ranges": 4, "activation": peer.Version} {
 		t.Run(version, func(t *testing.T) { readsMessages(t, version, number) })
 	}
 }
@@ -32,13 +35,13 @@
 			t.Fatal(err)
 		}
 	}
-	if ping.Req.Op != coordination.OpPing || ping.Req.ID != "n1" {
+	if ping.Req.Op != api.OpPing || ping.Req.ID != "n1" {
 		t.Errorf("ping %+v", ping)
 	}
-	if s := submit.Req.Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Room.GPUs != 1 {
+	if s := submit.Req.Request().Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
 		t.Errorf("submission %+v", submit)
 	}
-	if r := report.Reports[0]; r.Machine != 7 || *r.Notice != 12.5 || r.Tasks[0].Cause != coordination.CausePeers {
+	if r := wire.Reports(report.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CausePeers {
 		t.Errorf("report %+v", r)
 	}
 	var state, user, beats peerAnswer
@@ -50,10 +53,10 @@
 	if p := state.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegatesFor != 20*time.Second || len(p.Excluded) != 2 || p.Version != number {
 		t.Errorf("word %+v", p)
 	}
-	if a := user.Answer; a.State != coordination.StateRunning || a.Holds != time.Second || a.Running != 2 {
+	if a := user.Answer.Response(); a.State != api.StateRunning || a.ValidFor != time.Second || a.Running != 2 {
 		t.Errorf("answer %+v", a)
 	}
-	if b := beats.Beats[0]; !b.Accepted || b.Token != 4 || b.Orders[0].Verb != coordination.Stop {
+	if b := wire.HeartbeatResponses(beats.Beats)[0]; !b.Accepted || b.Token != 4 || b.Commands[0].Verb != worker.Stop {
 		t.Errorf("beat %+v", b)
 	}
 }
@@ -118,7 +121,7 @@
 	oldPeerAnswer struct {
 		Serial uint64
 		Answer oldAnswer
-		Beats  []coordination.BeatAnswer
+		Beats  []wire.BeatAnswer
 	}
 	// newerAnswer is what some later version may send.
 	newerAnswer struct {
@@ -135,8 +138,8 @@
 
 func TestProductionReadsWhatIsSentNow(t *testing.T) {
 	var buf bytes.Buffer
-	sent := peerAnswer{Serial: 3, Answer: coordination.Answer{Code: coordination.CodeOK, ID: "000007", State: coordination.StateDone, Done: 2,
-		Peer: coordination.PeerState{Up: time.Minute, Leader: "n2", Term: 4, Lends: time.Second, Barred: []int{7}, Version: coordination.PeerVersion}}}
+	sent := peerAnswer{Serial: 3, Answer: wire.Answer{Code: api.CodeOK, ID: "000007", State: api.StateDone, Done: 2,
+		Peer: wire.PeerState{Up: time.Minute, Leader: "n2", Term: 4, Lends: time.Second, Barred: []int{7}, Version: peer.Version}}}
 	if err := gob.NewEncoder(&buf).Encode(sent); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +147,7 @@
 	if err := gob.NewDecoder(&buf).Decode(&got); err != nil {
 		t.Fatal(err)
 	}
-	if a := got.Answer; got.Serial != 3 || a.ID != "000007" || a.State != int(coordination.StateDone) || a.Peer.Term != 4 || a.Peer.Lends != time.Second || len(a.Peer.Barred) != 1 {
+	if a := got.Answer; got.Serial != 3 || a.ID != "000007" || a.State != int(api.StateDone) || a.Peer.Term != 4 || a.Peer.Lends != time.Second || len(a.Peer.Barred) != 1 {
 		t.Errorf("read as %+v", got)
 	}
 }
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -8,6 +8,7 @@
 
 	"sagevale/internal/coordination"
 	"sagevale/internal/protocol"
+	"sagevale/internal/worker"
 )
 
 // idleOrders is how long an idle connection to a worker is kept.
@@ -30,23 +31,23 @@
 
 // SendCommands sends orders, unless they have waited here until sendBy, and returns the
 // worker's report after them.
-func (w *WorkerClient) SendCommands(ctx context.Context, addr string, token, session uint64, orders []coordination.Order, sendBy time.Time) (coordination.Outcome, *coordination.Report) {
+func (w *WorkerClient) SendCommands(ctx context.Context, addr string, token, session uint64, orders []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	select {
 	case w.slots <- struct{}{}:
 		defer func() { <-w.slots }()
 	case <-ctx.Done():
-		return coordination.NotSent, nil
+		return worker.NotSent, nil
 	}
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
-		return coordination.NotSent, nil
+		return worker.NotSent, nil
 	}
 	ex, sent, err := w.c.do(ctx, http.MethodPost, "http://"+addr+"/orders", protocol.NewDirectOrders(token, session, orders))
 	switch {
 	case err != nil && !sent:
-		return coordination.NotSent, nil
+		return worker.NotSent, nil
 	case err != nil:
 		w.log.Debug("direct orders unanswered", "addr", addr, "err", err)
-		return coordination.Unresolved, nil
+		return worker.Unresolved, nil
 	}
 	report, err := protocol.ParseReport(ex.body)
 	switch ex.status {
@@ -54,15 +55,15 @@
 		if err != nil {
 			// Executed, but what stands there now can't be told.
 			w.log.Error("worker's answer not understood", "addr", addr, "err", err)
-			return coordination.Unresolved, nil
+			return worker.Unresolved, nil
 		}
-		return coordination.Executed, report
+		return worker.Executed, report
 	case http.StatusConflict, http.StatusBadRequest:
 		if err != nil {
 			report = nil
 		}
-		return coordination.Rejected, report
+		return worker.Rejected, report
 	}
 	w.log.Error("surprising answer of a worker", "addr", addr, "status", ex.status)
-	return coordination.Unresolved, nil
+	return worker.Unresolved, nil
 }
