--- a/cmd/sagevale/activation.go
+++ b/cmd/sagevale/activation.go
@@ -8,7 +8,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/storage"
 )
 
@@ -18,7 +18,7 @@
 	short:   "Tell where services stand that hold no machine without demand",
 	status:  "Read the gate and each service's state, generation and place from the state service",
 	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := coordination.ReadActivationStatus(ctx, svc, settings)
+		status, err := scheduler.ReadActivationStatus(ctx, svc, settings)
 		if err != nil {
 			return err
 		}
@@ -27,7 +27,7 @@
 }
 
 // writeActivationStatus writes a status for people.
-func writeActivationStatus(out io.Writer, status coordination.ActivationStatus) error {
+func writeActivationStatus(out io.Writer, status scheduler.ActivationStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	phase := string(status.Gate.Phase)
 	if phase == "" {
--- a/cmd/sagevale/archive.go
+++ b/cmd/sagevale/archive.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/storage"
 )
 
@@ -17,7 +17,7 @@
 	short:   "Tell where the archive of finished jobs stands",
 	status:  "Read the archive's pages, its backlog in the journal and its gate from the state service",
 	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := coordination.ReadArchiveStatus(ctx, svc, settings)
+		status, err := scheduler.ReadArchiveStatus(ctx, svc, settings)
 		if err != nil {
 			return err
 		}
@@ -26,7 +26,7 @@
 }
 
 // writeArchiveStatus writes a status for people.
-func writeArchiveStatus(out io.Writer, status coordination.ArchiveStatus) error {
+func writeArchiveStatus(out io.Writer, status scheduler.ArchiveStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	phase := string(status.Gate.Phase)
 	if phase == "" {
--- a/cmd/sagevale/models.go
+++ b/cmd/sagevale/models.go
@@ -9,8 +9,8 @@
 
 	"sagevale/internal/activator"
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
 	"sagevale/internal/protocol"
+	"sagevale/internal/scheduler"
 )
 
 // modelEdge takes requests for models, where the operators want it; nil: nowhere.
@@ -23,7 +23,7 @@
 }
 
 // newModelEdge listens where the settings say.
-func newModelEdge(s *config.Settings, node *coordination.Node, log *slog.Logger) (*modelEdge, error) {
+func newModelEdge(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelEdge, error) {
 	tuning := &s.Tuning.Activation
 	if tuning.Listen == "" {
 		return nil, nil
--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/telemetry"
 	"sagevale/internal/transport"
 )
@@ -56,7 +56,7 @@
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	peers := transport.NewPeers(s.NodeName, s.Peers, transport.Pace{Window: s.BatchWindow(), Pings: s.LinkTestInterval(), Queue: s.QueueSize()}, log)
-	node := coordination.NewNode(s, coordination.Dependencies{
+	node := scheduler.NewNode(s, scheduler.Dependencies{
 		State:   transport.NewKeyValueClient(s.StateAddr),
 		Cloud:   transport.NewCloudClient(s.CloudAddr),
 		Workers: transport.NewWorkerClient(s.Sockets, log),
--- a/cmd/sagevale/upgrade.go
+++ b/cmd/sagevale/upgrade.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/storage"
 )
 
@@ -18,7 +18,7 @@
 	short:   "Tell where an upgrade of the controllers stands",
 	status:  "Read the active version, the gates and each controller's versions from the state service",
 	write: func(ctx context.Context, svc storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := coordination.ReadUpgradeStatus(ctx, svc, settings)
+		status, err := scheduler.ReadUpgradeStatus(ctx, svc, settings)
 		if err != nil {
 			return err
 		}
@@ -27,7 +27,7 @@
 }
 
 // writeStatus writes a status for people.
-func writeStatus(out io.Writer, status coordination.UpgradeStatus) error {
+func writeStatus(out io.Writer, status scheduler.UpgradeStatus) error {
 	record := status.Record
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	line := func(cells ...any) {
@@ -78,14 +78,14 @@
 	return "no"
 }
 
-func leaderText(status coordination.UpgradeStatus) string {
+func leaderText(status scheduler.UpgradeStatus) string {
 	if status.Leader == "" {
 		return "none"
 	}
 	return fmt.Sprintf("%s (term %d)", status.Leader, status.Term)
 }
 
-func versionsText(node coordination.NodeVersions) string {
+func versionsText(node scheduler.NodeVersions) string {
 	switch {
 	case node.Damaged:
 		return "damaged"
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/cloud"
 	"sagevale/internal/storage"
 )
 
@@ -96,13 +96,13 @@
 	More bool `json:"More"`
 }
 
-var machineStates = map[string]coordination.MachineState{
-	"booting": coordination.Booting, "running": coordination.Up, "failed": coordination.Failed,
+var machineStates = map[string]cloud.State{
+	"booting": cloud.Booting, "running": cloud.Running, "failed": cloud.Failed,
 }
 
 // Listed takes the page off the wire.
-func (l MachineList) Listed() ([]coordination.ListedMachine, error) {
-	out := make([]coordination.ListedMachine, 0, len(l.Machines))
+func (l MachineList) Listed() ([]cloud.Machine, error) {
+	out := make([]cloud.Machine, 0, len(l.Machines))
 	for _, m := range l.Machines {
 		id, err := ParseMachine(m.ID)
 		if err != nil {
@@ -112,7 +112,7 @@
 		if !ok {
 			return nil, fmt.Errorf("unknown machine state %q", m.State)
 		}
-		out = append(out, coordination.ListedMachine{Machine: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeS: m.AgeS})
+		out = append(out, cloud.Machine{ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeSeconds: m.AgeS})
 	}
 	return out, nil
 }
--- a/internal/coordination/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
@@ -94,7 +95,7 @@
 		err      error
 	}
 	listAnswer struct {
-		machines []ListedMachine
+		machines []cloud.Machine
 		pages    int
 		err      error
 	}
--- a/internal/coordination/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"context"
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cloud"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -30,14 +31,14 @@
 
 func (c slowCloud) Terminate(context.Context, []int) error { return nil }
 
-func (c slowCloud) List(ctx context.Context, after, limit int) (page []ListedMachine, more bool, err error) {
+func (c slowCloud) List(ctx context.Context, after, limit int) (page []cloud.Machine, more bool, err error) {
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
 	for id := after + 1; id < c.machines && len(page) < limit; id++ {
-		page = append(page, ListedMachine{Machine: id})
+		page = append(page, cloud.Machine{ID: id})
 	}
 	return page, after+1+len(page) < c.machines, nil
 }
--- a/internal/coordination/cloud_calls.go
+++ b/internal/scheduler/cloud_calls.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
@@ -64,7 +65,7 @@
 
 // listAll reads the whole machine list. Each page is a call of its own, so that the list may be of
 // any length.
-func (c *autoscaler) listAll() (all []ListedMachine, pages int, err error) {
+func (c *autoscaler) listAll() (all []cloud.Machine, pages int, err error) {
 	after := noMachine
 	for {
 		page, more, err := c.listOne(after)
@@ -76,14 +77,14 @@
 		if !more || len(page) == 0 {
 			return all, pages, nil
 		}
-		after = page[len(page)-1].Machine
+		after = page[len(page)-1].ID
 		if err := c.limiter.Wait(c.ctx); err != nil {
 			return nil, pages, err
 		}
 	}
 }
 
-func (c *autoscaler) listOne(after int) (page []ListedMachine, more bool, err error) {
+func (c *autoscaler) listOne(after int) (page []cloud.Machine, more bool, err error) {
 	ctx, cancel := c.callContext()
 	defer cancel()
 	return c.cloud.List(ctx, after, listPage)
@@ -136,7 +137,7 @@
 		if len(m.machines) < h.Count {
 			c.scheduler.post(rejectedMsg{o})
 		}
-	case errors.Is(m.err, ErrNoCapacity), errors.Is(m.err, ErrMalformed):
+	case errors.Is(m.err, cloud.ErrNoCapacity), errors.Is(m.err, cloud.ErrMalformed):
 		c.log.Info("rental refused", "rental", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "err", m.err)
 		c.scheduler.post(rejectedMsg{o})
 	default:
--- a/internal/coordination/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"context"
--- a/internal/coordination/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"context"
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"sagevale/internal/cloud"
 	"sagevale/internal/storage"
 )
 
@@ -41,7 +42,7 @@
 		return got, nil
 	}
 	if c.full != nil && c.full(h) {
-		return nil, ErrNoCapacity
+		return nil, cloud.ErrNoCapacity
 	}
 	var got []int
 	for range h.Count {
@@ -61,7 +62,7 @@
 	c.rentals[name] = got
 	if c.loseOne {
 		c.loseOne = false
-		return nil, ErrCloud
+		return nil, cloud.ErrUnknownOutcome
 	}
 	return got, nil
 }
@@ -87,15 +88,15 @@
 	return nil
 }
 
-func (c *fakeCloud) List(_ context.Context, after, _ int) ([]ListedMachine, bool, error) {
+func (c *fakeCloud) List(_ context.Context, after, _ int) ([]cloud.Machine, bool, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
-	var out []ListedMachine
+	var out []cloud.Machine
 	for id, wk := range c.sim.workers {
 		if id > after && !wk.dead.Load() {
-			out = append(out, ListedMachine{Machine: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: Up})
+			out = append(out, cloud.Machine{ID: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: cloud.Running})
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Machine < out[b].Machine })
+	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
 	return out, false, nil
 }
--- a/internal/coordination/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -1,10 +1,11 @@
-package coordination
+package scheduler
 
 import (
 	"slices"
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -129,20 +130,20 @@
 
 // handleList takes in what the cloud lists. Absence from a list proves
 // nothing; a machine is only let go once its lease has surely ended too.
-func (d *scheduler) handleList(machines []ListedMachine) {
+func (d *scheduler) handleList(machines []cloud.Machine) {
 	now := time.Now()
 	d.machinesListed = true
 	seen := make(map[int]bool, len(machines))
 	for _, l := range machines {
-		seen[l.Machine] = true
-		m, known := d.machines[l.Machine]
+		seen[l.ID] = true
+		m, known := d.machines[l.ID]
 		if !known {
-			if d.terminated[l.Machine] {
+			if d.terminated[l.ID] {
 				continue
 			}
-			m = d.machineFor(l.Machine)
-			m.firstSeen, m.provisioningObserved = now.Add(-clock.Seconds(l.AgeS)), true
-			d.log.Info("unexpected machine", "machine", l.Machine, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
+			m = d.machineFor(l.ID)
+			m.firstSeen, m.provisioningObserved = now.Add(-clock.Seconds(l.AgeSeconds)), true
+			d.log.Info("unexpected machine", "machine", l.ID, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
 		}
 		if m.typeName == "" {
 			m.typeName, m.zone, m.spot, m.machineType = l.Type, l.Zone, l.Spot, d.types[l.Type]
@@ -151,7 +152,7 @@
 			m.addr = l.Addr
 		}
 		m.listedAt = now
-		m.failed = l.State == Failed
+		m.failed = l.State == cloud.Failed
 	}
 	for _, m := range slices.Clone(d.machineOrder) {
 		silent := now.Sub(m.lastContact) > d.settings.WorkerLease && now.Sub(m.firstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
--- a/internal/coordination/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -1,6 +1,6 @@
 //go:build freeze
 
-package coordination
+package scheduler
 
 import (
 	"context"
--- a/internal/coordination/ports.go
+++ b/internal/scheduler/ports.go
@@ -1,12 +1,12 @@
-package coordination
+package scheduler
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"sagevale/internal/activation"
 	"sagevale/internal/api"
+	"sagevale/internal/cloud"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -19,38 +19,9 @@
 	SendCommands(ctx context.Context, addr string, token, session uint64, orders []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report)
 }
 
-// MachineState is a machine's state in the cloud's list.
-type MachineState int
-
 // The states of the cloud's list.
-const (
-	Booting MachineState = iota
-	Up
-	Failed
-)
-
-// ListedMachine is a machine in the cloud's list.
-type ListedMachine struct {
-	Machine int
-	Addr    string
-	Type    string
-	Zone    string
-	Spot    bool
-	State   MachineState
-	AgeS    float64
-}
 
 // Errors of the cloud.
-var (
-	// ErrNoCapacity: none available; the same request may be sent again.
-	ErrNoCapacity = errors.New("no capacity")
-	// ErrCloud: no usable answer; the request may be executed, or may be later.
-	ErrCloud = errors.New("cloud in trouble")
-	// ErrCloudRefused: surely not executed, for now.
-	ErrCloudRefused = errors.New("cloud refused for now")
-	// ErrMalformed: the cloud calls the request malformed.
-	ErrMalformed = errors.New("cloud calls the request malformed")
-)
 
 // Cloud rents machines.
 type Cloud interface {
@@ -59,7 +30,7 @@
 	Terminate(ctx context.Context, machines []int) error
 	// List reads a page of the machines after one of that number; with noMachine,
 	// from the first.
-	List(ctx context.Context, after int, limit int) (machines []ListedMachine, more bool, err error)
+	List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error)
 }
 
 // PeerLink forwards users' requests and workers' reports to another node.
--- a/internal/coordination/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"context"
@@ -14,6 +14,7 @@
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
@@ -137,7 +138,7 @@
 	}
 	committedMsg    struct{ err error }
 	machineTypesMsg struct{ types []storage.MachineType }
-	listMsg         struct{ machines []ListedMachine }
+	listMsg         struct{ machines []cloud.Machine }
 	launchedMsg     struct {
 		launch   storage.LaunchRecord
 		machines []int
--- a/internal/coordination/zone_check.go
+++ b/internal/scheduler/zone_check.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 // zoneCheck answers where one more task of a job may start; it asks the job
 // once for each zone.
--- a/internal/transport/cloud.go
+++ b/internal/transport/cloud.go
@@ -8,8 +8,9 @@
 	"strconv"
 	"time"
 
-	"sagevale/internal/coordination"
+	"sagevale/internal/cloud"
 	"sagevale/internal/protocol"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/storage"
 )
 
@@ -19,7 +20,7 @@
 	c    *client
 }
 
-var _ coordination.Cloud = (*CloudClient)(nil)
+var _ scheduler.Cloud = (*CloudClient)(nil)
 
 // NewCloudClient makes a client of the cloud at addr.
 func NewCloudClient(addr string) *CloudClient {
@@ -30,9 +31,9 @@
 	ex, sent, err := c.c.do(ctx, method, c.base+path, in)
 	switch {
 	case err != nil && sent:
-		return fmt.Errorf("%w: %w", coordination.ErrCloud, err)
+		return fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	case err != nil:
-		return fmt.Errorf("%w: %w", coordination.ErrCloudRefused, err)
+		return fmt.Errorf("%w: %w", cloud.ErrRejected, err)
 	}
 	switch ex.status {
 	case http.StatusOK:
@@ -40,21 +41,21 @@
 			return nil
 		}
 		if err := decode(ex.body, out); err != nil {
-			return fmt.Errorf("%w: %w", coordination.ErrCloud, err)
+			return fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 		}
 		return nil
 	case http.StatusBadRequest:
-		return fmt.Errorf("%w: %.200s", coordination.ErrMalformed, ex.body)
+		return fmt.Errorf("%w: %.200s", cloud.ErrMalformed, ex.body)
 	case http.StatusTooManyRequests:
-		return fmt.Errorf("%w: too many requests", coordination.ErrCloudRefused)
+		return fmt.Errorf("%w: too many requests", cloud.ErrRejected)
 	case http.StatusServiceUnavailable:
 		var r protocol.Refusal
 		if err := decode(ex.body, &r); err == nil && r.Error == noCapacity {
-			return coordination.ErrNoCapacity
+			return cloud.ErrNoCapacity
 		}
-		return fmt.Errorf("%w: %.200s", coordination.ErrCloudRefused, ex.body)
+		return fmt.Errorf("%w: %.200s", cloud.ErrRejected, ex.body)
 	}
-	return fmt.Errorf("%w: status %d", coordination.ErrCloud, ex.status)
+	return fmt.Errorf("%w: status %d", cloud.ErrUnknownOutcome, ex.status)
 }
 
 // noCapacity is how the cloud refuses a rental.
@@ -68,7 +69,7 @@
 	}
 	types := cat.MachineTypes()
 	if len(types) == 0 {
-		return nil, fmt.Errorf("%w: empty catalogue", coordination.ErrCloud)
+		return nil, fmt.Errorf("%w: empty catalogue", cloud.ErrUnknownOutcome)
 	}
 	return types, nil
 }
@@ -81,7 +82,7 @@
 	}
 	ids, err := names.IDs()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", coordination.ErrCloud, err)
+		return nil, fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	}
 	return ids, nil
 }
@@ -92,7 +93,7 @@
 }
 
 // List reads a page of the machine list.
-func (c *CloudClient) List(ctx context.Context, after int, limit int) ([]coordination.ListedMachine, bool, error) {
+func (c *CloudClient) List(ctx context.Context, after int, limit int) ([]cloud.Machine, bool, error) {
 	q := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
 		q.Set("From", protocol.MachineName(after))
@@ -103,7 +104,7 @@
 	}
 	machines, err := l.Listed()
 	if err != nil {
-		return nil, false, fmt.Errorf("%w: %w", coordination.ErrCloud, err)
+		return nil, false, fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	}
 	return machines, l.More, nil
 }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -10,8 +10,8 @@
 	"sagevale/internal/activation"
 	"sagevale/internal/api"
 	"sagevale/internal/config"
-	"sagevale/internal/coordination"
 	"sagevale/internal/peer"
+	"sagevale/internal/scheduler"
 	wire "sagevale/internal/wire/coordination"
 	"sagevale/internal/worker"
 )
@@ -99,7 +99,7 @@
 	log   *slog.Logger
 }
 
-var _ coordination.PeerLink = (*Peers)(nil)
+var _ scheduler.PeerLink = (*Peers)(nil)
 
 // Pace is how the links spare the processor.
 type Pace struct {
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"sagevale/internal/coordination"
 	"sagevale/internal/protocol"
+	"sagevale/internal/scheduler"
 	"sagevale/internal/worker"
 )
 
@@ -21,7 +21,7 @@
 	log   *slog.Logger
 }
 
-var _ coordination.WorkerLink = (*WorkerClient)(nil)
+var _ scheduler.WorkerLink = (*WorkerClient)(nil)
 
 // NewWorkerClient makes a client that keeps one idle connection a worker, as
 // far as the sockets allow.
