--- /dev/null
+++ b/internal/leadership/cluster_record.go
@@ -0,0 +1,38 @@
+package leadership
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"sagevale/internal/storage"
+	"sagevale/internal/upgrade"
+)
+
+// The keys of upgrades in the key-value store. Each controller writes its registration and session; the
+// leader's upgrade controller writes the cluster record.
+const (
+	UpgradePrefix      = "upgrade/"
+	ClusterKey         = UpgradePrefix + "cluster"  // the cluster record: what is in force
+	RegistrationPrefix = UpgradePrefix + "node/"    // each controller's registration
+	SessionPrefix      = UpgradePrefix + "session/" // under a lease: that its process lives
+)
+
+// ClusterRecord is the cluster record as it is stored. Version 0: none is stored.
+type ClusterRecord struct {
+	Record  upgrade.Record
+	Version uint64
+}
+
+// ReadClusterRecord reads the cluster record.
+func ReadClusterRecord(ctx context.Context, store storage.KeyValueStore) (ClusterRecord, error) {
+	item, err := store.Get(ctx, ClusterKey)
+	if errors.Is(err, storage.ErrNotFound) {
+		return ClusterRecord{Record: upgrade.Initial()}, nil
+	}
+	if err != nil {
+		return ClusterRecord{}, fmt.Errorf("read cluster record: %w", err)
+	}
+	record, err := upgrade.DecodeRecord(ClusterKey, item.Data)
+	return ClusterRecord{Record: record, Version: item.Version}, err
+}
--- /dev/null
+++ b/internal/leadership/election_test.go
@@ -0,0 +1,223 @@
+package leadership
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/config"
+	"sagevale/internal/fencing"
+	"sagevale/internal/peer"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/upgrade"
+)
+
+// scriptedPeers are peers that always tell the same status.
+type scriptedPeers map[string]peer.Status
+
+func (s scriptedPeers) Ping(_ context.Context, name string) (peer.Status, error) { return s[name], nil }
+
+func (s scriptedPeers) KnownLeader() (string, uint64) { return "", 0 }
+
+// testSettings are those of a controller with two peers.
+func testSettings() *config.Settings {
+	s := &config.Settings{
+		NodeName:          "n0",
+		Peers:             []config.Peer{{Name: "n1"}, {Name: "n2"}},
+		HeartbeatInterval: 4 * time.Second,
+		WorkerLease:       22 * time.Second,
+		CancelTimeout:     52 * time.Second,
+		MemoryMB:          98,
+		Sockets:           1000,
+	}
+	s.Tuning = s.DefaultTuning()
+	return s
+}
+
+// newTestElection makes an election of a registered process.
+func newTestElection(store storage.KeyValueStore, peers Peers) *Election {
+	return New(Config{
+		Store: store, Settings: testSettings(), Peers: peers, Process: "p",
+		Registered: func() bool { return true }, Log: slog.New(slog.DiscardHandler),
+	})
+}
+
+// newTestStore is a key-value store and a client of it.
+func newTestStore(t *testing.T) *storagetest.Client {
+	t.Helper()
+	service := storagetest.NewService()
+	t.Cleanup(service.Close)
+	return &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
+}
+
+// Peers confirm only what they know for their whole life: one that has had an answer of the key-value
+// store after our lease may have expired, or started after that, doesn't.
+func TestPeersConfirmNoLeader(t *testing.T) {
+	const sinceExpiry = 10 * time.Second
+	for _, c := range []struct {
+		name          string
+		uptime, since time.Duration
+		term          uint64
+		want          bool
+	}{
+		{"up and without the store since before", 20 * time.Second, 15 * time.Second, 2, true},
+		{"answered by the store since: may have led and resigned", 20 * time.Second, 5 * time.Second, 0, false},
+		{"restarted since", 5 * time.Second, 5 * time.Second, 0, false},
+		{"restarted since, though it reports no contact for longer", 5 * time.Second, 15 * time.Second, 0, false},
+		{"answered by the store at the moment of expiry", 20 * time.Second, 10 * time.Second, 0, false},
+		{"knows a later term", 20 * time.Second, 15 * time.Second, 3, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				e := newTestElection(nil, scriptedPeers{
+					"n1": {Uptime: time.Hour, SinceStoreContact: time.Hour},
+					"n2": {Uptime: c.uptime, SinceStoreContact: c.since, Term: c.term},
+				})
+				if got := e.PeersConfirmNoLeader(t.Context(), 2, time.Now().Add(-sinceExpiry)); got != c.want {
+					t.Errorf("PeersConfirmNoLeader() = %v, want %v", got, c.want)
+				}
+			})
+		})
+	}
+}
+
+// A term whose number leaves no room for another one's tokens and attempts is damaged.
+func TestNoTermAfterTheLast(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := newTestStore(t)
+		last := fmt.Appendf(nil, "%d", uint64(fencing.LastTerm))
+		if _, err := client.Txn(t.Context(), nil, []storage.Op{{Key: TermKey, Data: last}}); err != nil {
+			t.Fatal(err)
+		}
+		e := newTestElection(client, scriptedPeers{})
+		var damaged *upgrade.DamagedError
+		if err := e.acquire(t.Context()); !errors.As(err, &damaged) || damaged.Key != TermKey {
+			t.Errorf("acquire() = %v, want a DamagedError of %s", err, TermKey)
+		}
+	})
+}
+
+// runElection runs an election until the test ends, and returns the channel of its roles.
+func runElection(t *testing.T, e *Election) <-chan Role {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	roles := make(chan Role, 1024)
+	done := make(chan error, 1)
+	go func() { done <- e.Run(ctx, func(r Role) { roles <- r }) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Errorf("Run() = %v", err)
+		}
+	})
+	return roles
+}
+
+// await returns the first role that matches, within a minute.
+func await(t *testing.T, roles <-chan Role, matches func(Role) bool) Role {
+	t.Helper()
+	timeout := time.After(time.Minute)
+	for {
+		select {
+		case r := <-roles:
+			if matches(r) {
+				return r
+			}
+		case <-timeout:
+			t.Fatal("no such role within a minute")
+		}
+	}
+}
+
+func leading(r Role) bool { return r.Leading }
+
+func notLeading(r Role) bool { return !r.Leading }
+
+func TestElectionRenewsItsLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		e := newTestElection(newTestStore(t), scriptedPeers{})
+		roles := runElection(t, e)
+		first := await(t, roles, leading)
+		if first.Term == 0 || first.Guard.Key != LeaderKey || first.Guard.Version == 0 {
+			t.Errorf("first role %+v has no term or guard", first)
+		}
+		time.Sleep(10 * e.settings.Tuning.LeaderLease)
+		var last Role
+		for len(roles) > 0 {
+			last = <-roles
+		}
+		if !last.Leading || last.Term != first.Term || !last.LeaseValidUntil.After(time.Now()) {
+			t.Errorf("role after ten leases: %+v, want a valid lease of term %d", last, first.Term)
+		}
+		if grace := last.RenewUntil.Sub(last.LeaseValidUntil); grace != e.settings.RenewalGrace() {
+			t.Errorf("workers' leases are renewed for %v after the lease, want %v", grace, e.settings.RenewalGrace())
+		}
+	})
+}
+
+func TestResignationEndsTheTerm(t *testing.T) {
+	for _, standDown := range []bool{false, true} {
+		t.Run(fmt.Sprintf("stand down %v", standDown), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				e := newTestElection(newTestStore(t), scriptedPeers{})
+				roles := runElection(t, e)
+				term := await(t, roles, leading).Term
+				e.Resign(Resignation{Term: term - 1}) // of an earlier term: without effect
+				e.Resign(Resignation{Term: term, StandDown: standDown})
+				resigned := time.Now()
+				await(t, roles, notLeading)
+				next := await(t, roles, leading)
+				if next.Term <= term {
+					t.Errorf("term %d follows term %d", next.Term, term)
+				}
+				pause := standDownLeases * e.settings.Tuning.LeaderLease
+				if waited := time.Since(resigned); (waited >= pause) != standDown {
+					t.Errorf("leads again after %v, stand down %v", waited, standDown)
+				}
+			})
+		})
+	}
+}
+
+func TestElectionRevokesTheLeaseOfAnEarlierProcess(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := newTestStore(t)
+		lease, err := client.Grant(t.Context(), time.Hour)
+		if err != nil {
+			t.Fatal(err)
+		}
+		record := fmt.Appendf(nil, `{"n":%q,"r":"earlier","t":1}`, "n0")
+		if _, err := client.Txn(t.Context(), nil, []storage.Op{{Key: LeaderKey, Data: record, Lease: lease}}); err != nil {
+			t.Fatal(err)
+		}
+		started := time.Now()
+		roles := runElection(t, newTestElection(client, scriptedPeers{}))
+		await(t, roles, leading)
+		if waited := time.Since(started); waited > time.Second {
+			t.Errorf("leads after %v, want at once", waited)
+		}
+	})
+}
+
+// Without the key-value store a leader goes on only for as long as workers' leases may be renewed.
+func TestLeaderWithoutStoreStopsAfterRenewalGrace(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := newTestStore(t)
+		e := newTestElection(client, scriptedPeers{}) // peers that confirm nothing
+		roles := runElection(t, e)
+		role := await(t, roles, leading)
+		client.Cut.Store(true)
+		await(t, roles, notLeading)
+		if ended := time.Now(); ended.Before(role.RenewUntil) {
+			t.Errorf("ended %v before the end of the renewal grace", role.RenewUntil.Sub(ended))
+		}
+		client.Cut.Store(false)
+		await(t, roles, leading)
+	})
+}
--- /dev/null
+++ b/internal/leadership/renewal.go
@@ -0,0 +1,116 @@
+package leadership
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"sagevale/internal/clock"
+	"sagevale/internal/storage"
+)
+
+// The reasons for which a term ends, as they are logged.
+const (
+	reasonStopped     = "stopped"
+	reasonResigned    = "resigned"
+	reasonExpired     = "lease expired"
+	reasonLaterLeader = "a peer knows a later leader"
+	reasonNoContact   = "key-value store unreachable for too long"
+)
+
+// keep renews the lease until it has expired, this leader resigns, or the key-value store has been out of
+// reach for longer than workers' leases may be renewed without it.
+func (e *Election) keep(ctx context.Context, held heldLease) {
+	e.publish(e.roleOf(&held))
+	reason := reasonStopped
+	for ctx.Err() == nil {
+		if ended := e.renewOnce(ctx, &held); ended != "" {
+			reason = ended
+			break
+		}
+	}
+	e.log.Info("leadership lost", "term", held.term, "reason", reason)
+	e.publish(Role{})
+}
+
+func (e *Election) roleOf(held *heldLease) Role {
+	return held.role(e.settings.NodeName, e.settings.Tuning.LeaderLease, e.settings.RenewalGrace())
+}
+
+// renewOnce waits for the next renewal, or a resignation, and returns why the term ends, or "".
+func (e *Election) renewOnce(ctx context.Context, held *heldLease) (reason string) {
+	select {
+	case r := <-e.resignations:
+		if r.Term != held.term {
+			return "" // of an earlier term
+		}
+		e.handleResignation(ctx, held, r)
+		return reasonResigned
+	case <-ctx.Done():
+	case <-time.After(e.settings.Tuning.LeaderLease / RenewalsPerLease):
+	}
+	sent := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	err := e.store.Touch(callCtx, held.id)
+	cancel()
+	if err != nil {
+		return e.handleFailedRenewal(ctx, held, err)
+	}
+	e.markContact()
+	held.renewedAt = sent
+	e.publish(e.roleOf(held))
+	return ""
+}
+
+// handleResignation gives up the lease, so that another controller can lead at once.
+func (e *Election) handleResignation(ctx context.Context, held *heldLease, r Resignation) {
+	if r.StandDown {
+		e.standDownUntil = time.Now().Add(standDownLeases * e.settings.Tuning.LeaderLease)
+	}
+	if err := e.revoke(ctx, held.id); err != nil {
+		e.log.Debug("lease revocation failed", "error", err)
+	}
+}
+
+// handleFailedRenewal returns why the term ends after a renewal that failed, or "" if it may go on. In an
+// outage of the key-value store it goes on for as long as all peers confirm that nobody can lead.
+func (e *Election) handleFailedRenewal(ctx context.Context, held *heldLease, err error) (reason string) {
+	if errors.Is(err, storage.ErrNotFound) {
+		return reasonExpired
+	}
+	if _, later := e.peers.KnownLeader(); later > held.term {
+		return reasonLaterLeader
+	}
+	validUntil := held.validUntil(e.settings.Tuning.LeaderLease)
+	if asked := time.Now(); asked.After(validUntil) && e.PeersConfirmNoLeader(ctx, held.term, validUntil) {
+		held.confirmedAt = asked
+		e.publish(e.roleOf(held))
+	}
+	if time.Now().After(e.roleOf(held).RenewUntil) {
+		return reasonNoContact
+	}
+	return ""
+}
+
+// PeersConfirmNoLeader reports whether all peers confirm that they can't have led since expiry, when our
+// lease may first have expired: each has been up since before it, and has had no answer of the
+// key-value store after it. A peer that has restarted can't know what it did before, so it can't
+// confirm, whatever else it says.
+func (e *Election) PeersConfirmNoLeader(ctx context.Context, term uint64, expiry time.Time) bool {
+	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	defer cancel()
+	confirmations := make(chan bool, len(e.settings.Peers))
+	for _, p := range e.settings.Peers {
+		go func() {
+			status, err := e.peers.Ping(ctx, p.Name)
+			since := clock.Scale(time.Since(expiry), clock.DriftBound)
+			confirmations <- err == nil && status.Term <= term && status.Uptime > since && status.SinceStoreContact > since
+		}()
+	}
+	for range e.settings.Peers {
+		if !<-confirmations {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -16,6 +16,7 @@
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -464,7 +465,7 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	sim.apply(clusterKey, record)
+	sim.apply(leadership.ClusterKey, record)
 	for _, n := range sim.nodes {
 		n.start()
 	}
@@ -864,14 +865,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ops = append(ops, storage.Op{Key: leaderKey, Data: json.RawMessage(`{}`)})
+		ops = append(ops, storage.Op{Key: leadership.LeaderKey, Data: json.RawMessage(`{}`)})
 		version, err := service.Apply(nil, ops)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.archive = newArchive(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
 		go d.archive.Run(ctx)
-		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leaderKey, Version: version}})
+		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadership.LeaderKey, Version: version}})
 		time.Sleep(time.Minute)
 		answer := make(chan error, 1) // of the journal
 		go func() {
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -16,6 +16,7 @@
 	"sagevale/internal/activation"
 	"sagevale/internal/activator"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -285,10 +286,10 @@
 func writesRecords(tx storagetest.Txn) bool {
 	led := false
 	for _, g := range tx.Guards {
-		led = led || g.Key == leaderKey
+		led = led || g.Key == leadership.LeaderKey
 	}
 	for _, op := range tx.Ops {
-		led = led && !strings.HasPrefix(op.Key, upgradePrefix)
+		led = led && !strings.HasPrefix(op.Key, leadership.UpgradePrefix)
 	}
 	return led
 }
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -7,6 +7,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/worker"
 )
 
@@ -93,7 +94,7 @@
 func (c *forwarder) run(ctx context.Context) {
 	sweep := time.NewTicker(c.settings.WorkerLease)
 	defer sweep.Stop()
-	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / renewalsPerLease)
+	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
 	for {
 		select {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -12,9 +12,6 @@
 	// of direct orders, with none reached in between, before the lead is handed
 	// over.
 	unreachableMachines = 8
-	// standDownLeases is how long the node then leaves the lead to others, in grant
-	// lives.
-	standDownLeases = 4
 )
 
 // noteReachable notes whether a machine that reports could be noteReachable directly.
@@ -33,12 +30,6 @@
 	}
 }
 
-// resignation ends a term; with standDown another node is to lead next.
-type resignation struct {
-	term      uint64
-	standDown bool
-}
-
 // peerHearsWorkers tells whether a peer in reach hears workers itself.
 func (d *scheduler) peerHearsWorkers() bool {
 	for _, p := range d.settings.Peers {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -58,10 +59,7 @@
 	r.LeaseValidUntil, r.RenewUntil = time.Time{}, time.Time{}
 	d.setRole(r)
 	d.delegator.terms.Store(nil)
-	select {
-	case d.resign <- resignation{d.term, standDown}:
-	default:
-	}
+	d.resign(leadership.Resignation{Term: d.term, StandDown: standDown})
 }
 
 // applyReport takes in what a report tells. beat says that it is a report, not the
--- a/internal/scheduler/lease_guards_test.go
+++ b/internal/scheduler/lease_guards_test.go
@@ -1,17 +1,15 @@
 package scheduler
 
 import (
-	"context"
-	"errors"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"sagevale/internal/activation"
 	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/leadership"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -83,7 +81,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
 					r := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: 2}
@@ -101,7 +99,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestDispatcher(t, s)
 				certain := time.Now()
-				d.setRole(Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
 				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 				c.node.deps.Peers = words
@@ -127,62 +125,6 @@
 	}
 }
 
-// Peers confirm only what they know for their whole life: one that heard the
-// state service after our grant may have ended, or began after that, doesn't.
-func TestOnlyPeersThatCantHaveLedConfirmIt(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		up, since time.Duration
-		term      uint64
-		confirms  bool
-	}{
-		{"up and without the store since before", 20 * time.Second, 15 * time.Second, 2, true},
-		{"heard the store since: took over, and may have stepped down again", 20 * time.Second, 5 * time.Second, 0, false},
-		{"restarted within a second", 5 * time.Second, 5 * time.Second, 0, false},
-		{"began after, though it says that it heard nothing for longer", 5 * time.Second, 15 * time.Second, 0, false},
-		{"heard it at that very moment", 20 * time.Second, 10 * time.Second, 0, false},
-		{"leads a later term, whatever else it says", 20 * time.Second, 15 * time.Second, 3, false},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				s := grownSettings()
-				s.Peers = []config.Peer{{Name: "n1"}, {Name: "n2"}}
-				l := &leadership{settings: &s, peers: scriptedPeers{"n1": {Uptime: time.Hour, SinceStoreContact: time.Hour}, "n2": {Uptime: c.up, SinceStoreContact: c.since, Term: c.term}}}
-				if got := l.leaderless(t.Context(), 2, time.Now().Add(-10*time.Second)); got != c.confirms {
-					t.Errorf("confirmed: %v", got)
-				}
-			})
-		})
-	}
-}
-
-// scriptedPeers is a peer link whose nodes say always the same of themselves.
-type scriptedPeers map[string]peer.Status
-
-func (s scriptedPeers) Forward(_ context.Context, node string, _ api.Request) (api.Response, error) {
-	return api.Response{Peer: s[node]}, nil
-}
-
-func (scriptedPeers) ReportUsage(context.Context, string, activation.UsageReport) (activation.UsageResponse, error) {
-	return activation.UsageResponse{}, errors.New("not scripted")
-}
-
-func (scriptedPeers) Wake(context.Context, string, activation.WakeRequest) (activation.WakeResponse, error) {
-	return activation.WakeResponse{}, errors.New("not scripted")
-}
-
-func (s scriptedPeers) ForwardHeartbeats(context.Context, string, []*worker.Report) ([]worker.HeartbeatResponse, error) {
-	return nil, nil
-}
-
-func (s scriptedPeers) Status(node string) (peer.ObservedStatus, bool) {
-	return peer.ObservedStatus{Status: s[node]}, true
-}
-
-func (s scriptedPeers) UnreachableFor(string) time.Duration { return 0 }
-
-func (s scriptedPeers) KnownLeader() (string, uint64) { return "", 0 }
-
 // A machine that has tasks of a cancelled job is left out of a delegation.
 func TestAnExcludedMachineIsNotRenewedByDelegation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -246,6 +188,8 @@
 	for _, certain := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			d := newTestDispatcher(t, grownSettings())
+			resignations := 0
+			d.resign = func(leadership.Resignation) { resignations++ }
 			d.up(7, "cpu", "a", false)
 			d.up(8, "cpu", "a", false)
 			if !certain {
@@ -256,8 +200,8 @@
 				t.Errorf("certain %v: answered under the earlier term", certain)
 			}
 			d.handleDelivered(deliveredMsg{machine: 7, outcome: worker.Rejected, report: later})
-			if leads := d.leaseValid(time.Now()); leads != certain || len(d.resign) > 0 == certain {
-				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, len(d.resign))
+			if leads := d.leaseValid(time.Now()); leads != certain || resignations > 0 == certain {
+				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, resignations)
 			}
 			other := d.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: d.term})
 			if other.Accepted != certain {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -16,6 +16,7 @@
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -41,19 +42,19 @@
 type Node struct {
 	settings     *config.Settings
 	deps         Dependencies
-	leadership   *leadership
-	membership   *membership
+	election     *leadership.Election
+	registrar    *leadership.Registrar
 	relay        *relayClient
 	forwarder    *forwarder
 	limitTracker *storage.LimitTracker
 	archive      *archive.Archiver
-	roles        chan Role
+	roles        chan leadership.Role
 	view         atomic.Pointer[view] // published by the node's own goroutine
 }
 
 // view is what request handlers need to know, replaced as a whole.
 type view struct {
-	role      Role
+	role      leadership.Role
 	scheduler *scheduler // only while leading with the state loaded
 }
 
@@ -61,14 +62,13 @@
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
-	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan Role, 16)}
-	n.leadership = &leadership{
-		svc: deps.State, settings: s, log: deps.Log,
-		process: fmt.Sprintf("%016x", deps.Rand.Uint64()),
-		resign:  make(chan resignation, 4), peers: deps.Peers, began: time.Now(),
-	}
-	n.membership = &membership{svc: deps.State, settings: s, session: n.leadership.process, log: deps.Log}
-	n.leadership.registered = n.membership.registered.Load
+	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, 16)}
+	process := fmt.Sprintf("%016x", deps.Rand.Uint64())
+	n.registrar = leadership.NewRegistrar(deps.State, s, process, deps.Log)
+	n.election = leadership.New(leadership.Config{
+		Store: deps.State, Settings: s, Peers: peerPinger{deps.Peers}, Process: process,
+		Registered: n.registrar.Registered, Log: deps.Log,
+	})
 	n.archive = newArchive(s, deps, n.limitTracker)
 	n.relay = newRelayClient(s, deps, n.limitTracker)
 	n.forwarder = newForwarder(n)
@@ -79,14 +79,14 @@
 // Run serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	n.leadership.publish = func(r Role) {
+	publish := func(r leadership.Role) {
 		select {
 		case n.roles <- r:
 		case <-ctx.Done():
 		}
 	}
-	g.Go(func() error { return n.membership.Run(ctx) })
-	g.Go(func() error { return n.leadership.Run(ctx) })
+	g.Go(func() error { return n.registrar.Run(ctx) })
+	g.Go(func() error { return n.election.Run(ctx, publish) })
 	g.Go(func() error { n.follow(ctx); return nil })
 	g.Go(func() error { n.relay.run(ctx); return nil })
 	g.Go(func() error { n.archive.Run(ctx); return nil })
@@ -107,7 +107,7 @@
 	}
 	defer stop()
 	for {
-		var role Role
+		var role leadership.Role
 		select {
 		case <-ctx.Done():
 			return
@@ -132,7 +132,7 @@
 	}
 }
 
-func (n *Node) publish(role Role, leading *scheduler) {
+func (n *Node) publish(role leadership.Role, leading *scheduler) {
 	if leading != nil && leading.term != role.Term {
 		leading = nil
 	}
@@ -143,7 +143,7 @@
 }
 
 // term loads the state under a fresh lead, then runs its actors.
-func (n *Node) term(ctx context.Context, role Role, loaded chan<- *scheduler) {
+func (n *Node) term(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
 	started := time.Now()
 	log := n.deps.Log.With("term", role.Term)
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
@@ -154,7 +154,7 @@
 		}
 		return
 	}
-	d, err := newScheduler(n.settings, n.deps, role, journal, n.leadership.resign, log)
+	d, err := newScheduler(n.settings, n.deps, role, journal, n.election.Resign, log)
 	if err != nil {
 		log.Error("state not understood", "err", err)
 		n.resign(role.Term)
@@ -162,13 +162,13 @@
 	}
 	c := newAutoscaler(n.settings, n.deps, role.Term, d, journal, log)
 	d.autoscaler = c
-	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(time.Since(n.leadership.began)) }
+	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(n.election.Status().Uptime) }
 	u := newUpgradeController(n.settings, n.deps, role, termGates{d, journal}, log)
 	d.requestGate = u.requestUse
-	d.gates = role.cluster.record
+	d.gates = role.Cluster.Record
 	n.beginArchive(ctx, d, role)
 	journal.OnEncodingNeeded(func() { u.requestUse(upgrade.CompressedChunks) })
-	journal.SetEncoding(encodingOf(role.cluster.record))
+	journal.SetEncoding(encodingOf(role.Cluster.Record))
 	log.Info("take-over", "jobs", d.jobs.count(), "machines", len(d.machines), "attempts", d.reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
 	d.lifetime, c.ctx = gctx, gctx // before any of the actors can speak to another
@@ -196,7 +196,7 @@
 }
 
 // beginArchive has the archive's pages be read for a term, if there may be any.
-func (n *Node) beginArchive(ctx context.Context, d *scheduler, role Role) {
+func (n *Node) beginArchive(ctx context.Context, d *scheduler, role leadership.Role) {
 	d.archive = n.archive
 	if d.archiveUsed || n.settings.Tuning.Archive.Enabled {
 		n.archive.BeginTerm(ctx, archive.Leadership{Term: role.Term, Guard: role.Guard})
@@ -205,10 +205,7 @@
 
 // resign asks the leadership to end a term, unless it is ending anyway.
 func (n *Node) resign(term uint64) {
-	select {
-	case n.leadership.resign <- resignation{term: term}:
-	default:
-	}
+	n.election.Resign(leadership.Resignation{Term: term})
 }
 
 // Role names what this node does at present, for operators.
@@ -293,7 +290,7 @@
 // hearsState tells whether the state service has answered this node lately:
 // its leadership, or its relay while that leads to the leader.
 func (n *Node) hearsState() bool {
-	since := min(n.leadership.status().SinceStoreContact, n.relay.lastAccepted.Since(math.MaxInt64))
+	since := min(n.election.Status().SinceStoreContact, n.relay.lastAccepted.Since(math.MaxInt64))
 	return since < relayTimeout+n.settings.Tuning.LeaderLease
 }
 
@@ -317,7 +314,7 @@
 // status is what this node tells a peer of itself.
 func (n *Node) status(asker string) peer.Status {
 	v := n.view.Load()
-	st := n.leadership.status()
+	st := n.election.Status()
 	st.Version = peer.Version
 	if r := v.role; !r.Leading || time.Now().Before(r.LeaseValidUntil) {
 		st.Leader, st.Term = r.Leader, r.Term
--- a/internal/scheduler/relay_server.go
+++ b/internal/scheduler/relay_server.go
@@ -8,6 +8,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	wire "sagevale/internal/wire/coordination"
 	"sagevale/internal/worker"
@@ -43,7 +44,7 @@
 				rev = now
 			}
 			cancel()
-			clock.Sleep(ctx, p.settings.Tuning.LeaderLease/renewalsPerLease)
+			clock.Sleep(ctx, p.settings.Tuning.LeaderLease/leadership.RenewalsPerLease)
 			continue
 		}
 		rev = next
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -15,6 +15,7 @@
 	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/worker"
@@ -27,13 +28,13 @@
 	svc := storagetest.NewService()
 	tb.Cleanup(svc.Close)
 	client := &storagetest.Client{Service: svc, Cut: new(atomic.Bool)}
-	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leaderKey})
+	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leadership.LeaderKey})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := time.Now()
-	role := Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
-	d, err := newScheduler(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, make(chan resignation, 1), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	role := leadership.Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
+	d, err := newScheduler(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, func(leadership.Resignation) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/scheduler/scenarios_test.go
+++ b/internal/scheduler/scenarios_test.go
@@ -197,7 +197,7 @@
 		lead.cutState.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
-		if !lead.node.leadership.leaderless(context.Background(), term, cut) {
+		if !lead.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
 			t.Error("peers that heard nothing since don't confirm")
 		}
 		for _, n := range sim.nodes {
@@ -207,7 +207,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if lead.node.leadership.leaderless(context.Background(), term, cut) {
+		if lead.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
 			t.Error("a restarted peer confirms what it can't know")
 		}
 	})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,6 +18,7 @@
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
@@ -44,7 +45,7 @@
 	deps            Dependencies
 	term            uint64
 	tokens          fencing.Tokens // that workers are commanded under in this term
-	role            Role
+	role            leadership.Role
 	gates           upgrade.Record            // what is in force
 	requestGate     func(upgrade.GateName)    // asks for a gate to be taken into use
 	gateWaiters     []gateWaiter              // submissions that wait for it
@@ -52,7 +53,7 @@
 	leaseValidUntil atomic.Pointer[time.Time] // role.Certain, for those who pass answers on
 	journal         *storage.Journal
 	autoscaler      *autoscaler
-	resign          chan<- resignation
+	resign          func(leadership.Resignation)
 	log             *slog.Logger
 	rand            *rand.Rand
 
@@ -107,7 +108,7 @@
 
 // Messages to the dispatcher.
 type (
-	roleMsg struct{ role Role }
+	roleMsg struct{ role leadership.Role }
 	userMsg struct {
 		req    api.Request
 		reply  chan api.Response
@@ -151,7 +152,7 @@
 	}
 )
 
-func newScheduler(s *config.Settings, deps Dependencies, role Role, journal *storage.Journal, resign chan<- resignation, log *slog.Logger) (*scheduler, error) {
+func newScheduler(s *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal, resign func(leadership.Resignation), log *slog.Logger) (*scheduler, error) {
 	d := &scheduler{
 		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
@@ -162,7 +163,7 @@
 		lastAttempt: role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
 		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
 		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
-		gates: role.cluster.record, requestGate: func(upgrade.GateName) {},
+		gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {},
 	}
 	d.admission = d.newAdmission()
 	d.setRole(role)
@@ -216,7 +217,7 @@
 }
 
 // setRole takes in a change of our role.
-func (d *scheduler) setRole(r Role) {
+func (d *scheduler) setRole(r leadership.Role) {
 	d.role = r
 	d.leaseValidUntil.Store(&r.LeaseValidUntil)
 }
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -12,6 +12,7 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -41,7 +42,7 @@
 // contend takes the lead wherever it finds it free, and holds it for a while.
 func (p *unregisteredProcess) contend(ctx context.Context, svc storage.KeyValueStore, life time.Duration, node string) {
 	for clock.Sleep(ctx, life/20) {
-		if _, err := svc.Get(ctx, leaderKey); err == nil {
+		if _, err := svc.Get(ctx, leadership.LeaderKey); err == nil {
 			continue
 		}
 		lease, err := svc.Grant(ctx, life)
@@ -49,14 +50,14 @@
 			continue
 		}
 		term := uint64(0)
-		item, err := svc.Get(ctx, termKey)
+		item, err := svc.Get(ctx, leadership.TermKey)
 		if err == nil && json.Unmarshal(item.Data, &term) != nil {
 			continue // "term record: ..."
 		}
-		lead, _ := json.Marshal(leaderRecord{Node: node, Process: "earlier", Term: term + 1})
+		lead, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
 		next, _ := json.Marshal(term + 1)
-		if _, err = svc.Txn(ctx, []storage.Guard{{Key: leaderKey}, {Key: termKey, Version: item.Version}},
-			[]storage.Op{{Key: leaderKey, Data: lead, Lease: lease}, {Key: termKey, Data: next}}); err != nil {
+		if _, err = svc.Txn(ctx, []storage.Guard{{Key: leadership.LeaderKey}, {Key: leadership.TermKey, Version: item.Version}},
+			[]storage.Op{{Key: leadership.LeaderKey, Data: lead, Lease: lease}, {Key: leadership.TermKey, Data: next}}); err != nil {
 			continue
 		}
 		p.led.Add(1)
@@ -183,7 +184,7 @@
 				checkKnownTo3661d31(t, r)
 			}
 		}
-		term, err := client.Get(context.Background(), termKey)
+		term, err := client.Get(context.Background(), leadership.TermKey)
 		if err != nil || bytes.ContainsAny(term.Data, "{") {
 			t.Errorf("term %s, %v", term.Data, err)
 		}
--- a/internal/scheduler/upgrade_controller.go
+++ b/internal/scheduler/upgrade_controller.go
@@ -12,6 +12,7 @@
 
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -19,7 +20,7 @@
 const (
 	// upgradeTicks is how often a leader looks at an upgrade under way, within the life
 	// of its grant; one that is settled is looked at once a report interval.
-	upgradeTicks = renewalsPerLease
+	upgradeTicks = leadership.RenewalsPerLease
 )
 
 // upgradeController is the leader's actor that moves the cluster record. Only it writes
@@ -34,7 +35,7 @@
 	term     uint64
 	users    gateUsage
 
-	cluster       clusterState
+	cluster       leadership.ClusterRecord
 	registrations map[string]registrationState
 	outdated      bool                           // the registrations, or the record, have to be read again
 	nextCount     time.Time                      // when uses of gates are counted next
@@ -48,10 +49,10 @@
 	changed chan struct{}
 }
 
-func newUpgradeController(s *config.Settings, deps Dependencies, role Role, users gateUsage, log *slog.Logger) *upgradeController {
+func newUpgradeController(s *config.Settings, deps Dependencies, role leadership.Role, users gateUsage, log *slog.Logger) *upgradeController {
 	return &upgradeController{
 		svc: deps.State, settings: s, peers: deps.Peers, log: log, leader: role.Guard, term: role.Term, users: users,
-		cluster: role.cluster, outdated: true, unusedSince: make(map[upgrade.GateName]time.Time),
+		cluster: role.Cluster, outdated: true, unusedSince: make(map[upgrade.GateName]time.Time),
 		uses: make(chan upgrade.GateName, len(s.Tuning.Upgrade.Known)+1), changed: make(chan struct{}, 1),
 	}
 }
@@ -85,7 +86,7 @@
 // firstLook is when a term first looks at an upgrade: where all is in force that this
 // version has, not in the moments in which a take-over needs the processor.
 func (c *upgradeController) firstLook() time.Duration {
-	if c.cluster.record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.record.Phase == upgrade.Withdrawing {
+	if c.cluster.Record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.Record.Phase == upgrade.Withdrawing {
 		return 0
 	}
 	return c.settings.HeartbeatInterval
@@ -93,7 +94,7 @@
 
 // pause is how long nothing needs to be looked at.
 func (c *upgradeController) pause() time.Duration {
-	if c.outdated || c.cluster.record.Phase == upgrade.Withdrawing {
+	if c.outdated || c.cluster.Record.Phase == upgrade.Withdrawing {
 		return c.settings.Tuning.LeaderLease / upgradeTicks
 	}
 	return c.settings.HeartbeatInterval
@@ -147,7 +148,7 @@
 func (c *upgradeController) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
-	items, _, _, err := c.svc.List(ctx, upgradePrefix, "", upgradeKeysMost)
+	items, _, _, err := c.svc.List(ctx, leadership.UpgradePrefix, "", upgradeKeysMost)
 	if err != nil {
 		return err
 	}
@@ -155,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	if cluster.version != c.cluster.version {
+	if cluster.Version != c.cluster.Version {
 		c.cluster, c.tentative = cluster, nil
 		if err := c.publish(ctx); err != nil {
 			return err
@@ -169,7 +170,7 @@
 func (c *upgradeController) situation(ctx context.Context) (upgrade.Situation, error) {
 	own := &c.settings.Tuning.Upgrade
 	s := upgrade.Situation{
-		Record: c.cluster.record, Members: c.members(), Versions: own.Versions, Known: own.Known,
+		Record: c.cluster.Record, Members: c.members(), Versions: own.Versions, Known: own.Known,
 		Policy: own.Policy, Now: time.Now(), Term: c.term,
 	}
 	if s.Now.Before(c.nextCount) && s.Record.Phase != upgrade.Withdrawing {
@@ -188,21 +189,21 @@
 // registration that the step rests on: an older process that has registered meanwhile
 // bars it, as does a later leader.
 func (c *upgradeController) store(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
-	guards := []storage.Guard{c.leader, {Key: clusterKey, Version: c.cluster.version}}
+	guards := []storage.Guard{c.leader, {Key: leadership.ClusterKey, Version: c.cluster.Version}}
 	for _, m := range members {
-		guards = append(guards, storage.Guard{Key: registrationPrefix + m.Node, Version: c.registrations[m.Node].version})
+		guards = append(guards, storage.Guard{Key: leadership.RegistrationPrefix + m.Node, Version: c.registrations[m.Node].version})
 	}
 	data, err := json.Marshal(next)
 	if err != nil {
 		return fmt.Errorf("encode cluster record: %w", err)
 	}
-	ops := []storage.Op{{Key: clusterKey, Data: data}}
-	if next.Fence != c.cluster.record.Fence {
+	ops := []storage.Op{{Key: leadership.ClusterKey, Data: data}}
+	if next.Fence != c.cluster.Record.Fence {
 		term, err := json.Marshal(upgrade.Term{Number: fencing.TermTokens(c.term).Last, Fence: next.Fence})
 		if err != nil {
 			return fmt.Errorf("encode term: %w", err)
 		}
-		ops = append(ops, storage.Op{Key: termKey, Data: term})
+		ops = append(ops, storage.Op{Key: leadership.TermKey, Data: term})
 	}
 	tctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
@@ -214,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	c.cluster, c.tentative = clusterState{record: next, version: version}, nil
+	c.cluster, c.tentative = leadership.ClusterRecord{Record: next, Version: version}, nil
 	return c.publish(ctx)
 }
 
@@ -241,5 +242,7 @@
 		return
 	}
 	c.waiting = waiting
-	c.log.Info("upgrade", "waiting", waiting, "active", c.cluster.record.Active, "phase", c.cluster.record.Phase)
+	c.log.Info("upgrade", "waiting", waiting, "active", c.cluster.Record.Active, "phase", c.cluster.Record.Phase)
 }
+
+const waitingKey = leadership.UpgradePrefix + "waiting" // what the leader waits for, for operators
--- a/internal/scheduler/upgrade_members.go
+++ b/internal/scheduler/upgrade_members.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/leadership"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -23,18 +24,18 @@
 
 // parseUpgradeKeys sorts the keys of upgrades. A damaged registration is no error, for only
 // the node that it names is unknown then.
-func parseUpgradeKeys(items []storage.Item) (clusterState, map[string]registrationState, error) {
-	cluster := clusterState{record: upgrade.Initial()}
+func parseUpgradeKeys(items []storage.Item) (leadership.ClusterRecord, map[string]registrationState, error) {
+	cluster := leadership.ClusterRecord{Record: upgrade.Initial()}
 	registrations := make(map[string]registrationState)
 	for _, item := range items {
-		if item.Key == clusterKey {
+		if item.Key == leadership.ClusterKey {
 			record, err := upgrade.DecodeRecord(item.Key, item.Data)
 			if err != nil {
-				return clusterState{}, nil, err
+				return leadership.ClusterRecord{}, nil, err
 			}
-			cluster = clusterState{record: record, version: item.Version}
+			cluster = leadership.ClusterRecord{Record: record, Version: item.Version}
 		}
-		if node, ok := strings.CutPrefix(item.Key, registrationPrefix); ok {
+		if node, ok := strings.CutPrefix(item.Key, leadership.RegistrationPrefix); ok {
 			registration, err := upgrade.DecodeRegistration(item.Key, node, item.Data)
 			state := registrationState{damaged: err != nil, version: item.Version}
 			if err == nil {
@@ -82,13 +83,13 @@
 	revision := c.leader.Version
 	for ctx.Err() == nil {
 		wctx, cancel := context.WithTimeout(ctx, hold+c.settings.Tuning.LeaderLease)
-		changes, next, err := c.svc.Watch(wctx, registrationPrefix, revision, hold)
+		changes, next, err := c.svc.Watch(wctx, leadership.RegistrationPrefix, revision, hold)
 		cancel()
 		switch {
 		case errors.Is(err, storage.ErrCompacted):
 			revision, _ = c.latestRevision(ctx)
 		case err != nil:
-			clock.Sleep(ctx, c.settings.Tuning.LeaderLease/renewalsPerLease)
+			clock.Sleep(ctx, c.settings.Tuning.LeaderLease/leadership.RenewalsPerLease)
 			continue
 		case len(changes) == 0:
 			revision = next
@@ -106,6 +107,6 @@
 func (c *upgradeController) latestRevision(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
-	_, _, revision, err := c.svc.List(ctx, registrationPrefix, "", 1)
+	_, _, revision, err := c.svc.List(ctx, leadership.RegistrationPrefix, "", 1)
 	return revision, err
 }
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -49,7 +50,7 @@
 func (sim *simulation) clusterHistory() (history []upgrade.Record) {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
-	changes, _, err := client.Watch(context.Background(), clusterKey, 0, 0)
+	changes, _, err := client.Watch(context.Background(), leadership.ClusterKey, 0, 0)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
@@ -67,7 +68,7 @@
 func (sim *simulation) registrationOf(node string) upgrade.Registration {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
-	item, err := client.Get(context.Background(), registrationPrefix+node)
+	item, err := client.Get(context.Background(), leadership.RegistrationPrefix+node)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
@@ -91,8 +92,8 @@
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		node := sim.nodes[2].name
-		sim.onceBefore(clusterKey, `"active":2`, func() {
-			sim.apply(registrationPrefix+node, upgrade.NewRegistration(node, "older", upgrade.Range{Min: 1, Max: 1}))
+		sim.onceBefore(leadership.ClusterKey, `"active":2`, func() {
+			sim.apply(leadership.RegistrationPrefix+node, upgrade.NewRegistration(node, "older", upgrade.Range{Min: 1, Max: 1}))
 		})
 		sim.allAt(upgrade.Current)
 		time.Sleep(20 * time.Second)
@@ -114,7 +115,7 @@
 		}
 		sim.nodes[0].kill()
 		time.Sleep(5 * time.Second)
-		sim.onceBefore(leaderKey, "", func() { sim.apply(clusterKey, gangInUse()) })
+		sim.onceBefore(leadership.LeaderKey, "", func() { sim.apply(leadership.ClusterKey, gangInUse()) })
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
@@ -155,10 +156,10 @@
 			back = sim.nodes[1]
 		}
 		back.kill()
-		sim.onceBefore(registrationPrefix+back.name, "", func() {
+		sim.onceBefore(leadership.RegistrationPrefix+back.name, "", func() {
 			record := sim.cluster()
 			record.Minimum, record.Phase = record.Active, upgrade.Finalized
-			sim.apply(clusterKey, record)
+			sim.apply(leadership.ClusterKey, record)
 		})
 		back.replace(upgrade.Version2)
 		sim.eventually("refused", 20*time.Second, func() bool { return back.refused.Load() != nil })
@@ -178,7 +179,7 @@
 		var late atomic.Bool
 		sim.state.Trouble(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !sets(tx, registrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
+				if !sets(tx, leadership.RegistrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
@@ -201,7 +202,7 @@
 			n.kill()
 		}
 		sim.state.Trouble(func(s *storagetest.Service) {
-			s.Drop = func(tx storagetest.Txn) bool { return sets(tx, registrationPrefix+sim.nodes[0].name) }
+			s.Drop = func(tx storagetest.Txn) bool { return sets(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -33,7 +34,7 @@
 // isRelease tells a transaction that takes gang jobs for unused again.
 func isRelease(tx storagetest.Txn) bool {
 	for _, op := range tx.Ops {
-		if op.Key == clusterKey && strings.Contains(string(op.Data), `"gang-jobs":{"since":2,"phase":"open"}`) && !strings.Contains(string(op.Data), `"fence":`) {
+		if op.Key == leadership.ClusterKey && strings.Contains(string(op.Data), `"gang-jobs":{"since":2,"phase":"open"}`) && !strings.Contains(string(op.Data), `"fence":`) {
 			return len(tx.Ops) > 1 // the fence falls with it
 		}
 	}
@@ -155,12 +156,12 @@
 		t.Fatal(err)
 	}
 	revision, err := client.Apply(nil, []storage.Op{
-		{Key: leaderKey, Data: []byte(`{}`)}, {Key: clusterKey, Data: data}, {Key: registrationPrefix + "n0", Data: registration},
+		{Key: leadership.LeaderKey, Data: []byte(`{}`)}, {Key: leadership.ClusterKey, Data: data}, {Key: leadership.RegistrationPrefix + "n0", Data: registration},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	role := Role{Term: 1, Guard: storage.Guard{Key: leaderKey, Version: revision}, cluster: clusterState{record, revision}}
+	role := leadership.Role{Term: 1, Guard: storage.Guard{Key: leadership.LeaderKey, Version: revision}, Cluster: leadership.ClusterRecord{Record: record, Version: revision}}
 	log := slog.New(slog.DiscardHandler)
 	c := newUpgradeController(&settings, Dependencies{State: client, Log: log}, role, users, log)
 	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
@@ -204,8 +205,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		last := users.published[len(users.published)-1]
-		if users.counts < 3 || !c.cluster.record.Gate(upgrade.GangJobs).Used || !last.Gate(upgrade.GangJobs).Usable() {
-			t.Errorf("%d counts, stored %+v, published %+v", users.counts, c.cluster.record, last)
+		if users.counts < 3 || !c.cluster.Record.Gate(upgrade.GangJobs).Used || !last.Gate(upgrade.GangJobs).Usable() {
+			t.Errorf("%d counts, stored %+v, published %+v", users.counts, c.cluster.Record, last)
 		}
 	})
 }
--- a/internal/scheduler/upgrade_status.go
+++ b/internal/scheduler/upgrade_status.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -34,7 +35,7 @@
 
 // ReadUpgradeStatus reads where an upgrade stands. It writes nothing.
 func ReadUpgradeStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (UpgradeStatus, error) {
-	items, _, _, err := svc.List(ctx, upgradePrefix, "", upgradeKeysMost)
+	items, _, _, err := svc.List(ctx, leadership.UpgradePrefix, "", upgradeKeysMost)
 	if err != nil {
 		return UpgradeStatus{}, fmt.Errorf("state service: %w", err)
 	}
@@ -42,7 +43,7 @@
 	if err != nil {
 		return UpgradeStatus{}, err
 	}
-	status := UpgradeStatus{Record: cluster.record, Nodes: nodeVersions(s, registrations, items)}
+	status := UpgradeStatus{Record: cluster.Record, Nodes: nodeVersions(s, registrations, items)}
 	for _, item := range items {
 		var waiting waitingRecord
 		if item.Key == waitingKey && json.Unmarshal(item.Data, &waiting) == nil {
@@ -53,16 +54,16 @@
 }
 
 func (u *UpgradeStatus) readLeader(ctx context.Context, svc storage.KeyValueStore) error {
-	item, err := svc.Get(ctx, leaderKey)
+	item, err := svc.Get(ctx, leadership.LeaderKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("state service: %w", err)
 	}
-	var lead leaderRecord
+	var lead leadership.LeaderRecord
 	if err := json.Unmarshal(item.Data, &lead); err != nil {
-		return &upgrade.DamagedError{Key: leaderKey, Reason: err.Error()}
+		return &upgrade.DamagedError{Key: leadership.LeaderKey, Reason: err.Error()}
 	}
 	u.Leader, u.Term = lead.Node, lead.Term
 	return nil
@@ -82,7 +83,7 @@
 	slices.Sort(names)
 	alive := make(map[string]bool)
 	for _, item := range items {
-		if node, ok := strings.CutPrefix(item.Key, sessionPrefix); ok {
+		if node, ok := strings.CutPrefix(item.Key, leadership.SessionPrefix); ok {
 			alive[node] = true
 		}
 	}
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -15,6 +15,7 @@
 	"sagevale/internal/api"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
+	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
@@ -24,11 +25,11 @@
 func (sim *simulation) cluster() upgrade.Record {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
-	item, err := client.Get(context.Background(), clusterKey)
+	item, err := client.Get(context.Background(), leadership.ClusterKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return upgrade.Initial()
 	}
-	record, derr := upgrade.DecodeRecord(clusterKey, item.Data)
+	record, derr := upgrade.DecodeRecord(leadership.ClusterKey, item.Data)
 	if derr != nil && err == nil {
 		sim.t.Fatal(derr)
 	}
@@ -60,7 +61,7 @@
 }
 
 func touchesCluster(tx storagetest.Txn) bool {
-	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == clusterKey })
+	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == leadership.ClusterKey })
 }
 
 // New behaviour stays off until the last controller has it, and a gang job is told to come
@@ -192,18 +193,18 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(service("000001", 2))
 		client := &storagetest.Client{Service: sim.state}
-		good, err := client.Get(context.Background(), clusterKey)
+		good, err := client.Get(context.Background(), leadership.ClusterKey)
 		if err != nil {
 			t.Fatal(err)
 		}
 		set := func(data string) {
-			if _, err := client.Apply(nil, []storage.Op{{Key: clusterKey, Data: json.RawMessage(data)}}); err != nil {
+			if _, err := client.Apply(nil, []storage.Op{{Key: leadership.ClusterKey, Data: json.RawMessage(data)}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		set(`{"schema":1,"active":0}`)
 		// The leader has no reason to look until a registration changes.
-		sim.apply(registrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
+		sim.apply(leadership.RegistrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
 		time.Sleep(10 * time.Second)
 		if lead := sim.leader(); lead != nil {
 			t.Errorf("%s leads on", lead.name)
@@ -236,7 +237,7 @@
 		time.Sleep(5 * time.Second)
 		sim.nodes[2].kill()
 		client := &storagetest.Client{Service: sim.state}
-		if _, err := client.Apply(nil, []storage.Op{{Key: registrationPrefix + sim.nodes[2].name, Data: json.RawMessage(`{"schema":1,"min":9}`)}}); err != nil {
+		if _, err := client.Apply(nil, []storage.Op{{Key: leadership.RegistrationPrefix + sim.nodes[2].name, Data: json.RawMessage(`{"schema":1,"min":9}`)}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/scheduler/upgrade_uses.go
+++ b/internal/scheduler/upgrade_uses.go
@@ -32,7 +32,7 @@
 	if c.inForce().Gate(gate).Usable() {
 		return c.tolerate("gates not published", c.publish(ctx))
 	}
-	next, err := upgrade.MarkGateUsed(c.cluster.record, gate, c.term)
+	next, err := upgrade.MarkGateUsed(c.cluster.Record, gate, c.term)
 	if err != nil {
 		c.log.Debug("gate not used", "err", err)
 		return nil
@@ -66,7 +66,7 @@
 	if c.tentative != nil {
 		return *c.tentative
 	}
-	return c.cluster.record
+	return c.cluster.Record
 }
 
 // barUses has the other actors take a gate for unused before that is stored, and tells
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -23,7 +23,7 @@
 
 // ReportUsage tells the leader how models are used at this node.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
-	report.Node, report.Session = n.settings.NodeName, n.leadership.process
+	report.Node, report.Session = n.settings.NodeName, n.election.Process()
 	v := n.view.Load()
 	if v.scheduler != nil {
 		return v.scheduler.reportUsage(ctx, report)
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -1,10 +1,6 @@
 package scheduler
 
 import (
-	"errors"
-	"fmt"
-	"log/slog"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -12,7 +8,6 @@
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
-	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
 )
@@ -313,21 +308,3 @@
 		}
 	})
 }
-
-// A term whose number leaves no room for another one's tokens and attempts is damaged.
-func TestNoTermBeginsBeyondTheLast(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		state := storagetest.NewService()
-		defer state.Close()
-		client := &storagetest.Client{Service: state, Cut: new(atomic.Bool)}
-		if _, err := client.Txn(t.Context(), nil, []storage.Op{{Key: termKey, Data: fmt.Appendf(nil, "%d", uint64(fencing.LastTerm))}}); err != nil {
-			t.Fatal(err)
-		}
-		s := grownSettings()
-		l := &leadership{svc: client, settings: &s, registered: func() bool { return true }, log: slog.New(slog.DiscardHandler)}
-		var damaged *upgrade.DamagedError
-		if err := l.acquire(t.Context()); !errors.As(err, &damaged) || damaged.Key != termKey {
-			t.Errorf("took the lead: %v", err)
-		}
-	})
-}
