--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -39,10 +39,10 @@
 	return raw
 }
 
-// mayPlace tells whether the service's task may be placed: its wake is durable, and nothing else is to
-// be awaited. A service that isn't managed, nil, always may.
+// mayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else is to
+// be awaited.
 func (s *managedService) mayPlace(now time.Time) bool {
-	return s == nil || s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
+	return s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
 }
 
 // replica returns the attempt that the record is about, or nil.
@@ -154,8 +154,14 @@
 	}
 }
 
+// service returns the lifecycle of a job, or nil if it has none.
+func (c *activationController) service(j *job) *managedService {
+	s, _ := j.lifecycle.(*managedService)
+	return s
+}
+
 func (c *activationController) hold(s *managedService) {
-	s.job.managed = s
+	s.job.lifecycle = s
 	delete(c.postponed, s.job.spec.ID)
 	c.services[s.job.spec.ID] = s
 }
@@ -232,12 +238,12 @@
 	delete(c.services, j.spec.ID)
 	delete(c.postponed, j.spec.ID)
 	delete(c.awake, j.spec.ID)
-	if s := j.managed; s != nil {
+	if s := c.service(j); s != nil {
 		for _, w := range s.watchers {
 			w.reply <- undecided("it runs always, or no longer")
 		}
 	}
-	j.managed = nil
+	j.lifecycle = nil
 }
 
 // apply moves a service's record by an event.
@@ -269,7 +275,7 @@
 	s.unwritten++
 	c.host.recordJob(s.job, func(err error) {
 		s.unwritten--
-		if err == nil && s.job.managed == s {
+		if err == nil && c.service(s.job) == s {
 			now := time.Now()
 			c.act(s, now)
 			c.answerWatchers(s, now)
@@ -307,14 +313,14 @@
 
 // attemptReserved takes in an attempt that was attemptReserved, or found on a machine.
 func (c *activationController) attemptReserved(a *attempt, now time.Time) {
-	if s := a.job.managed; s != nil && !a.stopping && c.resumed {
+	if s := c.service(a.job); s != nil && !a.stopping && c.resumed {
 		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.number}, now)
 	}
 }
 
 // attemptRunning takes in that an attempt runs: its model answers.
 func (c *activationController) attemptRunning(a *attempt, now time.Time) {
-	s := a.job.managed
+	s := c.service(a.job)
 	if s == nil {
 		return
 	}
@@ -328,7 +334,7 @@
 
 // attemptRemoved takes in that an attempt's place is proved empty.
 func (c *activationController) attemptRemoved(a *attempt, now time.Time) {
-	if s := a.job.managed; s != nil {
+	if s := c.service(a.job); s != nil {
 		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.number, Failed: a.failed}, now)
 	}
 }
--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -37,7 +37,7 @@
 	if a := <-reply; a.Code != api.CodeCreated {
 		t.Fatalf("answered %+v", a)
 	}
-	return d, d.jobs.get(coldModel), d.up(7, "cpu", "a", false)
+	return d, d.state.jobs.get(coldModel), d.up(7, "cpu", "a", false)
 }
 
 // asked puts demand to the dispatcher; ok is false if it isn't answered yet.
@@ -49,7 +49,7 @@
 
 // started brings a model up on a machine.
 func started(d *scheduler, j *job, m *machine) *attempt {
-	d.asked(j.managed.record.Generation, 0)
+	d.asked(d.activation.service(j).record.Generation, 0)
 	d.commit(nil)
 	d.placeRound(time.Now())
 	d.commit(nil)
@@ -92,8 +92,8 @@
 				t.Errorf("holds for %v", r.Holds)
 			}
 			time.Sleep(time.Second)
-			if r := <-d.asked(0, 0); r.Verdict != activation.Undecided || j.managed.record.Generation != 0 {
-				t.Errorf("%+v, %s", r, j.managed.record)
+			if r := <-d.asked(0, 0); r.Verdict != activation.Undecided || d.activation.service(j).record.Generation != 0 {
+				t.Errorf("%+v, %s", r, d.activation.service(j).record)
 			}
 			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
 				t.Errorf("told after the lead may have ended: %+v", r)
@@ -138,7 +138,7 @@
 			}
 		},
 		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *scheduler, j *job, _ *machine) {
-			if d.classes[coldClass] != nil || d.currentTasks(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
+			if d.state.classes.get(coldClass) != nil || d.currentTasks(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
 				t.Error("room is kept or wanted")
 			}
 			if d.activation.uses() != 1 {
@@ -175,7 +175,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		j := d.jobs.get(coldModel)
+		j := d.state.jobs.get(coldModel)
 		if j.attempts[0].stopping {
 			t.Error("stopped before the term's actors run")
 		}
@@ -188,7 +188,7 @@
 		if !j.attempts[0].stopping {
 			t.Error("not stopped")
 		}
-		if till := j.managed.routedUntil; till.Sub(d.termStarted) < d.settings.RoutingLease() {
+		if till := d.activation.service(j).routedUntil; till.Sub(d.termStarted) < d.settings.RoutingLease() {
 			t.Errorf("routed till %v", till)
 		}
 	})
@@ -204,8 +204,8 @@
 			d := newTestDispatcher(t, s)
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
 			d.handleUser(userMsg{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan api.Response, 1)})
-			j := d.jobs.get(coldModel)
-			if accepted := j != nil; accepted != want.accepted || accepted && (j.managed != nil) != want.managed {
+			j := d.state.jobs.get(coldModel)
+			if accepted := j != nil; accepted != want.accepted || accepted && j.scalesToZero() != want.managed {
 				t.Errorf("gate %q: %+v", phase, j)
 			}
 			if phase == upgrade.GateOpen && len(d.gateWaiters) != 1 {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -126,7 +126,7 @@
 	d.log.Error("an open job is archived as final", "job", j.spec.ID, "phase", r.Final.Phase())
 	j.phase, j.done, j.acknowledged, j.finalDurable = r.Final.Phase(), r.Final.Done, true, true
 	d.activation.release(j)
-	d.jobs.trackCancelling(j)
+	d.state.jobs.trackCancelling(j)
 	d.markJob(j)
 	d.stopJob(j)
 	d.commandJobStops(j)
@@ -139,7 +139,7 @@
 		return
 	}
 	d.archiveCompared = true
-	for _, j := range d.jobs.open {
+	for _, j := range d.state.jobs.open {
 		d.finalizeArchived(j)
 	}
 }
@@ -153,11 +153,11 @@
 // archiveFinished offers finished jobs to the archive, where there are more than are to be kept.
 func (d *scheduler) archiveFinished(now time.Time) {
 	tuning := &d.settings.Tuning.Archive
-	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
+	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.state.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
 		return
 	}
 	d.archiving = true
-	go d.offerToArchive(d.jobs.nextFinished(maxArchiveBatch))
+	go d.offerToArchive(d.state.jobs.nextFinished(maxArchiveBatch))
 }
 
 // archiveCalls is how many calls to the state service an offer may take, behind others.
@@ -179,7 +179,7 @@
 		return
 	}
 	for _, rank := range m.jobs {
-		j := d.jobs.removeFinished(rank)
+		j := d.state.jobs.removeFinished(rank)
 		if j == nil {
 			continue
 		}
@@ -189,7 +189,7 @@
 		}
 	}
 	if len(m.jobs) > 0 {
-		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.jobs.finished.Len())
+		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.state.jobs.finished.Len())
 	}
 }
 
@@ -204,11 +204,11 @@
 		return
 	}
 	for _, e := range m.entries {
-		if d.jobs.get(e.Number.ID()) != nil {
+		if d.state.jobs.get(e.Number.ID()) != nil {
 			continue // its record was never removed
 		}
 		j := restoredJob(e)
-		d.jobs.load(j)
+		d.state.jobs.load(j)
 		d.trackFinished(j)
 		d.markJob(j)
 	}
@@ -218,6 +218,6 @@
 // trackFinished notes that a job may be archived.
 func (d *scheduler) trackFinished(j *job) {
 	if d.settings.Tuning.Archive.Enabled {
-		d.jobs.trackFinished(j)
+		d.state.jobs.trackFinished(j)
 	}
 }
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -822,14 +822,14 @@
 			t.Error("an idle leader uses the gate")
 		}
 		d.archiving = true
-		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.jobs.get("000001") != nil {
+		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.state.jobs.get("000001") != nil {
 			t.Errorf("brought back: %v", err)
 		}
 		if uses() == 0 {
 			t.Error("an offer under way is no use")
 		}
 		d.archiving = false
-		if err := restore(); err != nil || d.jobs.get("000001") == nil {
+		if err := restore(); err != nil || d.state.jobs.get("000001") == nil {
 			t.Errorf("not brought back: %v", err)
 		}
 	})
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -40,13 +40,13 @@
 	for d.placementDue = true; d.placementDue; {
 		d.placeRound(time.Now())
 	}
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		for _, a := range m.attempts {
 			a.durable, a.reported, a.state, a.started = true, true, worker.Running, time.Now()
 		}
 	}
 	d.unmark()
-	d.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
+	d.state.classes.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 	return d
 }
 
@@ -60,7 +60,7 @@
 // BenchmarkHeartbeat is a report of an ordinary machine and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchDispatcher(b)
-	m := d.machineOrder[1]
+	m := d.state.machines.inOrder()[1]
 	r := &worker.Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Incarnation: 1, Token: d.term}
 	for _, a := range m.sortedAttempts() {
 		r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.id(), Attempt: a.number, State: worker.Running})
@@ -98,7 +98,7 @@
 		j := d.accept(s)
 		d.placeRound(time.Now())
 		d.removeAttempt(j.attempts[0], "placed")
-		delete(d.jobs.open, s.ID)
+		delete(d.state.jobs.open, s.ID)
 	}
 }
 
@@ -142,10 +142,10 @@
 		}
 		records = append(records, r)
 	}
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		add(storage.MachineKey(m.id), m.record())
 	}
-	for id, j := range d.jobs.open {
+	for id, j := range d.state.jobs.open {
 		add(storage.JobKey(id), j.record())
 		add(storage.PageKey(id, 0), j.page(0))
 	}
@@ -166,7 +166,7 @@
 			d := newTestDispatcher(b, s)
 			for i := range services {
 				j := newJob(model(fmt.Sprintf("%06d", i)), time.Now())
-				d.jobs.insert(j)
+				d.state.jobs.insert(j)
 				d.activation.track(j, time.Now())
 			}
 			for b.Loop() {
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -24,10 +24,10 @@
 
 // readyCandidates returns the free room on the ready machines, in their order.
 func (d *scheduler) readyCandidates(now time.Time) []*candidate {
-	candidates := make([]*candidate, 0, len(d.machineOrder))
-	room := make([]candidate, len(d.machineOrder)) // in one allocation
+	candidates := make([]*candidate, 0, d.state.machines.count())
+	room := make([]candidate, d.state.machines.count()) // in one allocation
 	fresh := d.settings.ReportFreshness()
-	for i, m := range d.machineOrder {
+	for i, m := range d.state.machines.inOrder() {
 		if m.ready(now, fresh) {
 			room[i] = candidateOf(m)
 			candidates = append(candidates, &room[i])
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -696,8 +696,8 @@
 			t.Fatal(err)
 		}
 		now := time.Now()
-		damaged, sound := d.jobs.get(spec.ID), d.jobs.get(other.ID)
-		if damaged.managed.mayPlace(now) || !sound.managed.mayPlace(now) {
+		damaged, sound := d.state.jobs.get(spec.ID), d.state.jobs.get(other.ID)
+		if damaged.mayPlace(now) || !sound.mayPlace(now) {
 			t.Error("the wrong one may be placed")
 		}
 		if string(damaged.record().Activation) != `{"state":"asleep","generation":3}` {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -125,7 +125,7 @@
 func (d *scheduler) announceTokens() {
 	for len(d.tokenPending) > 0 {
 		m := d.tokenPending[0]
-		if d.machines[m.id] == m && !d.announceToken(m) {
+		if d.state.machines.get(m.id) == m && !d.announceToken(m) {
 			return
 		}
 		d.tokenPending = d.tokenPending[1:]
@@ -135,7 +135,7 @@
 // handleDelivered takes in what became of direct orders.
 func (d *scheduler) handleDelivered(msg deliveredMsg) {
 	now := time.Now()
-	m := d.machines[msg.machine]
+	m := d.state.machines.get(msg.machine)
 	if m != nil {
 		m.inFlight = max(0, m.inFlight-1)
 		d.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -44,9 +44,6 @@
 	d.queue.Mark(jobLane(j), storage.JobKey(j.spec.ID), func() any { return j.record() })
 }
 
-// urgent tells whether a job's records don't wait behind those of others.
-func (j *job) urgent() bool { return j.spec.Priority >= storage.High }
-
 // jobLane is the lane of a job's own record. A cancelled job's tasks run to nobody's use, so it
 // doesn't wait behind acceptances.
 func jobLane(j *job) groupcommit.Lane {
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -163,9 +163,9 @@
 		return
 	}
 	p := &delegationTerms{at: now, renewUntil: d.role.RenewUntil, excluded: make(map[string][]int)}
-	for id, j := range d.jobs.cancelling {
+	for id, j := range d.state.jobs.cancelling {
 		if len(j.attempts) == 0 {
-			delete(d.jobs.cancelling, id)
+			delete(d.state.jobs.cancelling, id)
 		}
 		for _, a := range j.attempts {
 			if z := a.machine.zone; !slices.Contains(p.excluded[z], a.machine.id) {
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("lent for %v, without %v", span, excluded)
 		}
 		j.phase = storage.Cancelled
-		d.jobs.trackCancelling(j)
+		d.state.jobs.trackCancelling(j)
 		time.Sleep(time.Second)
 		d.publishDelegation(time.Now())
 		if _, excluded := d.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -40,7 +40,7 @@
 			}
 		}
 		for ; !j.spec.Gang && n < j.startable(); n++ {
-			used := d.reservations.Team(j.spec.Team).Add(teams[j.spec.Team]).Add(j.spec.Resources)
+			used := d.state.reservations.Team(j.spec.Team).Add(teams[j.spec.Team]).Add(j.spec.Resources)
 			if !storage.WithinLimit(used, team.Limit) {
 				break
 			}
@@ -56,7 +56,7 @@
 			continue
 		}
 		if !j.spec.Service {
-			dm.runS = d.runTime(j)
+			dm.runS = d.state.classes.runSeconds(j)
 		}
 		out = append(out, dm)
 	}
@@ -71,14 +71,14 @@
 // headroomDemands lists the room to keep, class by class.
 func (d *scheduler) headroomDemands(now time.Time) []*demand {
 	var out []*demand
-	names := make([]string, 0, len(d.classes))
-	for n := range d.classes {
+	names := make([]string, 0, len(d.state.classes.all()))
+	for n := range d.state.classes.all() {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	fullest := d.servicesOnFullestMachine()
 	for _, n := range names {
-		c := d.classes[n]
+		c := d.state.classes.get(n)
 		if k := max(d.headroom(c, now), fullest[n]); k > 0 {
 			out = append(out, d.headroomFor(c, k)...)
 		}
@@ -90,7 +90,7 @@
 // limit, or none.
 func (d *scheduler) gangDemand(j *job, team *config.Team, teams map[string]storage.Resources) int {
 	all := teams[j.spec.Team].Add(j.spec.Resources.Mul(j.waiting))
-	if !storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
+	if !storage.WithinLimit(d.state.reservations.Team(j.spec.Team).Add(all), team.Limit) || len(j.attempts) > 0 && !j.gangCompletable() {
 		return 0
 	}
 	teams[j.spec.Team] = all
@@ -114,13 +114,13 @@
 // have in another zone, half of each rounded down, is kept in every zone.
 func (d *scheduler) headroomFor(c *class, n int) []*demand {
 	var out []*demand
-	if zones := d.zonesFor(c.last); c.last.spec.Spread && len(zones) > 1 {
+	if zones := d.zonesFor(c.latest); c.latest.spec.Spread && len(zones) > 1 {
 		each := int(math.Round(c.SecondZoneShare() * float64(n)))
 		for _, z := range zones {
 			if each == 0 {
 				break
 			}
-			dm := headroomDemand(c.last, each)
+			dm := headroomDemand(c.latest, each)
 			dm.job.spec.Zone = z
 			dm.zones = newZoneCheck(dm.job)
 			out = append(out, dm)
@@ -128,7 +128,7 @@
 		n -= each * len(zones)
 	}
 	if n > 0 {
-		out = append(out, headroomDemand(c.last, n))
+		out = append(out, headroomDemand(c.latest, n))
 	}
 	return out
 }
@@ -136,8 +136,8 @@
 // zonesFor lists the zones with a type that holds a task of the job.
 func (d *scheduler) zonesFor(j *job) []string {
 	var out []string
-	for _, name := range d.feasibleTypesOf(j) {
-		for _, z := range d.types[name].Zones {
+	for _, name := range d.state.feasibleTypes(j) {
+		for _, z := range d.state.types.get(name).Zones {
 			if (j.spec.Zone == "" || j.spec.Zone == z) && !slices.Contains(out, z) {
 				out = append(out, z)
 			}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -10,13 +10,6 @@
 	"sagevale/internal/worker"
 )
 
-// offering is a kind of machine that the cloud may rent.
-type offering struct {
-	typeName string
-	zone     string
-	spot     bool
-}
-
 // fleetSnapshot is what the capacity actor needs to know, once a second.
 type fleetSnapshot struct {
 	desired          []offering         // machines that would cover the pressure, in order
@@ -39,7 +32,7 @@
 	p := &packing{exhausted: make(exhaustedShapes)}
 	d.updateSlowness(now)
 	fresh := d.settings.ReportFreshness()
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		silent := now.Sub(m.lastContact) > fresh
 		switch {
 		case m.terminating, m.failed:
@@ -73,9 +66,9 @@
 	if d.leaseValid(now) {
 		d.updatePerGPU(now)
 		d.shortage(p, d.demands(now), v.size, now)
-		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, len(d.types))
-		for name, t := range d.types {
-			v.bootSeconds[name] = t.BootS
+		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, d.state.types.count())
+		for _, name := range d.state.types.all() {
+			v.bootSeconds[name] = d.state.types.get(name).BootS
 		}
 		if v.nonOpportunistic == 0 && v.healthy && !v.draining {
 			v.surplus = d.findSurplus(p, now)
@@ -116,7 +109,7 @@
 // work since that was found. An empty one is returned at once.
 func (d *scheduler) drainSurplus(msg drainMsg) {
 	d.drainsRequested++
-	m := d.machines[msg.surplus.machine]
+	m := d.state.machines.get(msg.surplus.machine)
 	if m == nil || len(m.attempts) > msg.surplus.attempts {
 		d.autoscaler.post(drainedMsg{})
 		return
@@ -136,17 +129,17 @@
 	seen := make(map[int]bool, len(machines))
 	for _, l := range machines {
 		seen[l.ID] = true
-		m, known := d.machines[l.ID]
-		if !known {
+		m := d.state.machines.get(l.ID)
+		if m == nil {
 			if d.terminated[l.ID] {
 				continue
 			}
-			m = d.machineFor(l.ID)
+			m = d.state.ensureMachine(l.ID, now)
 			m.firstSeen, m.provisioningObserved = now.Add(-clock.Seconds(l.AgeSeconds)), true
 			d.log.Info("unexpected machine", "machine", l.ID, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
 		}
 		if m.typeName == "" {
-			m.typeName, m.zone, m.spot, m.machineType = l.Type, l.Zone, l.Spot, d.types[l.Type]
+			m.typeName, m.zone, m.spot, m.machineType = l.Type, l.Zone, l.Spot, d.state.types.get(l.Type)
 		}
 		if m.addr == "" {
 			m.addr = l.Addr
@@ -154,7 +147,7 @@
 		m.listedAt = now
 		m.failed = l.State == cloud.Failed
 	}
-	for _, m := range slices.Clone(d.machineOrder) {
+	for _, m := range slices.Clone(d.state.machines.inOrder()) {
 		silent := now.Sub(m.lastContact) > d.settings.WorkerLease && now.Sub(m.firstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
 		if !seen[m.id] && !m.terminating && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.provenEmptyAt(m)) {
 			d.removeMachine(m.id, "no longer listed")
@@ -164,14 +157,14 @@
 
 // removeMachine forgets a machine that the cloud has surely taken.
 func (d *scheduler) removeMachine(id int, why string) {
-	m := d.machines[id]
+	m := d.state.machines.get(id)
 	if m == nil {
 		return
 	}
 	for _, a := range m.sortedAttempts() {
 		d.removeAttempt(a, "its machine is gone")
 	}
-	d.dropMachine(m)
+	d.state.machines.remove(m)
 	d.markRecord(storage.MachineKey(id), removed)
 	d.log.Info("machine gone", "machine", id, "why", why)
 	d.placementDue = true
@@ -180,16 +173,16 @@
 func (d *scheduler) handleLaunched(msg launchedMsg) {
 	now := time.Now()
 	for _, id := range msg.machines {
-		m, known := d.machines[id]
-		if !known {
+		m := d.state.machines.get(id)
+		if m == nil {
 			if d.terminated[id] {
 				continue
 			}
-			m = d.machineFor(id)
+			m = d.state.ensureMachine(id, now)
 			m.firstSeen, m.provisioningObserved, m.listedAt = now, true, now
 		}
 		if m.typeName == "" {
-			m.typeName, m.zone, m.spot, m.machineType = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.types[msg.launch.Type]
+			m.typeName, m.zone, m.spot, m.machineType = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.state.types.get(msg.launch.Type)
 		}
 	}
 	d.placementDue = true
@@ -202,7 +195,7 @@
 		return
 	}
 	for _, id := range ids {
-		if m := d.machines[id]; !m.terminating {
+		if m := d.state.machines.get(id); !m.terminating {
 			d.log.Info("return", "machine", id, "type", m.typeName, "spot", m.spot, "draining", m.drainReason, "failed", m.failed, "age", time.Since(m.firstSeen))
 			m.terminating = true
 			d.markMachine(m)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"sagevale/internal/clock"
@@ -16,40 +14,10 @@
 // is replaced under the same number; from then on a loss ends the attempt, and the
 // next one begins once every task of it is proved gone.
 
-// gang is what is known of a gang's present attempt.
-type gang struct {
-	number   uint64       // its number; 0: there is none
-	started  bool         // its tasks have run
-	failed   bool         // it can't be completed any more
-	exitedOn map[int]bool // machines on which a task of it has ended: there it can't start again
-}
-
 // gatherPatience of gang_wait_s is how long the others wait for a task before it is
 // looked for elsewhere; it then has as long again, and more, to come.
 const gatherPatience = 0.4
 
-// gangCompletable tells whether the present attempt may still be completed by what has
-// waited to run: nothing of it has run, and nothing may have that isn't known.
-func (j *job) gangCompletable() bool {
-	if j.gang.failed || j.gang.started {
-		return false
-	}
-	for _, a := range j.attempts {
-		if a.stopping || a.number != j.gang.number || !a.reported && !a.thisTerm || a.reported && a.state != worker.Pulling && a.state != worker.Gathering {
-			return false
-		}
-	}
-	return true
-}
-
-// recordGangAttempt takes in that an attempt was booked.
-func (j *job) recordGangAttempt(a *attempt) {
-	if j.gang.number != 0 && j.gang.number != a.number {
-		j.gang.failed = true // a record of two attempts: a leader ended between its commits
-	}
-	j.gang.number = max(j.gang.number, a.number)
-}
-
 // gangTaskLost takes in that a task of a gang is gone, and why; what is left of an attempt
 // that ran is stopped at once, for its progress since the last save is gangTaskLost.
 func (d *scheduler) gangTaskLost(a *attempt) {
@@ -105,11 +73,6 @@
 	}
 }
 
-// gangAttempts lists a job's attempts in the order of their tasks.
-func (j *job) gangAttempts() []*attempt {
-	return slices.SortedFunc(maps.Values(j.attempts), func(a, b *attempt) int { return a.task - b.task })
-}
-
 // completeGang makes all tasks of a gang done, for one of them is: they complete
 // together.
 func (d *scheduler) completeGang(j *job) {
@@ -138,7 +101,7 @@
 		return
 	}
 	left := m.preemptionAt.Sub(now)
-	ends := clock.Seconds(d.runTime(j)) - now.Sub(a.started)
+	ends := clock.Seconds(d.state.classes.runSeconds(j)) - now.Sub(a.started)
 	if ends > left && clock.Seconds(j.spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
 		d.stopGang(j)
 	}
@@ -148,7 +111,7 @@
 // machines that hang or fetch for too long, and has them start elsewhere.
 func (d *scheduler) replaceStalledGangTasks(now time.Time) {
 	patience := clock.Scale(d.settings.GangWait, gatherPatience)
-	for _, j := range d.jobs.open {
+	for _, j := range d.state.jobs.open {
 		if !j.spec.Gang || j.phase != storage.Open || patience <= 0 || !j.gangCompletable() || j.gatherTime(now) < patience {
 			continue
 		}
@@ -161,14 +124,3 @@
 		d.commandJobStops(j)
 	}
 }
-
-// gatherTime is for how long the first of a gang's tasks has waited for the others.
-func (j *job) gatherTime(now time.Time) time.Duration {
-	var longest time.Duration
-	for _, a := range j.attempts {
-		if a.reported && a.state == worker.Gathering && !a.gatheringSince.IsZero() {
-			longest = max(longest, now.Sub(a.gatheringSince))
-		}
-	}
-	return longest
-}
--- a/internal/scheduler/gang_page_test.go
+++ b/internal/scheduler/gang_page_test.go
@@ -24,14 +24,14 @@
 		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
 		j := d.accept(spec)
 		for i, m := range machines {
-			d.addAttempt(&attempt{job: j, task: i, number: try, machine: d.machines[m], incarnation: 1, thisTerm: true, durable: true, reported: true,
+			d.addAttempt(&attempt{job: j, task: i, number: try, machine: d.state.machines.get(m), incarnation: 1, thisTerm: true, durable: true, reported: true,
 				state: worker.Running, reservedAt: now, started: now.Add(-time.Minute)})
 		}
 		j.gang.started = true
 		return j
 	}
 	first, second = enter("000001", 8, 1, 1, 3), enter("000002", 9, 2, 2, 4)
-	return first, second, d.machines[3]
+	return first, second, d.state.machines.get(3)
 }
 
 func urgentService() storage.Spec {
@@ -90,7 +90,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
 		elsewhere.inFlight = maxInFlightCommands
-		d.machines[4].inFlight = maxInFlightCommands
+		d.state.machines.get(4).inFlight = maxInFlightCommands
 		d.accept(urgentService())
 		d.placeRound(time.Now())
 		n1, saving1 := stops(first)
@@ -112,7 +112,7 @@
 			if !reachable {
 				elsewhere.inFlight = maxInFlightCommands
 			}
-			m := d.machines[1]
+			m := d.state.machines.get(1)
 			m.preemptionAt = time.Now().Add(10 * time.Second)
 			d.drain(m, "spot notice")
 			if n, saving := stops(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -45,7 +45,7 @@
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
 func (d *scheduler) gangWithinLimit(j *job) bool {
 	team := d.settings.Team(j.spec.Team)
-	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(j.spec.Resources.Mul(j.waiting)), team.Limit)
+	return team != nil && storage.WithinLimit(d.state.reservations.Team(j.spec.Team).Add(j.spec.Resources.Mul(j.waiting)), team.Limit)
 }
 
 // planGang finds a candidate for each waiting task of a gang and takes the room there,
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -267,7 +267,7 @@
 			t.Errorf("%d stopped for a gang that finds no room all the same", n)
 		}
 		g := d.accept(gangOf("000003", 5))
-		d.jobs.get("000002").retryAfter = time.Now().Add(time.Hour)
+		d.state.jobs.get("000002").retryAfter = time.Now().Add(time.Hour)
 		time.Sleep(time.Second)
 		d.placeRound(time.Now())
 		if n := stopped(); n != 3 || len(g.attempts) != 0 {
@@ -326,8 +326,8 @@
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		d.setTypes(testTypes)
-		j := d.jobs.get("000001")
+		d.state.setTypes(testTypes)
+		j := d.state.jobs.get("000001")
 		for i := 10; i < 14; i++ {
 			d.up(i, "cpu", "a", false)
 		}
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -72,7 +72,7 @@
 		if err := d.load(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := d.jobs.get("000001"); j.phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
+		if j := d.state.jobs.get("000001"); j.phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
 			t.Errorf("phase %v", j.phase)
 		}
 	})
@@ -203,7 +203,7 @@
 		if got, _ := tell(api.OpPoll, a); got.Final() {
 			t.Errorf("cancelled before it is durable: %+v", got)
 		}
-		j := d.jobs.get(b.ID)
+		j := d.state.jobs.get(b.ID)
 		j.setTask(0, taskDone)
 		d.finish(j)
 		if got, _ := tell(api.OpPoll, b); got.Final() {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -22,7 +22,7 @@
 	case m.lastContact.IsZero() || now.Sub(m.lastContact) > 2*d.settings.HeartbeatInterval:
 	default:
 		d.commandsFailing[m.id] = true
-		if len(d.commandsFailing) >= min(unreachableMachines, max(1, len(d.machineOrder))) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
+		if len(d.commandsFailing) >= min(unreachableMachines, max(1, d.state.machines.count())) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
 			d.log.Info("handing over", "unreached", len(d.commandsFailing))
 			clear(d.commandsFailing)
 			d.resignOnce("this node doesn't reach the workers", true)
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -9,11 +9,6 @@
 	"sagevale/internal/worker"
 )
 
-type attemptKey struct {
-	id     worker.TaskID
-	number uint64
-}
-
 // handleHeartbeat takes a worker's report and answers it.
 func (d *scheduler) handleHeartbeat(r *worker.Report) worker.HeartbeatResponse {
 	now := time.Now()
@@ -29,7 +24,7 @@
 	if d.terminated[r.Machine] {
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	m := d.machineFor(r.Machine)
+	m := d.state.ensureMachine(r.Machine, now)
 	if m.stale(r) {
 		// A late copy: it neither shows the present nor renews the lease.
 		return worker.HeartbeatResponse{Busy: true}
@@ -74,7 +69,7 @@
 	m.incarnation, m.seq, m.token = r.Incarnation, r.Seq, max(m.token, r.Token)
 	m.fence.ObserveToken(r.Token)
 	if m.typeName != r.Type || m.addr != r.Addr || m.zone != r.Zone {
-		m.addr, m.typeName, m.zone, m.spot, m.machineType = r.Addr, r.Type, r.Zone, r.Spot, d.types[r.Type]
+		m.addr, m.typeName, m.zone, m.spot, m.machineType = r.Addr, r.Type, r.Zone, r.Spot, d.state.types.get(r.Type)
 		m.recorded = false
 	}
 	if !m.recorded {
@@ -199,7 +194,7 @@
 		}
 		return
 	}
-	j := d.jobs.get(t.ID.Job)
+	j := d.state.jobs.get(t.ID.Job)
 	if t.State == worker.Exited {
 		if j != nil && t.Cause == worker.CauseDone && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting {
 			if j.spec.Gang {
@@ -216,7 +211,7 @@
 	if j != nil && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting && a == nil {
 		d.log.Info("adopting an unbooked task", "machine", m.id, "job", t.ID.Job, "task", t.ID.Task, "try", t.Attempt)
 		a = &attempt{job: j, task: t.ID.Task, number: t.Attempt, machine: m, incarnation: r.Incarnation, reservedAt: now, reported: true, state: t.State}
-		a.stopping = j.phase != storage.Open || !j.managed.mayPlace(now)
+		a.stopping = j.phase != storage.Open || !j.mayPlace(now)
 		d.addAttempt(a)
 		d.markPage(j, a.task)
 		return
@@ -231,7 +226,7 @@
 	case worker.CauseDone:
 		j.failures.Succeeded()
 		m.failures.Succeeded()
-		d.noteRunTime(a, now)
+		d.state.classes.noteRunTime(a, now)
 		if j.spec.Gang {
 			d.completeGang(j)
 		}
@@ -256,62 +251,39 @@
 	d.finish(j)
 }
 
-// addAttempt reserves the room of an attempt.
+// addAttempt enters an attempt and reserves its resources.
 func (d *scheduler) addAttempt(a *attempt) {
-	if a.job.phase == storage.Cancelled {
-		d.jobs.trackCancelling(a.job)
-	}
-	a.job.attempts[a.task] = a
-	a.job.setTask(a.task, taskActive)
-	a.machine.attempts[a.id()] = a
-	d.reservations.Reserve(a.machine.id, a.job.spec.Team, a.job.spec.Resources)
-	a.machine.addUsage(a, 1)
-	if a.job.spec.Gang {
-		a.job.recordGangAttempt(a)
-	}
+	d.state.addAttempt(a)
 	d.activation.attemptReserved(a, time.Now())
 }
 
-// removeAttempt takes an attempt out of the reservations: its place is proved empty, or its
-// start was never sent.
-func (d *scheduler) removeAttempt(a *attempt, why string) {
-	j, m := a.job, a.machine
-	if j.attempts[a.task] != a {
+// removeAttempt takes out an attempt that is proved absent from its machine, or whose start was never
+// sent, and releases its resources.
+func (d *scheduler) removeAttempt(a *attempt, reason string) {
+	now := time.Now()
+	if !d.state.removeAttempt(a, now) {
 		return
 	}
-	delete(j.attempts, a.task)
-	delete(m.attempts, a.id())
-	if len(m.attempts) == 0 {
-		m.idleSince = time.Now()
-	}
-	d.reservations.Release(m.id, j.spec.Team, j.spec.Resources)
-	m.addUsage(a, -1)
-	if a.delivery != deliveryNone {
-		m.fence.Retain(attemptKey{a.id(), a.number}, a.deliveryToken)
-	}
-	j.setTask(a.task, taskWaiting)
+	j, m := a.job, a.machine
 	d.markPage(j, a.task)
 	if j.spec.Gang && j.phase == storage.Open {
 		d.gangTaskLost(a)
 	}
 	if m.drainReason != "" && len(m.attempts) == 0 {
-		d.nextSnapshot = time.Time{} // to be returned; the next drain waits for it
+		d.nextSnapshot = time.Time{} // to be terminated; the next drain waits for it
 	}
-	d.log.Debug("attempt over", "job", j.spec.ID, "task", a.task, "try", a.number, "machine", m.id, "why", why)
-	d.activation.attemptRemoved(a, time.Now())
+	d.log.Debug("attempt removed", "job", j.spec.ID, "task", a.task, "attempt", a.number, "machine", m.id, "reason", reason)
+	d.activation.attemptRemoved(a, now)
 	d.retire(j)
 	d.placementDue = true
 }
 
-// stopAttempt has an attempt stopped. One that was never sent is just taken out.
-func (d *scheduler) stopAttempt(a *attempt, graceS float64) {
+// stopAttempt has an attempt stopped, with a grace period in which it may save a checkpoint. One that was
+// never sent is removed at once.
+func (d *scheduler) stopAttempt(a *attempt, graceSeconds float64) {
 	if !a.maybeDelivered() {
 		d.removeAttempt(a, "stopped before its start")
 		return
 	}
-	if !a.stopping || graceS < a.graceSeconds {
-		a.machine.addUsage(a, -1)
-		a.stopping, a.graceSeconds = true, graceS
-		a.machine.addUsage(a, 1)
-	}
+	d.state.markStopping(a, graceSeconds)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"sagevale/internal/api"
+	"sagevale/internal/clock"
 	"sagevale/internal/failures"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -41,61 +41,7 @@
 	failures   failures.Job
 	retryAfter time.Time
 
-	managed *managedService // of a service that may be at zero; nil: it always runs
-}
-
-// attempt is one booked try of a task on a machine. It stays until its place
-// is proved empty.
-type attempt struct {
-	job         *job
-	task        int
-	number      uint64
-	machine     *machine
-	incarnation uint64
-	thisTerm    bool // booked or ordered in this term
-	durable     bool
-	reservedAt  time.Time
-
-	reported       bool
-	failed         bool // it ended by itself, and not as it should
-	state          worker.TaskState
-	started        time.Time
-	gatheringSince time.Time // since when it waits for the others of its gang
-
-	stopping      bool // to be stopped
-	stopCommanded bool // has been told so directly
-	graceSeconds  float64
-
-	commandedSeq  uint64 // the report whose answer last carried its start; 0: none
-	delivery      delivery
-	deliveryToken uint64 // under which its start was sent straight to the worker
-}
-
-// delivery tells what is known of a start sent straight to the worker.
-type delivery uint8
-
-const (
-	deliveryNone       delivery = iota
-	deliveryInFlight            // no answer yet
-	deliveryUnresolved          // no answer came: it may be executed minutes late
-	deliverySettled             // answered
-)
-
-func (a *attempt) id() worker.TaskID { return worker.TaskID{Job: a.job.spec.ID, Task: a.task} }
-
-// maybeDelivered tells whether a start may have reached the worker.
-func (a *attempt) maybeDelivered() bool {
-	return !a.thisTerm || a.reported || a.commandedSeq != 0 || a.delivery != deliveryNone
-}
-
-// noteCommanded notes that the answer to a report carries the start. One that an
-// earlier leader booked is ours from here on: a report that the worker makes
-// before that answer comes proves nothing of it, even under our token.
-func (a *attempt) noteCommanded(r *worker.Report) { a.commandedSeq, a.thisTerm = r.Seq, true }
-
-// startUnresolved tells whether a direct start may still be executed.
-func (a *attempt) startUnresolved() bool {
-	return a.delivery == deliveryInFlight || a.delivery == deliveryUnresolved
+	lifecycle lifecycle // of a service that scales to zero; nil: it always runs
 }
 
 func newJob(spec storage.Spec, at time.Time) *job {
@@ -216,31 +162,23 @@
 	if j.phase != storage.Open {
 		rec.DoneTasks = j.done
 	}
-	if j.phase == storage.Open && j.managed != nil {
-		rec.Activation = j.managed.stored()
+	if j.phase == storage.Open && j.lifecycle != nil {
+		rec.Activation = j.lifecycle.stored()
 	}
 	return rec
 }
 
-// state is what users see; only durable facts count as final.
-func (j *job) state() api.JobState {
-	switch {
-	case j.finalDurable && j.phase == storage.Done:
-		return api.StateDone
-	case j.finalDurable && j.phase == storage.Cancelled:
-		return api.StateCancelled
-	case j.runningTasks() > 0:
-		return api.StateRunning
-	}
-	return api.StatePending
-}
+// allocated is how many of the job's tasks have or had a place.
+func (j *job) allocated() int { return len(j.attempts) + j.done }
 
-func (j *job) answer(code api.Code) api.Response {
-	a := api.Response{Code: code, ID: j.spec.ID, State: j.state(), Done: j.done}
-	switch a.State {
-	case api.StateDone, api.StateCancelled:
-	default:
-		a.Running = j.runningTasks()
+// deadline is when the job should be complete; jobs without a deadline come as if
+// they had been deadline at once.
+func (j *job) deadline() time.Time {
+	if j.spec.DeadlineS > 0 {
+		return j.submitted.Add(clock.Seconds(j.spec.DeadlineS))
 	}
-	return a
+	return j.submitted
 }
+
+// urgent tells whether a job's records don't wait behind those of others.
+func (j *job) urgent() bool { return j.spec.Priority >= storage.High }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -5,7 +5,7 @@
 // expireLeases frees the attempts on machines whose lease has surely ended, and
 // gives up starts that no worker takes.
 func (d *scheduler) expireLeases(now time.Time) {
-	for _, m := range d.machines {
+	for _, m := range d.state.machines.inOrder() {
 		if !m.confirmed && len(m.attempts) == 0 {
 			continue
 		}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -1,10 +1,10 @@
 package scheduler
 
 import (
-	"slices"
 	"sort"
 	"time"
 
+	"sagevale/internal/clock"
 	"sagevale/internal/failures"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
@@ -149,28 +149,21 @@
 	return out
 }
 
-// machineFor returns the machineFor of that number, made known if need be.
-func (d *scheduler) machineFor(id int) *machine {
-	m := d.machines[id]
-	if m == nil {
-		m = newMachine(id, d.tokens, time.Now())
-		m.reserved = d.reservations.Machine(id)
-		d.machines[id] = m
-		i, _ := d.machineIndex(id)
-		d.machineOrder = slices.Insert(d.machineOrder, i, m)
-	}
-	return m
+// brieflyIdle tells whether the machine has had no tasks for a short time only.
+func (m *machine) brieflyIdle(now time.Time) bool {
+	return len(m.attempts) == 0 && now.Sub(m.idleSince) < clock.Seconds(idlePerBoot*m.machineType.BootS)
 }
 
-// dropMachine forgets a machine.
-func (d *scheduler) dropMachine(m *machine) {
-	delete(d.machines, m.id)
-	if i, ok := d.machineIndex(m.id); ok {
-		d.machineOrder = slices.Delete(d.machineOrder, i, i+1)
+// idlePerBoot is how long a machine without tasks is kept, in times of its boot:
+// one that is needed again boots, and is paid for, that long.
+const idlePerBoot = 0.25
+
+// clearFailures takes back what a job has failed on the machine, and ends the pause if it was for
+// that.
+func (m *machine) clearFailures(j *job) {
+	paused := m.failures.AtFault()
+	m.failures.Clear(j.spec.ID)
+	if paused && !m.failures.AtFault() && m.lostIncarnations == 0 && !m.unresponsive {
+		m.quarantinedUntil = time.Time{}
 	}
 }
-
-// machineIndex finds a machine in the order by number, or where it would stand.
-func (d *scheduler) machineIndex(id int) (int, bool) {
-	return slices.BinarySearchFunc(d.machineOrder, id, func(m *machine, id int) int { return m.id - id })
-}
--- a/internal/scheduler/opportunistic.go
+++ b/internal/scheduler/opportunistic.go
@@ -21,9 +21,6 @@
 	minimumAllocationLeases = 2
 )
 
-// allocated is how many of the job's tasks have or had a place.
-func (j *job) allocated() int { return len(j.attempts) + j.done }
-
 // opportunisticShare is how many tasks of one opportunistic job a round places at the most, with
 // so many of them waiting.
 func opportunisticShare(jobs int) int { return max(1, maxPlacementsPerRound/max(1, jobs)) }
@@ -63,7 +60,7 @@
 
 // placePrice is what a machine of an offer costs for each task of that room.
 func (d *scheduler) placePrice(o offering, room storage.Resources) float64 {
-	typ := d.types[o.typeName]
+	typ := d.state.types.get(o.typeName)
 	price := typ.Price
 	if o.spot {
 		price = typ.SpotPrice
@@ -74,8 +71,8 @@
 // leastPlacePrice is the least price of a task's place among the machines that a job may use.
 func (d *scheduler) leastPlacePrice(j *job) float64 {
 	least := 0.0
-	for _, kind := range d.feasibleTypesOf(j) {
-		spot := j.spec.Spot && d.types[kind].SpotPrice > 0
+	for _, kind := range d.state.feasibleTypes(j) {
+		spot := j.spec.Spot && d.state.types.get(kind).SpotPrice > 0
 		if price := d.placePrice(offering{typeName: kind, spot: spot}, j.spec.Resources); least == 0 || price < least {
 			least = price
 		}
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -94,7 +94,7 @@
 		d.up(3, "gpu", "a", false)
 		training := service("000001", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
-		d.addAttempt(&attempt{job: d.accept(training), task: 0, number: 1, machine: d.machines[3], incarnation: 1, thisTerm: true, reported: true})
+		d.addAttempt(&attempt{job: d.accept(training), task: 0, number: 1, machine: d.state.machines.get(3), incarnation: 1, thisTerm: true, reported: true})
 		d.perGPU, d.perGPUAt = storage.Resources{CPUs: 8}, time.Now()
 		kept := newJob(service("000002", 1), time.Now())
 		d.keptHeadroom = []*demand{{job: kept, zones: newZoneCheck(kept), n: 2, headroom: true}}
@@ -102,7 +102,7 @@
 		for range 3 {
 			d.placeRound(time.Now())
 		}
-		if on := len(d.machines[3].attempts); on != 1 {
+		if on := len(d.state.machines.get(3).attempts); on != 1 {
 			t.Errorf("%d idle tasks beside accelerators that need the processors", on-1)
 		}
 		if idle.allocated() != 3 {
--- a/internal/scheduler/packing.go
+++ b/internal/scheduler/packing.go
@@ -33,7 +33,7 @@
 // machine were up.
 func (d *scheduler) shortage(p *packing, demands []*demand, size int, now time.Time) {
 	p.zones, p.maxDesired, p.sizes = zonesOf(p.candidates), desiredSteps*d.settings.Tuning.MaxScaleOut(size), make(map[string]int)
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		p.sizes[m.zone]++
 	}
 	e := &batchBacklog{places: d.batchPlaces(), expected: d.expectedBatchTasks(now)}
@@ -76,8 +76,8 @@
 // perMachine is how many tasks of the job the best filled type holds.
 func (d *scheduler) perMachine(j *job) float64 {
 	n := 1
-	for _, name := range d.feasibleTypesOf(j) {
-		n = max(n, fitCount(d.types[name].Resources, j.spec.Resources))
+	for _, name := range d.state.feasibleTypes(j) {
+		n = max(n, fitCount(d.state.types.get(name).Resources, j.spec.Resources))
 	}
 	return float64(n)
 }
@@ -105,7 +105,7 @@
 		if dm.runS > 0 && e.places > 0 && !dm.job.spec.Gang {
 			// What usually comes takes its places before the backlog does.
 			left := max(float64(e.places)-e.expected, minBacklogShare*float64(e.places))
-			if float64(e.behind+dm.n)*dm.runS/left < d.minBootSeconds(dm.job) {
+			if float64(e.behind+dm.n)*dm.runS/left < d.state.minBootSeconds(dm.job) {
 				break
 			}
 		}
@@ -124,7 +124,7 @@
 				dm.n = 1
 			}
 		}
-		typ := d.types[o.typeName]
+		typ := d.state.types.get(o.typeName)
 		if dm.job.spec.Resources.GPUs == 0 && typ.Resources.GPUs > 0 {
 			// Only the dear kind is left: first count on those that boot anyway.
 			if s := d.fullest(p.candidates, dm.job, &dm.zones, anyCandidate); s != nil {
@@ -171,11 +171,11 @@
 // told yet, more may come than there are places.
 func (d *scheduler) expectedBatchTasks(now time.Time) float64 {
 	n := 0.0
-	for _, c := range d.classes {
-		if c.last.spec.Service || d.settings.IsOpportunistic(&c.last.spec) {
+	for _, c := range d.state.classes.all() {
+		if c.latest.spec.Service || d.settings.IsOpportunistic(&c.latest.spec) {
 			continue
 		}
-		rate := d.rate(c, now)
+		rate := d.state.classes.arrivalRate(c, d.settings.WorkerLease, now)
 		if rate.WindowS == 0 {
 			return math.Inf(1)
 		}
@@ -187,7 +187,7 @@
 // batchPlaces counts the places that ending work holds now.
 func (d *scheduler) batchPlaces() int {
 	n := 0
-	for _, j := range d.jobs.open {
+	for _, j := range d.state.jobs.open {
 		if !j.spec.Service && !d.settings.IsOpportunistic(&j.spec) {
 			n += len(j.attempts)
 		}
@@ -256,8 +256,8 @@
 	s := &dm.job.spec
 	var best offering
 	bestCost := math.Inf(1)
-	for _, name := range d.feasibleTypesOf(dm.job) {
-		t := d.types[name]
+	for _, name := range d.state.feasibleTypes(dm.job) {
+		t := d.state.types.get(name)
 		fit := fitCount(t.Resources, s.Resources)
 		for _, zone := range t.Zones {
 			if !dm.zones.allows(zone) {
@@ -276,7 +276,7 @@
 					price = t.SpotPrice
 				}
 				cost := price / float64(min(fit, dm.n))
-				cost *= 1 + 0.02*float64(p.sizes[zone])/float64(1+len(d.machines))
+				cost *= 1 + 0.02*float64(p.sizes[zone])/float64(1+d.state.machines.count())
 				if cost < bestCost {
 					best, bestCost = o, cost
 				}
--- a/internal/scheduler/paired_guards_test.go
+++ b/internal/scheduler/paired_guards_test.go
@@ -35,8 +35,8 @@
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
-		if d.jobs.count() != 1 || d.queue.Waiting(groupcommit.Interactive) != 0 || d.jobs.get("000001").phase != storage.Open {
-			t.Errorf("%d jobs, %d records to write", d.jobs.count(), d.queue.Waiting(groupcommit.Interactive))
+		if d.state.jobs.count() != 1 || d.queue.Waiting(groupcommit.Interactive) != 0 || d.state.jobs.get("000001").phase != storage.Open {
+			t.Errorf("%d jobs, %d records to write", d.state.jobs.count(), d.queue.Waiting(groupcommit.Interactive))
 		}
 	})
 }
@@ -53,7 +53,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		m := d.machines[7]
+		m := d.state.machines.get(7)
 		for seq, token := range []uint64{d.term - 1, d.term - 1, d.term} {
 			if len(m.attempts) != 1 {
 				t.Fatalf("freed by a report under token %d", token)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -80,8 +80,8 @@
 // waitingJobs lists the open jobs with tasks to place.
 func (d *scheduler) waitingJobs(now time.Time) []*job {
 	var waiting []*job
-	for _, j := range d.jobs.open {
-		if j.phase == storage.Open && j.waiting > 0 && !now.Before(j.retryAfter) && j.managed.mayPlace(now) {
+	for _, j := range d.state.jobs.open {
+		if j.phase == storage.Open && j.waiting > 0 && !now.Before(j.retryAfter) && j.mayPlace(now) {
 			waiting = append(waiting, j)
 		}
 	}
@@ -116,7 +116,7 @@
 
 func (d *scheduler) withinLimit(j *job) bool {
 	team := d.settings.Team(j.spec.Team)
-	return team != nil && storage.WithinLimit(d.reservations.Team(j.spec.Team).Add(j.spec.Resources), team.Limit)
+	return team != nil && storage.WithinLimit(d.state.reservations.Team(j.spec.Team).Add(j.spec.Resources), team.Limit)
 }
 
 // reserveOn enters an attempt and takes its room from the candidate.
@@ -169,7 +169,7 @@
 
 // admits tells whether the kind of machine and its zone suit a task of the job.
 func (s *candidate) admits(j *job, zones *zoneCheck) bool {
-	return (!s.spot || j.spec.Spot) && s.zone != "" && allowed(j.spec.Types, s.typeName) && zones.allows(s.zone)
+	return (!s.spot || j.spec.Spot) && s.zone != "" && allows(j.spec.Types, s.typeName) && zones.allows(s.zone)
 }
 
 // sample returns the better of two random candidates: the fuller, to pack.
--- a/internal/scheduler/provisioning.go
+++ b/internal/scheduler/provisioning.go
@@ -76,12 +76,13 @@
 // updateSlowness reckons, type by type, how slow boots are.
 func (d *scheduler) updateSlowness(now time.Time) {
 	late := make(map[string][]float64)
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		if m.provisioningObserved && m.lastContact.IsZero() && m.machineType != nil && m.machineType.BootS > 0 && !m.terminating && m.provisioningRatio(now) > 1 {
 			late[m.typeName] = append(late[m.typeName], m.provisioningRatio(now))
 		}
 	}
-	for kind, typ := range d.types {
+	for _, kind := range d.state.types.all() {
+		typ := d.state.types.get(kind)
 		slowness := d.provisioning.ofType(kind).Slowness(now, clock.Seconds(typ.BootS), late[kind])
 		if slowness > 1 && d.provisioning.slowness[kind] <= 1 {
 			d.log.Info("machines boot slowly", "type", kind, "times", slowness)
@@ -110,7 +111,7 @@
 // failsToProvision tells whether machines of an offer were rented of late and mostly didn't come up.
 func (d *scheduler) failsToProvision(o offering, now time.Time) bool {
 	history := d.provisioning.offerings[o]
-	return history != nil && history.Failing(now, clock.Seconds(d.types[o.typeName].BootS))
+	return history != nil && history.Failing(now, clock.Seconds(d.state.types.get(o.typeName).BootS))
 }
 
 // abandoned tells whether a machine is let go that isn't heard: one that was up
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -57,8 +57,8 @@
 		}
 		time.Sleep(15 * time.Second)
 		v := d.snapshotFleet(time.Now())
-		if len(v.lost) != 0 || !d.provisioningOverdue(d.machines[1], time.Now()) {
-			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.provisioningOverdue(d.machines[1], time.Now()))
+		if len(v.lost) != 0 || !d.provisioningOverdue(d.state.machines.get(1), time.Now()) {
+			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.provisioningOverdue(d.state.machines.get(1), time.Now()))
 		}
 		time.Sleep(6 * time.Second)
 		if v := d.snapshotFleet(time.Now()); len(v.lost) != 2 {
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d.setTypes(testTypes)
+	d.state.setTypes(testTypes)
 	d.machinesListed = true
 	return d
 }
@@ -73,7 +73,7 @@
 
 // up makes a machine that has just reported under the present token.
 func (d *scheduler) up(id int, kind, zone string, spot bool) *machine {
-	m := d.machineFor(id)
+	m := d.state.ensureMachine(id, time.Now())
 	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
 	return m
 }
@@ -82,15 +82,15 @@
 func (d *scheduler) accept(spec storage.Spec) *job {
 	j := newJob(spec, time.Now())
 	j.acknowledged = true
-	d.jobs.insert(j)
-	d.noteArrival(j)
+	d.state.jobs.insert(j)
+	d.state.classes.noteArrival(j)
 	return j
 }
 
 // trialPacking makes one trial packing of all that waits and is to be kept.
 func (d *scheduler) trialPacking() *packing {
 	p := &packing{exhausted: make(exhaustedShapes), candidates: d.readyCandidates(time.Now())}
-	d.shortage(p, d.demands(time.Now()), len(d.machineOrder), time.Now())
+	d.shortage(p, d.demands(time.Now()), d.state.machines.count(), time.Now())
 	return p
 }
 
@@ -171,7 +171,7 @@
 func TestRoomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		d.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
+		d.state.classes.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 		for i := range 4 {
 			d.up(i+1, "cpu", "a", false) // ample room, all in one zone
 		}
@@ -371,10 +371,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		for i := range 400 {
-			m := d.machineFor(i + 1)
+			m := d.state.ensureMachine(i+1, time.Now())
 			m.addr, m.incarnation = fmt.Sprint(i+1), 1
 		}
-		d.tokenPending = append(d.tokenPending, d.machineOrder...)
+		d.tokenPending = append(d.tokenPending, d.state.machines.inOrder()...)
 		told := 0
 		for d.announceTokens(); d.announcements > 0; {
 			if d.announcements > d.settings.MaxTokenAnnouncements() {
@@ -403,11 +403,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := next.loadRecord(rec); err != nil {
+		if _, err := next.state.load([]storage.Record{rec}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if im, ok := next.machines[1].images["seldom"]; !ok || im.sizeGB != 5 {
-			t.Errorf("the next leader knows %+v", next.machines[1].images)
+		if im, ok := next.state.machines.get(1).images["seldom"]; !ok || im.sizeGB != 5 {
+			t.Errorf("the next leader knows %+v", next.state.machines.get(1).images)
 		}
 	})
 }
--- a/internal/scheduler/scenarios_test.go
+++ b/internal/scheduler/scenarios_test.go
@@ -331,7 +331,7 @@
 func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		m := d.machineFor(1)
+		m := d.state.ensureMachine(1, time.Now())
 		m.addr, m.incarnation = "1", 1
 		j := d.accept(arrayJob("000001", 1))
 		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, durable: true} // loaded
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -62,18 +62,12 @@
 	lifetime context.Context
 
 	termStarted       time.Time
-	types             map[string]*storage.MachineType
-	typeNames         []string
-	jobs              *jobTable
+	state             *state
 	archive           *archive.Archiver
 	archiveUsed       bool // jobs may be archived
 	archiveCompared   bool // with the open jobs
 	archiving         bool // finished jobs are offered to the archive
 	activation        *activationController
-	machines          map[int]*machine
-	machineOrder      []*machine // the same, by number
-	reservations      *storage.Reservations
-	classes           map[string]*class
 	openLaunches      map[string]storage.LaunchRecord // open at the take-over
 	desired           int
 	lastAttempt       uint64
@@ -93,7 +87,6 @@
 	terminated           map[int]bool      // machines whose return the cloud has confirmed
 	perGPU               storage.Resources // what is taken with an accelerator at the most
 	perGPUAt             time.Time
-	firstArrival         time.Time            // when the first job ever came
 	tokenPending         []*machine           // known at the take-over and not yet told our token
 	announcements        int                  // workers being told now
 	surplusCursor        int                  // where the search for a machine to return goes on
@@ -157,10 +150,9 @@
 		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
 		mailbox: make(chan any, s.QueueSize()), closed: make(chan struct{}), lifetime: context.Background(),
-		termStarted: time.Now(), types: make(map[string]*storage.MachineType),
-		jobs: newJobTable(), machines: make(map[int]*machine),
-		reservations: storage.NewReservations(), classes: make(map[string]*class), openLaunches: make(map[string]storage.LaunchRecord),
-		lastAttempt: role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
+		termStarted: time.Now(), state: newState(fencing.TermTokens(role.Term)),
+		openLaunches: make(map[string]storage.LaunchRecord),
+		lastAttempt:  role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
 		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
 		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 		gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {},
@@ -237,7 +229,7 @@
 // and writes in one group what must be durable. The more arrives, the wider
 // the rounds.
 func (d *scheduler) run(ctx context.Context) error {
-	d.tokenPending = slices.Clone(d.machineOrder)
+	d.tokenPending = slices.Clone(d.state.machines.inOrder())
 	d.announceTokens()
 	d.activation.resume(time.Now())
 	tick := time.NewTicker(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat))
@@ -316,9 +308,9 @@
 		d.handleCommitted(m.err)
 	case gatesMsg:
 		d.setGates(m.record)
-		m.reply <- gateUses{d.jobs.openGangs(), d.archiveUsed, d.archiving, d.activation.uses()}
+		m.reply <- gateUses{d.state.jobs.openGangs(), d.archiveUsed, d.archiving, d.activation.uses()}
 	case machineTypesMsg:
-		d.setTypes(m.types)
+		d.state.setTypes(m.types)
 		d.markRecord(storage.MachineTypesKey, func() any { return m.types })
 		d.placementDue = true
 	case listMsg:
--- a/internal/scheduler/surplus.go
+++ b/internal/scheduler/surplus.go
@@ -4,7 +4,6 @@
 	"sort"
 	"time"
 
-	"sagevale/internal/clock"
 	"sagevale/internal/storage"
 )
 
@@ -56,15 +55,6 @@
 	return out
 }
 
-// idlePerBoot is how long a machine without tasks is kept, in times of its boot:
-// one that is needed again boots, and is paid for, that long.
-const idlePerBoot = 0.25
-
-// brieflyIdle tells whether the machine has had no tasks for a short time only.
-func (m *machine) brieflyIdle(now time.Time) bool {
-	return len(m.attempts) == 0 && now.Sub(m.idleSince) < clock.Seconds(idlePerBoot*m.machineType.BootS)
-}
-
 // byWaste lists the candidates of the ready machines, those that waste the most
 // money first.
 func (d *scheduler) byWaste(p *packing, now time.Time) []*candidate {
@@ -180,7 +170,7 @@
 	if s.Service || s.DeadlineS <= 0 || a.started.IsZero() {
 		return false
 	}
-	left := max(0, d.runTime(a.job)-now.Sub(a.started).Seconds())
+	left := max(0, d.state.classes.runSeconds(a.job)-now.Sub(a.started).Seconds())
 	slack := a.job.deadline().Sub(now).Seconds() - left
 	cost := s.SaveS
 	if a.machine.machineType != nil && a.machine.machineType.FetchGBPS > 0 {
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -34,27 +34,17 @@
 // clearMachines clears the machines that a job at fault has failed on.
 func (d *scheduler) clearMachines(j *job) {
 	for _, id := range j.failures.Machines() {
-		if m := d.machines[id]; m != nil {
+		if m := d.state.machines.get(id); m != nil {
 			m.clearFailures(j)
 		}
 	}
 }
 
-// clearFailures takes back what a job has failed on the machine, and ends the pause if it was for
-// that.
-func (m *machine) clearFailures(j *job) {
-	paused := m.failures.AtFault()
-	m.failures.Clear(j.spec.ID)
-	if paused && !m.failures.AtFault() && m.lostIncarnations == 0 && !m.unresponsive {
-		m.quarantinedUntil = time.Time{}
-	}
-}
-
 // recallFailures takes in what a worker's first report of this term tells of failures that an
 // earlier leader has dealt with: a job that fails wherever it runs isn't started everywhere anew.
 func (d *scheduler) recallFailures(m *machine, r *worker.Report) {
 	for _, t := range r.Tasks {
-		j := d.jobs.get(t.ID.Job)
+		j := d.state.jobs.get(t.ID.Job)
 		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.done > 0 {
 			continue
 		}
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -53,9 +53,9 @@
 func (d *scheduler) suspects() map[int]string {
 	synctest.Wait()
 	out := make(map[int]string)
-	for id, m := range d.machines {
+	for _, m := range d.state.machines.inOrder() {
 		if m.failures.Suspected() {
-			out[id] = fmt.Sprint(m.failures)
+			out[m.id] = fmt.Sprint(m.failures)
 		}
 	}
 	return out
@@ -91,12 +91,12 @@
 			other, j := d.accept(arrayJob("000001", 1)), d.accept(arrayJob("000002", 8))
 			booked := time.Now()
 			time.Sleep(time.Second)
-			d.failed(other, d.machines[1], booked, time.Now())
+			d.failed(other, d.state.machines.get(1), booked, time.Now())
 			for _, id := range c.machines {
-				d.failed(j, d.machines[id], booked, time.Now())
+				d.failed(j, d.state.machines.get(id), booked, time.Now())
 			}
 			faulty := 0
-			for _, m := range d.machines {
+			for _, m := range d.state.machines.inOrder() {
 				if m.failures.AtFault() && m.quarantined(time.Now()) {
 					faulty++
 				}
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -26,7 +26,7 @@
 	}
 	var silent []*machine
 	carrying := 0
-	for _, m := range d.machineOrder {
+	for _, m := range d.state.machines.inOrder() {
 		if len(m.attempts) == 0 || m.terminating {
 			continue
 		}
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -9,15 +9,6 @@
 	"sagevale/internal/storage"
 )
 
-// deadline is when the job should be complete; jobs without a deadline come as if
-// they had been deadline at once.
-func (j *job) deadline() time.Time {
-	if j.spec.DeadlineS > 0 {
-		return j.submitted.Add(clock.Seconds(j.spec.DeadlineS))
-	}
-	return j.submitted
-}
-
 // The ranks of waiting work of one priority, first to last.
 const (
 	rankStartAtRisk   = iota // its class's bound on waiting is nearly missed
@@ -152,7 +143,7 @@
 // startBy is when a job must start to be in time for what a rank is about, its
 // chances in order; none if that doesn't concern it.
 func (d *scheduler) startBy(j *job, rank int, within bool, now time.Time) []time.Time {
-	run := clock.Seconds(d.runTime(j))
+	run := clock.Seconds(d.state.classes.runSeconds(j))
 	switch rank {
 	case rankStartAtRisk:
 		bound := d.settings.StartObjective(j.spec.Class)
@@ -177,10 +168,10 @@
 // batchPace is how many places ending work gives free in a second; 0: not known.
 func (d *scheduler) batchPace(now time.Time) float64 {
 	places, runS := 0, 0.0
-	for _, j := range d.jobs.open {
+	for _, j := range d.state.jobs.open {
 		if n := len(j.attempts); !j.spec.Service && n > 0 && !d.settings.IsOpportunistic(&j.spec) {
 			places += n
-			runS += float64(n) * d.runTime(j)
+			runS += float64(n) * d.state.classes.runSeconds(j)
 		}
 	}
 	if runS <= 0 {
@@ -223,7 +214,7 @@
 // fit into it together with the team's earlier unfinished jobs.
 func (d *scheduler) jobsWithinGuarantee() map[*job]bool {
 	byTeam := make(map[string][]*job)
-	for _, j := range d.jobs.open {
+	for _, j := range d.state.jobs.open {
 		if t := d.settings.Team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Resources{}) {
 			byTeam[t.Name] = append(byTeam[t.Name], j)
 		}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -57,7 +57,7 @@
 
 func (d *scheduler) handleUser(m userMsg) {
 	now := time.Now()
-	j := d.jobs.get(m.req.ID)
+	j := d.state.jobs.get(m.req.ID)
 	if j != nil {
 		d.finalizeArchived(j)
 	}
@@ -106,7 +106,7 @@
 		return
 	}
 	if j == nil {
-		if len(d.types) == 0 {
+		if d.state.types.count() == 0 {
 			m.reply <- api.Unavailable(m.req.ID, "machine types not yet known")
 			return
 		}
@@ -123,7 +123,7 @@
 			d.awaitGate(m, upgrade.Activation, now)
 			return
 		}
-		if d.jobs.openTasks+spec.Tasks > d.settings.MaxOpenTasks() {
+		if d.state.jobs.openTasks+spec.Tasks > d.settings.MaxOpenTasks() {
 			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(d.settings.WorkerLease.Seconds())}
 			return
 		}
@@ -132,14 +132,14 @@
 			return
 		}
 		j = newJob(spec, now)
-		d.jobs.insert(j)
+		d.state.jobs.insert(j)
 		if d.activation.applies(&spec) && d.mayUse(upgrade.Activation) {
 			d.activation.track(j, now)
 		}
-		if j.managed == nil {
+		if !j.scalesToZero() {
 			d.activation.postpone(j)
 		}
-		d.noteArrival(j)
+		d.state.classes.noteArrival(j)
 		d.markJob(j)
 		d.onJobCommit(j, func(error) {
 			d.admission.Recorded(spec.Team)
@@ -167,7 +167,7 @@
 	if team == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
-	if len(d.feasibleTypes(s)) == 0 {
+	if len(d.state.types.feasible(s)) == 0 {
 		return "a task fits no allowed machine type"
 	}
 	need := s.Resources
@@ -180,39 +180,6 @@
 	return ""
 }
 
-// feasibleTypesOf is fitting, kept with the job.
-func (d *scheduler) feasibleTypesOf(j *job) []string {
-	if j.feasibleTypes == nil {
-		j.feasibleTypes = d.feasibleTypes(&j.spec)
-	}
-	return j.feasibleTypes
-}
-
-// feasibleTypes returns the names of the allowed machine types that hold a task.
-func (d *scheduler) feasibleTypes(s *storage.Spec) []string {
-	var out []string
-	for _, name := range d.typeNames {
-		t := d.types[name]
-		if s.Resources.Fits(t.Resources) && allowed(s.Types, name) && (s.Zone == "" || allowed(t.Zones, s.Zone)) {
-			out = append(out, name)
-		}
-	}
-	return out
-}
-
-// allowed tells whether name is in list; an empty list allows all.
-func allowed(list []string, name string) bool {
-	if len(list) == 0 {
-		return true
-	}
-	for _, s := range list {
-		if s == name {
-			return true
-		}
-	}
-	return false
-}
-
 func (d *scheduler) cancel(m userMsg, j *job, now time.Time) {
 	switch {
 	case j == nil:
@@ -223,8 +190,8 @@
 		return
 	case j.phase == storage.Open:
 		j.phase = storage.Cancelled
-		d.jobs.trackCancelling(j)
-		d.noteDeparture(j, now)
+		d.state.jobs.trackCancelling(j)
+		d.state.classes.noteDeparture(j, now)
 		d.activation.release(j)
 		d.log.Debug("cancel", "job", j.spec.ID, "attempts", len(j.attempts))
 		d.markJob(j)
@@ -265,7 +232,7 @@
 	for p := 0; p*storage.PageTasks < len(j.tasks); p++ {
 		d.queue.Mark(pageLane(j), storage.PageKey(j.spec.ID, p), removed)
 	}
-	d.jobs.releaseTasks(j)
+	d.state.jobs.releaseTasks(j)
 	d.markJob(j)
 	d.onCommit(func(err error) {
 		if err == nil {
@@ -283,3 +250,26 @@
 
 // bytesPerTask is what a waiting task may cost in memory, with its share of
 // records; half of the quota may go to tasks.
+
+// state is what users see; only durable facts count as final.
+func (j *job) state() api.JobState {
+	switch {
+	case j.finalDurable && j.phase == storage.Done:
+		return api.StateDone
+	case j.finalDurable && j.phase == storage.Cancelled:
+		return api.StateCancelled
+	case j.runningTasks() > 0:
+		return api.StateRunning
+	}
+	return api.StatePending
+}
+
+func (j *job) answer(code api.Code) api.Response {
+	a := api.Response{Code: code, ID: j.spec.ID, State: j.state(), Done: j.done}
+	switch a.State {
+	case api.StateDone, api.StateCancelled:
+	default:
+		a.Running = j.runningTasks()
+	}
+	return a
+}
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -9,7 +9,6 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
-	"sagevale/internal/worker"
 )
 
 // wakeMsg tells the dispatcher of demand for a model at some node.
@@ -93,7 +92,7 @@
 // handleWake takes in demand for a model, and answers once what it moved is durable.
 func (d *scheduler) handleWake(m wakeMsg) {
 	now := time.Now()
-	j := d.jobs.get(m.req.Model)
+	j := d.state.jobs.get(m.req.Model)
 	switch {
 	case !d.leaseValid(now):
 		m.reply <- undecided("leadership not certain")
@@ -112,7 +111,7 @@
 
 // demand moves a service by a wake request, and answers it.
 func (c *activationController) demand(j *job, m wakeMsg, now time.Time) {
-	s := j.managed
+	s := c.service(j)
 	if s == nil {
 		m.reply <- c.alwaysUp(j)
 		return
@@ -131,7 +130,7 @@
 		return
 	}
 	c.host.afterJobCommit(j, func(err error) {
-		if err != nil || j.managed != s {
+		if err != nil || c.service(j) != s {
 			m.reply <- undecided("not recorded")
 			return
 		}
@@ -175,9 +174,6 @@
 	return response
 }
 
-// serving tells whether an attempt runs and isn't to be stopped.
-func (a *attempt) serving() bool { return a.reported && a.state == worker.Running && !a.stopping }
-
 // response tells where a service stands.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
 	if s.damaged != nil {
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -56,7 +56,7 @@
 	if d.fencingInForce() || !d.leaseValid(now) || now.Sub(d.termStarted) < d.settings.WorkerLease {
 		return
 	}
-	for _, m := range d.machines {
+	for _, m := range d.state.machines.inOrder() {
 		if m.fence.Full() {
 			d.resignLeadership("a new token lets ended attempts be forgotten")
 			return
