--- a/internal/scheduler/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -1,4 +1,4 @@
-package scheduler
+package cluster
 
 import (
 	"fmt"
@@ -15,26 +15,26 @@
 // finished ones in order, each of them within one round.
 func TestJobTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := newJobTable()
+		table := NewJobTable()
 		tasks := make(map[string]int) // of jobs that are open
 		finished := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("%06d", rapid.IntRange(0, 20).Draw(t, "id"))
 			rank, _ := archive.ParseJobNumber(id)
-			j := table.get(id)
+			j := table.Get(id)
 			switch step := rapid.IntRange(0, 3).Draw(t, "step"); {
 			case j == nil:
-				j = newJob(storage.Spec{ID: id, Tasks: 1 + i%4}, time.Now())
-				table.insert(j)
-				tasks[id] = j.spec.Tasks
+				j = NewJob(storage.Spec{ID: id, Tasks: 1 + i%4}, time.Now())
+				table.AddOpen(j)
+				tasks[id] = j.Spec.Tasks
 			case step < 2 && tasks[id] > 0:
-				table.releaseTasks(j)
-				j.phase = storage.Done
+				table.ReleaseTasks(j)
+				j.Phase = storage.Done
 				delete(tasks, id)
-				table.trackFinished(j)
+				table.TrackFinished(j)
 				finished[id] = true
 			case step == 2:
-				removed := table.removeFinished(rank)
+				removed := table.RemoveFinished(rank)
 				if (removed != nil) != finished[id] || removed != nil && removed != j {
 					t.Fatalf("%s is removed as %v", id, removed)
 				}
@@ -45,21 +45,21 @@
 		for _, n := range tasks {
 			open += n
 		}
-		if table.openTasks != open || len(table.open) != len(tasks) || table.count() != len(tasks)+len(finished) || table.finished.Len() != len(finished) {
-			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished", table.openTasks, len(table.open), table.count(), table.finished.Len())
+		if table.OpenTasks != open || len(table.Open) != len(tasks) || table.Count() != len(tasks)+len(finished) || table.Finished() != len(finished) {
+			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished", table.OpenTasks, len(table.Open), table.Count(), table.Finished())
 		}
 		checkRound(t, table, finished)
 	})
 }
 
 // checkRound lists finished jobs, a few at a time, until each has been listed.
-func checkRound(t *rapid.T, table *jobTable, finished map[string]bool) {
+func checkRound(t *rapid.T, table *JobTable, finished map[string]bool) {
 	most := rapid.IntRange(1, 7).Draw(t, "most")
 	listed := make(map[string]bool)
 	table.archiveCursor = 0
 	for range len(finished)/most + 1 {
 		before := archive.JobNumber(0)
-		for _, e := range table.nextFinished(most) {
+		for _, e := range table.NextFinished(most) {
 			if e.Number <= before || !finished[e.Number.ID()] {
 				t.Fatalf("%s is listed out of order, or isn't finished", e.Number.ID())
 			}
--- a/internal/scheduler/load_state.go
+++ b/internal/cluster/load.go
@@ -1,4 +1,4 @@
-package scheduler
+package cluster
 
 import (
 	"encoding/json"
@@ -10,12 +10,12 @@
 	"sagevale/internal/storage"
 )
 
-// loaded is what the records tell beside the state.
-type loaded struct {
-	desired      int                             // the desired size of the fleet
-	openLaunches map[string]storage.LaunchRecord // launch requests without an answer
-	lifecycles   map[*job]json.RawMessage        // of open services that scale to zero
-	orphanPages  []string                        // keys of page records without a job
+// Loaded is what the records tell beside the state.
+type Loaded struct {
+	Desired      int                             // the desired size of the fleet
+	OpenLaunches map[string]storage.LaunchRecord // launch requests without an answer
+	Lifecycles   map[*Job]json.RawMessage        // of open services that scale to zero
+	OrphanPages  []string                        // keys of page records without a job
 }
 
 // loadOrder is the order in which kinds of records are loaded: single ones first, then launches, machines
@@ -25,21 +25,21 @@
 	storage.KindMachine, storage.KindJob, storage.KindPage,
 })
 
-// load rebuilds the state from the journal's records. Machines count as known since now.
-func (s *state) load(records []storage.Record, now time.Time) (loaded, error) {
-	result := loaded{openLaunches: make(map[string]storage.LaunchRecord), lifecycles: make(map[*job]json.RawMessage)}
+// Load rebuilds the state from the journal's records. Machines count as known since now.
+func (s *State) Load(records []storage.Record, now time.Time) (Loaded, error) {
+	result := Loaded{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
 	slices.SortStableFunc(records, func(a, b storage.Record) int {
 		return strings.IndexByte(loadOrder, a.Key[0]) - strings.IndexByte(loadOrder, b.Key[0])
 	})
 	for _, r := range records {
 		if err := s.loadRecord(r, now, &result); err != nil {
-			return loaded{}, fmt.Errorf("record %s: %w", r.Key, err)
+			return Loaded{}, fmt.Errorf("record %s: %w", r.Key, err)
 		}
 	}
 	return result, nil
 }
 
-func (s *state) loadRecord(r storage.Record, now time.Time, result *loaded) error {
+func (s *State) loadRecord(r storage.Record, now time.Time, result *Loaded) error {
 	name := r.Key[1:]
 	switch r.Key[0] {
 	case storage.KindMachineTypes:
@@ -47,19 +47,19 @@
 		if err != nil {
 			return err
 		}
-		s.setTypes(types)
+		s.SetTypes(types)
 	case storage.KindFleet:
 		fleet, err := decode[storage.FleetRecord](r)
 		if err != nil {
 			return err
 		}
-		result.desired = fleet.Desired
+		result.Desired = fleet.Desired
 	case storage.KindLaunch:
 		launch, err := decode[storage.LaunchRecord](r)
 		if err != nil {
 			return err
 		}
-		result.openLaunches[name] = launch
+		result.OpenLaunches[name] = launch
 	case storage.KindMachine:
 		record, err := decode[storage.MachineRecord](r)
 		if err != nil {
@@ -88,68 +88,68 @@
 	return v, err
 }
 
-func (s *state) loadMachine(name string, record *storage.MachineRecord, now time.Time) error {
+func (s *State) loadMachine(name string, record *storage.MachineRecord, now time.Time) error {
 	var id int
 	if _, err := fmt.Sscan(name, &id); err != nil {
 		return err
 	}
-	m := s.ensureMachine(id, now)
-	m.firstSeen = now
-	m.addr, m.typeName, m.zone, m.spot = record.Addr, record.Type, record.Zone, record.Spot
-	m.incarnation = record.Incarnation
+	m := s.EnsureMachine(id, now)
+	m.FirstSeen = now
+	m.Addr, m.TypeName, m.Zone, m.Spot = record.Addr, record.Type, record.Zone, record.Spot
+	m.Incarnation = record.Incarnation
 	for name, sizeGB := range record.Images {
-		m.images[name] = image{sizeGB, now}
+		m.Images[name] = Image{sizeGB, now}
 	}
-	m.terminating, m.recorded, m.machineType = record.Terminating, true, s.types.get(record.Type)
+	m.Terminating, m.Recorded, m.Type = record.Terminating, true, s.Types.Get(record.Type)
 	return nil
 }
 
-func (s *state) loadJob(id string, record *storage.JobRecord, result *loaded) {
+func (s *State) loadJob(id string, record *storage.JobRecord, result *Loaded) {
 	spec := storage.Spec{Tasks: record.Tasks}
 	if record.Spec != nil {
 		spec = *record.Spec
 	}
 	spec.ID = id
-	j := newJob(spec, time.UnixMilli(record.SubmittedMS))
-	j.phase, j.acknowledged, j.finalDurable = record.Phase, true, record.Phase != storage.Open
-	if j.finalDurable {
-		j.done = record.DoneTasks
+	j := NewJob(spec, time.UnixMilli(record.SubmittedMS))
+	j.Phase, j.Acknowledged, j.FinalDurable = record.Phase, true, record.Phase != storage.Open
+	if j.FinalDurable {
+		j.Done = record.DoneTasks
 		if record.Spec == nil {
-			j.tasks, j.waiting = nil, 0
+			j.Tasks, j.Waiting = nil, 0
 		}
 	}
 	if record.Activation != nil && record.Phase == storage.Open {
-		result.lifecycles[j] = record.Activation
+		result.Lifecycles[j] = record.Activation
 	}
-	s.jobs.load(j)
+	s.Jobs.Add(j)
 }
 
-func (s *state) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *loaded) {
-	j := s.jobs.get(id)
+func (s *State) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *Loaded) {
+	j := s.Jobs.Get(id)
 	switch {
 	case j == nil:
-		result.orphanPages = append(result.orphanPages, key)
-	case j.finalDurable:
-		j.storedPages = append(j.storedPages, key)
+		result.OrphanPages = append(result.OrphanPages, key)
+	case j.FinalDurable:
+		j.StoredPages = append(j.StoredPages, key)
 	}
-	if j == nil || j.tasks == nil {
+	if j == nil || j.Tasks == nil {
 		return
 	}
-	doneBefore := j.done
+	doneBefore := j.Done
 	for i := 0; i+1 < len(record.Done); i += 2 {
 		for t := record.Done[i]; t <= record.Done[i+1]; t++ {
-			j.setTask(t, taskDone)
+			j.SetTask(t, TaskDone)
 		}
 	}
-	if j.finalDurable {
-		j.done = doneBefore
+	if j.FinalDurable {
+		j.Done = doneBefore
 	}
 	for _, r := range record.Attempts {
-		m := s.ensureMachine(r.Machine, now)
-		s.addAttempt(&attempt{
-			job: j, task: r.Task, number: r.Number, machine: m, incarnation: r.Incarnation,
-			durable: true, reservedAt: now,
+		m := s.EnsureMachine(r.Machine, now)
+		s.AddAttempt(&Attempt{
+			Job: j, Task: r.Task, Number: r.Number, Machine: m, Incarnation: r.Incarnation,
+			Durable: true, ReservedAt: now,
 		})
-		m.incarnation = max(m.incarnation, r.Incarnation)
+		m.Incarnation = max(m.Incarnation, r.Incarnation)
 	}
 }
--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -8,6 +8,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -17,7 +18,7 @@
 
 // managedService is a service that may be at zero, as the leader holds it.
 type managedService struct {
-	job       *job
+	job       *cluster.Job
 	record    activation.Record
 	damaged   json.RawMessage // what is stored, if it can't be understood
 	unwritten int             // moves of the record that aren't durable yet
@@ -27,8 +28,8 @@
 	routedUntil time.Time
 }
 
-// stored is the record as it goes into the job's.
-func (s *managedService) stored() json.RawMessage {
+// Stored is the record as it goes into the job's.
+func (s *managedService) Stored() json.RawMessage {
 	if s.damaged != nil {
 		return s.damaged
 	}
@@ -39,16 +40,16 @@
 	return raw
 }
 
-// mayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else is to
+// MayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else is to
 // be awaited.
-func (s *managedService) mayPlace(now time.Time) bool {
+func (s *managedService) MayPlace(now time.Time) bool {
 	return s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
 }
 
 // replica returns the attempt that the record is about, or nil.
-func (s *managedService) replica() *attempt {
-	for _, a := range s.job.attempts {
-		if a.number == s.record.Replica {
+func (s *managedService) replica() *cluster.Attempt {
+	for _, a := range s.job.Attempts {
+		if a.Number == s.record.Replica {
 			return a
 		}
 	}
@@ -58,13 +59,13 @@
 // activationHost is what the activation controller needs of the scheduler.
 type activationHost interface {
 	// recordJob has a job's record written, and calls then once it is durable as it is now.
-	recordJob(j *job, then func(error))
+	recordJob(j *cluster.Job, then func(error))
 	// afterJobCommit calls then once a job's record is durable as it is marked now.
-	afterJobCommit(j *job, then func(error))
+	afterJobCommit(j *cluster.Job, then func(error))
 	// stopAttempt has an attempt stopped.
-	stopAttempt(a *attempt, graceSeconds float64)
+	stopAttempt(a *cluster.Attempt, graceSeconds float64)
 	// commandJobStops tells the workers of a job's stopped attempts directly.
-	commandJobStops(j *job)
+	commandJobStops(j *cluster.Job)
 	// placeSoon has placement look at the jobs.
 	placeSoon()
 	// mayUse tells whether something new may depend on a gate, and asks for its use.
@@ -72,13 +73,13 @@
 }
 
 // recordJob is part of activationHost.
-func (d *scheduler) recordJob(j *job, then func(error)) {
+func (d *scheduler) recordJob(j *cluster.Job, then func(error)) {
 	d.markJob(j)
 	d.onJobCommit(j, then)
 }
 
 // afterJobCommit is part of activationHost.
-func (d *scheduler) afterJobCommit(j *job, then func(error)) { d.onJobCommit(j, then) }
+func (d *scheduler) afterJobCommit(j *cluster.Job, then func(error)) { d.onJobCommit(j, then) }
 
 // placeSoon is part of activationHost.
 func (d *scheduler) placeSoon() { d.placementDue = true }
@@ -97,7 +98,7 @@
 	starts   activation.StartTimes
 	// postponed are services that the operators want at zero and that have no record: they were accepted
 	// while the gate was closed, and run.
-	postponed map[string]*job
+	postponed map[string]*cluster.Job
 	removing  int  // records whose removal isn't durable yet
 	resumed   bool // the term's actors run; attempts that were found before are known by loaded
 }
@@ -105,7 +106,7 @@
 func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
 	return &activationController{
 		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, host: host, log: log,
-		services: make(map[string]*managedService), postponed: make(map[string]*job), awake: make(map[string]*managedService),
+		services: make(map[string]*managedService), postponed: make(map[string]*cluster.Job), awake: make(map[string]*managedService),
 		usage: activation.NewUsage(settings.ControllerNames(), usageIntervals*settings.UsageInterval()),
 	}
 }
@@ -120,14 +121,14 @@
 func (c *activationController) uses() int { return len(c.services) + c.removing }
 
 // track takes in a service that was just submitted. It is idle; the job's record tells so.
-func (c *activationController) track(j *job, now time.Time) {
+func (c *activationController) track(j *cluster.Job, now time.Time) {
 	c.hold(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
 // postpone notes that a service would be at zero, if lifecycles were in force. It runs.
-func (c *activationController) postpone(j *job) {
-	if c.applies(&j.spec) {
-		c.postponed[j.spec.ID] = j
+func (c *activationController) postpone(j *cluster.Job) {
+	if c.applies(&j.Spec) {
+		c.postponed[j.Spec.ID] = j
 	}
 }
 
@@ -138,13 +139,13 @@
 		return
 	}
 	for _, j := range c.postponed {
-		if !j.acknowledged {
+		if !j.Acknowledged {
 			continue
 		}
 		next := activation.Record{State: activation.Starting, Generation: 1, SinceMS: now.UnixMilli()}
-		for _, a := range j.attempts {
-			next.Replica = a.number
-			if a.serving() {
+		for _, a := range j.Attempts {
+			next.Replica = a.Number
+			if a.Serving() {
 				next.State = activation.Ready
 			}
 		}
@@ -155,22 +156,22 @@
 }
 
 // service returns the lifecycle of a job, or nil if it has none.
-func (c *activationController) service(j *job) *managedService {
-	s, _ := j.lifecycle.(*managedService)
+func (c *activationController) service(j *cluster.Job) *managedService {
+	s, _ := j.Lifecycle.(*managedService)
 	return s
 }
 
 func (c *activationController) hold(s *managedService) {
-	s.job.lifecycle = s
-	delete(c.postponed, s.job.spec.ID)
-	c.services[s.job.spec.ID] = s
+	s.job.Lifecycle = s
+	delete(c.postponed, s.job.Spec.ID)
+	c.services[s.job.Spec.ID] = s
 }
 
 // load takes in what a job's record holds. A record that can't be understood stays as it is.
-func (c *activationController) load(j *job, raw json.RawMessage) {
-	record, err := activation.Decode(storage.JobKey(j.spec.ID), raw)
+func (c *activationController) load(j *cluster.Job, raw json.RawMessage) {
+	record, err := activation.Decode(storage.JobKey(j.Spec.ID), raw)
 	if err != nil {
-		c.log.Error("service neither started nor stopped", "job", j.spec.ID, "err", err)
+		c.log.Error("service neither started nor stopped", "job", j.Spec.ID, "err", err)
 		c.hold(&managedService{job: j, damaged: raw})
 		return
 	}
@@ -184,8 +185,8 @@
 			continue
 		}
 		replica := activation.NoReplica
-		for _, a := range s.job.attempts {
-			replica = a.number
+		for _, a := range s.job.Attempts {
+			replica = a.Number
 		}
 		next, _ := s.record.Restore(replica, &c.tuning.Policy, now)
 		s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
@@ -213,7 +214,7 @@
 // bringUpUnlisted has those services run always that are no longer to be at zero.
 func (c *activationController) bringUpUnlisted() {
 	for _, s := range c.services {
-		if c.gate.Phase != upgrade.GateOpen || !c.applies(&s.job.spec) {
+		if c.gate.Phase != upgrade.GateOpen || !c.applies(&s.job.Spec) {
 			c.bringUp(s)
 		}
 	}
@@ -221,7 +222,7 @@
 
 // bringUp removes a service's record: it runs like any other.
 func (c *activationController) bringUp(s *managedService) {
-	c.log.Info("activation", "job", s.job.spec.ID, "step", "runs always from now on", "generation", s.record.Generation)
+	c.log.Info("activation", "job", s.job.Spec.ID, "step", "runs always from now on", "generation", s.record.Generation)
 	c.release(s.job)
 	c.postpone(s.job)
 	c.removing++
@@ -234,16 +235,16 @@
 }
 
 // release lets go of a service, which is cancelled or runs always from now on.
-func (c *activationController) release(j *job) {
-	delete(c.services, j.spec.ID)
-	delete(c.postponed, j.spec.ID)
-	delete(c.awake, j.spec.ID)
+func (c *activationController) release(j *cluster.Job) {
+	delete(c.services, j.Spec.ID)
+	delete(c.postponed, j.Spec.ID)
+	delete(c.awake, j.Spec.ID)
 	if s := c.service(j); s != nil {
 		for _, w := range s.watchers {
 			w.reply <- undecided("it runs always, or no longer")
 		}
 	}
-	j.lifecycle = nil
+	j.Lifecycle = nil
 }
 
 // apply moves a service's record by an event.
@@ -271,7 +272,7 @@
 	if next.SameStored(before) {
 		return false
 	}
-	c.log.Info("activation", "job", s.job.spec.ID, "class", s.job.spec.Class, "state", next.State, "generation", next.Generation, "failures", next.Failures, "before", before.State, "cause", cause)
+	c.log.Info("activation", "job", s.job.Spec.ID, "class", s.job.Spec.Class, "state", next.State, "generation", next.Generation, "failures", next.Failures, "before", before.State, "cause", cause)
 	s.unwritten++
 	c.host.recordJob(s.job, func(err error) {
 		s.unwritten--
@@ -287,10 +288,10 @@
 // noteAwake keeps the set of services that time moves.
 func (c *activationController) noteAwake(s *managedService) {
 	if s.record.State == activation.Idle || s.record.State == activation.Failed {
-		delete(c.awake, s.job.spec.ID)
+		delete(c.awake, s.job.Spec.ID)
 		return
 	}
-	c.awake[s.job.spec.ID] = s
+	c.awake[s.job.Spec.ID] = s
 }
 
 // act carries out what the record asks for, if it is durable. Starts go by the ordinary path of any
@@ -303,7 +304,7 @@
 	case activation.Reserve:
 		c.host.placeSoon()
 	case activation.Stop:
-		if a := s.replica(); a != nil && !a.stopping {
+		if a := s.replica(); a != nil && !a.Stopping {
 			c.host.stopAttempt(a, 0)
 			c.host.commandJobStops(s.job)
 		}
@@ -312,30 +313,30 @@
 }
 
 // attemptReserved takes in an attempt that was attemptReserved, or found on a machine.
-func (c *activationController) attemptReserved(a *attempt, now time.Time) {
-	if s := c.service(a.job); s != nil && !a.stopping && c.resumed {
-		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.number}, now)
+func (c *activationController) attemptReserved(a *cluster.Attempt, now time.Time) {
+	if s := c.service(a.Job); s != nil && !a.Stopping && c.resumed {
+		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.Number}, now)
 	}
 }
 
 // attemptRunning takes in that an attempt runs: its model answers.
-func (c *activationController) attemptRunning(a *attempt, now time.Time) {
-	s := c.service(a.job)
+func (c *activationController) attemptRunning(a *cluster.Attempt, now time.Time) {
+	s := c.service(a.Job)
 	if s == nil {
 		return
 	}
 	starting := s.record.State == activation.Starting
-	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.number}, now)
+	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.Number}, now)
 	if starting && s.record.State == activation.Ready && !s.wokenAt.IsZero() {
-		c.starts.Note(s.job.spec.Class, now.Sub(s.wokenAt))
+		c.starts.Note(s.job.Spec.Class, now.Sub(s.wokenAt))
 		s.wokenAt = time.Time{}
 	}
 }
 
 // attemptRemoved takes in that an attempt's place is proved empty.
-func (c *activationController) attemptRemoved(a *attempt, now time.Time) {
-	if s := c.service(a.job); s != nil {
-		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.number, Failed: a.failed}, now)
+func (c *activationController) attemptRemoved(a *cluster.Attempt, now time.Time) {
+	if s := c.service(a.Job); s != nil {
+		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
 	}
 }
 
@@ -345,7 +346,7 @@
 	for _, s := range c.awake {
 		var booked time.Duration
 		if a := s.replica(); a != nil {
-			booked = now.Sub(a.reservedAt)
+			booked = now.Sub(a.ReservedAt)
 		}
 		c.apply(s, activation.Tick{ReservedFor: booked}, now)
 		c.checkUsage(s, now)
--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -9,6 +9,7 @@
 	"sagevale/internal/activation"
 	"sagevale/internal/api"
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
@@ -23,7 +24,7 @@
 var openActivation = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: upgrade.GateOpen, Used: true}}}
 
 // coldDispatcher leads three controllers, with a model at zero beside a machine.
-func coldDispatcher(t *testing.T) (*scheduler, *job, *machine) {
+func coldDispatcher(t *testing.T) (*scheduler, *cluster.Job, *cluster.Machine) {
 	t.Helper()
 	s := grownSettings()
 	s.NodeName, s.Peers = "n0", []config.Peer{{Name: "n1"}, {Name: "n2"}}
@@ -37,7 +38,7 @@
 	if a := <-reply; a.Code != api.CodeCreated {
 		t.Fatalf("answered %+v", a)
 	}
-	return d, d.state.jobs.get(coldModel), d.up(7, "cpu", "a", false)
+	return d, d.state.Jobs.Get(coldModel), d.up(7, "cpu", "a", false)
 }
 
 // asked puts demand to the dispatcher; ok is false if it isn't answered yet.
@@ -48,43 +49,43 @@
 }
 
 // started brings a model up on a machine.
-func started(d *scheduler, j *job, m *machine) *attempt {
+func started(d *scheduler, j *cluster.Job, m *cluster.Machine) *cluster.Attempt {
 	d.asked(d.activation.service(j).record.Generation, 0)
 	d.commit(nil)
 	d.placeRound(time.Now())
 	d.commit(nil)
-	a := j.attempts[0]
-	d.report(m, worker.TaskReport{ID: a.id(), Attempt: a.number, State: worker.Running})
+	a := j.Attempts[0]
+	d.report(m, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
 	d.commit(nil)
 	return a
 }
 
-func (d *scheduler) report(m *machine, tasks ...worker.TaskReport) {
-	d.applyReport(m, &worker.Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Incarnation: 1, Seq: m.seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
+func (d *scheduler) report(m *cluster.Machine, tasks ...worker.TaskReport) {
+	d.applyReport(m, &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Seq: m.Seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
 func TestGuardsOfAColdStart(t *testing.T) {
-	for name, story := range map[string]func(t *testing.T, d *scheduler, j *job, m *machine){
-		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *job, _ *machine) {
+	for name, story := range map[string]func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine){
+		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			reply := d.asked(0, 0)
 			d.placeRound(time.Now())
-			if len(reply) > 0 || len(j.attempts) > 0 {
-				t.Errorf("%d told, %d placed", len(reply), len(j.attempts))
+			if len(reply) > 0 || len(j.Attempts) > 0 {
+				t.Errorf("%d told, %d placed", len(reply), len(j.Attempts))
 			}
 			d.commit(nil)
 			d.placeRound(time.Now())
-			if r := <-reply; r.State != activation.Starting || r.Generation != 1 || len(j.attempts) != 1 {
-				t.Errorf("%+v, %d placed", r, len(j.attempts))
+			if r := <-reply; r.State != activation.Starting || r.Generation != 1 || len(j.Attempts) != 1 {
+				t.Errorf("%+v, %d placed", r, len(j.Attempts))
 			}
 		},
-		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *job, _ *machine) {
+		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *cluster.Job, _ *cluster.Machine) {
 			reply := d.asked(0, 0)
 			d.commit(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
 				t.Errorf("%+v", r)
 			}
 		},
-		"who doesn't lead for certain decides nothing": func(t *testing.T, d *scheduler, j *job, _ *machine) {
+		"who doesn't lead for certain decides nothing": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			certain := d.role
 			certain.LeaseValidUntil = time.Now().Add(time.Second)
 			d.setRole(certain)
@@ -104,30 +105,30 @@
 				t.Errorf("%+v", r)
 			}
 		},
-		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *job, m *machine) {
+		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
 			d.report(m, worker.TaskReport{ID: worker.TaskID{Job: coldModel, Task: 0}, Attempt: 3, State: worker.Running})
-			if a := j.attempts[0]; a == nil || !a.stopping {
+			if a := j.Attempts[0]; a == nil || !a.Stopping {
 				t.Errorf("%+v", a)
 			}
 		},
-		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *job, _ *machine) {
+		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			d.asked(0, 0)
 			d.commit(nil)
 			d.placeRound(time.Now())
 			d.commit(nil)
-			a := j.attempts[0]
+			a := j.Attempts[0]
 			time.Sleep(d.settings.Tuning.Activation.Policy.StartWithin + time.Second)
 			d.activation.tick(time.Now())
 			d.activation.tick(time.Now())
-			if a.stopping {
+			if a.Stopping {
 				t.Error("stopped before that is durable")
 			}
 			d.commit(nil)
-			if !a.stopping {
+			if !a.Stopping {
 				t.Error("not stopped")
 			}
 		},
-		"what is to be stopped isn't routed to": func(t *testing.T, d *scheduler, j *job, m *machine) {
+		"what is to be stopped isn't routed to": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
 			a := started(d, j, m)
 			if r := <-d.asked(1, 0); !r.Ready() {
 				t.Errorf("%+v", r)
@@ -137,8 +138,8 @@
 				t.Errorf("routed to what is being stopped: %+v", r)
 			}
 		},
-		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *scheduler, j *job, _ *machine) {
-			if d.state.classes.get(coldClass) != nil || d.currentTasks(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
+		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
+			if d.state.Classes.Get(coldClass) != nil || d.state.Jobs.CurrentTasks(coldClass) != 0 || len(d.demands(time.Now())) > 0 {
 				t.Error("room is kept or wanted")
 			}
 			if d.activation.uses() != 1 {
@@ -146,7 +147,7 @@
 			}
 			d.cancel(userMsg{reply: make(chan api.Response, 1)}, j, time.Now())
 			d.commit(nil)
-			if d.activation.uses() != 0 || j.record().Activation != nil {
+			if d.activation.uses() != 0 || j.Record().Activation != nil {
 				t.Errorf("%d uses", d.activation.uses())
 			}
 		},
@@ -175,8 +176,8 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		j := d.state.jobs.get(coldModel)
-		if j.attempts[0].stopping {
+		j := d.state.Jobs.Get(coldModel)
+		if j.Attempts[0].Stopping {
 			t.Error("stopped before the term's actors run")
 		}
 		ctx, end := context.WithCancel(context.Background())
@@ -185,7 +186,7 @@
 		time.Sleep(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the clock's first look
 		end()
 		synctest.Wait()
-		if !j.attempts[0].stopping {
+		if !j.Attempts[0].Stopping {
 			t.Error("not stopped")
 		}
 		if till := d.activation.service(j).routedUntil; till.Sub(d.termStarted) < d.settings.RoutingLease() {
@@ -204,8 +205,8 @@
 			d := newTestDispatcher(t, s)
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
 			d.handleUser(userMsg{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan api.Response, 1)})
-			j := d.state.jobs.get(coldModel)
-			if accepted := j != nil; accepted != want.accepted || accepted && j.scalesToZero() != want.managed {
+			j := d.state.Jobs.Get(coldModel)
+			if accepted := j != nil; accepted != want.accepted || accepted && j.ScalesToZero() != want.managed {
 				t.Errorf("gate %q: %+v", phase, j)
 			}
 			if phase == upgrade.GateOpen && len(d.gateWaiters) != 1 {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -8,6 +8,7 @@
 
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
@@ -114,19 +115,19 @@
 }
 
 // finalizeArchived makes a job final that is held as open though it is archived: the final record wins.
-func (d *scheduler) finalizeArchived(j *job) {
-	rank, ok := archive.ParseJobNumber(j.spec.ID)
-	if !d.archiveUsed || !ok || j.phase != storage.Open {
+func (d *scheduler) finalizeArchived(j *cluster.Job) {
+	rank, ok := archive.ParseJobNumber(j.Spec.ID)
+	if !d.archiveUsed || !ok || j.Phase != storage.Open {
 		return
 	}
 	r := d.archive.Index.Lookup(rank)
 	if r.Knowledge != archive.Found {
 		return
 	}
-	d.log.Error("an open job is archived as final", "job", j.spec.ID, "phase", r.Final.Phase())
-	j.phase, j.done, j.acknowledged, j.finalDurable = r.Final.Phase(), r.Final.Done, true, true
+	d.log.Error("an open job is archived as final", "job", j.Spec.ID, "phase", r.Final.Phase())
+	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = r.Final.Phase(), r.Final.Done, true, true
 	d.activation.release(j)
-	d.state.jobs.trackCancelling(j)
+	d.state.Jobs.TrackCancelling(j)
 	d.markJob(j)
 	d.stopJob(j)
 	d.commandJobStops(j)
@@ -139,7 +140,7 @@
 		return
 	}
 	d.archiveCompared = true
-	for _, j := range d.state.jobs.open {
+	for _, j := range d.state.Jobs.Open {
 		d.finalizeArchived(j)
 	}
 }
@@ -153,11 +154,11 @@
 // archiveFinished offers finished jobs to the archive, where there are more than are to be kept.
 func (d *scheduler) archiveFinished(now time.Time) {
 	tuning := &d.settings.Tuning.Archive
-	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.state.jobs.finished.Len() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
+	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.state.Jobs.Finished() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
 		return
 	}
 	d.archiving = true
-	go d.offerToArchive(d.state.jobs.nextFinished(maxArchiveBatch))
+	go d.offerToArchive(d.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
 // archiveCalls is how many calls to the state service an offer may take, behind others.
@@ -179,17 +180,17 @@
 		return
 	}
 	for _, rank := range m.jobs {
-		j := d.state.jobs.removeFinished(rank)
+		j := d.state.Jobs.RemoveFinished(rank)
 		if j == nil {
 			continue
 		}
-		d.queue.Mark(jobLane(j), storage.JobKey(j.spec.ID), removed)
-		for _, key := range j.storedPages {
+		d.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), removed)
+		for _, key := range j.StoredPages {
 			d.markRecord(key, removed)
 		}
 	}
 	if len(m.jobs) > 0 {
-		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.state.jobs.finished.Len())
+		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.state.Jobs.Finished())
 	}
 }
 
@@ -204,11 +205,11 @@
 		return
 	}
 	for _, e := range m.entries {
-		if d.state.jobs.get(e.Number.ID()) != nil {
+		if d.state.Jobs.Get(e.Number.ID()) != nil {
 			continue // its record was never removed
 		}
-		j := restoredJob(e)
-		d.state.jobs.load(j)
+		j := cluster.RestoredJob(e)
+		d.state.Jobs.Add(j)
 		d.trackFinished(j)
 		d.markJob(j)
 	}
@@ -216,8 +217,8 @@
 }
 
 // trackFinished notes that a job may be archived.
-func (d *scheduler) trackFinished(j *job) {
+func (d *scheduler) trackFinished(j *cluster.Job) {
 	if d.settings.Tuning.Archive.Enabled {
-		d.state.jobs.trackFinished(j)
+		d.state.Jobs.TrackFinished(j)
 	}
 }
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -15,6 +15,7 @@
 
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
@@ -760,7 +761,7 @@
 func TestARestoredRecord(t *testing.T) {
 	rank, _ := archive.ParseJobNumber("000412")
 	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
-		data, err := json.Marshal(restoredJob(archive.Entry{Number: rank, FinalState: final}).record())
+		data, err := json.Marshal(cluster.RestoredJob(archive.Entry{Number: rank, FinalState: final}).Record())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -822,14 +823,14 @@
 			t.Error("an idle leader uses the gate")
 		}
 		d.archiving = true
-		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.state.jobs.get("000001") != nil {
+		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.state.Jobs.Get("000001") != nil {
 			t.Errorf("brought back: %v", err)
 		}
 		if uses() == 0 {
 			t.Error("an offer under way is no use")
 		}
 		d.archiving = false
-		if err := restore(); err != nil || d.state.jobs.get("000001") == nil {
+		if err := restore(); err != nil || d.state.Jobs.Get("000001") == nil {
 			t.Errorf("not brought back: %v", err)
 		}
 	})
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -232,7 +232,9 @@
 func (c *autoscaler) scaleOut(v fleetSnapshot, now time.Time) {
 	n := min(len(v.desired), c.settings.Tuning.MaxScaleOut(v.size))
 	// What boots longest is needed first.
-	slices.SortStableFunc(v.desired, func(a, b offering) int { return cmp.Compare(v.bootSeconds[b.typeName], v.bootSeconds[a.typeName]) })
+	slices.SortStableFunc(v.desired, func(a, b cloud.Offering) int {
+		return cmp.Compare(v.bootSeconds[b.Type], v.bootSeconds[a.Type])
+	})
 	c.desired = v.size + n
 	var names []string
 	records := []storage.Record{c.fleetRecord()}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -40,13 +41,13 @@
 	for d.placementDue = true; d.placementDue; {
 		d.placeRound(time.Now())
 	}
-	for _, m := range d.state.machines.inOrder() {
-		for _, a := range m.attempts {
-			a.durable, a.reported, a.state, a.started = true, true, worker.Running, time.Now()
+	for _, m := range d.state.Machines.InOrder() {
+		for _, a := range m.Attempts {
+			a.Durable, a.Reported, a.State, a.Started = true, true, worker.Running, time.Now()
 		}
 	}
 	d.unmark()
-	d.state.classes.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
+	d.state.Classes.FirstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 	return d
 }
 
@@ -60,10 +61,10 @@
 // BenchmarkHeartbeat is a report of an ordinary machine and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchDispatcher(b)
-	m := d.state.machines.inOrder()[1]
-	r := &worker.Report{Machine: m.id, Addr: m.addr, Type: m.typeName, Zone: m.zone, Incarnation: 1, Token: d.term}
-	for _, a := range m.sortedAttempts() {
-		r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.id(), Attempt: a.number, State: worker.Running})
+	m := d.state.Machines.InOrder()[1]
+	r := &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Token: d.term}
+	for _, a := range m.SortedAttempts() {
+		r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 	for b.Loop() {
@@ -97,8 +98,8 @@
 	for b.Loop() {
 		j := d.accept(s)
 		d.placeRound(time.Now())
-		d.removeAttempt(j.attempts[0], "placed")
-		delete(d.state.jobs.open, s.ID)
+		d.removeAttempt(j.Attempts[0], "placed")
+		delete(d.state.Jobs.Open, s.ID)
 	}
 }
 
@@ -142,12 +143,12 @@
 		}
 		records = append(records, r)
 	}
-	for _, m := range d.state.machines.inOrder() {
-		add(storage.MachineKey(m.id), m.record())
+	for _, m := range d.state.Machines.InOrder() {
+		add(storage.MachineKey(m.ID), m.Record())
 	}
-	for id, j := range d.state.jobs.open {
-		add(storage.JobKey(id), j.record())
-		add(storage.PageKey(id, 0), j.page(0))
+	for id, j := range d.state.Jobs.Open {
+		add(storage.JobKey(id), j.Record())
+		add(storage.PageKey(id, 0), j.PageRecord(0))
 	}
 	for b.Loop() {
 		if err := newTestDispatcher(b, grownSettings()).load(records); err != nil {
@@ -165,8 +166,8 @@
 			s.Tuning.Activation.Classes = []string{coldClass}
 			d := newTestDispatcher(b, s)
 			for i := range services {
-				j := newJob(model(fmt.Sprintf("%06d", i)), time.Now())
-				d.state.jobs.insert(j)
+				j := cluster.NewJob(model(fmt.Sprintf("%06d", i)), time.Now())
+				d.state.Jobs.AddOpen(j)
 				d.activation.track(j, time.Now())
 			}
 			for b.Loop() {
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -12,6 +12,7 @@
 
 	"sagevale/internal/api"
 	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -169,13 +170,13 @@
 		}
 		urgent := d.accept(service("900000", 1))
 		a := d.reserve(urgent, 0, m, time.Now())
-		d.startWhenDurable([]*attempt{a})
+		d.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
 			if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
 				d.handleCommitted(nil)
 			}
 		}
-		if !a.durable || a.delivery != deliveryInFlight {
+		if !a.Durable || a.Delivery != cluster.DeliveryInFlight {
 			t.Error("an urgent task waits for what isn't")
 		}
 	})
--- a/internal/scheduler/candidate.go
+++ b/internal/scheduler/candidate.go
@@ -4,31 +4,33 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
 // candidate is a machine's free room, in a round of placement or a trial packing.
 // A round makes its candidates once; what it reserves or claims is taken from them.
 type candidate struct {
-	offering
+	cloud.Offering
 	machineType *storage.MachineType
 	free        storage.Resources
 	booting     bool
-	forCPUOnly  bool      // to be rented for tasks without accelerators
-	machine     *machine  // nil: not yet rented
-	packed      []*demand // what a trial packing has put here, a task each
-	moved       int       // tasks that a search for surplus machines has moved here
+	forCPUOnly  bool             // to be rented for tasks without accelerators
+	machine     *cluster.Machine // nil: not yet rented
+	packed      []*demand        // what a trial packing has put here, a task each
+	moved       int              // tasks that a search for surplus machines has moved here
 
 	releasing storage.Resources // held by attempts that are being stopped
 }
 
 // readyCandidates returns the free room on the ready machines, in their order.
 func (d *scheduler) readyCandidates(now time.Time) []*candidate {
-	candidates := make([]*candidate, 0, d.state.machines.count())
-	room := make([]candidate, d.state.machines.count()) // in one allocation
+	candidates := make([]*candidate, 0, d.state.Machines.Count())
+	room := make([]candidate, d.state.Machines.Count()) // in one allocation
 	fresh := d.settings.ReportFreshness()
-	for i, m := range d.state.machines.inOrder() {
-		if m.ready(now, fresh) {
+	for i, m := range d.state.Machines.InOrder() {
+		if m.Ready(now, fresh) {
 			room[i] = candidateOf(m)
 			candidates = append(candidates, &room[i])
 		}
@@ -36,10 +38,10 @@
 	return candidates
 }
 
-func candidateOf(m *machine) candidate {
+func candidateOf(m *cluster.Machine) candidate {
 	return candidate{
-		offering: offering{m.typeName, m.zone, m.spot}, machineType: m.machineType, machine: m, booting: !m.confirmed,
-		free: m.machineType.Resources.Sub(*m.reserved), releasing: m.stopping,
+		Offering: cloud.Offering{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}, machineType: m.Type, machine: m, booting: !m.Confirmed,
+		free: m.Type.Resources.Sub(*m.Reserved), releasing: m.StoppingUsage,
 	}
 }
 
@@ -47,8 +49,8 @@
 func zonesOf(candidates []*candidate) []string {
 	var out []string
 	for _, s := range candidates {
-		if !slices.Contains(out, s.zone) {
-			out = append(out, s.zone)
+		if !slices.Contains(out, s.Zone) {
+			out = append(out, s.Zone)
 		}
 	}
 	return out
--- a/internal/scheduler/cloud_calls.go
+++ b/internal/scheduler/cloud_calls.go
@@ -92,15 +92,15 @@
 
 // launchesFor gathers the wanted machines into rentals, in the order of their
 // first mention, none larger than the cloud takes.
-func launchesFor(wanted []offering) []storage.LaunchRecord {
+func launchesFor(wanted []cloud.Offering) []storage.LaunchRecord {
 	var out []storage.LaunchRecord
-	last := make(map[offering]int)
+	last := make(map[cloud.Offering]int)
 	for _, o := range wanted {
 		i, ok := last[o]
 		if !ok || out[i].Count == config.MaxLaunchMachines {
 			i = len(out)
 			last[o] = i
-			out = append(out, storage.LaunchRecord{Type: o.typeName, Zone: o.zone, Spot: o.spot})
+			out = append(out, storage.LaunchRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot})
 		}
 		out[i].Count++
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	h.asking = false
-	o := offering{h.Type, h.Zone, h.Spot}
+	o := cloud.Offering{Type: h.Type, Zone: h.Zone, Spot: h.Spot}
 	switch {
 	case m.err == nil:
 		c.log.Info("rented", "rental", m.name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(m.machines))
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -696,12 +696,12 @@
 			t.Fatal(err)
 		}
 		now := time.Now()
-		damaged, sound := d.state.jobs.get(spec.ID), d.state.jobs.get(other.ID)
-		if damaged.mayPlace(now) || !sound.mayPlace(now) {
+		damaged, sound := d.state.Jobs.Get(spec.ID), d.state.Jobs.Get(other.ID)
+		if damaged.MayPlace(now) || !sound.MayPlace(now) {
 			t.Error("the wrong one may be placed")
 		}
-		if string(damaged.record().Activation) != `{"state":"asleep","generation":3}` {
-			t.Errorf("rewritten as %s", damaged.record().Activation)
+		if string(damaged.Record().Activation) != `{"state":"asleep","generation":3}` {
+			t.Errorf("rewritten as %s", damaged.Record().Activation)
 		}
 		reply := make(chan activation.WakeResponse, 1)
 		d.activation.demand(damaged, wakeMsg{activation.WakeRequest{Model: spec.ID, Generation: 3}, reply}, now)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -5,51 +5,52 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
 
 // commandsFor makes the orders that go with the answer to a report.
-func (d *scheduler) commandsFor(m *machine, r *worker.Report, now time.Time) []worker.Command {
+func (d *scheduler) commandsFor(m *cluster.Machine, r *worker.Report, now time.Time) []worker.Command {
 	var out []worker.Command
-	for _, a := range m.sortedAttempts() {
-		if a.incarnation != r.Incarnation {
+	for _, a := range m.SortedAttempts() {
+		if a.Incarnation != r.Incarnation {
 			continue
 		}
 		switch {
-		case a.stopping && a.reported:
-			if a.state != worker.Saving || a.graceSeconds == 0 {
-				out = append(out, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
+		case a.Stopping && a.Reported:
+			if a.State != worker.Saving || a.GraceSeconds == 0 {
+				out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 			}
-		case a.stopping && !a.maybeDelivered():
+		case a.Stopping && !a.MaybeDelivered():
 			d.removeAttempt(a, "stopped before its start")
-		case a.stopping && (a.delivery == deliveryUnresolved || a.delivery == deliverySettled):
+		case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
 			// The start may still come, minutes late. Having the worker learn
 			// the attempt and end it makes the late start void.
 			if d.leaseValid(now) {
-				a.noteCommanded(r)
-				out = append(out, worker.Command{Verb: worker.Start, ID: a.id(), Attempt: a.number})
+				a.NoteCommanded(r)
+				out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
 			}
-			out = append(out, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number})
-		case a.stopping && !a.reported && a.commandedSeq != 0 && a.delivery != deliveryInFlight && d.tokens.Contains(r.Token):
+			out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number})
+		case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && d.tokens.Contains(r.Token):
 			d.removeAttempt(a, "its start was not executed")
-		case a.stopping:
-		case !a.reported && a.durable && a.job.phase == storage.Open && d.leaseValid(now) && !m.terminating:
-			a.noteCommanded(r)
-			out = append(out, worker.Command{Verb: worker.Start, ID: a.id(), Attempt: a.number})
+		case a.Stopping:
+		case !a.Reported && a.Durable && a.Job.Phase == storage.Open && d.leaseValid(now) && !m.Terminating:
+			a.NoteCommanded(r)
+			out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
 		}
 	}
-	for _, t := range m.orphans {
+	for _, t := range m.Orphans {
 		out = append(out, worker.Command{Verb: worker.Stop, ID: t.ID, Attempt: t.Attempt})
 	}
-	m.orphans = m.orphans[:0]
-	for _, t := range m.exited {
-		if a := m.attempts[t.ID]; a != nil && a.number == t.Attempt {
+	m.Orphans = m.Orphans[:0]
+	for _, t := range m.Exited {
+		if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
 			continue
 		}
 		// A start that went directly may be repeated late: only an attempt
 		// that the worker still knows makes that harmless.
-		if m.fence.MustRetain(attemptKey{t.ID, t.Attempt}) || !d.leaseValid(now) || !d.pageDurable(t.ID) {
+		if m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) || !d.leaseValid(now) || !d.pageDurable(t.ID) {
 			continue
 		}
 		out = append(out, worker.Command{Verb: worker.Forget, ID: t.ID, Attempt: t.Attempt})
@@ -58,11 +59,11 @@
 }
 
 // commandJobStops tells the workers of a job's stopped attempts directly.
-func (d *scheduler) commandJobStops(j *job) {
-	orders := make(map[*machine][]worker.Command)
-	for _, a := range j.attempts {
-		if a.stopping && a.incarnation == a.machine.incarnation {
-			orders[a.machine] = append(orders[a.machine], worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
+func (d *scheduler) commandJobStops(j *cluster.Job) {
+	orders := make(map[*cluster.Machine][]worker.Command)
+	for _, a := range j.Attempts {
+		if a.Stopping && a.Incarnation == a.Machine.Incarnation {
+			orders[a.Machine] = append(orders[a.Machine], worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 		}
 	}
 	for m, o := range orders {
@@ -77,19 +78,19 @@
 
 // sendCommands sends orders straight to a worker. The starts among them are loose
 // until the answer comes.
-func (d *scheduler) sendCommands(m *machine, orders []worker.Command, starts []*attempt) {
-	if m.addr == "" || m.incarnation == 0 || m.inFlight >= maxInFlightCommands {
+func (d *scheduler) sendCommands(m *cluster.Machine, orders []worker.Command, starts []*cluster.Attempt) {
+	if m.Addr == "" || m.Incarnation == 0 || m.InFlight >= maxInFlightCommands {
 		return
 	}
 	for _, a := range starts {
-		a.delivery, a.deliveryToken = deliveryInFlight, m.fence.Token()
+		a.Delivery, a.DeliveryToken = cluster.DeliveryInFlight, m.Fence.Token()
 	}
 	d.deliver(m, orders, starts, d.settings.HeartbeatInterval)
 }
 
-func (d *scheduler) deliver(m *machine, orders []worker.Command, starts []*attempt, limit time.Duration) {
-	addr, token, session, id := m.addr, m.fence.Token(), m.incarnation, m.id
-	m.inFlight++
+func (d *scheduler) deliver(m *cluster.Machine, orders []worker.Command, starts []*cluster.Attempt, limit time.Duration) {
+	addr, token, session, id := m.Addr, m.Fence.Token(), m.Incarnation, m.ID
+	m.InFlight++
 	var sendBy time.Time
 	if len(starts) > 0 {
 		sendBy = d.role.LeaseValidUntil // a process that falls behind may get to it late
@@ -104,11 +105,11 @@
 
 // announceToken spreads our token to one worker, unless as many as the sockets allow
 // are being told already: then its own next report brings it the token.
-func (d *scheduler) announceToken(m *machine) bool {
+func (d *scheduler) announceToken(m *cluster.Machine) bool {
 	if d.announcements >= d.settings.MaxTokenAnnouncements() {
 		return false
 	}
-	if m.token >= d.tokens.First || m.terminating || m.addr == "" || m.incarnation == 0 {
+	if m.Token >= d.tokens.First || m.Terminating || m.Addr == "" || m.Incarnation == 0 {
 		return true // knows it, or can't be told
 	}
 	d.announcements++
@@ -125,7 +126,7 @@
 func (d *scheduler) announceTokens() {
 	for len(d.tokenPending) > 0 {
 		m := d.tokenPending[0]
-		if d.state.machines.get(m.id) == m && !d.announceToken(m) {
+		if d.state.Machines.Get(m.ID) == m && !d.announceToken(m) {
 			return
 		}
 		d.tokenPending = d.tokenPending[1:]
@@ -135,9 +136,9 @@
 // handleDelivered takes in what became of direct orders.
 func (d *scheduler) handleDelivered(msg deliveredMsg) {
 	now := time.Now()
-	m := d.state.machines.get(msg.machine)
+	m := d.state.Machines.Get(msg.machine)
 	if m != nil {
-		m.inFlight = max(0, m.inFlight-1)
+		m.InFlight = max(0, m.InFlight-1)
 		d.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
 	}
 	if msg.announcement {
@@ -148,18 +149,18 @@
 	for _, a := range msg.starts {
 		switch msg.outcome {
 		case worker.Executed:
-			a.delivery = deliverySettled
+			a.Delivery = cluster.DeliverySettled
 		case worker.NotSent, worker.Rejected:
-			a.delivery = deliveryNone
+			a.Delivery = cluster.DeliveryNone
 		case worker.Unresolved:
-			a.delivery = deliveryUnresolved
+			a.Delivery = cluster.DeliveryUnresolved
 		}
 	}
 	if m == nil || msg.report == nil {
 		return
 	}
 	r := msg.report
-	if r.Machine != m.id {
+	if r.Machine != m.ID {
 		return
 	}
 	if r.Token > d.tokens.Last {
@@ -173,21 +174,21 @@
 
 // dropUnsent takes out what was stopped while its start was on its way and
 // turned out not to have been executed.
-func (d *scheduler) dropUnsent(starts []*attempt) {
+func (d *scheduler) dropUnsent(starts []*cluster.Attempt) {
 	for _, a := range starts {
-		if a.stopping && !a.maybeDelivered() {
+		if a.Stopping && !a.MaybeDelivered() {
 			d.removeAttempt(a, "stopped before its start")
 		}
 	}
 }
 
 // commandStops tells one worker directly what to stop.
-func (d *scheduler) commandStops(m *machine) {
+func (d *scheduler) commandStops(m *cluster.Machine) {
 	var orders []worker.Command
-	for _, a := range m.sortedAttempts() {
-		if a.stopping && a.reported && a.state != worker.Saving && !a.stopCommanded {
-			a.stopCommanded = true
-			orders = append(orders, worker.Command{Verb: worker.Stop, ID: a.id(), Attempt: a.number, GraceSeconds: a.graceSeconds})
+	for _, a := range m.SortedAttempts() {
+		if a.Stopping && a.Reported && a.State != worker.Saving && !a.StopCommanded {
+			a.StopCommanded = true
+			orders = append(orders, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 		}
 	}
 	if len(orders) > 0 {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/admission"
+	"sagevale/internal/cluster"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -40,40 +41,40 @@
 }
 
 // markJob notes that a job's own record must be written: users wait for that.
-func (d *scheduler) markJob(j *job) {
-	d.queue.Mark(jobLane(j), storage.JobKey(j.spec.ID), func() any { return j.record() })
+func (d *scheduler) markJob(j *cluster.Job) {
+	d.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), func() any { return j.Record() })
 }
 
 // jobLane is the lane of a job's own record. A cancelled job's tasks run to nobody's use, so it
 // doesn't wait behind acceptances.
-func jobLane(j *job) groupcommit.Lane {
-	if j.urgent() || j.phase == storage.Cancelled {
+func jobLane(j *cluster.Job) groupcommit.Lane {
+	if j.Urgent() || j.Phase == storage.Cancelled {
 		return groupcommit.Urgent
 	}
 	return groupcommit.Interactive
 }
 
 // pageLane is the lane of a job's pages, in which its tasks' starts become durable.
-func pageLane(j *job) groupcommit.Lane {
-	if j.urgent() {
+func pageLane(j *cluster.Job) groupcommit.Lane {
+	if j.Urgent() {
 		return groupcommit.Urgent
 	}
 	return groupcommit.Bulk
 }
 
-func (d *scheduler) markPage(j *job, task int) {
+func (d *scheduler) markPage(j *cluster.Job, task int) {
 	p := task / storage.PageTasks
-	d.queue.Mark(pageLane(j), storage.PageKey(j.spec.ID, p), func() any {
-		if rec := j.page(p); rec != nil {
+	d.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), func() any {
+		if rec := j.PageRecord(p); rec != nil {
 			return rec
 		}
 		return nil
 	})
 }
 
-func (d *scheduler) markMachine(m *machine) {
-	m.recorded = true
-	d.markRecord(storage.MachineKey(m.id), func() any { return m.record() })
+func (d *scheduler) markMachine(m *cluster.Machine) {
+	m.Recorded = true
+	d.markRecord(storage.MachineKey(m.ID), func() any { return m.Record() })
 }
 
 // pageDurable tells whether a task's page is durable as it stands.
@@ -85,20 +86,20 @@
 func (d *scheduler) onCommit(f func(error)) { d.queue.OnAllDurable(f) }
 
 // onJobCommit calls f once a job's own record is durable as it is marked now.
-func (d *scheduler) onJobCommit(j *job, f func(error)) { d.queue.OnDurable(f, jobLane(j)) }
+func (d *scheduler) onJobCommit(j *cluster.Job, f func(error)) { d.queue.OnDurable(f, jobLane(j)) }
 
 // startWhenDurable starts what was booked once its jobs and pages are durable. Urgent work doesn't
 // wait for the rest.
-func (d *scheduler) startWhenDurable(booked []*attempt) {
-	var urgent, others []*attempt
+func (d *scheduler) startWhenDurable(booked []*cluster.Attempt) {
+	var urgent, others []*cluster.Attempt
 	for _, a := range booked {
-		if a.job.urgent() {
+		if a.Job.Urgent() {
 			urgent = append(urgent, a)
 		} else {
 			others = append(others, a)
 		}
 	}
-	starts := func(booked []*attempt) func(error) {
+	starts := func(booked []*cluster.Attempt) func(error) {
 		return func(err error) {
 			if err == nil {
 				d.startReserved(booked)
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/worker"
@@ -163,13 +164,13 @@
 		return
 	}
 	p := &delegationTerms{at: now, renewUntil: d.role.RenewUntil, excluded: make(map[string][]int)}
-	for id, j := range d.state.jobs.cancelling {
-		if len(j.attempts) == 0 {
-			delete(d.state.jobs.cancelling, id)
+	for id, j := range d.state.Jobs.Cancelling {
+		if len(j.Attempts) == 0 {
+			delete(d.state.Jobs.Cancelling, id)
 		}
-		for _, a := range j.attempts {
-			if z := a.machine.zone; !slices.Contains(p.excluded[z], a.machine.id) {
-				p.excluded[z] = append(p.excluded[z], a.machine.id)
+		for _, a := range j.Attempts {
+			if z := a.Machine.Zone; !slices.Contains(p.excluded[z], a.Machine.ID) {
+				p.excluded[z] = append(p.excluded[z], a.Machine.ID)
 			}
 		}
 	}
@@ -178,8 +179,8 @@
 
 // delegatedLeaseBound is when a machine's lease has surely ended that this leader last
 // answered when m tells, if peers in its zone may have renewed it alone since.
-func (d *scheduler) delegatedLeaseBound(m *machine) time.Time {
-	end := m.lastAcknowledged.Add(d.settings.LeaseBound())
+func (d *scheduler) delegatedLeaseBound(m *cluster.Machine) time.Time {
+	end := m.LastAcknowledged.Add(d.settings.LeaseBound())
 	for i := range d.peerRenewals {
 		s := &d.peerRenewals[i]
 		if !s.covers(m) {
@@ -211,8 +212,8 @@
 }
 
 // covers tells whether the peer may renew the machine's lease at all.
-func (s *peerRenewals) covers(m *machine) bool {
-	return s.zone == m.zone || s.zone == "" || m.zone == ""
+func (s *peerRenewals) covers(m *cluster.Machine) bool {
+	return s.zone == m.Zone || s.zone == "" || m.Zone == ""
 }
 
 // updatePeerRenewals asks what the peers have told, once for a tick.
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/peer"
@@ -77,13 +78,13 @@
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
 		d := newTestDispatcher(t, s)
 		j := d.accept(service("000001", 1))
-		d.addAttempt(&attempt{job: j, task: 0, number: 1, machine: d.up(7, "cpu", "a", false), incarnation: 1, thisTerm: true, reported: true})
+		d.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: d.up(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
 		d.publishDelegation(time.Now())
 		if span, excluded := d.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
 			t.Errorf("lent for %v, without %v", span, excluded)
 		}
-		j.phase = storage.Cancelled
-		d.state.jobs.trackCancelling(j)
+		j.Phase = storage.Cancelled
+		d.state.Jobs.TrackCancelling(j)
 		time.Sleep(time.Second)
 		d.publishDelegation(time.Now())
 		if _, excluded := d.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
@@ -109,7 +110,7 @@
 		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 		d.deps.Peers = words
 		m := d.up(7, "cpu", "a", false)
-		own := m.lastAcknowledged.Add(s.LeaseBound())
+		own := m.LastAcknowledged.Add(s.LeaseBound())
 		d.publishDelegation(time.Now())
 		d.updatePeerRenewals()
 		if !d.provenEmptyAt(m).Equal(own) {
--- a/internal/scheduler/exhausted_shapes.go
+++ b/internal/scheduler/exhausted_shapes.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
@@ -21,15 +22,15 @@
 	guaranteed    bool // may preempt opportunistic work
 }
 
-// shape is the job's, as far as that doesn't depend on its team.
-func (j *job) shape() shape {
-	return shape{room: j.spec.Resources, types: j.allowedTypes, spot: j.spec.Spot, service: j.spec.Service, rank: j.spec.Priority}
+// shapeOfJob is the job's, as far as that doesn't depend on its team.
+func shapeOfJob(j *cluster.Job) shape {
+	return shape{room: j.Spec.Resources, types: j.AllowedTypes, spot: j.Spec.Spot, service: j.Spec.Service, rank: j.Spec.Priority}
 }
 
 // shapeOf is a job's shape.
-func (d *scheduler) shapeOf(j *job) shape {
-	s := j.shape()
-	s.opportunistic = d.settings.IsOpportunistic(&j.spec)
+func (d *scheduler) shapeOf(j *cluster.Job) shape {
+	s := shapeOfJob(j)
+	s.opportunistic = d.settings.IsOpportunistic(&j.Spec)
 	return s
 }
 
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -250,7 +251,7 @@
 	if team := sim.settings.Team(spec.Team); !storage.WithinLimit(used, team.Limit) {
 		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
 	}
-	if wk.spot && !spec.Spot || !allows(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
+	if wk.spot && !spec.Spot || !cluster.Allows(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
 		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
 		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
 	}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -6,13 +6,14 @@
 
 	"sagevale/internal/clock"
 	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
 
 // fleetSnapshot is what the capacity actor needs to know, once a second.
 type fleetSnapshot struct {
-	desired          []offering         // machines that would cover the pressure, in order
+	desired          []cloud.Offering   // machines that would cover the pressure, in order
 	nonOpportunistic int                // how many of them are for other than opportunistic work; they come first
 	healthy          bool               // every machine's reports are fresh and nothing is unproved
 	surplus          []surplusMachine   // machines that could be returned, one after the other
@@ -32,32 +33,32 @@
 	p := &packing{exhausted: make(exhaustedShapes)}
 	d.updateSlowness(now)
 	fresh := d.settings.ReportFreshness()
-	for _, m := range d.state.machines.inOrder() {
-		silent := now.Sub(m.lastContact) > fresh
+	for _, m := range d.state.Machines.InOrder() {
+		silent := now.Sub(m.LastContact) > fresh
 		switch {
-		case m.terminating, m.failed:
-			v.lost = append(v.lost, m.id)
+		case m.Terminating, m.Failed:
+			v.lost = append(v.lost, m.ID)
 			continue
-		case !m.confirmed && len(m.attempts) == 0 && m.machineType != nil && d.abandoned(m, now):
+		case !m.Confirmed && len(m.Attempts) == 0 && m.Type != nil && d.abandoned(m, now):
 			d.noteAbandoned(m, now)
-			v.lost = append(v.lost, m.id)
+			v.lost = append(v.lost, m.ID)
 			v.size++
 			continue
 		}
 		v.size++
-		if m.drainReason != "" {
-			if len(m.attempts) == 0 {
-				v.emptied = append(v.emptied, m.id)
+		if m.DrainReason != "" {
+			if len(m.Attempts) == 0 {
+				v.emptied = append(v.emptied, m.ID)
 			} else {
 				v.draining = true
 			}
 			continue
 		}
-		if m.confirmed && silent {
+		if m.Confirmed && silent {
 			v.healthy = false
 			continue
 		}
-		if m.machineType == nil || m.quarantined(now) || (!m.confirmed && d.provisioningOverdue(m, now)) {
+		if m.Type == nil || m.Quarantined(now) || (!m.Confirmed && d.provisioningOverdue(m, now)) {
 			continue
 		}
 		s := candidateOf(m)
@@ -66,9 +67,9 @@
 	if d.leaseValid(now) {
 		d.updatePerGPU(now)
 		d.shortage(p, d.demands(now), v.size, now)
-		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, d.state.types.count())
-		for _, name := range d.state.types.all() {
-			v.bootSeconds[name] = d.state.types.get(name).BootS
+		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, d.state.Types.Count())
+		for _, name := range d.state.Types.All() {
+			v.bootSeconds[name] = d.state.Types.Get(name).BootS
 		}
 		if v.nonOpportunistic == 0 && v.healthy && !v.draining {
 			v.surplus = d.findSurplus(p, now)
@@ -80,15 +81,15 @@
 // drain has nothing more placed on a machine and moves its tasks: services and
 // what can save its progress restart elsewhere, others may finish unless the
 // machine is being taken.
-func (d *scheduler) drain(m *machine, reason string) {
-	if m.drainReason != "" || m.terminating {
+func (d *scheduler) drain(m *cluster.Machine, reason string) {
+	if m.DrainReason != "" || m.Terminating {
 		return
 	}
-	m.drainReason = reason
-	d.log.Info("drain", "machine", m.id, "type", m.typeName, "spot", m.spot, "reason", reason, "tasks", len(m.attempts))
+	m.DrainReason = reason
+	d.log.Info("drain", "machine", m.ID, "type", m.TypeName, "spot", m.Spot, "reason", reason, "tasks", len(m.Attempts))
 	now := time.Now()
-	for _, a := range m.sortedAttempts() {
-		s := &a.job.spec
+	for _, a := range m.SortedAttempts() {
+		s := &a.Job.Spec
 		switch {
 		case s.Gang:
 			d.drainGang(a, now)
@@ -96,8 +97,8 @@
 			d.stopAttempt(a, 0)
 		case s.CheckpointS > 0:
 			d.stopAttempt(a, s.SaveS) // goes on elsewhere from where it was
-		case m.preemptionAt.IsZero():
-		case !a.reported || a.state == worker.Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.started) > m.preemptionAt.Sub(now):
+		case m.PreemptionAt.IsZero():
+		case !a.Reported || a.State == worker.Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.Started) > m.PreemptionAt.Sub(now):
 			d.stopAttempt(a, 0)
 		}
 	}
@@ -109,14 +110,14 @@
 // work since that was found. An empty one is returned at once.
 func (d *scheduler) drainSurplus(msg drainMsg) {
 	d.drainsRequested++
-	m := d.state.machines.get(msg.surplus.machine)
-	if m == nil || len(m.attempts) > msg.surplus.attempts {
+	m := d.state.Machines.Get(msg.surplus.machine)
+	if m == nil || len(m.Attempts) > msg.surplus.attempts {
 		d.autoscaler.post(drainedMsg{})
 		return
 	}
 	d.drain(m, msg.reason)
-	if len(m.attempts) == 0 {
-		d.terminateMachines([]int{m.id})
+	if len(m.Attempts) == 0 {
+		d.terminateMachines([]int{m.ID})
 		d.autoscaler.post(drainedMsg{})
 	}
 }
@@ -129,42 +130,42 @@
 	seen := make(map[int]bool, len(machines))
 	for _, l := range machines {
 		seen[l.ID] = true
-		m := d.state.machines.get(l.ID)
+		m := d.state.Machines.Get(l.ID)
 		if m == nil {
 			if d.terminated[l.ID] {
 				continue
 			}
-			m = d.state.ensureMachine(l.ID, now)
-			m.firstSeen, m.provisioningObserved = now.Add(-clock.Seconds(l.AgeSeconds)), true
+			m = d.state.EnsureMachine(l.ID, now)
+			m.FirstSeen, m.ProvisioningObserved = now.Add(-clock.Seconds(l.AgeSeconds)), true
 			d.log.Info("unexpected machine", "machine", l.ID, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
 		}
-		if m.typeName == "" {
-			m.typeName, m.zone, m.spot, m.machineType = l.Type, l.Zone, l.Spot, d.state.types.get(l.Type)
+		if m.TypeName == "" {
+			m.TypeName, m.Zone, m.Spot, m.Type = l.Type, l.Zone, l.Spot, d.state.Types.Get(l.Type)
 		}
-		if m.addr == "" {
-			m.addr = l.Addr
+		if m.Addr == "" {
+			m.Addr = l.Addr
 		}
-		m.listedAt = now
-		m.failed = l.State == cloud.Failed
+		m.ListedAt = now
+		m.Failed = l.State == cloud.Failed
 	}
-	for _, m := range slices.Clone(d.state.machines.inOrder()) {
-		silent := now.Sub(m.lastContact) > d.settings.WorkerLease && now.Sub(m.firstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
-		if !seen[m.id] && !m.terminating && silent && now.Sub(m.listedAt) > 4*d.settings.ListLag && now.After(d.provenEmptyAt(m)) {
-			d.removeMachine(m.id, "no longer listed")
+	for _, m := range slices.Clone(d.state.Machines.InOrder()) {
+		silent := now.Sub(m.LastContact) > d.settings.WorkerLease && now.Sub(m.FirstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
+		if !seen[m.ID] && !m.Terminating && silent && now.Sub(m.ListedAt) > 4*d.settings.ListLag && now.After(d.provenEmptyAt(m)) {
+			d.removeMachine(m.ID, "no longer listed")
 		}
 	}
 }
 
 // removeMachine forgets a machine that the cloud has surely taken.
 func (d *scheduler) removeMachine(id int, why string) {
-	m := d.state.machines.get(id)
+	m := d.state.Machines.Get(id)
 	if m == nil {
 		return
 	}
-	for _, a := range m.sortedAttempts() {
+	for _, a := range m.SortedAttempts() {
 		d.removeAttempt(a, "its machine is gone")
 	}
-	d.state.machines.remove(m)
+	d.state.Machines.Remove(m)
 	d.markRecord(storage.MachineKey(id), removed)
 	d.log.Info("machine gone", "machine", id, "why", why)
 	d.placementDue = true
@@ -173,16 +174,16 @@
 func (d *scheduler) handleLaunched(msg launchedMsg) {
 	now := time.Now()
 	for _, id := range msg.machines {
-		m := d.state.machines.get(id)
+		m := d.state.Machines.Get(id)
 		if m == nil {
 			if d.terminated[id] {
 				continue
 			}
-			m = d.state.ensureMachine(id, now)
-			m.firstSeen, m.provisioningObserved, m.listedAt = now, true, now
+			m = d.state.EnsureMachine(id, now)
+			m.FirstSeen, m.ProvisioningObserved, m.ListedAt = now, true, now
 		}
-		if m.typeName == "" {
-			m.typeName, m.zone, m.spot, m.machineType = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.state.types.get(msg.launch.Type)
+		if m.TypeName == "" {
+			m.TypeName, m.Zone, m.Spot, m.Type = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.state.Types.Get(msg.launch.Type)
 		}
 	}
 	d.placementDue = true
@@ -195,9 +196,9 @@
 		return
 	}
 	for _, id := range ids {
-		if m := d.state.machines.get(id); !m.terminating {
-			d.log.Info("return", "machine", id, "type", m.typeName, "spot", m.spot, "draining", m.drainReason, "failed", m.failed, "age", time.Since(m.firstSeen))
-			m.terminating = true
+		if m := d.state.Machines.Get(id); !m.Terminating {
+			d.log.Info("return", "machine", id, "type", m.TypeName, "spot", m.Spot, "draining", m.DrainReason, "failed", m.Failed, "age", time.Since(m.FirstSeen))
+			m.Terminating = true
 			d.markMachine(m)
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -20,31 +21,31 @@
 
 // gangTaskLost takes in that a task of a gang is gone, and why; what is left of an attempt
 // that ran is stopped at once, for its progress since the last save is gangTaskLost.
-func (d *scheduler) gangTaskLost(a *attempt) {
-	j := a.job
-	if len(j.attempts) == 0 {
-		j.gang = gang{}
+func (d *scheduler) gangTaskLost(a *cluster.Attempt) {
+	j := a.Job
+	if len(j.Attempts) == 0 {
+		j.Gang = cluster.Gang{}
 		return
 	}
-	if a.reported && a.state == worker.Exited {
-		if j.gang.exitedOn == nil {
-			j.gang.exitedOn = make(map[int]bool)
+	if a.Reported && a.State == worker.Exited {
+		if j.Gang.ExitedOn == nil {
+			j.Gang.ExitedOn = make(map[int]bool)
 		}
-		j.gang.exitedOn[a.machine.id] = true
+		j.Gang.ExitedOn[a.Machine.ID] = true
 	}
-	if j.gang.started {
-		j.gang.failed = true
+	if j.Gang.Started {
+		j.Gang.Failed = true
 	}
-	if j.gang.failed && j.waiting > 0 {
+	if j.Gang.Failed && j.Waiting > 0 {
 		d.abortGang(j)
 	}
 }
 
 // abortGang ends what is left of a gang's attempt.
-func (d *scheduler) abortGang(j *job) {
-	for _, a := range j.gangAttempts() {
-		if j.attempts[a.task] == a && (!a.stopping || a.graceSeconds > 0) {
-			a.stopCommanded = false
+func (d *scheduler) abortGang(j *cluster.Job) {
+	for _, a := range j.GangAttempts() {
+		if j.Attempts[a.Task] == a && (!a.Stopping || a.GraceSeconds > 0) {
+			a.StopCommanded = false
 			d.stopAttempt(a, 0)
 		}
 	}
@@ -53,31 +54,31 @@
 
 // stopGang stops all tasks of a gang so that it saves its progress: all are told
 // within gang_peer_s of the first, directly, and again with their reports.
-func (d *scheduler) stopGang(j *job) {
-	for _, a := range j.gangAttempts() {
-		if j.attempts[a.task] == a && !a.stopping {
-			d.stopAttempt(a, j.spec.SaveS)
+func (d *scheduler) stopGang(j *cluster.Job) {
+	for _, a := range j.GangAttempts() {
+		if j.Attempts[a.Task] == a && !a.Stopping {
+			d.stopAttempt(a, j.Spec.SaveS)
 		}
 	}
 	d.commandStopsOf(j)
 }
 
 // commandStopsOf tells the workers of a job's tasks directly what to stop.
-func (d *scheduler) commandStopsOf(j *job) {
-	told := make(map[*machine]bool)
-	for _, a := range j.gangAttempts() {
-		if !told[a.machine] {
-			told[a.machine] = true
-			d.commandStops(a.machine)
+func (d *scheduler) commandStopsOf(j *cluster.Job) {
+	told := make(map[*cluster.Machine]bool)
+	for _, a := range j.GangAttempts() {
+		if !told[a.Machine] {
+			told[a.Machine] = true
+			d.commandStops(a.Machine)
 		}
 	}
 }
 
 // completeGang makes all tasks of a gang done, for one of them is: they complete
 // together.
-func (d *scheduler) completeGang(j *job) {
-	for i := range j.tasks {
-		j.setTask(i, taskDone)
+func (d *scheduler) completeGang(j *cluster.Job) {
+	for i := range j.Tasks {
+		j.SetTask(i, cluster.TaskDone)
 		if i%storage.PageTasks == 0 {
 			d.markPage(j, i)
 		}
@@ -88,21 +89,21 @@
 // unless the machine is being taken: then it is replaced while its gang waits to
 // run, and saves where there is time for that. Otherwise it goes on: another save
 // point may be reached.
-func (d *scheduler) drainGang(a *attempt, now time.Time) {
-	j, m := a.job, a.machine
-	if m.preemptionAt.IsZero() {
+func (d *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
+	j, m := a.Job, a.Machine
+	if m.PreemptionAt.IsZero() {
 		return
 	}
-	if !j.gang.started {
+	if !j.Gang.Started {
 		d.stopAttempt(a, 0)
 		return
 	}
-	if j.spec.CheckpointS <= 0 {
+	if j.Spec.CheckpointS <= 0 {
 		return
 	}
-	left := m.preemptionAt.Sub(now)
-	ends := clock.Seconds(d.state.classes.runSeconds(j)) - now.Sub(a.started)
-	if ends > left && clock.Seconds(j.spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
+	left := m.PreemptionAt.Sub(now)
+	ends := clock.Seconds(d.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
+	if ends > left && clock.Seconds(j.Spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
 		d.stopGang(j)
 	}
 }
@@ -111,13 +112,13 @@
 // machines that hang or fetch for too long, and has them start elsewhere.
 func (d *scheduler) replaceStalledGangTasks(now time.Time) {
 	patience := clock.Scale(d.settings.GangWait, gatherPatience)
-	for _, j := range d.state.jobs.open {
-		if !j.spec.Gang || j.phase != storage.Open || patience <= 0 || !j.gangCompletable() || j.gatherTime(now) < patience {
+	for _, j := range d.state.Jobs.Open {
+		if !j.Spec.Gang || j.Phase != storage.Open || patience <= 0 || !j.GangCompletable() || j.GatherTime(now) < patience {
 			continue
 		}
-		for _, a := range j.gangAttempts() {
-			if j.attempts[a.task] == a && a.state != worker.Gathering && now.Sub(a.reservedAt) > patience {
-				d.log.Info("a gang's task doesn't come", "job", j.spec.ID, "task", a.task, "machine", a.machine.id)
+		for _, a := range j.GangAttempts() {
+			if j.Attempts[a.Task] == a && a.State != worker.Gathering && now.Sub(a.ReservedAt) > patience {
+				d.log.Info("a gang's task doesn't come", "job", j.Spec.ID, "task", a.Task, "machine", a.Machine.ID)
 				d.stopAttempt(a, 0)
 			}
 		}
--- a/internal/scheduler/gang_page_test.go
+++ b/internal/scheduler/gang_page_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -15,23 +16,23 @@
 
 // rivalGangs are two gangs of three tasks that run, each with two tasks that fill a
 // machine and one elsewhere; the machine of the first one's third task is returned.
-func rivalGangs(d *scheduler, now time.Time) (first, second *job, elsewhere *machine) {
+func rivalGangs(d *scheduler, now time.Time) (first, second *cluster.Job, elsewhere *cluster.Machine) {
 	for m := 1; m <= 4; m++ {
 		d.up(m, "cpu", "a", false)
 	}
-	enter := func(id string, try uint64, machines ...int) *job {
+	enter := func(id string, try uint64, machines ...int) *cluster.Job {
 		spec := gangOf(id, 3)
 		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
 		j := d.accept(spec)
 		for i, m := range machines {
-			d.addAttempt(&attempt{job: j, task: i, number: try, machine: d.state.machines.get(m), incarnation: 1, thisTerm: true, durable: true, reported: true,
-				state: worker.Running, reservedAt: now, started: now.Add(-time.Minute)})
+			d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: try, Machine: d.state.Machines.Get(m), Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
+				State: worker.Running, ReservedAt: now, Started: now.Add(-time.Minute)})
 		}
-		j.gang.started = true
+		j.Gang.Started = true
 		return j
 	}
 	first, second = enter("000001", 8, 1, 1, 3), enter("000002", 9, 2, 2, 4)
-	return first, second, d.state.machines.get(3)
+	return first, second, d.state.Machines.Get(3)
 }
 
 func urgentService() storage.Spec {
@@ -41,11 +42,11 @@
 }
 
 // stops counts a job's attempts that are to be stopped, and those that may save.
-func stops(j *job) (stopped, saving int) {
-	for _, a := range j.attempts {
-		if a.stopping {
+func stops(j *cluster.Job) (stopped, saving int) {
+	for _, a := range j.Attempts {
+		if a.Stopping {
 			stopped++
-			if a.graceSeconds > 0 {
+			if a.GraceSeconds > 0 {
 				saving++
 			}
 		}
@@ -58,12 +59,14 @@
 func TestAGangThatCantBeStoppedInOrderIsSpared(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble func(d *scheduler, m *machine)
+		trouble func(d *scheduler, m *cluster.Machine)
 	}{
-		{"its machine is silent", func(d *scheduler, m *machine) { m.lastContact = m.lastContact.Add(-2 * d.settings.HeartbeatInterval) }},
-		{"its machine leaves orders unanswered", func(_ *scheduler, m *machine) { m.inFlight = maxInFlightCommands }},
-		{"its machine reports and can't be reached", func(d *scheduler, m *machine) { d.commandsFailing[m.id] = true }},
-		{"its machine doesn't do as it is told", func(_ *scheduler, m *machine) { m.unresponsive = true }},
+		{"its machine is silent", func(d *scheduler, m *cluster.Machine) {
+			m.LastContact = m.LastContact.Add(-2 * d.settings.HeartbeatInterval)
+		}},
+		{"its machine leaves orders unanswered", func(_ *scheduler, m *cluster.Machine) { m.InFlight = maxInFlightCommands }},
+		{"its machine reports and can't be reached", func(d *scheduler, m *cluster.Machine) { d.commandsFailing[m.ID] = true }},
+		{"its machine doesn't do as it is told", func(_ *scheduler, m *cluster.Machine) { m.Unresponsive = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -89,8 +92,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
-		elsewhere.inFlight = maxInFlightCommands
-		d.state.machines.get(4).inFlight = maxInFlightCommands
+		elsewhere.InFlight = maxInFlightCommands
+		d.state.Machines.Get(4).InFlight = maxInFlightCommands
 		d.accept(urgentService())
 		d.placeRound(time.Now())
 		n1, saving1 := stops(first)
@@ -108,12 +111,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			d := newTestDispatcher(t, grownSettings())
 			first, _, elsewhere := rivalGangs(d, time.Now())
-			first.spec.EstimateS = 1000
+			first.Spec.EstimateS = 1000
 			if !reachable {
-				elsewhere.inFlight = maxInFlightCommands
+				elsewhere.InFlight = maxInFlightCommands
 			}
-			m := d.state.machines.get(1)
-			m.preemptionAt = time.Now().Add(10 * time.Second)
+			m := d.state.Machines.Get(1)
+			m.PreemptionAt = time.Now().Add(10 * time.Second)
 			d.drain(m, "spot notice")
 			if n, saving := stops(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
 				t.Errorf("reachable %v: %d tasks are stopped, %d with time to save", reachable, n, saving)
@@ -129,10 +132,10 @@
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
 		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
-		if one.failures.Suspected() || !one.quarantinedUntil.IsZero() || len(j.failures.Machines()) != 0 {
-			t.Errorf("failures of the machine %+v, of the job %+v", one.failures, j.failures)
+		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
+			t.Errorf("failures of the machine %+v, of the job %+v", one.Failures, j.Failures)
 		}
-		if a := j.attempts[1]; a == nil || !a.stopping {
+		if a := j.Attempts[1]; a == nil || !a.Stopping {
 			t.Error("the rest of an attempt that can't be completed goes on")
 		}
 	})
@@ -147,18 +150,18 @@
 		spec := gangOf("000001", 2)
 		spec.Resources.CPUs = 4
 		j := d.gangOn(spec, worker.Gathering, full, full)
-		d.removeAttempt(j.attempts[0], "its machine is gone")
+		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		blocker := service("000002", 1)
 		blocker.Resources.CPUs = 4
 		d.reserve(d.accept(blocker), 0, full, time.Now())
 		d.placeRound(time.Now())
-		if a := j.attempts[0]; a != nil {
-			t.Errorf("replaced on machine %d of another zone", a.machine.id)
+		if a := j.Attempts[0]; a != nil {
+			t.Errorf("replaced on machine %d of another zone", a.Machine.ID)
 		}
-		d.removeAttempt(j.attempts[1], "ended")
+		d.removeAttempt(j.Attempts[1], "ended")
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 || j.attempts[0].machine != other {
-			t.Errorf("begun anew with %d tasks", len(j.attempts))
+		if len(j.Attempts) != 2 || j.Attempts[0].Machine != other {
+			t.Errorf("begun anew with %d tasks", len(j.Attempts))
 		}
 	})
 }
@@ -171,11 +174,11 @@
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
 		d.stopGang(j)
-		if a := j.answer(api.CodeOK); a.Running != 3 || a.State != api.StateRunning {
+		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
 		}
-		d.removeAttempt(j.attempts[0], "ended")
-		if a := j.answer(api.CodeOK); a.Running != 2 || a.State != api.StateRunning {
+		d.removeAttempt(j.Attempts[0], "ended")
+		if a := responseOf(j); a.Running != 2 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
 		}
 	})
@@ -193,12 +196,12 @@
 		used := make(map[uint64]worker.TaskID)
 		for range 3 {
 			d.placeRound(time.Now())
-			for _, j := range []*job{array, replicas} {
-				for _, a := range j.gangAttempts() {
-					if id, taken := used[a.number]; taken {
-						t.Errorf("%v starts under the number of %v", a.id(), id)
+			for _, j := range []*cluster.Job{array, replicas} {
+				for _, a := range j.GangAttempts() {
+					if id, taken := used[a.Number]; taken {
+						t.Errorf("%v starts under the number of %v", a.ID(), id)
 					}
-					used[a.number] = a.id()
+					used[a.Number] = a.ID()
 					d.removeAttempt(a, "lost")
 				}
 			}
@@ -239,8 +242,8 @@
 		} {
 			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
 		}
-		if n, _ := stops(j); j.done != 0 || len(j.attempts) != 2 || n != 0 || !j.gang.started || j.gang.failed {
-			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.done, len(j.attempts), n, j.gang)
+		if n, _ := stops(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
+			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.Done, len(j.Attempts), n, j.Gang)
 		}
 	})
 }
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -1,15 +1,16 @@
 package scheduler
 
 import (
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
 // placeGang reserves room for all waiting tasks of a gang in one decision, or for
 // none: they are all of its tasks, or what is to be replaced of an attempt that
 // hasn't run.
-func (d *scheduler) placeGang(j *job, r *round) {
-	if len(j.attempts) > 0 && !j.gangCompletable() {
-		if j.gang.failed {
+func (d *scheduler) placeGang(j *cluster.Job, r *round) {
+	if len(j.Attempts) > 0 && !j.GangCompletable() {
+		if j.Gang.Failed {
 			d.abortGang(j)
 		}
 		return // the earlier attempt isn't over everywhere
@@ -24,18 +25,18 @@
 		}
 		return
 	}
-	if len(j.attempts) == 0 {
+	if len(j.Attempts) == 0 {
 		d.lastAttempt++
-		j.gang = gang{number: d.lastAttempt}
+		j.Gang = cluster.Gang{Number: d.lastAttempt}
 	}
-	try := j.gang.number
+	try := j.Gang.Number
 	for _, s := range plan {
-		task, ok := j.nextWaiting()
+		task, ok := j.NextWaiting()
 		if !ok {
 			return
 		}
 		d.lastAttempt++
-		a := &attempt{job: j, task: task, number: try, machine: s.machine, incarnation: s.machine.incarnation, thisTerm: true, reservedAt: r.now}
+		a := &cluster.Attempt{Job: j, Task: task, Number: try, Machine: s.machine, Incarnation: s.machine.Incarnation, ThisTerm: true, ReservedAt: r.now}
 		d.addAttempt(a)
 		d.markPage(j, task)
 		r.reserved = append(r.reserved, a)
@@ -43,15 +44,15 @@
 }
 
 // gangWithinLimit tells whether the team may hold all that waits of a gang.
-func (d *scheduler) gangWithinLimit(j *job) bool {
-	team := d.settings.Team(j.spec.Team)
-	return team != nil && storage.WithinLimit(d.state.reservations.Team(j.spec.Team).Add(j.spec.Resources.Mul(j.waiting)), team.Limit)
+func (d *scheduler) gangWithinLimit(j *cluster.Job) bool {
+	team := d.settings.Team(j.Spec.Team)
+	return team != nil && storage.WithinLimit(d.state.Reservations.Team(j.Spec.Team).Add(j.Spec.Resources.Mul(j.Waiting)), team.Limit)
 }
 
 // planGang finds a candidate for each waiting task of a gang and takes the room there,
 // or takes none. Among several zones that would do it takes the one where the
 // tasks start soonest.
-func (d *scheduler) planGang(j *job, r *round) []*candidate {
+func (d *scheduler) planGang(j *cluster.Job, r *round) []*candidate {
 	var best []*candidate
 	bestTiers := 0
 	for _, group := range d.gangCandidates(j, r) {
@@ -61,26 +62,26 @@
 		}
 	}
 	for _, s := range best {
-		s.free = s.free.Sub(j.spec.Resources)
+		s.free = s.free.Sub(j.Spec.Resources)
 	}
 	return best
 }
 
 // gangCandidates lists the candidates that a gang may use, by zone if all its tasks must be
 // in one.
-func (d *scheduler) gangCandidates(j *job, r *round) [][]*candidate {
+func (d *scheduler) gangCandidates(j *cluster.Job, r *round) [][]*candidate {
 	zones := newZoneCheck(j)
 	var groups [][]*candidate
 	for _, zone := range r.zones {
 		var group []*candidate
 		for _, s := range r.candidates {
-			if s.zone == zone && s.admits(j, &zones) && !j.gang.exitedOn[s.machine.id] {
+			if s.Zone == zone && s.admits(j, &zones) && !j.Gang.ExitedOn[s.machine.ID] {
 				group = append(group, s)
 			}
 		}
 		switch {
 		case len(group) == 0:
-		case j.spec.SameZone || len(groups) == 0:
+		case j.Spec.SameZone || len(groups) == 0:
 			groups = append(groups, group)
 		default:
 			groups[0] = append(groups[0], group...)
@@ -91,30 +92,30 @@
 
 // planIn finds candidates for all waiting tasks among some, each the better of two
 // samples of the best tier, without taking the room for good.
-func (d *scheduler) planIn(j *job, group []*candidate) (plan []*candidate, tiers int) {
+func (d *scheduler) planIn(j *cluster.Job, group []*candidate) (plan []*candidate, tiers int) {
 	room := 0
 	for _, s := range group {
-		if j.spec.Resources.Fits(s.free) {
-			room += fitCount(s.free, j.spec.Resources)
+		if j.Spec.Resources.Fits(s.free) {
+			room += fitCount(s.free, j.Spec.Resources)
 		}
 	}
-	if room < j.waiting {
+	if room < j.Waiting {
 		return nil, 0
 	}
 	zones := newZoneCheck(j)
 	defer func() {
 		for _, s := range plan {
-			s.free = s.free.Add(j.spec.Resources)
+			s.free = s.free.Add(j.Spec.Resources)
 		}
-		if len(plan) < j.waiting {
+		if len(plan) < j.Waiting {
 			plan = nil
 		}
 	}()
-	for range j.waiting {
+	for range j.Waiting {
 		var best []*candidate
 		tier := 0
 		for _, s := range group {
-			if !j.spec.Resources.Fits(s.free) || !zones.allows(s.zone) {
+			if !j.Spec.Resources.Fits(s.free) || !zones.allows(s.Zone) {
 				continue
 			}
 			if t := d.tier(j, s); best == nil || t < tier {
@@ -127,8 +128,8 @@
 			return plan, tiers
 		}
 		pick := d.sample(j, best)
-		pick.free = pick.free.Sub(j.spec.Resources)
-		zones.add(pick.zone, 1)
+		pick.free = pick.free.Sub(j.Spec.Resources)
+		zones.add(pick.Zone, 1)
 		plan, tiers = append(plan, pick), tiers+tier
 	}
 	return plan, tiers
@@ -137,8 +138,8 @@
 // reserveForGang keeps what room there is for a gang that finds too little, from work
 // that is less urgent; only for one gang in a round, so that two never hold parts of
 // the room that each lacks.
-func (d *scheduler) reserveForGang(j *job, r *round) {
-	if r.gangHolds || r.now.Sub(j.submitted) < d.settings.HeartbeatInterval {
+func (d *scheduler) reserveForGang(j *cluster.Job, r *round) {
+	if r.gangHolds || r.now.Sub(j.Submitted) < d.settings.HeartbeatInterval {
 		return
 	}
 	var best []*candidate
@@ -153,19 +154,19 @@
 		}
 	}
 	r.gangHolds = most > 0
-	left := j.waiting
+	left := j.Waiting
 	for _, s := range best {
 		n := min(left, s.capacityFor(j))
-		s.takeReleasing(j.spec.Resources.Mul(n))
+		s.takeReleasing(j.Spec.Resources.Mul(n))
 		left -= n
 	}
 }
 
 // capacityFor is how many tasks of a job fit into what is free in the candidate and what is
 // being freed.
-func (s *candidate) capacityFor(j *job) int {
-	if free := s.free.Add(s.releasing); j.spec.Resources.Fits(free) {
-		return fitCount(free, j.spec.Resources)
+func (s *candidate) capacityFor(j *cluster.Job) int {
+	if free := s.free.Add(s.releasing); j.Spec.Resources.Fits(free) {
+		return fitCount(free, j.Spec.Resources)
 	}
 	return 0
 }
@@ -175,12 +176,12 @@
 	room := make(map[string]int)
 	best := ""
 	for _, s := range candidates {
-		if !dm.job.spec.Resources.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
+		if !dm.job.Spec.Resources.Fits(s.free) || !s.admits(dm.job, &dm.zones) {
 			continue
 		}
-		room[s.zone] += fitCount(s.free, dm.job.spec.Resources)
-		if best == "" || room[s.zone] > room[best] || room[s.zone] == room[best] && s.zone < best {
-			best = s.zone
+		room[s.Zone] += fitCount(s.free, dm.job.Spec.Resources)
+		if best == "" || room[s.Zone] > room[best] || room[s.Zone] == room[best] && s.Zone < best {
+			best = s.Zone
 		}
 	}
 	return best
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -5,15 +5,16 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
 // gangReachable tells whether all of a gang's tasks can be told to stop within
 // gang_peer_s of each other, as far as is known. Where one can't, the others exit
 // without it and the save fails.
-func (d *scheduler) gangReachable(j *job, now time.Time) bool {
-	for _, a := range j.attempts {
-		if !d.reachable(a.machine, now) {
+func (d *scheduler) gangReachable(j *cluster.Job, now time.Time) bool {
+	for _, a := range j.Attempts {
+		if !d.reachable(a.Machine, now) {
 			return false
 		}
 	}
@@ -25,23 +26,23 @@
 const reachableReports = 1.5
 
 // reachable tells whether a direct order is likely to reach a machine at once.
-func (d *scheduler) reachable(m *machine, now time.Time) bool {
-	return m.addr != "" && m.inFlight < maxInFlightCommands && !m.unresponsive && !d.commandsFailing[m.id] &&
-		now.Sub(m.lastContact) <= clock.Scale(d.settings.HeartbeatInterval, reachableReports)
+func (d *scheduler) reachable(m *cluster.Machine, now time.Time) bool {
+	return m.Addr != "" && m.InFlight < maxInFlightCommands && !m.Unresponsive && !d.commandsFailing[m.ID] &&
+		now.Sub(m.LastContact) <= clock.Scale(d.settings.HeartbeatInterval, reachableReports)
 }
 
 // gangPreemption is a candidate that a gang may take once some of its tasks are stopped.
 type gangPreemption struct {
 	candidate *candidate
 	tasks     int
-	victims   []*attempt
+	victims   []*cluster.Attempt
 	cost      float64
 }
 
 // preemptGang makes room for all waiting tasks of a gang by stopping work of lower
 // priority, the least worth for its room first, or stops nothing.
-func (d *scheduler) preemptGang(j *job, r *round) bool {
-	if j.spec.Priority <= storage.BestEffort || j.spec.Spread {
+func (d *scheduler) preemptGang(j *cluster.Job, r *round) bool {
+	if j.Spec.Priority <= storage.BestEffort || j.Spec.Spread {
 		return false
 	}
 	var best []gangPreemption
@@ -53,11 +54,11 @@
 	}
 	for _, c := range best {
 		for _, v := range c.victims {
-			d.log.Debug("preempt", "job", v.job.spec.ID, "task", v.task, "machine", v.machine.id, "for", j.spec.ID)
-			c.candidate.releasing = c.candidate.releasing.Add(v.job.spec.Resources)
+			d.log.Debug("preempt", "job", v.Job.Spec.ID, "task", v.Task, "machine", v.Machine.ID, "for", j.Spec.ID)
+			c.candidate.releasing = c.candidate.releasing.Add(v.Job.Spec.Resources)
 			d.preemptOne(v, r.now)
 		}
-		c.candidate.takeReleasing(j.spec.Resources.Mul(c.tasks))
+		c.candidate.takeReleasing(j.Spec.Resources.Mul(c.tasks))
 		d.commandStops(c.candidate.machine)
 	}
 	return best != nil
@@ -65,25 +66,25 @@
 
 // planGangPreemption finds candidates for all waiting tasks of a gang, with what must be stopped
 // there.
-func (d *scheduler) planGangPreemption(j *job, group []*candidate, now time.Time) (plan []gangPreemption, cost float64) {
+func (d *scheduler) planGangPreemption(j *cluster.Job, group []*candidate, now time.Time) (plan []gangPreemption, cost float64) {
 	var all []gangPreemption
 	room := 0
 	for _, s := range group {
 		most := s.free.Add(s.releasing)
-		for _, live := range s.machine.running[:j.spec.Priority] {
+		for _, live := range s.machine.RunningUsage[:j.Spec.Priority] {
 			most = most.Add(live)
 		}
-		if !j.spec.Resources.Fits(most) {
+		if !j.Spec.Resources.Fits(most) {
 			continue
 		}
-		c := gangPreemption{candidate: s, tasks: min(j.waiting, fitCount(most, j.spec.Resources))}
-		if victims, cost, ok := d.victims(s, j.spec.Resources.Mul(c.tasks), preemptor{priority: j.spec.Priority}, now); ok {
+		c := gangPreemption{candidate: s, tasks: min(j.Waiting, fitCount(most, j.Spec.Resources))}
+		if victims, cost, ok := d.victims(s, j.Spec.Resources.Mul(c.tasks), preemptor{priority: j.Spec.Priority}, now); ok {
 			c.victims, c.cost = victims, cost
 			all = append(all, c)
 			room += c.tasks
 		}
 	}
-	if room < j.waiting {
+	if room < j.Waiting {
 		return nil, 0
 	}
 	slices.SortStableFunc(all, func(a, b gangPreemption) int {
@@ -95,12 +96,12 @@
 		}
 		return 0
 	})
-	for left := j.waiting; left > 0; {
+	for left := j.Waiting; left > 0; {
 		c := all[0]
 		all = all[1:]
 		if c.tasks > left {
 			c.tasks = left
-			c.victims, c.cost, _ = d.victims(c.candidate, j.spec.Resources.Mul(left), preemptor{priority: j.spec.Priority}, now)
+			c.victims, c.cost, _ = d.victims(c.candidate, j.Spec.Resources.Mul(left), preemptor{priority: j.Spec.Priority}, now)
 		}
 		plan, left, cost = append(plan, c), left-c.tasks, cost+c.cost
 	}
@@ -109,13 +110,13 @@
 
 // preemptOne stops a task for a more urgent one; with a gang's, the gang: in order,
 // or at once where its progress can't be saved all the same.
-func (d *scheduler) preemptOne(v *attempt, now time.Time) {
+func (d *scheduler) preemptOne(v *cluster.Attempt, now time.Time) {
 	switch {
-	case !v.job.spec.Gang || !v.job.gang.started:
-		d.stopAttempt(v, v.job.spec.SaveS)
-	case d.gangReachable(v.job, now):
-		d.stopGang(v.job)
+	case !v.Job.Spec.Gang || !v.Job.Gang.Started:
+		d.stopAttempt(v, v.Job.Spec.SaveS)
+	case d.gangReachable(v.Job, now):
+		d.stopGang(v.Job)
 	default:
-		d.abortGang(v.job)
+		d.abortGang(v.Job)
 	}
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -250,12 +251,12 @@
 		for i := range 4 {
 			m := d.up(i, "cpu", "a", false)
 			for k := range 2 {
-				d.addAttempt(&attempt{job: j, task: 2*i + k, number: uint64(1 + 2*i + k), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
+				d.addAttempt(&cluster.Attempt{Job: j, Task: 2*i + k, Number: uint64(1 + 2*i + k), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 			}
 		}
 		stopped := func() (n int) {
-			for _, a := range j.attempts {
-				if a.stopping {
+			for _, a := range j.Attempts {
+				if a.Stopping {
 					n++
 				}
 			}
@@ -267,25 +268,25 @@
 			t.Errorf("%d stopped for a gang that finds no room all the same", n)
 		}
 		g := d.accept(gangOf("000003", 5))
-		d.state.jobs.get("000002").retryAfter = time.Now().Add(time.Hour)
+		d.state.Jobs.Get("000002").RetryAfter = time.Now().Add(time.Hour)
 		time.Sleep(time.Second)
 		d.placeRound(time.Now())
-		if n := stopped(); n != 3 || len(g.attempts) != 0 {
-			t.Errorf("%d stopped for five tasks of two CPUs, %d placed", n, len(g.attempts))
+		if n := stopped(); n != 3 || len(g.Attempts) != 0 {
+			t.Errorf("%d stopped for five tasks of two CPUs, %d placed", n, len(g.Attempts))
 		}
 		time.Sleep(time.Second)
 		d.placeRound(time.Now())
 		if n := stopped(); n != 3 {
 			t.Errorf("%d stopped at the second look", n)
 		}
-		for _, a := range j.gangAttempts() {
-			if a.stopping {
+		for _, a := range j.GangAttempts() {
+			if a.Stopping {
 				d.removeAttempt(a, "stopped")
 			}
 		}
 		d.placeRound(time.Now())
-		if len(g.attempts) != 5 {
-			t.Errorf("%d of 5 placed", len(g.attempts))
+		if len(g.Attempts) != 5 {
+			t.Errorf("%d of 5 placed", len(g.Attempts))
 		}
 	})
 }
@@ -296,21 +297,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		g := d.accept(gangOf("000001", 4))
-		var machines []*machine
+		var machines []*cluster.Machine
 		for i := range 2 {
 			machines = append(machines, d.up(i, "cpu", "a", false))
 		}
 		for i := range 4 {
-			d.addAttempt(&attempt{job: g, task: i, number: 9, machine: machines[i/2], incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
+			d.addAttempt(&cluster.Attempt{Job: g, Task: i, Number: 9, Machine: machines[i/2], Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 		}
-		g.gang.started = true
+		g.Gang.Started = true
 		urgent := service("000002", 1)
 		urgent.Resources = storage.Resources{CPUs: 8, MemoryGB: 8}
 		d.accept(urgent)
 		d.placeRound(time.Now())
-		for _, a := range g.gangAttempts() {
-			if !a.stopping || a.graceSeconds != g.spec.SaveS || !a.stopCommanded {
-				t.Errorf("task %d: %+v", a.task, a)
+		for _, a := range g.GangAttempts() {
+			if !a.Stopping || a.GraceSeconds != g.Spec.SaveS || !a.StopCommanded {
+				t.Errorf("task %d: %+v", a.Task, a)
 			}
 		}
 	})
@@ -326,21 +327,21 @@
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		d.state.setTypes(testTypes)
-		j := d.state.jobs.get("000001")
+		d.state.SetTypes(testTypes)
+		j := d.state.Jobs.Get("000001")
 		for i := 10; i < 14; i++ {
 			d.up(i, "cpu", "a", false)
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 || !j.attempts[0].stopping || !j.attempts[1].stopping {
-			t.Errorf("attempts %+v", j.attempts)
+		if len(j.Attempts) != 2 || !j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
+			t.Errorf("attempts %+v", j.Attempts)
 		}
-		for _, a := range j.gangAttempts() {
+		for _, a := range j.GangAttempts() {
 			d.removeAttempt(a, "proved gone")
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 3 || len(map[uint64]bool{j.attempts[0].number: true, j.attempts[1].number: true, j.attempts[2].number: true}) != 1 {
-			t.Errorf("attempts %+v", j.attempts)
+		if len(j.Attempts) != 3 || len(map[uint64]bool{j.Attempts[0].Number: true, j.Attempts[1].Number: true, j.Attempts[2].Number: true}) != 1 {
+			t.Errorf("attempts %+v", j.Attempts)
 		}
 	})
 }
@@ -355,20 +356,20 @@
 		}
 		d.accept(gangOf("000001", 9)) // eight fit in zone a, four in b
 		p := d.trialPacking()
-		if len(p.desired) != 1 || p.desired[0].zone != "a" {
+		if len(p.desired) != 1 || p.desired[0].Zone != "a" {
 			t.Errorf("wanted %+v", p.desired)
 		}
 	})
 }
 
 // gangOn enters a gang's attempt with a task on each of the machines.
-func (d *scheduler) gangOn(spec storage.Spec, state worker.TaskState, machines ...*machine) *job {
+func (d *scheduler) gangOn(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
 	j := d.accept(spec)
 	for i, m := range machines {
-		d.addAttempt(&attempt{job: j, task: i, number: 9, machine: m, incarnation: 1, thisTerm: true, durable: true, reported: true, state: state, reservedAt: time.Now(), started: time.Now(), gatheringSince: time.Now()})
+		d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true, State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now()})
 	}
 	d.lastAttempt = 9
-	j.gang.started = state == worker.Running
+	j.Gang.Started = state == worker.Running
 	return j
 }
 
@@ -379,22 +380,22 @@
 		d := newTestDispatcher(t, grownSettings())
 		j := d.gangOn(gangOf("000001", 3), worker.Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
 		d.up(4, "cpu", "a", false)
-		d.removeAttempt(j.attempts[0], "its machine is gone")
-		for _, a := range j.gangAttempts() {
-			if !a.stopping || a.graceSeconds != 0 {
-				t.Errorf("task %d goes on: %+v", a.task, a)
+		d.removeAttempt(j.Attempts[0], "its machine is gone")
+		for _, a := range j.GangAttempts() {
+			if !a.Stopping || a.GraceSeconds != 0 {
+				t.Errorf("task %d goes on: %+v", a.Task, a)
 			}
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 {
-			t.Errorf("%d attempts while the earlier one isn't over", len(j.attempts))
+		if len(j.Attempts) != 2 {
+			t.Errorf("%d attempts while the earlier one isn't over", len(j.Attempts))
 		}
-		for _, a := range j.gangAttempts() {
+		for _, a := range j.GangAttempts() {
 			d.removeAttempt(a, "ended")
 		}
 		d.placeRound(time.Now())
-		if len(j.attempts) != 3 || j.attempts[0].number == 9 {
-			t.Errorf("begun anew as %+v", j.gang)
+		if len(j.Attempts) != 3 || j.Attempts[0].Number == 9 {
+			t.Errorf("begun anew as %+v", j.Gang)
 		}
 	})
 }
@@ -406,14 +407,14 @@
 		d := newTestDispatcher(t, grownSettings())
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, one)
-		j.attempts[0].state = worker.Exited
-		d.attemptExited(j.attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
-		if len(j.attempts) != 1 {
-			t.Fatalf("%d attempts are left", len(j.attempts))
+		j.Attempts[0].State = worker.Exited
+		d.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
+		if len(j.Attempts) != 1 {
+			t.Fatalf("%d attempts are left", len(j.Attempts))
 		}
-		one.images["img"] = image{sizeGB: 1} // the better place, but for that
+		one.Images["img"] = cluster.Image{SizeGB: 1} // the better place, but for that
 		d.placeRound(time.Now())
-		if a := j.attempts[0]; a == nil || a.machine != two || a.number != 9 {
+		if a := j.Attempts[0]; a == nil || a.Machine != two || a.Number != 9 {
 			t.Errorf("replaced by %+v", a)
 		}
 	})
@@ -424,9 +425,9 @@
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
-		d.attemptExited(j.attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
-		if j.done != 3 || j.phase != storage.Done {
-			t.Errorf("%d of 3 done, phase %v", j.done, j.phase)
+		d.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
+		if j.Done != 3 || j.Phase != storage.Done {
+			t.Errorf("%d of 3 done, phase %v", j.Done, j.Phase)
 		}
 	})
 }
@@ -440,14 +441,14 @@
 		d := newTestDispatcher(t, s)
 		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
 		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
-		j.attempts[1].state = worker.Pulling
+		j.Attempts[1].State = worker.Pulling
 		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
-		if d.tick(); j.attempts[1].stopping {
+		if d.tick(); j.Attempts[1].Stopping {
 			t.Error("given up at once")
 		}
 		time.Sleep(s.GangWait * 45 / 100) // within the machines' leases
-		if d.tick(); j.attempts[0].stopping || !j.attempts[1].stopping {
-			t.Errorf("the waiting one: %v, the other: %v", j.attempts[0].stopping, j.attempts[1].stopping)
+		if d.tick(); j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
+			t.Errorf("the waiting one: %v, the other: %v", j.Attempts[0].Stopping, j.Attempts[1].Stopping)
 		}
 	})
 }
@@ -462,14 +463,14 @@
 		other := d.gangOn(onLimit(gangOf("000001", 1)), worker.Running, m)
 		j := d.accept(onLimit(gangOf("000002", 2)))
 		d.placeRound(time.Now())
-		if len(j.attempts) != 0 || d.gangDemand(j, s.Team("small"), make(map[string]storage.Resources)) != 0 {
+		if len(j.Attempts) != 0 || d.gangDemand(j, s.Team("small"), make(map[string]storage.Resources)) != 0 {
 			t.Error("placed, or rented for, beyond the limit")
 		}
-		d.removeAttempt(other.attempts[0], "ended")
-		other.retryAfter = time.Now().Add(time.Hour)
+		d.removeAttempt(other.Attempts[0], "ended")
+		other.RetryAfter = time.Now().Add(time.Hour)
 		d.placeRound(time.Now())
-		if len(j.attempts) != 2 {
-			t.Errorf("%d of 2 placed within the limit", len(j.attempts))
+		if len(j.Attempts) != 2 {
+			t.Errorf("%d of 2 placed within the limit", len(j.Attempts))
 		}
 	})
 }
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
@@ -23,17 +24,17 @@
 		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		answer := func() {
-			d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term}, false, time.Now())
+			d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, false, time.Now())
 		}
 		for range 2 * config.FreshIntervals {
 			time.Sleep(s.HeartbeatInterval)
 			answer()
 		}
-		if m.ready(time.Now(), s.ReportFreshness()) {
+		if m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("ready without a report")
 		}
 		d.up(7, "cpu", "a", false)
-		if !m.ready(time.Now(), s.ReportFreshness()) {
+		if !m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("not ready after a report")
 		}
 	})
@@ -47,13 +48,13 @@
 		j := d.accept(service("000001", 1))
 		m := d.up(7, "cpu", "a", false)
 		a := d.reserve(j, 0, m, time.Now())
-		j.phase = storage.Cancelled
-		d.startReserved([]*attempt{a})
-		if a.delivery != deliveryNone {
+		j.Phase = storage.Cancelled
+		d.startReserved([]*cluster.Attempt{a})
+		if a.Delivery != cluster.DeliveryNone {
 			t.Error("started directly")
 		}
-		a.durable = true
-		for _, o := range d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now()) {
+		a.Durable = true
+		for _, o := range d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now()) {
 			if o.Verb == worker.Start {
 				t.Error("started with the answer to a report")
 			}
@@ -72,8 +73,8 @@
 		if err := d.load(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := d.state.jobs.get("000001"); j.phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
-			t.Errorf("phase %v", j.phase)
+		if j := d.state.Jobs.Get("000001"); j.Phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
+			t.Errorf("phase %v", j.Phase)
 		}
 	})
 }
@@ -146,18 +147,18 @@
 		m := d.up(7, "cpu", "a", false)
 		a := d.reserve(j, 0, m, time.Now())
 		orders := func() []worker.Command {
-			return d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now())
+			return d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now())
 		}
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the booking is durable", o)
 		}
-		a.durable = true
+		a.Durable = true
 		d.unmark()
 		if o := orders(); len(o) != 1 || o[0].Verb != worker.Start {
 			t.Errorf("ordered %+v", o)
 		}
-		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term,
-			Tasks: []worker.TaskReport{{ID: a.id(), Attempt: a.number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
+		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term,
+			Tasks: []worker.TaskReport{{ID: a.ID(), Attempt: a.Number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the end is durable", o)
 		}
@@ -203,8 +204,8 @@
 		if got, _ := tell(api.OpPoll, a); got.Final() {
 			t.Errorf("cancelled before it is durable: %+v", got)
 		}
-		j := d.state.jobs.get(b.ID)
-		j.setTask(0, taskDone)
+		j := d.state.Jobs.Get(b.ID)
+		j.SetTask(0, cluster.TaskDone)
 		d.finish(j)
 		if got, _ := tell(api.OpPoll, b); got.Final() {
 			t.Errorf("done before it is durable: %+v", got)
@@ -234,7 +235,7 @@
 		for i := range 12 {
 			d.failed(d.accept(arrayJob(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
 			d.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
-			if pause := time.Until(m.quarantinedUntil); pause > 2*s.WorkerLease {
+			if pause := time.Until(m.QuarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
 			}
 		}
@@ -246,20 +247,20 @@
 func TestNoStartLeavesBeforeItsRecordIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		jobs := []*job{d.accept(service("000001", 1)), d.accept(gangOf("000002", 2))}
+		jobs := []*cluster.Job{d.accept(service("000001", 1)), d.accept(gangOf("000002", 2))}
 		d.up(7, "cpu", "a", false)
 		d.placeRound(time.Now())
 		left := func() (n int) {
 			for _, j := range jobs {
-				for _, a := range j.attempts {
-					if a.delivery != deliveryNone {
+				for _, a := range j.Attempts {
+					if a.Delivery != cluster.DeliveryNone {
 						n++
 					}
 				}
 			}
 			return n
 		}
-		if left() != 0 || len(jobs[0].attempts) != 1 || len(jobs[1].attempts) != 2 {
+		if left() != 0 || len(jobs[0].Attempts) != 1 || len(jobs[1].Attempts) != 2 {
 			t.Errorf("%d starts left before their records", left())
 		}
 		d.commit(nil)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "time"
+import (
+	"time"
+
+	"sagevale/internal/cluster"
+)
 
 // A leader that has lost its workers, but neither its peers nor the state
 // service, still gets their reports by way of the peers; its direct orders go
@@ -15,14 +19,14 @@
 )
 
 // noteReachable notes whether a machine that reports could be noteReachable directly.
-func (d *scheduler) noteReachable(m *machine, ok bool, now time.Time) {
+func (d *scheduler) noteReachable(m *cluster.Machine, ok bool, now time.Time) {
 	switch {
 	case ok:
 		clear(d.commandsFailing)
-	case m.lastContact.IsZero() || now.Sub(m.lastContact) > 2*d.settings.HeartbeatInterval:
+	case m.LastContact.IsZero() || now.Sub(m.LastContact) > 2*d.settings.HeartbeatInterval:
 	default:
-		d.commandsFailing[m.id] = true
-		if len(d.commandsFailing) >= min(unreachableMachines, max(1, d.state.machines.count())) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
+		d.commandsFailing[m.ID] = true
+		if len(d.commandsFailing) >= min(unreachableMachines, max(1, d.state.Machines.Count())) && d.sinceHeartbeat() > d.settings.HeartbeatInterval && d.peerHearsWorkers() {
 			d.log.Info("handing over", "unreached", len(d.commandsFailing))
 			clear(d.commandsFailing)
 			d.resignOnce("this node doesn't reach the workers", true)
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/leadership"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -24,21 +25,21 @@
 	if d.terminated[r.Machine] {
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	m := d.state.ensureMachine(r.Machine, now)
-	if m.stale(r) {
+	m := d.state.EnsureMachine(r.Machine, now)
+	if m.Stale(r) {
 		// A late copy: it neither shows the present nor renews the lease.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	first := m.token < d.tokens.First
+	first := m.Token < d.tokens.First
 	d.applyReport(m, r, true, now)
-	m.lastAcknowledged = now
+	m.LastAcknowledged = now
 	if first && r.Token < d.tokens.First {
 		// The worker must have seen our token before its reports prove
 		// anything; telling it directly saves an interval.
 		d.announceToken(m)
 	}
 	d.raiseToken(m)
-	return worker.HeartbeatResponse{Accepted: true, Token: m.fence.Token(), Commands: d.commandsFor(m, r, now)}
+	return worker.HeartbeatResponse{Accepted: true, Token: m.Fence.Token(), Commands: d.commandsFor(m, r, now)}
 }
 
 func (d *scheduler) resignLeadership(reason string) { d.resignOnce(reason, false) }
@@ -59,45 +60,45 @@
 
 // applyReport takes in what a report tells. beat says that it is a report, not the
 // answer to a direct command.
-func (d *scheduler) applyReport(m *machine, r *worker.Report, beat bool, now time.Time) {
-	if m.stale(r) {
+func (d *scheduler) applyReport(m *cluster.Machine, r *worker.Report, beat bool, now time.Time) {
+	if m.Stale(r) {
 		return
 	}
-	if r.Incarnation > m.incarnation {
+	if r.Incarnation > m.Incarnation {
 		d.incarnationEnded(m, r, now)
 	}
-	m.incarnation, m.seq, m.token = r.Incarnation, r.Seq, max(m.token, r.Token)
-	m.fence.ObserveToken(r.Token)
-	if m.typeName != r.Type || m.addr != r.Addr || m.zone != r.Zone {
-		m.addr, m.typeName, m.zone, m.spot, m.machineType = r.Addr, r.Type, r.Zone, r.Spot, d.state.types.get(r.Type)
-		m.recorded = false
+	m.Incarnation, m.Seq, m.Token = r.Incarnation, r.Seq, max(m.Token, r.Token)
+	m.Fence.ObserveToken(r.Token)
+	if m.TypeName != r.Type || m.Addr != r.Addr || m.Zone != r.Zone {
+		m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = r.Addr, r.Type, r.Zone, r.Spot, d.state.Types.Get(r.Type)
+		m.Recorded = false
 	}
-	if !m.recorded {
+	if !m.Recorded {
 		d.markMachine(m)
 	}
-	first := d.tokens.Contains(r.Token) && !m.confirmed && r.Incarnation > m.expiredIncarnation
+	first := d.tokens.Contains(r.Token) && !m.Confirmed && r.Incarnation > m.ExpiredIncarnation
 	if first {
 		// From here on only our own answers renew its lease.
-		m.confirmed, m.lastAcknowledged = true, now
+		m.Confirmed, m.LastAcknowledged = true, now
 		d.noteProvisioned(m, now)
-		if len(m.attempts) == 0 {
-			m.idleSince = now
+		if len(m.Attempts) == 0 {
+			m.IdleSince = now
 		}
-		d.log.Debug("machine ready", "machine", m.id, "type", m.typeName, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.firstSeen))
+		d.log.Debug("machine ready", "machine", m.ID, "type", m.TypeName, "zone", m.Zone, "spot", m.Spot, "after", now.Sub(m.FirstSeen))
 		d.placementDue = true
 	}
-	m.lastContact = now
+	m.LastContact = now
 	if beat {
-		m.lastHeartbeat = now
+		m.LastHeartbeat = now
 	}
-	if r.NoticeSeconds != nil && m.preemptionAt.IsZero() {
-		m.preemptionAt = now.Add(clock.Seconds(*r.NoticeSeconds))
+	if r.NoticeSeconds != nil && m.PreemptionAt.IsZero() {
+		m.PreemptionAt = now.Add(clock.Seconds(*r.NoticeSeconds))
 		d.drain(m, "spot notice")
 	}
-	listed := make(map[attemptKey]bool, len(r.Tasks))
-	m.exited = m.exited[:0]
+	listed := make(map[cluster.AttemptKey]bool, len(r.Tasks))
+	m.Exited = m.Exited[:0]
 	for _, t := range r.Tasks {
-		listed[attemptKey{t.ID, t.Attempt}] = true
+		listed[cluster.AttemptKey{ID: t.ID, Number: t.Attempt}] = true
 		d.applyTaskReport(m, r, t, now)
 	}
 	if first {
@@ -106,42 +107,42 @@
 	if beat {
 		d.watchCompliance(m, r, now)
 	}
-	for _, a := range m.sortedAttempts() {
-		if !listed[attemptKey{a.id(), a.number}] && d.provedAbsent(a, r, beat) {
+	for _, a := range m.SortedAttempts() {
+		if !listed[a.Key()] && d.provedAbsent(a, r, beat) {
 			d.removeAttempt(a, "absent from a newer report")
 		}
 	}
 }
 
 // incarnationEnded clears what an ended session has killed.
-func (d *scheduler) incarnationEnded(m *machine, r *worker.Report, now time.Time) {
-	if m.confirmed && now.Sub(m.lastContact) <= d.settings.ReportFreshness() {
+func (d *scheduler) incarnationEnded(m *cluster.Machine, r *worker.Report, now time.Time) {
+	if m.Confirmed && now.Sub(m.LastContact) <= d.settings.ReportFreshness() {
 		// Its reports came and our answers went nowhere: it is deaf.
-		m.lostIncarnations++
-		m.quarantinedUntil = now.Add(clock.Scale(d.settings.WorkerLease, float64(min(m.lostIncarnations, maxQuarantineLeases))))
-		d.log.Info("machine lost its session", "machine", m.id, "session", r.Incarnation, "lapses", m.lostIncarnations)
+		m.LostIncarnations++
+		m.QuarantinedUntil = now.Add(clock.Scale(d.settings.WorkerLease, float64(min(m.LostIncarnations, maxQuarantineLeases))))
+		d.log.Info("machine lost its session", "machine", m.ID, "session", r.Incarnation, "lapses", m.LostIncarnations)
 	}
-	for _, a := range m.sortedAttempts() {
-		if a.incarnation < r.Incarnation {
+	for _, a := range m.SortedAttempts() {
+		if a.Incarnation < r.Incarnation {
 			d.removeAttempt(a, "a later session")
 		}
 	}
-	m.fence.IncarnationEnded()
-	m.recorded = false
+	m.Fence.IncarnationEnded()
+	m.Recorded = false
 	// The new session's lease began before now. Counting on from the answers
 	// to the one before would call its tasks gone while they run.
-	m.lastAcknowledged = now
+	m.LastAcknowledged = now
 }
 
 // watchCompliance leaves a machine alone whose reports come but which doesn't do as
 // it is told.
-func (d *scheduler) watchCompliance(m *machine, r *worker.Report, now time.Time) {
-	m.unresponsive = false
-	for _, a := range m.attempts {
-		if !a.reported && a.commandedSeq != 0 && r.Seq > a.commandedSeq+1 && now.Sub(a.reservedAt) > 2*d.settings.HeartbeatInterval {
-			m.unresponsive = true
-			m.quarantinedUntil = now.Add(d.settings.ReportFreshness())
-			d.log.Debug("machine takes no orders", "machine", m.id)
+func (d *scheduler) watchCompliance(m *cluster.Machine, r *worker.Report, now time.Time) {
+	m.Unresponsive = false
+	for _, a := range m.Attempts {
+		if !a.Reported && a.CommandedSeq != 0 && r.Seq > a.CommandedSeq+1 && now.Sub(a.ReservedAt) > 2*d.settings.HeartbeatInterval {
+			m.Unresponsive = true
+			m.QuarantinedUntil = now.Add(d.settings.ReportFreshness())
+			d.log.Debug("machine takes no orders", "machine", m.ID)
 			return
 		}
 	}
@@ -149,14 +150,14 @@
 
 // provedAbsent tells whether a newer report without the attempt proves that it
 // neither is on the machine nor can come there.
-func (d *scheduler) provedAbsent(a *attempt, r *worker.Report, beat bool) bool {
+func (d *scheduler) provedAbsent(a *cluster.Attempt, r *worker.Report, beat bool) bool {
 	switch {
-	case !d.tokens.Contains(r.Token) || r.Incarnation != a.incarnation:
+	case !d.tokens.Contains(r.Token) || r.Incarnation != a.Incarnation:
 		return false
-	case !a.thisTerm:
+	case !a.ThisTerm:
 		// An earlier leader's commands are void where our token is known.
 		return true
-	case !a.maybeDelivered() || a.startUnresolved():
+	case !a.MaybeDelivered() || a.StartUnresolved():
 		return false
 	case !beat:
 		// An answer that carries the start may still be on its way.
@@ -164,115 +165,115 @@
 	}
 	// One that was never seen wasn't executed: it is ordered again, under the
 	// same try.
-	return a.reported
+	return a.Reported
 }
 
-func (d *scheduler) applyTaskReport(m *machine, r *worker.Report, t worker.TaskReport, now time.Time) {
-	a := m.attempts[t.ID]
-	if a != nil && a.number == t.Attempt && a.incarnation == r.Incarnation {
-		wasRunning := a.reported && a.state == worker.Running
-		a.reported, a.state = true, t.State
+func (d *scheduler) applyTaskReport(m *cluster.Machine, r *worker.Report, t worker.TaskReport, now time.Time) {
+	a := m.Attempts[t.ID]
+	if a != nil && a.Number == t.Attempt && a.Incarnation == r.Incarnation {
+		wasRunning := a.Reported && a.State == worker.Running
+		a.Reported, a.State = true, t.State
 		switch t.State {
 		case worker.Pulling:
 		case worker.Gathering:
-			if a.gatheringSince.IsZero() {
-				a.gatheringSince = now
+			if a.GatheringSince.IsZero() {
+				a.GatheringSince = now
 			}
-			m.useImage(a.job.spec.Image, a.job.spec.ImageGB, now)
+			m.UseImage(a.Job.Spec.Image, a.Job.Spec.ImageGB, now)
 		case worker.Running, worker.Saving:
-			a.job.gang.started = a.job.spec.Gang
+			a.Job.Gang.Started = a.Job.Spec.Gang
 			if !wasRunning && t.State == worker.Running {
-				a.started = now
-				d.log.Debug("task running", "job", a.job.spec.ID, "class", a.job.spec.Class, "task", a.task, "machine", m.id,
-					"since_submit", now.Sub(a.job.submitted), "since_booking", now.Sub(a.reservedAt))
+				a.Started = now
+				d.log.Debug("task running", "job", a.Job.Spec.ID, "class", a.Job.Spec.Class, "task", a.Task, "machine", m.ID,
+					"since_submit", now.Sub(a.Job.Submitted), "since_booking", now.Sub(a.ReservedAt))
 				d.activation.attemptRunning(a, now)
 			}
-			m.useImage(a.job.spec.Image, a.job.spec.ImageGB, now)
+			m.UseImage(a.Job.Spec.Image, a.Job.Spec.ImageGB, now)
 		case worker.Exited:
 			d.attemptExited(a, t, now)
-			m.exited = append(m.exited, t)
+			m.Exited = append(m.Exited, t)
 		}
 		return
 	}
-	j := d.state.jobs.get(t.ID.Job)
+	j := d.state.Jobs.Get(t.ID.Job)
 	if t.State == worker.Exited {
-		if j != nil && t.Cause == worker.CauseDone && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting {
-			if j.spec.Gang {
+		if j != nil && t.Cause == worker.CauseDone && t.ID.Task < len(j.Tasks) && j.Tasks[t.ID.Task] == cluster.TaskWaiting {
+			if j.Spec.Gang {
 				d.completeGang(j)
 			}
-			j.setTask(t.ID.Task, taskDone)
+			j.SetTask(t.ID.Task, cluster.TaskDone)
 			d.markPage(j, t.ID.Task)
 			d.finish(j)
 		}
-		m.exited = append(m.exited, t)
+		m.Exited = append(m.Exited, t)
 		return
 	}
 	// A live task without a booking: a command from before, executed late.
-	if j != nil && t.ID.Task < len(j.tasks) && j.tasks[t.ID.Task] == taskWaiting && a == nil {
-		d.log.Info("adopting an unbooked task", "machine", m.id, "job", t.ID.Job, "task", t.ID.Task, "try", t.Attempt)
-		a = &attempt{job: j, task: t.ID.Task, number: t.Attempt, machine: m, incarnation: r.Incarnation, reservedAt: now, reported: true, state: t.State}
-		a.stopping = j.phase != storage.Open || !j.mayPlace(now)
+	if j != nil && t.ID.Task < len(j.Tasks) && j.Tasks[t.ID.Task] == cluster.TaskWaiting && a == nil {
+		d.log.Info("adopting an unbooked task", "machine", m.ID, "job", t.ID.Job, "task", t.ID.Task, "try", t.Attempt)
+		a = &cluster.Attempt{Job: j, Task: t.ID.Task, Number: t.Attempt, Machine: m, Incarnation: r.Incarnation, ReservedAt: now, Reported: true, State: t.State}
+		a.Stopping = j.Phase != storage.Open || !j.MayPlace(now)
 		d.addAttempt(a)
-		d.markPage(j, a.task)
+		d.markPage(j, a.Task)
 		return
 	}
-	m.orphans = append(m.orphans, t)
+	m.Orphans = append(m.Orphans, t)
 }
 
 // attemptExited takes in an attempt's end.
-func (d *scheduler) attemptExited(a *attempt, t worker.TaskReport, now time.Time) {
-	j, m := a.job, a.machine
+func (d *scheduler) attemptExited(a *cluster.Attempt, t worker.TaskReport, now time.Time) {
+	j, m := a.Job, a.Machine
 	switch t.Cause {
 	case worker.CauseDone:
-		j.failures.Succeeded()
-		m.failures.Succeeded()
-		d.state.classes.noteRunTime(a, now)
-		if j.spec.Gang {
+		j.Failures.Succeeded()
+		m.Failures.Succeeded()
+		d.state.Classes.NoteRunTime(a, now)
+		if j.Spec.Gang {
 			d.completeGang(j)
 		}
-		j.setTask(a.task, taskDone)
+		j.SetTask(a.Task, cluster.TaskDone)
 	case worker.CausePeers:
-		j.gang.failed = true // the gang's failure, not the machine's
+		j.Gang.Failed = true // the gang's failure, not the machine's
 	case worker.CauseError:
-		a.failed = true
-		if j.gang.failed {
-			m.failures.Failed(j.spec.ID) // the job's was counted with the first of the gang
+		a.Failed = true
+		if j.Gang.Failed {
+			m.Failures.Failed(j.Spec.ID) // the job's was counted with the first of the gang
 		} else {
-			d.failed(j, m, a.reservedAt, now)
+			d.failed(j, m, a.ReservedAt, now)
 		}
-		j.gang.failed = j.gang.failed || j.gang.started
+		j.Gang.Failed = j.Gang.Failed || j.Gang.Started
 	case worker.CauseFull, worker.CauseBusy:
-		m.quarantinedUntil = now.Add(d.settings.HeartbeatInterval)
+		m.QuarantinedUntil = now.Add(d.settings.HeartbeatInterval)
 	case worker.CauseUnknown:
-		j.retryAfter = now.Add(d.settings.HeartbeatInterval)
+		j.RetryAfter = now.Add(d.settings.HeartbeatInterval)
 	}
-	d.log.Debug("attempt ended", "job", j.spec.ID, "task", a.task, "try", a.number, "machine", m.id, "cause", t.Cause, "saved", t.Saved)
+	d.log.Debug("attempt ended", "job", j.Spec.ID, "task", a.Task, "try", a.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
 	d.removeAttempt(a, "ended")
 	d.finish(j)
 }
 
 // addAttempt enters an attempt and reserves its resources.
-func (d *scheduler) addAttempt(a *attempt) {
-	d.state.addAttempt(a)
+func (d *scheduler) addAttempt(a *cluster.Attempt) {
+	d.state.AddAttempt(a)
 	d.activation.attemptReserved(a, time.Now())
 }
 
 // removeAttempt takes out an attempt that is proved absent from its machine, or whose start was never
 // sent, and releases its resources.
-func (d *scheduler) removeAttempt(a *attempt, reason string) {
+func (d *scheduler) removeAttempt(a *cluster.Attempt, reason string) {
 	now := time.Now()
-	if !d.state.removeAttempt(a, now) {
+	if !d.state.RemoveAttempt(a, now) {
 		return
 	}
-	j, m := a.job, a.machine
-	d.markPage(j, a.task)
-	if j.spec.Gang && j.phase == storage.Open {
+	j, m := a.Job, a.Machine
+	d.markPage(j, a.Task)
+	if j.Spec.Gang && j.Phase == storage.Open {
 		d.gangTaskLost(a)
 	}
-	if m.drainReason != "" && len(m.attempts) == 0 {
+	if m.DrainReason != "" && len(m.Attempts) == 0 {
 		d.nextSnapshot = time.Time{} // to be terminated; the next drain waits for it
 	}
-	d.log.Debug("attempt removed", "job", j.spec.ID, "task", a.task, "attempt", a.number, "machine", m.id, "reason", reason)
+	d.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
 	d.activation.attemptRemoved(a, now)
 	d.retire(j)
 	d.placementDue = true
@@ -280,10 +281,10 @@
 
 // stopAttempt has an attempt stopped, with a grace period in which it may save a checkpoint. One that was
 // never sent is removed at once.
-func (d *scheduler) stopAttempt(a *attempt, graceSeconds float64) {
-	if !a.maybeDelivered() {
+func (d *scheduler) stopAttempt(a *cluster.Attempt, graceSeconds float64) {
+	if !a.MaybeDelivered() {
 		d.removeAttempt(a, "stopped before its start")
 		return
 	}
-	d.state.markStopping(a, graceSeconds)
+	d.state.MarkStopping(a, graceSeconds)
 }
--- a/internal/scheduler/lean_test.go
+++ b/internal/scheduler/lean_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/worker"
 )
@@ -122,11 +123,11 @@
 		d.deps.Workers = boundRecorder{sent}
 		m := d.up(7, "cpu", "a", false)
 		a := d.reserve(d.accept(service("000001", 1)), 0, m, time.Now())
-		d.startReserved([]*attempt{a})
+		d.startReserved([]*cluster.Attempt{a})
 		if bound := <-sent; !bound.Equal(d.role.LeaseValidUntil) {
 			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.LeaseValidUntil)
 		}
-		a.reported = true
+		a.Reported = true
 		d.stopAttempt(a, 0)
 		d.commandStops(m)
 		if bound := <-sent; !bound.IsZero() {
--- a/internal/scheduler/lease_guards_test.go
+++ b/internal/scheduler/lease_guards_test.go
@@ -172,11 +172,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(s.RenewalGrace() + s.WorkerLease)
-		if d.expireLeases(time.Now()); len(d.state.jobs.get("000001").attempts) != 1 {
+		if d.expireLeases(time.Now()); len(d.state.Jobs.Get("000001").Attempts) != 1 {
 			t.Error("called empty while an earlier leader's last lease may last")
 		}
 		time.Sleep(time.Second)
-		if d.expireLeases(time.Now()); len(d.state.jobs.get("000001").attempts) != 0 {
+		if d.expireLeases(time.Now()); len(d.state.Jobs.Get("000001").Attempts) != 0 {
 			t.Error("never called empty")
 		}
 	})
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -169,7 +169,7 @@
 	n.beginArchive(ctx, d, role)
 	journal.OnEncodingNeeded(func() { u.requestUse(upgrade.CompressedChunks) })
 	journal.SetEncoding(encodingOf(role.Cluster.Record))
-	log.Info("take-over", "jobs", d.state.jobs.count(), "machines", d.state.machines.count(), "attempts", d.state.reservations.Attempts(), "took", time.Since(started))
+	log.Info("take-over", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(), "attempts", d.state.Reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
 	d.lifetime, c.ctx = gctx, gctx // before any of the actors can speak to another
 	g.Go(func() error { return journal.Run(gctx) })
--- a/internal/scheduler/offering.go
+++ /dev/null
@@ -1,8 +0,0 @@
-package scheduler
-
-// offering is a kind of machine that the cloud may launch.
-type offering struct {
-	typeName string
-	zone     string
-	spot     bool
-}
--- a/internal/scheduler/opportunistic.go
+++ b/internal/scheduler/opportunistic.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
@@ -26,10 +28,10 @@
 func opportunisticShare(jobs int) int { return max(1, maxPlacementsPerRound/max(1, jobs)) }
 
 // opportunisticWaiting counts the opportunistic jobs among those that wait.
-func (d *scheduler) opportunisticWaiting(waiting []*job) int {
+func (d *scheduler) opportunisticWaiting(waiting []*cluster.Job) int {
 	n := 0
 	for _, j := range waiting {
-		if d.settings.IsOpportunistic(&j.spec) {
+		if d.settings.IsOpportunistic(&j.Spec) {
 			n++
 		}
 	}
@@ -46,34 +48,34 @@
 			if s == nil {
 				break
 			}
-			s.free = s.free.Sub(kept.job.spec.Resources)
-			zones.add(s.zone, 1)
+			s.free = s.free.Sub(kept.job.Spec.Resources)
+			zones.add(s.Zone, 1)
 		}
 	}
 }
 
 // minimumAllocationDue tells whether an opportunistic job has waited so long for its first place that a
 // machine of any price is rented for it.
-func (d *scheduler) minimumAllocationDue(j *job, now time.Time) bool {
-	return j.allocated() == 0 && now.Sub(j.submitted) > minimumAllocationLeases*d.settings.WorkerLease
+func (d *scheduler) minimumAllocationDue(j *cluster.Job, now time.Time) bool {
+	return j.Allocated() == 0 && now.Sub(j.Submitted) > minimumAllocationLeases*d.settings.WorkerLease
 }
 
 // placePrice is what a machine of an offer costs for each task of that room.
-func (d *scheduler) placePrice(o offering, room storage.Resources) float64 {
-	typ := d.state.types.get(o.typeName)
+func (d *scheduler) placePrice(o cloud.Offering, room storage.Resources) float64 {
+	typ := d.state.Types.Get(o.Type)
 	price := typ.Price
-	if o.spot {
+	if o.Spot {
 		price = typ.SpotPrice
 	}
 	return price / float64(fitCount(typ.Resources, room))
 }
 
 // leastPlacePrice is the least price of a task's place among the machines that a job may use.
-func (d *scheduler) leastPlacePrice(j *job) float64 {
+func (d *scheduler) leastPlacePrice(j *cluster.Job) float64 {
 	least := 0.0
-	for _, kind := range d.state.feasibleTypes(j) {
-		spot := j.spec.Spot && d.state.types.get(kind).SpotPrice > 0
-		if price := d.placePrice(offering{typeName: kind, spot: spot}, j.spec.Resources); least == 0 || price < least {
+	for _, kind := range d.state.FeasibleTypes(j) {
+		spot := j.Spec.Spot && d.state.Types.Get(kind).SpotPrice > 0
+		if price := d.placePrice(cloud.Offering{Type: kind, Spot: spot}, j.Spec.Resources); least == 0 || price < least {
 			least = price
 		}
 	}
@@ -82,6 +84,6 @@
 
 // cheapFor tells whether machines of an offer are cheap enough to be rented, or kept, for an
 // opportunistic job.
-func (d *scheduler) cheapFor(o offering, j *job) bool {
-	return d.placePrice(o, j.spec.Resources) <= opportunisticPrice*d.leastPlacePrice(j)
+func (d *scheduler) cheapFor(o cloud.Offering, j *cluster.Job) bool {
+	return d.placePrice(o, j.Spec.Resources) <= opportunisticPrice*d.leastPlacePrice(j)
 }
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -51,7 +53,7 @@
 		j := d.accept(idleJob("000001", 40))
 		wanted := func() (cheap, dear int) {
 			for _, o := range d.trialPacking().desired {
-				if o.typeName == "cpu" && o.spot {
+				if o.Type == "cpu" && o.Spot {
 					cheap++
 				} else {
 					dear++
@@ -64,7 +66,7 @@
 		}
 		refuse := func() {
 			for _, zone := range []string{"a", "b"} {
-				d.rejectedOfferings[offering{"cpu", zone, true}] = time.Now()
+				d.rejectedOfferings[cloud.Offering{Type: "cpu", Zone: zone, Spot: true}] = time.Now()
 			}
 		}
 		refuse()
@@ -78,7 +80,7 @@
 		}
 		m := d.up(1, "cpu", "a", false)
 		d.reserve(j, 0, m, time.Now())
-		m.machineType = nil // its room isn't of interest here
+		m.Type = nil // its room isn't of interest here
 		if cheap, dear := wanted(); cheap+dear != 0 {
 			t.Errorf("%d machines for a job that has begun", cheap+dear)
 		}
@@ -94,19 +96,19 @@
 		d.up(3, "gpu", "a", false)
 		training := service("000001", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
-		d.addAttempt(&attempt{job: d.accept(training), task: 0, number: 1, machine: d.state.machines.get(3), incarnation: 1, thisTerm: true, reported: true})
+		d.addAttempt(&cluster.Attempt{Job: d.accept(training), Task: 0, Number: 1, Machine: d.state.Machines.Get(3), Incarnation: 1, ThisTerm: true, Reported: true})
 		d.perGPU, d.perGPUAt = storage.Resources{CPUs: 8}, time.Now()
-		kept := newJob(service("000002", 1), time.Now())
+		kept := cluster.NewJob(service("000002", 1), time.Now())
 		d.keptHeadroom = []*demand{{job: kept, zones: newZoneCheck(kept), n: 2, headroom: true}}
 		idle := d.accept(idleJob("000003", 100))
 		for range 3 {
 			d.placeRound(time.Now())
 		}
-		if on := len(d.state.machines.get(3).attempts); on != 1 {
+		if on := len(d.state.Machines.Get(3).Attempts); on != 1 {
 			t.Errorf("%d idle tasks beside accelerators that need the processors", on-1)
 		}
-		if idle.allocated() != 3 {
-			t.Errorf("%d idle tasks on two machines of two places each, one of which is kept", idle.allocated())
+		if idle.Allocated() != 3 {
+			t.Errorf("%d idle tasks on two machines of two places each, one of which is kept", idle.Allocated())
 		}
 	})
 }
@@ -118,7 +120,7 @@
 		d := newTestDispatcher(t, grownSettings())
 		d.accept(idleJob("000001", 4000))
 		m := d.up(1, "gpu", "a", false) // with nothing to do
-		time.Sleep(clock.Seconds(idlePerBoot*m.machineType.BootS) + time.Second)
+		time.Sleep(clock.Seconds(cluster.IdlePerBoot*m.Type.BootS) + time.Second)
 		d.up(1, "gpu", "a", false)
 		v := d.snapshotFleet(time.Now())
 		if len(v.desired) != config.MaxLaunchMachines || v.nonOpportunistic != 0 {
@@ -138,7 +140,7 @@
 func TestOpportunisticJobsShareEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		var jobs []*job
+		var jobs []*cluster.Job
 		for i := range 4 {
 			jobs = append(jobs, d.accept(idleJob(fmt.Sprintf("00000%d", i), 1000)))
 			time.Sleep(time.Second)
@@ -154,12 +156,12 @@
 				d.placeRound(time.Now())
 			}
 		}
-		if hurried.allocated() != 1 {
+		if hurried.Allocated() != 1 {
 			t.Error("a job with a deadline waits behind opportunistic work")
 		}
 		for _, j := range jobs {
-			if n := j.allocated(); n < 30 || n > 60 {
-				t.Errorf("job %s has %d of some 160 places", j.spec.ID, n)
+			if n := j.Allocated(); n < 30 || n > 60 {
+				t.Errorf("job %s has %d of some 160 places", j.Spec.ID, n)
 			}
 		}
 	})
@@ -176,15 +178,15 @@
 				m := d.up(1, "cpu", "a", true)
 				idle := d.accept(idleJob("000001", 2))
 				for i := range 2 {
-					d.addAttempt(&attempt{job: idle, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
+					d.addAttempt(&cluster.Attempt{Job: idle, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 				}
 				spec := idleJob("000002", 1)
 				spec.Team, spec.DeadlineS = "home", 600
 				d.accept(spec)
 				d.placeRound(time.Now())
 				stopped := 0
-				for _, a := range idle.attempts {
-					if a.stopping {
+				for _, a := range idle.Attempts {
+					if a.Stopping {
 						stopped++
 					}
 				}
@@ -208,7 +210,7 @@
 			m := d.up(1, "cpu", "a", spot)
 			spec := idleJob("000001", 1)
 			spec.CheckpointS, spec.SaveS = 30, 3
-			d.addAttempt(&attempt{job: d.accept(spec), task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
+			d.addAttempt(&cluster.Attempt{Job: d.accept(spec), Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 			p := d.trialPacking()
 			if surplus := len(d.findSurplus(p, time.Now())) > 0; surplus == spot {
 				t.Errorf("spot %v: surplus %v", spot, surplus)
--- a/internal/scheduler/packing.go
+++ b/internal/scheduler/packing.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 )
@@ -21,9 +23,9 @@
 	candidates    []*candidate
 	zones         []string
 	exhausted     exhaustedShapes
-	desired       []offering // machines that would hold what found no candidate
-	maxDesired    int        // the most that may be wanted
-	opportunistic int        // of them for opportunistic work, the last
+	desired       []cloud.Offering // machines that would hold what found no candidate
+	maxDesired    int              // the most that may be wanted
+	opportunistic int              // of them for opportunistic work, the last
 	sizes         map[string]int
 }
 
@@ -33,21 +35,21 @@
 // machine were up.
 func (d *scheduler) shortage(p *packing, demands []*demand, size int, now time.Time) {
 	p.zones, p.maxDesired, p.sizes = zonesOf(p.candidates), desiredSteps*d.settings.Tuning.MaxScaleOut(size), make(map[string]int)
-	for _, m := range d.state.machines.inOrder() {
-		p.sizes[m.zone]++
+	for _, m := range d.state.Machines.InOrder() {
+		p.sizes[m.Zone]++
 	}
 	e := &batchBacklog{places: d.batchPlaces(), expected: d.expectedBatchTasks(now)}
 	late := make(map[string]*provisioningHedge)
 	for i := 0; i < len(demands); i++ {
 		dm := demands[i]
 		coming := d.pack(p, dm, e, now)
-		if !dm.job.spec.Service || dm.headroom || coming == 0 {
+		if !dm.job.Spec.Service || dm.headroom || coming == 0 {
 			continue
 		}
-		l := late[dm.job.spec.Class]
+		l := late[dm.job.Spec.Class]
 		if l == nil {
 			l = &provisioningHedge{}
-			late[dm.job.spec.Class] = l
+			late[dm.job.Spec.Class] = l
 		}
 		if extra := l.extra(coming, d.perMachine(dm.job)); extra > 0 {
 			demands = append(demands, headroomDemand(dm.job, extra))
@@ -74,10 +76,10 @@
 }
 
 // perMachine is how many tasks of the job the best filled type holds.
-func (d *scheduler) perMachine(j *job) float64 {
+func (d *scheduler) perMachine(j *cluster.Job) float64 {
 	n := 1
-	for _, name := range d.state.feasibleTypes(j) {
-		n = max(n, fitCount(d.state.types.get(name).Resources, j.spec.Resources))
+	for _, name := range d.state.FeasibleTypes(j) {
+		n = max(n, fitCount(d.state.Types.Get(name).Resources, j.Spec.Resources))
 	}
 	return float64(n)
 }
@@ -92,7 +94,7 @@
 // pack puts a demand's tasks into candidates, wanting new ones where it must, and
 // returns how many count on machines that aren't up yet.
 func (d *scheduler) pack(p *packing, dm *demand, e *batchBacklog, now time.Time) (coming int) {
-	if s := &dm.job.spec; s.Gang && s.SameZone && len(dm.job.attempts) == 0 {
+	if s := &dm.job.Spec; s.Gang && s.SameZone && len(dm.job.Attempts) == 0 {
 		if zone := gangZone(p.candidates, dm); zone != "" {
 			dm.zones.add(zone, 1) // all of it there
 		}
@@ -102,10 +104,10 @@
 			coming += s.put(dm, e)
 			continue
 		}
-		if dm.runS > 0 && e.places > 0 && !dm.job.spec.Gang {
+		if dm.runS > 0 && e.places > 0 && !dm.job.Spec.Gang {
 			// What usually comes takes its places before the backlog does.
 			left := max(float64(e.places)-e.expected, minBacklogShare*float64(e.places))
-			if float64(e.behind+dm.n)*dm.runS/left < d.state.minBootSeconds(dm.job) {
+			if float64(e.behind+dm.n)*dm.runS/left < d.state.MinBootSeconds(dm.job) {
 				break
 			}
 		}
@@ -124,8 +126,8 @@
 				dm.n = 1
 			}
 		}
-		typ := d.state.types.get(o.typeName)
-		if dm.job.spec.Resources.GPUs == 0 && typ.Resources.GPUs > 0 {
+		typ := d.state.Types.Get(o.Type)
+		if dm.job.Spec.Resources.GPUs == 0 && typ.Resources.GPUs > 0 {
 			// Only the dear kind is left: first count on those that boot anyway.
 			if s := d.fullest(p.candidates, dm.job, &dm.zones, anyCandidate); s != nil {
 				coming += s.put(dm, e)
@@ -136,10 +138,10 @@
 		if dm.opportunistic {
 			p.opportunistic++
 		}
-		p.sizes[o.zone]++
-		p.candidates = append(p.candidates, &candidate{offering: o, machineType: typ, free: typ.Resources, booting: true, forCPUOnly: dm.job.spec.Resources.GPUs == 0})
-		if !slices.Contains(p.zones, o.zone) {
-			p.zones = append(p.zones, o.zone)
+		p.sizes[o.Zone]++
+		p.candidates = append(p.candidates, &candidate{Offering: o, machineType: typ, free: typ.Resources, booting: true, forCPUOnly: dm.job.Spec.Resources.GPUs == 0})
+		if !slices.Contains(p.zones, o.Zone) {
+			p.zones = append(p.zones, o.Zone)
 		}
 	}
 	if dm.runS > 0 {
@@ -151,9 +153,9 @@
 // put packs one task of a demand here and returns 1 if it counts on a machine
 // that isn't up yet.
 func (s *candidate) put(dm *demand, e *batchBacklog) int {
-	s.free = s.free.Sub(dm.job.spec.Resources)
+	s.free = s.free.Sub(dm.job.Spec.Resources)
 	s.packed = append(s.packed, dm)
-	dm.zones.add(s.zone, 1)
+	dm.zones.add(s.Zone, 1)
 	dm.n--
 	if dm.runS > 0 {
 		e.places++
@@ -171,15 +173,15 @@
 // told yet, more may come than there are places.
 func (d *scheduler) expectedBatchTasks(now time.Time) float64 {
 	n := 0.0
-	for _, c := range d.state.classes.all() {
-		if c.latest.spec.Service || d.settings.IsOpportunistic(&c.latest.spec) {
+	for _, c := range d.state.Classes.All() {
+		if c.Latest.Spec.Service || d.settings.IsOpportunistic(&c.Latest.Spec) {
 			continue
 		}
-		rate := d.state.classes.arrivalRate(c, d.settings.WorkerLease, now)
+		rate := d.state.Classes.ArrivalRate(c, d.settings.WorkerLease, now)
 		if rate.WindowS == 0 {
 			return math.Inf(1)
 		}
-		n += rate.Expected(c.typicalRunSeconds(), 0)
+		n += rate.Expected(c.TypicalRunSeconds(), 0)
 	}
 	return n
 }
@@ -187,9 +189,9 @@
 // batchPlaces counts the places that ending work holds now.
 func (d *scheduler) batchPlaces() int {
 	n := 0
-	for _, j := range d.state.jobs.open {
-		if !j.spec.Service && !d.settings.IsOpportunistic(&j.spec) {
-			n += len(j.attempts)
+	for _, j := range d.state.Jobs.Open {
+		if !j.Spec.Service && !d.settings.IsOpportunistic(&j.Spec) {
+			n += len(j.Attempts)
 		}
 	}
 	return n
@@ -211,18 +213,18 @@
 
 // mayAwaitMachine tells whether a task without accelerators may count on the candidate's
 // machine if it has some: smaller machines come sooner and cost little.
-func (d *scheduler) mayAwaitMachine(s *candidate, j *job) bool {
-	return !s.booting || !j.spec.Service || j.spec.Resources.GPUs > 0 || s.machineType.Resources.GPUs == 0
+func (d *scheduler) mayAwaitMachine(s *candidate, j *cluster.Job) bool {
+	return !s.booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || s.machineType.Resources.GPUs == 0
 }
 
 // anyCandidate takes any candidate that has the room.
-func anyCandidate(*candidate, *job) bool { return true }
+func anyCandidate(*candidate, *cluster.Job) bool { return true }
 
 // fullest finds the fullest candidate for a task of the job, among those that suit.
 // A task without accelerators must leave enough of the rest for those that are
 // free, but on a machine that is rented for such tasks.
-func (d *scheduler) fullest(candidates []*candidate, j *job, zones *zoneCheck, suits func(*candidate, *job) bool) *candidate {
-	room := j.spec.Resources
+func (d *scheduler) fullest(candidates []*candidate, j *cluster.Job, zones *zoneCheck, suits func(*candidate, *cluster.Job) bool) *candidate {
+	room := j.Spec.Resources
 	var best *candidate
 	bestFree := 0.0
 	for _, s := range candidates {
@@ -230,7 +232,7 @@
 			continue
 		}
 		f := s.free.CPUs/s.machineType.Resources.CPUs + 2*s.free.GPUs
-		if j.spec.Spot && !s.spot {
+		if j.Spec.Spot && !s.Spot {
 			f += 100
 		}
 		if best == nil || f < bestFree {
@@ -243,21 +245,21 @@
 // bestOffering finds the machine that holds what is left of a demand at the least
 // price a task, among those that the cloud hasn't refused lately. Those that were rented and
 // didn't come up are taken if there are no others.
-func (d *scheduler) bestOffering(p *packing, dm *demand, now time.Time) (offering, bool) {
-	best, ok := d.cheapestOffering(p, dm, now, func(o offering) bool { return !d.failsToProvision(o, now) })
+func (d *scheduler) bestOffering(p *packing, dm *demand, now time.Time) (cloud.Offering, bool) {
+	best, ok := d.cheapestOffering(p, dm, now, func(o cloud.Offering) bool { return !d.failsToProvision(o, now) })
 	if !ok {
-		best, ok = d.cheapestOffering(p, dm, now, func(offering) bool { return true })
+		best, ok = d.cheapestOffering(p, dm, now, func(cloud.Offering) bool { return true })
 	}
 	return best, ok
 }
 
 // cheapestOffering is the cheapest of the offers that suit.
-func (d *scheduler) cheapestOffering(p *packing, dm *demand, now time.Time, suits func(offering) bool) (offering, bool) {
-	s := &dm.job.spec
-	var best offering
+func (d *scheduler) cheapestOffering(p *packing, dm *demand, now time.Time, suits func(cloud.Offering) bool) (cloud.Offering, bool) {
+	s := &dm.job.Spec
+	var best cloud.Offering
 	bestCost := math.Inf(1)
-	for _, name := range d.state.feasibleTypes(dm.job) {
-		t := d.state.types.get(name)
+	for _, name := range d.state.FeasibleTypes(dm.job) {
+		t := d.state.Types.Get(name)
 		fit := fitCount(t.Resources, s.Resources)
 		for _, zone := range t.Zones {
 			if !dm.zones.allows(zone) {
@@ -267,7 +269,7 @@
 				if spot && (!s.Spot || t.SpotPrice <= 0) || !spot && dm.headroom && s.Spot {
 					continue
 				}
-				o := offering{name, zone, spot}
+				o := cloud.Offering{Type: name, Zone: zone, Spot: spot}
 				if at, ok := d.rejectedOfferings[o]; ok && now.Sub(at) < d.settings.WorkerLease || !suits(o) {
 					continue
 				}
@@ -276,7 +278,7 @@
 					price = t.SpotPrice
 				}
 				cost := price / float64(min(fit, dm.n))
-				cost *= 1 + 0.02*float64(p.sizes[zone])/float64(1+d.state.machines.count())
+				cost *= 1 + 0.02*float64(p.sizes[zone])/float64(1+d.state.Machines.Count())
 				if cost < bestCost {
 					best, bestCost = o, cost
 				}
--- a/internal/scheduler/paired_guards_test.go
+++ b/internal/scheduler/paired_guards_test.go
@@ -35,8 +35,8 @@
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
-		if d.state.jobs.count() != 1 || d.queue.Waiting(groupcommit.Interactive) != 0 || d.state.jobs.get("000001").phase != storage.Open {
-			t.Errorf("%d jobs, %d records to write", d.state.jobs.count(), d.queue.Waiting(groupcommit.Interactive))
+		if d.state.Jobs.Count() != 1 || d.queue.Waiting(groupcommit.Interactive) != 0 || d.state.Jobs.Get("000001").Phase != storage.Open {
+			t.Errorf("%d jobs, %d records to write", d.state.Jobs.Count(), d.queue.Waiting(groupcommit.Interactive))
 		}
 	})
 }
@@ -53,15 +53,15 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		m := d.state.machines.get(7)
+		m := d.state.Machines.Get(7)
 		for seq, token := range []uint64{d.term - 1, d.term - 1, d.term} {
-			if len(m.attempts) != 1 {
+			if len(m.Attempts) != 1 {
 				t.Fatalf("freed by a report under token %d", token)
 			}
 			d.handleHeartbeat(&worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: uint64(seq + 1), Token: token})
 		}
-		if len(m.attempts) != 0 || *m.reserved != (storage.Resources{}) {
-			t.Errorf("%d attempts and %+v are still booked", len(m.attempts), *m.reserved)
+		if len(m.Attempts) != 0 || *m.Reserved != (storage.Resources{}) {
+			t.Errorf("%d attempts and %+v are still booked", len(m.Attempts), *m.Reserved)
 		}
 	})
 }
--- a/internal/scheduler/provisioning.go
+++ b/internal/scheduler/provisioning.go
@@ -6,6 +6,8 @@
 
 	"sagevale/internal/boots"
 	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 )
 
 const (
@@ -22,12 +24,12 @@
 // whether machines come at all.
 type provisioningHistory struct {
 	types     map[string]*boots.History
-	offerings map[offering]*boots.History
+	offerings map[cloud.Offering]*boots.History
 	slowness  map[string]float64 // by type, as of the last snapshot
 }
 
 func newProvisioningHistory() *provisioningHistory {
-	return &provisioningHistory{types: make(map[string]*boots.History), offerings: make(map[offering]*boots.History), slowness: make(map[string]float64)}
+	return &provisioningHistory{types: make(map[string]*boots.History), offerings: make(map[cloud.Offering]*boots.History), slowness: make(map[string]float64)}
 }
 
 // ofType is the history of a type's boots.
@@ -39,50 +41,48 @@
 }
 
 // ofOffering is the history of the boots of machines rented by an offer.
-func (b *provisioningHistory) ofOffering(o offering) *boots.History {
+func (b *provisioningHistory) ofOffering(o cloud.Offering) *boots.History {
 	if b.offerings[o] == nil {
 		b.offerings[o] = &boots.History{}
 	}
 	return b.offerings[o]
 }
 
-func (m *machine) offering() offering { return offering{m.typeName, m.zone, m.spot} }
-
 // provisioningRatio is how many times its boot time a machine has had.
-func (m *machine) provisioningRatio(now time.Time) float64 {
-	return now.Sub(m.firstSeen).Seconds() / m.machineType.BootS
+func provisioningRatio(m *cluster.Machine, now time.Time) float64 {
+	return now.Sub(m.FirstSeen).Seconds() / m.Type.BootS
 }
 
 // noteProvisioned takes in that a machine has come up whose rental was seen.
-func (d *scheduler) noteProvisioned(m *machine, now time.Time) {
-	if !m.provisioningObserved || m.machineType == nil || m.machineType.BootS <= 0 {
+func (d *scheduler) noteProvisioned(m *cluster.Machine, now time.Time) {
+	if !m.ProvisioningObserved || m.Type == nil || m.Type.BootS <= 0 {
 		return
 	}
-	m.provisioningObserved = false // once
-	d.provisioning.ofType(m.typeName).RecordProvisioned(now, m.provisioningRatio(now))
-	d.provisioning.ofOffering(m.offering()).RecordProvisioned(now, m.provisioningRatio(now))
+	m.ProvisioningObserved = false // once
+	d.provisioning.ofType(m.TypeName).RecordProvisioned(now, provisioningRatio(m, now))
+	d.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
 // noteAbandoned takes in that a machine is returned because it hasn't come up.
-func (d *scheduler) noteAbandoned(m *machine, now time.Time) {
-	if !m.provisioningObserved || !m.lastContact.IsZero() || m.machineType.BootS <= 0 {
+func (d *scheduler) noteAbandoned(m *cluster.Machine, now time.Time) {
+	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
 	}
-	m.provisioningObserved = false
-	d.provisioning.ofType(m.typeName).RecordAbandoned(now, m.provisioningRatio(now))
-	d.provisioning.ofOffering(m.offering()).RecordAbandoned(now, m.provisioningRatio(now))
+	m.ProvisioningObserved = false
+	d.provisioning.ofType(m.TypeName).RecordAbandoned(now, provisioningRatio(m, now))
+	d.provisioning.ofOffering(m.Offering()).RecordAbandoned(now, provisioningRatio(m, now))
 }
 
 // updateSlowness reckons, type by type, how slow boots are.
 func (d *scheduler) updateSlowness(now time.Time) {
 	late := make(map[string][]float64)
-	for _, m := range d.state.machines.inOrder() {
-		if m.provisioningObserved && m.lastContact.IsZero() && m.machineType != nil && m.machineType.BootS > 0 && !m.terminating && m.provisioningRatio(now) > 1 {
-			late[m.typeName] = append(late[m.typeName], m.provisioningRatio(now))
+	for _, m := range d.state.Machines.InOrder() {
+		if m.ProvisioningObserved && m.LastContact.IsZero() && m.Type != nil && m.Type.BootS > 0 && !m.Terminating && provisioningRatio(m, now) > 1 {
+			late[m.TypeName] = append(late[m.TypeName], provisioningRatio(m, now))
 		}
 	}
-	for _, kind := range d.state.types.all() {
-		typ := d.state.types.get(kind)
+	for _, kind := range d.state.Types.All() {
+		typ := d.state.Types.Get(kind)
 		slowness := d.provisioning.ofType(kind).Slowness(now, clock.Seconds(typ.BootS), late[kind])
 		if slowness > 1 && d.provisioning.slowness[kind] <= 1 {
 			d.log.Info("machines boot slowly", "type", kind, "times", slowness)
@@ -92,35 +92,35 @@
 }
 
 // provisioningExceeds tells whether a machine has had so many times its boot time.
-func (m *machine) provisioningExceeds(now time.Time, times float64) bool {
-	return m.machineType != nil && now.Sub(m.firstSeen) > clock.Seconds(m.machineType.BootS*times)+firstReportGrace
+func provisioningExceeds(m *cluster.Machine, now time.Time, times float64) bool {
+	return m.Type != nil && now.Sub(m.FirstSeen) > clock.Seconds(m.Type.BootS*times)+firstReportGrace
 }
 
 // provisioningOverdue tells whether a machine that isn't up no longer counts as coming. Where all boots of
 // its type are slow another would come no sooner; but they may be such as never come, so it
 // counts for longer by the root of how slow they are.
-func (d *scheduler) provisioningOverdue(m *machine, now time.Time) bool {
-	return m.provisioningExceeds(now, overdueRatio*math.Sqrt(max(1, d.provisioning.slowness[m.typeName])))
+func (d *scheduler) provisioningOverdue(m *cluster.Machine, now time.Time) bool {
+	return provisioningExceeds(m, now, overdueRatio*math.Sqrt(max(1, d.provisioning.slowness[m.TypeName])))
 }
 
 // provisioningFailed tells whether a machine that isn't up is returned.
-func (d *scheduler) provisioningFailed(m *machine, now time.Time) bool {
-	return m.provisioningExceeds(now, abandonRatio*max(1, d.provisioning.slowness[m.typeName]))
+func (d *scheduler) provisioningFailed(m *cluster.Machine, now time.Time) bool {
+	return provisioningExceeds(m, now, abandonRatio*max(1, d.provisioning.slowness[m.TypeName]))
 }
 
 // failsToProvision tells whether machines of an offer were rented of late and mostly didn't come up.
-func (d *scheduler) failsToProvision(o offering, now time.Time) bool {
+func (d *scheduler) failsToProvision(o cloud.Offering, now time.Time) bool {
 	history := d.provisioning.offerings[o]
-	return history != nil && history.Failing(now, clock.Seconds(d.state.types.get(o.typeName).BootS))
+	return history != nil && history.Failing(now, clock.Seconds(d.state.Types.Get(o.Type).BootS))
 }
 
 // abandoned tells whether a machine is let go that isn't heard: one that was up
 // once it has been silent for a lease and as long as another takes to boot, for
 // behind a cut it may be back sooner than that; one that never was up when it
 // is far overdue.
-func (d *scheduler) abandoned(m *machine, now time.Time) bool {
-	if m.lastContact.IsZero() {
+func (d *scheduler) abandoned(m *cluster.Machine, now time.Time) bool {
+	if m.LastContact.IsZero() {
 		return d.provisioningFailed(m, now)
 	}
-	return now.Sub(m.lastContact) > d.settings.WorkerLease+clock.Seconds(m.machineType.BootS)
+	return now.Sub(m.LastContact) > d.settings.WorkerLease+clock.Seconds(m.Type.BootS)
 }
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -5,6 +5,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/cloud"
 	"sagevale/internal/storage"
 )
 
@@ -57,14 +58,14 @@
 		}
 		time.Sleep(15 * time.Second)
 		v := d.snapshotFleet(time.Now())
-		if len(v.lost) != 0 || !d.provisioningOverdue(d.state.machines.get(1), time.Now()) {
-			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.provisioningOverdue(d.state.machines.get(1), time.Now()))
+		if len(v.lost) != 0 || !d.provisioningOverdue(d.state.Machines.Get(1), time.Now()) {
+			t.Errorf("after two boots %v are lost; overdue %v", v.lost, d.provisioningOverdue(d.state.Machines.Get(1), time.Now()))
 		}
 		time.Sleep(6 * time.Second)
 		if v := d.snapshotFleet(time.Now()); len(v.lost) != 2 {
 			t.Errorf("%v are returned, not two", v.lost)
 		}
-		if d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
+		if d.failsToProvision(cloud.Offering{Type: "cpu", Zone: "a", Spot: false}, time.Now()) {
 			t.Error("an offer that mostly delivers is avoided")
 		}
 		d.terminateMachines([]int{1, 2})
@@ -72,17 +73,17 @@
 		time.Sleep(2 * time.Minute)
 		d.snapshotFleet(time.Now())
 		d.accept(service("000001", 400))
-		if !d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
+		if !d.failsToProvision(cloud.Offering{Type: "cpu", Zone: "a", Spot: false}, time.Now()) {
 			t.Error("an offer that doesn't deliver isn't avoided")
 		}
 		for _, o := range d.trialPacking().desired {
-			if o.zone == "a" {
+			if o.Zone == "a" {
 				t.Errorf("%+v is rented though it doesn't deliver", o)
 				break
 			}
 		}
 		time.Sleep(6 * time.Minute)
-		if d.failsToProvision(offering{"cpu", "a", false}, time.Now()) {
+		if d.failsToProvision(cloud.Offering{Type: "cpu", Zone: "a", Spot: false}, time.Now()) {
 			t.Error("an offer is avoided for good")
 		}
 	})
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/leadership"
@@ -38,7 +40,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d.state.setTypes(testTypes)
+	d.state.SetTypes(testTypes)
 	d.machinesListed = true
 	return d
 }
@@ -72,25 +74,25 @@
 }
 
 // up makes a machine that has just reported under the present token.
-func (d *scheduler) up(id int, kind, zone string, spot bool) *machine {
-	m := d.state.ensureMachine(id, time.Now())
-	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, true, time.Now())
+func (d *scheduler) up(id int, kind, zone string, spot bool) *cluster.Machine {
+	m := d.state.EnsureMachine(id, time.Now())
+	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, true, time.Now())
 	return m
 }
 
 // accept enters a job as if its acceptance were durable.
-func (d *scheduler) accept(spec storage.Spec) *job {
-	j := newJob(spec, time.Now())
-	j.acknowledged = true
-	d.state.jobs.insert(j)
-	d.state.classes.noteArrival(j)
+func (d *scheduler) accept(spec storage.Spec) *cluster.Job {
+	j := cluster.NewJob(spec, time.Now())
+	j.Acknowledged = true
+	d.state.Jobs.AddOpen(j)
+	d.state.Classes.NoteArrival(j)
 	return j
 }
 
 // trialPacking makes one trial packing of all that waits and is to be kept.
 func (d *scheduler) trialPacking() *packing {
 	p := &packing{exhausted: make(exhaustedShapes), candidates: d.readyCandidates(time.Now())}
-	d.shortage(p, d.demands(time.Now()), d.state.machines.count(), time.Now())
+	d.shortage(p, d.demands(time.Now()), d.state.Machines.Count(), time.Now())
 	return p
 }
 
@@ -103,9 +105,9 @@
 // The cloud calls a rental of more than fifty machines malformed, and that
 // looked like a type that is sold out.
 func TestRentalsStayWithinWhatTheCloudTakes(t *testing.T) {
-	var wanted []offering
+	var wanted []cloud.Offering
 	for i := range 173 {
-		wanted = append(wanted, offering{"gpu", []string{"a", "b"}[i%2], i%5 == 0})
+		wanted = append(wanted, cloud.Offering{Type: "gpu", Zone: []string{"a", "b"}[i%2], Spot: i%5 == 0})
 	}
 	total := 0
 	for _, h := range launchesFor(wanted) {
@@ -171,18 +173,18 @@
 func TestRoomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		d.state.classes.firstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
+		d.state.Classes.FirstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 		for i := range 4 {
 			d.up(i+1, "cpu", "a", false) // ample room, all in one zone
 		}
 		j := d.accept(spread("000001", 4))
 		for i := range 4 {
-			d.addAttempt(&attempt{job: j, task: i, number: uint64(i), machine: d.up(10+i, "gpu", "b", false), incarnation: 1, thisTerm: true, reported: true})
+			d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: uint64(i), Machine: d.up(10+i, "gpu", "b", false), Incarnation: 1, ThisTerm: true, Reported: true})
 		}
 		d.perGPU, d.perGPUAt = storage.Resources{CPUs: 8}, time.Now() // nothing to spare beside accelerators
 		var inB int
 		for _, o := range d.trialPacking().desired {
-			if o.zone == "b" {
+			if o.Zone == "b" {
 				inB++
 			}
 		}
@@ -219,12 +221,12 @@
 		r.zones = zonesOf(r.candidates)
 		d.placeJob(j, r)
 		zones := newZoneCheck(j)
-		if len(r.reserved) != 400 || r.exhausted.from(j.shape(), &zones, r.zones) != len(r.candidates) {
-			t.Fatalf("%d booked, searched up to %d", len(r.reserved), r.exhausted.from(j.shape(), &zones, r.zones))
+		if len(r.reserved) != 400 || r.exhausted.from(shapeOfJob(j), &zones, r.zones) != len(r.candidates) {
+			t.Fatalf("%d booked, searched up to %d", len(r.reserved), r.exhausted.from(shapeOfJob(j), &zones, r.zones))
 		}
 		added := candidateOf(d.up(200, "cpu", "a", false))
 		r.candidates = append(r.candidates, &added)
-		if s := d.choose(&shortlist{job: j, round: r, zones: &zones}); s == nil || s.machine.id != 200 {
+		if s := d.choose(&shortlist{job: j, round: r, zones: &zones}); s == nil || s.machine.ID != 200 {
 			t.Error("the slot that was added isn't found")
 		}
 	})
@@ -241,15 +243,15 @@
 		for i := range 10 {
 			m := d.up(i+1, "cpu", "a", false)
 			for k := range 4 {
-				d.addAttempt(&attempt{job: j, task: 4*i + k, number: uint64(4*i + k + 1), machine: m, incarnation: 1, thisTerm: true, reported: true, state: worker.Running, started: time.Now()})
+				d.addAttempt(&cluster.Attempt{Job: j, Task: 4*i + k, Number: uint64(4*i + k + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 			}
 		}
 		d.accept(service("000002", 12))
 		d.placeRound(time.Now())
 		d.placeRound(time.Now()) // what is being freed isn't made room for twice
 		stopped := 0
-		for _, a := range j.attempts {
-			if a.stopping {
+		for _, a := range j.Attempts {
+			if a.Stopping {
 				stopped++
 			}
 		}
@@ -350,10 +352,10 @@
 		j := d.accept(arrayJob("000001", 1))
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Token: d.term}
 		for try := uint64(1); try <= 2; try++ {
-			a := &attempt{job: j, task: 0, number: try, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term}
+			a := &cluster.Attempt{Job: j, Task: 0, Number: try, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Delivery: cluster.DeliverySettled, DeliveryToken: d.term}
 			d.addAttempt(a)
-			r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.id(), Attempt: try, State: worker.Exited, Cause: worker.CauseStopped})
-			r.Seq = m.seq + 1
+			r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.ID(), Attempt: try, State: worker.Exited, Cause: worker.CauseStopped})
+			r.Seq = m.Seq + 1
 			d.applyReport(m, r, true, time.Now())
 		}
 		d.unmark()
@@ -371,10 +373,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
 		for i := range 400 {
-			m := d.state.ensureMachine(i+1, time.Now())
-			m.addr, m.incarnation = fmt.Sprint(i+1), 1
+			m := d.state.EnsureMachine(i+1, time.Now())
+			m.Addr, m.Incarnation = fmt.Sprint(i+1), 1
 		}
-		d.tokenPending = append(d.tokenPending, d.state.machines.inOrder()...)
+		d.tokenPending = append(d.tokenPending, d.state.Machines.InOrder()...)
 		told := 0
 		for d.announceTokens(); d.announcements > 0; {
 			if d.announcements > d.settings.MaxTokenAnnouncements() {
@@ -395,19 +397,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, next := newTestDispatcher(t, grownSettings()), newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
-		m.useImage("seldom", 5, time.Now())
-		if m.recorded {
+		m.UseImage("seldom", 5, time.Now())
+		if m.Recorded {
 			t.Error("a new image is not to be recorded")
 		}
-		rec, err := storage.NewRecord(storage.MachineKey(1), m.record())
+		rec, err := storage.NewRecord(storage.MachineKey(1), m.Record())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := next.state.load([]storage.Record{rec}, time.Now()); err != nil {
+		if _, err := next.state.Load([]storage.Record{rec}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if im, ok := next.state.machines.get(1).images["seldom"]; !ok || im.sizeGB != 5 {
-			t.Errorf("the next leader knows %+v", next.state.machines.get(1).images)
+		if im, ok := next.state.Machines.Get(1).Images["seldom"]; !ok || im.SizeGB != 5 {
+			t.Errorf("the next leader knows %+v", next.state.Machines.Get(1).Images)
 		}
 	})
 }
@@ -440,8 +442,8 @@
 		for due, late := range map[float64]bool{40: false, 62: true, 200: false} {
 			s := arrayJob("000001", 1)
 			s.EstimateS, s.DeadlineS, s.CheckpointS, s.SaveS, s.ImageGB = 60, due, 10, 4, 5
-			j := newJob(s, time.Now())
-			a := &attempt{job: j, machine: d.up(1, "cpu", "a", false), reported: true, started: time.Now()}
+			j := cluster.NewJob(s, time.Now())
+			a := &cluster.Attempt{Job: j, Machine: d.up(1, "cpu", "a", false), Reported: true, Started: time.Now()}
 			if got := d.lateByMove(a, time.Now()); got != late {
 				t.Errorf("due in %v s: late by a move %v", due, got)
 			}
@@ -459,10 +461,10 @@
 		j := d.accept(arrayJob("000001", 10))
 		sent := 0
 		for i := range 10 {
-			a := &attempt{job: j, task: i, number: uint64(i + 1), machine: m, incarnation: 1, thisTerm: true, durable: true}
+			a := &cluster.Attempt{Job: j, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Durable: true}
 			d.addAttempt(a)
-			d.sendCommands(m, []worker.Command{{Verb: worker.Start, ID: a.id(), Attempt: a.number}}, []*attempt{a})
-			if a.delivery == deliveryInFlight {
+			d.sendCommands(m, []worker.Command{{Verb: worker.Start, ID: a.ID(), Attempt: a.Number}}, []*cluster.Attempt{a})
+			if a.Delivery == cluster.DeliveryInFlight {
 				sent++
 			}
 		}
@@ -472,7 +474,7 @@
 		for range sent {
 			d.handle(<-d.mailbox)
 		}
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.seq + 1, Token: d.term}
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term}
 		if got := d.handleHeartbeat(r); len(got.Commands) != 10 {
 			t.Errorf("%d starts go with the report", len(got.Commands))
 		}
--- a/internal/scheduler/scenarios_test.go
+++ b/internal/scheduler/scenarios_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -331,10 +332,10 @@
 func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, grownSettings())
-		m := d.state.ensureMachine(1, time.Now())
-		m.addr, m.incarnation = "1", 1
+		m := d.state.EnsureMachine(1, time.Now())
+		m.Addr, m.Incarnation = "1", 1
 		j := d.accept(arrayJob("000001", 1))
-		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, durable: true} // loaded
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // loaded
 		d.addAttempt(a)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: d.term - 1}
 		if got := d.handleHeartbeat(r); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
@@ -342,7 +343,7 @@
 		}
 		d.handleDelivered(deliveredMsg{machine: 1, announcement: true, outcome: worker.Executed,
 			report: &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 2, Token: d.term}})
-		if j.attempts[0] != a {
+		if j.Attempts[0] != a {
 			t.Error("the attempt is called absent while its start is on the way")
 		}
 		if got := d.handleHeartbeat(&worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 3, Token: d.term}); len(got.Commands) != 1 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,6 +15,7 @@
 	"sagevale/internal/archive"
 	"sagevale/internal/clock"
 	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
@@ -62,7 +63,7 @@
 	lifetime context.Context
 
 	termStarted       time.Time
-	state             *state
+	state             *cluster.State
 	archive           *archive.Archiver
 	archiveUsed       bool // jobs may be archived
 	archiveCompared   bool // with the open jobs
@@ -71,7 +72,7 @@
 	openLaunches      map[string]storage.LaunchRecord // open at the take-over
 	desired           int
 	lastAttempt       uint64
-	rejectedOfferings map[offering]time.Time
+	rejectedOfferings map[cloud.Offering]time.Time
 	provisioning      *provisioningHistory
 	keptHeadroom      []*demand // what room is kept for, as of the last snapshot
 
@@ -87,7 +88,7 @@
 	terminated           map[int]bool      // machines whose return the cloud has confirmed
 	perGPU               storage.Resources // what is taken with an accelerator at the most
 	perGPUAt             time.Time
-	tokenPending         []*machine           // known at the take-over and not yet told our token
+	tokenPending         []*cluster.Machine   // known at the take-over and not yet told our token
 	announcements        int                  // workers being told now
 	surplusCursor        int                  // where the search for a machine to return goes on
 	drainsRequested      int                  // how many drains were asked for
@@ -114,7 +115,7 @@
 	deliveredMsg struct {
 		machine      int
 		announcement bool
-		starts       []*attempt
+		starts       []*cluster.Attempt
 		outcome      worker.Outcome
 		report       *worker.Report
 	}
@@ -137,7 +138,7 @@
 		launch   storage.LaunchRecord
 		machines []int
 	}
-	rejectedMsg   struct{ offering offering }
+	rejectedMsg   struct{ offering cloud.Offering }
 	terminatedMsg struct{ machines []int }
 	drainMsg      struct {
 		surplus surplusMachine
@@ -150,9 +151,9 @@
 		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
 		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
 		mailbox: make(chan any, s.QueueSize()), closed: make(chan struct{}), lifetime: context.Background(),
-		termStarted: time.Now(), state: newState(fencing.TermTokens(role.Term)),
+		termStarted: time.Now(), state: cluster.NewState(fencing.TermTokens(role.Term)),
 		openLaunches: make(map[string]storage.LaunchRecord),
-		lastAttempt:  role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[offering]time.Time),
+		lastAttempt:  role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[cloud.Offering]time.Time),
 		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
 		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
 		gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {},
@@ -229,7 +230,7 @@
 // and writes in one group what must be durable. The more arrives, the wider
 // the rounds.
 func (d *scheduler) run(ctx context.Context) error {
-	d.tokenPending = slices.Clone(d.state.machines.inOrder())
+	d.tokenPending = slices.Clone(d.state.Machines.InOrder())
 	d.announceTokens()
 	d.activation.resume(time.Now())
 	tick := time.NewTicker(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat))
@@ -308,9 +309,9 @@
 		d.handleCommitted(m.err)
 	case gatesMsg:
 		d.setGates(m.record)
-		m.reply <- gateUses{d.state.jobs.openGangs(), d.archiveUsed, d.archiving, d.activation.uses()}
+		m.reply <- gateUses{d.state.Jobs.OpenGangs(), d.archiveUsed, d.archiving, d.activation.uses()}
 	case machineTypesMsg:
-		d.state.setTypes(m.types)
+		d.state.SetTypes(m.types)
 		d.markRecord(storage.MachineTypesKey, func() any { return m.types })
 		d.placementDue = true
 	case listMsg:
--- a/internal/scheduler/shortlist.go
+++ b/internal/scheduler/shortlist.go
@@ -1,11 +1,15 @@
 package scheduler
 
-import "slices"
+import (
+	"slices"
+
+	"sagevale/internal/cluster"
+)
 
 // shortlist is the best kind of eligible machines for the tasks of one job, in one round of placement. It is searched
 // for once and kept up to date as tasks are booked: a search costs as much as there are machines.
 type shortlist struct {
-	job        *job
+	job        *cluster.Job
 	round      *round
 	zones      *zoneCheck
 	tier       int
@@ -16,7 +20,7 @@
 // eligible machines.
 func (d *scheduler) choose(list *shortlist) *candidate {
 	if list.zones.counts != nil { // a task booked in one zone may close it to the next
-		list.candidates = slices.DeleteFunc(list.candidates, func(s *candidate) bool { return !list.zones.allows(s.zone) })
+		list.candidates = slices.DeleteFunc(list.candidates, func(s *candidate) bool { return !list.zones.allows(s.Zone) })
 	}
 	if len(list.candidates) == 0 {
 		d.search(list)
@@ -36,7 +40,7 @@
 		return
 	}
 	for _, s := range r.candidates[from:] {
-		if !j.spec.Resources.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strandsGPUs(j, s) {
+		if !j.Spec.Resources.Fits(s.free) || !s.admits(j, list.zones) || sh.opportunistic && d.strandsGPUs(j, s) {
 			continue
 		}
 		t := d.tier(j, s)
@@ -54,7 +58,7 @@
 
 // noteReserved takes in that a task was noteReserved on a candidate, which may have become too full or of another tier.
 func (d *scheduler) noteReserved(list *shortlist, s *candidate) {
-	fits := list.job.spec.Resources.Fits(s.free) && !(d.settings.IsOpportunistic(&list.job.spec) && d.strandsGPUs(list.job, s))
+	fits := list.job.Spec.Resources.Fits(s.free) && !(d.settings.IsOpportunistic(&list.job.Spec) && d.strandsGPUs(list.job, s))
 	switch tier := d.tier(list.job, s); {
 	case fits && tier == list.tier:
 	case fits && tier < list.tier:
--- a/internal/scheduler/shortlist_test.go
+++ b/internal/scheduler/shortlist_test.go
@@ -8,6 +8,7 @@
 
 	"pgregory.net/rapid"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
@@ -20,10 +21,10 @@
 			kind := rapid.SampledFrom([]string{"cpu", "gpu"}).Draw(rt, "kind")
 			m := d.up(i+1, kind, rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), rapid.Bool().Draw(rt, "spot"))
 			if rapid.Bool().Draw(rt, "image") {
-				m.images["img"] = image{1, time.Now()}
+				m.Images["img"] = cluster.Image{SizeGB: 1, LastUsed: time.Now()}
 			}
 			if rapid.Bool().Draw(rt, "failures") {
-				m.failures.Failed("000009")
+				m.Failures.Failed("000009")
 			}
 		}
 		d.perGPU = storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(rt, "per gpu"))}
@@ -47,7 +48,7 @@
 				return
 			}
 			d.reserveOn(j, task, s, r.now)
-			zones.add(s.zone, 1)
+			zones.add(s.Zone, 1)
 			d.noteReserved(&kept, s)
 		}
 	})
--- a/internal/scheduler/surplus.go
+++ b/internal/scheduler/surplus.go
@@ -4,6 +4,8 @@
 	"sort"
 	"time"
 
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
@@ -38,7 +40,7 @@
 		if s.moved > 0 {
 			continue // takes what leaves another
 		}
-		if len(s.machine.attempts) > 0 || len(s.packed) > 0 {
+		if len(s.machine.Attempts) > 0 || len(s.packed) > 0 {
 			if busy++; busy <= skip {
 				continue
 			}
@@ -49,7 +51,7 @@
 		}
 		if d.canRemove(p, s, now) {
 			s.free = storage.Resources{CPUs: -1}
-			out = append(out, surplusMachine{s.machine.id, len(s.machine.attempts)})
+			out = append(out, surplusMachine{s.machine.ID, len(s.machine.Attempts)})
 		}
 	}
 	return out
@@ -61,11 +63,11 @@
 	waste := make(map[*candidate]float64)
 	var out []*candidate
 	for _, s := range p.candidates {
-		if s.machine == nil || !s.machine.ready(now, d.settings.ReportFreshness()) || s.machine.brieflyIdle(now) {
+		if s.machine == nil || !s.machine.Ready(now, d.settings.ReportFreshness()) || s.machine.BrieflyIdle(now) {
 			continue
 		}
 		price := s.machineType.Price
-		if s.spot {
+		if s.Spot {
 			price = s.machineType.SpotPrice
 		}
 		if w := price * (1 - d.reservedShare(s.machine)); w > 0 {
@@ -77,13 +79,13 @@
 		if waste[out[a]] != waste[out[b]] {
 			return waste[out[a]] > waste[out[b]]
 		}
-		return out[a].machine.id < out[b].machine.id
+		return out[a].machine.ID < out[b].machine.ID
 	})
 	return out
 }
 
-func (d *scheduler) reservedShare(m *machine) float64 {
-	used, all := m.reserved, m.machineType.Resources
+func (d *scheduler) reservedShare(m *cluster.Machine) float64 {
+	used, all := m.Reserved, m.Type.Resources
 	share := used.CPUs / all.CPUs
 	if all.GPUs > 0 {
 		share = max(share, used.GPUs/all.GPUs)
@@ -95,20 +97,20 @@
 // there, into the room that the packing has left elsewhere. Replicas must find
 // their images where they go.
 func (d *scheduler) canRemove(p *packing, s *candidate, now time.Time) bool {
-	ready := func(o *candidate, _ *job) bool { return o != s && o.machine != nil && !o.booting }
-	undo, ok := d.tryMove(s.machine, p.candidates, true, now, func(o *candidate, j *job) bool {
+	ready := func(o *candidate, _ *cluster.Job) bool { return o != s && o.machine != nil && !o.booting }
+	undo, ok := d.tryMove(s.machine, p.candidates, true, now, func(o *candidate, j *cluster.Job) bool {
 		if !ready(o, j) {
 			return false
 		}
-		_, cached := o.machine.images[j.spec.Image]
-		return cached || !j.spec.Service
+		_, cached := o.machine.Images[j.Spec.Image]
+		return cached || !j.Spec.Service
 	})
 	if !ok {
 		undo()
 		return false
 	}
 	for _, dm := range s.packed {
-		if dm.opportunistic && !d.cheapFor(s.offering, dm.job) {
+		if dm.opportunistic && !d.cheapFor(s.Offering, dm.job) {
 			continue // it waits for cheaper room
 		}
 		zones := newZoneCheck(dm.job)
@@ -123,11 +125,11 @@
 }
 
 // take uses room of the candidate; the returned function gives it back, after undo.
-func (s *candidate) take(j *job, undo func()) func() {
-	s.free = s.free.Sub(j.spec.Resources)
+func (s *candidate) take(j *cluster.Job, undo func()) func() {
+	s.free = s.free.Sub(j.Spec.Resources)
 	s.moved++
 	return func() {
-		s.free = s.free.Add(j.spec.Resources)
+		s.free = s.free.Add(j.Spec.Resources)
 		s.moved--
 		undo()
 	}
@@ -136,25 +138,25 @@
 // tryMove tries to pack a machine's services into the candidates, and with saving
 // also what would be stopped because it can save its progress. The rest may
 // finish, or waits for room. undo gives the room back.
-func (d *scheduler) tryMove(m *machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *job) bool) (undo func(), ok bool) {
+func (d *scheduler) tryMove(m *cluster.Machine, candidates []*candidate, saving bool, now time.Time, suits func(*candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
-	for _, a := range m.sortedAttempts() {
-		if !a.job.spec.Service && !(saving && a.job.spec.CheckpointS > 0 && !a.job.spec.Gang) {
+	for _, a := range m.SortedAttempts() {
+		if !a.Job.Spec.Service && !(saving && a.Job.Spec.CheckpointS > 0 && !a.Job.Spec.Gang) {
 			continue
 		}
-		if saving && d.settings.IsOpportunistic(&a.job.spec) && !d.cheapFor(offering{m.typeName, m.zone, m.spot}, a.job) {
+		if saving && d.settings.IsOpportunistic(&a.Job.Spec) && !d.cheapFor(cloud.Offering{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}, a.Job) {
 			continue // it waits for cheaper room
 		}
 		if saving && d.lateByMove(a, now) {
 			return undo, false
 		}
-		zones := newZoneCheck(a.job)
-		zones.add(m.zone, -1)
-		s := d.fullest(candidates, a.job, &zones, suits)
+		zones := newZoneCheck(a.Job)
+		zones.add(m.Zone, -1)
+		s := d.fullest(candidates, a.Job, &zones, suits)
 		if s == nil {
 			return undo, false
 		}
-		undo = s.take(a.job, undo)
+		undo = s.take(a.Job, undo)
 	}
 	return undo, true
 }
@@ -165,16 +167,16 @@
 
 // lateByMove tells whether saving a task and fetching its image elsewhere may
 // cost it a deadline that it would meet where it is.
-func (d *scheduler) lateByMove(a *attempt, now time.Time) bool {
-	s := &a.job.spec
-	if s.Service || s.DeadlineS <= 0 || a.started.IsZero() {
+func (d *scheduler) lateByMove(a *cluster.Attempt, now time.Time) bool {
+	s := &a.Job.Spec
+	if s.Service || s.DeadlineS <= 0 || a.Started.IsZero() {
 		return false
 	}
-	left := max(0, d.state.classes.runSeconds(a.job)-now.Sub(a.started).Seconds())
-	slack := a.job.deadline().Sub(now).Seconds() - left
+	left := max(0, d.state.Classes.RunSeconds(a.Job)-now.Sub(a.Started).Seconds())
+	slack := a.Job.Deadline().Sub(now).Seconds() - left
 	cost := s.SaveS
-	if a.machine.machineType != nil && a.machine.machineType.FetchGBPS > 0 {
-		cost += s.ImageGB / a.machine.machineType.FetchGBPS
+	if a.Machine.Type != nil && a.Machine.Type.FetchGBPS > 0 {
+		cost += s.ImageGB / a.Machine.Type.FetchGBPS
 	}
 	return slack >= 0 && slack < moveMargin*cost
 }
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/worker"
 )
 
@@ -14,41 +15,41 @@
 // failed attributes a task's failure to its job or its machine. A job that fails wherever it runs
 // is retried a task at a time, after longer and longer pauses, and its machines are cleared of
 // it; a machine on which several jobs fail is left alone for a while.
-func (d *scheduler) failed(j *job, m *machine, booked, now time.Time) {
-	j.failures.Failed(m.id, booked, now)
-	m.failures.Failed(j.spec.ID)
-	if j.failures.AtFault() {
+func (d *scheduler) failed(j *cluster.Job, m *cluster.Machine, booked, now time.Time) {
+	j.Failures.Failed(m.ID, booked, now)
+	m.Failures.Failed(j.Spec.ID)
+	if j.Failures.AtFault() {
 		d.clearMachines(j)
-		m.clearFailures(j)
-		j.retryAfter = now.Add(j.failures.Backoff(d.settings.HeartbeatInterval))
-		d.log.Info("job fails wherever it runs", "job", j.spec.ID, "pause", j.retryAfter.Sub(now))
+		m.ClearFailures(j)
+		j.RetryAfter = now.Add(j.Failures.Backoff(d.settings.HeartbeatInterval))
+		d.log.Info("job fails wherever it runs", "job", j.Spec.ID, "pause", j.RetryAfter.Sub(now))
 		return
 	}
-	if m.failures.AtFault() {
-		pause := clock.Scale(d.settings.WorkerLease, float64(min(1+m.failures.Excess(), maxQuarantineLeases)))
-		m.quarantinedUntil = now.Add(pause)
-		d.log.Info("machine fails several jobs", "machine", m.id, "pause", pause)
+	if m.Failures.AtFault() {
+		pause := clock.Scale(d.settings.WorkerLease, float64(min(1+m.Failures.Excess(), maxQuarantineLeases)))
+		m.QuarantinedUntil = now.Add(pause)
+		d.log.Info("machine fails several jobs", "machine", m.ID, "pause", pause)
 	}
 }
 
 // clearMachines clears the machines that a job at fault has failed on.
-func (d *scheduler) clearMachines(j *job) {
-	for _, id := range j.failures.Machines() {
-		if m := d.state.machines.get(id); m != nil {
-			m.clearFailures(j)
+func (d *scheduler) clearMachines(j *cluster.Job) {
+	for _, id := range j.Failures.Machines() {
+		if m := d.state.Machines.Get(id); m != nil {
+			m.ClearFailures(j)
 		}
 	}
 }
 
 // recallFailures takes in what a worker's first report of this term tells of failures that an
 // earlier leader has dealt with: a job that fails wherever it runs isn't started everywhere anew.
-func (d *scheduler) recallFailures(m *machine, r *worker.Report) {
+func (d *scheduler) recallFailures(m *cluster.Machine, r *worker.Report) {
 	for _, t := range r.Tasks {
-		j := d.state.jobs.get(t.ID.Job)
-		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.done > 0 {
+		j := d.state.Jobs.Get(t.ID.Job)
+		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.Done > 0 {
 			continue
 		}
-		if j.failures.Recall(m.id, t.ID.Task); j.failures.AtFault() {
+		if j.Failures.Recall(m.ID, t.ID.Task); j.Failures.AtFault() {
 			d.clearMachines(j)
 		}
 	}
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -6,6 +6,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
@@ -53,9 +54,9 @@
 func (d *scheduler) suspects() map[int]string {
 	synctest.Wait()
 	out := make(map[int]string)
-	for _, m := range d.state.machines.inOrder() {
-		if m.failures.Suspected() {
-			out[m.id] = fmt.Sprint(m.failures)
+	for _, m := range d.state.Machines.InOrder() {
+		if m.Failures.Suspected() {
+			out[m.ID] = fmt.Sprint(m.Failures)
 		}
 	}
 	return out
@@ -91,18 +92,18 @@
 			other, j := d.accept(arrayJob("000001", 1)), d.accept(arrayJob("000002", 8))
 			booked := time.Now()
 			time.Sleep(time.Second)
-			d.failed(other, d.state.machines.get(1), booked, time.Now())
+			d.failed(other, d.state.Machines.Get(1), booked, time.Now())
 			for _, id := range c.machines {
-				d.failed(j, d.state.machines.get(id), booked, time.Now())
+				d.failed(j, d.state.Machines.Get(id), booked, time.Now())
 			}
 			faulty := 0
-			for _, m := range d.state.machines.inOrder() {
-				if m.failures.AtFault() && m.quarantined(time.Now()) {
+			for _, m := range d.state.Machines.InOrder() {
+				if m.Failures.AtFault() && m.Quarantined(time.Now()) {
 					faulty++
 				}
 			}
-			if j.failures.AtFault() != c.job || faulty != c.faulty {
-				t.Errorf("%s: the job is at fault %v, %d machines are", name, j.failures.AtFault(), faulty)
+			if j.Failures.AtFault() != c.job || faulty != c.faulty {
+				t.Errorf("%s: the job is at fault %v, %d machines are", name, j.Failures.AtFault(), faulty)
 			}
 		})
 	}
@@ -115,12 +116,12 @@
 		m := d.up(1, "cpu", "a", false)
 		start := func(spec storage.Spec) (direct int) {
 			for _, task := range []int{0, 1} {
-				m.inFlight = 0 // each is answered
+				m.InFlight = 0 // each is answered
 				a := d.reserve(d.accept(spec), task, m, time.Now())
-				d.startReserved([]*attempt{a})
-				if a.delivery != deliveryNone {
+				d.startReserved([]*cluster.Attempt{a})
+				if a.Delivery != cluster.DeliveryNone {
 					direct++
-					a.delivery = deliverySettled
+					a.Delivery = cluster.DeliverySettled
 				}
 				d.removeAttempt(a, "ended")
 			}
@@ -130,16 +131,16 @@
 		for i := range maxDirectBacklog {
 			short += start(arrayJob(fmt.Sprintf("%06d", i), 2))
 		}
-		if short < maxDirectBacklog/2 || short > maxDirectBacklog || m.fence.Full() {
+		if short < maxDirectBacklog/2 || short > maxDirectBacklog || m.Fence.Full() {
 			t.Errorf("%d short tasks were started directly", short)
 		}
 		if n := start(service("900000", 2)); n != 2 {
 			t.Errorf("%d of 2 urgent tasks are started directly", n)
 		}
 		a := d.reserve(d.accept(arrayJob("900001", 2)), 0, m, time.Now())
-		a.durable = true
+		a.Durable = true
 		time.Sleep(time.Second)
-		if orders := d.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != worker.Start {
+		if orders := d.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != worker.Start {
 			t.Errorf("a task that isn't started directly gets %v with the report's answer", orders)
 		}
 	})
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 )
 
 const (
@@ -24,14 +25,14 @@
 	if !d.leaseValid(now) || now.Sub(d.termStarted) < max(clock.Scale(d.settings.WorkerLease, unconfirmedLease), d.settings.ReportFreshness()) {
 		return nil
 	}
-	var silent []*machine
+	var silent []*cluster.Machine
 	carrying := 0
-	for _, m := range d.state.machines.inOrder() {
-		if len(m.attempts) == 0 || m.terminating {
+	for _, m := range d.state.Machines.InOrder() {
+		if len(m.Attempts) == 0 || m.Terminating {
 			continue
 		}
 		carrying++
-		if !m.confirmed && m.lastContact.IsZero() && m.machineType != nil {
+		if !m.Confirmed && m.LastContact.IsZero() && m.Type != nil {
 			silent = append(silent, m)
 		}
 	}
@@ -44,8 +45,8 @@
 	for _, m := range silent {
 		undo, ok := d.tryMove(m, candidates, false, now, anyCandidate)
 		if ok {
-			d.log.Info("unheard since the take-over", "machine", m.id, "attempts", len(m.attempts))
-			lost = append(lost, m.id)
+			d.log.Info("unheard since the take-over", "machine", m.ID, "attempts", len(m.Attempts))
+			lost = append(lost, m.ID)
 		} else {
 			undo()
 		}
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 )
 
@@ -36,14 +37,14 @@
 
 // byUrgency sorts waiting jobs: priority first, then what can still be in time
 // for something, then the work within its team's guarantee, then the earlier due.
-func (d *scheduler) byUrgency(jobs []*job, now time.Time) {
+func (d *scheduler) byUrgency(jobs []*cluster.Job, now time.Time) {
 	keys := d.urgencies(jobs, now)
 	sort.SliceStable(jobs, func(x, y int) bool {
 		a, b := jobs[x], jobs[y]
 		ka, kb := keys[a], keys[b]
 		switch {
-		case a.spec.Priority != b.spec.Priority:
-			return a.spec.Priority > b.spec.Priority
+		case a.Spec.Priority != b.Spec.Priority:
+			return a.Spec.Priority > b.Spec.Priority
 		case ka.rank != kb.rank:
 			return ka.rank < kb.rank
 		case ka.withinQuota != kb.withinQuota:
@@ -53,7 +54,7 @@
 		case !ka.startBy.Equal(kb.startBy):
 			return ka.startBy.Before(kb.startBy)
 		}
-		return a.spec.ID < b.spec.ID
+		return a.Spec.ID < b.Spec.ID
 	})
 }
 
@@ -61,26 +62,26 @@
 // are if the largest of those that stand in the others' way are let go: each
 // rank takes its jobs by when they must start, as long as places come free fast
 // enough, and lets go of the largest so far where they don't.
-func (d *scheduler) urgencies(jobs []*job, now time.Time) map[*job]urgency {
-	keys := make(map[*job]urgency, len(jobs))
+func (d *scheduler) urgencies(jobs []*cluster.Job, now time.Time) map[*cluster.Job]urgency {
+	keys := make(map[*cluster.Job]urgency, len(jobs))
 	within := d.jobsWithinGuarantee()
-	groups := make(map[storage.Priority][]*job)
+	groups := make(map[storage.Priority][]*cluster.Job)
 	for _, j := range jobs {
 		switch {
-		case d.settings.IsOpportunistic(&j.spec):
-			keys[j] = urgency{rank: rankOpportunistic, startBy: j.deadline(), allocated: j.allocated()}
-		case j.spec.Service || j.spec.DeadlineS <= 0:
-			keys[j] = urgency{rank: rankOnTime, withinQuota: within[j], startBy: j.deadline()}
+		case d.settings.IsOpportunistic(&j.Spec):
+			keys[j] = urgency{rank: rankOpportunistic, startBy: j.Deadline(), allocated: j.Allocated()}
+		case j.Spec.Service || j.Spec.DeadlineS <= 0:
+			keys[j] = urgency{rank: rankOnTime, withinQuota: within[j], startBy: j.Deadline()}
 		default:
-			keys[j] = urgency{rank: rankHopeless, withinQuota: within[j], startBy: j.deadline()}
-			groups[j.spec.Priority] = append(groups[j.spec.Priority], j)
+			keys[j] = urgency{rank: rankHopeless, withinQuota: within[j], startBy: j.Deadline()}
+			groups[j.Spec.Priority] = append(groups[j.Spec.Priority], j)
 		}
 	}
 	f := &deadlineAdmission{pace: d.batchPace(now), now: now, keys: keys}
 	for p := storage.Production; p >= storage.BestEffort; p-- {
 		left := groups[p]
 		for rank := rankStartAtRisk; rank < rankHopeless; rank++ {
-			left = f.fill(left, rank, func(j *job) []time.Time { return d.startBy(j, rank, keys[j].withinQuota, now) })
+			left = f.fill(left, rank, func(j *cluster.Job) []time.Time { return d.startBy(j, rank, keys[j].withinQuota, now) })
 		}
 	}
 	return keys
@@ -91,17 +92,17 @@
 	pace  float64 // places a second; 0: not known
 	ahead int     // tasks ranked so far
 	now   time.Time
-	keys  map[*job]urgency
+	keys  map[*cluster.Job]urgency
 }
 
 // admissionCandidate is a job with the times by which it must start, the next one first.
 type admissionCandidate struct {
-	job     *job
+	job     *cluster.Job
 	startBy []time.Time
 }
 
 // fill ranks the jobs that can be in time and returns the others.
-func (f *deadlineAdmission) fill(jobs []*job, rank int, bounds func(*job) []time.Time) (left []*job) {
+func (f *deadlineAdmission) fill(jobs []*cluster.Job, rank int, bounds func(*cluster.Job) []time.Time) (left []*cluster.Job) {
 	var bids earliestFirst
 	for _, j := range jobs {
 		if b := (admissionCandidate{j, f.coming(bounds(j))}); len(b.startBy) > 0 {
@@ -114,19 +115,19 @@
 	var taken largestFirst
 	for len(bids) > 0 {
 		b := heap.Pop(&bids).(admissionCandidate)
-		f.ahead += b.job.startable()
+		f.ahead += b.job.Startable()
 		heap.Push(&taken, b)
 		f.keys[b.job] = urgency{rank: rank, withinQuota: f.keys[b.job].withinQuota, startBy: b.startBy[0]}
 		if f.pace == 0 || !f.now.Add(clock.Seconds(float64(f.ahead)/f.pace)).After(b.startBy[0]) {
 			continue
 		}
 		out := heap.Pop(&taken).(admissionCandidate)
-		f.ahead -= out.job.startable()
+		f.ahead -= out.job.Startable()
 		if out.startBy = out.startBy[1:]; len(out.startBy) > 0 {
 			heap.Push(&bids, out) // it has a later chance
 			continue
 		}
-		f.keys[out.job] = urgency{rank: rankHopeless, withinQuota: f.keys[out.job].withinQuota, startBy: out.job.deadline()}
+		f.keys[out.job] = urgency{rank: rankHopeless, withinQuota: f.keys[out.job].withinQuota, startBy: out.job.Deadline()}
 		left = append(left, out.job)
 	}
 	return left
@@ -142,16 +143,16 @@
 
 // startBy is when a job must start to be in time for what a rank is about, its
 // chances in order; none if that doesn't concern it.
-func (d *scheduler) startBy(j *job, rank int, within bool, now time.Time) []time.Time {
-	run := clock.Seconds(d.state.classes.runSeconds(j))
+func (d *scheduler) startBy(j *cluster.Job, rank int, within bool, now time.Time) []time.Time {
+	run := clock.Seconds(d.state.Classes.RunSeconds(j))
 	switch rank {
 	case rankStartAtRisk:
-		bound := d.settings.StartObjective(j.spec.Class)
-		if by := j.submitted.Add(bound); by.Sub(now) < clock.Scale(bound, startAtRiskShare) {
+		bound := d.settings.StartObjective(j.Spec.Class)
+		if by := j.Submitted.Add(bound); by.Sub(now) < clock.Scale(bound, startAtRiskShare) {
 			return []time.Time{by}
 		}
 	case rankOnTime:
-		due, prompt := j.deadline().Add(-run), j.submitted.Add(d.settings.GuaranteedStartObjective())
+		due, prompt := j.Deadline().Add(-run), j.Submitted.Add(d.settings.GuaranteedStartObjective())
 		switch {
 		case !within:
 			return []time.Time{due}
@@ -160,7 +161,7 @@
 		}
 		return []time.Time{due, prompt}
 	case rankLate:
-		return []time.Time{j.submitted.Add(clock.Seconds(j.spec.DeadlineS * lateTimes)).Add(-run)}
+		return []time.Time{j.Submitted.Add(clock.Seconds(j.Spec.DeadlineS * lateTimes)).Add(-run)}
 	}
 	return nil
 }
@@ -168,10 +169,10 @@
 // batchPace is how many places ending work gives free in a second; 0: not known.
 func (d *scheduler) batchPace(now time.Time) float64 {
 	places, runS := 0, 0.0
-	for _, j := range d.state.jobs.open {
-		if n := len(j.attempts); !j.spec.Service && n > 0 && !d.settings.IsOpportunistic(&j.spec) {
+	for _, j := range d.state.Jobs.Open {
+		if n := len(j.Attempts); !j.Spec.Service && n > 0 && !d.settings.IsOpportunistic(&j.Spec) {
 			places += n
-			runS += float64(n) * d.state.classes.runSeconds(j)
+			runS += float64(n) * d.state.Classes.RunSeconds(j)
 		}
 	}
 	if runS <= 0 {
@@ -188,7 +189,7 @@
 	if !h[a].startBy[0].Equal(h[b].startBy[0]) {
 		return h[a].startBy[0].Before(h[b].startBy[0])
 	}
-	return h[a].job.spec.ID < h[b].job.spec.ID
+	return h[a].job.Spec.ID < h[b].job.Spec.ID
 }
 func (h earliestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 func (h *earliestFirst) Push(x any)   { *h = append(*h, x.(admissionCandidate)) }
@@ -198,7 +199,7 @@
 type largestFirst []admissionCandidate
 
 func (h largestFirst) Len() int           { return len(h) }
-func (h largestFirst) Less(a, b int) bool { return h[a].job.startable() > h[b].job.startable() }
+func (h largestFirst) Less(a, b int) bool { return h[a].job.Startable() > h[b].job.Startable() }
 func (h largestFirst) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
 func (h *largestFirst) Push(x any)        { *h = append(*h, x.(admissionCandidate)) }
 func (h *largestFirst) Pop() any          { return pop((*[]admissionCandidate)(h)) }
@@ -212,20 +213,20 @@
 
 // jobsWithinGuarantee finds the open jobs that lie within their team's guarantee: they
 // fit into it together with the team's earlier unfinished jobs.
-func (d *scheduler) jobsWithinGuarantee() map[*job]bool {
-	byTeam := make(map[string][]*job)
-	for _, j := range d.state.jobs.open {
-		if t := d.settings.Team(j.spec.Team); j.phase == storage.Open && t != nil && t.Guarantee != (storage.Resources{}) {
+func (d *scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
+	byTeam := make(map[string][]*cluster.Job)
+	for _, j := range d.state.Jobs.Open {
+		if t := d.settings.Team(j.Spec.Team); j.Phase == storage.Open && t != nil && t.Guarantee != (storage.Resources{}) {
 			byTeam[t.Name] = append(byTeam[t.Name], j)
 		}
 	}
-	out := make(map[*job]bool)
+	out := make(map[*cluster.Job]bool)
 	for name, jobs := range byTeam {
-		sort.Slice(jobs, func(x, y int) bool { return jobs[x].submitted.Before(jobs[y].submitted) })
+		sort.Slice(jobs, func(x, y int) bool { return jobs[x].Submitted.Before(jobs[y].Submitted) })
 		guarantee := d.settings.Team(name).Guarantee
 		var used storage.Resources
 		for _, j := range jobs {
-			used = used.Add(j.spec.Resources.Mul(j.spec.Tasks - j.done))
+			used = used.Add(j.Spec.Resources.Mul(j.Spec.Tasks - j.Done))
 			out[j] = storage.WithinLimit(used, guarantee)
 		}
 	}
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -87,11 +87,11 @@
 	}
 	switch s.record.State {
 	case activation.Ready:
-		if since, told := c.usage.QuietSince(s.job.spec.ID, now); told && c.tuning.Policy.IdleWindow > 0 {
+		if since, told := c.usage.QuietSince(s.job.Spec.ID, now); told && c.tuning.Policy.IdleWindow > 0 {
 			c.apply(s, activation.Quiet{Generation: s.record.Generation, Since: since}, now)
 		}
 	case activation.Draining:
-		if c.usage.Drained(s.job.spec.ID, s.record.Drain, s.routedUntil, now) {
+		if c.usage.Drained(s.job.Spec.ID, s.record.Drain, s.routedUntil, now) {
 			c.apply(s, activation.Drained{Drain: s.record.Drain}, now)
 		}
 	case activation.Idle, activation.Starting, activation.Stopping, activation.Failed:
