--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -6,6 +6,7 @@
 
 	"sagevale/internal/api"
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 )
@@ -26,8 +27,8 @@
 
 // whenDurable answers a user once a job's record is durable as it is marked now. A user
 // whose commit takes too long is told to come back: see failWaiters.
-func (d *scheduler) whenDurable(j *job, reply chan api.Response, then func() api.Response) {
-	id := j.spec.ID
+func (d *scheduler) whenDurable(j *cluster.Job, reply chan api.Response, then func() api.Response) {
+	id := j.Spec.ID
 	w := &waiter{id: id, reply: reply}
 	d.waiters = append(d.waiters, w)
 	d.onJobCommit(j, func(err error) {
@@ -57,12 +58,12 @@
 
 func (d *scheduler) handleUser(m userMsg) {
 	now := time.Now()
-	j := d.state.jobs.get(m.req.ID)
+	j := d.state.Jobs.Get(m.req.ID)
 	if j != nil {
 		d.finalizeArchived(j)
 	}
-	if j != nil && j.finalDurable {
-		m.reply <- j.answer(api.CodeOK)
+	if j != nil && j.FinalDurable {
+		m.reply <- responseOf(j)
 		return
 	}
 	if j == nil && d.answerArchived(m, now) {
@@ -85,20 +86,20 @@
 	}
 }
 
-func (d *scheduler) poll(m userMsg, j *job) {
+func (d *scheduler) poll(m userMsg, j *cluster.Job) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
-	case !j.acknowledged:
+	case !j.Acknowledged:
 		m.reply <- api.Unavailable(m.req.ID, "acceptance not yet recorded")
 	default:
-		m.reply <- j.answer(api.CodeOK)
+		m.reply <- responseOf(j)
 	}
 }
 
-func (d *scheduler) submit(m userMsg, j *job, now time.Time) {
-	if j != nil && j.acknowledged {
-		m.reply <- j.answer(api.CodeOK)
+func (d *scheduler) submit(m userMsg, j *cluster.Job, now time.Time) {
+	if j != nil && j.Acknowledged {
+		m.reply <- responseOf(j)
 		return
 	}
 	if d.stalled(now) {
@@ -106,7 +107,7 @@
 		return
 	}
 	if j == nil {
-		if d.state.types.count() == 0 {
+		if d.state.Types.Count() == 0 {
 			m.reply <- api.Unavailable(m.req.ID, "machine types not yet known")
 			return
 		}
@@ -123,7 +124,7 @@
 			d.awaitGate(m, upgrade.Activation, now)
 			return
 		}
-		if d.state.jobs.openTasks+spec.Tasks > d.settings.MaxOpenTasks() {
+		if d.state.Jobs.OpenTasks+spec.Tasks > d.settings.MaxOpenTasks() {
 			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(d.settings.WorkerLease.Seconds())}
 			return
 		}
@@ -131,15 +132,15 @@
 			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: d.admission.RetryS(now)}
 			return
 		}
-		j = newJob(spec, now)
-		d.state.jobs.insert(j)
+		j = cluster.NewJob(spec, now)
+		d.state.Jobs.AddOpen(j)
 		if d.activation.applies(&spec) && d.mayUse(upgrade.Activation) {
 			d.activation.track(j, now)
 		}
-		if !j.scalesToZero() {
+		if !j.ScalesToZero() {
 			d.activation.postpone(j)
 		}
-		d.state.classes.noteArrival(j)
+		d.state.Classes.NoteArrival(j)
 		d.markJob(j)
 		d.onJobCommit(j, func(error) {
 			d.admission.Recorded(spec.Team)
@@ -149,14 +150,14 @@
 		d.log.Debug("accept", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "estimate", spec.EstimateS, "due", spec.DeadlineS, "team", spec.Team)
 	}
 	d.whenDurable(j, m.reply, func() api.Response {
-		j.acknowledged = true
-		return api.Response{Code: api.CodeCreated, ID: j.spec.ID, State: api.StatePending}
+		j.Acknowledged = true
+		return api.Response{Code: api.CodeCreated, ID: j.Spec.ID, State: api.StatePending}
 	})
 	// Others may wait for the same commit; the job is known however the
 	// first of them fares.
 	d.onJobCommit(j, func(err error) {
 		if err == nil {
-			j.acknowledged = true
+			j.Acknowledged = true
 		}
 	})
 }
@@ -167,7 +168,7 @@
 	if team == nil {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
-	if len(d.state.types.feasible(s)) == 0 {
+	if len(d.state.Types.Feasible(s)) == 0 {
 		return "a task fits no allowed machine type"
 	}
 	need := s.Resources
@@ -180,59 +181,59 @@
 	return ""
 }
 
-func (d *scheduler) cancel(m userMsg, j *job, now time.Time) {
+func (d *scheduler) cancel(m userMsg, j *cluster.Job, now time.Time) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 		return
-	case !j.acknowledged, d.stalled(now):
+	case !j.Acknowledged, d.stalled(now):
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
-	case j.phase == storage.Open:
-		j.phase = storage.Cancelled
-		d.state.jobs.trackCancelling(j)
-		d.state.classes.noteDeparture(j, now)
+	case j.Phase == storage.Open:
+		j.Phase = storage.Cancelled
+		d.state.Jobs.TrackCancelling(j)
+		d.state.Classes.NoteDeparture(j, now)
 		d.activation.release(j)
-		d.log.Debug("cancel", "job", j.spec.ID, "attempts", len(j.attempts))
+		d.log.Debug("cancel", "job", j.Spec.ID, "attempts", len(j.Attempts))
 		d.markJob(j)
 		d.onJobCommit(j, func(err error) {
 			if err != nil {
 				return
 			}
-			j.finalDurable = true
+			j.FinalDurable = true
 			d.stopJob(j)
 			d.commandJobStops(j)
 			d.retire(j)
 		})
 	}
-	d.whenDurable(j, m.reply, func() api.Response { return j.answer(api.CodeOK) })
+	d.whenDurable(j, m.reply, func() api.Response { return responseOf(j) })
 }
 
 // finish makes a job done whose tasks have all completed.
-func (d *scheduler) finish(j *job) {
-	if j.phase != storage.Open || j.done < j.spec.Tasks || j.spec.Service {
+func (d *scheduler) finish(j *cluster.Job) {
+	if j.Phase != storage.Open || j.Done < j.Spec.Tasks || j.Spec.Service {
 		return
 	}
-	j.phase = storage.Done
+	j.Phase = storage.Done
 	d.markJob(j)
-	d.log.Debug("done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks, "after", time.Since(j.submitted), "due", j.spec.DeadlineS)
+	d.log.Debug("done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", time.Since(j.Submitted), "due", j.Spec.DeadlineS)
 	d.onJobCommit(j, func(err error) {
 		if err == nil {
-			j.finalDurable = true
+			j.FinalDurable = true
 			d.retire(j)
 		}
 	})
 }
 
 // retire lets go of a final job's tasks once none of them can be anywhere.
-func (d *scheduler) retire(j *job) {
-	if !j.finalDurable || len(j.attempts) > 0 || j.tasks == nil {
+func (d *scheduler) retire(j *cluster.Job) {
+	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
 	}
-	for p := 0; p*storage.PageTasks < len(j.tasks); p++ {
-		d.queue.Mark(pageLane(j), storage.PageKey(j.spec.ID, p), removed)
+	for p := 0; p*storage.PageTasks < len(j.Tasks); p++ {
+		d.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), removed)
 	}
-	d.state.jobs.releaseTasks(j)
+	d.state.Jobs.ReleaseTasks(j)
 	d.markJob(j)
 	d.onCommit(func(err error) {
 		if err == nil {
@@ -242,34 +243,30 @@
 }
 
 // stopJob has every attempt of a job stopped at once.
-func (d *scheduler) stopJob(j *job) {
-	for _, a := range j.attempts {
+func (d *scheduler) stopJob(j *cluster.Job) {
+	for _, a := range j.Attempts {
 		d.stopAttempt(a, 0)
 	}
 }
 
-// bytesPerTask is what a waiting task may cost in memory, with its share of
-// records; half of the quota may go to tasks.
-
-// state is what users see; only durable facts count as final.
-func (j *job) state() api.JobState {
+// stateOf is what a job's user sees. Only durable facts count as final.
+func stateOf(j *cluster.Job) api.JobState {
 	switch {
-	case j.finalDurable && j.phase == storage.Done:
+	case j.FinalDurable && j.Phase == storage.Done:
 		return api.StateDone
-	case j.finalDurable && j.phase == storage.Cancelled:
+	case j.FinalDurable && j.Phase == storage.Cancelled:
 		return api.StateCancelled
-	case j.runningTasks() > 0:
+	case j.RunningTasks() > 0:
 		return api.StateRunning
 	}
 	return api.StatePending
 }
 
-func (j *job) answer(code api.Code) api.Response {
-	a := api.Response{Code: code, ID: j.spec.ID, State: j.state(), Done: j.done}
-	switch a.State {
-	case api.StateDone, api.StateCancelled:
-	default:
-		a.Running = j.runningTasks()
+// responseOf tells a user of a job.
+func responseOf(j *cluster.Job) api.Response {
+	response := api.Response{Code: api.CodeOK, ID: j.Spec.ID, State: stateOf(j), Done: j.Done}
+	if !response.Final() {
+		response.Running = j.RunningTasks()
 	}
-	return a
+	return response
 }
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -7,6 +7,7 @@
 
 	"sagevale/internal/activation"
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
 )
@@ -92,15 +93,15 @@
 // handleWake takes in demand for a model, and answers once what it moved is durable.
 func (d *scheduler) handleWake(m wakeMsg) {
 	now := time.Now()
-	j := d.state.jobs.get(m.req.Model)
+	j := d.state.Jobs.Get(m.req.Model)
 	switch {
 	case !d.leaseValid(now):
 		m.reply <- undecided("leadership not certain")
 	case j == nil:
 		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: d.settings.WakeInterval()}
-	case !j.acknowledged:
+	case !j.Acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
-	case j.phase != storage.Open || !j.spec.Service:
+	case j.Phase != storage.Open || !j.Spec.Service:
 		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: d.settings.WakeInterval()}
 	case d.stalled(now):
 		m.reply <- undecided("state service slow or out of reach")
@@ -110,7 +111,7 @@
 }
 
 // demand moves a service by a wake request, and answers it.
-func (c *activationController) demand(j *job, m wakeMsg, now time.Time) {
+func (c *activationController) demand(j *cluster.Job, m wakeMsg, now time.Time) {
 	s := c.service(j)
 	if s == nil {
 		m.reply <- c.alwaysUp(j)
@@ -164,11 +165,11 @@
 const runsAlways = "runs always"
 
 // alwaysUp tells of a service that runs without regard to demand.
-func (c *activationController) alwaysUp(j *job) activation.WakeResponse {
+func (c *activationController) alwaysUp(j *cluster.Job) activation.WakeResponse {
 	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: runsAlways}
-	for _, a := range j.attempts {
-		if a.serving() {
-			response.State, response.Machine, response.Holds = activation.Ready, a.machine.addr, c.settings.RoutingLease()
+	for _, a := range j.Attempts {
+		if a.Serving() {
+			response.State, response.Machine, response.Holds = activation.Ready, a.Machine.Addr, c.settings.RoutingLease()
 		}
 	}
 	return response
@@ -184,13 +185,13 @@
 	}
 	switch s.record.State {
 	case activation.Ready:
-		if a := s.replica(); a != nil && a.serving() {
-			response.Machine, response.Holds = a.machine.addr, c.settings.RoutingLease()
+		if a := s.replica(); a != nil && a.Serving() {
+			response.Machine, response.Holds = a.Machine.Addr, c.settings.RoutingLease()
 			s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
 		}
 	case activation.Starting:
 		if !s.wokenAt.IsZero() {
-			response.Expected = c.starts.Expected(s.job.spec.Class, now.Sub(s.wokenAt))
+			response.Expected = c.starts.Expected(s.job.Spec.Class, now.Sub(s.wokenAt))
 		}
 	case activation.Failed:
 		response.Expected = s.record.BackoffRemaining(now)
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/fencing"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
@@ -16,12 +17,12 @@
 
 // raiseToken raises the token of a worker that has to remember much, with the answer to its
 // report: what was sent directly before is dead once the worker shows the new one.
-func (d *scheduler) raiseToken(m *machine) {
+func (d *scheduler) raiseToken(m *cluster.Machine) {
 	if !d.fencingInForce() {
 		return
 	}
-	if m.fence.RaiseIfDue(max(d.settings.Tuning.Fencing.Window, len(m.attempts)), m.inFlight > 0) {
-		d.log.Debug("token raised", "machine", m.id, "token", m.fence.Token(), "remembers", m.fence.Retained())
+	if m.Fence.RaiseIfDue(max(d.settings.Tuning.Fencing.Window, len(m.Attempts)), m.InFlight > 0) {
+		d.log.Debug("token raised", "machine", m.ID, "token", m.Fence.Token(), "remembers", m.Fence.Retained())
 	}
 }
 
@@ -33,11 +34,11 @@
 // mayStartDirectly tells whether a task of a job may be started straight on a worker. One that has to
 // remember too much gets its starts with the answers to its reports, which are never carried out
 // late, and needn't be remembered.
-func (d *scheduler) mayStartDirectly(m *machine, j *job) bool {
+func (d *scheduler) mayStartDirectly(m *cluster.Machine, j *cluster.Job) bool {
 	if d.fencingInForce() {
-		return !m.fence.Full()
+		return !m.Fence.Full()
 	}
-	return j.urgent() || m.fence.Retained()+len(m.attempts) <= maxDirectBacklog
+	return j.Urgent() || m.Fence.Retained()+len(m.Attempts) <= maxDirectBacklog
 }
 
 // handleHigherToken takes in a token beyond this term's. A successor has given it, unless our
@@ -56,8 +57,8 @@
 	if d.fencingInForce() || !d.leaseValid(now) || now.Sub(d.termStarted) < d.settings.WorkerLease {
 		return
 	}
-	for _, m := range d.state.machines.inOrder() {
-		if m.fence.Full() {
+	for _, m := range d.state.Machines.InOrder() {
+		if m.Fence.Full() {
 			d.resignLeadership("a new token lets ended attempts be forgotten")
 			return
 		}
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -5,6 +5,7 @@
 	"testing/synctest"
 	"time"
 
+	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
@@ -285,26 +286,26 @@
 		d := newTestDispatcher(t, grownSettings())
 		m := d.up(1, "cpu", "a", false)
 		j := d.accept(arrayJob("000001", 1))
-		a := &attempt{job: j, task: 0, number: 1, machine: m, incarnation: 1, thisTerm: true, durable: true, delivery: deliverySettled, deliveryToken: d.term, reported: true}
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Delivery: cluster.DeliverySettled, DeliveryToken: d.term, Reported: true}
 		d.addAttempt(a)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term + 1}
-		if d.handleHeartbeat(r); len(m.attempts) != 0 {
+		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
 			t.Error("an attempt that is gone is booked on")
 		}
-		stopped := &attempt{job: j, task: 0, number: 3, machine: m, incarnation: 1, thisTerm: true, durable: true, commandedSeq: 5, stopping: true}
+		stopped := &cluster.Attempt{Job: j, Task: 0, Number: 3, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, CommandedSeq: 5, Stopping: true}
 		d.addAttempt(stopped)
 		r.Seq++
-		if d.handleHeartbeat(r); len(m.attempts) != 0 {
+		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
 			t.Error("a stopped attempt whose start was not carried out is booked on")
 		}
-		m.fence.Retain(attemptKey{a.id(), 2}, d.term+1)
+		m.Fence.Retain(cluster.AttemptKey{ID: a.ID(), Number: 2}, d.term+1)
 		d.expireLeases(time.Now().Add(time.Hour))
-		if m.confirmed {
+		if m.Confirmed {
 			t.Fatal("its lease never ends")
 		}
 		r.Incarnation, r.Seq = 2, 1
-		if d.handleHeartbeat(r); !m.confirmed || m.fence.Retained() != 0 {
-			t.Errorf("a later session is heard %v, and remembers %d", m.confirmed, m.fence.Retained())
+		if d.handleHeartbeat(r); !m.Confirmed || m.Fence.Retained() != 0 {
+			t.Errorf("a later session is heard %v, and remembers %d", m.Confirmed, m.Fence.Retained())
 		}
 	})
 }
--- a/internal/scheduler/zone_check.go
+++ b/internal/scheduler/zone_check.go
@@ -1,9 +1,11 @@
 package scheduler
 
+import "sagevale/internal/cluster"
+
 // zoneCheck answers where one more task of a job may start; it asks the job
 // once for each zone.
 type zoneCheck struct {
-	job    *job
+	job    *cluster.Job
 	counts map[string]int // nil: the job may be anywhere
 	known  []zoneVerdict
 }
@@ -13,10 +15,10 @@
 	ok   bool
 }
 
-func newZoneCheck(j *job) zoneCheck {
+func newZoneCheck(j *cluster.Job) zoneCheck {
 	z := zoneCheck{job: j}
-	if j.spec.Zone != "" || j.spec.SameZone || j.spec.Spread {
-		z.counts = j.zoneCounts()
+	if j.Spec.Zone != "" || j.Spec.SameZone || j.Spec.Spread {
+		z.counts = j.ZoneCounts()
 	}
 	return z
 }
@@ -30,7 +32,7 @@
 			return v.ok
 		}
 	}
-	ok := z.job.zoneAllows(zone, z.counts)
+	ok := z.job.ZoneAllows(zone, z.counts)
 	z.known = append(z.known, zoneVerdict{zone, ok})
 	return ok
 }
