--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,3 +1,6 @@
+// Package scheduler decides what runs where. Its scheduler is the actor that owns the cluster state during a term of
+// leadership: it answers users and workers, places tasks, and has decisions written before they take effect. Its Node
+// is one controller: it follows or leads, and passes on what only the leader may answer.
 package scheduler
 
 import (
