--- /dev/null
+++ b/internal/autoscaling/demand.go
@@ -0,0 +1,153 @@
+package autoscaling
+
+import (
+	"math"
+	"slices"
+	"sort"
+	"time"
+
+	"sagevale/internal/cluster"
+	"sagevale/internal/config"
+	"sagevale/internal/placement"
+	"sagevale/internal/storage"
+)
+
+// demand is a group of like tasks in a trial packing.
+type demand struct {
+	job           *cluster.Job
+	zones         placement.ZoneCheck
+	tasks         int     // left to pack
+	headroom      bool    // resources to keep free, not tasks
+	opportunistic bool    // only machines that are affordable for it are launched
+	runSeconds    float64 // run time of a task of work that ends; 0 for services and opportunistic work
+}
+
+// demands returns the waiting tasks, most urgent first, then the headroom, and opportunistic work last.
+func (r *Reviewer) demands(now time.Time) []*demand {
+	var demands, opportunistic []*demand
+	planned := make(map[string]storage.Resources) // by team
+	for _, j := range r.planner.WaitingByUrgency(now) {
+		team := r.settings.Team(j.Spec.Team)
+		if team == nil {
+			continue
+		}
+		tasks := r.demandedTasks(j, team, planned)
+		if tasks == 0 {
+			continue
+		}
+		d := &demand{job: j, zones: placement.NewZoneCheck(j), tasks: tasks}
+		if r.settings.IsOpportunistic(&j.Spec) {
+			d.opportunistic = true
+			opportunistic = append(opportunistic, d)
+			continue
+		}
+		if !j.Spec.Service {
+			d.runSeconds = r.state.Classes.RunSeconds(j)
+		}
+		demands = append(demands, d)
+	}
+	headroom := r.headroomDemands(now)
+	r.planner.SetHeadroom(headroomOf(headroom))
+	demands = append(demands, headroom...)
+	return append(demands, opportunistic...)
+}
+
+// demandedTasks is how many of a job's waiting tasks its team's limit lets run, beside what is planned for the
+// team already, which it adds to: all of a gang, or none.
+func (r *Reviewer) demandedTasks(j *cluster.Job, team *config.Team, planned map[string]storage.Resources) int {
+	reserved := r.state.Reservations.Team(j.Spec.Team)
+	if j.Spec.Gang {
+		all := planned[j.Spec.Team].Add(j.Spec.Resources.Mul(j.Waiting))
+		if !storage.WithinLimit(reserved.Add(all), team.Limit) || len(j.Attempts) > 0 && !j.GangCompletable() {
+			return 0
+		}
+		planned[j.Spec.Team] = all
+		return j.Waiting
+	}
+	tasks := 0
+	for ; tasks < j.Startable(); tasks++ {
+		used := reserved.Add(planned[j.Spec.Team]).Add(j.Spec.Resources)
+		if !storage.WithinLimit(used, team.Limit) {
+			break
+		}
+		planned[j.Spec.Team] = planned[j.Spec.Team].Add(j.Spec.Resources)
+	}
+	return tasks
+}
+
+// headroomOf is the headroom that demands stand for.
+func headroomOf(demands []*demand) []placement.Headroom {
+	headroom := make([]placement.Headroom, 0, len(demands))
+	for _, d := range demands {
+		headroom = append(headroom, placement.Headroom{Job: d.job, Tasks: d.tasks})
+	}
+	return headroom
+}
+
+// headroomDemands returns the resources to keep free, class by class.
+func (r *Reviewer) headroomDemands(now time.Time) []*demand {
+	classes := r.state.Classes.All()
+	names := make([]string, 0, len(classes))
+	for name := range classes {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	onFullest := r.servicesOnFullestMachine()
+	var demands []*demand
+	for _, name := range names {
+		c := classes[name]
+		if tasks := max(r.headroom(c, now), onFullest[name]); tasks > 0 {
+			demands = append(demands, r.headroomFor(c, tasks)...)
+		}
+	}
+	return demands
+}
+
+// headroomFor demands resources for so many tasks like those of a class. What spread jobs must have in another
+// zone, half of each rounded down, is kept in every zone.
+func (r *Reviewer) headroomFor(c *cluster.Class, tasks int) []*demand {
+	var demands []*demand
+	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
+		each := int(math.Round(c.SecondZoneShare() * float64(tasks)))
+		for _, zone := range zones {
+			if each == 0 {
+				break
+			}
+			d := headroomDemand(c.Latest, each)
+			d.job.Spec.Zone = zone
+			d.zones = placement.NewZoneCheck(d.job)
+			demands = append(demands, d)
+		}
+		tasks -= each * len(zones)
+	}
+	if tasks > 0 {
+		demands = append(demands, headroomDemand(c.Latest, tasks))
+	}
+	return demands
+}
+
+// headroomDemand is a demand for headroom, for so many tasks like those of a job.
+func headroomDemand(j *cluster.Job, tasks int) *demand {
+	template := templateOf(j)
+	return &demand{job: template, zones: placement.NewZoneCheck(template), tasks: tasks, headroom: true}
+}
+
+// templateOf returns a job like j whose tasks may be in any of its zones.
+func templateOf(j *cluster.Job) *cluster.Job {
+	template := &cluster.Job{Spec: j.Spec, AllowedTypes: j.AllowedTypes, FeasibleTypes: j.FeasibleTypes}
+	template.Spec.Spread, template.Spec.SameZone = false, j.Spec.SameZone && j.Spec.Gang
+	return template
+}
+
+// feasibleZones returns the zones with a machine type that a task of the job may run on.
+func (r *Reviewer) feasibleZones(j *cluster.Job) []string {
+	var zones []string
+	for _, name := range r.state.FeasibleTypes(j) {
+		for _, zone := range r.state.Types.Get(name).Zones {
+			if (j.Spec.Zone == "" || j.Spec.Zone == zone) && !slices.Contains(zones, zone) {
+				zones = append(zones, zone)
+			}
+		}
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/autoscaling/packing.go
@@ -0,0 +1,304 @@
+package autoscaling
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
+	"sagevale/internal/config"
+	"sagevale/internal/placement"
+	"sagevale/internal/storage"
+)
+
+const (
+	// desiredSteps is for how many scale-out steps a snapshot finds desired machines: those that boot
+	// longest are launched first.
+	desiredSteps = 4
+	// hedgeShare of the machines that waiting services count on is launched once more, for some come late
+	// and some never; of many, chance evens out, and their square root is enough.
+	hedgeShare = 0.5
+	// minBacklogShare is the share of its machines that a backlog of work that ends gets at the least.
+	minBacklogShare = 0.2
+	// zoneBalanceWeight is by how much an offering is dearer in a zone that has all machines than in one
+	// that has none.
+	zoneBalanceWeight = 0.02
+)
+
+// packing is a trial packing of the demands into the machines' free resources.
+type packing struct {
+	candidates    []*placement.Candidate
+	zones         []string
+	exhausted     placement.ExhaustedShapes
+	desired       []cloud.Offering // machines that would hold what finds no candidate
+	maxDesired    int
+	opportunistic int            // how many of the desired ones are for opportunistic work; they come last
+	zoneSizes     map[string]int // machines in each zone
+}
+
+// nonOpportunistic is how many desired machines are for other than opportunistic work.
+func (p *packing) nonOpportunistic() int { return len(p.desired) - p.opportunistic }
+
+// launch adds a desired machine to the candidates.
+func (p *packing) launch(o cloud.Offering, t *storage.MachineType, d *demand) {
+	p.desired = append(p.desired, o)
+	if d.opportunistic {
+		p.opportunistic++
+	}
+	p.zoneSizes[o.Zone]++
+	p.candidates = append(p.candidates, &placement.Candidate{
+		Offering: o, Type: t, Free: t.Resources, Booting: true, ForCPUOnly: d.job.Spec.Resources.GPUs == 0,
+	})
+	if !slices.Contains(p.zones, o.Zone) {
+		p.zones = append(p.zones, o.Zone)
+	}
+}
+
+// batchBacklog is what a packing knows of work that ends.
+type batchBacklog struct {
+	places   int     // machines' places that it has or has been given
+	expected float64 // places that it typically takes
+	behind   int     // tasks left over so far
+}
+
+// put packs one task of a demand on a candidate, and returns 1 if the candidate isn't up yet, else 0.
+func put(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
+	c.Free = c.Free.Sub(d.job.Spec.Resources)
+	c.Packed = append(c.Packed, placement.PackedTask{Job: d.job, Opportunistic: d.opportunistic})
+	d.zones.Add(c.Zone, 1)
+	d.tasks--
+	if d.runSeconds > 0 {
+		backlog.places++
+	}
+	if c.Booting {
+		return 1
+	}
+	return 0
+}
+
+// packAll packs the demands into the candidates and finds the offerings that would hold what is left, the
+// cheapest for each first. Work that ends gets no machine of its own when the places that it has will take
+// it before a new machine were up.
+func (r *Reviewer) packAll(p *packing, demands []*demand, size int, now time.Time) {
+	p.zones = placement.ZonesOf(p.candidates)
+	p.maxDesired = desiredSteps * r.settings.Tuning.MaxScaleOut(size)
+	p.zoneSizes = make(map[string]int)
+	for _, m := range r.state.Machines.InOrder() {
+		p.zoneSizes[m.Zone]++
+	}
+	backlog := &batchBacklog{places: r.batchPlaces(), expected: r.expectedBatchTasks(now)}
+	hedges := make(map[string]*provisioningHedge) // by class
+	for i := 0; i < len(demands); i++ {
+		d := demands[i]
+		booting := r.pack(p, d, backlog, now)
+		if !d.job.Spec.Service || d.headroom || booting == 0 {
+			continue
+		}
+		hedge := hedges[d.job.Spec.Class]
+		if hedge == nil {
+			hedge = &provisioningHedge{}
+			hedges[d.job.Spec.Class] = hedge
+		}
+		if extra := hedge.extra(booting, r.tasksPerMachine(d.job)); extra > 0 {
+			demands = append(demands, headroomDemand(d.job, extra))
+		}
+	}
+}
+
+// provisioningHedge computes, class by class, for how many tasks to launch machines once more.
+type provisioningHedge struct{ booting, hedged float64 }
+
+// extra is for how many more tasks to launch machines, when so many more count on booting ones.
+func (h *provisioningHedge) extra(booting int, tasksPerMachine float64) int {
+	h.booting += float64(booting)
+	machines := h.booting / tasksPerMachine
+	extra := int(tasksPerMachine*min(hedgeShare*machines, math.Sqrt(machines)) - h.hedged)
+	h.hedged += float64(max(0, extra))
+	return max(0, extra)
+}
+
+// tasksPerMachine is how many tasks of the job the type holds that holds the most.
+func (r *Reviewer) tasksPerMachine(j *cluster.Job) float64 {
+	most := 1
+	for _, name := range r.state.FeasibleTypes(j) {
+		most = max(most, placement.FitCount(r.state.Types.Get(name).Resources, j.Spec.Resources))
+	}
+	return float64(most)
+}
+
+// pack puts a demand's tasks on candidates, and on new ones where it must. It returns how many count on
+// machines that aren't up yet.
+func (r *Reviewer) pack(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
+	if spec := &d.job.Spec; spec.Gang && spec.SameZone && len(d.job.Attempts) == 0 {
+		if zone := roomiestZone(p.candidates, d); zone != "" {
+			d.zones.Add(zone, 1) // all of it there
+		}
+	}
+	for d.tasks > 0 {
+		if c := r.bestCandidate(p, d); c != nil {
+			booting += put(c, d, backlog)
+			continue
+		}
+		if r.backlogSuffices(d, backlog) {
+			break
+		}
+		o, ok := r.bestOffering(p, d, now)
+		if !ok || len(p.desired) >= p.maxDesired {
+			break
+		}
+		if d.opportunistic && !r.mayLaunchOpportunistic(p, o, d, now) {
+			break
+		}
+		t := r.state.Types.Get(o.Type)
+		if d.job.Spec.Resources.GPUs == 0 && t.Resources.GPUs > 0 {
+			// Only expensive machines are left: first count on those that boot anyway.
+			if c := r.planner.Fullest(p.candidates, d.job, &d.zones, placement.AnyCandidate); c != nil {
+				booting += put(c, d, backlog)
+				continue
+			}
+		}
+		p.launch(o, t, d)
+	}
+	if d.runSeconds > 0 {
+		backlog.behind += d.tasks
+	}
+	return booting
+}
+
+// backlogSuffices reports whether the places that work which ends has will take the rest of a demand before a
+// new machine were up. What typically comes takes its places before the backlog does.
+func (r *Reviewer) backlogSuffices(d *demand, backlog *batchBacklog) bool {
+	if d.runSeconds <= 0 || backlog.places == 0 || d.job.Spec.Gang {
+		return false
+	}
+	places := max(float64(backlog.places)-backlog.expected, minBacklogShare*float64(backlog.places))
+	return float64(backlog.behind+d.tasks)*d.runSeconds/places < r.state.MinBootSeconds(d.job)
+}
+
+// mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. One that isn't
+// affordable is launched for a job's first task only, and then for that alone.
+func (r *Reviewer) mayLaunchOpportunistic(p *packing, o cloud.Offering, d *demand, now time.Time) bool {
+	if p.opportunistic == config.MaxLaunchMachines {
+		return false // more at a time would hold up what others need
+	}
+	if r.affordable(o, d.job) {
+		return true
+	}
+	if !r.minimumAllocationDue(d.job, now) {
+		return false
+	}
+	d.tasks = 1
+	return true
+}
+
+// expectedBatchTasks is how many places work that ends typically takes. While that can't be told yet, more may
+// come than there are places.
+func (r *Reviewer) expectedBatchTasks(now time.Time) float64 {
+	tasks := 0.0
+	for _, c := range r.state.Classes.All() {
+		if c.Latest.Spec.Service || r.settings.IsOpportunistic(&c.Latest.Spec) {
+			continue
+		}
+		rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
+		if rate.WindowS == 0 {
+			return math.Inf(1)
+		}
+		tasks += rate.Expected(c.TypicalRunSeconds(), 0)
+	}
+	return tasks
+}
+
+// batchPlaces is how many places work that ends has now.
+func (r *Reviewer) batchPlaces() int {
+	places := 0
+	for _, j := range r.state.Jobs.Open {
+		if !j.Spec.Service && !r.settings.IsOpportunistic(&j.Spec) {
+			places += len(j.Attempts)
+		}
+	}
+	return places
+}
+
+// bestCandidate returns the fullest candidate that takes one more task of the demand, or nil.
+func (r *Reviewer) bestCandidate(p *packing, d *demand) *placement.Candidate {
+	shape := r.planner.ShapeOf(d.job)
+	from := p.exhausted.From(shape, &d.zones, p.zones)
+	if from >= len(p.candidates) {
+		return nil
+	}
+	best := r.planner.Fullest(p.candidates[from:], d.job, &d.zones, mayCountOn)
+	if best == nil {
+		p.exhausted.Note(shape, &d.zones, p.zones, len(p.candidates))
+	}
+	return best
+}
+
+// mayCountOn reports whether a task may count on a candidate. Services without GPUs don't wait for machines
+// with some: smaller ones boot sooner and cost little.
+func mayCountOn(c *placement.Candidate, j *cluster.Job) bool {
+	return !c.Booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0
+}
+
+// roomiestZone is the zone where most tasks of a gang fit that must all be in one.
+func roomiestZone(candidates []*placement.Candidate, d *demand) string {
+	capacity := make(map[string]int)
+	best := ""
+	for _, c := range candidates {
+		if !d.job.Spec.Resources.Fits(c.Free) || !c.Admits(d.job, &d.zones) {
+			continue
+		}
+		capacity[c.Zone] += placement.FitCount(c.Free, d.job.Spec.Resources)
+		if best == "" || capacity[c.Zone] > capacity[best] || capacity[c.Zone] == capacity[best] && c.Zone < best {
+			best = c.Zone
+		}
+	}
+	return best
+}
+
+// bestOffering returns the offering that holds what is left of a demand at the least price a task, among those
+// that the cloud hasn't rejected lately. Offerings whose machines mostly didn't come up are taken if there
+// are no others.
+func (r *Reviewer) bestOffering(p *packing, d *demand, now time.Time) (cloud.Offering, bool) {
+	best, ok := r.cheapestOffering(p, d, now, func(o cloud.Offering) bool { return !r.failsToProvision(o, now) })
+	if !ok {
+		best, ok = r.cheapestOffering(p, d, now, func(cloud.Offering) bool { return true })
+	}
+	return best, ok
+}
+
+// cheapestOffering returns the cheapest of the offerings that suit.
+func (r *Reviewer) cheapestOffering(p *packing, d *demand, now time.Time, suits func(cloud.Offering) bool) (best cloud.Offering, ok bool) {
+	spec := &d.job.Spec
+	bestCost := math.Inf(1)
+	for _, name := range r.state.FeasibleTypes(d.job) {
+		t := r.state.Types.Get(name)
+		fit := placement.FitCount(t.Resources, spec.Resources)
+		for _, zone := range t.Zones {
+			if !d.zones.Allows(zone) {
+				continue
+			}
+			for _, spot := range []bool{true, false} {
+				o := cloud.Offering{Type: name, Zone: zone, Spot: spot}
+				if !mayUseMarket(t, d, spot) || r.rejectedLately(o, now) || !suits(o) {
+					continue
+				}
+				cost := priceOf(t, spot) / float64(min(fit, d.tasks))
+				cost *= 1 + zoneBalanceWeight*float64(p.zoneSizes[zone])/float64(1+r.state.Machines.Count())
+				if cost < bestCost {
+					best, bestCost = o, cost
+				}
+			}
+		}
+	}
+	return best, !math.IsInf(bestCost, 1)
+}
+
+// mayUseMarket reports whether a demand may use spot machines of a type, or on-demand ones: headroom for work
+// that may use spot machines is kept on those only.
+func mayUseMarket(t *storage.MachineType, d *demand, spot bool) bool {
+	if spot {
+		return d.job.Spec.Spot && t.SpotPrice > 0
+	}
+	return !d.headroom || !d.job.Spec.Spot
+}
--- /dev/null
+++ b/internal/autoscaling/reviewer_test.go
@@ -0,0 +1,288 @@
+package autoscaling
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/clock"
+	"sagevale/internal/cloud"
+	"sagevale/internal/cluster"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/config"
+	"sagevale/internal/placement"
+	"sagevale/internal/storage"
+)
+
+// newTestReviewer returns a reviewer of an empty fleet.
+func newTestReviewer() (*Reviewer, *clustertest.Fleet) {
+	return newTestReviewerOf(clustertest.Settings())
+}
+
+func newTestReviewerOf(settings config.Settings) (*Reviewer, *clustertest.Fleet) {
+	fleet := clustertest.NewFleet(settings)
+	log := slog.New(slog.DiscardHandler)
+	planner := placement.New(&fleet.Settings, fleet.State, fleet, rand.New(rand.NewPCG(7, 7)), log)
+	return NewReviewer(&fleet.Settings, fleet.State, planner, log), fleet
+}
+
+// trialPacking makes one trial packing of all that waits and of the headroom.
+func (r *Reviewer) trialPacking() *packing {
+	now := time.Now()
+	p := &packing{exhausted: make(placement.ExhaustedShapes), candidates: r.planner.ReadyCandidates(now)}
+	r.packAll(p, r.demands(now), r.state.Machines.Count(), now)
+	return p
+}
+
+// snapshot reviews the fleet as a leader does.
+func (r *Reviewer) snapshot() Snapshot {
+	return r.Snapshot(time.Now(), Conditions{LeaseValid: true, MachinesListed: true})
+}
+
+// Half of a spread job must be in another zone: headroom in one zone alone let every job wait for the other.
+func TestHeadroomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		r.state.Classes.FirstArrival = time.Now().Add(-3 * fleet.Settings.WorkerLease)
+		for i := range 4 {
+			fleet.Up(i+1, "cpu", "a", false) // ample resources, all in one zone
+		}
+		// What runs leaves nothing to spare beside the GPUs of the other zone.
+		training := clustertest.Service("000009", 1)
+		training.Resources = storage.Resources{CPUs: 8, GPUs: 1}
+		fleet.Reserve(fleet.Accept(training), 0, fleet.Up(20, "gpu", "b", false), time.Now())
+		r.planner.UpdatePerGPU(time.Now())
+		j := fleet.Accept(clustertest.Spread("000001", 4))
+		for task := range 4 {
+			fleet.Reserve(j, task, fleet.Up(10+task, "gpu", "b", false), time.Now())
+		}
+		inB := 0
+		for _, o := range r.trialPacking().desired {
+			if o.Zone == "b" {
+				inB++
+			}
+		}
+		if inB == 0 {
+			t.Error("no headroom is kept in the zone that has none")
+		}
+	})
+}
+
+// With only GPU machines on offer, tasks without GPUs fill those that are launched for them; once each task
+// wanted a machine of its own.
+func TestCPUOnlyTasksFillTheMachineLaunchedForThem(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		spec := clustertest.Service("000001", 40)
+		spec.Types = []string{"gpu"}
+		fleet.Accept(spec)
+		if got := len(r.trialPacking().desired); got != 2 {
+			t.Errorf("%d machines of 32 places for 40 tasks, want 2", got)
+		}
+	})
+}
+
+// Saving and fetching elsewhere must not cost a task the deadline that it would meet where it is; what is late
+// anyway, or has time, may move.
+func TestMoveMustNotCostADeadline(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		deadlineS float64
+		want      bool
+	}{
+		{"late anyway", 40, false},
+		{"just in time", 62, true},
+		{"ample time", 200, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r, fleet := newTestReviewer()
+				spec := clustertest.Array("000001", 1)
+				spec.EstimateS, spec.DeadlineS, spec.CheckpointS, spec.SaveS, spec.ImageGB = 60, c.deadlineS, 10, 4, 5
+				a := &cluster.Attempt{Job: cluster.NewJob(spec, time.Now()), Machine: fleet.Up(1, "cpu", "a", false), Reported: true, Started: time.Now()}
+				if got := r.lateByMove(a, time.Now()); got != c.want {
+					t.Errorf("lateByMove() = %v, want %v", got, c.want)
+				}
+			})
+		})
+	}
+}
+
+// Thousands of opportunistic tasks had machines of any price launched, up to those with GPUs.
+func TestOpportunisticWorkLaunchesOnlyAffordableMachines(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		j := fleet.Accept(clustertest.Opportunistic("000001", 40))
+		desired := func() (affordable, expensive int) {
+			for _, o := range r.trialPacking().desired {
+				if o.Type == "cpu" && o.Spot {
+					affordable++
+				} else {
+					expensive++
+				}
+			}
+			return affordable, expensive
+		}
+		if affordable, expensive := desired(); affordable != 20 || expensive != 0 {
+			t.Errorf("%d affordable and %d expensive machines for 20 machines' work", affordable, expensive)
+		}
+		reject := func() {
+			for _, zone := range []string{"a", "b"} {
+				r.NoteRejected(cloud.Offering{Type: "cpu", Zone: zone, Spot: true}, time.Now())
+			}
+		}
+		reject()
+		if affordable, expensive := desired(); affordable+expensive != 0 {
+			t.Errorf("%d machines while affordable ones are rejected, want none", affordable+expensive)
+		}
+		time.Sleep(minimumAllocationLeases*fleet.Settings.WorkerLease + time.Second)
+		reject()
+		if affordable, expensive := desired(); affordable != 0 || expensive != 1 {
+			t.Errorf("%d affordable and %d expensive machines for a job that waits for its first, want 0 and 1", affordable, expensive)
+		}
+		m := fleet.Up(1, "cpu", "a", false)
+		fleet.Reserve(j, 0, m, time.Now())
+		m.Type = nil // its free resources aren't of interest here
+		if affordable, expensive := desired(); affordable+expensive != 0 {
+			t.Errorf("%d machines for a job that has begun, want none", affordable+expensive)
+		}
+	})
+}
+
+// The demand of opportunistic work had the fleet keep expensive machines, and launches for it held up those of
+// services.
+func TestOpportunisticDemandNeitherKeepsMachinesNorDelaysOthers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		fleet.Accept(clustertest.Opportunistic("000001", 4000))
+		m := fleet.Up(1, "gpu", "a", false) // with nothing to do
+		time.Sleep(clock.Seconds(cluster.IdlePerBoot*m.Type.BootS) + time.Second)
+		fleet.Up(1, "gpu", "a", false)
+		s := r.snapshot()
+		if len(s.Desired) != config.MaxLaunchMachines || s.NonOpportunistic != 0 {
+			t.Errorf("%d machines desired, %d for other work; want %d and none", len(s.Desired), s.NonOpportunistic, config.MaxLaunchMachines)
+		}
+		if len(s.Surplus) != 1 {
+			t.Errorf("%d surplus machines beside demand for affordable ones, want 1", len(s.Surplus))
+		}
+		fleet.Accept(clustertest.Service("000002", 40))
+		if s := r.snapshot(); s.NonOpportunistic != len(s.Desired)-config.MaxLaunchMachines || s.NonOpportunistic == 0 || len(s.Surplus) != 0 {
+			t.Errorf("%d of %d desired machines are for other work, %d surplus", s.NonOpportunistic, len(s.Desired), len(s.Surplus))
+		}
+	})
+}
+
+// Opportunistic work that could be saved kept the expensive machines on which it had found a place.
+func TestOpportunisticWorkKeepsNoExpensiveMachine(t *testing.T) {
+	for name, spot := range map[string]bool{"on-demand": false, "spot": true} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r, fleet := newTestReviewer()
+				m := fleet.Up(1, "cpu", "a", spot)
+				spec := clustertest.Opportunistic("000001", 1)
+				spec.CheckpointS, spec.SaveS = 30, 3
+				fleet.Run(fleet.Accept(spec), 0, m)
+				p := r.trialPacking()
+				if got, want := len(r.findSurplus(p, time.Now())) > 0, !spot; got != want {
+					t.Errorf("surplus %v, want %v", got, want)
+				}
+			})
+		})
+	}
+}
+
+// Work that ends waits for its places rather than for a new machine; a gang that lacks one place would wait for
+// ever.
+func TestGangGetsMachinesForAllItsTasks(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		for i, zone := range []string{"a", "a", "b"} {
+			fleet.Up(i, "cpu", zone, false)
+		}
+		fleet.Accept(gang("000001", 9)) // eight fit in zone a, four in b
+		if desired := r.trialPacking().desired; len(desired) != 1 || desired[0].Zone != "a" {
+			t.Errorf("desired %+v, want one machine in zone a", desired)
+		}
+	})
+}
+
+func TestGangBeyondItsTeamsLimitIsNoDemand(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		settings := clustertest.Settings()
+		settings.Teams = append(settings.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
+		r, fleet := newTestReviewerOf(settings)
+		other, waiting := limited(gang("000001", 1)), limited(gang("000002", 2))
+		fleet.Run(fleet.Accept(other), 0, fleet.Up(1, "gpu", "a", false))
+		j := fleet.Accept(waiting)
+		if got := r.demandedTasks(j, fleet.Settings.Team("small"), make(map[string]storage.Resources)); got != 0 {
+			t.Errorf("demandedTasks() = %d beyond the limit, want none", got)
+		}
+	})
+}
+
+func gang(id string, tasks int) storage.Spec {
+	s := clustertest.Array(id, tasks)
+	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
+	return s
+}
+
+// limited is a job of the team whose limit is two GPUs.
+func limited(spec storage.Spec) storage.Spec {
+	spec.Team, spec.Resources.GPUs = "small", 1
+	return spec
+}
+
+// A machine that never comes is replaced and terminated at its time beside others that boot as they should, and
+// an offering that doesn't deliver is avoided for a while.
+func TestMachinesThatNeverComeAreReplaced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, fleet := newTestReviewer()
+		offering := cloud.Offering{Type: "cpu", Zone: "a"}
+		launch := func(ids ...int) {
+			for _, id := range ids {
+				m := fleet.State.EnsureMachine(id, time.Now())
+				m.ProvisioningObserved, m.ListedAt = true, time.Now()
+				m.TypeName, m.Zone, m.Type = offering.Type, offering.Zone, fleet.State.Types.Get(offering.Type)
+			}
+		}
+		launch(1, 2, 3, 4, 5, 6)
+		time.Sleep(15 * time.Second)
+		for id := range 4 {
+			r.NoteProvisioned(fleet.Up(id+3, "cpu", "a", false), time.Now())
+		}
+		time.Sleep(15 * time.Second)
+		s := r.snapshot()
+		if overdue := r.Overdue(fleet.State.Machines.Get(1), time.Now()); len(s.Lost) != 0 || !overdue {
+			t.Errorf("after two boot times %v are lost, overdue %v; want none and true", s.Lost, overdue)
+		}
+		time.Sleep(6 * time.Second)
+		if s := r.snapshot(); len(s.Lost) != 2 {
+			t.Errorf("%v are terminated, want two", s.Lost)
+		}
+		if r.failsToProvision(offering, time.Now()) {
+			t.Error("an offering that mostly delivers is avoided")
+		}
+		for _, id := range []int{1, 2} {
+			fleet.State.Machines.Get(id).Terminating = true
+		}
+		launch(7, 8, 9)
+		time.Sleep(2 * time.Minute)
+		r.snapshot()
+		fleet.Accept(clustertest.Service("000001", 400))
+		if !r.failsToProvision(offering, time.Now()) {
+			t.Error("an offering that doesn't deliver isn't avoided")
+		}
+		for _, o := range r.trialPacking().desired {
+			if o.Zone == "a" {
+				t.Errorf("%+v is desired though it doesn't deliver", o)
+				break
+			}
+		}
+		time.Sleep(6 * time.Minute)
+		if r.failsToProvision(offering, time.Now()) {
+			t.Error("an offering is avoided for ever")
+		}
+	})
+}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"sagevale/internal/storage"
 )
 
 // Each batch of reports wakes a follower and the leader: the smaller the share of a
@@ -34,3 +36,56 @@
 		}
 	}
 }
+
+func TestScaleOutAtMostDoublesTheFleet(t *testing.T) {
+	tuning := Tuning{ScaleOutStep: 50}
+	for size, want := range map[int]int{0: 50, 30: 50, 51: 51, 400: 400} {
+		if got := tuning.MaxScaleOut(size); got != want {
+			t.Errorf("a fleet of %d may grow by %d, not %d", size, got, want)
+		}
+	}
+}
+
+// Machines are terminated one at a time, but a large fleet must not take hours.
+func TestCooldownShrinksWithFleetSize(t *testing.T) {
+	s := Settings{WorkerLease: 22 * time.Second}
+	s.Tuning = s.DefaultTuning()
+	small, large := s.Tuning.CooldownFor(CooldownFleetSize/2), s.Tuning.CooldownFor(8*CooldownFleetSize)
+	if small != s.Tuning.Cooldown || large != s.Tuning.Cooldown/8 {
+		t.Errorf("cooldowns of %v and %v", small, large)
+	}
+}
+
+// opportunisticSpec is a job of opportunistic work.
+func opportunisticSpec() storage.Spec {
+	return storage.Spec{ID: "000001", Class: "idle", Team: "team", Tasks: 1, Priority: storage.BestEffort, Spot: true}
+}
+
+func TestIsOpportunistic(t *testing.T) {
+	s := Settings{
+		Teams:      []Team{{Name: "team"}, {Name: "guaranteed", Guarantee: storage.Resources{CPUs: 1}}},
+		Objectives: []Objective{{Kind: "finished", Class: "promised"}},
+	}
+	for _, c := range []struct {
+		name   string
+		change func(*storage.Spec)
+		want   bool
+	}{
+		{"best effort", func(*storage.Spec) {}, true},
+		{"a priority", func(j *storage.Spec) { j.Priority = storage.Normal }, false},
+		{"a deadline", func(j *storage.Spec) { j.DeadlineS = 60 }, false},
+		{"a service", func(j *storage.Spec) { j.Service = true }, false},
+		{"a gang", func(j *storage.Spec) { j.Gang = true }, false},
+		{"a guarantee", func(j *storage.Spec) { j.Team = "guaranteed" }, false},
+		{"an objective", func(j *storage.Spec) { j.Class = "promised" }, false},
+		{"another class's objective", func(j *storage.Spec) { j.Class = "other" }, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			spec := opportunisticSpec()
+			c.change(&spec)
+			if got := s.IsOpportunistic(&spec); got != c.want {
+				t.Errorf("IsOpportunistic() = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/placement/gang_preemption.go
@@ -0,0 +1,89 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"sagevale/internal/cluster"
+	"sagevale/internal/storage"
+	"sagevale/internal/worker"
+)
+
+// gangPreemption is a candidate that a gang may use once some of its attempts are stopped.
+type gangPreemption struct {
+	candidate *Candidate
+	tasks     int // of the gang
+	victims   []*cluster.Attempt
+	cost      float64
+}
+
+// costPerTask is the cost for each task of the gang.
+func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
+
+// preemptForGang makes way for all waiting tasks of a gang by stopping work of lower priority, the least
+// costly first, or stops nothing. It reports whether it did.
+func (p *Planner) preemptForGang(j *cluster.Job, r *round) bool {
+	if j.Spec.Priority <= storage.BestEffort || j.Spec.Spread {
+		return false
+	}
+	var best []gangPreemption
+	bestCost := 0.0
+	for _, group := range p.gangCandidates(j, r) {
+		if plan, cost := p.planGangPreemption(j, group, r.now); plan != nil && (best == nil || cost < bestCost) {
+			best, bestCost = plan, cost
+		}
+	}
+	for _, g := range best {
+		p.stopVictims(g.candidate, g.victims, j, r.now)
+		g.candidate.takeReleasing(j.Spec.Resources.Mul(g.tasks))
+		p.actions.CommandStops(g.candidate.Machine)
+	}
+	return best != nil
+}
+
+// planGangPreemption finds candidates for all waiting tasks of a gang, with what must be stopped there, or
+// returns nil.
+func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
+	by := preemptor{priority: j.Spec.Priority}
+	options, capacity := p.gangPreemptionOptions(j, group, by, now)
+	if capacity < j.Waiting {
+		return nil, 0
+	}
+	slices.SortStableFunc(options, func(a, b gangPreemption) int { return cmp.Compare(a.costPerTask(), b.costPerTask()) })
+	for left := j.Waiting; left > 0; {
+		option := options[0]
+		options = options[1:]
+		if option.tasks > left {
+			option.tasks = left
+			option.victims, option.cost, _ = p.victims(option.candidate, j.Spec.Resources.Mul(left), by, now)
+		}
+		plan, left, cost = append(plan, option), left-option.tasks, cost+option.cost
+	}
+	return plan, cost
+}
+
+// gangPreemptionOptions returns what each candidate could take of a gang's waiting tasks, and how many they
+// could take together.
+func (p *Planner) gangPreemptionOptions(j *cluster.Job, group []*Candidate, by preemptor, now time.Time) (options []gangPreemption, capacity int) {
+	for _, c := range group {
+		most := preemptibleBelow(c, by.priority)
+		if !j.Spec.Resources.Fits(most) {
+			continue
+		}
+		option := gangPreemption{candidate: c, tasks: min(j.Waiting, FitCount(most, j.Spec.Resources))}
+		victims, cost, ok := p.victims(c, j.Spec.Resources.Mul(option.tasks), by, now)
+		if !ok {
+			continue
+		}
+		option.victims, option.cost = victims, cost
+		options = append(options, option)
+		capacity += option.tasks
+	}
+	return options, capacity
+}
+
+// waitsToRun reports whether a reported attempt hasn't begun to run.
+func waitsToRun(a *cluster.Attempt) bool {
+	return a.State == worker.Pulling || a.State == worker.Gathering
+}
--- /dev/null
+++ b/internal/placement/planner_test.go
@@ -0,0 +1,117 @@
+package placement
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"sagevale/internal/cluster"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/storage"
+)
+
+// newTestPlanner returns a planner of an empty fleet.
+func newTestPlanner() (*Planner, *clustertest.Fleet) {
+	fleet := clustertest.NewFleet(clustertest.Settings())
+	random := rand.New(rand.NewPCG(7, 7))
+	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
+}
+
+// setPerGPU fixes what is left beside a GPU.
+func (p *Planner) setPerGPU(r storage.Resources) {
+	p.perGPU, p.perGPUUpdatedAt = r, time.Now()
+}
+
+// What a shape has searched in vain isn't searched again, but for candidates that were added since.
+func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p, fleet := newTestPlanner()
+		for i := range 100 {
+			fleet.Up(i+1, "cpu", "a", false)
+		}
+		j := fleet.Accept(clustertest.Service("000001", 1000))
+		r := p.newRound(time.Now())
+		p.placeTasks(j, j.Startable(), r)
+		zones := NewZoneCheck(j)
+		if from := r.exhausted.From(p.ShapeOf(j), &zones, r.zones); len(r.reserved) != 400 || from != len(r.candidates) {
+			t.Fatalf("%d reserved and searched up to %d, want 400 and %d", len(r.reserved), from, len(r.candidates))
+		}
+		added := CandidateOf(fleet.Up(200, "cpu", "a", false))
+		r.candidates = append(r.candidates, &added)
+		if c := p.choose(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
+			t.Errorf("choose() = %+v, want the candidate that was added", c)
+		}
+	})
+}
+
+// A shortlist that is kept up to date from task to task is what a search for each task finds: the same
+// candidates in the same order, so that every choice is the same.
+func TestShortlistMatchesFreshSearch(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p, fleet := newTestPlanner()
+		for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
+			typeName := rapid.SampledFrom([]string{"cpu", "gpu"}).Draw(t, "type")
+			m := fleet.Up(i+1, typeName, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			if rapid.Bool().Draw(t, "image") {
+				m.Images["img"] = cluster.Image{SizeGB: 1, LastUsed: time.Now()}
+			}
+			if rapid.Bool().Draw(t, "failures") {
+				m.Failures.Failed("000009")
+			}
+		}
+		p.setPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
+		spec := clustertest.Service("000001", rapid.IntRange(1, 60).Draw(t, "tasks"))
+		spec.Spread, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "may use spot")
+		spec.SameZone = !spec.Spread && rapid.Bool().Draw(t, "same zone")
+		spec.Resources.GPUs = float64(rapid.IntRange(0, 1).Draw(t, "gpus"))
+		j := fleet.Accept(spec)
+		r := p.newRound(time.Now())
+		zones := NewZoneCheck(j)
+		kept := shortlist{job: j, round: r, zones: &zones}
+		for task := range spec.Tasks {
+			fresh := shortlist{job: j, round: &round{now: r.now, candidates: r.candidates, zones: r.zones, exhausted: make(ExhaustedShapes)}, zones: &zones}
+			p.search(&fresh)
+			c := p.choose(&kept)
+			if (c == nil) != (len(fresh.candidates) == 0) || c != nil && (kept.tier != fresh.tier || !slices.Equal(kept.candidates, fresh.candidates)) {
+				t.Fatalf("task %d: %d candidates of tier %d, a search finds %d of tier %d", task, len(kept.candidates), kept.tier, len(fresh.candidates), fresh.tier)
+			}
+			if c == nil {
+				return
+			}
+			p.reserveOn(c, j, task, r)
+			zones.Add(c.Zone, 1)
+			p.noteReserved(&kept, c)
+		}
+	})
+}
+
+// Opportunistic work used to fill the headroom that is kept for services, and the processors beside GPUs.
+func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p, fleet := newTestPlanner()
+		fleet.Up(1, "cpu", "a", false) // four of the service's tasks, or two opportunistic ones
+		fleet.Up(2, "cpu", "a", false)
+		gpu := fleet.Up(3, "gpu", "a", false)
+		training := clustertest.Service("000001", 1)
+		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
+		fleet.Reserve(fleet.Accept(training), 0, gpu, time.Now())
+		p.setPerGPU(storage.Resources{CPUs: 8})
+		kept := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
+		p.SetHeadroom([]Headroom{{Job: kept, Tasks: 2}})
+		idle := fleet.Accept(clustertest.Opportunistic("000003", 100))
+		for range 3 {
+			p.Round(time.Now())
+		}
+		if on := len(gpu.Attempts); on != 1 {
+			t.Errorf("%d opportunistic tasks beside GPUs that need the processors, want none", on-1)
+		}
+		if idle.Allocated() != 3 {
+			t.Errorf("%d opportunistic tasks on two machines of two places each, one of which is kept; want 3", idle.Allocated())
+		}
+	})
+}
--- a/internal/scheduler/archive_withdrawal.go
+++ b/internal/scheduler/archive_withdrawal.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	reply := make(chan error, 1)
-	t.scheduler.post(restoreMsg{page.Entries, reply})
+	t.scheduler.post(restoreMessage{page.Entries, reply})
 	select {
 	case err = <-reply:
 	case <-t.scheduler.closed:
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -34,16 +34,16 @@
 
 // Messages of the archive to the dispatcher.
 type (
-	archiveReadMsg struct {
-		user   userMsg
+	archiveReadMessage struct {
+		user   userMessage
 		result archive.Result
 		err    error
 	}
-	archivedMsg struct {
+	archivedMessage struct {
 		jobs []archive.JobNumber
 		err  error
 	}
-	restoreMsg struct {
+	restoreMessage struct {
 		entries []archive.Entry
 		reply   chan error
 	}
@@ -70,7 +70,7 @@
 
 // answerArchived sees to a request for a job that isn't held, and tells whether it has answered it, or will once the job's page has been
 // read. It returns false if the job is known not to be archived, or nothing may be told anyway.
-func (d *scheduler) answerArchived(m userMsg, now time.Time) bool {
+func (d *scheduler) answerArchived(m userMessage, now time.Time) bool {
 	rank, ok := archive.ParseJobNumber(m.req.ID)
 	if !d.archiveUsed || !ok {
 		return false
@@ -83,21 +83,21 @@
 	case m.absent, r.Knowledge == archive.Absent && r.Term == d.term, !d.leaseValid(now):
 		return false
 	}
-	go d.readArchive(m, rank)
+	d.readArchive(m, rank)
 	return true
 }
 
 // readArchive has a job's page read and brings the result back to the dispatcher.
-func (d *scheduler) readArchive(m userMsg, rank archive.JobNumber) {
-	ctx, cancel := context.WithTimeout(d.lifetime, d.settings.CallTimeout())
-	defer cancel()
-	result, err := d.archive.Read(ctx, rank)
-	d.post(archiveReadMsg{m, result, err})
+func (d *scheduler) readArchive(m userMessage, rank archive.JobNumber) {
+	d.background(d.settings.CallTimeout(), func(ctx context.Context) {
+		result, err := d.archive.Read(ctx, rank)
+		d.post(archiveReadMessage{m, result, err})
+	})
 }
 
 // handleArchiveRead goes on with a request whose job's page was read. Only a page that was read in this term
 // tells that a job isn't archived.
-func (d *scheduler) handleArchiveRead(m archiveReadMsg) {
+func (d *scheduler) handleArchiveRead(m archiveReadMessage) {
 	id := m.user.req.ID
 	switch {
 	case m.err != nil:
@@ -158,7 +158,7 @@
 		return
 	}
 	d.archiving = true
-	go d.offerToArchive(d.state.Jobs.NextFinished(maxArchiveBatch))
+	d.offerToArchive(d.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
 // archiveCalls is how many calls to the state service an offer may take, behind others.
@@ -166,14 +166,14 @@
 
 // offerToArchive hands finished jobs to the archive, and brings back which of them are durable there.
 func (d *scheduler) offerToArchive(entries []archive.Entry) {
-	ctx, cancel := context.WithTimeout(d.lifetime, archiveCalls*d.settings.CallTimeout())
-	defer cancel()
-	ranks, err := d.archive.Archive(ctx, entries)
-	d.post(archivedMsg{ranks, err})
+	d.background(archiveCalls*d.settings.CallTimeout(), func(ctx context.Context) {
+		jobs, err := d.archive.Archive(ctx, entries)
+		d.post(archivedMessage{jobs, err})
+	})
 }
 
 // handleArchived forgets jobs that are archived, and has their records removed.
-func (d *scheduler) handleArchived(m archivedMsg) {
+func (d *scheduler) handleArchived(m archivedMessage) {
 	d.archiving = false
 	if m.err != nil {
 		d.log.Debug("nothing archived", "err", m.err)
@@ -199,7 +199,7 @@
 
 // restoreArchived takes archived jobs back into the journal. While an offer is under way nothing is taken back: its answer could remove a job
 // from the journal whose page is dropped then.
-func (d *scheduler) restoreArchived(m restoreMsg) {
+func (d *scheduler) restoreArchived(m restoreMessage) {
 	if d.archiving {
 		m.reply <- errArchivingInProgress
 		return
@@ -222,3 +222,9 @@
 		d.state.Jobs.TrackFinished(j)
 	}
 }
+
+func (m archiveReadMessage) handle(d *scheduler) { d.handleArchiveRead(m) }
+
+func (m archivedMessage) handle(d *scheduler) { d.handleArchived(m) }
+
+func (m restoreMessage) handle(d *scheduler) { d.restoreArchived(m) }
--- a/internal/scheduler/bounds.go
+++ b/internal/scheduler/bounds.go
@@ -26,11 +26,6 @@
 	return float64(len(d.mailbox)) < share*float64(cap(d.mailbox))
 }
 
-// maxPlacementsPerRound bounds the tasks placed in one round, so that a flood of tasks doesn't hold up the
-// answers to workers. It bounds no rate: placement rests in proportion to a round, and a larger
-// one would only make urgent work wait longer for the next.
-const maxPlacementsPerRound = 512
-
 // maxCommands is how many orders one answer to a report carries: they stay within a line of
 // 64 KiB. The rest goes with the next answer.
 const maxCommands = 512
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -95,12 +95,10 @@
 	if len(starts) > 0 {
 		sendBy = d.role.LeaseValidUntil // a process that falls behind may get to it late
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(d.lifetime, limit)
-		defer cancel()
+	d.background(limit, func(ctx context.Context) {
 		outcome, report := d.deps.Workers.SendCommands(ctx, addr, token, session, orders, sendBy)
-		d.post(deliveredMsg{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
-	}()
+		d.post(deliveredMessage{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
+	})
 }
 
 // announceToken spreads our token to one worker, unless as many as the sockets allow
@@ -134,7 +132,7 @@
 }
 
 // handleDelivered takes in what became of direct orders.
-func (d *scheduler) handleDelivered(msg deliveredMsg) {
+func (d *scheduler) handleDelivered(msg deliveredMessage) {
 	now := time.Now()
 	m := d.state.Machines.Get(msg.machine)
 	if m != nil {
@@ -195,3 +193,14 @@
 		d.sendCommands(m, orders, nil)
 	}
 }
+
+// deliveredMessage tells what became of commands that were sent directly.
+type deliveredMessage struct {
+	machine      int
+	announcement bool // of a fencing token, without commands
+	starts       []*cluster.Attempt
+	outcome      worker.Outcome
+	report       *worker.Report
+}
+
+func (m deliveredMessage) handle(d *scheduler) { d.handleDelivered(m) }
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -1,12 +1,14 @@
 package scheduler
 
 import (
+	"context"
 	"math"
 	"slices"
 	"time"
 
 	"sagevale/internal/admission"
 	"sagevale/internal/cluster"
+	"sagevale/internal/config"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
@@ -24,9 +26,9 @@
 const maxSubmissionWait = 3 * time.Second
 
 // newAdmission admits submissions that are expected to be recorded while their users wait.
-func (d *scheduler) newAdmission() *admission.Limiter {
-	pace := float64(d.settings.State.BytesWithin(time.Second)) / acceptanceBytes
-	return admission.NewLimiter(maxSubmissionWait, pace, len(d.settings.Teams))
+func newAdmission(s *config.Settings) *admission.Limiter {
+	pace := float64(s.State.BytesWithin(time.Second)) / acceptanceBytes
+	return admission.NewLimiter(maxSubmissionWait, pace, len(s.Teams))
 }
 
 // admit tells whether a team's submission may wait to be recorded.
@@ -116,7 +118,7 @@
 
 // flush hands what is marked to the journal, as much as one commit holds, unless one is
 // under way. Of the bulk lane it takes what leaves changes for the others.
-func (d *scheduler) flush() {
+func (d *scheduler) flush(ctx context.Context) {
 	if !d.queue.Idle() {
 		return
 	}
@@ -128,7 +130,7 @@
 		return
 	}
 	d.commitStarted = time.Now()
-	d.journal.Append(d.lifetime, storage.Batch{Records: records, Ack: func(err error) { d.post(committedMsg{err}) }})
+	d.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { d.post(committedMessage{err}) }})
 }
 
 // limitBulk lets the bulk lane use what the journal has saved beyond a reserve.
@@ -164,3 +166,8 @@
 
 // removed is the value of an entity that is to be removed.
 func removed() any { return nil }
+
+// committedMessage tells what became of the commit under way.
+type committedMessage struct{ err error }
+
+func (m committedMessage) handle(d *scheduler) { d.handleCommitted(m.err) }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"sagevale/internal/autoscaling"
 	"sagevale/internal/clock"
 	"sagevale/internal/cloud"
 	"sagevale/internal/cluster"
@@ -11,73 +12,6 @@
 	"sagevale/internal/worker"
 )
 
-// fleetSnapshot is what the capacity actor needs to know, once a second.
-type fleetSnapshot struct {
-	desired          []cloud.Offering   // machines that would cover the pressure, in order
-	nonOpportunistic int                // how many of them are for other than opportunistic work; they come first
-	healthy          bool               // every machine's reports are fresh and nothing is unproved
-	surplus          []surplusMachine   // machines that could be returned, one after the other
-	emptied          []int              // drained machines without tasks, to be returned
-	lost             []int              // failed, silent or never-up machines, to be returned
-	drains           int                // how many drains had been asked for
-	draining         bool               // a drain is still open
-	size             int                // machines that are or may be ours
-	settled          bool               // a cloud list has been seen in this term
-	bootSeconds      map[string]float64 // how long the types boot, in seconds
-}
-
-// snapshotFleet reckons the pressure: the waiting tasks' requested room minus the
-// free room on ready and booting machines, by a trial packing.
-func (d *scheduler) snapshotFleet(now time.Time) fleetSnapshot {
-	v := fleetSnapshot{healthy: true, settled: d.machinesListed, drains: d.drainsRequested}
-	p := &packing{exhausted: make(exhaustedShapes)}
-	d.updateSlowness(now)
-	fresh := d.settings.ReportFreshness()
-	for _, m := range d.state.Machines.InOrder() {
-		silent := now.Sub(m.LastContact) > fresh
-		switch {
-		case m.Terminating, m.Failed:
-			v.lost = append(v.lost, m.ID)
-			continue
-		case !m.Confirmed && len(m.Attempts) == 0 && m.Type != nil && d.abandoned(m, now):
-			d.noteAbandoned(m, now)
-			v.lost = append(v.lost, m.ID)
-			v.size++
-			continue
-		}
-		v.size++
-		if m.DrainReason != "" {
-			if len(m.Attempts) == 0 {
-				v.emptied = append(v.emptied, m.ID)
-			} else {
-				v.draining = true
-			}
-			continue
-		}
-		if m.Confirmed && silent {
-			v.healthy = false
-			continue
-		}
-		if m.Type == nil || m.Quarantined(now) || (!m.Confirmed && d.provisioningOverdue(m, now)) {
-			continue
-		}
-		s := candidateOf(m)
-		p.candidates = append(p.candidates, &s)
-	}
-	if d.leaseValid(now) {
-		d.updatePerGPU(now)
-		d.shortage(p, d.demands(now), v.size, now)
-		v.desired, v.nonOpportunistic, v.bootSeconds = p.desired, p.nonOpportunistic(), make(map[string]float64, d.state.Types.Count())
-		for _, name := range d.state.Types.All() {
-			v.bootSeconds[name] = d.state.Types.Get(name).BootS
-		}
-		if v.nonOpportunistic == 0 && v.healthy && !v.draining {
-			v.surplus = d.findSurplus(p, now)
-		}
-	}
-	return v
-}
-
 // drain has nothing more placed on a machine and moves its tasks: services and
 // what can save its progress restart elsewhere, others may finish unless the
 // machine is being taken.
@@ -106,19 +40,19 @@
 	d.placementDue = true
 }
 
-// drainSurplus drains a machine that the fleet can do without, unless it has got
-// work since that was found. An empty one is returned at once.
-func (d *scheduler) drainSurplus(msg drainMsg) {
+// drainSurplus drains a machine that the fleet can do without, unless it has got work since that was found. An
+// empty one is terminated at once.
+func (d *scheduler) drainSurplus(surplus autoscaling.SurplusMachine) {
 	d.drainsRequested++
-	m := d.state.Machines.Get(msg.surplus.machine)
-	if m == nil || len(m.Attempts) > msg.surplus.attempts {
-		d.autoscaler.post(drainedMsg{})
+	m := d.state.Machines.Get(surplus.Machine)
+	if m == nil || len(m.Attempts) > surplus.Attempts {
+		d.autoscaler.DrainCompleted()
 		return
 	}
-	d.drain(m, msg.reason)
+	d.drain(m, "surplus")
 	if len(m.Attempts) == 0 {
 		d.terminateMachines([]int{m.ID})
-		d.autoscaler.post(drainedMsg{})
+		d.autoscaler.DrainCompleted()
 	}
 }
 
@@ -171,7 +105,7 @@
 	d.placementDue = true
 }
 
-func (d *scheduler) handleLaunched(msg launchedMsg) {
+func (d *scheduler) handleLaunched(msg launchedMessage) {
 	now := time.Now()
 	for _, id := range msg.machines {
 		m := d.state.Machines.Get(id)
@@ -204,7 +138,7 @@
 	}
 	d.onCommit(func(err error) {
 		if err == nil {
-			d.autoscaler.post(terminateMsg{ids})
+			d.autoscaler.Terminate(ids)
 		}
 	})
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -103,7 +103,7 @@
 	}
 	left := m.PreemptionAt.Sub(now)
 	ends := clock.Seconds(d.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
-	if ends > left && clock.Seconds(j.Spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.gangReachable(j, now) {
+	if ends > left && clock.Seconds(j.Spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.GangReachable(j, now) {
 		d.stopGang(j)
 	}
 }
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -24,13 +24,13 @@
 
 // gateWaiter is a submission whose acceptance hangs on the use of a gate being durable.
 type gateWaiter struct {
-	msg   userMsg
+	msg   userMessage
 	since time.Time
 }
 
 // awaitGate keeps a submission until the use of an open gate is durable, as it would wait
 // for a commit. Where the gate is closed its user is told at once to come back.
-func (d *scheduler) awaitGate(m userMsg, name upgrade.GateName, now time.Time) {
+func (d *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
 	if d.gates.Gate(name).Phase != upgrade.GateOpen {
 		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
 		return
@@ -92,7 +92,7 @@
 func (t termGates) setGates(ctx context.Context, record upgrade.Record, count bool) (upgrade.Usage, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
-	t.scheduler.post(gatesMsg{record, reply})
+	t.scheduler.post(gatesMessage{record, reply})
 	var uses gateUses
 	select {
 	case uses = <-reply:
@@ -114,8 +114,32 @@
 	if uses.archive {
 		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
 	}
-	if uses.moving { // what is offered may not be counted yet
+	if uses.archiving { // what is offered may not be counted yet
 		usage[upgrade.JobArchive]++
 	}
 	return usage, err
 }
+
+// gatesMessage tells what is in force.
+type gatesMessage struct {
+	record upgrade.Record
+	reply  chan gateUses
+}
+
+// gateUses is what the scheduler knows to depend on gates.
+type gateUses struct {
+	openGangs  int
+	archive    bool // jobs may be archived: the archive itself is to be counted
+	archiving  bool // jobs are on their way there
+	lifecycles int  // records of services that scale to zero
+}
+
+func (m gatesMessage) handle(d *scheduler) {
+	d.setGates(m.record)
+	m.reply <- gateUses{
+		openGangs:  d.state.Jobs.OpenGangs(),
+		archive:    d.archiveUsed,
+		archiving:  d.archiving,
+		lifecycles: d.activation.uses(),
+	}
+}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -80,7 +80,7 @@
 	if first {
 		// From here on only our own answers renew its lease.
 		m.Confirmed, m.LastAcknowledged = true, now
-		d.noteProvisioned(m, now)
+		d.reviewer.NoteProvisioned(m, now)
 		if len(m.Attempts) == 0 {
 			m.IdleSince = now
 		}
@@ -288,3 +288,17 @@
 	}
 	d.state.MarkStopping(a, graceSeconds)
 }
+
+// heartbeatsMessage brings workers' heartbeats.
+type heartbeatsMessage struct {
+	reports []*worker.Report
+	reply   chan []worker.HeartbeatResponse
+}
+
+func (m heartbeatsMessage) handle(d *scheduler) {
+	responses := make([]worker.HeartbeatResponse, 0, len(m.reports))
+	for _, r := range m.reports {
+		responses = append(responses, d.handleHeartbeat(r))
+	}
+	m.reply <- responses
+}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -14,6 +14,7 @@
 
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
+	"sagevale/internal/autoscaling"
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/leadership"
@@ -138,7 +139,7 @@
 	}
 	n.view.Store(&view{role: role, scheduler: leading})
 	if leading != nil {
-		leading.post(roleMsg{role})
+		leading.post(roleMessage{role})
 	}
 }
 
@@ -160,8 +161,6 @@
 		n.resign(role.Term)
 		return
 	}
-	c := newAutoscaler(n.settings, n.deps, role.Term, d, journal, log)
-	d.autoscaler = c
 	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(n.election.Status().Uptime) }
 	u := newUpgradeController(n.settings, n.deps, role, termGates{d, journal}, log)
 	d.requestGate = u.requestUse
@@ -171,10 +170,15 @@
 	journal.SetEncoding(encodingOf(role.Cluster.Record))
 	log.Info("take-over", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(), "attempts", d.state.Reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
-	d.lifetime, c.ctx = gctx, gctx // before any of the actors can speak to another
+	background, waitForCalls := backgroundCalls(gctx)
+	d.background = background // before any of the actors can speak to another
+	d.autoscaler = autoscaling.New(autoscaling.Config{
+		Settings: n.settings, Cloud: n.deps.Cloud, Journal: journal, Scheduler: d, Term: role.Term,
+		Desired: d.desired, Launches: d.openLaunches, Done: gctx.Done(), Log: log,
+	})
 	g.Go(func() error { return journal.Run(gctx) })
 	g.Go(func() error { return d.run(gctx) })
-	g.Go(func() error { return c.run(gctx) })
+	g.Go(func() error { return d.autoscaler.Run(gctx) })
 	g.Go(func() error { return u.run(gctx) })
 	g.Go(func() error { newRelayServer(n.settings, n.deps, n.limitTracker, role.Guard, d).run(gctx); return nil })
 	select {
@@ -184,6 +188,7 @@
 	err = g.Wait()
 	d.close()
 	n.archive.EndTerm(context.WithoutCancel(ctx), role.Term)
+	defer waitForCalls()
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
 	case errors.Is(err, storage.ErrLeadershipLost):
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
@@ -16,13 +15,14 @@
 	"sagevale/internal/admission"
 	"sagevale/internal/api"
 	"sagevale/internal/archive"
+	"sagevale/internal/autoscaling"
 	"sagevale/internal/clock"
-	"sagevale/internal/cloud"
 	"sagevale/internal/cluster"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/leadership"
+	"sagevale/internal/placement"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
@@ -42,143 +42,138 @@
 	attemptStride = 1 << 24
 )
 
-// scheduler is the actor for jobs, bookings and placement during one term of
-// leadership. All its fields are its own; others speak to it by messages.
+// scheduler is the actor that owns the cluster state during one term of leadership. All its fields are its own,
+// but for those that say otherwise; others send it messages.
 type scheduler struct {
-	settings        *config.Settings
-	deps            Dependencies
+	settings *config.Settings
+	deps     Dependencies
+	log      *slog.Logger
+
+	mailbox    chan message
+	closed     chan struct{}                                          // closed after the term
+	background func(limit time.Duration, f func(ctx context.Context)) // runs calls to others, see backgroundCalls
+
+	state      *cluster.State
+	planner    *placement.Planner
+	reviewer   *autoscaling.Reviewer
+	autoscaler *autoscaling.Autoscaler
+	activation *activationController
+
+	termState
+	gateState
+	commitState
+	archiveState
+	fleetState
+	commandState
+	delegationState
+	pacing
+}
+
+// termState is the term and our role in it.
+type termState struct {
 	term            uint64
-	tokens          fencing.Tokens // that workers are commanded under in this term
+	tokens          fencing.Tokens // under which workers are commanded in this term
+	termStarted     time.Time
+	lastAttempt     uint64 // the highest attempt number that is in use
 	role            leadership.Role
-	gates           upgrade.Record            // what is in force
-	requestGate     func(upgrade.GateName)    // asks for a gate to be taken into use
-	gateWaiters     []gateWaiter              // submissions that wait for it
-	resigned        bool                      // the lead has been given up
-	leaseValidUntil atomic.Pointer[time.Time] // role.Certain, for those who pass answers on
-	journal         *storage.Journal
-	autoscaler      *autoscaler
 	resign          func(leadership.Resignation)
-	log             *slog.Logger
-	rand            *rand.Rand
-
-	mailbox  chan any
-	closed   chan struct{}
-	lifetime context.Context
+	resigned        bool
+	leaseValidUntil atomic.Pointer[time.Time] // of the role, for those who pass answers on; read by any goroutine
+}
 
-	termStarted       time.Time
-	state             *cluster.State
-	archive           *archive.Archiver
-	archiveUsed       bool // jobs may be archived
-	archiveCompared   bool // with the open jobs
-	archiving         bool // finished jobs are offered to the archive
-	activation        *activationController
-	openLaunches      map[string]storage.LaunchRecord // open at the take-over
-	desired           int
-	lastAttempt       uint64
-	rejectedOfferings map[cloud.Offering]time.Time
-	provisioning      *provisioningHistory
-	keptHeadroom      []*demand // what room is kept for, as of the last snapshot
+// gateState is which feature gates are in force.
+type gateState struct {
+	gates       upgrade.Record
+	requestGate func(upgrade.GateName) // asks for a gate to be marked as used
+	gateWaiters []gateWaiter           // submissions that wait for it
+}
 
-	queue            *groupcommit.Queue // what is to become durable
+// commitState is what is to become durable, and who waits for it.
+type commitState struct {
+	journal          *storage.Journal
+	queue            *groupcommit.Queue
 	bulkPace         *groupcommit.BulkPacer
 	admission        *admission.Limiter
-	acceptedInCommit int // submissions that the last commit made durable
+	commitStarted    time.Time // of the commit under way; zero: none is
+	acceptedInCommit int       // submissions that it makes durable
 	waiters          []*waiter
-	commitStarted    time.Time // when the commit under way began; zero: none
-	placementDue     bool      // something changed that placement should look at
+}
 
-	machinesListed       bool              // the cloud's list has been seen in this term
-	terminated           map[int]bool      // machines whose return the cloud has confirmed
-	perGPU               storage.Resources // what is taken with an accelerator at the most
-	perGPUAt             time.Time
-	tokenPending         []*cluster.Machine   // known at the take-over and not yet told our token
-	announcements        int                  // workers being told now
-	surplusCursor        int                  // where the search for a machine to return goes on
-	drainsRequested      int                  // how many drains were asked for
-	delegator            *delegator           // what the peers may do while they can't reach us
-	peerRenewals         []peerRenewals       // what they may have done
-	commandsFailing      map[int]bool         // machines that report but take no direct orders, since one last did
-	sinceHeartbeat       func() time.Duration // since a worker last reported to this node
-	placementPausedUntil time.Time            // placement rests until then
-	nextSnapshot         time.Time            // the next snapshot of the fleet
+// archiveState is what has become of the archive in this term.
+type archiveState struct {
+	archive         *archive.Archiver
+	archiveUsed     bool // jobs may be archived
+	archiveCompared bool // the open jobs have been compared with it
+	archiving       bool // finished jobs are on their way to it
 }
 
-// Messages to the dispatcher.
-type (
-	roleMsg struct{ role leadership.Role }
-	userMsg struct {
-		req    api.Request
-		reply  chan api.Response
-		absent bool // the job is known not to be archived
-	}
-	heartbeatsMsg struct {
-		reports []*worker.Report
-		reply   chan []worker.HeartbeatResponse
-	}
-	deliveredMsg struct {
-		machine      int
-		announcement bool
-		starts       []*cluster.Attempt
-		outcome      worker.Outcome
-		report       *worker.Report
-	}
-	gatesMsg struct {
-		record upgrade.Record
-		reply  chan gateUses
-	}
-	// gateUses is what the dispatcher knows to depend on gates.
-	gateUses struct {
-		openGangs int
-		archive   bool // jobs may be archived: the archive itself is to be counted
-		moving    bool // jobs are on their way there
+// fleetState is what is known of the fleet beside its machines.
+type fleetState struct {
+	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms without an answer
+	desired         int                             // the desired size that is recorded
+	machinesListed  bool                            // the cloud's machine list has been read in this term
+	terminated      map[int]bool                    // machines whose termination the cloud has confirmed
+	drainsRequested int
+}
 
-		lifecycles int // records of services that may be at zero
-	}
-	committedMsg    struct{ err error }
-	machineTypesMsg struct{ types []storage.MachineType }
-	listMsg         struct{ machines []cloud.Machine }
-	launchedMsg     struct {
-		launch   storage.LaunchRecord
-		machines []int
-	}
-	rejectedMsg   struct{ offering cloud.Offering }
-	terminatedMsg struct{ machines []int }
-	drainMsg      struct {
-		surplus surplusMachine
-		reason  string
-	}
-)
+// commandState is what is under way to the workers.
+type commandState struct {
+	tokenPending    []*cluster.Machine   // known at the failover and not yet told our fencing token
+	announcements   int                  // workers that are being told it
+	commandsFailing map[int]bool         // machines that report but execute no direct commands, since one last did
+	sinceHeartbeat  func() time.Duration // since a worker last reported to this controller
+}
+
+// delegationState is the renewal of workers' leases by peers.
+type delegationState struct {
+	delegator    *delegator
+	peerRenewals []peerRenewals
+}
+
+// pacing is when the scheduler does what costs much.
+type pacing struct {
+	placementDue         bool // something has changed that placement should look at
+	placementPausedUntil time.Time
+	nextSnapshot         time.Time // of the fleet
+}
 
 func newScheduler(s *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal, resign func(leadership.Resignation), log *slog.Logger) (*scheduler, error) {
+	random := rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term))
+	tokens := fencing.TermTokens(role.Term)
 	d := &scheduler{
-		settings: s, deps: deps, term: role.Term, tokens: fencing.TermTokens(role.Term), role: role, journal: journal, resign: resign, log: log,
-		rand:    rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term)),
-		mailbox: make(chan any, s.QueueSize()), closed: make(chan struct{}), lifetime: context.Background(),
-		termStarted: time.Now(), state: cluster.NewState(fencing.TermTokens(role.Term)),
-		openLaunches: make(map[string]storage.LaunchRecord),
-		lastAttempt:  role.Term * attemptStride, provisioning: newProvisioningHistory(), rejectedOfferings: make(map[cloud.Offering]time.Time),
-		queue: groupcommit.New(), bulkPace: groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)), terminated: make(map[int]bool), placementDue: true,
-		delegator: newDelegator(s), commandsFailing: make(map[int]bool), sinceHeartbeat: func() time.Duration { return 0 },
-		gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {},
+		settings: s,
+		deps:     deps,
+		log:      log,
+		mailbox:  make(chan message, s.QueueSize()),
+		closed:   make(chan struct{}),
+		state:    cluster.NewState(tokens),
+		termState: termState{
+			term: role.Term, tokens: tokens, termStarted: time.Now(),
+			lastAttempt: role.Term * attemptStride, resign: resign,
+		},
+		gateState: gateState{gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {}},
+		commitState: commitState{
+			journal: journal, queue: groupcommit.New(),
+			bulkPace:  groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)),
+			admission: newAdmission(s),
+		},
+		fleetState: fleetState{terminated: make(map[int]bool)},
+		commandState: commandState{
+			commandsFailing: make(map[int]bool),
+			sinceHeartbeat:  func() time.Duration { return 0 },
+		},
+		delegationState: delegationState{delegator: newDelegator(s)},
+		pacing:          pacing{placementDue: true},
 	}
-	d.admission = d.newAdmission()
+	d.background, _ = backgroundCalls(context.Background())
+	d.planner = placement.New(s, d.state, d, random, log)
+	d.reviewer = autoscaling.NewReviewer(s, d.state, d.planner, log)
 	d.setRole(role)
 	d.activation = newActivationController(s, d.gates.Gate(upgrade.Activation), d, log)
 	d.useArchive()
 	return d, d.load(journal.Records())
 }
 
-// post sends a message that must not be lost; the mailbox is large, and an
-// ended dispatcher takes nothing.
-func (d *scheduler) post(m any) {
-	select {
-	case d.mailbox <- m:
-	case <-d.closed:
-	}
-}
-
-func (d *scheduler) close() { close(d.closed) }
-
 // userRequest asks the dispatcher on behalf of a userRequest. A full mailbox is answered at
 // once.
 func (d *scheduler) userRequest(ctx context.Context, req api.Request) api.Response {
@@ -188,7 +183,7 @@
 		return busy
 	}
 	reply := make(chan api.Response, 1)
-	a, err := call(ctx, d, userMsg{req: req, reply: reply}, reply)
+	a, err := call(ctx, d, userMessage{req: req, reply: reply}, reply)
 	switch {
 	case errors.Is(err, errMailboxFull):
 		return busy
@@ -222,7 +217,7 @@
 // decide on them.
 func (d *scheduler) heartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	reply := make(chan []worker.HeartbeatResponse, 1)
-	answers, err := call(ctx, d, heartbeatsMsg{reports, reply}, reply)
+	answers, err := call(ctx, d, heartbeatsMessage{reports, reply}, reply)
 	if err != nil {
 		return nil
 	}
@@ -248,9 +243,9 @@
 			d.failWaiters(api.Unavailable("", "leader is stepping down"))
 			return ctx.Err()
 		case m := <-d.mailbox:
-			d.handle(m)
+			m.handle(d)
 			for n := len(d.mailbox); n > 0; n-- {
-				d.handle(<-d.mailbox)
+				(<-d.mailbox).handle(d)
 			}
 		case <-tick.C:
 			d.tick()
@@ -261,7 +256,7 @@
 		if d.placementDue {
 			d.placeIfDue(rest)
 		}
-		d.flush()
+		d.flush(ctx)
 		if again, held := d.bulkHeld(time.Now()); held {
 			bulk.Reset(again)
 		}
@@ -284,64 +279,16 @@
 	}
 }
 
-func (d *scheduler) handle(m any) {
-	switch m := m.(type) {
-	case roleMsg:
-		// A renewal that was under way when we resigned comes too late: the
-		// grant may be ended at any moment now.
-		if !d.resigned {
-			d.setRole(m.role)
-		}
-	case userMsg:
-		d.handleUser(m)
-	case heartbeatsMsg:
-		answers := make([]worker.HeartbeatResponse, 0, len(m.reports))
-		for _, r := range m.reports {
-			answers = append(answers, d.handleHeartbeat(r))
-		}
-		m.reply <- answers
-	case archiveReadMsg:
-		d.handleArchiveRead(m)
-	case archivedMsg:
-		d.handleArchived(m)
-	case restoreMsg:
-		d.restoreArchived(m)
-	case deliveredMsg:
-		d.handleDelivered(m)
-	case committedMsg:
-		d.handleCommitted(m.err)
-	case gatesMsg:
-		d.setGates(m.record)
-		m.reply <- gateUses{d.state.Jobs.OpenGangs(), d.archiveUsed, d.archiving, d.activation.uses()}
-	case machineTypesMsg:
-		d.state.SetTypes(m.types)
-		d.markRecord(storage.MachineTypesKey, func() any { return m.types })
-		d.placementDue = true
-	case listMsg:
-		d.handleList(m.machines)
-	case launchedMsg:
-		d.handleLaunched(m)
-	case rejectedMsg:
-		d.rejectedOfferings[m.offering] = time.Now()
-	case terminatedMsg:
-		for _, id := range m.machines {
-			d.removeMachine(id, "returned")
-			d.terminated[id] = true
-		}
-	case drainMsg:
-		d.drainSurplus(m)
-	case wakeMsg:
-		d.handleWake(m)
-	case usageReportMsg:
-		d.handleUsage(m)
-	default:
-		d.log.Error("unknown message", "type", fmt.Sprintf("%T", m))
-	}
-}
-
 // leaseValid tells whether this node surely leads now.
 func (d *scheduler) leaseValid(now time.Time) bool { return now.Before(d.role.LeaseValidUntil) }
 
+// snapshotFleet reviews the fleet for the autoscaler.
+func (d *scheduler) snapshotFleet(now time.Time) autoscaling.Snapshot {
+	return d.reviewer.Snapshot(now, autoscaling.Conditions{
+		LeaseValid: d.leaseValid(now), MachinesListed: d.machinesListed, DrainsRequested: d.drainsRequested,
+	})
+}
+
 // tick does what the clock asks for.
 func (d *scheduler) tick() {
 	now := time.Now()
@@ -358,9 +305,9 @@
 	d.resignToForget(now)
 	d.placementDue = true
 	if !now.Before(d.nextSnapshot) {
-		v := d.snapshotFleet(now)
-		d.terminateMachines(append(append(v.emptied, v.lost...), d.abandonUnconfirmed(now)...))
-		d.autoscaler.post(snapshotMsg{v})
+		snapshot := d.snapshotFleet(now)
+		d.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, d.abandonUnconfirmed(now)))
+		d.autoscaler.HandleSnapshot(snapshot)
 		d.nextSnapshot = now.Add(max(clock.Scale(d.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
 	}
 }
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -40,15 +40,12 @@
 		return nil
 	}
 	var lost []int
-	candidates := d.readyCandidates(now)
-	d.updatePerGPU(now)
+	candidates := d.planner.ReadyCandidates(now)
+	d.planner.UpdatePerGPU(now)
 	for _, m := range silent {
-		undo, ok := d.tryMove(m, candidates, false, now, anyCandidate)
-		if ok {
-			d.log.Info("unheard since the take-over", "machine", m.ID, "attempts", len(m.Attempts))
+		if d.reviewer.CanRehome(m, candidates, now) {
+			d.log.Info("machine unconfirmed since failover", "machine", m.ID, "attempts", len(m.Attempts))
 			lost = append(lost, m.ID)
-		} else {
-			undo()
 		}
 	}
 	return lost
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -10,8 +10,8 @@
 // usageIntervals is how many report intervals of usage may pass until a controller counts as silent.
 const usageIntervals = 2
 
-// usageReportMsg brings the dispatcher a controller's usage.
-type usageReportMsg struct {
+// usageMessage brings the dispatcher a controller's usage.
+type usageMessage struct {
 	report activation.UsageReport
 	reply  chan activation.UsageResponse
 }
@@ -50,7 +50,7 @@
 // reportUsage hands a controller's usage to the dispatcher.
 func (d *scheduler) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	reply := make(chan activation.UsageResponse, 1)
-	response, err := call(ctx, d, usageReportMsg{report, reply}, reply)
+	response, err := call(ctx, d, usageMessage{report, reply}, reply)
 	if err != nil {
 		return usageUndecided(err.Error())
 	}
@@ -58,7 +58,7 @@
 }
 
 // handleUsage takes in a controller's usage.
-func (d *scheduler) handleUsage(m usageReportMsg) {
+func (d *scheduler) handleUsage(m usageMessage) {
 	now := time.Now()
 	if !d.leaseValid(now) {
 		m.reply <- usageUndecided("leadership not certain")
@@ -97,3 +97,5 @@
 	case activation.Idle, activation.Starting, activation.Stopping, activation.Failed:
 	}
 }
+
+func (m usageMessage) handle(d *scheduler) { d.handleUsage(m) }
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -56,7 +56,7 @@
 	return !d.commitStarted.IsZero() && now.Sub(d.commitStarted) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
-func (d *scheduler) handleUser(m userMsg) {
+func (d *scheduler) handleUser(m userMessage) {
 	now := time.Now()
 	j := d.state.Jobs.Get(m.req.ID)
 	if j != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *scheduler) poll(m userMsg, j *cluster.Job) {
+func (d *scheduler) poll(m userMessage, j *cluster.Job) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (d *scheduler) submit(m userMsg, j *cluster.Job, now time.Time) {
+func (d *scheduler) submit(m userMessage, j *cluster.Job, now time.Time) {
 	if j != nil && j.Acknowledged {
 		m.reply <- responseOf(j)
 		return
@@ -181,7 +181,7 @@
 	return ""
 }
 
-func (d *scheduler) cancel(m userMsg, j *cluster.Job, now time.Time) {
+func (d *scheduler) cancel(m userMessage, j *cluster.Job, now time.Time) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
@@ -270,3 +270,12 @@
 	}
 	return response
 }
+
+// userMessage brings a request of a user.
+type userMessage struct {
+	req    api.Request
+	reply  chan api.Response
+	absent bool // the job is known not to be archived
+}
+
+func (m userMessage) handle(d *scheduler) { d.handleUser(m) }
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/storage"
 )
 
-// wakeMsg tells the dispatcher of demand for a model at some node.
-type wakeMsg struct {
+// wakeMessage tells the dispatcher of demand for a model at some node.
+type wakeMessage struct {
 	req   activation.WakeRequest
 	reply chan activation.WakeResponse
 }
@@ -69,7 +69,7 @@
 func (d *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	asked := time.Now()
-	response, err := call(ctx, d, wakeMsg{req, reply}, reply)
+	response, err := call(ctx, d, wakeMessage{req, reply}, reply)
 	if err != nil {
 		return undecided(err.Error())
 	}
@@ -91,7 +91,7 @@
 }
 
 // handleWake takes in demand for a model, and answers once what it moved is durable.
-func (d *scheduler) handleWake(m wakeMsg) {
+func (d *scheduler) handleWake(m wakeMessage) {
 	now := time.Now()
 	j := d.state.Jobs.Get(m.req.Model)
 	switch {
@@ -111,7 +111,7 @@
 }
 
 // demand moves a service by a wake request, and answers it.
-func (c *activationController) demand(j *cluster.Job, m wakeMsg, now time.Time) {
+func (c *activationController) demand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
 		m.reply <- c.alwaysUp(j)
@@ -199,3 +199,5 @@
 	}
 	return response
 }
+
+func (m wakeMessage) handle(d *scheduler) { d.handleWake(m) }
