--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -20,6 +20,13 @@
 	headroom      bool    // resources to keep free, not tasks
 	opportunistic bool    // only machines that are affordable for it are launched
 	runSeconds    float64 // run time of a task of work that ends; 0 for services and opportunistic work
+	packed        placement.PackedTask
+}
+
+// packedTask is what stands for the demand's tasks on the candidates that they are packed on.
+func (d *demand) packedTask() *placement.PackedTask {
+	d.packed = placement.PackedTask{Job: d.job, Opportunistic: d.opportunistic}
+	return &d.packed
 }
 
 // demands returns the waiting tasks, most urgent first, then the headroom, and opportunistic work last.
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -65,7 +65,7 @@
 // put packs one task of a demand on a candidate, and returns 1 if the candidate isn't up yet, else 0.
 func put(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
-	c.Packed = append(c.Packed, placement.PackedTask{Job: d.job, Opportunistic: d.opportunistic})
+	c.Packed = append(c.Packed, d.packedTask())
 	d.zones.Add(c.Zone, 1)
 	d.tasks--
 	if d.runSeconds > 0 {
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -19,8 +19,8 @@
 	ReservedAt  time.Time
 
 	Reported       bool             // a report of this term shows it
-	State          worker.TaskState // as last reported
 	Failed         bool             // it has exited with an error
+	State          worker.TaskState // as last reported
 	Started        time.Time        // when it was first reported running; zero: not yet
 	GatheringSince time.Time        // since when it waits for the other tasks of its gang
 
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -20,11 +20,11 @@
 	Releasing  storage.Resources // held by attempts that are being stopped
 	Booting    bool              // it isn't up yet
 	ForCPUOnly bool              // it is to be launched for tasks without GPUs
-	Packed     []PackedTask      // what a trial packing has put here
+	Packed     []*PackedTask     // what a trial packing has put here
 	Moved      int               // tasks that the search for surplus machines has moved here
 }
 
-// PackedTask is a task that a trial packing has put on a candidate.
+// PackedTask stands for the tasks of one demand that a trial packing puts on candidates.
 type PackedTask struct {
 	Job           *cluster.Job
 	Opportunistic bool
