--- a/internal/storage/chunk_encoder.go
+++ b/internal/storage/chunk_encoder.go
@@ -8,111 +8,184 @@
 	"io"
 )
 
-// Once the service takes less than it did, chunks are compressed: records are
-// many alike, and what a commit takes of the budget falls to a third. Like records
-// in fragments, a compressed chunk is nothing that versions before this one can read.
+// Chunks are compressed once the limits of the key-value store have fallen: records resemble
+// each other, and compressed commits need a third of the changes. The first versions can't
+// read compressed chunks: see Encoding.
 
-// inflateLimit bounds what one chunk may be unpacked to.
-const inflateLimit = 1 << 20
+// chunk is a value of the key-value store that holds records.
+type chunk struct {
+	records []Record
+	data    json.RawMessage
+}
 
-// compressor encodes chunks. It belongs to one journal.
-type compressor struct {
-	z   *flate.Writer
-	buf bytes.Buffer
+// emptyChunk is the value of a chunk without records.
+var emptyChunk = json.RawMessage("[]")
+
+// arrayBytes is what the brackets around a chunk's records take.
+const arrayBytes = 2
+
+// chunkEncoder encodes records as the values of chunks, and estimates how many records fit
+// into one. It belongs to the journal's goroutine.
+type chunkEncoder struct {
+	capacity        int  // bytes that the value of a chunk may take
+	compress        bool // chunks are compressed
+	compressor      compressor
+	commitRatio     compressionRatio // expected of the records of commits
+	compactionRatio compressionRatio // expected of those that compaction moves: they are of other kinds
 }
 
-// compress compresses a chunk's records into a value.
-func (p *compressor) compress(plain []byte) (json.RawMessage, error) {
-	p.buf.Reset()
-	if p.z == nil {
-		z, err := flate.NewWriter(&p.buf, flate.BestSpeed)
-		if err != nil {
-			return nil, fmt.Errorf("compress chunk: %w", err)
-		}
-		p.z = z
-	} else {
-		p.z.Reset(&p.buf)
+func newChunkEncoder(capacity int) chunkEncoder {
+	return chunkEncoder{capacity: capacity, commitRatio: initialRatio, compactionRatio: initialRatio}
+}
+
+// encode encodes records as the value of a chunk.
+func (e *chunkEncoder) encode(records []Record) (json.RawMessage, error) {
+	plain, err := EncodeChunk(records)
+	if err != nil {
+		return nil, fmt.Errorf("encode chunk: %w", err)
 	}
-	if _, err := p.z.Write(plain); err != nil {
-		return nil, fmt.Errorf("compress chunk: %w", err)
+	if !e.compress {
+		return plain, nil
 	}
-	if err := p.z.Close(); err != nil {
-		return nil, fmt.Errorf("compress chunk: %w", err)
+	return e.compressor.compress(plain)
+}
+
+// expectedBytes returns how many bytes of records are expected to fit into a chunk.
+func (e *chunkEncoder) expectedBytes(ratio compressionRatio) int {
+	if !e.compress {
+		return e.capacity
 	}
-	return json.Marshal(p.buf.Bytes())
+	return int(float64(e.capacity) * float64(ratio))
 }
 
-// decompress returns a chunk's records as they were before pack.
-func decompress(value json.RawMessage) ([]byte, error) {
-	if len(value) == 0 || value[0] != '"' {
-		return value, nil
+// guaranteedBytes returns how many bytes of any records fit into a chunk.
+func (e *chunkEncoder) guaranteedBytes() int { return e.expectedBytes(minRatio) }
+
+// expectedCount returns how many of the first records are expected to fit into a chunk: at
+// least one.
+func (e *chunkEncoder) expectedCount(records []Record) int {
+	size, limit := arrayBytes, e.expectedBytes(e.commitRatio)
+	for i := range records {
+		if size += records[i].Size(); size > limit && i > 0 {
+			return i
+		}
 	}
-	var packed []byte
-	if err := json.Unmarshal(value, &packed); err != nil {
-		return nil, err
+	return len(records)
+}
+
+// fits reports whether a record fits into a chunk whole.
+func (e *chunkEncoder) fits(r Record) bool {
+	if r.Size()+arrayBytes <= e.guaranteedBytes() {
+		return true
 	}
-	z := flate.NewReader(bytes.NewReader(packed))
-	defer z.Close()
-	plain, err := io.ReadAll(io.LimitReader(z, inflateLimit))
-	if err != nil {
-		return nil, fmt.Errorf("uncompress chunk: %w", err)
+	if !e.compress {
+		return false
 	}
-	return plain, nil
+	value, err := e.encode([]Record{r})
+	return err == nil && len(value) <= e.capacity
 }
 
-// encode makes a chunk's value of its records.
-func (j *Journal) encode(records []Record) (json.RawMessage, error) {
-	plain, err := json.Marshal(records)
+// next encodes as many of the first records as fit into one chunk, and returns the rest.
+func (e *chunkEncoder) next(records []Record) (c chunk, rest []Record, err error) {
+	n := e.expectedCount(records)
+	full := n < len(records)
+	data, err := e.encode(records[:n])
+	for err == nil && len(data) > e.capacity && n > 1 {
+		e.learnCommitRatio(len(data), full)
+		n = max(1, min(n-1, e.expectedCount(records)))
+		data, err = e.encode(records[:n])
+	}
 	if err != nil {
-		return nil, fmt.Errorf("encode chunk: %w", err)
+		return chunk{}, nil, err
 	}
-	if !j.compress {
-		return plain, nil
+	e.learnCommitRatio(len(data), full)
+	return chunk{records[:n:n], data}, records[n:], nil
+}
+
+// learnCommitRatio adjusts the ratio that is expected of commits by the size of a value. A
+// value that isn't full says nothing about how much more would have fitted.
+func (e *chunkEncoder) learnCommitRatio(value int, full bool) {
+	switch {
+	case !e.compress:
+	case value > e.capacity:
+		e.commitRatio.lower()
+	case full && value < e.capacity*3/4:
+		e.commitRatio.raise(9, 8)
 	}
-	return j.compressor.compress(plain)
 }
 
+// compressionRatio is by how much compression is expected to shrink records.
+type compressionRatio float64
+
 const (
-	// initialRatio is by how much chunks are expected to shrink at first.
-	initialRatio = 2.0
-	// minRatio is what surely fits, for base64 takes a third more.
-	minRatio = 0.7
-	maxRatio = 16.0
+	initialRatio compressionRatio = 2
+	// minRatio is reached by any records: base64 takes a third more than their bytes.
+	minRatio compressionRatio = 0.7
+	maxRatio compressionRatio = 16
 )
 
-// updateRatio takes in by how much a chunk has shrunk. full tells that it held as
-// much as was expected to fit.
-func (j *Journal) updateRatio(value int, full bool) {
-	switch {
-	case !j.compress:
-	case value > j.room():
-		j.compressionRatio = max(minRatio, j.compressionRatio*3/4)
-	case full && value < j.room()*3/4:
-		j.compressionRatio = min(maxRatio, j.compressionRatio*9/8)
+// lower reduces the ratio after records have shrunk less.
+func (r *compressionRatio) lower() { *r = max(minRatio, *r*3/4) }
+
+// raise multiplies the ratio by a fraction after records have shrunk more.
+func (r *compressionRatio) raise(numerator, denominator compressionRatio) {
+	*r = min(maxRatio, *r*numerator/denominator)
+}
+
+// compressor compresses the values of chunks. Its buffers are reused.
+type compressor struct {
+	writer *flate.Writer
+	buffer bytes.Buffer
+}
+
+// compress compresses an encoded chunk into a base64 text.
+func (c *compressor) compress(plain []byte) (json.RawMessage, error) {
+	if err := c.deflate(plain); err != nil {
+		return nil, fmt.Errorf("compress chunk: %w", err)
 	}
+	return json.Marshal(c.buffer.Bytes())
 }
 
-// rawRoom is how many bytes of records a chunk is expected to hold.
-func (j *Journal) rawRoom(ratio float64) int {
-	if !j.compress {
-		return j.room()
+func (c *compressor) deflate(plain []byte) error {
+	if err := c.reset(); err != nil {
+		return err
+	}
+	if _, err := c.writer.Write(plain); err != nil {
+		return err
 	}
-	return int(float64(j.room()) * ratio)
+	return c.writer.Close()
 }
 
-// guaranteedRoom is how many bytes of records fit into a chunk whatever they are.
-func (j *Journal) guaranteedRoom() int {
-	if !j.compress {
-		return j.room()
+func (c *compressor) reset() (err error) {
+	c.buffer.Reset()
+	if c.writer != nil {
+		c.writer.Reset(&c.buffer)
+		return nil
 	}
-	return int(float64(j.room()) * minRatio)
+	c.writer, err = flate.NewWriter(&c.buffer, flate.BestSpeed)
+	return err
 }
 
-// fits tells whether a record fits into a chunk whole.
-func (j *Journal) fits(r Record) bool {
-	if r.Size()+2 <= j.guaranteedRoom() || !j.compress {
-		return r.Size()+2 <= j.guaranteedRoom()
+// decompressLimit bounds the bytes of one decompressed chunk.
+const decompressLimit = 1 << 20
+
+// decompress returns the encoded records of a chunk's value, which may be compressed.
+func decompress(value json.RawMessage) ([]byte, error) {
+	if !isCompressed(value) {
+		return value, nil
+	}
+	var compressed []byte
+	if err := json.Unmarshal(value, &compressed); err != nil {
+		return nil, err
+	}
+	reader := flate.NewReader(bytes.NewReader(compressed))
+	defer reader.Close()
+	plain, err := io.ReadAll(io.LimitReader(reader, decompressLimit))
+	if err != nil {
+		return nil, fmt.Errorf("uncompress chunk: %w", err)
 	}
-	value, err := j.encode([]Record{r})
-	return err == nil && len(value) <= j.room()
+	return plain, nil
 }
+
+// isCompressed reports whether a chunk's value is a text instead of an array.
+func isCompressed(value json.RawMessage) bool { return len(value) > 0 && value[0] == '"' }
--- a/internal/storage/fragment.go
+++ b/internal/storage/fragment.go
@@ -5,80 +5,90 @@
 	"fmt"
 )
 
-// A record that is too large for a value is written in fragments, each in a chunk
-// of its own, in order. It stands once its last fragment does, in the chunk of its
-// first: fragments without their first or last are what an unfinished commit or
-// the compaction of older chunks left, and count for nothing.
+// A record that is too large for one chunk is written as fragments, in order, each in a chunk
+// of its own. The record is in force once its last fragment is written, and belongs to the
+// chunk of its first. Fragments whose first or last one is missing were left by an unfinished
+// commit or by the compaction of older chunks, and are ignored.
 //
-// Versions before this one can't read fragments. They are written only where the state
-// service has called a whole record malformed, and that it does only when no such
-// version is left.
+// The first versions can't read fragments: see Encoding.
 
 // fragment is one part of a record's data.
 type fragment struct {
-	index, of int
-	tag       uint64 // tells the fragments of one record's one writing from all others
-	data      []byte
+	index, count int
+	tag          uint64 // the same in the fragments of one write of one record, and in no others
+	data         []byte
 }
 
-// fragmentFrame is what a fragment takes in a chunk beside its key and its data.
-const fragmentFrame = 64
+const (
+	// fragmentFrameBytes is at most what a fragment takes in a chunk besides its key and data.
+	fragmentFrameBytes = 64
+	// leastFragmentBytes is the least data of a fragment, so that any record can be split.
+	leastFragmentBytes = 16
+	// fragmentFields is the number of fields of an encoded record with a fragment.
+	fragmentFields = 5
+)
 
-// split cuts a record into fragments of at most limit bytes each.
+// split cuts a record into fragments that take at most limit bytes each in a chunk.
 func split(r Record, limit int, tag uint64) []Record {
-	room := max(16, (limit-fragmentFrame-len(r.Key))*3/4) // base64 takes a third more
-	of := (len(r.Data) + room - 1) / room
-	out := make([]Record, 0, of)
-	for i := range of {
-		out = append(out, Record{Key: r.Key, fragment: &fragment{i, of, tag, r.Data[i*room : min(len(r.Data), (i+1)*room)]}})
+	each := max(leastFragmentBytes, (limit-fragmentFrameBytes-len(r.Key))*3/4) // base64 takes a third more
+	count := (len(r.Data) + each - 1) / each
+	records := make([]Record, 0, count)
+	for i := range count {
+		data := r.Data[i*each : min(len(r.Data), (i+1)*each)]
+		records = append(records, Record{Key: r.Key, fragment: &fragment{i, count, tag, data}})
 	}
-	return out
+	return records
 }
 
-func (p *fragment) marshal(key string) ([]byte, error) {
-	return json.Marshal([]any{key, p.data, p.index, p.of, p.tag})
-}
+// size returns an upper bound of the bytes that the fragment takes in a chunk besides its key.
+func (f *fragment) size() int { return fragmentFrameBytes + (len(f.data)+2)/3*4 }
 
-// fragmentFields is how many fields a fragment's record has.
-const fragmentFields = 5
+// marshal encodes the record of the fragment.
+func (f *fragment) marshal(key string) ([]byte, error) {
+	return json.Marshal([]any{key, f.data, f.index, f.count, f.tag})
+}
 
+// unmarshalFragment decodes the fields behind the key.
 func unmarshalFragment(fields []json.RawMessage) (*fragment, error) {
-	var p fragment
-	for i, to := range []any{&p.data, &p.index, &p.of, &p.tag} {
+	var f fragment
+	for i, to := range []any{&f.data, &f.index, &f.count, &f.tag} {
 		if err := json.Unmarshal(fields[i+1], to); err != nil {
 			return nil, fmt.Errorf("fragment of a record: %w", err)
 		}
 	}
-	if p.index < 0 || p.index >= p.of {
-		return nil, fmt.Errorf("fragment %d of %d", p.index, p.of)
+	if f.index < 0 || f.index >= f.count {
+		return nil, fmt.Errorf("fragment %d of %d", f.index, f.count)
 	}
-	return &p, nil
+	return &f, nil
 }
 
-// partialRecord is what has been read of a record in fragments.
+// fragmentAssembler joins fragments into records, by key.
+type fragmentAssembler map[string]*partialRecord
+
+// partialRecord is a record of which not all fragments have been seen.
 type partialRecord struct {
-	chunk uint64 // of the first fragment
-	tag   uint64
-	next  int
-	data  []byte
+	firstChunk uint64 // the chunk of the first fragment
+	tag        uint64
+	next       int // index of the next fragment
+	data       []byte
 }
 
-// addFragment takes in a fragment, and returns the record once it is whole.
-func (j *Journal) addFragment(seq uint64, r Record) (whole bool, chunk uint64, data []byte) {
-	p := r.fragment
-	g := j.partial[r.Key]
-	if p.index == 0 {
-		g = &partialRecord{chunk: seq, tag: p.tag}
-		j.partial[r.Key] = g
+// add adds a record's fragment from a chunk. Once the record is complete it returns its data
+// and the chunk of its first fragment.
+func (a fragmentAssembler) add(chunk uint64, r Record) (e entity, complete bool) {
+	f := r.fragment
+	if f.index == 0 {
+		a[r.Key] = &partialRecord{firstChunk: chunk, tag: f.tag}
 	}
-	if g == nil || g.tag != p.tag || g.next != p.index {
-		return false, 0, nil
+	partial := a[r.Key]
+	if partial == nil || partial.tag != f.tag || partial.next != f.index {
+		return entity{}, false
 	}
-	g.next++
-	g.data = append(g.data, p.data...)
-	if g.next < p.of {
-		return false, 0, nil
+	partial.next++
+	partial.data = append(partial.data, f.data...)
+	if partial.next < f.count {
+		return entity{}, false
 	}
-	delete(j.partial, r.Key)
-	return true, g.chunk, g.data
+	delete(a, r.Key)
+	return entity{chunk: partial.firstChunk, data: partial.data}, true
 }
--- /dev/null
+++ b/internal/storage/fragment_test.go
@@ -0,0 +1,55 @@
+package storage_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+)
+
+// If a leader ends between the fragments of a record, the record before it stays in force.
+func TestIncompleteFragmentsAreIgnored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t)
+		f.setLimits(storage.Limits{ValueBytes: lowest.ValueBytes, TxnOps: 3})
+		tracker := trackerTo(lowest)
+		tracker.Learn(storage.ErrMalformed)
+		firstTerm, endFirstTerm := context.WithCancel(t.Context())
+		first := f.openWith(firstTerm, tracker)
+		first.write(map[string]any{"p1": text(1, 6000)})
+
+		transactions := 0
+		f.Trouble(func(s *storagetest.Service) {
+			s.Drop = func(storagetest.Txn) bool { transactions++; return transactions > 2 }
+		})
+		go func() { _ = first.append(map[string]any{"p1": text(5, 7000)}) }() // ends with the term
+		synctest.Wait()
+		time.Sleep(20 * time.Second)
+		endFirstTerm()
+		f.Trouble(func(s *storagetest.Service) { s.Drop = nil })
+		if transactions < 3 {
+			t.Fatalf("%d transactions were sent, want 3", transactions)
+		}
+		if got, want := f.records()["p1"], marshal(t, text(1, 6000)); got != want {
+			t.Errorf("the next leader reads %.20s, want %.20s", got, want)
+		}
+
+		f.openWith(t.Context(), tracker).write(map[string]any{"p1": text(3, 5000)})
+		if got, want := f.records()["p1"], marshal(t, text(3, 5000)); got != want {
+			t.Errorf("the next leader reads %.20s, want %.20s", got, want)
+		}
+	})
+}
+
+func TestFragmentsOfDifferentWritesAreNotJoined(t *testing.T) {
+	f := newFixture(t)
+	for i, value := range []string{`[["p1","MQ==",0,2,7]]`, `[["p1","Mg==",1,2,8]]`, `[["p2","MQ==",0,2,9]]`, `[["p2","Mg==",1,2,9]]`} {
+		f.put(storage.ChunkKey(uint64(i+1)), value)
+	}
+	if got := f.records(); len(got) != 1 || got["p2"] != "12" {
+		t.Errorf("got records %v, want only p2: 12", got)
+	}
+}
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -3,172 +3,102 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"log/slog"
 	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
-
-	"sagevale/internal/clock"
 )
 
-// The journal keeps the records in numbered chunks. A commit writes the
-// latest state of the changed entities into a new chunk; on reading, the
-// later record of an entity wins. Old chunks are compacted oldest first: what
-// still lives in them is written again with a commit that deletes them.
-
 const (
-	chunkPrefix = "log/"
-	// valueShare of the value limit is used, the rest is left for framing.
-	valueShare = 0.9
-	// changeShare of the change budget is the journal's.
-	changeShare = 0.7
-	// txnBytes bounds one transaction, under the protocol's 64 KiB.
-	txnBytes = 56 << 10
-	// compactFactor: chunks are compacted when there are more than this many times
-	// what the living records need, plus compactSlack.
-	compactFactor = 2
-	compactSlack  = 24
-	// compactBehind chunks too many are a load that a take-over feels; then each
-	// commit takes at least compactForced changes to compact, though that delays the
-	// next.
-	compactBehind = 4 * compactSlack
-	compactForced = 2 // its living records into a new one, and its deletion
-	// listTimeouts is how many times a request's timeout a page may take:
-	// it is large, and to be understood.
-	listTimeouts = 8
-	// maxTimeouts is up to how many times the timeout a request gets that has
-	// gone unanswered before: the service may be slow.
-	maxTimeouts = 16
-	// retryPause is how long the journal waits after a refused request.
+	// batchQueue is how many batches may wait for the journal before Append blocks.
+	batchQueue = 16
+	// retryPause is how long the journal waits before it retries a request.
 	retryPause = 100 * time.Millisecond
 )
 
-// ErrLeadershipLost says that the leadership key has changed hands.
+// ErrLeadershipLost means that the leadership key has changed, so that this leader may no
+// longer write.
 var ErrLeadershipLost = errors.New("leadership has moved on")
 
-// Batch is a set of records that become durable together, and what to do
-// then. Ack is called from the journal's goroutine and must not block.
+// Batch is a set of records that become durable together.
 type Batch struct {
 	Records []Record
-	Ack     func(error)
+	// Ack, if set, is called once the records are durable, or with the error that ended the
+	// journal. It is called from the journal's goroutine and must not block.
+	Ack func(error)
 }
 
-// Journal is the actor that writes records under a leader's term.
+// Journal is the actor that reads and writes the records of one leader's term. Its fields
+// belong to the goroutine of Run, except those that are safe for concurrent use.
 type Journal struct {
-	svc          KeyValueStore
+	store        KeyValueStore
+	leadership   Guard
 	limitTracker *LimitTracker
-	limits       Limits // the limit tracker's, as of the last commit
-	lead         Guard
-	limiter      *rate.Limiter
-	in           chan Batch
-
-	entities         map[string]entity
-	liveBytes        int
-	chunks           []chunkInfo
-	partial          map[string]*partialRecord // records of which not all fragments are read or written
-	fragmented       uint64                    // records that were written in fragments
-	compress         bool                      // chunks are compressed
-	compressor       compressor
-	compressionRatio float64      // by which they are expected to shrink
-	compactionRatio  float64      // likewise what compaction moves, which is of other kinds
-	encoding         atomic.Int32 // an Encoding
-	encodingNeeded   func()
-	migrations       chan migration
-	next             uint64
-	last             uint64 // version of chunk next-1, 0 if unknown
+	limits       Limits        // those of limitTracker as of the last commit
+	limiter      *rate.Limiter // of the journal's changes
+	batches      chan Batch
+
+	index           journalIndex
+	encoder         chunkEncoder
+	nextChunk       uint64 // number of the next chunk
+	previousVersion uint64 // version of the chunk before that; 0: there is none
+	fragmented      uint64 // how many records were split into fragments
+
+	allowedEncoding  atomic.Int32 // an Encoding
+	onEncodingNeeded func()
+	migrationSteps   chan migrationStep
 }
 
-// OpenJournal reads all chunks; lead is the leadership key with the version
-// that every write is guarded by.
-func OpenJournal(ctx context.Context, svc KeyValueStore, limitTracker *LimitTracker, lead Guard) (*Journal, error) {
+// OpenJournal reads all chunks. It retries until the store has answered, or ctx ends. The
+// leadership guard names the leadership key at the version of the leader's own term; it guards
+// every write.
+func OpenJournal(ctx context.Context, store KeyValueStore, limitTracker *LimitTracker, leadership Guard) (*Journal, error) {
 	limits := limitTracker.Limits()
 	j := &Journal{
-		svc: svc, limitTracker: limitTracker, limits: limits, lead: lead, partial: make(map[string]*partialRecord), compressionRatio: initialRatio, compactionRatio: initialRatio,
-		limiter:  rate.NewLimiter(limits.pace()),
-		in:       make(chan Batch, 16),
-		entities: make(map[string]entity),
-		next:     1,
-
-		migrations: make(chan migration), encodingNeeded: func() {},
+		store:            store,
+		leadership:       leadership,
+		limitTracker:     limitTracker,
+		limits:           limits,
+		limiter:          rate.NewLimiter(limits.changeRate()),
+		batches:          make(chan Batch, batchQueue),
+		index:            newJournalIndex(),
+		encoder:          newChunkEncoder(limits.chunkBytes()),
+		nextChunk:        1,
+		onEncodingNeeded: func() {},
+		migrationSteps:   make(chan migrationStep),
 	}
-	after := ""
-	for {
-		lctx, cancel := limits.bound(ctx, listTimeouts)
-		items, more, _, err := svc.List(lctx, chunkPrefix, after, 1000)
-		cancel()
-		if errors.Is(err, ErrRefused) || errors.Is(err, ErrOutcomeUnknown) {
-			if !clock.Sleep(ctx, retryPause) {
-				return nil, ctx.Err()
-			}
-			continue
-		}
-		if err != nil {
-			return nil, fmt.Errorf("read journal: %w", err)
-		}
-		for _, it := range items {
-			if err := j.readChunk(it); err != nil {
-				return nil, err
-			}
-			after = it.Key
-		}
-		if !more || len(items) == 0 {
-			return j, nil
-		}
+	if err := j.readChunks(ctx); err != nil {
+		return nil, err
 	}
+	return j, nil
 }
 
-// pace is the rate and the burst of the journal's changes.
-func (l *Limits) pace() (rate.Limit, int) {
-	return rate.Limit(l.ChangesPerS * changeShare), max(l.TxnOps, int(l.ChangesPerS*changeShare))
-}
+// Records returns the durable records in key order. It must not be called
+// once a batch has been appended: the index changes then.
+func (j *Journal) Records() []Record { return j.index.records() }
 
-// applyLimits takes up what the limits have become.
-func (j *Journal) applyLimits() {
-	patience := j.limits.RequestTimeout
-	j.limits = j.limitTracker.Limits()
-	j.limits.RequestTimeout = patience
-	j.compress = j.limitTracker.Lowered() && j.mayWrite(AnyEncoding)
-	if j.limitTracker.Lowered() && !j.compress {
-		j.encodingNeeded()
-	}
-	limit, burst := j.limits.pace()
-	j.limiter.SetLimit(limit)
-	j.limiter.SetBurst(burst)
-}
-
-// Append hands a batch to the journal. Each sender keeps at most one batch
-// unacknowledged, so this never blocks for long.
+// Append hands a batch to the journal, unless ctx ends first. It may be called from any
+// goroutine. It doesn't block for long as long as each caller has at most one batch that isn't
+// acknowledged yet.
 func (j *Journal) Append(ctx context.Context, b Batch) {
 	select {
-	case j.in <- b:
+	case j.batches <- b:
 	case <-ctx.Done():
 	}
 }
 
-// Run commits batches until ctx ends or the leadership has moved on; then it
-// returns ErrLeadershipLost.
+// Run commits batches until ctx ends or a commit fails. Once another controller leads it
+// fails with ErrLeadershipLost.
 func (j *Journal) Run(ctx context.Context) error {
 	for {
-		var batches []Batch
+		var err error
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-j.migrations:
-			if err := j.migrate(ctx, m); err != nil {
-				return err
-			}
-			continue
-		case b := <-j.in:
-			batches = append(batches, b)
-		}
-		batches = j.drain(batches)
-		err := j.commit(ctx, &batches)
-		for _, b := range batches {
-			if b.Ack != nil {
-				b.Ack(err)
-			}
+		case step := <-j.migrationSteps:
+			err = j.migrate(ctx, step)
+		case b := <-j.batches:
+			err = j.groupCommit(ctx, b)
 		}
 		if err != nil {
 			return err
@@ -176,10 +106,27 @@
 	}
 }
 
-func (j *Journal) drain(batches []Batch) []Batch {
+// groupCommit commits a batch together with all others that wait, and acknowledges them.
+func (j *Journal) groupCommit(ctx context.Context, first Batch) error {
+	batches := j.appendWaiting([]Batch{first})
+	err := j.limiter.Wait(ctx)
+	if err == nil {
+		batches = j.appendWaiting(batches)
+		err = j.commit(ctx, batches)
+	}
+	for _, b := range batches {
+		if b.Ack != nil {
+			b.Ack(err)
+		}
+	}
+	return err
+}
+
+// appendWaiting appends the batches that wait.
+func (j *Journal) appendWaiting(batches []Batch) []Batch {
 	for {
 		select {
-		case b := <-j.in:
+		case b := <-j.batches:
 			batches = append(batches, b)
 		default:
 			return batches
@@ -187,39 +134,18 @@
 	}
 }
 
-// commit makes the batches durable, in as many transactions as they need.
-func (j *Journal) commit(ctx context.Context, batches *[]Batch) error {
-	if err := j.limiter.Wait(ctx); err != nil {
-		return err
-	}
-	*batches = j.drain(*batches)
-	j.applyLimits()
-	records := j.keepUnknown(merge(*batches))
-	if err := j.awaitEncoding(ctx, records); err != nil {
-		return err
-	}
-	for pending := j.fragmentLarge(records); len(pending) > 0; {
-		chunks, rest, err := j.cut(pending)
-		if err != nil {
-			return err
-		}
-		err = j.write(ctx, chunks)
-		if errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err) {
-			// The service's limits have fallen: all of it once more, cut
-			// smaller. What was written stands, and the later record wins.
-			slog.Info("the state service takes less", "value_bytes", j.limitTracker.Limits().ValueBytes, "txn_ops", j.limitTracker.Limits().TxnOps)
-			j.applyLimits()
-			if err := j.awaitEncoding(ctx, records); err != nil {
-				return err
-			}
-			j.applyLimits()
-			pending = j.fragmentLarge(records)
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		pending = rest
+// applyLimits applies what the limits have become, except for the request timeout.
+func (j *Journal) applyLimits() {
+	timeout := j.limits.RequestTimeout
+	j.limits = j.limitTracker.Limits()
+	j.limits.RequestTimeout = timeout
+	lowered := j.limitTracker.Lowered()
+	j.encoder.capacity = j.limits.chunkBytes()
+	j.encoder.compress = lowered && j.allows(AnyEncoding)
+	if lowered && !j.encoder.compress {
+		j.onEncodingNeeded()
 	}
-	return nil
+	limit, burst := j.limits.changeRate()
+	j.limiter.SetLimit(limit)
+	j.limiter.SetBurst(burst)
 }
--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -2,98 +2,125 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"sort"
+	"slices"
 	"strings"
 )
 
+// journalIndex knows the latest state of each entity and which chunk holds it. It belongs to
+// the journal's goroutine.
+type journalIndex struct {
+	entities  map[string]entity
+	liveBytes int            // of the keys and the data of all entities
+	chunks    []indexedChunk // the oldest first
+	fragments fragmentAssembler
+}
+
+// entity is the latest state of an entity.
 type entity struct {
-	chunk uint64
-	data  json.RawMessage
+	chunk uint64          // the number of the chunk that holds it, or its first fragment
+	data  json.RawMessage // nil: removed
 }
 
-type chunkInfo struct {
-	seq  uint64
-	keys []string
+// indexedChunk is a chunk of the journal that is stored.
+type indexedChunk struct {
+	number  uint64
+	keys    []string // of the records that are in the chunk, or begin there
+	encoded bool     // not plain: see Encoding
+}
 
-	encoded bool // not plain: see Encoding
+func newJournalIndex() journalIndex {
+	return journalIndex{entities: make(map[string]entity), fragments: make(fragmentAssembler)}
 }
 
-func (j *Journal) readChunk(it Item) error {
-	var seq uint64
-	if _, err := fmt.Sscanf(strings.TrimPrefix(it.Key, chunkPrefix), "%d", &seq); err != nil {
-		return fmt.Errorf("chunk key %q: %w", it.Key, err)
-	}
-	plain, err := decompress(it.Data)
-	if err != nil {
-		return fmt.Errorf("chunk %q: %w", it.Key, err)
+// addChunk adds the newest chunk. Its records replace those of older chunks.
+func (x *journalIndex) addChunk(number uint64, records []Record, encoded bool) {
+	c := indexedChunk{number: number, encoded: encoded}
+	for _, r := range records {
+		if r.fragment == nil || r.fragment.index == 0 {
+			c.keys = append(c.keys, r.Key)
+		}
+		if r.fragment == nil {
+			x.put(r.Key, entity{chunk: number, data: r.Data})
+		} else if e, complete := x.fragments.add(number, r); complete {
+			x.put(r.Key, e)
+		}
 	}
-	records, err := parseRecords(plain)
-	if err != nil {
-		return fmt.Errorf("chunk %q: %w", it.Key, err)
+	x.chunks = append(x.chunks, c)
+}
+
+func (x *journalIndex) put(key string, e entity) {
+	if old, ok := x.entities[key]; ok {
+		x.liveBytes -= len(old.data) + len(key)
 	}
-	j.note(seq, records, isEncoded(it.Data, records))
-	j.next, j.last = seq+1, it.Version
-	return nil
+	x.entities[key] = e
+	x.liveBytes += len(e.data) + len(key)
 }
 
-// note enters a chunk's records into the journal's index.
-func (j *Journal) note(seq uint64, records []Record, encoded bool) {
-	info := chunkInfo{seq: seq, encoded: encoded}
-	for _, r := range records {
-		chunk, data := seq, r.Data
-		if r.fragment != nil {
-			if r.fragment.index == 0 {
-				info.keys = append(info.keys, r.Key)
-			}
-			var whole bool
-			if whole, chunk, data = j.addFragment(seq, r); !whole {
-				continue
+// removeOldest removes the n oldest chunks, with the entities whose latest state they hold.
+func (x *journalIndex) removeOldest(n int) {
+	for _, c := range x.chunks[:n] {
+		for _, key := range c.keys {
+			if e, ok := x.entities[key]; ok && e.chunk == c.number {
+				x.liveBytes -= len(e.data) + len(key)
+				delete(x.entities, key)
 			}
-		} else {
-			info.keys = append(info.keys, r.Key)
 		}
-		if old, ok := j.entities[r.Key]; ok {
-			j.liveBytes -= len(old.data) + len(r.Key)
-		}
-		j.entities[r.Key] = entity{chunk: chunk, data: data}
-		j.liveBytes += len(data) + len(r.Key)
 	}
-	j.chunks = append(j.chunks, info)
+	x.chunks = slices.Clone(x.chunks[n:])
 }
 
-// Records returns the living records in key order.
-func (j *Journal) Records() []Record {
-	out := make([]Record, 0, len(j.entities))
-	for k, e := range j.entities {
+// records returns the records of all entities that aren't removed, in key order.
+func (x *journalIndex) records() []Record {
+	records := make([]Record, 0, len(x.entities))
+	for key, e := range x.entities {
 		if e.data != nil {
-			out = append(out, Record{Key: k, Data: e.data})
+			records = append(records, Record{Key: key, Data: e.data})
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Key < out[b].Key })
-	return out
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
+	return records
 }
 
-// living lists what still lives in the nth oldest chunk and isn't being written.
-func (j *Journal) living(n int, writing map[string]bool) []Record {
-	var out []Record
-	for _, k := range j.chunks[n].keys {
-		if e, ok := j.entities[k]; ok && e.chunk == j.chunks[n].seq && e.data != nil && !writing[k] {
-			out = append(out, Record{Key: k, Data: e.data})
+// liveRecords returns the records whose latest state is in the nth oldest chunk, except those
+// that are rewritten anyway.
+func (x *journalIndex) liveRecords(n int, rewritten map[string]bool) []Record {
+	c := &x.chunks[n]
+	var records []Record
+	for _, key := range c.keys {
+		if e, ok := x.entities[key]; ok && e.chunk == c.number && e.data != nil && !rewritten[key] {
+			records = append(records, Record{Key: key, Data: e.data})
 		}
 	}
-	return out
+	return records
 }
 
-// forget drops the n oldest chunks from the index.
-func (j *Journal) forget(n int) {
-	for _, c := range j.chunks[:n] {
-		for _, k := range c.keys {
-			if e, ok := j.entities[k]; ok && e.chunk == c.seq {
-				j.liveBytes -= len(e.data) + len(k)
-				delete(j.entities, k)
-			}
+// anyLargerThan reports whether some entity's record takes more bytes in a chunk.
+func (x *journalIndex) anyLargerThan(bytes int) bool {
+	for key, e := range x.entities {
+		if r := (Record{Key: key, Data: e.data}); r.Size() > bytes {
+			return true
+		}
+	}
+	return false
+}
+
+// encodedChunks returns how many chunks aren't plain.
+func (x *journalIndex) encodedChunks() int {
+	n := 0
+	for i := range x.chunks {
+		if x.chunks[i].encoded {
+			n++
+		}
+	}
+	return n
+}
+
+// chunksUntilPlain returns how many of the oldest chunks have to be deleted until all are plain.
+func (x *journalIndex) chunksUntilPlain() int {
+	for i := len(x.chunks) - 1; i >= 0; i-- {
+		if x.chunks[i].encoded {
+			return i + 1
 		}
 	}
-	j.chunks = append([]chunkInfo(nil), j.chunks[n:]...)
+	return 0
 }
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -2,260 +2,246 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"time"
+	"slices"
 
 	"sagevale/internal/clock"
 )
 
-// room is how many bytes of records a chunk holds.
-func (j *Journal) room() int { return int(float64(j.limits.ValueBytes) * valueShare) }
+// maxTimeouts is the most request timeouts that a retry may take. Each retry gets twice the
+// time of the one before, because the store may be slow.
+const maxTimeouts = 16
 
-// fragmentLarge returns the records with those in fragments that are too large for a chunk.
-func (j *Journal) fragmentLarge(records []Record) []Record {
-	out := records[:0:0]
-	for _, r := range records {
-		if r.fragment == nil && !j.fits(r) {
-			j.fragmented++
-			out = append(out, split(r, j.guaranteedRoom(), j.lead.Version<<20|j.fragmented&(1<<20-1))...)
-		} else {
-			out = append(out, r)
-		}
+// commit makes the records of the batches durable, in as many transactions as they need.
+func (j *Journal) commit(ctx context.Context, batches []Batch) error {
+	j.applyLimits()
+	records := j.keepUnknown(mergeBatches(batches))
+	if err := j.awaitEncoding(ctx, records); err != nil {
+		return err
 	}
-	return out
-}
-
-// Size is what a record takes in a chunk, in bytes, at the most.
-func (r *Record) Size() int {
-	if r.fragment != nil {
-		return len(r.Key) + fragmentFrame + (len(r.fragment.data)+2)/3*4
+	pending := j.splitLarge(records)
+	for len(pending) > 0 {
+		rest, err := j.writeNext(ctx, pending)
+		switch {
+		case err == nil:
+			pending = rest
+		case errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err):
+			// All records once more, in smaller chunks: those that are written already are
+			// superseded.
+			if pending, err = j.splitUnderLowerLimits(ctx, records); err != nil {
+				return err
+			}
+		default:
+			return err
+		}
 	}
-	return len(r.Key) + len(r.Data) + 8
+	return nil
 }
 
-// merge keeps the last record of each entity, in order of first mention.
-func merge(batches []Batch) []Record {
-	at := make(map[string]int)
-	var out []Record
+// mergeBatches returns the last record of each entity, in the order of the first ones.
+func mergeBatches(batches []Batch) []Record {
+	position := make(map[string]int)
+	var records []Record
 	for _, b := range batches {
 		for _, r := range b.Records {
-			if i, ok := at[r.Key]; ok {
-				out[i] = r
+			if i, ok := position[r.Key]; ok {
+				records[i] = r
 				continue
 			}
-			at[r.Key] = len(out)
-			out = append(out, r)
+			position[r.Key] = len(records)
+			records = append(records, r)
 		}
 	}
-	return out
+	return records
 }
 
-// chunk is one value to be written.
-type chunk struct {
-	records []Record
-	data    json.RawMessage
+// splitUnderLowerLimits applies limits that have fallen and prepares a commit's records anew.
+func (j *Journal) splitUnderLowerLimits(ctx context.Context, records []Record) ([]Record, error) {
+	limits := j.limitTracker.Limits()
+	slog.Info("key-value store limits lowered", "value_bytes", limits.ValueBytes, "txn_ops", limits.TxnOps)
+	j.applyLimits()
+	if err := j.awaitEncoding(ctx, records); err != nil {
+		return nil, err
+	}
+	j.applyLimits() // the encoding may be another one by now
+	return j.splitLarge(records), nil
 }
 
-// BytesWithin is how many bytes of records are written in a time at the journal's share of the
-// changes; at the least what one transaction takes.
-func (l *Limits) BytesWithin(d time.Duration) int {
-	value := valueShare * float64(l.ValueBytes)
-	transaction := min(float64(max(1, l.TxnOps/2))*value, txnBytes)
-	return int(max(transaction, changeShare*l.ChangesPerS*d.Seconds()*value))
-}
+// fragmentTagBits is how many bits of a fragment's tag count the records that were split in
+// this term. The bits above them are the version of the leadership key.
+const fragmentTagBits = 20
 
-// Spare is how many bytes of records may be written at once, because less than the pace was
-// written before.
-func (j *Journal) Spare() int {
-	saved, _, _ := j.Saved()
-	return int(saved * j.ChangeBytes())
-}
-
-// Saved is how many changes could be made at once, of how many that can be saved up, and how many
-// are added a second.
-func (j *Journal) Saved() (changes, burst, rate float64) {
-	return max(0, j.limiter.Tokens()), float64(j.limiter.Burst()), float64(j.limiter.Limit())
-}
-
-// ChangeBytes is how many bytes of records one change writes.
-func (j *Journal) ChangeBytes() float64 {
-	return valueShare * float64(j.limitTracker.Limits().ValueBytes)
+// splitLarge returns the records, with fragments in place of each that is too large for a chunk.
+func (j *Journal) splitLarge(records []Record) []Record {
+	out := records[:0:0]
+	for _, r := range records {
+		if r.fragment != nil || j.encoder.fits(r) {
+			out = append(out, r)
+			continue
+		}
+		j.fragmented++
+		tag := j.leadership.Version<<fragmentTagBits | j.fragmented&(1<<fragmentTagBits-1)
+		out = append(out, split(r, j.encoder.guaranteedBytes(), tag)...)
+	}
+	return out
 }
 
-// HasSavings tells whether a transaction's changes could be made at once: commits come at their
-// own pace then, and not at that of the changes.
-func (j *Journal) HasSavings() bool {
-	return j.limiter.Tokens() >= float64(j.limitTracker.Limits().TxnOps)
+// writeNext writes as many of the records as one transaction holds, and returns the rest.
+func (j *Journal) writeNext(ctx context.Context, records []Record) (rest []Record, err error) {
+	chunks, rest, err := j.nextChunks(records)
+	if err != nil {
+		return nil, err
+	}
+	return rest, j.write(ctx, chunks)
 }
 
-// cut takes from the records as many chunks as one transaction holds.
-func (j *Journal) cut(records []Record) (chunks []chunk, rest []Record, err error) {
-	total, ops := 0, max(1, j.limits.TxnOps/2)
-	for len(records) > 0 && len(chunks) < ops && (total == 0 || total+j.room() <= txnBytes) {
-		n := j.howMany(records)
-		full := n < len(records)
-		data, err := j.encode(records[:n])
-		for err == nil && len(data) > j.room() && n > 1 {
-			j.updateRatio(len(data), full)
-			n = max(1, min(n-1, j.howMany(records)))
-			data, err = j.encode(records[:n])
-		}
-		if err != nil {
+// nextChunks encodes as many of the records as one transaction holds, and returns the rest.
+func (j *Journal) nextChunks(records []Record) (chunks []chunk, rest []Record, err error) {
+	bytes, most := 0, j.limits.chunksPerTxn()
+	for len(records) > 0 && len(chunks) < most && (bytes == 0 || bytes+j.encoder.capacity <= txnBytes) {
+		var c chunk
+		if c, records, err = j.encoder.next(records); err != nil {
 			return nil, nil, err
 		}
-		j.updateRatio(len(data), full)
-		chunks = append(chunks, chunk{records[:n:n], data})
-		total += len(data)
-		records = records[n:]
+		chunks = append(chunks, c)
+		bytes += len(c.data)
 	}
 	return chunks, records, nil
 }
 
-// howMany of the first records are expected to fit into a chunk, at the least one.
-func (j *Journal) howMany(records []Record) int {
-	size, limit := 2, j.rawRoom(j.compressionRatio)
-	for i := range records {
-		if size += records[i].Size(); size > limit && i > 0 {
-			return i
-		}
-	}
-	return len(records)
-}
-
-// write makes one transaction of the chunks, with compaction where the budget
-// allows, and repeats it until its outcome is known.
-//
-// A transaction may be applied late or twice. Each one demands that its first
-// chunk doesn't exist and that the chunk before it does, in the version that
-// was written: so a repeat finds its own chunk, and one that comes after that
-// chunk has been compacted away finds its predecessor gone.
+// write commits the chunks in one transaction, together with as much compaction as the budget
+// allows.
 func (j *Journal) write(ctx context.Context, chunks []chunk) error {
-	if j.last == 0 {
-		// The very first chunk has none before it, so its transaction may be
-		// applied again once it is compacted away: it must be empty.
-		version, err := j.settle(ctx, []Guard{j.lead, {Key: ChunkKey(j.next)}}, []Op{{Key: ChunkKey(j.next), Data: json.RawMessage("[]")}})
-		if err != nil {
-			return err
-		}
-		j.note(j.next, nil, false)
-		j.next, j.last = j.next+1, version
+	if err := j.ensurePrevious(ctx); err != nil {
+		return err
 	}
 	chunks, compacted := j.compact(chunks)
+	// One change was waited for before the commit was put together.
 	if n := len(chunks) + compacted - 1; n > 0 {
 		if err := j.limiter.WaitN(ctx, min(n, j.limiter.Burst())); err != nil {
 			return err
 		}
 	}
-	guards := []Guard{j.lead, {Key: ChunkKey(j.next)}, {Key: ChunkKey(j.next - 1), Version: j.last}}
-	var ops []Op
-	for i, c := range chunks {
-		ops = append(ops, Op{Key: ChunkKey(j.next + uint64(i)), Data: c.data})
-	}
-	for _, c := range j.chunks[:compacted] {
-		ops = append(ops, Op{Key: ChunkKey(c.seq), Delete: true})
-	}
-	version, err := j.settle(ctx, guards, ops)
+	version, err := j.commitTransaction(ctx, j.guards(), j.operations(chunks, compacted))
 	if err != nil {
 		return err
 	}
-	j.forget(compacted)
-	for i, c := range chunks {
-		j.note(j.next+uint64(i), c.records, isEncoded(c.data, c.records))
-	}
-	j.next += uint64(len(chunks))
-	j.last = version
+	j.index.removeOldest(compacted)
+	j.addWritten(chunks, version)
 	return nil
 }
 
-// compact adds to the chunks what still lives in the oldest ones and returns how
-// many of those may be deleted with them. Of an old chunk that is larger than the
-// budget or the service now allows for, a part is moved at a time.
-func (j *Journal) compact(chunks []chunk) ([]chunk, int) {
-	need := j.liveBytes/j.rawRoom(j.compactionRatio) + 1
-	excess := len(j.chunks) - compactFactor*need - compactSlack
-	changesLeft := int(j.limiter.Tokens()) / 2
-	migrating := j.migrating()
-	if migrating {
-		excess = max(excess, j.lastEncoded())
+// ensurePrevious writes the first chunk of the whole journal if there is none. Its transaction
+// can't be guarded by the chunk before it, so it could be applied again after the chunk has
+// been compacted away: it must be empty.
+func (j *Journal) ensurePrevious(ctx context.Context) error {
+	if j.previousVersion != 0 {
+		return nil
 	}
-	if migrating || excess > compactBehind {
-		changesLeft = max(changesLeft, compactForced)
-	}
-	if excess <= 0 || changesLeft <= 0 {
-		return chunks, 0
+	first := []chunk{{data: emptyChunk}}
+	guards := []Guard{j.leadership, {Key: ChunkKey(j.nextChunk)}}
+	version, err := j.commitTransaction(ctx, guards, j.operations(first, 0))
+	if err != nil {
+		return err
 	}
-	m := j.compaction(chunks, changesLeft)
-	n := 0
-	for most := min(excess, len(j.chunks)-1); n < most && m.moveAll(j.living(n, m.writing)) && m.delete(); n++ {
+	j.addWritten(first, version)
+	return nil
+}
+
+// guards returns the guards of the next transaction. Because it demands that its first chunk
+// is absent and the one before it is present at the version that was written, a transaction
+// that is applied twice finds its own chunk, and one that is applied after that chunk has been
+// compacted away misses the one before it.
+func (j *Journal) guards() []Guard {
+	return []Guard{
+		j.leadership,
+		{Key: ChunkKey(j.nextChunk)},
+		{Key: ChunkKey(j.nextChunk - 1), Version: j.previousVersion},
 	}
-	moved, err := m.encode()
-	if err != nil {
-		j.compactionRatio = max(minRatio, j.compactionRatio*3/4)
-		return chunks, 0
+}
+
+// operations returns the puts of new chunks and the deletions of the oldest ones.
+func (j *Journal) operations(chunks []chunk, compacted int) []Op {
+	var ops []Op
+	for i, c := range chunks {
+		ops = append(ops, Op{Key: ChunkKey(j.nextChunk + uint64(i)), Data: c.data})
 	}
-	if n > 0 {
-		j.compactionRatio = min(maxRatio, j.compactionRatio*33/32)
+	for _, c := range j.index.chunks[:compacted] {
+		ops = append(ops, Op{Key: ChunkKey(c.number), Delete: true})
 	}
-	return moved, n
+	return ops
 }
 
-// bound gives a request so many timeouts.
-func (l *Limits) bound(ctx context.Context, times int) (context.Context, context.CancelFunc) {
-	if l.RequestTimeout <= 0 {
-		return ctx, func() {}
+// addWritten adds chunks that were committed to the index.
+func (j *Journal) addWritten(chunks []chunk, version uint64) {
+	for _, c := range chunks {
+		j.index.addChunk(j.nextChunk, c.records, isEncoded(c.data, c.records))
+		j.nextChunk++
 	}
-	return context.WithTimeout(ctx, time.Duration(times)*l.RequestTimeout)
+	j.previousVersion = version
 }
 
-// settle repeats a transaction until it is known to be applied or barred. One
-// that isn't answered is asked again: if both are carried out, the second finds
-// the first one's chunk.
-func (j *Journal) settle(ctx context.Context, guards []Guard, ops []Op) (uint64, error) {
-	unsure := false
-	for times := 1; ; times = min(2*times, maxTimeouts) {
-		tctx, cancel := j.limits.bound(ctx, times)
-		version, err := j.svc.Txn(tctx, guards, ops)
-		cancel()
+// commitTransaction retries a transaction until it is known to be applied, or known to be
+// impossible, and returns its revision. The first operation must put a chunk that the guards
+// demand to be absent: if a transaction without an answer was applied, its retry conflicts
+// with that chunk.
+func (j *Journal) commitTransaction(ctx context.Context, guards []Guard, ops []Op) (uint64, error) {
+	chunkKey, mayBeApplied := ops[0].Key, false
+	for timeouts := 1; ; timeouts = min(2*timeouts, maxTimeouts) {
+		revision, err := j.sendTransaction(ctx, timeouts, guards, ops)
+		if err == nil {
+			return revision, nil
+		}
 		var conflict *ConflictError
 		switch {
-		case err == nil:
-			return version, nil
 		case errors.As(err, &conflict):
-			for _, k := range conflict.Failed {
-				if k == j.lead.Key {
-					return 0, ErrLeadershipLost
-				}
-			}
-			if !unsure {
-				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrLeadershipLost, conflict.Failed)
-			}
-			gctx, cancel := j.limits.bound(ctx, times)
-			item, err := j.svc.Get(gctx, ops[0].Key)
-			cancel()
-			if err == nil {
-				return item.Version, nil
-			}
-			if errors.Is(err, ErrNotFound) {
-				return 0, fmt.Errorf("journal chunk %s: %w (%v)", ops[0].Key, ErrLeadershipLost, conflict.Failed)
+			version, resolveErr := j.resolveConflict(ctx, timeouts, conflict, chunkKey, mayBeApplied)
+			if resolveErr == nil || errors.Is(resolveErr, ErrLeadershipLost) {
+				return version, resolveErr
 			}
 		case errors.Is(err, ErrRefused):
 		case errors.Is(err, ErrOutcomeUnknown):
-			unsure = true
+			mayBeApplied = true
 		default:
 			return 0, fmt.Errorf("journal commit: %w", err)
 		}
 		if j.limitTracker.Learn(err) {
 			j.applyLimits()
 		}
-		slog.Debug("journal retries", "chunk", ops[0].Key, "err", err)
+		slog.Debug("journal commit retried", "chunk", chunkKey, "error", err)
 		if !clock.Sleep(ctx, retryPause) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// ChunkKey is the key of a journal chunk.
-func ChunkKey(seq uint64) string { return fmt.Sprintf("%s%012d", chunkPrefix, seq) }
+func (j *Journal) sendTransaction(ctx context.Context, timeouts int, guards []Guard, ops []Op) (revision uint64, err error) {
+	ctx, cancel := j.limits.withTimeout(ctx, timeouts)
+	defer cancel()
+	return j.store.Txn(ctx, guards, ops)
+}
+
+// resolveConflict finds out why a transaction conflicts. If an earlier attempt may have been
+// applied, its chunk shows whether it was: then the chunk's version is returned. Otherwise
+// another controller leads, and the error is ErrLeadershipLost. All other errors mean that the
+// chunk couldn't be read, so the reason is not known yet.
+func (j *Journal) resolveConflict(ctx context.Context, timeouts int, conflict *ConflictError, chunkKey string, mayBeApplied bool) (version uint64, err error) {
+	if slices.Contains(conflict.Failed, j.leadership.Key) {
+		return 0, ErrLeadershipLost
+	}
+	lost := func() error {
+		return fmt.Errorf("journal chunk %s: %w (%v)", chunkKey, ErrLeadershipLost, conflict.Failed)
+	}
+	if !mayBeApplied {
+		return 0, lost()
+	}
+	ctx, cancel := j.limits.withTimeout(ctx, timeouts)
+	defer cancel()
+	item, err := j.store.Get(ctx, chunkKey)
+	if errors.Is(err, ErrNotFound) {
+		return 0, lost()
+	}
+	return item.Version, err
+}
--- a/internal/storage/limit_tracker.go
+++ b/internal/storage/limit_tracker.go
@@ -5,61 +5,70 @@
 	"sync/atomic"
 )
 
-// LimitTracker is what the state service takes, as far as this process has seen. The
-// service may lower its limits at some moment, without notice, to figures that
-// are known before: they are taken up on the first sign. The larger ones serve
-// better while they last.
+// LimitTracker tracks which limits the key-value store enforces, as far as this process has
+// seen. The store may lower its limits without notice, to figures that are known in advance
+// (Limits.Next). They are applied on the first sign, because the larger limits serve better
+// while they last. A LimitTracker is safe for concurrent use.
 type LimitTracker struct {
-	next *Limits
-	now  atomic.Pointer[Limits]
-
-	lowered atomic.Bool // a request has been called malformed that once was none
+	next    *Limits
+	current atomic.Pointer[Limits]
+	lowered atomic.Bool // the limit of values has fallen
 }
 
-// NewLimitTracker starts with the limits as they are said to be now.
+// NewLimitTracker starts with the limits of the settings.
 func NewLimitTracker(l Limits) *LimitTracker {
-	c := &LimitTracker{next: l.Next}
-	c.now.Store(&l)
-	return c
+	t := &LimitTracker{next: l.Next}
+	t.current.Store(&l)
+	return t
 }
 
-// Limits are those to keep to.
-func (c *LimitTracker) Limits() Limits { return *c.now.Load() }
+// Limits returns the limits to keep to.
+func (t *LimitTracker) Limits() Limits { return *t.current.Load() }
 
-// Learn takes up the lower limits if a refusal is a sign of them: a request that
-// is called malformed has grown too large, and one too many came too fast. It
-// tells whether that changes what may be sent.
-func (c *LimitTracker) Learn(err error) bool {
-	if c.next == nil {
+// Learn lowers the limits if the error of a request is a sign that they have fallen: a
+// malformed request has grown too large, and a rate-limited one came too fast. It reports
+// whether that changed the limits.
+func (t *LimitTracker) Learn(err error) bool {
+	if t.next == nil {
 		return false
 	}
-	old := c.now.Load()
+	old := t.current.Load()
 	l := *old
 	switch {
-	case errors.Is(err, ErrMalformed):
-		l.ValueBytes, l.TxnOps = lower(l.ValueBytes, c.next.ValueBytes), lower(l.TxnOps, c.next.TxnOps)
-		fallthrough // both fall at the same moment
+	case errors.Is(err, ErrMalformed): // sizes and rates fall at the same moment
+		l.lowerSizes(t.next)
+		l.lowerRates(t.next)
 	case errors.Is(err, ErrRateLimited):
-		l.ChangesPerS, l.RequestsPerS = lower(l.ChangesPerS, c.next.ChangesPerS), lower(l.RequestsPerS, c.next.RequestsPerS)
+		l.lowerRates(t.next)
 	}
 	if l == *old {
 		return false
 	}
 	if l.ValueBytes < old.ValueBytes {
-		c.lowered.Store(true)
+		t.lowered.Store(true)
 	}
-	c.now.Store(&l)
+	t.current.Store(&l)
 	return true
 }
 
-// Lowered tells whether the service has shown that it takes less than it did, and
-// so that no version is left that doesn't know of that.
-func (c *LimitTracker) Lowered() bool { return c.lowered.Load() }
+// Lowered reports whether the store has shown that its limit of values has fallen. It does
+// that only once no controller is left whose version doesn't know the lower limits.
+func (t *LimitTracker) Lowered() bool { return t.lowered.Load() }
+
+func (l *Limits) lowerSizes(next *Limits) {
+	l.ValueBytes = lowerLimit(l.ValueBytes, next.ValueBytes)
+	l.TxnOps = lowerLimit(l.TxnOps, next.TxnOps)
+}
+
+func (l *Limits) lowerRates(next *Limits) {
+	l.ChangesPerS = lowerLimit(l.ChangesPerS, next.ChangesPerS)
+	l.RequestsPerS = lowerLimit(l.RequestsPerS, next.RequestsPerS)
+}
 
-// lower returns the smaller limit; 0 says none.
-func lower[T int | float64](now, next T) T {
+// lowerLimit returns the smaller limit; a next limit of 0 changes nothing.
+func lowerLimit[T int | float64](current, next T) T {
 	if next > 0 {
-		return min(now, next)
+		return min(current, next)
 	}
-	return now
+	return current
 }
--- /dev/null
+++ b/internal/storage/machine_records.go
@@ -0,0 +1,43 @@
+package storage
+
+// MachineRecord is the durable record of a machine that has reservations or is being
+// terminated.
+type MachineRecord struct {
+	Addr        string `json:"a,omitempty"`
+	Type        string `json:"t,omitempty"`
+	Zone        string `json:"z,omitempty"`
+	Spot        bool   `json:"l,omitempty"`
+	Incarnation uint64 `json:"r,omitempty"`
+	Terminating bool   `json:"x,omitempty"`
+	// Images are the images that the machine has fetched, with their sizes in GB. Without
+	// them a new leader would place tasks as if all images but the running ones had to be
+	// fetched again.
+	Images map[string]float64 `json:"i,omitempty"`
+}
+
+// LaunchRecord is a request to the cloud to launch machines. It is durable under its name
+// before it is sent.
+type LaunchRecord struct {
+	Type  string `json:"t"`
+	Zone  string `json:"z"`
+	Spot  bool   `json:"l,omitempty"`
+	Count int    `json:"n"`
+}
+
+// FleetRecord is the desired size of the fleet and the term of the leader that set it.
+type FleetRecord struct {
+	Desired int    `json:"n"`
+	Term    uint64 `json:"t"`
+}
+
+// MachineType is one of the machine types that the cloud offers.
+type MachineType struct {
+	Name      string    `json:"n"`
+	Resources Resources `json:"r"`
+	CacheGB   float64   `json:"c,omitempty"`
+	FetchGBPS float64   `json:"f,omitempty"` // gigabytes of images a second
+	Price     float64   `json:"p"`
+	SpotPrice float64   `json:"sp,omitempty"`
+	BootS     float64   `json:"b,omitempty"` // provisioning latency in seconds
+	Zones     []string  `json:"z"`
+}
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -2,79 +2,59 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"slices"
-
-	"sagevale/internal/clock"
-)
-
-// Encoding is what the journal may write. Compressed chunks and records in fragments are
-// nothing that the first versions can read.
-type Encoding int32
-
-// The encodings.
-const (
-	PlainOnly          Encoding = iota // a record that is too large for that waits
-	PlainWherePossible                 // only records that are too large go in fragments
-	AnyEncoding
 )
 
-// SetEncoding says what may be written from the next chunk on. It may be called from any
-// goroutine.
-func (j *Journal) SetEncoding(e Encoding) { j.encoding.Store(int32(e)) }
-
-// OnEncodingNeeded has f called whenever chunks should be compressed and may not be. It
-// is called from the journal's goroutine and must not block.
-func (j *Journal) OnEncodingNeeded(f func()) { j.encodingNeeded = f }
-
-func (j *Journal) mayWrite(e Encoding) bool { return Encoding(j.encoding.Load()) >= e }
+// A migration rewrites what the journal holds as plain chunks, so that versions can lead which
+// read nothing else. It goes in steps, each of one commit, and the next leader continues where
+// one has stopped.
 
-// migration asks the journal to write one step of what it holds in plain chunks.
-type migration struct {
-	reply chan migrationResult
+// migrationStep asks the journal's goroutine for one step.
+type migrationStep struct {
+	reply chan<- migrationResult
 }
 
 type migrationResult struct {
-	encoded int
-	err     error
+	encodedChunks int
+	err           error
 }
 
-// MigrateStep confirms what was set by SetEncoding, and returns how many chunks that are
-// compressed or hold fragments are left. Where such chunks aren't to be written any longer,
-// it first rewrites some of them, within the budget, in one commit. Whoever leads next goes
-// on with what is left.
+// MigrateStep applies what SetEncoding has set, and returns how many chunks are left that are
+// compressed or hold fragments. If such chunks may no longer be written, it first rewrites
+// some of them, within the budget of changes, in one commit. It may be called from any
+// goroutine while Run runs.
 func (j *Journal) MigrateStep(ctx context.Context) (encoded int, err error) {
-	m := migration{reply: make(chan migrationResult, 1)}
+	reply := make(chan migrationResult, 1)
 	select {
-	case j.migrations <- m:
+	case j.migrationSteps <- migrationStep{reply}:
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	select {
-	case r := <-m.reply:
-		return r.encoded, r.err
+	case r := <-reply:
+		return r.encodedChunks, r.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// migrate carries out one step; an error ends the journal.
-func (j *Journal) migrate(ctx context.Context, m migration) error {
+// migrate carries out one step. After an error the journal can't go on.
+func (j *Journal) migrate(ctx context.Context, step migrationStep) error {
 	var err error
-	if j.applyLimits(); j.migrating() {
+	j.applyLimits()
+	if j.canMigrate() {
 		err = j.commitMigration(ctx)
 	}
-	m.reply <- migrationResult{j.encodedChunks(), err}
+	step.reply <- migrationResult{j.index.encodedChunks(), err}
 	return err
 }
 
-// commitMigration writes a chunk that holds nothing but what is moved into it.
+// commitMigration writes a chunk that holds only what compaction moves into it.
 func (j *Journal) commitMigration(ctx context.Context) error {
 	if err := j.limiter.Wait(ctx); err != nil {
 		return err
 	}
-	err := j.write(ctx, []chunk{{data: json.RawMessage("[]")}})
+	err := j.write(ctx, []chunk{{data: emptyChunk}})
 	if errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err) {
 		j.applyLimits()
 		return nil
@@ -82,66 +62,11 @@
 	return err
 }
 
-// migrating tells whether encoded chunks are left that can be written plainly. What is too
-// large for a chunk can't, so all waits until it is gone.
-func (j *Journal) migrating() bool {
-	if j.mayWrite(AnyEncoding) || j.encodedChunks() == 0 {
+// canMigrate reports whether encoded chunks are left that can be rewritten as plain ones. As
+// long as some record is too large for a plain chunk the migration can't end, so it waits.
+func (j *Journal) canMigrate() bool {
+	if j.allows(AnyEncoding) || j.index.encodedChunks() == 0 {
 		return false
 	}
-	for key, e := range j.entities {
-		if r := (Record{Key: key, Data: e.data}); r.Size()+2 > j.room() {
-			return false
-		}
-	}
-	return true
-}
-
-// encodedChunks counts the chunks that aren't plain.
-func (j *Journal) encodedChunks() int {
-	n := 0
-	for i := range j.chunks {
-		if j.chunks[i].encoded {
-			n++
-		}
-	}
-	return n
-}
-
-// lastEncoded is how many of the oldest chunks have to go until none is encoded.
-func (j *Journal) lastEncoded() int {
-	for i := len(j.chunks) - 1; i >= 0; i-- {
-		if j.chunks[i].encoded {
-			return i + 1
-		}
-	}
-	return 0
-}
-
-// isEncoded tells whether a chunk is compressed or holds fragments.
-func isEncoded(value json.RawMessage, records []Record) bool {
-	return len(value) > 0 && value[0] == '"' || slices.ContainsFunc(records, func(r Record) bool { return r.fragment != nil })
+	return !j.index.anyLargerThan(j.encoder.capacity - arrayBytes)
 }
-
-// awaitEncoding waits until records may be written that are too large for a plain chunk.
-func (j *Journal) awaitEncoding(ctx context.Context, records []Record) error {
-	for !j.mayWrite(PlainWherePossible) && slices.ContainsFunc(records, func(r Record) bool { return !j.fits(r) }) {
-		j.encodingNeeded()
-		if !clock.Sleep(ctx, retryPause) {
-			return ctx.Err()
-		}
-	}
-	return nil
-}
-
-// IsEncoded tells whether a stored chunk is one that the first versions can't read.
-func IsEncoded(value json.RawMessage) bool {
-	plain, err := decompress(value)
-	if err != nil {
-		return true
-	}
-	records, err := parseRecords(plain)
-	return err != nil || isEncoded(value, records)
-}
-
-// EncodeChunk makes a plain chunk's value of its records.
-func EncodeChunk(records []Record) (json.RawMessage, error) { return json.Marshal(records) }
--- a/internal/storage/record_test.go
+++ b/internal/storage/record_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// chunkOf is a chunk's value with so many pages of attempts.
-func chunkOf(tb testing.TB, pages int) []byte {
+// pagesChunk is the value of a plain chunk that holds page records with attempts.
+func pagesChunk(tb testing.TB, pages int) []byte {
 	tb.Helper()
 	var records []Record
 	for i := range pages {
@@ -22,43 +22,44 @@
 		}
 		records = append(records, r)
 	}
-	raw, err := json.Marshal(records)
+	value, err := EncodeChunk(records)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return raw
+	return value
 }
 
-// Records are read at once as each is read by itself, and refused alike.
-func TestRecordsReadAtOnceAreReadTheSame(t *testing.T) {
+// parseRecords and UnmarshalJSON accept the same records and decode them the same.
+func TestParseRecordsMatchesUnmarshalJSON(t *testing.T) {
 	for _, raw := range []string{
-		string(chunkOf(t, 3)), `[]`, `[["m8"]]`, `[["m8",null]]`, `[["a\u0062",{"x":1}]]`, `[["k","cGllY2U=",0,2,7]]`,
+		string(pagesChunk(t, 3)), `[]`, `[["m8"]]`, `[["m8",null]]`, `[["a\u0062",{"x":1}]]`, `[["k","cGllY2U=",0,2,7]]`,
 		`[["k","cGllY2U=",2,2,7]]`, `[[]]`, `[["a",1,2]]`, `[[7,1]]`, `{}`, `[["a",1]`, `null`, `[null]`, `[["a",1],7]`,
 	} {
 		var want []Record
 		wantErr := json.Unmarshal([]byte(raw), &want)
 		got, err := parseRecords([]byte(raw))
 		if (err == nil) != (wantErr == nil) || err == nil && len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v, %v; each by itself as %+v, %v", raw, got, err, want, wantErr)
+			t.Errorf("%s: got %+v, %v; want %+v, %v", raw, got, err, want, wantErr)
 		}
 	}
 }
 
-// A take-over reads every chunk while nobody leads.
-func TestReadingAChunkAllocatesLittle(t *testing.T) {
-	raw := chunkOf(t, 40)
+// A failover decodes every chunk while nobody leads.
+func TestParseRecordsAllocations(t *testing.T) {
+	const records, most = 40, 7
+	raw := pagesChunk(t, records)
 	allocs := testing.AllocsPerRun(50, func() {
 		if _, err := parseRecords(raw); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if perRecord := allocs / 40; perRecord > 7 {
-		t.Errorf("%.1f allocations a record", perRecord)
+	if perRecord := allocs / records; perRecord > most {
+		t.Errorf("got %.1f allocations a record, want at most %d", perRecord, most)
 	}
 }
 
 func BenchmarkParseRecords(b *testing.B) {
-	raw := chunkOf(b, 40)
+	raw := pagesChunk(b, 40)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := parseRecords(raw); err != nil {
@@ -68,7 +69,7 @@
 }
 
 func BenchmarkUnmarshalRecords(b *testing.B) {
-	raw := chunkOf(b, 40)
+	raw := pagesChunk(b, 40)
 	b.ReportAllocs()
 	for b.Loop() {
 		var records []Record
--- a/internal/storage/unknown_fields.go
+++ b/internal/storage/unknown_fields.go
@@ -8,21 +8,22 @@
 )
 
 // A later version may write fields into records that this one doesn't know. It marks such a
-// record with its version in schemaField, and this version keeps what it doesn't know when
-// it rewrites the record: fields of the record itself, and of a job's specification. Records
-// without the mark hold nothing that is unknown, so nothing is searched in them.
+// record with its version in schemaField. When this version rewrites a marked record, it keeps
+// the unknown fields of the record itself and of a job's specification. Records without the
+// mark have no unknown fields, so they are not searched.
 //
 // What an earlier version must not ignore is not written as a field but behind a gate.
 
-// schemaField is where a record says that a later version wrote into it.
-const schemaField = "v"
+const (
+	// schemaField is the field of a record that holds the later version that wrote into it.
+	schemaField = "v"
+	// specField is the field of a job's record that holds its specification.
+	specField = "s"
+)
 
 var schemaMark = []byte(`"` + schemaField + `":`)
 
-// specField is where a job's record holds its specification.
-const specField = "s"
-
-// knownFields are those of each kind of record.
+// knownFields are the fields of each kind of record that this version knows.
 var knownFields = map[byte][]string{
 	KindJob:     upgrade.FieldNames(JobRecord{}),
 	KindPage:    upgrade.FieldNames(PageRecord{}),
@@ -31,21 +32,21 @@
 	KindFleet:   upgrade.FieldNames(FleetRecord{}),
 }
 
-// specFields are those of a job's specification.
-var specFields = upgrade.FieldNames(Spec{})
+// knownSpecFields are those of a job's specification.
+var knownSpecFields = upgrade.FieldNames(Spec{})
 
-// keepUnknown returns the records with what later versions wrote into the ones before them.
+// keepUnknown adds to the records the fields that later versions wrote into the stored ones.
 func (j *Journal) keepUnknown(records []Record) []Record {
 	for i, r := range records {
-		if old := j.entities[r.Key].data; r.Data != nil && bytes.Contains(old, schemaMark) {
+		if old := j.index.entities[r.Key].data; r.Data != nil && bytes.Contains(old, schemaMark) {
 			records[i].Data = withUnknown(r.Key[0], old, r.Data)
 		}
 	}
 	return records
 }
 
-// withUnknown returns data with the fields of old that this version doesn't know, if a
-// later version wrote old.
+// withUnknown returns data with the unknown fields of old if a later version wrote old, and
+// otherwise data unchanged.
 func withUnknown(kind byte, old, data json.RawMessage) json.RawMessage {
 	var mark struct {
 		Schema uint32 `json:"v"`
@@ -56,13 +57,13 @@
 	}
 	merged := mergeUnknown(old, data, known)
 	if kind == KindJob {
-		merged = mergeSpec(old, merged)
+		merged = mergeUnknownSpec(old, merged)
 	}
 	return merged
 }
 
-// mergeUnknown adds to an object what is unknown in another; where either can't be
-// understood it stays as it is.
+// mergeUnknown adds the unknown fields of one object to another. If either can't be decoded it
+// returns data unchanged: a field that can't be kept must not stop the commit.
 func mergeUnknown(old, data json.RawMessage, known []string) json.RawMessage {
 	unknown, err := upgrade.FindUnknown(old, known)
 	if err != nil {
@@ -75,14 +76,17 @@
 	return merged
 }
 
-// mergeSpec does the same for the specification within a job's record.
-func mergeSpec(old, data json.RawMessage) json.RawMessage {
-	var before, after map[string]json.RawMessage
-	if json.Unmarshal(old, &before) != nil || json.Unmarshal(data, &after) != nil || before[specField] == nil || after[specField] == nil {
+// mergeUnknownSpec does the same for the specification within a job's record.
+func mergeUnknownSpec(old, data json.RawMessage) json.RawMessage {
+	var oldFields, fields map[string]json.RawMessage
+	if json.Unmarshal(old, &oldFields) != nil || json.Unmarshal(data, &fields) != nil {
+		return data
+	}
+	if oldFields[specField] == nil || fields[specField] == nil {
 		return data
 	}
-	after[specField] = mergeUnknown(before[specField], after[specField], specFields)
-	merged, err := json.Marshal(after)
+	fields[specField] = mergeUnknown(oldFields[specField], fields[specField], knownSpecFields)
+	merged, err := json.Marshal(fields)
 	if err != nil {
 		return data
 	}
--- a/internal/storage/unknown_fields_test.go
+++ b/internal/storage/unknown_fields_test.go
@@ -14,45 +14,45 @@
 // laterJob is a job's record as a later version might write it.
 const laterJob = `{"n":2,"a":5,"v":9,"region":{"x":1},"s":{"b":"sweep","n":2,"r":{"c":1},"tier":"gold"}}`
 
-// An older leader rewrites what a newer one wrote: nothing that it doesn't know is lost.
-func TestAnOlderLeaderKeepsWhatANewerWrote(t *testing.T) {
-	j := &Journal{entities: map[string]entity{"j1": {data: json.RawMessage(laterJob)}}}
-	rewritten, err := NewRecord("j1", JobRecord{Tasks: 2, SubmittedMS: 5, DoneTasks: 1, Spec: &Spec{Class: "sweep", Tasks: 2, Resources: Resources{CPUs: 1}}})
-	if err != nil {
-		t.Fatal(err)
+// An older leader rewrites a record of a newer one without losing the fields that it doesn't know.
+func TestRewriteKeepsFieldsOfLaterVersion(t *testing.T) {
+	j := &Journal{index: newJournalIndex()}
+	j.index.put("j1", entity{data: json.RawMessage(laterJob)})
+	rewrite := func(job JobRecord) json.RawMessage {
+		t.Helper()
+		r, err := NewRecord("j1", job)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return j.keepUnknown([]Record{r})[0].Data
 	}
-	got := j.keepUnknown([]Record{rewritten})[0].Data
+	open := rewrite(JobRecord{Tasks: 2, SubmittedMS: 5, DoneTasks: 1, Spec: &Spec{Class: "sweep", Tasks: 2, Resources: Resources{CPUs: 1}}})
 	for _, want := range []string{`"region":{"x":1}`, `"tier":"gold"`, `"v":9`, `"d":1`} {
-		if !bytes.Contains(got, []byte(want)) {
-			t.Errorf("%s is missing in %s", want, got)
+		if !bytes.Contains(open, []byte(want)) {
+			t.Errorf("%s is missing in %s", want, open)
 		}
 	}
-	final, err := NewRecord("j1", JobRecord{Phase: Done, Tasks: 2})
-	if err != nil {
-		t.Fatal(err)
-	}
-	j.entities["j1"] = entity{data: got}
-	if got := j.keepUnknown([]Record{final})[0].Data; !bytes.Contains(got, []byte(`"region"`)) || bytes.Contains(got, []byte("tier")) {
-		t.Errorf("a final record is %s", got)
+	j.index.put("j1", entity{data: open})
+	if final := rewrite(JobRecord{Phase: Done, Tasks: 2}); !bytes.Contains(final, []byte(`"region"`)) || bytes.Contains(final, []byte("tier")) {
+		t.Errorf("a final record is %s", final)
 	}
-	if gone := j.keepUnknown([]Record{{Key: "j1"}})[0]; gone.Data != nil {
-		t.Errorf("a removed record is %s", gone.Data)
+	if removed := j.keepUnknown([]Record{{Key: "j1"}})[0]; removed.Data != nil {
+		t.Errorf("a removed record is %s", removed.Data)
 	}
 }
 
-// Records of this version and before are not searched, and stay as they are.
-func TestRecordsOfKnownVersionsStayAsTheyAre(t *testing.T) {
+// Records of this version and earlier ones aren't searched and stay unchanged.
+func TestRecordsOfKnownVersionsStayUnchanged(t *testing.T) {
 	for _, old := range []string{`{"n":2,"extra":1}`, `{"n":2,"v":3,"extra":1}`, `{"n":2,"v":"x","extra":1}`, `[{"v":9}]`, `{"v":9,"N":7}`} {
 		data := json.RawMessage(`{"n":4}`)
 		if got := withUnknown(KindJob, json.RawMessage(old), data); !bytes.Equal(got, data) {
-			t.Errorf("%s makes of it %s", old, got)
+			t.Errorf("after %s: got %s, want %s", old, got, data)
 		}
 	}
 }
 
-// Whatever a later version wrote: what is known is what was written now, and what isn't is
-// what was there before.
-func TestKeepingUnknownFieldsIsExact(t *testing.T) {
+// Known fields have their new values, and unknown fields their old ones.
+func TestWithUnknownMergesFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SampledFrom([]string{"n", "a", "zz", "region", "weight", "x"})
 		old := rapid.MapOf(names, rapid.IntRange(0, 99)).Draw(t, "old")
@@ -89,8 +89,8 @@
 	})
 }
 
-// FuzzParseRecords: a chunk that is read is written and read back the same, fragments and
-// records of later versions included.
+// FuzzParseRecords checks that decoded chunks are encoded and decoded again without a change,
+// also fragments and records of later versions.
 func FuzzParseRecords(f *testing.F) {
 	f.Add([]byte(`[["j1",` + laterJob + `],["m3"],["p1/0","QUJD",0,2,77]]`))
 	f.Add([]byte(`[["f",{"n":1,"t":2}],["\u0066",{}]]`))
@@ -102,11 +102,11 @@
 		}
 		written, err := json.Marshal(records)
 		if err != nil {
-			t.Fatalf("%s is read and not written: %v", chunk, err)
+			t.Fatalf("%s is decoded but not encoded: %v", chunk, err)
 		}
 		again, err := parseRecords(written)
 		if err != nil || len(again) != len(records) {
-			t.Fatalf("%s is written as %s and read as %d records: %v", chunk, written, len(again), err)
+			t.Fatalf("%s is encoded as %s and decoded as %d records: %v", chunk, written, len(again), err)
 		}
 		for i, r := range records {
 			if again[i].Key != r.Key || (again[i].fragment == nil) != (r.fragment == nil) {
