--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -14,7 +14,7 @@
 
 func unencodable(key string, err error) { panic(fmt.Sprint(key, err)) }
 
-// value is an entity of about that many bytes.
+// value returns the data of an entity of about that many bytes.
 func value(bytes int) func() any { return func() any { return strings.Repeat("x", bytes) } }
 
 func keys(records []storage.Record) (out []string) {
@@ -24,155 +24,161 @@
 	return out
 }
 
-// history is a queue beside what it should do: values that count up, and what of them is durable.
-type history struct {
-	queue            *Queue
-	values           map[string]int  // the entities' present values
-	in               map[string]Lane // where they were marked last
-	writing, durable map[string]int
-	calls            map[int]map[string]int // what each open call waits for
-	nextCall         int
-	failed           bool
+// model is a queue beside a model of it: values that count up, and which of them are durable.
+type model struct {
+	queue        *Queue
+	values       map[string]int  // the entities' latest values
+	lanes        map[string]Lane // where they were marked last
+	committing   map[string]int  // the values in the commit in flight; nil: none is
+	durable      map[string]int
+	callbacks    map[int]map[string]int // the values that each callback waits for
+	nextCallback int
+	failed       bool // the last commit failed
 }
 
-func (h *history) mark(in Lane, key string) {
-	h.values[key]++
-	h.in[key] = in
-	h.queue.Mark(in, key, func() any { return h.values[key] })
+func newModel() *model {
+	return &model{
+		queue: New(), values: make(map[string]int), lanes: make(map[string]Lane),
+		durable: make(map[string]int), callbacks: make(map[int]map[string]int),
+	}
+}
+
+func (m *model) mark(in Lane, key string) {
+	m.values[key]++
+	m.lanes[key] = in
+	m.queue.Mark(in, key, func() any { return m.values[key] })
 }
 
-// await registers a call, and checks when it comes that all it waits for is durable.
-func (h *history) await(t *rapid.T, in ...Lane) {
+// await adds a callback that checks that everything it waits for is durable.
+func (m *model) await(t *rapid.T, in ...Lane) {
 	waits := make(map[string]int)
-	for key, v := range h.values {
-		if slices.Contains(in, h.in[key]) {
+	for key, v := range m.values {
+		if slices.Contains(in, m.lanes[key]) {
 			waits[key] = v
 		}
 	}
-	id := h.nextCall
-	h.nextCall++
-	h.calls[id] = waits
+	id := m.nextCallback
+	m.nextCallback++
+	m.callbacks[id] = waits
 	called := func(err error) {
-		if _, open := h.calls[id]; !open {
-			t.Fatalf("call %d came twice", id)
+		if _, open := m.callbacks[id]; !open {
+			t.Fatalf("callback %d was called twice", id)
 		}
-		for key, v := range h.calls[id] {
-			if err == nil && h.durable[key] < v {
-				t.Fatalf("called with %s at %d, durable is %d", key, v, h.durable[key])
+		for key, v := range m.callbacks[id] {
+			if err == nil && m.durable[key] < v {
+				t.Fatalf("callback %d was called while %s is durable at %d, want %d", id, key, m.durable[key], v)
 			}
 		}
-		if (err != nil) != h.failed {
-			t.Fatalf("called with %v", err)
+		if (err != nil) != m.failed {
+			t.Fatalf("callback %d: got error %v, want one: %v", id, err, m.failed)
 		}
-		delete(h.calls, id)
+		delete(m.callbacks, id)
 	}
-	if len(in) == int(lanes) {
-		h.queue.OnAllDurable(called)
+	if len(in) == int(laneCount) {
+		m.queue.OnAllDurable(called)
 	} else {
-		h.queue.OnDurable(called, in...)
+		m.queue.OnDurable(called, in...)
 	}
 }
 
-func (h *history) begin(bytes int) bool {
-	records, ok := h.queue.Next(bytes, unencodable)
+func (m *model) begin(bytes int) bool {
+	records, ok := m.queue.Next(bytes, unencodable)
 	if !ok {
 		return false
 	}
-	h.writing = make(map[string]int)
+	m.committing = make(map[string]int)
 	for _, r := range records {
-		h.writing[r.Key] = h.values[r.Key]
+		m.committing[r.Key] = m.values[r.Key]
 	}
 	return true
 }
 
-func (h *history) end(err error) {
-	h.failed = err != nil
+func (m *model) end(err error) {
+	m.failed = err != nil
 	if err == nil {
-		for key, v := range h.writing {
-			h.durable[key] = v
+		for key, v := range m.committing {
+			m.durable[key] = v
 		}
 	}
-	h.writing = nil
-	h.queue.Committed(err)
+	m.committing = nil
+	m.queue.Committed(err)
 }
 
-// Whatever is marked, awaited and committed in whichever order: a call comes once, when all that
-// it waits for is durable and not before, and nothing is left behind.
-func TestCallsComeWhenAllTheyWaitForIsDurable(t *testing.T) {
+// Whatever is marked, awaited and committed in any order, callbacks are called once, as soon as
+// everything that they wait for is durable, and nothing is left in the queue.
+func TestCallbacksWaitUntilDurable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{queue: New(), values: map[string]int{}, in: map[string]Lane{}, durable: map[string]int{}, calls: map[int]map[string]int{}}
+		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"mark": func(t *rapid.T) {
-				h.mark(Lane(rapid.IntRange(0, int(lanes)-1).Draw(t, "lane")), rapid.StringMatching("[a-f]").Draw(t, "key"))
+				m.mark(Lane(rapid.IntRange(0, int(laneCount)-1).Draw(t, "lane")), rapid.StringMatching("[a-f]").Draw(t, "key"))
 			},
-			"awaitAll":    func(t *rapid.T) { h.await(t, Urgent, Interactive, Bulk) },
-			"awaitUrgent": func(t *rapid.T) { h.await(t, Urgent, Interactive) },
-			"awaitPrompt": func(t *rapid.T) { h.await(t, Interactive) },
+			"awaitAll":         func(t *rapid.T) { m.await(t, Urgent, Interactive, Bulk) },
+			"awaitUrgent":      func(t *rapid.T) { m.await(t, Urgent, Interactive) },
+			"awaitInteractive": func(t *rapid.T) { m.await(t, Interactive) },
 			"begin": func(t *rapid.T) {
-				if h.writing != nil {
-					if _, ok := h.queue.Next(100, unencodable); ok {
-						t.Fatal("two commits at once")
+				if m.committing != nil {
+					if _, ok := m.queue.Next(100, unencodable); ok {
+						t.Fatal("got a second commit while one is in flight")
 					}
 					return
 				}
-				h.begin(rapid.IntRange(0, 60).Draw(t, "bytes"))
+				m.begin(rapid.IntRange(0, 60).Draw(t, "bytes"))
 			},
 			"end": func(t *rapid.T) {
-				if h.writing != nil {
-					h.end(nil)
+				if m.committing != nil {
+					m.end(nil)
 				}
 			},
 			"": func(t *rapid.T) {
-				for key, v := range h.values {
-					if settled := h.durable[key] == v && h.writing[key] == 0; settled != h.queue.Durable(key) {
-						t.Fatalf("%s at %d, durable %d: settled is %v", key, v, h.durable[key], h.queue.Durable(key))
+				for key, v := range m.values {
+					want := m.durable[key] == v && m.committing[key] == 0
+					if got := m.queue.Durable(key); got != want {
+						t.Fatalf("Durable(%s) at %d, with %d durable: got %v, want %v", key, v, m.durable[key], got, want)
 					}
 				}
 			},
 		})
-		if h.writing != nil {
-			h.end(nil)
+		if m.committing != nil {
+			m.end(nil)
 		}
 		for range 100 {
-			if h.begin(20) {
-				h.end(nil)
+			if m.begin(20) {
+				m.end(nil)
 			}
 		}
-		if len(h.calls) > 0 || h.queue.lanesWaiting() > 0 {
-			t.Fatalf("%d calls and entities of %d lanes are left", len(h.calls), h.queue.lanesWaiting())
+		if len(m.callbacks) > 0 || m.queue.lanesWaiting() > 0 {
+			t.Fatalf("%d callbacks and entities of %d lanes are left, want none", len(m.callbacks), m.queue.lanesWaiting())
 		}
 	})
 }
 
-// A flood in one lane delays the other by a commit at the most.
-func TestALaneDoesNotStarveTheOther(t *testing.T) {
-	for flood := range lanes {
+// A flood in one lane delays the others by at most one commit.
+func TestLanesShareCommits(t *testing.T) {
+	for flood := range laneCount {
 		q := New()
 		for i := range 1000 {
 			q.Mark(flood, fmt.Sprintf("flood%d", i), value(100))
 		}
-		for other := range lanes {
+		for other := range laneCount {
 			if other != flood {
 				q.Mark(other, fmt.Sprintf("other%d", other), value(100))
 			}
 		}
 		records, _ := q.Next(2000, unencodable)
 		if n := strings.Count(strings.Join(keys(records), " "), "other"); n != 2 {
-			t.Errorf("a flood in lane %d leaves the others %d of %v", flood, n, keys(records))
+			t.Errorf("flood in lane %d: got %d records of the other lanes, want 2: %v", flood, n, keys(records))
 		}
-		if len(records) < 15 {
-			t.Errorf("a commit of %d records: what the others don't need is left empty", len(records))
+		if n := len(records); n < 15 || n > 25 {
+			t.Errorf("flood in lane %d: got %d records of 100 bytes, want 15 to 25 in 2000 bytes", flood, n)
 		}
-		if len(records) > 25 {
-			t.Errorf("a commit of %d records of 100 bytes in 2,000", len(records))
-		}
-		if full := q.Committed(nil); full != (flood == Interactive) {
-			t.Errorf("a flood in lane %d: full is %v", flood, full)
+		if got, want := q.Committed(nil), flood == Interactive; got != want {
+			t.Errorf("flood in lane %d: got full %v, want %v", flood, got, want)
 		}
 	}
 }
 
-func TestTheOldestMarksAreWrittenFirst(t *testing.T) {
+func TestOldestMarksAreCommittedFirst(t *testing.T) {
 	q := New()
 	for _, key := range []string{"c", "a", "b", "c"} {
 		q.Mark(Bulk, key, value(100))
@@ -186,28 +192,64 @@
 		order = append(order, keys(records)...)
 		q.Committed(nil)
 	}
-	if got := strings.Join(order, ""); got != "cab" {
-		t.Errorf("written as %s", got)
+	if got, want := strings.Join(order, ""), "cab"; got != want {
+		t.Errorf("got order %s, want %s", got, want)
 	}
 }
 
-// What can't be encoded is told and left out; a failed commit is told to all who wait.
-func TestWhatFailsIsTold(t *testing.T) {
+func TestUnencodableEntityIsLeftOut(t *testing.T) {
 	q := New()
 	q.Mark(Interactive, "bad", func() any { return func() {} })
 	q.Mark(Interactive, "good", value(1))
-	var told string
-	records, ok := q.Next(1000, func(key string, err error) { told = key })
-	if !ok || told != "bad" || len(records) != 1 || records[0].Key != "good" {
-		t.Errorf("told of %q, wrote %v", told, keys(records))
-	}
-	var failures int
-	q.OnAllDurable(func(err error) {
-		if err != nil {
-			failures++
-		}
-	})
-	if q.Committed(errors.New("deposed")); failures != 1 {
-		t.Errorf("%d failures told", failures)
+	var failed string
+	records, ok := q.Next(1000, func(key string, err error) { failed = key })
+	if !ok || failed != "bad" || !slices.Equal(keys(records), []string{"good"}) {
+		t.Errorf("got failed %q, records %v; want bad and good", failed, keys(records))
+	}
+}
+
+func TestFailedCommitCallsAllCallbacks(t *testing.T) {
+	q := New()
+	q.Mark(Interactive, "job", value(1))
+	if _, ok := q.Next(1000, unencodable); !ok {
+		t.Fatal("no commit begins")
+	}
+	want := errors.New("leadership lost")
+	var got []error
+	q.OnAllDurable(func(err error) { got = append(got, err) })
+	q.Committed(want)
+	if !slices.Equal(got, []error{want}) {
+		t.Errorf("got callbacks with %v, want one with %v", got, want)
+	}
+}
+
+func TestBulkHeldBackWaitsForOtherLanes(t *testing.T) {
+	q := New()
+	q.LimitBulk(0)
+	calls := 0
+	q.Mark(Bulk, "page", value(100))
+	q.OnAllDurable(func(error) { calls++ })
+	if _, ok := q.Next(1000, unencodable); ok {
+		t.Error("bulk is committed while it is held back")
+	}
+	q.Mark(Interactive, "job", value(100))
+	records, _ := q.Next(1000, unencodable)
+	if got := keys(records); !slices.Equal(got, []string{"job"}) {
+		t.Errorf("got records %v, want only the job", got)
+	}
+	q.Committed(nil)
+	if calls != 0 {
+		t.Error("the callback was called before bulk is durable")
+	}
+	q.LimitBulk(1)
+	records, _ = q.Next(1000, unencodable)
+	q.Committed(nil)
+	if got := keys(records); !slices.Equal(got, []string{"page"}) || calls != 1 {
+		t.Errorf("got records %v and %d calls, want only the page and one call", got, calls)
+	}
+	q.LimitBulk(0)
+	q.OnAllDurable(func(error) { calls++ })
+	if _, ok := q.Next(1000, unencodable); !ok {
+		t.Error("no commit begins for a callback that waits for nothing")
 	}
 }
