--- a/internal/groupcommit/lane.go
+++ b/internal/groupcommit/lane.go
@@ -30,11 +30,10 @@
 // with last.
 func (l *lane) oldest() entity { return l.waiting[l.order[0].key] }
 
-// takeOldest removes the oldest entity, and those behind it that have moved to another lane.
+// takeOldest removes the oldest entity.
 func (l *lane) takeOldest() {
 	delete(l.waiting, l.order[0].key)
 	l.skipOldest()
-	l.skipMoved()
 }
 
 // skipMoved skips the oldest entities if they have moved to another lane.
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -160,11 +160,12 @@
 		l.takeOldest()
 		if err != nil {
 			c.failed(e.key, err)
-			continue
+		} else {
+			c.records = append(c.records, record)
+			q.committing[e.key] = true
+			used += record.Size()
 		}
-		c.records = append(c.records, record)
-		q.committing[e.key] = true
-		used += record.Size()
+		l.skipMoved()
 	}
 	return used
 }
