--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -12,91 +12,83 @@
 )
 
 const (
-	// writeShare of the state service's changes, and readShare of its requests, are the archive's:
-	// it comes behind the journal.
+	// writeShare of the store's changes and readShare of its requests belong to the archive: it
+	// has a lower priority than the journal.
 	writeShare = 0.05
 	readShare  = 0.05
-	// leastBurst lets a page be split in one transaction, whatever the share.
-	leastBurst = 4
-	// queueSize bounds what waits for the keeper; beyond it callers are told so at once.
+	// minBurst lets a page be split in one transaction, whatever the share.
+	minBurst = 4
+	// queueSize bounds the requests that wait for the archiver. Beyond it they fail with ErrBusy.
 	queueSize = 64
-	// loadRest is the least pause between two steps of a load, in durations of one.
-	loadRest = 10
-	// staleRefreshes is for how many refreshes changes are asked for: beyond that the answer could be larger than
-	// all pages, and they are loaded again.
-	staleRefreshes = 8
-	// loadPages is how many pages one step of a load reads at the most, as the protocol has it.
-	loadPages = 1000
 )
 
-// Errors of the keeper. None of them says anything of a job.
+// Errors of an Archiver. None of them says anything about a job.
 var (
-	// ErrBusy: too much is asked; to be asked again later.
+	// ErrBusy means that there are too many requests. They may be retried later.
 	ErrBusy = errors.New("too many questions to the archive")
-	// ErrIncomplete: the pages, as this leader knows them, may be outdated.
+	// ErrIncomplete means that the pages that this controller holds may be outdated.
 	ErrIncomplete = errors.New("the archive's pages aren't all read yet")
-	// ErrLeadershipLost: another controller leads.
+	// ErrLeadershipLost means that another controller leads.
 	ErrLeadershipLost = errors.New("leadership has moved on")
 )
 
-// Settings are the keeper's.
+// Settings are the settings of an Archiver.
 type Settings struct {
-	Refresh     time.Duration // how often a follower looks for changed pages
-	CallTime    time.Duration // the longest that one request may take
-	MemoryBytes int           // of the pages held in memory
+	Refresh     time.Duration // how often a follower reads the changes of pages
+	CallTime    time.Duration // the timeout of one request to the store
+	MemoryBytes int           // of the packed pages held in memory
 	Follow      bool          // hold pages also while another controller leads
 }
 
-// Archiver is the actor of one controller that reads the archive's pages, and while the controller
-// leads writes them.
+// Leadership is one term of leadership.
+type Leadership struct {
+	Term  uint64
+	Guard storage.Guard // the leadership key
+}
+
+// Archiver is the actor that reads the pages of the archive and, while its controller leads,
+// writes them.
 type Archiver struct {
 	Index *Index
 
-	svc      storage.KeyValueStore
+	store    storage.KeyValueStore
 	limits   *storage.LimitTracker
 	settings Settings
 	log      *slog.Logger
 	reads    *rate.Limiter
 	writes   *rate.Limiter
-	in       chan request
+	requests chan request
 
-	lead       *Leadership // nil: another controller leads
-	revision   uint64      // of the state service, up to which changes are known
-	caughtUp   time.Time   // when that was
-	loading    bool        // the pages are being read, after cursor
-	cursor     string
-	seen       map[JobNumber]bool // pages that the load has seen
-	loadedFrom uint64             // the revision at which the load began
-	wake       time.Time          // when the next step is due by itself
-	reported   string             // the last trouble that was logged as an error
-}
+	// The fields below belong to the goroutine of Run.
 
-// Leadership is a term of leadership.
-type Leadership struct {
-	Term  uint64
-	Guard storage.Guard // the leadership key
+	leadership   *Leadership // nil: another controller leads
+	refreshed    time.Time   // when the pages were last up to date
+	revision     uint64      // of the store at that time
+	load         *load       // reads all pages; nil: none is in progress
+	nextRefresh  time.Time   // zero: none is due
+	lastReported string      // the last damage that was logged
 }
 
-// request is what the keeper is asked; it answers by itself.
-type request interface {
-	serve(ctx context.Context, k *Archiver)
-}
+// request is carried out by the archiver's goroutine.
+type request func(ctx context.Context)
 
-// NewArchiver makes a keeper; Run starts it.
-func NewArchiver(svc storage.KeyValueStore, limits *storage.LimitTracker, settings Settings, log *slog.Logger) *Archiver {
-	now := limits.Limits()
+// NewArchiver returns an Archiver that serves requests once Run is called.
+func NewArchiver(store storage.KeyValueStore, limits *storage.LimitTracker, settings Settings, log *slog.Logger) *Archiver {
+	l := limits.Limits()
+	readRate, writeRate := l.RequestsPerS*readShare, l.ChangesPerS*writeShare
 	return &Archiver{
-		Index: NewIndex(settings.MemoryBytes), svc: svc, limits: limits, settings: settings, log: log,
-		reads:  rate.NewLimiter(rate.Limit(now.RequestsPerS*readShare), max(leastBurst, int(now.RequestsPerS*readShare))),
-		writes: rate.NewLimiter(rate.Limit(now.ChangesPerS*writeShare), max(leastBurst, int(now.ChangesPerS*writeShare))),
-		in:     make(chan request, queueSize),
+		Index: NewIndex(settings.MemoryBytes), store: store, limits: limits, settings: settings, log: log,
+		reads:    rate.NewLimiter(rate.Limit(readRate), max(minBurst, int(readRate))),
+		writes:   rate.NewLimiter(rate.Limit(writeRate), max(minBurst, int(writeRate))),
+		requests: make(chan request, queueSize),
 	}
 }
 
-// Run serves until ctx ends. Without a lead, and unless it follows, it asks the state service nothing.
-func (k *Archiver) Run(ctx context.Context) {
-	if k.settings.Follow {
-		k.wake = time.Now()
+// Run serves requests until ctx ends. While another controller leads, it makes no requests to the
+// store unless it follows.
+func (a *Archiver) Run(ctx context.Context) {
+	if a.settings.Follow {
+		a.nextRefresh = time.Now()
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -104,94 +96,103 @@
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-k.in:
-			r.serve(ctx, k)
+		case serve := <-a.requests:
+			serve(ctx)
 		case <-timer.C:
 		}
-		if !k.wake.IsZero() && !time.Now().Before(k.wake) {
-			k.refresh(ctx)
+		if !a.nextRefresh.IsZero() && !time.Now().Before(a.nextRefresh) {
+			a.refresh(ctx)
 		}
-		if !k.wake.IsZero() {
-			timer.Reset(time.Until(k.wake))
+		if !a.nextRefresh.IsZero() {
+			timer.Reset(time.Until(a.nextRefresh))
 		}
 	}
 }
 
-// ask hands a request to the keeper, or tells at once that it is too much.
-func (k *Archiver) ask(r request) error {
-	select {
-	case k.in <- r:
-		return nil
-	default:
-		return ErrBusy
-	}
-}
-
-// call gives one request to the state service its time.
-func (k *Archiver) call(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, k.settings.CallTime)
+// BeginTerm begins a term of this controller: requests from now on are served for it. It doesn't
+// wait for the request in progress, because a failover must not be delayed.
+func (a *Archiver) BeginTerm(ctx context.Context, leadership Leadership) {
+	a.notify(ctx, func(context.Context) {
+		a.leadership = &leadership
+		a.nextRefresh = time.Now()
+	})
 }
 
-// applyLimits takes up what the state service's limits have become.
-func (k *Archiver) applyLimits() storage.Limits {
-	now := k.limits.Limits()
-	k.reads.SetLimit(rate.Limit(now.RequestsPerS * readShare))
-	k.writes.SetLimit(rate.Limit(now.ChangesPerS * writeShare))
-	return now
+// EndTerm ends a term, unless a later one has begun.
+func (a *Archiver) EndTerm(ctx context.Context, term uint64) {
+	a.notify(ctx, func(context.Context) { a.endTerm(term) })
 }
 
-// beginTerm and endTerm say who leads.
-type beginTerm struct{ lead Leadership }
-
-func (r beginTerm) serve(_ context.Context, k *Archiver) {
-	k.lead = &r.lead
-	k.wake = time.Now()
-}
-
-type endTerm struct{ term uint64 }
-
-func (r endTerm) serve(_ context.Context, k *Archiver) {
-	if k.lead == nil || k.lead.Term != r.term {
+func (a *Archiver) endTerm(term uint64) {
+	if a.leadership == nil || a.leadership.Term != term {
 		return
 	}
-	k.lead, k.wake = nil, time.Time{}
-	if k.settings.Follow {
-		k.wake = time.Now()
+	a.leadership, a.nextRefresh = nil, time.Time{}
+	if a.settings.Follow {
+		a.nextRefresh = time.Now()
 	}
 }
 
-// BeginTerm says that this controller leads. What is asked from now on is read for the term. It doesn't wait for a
-// request that is under way: a take-over has other things to do.
-func (k *Archiver) BeginTerm(ctx context.Context, lead Leadership) {
+// notify hands over a request without a reply, and waits as long as the queue is full.
+func (a *Archiver) notify(ctx context.Context, r request) {
 	select {
-	case k.in <- beginTerm{lead}:
+	case a.requests <- r:
 	case <-ctx.Done():
 	}
 }
 
-// EndTerm says that a term is over.
-func (k *Archiver) EndTerm(ctx context.Context, term uint64) {
+// reply is the result of a request.
+type reply[T any] struct {
+	value T
+	err   error
+}
+
+func replyOf[T any](value T, err error) reply[T] { return reply[T]{value, err} }
+
+// call hands over a request and waits for its reply. If the queue is full it fails with ErrBusy at
+// once. The request may still be served after ctx has ended.
+func call[T any](ctx context.Context, a *Archiver, replies <-chan reply[T], r request) (value T, err error) {
 	select {
-	case k.in <- endTerm{term}:
+	case a.requests <- r:
+	default:
+		return value, ErrBusy
+	}
+	select {
+	case r := <-replies:
+		return r.value, r.err
 	case <-ctx.Done():
+		return value, ctx.Err()
 	}
 }
 
-// exact tells whether the index is known to be exact in the present term.
-func (k *Archiver) exact() bool {
-	return k.lead != nil && k.Index.CompleteFor(k.lead.Term)
+// withTimeout bounds one request to the store.
+func (a *Archiver) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, a.settings.CallTime)
+}
+
+// applyLimits applies what the limits of the store have become, and returns them.
+func (a *Archiver) applyLimits() storage.Limits {
+	l := a.limits.Limits()
+	a.reads.SetLimit(rate.Limit(l.RequestsPerS * readShare))
+	a.writes.SetLimit(rate.Limit(l.ChangesPerS * writeShare))
+	return l
+}
+
+// exact reports whether the whole index is exact in the term of this controller.
+func (a *Archiver) exact() bool {
+	return a.leadership != nil && a.Index.CompleteFor(a.leadership.Term)
 }
 
-// doubt has the index be brought up to date again before anything rests on it.
-func (k *Archiver) doubt() {
-	k.Index.edit(func(s *snapshot) { s.term = 0 })
-	k.wake = time.Now()
+// invalidate has the index refreshed before it counts as exact again.
+func (a *Archiver) invalidate() {
+	a.Index.edit(func(s *snapshot) { s.term = 0 })
+	a.nextRefresh = time.Now()
 }
 
-// report logs a damaged page once.
-func (k *Archiver) report(err error) {
-	if err.Error() != k.reported {
-		k.reported = err.Error()
-		k.log.Error("archive", "err", err)
+// report logs damage, but not the same twice in a row.
+func (a *Archiver) report(err error) {
+	if message := err.Error(); message != a.lastReported {
+		a.lastReported = message
+		a.log.Error("archive request failed", "error", err)
 	}
 }
--- /dev/null
+++ b/internal/archive/fixture_test.go
@@ -0,0 +1,228 @@
+package archive
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+)
+
+const (
+	// leadershipKey is the leadership key of these tests.
+	leadershipKey = "lead"
+	// testTimeout bounds one call of an Archiver, and shortTimeout one that may hang.
+	testTimeout  = 5 * time.Second
+	shortTimeout = 3 * time.Second
+	// loadTime is more than an Archiver takes to load all pages.
+	loadTime = time.Minute
+)
+
+var testLimits = storage.Limits{RequestsPerS: 400, ChangesPerS: 400, ValueBytes: 1024, TxnOps: 12}
+
+// reporter fails a test or one of its random histories.
+type reporter interface {
+	Helper()
+	Fatalf(format string, args ...any)
+	Errorf(format string, args ...any)
+}
+
+// fixture is a key-value store with the archivers of several controllers, in simulated time.
+type fixture struct {
+	t           reporter
+	store       *storagetest.Service
+	limits      *storage.LimitTracker
+	memoryBytes int         // of the archivers that are started next
+	cut         atomic.Bool // cuts all archivers off from the store
+	term        uint64
+	stops       []context.CancelFunc
+	running     sync.WaitGroup
+}
+
+func newFixture(t reporter) *fixture {
+	f := &fixture{t: t, store: storagetest.NewService(), limits: storage.NewLimitTracker(testLimits), memoryBytes: 1 << 20}
+	f.store.ValueBytes, f.store.TxnOps = testLimits.ValueBytes, testLimits.TxnOps
+	return f
+}
+
+// inFixture runs a test in a fixture of its own.
+func inFixture(t *testing.T, test func(t *testing.T, f *fixture)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t)
+		defer f.close()
+		test(t, f)
+	})
+}
+
+// close stops all archivers, and waits for the writes that arrive late.
+func (f *fixture) close() {
+	for _, stop := range f.stops {
+		stop()
+	}
+	f.running.Wait()
+	f.store.Close()
+	time.Sleep(time.Hour)
+}
+
+// newArchiver returns an Archiver that isn't running.
+func (f *fixture) newArchiver(store storage.KeyValueStore, follow bool) *Archiver {
+	settings := Settings{Refresh: 10 * time.Second, CallTime: time.Second, MemoryBytes: f.memoryBytes, Follow: follow}
+	return NewArchiver(store, f.limits, settings, slog.New(slog.DiscardHandler))
+}
+
+func (f *fixture) start(follow bool) *Archiver {
+	a := f.newArchiver(&storagetest.Client{Service: f.store, Cut: &f.cut}, follow)
+	ctx, stop := context.WithCancel(context.Background())
+	f.stops = append(f.stops, stop)
+	f.running.Go(func() { a.Run(ctx) })
+	return a
+}
+
+// startIdle starts an Archiver that holds no pages unless its controller leads.
+func (f *fixture) startIdle() *Archiver { return f.start(false) }
+
+// startFollower starts an Archiver that always holds pages.
+func (f *fixture) startFollower() *Archiver { return f.start(true) }
+
+// startLeader starts the Archiver of a new leader.
+func (f *fixture) startLeader() *Archiver {
+	f.t.Helper()
+	a := f.startIdle()
+	f.beginTerm(a)
+	return a
+}
+
+// startLeaderWith starts the Archiver of a leader and has it archive so many jobs.
+func (f *fixture) startLeaderWith(jobs int) (*Archiver, []Entry) {
+	f.t.Helper()
+	a, entries := f.startLeader(), newEntries(jobs)
+	f.archive(a, entries)
+	return a, entries
+}
+
+// beginTerm makes an Archiver the leader's: the writes of all others fail from now on.
+func (f *fixture) beginTerm(a *Archiver) Leadership {
+	f.t.Helper()
+	f.term++
+	version := f.put(leadershipKey, fmt.Sprint(f.term))
+	leadership := Leadership{f.term, storage.Guard{Key: leadershipKey, Version: version}}
+	a.BeginTerm(context.Background(), leadership)
+	return leadership
+}
+
+// put writes a key without guards and returns its version.
+func (f *fixture) put(key, value string) (version uint64) {
+	f.t.Helper()
+	return f.apply(storage.Op{Key: key, Data: []byte(value)})
+}
+
+// apply applies operations without guards.
+func (f *fixture) apply(ops ...storage.Op) (revision uint64) {
+	f.t.Helper()
+	revision, err := f.store.Apply(nil, ops)
+	if err != nil {
+		f.t.Fatalf("apply %+v: %v", ops, err)
+	}
+	return revision
+}
+
+// pages returns the keys of all stored pages.
+func (f *fixture) pages() []string { return f.store.Keys(prefix) }
+
+// archive passes jobs to an Archiver until all of them are archived.
+func (f *fixture) archive(a *Archiver, entries []Entry) {
+	f.t.Helper()
+	entries = slices.Clone(entries)
+	for range 2000 {
+		archived, _ := archiveOnce(a, entries, testTimeout) // retried
+		entries = slices.DeleteFunc(entries, func(e Entry) bool { return slices.Contains(archived, e.Number) })
+		if len(entries) == 0 {
+			return
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	f.t.Fatalf("%d jobs aren't archived", len(entries))
+}
+
+// archiveOnce passes jobs to an Archiver once.
+func archiveOnce(a *Archiver, entries []Entry, timeout time.Duration) ([]JobNumber, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	return a.Archive(ctx, entries)
+}
+
+// read reads a job once.
+func read(a *Archiver, number JobNumber) (Result, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	return a.Read(ctx, number)
+}
+
+// readUntilAnswered reads a job until its page can be read.
+func (f *fixture) readUntilAnswered(a *Archiver, number JobNumber) Result {
+	f.t.Helper()
+	var err error
+	for range 100 {
+		var r Result
+		if r, err = read(a, number); err == nil {
+			return r
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	f.t.Errorf("read %s: %v", number.ID(), err)
+	return Result{}
+}
+
+// checkFound reads a job, which must be archived.
+func (f *fixture) checkFound(a *Archiver, want Entry) {
+	f.t.Helper()
+	if r := f.readUntilAnswered(a, want.Number); r.Knowledge != Found || r.Final != want.FinalState {
+		f.t.Errorf("read %s: got %+v, want found %+v", want.Number.ID(), r, want.FinalState)
+	}
+}
+
+// checkAbsent reads a job, which must not be archived.
+func (f *fixture) checkAbsent(a *Archiver, number JobNumber) {
+	f.t.Helper()
+	if r := f.readUntilAnswered(a, number); r.Knowledge != Absent {
+		f.t.Errorf("read %s: got %+v, want absent", number.ID(), r)
+	}
+}
+
+// checkHeld looks a job up without reading its page. It must be found.
+func checkHeld(t *testing.T, a *Archiver, want Entry) {
+	t.Helper()
+	if r := a.Index.Lookup(want.Number); r.Knowledge != Found || r.Final != want.FinalState {
+		t.Errorf("lookup of %s: got %+v, want found %+v", want.Number.ID(), r, want.FinalState)
+	}
+}
+
+// newEntries returns so many finished jobs whose ids lie far apart.
+func newEntries(n int) []Entry {
+	var entries []Entry
+	for i := range n {
+		number, _ := ParseJobNumber(fmt.Sprintf("%018d", i*999_999_999_937))
+		entries = append(entries, Entry{number, FinalState{Cancelled: i%3 == 0, Done: i % 200}})
+	}
+	return entries
+}
+
+// lateOnce has the next transaction be applied so much later, without an answer.
+func lateOnce(by time.Duration) func() time.Duration {
+	used := false
+	return func() time.Duration {
+		if used {
+			return 0
+		}
+		used = true
+		return by
+	}
+}
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -1,11 +1,8 @@
 package archive
 
 import (
-	"cmp"
 	"slices"
 	"sync/atomic"
-
-	"sagevale/internal/storage"
 )
 
 // Knowledge is what is known of a job.
@@ -13,80 +10,60 @@
 
 // What may be known.
 const (
-	Unknown Knowledge = iota // its page isn't held, or can't be understood: to be read
-	Found                    // it is archived: true for good
+	Unknown Knowledge = iota // its page isn't held or can't be decoded, and has to be read
+	Found                    // it is archived; that never changes
 	Absent                   // it wasn't in its page when that was read
-	Damaged                  // its page can't be understood
+	Damaged                  // its page can't be decoded
 )
 
-// Result is what is known of a job.
+// Result is the result of looking up a job.
 type Result struct {
 	Knowledge Knowledge
 	Final     FinalState // if found
-	Term      uint64     // if absent: of the leader for which that holds; 0: of none
+	Term      uint64     // if absent: the term of the leader for which that is exact; 0: none
 	Key       string     // if damaged: of the page
 }
 
-// heldPage is a page as it is held in memory.
-type heldPage struct {
-	packedPage
-	key     string
-	version uint64
-	damaged bool        // lower is not known then
-	evicted bool        // its entries aren't held
-	term    uint64      // the leader's that has read or written it
-	used    atomic.Bool // looked at since the last eviction passed it
+// Index holds pages in memory, as many as its size allows. It may be read from any goroutine, and
+// is changed only by its Archiver.
+type Index struct {
+	current   atomic.Pointer[snapshot]
+	maxBytes  int
+	bytes     int
+	clockHand int // position of the last page that was considered for eviction
 }
 
-// snapshot is what readers see, replaced as a whole.
+// snapshot is what readers of the index see. It is replaced as a whole.
 type snapshot struct {
-	pages    []*heldPage // by their upper ends
-	complete bool        // all pages that existed at some revision are there
-	term     uint64      // the leader's for which the whole is exact; 0: of none
-}
-
-// Index holds the pages in memory, as far as its bytes allow. Lookups may come from any goroutine, changes
-// from one.
-type Index struct {
-	current atomic.Pointer[snapshot]
-	most    int // bytes
-	bytes   int
-	hand    int // where the search for a page to evict goes on
+	pages    []*cachedPage // by the ends of their ranges
+	complete bool          // holds all pages that existed at some revision
+	term     uint64        // the term of the leader for which the whole is exact; 0: none
 }
 
-// NewIndex makes an empty index of so many bytes at the most.
-func NewIndex(bytes int) *Index {
-	x := &Index{most: bytes}
+// NewIndex returns an empty index that holds at most so many bytes of packed pages.
+func NewIndex(maxBytes int) *Index {
+	x := &Index{maxBytes: maxBytes}
 	x.current.Store(&snapshot{})
 	return x
 }
 
-// Lookup tells what is known of a job.
-func (x *Index) Lookup(rank JobNumber) Result { return x.current.Load().lookup(rank) }
+// Lookup returns what is known of a job without reading its page.
+func (x *Index) Lookup(number JobNumber) Result { return x.current.Load().lookup(number) }
 
-func (s *snapshot) lookup(rank JobNumber) Result {
-	i, _ := slices.BinarySearchFunc(s.pages, rank, func(p *heldPage, r JobNumber) int { return cmp.Compare(p.upper, r) })
+func (s *snapshot) lookup(number JobNumber) Result {
+	i, _ := findPage(s.pages, number)
 	switch {
 	case len(s.pages) == 0 && s.complete:
 		return Result{Knowledge: Absent, Term: s.term}
 	case i == len(s.pages):
-		return Result{} // even if it's complete: the last page is missing then
-	case s.pages[i].damaged, s.pages[i].evicted, rank <= s.pages[i].lower:
+		return Result{} // the last page is missing, even if the index is complete
+	case s.pages[i].damaged, s.pages[i].evicted, number <= s.pages[i].lower:
 		return Result{}
 	}
-	return s.pages[i].lookup(rank, s.term)
-}
-
-// lookup tells what a page that covers the rank says of it.
-func (p *heldPage) lookup(rank JobNumber, term uint64) Result {
-	p.used.Store(true)
-	if final, found := p.find(rank); found {
-		return Result{Knowledge: Found, Final: final}
-	}
-	return Result{Knowledge: Absent, Term: max(term, p.term)}
+	return s.pages[i].lookup(number, s.term)
 }
 
-// CompleteFor tells whether the whole index is exact for a term's leader.
+// CompleteFor reports whether the whole index is exact for the leader of a term.
 func (x *Index) CompleteFor(term uint64) bool { return x.current.Load().term == term }
 
 // edit publishes a changed copy of the snapshot.
@@ -102,13 +79,13 @@
 	x.current.Store(&next)
 }
 
-// put takes pages in, unless a later version of one is held.
-func (x *Index) put(pages []*heldPage) {
+// put adds pages, unless a later version of one is held.
+func (x *Index) put(pages []*cachedPage) {
 	x.edit(func(s *snapshot) {
 		for _, p := range pages {
-			i, there := slices.BinarySearchFunc(s.pages, p.upper, func(held *heldPage, r JobNumber) int { return cmp.Compare(held.upper, r) })
+			i, found := findPage(s.pages, p.upper)
 			switch {
-			case !there:
+			case !found:
 				s.pages = slices.Insert(s.pages, i, p)
 			case p.version >= s.pages[i].version:
 				s.pages[i] = p
@@ -117,33 +94,34 @@
 	})
 }
 
-// remove takes in that a page was removed with a revision.
+// remove removes a page that was deleted at a revision, unless a later version of it is held.
 func (x *Index) remove(upper JobNumber, revision uint64) {
 	x.edit(func(s *snapshot) {
-		s.pages = slices.DeleteFunc(s.pages, func(p *heldPage) bool { return p.upper == upper && p.version < revision })
+		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return p.upper == upper && p.version < revision })
 	})
 }
 
-// evict lets go of the entries of pages that haven't been looked at for longest, until the rest fits.
+// evict drops the entries of pages that weren't used recently until the rest fits: the pages are
+// considered in turn, and one that was used since its last turn is kept (the CLOCK algorithm).
 func (x *Index) evict(s *snapshot) {
-	for steps := 2 * len(s.pages); x.bytes > x.most && steps > 0; steps-- {
-		x.hand = (x.hand + 1) % len(s.pages)
-		p := s.pages[x.hand]
-		if len(p.packed) == 0 || p.used.Swap(false) {
+	for steps := 2 * len(s.pages); x.bytes > x.maxBytes && steps > 0; steps-- {
+		x.clockHand = (x.clockHand + 1) % len(s.pages)
+		p := s.pages[x.clockHand]
+		if len(p.packed) == 0 || p.recentlyUsed.Swap(false) {
 			continue
 		}
 		x.bytes -= len(p.packed)
-		s.pages[x.hand] = &heldPage{packedPage: packedPage{lower: p.lower, upper: p.upper, count: p.count}, key: p.key, version: p.version, evicted: true, term: p.term}
+		s.pages[x.clockHand] = p.withoutEntries()
 	}
 }
 
-// Stats are figures of the index, for operators.
+// Stats are figures of an index.
 type Stats struct {
-	Jobs, Pages, Damaged, Evicted, Bytes int
-	Complete                             bool
+	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs without those of damaged pages
+	Complete                             bool // all pages that existed at some revision are counted
 }
 
-// Stats counts.
+// Stats counts what the index knows.
 func (x *Index) Stats() Stats { return x.current.Load().stats() }
 
 func (s *snapshot) stats() Stats {
@@ -160,16 +138,3 @@
 	}
 	return stats
 }
-
-// hold makes a held page of a stored one, which may be damaged; err says how.
-func hold(it storage.Item, term uint64) (page *heldPage, err error) {
-	packed, err := decode(it.Key, it.Data)
-	if err == nil {
-		return &heldPage{packedPage: packed, key: it.Key, version: it.Version, term: term}, nil
-	}
-	upper, keyErr := upperOf(it.Key)
-	if keyErr != nil {
-		return nil, keyErr // it is in the way of no page
-	}
-	return &heldPage{packedPage: packedPage{upper: upper}, key: it.Key, version: it.Version, damaged: true, term: term}, err
-}
--- /dev/null
+++ b/internal/archive/index_test.go
@@ -0,0 +1,56 @@
+package archive
+
+import "testing"
+
+// newTestPage returns a page as it is held in memory.
+func newTestPage(p Page, version uint64) *cachedPage {
+	return &cachedPage{packedPage: packedPage{p.Lower, p.Upper, len(p.Entries), pack(&p)}, key: pageKey(p.Upper), version: version}
+}
+
+func TestIndexKeepsLaterVersion(t *testing.T) {
+	const number = 5
+	page := func(version uint64) *cachedPage {
+		return newTestPage(Page{0, LastJobNumber, []Entry{{number, FinalState{Done: int(version)}}}}, version)
+	}
+	x := NewIndex(1 << 20)
+	x.put([]*cachedPage{page(4)})
+	x.put([]*cachedPage{page(3)})
+	x.remove(LastJobNumber, 2)
+	if r := x.Lookup(number); r.Knowledge != Found || r.Final.Done != 4 {
+		t.Errorf("after earlier changes: got %+v, want version 4", r)
+	}
+	x.remove(LastJobNumber, 5)
+	if r := x.Lookup(number); r.Knowledge != Unknown {
+		t.Errorf("after its removal: got %+v, want unknown", r)
+	}
+}
+
+func TestIndexEvictsPagesNotUsedRecently(t *testing.T) {
+	const pages, jobs, maxBytes = 10, 400, 3000
+	const used = JobNumber(1) // is looked up all the time
+	x := NewIndex(maxBytes)
+	for i := range JobNumber(pages) {
+		p := Page{i * 1000, (i + 1) * 1000, nil}
+		for number := p.Lower + 1; number <= p.Lower+jobs; number++ {
+			p.Entries = append(p.Entries, Entry{number, FinalState{Done: 1}})
+		}
+		x.put([]*cachedPage{newTestPage(p, 1)})
+		x.Lookup(used)
+	}
+	stats := x.Stats()
+	if stats.Bytes > maxBytes || stats.Jobs != pages*jobs || stats.Pages != pages || stats.Evicted < 5 || stats.Evicted > 8 {
+		t.Errorf("got %+v, want %d jobs in %d pages, at most %d bytes, and 5 to 8 pages evicted", stats, pages*jobs, pages, maxBytes)
+	}
+	if r := x.Lookup(used); r.Knowledge != Found {
+		t.Errorf("lookup in the page that is used: got %+v, want found", r)
+	}
+	unknown := 0
+	for i := range JobNumber(pages) {
+		if x.Lookup(i*1000+1).Knowledge == Unknown {
+			unknown++
+		}
+	}
+	if unknown != stats.Evicted {
+		t.Errorf("got %d pages unknown, want the %d that are evicted", unknown, stats.Evicted)
+	}
+}
--- /dev/null
+++ b/internal/archive/model_test.go
@@ -0,0 +1,160 @@
+package archive
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"sagevale/internal/storage/storagetest"
+)
+
+// model is a random history of leaders that archive jobs, beside a model of what is final.
+type model struct {
+	*fixture
+	t          *rapid.T
+	final      map[JobNumber]FinalState // of all jobs that ever finished
+	journal    map[JobNumber]FinalState // of the jobs that the journal holds
+	leader     *Archiver
+	leadership Leadership
+	follower   *Archiver
+}
+
+// Random histories of finished jobs, archiving, failovers, and writes that are dropped, late,
+// repeated or without an answer: every answer agrees with the model, and at the end every job is
+// found.
+func TestRandomHistories(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		inSimulatedTime(t, func() { runHistory(rt) })
+	})
+}
+
+// inSimulatedTime runs a property in simulated time of its own. rapid ends properties by a panic,
+// which is passed on to its goroutine.
+func inSimulatedTime(t *testing.T, property func()) {
+	var panicked any
+	synctest.Test(t, func(*testing.T) {
+		defer func() { panicked = recover() }()
+		property()
+	})
+	if panicked != nil {
+		panic(panicked)
+	}
+}
+
+func runHistory(t *rapid.T) {
+	m := &model{fixture: newFixture(t), t: t, final: make(map[JobNumber]FinalState), journal: make(map[JobNumber]FinalState)}
+	defer m.close()
+	m.follower = m.startFollower()
+	m.memoryBytes = rapid.SampledFrom([]int{1 << 20, 300}).Draw(t, "memory")
+	m.failOver()
+	for range rapid.IntRange(5, 40).Draw(t, "steps") {
+		switch rapid.IntRange(0, 9).Draw(t, "step") {
+		case 0, 1:
+			m.finishJobs()
+		case 2, 3, 4:
+			m.archiveJobs()
+		case 5:
+			m.failOver()
+		case 6:
+			m.injectFault()
+		default:
+			m.lookUp()
+		}
+		time.Sleep(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
+	}
+	time.Sleep(loadTime)
+	m.failOver()
+	for number, final := range m.final {
+		if _, inJournal := m.journal[number]; !inJournal {
+			m.checkFound(m.leader, Entry{number, final})
+		}
+	}
+}
+
+// numbers generates few numbers, so that they repeat. Some lie far apart.
+func (m *model) numbers() *rapid.Generator[JobNumber] {
+	return rapid.Custom(func(t *rapid.T) JobNumber {
+		number, _ := ParseJobNumber(fmt.Sprintf("%06d", rapid.IntRange(0, 400).Draw(t, "id")))
+		if rapid.Bool().Draw(t, "far") {
+			number, _ = ParseJobNumber(fmt.Sprintf("9%017d", rapid.IntRange(0, 400).Draw(t, "id")*777_777_777))
+		}
+		return number
+	})
+}
+
+func (m *model) finishJobs() {
+	for _, number := range rapid.SliceOfN(m.numbers(), 1, 60).Draw(m.t, "finished") {
+		if _, finished := m.final[number]; !finished {
+			m.final[number] = FinalState{Cancelled: rapid.Bool().Draw(m.t, "cancelled"), Done: rapid.IntRange(0, 1000).Draw(m.t, "done")}
+			m.journal[number] = m.final[number]
+		}
+	}
+}
+
+// archiveJobs archives what the journal holds. The removal from the journal may be lost with the
+// leader.
+func (m *model) archiveJobs() {
+	var entries []Entry
+	for number, final := range m.journal {
+		entries = append(entries, Entry{number, final})
+	}
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Number, b.Number) })
+	archived, err := archiveOnce(m.leader, entries, shortTimeout)
+	if err != nil {
+		return
+	}
+	for _, number := range archived {
+		if rapid.IntRange(0, 9).Draw(m.t, "removal lost") > 0 {
+			delete(m.journal, number)
+		}
+	}
+}
+
+func (m *model) failOver() {
+	m.leader = m.start(rapid.Bool().Draw(m.t, "follows"))
+	m.leadership = m.beginTerm(m.leader)
+}
+
+// injectFault loses an answer, delays a write, or repeats an earlier one.
+func (m *model) injectFault() {
+	fault := rapid.IntRange(0, 2).Draw(m.t, "fault")
+	late := time.Duration(rapid.IntRange(1, 20_000).Draw(m.t, "late")) * time.Millisecond
+	m.store.Trouble(func(s *storagetest.Service) {
+		switch fault {
+		case 0:
+			s.LoseAnswers = 1
+		case 1:
+			s.Delay = lateOnce(late)
+		default:
+			if n := len(s.Sent); n > 0 {
+				repeated := s.Sent[rapid.IntRange(0, n-1).Draw(m.t, "repeated")]
+				time.AfterFunc(late, func() { _, _ = s.Apply(repeated.Guards, repeated.Ops) }) // may conflict
+			}
+		}
+	})
+}
+
+// lookUp looks a job up at the leader and a follower. Every answer must agree with the model.
+func (m *model) lookUp() {
+	number := m.numbers().Draw(m.t, "looked up")
+	want, finished := m.final[number]
+	if r := m.follower.Index.Lookup(number); r.Knowledge == Found && (!finished || r.Final != want) {
+		m.t.Fatalf("a follower finds %s as %+v, want %+v (finished: %v)", number.ID(), r.Final, want, finished)
+	}
+	_, inJournal := m.journal[number]
+	r, err := read(m.leader, number)
+	switch {
+	case err != nil:
+	case r.Knowledge == Found && (!finished || r.Final != want):
+		m.t.Fatalf("the leader finds %s as %+v, want %+v (finished: %v)", number.ID(), r.Final, want, finished)
+	case r.Knowledge == Absent && r.Term == m.leadership.Term && finished && !inJournal:
+		m.t.Fatalf("the leader doesn't find %s, want %+v", number.ID(), want)
+	case r.Knowledge == Damaged:
+		m.t.Fatalf("key %s of %s is damaged", r.Key, number.ID())
+	}
+}
--- a/internal/archive/page_writer.go
+++ b/internal/archive/page_writer.go
@@ -1,201 +1,134 @@
 package archive
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
-	"time"
 
 	"sagevale/internal/storage"
 )
 
-// offer hands over jobs that may be archived.
-type offer struct {
-	entries []Entry
-	reply   chan moved
+// replacement replaces stored pages by others of the same range.
+type replacement struct {
+	old       *cachedPage // nil: the new pages are the first ones
+	neighbour *cachedPage // another page that is removed, because the new pages cover its range too; nil: none
+	pages     []Page      // none: the archive has no pages any longer
 }
 
-type moved struct {
-	ranks []JobNumber
-	err   error
+// transaction is a guarded transaction, and the pages as they are held once it is applied.
+type transaction struct {
+	guards  []storage.Guard
+	ops     []storage.Op
+	written []*cachedPage
 }
 
-// Archive archives some of the jobs, which must be in order: those of the page that most of them belong to. It returns which of
-// them are archived durably now. Where the budget allows nothing yet, that is none.
-func (k *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
-	o := offer{entries, make(chan moved, 1)}
-	if err := k.ask(o); err != nil {
-		return nil, err
-	}
-	select {
-	case m := <-o.reply:
-		return m.ranks, m.err
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
-func (o offer) serve(ctx context.Context, k *Archiver) {
-	ranks, err := k.move(ctx, o.entries)
-	o.reply <- moved{ranks, err}
-}
-
-// move archives the jobs of one page.
-func (k *Archiver) move(ctx context.Context, entries []Entry) ([]JobNumber, error) {
-	if !k.exact() {
-		return nil, ErrIncomplete
-	}
-	limits := k.applyLimits()
-	changes := min(int(k.writes.Tokens()), k.writes.Burst())
-	if changes < 2 {
-		return nil, nil // a page that is full needs two
-	}
-	held, group := k.largestGroup(entries)
-	if len(group) == 0 {
-		return nil, nil
+// replace writes a replacement in one transaction that is guarded by the leadership key and by the
+// versions of all pages that it touches. It may be applied late, twice or without an answer: then
+// the index is invalidated.
+func (a *Archiver) replace(ctx context.Context, r replacement) error {
+	txn, err := r.transaction(a.leadership)
+	if err != nil {
+		return err
 	}
-	page, err := k.unpack(ctx, held)
+	ctx, cancel := a.withTimeout(ctx)
+	defer cancel()
+	revision, err := a.store.Txn(ctx, txn.guards, txn.ops)
 	if err != nil {
-		return nil, err
+		return a.writeFailed(err)
 	}
-	pages, rest := add(&page, group, room(&limits), mostParts(&limits, changes))
-	group = group[:len(group)-len(rest)]
-	if len(group) == 0 {
-		k.report(fmt.Errorf("page %s is larger than may be written now; the jobs of its range stay in the journal", pageKey(page.Upper)))
-		return nil, nil
+	for _, p := range txn.written {
+		p.version = revision
 	}
-	// Written even if all of them are there already: what comes late for the page's present version is barred then.
-	k.writes.AllowN(time.Now(), len(pages))
-	if err := k.write(ctx, held, pages, nil); err != nil {
-		return nil, err
+	a.Index.put(txn.written) // before the removals, so that every range has a page at any time
+	if r.neighbour != nil {
+		a.Index.remove(r.neighbour.upper, revision)
 	}
-	ranks := make([]JobNumber, 0, len(group))
-	for i := range group {
-		ranks = append(ranks, group[i].Number)
+	if len(r.pages) == 0 {
+		a.Index.remove(r.old.upper, revision)
 	}
-	return ranks, nil
+	return nil
 }
 
-// largestGroup finds the page that most of the entries belong to; nil stands for the first page of all, which
-// doesn't exist yet. Damaged pages get nothing.
-func (k *Archiver) largestGroup(entries []Entry) (page *heldPage, group []Entry) {
-	pages := k.Index.current.Load().pages
-	if len(pages) == 0 {
-		return nil, entries
-	}
-	for len(entries) > 0 {
-		i, _ := slices.BinarySearchFunc(pages, entries[0].Number, func(p *heldPage, r JobNumber) int { return cmp.Compare(p.upper, r) })
-		if i == len(pages) {
-			break // the last page is missing
-		}
-		end, _ := slices.BinarySearchFunc(entries, pages[i].upper+1, func(e Entry, r JobNumber) int { return cmp.Compare(e.Number, r) })
-		if covers := !pages[i].damaged && entries[0].Number > pages[i].lower; covers && end > len(group) {
-			page, group = pages[i], entries[:end]
+// transaction returns the transaction of a replacement in a term.
+func (r *replacement) transaction(leadership *Leadership) (transaction, error) {
+	txn := transaction{guards: []storage.Guard{leadership.Guard}}
+	if r.old != nil {
+		txn.guards = append(txn.guards, storage.Guard{Key: r.old.key, Version: r.old.version})
+	}
+	if r.neighbour != nil {
+		txn.guards = append(txn.guards, storage.Guard{Key: r.neighbour.key, Version: r.neighbour.version})
+		txn.ops = append(txn.ops, storage.Op{Key: r.neighbour.key, Delete: true})
+	}
+	if len(r.pages) == 0 {
+		txn.ops = append(txn.ops, storage.Op{Key: r.old.key, Delete: true})
+	}
+	for i := range r.pages {
+		if err := r.put(&txn, &r.pages[i], leadership.Term); err != nil {
+			return transaction{}, err
 		}
-		entries = entries[end:]
 	}
-	return page, group
+	return txn, nil
+}
+
+// put adds a page to the transaction. Its key must be that of the old page, or absent.
+func (r *replacement) put(txn *transaction, page *Page, term uint64) error {
+	key := pageKey(page.Upper)
+	if r.old == nil || key != r.old.key {
+		txn.guards = append(txn.guards, storage.Guard{Key: key})
+	}
+	packed := pack(page)
+	data, err := encode(packed)
+	if err != nil {
+		return fmt.Errorf("encode %s: %w", key, err)
+	}
+	txn.ops = append(txn.ops, storage.Op{Key: key, Data: data})
+	txn.written = append(txn.written, &cachedPage{
+		packedPage: packedPage{lower: page.Lower, upper: page.Upper, count: len(page.Entries), packed: packed}, key: key, term: term,
+	})
+	return nil
+}
+
+// writeFailed handles the error of a write and returns it wrapped. Unless the write was refused it
+// may have been applied, so the index is invalidated.
+func (a *Archiver) writeFailed(err error) error {
+	var conflict *storage.ConflictError
+	switch {
+	case errors.As(err, &conflict) && slices.Contains(conflict.Failed, a.leadership.Guard.Key):
+		a.invalidate()
+		return ErrLeadershipLost
+	case errors.Is(err, storage.ErrMalformed), errors.Is(err, storage.ErrRateLimited):
+		a.limits.Learn(err)
+	case errors.Is(err, storage.ErrRefused):
+	default:
+		a.invalidate()
+	}
+	return fmt.Errorf("archive not written: %w", err)
 }
 
-// unpack returns a page with its entries, which may have to be read again.
-func (k *Archiver) unpack(ctx context.Context, held *heldPage) (Page, error) {
+// pageOf returns a page with its entries, which are read again if they were evicted. A page that
+// doesn't exist yet is the first one, which covers all numbers.
+func (a *Archiver) pageOf(ctx context.Context, held *cachedPage) (Page, error) {
 	if held == nil {
 		return Page{Upper: LastJobNumber}, nil
 	}
 	if !held.evicted {
 		return held.page(), nil
 	}
-	cctx, cancel := k.call(ctx)
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	it, err := k.svc.Get(cctx, held.key)
+	item, err := a.store.Get(ctx, held.key)
 	if err != nil {
 		return Page{}, err
 	}
-	if it.Version != held.version {
-		k.doubt()
+	if item.Version != held.version {
+		a.invalidate()
 		return Page{}, ErrIncomplete
 	}
-	page, err := decode(it.Key, it.Data)
+	page, err := decode(item.Key, item.Data)
 	if err != nil {
-		k.report(err)
+		a.report(err)
 		return Page{}, err
 	}
 	return page.page(), nil
 }
-
-// write replaces a page by others of the same range, in one transaction that is guarded by the lead and by the
-// versions of all pages that it touches; also is another page that it removes. It may be carried out late, twice or without an answer: then the
-// pages are read again before anything rests on them.
-func (k *Archiver) write(ctx context.Context, held *heldPage, pages []Page, also *heldPage) error {
-	guards, ops, written, err := k.transaction(held, pages, also)
-	if err != nil {
-		return err
-	}
-	cctx, cancel := k.call(ctx)
-	defer cancel()
-	revision, err := k.svc.Txn(cctx, guards, ops)
-	if err != nil {
-		return k.failed(err)
-	}
-	for _, p := range written {
-		p.version = revision
-	}
-	k.Index.put(written) // before the removal, so that no range is without a page
-	if also != nil {
-		k.Index.remove(also.upper, revision)
-	}
-	if len(pages) == 0 {
-		k.Index.remove(held.upper, revision)
-	}
-	return nil
-}
-
-// transaction makes the guards and changes of a write, and the pages as they are held then.
-func (k *Archiver) transaction(held *heldPage, pages []Page, also *heldPage) (guards []storage.Guard, ops []storage.Op, written []*heldPage, err error) {
-	guards = []storage.Guard{k.lead.Guard}
-	if held != nil {
-		guards = append(guards, storage.Guard{Key: held.key, Version: held.version})
-	}
-	if also != nil {
-		guards = append(guards, storage.Guard{Key: also.key, Version: also.version})
-		ops = append(ops, storage.Op{Key: also.key, Delete: true})
-	}
-	if len(pages) == 0 {
-		ops = append(ops, storage.Op{Key: held.key, Delete: true})
-	}
-	for i := range pages {
-		key := pageKey(pages[i].Upper)
-		if held == nil || key != held.key {
-			guards = append(guards, storage.Guard{Key: key})
-		}
-		packed := pack(&pages[i])
-		var data json.RawMessage
-		if data, err = encode(packed); err != nil {
-			return nil, nil, nil, fmt.Errorf("encode %s: %w", key, err)
-		}
-		ops = append(ops, storage.Op{Key: key, Data: data})
-		written = append(written, &heldPage{
-			packedPage: packedPage{lower: pages[i].Lower, upper: pages[i].Upper, count: len(pages[i].Entries), packed: packed}, key: key, term: k.lead.Term,
-		})
-	}
-	return guards, ops, written, nil
-}
-
-// failed sorts a write's failure: after all but a plain refusal the pages have to be read again.
-func (k *Archiver) failed(err error) error {
-	var conflict *storage.ConflictError
-	switch {
-	case errors.As(err, &conflict) && slices.Contains(conflict.Failed, k.lead.Guard.Key):
-		k.doubt()
-		return ErrLeadershipLost
-	case errors.Is(err, storage.ErrMalformed), errors.Is(err, storage.ErrRateLimited):
-		k.limits.Learn(err)
-	case errors.Is(err, storage.ErrRefused):
-	default:
-		k.doubt()
-	}
-	return fmt.Errorf("archive not written: %w", err)
-}
--- /dev/null
+++ b/internal/archive/refresh_test.go
@@ -0,0 +1,129 @@
+package archive
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+)
+
+// A follower applies changes of pages that were removed and written again, also if the store no
+// longer keeps these changes.
+func TestFollowerAppliesChanges(t *testing.T) {
+	for _, otherChanges := range []int{0, 25_000} {
+		t.Run(fmt.Sprint(otherChanges), func(t *testing.T) {
+			inFixture(t, func(t *testing.T, f *fixture) {
+				follower := f.startFollower()
+				leader, _ := f.startLeaderWith(300)
+				time.Sleep(loadTime)
+				f.cut.Store(true)
+				time.Sleep(30 * time.Second)
+				f.cut.Store(false)
+				dropAllPages(t, leader)
+				last := newEntries(301)[300]
+				f.archive(leader, []Entry{last})
+				for i := range otherChanges {
+					f.put("other", fmt.Sprint(i))
+				}
+				time.Sleep(loadTime)
+				if stats := follower.Index.Stats(); stats.Jobs != 1 || stats.Pages != 1 {
+					t.Errorf("got %+v, want one job in one page", stats)
+				}
+				checkHeld(t, follower, last)
+			})
+		})
+	}
+}
+
+// dropAllPages removes all pages.
+func dropAllPages(t *testing.T, leader *Archiver) {
+	t.Helper()
+	for {
+		page, err := leader.FirstPage(context.Background())
+		if err != nil {
+			t.Fatalf("FirstPage: %v", err)
+		}
+		if page.Upper == 0 {
+			return
+		}
+		if err := leader.DropFirstPage(context.Background(), page.Upper); err != nil {
+			t.Fatalf("DropFirstPage: %v", err)
+		}
+	}
+}
+
+// countingStore counts the requests that read pages.
+type countingStore struct {
+	storage.KeyValueStore
+	lists int
+}
+
+func (s *countingStore) List(ctx context.Context, prefix, after string, limit int) ([]storage.Item, bool, uint64, error) {
+	s.lists++
+	return s.KeyValueStore.List(ctx, prefix, after, limit)
+}
+
+// An index that wasn't refreshed for long is loaded again, because its changes may be more than all
+// pages.
+func TestStaleIndexIsLoadedAgain(t *testing.T) {
+	inFixture(t, func(t *testing.T, f *fixture) {
+		_, entries := f.startLeaderWith(100)
+		store := &countingStore{KeyValueStore: &storagetest.Client{Service: f.store}}
+		a := f.newArchiver(store, false)
+		a.refresh(context.Background())
+		time.Sleep(30 * time.Second)
+		a.refresh(context.Background())
+		if store.lists != 1 || !a.Index.Stats().Complete {
+			t.Errorf("after 30s: got %d loads, %+v; want one, which is complete", store.lists, a.Index.Stats())
+		}
+		f.put("other", "1")
+		time.Sleep(10 * time.Minute)
+		a.refresh(context.Background())
+		if store.lists != 2 {
+			t.Errorf("after 10 minutes: got %d loads, want 2", store.lists)
+		}
+		checkHeld(t, a, entries[50])
+	})
+}
+
+// While another controller leads, an Archiver that doesn't follow makes no requests.
+func TestIdleArchiverMakesNoRequests(t *testing.T) {
+	inFixture(t, func(t *testing.T, f *fixture) {
+		a := f.startIdle()
+		f.cut.Store(true)
+		time.Sleep(10 * time.Minute)
+		if a.Index.Stats().Complete || len(f.store.Sent) > 0 {
+			t.Errorf("without the store: got %+v, %d writes; want no requests", a.Index.Stats(), len(f.store.Sent))
+		}
+		f.cut.Store(false)
+		time.Sleep(10 * time.Minute)
+		if a.Index.Stats().Complete {
+			t.Errorf("got %+v, want no requests", a.Index.Stats())
+		}
+	})
+}
+
+// The end of an earlier term doesn't end the present one. After the end of that the Archiver
+// follows again.
+func TestEndTermIgnoresEarlierTerm(t *testing.T) {
+	inFixture(t, func(t *testing.T, f *fixture) {
+		a, other := f.startFollower(), f.startIdle()
+		first := f.beginTerm(a)
+		second := f.beginTerm(a)
+		a.EndTerm(context.Background(), first.Term)
+		entries := newEntries(30)
+		f.archive(a, entries[:10])
+		time.Sleep(loadTime)
+		a.EndTerm(context.Background(), second.Term)
+		f.beginTerm(other)
+		f.archive(other, entries[10:])
+		time.Sleep(loadTime)
+		checkHeld(t, a, entries[29])
+		if archived, err := a.Archive(context.Background(), entries[:1]); err == nil {
+			t.Errorf("Archive after the term: got %v, want an error", archived)
+		}
+	})
+}
--- a/internal/archive/withdrawal.go
+++ b/internal/archive/withdrawal.go
@@ -5,88 +5,77 @@
 	"time"
 )
 
-// withdrawal is what the keeper is asked to bring the archived jobs back.
-type withdrawal struct {
-	serveWith func(ctx context.Context, k *Archiver) withdrawn
-	reply     chan withdrawn
-}
+// A withdrawal moves the jobs back to where they came from, page by page: the leader reads the first
+// page, makes its jobs durable elsewhere, and removes the page. The next leader continues with the
+// pages that are left.
 
-type withdrawn struct {
-	count int
-	page  Page
-	err   error
+// Count returns how many jobs are archived, where each damaged page counts as one. It includes all
+// jobs that were archived before. It fails with ErrIncomplete unless the index is exact.
+func (a *Archiver) Count(ctx context.Context) (int, error) {
+	return callExact(ctx, a, func(context.Context) (int, error) {
+		stats := a.Index.Stats()
+		return stats.Jobs + stats.Damaged, nil
+	})
 }
 
-func (w withdrawal) serve(ctx context.Context, k *Archiver) {
-	if !k.exact() {
-		w.reply <- withdrawn{err: ErrIncomplete}
-		return
-	}
-	w.reply <- w.serveWith(ctx, k)
+// FirstPage returns the first page, or one without a range if there is none. It fails with
+// ErrIncomplete unless the index is exact, and with a DamagedError if the page can't be decoded.
+func (a *Archiver) FirstPage(ctx context.Context) (Page, error) {
+	return callExact(ctx, a, a.firstPage)
 }
 
-func (k *Archiver) withdraw(ctx context.Context, serve func(context.Context, *Archiver) withdrawn) withdrawn {
-	w := withdrawal{serve, make(chan withdrawn, 1)}
-	if err := k.ask(w); err != nil {
-		return withdrawn{err: err}
+func (a *Archiver) firstPage(ctx context.Context) (Page, error) {
+	pages := a.Index.current.Load().pages
+	if len(pages) == 0 {
+		return Page{}, nil
 	}
-	select {
-	case r := <-w.reply:
-		return r
-	case <-ctx.Done():
-		return withdrawn{err: ctx.Err()}
+	if pages[0].damaged {
+		return Page{}, &DamagedError{Key: pages[0].key, Reason: "its jobs can't be brought back"}
 	}
+	return a.pageOf(ctx, pages[0])
 }
 
-// Count tells how many jobs are archived, damaged pages counted as one each. All that was offered
-// before is in it.
-func (k *Archiver) Count(ctx context.Context) (int, error) {
-	r := k.withdraw(ctx, func(_ context.Context, k *Archiver) withdrawn {
-		stats := k.Index.Stats()
-		return withdrawn{count: stats.Jobs + stats.Damaged}
+// DropFirstPage removes the first page, whose jobs must be durable elsewhere, if its range ends with
+// upper. The next page takes over its range, so that no range is without a page. If the budget
+// allows no changes yet it does nothing: the caller looks at the first page again.
+func (a *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
+	_, err := callExact(ctx, a, func(ctx context.Context) (struct{}, error) {
+		return struct{}{}, a.dropFirstPage(ctx, upper)
 	})
-	return r.count, r.err
+	return err
 }
 
-// FirstPage returns the first page; without entries if there is none. Its jobs may be brought back to where they came from, and then be
-// dropped here: whoever leads next goes on with what is left.
-func (k *Archiver) FirstPage(ctx context.Context) (Page, error) {
-	r := k.withdraw(ctx, func(ctx context.Context, k *Archiver) withdrawn {
-		pages := k.Index.current.Load().pages
-		if len(pages) == 0 {
-			return withdrawn{}
-		}
-		if pages[0].damaged {
-			return withdrawn{err: &DamagedError{Key: pages[0].key, Reason: "its jobs can't be brought back"}}
-		}
-		page, err := k.unpack(ctx, pages[0])
-		return withdrawn{page: page, err: err}
-	})
-	return r.page, r.err
-}
+// dropChanges is how many changes the removal of a page takes.
+const dropChanges = 2
 
-// DropFirstPage removes the first page, whose jobs are durable elsewhere, if its range still ends there. The next page
-// takes its range over, so that no range is without a page.
-func (k *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
-	return k.withdraw(ctx, func(ctx context.Context, k *Archiver) withdrawn { return withdrawn{err: k.dropFirst(ctx, upper)} }).err
-}
-
-func (k *Archiver) dropFirst(ctx context.Context, upper JobNumber) error {
-	limits := k.applyLimits()
-	pages := k.Index.current.Load().pages
-	if len(pages) == 0 || pages[0].upper != upper || !k.writes.AllowN(time.Now(), 2) {
-		return nil // in the last case the caller comes again
+func (a *Archiver) dropFirstPage(ctx context.Context, upper JobNumber) error {
+	limits := a.applyLimits()
+	pages := a.Index.current.Load().pages
+	if len(pages) == 0 || pages[0].upper != upper || !a.writes.AllowN(time.Now(), dropChanges) {
+		return nil
 	}
 	if len(pages) == 1 {
-		return k.write(ctx, pages[0], nil, nil)
+		return a.replace(ctx, replacement{old: pages[0]})
 	}
 	if pages[1].damaged {
 		return &DamagedError{Key: pages[1].key, Reason: "it can't take over the range before it"}
 	}
-	next, err := k.unpack(ctx, pages[1])
+	next, err := a.pageOf(ctx, pages[1])
 	if err != nil {
 		return err
 	}
 	next.Lower = pages[0].lower
-	return k.write(ctx, pages[1], split(next, room(&limits)), pages[0])
+	return a.replace(ctx, replacement{old: pages[1], neighbour: pages[0], pages: split(next, maxPageBytes(&limits))})
+}
+
+// callExact has the archiver's goroutine call f if the index is exact then.
+func callExact[T any](ctx context.Context, a *Archiver, f func(context.Context) (T, error)) (T, error) {
+	replies := make(chan reply[T], 1)
+	return call(ctx, a, replies, func(serving context.Context) {
+		if !a.exact() {
+			replies <- reply[T]{err: ErrIncomplete}
+			return
+		}
+		replies <- replyOf(f(serving))
+	})
 }
