--- a/internal/archive/append.go
+++ b/internal/archive/append.go
@@ -18,12 +18,12 @@
 func (a *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	replies := make(chan reply[[]JobNumber], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
-		replies <- replyOf(a.append(serving, entries))
+		replies <- replyOf(a.archiveGroup(serving, entries))
 	})
 }
 
-// append archives the jobs of one page.
-func (a *Archiver) append(ctx context.Context, entries []Entry) ([]JobNumber, error) {
+// archiveGroup archives the jobs of one page.
+func (a *Archiver) archiveGroup(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	if !a.exact() {
 		return nil, ErrIncomplete
 	}
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -3,17 +3,9 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
-	"slices"
-
-	"sagevale/internal/clock"
 )
 
-// maxTimeouts is the most request timeouts that a retry may take. Each retry gets twice the
-// time of the one before, because the store may be slow.
-const maxTimeouts = 16
-
 // commit makes the records of the batches durable, in as many transactions as they need.
 func (j *Journal) commit(ctx context.Context, batches []Batch) error {
 	j.applyLimits()
@@ -150,30 +142,6 @@
 	return nil
 }
 
-// guards returns the guards of the next transaction. Because it demands that its first chunk
-// is absent and the one before it is present at the version that was written, a transaction
-// that is applied twice finds its own chunk, and one that is applied after that chunk has been
-// compacted away misses the one before it.
-func (j *Journal) guards() []Guard {
-	return []Guard{
-		j.leadership,
-		{Key: ChunkKey(j.nextChunk)},
-		{Key: ChunkKey(j.nextChunk - 1), Version: j.previousVersion},
-	}
-}
-
-// operations returns the puts of new chunks and the deletions of the oldest ones.
-func (j *Journal) operations(chunks []chunk, compacted int) []Op {
-	var ops []Op
-	for i, c := range chunks {
-		ops = append(ops, Op{Key: ChunkKey(j.nextChunk + uint64(i)), Data: c.data})
-	}
-	for _, c := range j.index.chunks[:compacted] {
-		ops = append(ops, Op{Key: ChunkKey(c.number), Delete: true})
-	}
-	return ops
-}
-
 // addWritten adds chunks that were committed to the index.
 func (j *Journal) addWritten(chunks []chunk, version uint64) {
 	for _, c := range chunks {
@@ -182,66 +150,3 @@
 	}
 	j.previousVersion = version
 }
-
-// commitTransaction retries a transaction until it is known to be applied, or known to be
-// impossible, and returns its revision. The first operation must put a chunk that the guards
-// demand to be absent: if a transaction without an answer was applied, its retry conflicts
-// with that chunk.
-func (j *Journal) commitTransaction(ctx context.Context, guards []Guard, ops []Op) (uint64, error) {
-	chunkKey, mayBeApplied := ops[0].Key, false
-	for timeouts := 1; ; timeouts = min(2*timeouts, maxTimeouts) {
-		revision, err := j.sendTransaction(ctx, timeouts, guards, ops)
-		if err == nil {
-			return revision, nil
-		}
-		var conflict *ConflictError
-		switch {
-		case errors.As(err, &conflict):
-			version, resolveErr := j.resolveConflict(ctx, timeouts, conflict, chunkKey, mayBeApplied)
-			if resolveErr == nil || errors.Is(resolveErr, ErrLeadershipLost) {
-				return version, resolveErr
-			}
-		case errors.Is(err, ErrRefused):
-		case errors.Is(err, ErrOutcomeUnknown):
-			mayBeApplied = true
-		default:
-			return 0, fmt.Errorf("journal commit: %w", err)
-		}
-		if j.limitTracker.Learn(err) {
-			j.applyLimits()
-		}
-		slog.Debug("journal commit retried", "chunk", chunkKey, "error", err)
-		if !clock.Sleep(ctx, retryPause) {
-			return 0, ctx.Err()
-		}
-	}
-}
-
-func (j *Journal) sendTransaction(ctx context.Context, timeouts int, guards []Guard, ops []Op) (revision uint64, err error) {
-	ctx, cancel := j.limits.withTimeout(ctx, timeouts)
-	defer cancel()
-	return j.store.Txn(ctx, guards, ops)
-}
-
-// resolveConflict finds out why a transaction conflicts. If an earlier attempt may have been
-// applied, its chunk shows whether it was: then the chunk's version is returned. Otherwise
-// another controller leads, and the error is ErrLeadershipLost. All other errors mean that the
-// chunk couldn't be read, so the reason is not known yet.
-func (j *Journal) resolveConflict(ctx context.Context, timeouts int, conflict *ConflictError, chunkKey string, mayBeApplied bool) (version uint64, err error) {
-	if slices.Contains(conflict.Failed, j.leadership.Key) {
-		return 0, ErrLeadershipLost
-	}
-	lost := func() error {
-		return fmt.Errorf("journal chunk %s: %w (%v)", chunkKey, ErrLeadershipLost, conflict.Failed)
-	}
-	if !mayBeApplied {
-		return 0, lost()
-	}
-	ctx, cancel := j.limits.withTimeout(ctx, timeouts)
-	defer cancel()
-	item, err := j.store.Get(ctx, chunkKey)
-	if errors.Is(err, ErrNotFound) {
-		return 0, lost()
-	}
-	return item.Version, err
-}
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -67,26 +67,10 @@
 
 // resumeMigration stops a migration after some steps and one that fails, and resumes it.
 func resumeMigration(t *testing.T, steps int, fail func(s *storagetest.Service)) {
+	t.Helper()
 	const records = 30
 	f := newFixture(t)
-	firstTerm, endFirstTerm := context.WithCancel(t.Context())
-	first := f.openLowered(firstTerm)
-	first.writeMany(records)
-	if len(f.encodedKeys()) == 0 {
-		t.Fatal("no chunk is encoded")
-	}
-	first.SetEncoding(storage.PlainWherePossible)
-	for range steps {
-		if _, err := first.MigrateStep(firstTerm); err != nil {
-			t.Fatalf("migration step: %v", err)
-		}
-	}
-	f.Trouble(fail)
-	lastStep, endLastStep := context.WithTimeout(firstTerm, 50*time.Millisecond)
-	_, _ = first.MigrateStep(lastStep) // may fail
-	endLastStep()
-	endFirstTerm()
-	time.Sleep(time.Second)
+	stopMigration(t, f, records, steps, fail)
 	f.Trouble(func(s *storagetest.Service) { s.Drop, s.LoseAnswers = nil, 0 })
 
 	next := f.openLowered(t.Context())
@@ -103,6 +87,31 @@
 	}
 }
 
+// stopMigration writes records in encoded chunks, and ends the term after some steps of a
+// migration and one that fails.
+func stopMigration(t *testing.T, f *fixture, records, steps int, fail func(s *storagetest.Service)) {
+	t.Helper()
+	term, endTerm := context.WithCancel(t.Context())
+	defer endTerm()
+	j := f.openLowered(term)
+	j.writeMany(records)
+	if len(f.encodedKeys()) == 0 {
+		t.Fatal("no chunk is encoded")
+	}
+	j.SetEncoding(storage.PlainWherePossible)
+	for range steps {
+		if _, err := j.MigrateStep(term); err != nil {
+			t.Fatalf("migration step: %v", err)
+		}
+	}
+	f.Trouble(fail)
+	lastStep, endLastStep := context.WithTimeout(term, 50*time.Millisecond)
+	defer endLastStep()
+	_, _ = j.MigrateStep(lastStep) // may fail
+	endTerm()
+	time.Sleep(time.Second)
+}
+
 // A record that fits into no plain chunk keeps the migration from ending. Nothing may be
 // rewritten in vain meanwhile, and the record must stay writable.
 func TestMigrationWaitsForRecordTooLargeForPlainChunk(t *testing.T) {
