--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -9,163 +9,132 @@
 	"sagevale/internal/storage"
 )
 
-// refresh does one step of bringing the index up to date: the next pages of a load, or the changes
-// since.
-func (k *Archiver) refresh(ctx context.Context) {
+const (
+	// listLimit is how many pages one request reads at the most, by the protocol.
+	listLimit = 1000
+	// refreshPause is the least pause between two steps of a refresh, in durations of one step.
+	refreshPause = 10
+	// staleRefreshes is for how many refresh intervals changes are requested: beyond that the
+	// answer could be larger than all pages, and they are loaded again.
+	staleRefreshes = 8
+)
+
+// load is the state of reading all pages, which takes several steps.
+type load struct {
+	cursor   string // key of the last page that was read; empty: none
+	revision uint64 // of the store when the load began
+	seen     map[JobNumber]bool
+}
+
+// refresh does one step of bringing the index up to date: it reads the next pages of a load, or the
+// changes since the last refresh.
+func (a *Archiver) refresh(ctx context.Context) {
 	began := time.Now()
-	if !k.exact() && began.Sub(k.caughtUp) > staleRefreshes*k.settings.Refresh {
-		k.loading = true
+	if a.load == nil && a.isStale(began) {
+		a.load = &load{}
 	}
 	var err error
 	switch {
-	case k.loading || !k.Index.current.Load().complete:
-		err = k.load(ctx)
-	case k.exact():
-		// Only this controller writes, so nothing changes that it doesn't know of.
-		k.wake = time.Time{}
+	case a.load != nil || !a.Index.current.Load().complete:
+		err = a.loadNext(ctx)
+	case a.exact():
+		// Only this controller writes, so it knows all changes.
+		a.nextRefresh = time.Time{}
 		return
 	default:
-		err = k.catchUp(ctx)
+		err = a.readChanges(ctx)
 	}
-	rest := loadRest * time.Since(began)
+	pause := refreshPause * time.Since(began)
 	switch {
 	case errors.Is(err, storage.ErrCompacted):
-		k.loading, k.cursor = true, ""
+		a.load = &load{}
 	case err != nil:
-		k.log.Debug("archive not read", "err", err)
-		rest = max(rest, k.settings.CallTime)
-	case !k.loading && k.lead == nil:
-		rest = max(rest, k.settings.Refresh)
+		a.log.Debug("archive refresh failed", "error", err)
+		pause = max(pause, a.settings.CallTime)
+	case a.load == nil && a.leadership == nil:
+		pause = max(pause, a.settings.Refresh)
 	}
-	k.wake = time.Now().Add(rest)
+	a.nextRefresh = time.Now().Add(pause)
+}
+
+// isStale reports whether the index is too old for its changes to be requested.
+func (a *Archiver) isStale(now time.Time) bool {
+	return !a.exact() && now.Sub(a.refreshed) > staleRefreshes*a.settings.Refresh
 }
 
-// load reads the next pages; after the last one changes are looked for that came meanwhile.
-func (k *Archiver) load(ctx context.Context) error {
-	cctx, cancel := k.call(ctx)
+// loadNext reads the next pages of a load. What has changed since it began is read by the refreshes
+// that follow it.
+func (a *Archiver) loadNext(ctx context.Context) error {
+	if a.load == nil {
+		a.load = &load{}
+	}
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	items, more, revision, err := k.svc.List(cctx, prefix, k.cursor, loadPages)
+	items, more, revision, err := a.store.List(ctx, prefix, a.load.cursor, listLimit)
 	if err != nil {
 		return err
 	}
-	if !k.loading || k.cursor == "" {
-		k.loading, k.loadedFrom, k.seen = true, revision, make(map[JobNumber]bool)
+	if a.load.cursor == "" {
+		a.load.revision, a.load.seen = revision, make(map[JobNumber]bool)
 	}
-	pages := k.hold(items, 0)
+	pages := a.decodePages(items, 0)
 	for _, p := range pages {
-		k.seen[p.upper] = true
+		a.load.seen[p.upper] = true
 	}
-	k.Index.put(pages)
+	a.Index.put(pages)
 	if more && len(items) > 0 {
-		k.cursor = items[len(items)-1].Key
+		a.load.cursor = items[len(items)-1].Key
 		return nil
 	}
-	k.Index.edit(func(s *snapshot) {
-		s.pages = slices.DeleteFunc(s.pages, func(p *heldPage) bool { return !k.seen[p.upper] })
-		s.complete = true
-	})
-	k.loading, k.cursor, k.seen = false, "", nil
-	k.revision, k.caughtUp = k.loadedFrom, time.Now()
+	a.finishLoad()
 	return nil
 }
 
-// hold makes held pages of stored ones; what is no page at all is named and left out.
-func (k *Archiver) hold(items []storage.Item, term uint64) []*heldPage {
-	pages := make([]*heldPage, 0, len(items))
-	for _, it := range items {
-		page, err := hold(it, term)
-		if err != nil {
-			k.report(err)
-		}
-		if page != nil {
-			pages = append(pages, page)
-		}
-	}
-	return pages
+// finishLoad removes the pages from the index that the load hasn't seen.
+func (a *Archiver) finishLoad() {
+	a.Index.edit(func(s *snapshot) {
+		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return !a.load.seen[p.upper] })
+		s.complete = true
+	})
+	a.revision, a.refreshed = a.load.revision, time.Now()
+	a.load = nil
 }
 
-// catchUp takes in the changes since the last look. If it was begun in this term, the index is exact then: no other
-// controller writes pages any longer.
-func (k *Archiver) catchUp(ctx context.Context) error {
-	cctx, cancel := k.call(ctx)
+// readChanges applies the changes since the last refresh. If they are read in this controller's
+// term the index is exact: no other controller writes pages any longer.
+func (a *Archiver) readChanges(ctx context.Context) error {
+	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	changes, revision, err := k.svc.Watch(cctx, prefix, k.revision, 0)
+	changes, revision, err := a.store.Watch(ctx, prefix, a.revision, 0)
 	if err != nil {
 		return err
 	}
-	isRemoval := func(it storage.Item) bool { return it.Data == nil }
-	k.Index.put(k.hold(slices.DeleteFunc(slices.Clone(changes), isRemoval), 0))
-	for _, it := range changes {
-		if upper, err := upperOf(it.Key); err == nil && isRemoval(it) {
-			k.Index.remove(upper, it.Version)
+	isRemoval := func(item storage.Item) bool { return item.Data == nil }
+	a.Index.put(a.decodePages(slices.DeleteFunc(slices.Clone(changes), isRemoval), 0))
+	for _, item := range changes {
+		if upper, err := upperOf(item.Key); err == nil && isRemoval(item) {
+			a.Index.remove(upper, item.Version)
 		}
 	}
-	k.revision, k.caughtUp = max(k.revision, revision), time.Now()
-	if k.lead != nil {
-		k.Index.edit(func(s *snapshot) { s.term = k.lead.Term })
+	a.revision, a.refreshed = max(a.revision, revision), time.Now()
+	if a.leadership != nil {
+		a.Index.edit(func(s *snapshot) { s.term = a.leadership.Term })
 	}
 	return nil
 }
 
-// question asks for one job's page to be read.
-type question struct {
-	ctx   context.Context // ends when nobody waits for the answer any longer
-	rank  JobNumber
-	reply chan answer
-}
-
-type answer struct {
-	result Result
-	err    error
-}
-
-// Read tells what is known of a job after its page was read, if that is needed. Where too much is asked it fails at once.
-func (k *Archiver) Read(ctx context.Context, rank JobNumber) (Result, error) {
-	q := question{ctx, rank, make(chan answer, 1)}
-	if err := k.ask(q); err != nil {
-		return Result{}, err
-	}
-	select {
-	case a := <-q.reply:
-		return a.result, a.err
-	case <-ctx.Done():
-		return Result{}, ctx.Err()
-	}
-}
-
-func (q question) serve(ctx context.Context, k *Archiver) {
-	if q.ctx.Err() != nil {
-		return
-	}
-	result, err := k.readPage(ctx, q.rank)
-	q.reply <- answer{result, err}
-}
-
-// readPage looks a job up, and reads its page unless what is held is exact.
-func (k *Archiver) readPage(ctx context.Context, rank JobNumber) (Result, error) {
-	held := k.Index.Lookup(rank)
-	if held.Knowledge == Found || k.lead == nil || held.Knowledge == Absent && held.Term == k.lead.Term {
-		return held, nil
-	}
-	k.applyLimits()
-	if !k.reads.Allow() {
-		return Result{}, ErrBusy
-	}
-	cctx, cancel := k.call(ctx)
-	defer cancel()
-	// The first page whose range doesn't end before the rank.
-	items, _, _, err := k.svc.List(cctx, prefix, pageKey(rank-1), 1)
-	switch {
-	case err != nil:
-		return Result{}, err
-	case len(items) == 0:
-		// None at all: only the whole of the archive tells whether that may be.
-		return Result{}, ErrIncomplete
-	}
-	pages := k.hold(items, k.lead.Term)
-	k.Index.put(pages)
-	if len(pages) == 0 || pages[0].damaged || rank <= pages[0].lower {
-		return Result{Knowledge: Damaged, Key: items[0].Key}, nil // or the page before it is missing
+// decodePages returns the pages of stored items. Damage is logged; what has no page's key is left
+// out.
+func (a *Archiver) decodePages(items []storage.Item, term uint64) []*cachedPage {
+	pages := make([]*cachedPage, 0, len(items))
+	for _, item := range items {
+		page, err := newCachedPage(item, term)
+		if err != nil {
+			a.report(err)
+		}
+		if page != nil {
+			pages = append(pages, page)
+		}
 	}
-	return pages[0].lookup(rank, 0), nil
+	return pages
 }
--- /dev/null
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -0,0 +1,51 @@
+package groupcommit
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const (
+	testBurst   = 32.0
+	testRate    = 28.0
+	testMaxWait = 300 * time.Millisecond
+)
+
+// Without the pacer each commit beside a backlog waited for the journal's rate, and a
+// submission for two of them.
+func TestBulkPacerReservesSavedChanges(t *testing.T) {
+	now := time.Now()
+	p := NewBulkPacer(testMaxWait)
+	for _, c := range []struct{ saved, want float64 }{{32, 16}, {20, 4}, {19.9, 0}, {16, 0}, {0, 0}} {
+		if got := p.Allow(now, c.saved, testBurst); got != c.want {
+			t.Errorf("Allow with %v saved changes: got %v, want %v", c.saved, got, c.want)
+		}
+	}
+	if due := p.Due(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
+		t.Errorf("Due with four changes missing: got %v, want at most 150ms", due)
+	}
+	if due := p.Due(now, 20, testBurst, testRate); due < minDelay {
+		t.Errorf("Due without missing changes: got %v, want at least %v", due, minDelay)
+	}
+}
+
+// Other lanes that use up all changes don't hold bulk back forever.
+func TestBulkPacerAllowsBulkAfterMaxWait(t *testing.T) {
+	const saved = 1
+	began := time.Now()
+	p := NewBulkPacer(testMaxWait)
+	for _, c := range []struct {
+		after time.Duration
+		want  float64
+	}{
+		{0, 0},
+		{testMaxWait - time.Millisecond, 0},
+		{testMaxWait, math.Inf(1)},
+		{testMaxWait + time.Millisecond, 0}, // only once
+	} {
+		if got := p.Allow(began.Add(c.after), saved, testBurst); got != c.want {
+			t.Errorf("Allow after %v: got %v, want %v", c.after, got, c.want)
+		}
+	}
+}
