--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,9 @@
-// Package admission decides how many submissions may wait to be recorded. What can't be
-// recorded soon is refused at once, fairly between teams, with when to come back: those who
-// are refused are given turns one after the other, at the measured pace, so that each finds
-// room and they don't return together.
+// Package admission limits how many submissions may wait to be recorded. A submission that can't
+// be recorded soon is rejected at once, fairly between teams, with the time after which to retry.
+// Retries are spaced at the measured throughput, so that rejected submissions don't return
+// together and each is likely to be admitted when it does.
+//
+// The package does no input or output.
 package admission
 
 import (
@@ -10,90 +12,94 @@
 )
 
 const (
-	// paceWeight is what one measurement counts in the pace.
-	paceWeight = 0.3
-	// contendedShare of what may wait is open to every team; beyond it a team may hold its even
-	// share of the whole.
+	// throughputWeight is the weight of one measurement in the moving average of the throughput.
+	throughputWeight = 0.3
+	// contendedShare is the share of the capacity that is open to every team. Beyond it a team is
+	// admitted only up to its fair share of the whole capacity.
 	contendedShare = 0.5
-	// least is how many submissions may wait at the least, however slow the pace: the first
-	// measurements have to come from somewhere.
-	least = 32
-	// longestRetryS is the longest that a user is told to stay away, in seconds: the protocol
-	// has users wait no longer.
-	longestRetryS = 30
+	// minCapacity is how many submissions may wait at least, however low the throughput: it can
+	// be measured only while some are recorded.
+	minCapacity = 32
+	// maxRetrySeconds bounds the time after which a submission is told to retry. By the protocol
+	// users wait no longer.
+	maxRetrySeconds = 30
 )
 
-// Limiter is the admission of submissions. It is not safe for concurrent use.
+// Limiter decides on the admission of submissions. It is not safe for concurrent use.
 type Limiter struct {
-	longest time.Duration // the longest that a submission may wait to be recorded
-	pace    float64       // submissions recorded a second while others wait
-	waiting map[string]int
-	total   int
-	teams   int       // how many there are
-	turn    time.Time // when the one who was refused last is to return
+	maxWait    time.Duration  // how long a submission may wait to be recorded
+	throughput float64        // submissions recorded a second while others wait
+	waiting    map[string]int // admitted submissions that aren't recorded yet, by team
+	total      int            // the sum of waiting
+	teams      int            // number of teams that are configured
+	nextRetry  time.Time      // when the submission that was rejected last is to retry
 }
 
-// NewLimiter returns a gate that admits what is expected to be recorded within longest. pace is how
-// many submissions a second are expected to be recorded before that is measured, and teams how
-// many teams there are.
-func NewLimiter(longest time.Duration, pace float64, teams int) *Limiter {
-	return &Limiter{longest: longest, pace: pace, waiting: make(map[string]int), teams: teams}
+// NewLimiter returns a limiter that admits what is expected to be recorded within maxWait.
+// throughput is the number of submissions recorded a second that is assumed until it is measured;
+// teams is the number of teams.
+func NewLimiter(maxWait time.Duration, throughput float64, teams int) *Limiter {
+	return &Limiter{maxWait: maxWait, throughput: throughput, waiting: make(map[string]int), teams: teams}
 }
 
-// room is how many submissions may wait, if so many can be recorded at once.
-func (g *Limiter) room(atOnce int) int { return max(least, atOnce+int(g.pace*g.longest.Seconds())) }
+// capacity returns how many submissions may wait if atOnce of them can be recorded immediately.
+func (l *Limiter) capacity(atOnce int) int {
+	return max(minCapacity, atOnce+int(l.throughput*l.maxWait.Seconds()))
+}
 
-// Admit tells whether a team's submission may wait to be recorded, and counts it then. atOnce
-// is how many submissions can be recorded without regard to the pace.
-func (g *Limiter) Admit(team string, atOnce int) bool {
-	room := g.room(atOnce)
+// Admit reports whether a submission of the team may wait to be recorded. If so the submission
+// counts as waiting until Recorded is called. atOnce is the number of submissions that can be
+// recorded immediately, whatever the throughput.
+func (l *Limiter) Admit(team string, atOnce int) bool {
+	capacity := l.capacity(atOnce)
 	switch {
-	case g.total >= room:
+	case l.total >= capacity:
 		return false
-	case float64(g.total) >= contendedShare*float64(room) && g.waiting[team] >= g.share(team, room):
+	case float64(l.total) >= contendedShare*float64(capacity) && l.waiting[team] >= l.fairShare(team, capacity):
 		return false
 	}
-	g.waiting[team]++
-	g.total++
+	l.waiting[team]++
+	l.total++
 	return true
 }
 
-// share is how much of the room is a team's, beside the others that have submissions waiting, and
-// one that may have some soon.
-func (g *Limiter) share(team string, room int) int {
-	active := len(g.waiting)
-	if g.waiting[team] == 0 {
+// fairShare returns the part of the capacity that one team may use: an even share among the teams
+// with waiting submissions, and always room for one team more.
+func (l *Limiter) fairShare(team string, capacity int) int {
+	active := len(l.waiting)
+	if l.waiting[team] == 0 {
 		active++
 	}
-	return max(1, room/max(active, min(2, g.teams)))
+	return max(1, capacity/max(active, min(2, l.teams)))
 }
 
-// Recorded takes in that a submission which was admitted waits no longer.
-func (g *Limiter) Recorded(team string) {
-	g.total--
-	if g.waiting[team]--; g.waiting[team] <= 0 {
-		delete(g.waiting, team)
+// Recorded ends the wait of an admitted submission of the team. It must be called once for each
+// admitted submission.
+func (l *Limiter) Recorded(team string) {
+	l.total--
+	if l.waiting[team]--; l.waiting[team] <= 0 {
+		delete(l.waiting, team)
 	}
 }
 
-// Measured takes in that so many submissions were recorded in a time, as many as could be: others
-// had to be left behind.
-func (g *Limiter) Measured(recorded int, took time.Duration) {
+// Measured updates the throughput with one measurement: the number of submissions recorded within
+// the duration took. Only measurements at saturation count, that is with submissions left waiting.
+func (l *Limiter) Measured(recorded int, took time.Duration) {
 	if recorded <= 0 || took <= 0 {
 		return
 	}
-	g.pace += paceWeight * (float64(recorded)/took.Seconds() - g.pace)
+	l.throughput += throughputWeight * (float64(recorded)/took.Seconds() - l.throughput)
 }
 
-// RetrySeconds gives a submission that is refused now a turn, and returns when it should come again, in
-// whole seconds from 1.
-func (g *Limiter) RetryS(now time.Time) int {
-	if g.turn.Before(now) {
-		g.turn = now
+// RetryS reserves a time to retry for a submission that is rejected now. It returns the time until
+// then in whole seconds, from 1 to 30.
+func (l *Limiter) RetryS(now time.Time) int {
+	if l.nextRetry.Before(now) {
+		l.nextRetry = now
 	}
-	if latest := now.Add(longestRetryS * time.Second); g.turn.After(latest) {
-		return longestRetryS
+	if latest := now.Add(maxRetrySeconds * time.Second); l.nextRetry.After(latest) {
+		return maxRetrySeconds
 	}
-	g.turn = g.turn.Add(time.Duration(float64(time.Second) / g.pace))
-	return min(longestRetryS, max(1, int(math.Ceil(g.turn.Sub(now).Seconds()))))
+	l.nextRetry = l.nextRetry.Add(time.Duration(float64(time.Second) / l.throughput))
+	return min(maxRetrySeconds, max(1, int(math.Ceil(l.nextRetry.Sub(now).Seconds()))))
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -8,140 +8,153 @@
 	"pgregory.net/rapid"
 )
 
-func newGate(pace float64) *Limiter { return NewLimiter(2*time.Second, pace, 5) }
+const (
+	testMaxWait = 2 * time.Second
+	testTeams   = 5
+)
+
+// newTestLimiter returns a limiter that records throughput submissions a second.
+func newTestLimiter(throughput float64) *Limiter {
+	return NewLimiter(testMaxWait, throughput, testTeams)
+}
 
-// The gate admits what is recorded in time at the pace that is measured, and more once that rises.
-func TestTheGateFollowsThePace(t *testing.T) {
-	g := newGate(100)
-	admitted := 0
-	for g.Admit(fmt.Sprint(admitted%4), 0) {
+// admitUntilRejected submits for four teams in turn until a submission is rejected. It returns how
+// many were admitted.
+func admitUntilRejected(l *Limiter, atOnce int) (admitted int) {
+	for l.Admit(fmt.Sprint(l.total%4), atOnce) {
 		admitted++
 	}
+	return admitted
+}
+
+func TestLimiterCapacityFollowsMeasuredThroughput(t *testing.T) {
+	l := newTestLimiter(100)
+	admitted := admitUntilRejected(l, 0)
 	if admitted != 200 {
-		t.Errorf("%d admitted at 100 a second in 2 s", admitted)
+		t.Errorf("at 100/s within 2 s: got %d admitted, want 200", admitted)
 	}
 	for range 40 {
-		g.Measured(100, 500*time.Millisecond)
+		l.Measured(100, 500*time.Millisecond)
 	}
-	for g.Admit(fmt.Sprint(admitted%4), 0) {
-		admitted++
+	admitted += admitUntilRejected(l, 0)
+	if capacity := l.capacity(0); admitted < 390 || admitted > 400 || capacity > 400 {
+		t.Errorf("at 200/s within 2 s: got %d admitted of a capacity of %d, want 390 to 400 of at most 400", admitted, capacity)
 	}
-	if room := g.room(0); admitted < 390 || admitted > 400 || room > 400 {
-		t.Errorf("%d admitted at 200 a second in 2 s", admitted)
+}
+
+func TestLimiterIgnoresEmptyMeasurements(t *testing.T) {
+	l := newTestLimiter(100)
+	want := l.capacity(0)
+	l.Measured(0, time.Second)
+	l.Measured(1, 0)
+	if got := l.capacity(0); got != want {
+		t.Errorf("capacity after empty measurements: got %d, want %d", got, want)
 	}
-	room := g.room(0)
-	g.Measured(0, time.Second)
-	g.Measured(1, 0)
-	if g.room(0) != room {
-		t.Error("what measures nothing changes the pace")
+}
+
+func TestLimiterAdmitsSubmissionsRecordedAtOnceBesideThroughput(t *testing.T) {
+	if admitted := admitUntilRejected(newTestLimiter(100), 300); admitted != 500 {
+		t.Errorf("300 at once and 200 within 2 s: got %d admitted, want 500", admitted)
 	}
 }
 
-// A team that floods the gate leaves room for the others.
-func TestATeamThatFloodsLeavesRoom(t *testing.T) {
-	g := newGate(100)
+func TestLimiterLeavesCapacityToOtherTeams(t *testing.T) {
+	l := newTestLimiter(100)
 	for range 1000 {
-		g.Admit("flood", 0)
-	}
-	if g.waiting["flood"] > 150 {
-		t.Errorf("the flood holds %d of 200", g.waiting["flood"])
+		l.Admit("flood", 0)
 	}
-	{
-		alone := NewLimiter(2*time.Second, 100, 1)
-		for range 1000 {
-			alone.Admit("only", 0)
-		}
-		if alone.total != 200 {
-			t.Errorf("the only team holds %d of 200", alone.total)
-		}
+	if got := l.waiting["flood"]; got > 150 {
+		t.Errorf("one team of several: got %d of 200 admitted, want at most 150", got)
 	}
 	for range 20 {
-		if !g.Admit("quiet", 0) {
-			t.Fatal("another team is refused")
+		if !l.Admit("quiet", 0) {
+			t.Fatal("a submission of another team was rejected")
 		}
 	}
 }
 
-// Those who are refused are told to return one after the other, at the pace at which room is made:
-// at every moment no more return than find room.
-func TestThoseWhoAreRefusedReturnInTurn(t *testing.T) {
-	const pace = 10
-	g, now := newGate(pace), time.Now()
-	told := make(map[int]int)
-	for range 20 * pace {
-		told[g.RetryS(now)]++
+func TestLimiterGivesSingleTeamWholeCapacity(t *testing.T) {
+	l := NewLimiter(testMaxWait, 100, 1)
+	for range 1000 {
+		l.Admit("only", 0)
+	}
+	if l.total != 200 {
+		t.Errorf("the only team: got %d admitted, want 200", l.total)
+	}
+}
+
+// Rejected submissions are told to retry one after the other, at the throughput: at no moment do
+// more return than can be admitted.
+func TestLimiterSpacesRetriesAtThroughput(t *testing.T) {
+	const throughput = 10
+	l, now := newTestLimiter(throughput), time.Now()
+	retries := make(map[int]int) // by seconds from now
+	for range 20 * throughput {
+		retries[l.RetryS(now)]++
 	}
 	for s := 1; s <= 20; s++ {
-		if told[s] < pace-1 || told[s] > pace+1 {
-			t.Errorf("%d return after %d s", told[s], s)
+		if retries[s] < throughput-1 || retries[s] > throughput+1 {
+			t.Errorf("retries after %d s: got %d, want %d", s, retries[s], throughput)
 		}
 	}
-	later := now.Add(15 * time.Second)
-	if s := g.RetryS(later); s < 5 || s > 6 {
-		t.Errorf("told %d s where turns are given for 5 s", s)
+	if s := l.RetryS(now.Add(15 * time.Second)); s < 5 || s > 6 {
+		t.Errorf("retry with 5 s of earlier ones left: got %d s, want 5 or 6", s)
 	}
 	for range 1000 {
-		g.RetryS(now)
+		l.RetryS(now)
 	}
-	if s := g.RetryS(now); s != longestRetryS {
-		t.Errorf("told %d s", s)
+	if s := l.RetryS(now); s != maxRetrySeconds {
+		t.Errorf("retry behind 1000 others: got %d s, want %d", s, maxRetrySeconds)
 	}
-	if s := g.RetryS(now.Add(time.Hour)); s != 1 {
-		t.Errorf("told %d s when all turns are over", s)
+	if s := l.RetryS(now.Add(time.Hour)); s != 1 {
+		t.Errorf("retry after all earlier ones: got %d s, want 1", s)
 	}
 }
 
-// What the journal may write at once is admitted beside what the pace allows for.
-func TestWhatIsRecordedAtOnceIsAdmitted(t *testing.T) {
-	g := newGate(100)
-	admitted := 0
-	for g.Admit(fmt.Sprint(admitted%4), 300) {
-		admitted++
-	}
-	if admitted != 500 {
-		t.Errorf("%d admitted: 300 at once, and 200 in 2 s", admitted)
-	}
-}
-
-// Whatever is admitted, recorded and measured: never more than the room, and nothing is left over.
-func TestTheGateNeverOverflows(t *testing.T) {
+// In any sequence of admissions, records and measurements no more submissions wait than the
+// capacity allows, and none is left waiting after all have been recorded.
+func TestLimiterNeverExceedsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGate(rapid.Float64Range(0.1, 1000).Draw(t, "pace"))
+		l := newTestLimiter(rapid.Float64Range(0.1, 1000).Draw(t, "throughput"))
 		var admitted []string
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
 				team := rapid.StringMatching("[a-e]").Draw(t, "team")
 				for range rapid.IntRange(1, 50).Draw(t, "times") {
-					room, total := g.room(0), g.total
-					if g.Admit(team, 0) {
+					capacity, total := l.capacity(0), l.total
+					if l.Admit(team, 0) {
 						admitted = append(admitted, team)
-						if total >= room {
-							t.Fatalf("%d admitted into room for %d", g.total, room)
+						if total >= capacity {
+							t.Fatalf("admitted with %d waiting, capacity %d", total, capacity)
 						}
 					}
 				}
 			},
 			"record": func(*rapid.T) {
 				if len(admitted) > 0 {
-					g.Recorded(admitted[0])
+					l.Recorded(admitted[0])
 					admitted = admitted[1:]
 				}
 			},
 			"measure": func(t *rapid.T) {
-				g.Measured(rapid.IntRange(0, 500).Draw(t, "recorded"), time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
+				recorded := rapid.IntRange(0, 500).Draw(t, "recorded")
+				took := time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
+				l.Measured(recorded, took)
 			},
 			"": func(t *rapid.T) {
-				now := time.Now()
-				if s := g.RetryS(now); s < 1 || s > longestRetryS || g.total != len(admitted) {
-					t.Fatalf("told %d s, %d of %d wait", s, g.total, len(admitted))
+				if s := l.RetryS(time.Now()); s < 1 || s > maxRetrySeconds {
+					t.Fatalf("retry after %d s, want 1 to %d", s, maxRetrySeconds)
+				}
+				if l.total != len(admitted) {
+					t.Fatalf("got %d waiting, want %d", l.total, len(admitted))
 				}
 			},
 		})
 		for _, team := range admitted {
-			g.Recorded(team)
+			l.Recorded(team)
 		}
-		if g.total != 0 || len(g.waiting) != 0 {
-			t.Fatalf("%d left, %v", g.total, g.waiting)
+		if l.total != 0 || len(l.waiting) != 0 {
+			t.Fatalf("after all were recorded: got %d waiting, by team %v, want none", l.total, l.waiting)
 		}
 	})
 }
