--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -1,6 +1,7 @@
-// Package classstats keeps what the arrivals, departures and run times of a class of jobs look
-// like, and tells how much room the class will need. It is pure: its owner tells it of
-// each event with its time.
+// Package classstats keeps statistics on the arrivals, departures and run times of a class of jobs,
+// and estimates from them how much the class is going to need.
+//
+// The package does no input or output: its caller records each event with the event's time.
 package classstats
 
 import (
@@ -9,19 +10,20 @@
 )
 
 const (
-	// eventsKept bounds what is kept of a class's arrivals and departures. Where more come
-	// within a window, the window is shorter.
-	eventsKept = 512
-	// runWeight is the weight of the latest run time in the mean.
+	// maxEvents bounds the arrivals, and the departures, that are kept of a class. If more occur
+	// within a window, the window is shortened.
+	maxEvents = 512
+	// runWeight is the weight of the latest run time in the moving averages.
 	runWeight = 0.05
 )
 
-// Class is the statistics of one class of jobs. It is not safe for concurrent use.
+// Class holds the statistics of one class of jobs. The zero value has none. It is not safe for
+// concurrent use.
 type Class struct {
-	arrivals   []event
-	departures []event // of services that were cancelled
-	runS       float64 // mean run time of tasks, in seconds
-	expectedS  float64 // mean of what their owners had expected
+	arrivals      []event
+	departures    []event // of services that were cancelled
+	meanRunS      float64 // average run time of tasks in seconds; 0: no task has run
+	meanExpectedS float64 // average run time that the owners of the same tasks expected, in seconds
 }
 
 // event is one job's arrival or departure.
@@ -30,22 +32,25 @@
 	tasks int
 }
 
-// Arrived notes a job of so many tasks.
-func (c *Class) Arrived(at time.Time, tasks int) { c.arrivals = keepLast(c.arrivals, event{at, tasks}) }
+// Arrived records the arrival of a job.
+func (c *Class) Arrived(at time.Time, tasks int) {
+	c.arrivals = appendBounded(c.arrivals, event{at, tasks})
+}
 
-// Departed notes that a job of so many tasks has been cancelled.
+// Departed records the cancellation of a job.
 func (c *Class) Departed(at time.Time, tasks int) {
-	c.departures = keepLast(c.departures, event{at, tasks})
+	c.departures = appendBounded(c.departures, event{at, tasks})
 }
 
-func keepLast(events []event, e event) []event {
-	if len(events) >= eventsKept {
+// appendBounded appends an event and drops the oldest one beyond maxEvents.
+func appendBounded(events []event, e event) []event {
+	if len(events) >= maxEvents {
 		events = events[1:]
 	}
 	return append(events, e)
 }
 
-// DepartedSince counts the tasks of the jobs that have departed after a time.
+// DepartedSince returns the number of tasks of the jobs that departed after since.
 func (c *Class) DepartedSince(since time.Time) int {
 	n := 0
 	for _, e := range c.departures {
@@ -56,7 +61,7 @@
 	return n
 }
 
-// LargestJob is the number of tasks of the largest job that is remembered.
+// LargestJob returns the number of tasks of the largest job among the arrivals kept.
 func (c *Class) LargestJob() int {
 	largest := 0
 	for _, e := range c.arrivals {
@@ -65,27 +70,27 @@
 	return largest
 }
 
-// SecondZoneShare is the share of the class's tasks that jobs which are spread over zones must
-// have in another zone than their first.
+// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone
+// of their job if its jobs are spread over zones: half of each job, rounded down.
 func (c *Class) SecondZoneShare() float64 {
-	all, half := 0, 0
+	all, outside := 0, 0
 	for _, e := range c.arrivals {
 		all += e.tasks
-		half += e.tasks / 2
+		outside += e.tasks / 2
 	}
-	return float64(half) / float64(max(all, 1))
+	return float64(outside) / float64(max(all, 1))
 }
 
-// Rate is what came within a window.
+// Rate is the arrivals within a window of time.
 type Rate struct {
-	Tasks   float64
-	Squares float64 // sum of the squares of the jobs' tasks
-	WindowS float64 // in seconds; 0: there is no rate yet
+	Tasks   float64 // number of tasks that arrived
+	Squares float64 // sum over the jobs of the square of their number of tasks
+	WindowS float64 // length of the window in seconds; 0: there is no rate yet
 }
 
-// RateSince counts what came after a time. More than is remembered shortens the window.
+// RateSince returns the arrivals after since. The window is shortened to the arrivals that are kept.
 func (c *Class) RateSince(since, now time.Time) Rate {
-	if len(c.arrivals) == eventsKept && c.arrivals[0].at.After(since) {
+	if len(c.arrivals) == maxEvents && c.arrivals[0].at.After(since) {
 		since = c.arrivals[0].at
 	}
 	r := Rate{WindowS: now.Sub(since).Seconds()}
@@ -98,38 +103,41 @@
 	return r
 }
 
-// Expected is how many tasks come within a time, with so many standard deviations added: the
-// jobs come by themselves, each with all its tasks.
-func (r Rate) Expected(within, deviations float64) float64 {
-	share := within / r.WindowS
-	return r.Tasks*share + deviations*math.Sqrt(r.Squares*share)
+// Expected returns the number of tasks that are expected to arrive within so many seconds, plus a
+// margin in standard deviations. Arrivals of jobs are taken to be a Poisson process; each brings all
+// tasks of the job.
+func (r Rate) Expected(withinS, deviations float64) float64 {
+	windows := withinS / r.WindowS
+	return r.Tasks*windows + deviations*math.Sqrt(r.Squares*windows)
 }
 
-// Ran takes in a finished task's run time and what its owner had expected, both in seconds.
+// Ran records the run time of a finished task and the run time that its owner expected, both in
+// seconds.
 func (c *Class) Ran(runS, expectedS float64) {
-	if c.runS == 0 {
-		c.runS, c.expectedS = runS, expectedS
+	if c.meanRunS == 0 {
+		c.meanRunS, c.meanExpectedS = runS, expectedS
 	}
-	c.runS += runWeight * (runS - c.runS)
-	c.expectedS += runWeight * (expectedS - c.expectedS)
+	c.meanRunS += runWeight * (runS - c.meanRunS)
+	c.meanExpectedS += runWeight * (expectedS - c.meanExpectedS)
 }
 
-// MeanRunS is how long a task usually runs, in seconds; otherwise where none has run.
-func (c *Class) MeanRunS(otherwise float64) float64 {
-	if c.runS > 0 {
-		return c.runS
+// MeanRunS returns the average run time of the class's tasks in seconds, or fallback if none has run.
+func (c *Class) MeanRunS(fallback float64) float64 {
+	if c.meanRunS > 0 {
+		return c.meanRunS
 	}
-	return otherwise
+	return fallback
 }
 
-// RunS is how long a task runs whose owner expects so many seconds: between what the class
-// usually runs and what the owner expects, for owners are often wrong by half.
+// RunS estimates in seconds how long a task runs whose owner expects expectedS seconds. The class's
+// average is scaled by the square root of how much this owner differs from the others, because
+// owners are often wrong by half.
 func (c *Class) RunS(expectedS float64) float64 {
 	switch {
-	case c.runS <= 0:
+	case c.meanRunS <= 0:
 		return expectedS
-	case expectedS <= 0 || c.expectedS <= 0:
-		return c.runS
+	case expectedS <= 0 || c.meanExpectedS <= 0:
+		return c.meanRunS
 	}
-	return c.runS * math.Sqrt(expectedS/c.expectedS)
+	return c.meanRunS * math.Sqrt(expectedS/c.meanExpectedS)
 }
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -1,6 +1,7 @@
 package classstats
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -8,8 +9,9 @@
 
 var start = time.UnixMilli(1e12)
 
-// arrive has jobs of so many tasks come evenly, so many a second, and returns when the last came.
-func (c *Class) arrive(jobs, tasks int, perS float64) time.Time {
+// recordArrivals records arrivals of jobs at even intervals, perS a second, and returns the time of
+// the last one.
+func recordArrivals(c *Class, jobs, tasks int, perS float64) time.Time {
 	at := start
 	for range jobs {
 		at = at.Add(time.Duration(float64(time.Second) / perS))
@@ -18,71 +20,91 @@
 	return at
 }
 
-// However many come within the window, the rate is what it is; and what came before isn't counted.
-func TestTheRateHasNoBound(t *testing.T) {
-	for _, perS := range []float64{0.5, 3, 20, 500} {
-		var c Class
-		now := c.arrive(int(100*perS), 3, perS)
-		r := c.RateSince(now.Add(-60*time.Second), now)
-		if rate := r.Tasks / r.WindowS; math.Abs(rate-3*perS) > 0.1*3*perS {
-			t.Errorf("%.1f tasks a second of %.1f", rate, 3*perS)
-		}
-		if r.Squares != 3*r.Tasks {
-			t.Errorf("squares %.0f of %.0f tasks of jobs of 3", r.Squares, r.Tasks)
-		}
-		if later := c.RateSince(now, now.Add(time.Minute)); later.Tasks != 0 || later.WindowS != 60 {
-			t.Errorf("after the last arrival: %+v", later)
-		}
+// The rate is right also where the window holds more arrivals than are kept.
+func TestRateSinceIsNotBoundedByEventsKept(t *testing.T) {
+	const jobTasks = 3
+	for _, jobsPerS := range []float64{0.5, 3, 20, 500} {
+		t.Run(fmt.Sprintf("%v jobs a second", jobsPerS), func(t *testing.T) {
+			var c Class
+			now := recordArrivals(&c, int(100*jobsPerS), jobTasks, jobsPerS)
+			r := c.RateSince(now.Add(-60*time.Second), now)
+			want := jobTasks * jobsPerS
+			if got := r.Tasks / r.WindowS; math.Abs(got-want) > 0.1*want {
+				t.Errorf("tasks a second: got %.1f, want %.1f", got, want)
+			}
+			if r.Squares != jobTasks*r.Tasks {
+				t.Errorf("squares of %.0f tasks in jobs of %d: got %.0f, want %.0f", r.Tasks, jobTasks, r.Squares, jobTasks*r.Tasks)
+			}
+			if later := c.RateSince(now, now.Add(time.Minute)); later.Tasks != 0 || later.WindowS != 60 {
+				t.Errorf("after the last arrival: got %+v, want no tasks in 60 s", later)
+			}
+		})
 	}
 }
 
-func TestExpectedTasks(t *testing.T) {
+func TestRateExpected(t *testing.T) {
 	r := Rate{Tasks: 100, Squares: 400, WindowS: 50}
-	if got := r.Expected(25, 0); got != 50 {
-		t.Errorf("%v tasks within half of the window", got)
-	}
-	if got := r.Expected(12.5, 2); got != 25+2*10 {
-		t.Errorf("%v tasks with two deviations", got)
+	for _, c := range []struct{ withinS, deviations, want float64 }{
+		{25, 0, 50},
+		{12.5, 2, 25 + 2*10},
+	} {
+		if got := r.Expected(c.withinS, c.deviations); got != c.want {
+			t.Errorf("tasks within %v s with %v deviations: got %v, want %v", c.withinS, c.deviations, got, c.want)
+		}
 	}
 }
 
-func TestWhatJobsLookLike(t *testing.T) {
+func TestZeroClassHasNoStatistics(t *testing.T) {
 	var c Class
 	if c.SecondZoneShare() != 0 || c.LargestJob() != 0 || c.DepartedSince(start) != 0 {
-		t.Error("something is known of a class that never came")
+		t.Errorf("got second-zone share %v, largest job %d, %d departed, want zeros", c.SecondZoneShare(), c.LargestJob(), c.DepartedSince(start))
 	}
+}
+
+func TestClassSummarizesJobSizesAndDepartures(t *testing.T) {
+	var c Class
 	for i, tasks := range []int{1, 5, 2} {
 		at := start.Add(time.Duration(i) * time.Second)
 		c.Arrived(at, tasks)
 		c.Departed(at, tasks)
 	}
-	if c.LargestJob() != 5 || c.SecondZoneShare() != 3.0/8 {
-		t.Errorf("largest %d, second zone %v", c.LargestJob(), c.SecondZoneShare())
+	if got := c.LargestJob(); got != 5 {
+		t.Errorf("largest job: got %d, want 5", got)
+	}
+	if got := c.SecondZoneShare(); got != 3.0/8 {
+		t.Errorf("second-zone share: got %v, want 3/8", got)
 	}
-	if n := c.DepartedSince(start); n != 7 {
-		t.Errorf("%d tasks departed after the first", n)
+	if got := c.DepartedSince(start); got != 7 {
+		t.Errorf("tasks that departed after the first job: got %d, want 7", got)
 	}
 }
 
-func TestRunTimesLieBetweenClassAndOwner(t *testing.T) {
+func TestRunTimeEstimateWithoutRunsIsTheOwners(t *testing.T) {
 	var c Class
-	if c.RunS(30) != 30 || c.MeanRunS(40) != 40 {
-		t.Error("no task has run: the owner is believed")
+	if got := c.RunS(30); got != 30 {
+		t.Errorf("estimate: got %v s, want the owner's 30", got)
+	}
+	if got := c.MeanRunS(40); got != 40 {
+		t.Errorf("mean: got %v s, want the fallback of 40", got)
 	}
+}
+
+func TestRunTimeEstimateLiesBetweenClassAndOwner(t *testing.T) {
+	var c Class
 	for range 200 {
 		c.Ran(100, 25)
 	}
 	if got := c.MeanRunS(40); math.Abs(got-100) > 0.1 {
-		t.Errorf("mean %v", got)
+		t.Errorf("mean: got %v s, want 100", got)
 	}
 	if got := c.RunS(100); math.Abs(got-200) > 0.5 {
-		t.Errorf("an owner who expects four times the usual is given %v, not twice", got)
+		t.Errorf("estimate for an owner who expects four times the usual: got %v s, want 200", got)
 	}
 	if got := c.RunS(0); math.Abs(got-100) > 0.1 {
-		t.Errorf("without an expectation %v", got)
+		t.Errorf("estimate without the owner's expectation: got %v s, want 100", got)
 	}
 	c.Ran(200, 25)
 	if got := c.MeanRunS(0); math.Abs(got-105) > 0.1 {
-		t.Errorf("the latest counts a twentieth: %v", got)
+		t.Errorf("mean after a run of 200 s, with a weight of a twentieth: got %v s, want 105", got)
 	}
 }
