--- a/internal/boots/history.go
+++ b/internal/boots/history.go
@@ -1,8 +1,8 @@
-// Package boots learns how long machines take to boot, as a multiple of what the catalogue says. A
-// machine that is late may be one that never comes, or one of many that boot slowly: only where
-// others come in time another one comes sooner.
+// Package boots learns how long machines take to provision, as a ratio to the nominal boot time of
+// their type. An overdue machine may never come up, or all machines of its type may boot slowly.
+// Only in the first case does a replacement help.
 //
-// The types do no input or output and aren't safe for concurrent use.
+// The package does no input or output.
 package boots
 
 import (
@@ -11,79 +11,86 @@
 )
 
 const (
-	// kept is how many boots are remembered of each kind.
-	kept = 32
-	// memory is for how long, in nominal boot times.
-	memory = 20
-	// slowFrom is the typical multiple of the nominal time from which boots count as slow: in
-	// ordinary times none takes longer than one and a half.
-	slowFrom = 1.5
-	// enough boots tell whether boots are slow: one or two may be late by chance.
-	enough = 4
-	// slowest bounds how slow boots are taken to be.
-	slowest = 4.0
-	// failed is how many machines must have been given up for a source to be avoided.
-	failed = 2
+	// maxSamples bounds the samples of one history.
+	maxSamples = 32
+	// retention is the age beyond which a sample is dropped, in nominal boot times.
+	retention = 20
+	// slowThreshold is the median ratio from which boots count as slow. In ordinary operation no
+	// boot takes longer than 1.5 nominal boot times.
+	slowThreshold = 1.5
+	// minSamples is how many samples are needed to call boots slow: one or two may be late by
+	// chance.
+	minSamples = 4
+	// maxSlowness bounds the slowness reported.
+	maxSlowness = 4.0
+	// minAbandoned is how many machines must have been abandoned for a history to be failing.
+	minAbandoned = 2
 )
 
-// boot is what became of a machine.
-type boot struct {
+// sample is the outcome of provisioning one machine.
+type sample struct {
 	at    time.Time
-	times float64 // how many nominal boot times it took, or had been waited for
-	up    bool
+	ratio float64 // time to the outcome, in nominal boot times
+	up    bool    // whether the machine came up; otherwise it was abandoned
 }
 
-// History is the recent boots of machines of one kind: of a type, or from one source. The zero value
-// has none.
-type History struct{ boots []boot }
+// History is the recent provisioning outcomes of one kind of machine, such as those of one type or
+// one offering. The zero value is empty. It is not safe for concurrent use.
+type History struct{ samples []sample }
 
-// RecordProvisioned takes in that a machine has come up after so many nominal boot times.
-func (h *History) RecordProvisioned(now time.Time, times float64) { h.add(boot{now, times, true}) }
+// RecordProvisioned records that a machine came up after ratio nominal boot times.
+func (h *History) RecordProvisioned(now time.Time, ratio float64) {
+	h.add(sample{at: now, ratio: ratio, up: true})
+}
 
-// RecordAbandoned takes in that a machine was waited for in vain for so many nominal boot times.
-func (h *History) RecordAbandoned(now time.Time, times float64) { h.add(boot{now, times, false}) }
+// RecordAbandoned records that a machine was abandoned after ratio nominal boot times.
+func (h *History) RecordAbandoned(now time.Time, ratio float64) {
+	h.add(sample{at: now, ratio: ratio, up: false})
+}
 
-func (h *History) add(b boot) {
-	if len(h.boots) == kept {
-		h.boots = slices.Delete(h.boots, 0, 1)
+// add appends a sample, in place of the oldest one if the history is full.
+func (h *History) add(s sample) {
+	if len(h.samples) == maxSamples {
+		h.samples = slices.Delete(h.samples, 0, 1)
 	}
-	h.boots = append(h.boots, b)
+	h.samples = append(h.samples, s)
 }
 
-// forget drops what is too old to tell anything.
-func (h *History) forget(now time.Time, nominal time.Duration) {
-	h.boots = slices.DeleteFunc(h.boots, func(b boot) bool { return now.Sub(b.at) > memory*nominal })
+// expire drops samples older than the retention.
+func (h *History) expire(now time.Time, nominal time.Duration) {
+	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retention*nominal })
 }
 
-// Slowness is by what factor boots are slower than usual, from 1: the median of the recent boots
-// and of those that are late now, given as multiples of the nominal time that they have taken so
-// far. Those tell the least that they will take.
-func (h *History) Slowness(now time.Time, nominal time.Duration, late []float64) float64 {
-	h.forget(now, nominal)
-	times := slices.Clone(late)
-	for _, b := range h.boots {
-		times = append(times, b.times)
+// Slowness returns the factor by which boots are slower than usual, from 1: the median ratio of the
+// recent samples and of the machines that are overdue now. overdue holds the ratios of the latter so
+// far, which are lower bounds. nominal is the nominal boot time.
+func (h *History) Slowness(now time.Time, nominal time.Duration, overdue []float64) float64 {
+	h.expire(now, nominal)
+	ratios := slices.Clone(overdue)
+	for _, s := range h.samples {
+		ratios = append(ratios, s.ratio)
 	}
-	if len(times) < enough {
+	if len(ratios) < minSamples {
 		return 1
 	}
-	slices.Sort(times)
-	median := times[(len(times)-1)/2]
-	if median < slowFrom {
+	slices.Sort(ratios)
+	median := ratios[(len(ratios)-1)/2]
+	if median < slowThreshold {
 		return 1
 	}
-	return min(slowest, median)
+	return min(maxSlowness, median)
 }
 
-// Failing tells whether more machines have been given up of late than have come up, and several.
+// Failing reports whether recently more machines were abandoned than came up, and at least two were.
+// nominal is the nominal boot time.
 func (h *History) Failing(now time.Time, nominal time.Duration) bool {
-	h.forget(now, nominal)
+	h.expire(now, nominal)
 	up := 0
-	for _, b := range h.boots {
-		if b.up {
+	for _, s := range h.samples {
+		if s.up {
 			up++
 		}
 	}
-	lost := len(h.boots) - up
-	return lost >= failed && lost > up
+	abandoned := len(h.samples) - up
+	return abandoned >= minAbandoned && abandoned > up
 }
