--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -1,217 +1,222 @@
 package fencing
 
-import (
-	"fmt"
-	"math/rand/v2"
-	"testing"
+import "fmt"
 
-	"pgregory.net/rapid"
-)
-
-// The model is leaders, a network and workers. Tasks are started on workers again and again,
-// mostly by direct commands, which may be held up without end and repeated; reports and their
-// answers may be lost, and copies of reports come late. The fence is what the leader goes by.
+// The model consists of leaders, a network and workers. Tasks are started on workers again and again,
+// mostly by direct commands, which may be delayed without bound and repeated. Heartbeats and their
+// responses may be lost, and copies of heartbeats may arrive late. Leaders act by the fence under
+// test.
 
 type attempt struct {
 	task   int
 	number int
 }
 
-// command is a direct start on its way.
+// command is a direct command to start an attempt.
 type command struct {
-	worker         int
-	token, session uint64
-	attempt        attempt
+	worker             int
+	token, incarnation uint64
+	attempt            attempt
 }
 
 type heartbeat struct {
-	worker              int
-	session, seq, token uint64
-	live, ended         []attempt
+	worker                  int
+	incarnation, seq, token uint64
+	live, ended             []attempt
 }
 
-// worker follows the protocol.
+// worker follows the workers' protocol.
 type worker struct {
-	token, session, seq uint64
-	tasks               map[attempt]bool // whether it runs; ended ones are kept until they are forgotten
-	forgotten           map[attempt]bool
+	token, incarnation, seq uint64
+	running                 map[attempt]bool // false: ended, and retained until the leader forgets it
+	forgotten               map[attempt]bool
 }
 
-// place is what the leader knows of one worker.
-type place struct {
-	fence        *Fence[attempt]
-	session, seq uint64
-	heard        bool // has shown a token of this term
-	booked       map[attempt]uint64
+// workerView is what the leader knows of one worker.
+type workerView struct {
+	fence            *Fence[attempt]
+	incarnation, seq uint64
+	tokenShown       bool               // a heartbeat has shown a token of this term
+	reserved         map[attempt]uint64 // attempts with the token of their direct command; 0: none
 }
 
-// fences makes a worker's fence; the tests of the model put in ones that are wrong.
-type fences func(Tokens) *Fence[attempt]
+// newFence makes the fence of a worker. Tests of the model make faulty ones.
+type newFence func(Tokens) *Fence[attempt]
 
 type world struct {
-	workers  []*worker
-	places   []*place
-	term     uint64 // the last number taken
-	attempts int
-	running  map[int]bool // tasks that the leader has booked
-	commands []command    // all that were ever sent
-	reports  []heartbeat  // all that were ever made
-	window   int
-	most     int // attempts that a worker may have had to remember
-	faults   []string
-	make     fences
-}
-
-func newWorld(workers, window int, make fences) *world {
-	w := &world{window: window, make: make}
+	workers     []*worker
+	views       []*workerView
+	term        uint64 // the last token of the present term
+	attempts    int
+	active      map[int]bool // tasks that the leader has on a worker
+	commands    []command    // every command ever sent
+	heartbeats  []heartbeat  // every heartbeat ever made
+	window      int
+	maxRetained int // the most attempts that a worker had to retain
+	faults      []string
+	newFence    newFence
+}
+
+func newWorld(workers, window int, newFence newFence) *world {
+	w := &world{window: window, newFence: newFence}
 	for range workers {
-		w.workers = append(w.workers, &worker{session: 1, tasks: map[attempt]bool{}, forgotten: map[attempt]bool{}})
+		w.workers = append(w.workers, &worker{incarnation: 1, running: make(map[attempt]bool), forgotten: make(map[attempt]bool)})
 	}
-	w.lead()
+	w.changeLeader()
 	return w
 }
 
-// lead begins a term. The attempts of the one before are counted as lost: in this model a new
-// leader waits for proof that all of them are gone, which sessions give.
-func (w *world) lead() {
+func (w *world) fault(format string, args ...any) {
+	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+}
+
+// changeLeader begins a term. Attempts of the term before are lost: in this model a new leader starts
+// from proof that all of them are gone, which new incarnations give.
+func (w *world) changeLeader() {
 	tokens := TermTokens(w.term + 1)
 	w.term = tokens.Last
-	w.places, w.running = nil, make(map[int]bool)
+	w.views, w.active = nil, make(map[int]bool)
 	for _, worker := range w.workers {
-		w.endSession(worker)
-		w.places = append(w.places, &place{fence: w.make(tokens), booked: map[attempt]uint64{}})
+		worker.restart()
+		w.views = append(w.views, &workerView{fence: w.newFence(tokens), reserved: make(map[attempt]uint64)})
 	}
 }
 
-func (w *world) endSession(worker *worker) {
-	worker.session++
+// restart begins the worker's next incarnation.
+func (worker *worker) restart() {
+	worker.incarnation++
 	worker.seq = 0
-	clear(worker.tasks)
+	clear(worker.running)
 }
 
-// start books a task and commands its start, directly or with the answer to a report.
+// start reserves an attempt of a task on a worker. It is started by a direct command, or else by the
+// response to a heartbeat.
 func (w *world) start(task, on int, direct bool) {
-	p := w.places[on]
-	if w.running[task] || !p.heard {
+	view := w.views[on]
+	if w.active[task] || !view.tokenShown {
 		return
 	}
-	w.running[task] = true
+	w.active[task] = true
 	w.attempts++
 	a := attempt{task, w.attempts}
-	if !direct || p.fence.Full() {
-		p.booked[a] = 0
+	if !direct || view.fence.Full() {
+		view.reserved[a] = 0
 		return
 	}
-	p.booked[a] = p.fence.Token()
-	w.commands = append(w.commands, command{on, p.fence.Token(), p.session, a})
+	view.reserved[a] = view.fence.Token()
+	w.commands = append(w.commands, command{on, view.fence.Token(), view.incarnation, a})
 }
 
-// deliver carries out a direct command, however old, and returns the worker's report.
+// deliver has the worker receive a direct command, however old it is.
 func (w *world) deliver(c command) {
 	worker := w.workers[c.worker]
-	if c.token < worker.token || c.session != worker.session {
+	if c.token < worker.token || c.incarnation != worker.incarnation {
 		return
 	}
 	worker.token = c.token
 	w.begin(worker, c.attempt)
 }
 
+// begin runs an attempt on a worker, unless the worker knows it already, and checks the invariants.
 func (w *world) begin(on *worker, a attempt) {
-	if _, known := on.tasks[a]; known {
+	if _, known := on.running[a]; known {
 		return
 	}
 	if on.forgotten[a] {
-		w.faults = append(w.faults, fmt.Sprintf("attempt %v runs after it was forgotten", a))
+		w.fault("attempt %v runs after it was forgotten", a)
 	}
 	for _, other := range w.workers {
-		for b, runs := range other.tasks {
+		for b, runs := range other.running {
 			if runs && b.task == a.task {
-				w.faults = append(w.faults, fmt.Sprintf("task %d is on two machines", a.task))
+				w.fault("task %d is on two machines", a.task)
 			}
 		}
 	}
-	on.tasks[a] = true
+	on.running[a] = true
 }
 
-// finish ends all tasks of a worker.
+// finish ends all attempts on a worker.
 func (w *world) finish(on int) {
-	for a := range w.workers[on].tasks {
-		w.workers[on].tasks[a] = false
+	for a := range w.workers[on].running {
+		w.workers[on].running[a] = false
 	}
 }
 
-func (w *world) report(on int) heartbeat {
+// heartbeat makes a worker's next heartbeat.
+func (w *world) heartbeat(on int) heartbeat {
 	worker := w.workers[on]
 	worker.seq++
-	r := heartbeat{worker: on, session: worker.session, seq: worker.seq, token: worker.token}
-	for a, runs := range worker.tasks {
+	h := heartbeat{worker: on, incarnation: worker.incarnation, seq: worker.seq, token: worker.token}
+	for a, runs := range worker.running {
 		if runs {
-			r.live = append(r.live, a)
+			h.live = append(h.live, a)
 		} else {
-			r.ended = append(r.ended, a)
+			h.ended = append(h.ended, a)
 		}
 	}
-	w.reports = append(w.reports, r)
-	return r
+	w.heartbeats = append(w.heartbeats, h)
+	return h
 }
 
-// receive has the leader take in a report; heard tells that its answer reaches the worker.
-func (w *world) receive(r heartbeat, heard bool) {
-	p, worker := w.places[r.worker], w.workers[r.worker]
-	if r.session < p.session || r.session == p.session && r.seq <= p.seq {
+// receive has the leader process a heartbeat. answered: its response reaches the worker.
+func (w *world) receive(h heartbeat, answered bool) {
+	view, worker := w.views[h.worker], w.workers[h.worker]
+	if h.incarnation < view.incarnation || h.incarnation == view.incarnation && h.seq <= view.seq {
 		return // a late copy
 	}
-	if r.session > p.session {
-		for a := range p.booked {
-			w.release(p, a)
+	if h.incarnation > view.incarnation {
+		for a := range view.reserved {
+			w.release(view, a)
 		}
-		p.fence.IncarnationEnded()
-	}
-	p.session, p.seq = r.session, r.seq
-	p.fence.ObserveToken(r.token)
-	p.heard = p.heard || p.fence.tokens.Contains(r.token)
-	for _, a := range r.ended {
-		if _, booked := p.booked[a]; booked {
-			if started := p.booked[a]; started != 0 {
-				p.fence.Retain(a, started)
+		view.fence.IncarnationEnded()
+	}
+	view.incarnation, view.seq = h.incarnation, h.seq
+	view.fence.ObserveToken(h.token)
+	view.tokenShown = view.tokenShown || view.fence.tokens.Contains(h.token)
+	for _, a := range h.ended {
+		if started, reserved := view.reserved[a]; reserved {
+			if started != 0 {
+				view.fence.Retain(a, started)
 			}
-			w.release(p, a)
+			w.release(view, a)
 		}
 	}
-	w.most = max(w.most, p.fence.Retained())
-	p.fence.RaiseIfDue(w.window, false)
-	if token := p.fence.Token(); heard && r.session == worker.session && token >= worker.token {
+	w.maxRetained = max(w.maxRetained, view.fence.Retained())
+	view.fence.RaiseIfDue(w.window, false)
+	if token := view.fence.Token(); answered && h.incarnation == worker.incarnation && token >= worker.token {
 		worker.token = token
-		w.carryOut(p, worker, r)
+		w.respond(view, worker, h)
 	}
 }
 
-// carryOut executes the orders of an answer.
-func (w *world) carryOut(p *place, worker *worker, r heartbeat) {
-	for a := range p.booked {
+// respond has the worker carry out the response to a heartbeat: it starts the reserved attempts and
+// forgets ended ones that it need not retain.
+func (w *world) respond(view *workerView, worker *worker, h heartbeat) {
+	for a := range view.reserved {
 		w.begin(worker, a)
 	}
-	for _, a := range r.ended {
-		if _, booked := p.booked[a]; !booked && !p.fence.MustRetain(a) {
-			delete(worker.tasks, a)
+	for _, a := range h.ended {
+		if _, reserved := view.reserved[a]; !reserved && !view.fence.MustRetain(a) {
+			delete(worker.running, a)
 			worker.forgotten[a] = true
 		}
 	}
 }
 
-func (w *world) release(p *place, a attempt) {
-	delete(p.booked, a)
-	w.running[a.task] = false
+// release drops the leader's reservation of an attempt.
+func (w *world) release(view *workerView, a attempt) {
+	delete(view.reserved, a)
+	w.active[a.task] = false
 }
 
-// step takes one step of the world, drawn by choose, which returns a number below n.
+// step takes one random step. choose returns a number from 0 to n-1.
 func (w *world) step(choose func(n int) int) {
 	on := choose(len(w.workers))
 	switch choose(12) {
 	case 0, 1, 2:
 		w.start(choose(4), on, choose(4) > 0)
 	case 3, 4:
-		if len(w.commands) > 0 { // any that was ever sent, again or for the first time
+		if len(w.commands) > 0 { // any command, delivered for the first time or again
 			w.deliver(w.commands[choose(len(w.commands))])
 		}
 	case 5:
@@ -221,95 +226,17 @@
 	case 6:
 		w.finish(on)
 	case 7, 8, 9:
-		w.receive(w.report(on), choose(4) > 0)
+		w.receive(w.heartbeat(on), choose(4) > 0)
 	case 10:
-		if len(w.reports) > 0 {
-			w.receive(w.reports[choose(len(w.reports))], false)
+		if len(w.heartbeats) > 0 {
+			w.receive(w.heartbeats[choose(len(w.heartbeats))], false)
 		}
 	case 11:
 		switch choose(12) {
 		case 0:
-			w.endSession(w.workers[on])
+			w.workers[on].restart()
 		case 1:
-			w.lead()
-		}
-	}
-}
-
-func TestNoAttemptRunsAfterItWasForgotten(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 3).Draw(t, "workers"), rapid.IntRange(1, 4).Draw(t, "window"), New[attempt])
-		t.Repeat(map[string]func(*rapid.T){
-			"step": func(t *rapid.T) {
-				w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
-			},
-			"": func(t *rapid.T) {
-				if len(w.faults) > 0 {
-					t.Fatal(w.faults[0])
-				}
-			},
-		})
-	})
-}
-
-// history plays one long history of the model.
-func history(seed uint64, make fences) *world {
-	random := rand.New(rand.NewPCG(seed, 1))
-	w := newWorld(2, 3, make)
-	for range 3000 {
-		w.step(random.IntN)
-	}
-	return w
-}
-
-// The model finds the fault of a fence that lets a worker forget too early, and none of the
-// right one, which keeps what a worker remembers small.
-func TestTheModelFindsAFenceThatForgetsTooEarly(t *testing.T) {
-	heedless := func(tokens Tokens) *Fence[attempt] {
-		f := New[attempt](tokens)
-		f.shown = tokens.Last // as if every command were dead already
-		return f
-	}
-	faults := 0
-	for seed := range uint64(50) {
-		faults += len(history(seed, heedless).faults)
-		w := history(seed, New[attempt])
-		if len(w.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, w.faults[0])
-		}
-		if w.most > MaxRetained/2 {
-			t.Errorf("seed %d: a worker remembers %d attempts", seed, w.most)
-		}
-	}
-	if faults == 0 {
-		t.Error("the model finds no fault")
-	}
-}
-
-func TestAFenceRaisesOnlyWhatTheWorkerHasShown(t *testing.T) {
-	f := New[int](Tokens{First: 10, Last: 12})
-	retain := func(n int) {
-		for i := range n {
-			f.Retain(100*int(f.Token())+i, f.Token())
+			w.changeLeader()
 		}
 	}
-	retain(4)
-	if f.RaiseIfDue(4, false) {
-		t.Error("raised before the worker has shown the token")
-	}
-	f.ObserveToken(10)
-	if f.RaiseIfDue(5, false) || f.RaiseIfDue(4, true) || !f.RaiseIfDue(4, false) || f.Token() != 11 {
-		t.Errorf("raised to %d", f.Token())
-	}
-	retain(4)
-	if f.ObserveToken(11); f.Retained() != 4 || f.MustRetain(1000) || !f.MustRetain(1100) {
-		t.Errorf("%d remembered", f.Retained())
-	}
-	f.ObserveToken(12) // a faulty worker takes one that it was never given
-	if retain(MaxRetained); f.Token() != 12 || !f.Exhausted() || f.RaiseIfDue(1, false) || !f.Full() {
-		t.Errorf("token %d, %d remembered", f.Token(), f.Retained())
-	}
-	if f.IncarnationEnded(); f.Full() || f.Retained() != 0 {
-		t.Error("remembered over sessions")
-	}
 }
