--- /dev/null
+++ b/internal/upgrade/activation.go
@@ -0,0 +1,81 @@
+package upgrade
+
+// activateNext activates the version after the active one, once every controller supports it and the
+// operators' policy allows it.
+func activateNext(s *Situation) Step {
+	next := s.Record.Active + 1
+	switch {
+	case next > s.Versions.Max:
+		return Step{}
+	case s.Policy.Hold:
+		return wait("version %d is held back by upgrade.target", next)
+	case s.Policy.Target != 0 && next > s.Policy.Target:
+		return wait("version %d is beyond upgrade.target %d", next, s.Policy.Target)
+	}
+	if node := undeterminedMember(s.Members); node != "" {
+		return wait("version %d: the versions of node %s are not known", next, node)
+	}
+	if node, commonVersion := s.commonVersion(); commonVersion < next {
+		return wait("version %d: node %s is of version %d", next, node, commonVersion)
+	}
+	for i := range s.Members {
+		if versions, _ := s.Members[i].Versions(); !versions.Contains(next) {
+			return wait("version %d: node %s reads versions %s only", next, s.Members[i].Node, versions)
+		}
+	}
+	record := s.Record.clone()
+	record.Active, record.Phase, record.ActivatedMS = next, Soaking, s.Now.UnixMilli()
+	s.openEligibleGates(&record)
+	return s.change(record, "version %d active", next)
+}
+
+// openGates opens the gates of the active version that became eligible after its activation.
+func openGates(s *Situation) Step {
+	record := s.Record.clone()
+	opened := s.openEligibleGates(&record)
+	if len(opened) == 0 {
+		return Step{}
+	}
+	return s.change(record, "gates %v open", opened)
+}
+
+// openEligibleGates opens the closed gates of a record that are eligible, and returns them. It opens
+// none while the versions of a member aren't known.
+func (s *Situation) openEligibleGates(record *Record) (opened []GateName) {
+	if undeterminedMember(s.Members) != "" {
+		return nil
+	}
+	for _, gate := range s.Known {
+		if !s.eligible(record, gate) {
+			continue
+		}
+		record.Gates[gate.Name] = GateState{Since: gate.Since, Phase: GateOpen}
+		opened = append(opened, gate.Name)
+	}
+	record.raiseFence()
+	return opened
+}
+
+// eligible reports whether a gate of a record may be opened: it is closed, the active version and
+// every controller have it, and the gates that it depends on are open. The gate of the fence also
+// requires that every controller obeys the record.
+func (s *Situation) eligible(record *Record, gate Gate) bool {
+	if _, present := record.Gates[gate.Name]; present {
+		return false
+	}
+	_, commonVersion := s.commonVersion()
+	if gate.Since > min(record.Active, commonVersion) || !dependenciesOpen(record, gate) {
+		return false
+	}
+	return gate.Name != FencedTerm || allObeyRecord(s.Members)
+}
+
+// dependenciesOpen reports whether the gates that a gate depends on are open.
+func dependenciesOpen(record *Record, gate Gate) bool {
+	for _, name := range gate.DependsOn {
+		if record.Gates[name].Phase != GateOpen {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/upgrade/admission.go
+++ b/internal/upgrade/admission.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// TooOldError tells that a finalized version refuses this program.
+// TooOldError reports that this program is older than the finalized version.
 type TooOldError struct{ Has, Needs Version }
 
 func (e *TooOldError) Error() string {
 	return fmt.Sprintf("this program is of version %d, but version %d is finalized: version %d or later is needed", e.Has, e.Needs, e.Needs)
 }
 
-// TooNewError tells that the active version is one that this program no longer reads.
+// TooNewError reports that this program can no longer read the active version.
 type TooNewError struct {
 	Supports Range
 	Active   Version
@@ -22,15 +22,15 @@
 	return fmt.Sprintf("this program reads versions %s, but version %d is active: upgrade to version %d first", e.Supports, e.Active, e.Supports.Min)
 }
 
-// TargetError tells that the operators' target lies below the active version.
+// TargetError reports that the operators' target is below the active version.
 type TargetError struct{ Target, Active Version }
 
 func (e *TargetError) Error() string {
 	return fmt.Sprintf("upgrade.target: version %d is below version %d, which is active", e.Target, e.Active)
 }
 
-// UnreadableGateError tells that something may depend on a gate that this program doesn't
-// know, so that it must not lead.
+// UnreadableGateError reports that this program must not lead, because something may depend on a gate
+// that it doesn't know.
 type UnreadableGateError struct {
 	Gate  GateName
 	Since Version
@@ -40,8 +40,9 @@
 	return fmt.Sprintf("gate %s is in use: a controller of version %d or later must lead, or withdraw it", e.Gate, e.Since)
 }
 
-// Admit tells whether a process of these versions may serve beside the record at all. An
-// error is final for the process: it must end and say why.
+// Admit checks whether a process with this compatibility range and policy may take part in the fleet.
+// It returns a *TooOldError, a *TooNewError or a *TargetError if not. The process must then end with
+// that error: see IsRefusal.
 func Admit(r Record, versions Range, policy Policy) error {
 	switch {
 	case versions.Max < r.Minimum:
@@ -54,9 +55,9 @@
 	return nil
 }
 
-// MayLead tells whether a process may lead: it reads all that may have been written under
-// the gates. A gate that was never used doesn't keep an older version from leading, for
-// nothing depends on it yet.
+// MayLead checks whether a process may lead, which it may if it can read everything that may have been
+// written under the gates. A gate that isn't in use is no obstacle, because nothing depends on it.
+// MayLead returns an *UnreadableGateError if the process must not lead.
 func MayLead(r Record, versions Range, known GateList) error {
 	for _, name := range r.GateNames() {
 		g := r.Gates[name]
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// IsRefusal tells whether an error of Admit is the cause: the process must end.
+// IsRefusal reports whether err is, or wraps, an error of Admit, upon which the process must end.
 func IsRefusal(err error) bool {
 	var tooOld *TooOldError
 	var tooNew *TooNewError
--- a/internal/upgrade/decode_test.go
+++ b/internal/upgrade/decode_test.go
@@ -90,7 +90,7 @@
 		registration := NewRegistration("n0", "1", Supported)
 		step := Next(Situation{Record: record, Members: []Member{{Node: "n0", Registered: &registration}}, Versions: Supported, Known: Gates, Usage: Usage{}})
 		if step.Changed {
-			if reason := step.Record.inconsistent(); reason != "" {
+			if reason := step.Record.inconsistency(); reason != "" {
 				t.Fatalf("%s leads to a record that contradicts itself: %s", data, reason)
 			}
 		}
--- a/internal/upgrade/invariants_test.go
+++ b/internal/upgrade/invariants_test.go
@@ -29,7 +29,7 @@
 // checkState holds at all times.
 func (w *world) checkState() {
 	record := w.record()
-	if reason := record.inconsistent(); reason != "" {
+	if reason := record.inconsistency(); reason != "" {
 		w.fault("the record contradicts itself: %s", reason)
 	}
 	for name, n := range w.dependants {
@@ -117,11 +117,11 @@
 func (w *world) checkSettled(step Step) {
 	members := w.members()
 	record := w.record()
-	_, lowestMax, ok := lowest(members)
+	_, lowestMax, ok := oldestMember(members)
 	if ok && lowestMax < record.Active && record.Minimum < record.Active {
 		w.fault("version %d stays active beside version %d: %s", record.Active, lowestMax, step.Waiting)
 	}
-	if unknown(members) != "" || w.policy.Hold {
+	if undeterminedMember(members) != "" || w.policy.Hold {
 		return
 	}
 	want := lowestMax
--- a/internal/upgrade/member.go
+++ b/internal/upgrade/member.go
@@ -1,41 +1,53 @@
 package upgrade
 
-// Member is what the leader knows of one controller.
+// Member is what the leader knows of one controller of the fleet.
 type Member struct {
 	Node string
-	// Registered is its latest registration, of a process that may have ended long
-	// ago; nil: none is known.
+	// Registered is the controller's latest registration, whose process may have ended. nil: none is
+	// known.
 	Registered *Registration
-	// Damaged tells that its registration can't be understood.
+	// Damaged reports that the stored registration can't be decoded.
 	Damaged bool
-	// Unregistered is the version of a process that doesn't register, as it told
-	// its peers; 0: no such process was heard of. Such a process can't replace the
-	// registration, so the older of the two counts.
+	// Unregistered is the version of a process that doesn't register, as it has reported to its
+	// peers. 0: no such process is known. Such a process can't replace the registration, so the
+	// older of the two versions counts.
 	Unregistered Version
 }
 
-// Versions is the range that a member counts by; ok is false where it isn't known.
-// Silence changes nothing: a member counts by what it said last.
+// Versions returns the compatibility range that counts for the member, and whether it is known. It
+// doesn't depend on whether the member is reachable: its latest registration or report counts.
 func (m *Member) Versions() (versions Range, ok bool) {
 	switch {
-	case m.Unregistered != 0 && m.registered():
+	case m.Unregistered != 0 && m.hasRegistration():
 		return Range{Min: Baseline, Max: min(m.Unregistered, m.Registered.Max)}, true
 	case m.Unregistered != 0:
 		return Range{Min: Baseline, Max: m.Unregistered}, true
-	case m.registered():
+	case m.hasRegistration():
 		return m.Registered.Range, true
 	}
 	return Range{}, false
 }
 
-// registered tells whether there is a registration that can be read.
-func (m *Member) registered() bool { return m.Registered != nil && !m.Damaged }
+// hasRegistration reports whether there is a registration that can be decoded.
+func (m *Member) hasRegistration() bool { return m.Registered != nil && !m.Damaged }
 
-// registers tells whether the member obeys the cluster record.
-func (m *Member) registers() bool { return m.Unregistered == 0 && m.registered() }
+// obeysRecord reports whether the member is of a version that obeys the cluster record, which every
+// version that registers does.
+func (m *Member) obeysRecord() bool { return m.Unregistered == 0 && m.hasRegistration() }
 
-// lowest finds the member with the lowest newest version.
-func lowest(members []Member) (node string, version Version, ok bool) {
+// allObeyRecord reports whether every member obeys the cluster record.
+func allObeyRecord(members []Member) bool {
+	for i := range members {
+		if !members[i].obeysRecord() {
+			return false
+		}
+	}
+	return true
+}
+
+// oldestMember returns the member with the lowest maximum version. ok is false if no member's
+// versions are known.
+func oldestMember(members []Member) (node string, version Version, ok bool) {
 	for i := range members {
 		versions, known := members[i].Versions()
 		if known && (!ok || versions.Max < version) {
@@ -45,8 +57,8 @@
 	return node, version, ok
 }
 
-// unknown finds a member whose versions aren't known; "": there is none.
-func unknown(members []Member) string {
+// undeterminedMember returns the first member whose versions aren't known. "": there is none.
+func undeterminedMember(members []Member) (node string) {
 	for i := range members {
 		if _, ok := members[i].Versions(); !ok {
 			return members[i].Node
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -7,97 +7,53 @@
 	"slices"
 )
 
-// recordSchema is the shape of the cluster record and of registrations that this program
-// knows. Fields may be added within a schema; a larger one can't be understood.
+// recordSchema is the schema of the cluster record and of registrations. Fields may be added within
+// a schema; a value of a higher schema can't be decoded.
 const recordSchema = 1
 
-// Phase tells where an upgrade stands.
+// Phase is the phase of an upgrade.
 type Phase string
 
 // The phases of the cluster record.
 const (
-	Stable      Phase = "stable"      // at the baseline: nothing was activated yet
-	Soaking     Phase = "soaking"     // activated; any controller may still go back
-	Withdrawing Phase = "withdrawing" // gates are being withdrawn for an older controller
-	Finalized   Phase = "finalized"   // older versions than the active one are refused
+	Stable      Phase = "stable"      // the baseline is active: no version was activated yet
+	Soaking     Phase = "soaking"     // a version is active, and may still be rolled back
+	Withdrawing Phase = "withdrawing" // gates are being withdrawn because a controller was rolled back
+	Finalized   Phase = "finalized"   // versions below the active one are refused
 )
 
-// GatePhase tells whether a gate may be used. A gate that isn't in the record is closed.
-type GatePhase string
-
-// The phases of a gate.
-const (
-	GateOpen        GatePhase = "open"
-	GateWithdrawing GatePhase = "withdrawing"
-)
-
-// GateState is a gate in the cluster record.
-type GateState struct {
-	Since Version   `json:"since"`
-	Phase GatePhase `json:"phase"`
-	// Used tells that something may depend on the gate. Until then even a version
-	// that doesn't know the gate may lead, and withdraw it.
-	Used bool `json:"used,omitempty"`
-
-	unknown UnknownFields
-}
-
-// plainGateState is GateState without its methods.
-type plainGateState GateState
-
-// MarshalJSON writes the state with the unknown fields that it was read with.
-func (g GateState) MarshalJSON() ([]byte, error) {
-	known, err := json.Marshal(plainGateState(g))
-	if err != nil {
-		return nil, err
-	}
-	return g.unknown.AddTo(known)
-}
-
-// UnmarshalJSON reads a state and keeps the fields that it doesn't know.
-func (g *GateState) UnmarshalJSON(data []byte) error {
-	var plain plainGateState
-	if err := json.Unmarshal(data, &plain); err != nil {
-		return err
-	}
-	unknown, err := FindUnknown(data, gateFields)
-	if err != nil {
-		return err
-	}
-	*g = GateState(plain)
-	g.unknown = unknown
-	return nil
-}
-
-// Usable tells whether new dependants of the gate may be made.
-func (g GateState) Usable() bool { return g.Phase == GateOpen && g.Used }
-
-// Record is the cluster record: what is in force. Only the leader writes it.
+// Record is the cluster record: the active version and the state of the gates. Only the leader
+// writes it.
 type Record struct {
 	Schema int     `json:"schema"`
 	Active Version `json:"active"`
-	// Minimum is the finalized version; older controllers are refused. 0: none yet.
+	// Minimum is the finalized version, below which controllers are refused. 0: none is finalized.
 	Minimum Version                `json:"minimum,omitempty"`
 	Phase   Phase                  `json:"phase"`
 	Gates   map[GateName]GateState `json:"gates,omitempty"`
-	// Fence is the version below which a controller that doesn't register must not
-	// take the lead. 0: none is kept from it.
+	// Fence is the version below which a controller that doesn't register must not lead. 0: there
+	// is no such limit.
 	Fence Version `json:"fence,omitempty"`
-	Term  uint64  `json:"term"` // of the leader that wrote it
-	// ActivatedMS is the time of day of the latest activation, which the soak
-	// counts from.
+	Term  uint64  `json:"term"` // term of the leader that wrote the record
+	// ActivatedMS is the time of the latest activation, in Unix milliseconds. The soak starts then.
 	ActivatedMS int64 `json:"activated_ms,omitempty"`
 
-	unknown UnknownFields
+	unknownFields UnknownFields
 }
 
-// Initial is the record where none is stored.
+// recordFields are the JSON names of the fields of a Record that this program knows.
+var recordFields = FieldNames(Record{})
+
+// Initial returns the record that applies where none is stored.
 func Initial() Record { return Record{Schema: recordSchema, Active: Baseline, Phase: Stable} }
 
-// Gate returns a gate's state; the zero state is closed.
+// Gate returns the state of a gate, which is the zero state if the gate is closed.
 func (r Record) Gate(name GateName) GateState { return r.Gates[name] }
 
-// clone returns a copy that may be changed.
+// GateNames returns the names of the record's gates, sorted.
+func (r *Record) GateNames() []GateName { return slices.Sorted(maps.Keys(r.Gates)) }
+
+// clone returns a copy whose gates may be changed.
 func (r *Record) clone() Record {
 	out := *r
 	out.Gates = maps.Clone(r.Gates)
@@ -107,36 +63,39 @@
 	return out
 }
 
-// GateNames lists the gates of the record in order.
-func (r *Record) GateNames() []GateName { return slices.Sorted(maps.Keys(r.Gates)) }
-
-// DamagedError tells that a stored value can't be understood. Nothing is guessed from it.
-type DamagedError struct {
-	Key    string
-	Reason string
+// settledPhase returns the phase of the record once no withdrawal is under way.
+func (r *Record) settledPhase() Phase {
+	switch {
+	case r.Active == r.Minimum:
+		return Finalized
+	case r.Active == Baseline:
+		return Stable
+	}
+	return Soaking
 }
 
-func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
-
-// recordFields and gateFields name the fields that are known.
-var (
-	recordFields = FieldNames(Record{})
-	gateFields   = FieldNames(GateState{})
-)
-
-// plainRecord is Record without its methods.
+// plainRecord is Record without its methods, for encoding/json.
 type plainRecord Record
 
-// MarshalJSON writes the record with the unknown fields that it was read with.
+// MarshalJSON encodes the record together with the unknown fields that it was decoded with.
 func (r Record) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(plainRecord(r))
 	if err != nil {
 		return nil, err
 	}
-	return r.unknown.AddTo(known)
+	return r.unknownFields.AddTo(known)
 }
 
-// DecodeRecord reads the cluster record, stored under key.
+// DamagedError reports that a stored value can't be decoded. No part of such a value is used.
+type DamagedError struct {
+	Key    string
+	Reason string
+}
+
+func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
+
+// DecodeRecord decodes the cluster record, stored under key. It returns a *DamagedError if the value
+// is no valid record. Fields that this program doesn't know are kept.
 func DecodeRecord(key string, data []byte) (Record, error) {
 	damaged := func(format string, args ...any) (Record, error) {
 		return Record{}, &DamagedError{Key: key, Reason: fmt.Sprintf(format, args...)}
@@ -153,15 +112,15 @@
 	if r.Schema != recordSchema {
 		return damaged("schema %d is not known, only %d", r.Schema, recordSchema)
 	}
-	if reason := r.inconsistent(); reason != "" {
+	if reason := r.inconsistency(); reason != "" {
 		return damaged("%s", reason)
 	}
-	r.unknown = unknown
+	r.unknownFields = unknown
 	return r, nil
 }
 
-// inconsistent tells what contradicts itself in a record; "": nothing.
-func (r *Record) inconsistent() string {
+// inconsistency describes a contradiction within the record. "": there is none.
+func (r *Record) inconsistency() string {
 	switch {
 	case r.Active < Baseline:
 		return fmt.Sprintf("the active version %d is below %d", r.Active, Baseline)
@@ -183,34 +142,3 @@
 	}
 	return ""
 }
-
-// Registration is what a controller's process says of itself, stored until the next
-// process of that controller replaces it.
-type Registration struct {
-	Schema  int    `json:"schema"`
-	Node    string `json:"node"`
-	Session string `json:"session"` // unlike any other process's
-	Range
-}
-
-// NewRegistration makes the registration of a process.
-func NewRegistration(node, session string, versions Range) Registration {
-	return Registration{Schema: recordSchema, Node: node, Session: session, Range: versions}
-}
-
-// DecodeRegistration reads the registration of a node, stored under key.
-func DecodeRegistration(key, node string, data []byte) (Registration, error) {
-	var reg Registration
-	if err := json.Unmarshal(data, &reg); err != nil {
-		return Registration{}, &DamagedError{Key: key, Reason: "it is no registration"}
-	}
-	switch {
-	case reg.Schema != recordSchema:
-		return Registration{}, &DamagedError{Key: key, Reason: fmt.Sprintf("schema %d is not known, only %d", reg.Schema, recordSchema)}
-	case reg.Node != node:
-		return Registration{}, &DamagedError{Key: key, Reason: fmt.Sprintf("it names node %q", reg.Node)}
-	case !reg.valid():
-		return Registration{}, &DamagedError{Key: key, Reason: fmt.Sprintf("versions %s make no range", reg.Range)}
-	}
-	return reg, nil
-}
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -5,24 +5,25 @@
 	"encoding/json"
 )
 
-// Term is the value of the term record. Versions that don't register read a bare number
-// only, and take no lead when they find anything else. So a term that carries a fence
-// keeps them from leading, whatever they believe.
+// Term is the value of the term record. Versions that don't register can read only a bare number, and
+// don't lead when they find anything else. A term with a fence is therefore stored as an object,
+// which keeps them from leading whatever they know of the cluster record.
 type Term struct {
 	Number uint64  `json:"t"`
-	Fence  Version `json:"fence"` // 0: the term is written as a bare number
+	Fence  Version `json:"fence"` // 0: the term is stored as a bare number
 }
 
-// MarshalJSON writes a bare number unless there is a fence.
+// MarshalJSON encodes the term as a bare number, or as an object if it has a fence.
 func (t Term) MarshalJSON() ([]byte, error) {
 	if t.Fence == 0 {
 		return json.Marshal(t.Number)
 	}
-	type fenced Term
-	return json.Marshal(fenced(t))
+	type fencedTerm Term
+	return json.Marshal(fencedTerm(t))
 }
 
-// DecodeTerm reads either form of the term, stored under key.
+// DecodeTerm decodes either form of the term, stored under key. It returns a *DamagedError if the
+// value is neither.
 func DecodeTerm(key string, data []byte) (Term, error) {
 	if trimmed := bytes.TrimSpace(data); len(trimmed) == 0 || trimmed[0] != '{' {
 		var number *uint64
--- a/internal/upgrade/unknown_fields.go
+++ b/internal/upgrade/unknown_fields.go
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// UnknownFields are the fields of a JSON object that this program doesn't know. A later
-// version wrote them; whoever rewrites the object must not lose them.
+// UnknownFields are the fields of a JSON object that this program doesn't know, because a later
+// version wrote them. They must be kept when the object is rewritten.
 type UnknownFields map[string]json.RawMessage
 
-var errNoObject = errors.New("it is no JSON object")
+var errNotAnObject = errors.New("it is no JSON object")
 
-// FieldNames lists the JSON names of a struct's exported fields.
-func FieldNames(of any) []string {
+// FieldNames returns the names in the json tags of a struct's fields.
+func FieldNames(structValue any) []string {
 	var names []string
-	t := reflect.TypeOf(of)
+	t := reflect.TypeOf(structValue)
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
 		if name != "" && name != "-" {
@@ -29,13 +29,13 @@
 	return names
 }
 
-// FindUnknown returns the fields of an object that aren't among the known ones; nil if
-// there are none. A field that differs from a known one by upper and lower case only is
-// an error: a reader might take either for the other.
+// FindUnknown returns the fields of an encoded object that aren't among the known ones, or nil if there
+// are none. It returns an error if the value is no object, or if a field differs from a known one in
+// case only, because encoding/json would decode either into the same field.
 func FindUnknown(object []byte, known []string) (UnknownFields, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(object, &fields); err != nil || fields == nil {
-		return nil, errNoObject
+		return nil, errNotAnObject
 	}
 	for _, name := range known {
 		delete(fields, name)
@@ -51,7 +51,7 @@
 	return fields, nil
 }
 
-// AddTo writes the fields into an encoded object that lacks them.
+// AddTo adds the fields to an encoded object that doesn't contain them.
 func (u UnknownFields) AddTo(object []byte) ([]byte, error) {
 	if len(u) == 0 {
 		return object, nil
