--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -1,37 +1,44 @@
 package upgrade
 
 import (
-	"errors"
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-// upgradedWorld is a fleet of three whose controllers all register this version, led by n0
-// with all that it can have in force.
-func upgradedWorld(t *testing.T, policy Policy) *world {
-	t.Helper()
+// startRegistered replaces a node's process by one that registers.
+func (w *world) startRegistered(node string, versions Range) {
+	w.restart(node, versions, true)
+	w.register(node)
+}
+
+// newRegisteredWorld returns a fleet of three controllers that all register, led by n0.
+func newRegisteredWorld(versions Range, policy Policy) *world {
 	w := newWorld(3, policy)
 	for _, node := range w.nodes {
-		w.restart(node, Supported, true)
-		w.register(node)
+		w.startRegistered(node, versions)
 	}
-	w.takeLead("n0")
+	w.acquireLeadership("n0")
+	return w
+}
+
+// newUpgradedWorld returns a fleet of this program's controllers, led by n0, with the current version
+// active and its gates open.
+func newUpgradedWorld(t *testing.T, policy Policy) *world {
+	t.Helper()
+	w := newRegisteredWorld(Supported, policy)
 	w.runSteps(t)
-	if r := w.record(); r.Active != Current || !r.Gate(GangJobs).phaseOpen() || !r.Gate(FencedTerm).phaseOpen() {
-		t.Fatalf("not in force: %+v", r)
+	if r := w.record(); r.Active != Current || r.Gate(GangJobs).Phase != GateOpen || r.Gate(FencedTerm).Phase != GateOpen {
+		t.Fatalf("the current version isn't active with open gates: %+v", r)
 	}
 	return w
 }
 
-func (g GateState) phaseOpen() bool { return g.Phase == GateOpen }
-
-// runSteps takes steps until the leader waits, and returns what for.
+// runSteps has the leader take steps until it waits, and returns what it waits for.
 func (w *world) runSteps(t *testing.T) (waiting string) {
 	t.Helper()
-	for range settleSteps {
+	for range maxSettleSteps {
 		w.refresh()
 		step, _ := w.step(answered)
 		w.checkState()
@@ -42,258 +49,215 @@
 			return step.Waiting
 		}
 	}
-	t.Fatalf("not settled: %+v", w.record())
+	t.Fatalf("not settled after %d steps: %+v", maxSettleSteps, w.record())
 	return ""
 }
 
-// Silence activates nothing: a controller that has never registered, or whose registration
-// is damaged, holds the activation up; one that is silent counts by what it said last.
-func TestSilenceActivatesNothing(t *testing.T) {
-	w := newWorld(3, Policy{})
-	for _, node := range w.nodes[:2] {
-		w.restart(node, Supported, true)
-		w.register(node)
+// changeLeader ends the present leader's term, and begins one of a node's process if it may lead.
+func (w *world) changeLeader(node string) {
+	w.endLeadership()
+	w.acquireLeadership(node)
+}
+
+// addFirstDependant marks a gate as used and adds a dependant of it.
+func (w *world) addFirstDependant(name GateName) {
+	w.addDependant(name, answered)
+	w.addDependant(name, answered)
+}
+
+// singleMember returns a situation with one controller, which supports the given versions, and a leader
+// of this program.
+func singleMember(record Record, versions Range) Situation {
+	registration := NewRegistration("n0", "1", versions)
+	return Situation{
+		Record:   record,
+		Members:  []Member{{Node: "n0", Registered: &registration}},
+		Versions: Supported, Known: Gates,
+		Now: time.Unix(1, 0),
 	}
-	w.takeLead("n0")
+}
+
+// A controller without a registration that can be decoded holds an activation up. One that has stopped
+// counts by its latest registration.
+func TestActivationWaitsForRegistrations(t *testing.T) {
+	w := newWorld(3, Policy{})
+	w.startRegistered("n0", Supported)
+	w.startRegistered("n1", Supported)
+	w.acquireLeadership("n0")
 	if waiting := w.runSteps(t); w.record().Active != Baseline || !strings.Contains(waiting, "n2") {
-		t.Errorf("version %d active, waits for %q", w.record().Active, waiting)
+		t.Errorf("n2 not registered: got version %d active, waiting for %q, want %d, waiting for n2", w.record().Active, waiting, Baseline)
 	}
-	w.revision++
-	w.keys[modelRegistration+"n2"] = stored{[]byte(`{"schema":9}`), w.revision}
+	w.put(registrationPrefix+"n2", []byte(`{"schema":9}`))
 	if waiting := w.runSteps(t); w.record().Active != Baseline || !strings.Contains(waiting, "n2") {
-		t.Errorf("version %d active beside a damaged registration, waits for %q", w.record().Active, waiting)
+		t.Errorf("registration of n2 damaged: got version %d active, waiting for %q, want %d, waiting for n2", w.record().Active, waiting, Baseline)
 	}
-	w.restart("n2", Supported, true)
-	w.register("n2")
-	w.kill("n2")
+	w.startRegistered("n2", Supported)
+	w.stop("n2")
 	if w.runSteps(t); w.record().Active != Current {
-		t.Errorf("version %d active", w.record().Active)
+		t.Errorf("n2 registered and stopped: got version %d active, want %d", w.record().Active, Current)
 	}
 }
 
-// Found by TestHistories: a withdrawal that waited for its gate's uses was taken back at
-// once, and began again, for ever.
-func TestAWithdrawalThatWaitsIsNotTakenBack(t *testing.T) {
-	w := upgradedWorld(t, Policy{})
-	w.depend(CompressedChunks, answered)
-	w.depend(CompressedChunks, answered)
-	w.restart("n1", Range{1, 1}, true)
-	w.register("n1")
+func TestPolicyLimitsActivationAndFinalization(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		policy      Policy
+		wantActive  Version
+		wantMinimum Version
+		wantWaiting string
+	}{
+		{"hold", Policy{Hold: true, AutoFinalize: true}, 1, 0, "held back by upgrade.target"},
+		{"target", Policy{Target: 2}, 2, 0, "beyond upgrade.target 2"},
+		{"no finalization", Policy{}, Current, 0, "held back by upgrade.finalize"},
+		{"soak", Policy{AutoFinalize: true, Soak: time.Hour}, Current, 0, "soaks until"},
+		{"soaked", Policy{AutoFinalize: true}, Current, Current, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			w := newRegisteredWorld(Supported, c.policy)
+			waiting := w.runSteps(t)
+			if r := w.record(); r.Active != c.wantActive || r.Minimum != c.wantMinimum {
+				t.Errorf("got version %d active, %d finalized, want %d, %d", r.Active, r.Minimum, c.wantActive, c.wantMinimum)
+			}
+			if !strings.Contains(waiting, c.wantWaiting) {
+				t.Errorf("waiting: got %q, want it to contain %q", waiting, c.wantWaiting)
+			}
+		})
+	}
+}
+
+// Leaders with different targets don't undo each other's activations.
+func TestLowerTargetDoesNotRollBack(t *testing.T) {
+	w := newUpgradedWorld(t, Policy{})
+	w.policy = Policy{Hold: true}
+	w.changeLeader("n1")
+	if w.runSteps(t); w.record().Active != Current {
+		t.Errorf("after a leader that holds: got version %d active, want %d", w.record().Active, Current)
+	}
+}
+
+// Found by TestInvariantsHoldInRandomHistories: a withdrawal that waited for the gate's uses was
+// cancelled at once and started again, without end.
+func TestWaitingWithdrawalIsNotCancelled(t *testing.T) {
+	w := newUpgradedWorld(t, Policy{})
+	w.addFirstDependant(CompressedChunks)
+	w.startRegistered("n1", Range{1, 1})
 	waiting := w.runSteps(t)
 	if r := w.record(); r.Phase != Withdrawing || r.Gate(CompressedChunks).Phase != GateWithdrawing || !strings.Contains(waiting, "1 uses") {
-		t.Errorf("%+v waits for %q", r, waiting)
+		t.Errorf("with one use left: got %+v, waiting for %q, want a withdrawal waiting for 1 uses", r, waiting)
 	}
 	w.dependants[CompressedChunks] = 0
 	if w.runSteps(t); w.record().Active != Version1 || w.record().Phase != Stable {
-		t.Errorf("%+v", w.record())
+		t.Errorf("with no use left: got %+v, want version %d stable", w.record(), Version1)
 	}
 }
 
-// Found by TestHistories: a process of version 2 that doesn't register had the fence of a
-// finalized version lowered, and an unregistered version 1 led after it.
-func TestAFinalizedVersionKeepsItsFence(t *testing.T) {
-	w := newWorld(3, Policy{AutoFinalize: true})
-	for _, node := range w.nodes {
-		w.restart(node, Range{1, 2}, true)
-		w.register(node)
-	}
-	w.takeLead("n0")
+// Found by TestInvariantsHoldInRandomHistories: a process of version 2 that doesn't register had the
+// fence of a finalized version removed, and then an unregistered version 1 led.
+func TestFinalizedVersionKeepsFence(t *testing.T) {
+	w := newRegisteredWorld(Range{1, 2}, Policy{AutoFinalize: true})
 	w.runSteps(t)
 	if w.record().Minimum != Version2 {
 		t.Fatalf("not finalized: %+v", w.record())
 	}
 	w.restart("n1", Range{1, 2}, false)
-	w.hear("n1")
+	w.exchangeVersions("n1")
 	w.runSteps(t)
 	w.restart("n1", Range{1, 1}, false)
-	w.deposeLeader()
-	w.takeLead("n1")
-	if w.legacyLeader != nil {
+	w.changeLeader("n1")
+	if w.unregisteredLeader != nil {
 		t.Error("a process that doesn't register leads below the finalized version")
 	}
-	w.takeLead("n0")
-	w.hear("n1")
-	if w.runSteps(t); w.record().Active != Version2 || !w.record().Gate(GangJobs).phaseOpen() {
-		t.Errorf("withdrawn for a process that is refused: %+v", w.record())
+	w.acquireLeadership("n0")
+	w.exchangeVersions("n1")
+	if w.runSteps(t); w.record().Active != Version2 || w.record().Gate(GangJobs).Phase != GateOpen {
+		t.Errorf("rolled back for a process that is refused: %+v", w.record())
 	}
 }
 
-// Found by TestHistories: a node whose older registration still stood counted by what its
-// process told that doesn't register.
-func TestTheOlderOfTwoClaimsCounts(t *testing.T) {
-	registration := NewRegistration("n0", "1", Range{1, 1})
-	m := Member{Node: "n0", Registered: &registration, Unregistered: Version2}
-	if versions, ok := m.Versions(); !ok || versions.Max != Version1 {
-		t.Errorf("counts as %s", versions)
-	}
-}
-
-// A process that doesn't register comes back while a gate is in use: it can't lead until
-// the gate's uses are over, the gate is withdrawn and the version is back.
-func TestAFencedProcessLeadsOnceAllIsWithdrawn(t *testing.T) {
-	w := upgradedWorld(t, Policy{})
-	w.depend(GangJobs, answered)
-	w.depend(GangJobs, answered)
+// A process that doesn't register is started while a gate is in use. It can't lead until the gate's
+// uses have ended, the gate is withdrawn and the version is rolled back.
+func TestFenceBarsUnregisteredProcessUntilRollbackEnds(t *testing.T) {
+	w := newUpgradedWorld(t, Policy{})
+	w.addFirstDependant(GangJobs)
 	w.restart("n1", Range{1, 1}, false)
-	w.deposeLeader()
-	w.takeLead("n1")
-	if w.legacyLeader != nil {
-		t.Fatal("it leads beside a gang job that it can't read")
+	w.changeLeader("n1")
+	if w.unregisteredLeader != nil {
+		t.Fatal("it leads while there is a gang job, which it can't read")
 	}
-	w.takeLead("n2")
-	w.hear("n1")
+	w.acquireLeadership("n2")
+	w.exchangeVersions("n1")
 	if waiting := w.runSteps(t); !strings.Contains(waiting, "gang-jobs") {
-		t.Errorf("waits for %q", waiting)
+		t.Errorf("waiting: got %q, want it to contain gang-jobs", waiting)
 	}
-	w.deposeLeader()
-	w.takeLead("n1")
-	if w.legacyLeader != nil {
+	w.changeLeader("n1")
+	if w.unregisteredLeader != nil {
 		t.Fatal("it leads during the withdrawal")
 	}
-	w.takeLead("n2")
-	w.hear("n1")
+	w.acquireLeadership("n2")
+	w.exchangeVersions("n1")
 	if w.leader.record.Gate(GangJobs).Usable() {
 		t.Error("new gang jobs are accepted during the withdrawal")
 	}
 	w.dependants[GangJobs] = 0
 	w.runSteps(t)
 	if r := w.record(); r.Active != Version1 || r.Fence != 0 || len(r.Gates) != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("after the last gang job: got %+v, want version %d without fence and gates", r, Version1)
 	}
-	w.deposeLeader()
-	w.takeLead("n1")
-	if w.legacyLeader == nil {
-		t.Error("it can't lead though all is withdrawn")
+	w.changeLeader("n1")
+	if w.unregisteredLeader == nil {
+		t.Error("it can't lead after the rollback")
 	}
 }
 
-// A gate in use that a process doesn't know keeps it from leading, whatever its version.
-func TestAnUnknownGateInUseKeepsFromLeading(t *testing.T) {
-	r := Initial()
-	r.Gates = map[GateName]GateState{"from-the-future": {Since: 1, Phase: GateOpen}}
-	if err := MayLead(r, Supported, Gates); err != nil {
-		t.Errorf("nothing depends on it, and yet: %v", err)
-	}
-	r.Gates["from-the-future"] = GateState{Since: 1, Phase: GateWithdrawing, Used: true}
-	var unreadable *UnreadableGateError
-	if err := MayLead(r, Supported, Gates); !errors.As(err, &unreadable) || unreadable.Gate != "from-the-future" {
-		t.Errorf("admitted: %v", err)
-	}
-}
-
-// What must not serve at all is refused in one line that says what is needed.
-func TestRefusals(t *testing.T) {
-	later := Current + 1
-	finalized := Record{Schema: 1, Active: later, Minimum: later, Phase: Finalized}
-	active := Record{Schema: 1, Active: 3, Phase: Soaking}
-	for _, c := range []struct {
-		name     string
-		record   Record
-		versions Range
-		policy   Policy
-		want     string
-	}{
-		{"older than finalized", finalized, Supported, Policy{}, fmt.Sprintf("version %d or later is needed", later)},
-		{"a version skipped", Initial(), Range{3, 5}, Policy{}, "upgrade to version 3 first"},
-		{"target below the active version", active, Supported, Policy{Target: 2}, "upgrade.target: version 2 is below version 3"},
-		{"older than active only", active, Range{1, 2}, Policy{}, ""},
-		{"the same", active, Supported, Policy{Target: 3}, ""},
-	} {
-		err := Admit(c.record, c.versions, c.policy)
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: refused: %v", c.name, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") || !IsRefusal(err)):
-			t.Errorf("%s: %v", c.name, err)
-		}
-	}
-}
-
-// Leaders with different targets in turn: the higher one stands, and neither flaps.
-func TestTwoTargetsInTurn(t *testing.T) {
-	w := upgradedWorld(t, Policy{})
-	w.deposeLeader()
-	w.policy = Policy{Hold: true}
-	w.takeLead("n1")
-	if w.runSteps(t); w.record().Active != Current {
-		t.Errorf("version %d active under a leader that holds", w.record().Active)
-	}
-}
-
-// Nothing is activated or finalized beyond what the operators allow.
-func TestTheOperatorsHold(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		policy  Policy
-		active  Version
-		minimum Version
-		waiting string
-	}{
-		{"hold", Policy{Hold: true, AutoFinalize: true}, 1, 0, "held back by upgrade.target"},
-		{"target", Policy{Target: 2}, 2, 0, "beyond upgrade.target 2"},
-		{"no finalization", Policy{}, Current, 0, "held back by upgrade.finalize"},
-		{"soak", Policy{AutoFinalize: true, Soak: time.Hour}, Current, 0, "soaks until"},
-		{"soaked", Policy{AutoFinalize: true}, Current, Current, ""},
-	} {
-		w := newWorld(3, c.policy)
-		for _, node := range w.nodes {
-			w.restart(node, Supported, true)
-			w.register(node)
-		}
-		w.takeLead("n0")
-		waiting := w.runSteps(t)
-		if r := w.record(); r.Active != c.active || r.Minimum != c.minimum || !strings.Contains(waiting, c.waiting) {
-			t.Errorf("%s: version %d active, %d finalized, waits for %q", c.name, r.Active, r.Minimum, waiting)
-		}
-	}
-}
-
-// Uses that aren't counted are no proof that there are none.
-func TestUncountedUsesCloseNoGate(t *testing.T) {
-	older := NewRegistration("n0", "1", Range{1, 1})
-	s := Situation{
-		Record:   Record{Schema: 1, Active: 2, Phase: Withdrawing, Gates: map[GateName]GateState{FencedTerm: {Since: 1, Phase: GateOpen, Used: true}, GangJobs: {Since: 2, Phase: GateWithdrawing, Used: true}}, Fence: 2},
-		Members:  []Member{{Node: "n0", Registered: &older}},
-		Versions: Supported, Known: Gates,
-	}
+func TestGateIsNotClosedBeforeItsUsesAreCounted(t *testing.T) {
+	s := singleMember(Record{
+		Schema: 1, Active: 2, Phase: Withdrawing, Fence: 2,
+		Gates: map[GateName]GateState{
+			FencedTerm: {Since: 1, Phase: GateOpen, Used: true},
+			GangJobs:   {Since: 2, Phase: GateWithdrawing, Used: true},
+		},
+	}, Range{1, 1})
 	if step := Next(s); step.Changed {
-		t.Errorf("closed: %s", step.What)
+		t.Errorf("got step %q, want none", step.What)
 	}
 }
 
-// A gate stays closed while one that it depends on is.
-func TestAGateWaitsForWhatItDependsOn(t *testing.T) {
-	registration := NewRegistration("n0", "1", Supported)
-	s := Situation{
-		Record:   Record{Schema: 1, Active: 2, Phase: Soaking},
-		Members:  []Member{{Node: "n0", Registered: &registration}, {Node: "n1", Unregistered: Version2}},
-		Versions: Supported, Known: GateList{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}},
-	}
+func TestGateOpensAfterItsDependencies(t *testing.T) {
+	s := singleMember(Record{Schema: 1, Active: 2, Phase: Soaking}, Supported)
+	s.Known = GateList{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
+	registeredMembers := s.Members
+	s.Members = append(slices.Clone(registeredMembers), Member{Node: "n1", Unregistered: Version2})
 	if step := Next(s); step.Changed {
-		t.Errorf("%s", step.What)
+		t.Errorf("with a member that doesn't register: got step %q, want none", step.What)
 	}
-	s.Members = s.Members[:1]
+	s.Members = registeredMembers
 	s.Record = Next(s).Record
 	if s.Record.Gate(FencedTerm).Phase != GateOpen || s.Record.Gate("dependant").Phase != "" {
-		t.Errorf("%+v", s.Record)
+		t.Errorf("after the first step: got %+v, want gate %s open only", s.Record, FencedTerm)
 	}
 	if s.Record = Next(s).Record; s.Record.Gate("dependant").Phase != GateOpen {
-		t.Errorf("%+v", s.Record)
+		t.Errorf("after the second step: got %+v, want the dependant gate open", s.Record)
 	}
 }
 
-// The archive's gate doesn't open without the fence: a process that doesn't register could lead over what it can't read.
-func TestTheArchiveNeedsTheFence(t *testing.T) {
-	registration := NewRegistration("n0", "1", Supported)
-	for _, fenced := range []bool{false, true} {
-		known := Gates
-		if !fenced {
-			known = slices.DeleteFunc(slices.Clone(Gates), func(g Gate) bool { return g.Name == FencedTerm })
-		}
-		record := Record{Schema: 1, Active: Current, Phase: Soaking}
-		step := Next(Situation{Record: record, Members: []Member{{Node: "n0", Registered: &registration}}, Versions: Supported, Known: known, Now: time.Unix(1, 0)})
-		if open := step.Record.Gate(JobArchive).phaseOpen(); open != fenced {
-			t.Errorf("fence known %v, archive open %v: %s", fenced, open, step.What)
-		}
+// Without the fence a process that doesn't register could lead and misread archived jobs.
+func TestArchiveGateRequiresFence(t *testing.T) {
+	withoutFence := slices.DeleteFunc(slices.Clone(Gates), func(g Gate) bool { return g.Name == FencedTerm })
+	for _, c := range []struct {
+		name     string
+		known    GateList
+		wantOpen bool
+	}{
+		{"with fence", Gates, true},
+		{"without fence", withoutFence, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := singleMember(Record{Schema: 1, Active: Current, Phase: Soaking}, Supported)
+			s.Known = c.known
+			step := Next(s)
+			if open := step.Record.Gate(JobArchive).Phase == GateOpen; open != c.wantOpen {
+				t.Errorf("archive gate open: got %v by step %q, want %v", open, step.What, c.wantOpen)
+			}
+		})
 	}
 }
