--- a/internal/activation/policy.go
+++ b/internal/activation/policy.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Policy is what operators set for a model.
+// Policy is the operators' settings for the lifecycle of models.
 type Policy struct {
-	IdleWindow   time.Duration // without a request before it stops
-	StartWithin  time.Duration // the longest that a start may take before it is given up
-	StableAfter  time.Duration // a replica that fails sooner after it answered counts as a start that failed
-	Attempts     int           // starts of one wake that may fail in a row
-	Backoff      time.Duration // pause after the first start that failed; doubled after each
-	Cooldown     time.Duration // pause after the last; longer than a node may go by an old record
+	IdleWindow   time.Duration // time without requests after which a model is scaled to zero
+	StartWithin  time.Duration // the longest that a start may take before it is abandoned
+	StableAfter  time.Duration // a replica that fails sooner than this after it was ready counts as a failed start
+	Attempts     int           // consecutive failed starts after which a wake fails
+	Backoff      time.Duration // pause after the first failed start; doubled after each further one
+	Cooldown     time.Duration // pause after a failed wake; longer than a controller may act by an old record
 	DrainTimeout time.Duration // the longest that a drain waits for requests in flight
 }
 
-// longestBackoff is the longest pause between two starts, in times of the first.
-const longestBackoff = 16
+// maxBackoffMultiple is the longest pause between two starts as a multiple of the first.
+const maxBackoffMultiple = 16
 
-// backoff is the pause after so many starts that failed.
+// backoff returns the pause after so many consecutive failed starts.
 func (p *Policy) backoff(failures int) time.Duration {
-	times := 1
+	multiple := 1
 	for range failures - 1 {
-		times = min(2*times, longestBackoff)
+		multiple = min(2*multiple, maxBackoffMultiple)
 	}
-	return time.Duration(times) * p.Backoff
+	return time.Duration(multiple) * p.Backoff
 }
--- a/internal/activation/record.go
+++ b/internal/activation/record.go
@@ -1,9 +1,3 @@
-// Package activation decides when a model that nobody asks for stops, and when it starts
-// again: exactly once for each wake. A model's lifecycle is one durable record. The leader moves
-// it by the pure transitions of this package, each written under its leadership key and the
-// record's revision before anything rests on it.
-//
-// Nothing in this package does input or output.
 package activation
 
 import (
@@ -12,54 +6,55 @@
 	"time"
 )
 
-// State is where a model stands.
+// State is the state of a model's lifecycle.
 type State string
 
 // The states of a model.
 const (
-	Idle     State = "idle"     // holds no machine
-	Starting State = "starting" // a replica is to answer soon; starts that fail are repeated
-	Ready    State = "ready"    // its replica answers
-	Draining State = "draining" // no new requests; may be revived. Its replica may have been lost
-	Stopping State = "stopping" // its replica is being stopped, and must be proved gone
-	Failed   State = "failed"   // all starts of this generation have failed; it cools down
+	Idle     State = "idle"     // scaled to zero
+	Starting State = "starting" // a replica is being started; failed starts are retried
+	Ready    State = "ready"    // the replica answers requests
+	Draining State = "draining" // no new requests are passed on; may be cancelled. The replica may have been lost
+	Stopping State = "stopping" // the replica is being stopped, until it is proved gone
+	Failed   State = "failed"   // all starts of this generation failed; cooling down
 )
 
-// NoReplica stands for the number of an attempt where there is none.
+// NoReplica is the attempt number that stands for no attempt.
 const NoReplica uint64 = 0
 
-// Record is a model's lifecycle as it is stored. The zero record is an idle model that
-// never ran.
+// Record is the durable record of a model's lifecycle. The zero record is an idle model that was never
+// started.
 type Record struct {
 	State State `json:"state"`
-	// Generation grows by one with each wake.
+	// Generation is increased by one with each wake.
 	Generation uint64 `json:"generation"`
-	// Failures is how many starts in a row have failed, in this generation.
+	// Failures is the number of consecutive failed starts in this generation.
 	Failures int `json:"failures,omitempty"`
-	// Drain numbers the drains of all generations: a node's word on one says nothing of the next.
+	// Drain numbers the drains over all generations, so that the acknowledgement of one doesn't count
+	// for the next.
 	Drain uint64 `json:"drain,omitempty"`
-	// Replica is the number of the attempt whose place isn't proved empty. It is not stored: where
-	// replicas may be stands in the scheduler's records of attempts alone, and Restore brings it in.
+	// Replica is the number of the attempt that may be on a machine, or NoReplica. It isn't stored
+	// here, because the scheduler stores the attempts: Restore sets it.
 	Replica uint64 `json:"-"`
-	// Abandoned tells that the replica is to be stopped, and another one started once it is
+	// Abandoned reports that the replica is to be stopped, and another one started once it is proved
 	// gone.
 	Abandoned bool `json:"abandoned,omitempty"`
-	// WakeWanted tells that demand came while the model was being stopped.
+	// WakeWanted reports that there was demand while the replica was being stopped.
 	WakeWanted bool `json:"wake_wanted,omitempty"`
-	// SinceMS is the time of day at which the state was entered, in milliseconds.
+	// SinceMS is the time at which the state was entered, in Unix milliseconds.
 	SinceMS int64 `json:"since_ms"`
-	// NotBeforeMS is the time of day before which no replica is booked: the pause after a
-	// start that failed, or the cooldown.
+	// NotBeforeMS is the time before which no replica is reserved, in Unix milliseconds: the end of the
+	// backoff after a failed start, or of the cooldown.
 	NotBeforeMS int64 `json:"not_before_ms,omitempty"`
 }
 
-// DamagedError says that a record can't be what a leader wrote. The model is neither started nor
-// stopped then.
+// DamagedError reports that a stored record can't have been written by a leader. The model is neither
+// started nor stopped then.
 type DamagedError struct{ Key, Reason string }
 
 func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
 
-// Decode reads a record, stored under key.
+// Decode decodes a record, stored under key. It returns a *DamagedError if the value is no valid record.
 func Decode(key string, data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -71,7 +66,7 @@
 	return r, nil
 }
 
-// inconsistency tells what no sequence of transitions leads to; "": nothing.
+// inconsistency describes what no sequence of transitions can lead to. "": there is nothing.
 func (r *Record) inconsistency() string {
 	switch {
 	case r.Failures < 0:
@@ -90,41 +85,30 @@
 	return fmt.Sprintf("unknown state %q", r.State)
 }
 
-// SameStored tells whether two records are stored alike.
+// String formats a record for operators.
+func (r Record) String() string {
+	if r.Replica == NoReplica {
+		return fmt.Sprintf("%s, generation %d", r.State, r.Generation)
+	}
+	return fmt.Sprintf("%s, generation %d, attempt %d", r.State, r.Generation, r.Replica)
+}
+
+// SameStored reports whether two records have the same stored fields.
 func (r Record) SameStored(other Record) bool {
 	r.Replica, other.Replica = NoReplica, NoReplica
 	return r == other
 }
 
-// Restore brings in what a new leader finds in the records of attempts: the attempt whose place
-// isn't proved empty, or NoReplica. The two are written independently of each other, so the record
-// may be ahead of the attempts, or behind them.
-func (r Record) Restore(replica uint64, p *Policy, now time.Time) (Record, Action) {
-	r.Replica = replica
-	if replica != NoReplica {
-		return r, r.Pending(now)
-	}
-	lost := r.State == Ready || r.State == Stopping || r.Abandoned
-	if !lost {
-		return r, r.Pending(now)
-	}
-	r.Replica = lostReplica // its place was proved empty, and that was all that became durable
-	return r.Apply(ReplicaGone{Generation: r.Generation, Attempt: lostReplica}, p, now)
+// BackoffRemaining returns how long no replica may be reserved yet.
+func (r *Record) BackoffRemaining(now time.Time) time.Duration {
+	return max(0, time.UnixMilli(r.NotBeforeMS).Sub(now))
 }
 
-// lostReplica stands for an attempt whose record is gone already.
-const lostReplica uint64 = 1
+// age returns how long the record has been in its state.
+func (r *Record) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.SinceMS)) }
 
 // enter returns the record in another state.
 func (r Record) enter(state State, now time.Time) Record {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	return r
 }
-
-// BackoffRemaining is how long no replica may be booked yet.
-func (r *Record) BackoffRemaining(now time.Time) time.Duration {
-	return max(0, time.UnixMilli(r.NotBeforeMS).Sub(now))
-}
-
-// age is for how long the record has been in its state.
-func (r *Record) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(r.SinceMS)) }
--- a/internal/activation/start_times.go
+++ b/internal/activation/start_times.go
@@ -7,39 +7,42 @@
 )
 
 const (
-	// longestStart and startDigits are the range and the precision of the starts measured.
-	longestStart = time.Hour
-	startDigits  = 2
-	// expectedPercentile of the starts measured is what users are told to wait for.
+	// maxStartTime and startTimeDigits are the range of the measured start times and their precision
+	// in significant decimal digits.
+	maxStartTime    = time.Hour
+	startTimeDigits = 2
+	// expectedPercentile is the percentile of the start times that users are told to expect.
 	expectedPercentile = 90
 )
 
-// StartTimes are the distributions of how long wakes took, by class. The zero value has none. It
-// belongs to its owner's goroutine.
+// StartTimes holds the distribution of cold-start times for each class of services. The zero value has
+// none. It is not safe for concurrent use.
 type StartTimes struct {
 	byClass map[string]*hdrhistogram.Histogram
 }
 
-// Note takes in how long a wake took until its model answered.
+// Note records how long a wake took until its model was ready. Longer times than an hour count as an
+// hour.
 func (t *StartTimes) Note(class string, took time.Duration) {
 	if t.byClass == nil {
 		t.byClass = make(map[string]*hdrhistogram.Histogram)
 	}
 	h := t.byClass[class]
 	if h == nil {
-		h = hdrhistogram.New(1, longestStart.Milliseconds(), startDigits)
+		h = hdrhistogram.New(1, maxStartTime.Milliseconds(), startTimeDigits)
 		t.byClass[class] = h
 	}
-	// Values beyond the range are told by its end.
-	_ = h.RecordValue(min(took, longestStart).Milliseconds())
+	// It fails only for values above the range, which the bound excludes.
+	_ = h.RecordValue(min(took, maxStartTime).Milliseconds())
 }
 
-// Expected is how long a start that began so long ago may still take; 0: not known.
-func (t *StartTimes) Expected(class string, since time.Duration) time.Duration {
+// Expected returns how much longer a start is expected to take that has taken elapsed so far. 0: not
+// known, or overdue.
+func (t *StartTimes) Expected(class string, elapsed time.Duration) time.Duration {
 	h := t.byClass[class]
 	if h == nil {
 		return 0
 	}
-	whole := time.Duration(h.ValueAtPercentile(expectedPercentile)) * time.Millisecond
-	return max(0, whole-since)
+	total := time.Duration(h.ValueAtPercentile(expectedPercentile)) * time.Millisecond
+	return max(0, total-elapsed)
 }
--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -2,43 +2,47 @@
 
 import "time"
 
-// Usage is what the controllers have told of the models that they have requests for. It belongs to
-// its owner's goroutine.
+// Usage is the leader's view of the controllers' usage of models, from their latest reports. It is not
+// safe for concurrent use.
 type Usage struct {
-	controllers []string
-	silentAfter time.Duration // a controller that has told nothing for so long is silent
-	latest      map[string]*controllerUsage
-	retired     map[string]bool // sessions that have ended
+	controllers   []string
+	silentAfter   time.Duration // age of the latest report from which a controller counts as silent
+	latest        map[string]*controllerUsage
+	endedSessions map[string]bool
 }
 
-// controllerUsage is what a controller has told last.
+// controllerUsage is the latest report of a controller.
 type controllerUsage struct {
-	session string
-	serial  uint64
-	at      time.Time // when it came
-	began   time.Time // its process, at the latest
-	models  map[string]ModelUsage
+	session    string
+	serial     uint64
+	receivedAt time.Time
+	startedAt  time.Time // the latest time at which the process can have started
+	models     map[string]ModelUsage
 }
 
-// NewUsage makes an empty record of the usage at the controllers named.
+// NewUsage returns the usage of the named controllers before any report. A controller counts as silent
+// if its latest report is older than silentAfter.
 func NewUsage(controllers []string, silentAfter time.Duration) *Usage {
-	return &Usage{controllers: controllers, silentAfter: silentAfter, latest: make(map[string]*controllerUsage), retired: make(map[string]bool)}
+	return &Usage{
+		controllers: controllers, silentAfter: silentAfter,
+		latest: make(map[string]*controllerUsage), endedSessions: make(map[string]bool),
+	}
 }
 
-// Note takes in a controller's report, unless it is a late copy: older than the last one, or of a
-// process that has ended.
+// Note records a controller's report. It ignores late copies: reports that are older than the latest
+// one, or from a process that has ended.
 func (u *Usage) Note(report UsageReport, now time.Time) {
 	last := u.latest[report.Node]
 	switch {
-	case u.retired[report.Session]:
+	case u.endedSessions[report.Session]:
 		return
 	case last != nil && last.session == report.Session && report.Serial <= last.serial:
 		return
 	case last != nil && last.session != report.Session:
-		u.retired[last.session] = true
+		u.endedSessions[last.session] = true
 	}
 	next := &controllerUsage{
-		session: report.Session, serial: report.Serial, at: now, began: now.Add(-report.Uptime),
+		session: report.Session, serial: report.Serial, receivedAt: now, startedAt: now.Add(-report.Uptime),
 		models: make(map[string]ModelUsage, len(report.Models)),
 	}
 	for _, usage := range report.Models {
@@ -47,29 +51,29 @@
 	u.latest[report.Node] = next
 }
 
-// of is what a controller has told of late; nil: it is silent.
-func (u *Usage) of(controller string, now time.Time) *controllerUsage {
+// fresh returns the latest report of a controller, or nil if the controller is silent.
+func (u *Usage) fresh(controller string, now time.Time) *controllerUsage {
 	latest := u.latest[controller]
-	if latest == nil || now.Sub(latest.at) > u.silentAfter {
+	if latest == nil || now.Sub(latest.receivedAt) > u.silentAfter {
 		return nil
 	}
 	return latest
 }
 
-// QuietSince is since when no controller has had a request for a model. told is false if a controller
-// is silent, or has one under way.
-func (u *Usage) QuietSince(model string, now time.Time) (since time.Time, told bool) {
+// QuietSince returns the time since which no controller has had a request for a model. known is false
+// if a controller is silent or has a request in flight.
+func (u *Usage) QuietSince(model string, now time.Time) (since time.Time, known bool) {
 	for _, controller := range u.controllers {
-		latest := u.of(controller, now)
+		latest := u.fresh(controller, now)
 		if latest == nil {
 			return time.Time{}, false
 		}
-		quiet := latest.began // an earlier process may have had some until then
+		quiet := latest.startedAt // an earlier process may have had requests until then
 		if usage, used := latest.models[model]; used {
 			if usage.InFlight > 0 {
 				return time.Time{}, false
 			}
-			if last := latest.at.Add(-usage.QuietFor); last.After(quiet) {
+			if last := latest.receivedAt.Add(-usage.QuietFor); last.After(quiet) {
 				quiet = last
 			}
 		}
@@ -80,14 +84,14 @@
 	return since, true
 }
 
-// Drained tells whether no controller passes requests on to a model any more: it has said so of this
-// very drain, with nothing in flight; or it is silent, and the answers that it went by have run out by
-// routedUntil.
-func (u *Usage) Drained(model string, drain uint64, routedTill, now time.Time) bool {
+// Drained reports whether no controller passes requests on to a model any more. A controller doesn't if
+// it has acknowledged this drain and has no requests in flight, or if it is silent and the leader's
+// responses that it may act by have expired, which they have by routedUntil.
+func (u *Usage) Drained(model string, drain uint64, routedUntil, now time.Time) bool {
 	for _, controller := range u.controllers {
-		latest := u.of(controller, now)
+		latest := u.fresh(controller, now)
 		if latest == nil {
-			if now.Before(routedTill) {
+			if now.Before(routedUntil) {
 				return false
 			}
 			continue
