--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -3,111 +3,128 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
-	"testing"
 	"time"
-
-	"pgregory.net/rapid"
 )
 
-// The model is one model's record in a store with revisions, beside it the record of the attempt
-// that may be on a machine, leaders that may end at any moment and whose writes of the two may each be
-// lost, unanswered or late and come in either order, machines that carry starts out late, and nodes
-// that pass requests on by a view of the record that may be old.
+// The model is one service with its lifecycle record in a store with revisions, and beside it the stored
+// attempt that may be on a machine. Leaders may end at any moment, and each of their writes to the two
+// may be lost, unanswered or delayed, in either order. Starts may arrive late and repeatedly. Controllers
+// pass requests on by a view of the record that may be out of date.
 
-// write is a conditional write on its way: of the record, or of the attempt's.
+// write is a conditional write to the record or to the attempt.
 type write struct {
 	term, revision int
-	record         *Record
-	attempt        uint64 // that may be on a machine, where record is nil
+	record         *Record // nil: the attempt is written
+	attempt        uint64
 }
 
-// instance is a replica on its machine.
-type instance struct{ generation, attempt uint64 }
+// replica is an attempt of a generation that may be on a machine.
+type replica struct{ generation, attempt uint64 }
 
-// node passes requests on while it believes that the model is ready.
-type node struct {
+// controller passes requests on while its view of the record is valid and says that the model is ready.
+type controller struct {
 	view    Record
-	drained uint64 // the last drain that it has acknowledged
-	read    time.Time
+	readAt  time.Time
+	drained uint64 // the latest drain that it has acknowledged
 }
 
-// nodeLease is for how long a node goes by what it has read.
-const nodeLease = 10 * time.Second
+// viewLease is how long a controller's view is valid.
+const viewLease = 10 * time.Second
 
-func (n *node) passesOn(now time.Time) bool {
-	return now.Sub(n.read) < nodeLease && n.view.State == Ready && n.view.Drain >= n.drained
+func (c *controller) passesOn(now time.Time) bool {
+	return now.Sub(c.readAt) < viewLease && c.view.State == Ready && c.view.Drain >= c.drained
 }
 
-func (n *node) readRecord(r Record, now time.Time) { n.view, n.read = r, now }
+func (c *controller) read(r Record, now time.Time) { c.view, c.readAt = r, now }
+
+// transition is Record.Apply, or a faulty variant of it.
+type transition func(Record, Event, *Policy, time.Time) (Record, Action)
 
 type world struct {
-	now      time.Time
-	policy   Policy
+	now    time.Time
+	policy Policy
+
+	// The store.
 	record   Record
-	placed   uint64 // the attempt that the store has on a machine
-	revision int
-	term     int
-	view     Record // the leader's, with the revision that it was read at
-	viewed   int
-	bookedAt time.Time // of the leader's replica
-	routed   time.Time // until when some node may go by what it has read, as the leader knows it
-	attempts uint64    // numbers that were used
-	late     []write
-	live     map[instance]bool
-	gone     map[uint64]bool // attempts proved gone: a start that comes late is void
-	ordered  []instance      // starts on their way, again and again
-	nodes    []*node
-	acks     map[uint64]map[int]bool // who has acknowledged a drain
-	observed []Event                 // all that was ever seen, which may be told again late
-	starts   map[uint64]int          // replicas that answered, of each generation
-	faults   []string
-	// unknownLease is for how long a new leader counts on what nodes were told before it.
-	unknownLease time.Duration
-	strideMS     int // the longest time between two steps
-	// transition is Apply; the tests of the model put in ones that are wrong.
-	transition func(Record, Event, *Policy, time.Time) (Record, Action)
+	revision int    // of the record
+	attempt  uint64 // the attempt that may be on a machine
+	term     int    // of the present leader
+	delayed  []write
+
+	// The leader's state.
+	view         Record
+	viewRevision int
+	reservedAt   time.Time // of the leader's replica
+	routedUntil  time.Time // until when some controller may pass requests on, as the leader knows it
+
+	lastAttempt uint64 // the highest attempt number used
+	live        map[replica]bool
+	gone        map[uint64]bool // attempts proved gone: later starts of them have no effect
+	starts      []replica       // starts ordered, which may arrive at any time and repeatedly
+	controllers []*controller
+	acks        map[uint64]map[int]bool // controllers that have acknowledged a drain
+	events      []Event                 // every event so far, which may occur again
+	faults      []string
+
+	// Tests that the model is strict enough vary these.
+	transition   transition
+	unknownLease time.Duration // how long a new leader takes earlier views to be valid
+	maxStrideMS  int           // bound of the time between two steps
 }
 
 func newWorld() *world {
 	w := &world{
-		now:    time.UnixMilli(1e12),
-		policy: Policy{IdleWindow: 10 * time.Second, StartWithin: 20 * time.Second, StableAfter: 4 * time.Second, Attempts: 3, Backoff: time.Second, Cooldown: 30 * time.Second, DrainTimeout: 15 * time.Second},
-		live:   map[instance]bool{}, gone: map[uint64]bool{}, acks: map[uint64]map[int]bool{}, starts: map[uint64]int{},
-		transition: Record.Apply, unknownLease: nodeLease, strideMS: 4000,
+		now: time.UnixMilli(1e12),
+		policy: Policy{
+			IdleWindow:   10 * time.Second,
+			StartWithin:  20 * time.Second,
+			StableAfter:  4 * time.Second,
+			Attempts:     3,
+			Backoff:      time.Second,
+			Cooldown:     30 * time.Second,
+			DrainTimeout: 15 * time.Second,
+		},
+		live:         make(map[replica]bool),
+		gone:         make(map[uint64]bool),
+		acks:         make(map[uint64]map[int]bool),
+		transition:   Record.Apply,
+		unknownLease: viewLease,
+		maxStrideMS:  4000,
 	}
 	for range 3 {
-		w.nodes = append(w.nodes, &node{})
+		w.controllers = append(w.controllers, &controller{})
 	}
-	w.lead()
+	w.changeLeader()
 	return w
 }
 
+// fault records a violated invariant.
 func (w *world) fault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf(format, args...))
 }
 
-// lead begins a term: the leader reads what is stored and goes on with what is pending.
-func (w *world) lead() {
+// changeLeader begins a term: the leader reads the store and continues with the outstanding action.
+func (w *world) changeLeader() {
 	w.term++
-	w.viewed, w.bookedAt, w.routed = w.revision, w.now, w.now.Add(w.unknownLease)
+	w.viewRevision, w.reservedAt, w.routedUntil = w.revision, w.now, w.now.Add(w.unknownLease)
 	var action Action
-	w.view, action = w.record.Restore(w.placed, &w.policy, w.now)
+	w.view, action = w.record.Restore(w.attempt, &w.policy, w.now)
 	if !w.view.SameStored(w.record) {
-		w.store(write{term: w.term, revision: w.viewed, record: &w.view})
-		w.viewed = w.revision
+		w.store(write{term: w.term, revision: w.viewRevision, record: &w.view})
+		w.viewRevision = w.revision
 	}
 	w.act(action)
 }
 
-// store carries a write out, if nothing bars it.
+// store carries a write out, and reports whether its conditions held. It checks that generations
+// increase by one, and that records are decoded as they were encoded.
 func (w *world) store(t write) bool {
 	if t.term != w.term {
 		return false
 	}
 	if t.record == nil {
-		w.placed = t.attempt
+		w.attempt = t.attempt
 		return true
 	}
 	if t.revision != w.revision {
@@ -115,42 +132,45 @@
 	}
 	next := *t.record
 	if next.Generation != w.record.Generation && next.Generation != w.record.Generation+1 {
-		w.fault("generation %d follows %d", next.Generation, w.record.Generation)
+		w.fault("generation %d follows generation %d", next.Generation, w.record.Generation)
 	}
 	raw, err := json.Marshal(next)
 	if err != nil {
-		w.fault("not encoded: %v", err)
+		w.fault("record not encoded: %v", err)
 	}
-	back, err := Decode("model", raw)
-	if err != nil || !back.SameStored(next) {
-		w.fault("%+v is read as %+v, %v", next, back, err)
+	decoded, err := Decode("model", raw)
+	if err != nil || !decoded.SameStored(next) {
+		w.fault("%+v is decoded as %+v (error %v)", next, decoded, err)
 	}
-	w.record = back
+	w.record = decoded
 	w.revision++
 	return true
 }
 
-// The fates of a write.
+// outcome is what becomes of a write.
+type outcome int
+
+// The outcomes. After any but the first, the leader's term ends.
 const (
-	answered = iota
+	answered outcome = iota
 	lost
 	unanswered
 	delayed
-	fates
+	outcomes
 )
 
-// happen has the leader take in an event, and its writes meet a fate. Where there are two, the first
-// of them is carried out whatever becomes of the second: attemptFirst tells which.
-func (w *world) happen(e Event, fate int, attemptFirst bool) {
-	w.observed = append(w.observed, e)
+// apply has the leader apply an event and store the changes with that outcome. If both the record and
+// the attempt change, the first write is always answered, and attemptFirst selects which it is.
+func (w *world) apply(e Event, result outcome, attemptFirst bool) {
+	w.events = append(w.events, e)
 	next, action := w.transition(w.view, e, &w.policy, w.now)
 	var writes []write
 	if next.Replica != w.view.Replica {
 		writes = append(writes, write{term: w.term, attempt: next.Replica})
-		w.bookedAt = w.now
+		w.reservedAt = w.now
 	}
 	if !next.SameStored(w.view) {
-		writes = append(writes, write{term: w.term, revision: w.viewed, record: &next})
+		writes = append(writes, write{term: w.term, revision: w.viewRevision, record: &next})
 	}
 	if len(writes) == 2 && !attemptFirst {
 		slices.Reverse(writes)
@@ -160,53 +180,53 @@
 		writes = writes[1:]
 	}
 	for _, t := range writes {
-		switch fate {
+		switch result {
 		case unanswered:
 			w.store(t)
 		case delayed:
-			w.late = append(w.late, t)
+			w.delayed = append(w.delayed, t)
 		}
-		if fate != answered || !w.store(t) {
-			w.lead() // whose write isn't answered gives its lead up
+		if result != answered || !w.store(t) {
+			w.changeLeader() // a leader resigns if a write isn't answered
 			return
 		}
 	}
-	w.view, w.viewed = next, w.revision
+	w.view, w.viewRevision = next, w.revision
 	w.act(action)
 }
 
-// act carries an action out: starts and stops go through the ordinary path, which
-// starts nothing that was proved gone.
+// act carries an action out.
 func (w *world) act(a Action) {
 	r := &w.view
 	if (a == Start || a == Stop) && r.Replica == NoReplica {
-		w.fault("nothing is booked, and it is to start or stop")
+		w.fault("action %d without a reserved replica", a)
 		return
 	}
 	switch a {
 	case Start:
-		w.ordered = append(w.ordered, instance{r.Generation, r.Replica})
+		w.starts = append(w.starts, replica{r.Generation, r.Replica})
 	case Stop:
 		w.remove(r.Replica)
 	case Reserve, Drain, Nothing:
 	}
 }
 
-// arrive has a start that was ordered reach its machine, maybe not for the first time.
-func (w *world) arrive(i instance) {
-	if w.gone[i.attempt] || w.running(i.attempt) {
+// startArrives has a start reach its machine, perhaps not for the first time. It checks that there is
+// at most one replica.
+func (w *world) startArrives(r replica) {
+	if w.gone[r.attempt] || w.running(r.attempt) {
 		return
 	}
-	w.live[i] = true
+	w.live[r] = true
 	if len(w.live) > 1 {
 		w.fault("two replicas at once: %v", w.live)
 	}
 }
 
-// running tells whether an attempt is on its machine.
+// running reports whether an attempt is on its machine.
 func (w *world) running(attempt uint64) bool {
-	for i := range w.live {
-		if i.attempt == attempt {
+	for r := range w.live {
+		if r.attempt == attempt {
 			return true
 		}
 	}
@@ -215,267 +235,181 @@
 
 // remove ends an attempt on its machine.
 func (w *world) remove(attempt uint64) {
-	for i := range w.live {
-		if i.attempt == attempt {
-			delete(w.live, i)
+	for r := range w.live {
+		if r.attempt == attempt {
+			delete(w.live, r)
 		}
 	}
 }
 
-// prove has the place of the leader's replica be proved empty; then no start of it counts.
-func (w *world) prove(fate int, failed, attemptFirst bool) {
-	if r := w.view.Replica; r != NoReplica {
-		w.remove(r)
-		w.gone[r] = true
-		w.happen(ReplicaGone{w.view.Generation, r, failed}, fate, attemptFirst)
+// replicaGone ends the leader's replica and proves that it is gone.
+func (w *world) replicaGone(result outcome, failed, attemptFirst bool) {
+	if attempt := w.view.Replica; attempt != NoReplica {
+		w.remove(attempt)
+		w.gone[attempt] = true
+		w.apply(ReplicaGone{w.view.Generation, attempt, failed}, result, attemptFirst)
 	}
 }
 
-// book has room reserved for the next replica.
-func (w *world) book(fate int) {
+// reserve reserves resources for the next replica.
+func (w *world) reserve(result outcome) {
 	if w.view.Replica == NoReplica {
-		w.attempts++
-		w.happen(Reserved{w.view.Generation, w.attempts}, fate, false)
+		w.lastAttempt++
+		w.apply(Reserved{w.view.Generation, w.lastAttempt}, result, false)
 	}
 }
 
-func (w *world) answer(fate int) {
-	for i := range w.live {
-		w.happen(Serving{i.generation, i.attempt}, fate, false)
+// replicaServes has a replica answer requests.
+func (w *world) replicaServes(result outcome) {
+	for r := range w.live {
+		w.apply(Serving{r.generation, r.attempt}, result, false)
 		return
 	}
 }
 
-// request is a user's request at a node.
-func (w *world) request(n *node, fate int) {
-	if !n.passesOn(w.now) {
-		w.happen(Demand{n.view.Generation}, fate, false)
+// request is a user's request at a controller, which passes it on or reports demand. It checks that
+// requests are passed on only to the present generation, and not while that is being stopped.
+func (w *world) request(c *controller, result outcome) {
+	if !c.passesOn(w.now) {
+		w.apply(Demand{c.view.Generation}, result, false)
 		return
 	}
-	if r := w.record; r.State == Stopping || r.Generation != n.view.Generation || r.State == Idle {
-		w.fault("a request is passed on to generation %d, and the record is %s", n.view.Generation, r)
+	if r := w.record; r.State == Stopping || r.State == Idle || r.Generation != c.view.Generation {
+		w.fault("a request is passed on to generation %d, and the record is %s", c.view.Generation, r)
 	}
 }
 
-// tell has the leader answer a node, if it holds what is stored.
-func (w *world) tell(n *node) {
-	if w.viewed == w.revision {
-		n.readRecord(w.record, w.now)
-		w.routed = w.now.Add(nodeLease)
+// respond has the leader send a controller the record, if the leader's view is up to date.
+func (w *world) respond(c *controller) {
+	if w.viewRevision == w.revision {
+		c.read(w.record, w.now)
+		w.routedUntil = w.now.Add(viewLease)
 	}
 }
 
-// outlast ends a drain whose nodes are silent, once what they were told has run out.
-func (w *world) outlast() {
-	if !w.now.Before(w.routed) {
-		w.happen(Drained{w.view.Drain}, answered, false)
+// expireViews ends a drain once the views of all controllers have expired.
+func (w *world) expireViews() {
+	if !w.now.Before(w.routedUntil) {
+		w.apply(Drained{w.view.Drain}, answered, false)
 	}
 }
 
-// acknowledge has a node stop passing requests on, and say so.
-func (w *world) acknowledge(i int) {
-	n := w.nodes[i]
+// acknowledgeDrain has a controller stop passing requests on and report so.
+func (w *world) acknowledgeDrain(i int) {
+	c := w.controllers[i]
 	if w.record.State == Draining {
-		n.readRecord(w.record, w.now)
-		n.drained = w.record.Drain
+		c.read(w.record, w.now)
+		c.drained = w.record.Drain
 	}
-	if n.drained == 0 {
+	if c.drained == 0 {
 		return
 	}
-	if w.acks[n.drained] == nil {
-		w.acks[n.drained] = map[int]bool{}
+	if w.acks[c.drained] == nil {
+		w.acks[c.drained] = make(map[int]bool)
 	}
-	w.acks[n.drained][i] = true
-	if len(w.acks[n.drained]) == len(w.nodes) {
-		w.happen(Drained{n.drained}, answered, false)
+	w.acks[c.drained][i] = true
+	if len(w.acks[c.drained]) == len(w.controllers) {
+		w.apply(Drained{c.drained}, answered, false)
 	}
 }
 
-// step takes one step, drawn by choose, which returns a number below n.
+// quiet reports that no controller has had requests for the idle window.
+func (w *world) quiet(result outcome) {
+	w.apply(Quiet{w.view.Generation, w.now.Add(-w.policy.IdleWindow)}, result, false)
+}
+
+// tick reports the passage of time.
+func (w *world) tick(result outcome) {
+	w.apply(Tick{w.now.Sub(w.reservedAt)}, result, false)
+}
+
+// step takes one random step. choose returns a number from 0 to n-1.
 func (w *world) step(choose func(n int) int) {
-	fate := answered
+	result := answered
 	if choose(6) == 0 {
-		fate = choose(fates)
+		result = outcome(choose(int(outcomes)))
 	}
-	w.now = w.now.Add(time.Duration(choose(w.strideMS)) * time.Millisecond)
-	i := choose(len(w.nodes))
+	w.now = w.now.Add(time.Duration(choose(w.maxStrideMS)) * time.Millisecond)
+	i := choose(len(w.controllers))
 	switch choose(14) {
 	case 0, 1:
-		w.request(w.nodes[i], fate)
+		w.request(w.controllers[i], result)
 	case 2:
-		w.tell(w.nodes[i])
+		w.respond(w.controllers[i])
 	case 3:
-		w.book(fate)
+		w.reserve(result)
 	case 4, 5:
-		if len(w.ordered) > 0 {
-			w.arrive(w.ordered[choose(len(w.ordered))])
+		if len(w.starts) > 0 {
+			w.startArrives(w.starts[choose(len(w.starts))])
 		}
 	case 6, 7:
-		w.answer(fate)
+		w.replicaServes(result)
 	case 8:
 		if w.view.Abandoned || w.view.State == Stopping || choose(4) == 0 {
-			w.prove(fate, choose(2) == 0, choose(2) == 0)
+			w.replicaGone(result, choose(2) == 0, choose(2) == 0)
 		}
 	case 9:
-		w.happen(Quiet{w.view.Generation, w.now.Add(-w.policy.IdleWindow)}, fate, false)
+		w.quiet(result)
 	case 10:
 		if choose(4) == 0 {
-			w.outlast()
+			w.expireViews()
 			return
 		}
-		w.acknowledge(i)
+		w.acknowledgeDrain(i)
 	case 11:
-		w.happen(Tick{w.now.Sub(w.bookedAt)}, fate, false)
+		w.tick(result)
 	case 12:
-		if len(w.late) > 0 {
-			w.store(w.late[choose(len(w.late))])
+		if len(w.delayed) > 0 {
+			w.store(w.delayed[choose(len(w.delayed))])
 		}
 	case 13:
 		switch choose(6) {
 		case 0:
-			w.lead()
+			w.changeLeader()
 		case 1:
-			if len(w.observed) > 0 {
-				w.happen(w.observed[choose(len(w.observed))], fate, choose(2) == 0)
+			if len(w.events) > 0 {
+				w.apply(w.events[choose(len(w.events))], result, choose(2) == 0)
 			}
 		}
 	}
 }
 
-// rest lets the model come to rest: nobody asks any more, and everything goes well.
-func (w *world) rest() {
-	w.late = nil
+// settle ends all requests and faults, and checks that the model scales to zero.
+func (w *world) settle() {
+	w.delayed = nil
 	for range 60 {
 		w.now = w.now.Add(15 * time.Second)
 		switch w.view.State {
 		case Starting:
-			if w.happen(Tick{w.now.Sub(w.bookedAt)}, answered, false); w.view.Abandoned {
-				w.prove(answered, false, false)
-			} else if w.view.Replica == NoReplica {
-				w.book(answered)
-			} else {
-				w.arrive(instance{w.view.Generation, w.view.Replica})
-				w.answer(answered)
-			}
+			w.settleStart()
 		case Ready:
-			w.happen(Quiet{w.view.Generation, w.now.Add(-w.policy.IdleWindow)}, answered, false)
+			w.quiet(answered)
 		case Draining:
-			for i := range w.nodes {
-				w.acknowledge(i)
+			for i := range w.controllers {
+				w.acknowledgeDrain(i)
 			}
 		case Stopping:
-			w.prove(answered, false, false)
+			w.replicaGone(answered, false, false)
 		case Idle, Failed, "":
 			if w.view.Replica == NoReplica {
 				return
 			}
-			w.prove(answered, false, false)
+			w.replicaGone(answered, false, false)
 		}
 	}
-	w.fault("never at rest: %s", w.record)
+	w.fault("not settled: %s", w.record)
 }
 
-// Whatever happens in whichever order: at most one replica at a time, generations grow by one, no
-// request goes to what is being stopped, every record is read as it was written, and the
-// model comes to rest.
-func TestOneReplicaWhateverHappens(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		t.Repeat(map[string]func(*rapid.T){
-			"step": func(t *rapid.T) {
-				w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
-			},
-			"": func(t *rapid.T) {
-				if len(w.faults) > 0 {
-					t.Fatal(w.faults[0])
-				}
-			},
-		})
-		if w.rest(); len(w.faults) > 0 {
-			t.Fatal(w.faults[0])
-		}
-	})
-}
-
-// history plays a long history, with the transitions changed.
-func history(seed uint64, change func(Record, Event, *Policy, time.Time) (Record, Action)) *world {
-	return historyOf(seed, func(w *world) { w.transition = change })
-}
-
-// historyOf plays a long history in a world that is changed.
-func historyOf(seed uint64, change func(w *world)) *world {
-	random := rand.New(rand.NewPCG(seed, 2))
-	w := newWorld()
-	change(w)
-	for range 4000 {
-		if w.step(random.IntN); len(w.faults) > 0 {
-			break
-		}
-	}
-	return w
-}
-
-// The model finds the faults of lifecycles that lack a guard.
-func TestTheModelFindsWhatLacksAGuard(t *testing.T) {
-	for name, wrong := range map[string]func(r Record, e Event, p *Policy, now time.Time) (Record, Action){
-		"another replica before the old one is proved gone": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if next, action := r.Apply(e, p, now); !next.Abandoned {
-				return next, action
-			}
-			r.Replica = NoReplica
-			return r.enter(Starting, now), Reserve
-		},
-		"demand for an earlier generation wakes": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if _, demand := e.(Demand); demand && r.State == Stopping {
-				r.Replica = NoReplica
-				return r.wake(now)
-			}
-			return r.Apply(e, p, now)
-		},
-		"the word on an earlier drain counts": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if _, drained := e.(Drained); drained && r.State == Draining {
-				return r.enter(Stopping, now), Stop
-			}
-			return r.Apply(e, p, now)
-		},
-		"it stops without asking the nodes": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if next, action := r.Apply(e, p, now); next.State != Draining {
-				return next, action
-			}
-			return r.enter(Stopping, now), Stop
-		},
-		"the word on an earlier replica counts": func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
-			if gone, ok := e.(ReplicaGone); ok && r.Replica != NoReplica {
-				gone.Generation, gone.Attempt = r.Generation, r.Replica
-				e = gone
-			}
-			return r.Apply(e, p, now)
-		},
-	} {
-		found := 0
-		for seed := range uint64(60) {
-			found += len(history(seed, wrong).faults)
-		}
-		if found == 0 {
-			t.Errorf("not found: %s", name)
-		}
-	}
-	forgetful := 0
-	for seed := range uint64(60) {
-		forgetful += len(historyOf(seed, func(w *world) { w.unknownLease, w.strideMS = 0, 500 }).faults)
-	}
-	if forgetful == 0 {
-		t.Error("not found: a new leader counts on no lease of the term before")
-	}
-	wakes := uint64(0)
-	for seed := range uint64(60) {
-		w := historyOf(seed, func(w *world) { w.strideMS = []int{4000, 500}[seed%2] })
-		if len(w.faults) > 0 {
-			t.Errorf("seed %d: %s", seed, w.faults[0])
-		}
-		wakes += w.record.Generation
-	}
-	if wakes < 200 {
-		t.Errorf("only %d wakes in all: too few to show anything", wakes)
+// settleStart has the present start succeed, or be repeated if it was abandoned.
+func (w *world) settleStart() {
+	w.tick(answered)
+	switch {
+	case w.view.Abandoned:
+		w.replicaGone(answered, false, false)
+	case w.view.Replica == NoReplica:
+		w.reserve(answered)
+	default:
+		w.startArrives(replica{w.view.Generation, w.view.Replica})
+		w.replicaServes(answered)
 	}
 }
--- a/internal/activation/transition_test.go
+++ b/internal/activation/transition_test.go
@@ -1,60 +1,67 @@
 package activation
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
-	"strings"
+	"slices"
 	"testing"
 	"time"
 )
 
-var testPolicy = Policy{IdleWindow: 60 * time.Second, StartWithin: 30 * time.Second, StableAfter: 5 * time.Second, Attempts: 3, Backoff: 2 * time.Second, Cooldown: 100 * time.Second, DrainTimeout: 20 * time.Second}
+var testPolicy = Policy{
+	IdleWindow:   60 * time.Second,
+	StartWithin:  30 * time.Second,
+	StableAfter:  5 * time.Second,
+	Attempts:     3,
+	Backoff:      2 * time.Second,
+	Cooldown:     100 * time.Second,
+	DrainTimeout: 20 * time.Second,
+}
 
-// step is an event at a time, with the record and the action that follow.
+// step is an event at a time in seconds, with the record and the action that are expected to follow.
 type step struct {
-	atS    int
-	event  Event
-	record string
-	action Action
+	atS        int
+	event      Event
+	wantRecord string
+	wantAction Action
 }
 
 func TestLifecycles(t *testing.T) {
 	demand := func(generation uint64) Event { return Demand{generation} }
-	booked := func(generation, attempt uint64) Event { return Reserved{generation, attempt} }
+	reserved := func(generation, attempt uint64) Event { return Reserved{generation, attempt} }
 	failed := func(attempt uint64) Event { return ReplicaGone{1, attempt, true} }
-	up := []step{
+	untilReady := []step{
 		{0, demand(0), "starting, generation 1", Reserve},
-		{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+		{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 		{9, Serving{1, 1}, "ready, generation 1, attempt 1", Nothing},
 	}
+	afterReady := func(steps ...step) []step { return append(slices.Clone(untilReady), steps...) }
 	for name, steps := range map[string][]step{
-		"demand of all nodes at once wakes once": {
+		"demand of all controllers at once wakes once": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, demand(0), "starting, generation 1", Nothing},
 			{0, demand(0), "starting, generation 1", Nothing},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Nothing},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Nothing},
 		},
-		"starts that fail are repeated under the same wake, then it cools down": {
+		"failed starts are retried within the same wake, then it cools down": {
 			{0, demand(0), "starting, generation 1", Reserve},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, failed(1), "starting, generation 1", Nothing},
 			{2, Tick{}, "starting, generation 1", Nothing},
-			{2, booked(1, 9), "starting, generation 1", Nothing},
+			{2, reserved(1, 9), "starting, generation 1", Nothing},
 			{3, Tick{}, "starting, generation 1", Reserve},
-			{3, booked(1, 2), "starting, generation 1, attempt 2", Start},
+			{3, reserved(1, 2), "starting, generation 1, attempt 2", Start},
 			{4, failed(1), "starting, generation 1, attempt 2", Nothing},
 			{4, failed(2), "starting, generation 1", Nothing},
 			{7, Tick{}, "starting, generation 1", Nothing},
-			{8, booked(1, 3), "starting, generation 1, attempt 3", Start},
+			{8, reserved(1, 3), "starting, generation 1, attempt 3", Start},
 			{9, failed(3), "failed, generation 1", Nothing},
 			{108, demand(1), "failed, generation 1", Nothing},
 			{109, demand(1), "starting, generation 2", Reserve},
 		},
-		"a start that takes too long is stopped, and another one waits for the proof": {
+		"a start that takes too long is stopped, and the next one waits for proof that it is gone": {
 			{0, demand(0), "starting, generation 1", Reserve},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{40, Tick{30 * time.Second}, "starting, generation 1, attempt 1", Nothing},
 			{41, Tick{31 * time.Second}, "starting, generation 1, attempt 1", Stop},
 			{41, Tick{31 * time.Second}, "starting, generation 1, attempt 1", Stop},
@@ -63,42 +70,42 @@
 			{44, Tick{}, "starting, generation 1", Nothing},
 			{45, Tick{}, "starting, generation 1", Reserve},
 		},
-		"a replica that is lost is replaced at once": append(up[:3:3],
+		"a lost replica is replaced at once": afterReady(
 			step{20, ReplicaGone{1, 1, false}, "starting, generation 1", Reserve},
-			step{20, booked(1, 2), "starting, generation 1, attempt 2", Start},
+			step{20, reserved(1, 2), "starting, generation 1, attempt 2", Start},
 			step{21, Serving{1, 1}, "starting, generation 1, attempt 2", Nothing},
 		),
-		"a machine that is lost during the start is no failure of the model": {
+		"a machine lost during the start is no failure of the model": {
 			{0, demand(0), "starting, generation 1", Reserve},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, ReplicaGone{1, 1, false}, "starting, generation 1", Reserve},
 		},
-		"starts that failed before it answered don't count once it was stable": {
+		"failed starts don't count any more once the replica was stable": {
 			{0, demand(0), "starting, generation 1", Reserve},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, failed(1), "starting, generation 1", Nothing},
-			{3, booked(1, 2), "starting, generation 1, attempt 2", Start},
+			{3, reserved(1, 2), "starting, generation 1, attempt 2", Start},
 			{4, failed(2), "starting, generation 1", Nothing},
-			{8, booked(1, 3), "starting, generation 1, attempt 3", Start},
+			{8, reserved(1, 3), "starting, generation 1, attempt 3", Start},
 			{9, Serving{1, 3}, "ready, generation 1, attempt 3", Nothing},
 			{14, failed(3), "starting, generation 1", Reserve},
-			{14, booked(1, 4), "starting, generation 1, attempt 4", Start},
+			{14, reserved(1, 4), "starting, generation 1, attempt 4", Start},
 			{15, failed(4), "starting, generation 1", Nothing},
 		},
-		"a replica that ends soon after it answered, each time": {
+		"a replica that fails soon after it was ready, each time": {
 			{0, demand(0), "starting, generation 1", Reserve},
-			{0, booked(1, 1), "starting, generation 1, attempt 1", Start},
+			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, Serving{1, 1}, "ready, generation 1, attempt 1", Nothing},
 			{2, failed(1), "starting, generation 1", Nothing},
-			{4, booked(1, 2), "starting, generation 1, attempt 2", Start},
+			{4, reserved(1, 2), "starting, generation 1, attempt 2", Start},
 			{5, Serving{1, 2}, "ready, generation 1, attempt 2", Nothing},
 			{6, failed(2), "starting, generation 1", Nothing},
-			{10, booked(1, 3), "starting, generation 1, attempt 3", Start},
+			{10, reserved(1, 3), "starting, generation 1, attempt 3", Start},
 			{11, Serving{1, 3}, "ready, generation 1, attempt 3", Nothing},
 			{12, failed(3), "failed, generation 1", Nothing},
 			{13, demand(1), "failed, generation 1", Nothing},
 		},
-		"to zero and back": append(up[:3:3],
+		"scale to zero and back": afterReady(
 			step{68, Quiet{1, time.UnixMilli(0)}, "ready, generation 1, attempt 1", Nothing},
 			step{70, Quiet{0, time.UnixMilli(0)}, "ready, generation 1, attempt 1", Nothing},
 			step{70, Quiet{1, time.UnixMilli(11_000)}, "ready, generation 1, attempt 1", Nothing},
@@ -109,7 +116,7 @@
 			step{74, demand(0), "idle, generation 1", Nothing},
 			step{74, demand(1), "starting, generation 2", Reserve},
 		),
-		"demand revives a drain, and its words don't count for the next": append(up[:3:3],
+		"demand cancels a drain, whose acknowledgements don't count for the next": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, demand(1), "ready, generation 1, attempt 1", Nothing},
 			step{72, Drained{1}, "ready, generation 1, attempt 1", Nothing},
@@ -117,19 +124,19 @@
 			step{132, Drained{1}, "draining, generation 1, attempt 1", Nothing},
 			step{152, Tick{}, "ready, generation 1, attempt 1", Nothing},
 		),
-		"demand while it stops begins the next generation after the proof": append(up[:3:3],
+		"demand during a stop wakes the model once the replica is gone": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, Drained{1}, "stopping, generation 1, attempt 1", Stop},
 			step{72, demand(1), "stopping, generation 1, attempt 1", Nothing},
 			step{73, demand(1), "stopping, generation 1, attempt 1", Nothing},
 			step{74, ReplicaGone{1, 1, false}, "starting, generation 2", Reserve},
 		),
-		"a replica that is lost in a drain": append(up[:3:3],
+		"a replica lost in a drain": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, ReplicaGone{1, 1, false}, "draining, generation 1", Nothing},
 			step{72, Drained{1}, "idle, generation 1", Nothing},
 		),
-		"a replica that is lost in a drain, with demand": append(up[:3:3],
+		"a replica lost in a drain, with demand": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, ReplicaGone{1, 1, false}, "draining, generation 1", Nothing},
 			step{72, demand(1), "starting, generation 1", Reserve},
@@ -140,22 +147,21 @@
 			for i, s := range steps {
 				var action Action
 				r, action = r.Apply(s.event, &testPolicy, time.UnixMilli(int64(s.atS)*1000))
-				if r.String() != s.record || action != s.action {
-					t.Fatalf("step %d, %T at %d s: %s, action %d; wanted %s, action %d", i, s.event, s.atS, r, action, s.record, s.action)
+				if r.String() != s.wantRecord || action != s.wantAction {
+					t.Fatalf("step %d, %T at %d s: got %s, action %d, want %s, action %d", i, s.event, s.atS, r, action, s.wantRecord, s.wantAction)
 				}
 			}
 		})
 	}
 }
 
-// A new leader goes on where the record stands.
-func TestPendingFollowsFromTheRecord(t *testing.T) {
+func TestRestoreContinuesFromRecordAndAttempts(t *testing.T) {
 	now := time.UnixMilli(5000)
 	for _, c := range []struct {
-		record  Record
-		replica uint64 // that the records of attempts hold
-		want    Action
-		then    string
+		record     Record
+		replica    uint64 // according to the stored attempts
+		wantAction Action
+		wantRecord string
 	}{
 		{Record{State: Idle}, 0, Nothing, "idle, generation 0"},
 		{Record{State: Idle, Generation: 2}, 4, Stop, "idle, generation 2, attempt 4"},
@@ -174,60 +180,11 @@
 		{Record{State: Failed, Generation: 1}, 0, Nothing, "failed, generation 1"},
 		{Record{State: Failed, Generation: 1}, 4, Stop, "failed, generation 1, attempt 4"},
 	} {
-		restored, got := c.record.Restore(c.replica, &testPolicy, now)
-		if got != c.want || restored.String() != c.then {
-			t.Errorf("%s: %d, %s, wanted %d, %s", c.record, got, restored, c.want, c.then)
-		}
-	}
-}
-
-func TestPausesGrowToABound(t *testing.T) {
-	for failures, want := range map[int]time.Duration{1: 2, 2: 4, 3: 8, 5: 32, 6: 32, 1000: 32} {
-		if got := testPolicy.backoff(failures); got != want*time.Second {
-			t.Errorf("after %d failures %v", failures, got)
-		}
-	}
-}
-
-func TestDamagedRecordsAreNamed(t *testing.T) {
-	for text, reason := range map[string]string{
-		`7`:                                 "no lifecycle record",
-		`{"state":1}`:                       "no lifecycle record",
-		`{"state":"stopping"}`:              "no generation",
-		`{"state":"starting"}`:              "no generation",
-		`{"state":"asleep","generation":1}`: `unknown state "asleep"`,
-		`{"state":"starting","generation":1,"failures":-1}`:                   "counts failures wrongly",
-		`{"state":"ready","generation":1,"abandoned":true}`:                   "without starting one",
-		`{"state":"ready","generation":1,"wake_wanted":true,"unknown":[1,2]}`: "nothing is being stopped",
-	} {
-		_, err := Decode("models/a", []byte(text))
-		var damaged *DamagedError
-		if !errors.As(err, &damaged) || damaged.Key != "models/a" || !strings.Contains(err.Error(), reason) {
-			t.Errorf("%s: %v", text, err)
-		}
-	}
-}
-
-// Whatever is read as a record can be moved by every event, and written and read again.
-func FuzzDecode(f *testing.F) {
-	f.Add([]byte(`{"state":"starting","generation":3,"failures":1,"abandoned":true,"since_ms":5}`), uint64(2))
-	f.Add([]byte(`{"state":"draining","generation":3,"drain":9}`), uint64(0))
-	f.Fuzz(func(t *testing.T, data []byte, replica uint64) {
-		r, err := Decode("key", data)
-		if err != nil {
-			return
-		}
-		now := time.UnixMilli(1e9)
-		r, _ = r.Restore(replica, &testPolicy, now)
-		for _, e := range []Event{Tick{}, Tick{time.Hour}, Demand{r.Generation}, Reserved{r.Generation, 1}, Serving{r.Generation, replica}, ReplicaGone{r.Generation, replica, true}, Quiet{r.Generation, now}, Drained{r.Drain}} {
-			next, _ := r.Apply(e, &testPolicy, now)
-			raw, err := json.Marshal(next)
-			if err != nil {
-				t.Fatal(err)
+		t.Run(fmt.Sprintf("%s, stored attempt %d", c.record, c.replica), func(t *testing.T) {
+			restored, action := c.record.Restore(c.replica, &testPolicy, now)
+			if action != c.wantAction || restored.String() != c.wantRecord {
+				t.Errorf("got %s, action %d, want %s, action %d", restored, action, c.wantRecord, c.wantAction)
 			}
-			if _, err := Decode("key", raw); err != nil && next.State != "" {
-				t.Errorf("%s by %s is read as damaged: %v", r, fmt.Sprintf("%T", e), err)
-			}
-		}
-	})
+		})
+	}
 }
