--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -63,8 +63,9 @@
 	return true
 }
 
-// fairShare returns the part of the capacity that one team may use: an even share among the teams
-// with waiting submissions, and always room for one team more.
+// fairShare returns the part of the capacity that one team may use: an even share among the team and
+// the others with waiting submissions. If there are several teams, at least two are counted, so that
+// a single one leaves capacity to the next.
 func (l *Limiter) fairShare(team string, capacity int) int {
 	active := len(l.waiting)
 	if l.waiting[team] == 0 {
--- a/internal/upgrade/gate.go
+++ b/internal/upgrade/gate.go
@@ -19,8 +19,8 @@
 	// that can't read the archive such jobs were never submitted.
 	JobArchive GateName = "job-archive"
 	// WorkerTokens allows a worker's fencing token to be raised within a term. Versions without it
-	// don't know the range of tokens of a term, and wouldn't renew the leases of such workers while
-	// there is no leader.
+	// don't know the range of tokens of a term, and don't renew the leases of such workers under a
+	// delegation.
 	WorkerTokens GateName = "worker-tokens"
 	// Activation allows services to scale to zero. A version that doesn't know their lifecycles
 	// would start them without demand.
