--- /dev/null
+++ b/internal/boots/history.go
@@ -0,0 +1,96 @@
+// Package boots learns how long machines take to provision, as a ratio to the nominal boot time of
+// their type. An overdue machine may never come up, or all machines of its type may boot slowly.
+// Only in the first case does a replacement help.
+//
+// The package does no input or output.
+package boots
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxSamples bounds the samples of one history.
+	maxSamples = 32
+	// retention is the age beyond which a sample is dropped, in nominal boot times.
+	retention = 20
+	// slowThreshold is the median ratio from which boots count as slow. In ordinary operation no
+	// boot takes longer than 1.5 nominal boot times.
+	slowThreshold = 1.5
+	// minSamples is how many samples are needed to call boots slow: one or two may be late by
+	// chance.
+	minSamples = 4
+	// maxSlowness bounds the slowness reported.
+	maxSlowness = 4.0
+	// minAbandoned is how many machines must have been abandoned for a history to be failing.
+	minAbandoned = 2
+)
+
+// sample is the outcome of provisioning one machine.
+type sample struct {
+	at    time.Time
+	ratio float64 // time to the outcome, in nominal boot times
+	up    bool    // whether the machine came up; otherwise it was abandoned
+}
+
+// History is the recent provisioning outcomes of one kind of machine, such as those of one type or
+// one offering. The zero value is empty. It is not safe for concurrent use.
+type History struct{ samples []sample }
+
+// RecordProvisioned records that a machine came up after ratio nominal boot times.
+func (h *History) RecordProvisioned(now time.Time, ratio float64) {
+	h.add(sample{at: now, ratio: ratio, up: true})
+}
+
+// RecordAbandoned records that a machine was abandoned after ratio nominal boot times.
+func (h *History) RecordAbandoned(now time.Time, ratio float64) {
+	h.add(sample{at: now, ratio: ratio, up: false})
+}
+
+// add appends a sample, in place of the oldest one if the history is full.
+func (h *History) add(s sample) {
+	if len(h.samples) == maxSamples {
+		h.samples = slices.Delete(h.samples, 0, 1)
+	}
+	h.samples = append(h.samples, s)
+}
+
+// expire drops samples older than the retention.
+func (h *History) expire(now time.Time, nominal time.Duration) {
+	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retention*nominal })
+}
+
+// Slowness returns the factor by which boots are slower than usual, from 1: the median ratio of the
+// recent samples and of the machines that are overdue now. overdue holds the ratios of the latter so
+// far, which are lower bounds. nominal is the nominal boot time.
+func (h *History) Slowness(now time.Time, nominal time.Duration, overdue []float64) float64 {
+	h.expire(now, nominal)
+	ratios := slices.Clone(overdue)
+	for _, s := range h.samples {
+		ratios = append(ratios, s.ratio)
+	}
+	if len(ratios) < minSamples {
+		return 1
+	}
+	slices.Sort(ratios)
+	median := ratios[(len(ratios)-1)/2]
+	if median < slowThreshold {
+		return 1
+	}
+	return min(maxSlowness, median)
+}
+
+// Failing reports whether recently more machines were abandoned than came up, and at least two were.
+// nominal is the nominal boot time.
+func (h *History) Failing(now time.Time, nominal time.Duration) bool {
+	h.expire(now, nominal)
+	up := 0
+	for _, s := range h.samples {
+		if s.up {
+			up++
+		}
+	}
+	abandoned := len(h.samples) - up
+	return abandoned >= minAbandoned && abandoned > up
+}
