--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	peers := transport.NewPeers(s.NodeName, s.Peers, transport.Pace{Window: s.BatchWindow(), Pings: s.LinkTestInterval(), Queue: s.QueueSize()}, log)
+	peers := transport.NewPeers(s.NodeName, s.Peers, transport.PeerPacing{BatchWindow: s.BatchWindow(), PingInterval: s.LinkTestInterval(), QueueLength: s.QueueSize()}, log)
 	node := scheduler.NewNode(s, scheduler.Dependencies{
 		State:   transport.NewKeyValueClient(s.StateAddr),
 		Cloud:   transport.NewCloudClient(s.CloudAddr),
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	server := transport.NewServer(node, transport.Bounds{Sockets: s.Sockets - models.sockets(), MemoryMB: s.MemoryMB}, log)
+	server := transport.NewServer(node, transport.Limits{Sockets: s.Sockets - models.sockets(), MemoryMB: s.MemoryMB}, log)
 	usage := &telemetry.Reporter{
 		Log: log, Interval: time.Duration(usageReports * float64(s.HeartbeatInterval)), CPUShare: s.CPUShare,
 		Gauges: func() []any {
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -164,8 +164,8 @@
 	return x
 }
 
-// JobAnswer is the answer to a user.
-type JobAnswer struct {
+// JobStatus is the answer to a user.
+type JobStatus struct {
 	ID       string `json:"Id"`
 	Standing string `json:"Standing"`
 	Done     int    `json:"done"`
@@ -177,12 +177,12 @@
 	api.StateDone: "done", api.StateCancelled: "aborted",
 }
 
-// NewJobAnswer puts an answer on the wire.
-func NewJobAnswer(a api.Response) JobAnswer {
-	return JobAnswer{ID: idPrefix + a.ID, Standing: standings[a.State], Done: a.Done, Running: a.Running}
+// NewJobStatus puts an answer on the wire.
+func NewJobStatus(a api.Response) JobStatus {
+	return JobStatus{ID: idPrefix + a.ID, Standing: standings[a.State], Done: a.Done, Running: a.Running}
 }
 
-// Refusal is the body of every answer that isn't 200 or 201.
-type Refusal struct {
+// ErrorResponse is the body of every answer that isn't 200 or 201.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -142,16 +142,16 @@
 	Error  string `json:"error"`
 }
 
-// DirectOrders is the body of orders sent straight to a worker.
-type DirectOrders struct {
+// Commands is the body of orders sent straight to a worker.
+type Commands struct {
 	Token   uint64  `json:"Baton"`
 	Session uint64  `json:"Ride"`
 	Orders  []order `json:"Orders"`
 }
 
-// NewDirectOrders puts direct orders on the wire.
-func NewDirectOrders(token, session uint64, orders []worker.Command) DirectOrders {
-	return DirectOrders{Token: token, Session: session, Orders: newOrders(orders)}
+// NewCommands puts direct orders on the wire.
+func NewCommands(token, session uint64, orders []worker.Command) Commands {
+	return Commands{Token: token, Session: session, Orders: newOrders(orders)}
 }
 
 var verbs = map[worker.Verb]string{
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -7,90 +7,60 @@
 	"io"
 	"net"
 	"net/http"
+	"runtime"
 	"testing"
 	"time"
 
-	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/worker"
 )
 
-// What one request costs, all but the decision.
+// The cost of one request, without the controller's decision.
 
-// answering is a node that answers at once.
-func answering() *stub {
-	return &stub{answer: api.Response{Code: api.CodeOK, ID: "000412", State: api.StateRunning, Running: 3}, beat: worker.HeartbeatResponse{Accepted: true, Token: 7}}
-}
-
-func serveBench(b *testing.B) (addr string) {
+// roundTrip sends one request on an open connection and reads the response into buf.
+func roundTrip(b *testing.B, conn net.Conn, req, buf []byte) {
 	b.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	b.Cleanup(cancel)
-	go func() { _ = NewServer(answering(), Bounds{Sockets: 1000}, quiet).Serve(ctx, l) }()
-	return l.Addr().String()
-}
-
-// exchangeRaw sends one request on an open connection and reads its answer.
-func exchangeRaw(b *testing.B, c net.Conn, req, buf []byte) {
-	if _, err := c.Write(req); err != nil {
+	if _, err := conn.Write(req); err != nil {
 		b.Fatal(err)
 	}
-	if n, err := c.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("HTTP/1.1 200")) {
-		b.Fatalf("%s %v", buf[:n], err)
+	if n, err := conn.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("HTTP/1.1 200")) {
+		b.Fatalf("response %q, %v; want status 200", buf[:n], err)
 	}
 }
 
-func benchRequest(b *testing.B, req []byte) {
-	c, err := net.Dial("tcp", serveBench(b))
+func dial(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	defer c.Close()
+	tb.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+func benchmarkRequest(b *testing.B, req []byte) {
+	conn := dial(b, startServer(b, Limits{Sockets: 1000}))
 	buf := make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
-		exchangeRaw(b, c, req, buf)
+		roundTrip(b, conn, req, buf)
 	}
 }
 
-func reportBody(tasks int) []byte {
-	var w bytes.Buffer
-	w.WriteString(`{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":88,"Baton":41,"WarningS":null,"Chores":[`)
-	for i := range tasks {
-		if i > 0 {
-			w.WriteByte(',')
-		}
-		fmt.Fprintf(&w, `{"Chore":"job-%06d/%d","Try":%d,"Standing":"running"}`, 1000+i, i, 167772160+i)
-	}
-	w.WriteString("]}")
-	return w.Bytes()
-}
-
-// BenchmarkHeartbeatRequest is a worker's report of eight tasks on its open connection.
-func BenchmarkHeartbeatRequest(b *testing.B) {
-	body := reportBody(8)
-	benchRequest(b, []byte(fmt.Sprintf("POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)))
-}
+// BenchmarkHeartbeatRequest sends a heartbeat of a worker with eight tasks on its open connection.
+func BenchmarkHeartbeatRequest(b *testing.B) { benchmarkRequest(b, heartbeatRequest(8)) }
 
-// BenchmarkPollRequest is a user's poll on an open connection.
+// BenchmarkPollRequest sends a user's poll on an open connection.
 func BenchmarkPollRequest(b *testing.B) {
-	benchRequest(b, []byte("GET /v1/jobs/job-000412 HTTP/1.1\r\nHost: x\r\n\r\n"))
+	benchmarkRequest(b, []byte("GET /v1/jobs/job-000412 HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
-// BenchmarkPeerHeartbeats is a batch of 16 reports handed to another node.
+// BenchmarkPeerHeartbeats forwards a batch of 16 heartbeats to another controller.
 func BenchmarkPeerHeartbeats(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	b.Cleanup(cancel)
-	go func() { _ = ServePeers(ctx, l, fakeLocal{}, quiet) }()
-	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, Pace{Window: time.Millisecond, Pings: peerTimeout / 4}, quiet)
+	l := listen(b)
+	ctx := b.Context()
+	go func() { _ = ServePeers(ctx, l, fakePeerHandler{}, discardLogger) }()
+	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: l.Addr().String()}}, testPacing, discardLogger)
 	go p.Run(ctx)
 	var reports []*worker.Report
 	for range 16 {
@@ -108,27 +78,62 @@
 	}
 }
 
-// BenchmarkDirectOrders is a start sent straight to a worker that answers at once.
-func BenchmarkDirectOrders(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	body := reportBody(8)
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// BenchmarkSendCommands sends a start to a worker that responds at once.
+func BenchmarkSendCommands(b *testing.B) {
+	l := listen(b)
+	body := wireReport(8)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = w.Write(body)
 	})}
-	go func() { _ = srv.Serve(l) }()
-	b.Cleanup(func() { srv.Close() })
-	w := NewWorkerClient(1000, quiet)
-	orders := []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000412", Task: 3}, Attempt: 2}}
+	go func() { _ = server.Serve(l) }()
+	b.Cleanup(func() { server.Close() })
+	client := NewWorkerClient(1000, discardLogger)
 	b.ReportAllocs()
 	for b.Loop() {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if out, _ := w.SendCommands(ctx, l.Addr().String(), 41, 1, orders, time.Time{}); out != worker.Executed {
-			b.Fatal(out)
+		ctx, cancel := context.WithTimeout(b.Context(), time.Second)
+		if outcome, _ := client.SendCommands(ctx, l.Addr().String(), 41, 1, command, time.Time{}); outcome != worker.Executed {
+			b.Fatalf("outcome %v, want Executed", outcome)
 		}
 		cancel()
 	}
 }
+
+// BenchmarkIdleConnection reports the memory that a worker's connection holds between two heartbeats.
+func BenchmarkIdleConnection(b *testing.B) {
+	const conns = 400
+	req := heartbeatRequest(8)
+	for b.Loop() {
+		b.StopTimer()
+		l := listen(b)
+		stop := serve(b, l, Limits{Sockets: 1000})
+		before := liveMemory()
+		var open []net.Conn
+		buf := make([]byte, 4096)
+		b.StartTimer()
+		for range conns {
+			conn, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				b.Fatal(err)
+			}
+			roundTrip(b, conn, req, buf)
+			open = append(open, conn)
+		}
+		b.StopTimer()
+		time.Sleep(10 * time.Millisecond)
+		b.ReportMetric(float64(liveMemory()-before)/conns, "held-bytes/conn")
+		for _, conn := range open {
+			conn.Close()
+		}
+		stop()
+		b.StartTimer()
+	}
+}
+
+// liveMemory returns the bytes of the live heap and of the stacks.
+func liveMemory() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc + stats.StackInuse
+}
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -6,7 +6,6 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"time"
 
 	"sagevale/internal/cloud"
 	"sagevale/internal/protocol"
@@ -14,70 +13,70 @@
 	"sagevale/internal/storage"
 )
 
-// CloudClient rents machines.
+// CloudClient is the client of the cloud's interface. Its errors are those of package cloud, wrapped. Its methods
+// may be called from several goroutines.
 type CloudClient struct {
-	base string
-	c    *client
+	baseURL string
+	client  *jsonClient
 }
 
 var _ scheduler.Cloud = (*CloudClient)(nil)
 
-// NewCloudClient makes a client of the cloud at addr.
+// NewCloudClient returns a client of the cloud at addr, an IP address with a port.
 func NewCloudClient(addr string) *CloudClient {
-	return &CloudClient{"http://" + addr, newClient(4, 8, time.Minute)}
+	return &CloudClient{"http://" + addr, newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)}
 }
 
+// noCapacity is the cloud's error text for a launch that it has no machines for.
+const noCapacity = "no capacity"
+
+// send sends one request, decodes a successful response into out unless that is nil, and maps every other
+// outcome to an error of package cloud.
 func (c *CloudClient) send(ctx context.Context, method, path string, in, out any) error {
-	ex, sent, err := c.c.do(ctx, method, c.base+path, in)
+	resp, sent, err := c.client.do(ctx, method, c.baseURL+path, in)
 	switch {
 	case err != nil && sent:
 		return fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	case err != nil:
 		return fmt.Errorf("%w: %w", cloud.ErrRejected, err)
 	}
-	switch ex.status {
+	switch resp.status {
 	case http.StatusOK:
-		if out == nil {
-			return nil
-		}
-		if err := decode(ex.body, out); err != nil {
+		if err := resp.decode(out); err != nil {
 			return fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 		}
 		return nil
 	case http.StatusBadRequest:
-		return fmt.Errorf("%w: %.200s", cloud.ErrMalformed, ex.body)
+		return fmt.Errorf("%w: %.200s", cloud.ErrMalformed, resp.body)
 	case http.StatusTooManyRequests:
 		return fmt.Errorf("%w: too many requests", cloud.ErrRejected)
 	case http.StatusServiceUnavailable:
-		var r protocol.Refusal
-		if err := decode(ex.body, &r); err == nil && r.Error == noCapacity {
+		var failure protocol.ErrorResponse
+		if err := resp.decode(&failure); err == nil && failure.Error == noCapacity {
 			return cloud.ErrNoCapacity
 		}
-		return fmt.Errorf("%w: %.200s", cloud.ErrRejected, ex.body)
+		return fmt.Errorf("%w: %.200s", cloud.ErrRejected, resp.body)
 	}
-	return fmt.Errorf("%w: status %d", cloud.ErrUnknownOutcome, ex.status)
+	return fmt.Errorf("%w: status %d", cloud.ErrUnknownOutcome, resp.status)
 }
 
-// noCapacity is how the cloud refuses a rental.
-const noCapacity = "no capacity"
-
-// MachineTypes reads the machine types.
+// MachineTypes returns the instance types of the cloud's catalogue, at least one.
 func (c *CloudClient) MachineTypes(ctx context.Context) ([]storage.MachineType, error) {
-	var cat protocol.Catalogue
-	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &cat); err != nil {
+	var catalogue protocol.Catalogue
+	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &catalogue); err != nil {
 		return nil, err
 	}
-	types := cat.MachineTypes()
+	types := catalogue.MachineTypes()
 	if len(types) == 0 {
 		return nil, fmt.Errorf("%w: empty catalogue", cloud.ErrUnknownOutcome)
 	}
 	return types, nil
 }
 
-// Launch rents machines under a request name.
-func (c *CloudClient) Launch(ctx context.Context, name string, h storage.LaunchRecord) ([]int, error) {
+// Launch launches machines and returns their ids. The request is idempotent by its name.
+func (c *CloudClient) Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	var names protocol.MachineNames
-	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, h), &names); err != nil {
+	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, launch), &names); err != nil {
 		return nil, err
 	}
 	ids, err := names.IDs()
@@ -87,24 +86,25 @@
 	return ids, nil
 }
 
-// Terminate has machines taken; once it succeeds, they are gone.
+// Terminate terminates machines; once it succeeds, they are gone.
 func (c *CloudClient) Terminate(ctx context.Context, machines []int) error {
 	return c.send(ctx, http.MethodPost, "/rentals/delete", protocol.NewMachineNames(machines), nil)
 }
 
-// List reads a page of the machine list.
-func (c *CloudClient) List(ctx context.Context, after int, limit int) ([]cloud.Machine, bool, error) {
-	q := url.Values{"Page": {strconv.Itoa(limit)}}
+// List returns a page of at most limit machines, those after an id unless after is negative, and whether there are
+// more.
+func (c *CloudClient) List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error) {
+	query := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
-		q.Set("From", protocol.MachineName(after))
+		query.Set("From", protocol.MachineName(after))
 	}
-	var l protocol.MachineList
-	if err := c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &l); err != nil {
+	var page protocol.MachineList
+	if err := c.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &page); err != nil {
 		return nil, false, err
 	}
-	machines, err := l.Listed()
+	machines, err = page.Listed()
 	if err != nil {
 		return nil, false, fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	}
-	return machines, l.More, nil
+	return machines, page.More, nil
 }
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -9,149 +9,134 @@
 	"sagevale/internal/protocol"
 )
 
-// Shares of the node's sockets. A fleet's workers keep their connections open,
-// and may be more than a node has sockets for: what they hold must leave room
-// for users, health checks, and what the node itself opens.
-const (
-	// workerShare may stay open between two reports; beyond that a worker's
-	// connection is closed with its answer.
-	workerShare = 1.0 / 2
-	// acceptedShare may be open in all; then idle workers' connections are closed
-	// to let others in.
-	acceptedShare = 2.0 / 3
-	// shedShare of the idle workers' connections is closed at a time.
-	shedShare = 1.0 / 8
-	// directOrderShare may be held by direct orders, idleOrderShare by connections kept
-	// for the next ones.
-	directOrderShare = 1.0 / 6
-	idleOrderShare   = 1.0 / 12
-)
-
-func socketShare(sockets int, share float64) int { return max(1, int(float64(sockets)*share)) }
+// shedShare of the accepted connections is closed at a time, at most, to accept others.
+const shedShare = 1.0 / 8
 
-// connLimiter is a listener that keeps its connections within the node's sockets. What it
-// keeps of them belongs to the goroutine that accepts; connections only publish.
+// connLimiter is a listener that bounds its open connections. At the limit it closes idle connections of
+// workers, or waits until a connection is closed. Accept must not be called by two goroutines at once.
 type connLimiter struct {
 	net.Listener
 	maxOpen, maxWorkers int64
-	open, workers       atomic.Int64
-	conns               []*limitedConn
-	left                chan struct{} // wakes an Accept that waits for room
-	shut                chan struct{}
-	once                sync.Once
-}
-
-// limitedConn is one accepted connection.
-type limitedConn struct {
-	net.Conn
-	limiter *connLimiter
-	worker  atomic.Bool           // has reported
-	reports protocol.ReportReader // of the request under way, one at a time
-	busy    atomic.Bool           // is being answered
-	closed  atomic.Bool
+	open, workers       atomic.Int64   // connections now
+	conns               []*limitedConn // in the order of Accept, which owns it; some may be closed
+	connClosed          chan struct{}  // wakes an Accept that waits
+	closed              chan struct{}
+	closeOnce           sync.Once
 }
 
-func newConnLimiter(l net.Listener, bounds Bounds) *connLimiter {
+func newConnLimiter(l net.Listener, limits Limits) *connLimiter {
 	return &connLimiter{
-		Listener: l, maxOpen: int64(bounds.connections()), maxWorkers: int64(bounds.workers()),
-		left: make(chan struct{}, 1), shut: make(chan struct{}),
+		Listener: l, maxOpen: int64(limits.connections()), maxWorkers: int64(limits.workerConnections()),
+		connClosed: make(chan struct{}, 1), closed: make(chan struct{}),
 	}
 }
 
-// Close ends accepting.
-func (d *connLimiter) Close() error {
-	d.once.Do(func() { close(d.shut) })
-	return d.Listener.Close()
+// Close closes the listener; a waiting Accept returns.
+func (l *connLimiter) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
 
-// Accept takes the next connection, once there is room for it.
-func (d *connLimiter) Accept() (net.Conn, error) {
-	for d.open.Load() >= d.maxOpen && !d.shed() {
+// Accept returns the next connection, once fewer than the maximum are open.
+func (l *connLimiter) Accept() (net.Conn, error) {
+	for l.open.Load() >= l.maxOpen && !l.shedWorkers() {
 		select {
-		case <-d.left:
-		case <-d.shut:
+		case <-l.connClosed:
+		case <-l.closed:
 			return nil, net.ErrClosed
 		}
 	}
-	c, err := d.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	g := &limitedConn{Conn: c, limiter: d}
-	d.open.Add(1)
-	d.conns = append(d.conns, g)
-	if int64(len(d.conns)) > 2*d.open.Load() {
-		d.sweep()
+	c := &limitedConn{Conn: accepted, limiter: l}
+	l.open.Add(1)
+	l.conns = append(l.conns, c)
+	if int64(len(l.conns)) > 2*l.open.Load() {
+		l.removeClosed()
 	}
-	return g, nil
+	return c, nil
 }
 
-// sweep forgets the connections that have left.
-func (d *connLimiter) sweep() {
-	kept := d.conns[:0]
-	for _, g := range d.conns {
-		if !g.closed.Load() {
-			kept = append(kept, g)
+// removeClosed removes the closed connections from conns.
+func (l *connLimiter) removeClosed() {
+	open := l.conns[:0]
+	for _, c := range l.conns {
+		if !c.closed.Load() {
+			open = append(open, c)
 		}
 	}
-	clear(d.conns[len(kept):])
-	d.conns = kept
+	clear(l.conns[len(open):])
+	l.conns = open
 }
 
-// shed closes some of the workers' connections that wait for the next report,
-// those that have been open the longest.
-func (d *connLimiter) shed() bool {
-	d.sweep()
-	most := max(1, int(shedShare*float64(d.maxOpen)))
-	n := 0
-	for _, g := range d.conns {
-		if n == most {
+// shedWorkers closes some of the workers' connections that wait for the next heartbeat, the oldest first. It
+// reports whether it has closed any.
+func (l *connLimiter) shedWorkers() bool {
+	l.removeClosed()
+	limit := max(1, int(shedShare*float64(l.maxOpen)))
+	shed := 0
+	for _, c := range l.conns {
+		if shed == limit {
 			break
 		}
-		if g.worker.Load() && !g.busy.Load() {
-			g.Close()
-			n++
+		if c.worker.Load() && !c.busy.Load() {
+			c.Close()
+			shed++
 		}
 	}
-	return n > 0
+	return shed > 0
+}
+
+// limitedConn is a connection that a connLimiter has accepted.
+type limitedConn struct {
+	net.Conn
+	limiter    *connLimiter
+	heartbeats protocol.ReportReader // used by the one request that the connection serves at a time
+	worker     atomic.Bool           // the client is a worker
+	busy       atomic.Bool           // a worker's heartbeat is being handled
+	closed     atomic.Bool
 }
 
-// Close ends the connection, once.
-func (g *limitedConn) Close() error {
-	if g.closed.Swap(true) {
+// Close closes the connection; a second call returns net.ErrClosed.
+func (c *limitedConn) Close() error {
+	if c.closed.Swap(true) {
 		return net.ErrClosed
 	}
-	if g.worker.Load() {
-		g.limiter.workers.Add(-1)
+	if c.worker.Load() {
+		c.limiter.workers.Add(-1)
 	}
-	g.limiter.open.Add(-1)
+	c.limiter.open.Add(-1)
 	select {
-	case g.limiter.left <- struct{}{}:
+	case c.limiter.connClosed <- struct{}{}:
 	default:
 	}
-	return g.Conn.Close()
+	return c.Conn.Close()
 }
 
-// markWorker notes that the connection is a worker and tells whether its connection may
-// stay open.
-func (g *limitedConn) markWorker() (stays bool) {
-	if !g.worker.Swap(true) {
-		g.limiter.workers.Add(1)
+// markWorker marks the client as a worker and reports whether the connection may stay open after the
+// response.
+func (c *limitedConn) markWorker() (stays bool) {
+	if !c.worker.Swap(true) {
+		c.limiter.workers.Add(1)
 	}
-	return g.limiter.workers.Load() <= g.limiter.maxWorkers
+	return c.limiter.workers.Load() <= c.limiter.maxWorkers
 }
 
+// limitedConnKey is the context key of a request's *limitedConn.
 type limitedConnKey struct{}
 
-// withLimitedConn lets requests know their connection.
-func withLimitedConn(ctx context.Context, c net.Conn) context.Context {
-	if g, ok := c.(*limitedConn); ok {
-		return context.WithValue(ctx, limitedConnKey{}, g)
+// withLimitedConn is an http.Server's ConnContext that makes the connection available to its requests.
+func withLimitedConn(ctx context.Context, conn net.Conn) context.Context {
+	if c, ok := conn.(*limitedConn); ok {
+		return context.WithValue(ctx, limitedConnKey{}, c)
 	}
 	return ctx
 }
 
-func limitedConnOf(ctx context.Context) *limitedConn {
-	g, _ := ctx.Value(limitedConnKey{}).(*limitedConn)
-	return g
+// limitedConnFrom returns the connection of a request; nil if no connLimiter has accepted it.
+func limitedConnFrom(ctx context.Context) *limitedConn {
+	c, _ := ctx.Value(limitedConnKey{}).(*limitedConn)
+	return c
 }
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -1,110 +1,106 @@
 package transport
 
 import (
-	"context"
-	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
 )
 
-// pipes is a listener in memory.
-type pipes struct {
-	conns chan net.Conn
-	ended chan struct{}
+// pipeListener is a listener whose connections are pipes in memory.
+type pipeListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func newPipeListener() *pipeListener {
+	return &pipeListener{make(chan net.Conn), make(chan struct{})}
+}
+
+// dial opens a connection and waits until it is accepted.
+func (l *pipeListener) dial() net.Conn {
+	client, server := net.Pipe()
+	l.conns <- server
+	return client
+}
+
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.conns:
-		return c, nil
-	case <-p.ended:
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Close() error {
+func (l *pipeListener) Close() error {
 	select {
-	case <-p.ended:
+	case <-l.closed:
 	default:
-		close(p.ended)
+		close(l.closed)
 	}
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// ask sends one request and returns the answer's head, and whether the
-// connection stays open. One that doesn't has been closed when ask returns: on a
-// busy machine the limiter else counts it for a while longer, and sheds others.
-func ask(t *testing.T, c net.Conn, req string) (head string, stays bool) {
+// exchange sends one request and returns the start of the response, and whether the connection stays open. If it
+// doesn't, exchange returns after it is closed: on a busy machine the limiter would otherwise still count it for a
+// while, and shed others.
+func exchange(t *testing.T, conn net.Conn, req []byte) (response string, stays bool) {
 	t.Helper()
-	if _, err := io.WriteString(c, req); err != nil {
+	if _, err := conn.Write(req); err != nil {
 		return err.Error(), false
 	}
 	buf := make([]byte, 4096)
-	n, err := c.Read(buf)
+	n, err := conn.Read(buf)
 	if err != nil {
 		return err.Error(), false
 	}
-	head = string(buf[:n])
-	if !strings.Contains(head, "Connection: close") {
-		return head, true
+	response = string(buf[:n])
+	if !strings.Contains(response, "Connection: close") {
+		return response, true
 	}
 	for err == nil {
-		_, err = c.Read(buf)
+		_, err = conn.Read(buf)
 	}
-	return head, false
+	return response, false
 }
 
-// More workers than sockets: those beyond a share are closed with their
-// answers, and what is still open never shuts out users and health checks. A
-// full node once looked dead to the balancer.
-func TestWorkersLeaveRoomForOthers(t *testing.T) {
+// With more workers than sockets, the connections beyond the workers' share are closed after the response, and the
+// others never prevent users and health checks from connecting: a load balancer once took a full node for a failed one.
+func TestServerReservesConnectionsForOthers(t *testing.T) {
 	const sockets = 60
-	l := &pipes{make(chan net.Conn), make(chan struct{})}
-	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- NewServer(answering(), Bounds{Sockets: sockets}, quiet).Serve(ctx, l) }()
-	open := func() net.Conn {
-		ours, theirs := net.Pipe()
-		l.conns <- theirs
-		return ours
-	}
-	body := reportBody(1)
-	report := fmt.Sprintf("POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	var kept []net.Conn
+	l := newPipeListener()
+	serve(t, l, Limits{Sockets: sockets})
+	heartbeat := heartbeatRequest(1)
+	var open []net.Conn
 	for i := range 2 * sockets {
-		c := open()
-		head, stays := ask(t, c, report)
-		if !strings.HasPrefix(head, "HTTP/1.1 200") {
-			t.Fatalf("report %d: %.40s", i, head)
+		conn := l.dial()
+		response, stays := exchange(t, conn, heartbeat)
+		if !strings.HasPrefix(response, "HTTP/1.1 200") {
+			t.Fatalf("heartbeat %d: response %.40q, want status 200", i, response)
 		}
 		if stays {
-			kept = append(kept, c)
+			open = append(open, conn)
 		}
 	}
-	if n := len(kept); n != socketShare(sockets, workerShare) {
-		t.Errorf("%d workers' connections stay open", n)
+	if got, want := len(open), socketShare(sockets, workerSocketShare); got != want {
+		t.Errorf("%d connections of workers stay open, want %d", got, want)
 	}
-	// Users fill what is left; then workers' connections make room.
+	// Health checks take the other connections, then those of workers.
 	for i := range sockets / 2 {
-		if head, stays := ask(t, open(), "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"); !stays || !strings.HasPrefix(head, "HTTP/1.1 200") {
-			t.Fatalf("health check %d: %.40s", i, head)
+		response, stays := exchange(t, l.dial(), []byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
+		if !stays || !strings.HasPrefix(response, "HTTP/1.1 200") {
+			t.Fatalf("health check %d: response %.40q, connection stays: %v; want status 200 and true", i, response, stays)
 		}
 	}
-	shut := 0
-	for _, c := range kept {
-		if _, stays := ask(t, c, report); !stays {
-			shut++
+	closed := 0
+	for _, conn := range open {
+		if _, stays := exchange(t, conn, heartbeat); !stays {
+			closed++
 		}
 	}
-	if shut == 0 || shut == len(kept) {
-		t.Errorf("%d of %d workers' connections were closed to make room", shut, len(kept))
-	}
-	cancel()
-	if err := <-served; err != nil {
-		t.Errorf("serving ended: %v", err)
+	if closed == 0 || closed == len(open) {
+		t.Errorf("%d of %d connections of workers were closed, want some", closed, len(open))
 	}
 }
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -17,8 +17,8 @@
 	"sagevale/internal/worker"
 )
 
-// TestFreeze writes the messages that this version's nodes exchange to the folder
-// that FREEZE names: see the README.md of each folder in testdata.
+// TestFreeze writes the messages that controllers of this version exchange to the directory that the
+// environment variable FREEZE names: see the README.md of each directory in testdata.
 func TestFreeze(t *testing.T) {
 	write := func(name string, messages ...any) {
 		var buf bytes.Buffer
@@ -41,10 +41,10 @@
 		peerAsk{Serial: 2, Req: wire.FromRequest(&api.Request{Op: api.OpSubmit, ID: "000007", Spec: spec})},
 		peerAsk{Serial: 3, Reports: wire.FromReports([]*worker.Report{{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
 			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true}}}})})
-	write("answers.gob", answersTelling(toldBy769a0b2)...)
-	write("answers-registering.gob", answersTelling(toldByRegistering)...)
-	write("answers-token-ranges.gob", answersTelling(toldByTokenRanges)...)
-	write("answers-activation.gob", answersTelling(peer.Version)...)
+	write("answers.gob", answersOfVersion(version769a0b2)...)
+	write("answers-registering.gob", answersOfVersion(versionRegistering)...)
+	write("answers-token-ranges.gob", answersOfVersion(versionTokenRanges)...)
+	write("answers-activation.gob", answersOfVersion(peer.Version)...)
 	write("wakes.gob",
 		wakeAsk{Serial: 4, Wake: &activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}},
 		wakeAnswer{Serial: 4, Wake: &activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
@@ -54,15 +54,15 @@
 		usageAnswer{Serial: 5, Usage: &activation.UsageResponse{Verdict: activation.Known, Draining: []activation.DrainOrder{{Model: "000007", Drain: 4}}, Reason: "none"}})
 }
 
-// What earlier versions tell as their own; this one tells another number, in the same message.
+// The version numbers that earlier versions send. This version sends another, in the same message.
 const (
-	toldBy769a0b2     = 2
-	toldByRegistering = 3
-	toldByTokenRanges = 4
+	version769a0b2     = 2
+	versionRegistering = 3
+	versionTokenRanges = 4
 )
 
-// answersTelling are a node's answers to each kind of message.
-func answersTelling(version int) []any {
+// answersOfVersion returns the responses of a controller of a version to each kind of request.
+func answersOfVersion(version int) []any {
 	return []any{
 		peerAnswer{Serial: 1, Answer: wire.Answer{Peer: wire.PeerState{Up: time.Minute, SinceState: time.Second, Leader: "n2", Term: 4,
 			Hears: time.Second, Alone: time.Hour, Lends: 20 * time.Second, LendTerm: 4, Barred: []int{7, 8}, Version: version}}},
--- a/internal/transport/json_client.go
+++ b/internal/transport/json_client.go
@@ -1,6 +1,3 @@
-// Package transport carries the protocols: the HTTP server for users and
-// workers, the clients of the state service, the cloud and the workers, and
-// the gob link between the controller nodes.
 package transport
 
 import (
@@ -16,43 +13,54 @@
 	"time"
 )
 
-// answerLimit bounds what is read of one answer.
-const answerLimit = 16 << 20
+const (
+	// maxResponseBytes bounds the part of a response body that is read.
+	maxResponseBytes = 16 << 20
+	// connectTimeout is the longest that a connection may take.
+	connectTimeout = 2 * time.Second
+	// Connections of a client that sends concurrent requests to one server: how many it keeps idle, and for how
+	// long.
+	idleConnsPerServer = 4
+	maxIdleConns       = 8
+	idleConnTimeout    = time.Minute
+)
 
-// client speaks JSON to one kind of server.
-type client struct {
+// jsonClient sends HTTP requests with JSON bodies. It never repeats or redirects a request.
+type jsonClient struct {
 	http *http.Client
 }
 
-// newClient pools up to perHost connections to each server.
-func newClient(perHost, total int, idle time.Duration) *client {
-	dialer := &net.Dialer{Timeout: 2 * time.Second, KeepAlive: -1}
-	return &client{http: &http.Client{
+// newJSONClient returns a client that keeps idle connections for idleTimeout: perHost to each server, and total
+// to all.
+func newJSONClient(perHost, total int, idleTimeout time.Duration) *jsonClient {
+	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
+	return &jsonClient{http: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxIdleConns:        total,
 			MaxIdleConnsPerHost: perHost,
 			MaxConnsPerHost:     0,
-			IdleConnTimeout:     idle,
+			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// exchange is one answered request.
-type exchange struct {
+// httpResponse is a server's response.
+type httpResponse struct {
 	status int
 	body   []byte
 }
 
-// do sends one request; sent tells whether any of it may have left.
-func (c *client) do(ctx context.Context, method, url string, in any) (ex exchange, sent bool, err error) {
+// do sends one request with the JSON of in as its body, or without a body if in is nil. With an error, sent
+// reports whether the server may have received the request.
+func (c *jsonClient) do(ctx context.Context, method, url string, in any) (_ httpResponse, sent bool, err error) {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return ex, false, fmt.Errorf("encode request: %w", err)
+			return httpResponse{}, false, fmt.Errorf("encode request: %w", err)
 		}
 		body = bytes.NewReader(raw)
 	}
@@ -62,25 +70,29 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return ex, false, fmt.Errorf("make request: %w", err)
+		return httpResponse{}, false, fmt.Errorf("make request: %w", err)
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return ex, connected.Load(), fmt.Errorf("%s %s: %w", method, req.URL.Path, err)
+		return httpResponse{}, connected.Load(), fmt.Errorf("%s %s: %w", method, req.URL.Path, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return ex, true, fmt.Errorf("%s %s: read answer: %w", method, req.URL.Path, err)
+		return httpResponse{}, true, fmt.Errorf("%s %s: read answer: %w", method, req.URL.Path, err)
 	}
-	return exchange{resp.StatusCode, raw}, true, nil
+	return httpResponse{resp.StatusCode, raw}, true, nil
 }
 
-func decode(raw []byte, out any) error {
-	if err := json.Unmarshal(raw, out); err != nil {
+// decode decodes the response's body into out, which may be nil.
+func (r httpResponse) decode(out any) error {
+	if out == nil {
+		return nil
+	}
+	if err := json.Unmarshal(r.body, out); err != nil {
 		return fmt.Errorf("decode answer: %w", err)
 	}
 	return nil
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -12,117 +12,118 @@
 	"sagevale/internal/storage"
 )
 
-// KeyValueClient speaks to the state service.
+// KeyValueClient is the client of the key-value store. Its errors are those of package storage, wrapped. Its
+// methods may be called from several goroutines.
 type KeyValueClient struct {
-	base string
-	c    *client
+	baseURL string
+	client  *jsonClient
 }
 
 var _ storage.KeyValueStore = (*KeyValueClient)(nil)
 
-// NewKeyValueClient makes a client of the state service at addr.
+// NewKeyValueClient returns a client of the key-value store at addr, an IP address with a port.
 func NewKeyValueClient(addr string) *KeyValueClient {
-	return &KeyValueClient{"http://" + addr, newClient(4, 8, time.Minute)}
+	return &KeyValueClient{"http://" + addr, newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)}
 }
 
-// send makes one request and sorts its outcome into the errors of storage.
-func (s *KeyValueClient) send(ctx context.Context, method, path string, in, out any) error {
-	ex, sent, err := s.c.do(ctx, method, s.base+path, in)
-	if err != nil {
-		if sent {
-			return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
-		}
+// send sends one request, decodes a successful response into out unless that is nil, and maps every other
+// outcome to an error of package storage.
+func (c *KeyValueClient) send(ctx context.Context, method, path string, in, out any) error {
+	resp, sent, err := c.client.do(ctx, method, c.baseURL+path, in)
+	switch {
+	case err != nil && sent:
+		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
+	case err != nil:
 		return fmt.Errorf("%w: %w", storage.ErrRefused, err)
 	}
-	switch ex.status {
+	switch resp.status {
 	case http.StatusOK:
-		if out == nil {
-			return nil
-		}
-		if err := decode(ex.body, out); err != nil {
+		if err := resp.decode(out); err != nil {
 			return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
 		}
 		return nil
 	case http.StatusNotFound:
 		return storage.ErrNotFound
 	case http.StatusConflict:
-		var a protocol.TxnAnswer
-		if err := decode(ex.body, &a); err != nil {
+		var conflict protocol.TxnAnswer
+		if err := resp.decode(&conflict); err != nil {
 			return err
 		}
-		return &storage.ConflictError{Failed: a.Failed}
+		return &storage.ConflictError{Failed: conflict.Failed}
 	case http.StatusGone:
 		return storage.ErrCompacted
 	case http.StatusTooManyRequests:
 		return storage.ErrRateLimited
 	case http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d", storage.ErrRefused, ex.status)
+		return fmt.Errorf("%w: status %d", storage.ErrRefused, resp.status)
 	case http.StatusBadRequest:
-		return fmt.Errorf("%w: %.200s", storage.ErrMalformed, ex.body)
+		return fmt.Errorf("%w: %.200s", storage.ErrMalformed, resp.body)
 	}
-	return fmt.Errorf("%w: status %d", storage.ErrOutcomeUnknown, ex.status)
+	return fmt.Errorf("%w: status %d", storage.ErrOutcomeUnknown, resp.status)
 }
 
 // Get reads one key.
-func (s *KeyValueClient) Get(ctx context.Context, key string) (storage.Item, error) {
-	var it protocol.StoredItem
-	if err := s.send(ctx, http.MethodGet, "/store/"+key, nil, &it); err != nil {
+func (c *KeyValueClient) Get(ctx context.Context, key string) (storage.Item, error) {
+	var item protocol.StoredItem
+	if err := c.send(ctx, http.MethodGet, "/store/"+key, nil, &item); err != nil {
 		return storage.Item{}, err
 	}
-	return it.Item(), nil
+	return item.Item(), nil
 }
 
-// List reads a page of keys.
-func (s *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) ([]storage.Item, bool, uint64, error) {
-	q := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
+// List reads a page of at most limit keys with the prefix, those after a key unless after is empty. It returns
+// whether there are more, and the store's revision.
+func (c *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) (items []storage.Item, more bool, revision uint64, err error) {
+	query := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("From", after)
+		query.Set("From", after)
 	}
 	var page protocol.StoredItems
-	if err := s.send(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page); err != nil {
+	if err := c.send(ctx, http.MethodGet, "/store?"+query.Encode(), nil, &page); err != nil {
 		return nil, false, 0, err
 	}
-	items := make([]storage.Item, 0, len(page.Items))
-	for _, it := range page.Items {
-		items = append(items, it.Item())
+	items = make([]storage.Item, 0, len(page.Items))
+	for _, item := range page.Items {
+		items = append(items, item.Item())
 	}
 	return items, page.More, page.Revision, nil
 }
 
-// Txn sends a transaction.
-func (s *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
-	var a protocol.TxnAnswer
-	if err := s.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &a); err != nil {
+// Txn executes a guarded transaction and returns the store's revision after it.
+func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
+	var result protocol.TxnAnswer
+	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
 		return 0, err
 	}
-	return a.Revision, nil
+	return result.Revision, nil
 }
 
-// Grant asks for a lease.
-func (s *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	var l protocol.Lease
-	if err := s.send(ctx, http.MethodPost, "/grants", protocol.Life{LifeMS: life.Milliseconds()}, &l); err != nil {
+// Grant creates a lease that lasts for life, in whole milliseconds, and returns its id.
+func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+	var lease protocol.Lease
+	if err := c.send(ctx, http.MethodPost, "/grants", protocol.Life{LifeMS: life.Milliseconds()}, &lease); err != nil {
 		return 0, err
 	}
-	return l.ID, nil
+	return lease.ID, nil
 }
 
 // Touch renews a lease.
-func (s *KeyValueClient) Touch(ctx context.Context, lease uint64) error {
-	return s.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
+func (c *KeyValueClient) Touch(ctx context.Context, lease uint64) error {
+	return c.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
 }
 
 // Revoke ends a lease.
-func (s *KeyValueClient) Revoke(ctx context.Context, lease uint64) error {
-	return s.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
+func (c *KeyValueClient) Revoke(ctx context.Context, lease uint64) error {
+	return c.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch waits for changes under prefix.
-func (s *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
-	q := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	var ch protocol.Changes
-	if err := s.send(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, &ch); err != nil {
+// Watch returns the changes under prefix after a revision, and the revision up to which they are complete. It
+// waits for a change for hold at most.
+func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
+	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+	var changes protocol.Changes
+	if err := c.send(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, &changes); err != nil {
 		return nil, 0, err
 	}
-	return ch.Items(), ch.Revision, nil
+	return changes.Items(), changes.Revision, nil
 }
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -1,66 +1,59 @@
 package transport
 
-import (
-	"math"
+import "math"
 
-	"golang.org/x/sync/semaphore"
+// Limits bound the resources that a server uses for its clients.
+type Limits struct {
+	Sockets  int     // of the process, for all purposes
+	MemoryMB float64 // of the process, in MB (2^20 bytes); 0: not limited
+}
 
-	"sagevale/internal/protocol"
+// Shares of the sockets. The workers of a fleet keep their connections open, and may be more than there are
+// sockets: their connections must leave room for users, health checks and outgoing connections.
+const (
+	// workerSocketShare bounds the workers' connections that stay open between two heartbeats; a worker's
+	// connection beyond it is closed after the response.
+	workerSocketShare = 1.0 / 2
+	// acceptedSocketShare bounds all accepted connections; at that number idle connections of workers are
+	// closed to accept others.
+	acceptedSocketShare = 2.0 / 3
+	// commandSocketShare bounds the connections that send commands to workers, and idleCommandSocketShare those
+	// that are kept for the next commands.
+	commandSocketShare     = 1.0 / 6
+	idleCommandSocketShare = 1.0 / 12
 )
 
-// Bounds is what a node may use for those who speak to it.
-type Bounds struct {
-	Sockets  int
-	MemoryMB float64
-}
-
+// Shares of the memory.
 const (
-	// connMemoryShare of the memory may go to accepted connections, each of which takes
-	// connBytes: its buffers, its goroutines' stacks, its last report.
-	connMemoryShare = 1.0 / 3
-	connBytes       = 24 << 10
-	// bodyMemoryShare of the memory may go to large bodies that are being read; bodies
-	// of up to smallBody count to their connection.
+	// connectionMemoryShare is for accepted connections, each of which takes connectionBytes: its buffers,
+	// its goroutines' stacks, its latest heartbeat.
+	connectionMemoryShare = 1.0 / 3
+	connectionBytes       = 24 << 10
+	// bodyMemoryShare is for large request bodies while they are read.
 	bodyMemoryShare = 1.0 / 16
-	smallBody       = 4 << 10
-	// pooledBody is the largest buffer that is kept for further requests.
-	pooledBody = 4 * smallBody
 )
 
-// connections is how many accepted connections may be open.
-func (b Bounds) connections() int {
-	open := socketShare(b.Sockets, acceptedShare)
-	if b.MemoryMB <= 0 {
-		return open
-	}
-	return min(open, max(1, int(b.MemoryMB*(1<<20)*connMemoryShare/connBytes)))
-}
+const bytesPerMB = 1 << 20
 
-// workers is how many of them workers may keep open between two reports.
-func (b Bounds) workers() int {
-	ofAccepted := math.Round(float64(b.connections()) * workerShare / acceptedShare)
-	return min(socketShare(b.Sockets, workerShare), max(1, int(ofAccepted)))
-}
+// socketShare returns a share of the sockets, at least one.
+func socketShare(sockets int, share float64) int { return max(1, int(float64(sockets)*share)) }
 
-// bodyAdmission admits large bodies within the memory for them.
-type bodyAdmission struct{ bytes *semaphore.Weighted }
+// connections returns how many accepted connections may be open.
+func (l Limits) connections() int {
+	bySockets := socketShare(l.Sockets, acceptedSocketShare)
+	if l.MemoryMB <= 0 {
+		return bySockets
+	}
+	return min(bySockets, max(1, int(l.MemoryMB*bytesPerMB*connectionMemoryShare/connectionBytes)))
+}
 
-func newBodyAdmission(b Bounds) bodyAdmission {
-	return bodyAdmission{semaphore.NewWeighted(max(2*protocol.MaxBody, int64(b.MemoryMB*(1<<20)*bodyMemoryShare)))}
+// workerConnections returns how many connections of workers may stay open between two heartbeats.
+func (l Limits) workerConnections() int {
+	shareOfAccepted := math.Round(float64(l.connections()) * workerSocketShare / acceptedSocketShare)
+	return min(socketShare(l.Sockets, workerSocketShare), max(1, int(shareOfAccepted)))
 }
 
-// admit makes room for a body of that length, of any length up to the protocol's limit
-// if it is negative. It returns how to give the room back; ok is false if there is none.
-func (a bodyAdmission) admit(length int64) (release func(), ok bool) {
-	weight := length
-	switch {
-	case length < 0:
-		weight = 2 * protocol.MaxBody // its buffer grows by doubling
-	case length <= smallBody:
-		return func() {}, true
-	}
-	if !a.bytes.TryAcquire(weight) {
-		return nil, false
-	}
-	return func() { a.bytes.Release(weight) }, true
+// bodyMemory returns how many bytes large request bodies may take together. Any one body fits.
+func (l Limits) bodyMemory() int64 {
+	return max(unknownLengthBytes, int64(l.MemoryMB*bytesPerMB*bodyMemoryShare))
 }
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -17,90 +17,99 @@
 	"sagevale/internal/worker"
 )
 
-// The versions in use serve side by side with this one. Every folder of testdata holds
-// what nodes of one of them really sent each other.
+// Controllers of several versions serve side by side during an upgrade. Every directory in testdata holds messages
+// that controllers of one version have sent.
 
-func TestEarlierVersionsMessagesAreRead(t *testing.T) {
-	for version, number := range map[string]int{"production": 0, "769a0b2": 2, "registering": 3, "token-ranges": 4, "activation": peer.Version} {
-		t.Run(version, func(t *testing.T) { readsMessages(t, version, number) })
+func TestMessagesOfEarlierVersions(t *testing.T) {
+	for _, tc := range []struct {
+		directory string
+		version   int // the number that it sends
+	}{
+		{"production", 0}, {"769a0b2", 2}, {"registering", 3}, {"token-ranges", 4}, {"activation", peer.Version},
+	} {
+		t.Run(tc.directory, func(t *testing.T) {
+			checkRequests(t, openMessages(t, tc.directory, "asks.gob"))
+			checkResponses(t, openMessages(t, tc.directory, "answers.gob"), tc.version)
+		})
 	}
 }
 
-// readsMessages reads one version's messages; number is what it tells as its version.
-func readsMessages(t *testing.T, version string, number int) {
-	asks, answers := open(t, version, "asks.gob"), open(t, version, "answers.gob")
-	var ping, submit, report peerAsk
-	for _, to := range []*peerAsk{&ping, &submit, &report} {
-		if err := asks.Decode(to); err != nil {
-			t.Fatal(err)
-		}
+// checkRequests checks the requests that one version has sent.
+func checkRequests(t *testing.T, messages *gob.Decoder) {
+	t.Helper()
+	var ping, submission, heartbeats peerAsk
+	if err := errors.Join(messages.Decode(&ping), messages.Decode(&submission), messages.Decode(&heartbeats)); err != nil {
+		t.Fatal(err)
 	}
 	if ping.Req.Op != api.OpPing || ping.Req.ID != "n1" {
-		t.Errorf("ping %+v", ping)
+		t.Errorf("ping is read as %+v", ping)
 	}
-	if s := submit.Req.Request().Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
-		t.Errorf("submission %+v", submit)
+	if s := submission.Req.Request().Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
+		t.Errorf("submission is read as %+v", submission)
 	}
-	if r := wire.Reports(report.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CausePeers {
-		t.Errorf("report %+v", r)
+	if r := wire.Reports(heartbeats.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CausePeers {
+		t.Errorf("report is read as %+v", r)
 	}
-	var state, user, beats peerAnswer
-	for _, to := range []*peerAnswer{&state, &user, &beats} {
-		if err := answers.Decode(to); err != nil {
-			t.Fatal(err)
-		}
+}
+
+// checkResponses checks the responses that one version has sent.
+func checkResponses(t *testing.T, messages *gob.Decoder, version int) {
+	t.Helper()
+	var ping, user, heartbeats peerAnswer
+	if err := errors.Join(messages.Decode(&ping), messages.Decode(&user), messages.Decode(&heartbeats)); err != nil {
+		t.Fatal(err)
 	}
-	if p := state.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegatesFor != 20*time.Second || len(p.Excluded) != 2 || p.Version != number {
-		t.Errorf("word %+v", p)
+	if p := ping.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegatesFor != 20*time.Second || len(p.Excluded) != 2 || p.Version != version {
+		t.Errorf("status is read as %+v, want version %d", p, version)
 	}
-	if a := user.Answer.Response(); a.State != api.StateRunning || a.ValidFor != time.Second || a.Running != 2 {
-		t.Errorf("answer %+v", a)
+	if r := user.Answer.Response(); r.State != api.StateRunning || r.ValidFor != time.Second || r.Running != 2 {
+		t.Errorf("response to a user is read as %+v", r)
 	}
-	if b := wire.HeartbeatResponses(beats.Beats)[0]; !b.Accepted || b.Token != 4 || b.Commands[0].Verb != worker.Stop {
-		t.Errorf("beat %+v", b)
+	if r := wire.HeartbeatResponses(heartbeats.Beats)[0]; !r.Accepted || r.Token != 4 || r.Commands[0].Verb != worker.Stop {
+		t.Errorf("response to a heartbeat is read as %+v", r)
 	}
 }
 
-// Demand is read as the first version that sends it encoded it, beside messages of the other kind.
-func TestWakesAreRead(t *testing.T) {
-	wakes := open(t, "activation", "wakes.gob")
-	var ask receivedAsk
-	var answer receivedAnswer
-	if err := errors.Join(wakes.Decode(&ask), wakes.Decode(&answer)); err != nil {
-		t.Fatal(err)
+// Wake requests and usage reports are read as the first version with them sent them, on a connection with messages of
+// the other kinds.
+func TestActivationMessages(t *testing.T) {
+	messages := openMessages(t, "activation", "wakes.gob")
+	var wakeRequest, usageRequest receivedRequest
+	var wakeResponse, usageResponse receivedResponse
+	for _, message := range []any{&wakeRequest, &wakeResponse, &usageRequest, &usageResponse} {
+		if err := messages.Decode(message); err != nil {
+			t.Fatal(err)
+		}
 	}
-	if ask.Serial != 4 || *ask.Wake != (activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}) {
-		t.Errorf("ask %+v", ask.Wake)
+	if r := wakeRequest; r.Serial != 4 || *r.Wake != (activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}) {
+		t.Errorf("wake request is read as %+v", r.Wake)
 	}
 	want := activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
 		Expected: time.Second, Holds: 3 * time.Second, Reason: "runs always"}
-	if answer.Serial != 4 || *answer.Wake != want {
-		t.Errorf("answer %+v", answer.Wake)
-	}
-	var report, orders = receivedAsk{}, receivedAnswer{}
-	if err := errors.Join(wakes.Decode(&report), wakes.Decode(&orders)); err != nil {
-		t.Fatal(err)
+	if r := wakeResponse; r.Serial != 4 || *r.Wake != want {
+		t.Errorf("wake response is read as %+v, want %+v", r.Wake, want)
 	}
-	if u := report.Usage; u.Node != "n1" || u.Session != "s" || u.Serial != 7 || u.Models[0] != (activation.ModelUsage{Model: "000007", InFlight: 2, QuietFor: time.Second, Drained: 3}) {
-		t.Errorf("usage %+v", u)
+	if u := usageRequest.Usage; u.Node != "n1" || u.Session != "s" || u.Serial != 7 || u.Models[0] != (activation.ModelUsage{Model: "000007", InFlight: 2, QuietFor: time.Second, Drained: 3}) {
+		t.Errorf("usage report is read as %+v", u)
 	}
-	if u := orders.Usage; u.Verdict != activation.Known || u.Draining[0] != (activation.DrainOrder{Model: "000007", Drain: 4}) {
-		t.Errorf("orders %+v", u)
+	if u := usageResponse.Usage; u.Verdict != activation.Known || u.Draining[0] != (activation.DrainOrder{Model: "000007", Drain: 4}) {
+		t.Errorf("usage response is read as %+v", u)
 	}
 }
 
-func open(t *testing.T, version, name string) *gob.Decoder {
+// openMessages returns a decoder of the messages in a file of testdata.
+func openMessages(t *testing.T, directory, name string) *gob.Decoder {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", version, name))
+	raw, err := os.ReadFile(filepath.Join("testdata", directory, name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return gob.NewDecoder(bytes.NewReader(raw))
 }
 
-// The shapes of production's messages, as far as it reads them.
+// The messages of production, as far as it reads them.
 type (
-	oldPeerState struct {
+	productionPeerState struct {
 		Up, SinceState time.Duration
 		Leader         string
 		Term           uint64
@@ -109,22 +118,22 @@
 		LendTerm       uint64
 		Barred         []int
 	}
-	oldAnswer struct {
+	productionAnswer struct {
 		Code, State   int
 		ID            string
 		Done, Running int
 		Reason        string
 		RetryS        int
-		Peer          oldPeerState
+		Peer          productionPeerState
 		Holds         time.Duration
 	}
-	oldPeerAnswer struct {
+	productionPeerAnswer struct {
 		Serial uint64
-		Answer oldAnswer
+		Answer productionAnswer
 		Beats  []wire.BeatAnswer
 	}
-	// newerAnswer is what some later version may send.
-	newerAnswer struct {
+	// laterAnswer is a response that a later version may send.
+	laterAnswer struct {
 		Serial uint64
 		Answer struct {
 			ID     string
@@ -136,25 +145,25 @@
 	}
 )
 
-func TestProductionReadsWhatIsSentNow(t *testing.T) {
+func TestProductionReadsCurrentMessages(t *testing.T) {
 	var buf bytes.Buffer
 	sent := peerAnswer{Serial: 3, Answer: wire.Answer{Code: api.CodeOK, ID: "000007", State: api.StateDone, Done: 2,
 		Peer: wire.PeerState{Up: time.Minute, Leader: "n2", Term: 4, Lends: time.Second, Barred: []int{7}, Version: peer.Version}}}
 	if err := gob.NewEncoder(&buf).Encode(sent); err != nil {
 		t.Fatal(err)
 	}
-	var got oldPeerAnswer
+	var got productionPeerAnswer
 	if err := gob.NewDecoder(&buf).Decode(&got); err != nil {
 		t.Fatal(err)
 	}
 	if a := got.Answer; got.Serial != 3 || a.ID != "000007" || a.State != int(api.StateDone) || a.Peer.Term != 4 || a.Peer.Lends != time.Second || len(a.Peer.Barred) != 1 {
-		t.Errorf("read as %+v", got)
+		t.Errorf("%+v is read as %+v", sent, got)
 	}
 }
 
-// A peer of a later version is understood as far as it says what is known.
-func TestALaterVersionsMessagesAreRead(t *testing.T) {
-	var sent newerAnswer
+// Of a later version's message, the fields that this version knows are read.
+func TestMessagesOfLaterVersions(t *testing.T) {
+	var sent laterAnswer
 	sent.Serial, sent.Answer.ID, sent.Answer.Peer.Version, sent.More = 9, "000007", 99, []string{"x"}
 	sent.Answer.Unsaid = map[string]string{"a": "b"}
 	var buf bytes.Buffer
@@ -166,6 +175,6 @@
 		t.Fatal(err)
 	}
 	if got.Serial != 9 || got.Answer.ID != "000007" || got.Answer.Peer.Version != 99 {
-		t.Errorf("read as %+v", got)
+		t.Errorf("%+v is read as %+v", sent, got)
 	}
 }
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -6,6 +6,7 @@
 	"encoding/gob"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 
 	"sagevale/internal/activation"
@@ -15,7 +16,8 @@
 	"sagevale/internal/worker"
 )
 
-// PeerHandler is what answers the other nodes.
+// PeerHandler handles the requests of other controllers. Its methods are called from several goroutines, and
+// return soon after ctx has ended.
 type PeerHandler interface {
 	HandleForwardedRequest(ctx context.Context, req api.Request) api.Response
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
@@ -23,86 +25,103 @@
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
-// answerOf has a message answered.
-func answerOf(ctx context.Context, ask *receivedAsk, local PeerHandler) any {
-	switch {
-	case ask.Wake != nil:
-		response := local.HandleForwardedWake(ctx, *ask.Wake)
-		return wakeAnswer{ask.Serial, &response}
-	case ask.Usage != nil:
-		response := local.HandleForwardedUsage(ctx, *ask.Usage)
-		return usageAnswer{ask.Serial, &response}
-	case ask.Reports != nil:
-		return peerAnswer{Serial: ask.Serial, Beats: wire.FromHeartbeatResponses(local.HandleForwardedHeartbeats(ctx, wire.Reports(ask.Reports)))}
-	}
-	response := local.HandleForwardedRequest(ctx, ask.Req.Request())
-	return peerAnswer{Serial: ask.Serial, Answer: wire.FromResponse(&response)}
-}
-
-// ServePeers answers the other nodes' requests on l until ctx ends.
-func ServePeers(ctx context.Context, l net.Listener, local PeerHandler, log *slog.Logger) error {
+// ServePeers serves the requests of other controllers on l until ctx ends. It returns once all connections
+// are closed and all handlers have returned.
+func ServePeers(ctx context.Context, l net.Listener, handler PeerHandler, log *slog.Logger) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			log.Error("peer not accepted", "err", err)
-			if !clock.Sleep(ctx, peerPause) {
+			log.Error("peer accept failed", "error", err)
+			if !clock.Sleep(ctx, peerRetryDelay) {
 				return nil
 			}
 			continue
 		}
-		go servePeer(ctx, conn, local, log)
+		connections.Go(func() { servePeer(ctx, conn, handler, log) })
 	}
 }
 
-func servePeer(ctx context.Context, conn net.Conn, local PeerHandler, log *slog.Logger) {
+// servePeer serves the requests on one connection until it fails or ctx ends, and closes it.
+func servePeer(ctx context.Context, conn net.Conn, handler PeerHandler, log *slog.Logger) {
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
+	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	answers := make(chan any, answerQueue)
-	go func() {
+	responses := make(chan any, peerQueueLength)
+	goroutines.Go(func() {
 		defer cancel()
-		out := bufio.NewWriter(conn)
-		enc := gob.NewEncoder(out)
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case a := <-answers:
-				if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
-					return
-				}
-				if err := enc.Encode(a); err != nil {
-					return
-				}
-				if len(answers) > 0 {
-					continue // they go together
-				}
-				if err := out.Flush(); err != nil {
-					return
-				}
-			}
-		}
-	}()
-	dec := gob.NewDecoder(conn)
+		writeResponses(ctx, conn, responses)
+	})
+	decoder := gob.NewDecoder(conn)
 	for {
-		var ask receivedAsk
-		if err := dec.Decode(&ask); err != nil {
-			log.Debug("peer has gone", "err", err)
+		var req receivedRequest
+		if err := decoder.Decode(&req); err != nil {
+			log.Debug("peer disconnected", "error", err)
 			return
 		}
-		go func() {
-			actx, done := context.WithTimeout(ctx, peerTimeout)
-			defer done()
+		goroutines.Add(1)
+		go func() { // not goroutines.Go, which would allocate for each request
+			defer goroutines.Done()
+			handlerCtx, cancelHandler := context.WithTimeout(ctx, peerTimeout)
+			defer cancelHandler()
 			select {
-			case answers <- answerOf(actx, &ask, local):
+			case responses <- handlePeerRequest(handlerCtx, &req, handler):
 			case <-ctx.Done():
 			}
 		}()
 	}
 }
+
+// writeResponses sends responses until the connection fails or ctx ends. Responses that are ready together are
+// sent together.
+func writeResponses(ctx context.Context, conn net.Conn, responses <-chan any) {
+	writer := bufio.NewWriter(conn)
+	encoder := gob.NewEncoder(writer)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case response := <-responses:
+			// An error ends the connection, which servePeer reports.
+			if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
+				return
+			}
+			if err := encoder.Encode(response); err != nil {
+				return
+			}
+			if len(responses) > 0 {
+				continue
+			}
+			if err := writer.Flush(); err != nil {
+				return
+			}
+		}
+	}
+}
+
+// handlePeerRequest has a request handled and returns the message that is sent in response.
+func handlePeerRequest(ctx context.Context, req *receivedRequest, handler PeerHandler) any {
+	switch {
+	case req.Wake != nil:
+		response := handler.HandleForwardedWake(ctx, *req.Wake)
+		return wakeAnswer{req.Serial, &response}
+	case req.Usage != nil:
+		response := handler.HandleForwardedUsage(ctx, *req.Usage)
+		return usageAnswer{req.Serial, &response}
+	case req.Reports != nil:
+		responses := handler.HandleForwardedHeartbeats(ctx, wire.Reports(req.Reports))
+		return peerAnswer{Serial: req.Serial, Beats: wire.FromHeartbeatResponses(responses)}
+	}
+	response := handler.HandleForwardedRequest(ctx, req.Req.Request())
+	return peerAnswer{Serial: req.Serial, Answer: wire.FromResponse(&response)}
+}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"sync"
 	"time"
 
 	"sagevale/internal/activation"
@@ -16,238 +17,179 @@
 	"sagevale/internal/worker"
 )
 
-// The gob messages between nodes. gob sends the fields of a type before the first message of it, so
-// what is new is sent as a type of its own: the bytes of the others stay as they were. Whoever reads
-// takes all of them as one type.
-
-// peerAsk asks for a user's answer, or for those to reports.
-type peerAsk struct {
-	Serial  uint64
-	Req     wire.UserRequest
-	Reports []*wire.Report // if there are any, they are what is asked about
-}
-
-// peerAnswer answers a peerAsk.
-type peerAnswer struct {
-	Serial uint64
-	Answer wire.Answer
-	Beats  []wire.BeatAnswer
-}
-
-// wakeAsk tells of demand for a model. Only peers that say that they take it are sent it.
-type wakeAsk struct {
-	Serial uint64
-	Wake   *activation.WakeRequest
-}
-
-// wakeAnswer answers a wakeAsk.
-type wakeAnswer struct {
-	Serial uint64
-	Wake   *activation.WakeResponse
-}
-
-// usageAsk tells how models are used. Only peers that say that they take it are sent it.
-type usageAsk struct {
-	Serial uint64
-	Usage  *activation.UsageReport
-}
-
-// usageAnswer answers a usageAsk.
-type usageAnswer struct {
-	Serial uint64
-	Usage  *activation.UsageResponse
-}
-
-// receivedAsk is any message that asks.
-type receivedAsk struct {
-	Serial  uint64
-	Req     wire.UserRequest
-	Reports []*wire.Report
-	Wake    *activation.WakeRequest
-	Usage   *activation.UsageReport
-}
-
-// receivedAnswer is any message that answers.
-type receivedAnswer struct {
-	Serial uint64
-	Answer wire.Answer
-	Beats  []wire.BeatAnswer
-	Wake   *activation.WakeResponse
-	Usage  *activation.UsageResponse
-}
-
 const (
-	// peerTimeout is how long another node may take to answer.
+	// peerTimeout is the longest that another controller may take to respond.
 	peerTimeout = time.Second
-	// peerPause is how long a peer that couldn't be reached is left alone.
-	peerPause = 250 * time.Millisecond
-	// answerQueue smooths the answers to one peer; whoever finds it full waits.
-	answerQueue = 256
-	// pingMissed is how long a link that hears nothing counts as in reach, and
-	// firstAnswer how long one that has never been heard.
-	pingMissed  = 3 * peerTimeout / 2
-	firstAnswer = peerTimeout / 2
+	// peerRetryDelay is the pause after a failed connection before the next attempt.
+	peerRetryDelay = 250 * time.Millisecond
+	// peerQueueLength is how many responses of a peer, or to a peer, are buffered. A sender that finds the
+	// buffer full waits.
+	peerQueueLength = 256
+	// unreachableAfter is the time without a response after which a peer counts as unreachable, and
+	// firstContactTimeout the same for one that has never responded.
+	unreachableAfter    = 3 * peerTimeout / 2
+	firstContactTimeout = peerTimeout / 2
 )
 
-var errPeer = errors.New("peer out of reach")
+// errPeerUnreachable is returned, wrapped, for every request that has no response.
+var errPeerUnreachable = errors.New("peer out of reach")
 
-// Peers forwards users' requests to the other nodes. Each link is an actor
-// that owns its connection.
+// Peers sends requests to the other controllers. Its methods may be called from several goroutines.
 type Peers struct {
-	links map[string]*link
-	pings time.Duration // how often they are tested, all at once: the process wakes once
-	log   *slog.Logger
+	clients      map[string]*peerClient
+	pingInterval time.Duration // all peers are pinged at the same moments, so that the process wakes once
 }
 
 var _ scheduler.PeerLink = (*Peers)(nil)
 
-// Pace is how the links spare the processor.
-type Pace struct {
-	Window time.Duration // for which what can wait is gathered
-	Pings  time.Duration // how often all links are tested
-	Queue  int           // how many requests may wait for one peer
+// PeerPacing bounds how often the connections to peers use the processor, and how much may queue for them.
+type PeerPacing struct {
+	BatchWindow  time.Duration // for how long requests that aren't urgent are gathered before they are sent
+	PingInterval time.Duration // between two pings of a peer
+	QueueLength  int           // requests that may wait for one peer
 }
 
-// NewPeers makes the links; Run starts them.
-func NewPeers(self string, peers []config.Peer, pace Pace, log *slog.Logger) *Peers {
-	p := &Peers{links: make(map[string]*link), pings: pace.Pings, log: log}
-	for _, peer := range peers {
-		l := &link{
-			self: self, addr: peer.Addr, window: pace.Window, calls: make(chan call, max(1, pace.Queue)), test: make(chan struct{}, 1), events: make(chan any, answerQueue),
-			log: log.With("peer", peer.Name), made: time.Now(),
-		}
-		p.links[peer.Name] = l
+// NewPeers returns the clients of the other controllers. No request is sent before Run is called.
+func NewPeers(self string, peers []config.Peer, pacing PeerPacing, log *slog.Logger) *Peers {
+	p := &Peers{clients: make(map[string]*peerClient, len(peers)), pingInterval: pacing.PingInterval}
+	for _, node := range peers {
+		p.clients[node.Name] = newPeerClient(self, node, pacing, log)
 	}
 	return p
 }
 
-// Run serves the links until ctx ends.
+// Run maintains the connections to the peers until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
-	for _, l := range p.links {
-		go l.run(ctx)
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	for _, c := range p.clients {
+		clients.Go(func() { c.run(ctx) })
 	}
-	p.testLinks(ctx)
+	p.triggerPings(ctx)
 }
 
-// testLinks has all links tested at the same moments.
-func (p *Peers) testLinks(ctx context.Context) {
-	tick := time.NewTicker(p.pings)
-	defer tick.Stop()
+// triggerPings has all peers pinged at the same moments, until ctx ends.
+func (p *Peers) triggerPings(ctx context.Context) {
+	ticker := time.NewTicker(p.pingInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		for _, l := range p.links {
+		for _, c := range p.clients {
 			select {
-			case l.test <- struct{}{}:
-			default: // it is behind, and will be
+			case c.pings <- struct{}{}:
+			default: // the last ping is still to be sent
 			}
 		}
 	}
 }
 
-// Forward asks the named node.
+// Forward sends a user request to the named controller and returns its response.
 func (p *Peers) Forward(ctx context.Context, node string, req api.Request) (api.Response, error) {
-	a, err := p.ask(ctx, node, call{ask: peerAsk{Req: wire.FromRequest(&req)}})
-	return a.Answer.Response(), err
+	r, err := p.send(ctx, node, peerRequest{message: peerAsk{Req: wire.FromRequest(&req)}})
+	return r.Answer.Response(), err
 }
 
-// ForwardHeartbeats hands reports to the named node.
+// ForwardHeartbeats sends workers' heartbeats to the named controller and returns its responses in the same
+// order.
 func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
-	a, err := p.ask(ctx, node, call{ask: peerAsk{Reports: wire.FromReports(reports)}})
-	if err == nil && len(a.Beats) != len(reports) {
-		err = fmt.Errorf("%w: it decides on no reports", errPeer)
+	r, err := p.send(ctx, node, peerRequest{message: peerAsk{Reports: wire.FromReports(reports)}})
+	if err == nil && len(r.Beats) != len(reports) {
+		err = fmt.Errorf("%w: it decides on no reports", errPeerUnreachable)
 	}
-	return wire.HeartbeatResponses(a.Beats), err
+	return wire.HeartbeatResponses(r.Beats), err
 }
 
-// Wake tells the named node of demand for a model.
+// Wake sends a wake request to the named controller and returns its response.
 func (p *Peers) Wake(ctx context.Context, node string, req activation.WakeRequest) (activation.WakeResponse, error) {
-	a, err := p.ask(ctx, node, call{wake: &req})
-	if err == nil && a.Wake == nil {
-		err = fmt.Errorf("%w: it takes no demand", errPeer)
+	r, err := p.send(ctx, node, peerRequest{wake: &req})
+	if err == nil && r.Wake == nil {
+		err = fmt.Errorf("%w: it takes no demand", errPeerUnreachable)
 	}
 	if err != nil {
 		return activation.WakeResponse{}, err
 	}
-	return *a.Wake, nil
+	return *r.Wake, nil
 }
 
-// ReportUsage tells the named node how models are used here.
+// ReportUsage sends this controller's usage of models to the named controller and returns its response.
 func (p *Peers) ReportUsage(ctx context.Context, node string, report activation.UsageReport) (activation.UsageResponse, error) {
-	a, err := p.ask(ctx, node, call{usage: &report})
-	if err == nil && a.Usage == nil {
-		err = fmt.Errorf("%w: it takes no usage", errPeer)
+	r, err := p.send(ctx, node, peerRequest{usage: &report})
+	if err == nil && r.Usage == nil {
+		err = fmt.Errorf("%w: it takes no usage", errPeerUnreachable)
 	}
 	if err != nil {
 		return activation.UsageResponse{}, err
 	}
-	return *a.Usage, nil
+	return *r.Usage, nil
 }
 
-func (p *Peers) ask(ctx context.Context, node string, c call) (receivedAnswer, error) {
-	l := p.links[node]
-	if l == nil {
-		return receivedAnswer{}, fmt.Errorf("%w: unknown node %q", errPeer, node)
+// send queues a request for the named controller and waits for its response, for peerTimeout at most.
+func (p *Peers) send(ctx context.Context, node string, req peerRequest) (receivedResponse, error) {
+	c := p.clients[node]
+	if c == nil {
+		return receivedResponse{}, fmt.Errorf("%w: unknown node %q", errPeerUnreachable, node)
 	}
-	began := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	c.reply = make(chan result, 1)
+	result := make(chan peerResult, 1)
+	req.result = result
 	select {
-	case l.calls <- c:
+	case c.requests <- req:
 	default:
-		return receivedAnswer{}, fmt.Errorf("%w: too many requests wait for it", errPeer)
+		return receivedResponse{}, fmt.Errorf("%w: too many requests wait for it", errPeerUnreachable)
 	}
 	select {
-	case r := <-c.reply:
-		if r.err == nil && time.Since(began) > peerTimeout {
-			// This process stood still: what was true then may not be now.
-			return receivedAnswer{}, fmt.Errorf("%w: answered too late", errPeer)
+	case r := <-result:
+		if r.err == nil && time.Since(start) > peerTimeout {
+			// This process was paused: what the response says may be outdated.
+			return receivedResponse{}, fmt.Errorf("%w: answered too late", errPeerUnreachable)
 		}
-		return r.answer, r.err
+		return r.response, r.err
 	case <-ctx.Done():
-		return receivedAnswer{}, fmt.Errorf("%w: no answer", errPeer)
+		return receivedResponse{}, fmt.Errorf("%w: no answer", errPeerUnreachable)
 	}
 }
 
-// Status is the named node's latest status.
-func (p *Peers) Status(node string) (peer.ObservedStatus, bool) {
-	l := p.links[node]
-	if l == nil {
+// Status returns the latest status of the named controller; ok is false if none was received.
+func (p *Peers) Status(node string) (status peer.ObservedStatus, ok bool) {
+	c := p.clients[node]
+	if c == nil {
 		return peer.ObservedStatus{}, false
 	}
-	w, ok := l.status.Load().(peer.ObservedStatus)
-	return w, ok
+	status, ok = c.status.Load().(peer.ObservedStatus)
+	return status, ok
 }
 
-// UnreachableFor is for how long the named node has been out of reach.
+// UnreachableFor returns for how long the named controller has been unreachable; 0 if it is reachable.
 func (p *Peers) UnreachableFor(node string) time.Duration {
-	l := p.links[node]
-	if l == nil {
+	c := p.clients[node]
+	if c == nil {
 		return 0
 	}
-	heard, ok := l.lastHeard.Load().(time.Time)
+	lastContact, ok := c.lastContact.Load().(time.Time)
 	if !ok {
-		// Never heard, maybe because a cut is older than this process.
-		if d := time.Since(l.made); d > firstAnswer {
+		// No contact ever, possibly because a network partition is older than this process.
+		if d := time.Since(c.created); d > firstContactTimeout {
 			return d
 		}
 		return 0
 	}
-	if d := time.Since(heard); d > pingMissed {
+	if d := time.Since(lastContact); d > unreachableAfter {
 		return d
 	}
 	return 0
 }
 
-// KnownLeader is the latest leader that a peer in reach has told of.
+// KnownLeader returns the leader of the highest term that a reachable peer's status names.
 func (p *Peers) KnownLeader() (leader string, term uint64) {
-	for name, l := range p.links {
-		if st, ok := l.status.Load().(peer.ObservedStatus); ok && st.Leader != "" && st.Term > term && p.UnreachableFor(name) == 0 {
-			leader, term = st.Leader, st.Term
+	for name, c := range p.clients {
+		if status, ok := c.status.Load().(peer.ObservedStatus); ok && status.Leader != "" && status.Term > term && p.UnreachableFor(name) == 0 {
+			leader, term = status.Leader, status.Term
 		}
 	}
 	return leader, term
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -3,64 +3,145 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"net"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"sagevale/internal/api"
+	"sagevale/internal/config"
 	wire "sagevale/internal/wire/coordination"
 	"sagevale/internal/worker"
 )
 
-// All links are tested at the same moments, so that a process wakes once for them.
-func TestLinksAreTestedTogether(t *testing.T) {
+var testPacing = PeerPacing{BatchWindow: time.Millisecond, PingInterval: peerTimeout / 4}
+
+// startPeerServer serves other controllers on a free port. The function that it returns stops it and waits for it.
+func startPeerServer(t *testing.T) (addr string, stop func()) {
+	t.Helper()
+	l := listen(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() {
+		served <- ServePeers(ctx, l, fakePeerHandler{}, discardLogger)
+		close(served)
+	}()
+	stop = func() {
+		cancel()
+		if err := <-served; err != nil {
+			t.Errorf("ServePeers returned %v, want nil", err)
+		}
+	}
+	t.Cleanup(stop)
+	return l.Addr().String(), stop
+}
+
+func TestPeersForward(t *testing.T) {
+	addr, stop := startPeerServer(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	p := NewPeers("n0", []config.Peer{{Name: "n1", Addr: addr}}, testPacing, discardLogger)
+	stopped := make(chan struct{})
+	go func() { p.Run(ctx); close(stopped) }()
+	t.Cleanup(func() { cancel(); <-stopped })
+	for _, id := range []string{"000001", "000002"} {
+		response, err := p.Forward(ctx, "n1", api.Request{Op: api.OpPoll, ID: id})
+		if err != nil || response.ID != id {
+			t.Fatalf("Forward returned %+v, %v; want the response to %s", response, err, id)
+		}
+	}
+	responses, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 1, Token: 7}, {Machine: 1, Token: 8}})
+	if err != nil || len(responses) != 2 || responses[1].Token != 8 {
+		t.Errorf("ForwardHeartbeats returned %+v, %v; want two responses in order", responses, err)
+	}
+	if _, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 2}}); !errors.Is(err, errPeerUnreachable) {
+		t.Errorf("ForwardHeartbeats of heartbeats that aren't decided returned %v, want errPeerUnreachable", err)
+	}
+	if status, ok := p.Status("n1"); !ok || status.Leader != "n0" || status.Received.Before(status.Sent) {
+		t.Errorf("Status returned %+v, %v", status, ok)
+	}
+	if d := p.UnreachableFor("n1"); d != 0 {
+		t.Errorf("UnreachableFor returned %v, want 0", d)
+	}
+	stop()
+	if _, err := p.Forward(ctx, "n1", api.Request{}); !errors.Is(err, errPeerUnreachable) {
+		t.Errorf("Forward to a stopped peer returned %v, want errPeerUnreachable", err)
+	}
+	if _, err := p.Forward(ctx, "n9", api.Request{}); !errors.Is(err, errPeerUnreachable) {
+		t.Errorf("Forward to an unknown peer returned %v, want errPeerUnreachable", err)
+	}
+}
+
+// The server closes a connection that it stops reading: a peer would wait for responses on it in vain.
+func TestServePeersClosesUnreadableConnection(t *testing.T) {
+	addr, _ := startPeerServer(t)
+	conn := dial(t, addr)
+	const invalidLength = "\x80" // of a gob message
+	if _, err := io.WriteString(conn, invalidLength); err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
+		t.Errorf("Read returned %v, want the connection's end", err)
+	}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// All peers are pinged at the same moments, so that the process wakes once for them.
+func TestPeersPingTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const pings = 500 * time.Millisecond
-		ctx, cancel := context.WithCancel(context.Background())
-		p := &Peers{pings: pings, links: map[string]*link{"a": {test: make(chan struct{}, 1)}, "b": {test: make(chan struct{}, 1)}, "stuck": {test: make(chan struct{}, 1)}}}
-		done := make(chan struct{})
-		go func() { p.testLinks(ctx); close(done) }()
-		moments := make(map[time.Time]int)
-		heard := make(chan struct{})
+		const interval = 500 * time.Millisecond
+		newClient := func() *peerClient { return &peerClient{pings: make(chan struct{}, 1)} }
+		p := &Peers{pingInterval: interval, clients: map[string]*peerClient{"a": newClient(), "b": newClient(), "blocked": newClient()}}
+		ctx, cancel := context.WithCancel(t.Context())
+		triggerStopped := make(chan struct{})
+		go func() { p.triggerPings(ctx); close(triggerStopped) }()
+		pings := make(map[time.Time]int)
+		countStopped := make(chan struct{})
 		go func() {
-			defer close(heard)
+			defer close(countStopped)
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case <-p.links["a"].test:
-				case <-p.links["b"].test:
+				case <-p.clients["a"].pings:
+				case <-p.clients["b"].pings:
 				}
-				moments[time.Now()]++
+				pings[time.Now()]++
 			}
 		}()
 		const span = 10 * time.Second
 		time.Sleep(span + time.Millisecond)
 		cancel()
-		<-done
-		<-heard
-		if want := int(span / pings); len(moments) != want {
-			t.Errorf("woken %d times, not %d", len(moments), want)
+		<-triggerStopped
+		<-countStopped
+		if got, want := len(pings), int(span/interval); got != want {
+			t.Errorf("pings at %d moments, want %d", got, want)
 		}
-		for at, n := range moments {
+		for at, n := range pings {
 			if n != 2 {
-				t.Errorf("%d of 2 links tested at %v", n, at)
+				t.Errorf("%d pings at %v, want 2", n, at)
 			}
 		}
 	})
 }
 
-// countedConn counts what is written to it.
-type countedConn struct {
+// countingConn counts the writes to it, or fails them.
+type countingConn struct {
 	net.Conn
 	writes int
 	broken bool
 }
 
-func (c *countedConn) SetWriteDeadline(time.Time) error { return nil }
-func (c *countedConn) Close() error                     { return nil }
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *countingConn) Close() error                     { return nil }
+func (c *countingConn) Write(b []byte) (int, error) {
 	if c.broken {
 		return 0, errors.New("broken")
 	}
@@ -68,54 +149,62 @@
 	return len(b), nil
 }
 
-// gatheringLink is a link on a connection that counts its writes.
-func gatheringLink() (*link, *countedConn) {
-	conn := &countedConn{}
-	l := &link{window: time.Second, pending: make(map[uint64]pendingCall), log: quiet}
-	l.use(conn)
-	return l, conn
+// newBatchingClient returns a client that is connected to a countingConn.
+func newBatchingClient() (*peerClient, *countingConn) {
+	conn := &countingConn{}
+	c := newPeerClient("n0", config.Peer{Name: "n1"}, PeerPacing{BatchWindow: time.Second}, discardLogger)
+	c.useConnection(conn)
+	return c, conn
 }
 
-func request(l *link, op api.Op, reports ...*worker.Report) chan result {
-	reply := make(chan result, 1)
-	l.send(context.Background(), call{ask: peerAsk{Req: wire.UserRequest{Op: op, ID: "000001"}, Reports: wire.FromReports(reports)}, reply: reply})
-	return reply
+// sendRequest sends a request and returns where its result is delivered.
+func sendRequest(t *testing.T, c *peerClient, op api.Op, reports ...*worker.Report) <-chan peerResult {
+	t.Helper()
+	result := make(chan peerResult, 1)
+	c.send(t.Context(), peerRequest{
+		message: peerAsk{Req: wire.UserRequest{Op: op, ID: "000001"}, Reports: wire.FromReports(reports)},
+		result:  result,
+	})
+	return result
 }
 
-// Each message by itself wakes the peer: polls gather, and go with the first request
-// that can't wait.
-func TestPollsGatherOnALink(t *testing.T) {
-	for name, urgent := range map[string]func(l *link){
-		"the window ends":    func(l *link) { l.flush() },
-		"a submission":       func(l *link) { request(l, api.OpSubmit) },
-		"a cancel":           func(l *link) { request(l, api.OpCancel) },
-		"a ping":             func(l *link) { request(l, api.OpPing) },
-		"a batch of reports": func(l *link) { request(l, api.OpSubmit, &worker.Report{Machine: 1}) },
+// Each message sent alone wakes the peer: polls are gathered, and sent with the first urgent request.
+func TestPeerClientBatchesPolls(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		urgent func(t *testing.T, c *peerClient)
+	}{
+		{"window ends", func(_ *testing.T, c *peerClient) { c.flush() }},
+		{"submission", func(t *testing.T, c *peerClient) { sendRequest(t, c, api.OpSubmit) }},
+		{"cancellation", func(t *testing.T, c *peerClient) { sendRequest(t, c, api.OpCancel) }},
+		{"ping", func(t *testing.T, c *peerClient) { sendRequest(t, c, api.OpPing) }},
+		{"heartbeats", func(t *testing.T, c *peerClient) { sendRequest(t, c, api.OpSubmit, &worker.Report{Machine: 1}) }},
 	} {
-		l, conn := gatheringLink()
-		for range 10 {
-			request(l, api.OpPoll)
-		}
-		if conn.writes != 0 || l.flushDue == nil {
-			t.Errorf("%s: %d writes before, due %v", name, conn.writes, l.flushDue != nil)
-		}
-		urgent(l)
-		if conn.writes != 1 || l.flushDue != nil {
-			t.Errorf("%s: %d writes after", name, conn.writes)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			c, conn := newBatchingClient()
+			for range 10 {
+				sendRequest(t, c, api.OpPoll)
+			}
+			if conn.writes != 0 || c.flushTimer == nil {
+				t.Errorf("%d writes after the polls, timer set: %v; want 0 and true", conn.writes, c.flushTimer != nil)
+			}
+			tc.urgent(t, c)
+			if conn.writes != 1 || c.flushTimer != nil {
+				t.Errorf("%d writes after the urgent request, timer set: %v; want 1 and false", conn.writes, c.flushTimer != nil)
+			}
+		})
 	}
 }
 
-// What has gathered when a connection breaks is answered as out of reach.
-func TestGatheredPollsFailWithTheirConnection(t *testing.T) {
-	l, conn := gatheringLink()
-	reply := request(l, api.OpPoll)
+func TestPeerClientFailsBatchOnWriteError(t *testing.T) {
+	c, conn := newBatchingClient()
+	result := sendRequest(t, c, api.OpPoll)
 	conn.broken = true
-	l.flush()
-	if r := <-reply; r.err == nil {
-		t.Errorf("answered %+v", r.answer)
+	c.flush()
+	if r := <-result; !errors.Is(r.err, errPeerUnreachable) {
+		t.Errorf("result %+v, want errPeerUnreachable", r)
 	}
-	if l.conn != nil || l.flushDue != nil {
+	if c.conn != nil || c.flushTimer != nil {
 		t.Error("the connection is kept")
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,18 +1,13 @@
 package transport
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -22,52 +17,75 @@
 	"sagevale/internal/worker"
 )
 
-// How long the parties wait for an answer, by the protocol; the server's own
-// limits are shares of these.
+// How long clients wait for a response, by the protocol. A request is handled within handlerTimeoutShare of
+// that.
 const (
-	submitTimeout    = 5 * time.Second
-	pollTimeout      = 2 * time.Second
-	heartbeatTimeout = 4 * time.Second
-	timeoutShare     = 0.6
+	submitTimeout       = 5 * time.Second
+	pollTimeout         = 2 * time.Second
+	heartbeatTimeout    = 4 * time.Second
+	handlerTimeoutShare = 0.6
 )
 
-// Controller is what the server serves.
+// Limits of the HTTP server for one request and one idle connection.
+const (
+	headerReadTimeout  = submitTimeout
+	requestReadTimeout = 2 * submitTimeout
+	idleTimeout        = time.Minute
+	maxHeaderBytes     = 16 << 10
+)
+
+// Paths of the interfaces for workers, health checks and users.
+const (
+	heartbeatPath = "/agent/beat"
+	healthPath    = "/up"
+	jobsPath      = "/v1/jobs"
+	jobPathPrefix = jobsPath + "/"
+	cancelSuffix  = "/cancel"
+)
+
+// unavailableRetryS is the Retry-After of responses that the server itself gives, in seconds.
+const unavailableRetryS = 1
+
+// Controller handles the requests of users and workers. Its methods are called from several goroutines.
 type Controller interface {
+	// HandleUserRequest handles a user's request, for as long as ctx lasts.
 	HandleUserRequest(ctx context.Context, req api.Request) api.Response
+	// HandleHeartbeat handles a worker's heartbeat, for as long as ctx lasts.
 	HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse
+	// Ready reports whether health checks succeed.
 	Ready() bool
 }
 
-// Server answers users and workers over HTTP.
+// Server serves users, workers and health checks over HTTP.
 type Server struct {
-	node    Controller
-	bounds  Bounds
-	bodies  bodyAdmission
-	limiter atomic.Pointer[connLimiter] // once it serves
-	log     *slog.Logger
-	http    *http.Server
+	controller Controller
+	limits     Limits
+	bodies     bodyLimiter
+	limiter    atomic.Pointer[connLimiter] // nil before Serve
+	log        *slog.Logger
+	http       *http.Server
 }
 
-// NewServer makes a server for a node within its bounds.
-func NewServer(node Controller, bounds Bounds, log *slog.Logger) *Server {
-	s := &Server{node: node, bounds: bounds, bodies: newBodyAdmission(bounds), log: log}
+// NewServer returns a server that uses no more resources than limits allow.
+func NewServer(controller Controller, limits Limits, log *slog.Logger) *Server {
+	s := &Server{controller: controller, limits: limits, bodies: newBodyLimiter(limits), log: log}
 	s.http = &http.Server{
 		Handler:           s,
 		ConnContext:       withLimitedConn,
-		ReadHeaderTimeout: submitTimeout,
-		ReadTimeout:       2 * submitTimeout,
-		IdleTimeout:       time.Minute,
-		MaxHeaderBytes:    16 << 10,
+		ReadHeaderTimeout: headerReadTimeout,
+		ReadTimeout:       requestReadTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return s
 }
 
-// Serve answers on l until ctx ends.
+// Serve serves requests on l until ctx ends; it then returns nil. It may be called once.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
-	limiter := newConnLimiter(l, s.bounds)
+	limiter := newConnLimiter(l, s.limits)
 	s.limiter.Store(limiter)
 	if err := s.http.Serve(limiter); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -75,7 +93,7 @@
 	return nil
 }
 
-// Connections is how many accepted connections are open.
+// Connections returns how many accepted connections are open.
 func (s *Server) Connections() int64 {
 	limiter := s.limiter.Load()
 	if limiter == nil {
@@ -84,215 +102,156 @@
 	return limiter.open.Load()
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler. Paths are matched as they are sent: http.ServeMux would redirect some.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer func() {
-		if p := recover(); p != nil {
-			s.log.Error("request panicked", "path", r.URL.Path, "panic", p)
-			refuse(w, http.StatusServiceUnavailable, "internal trouble", 1)
-		}
-	}()
-	path := r.URL.Path
-	switch {
-	case path == "/agent/beat":
-		if onlyMethod(w, r, http.MethodPost) {
-			s.heartbeat(w, r)
-		}
-	case path == "/up":
-		if onlyMethod(w, r, http.MethodGet) {
-			s.health(w)
-		}
-	case path == "/v1/jobs":
-		if onlyMethod(w, r, http.MethodPost) {
-			s.submit(w, r)
-		}
-	case strings.HasPrefix(path, "/v1/jobs/"):
-		rest := strings.TrimPrefix(path, "/v1/jobs/")
-		if id, ok := strings.CutSuffix(rest, "/cancel"); ok {
-			if onlyMethod(w, r, http.MethodPost) {
-				s.jobRequest(w, r, api.OpCancel, id, submitTimeout)
-			}
-			return
-		}
-		if onlyMethod(w, r, http.MethodGet) {
-			s.jobRequest(w, r, api.OpPoll, rest, pollTimeout)
-		}
+	defer s.recoverPanic(w, r)
+	switch path := r.URL.Path; {
+	case path == heartbeatPath:
+		s.serveHeartbeat(w, r)
+	case path == healthPath:
+		s.serveHealth(w, r)
+	case path == jobsPath:
+		s.serveSubmission(w, r)
+	case strings.HasPrefix(path, jobPathPrefix):
+		s.serveJob(w, r, strings.TrimPrefix(path, jobPathPrefix))
 	default:
-		refuse(w, http.StatusNotFound, "no such path", 0)
+		writeError(w, http.StatusNotFound, "no such path", 0)
 	}
 }
 
-func onlyMethod(w http.ResponseWriter, r *http.Request, method string) bool {
-	if r.Method == method || method == http.MethodGet && r.Method == http.MethodHead {
-		return true
+// recoverPanic, when deferred, responds to a request whose handler panics.
+func (s *Server) recoverPanic(w http.ResponseWriter, r *http.Request) {
+	if p := recover(); p != nil {
+		s.log.Error("request panicked", "path", r.URL.Path, "panic", p)
+		writeError(w, http.StatusServiceUnavailable, "internal trouble", unavailableRetryS)
 	}
-	w.Header().Set("Allow", method)
-	refuse(w, http.StatusMethodNotAllowed, "method not allowed", 0)
-	return false
 }
 
-func (s *Server) health(w http.ResponseWriter) {
-	if !s.node.Ready() {
-		refuse(w, http.StatusServiceUnavailable, "not able to take requests", 1)
-		return
-	}
-	reply(w, http.StatusOK, struct{}{})
-}
-
-// buffers are for requests' bodies; none outlasts its request.
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-
-// withBody reads a request's body within the protocol's limit and hands it to use,
-// which must not keep it.
-func (s *Server) withBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
-	if r.ContentLength > protocol.MaxBody {
-		refuseLarge(w)
-		return
-	}
-	release, ok := s.bodies.admit(r.ContentLength)
-	if !ok {
-		w.Header().Set("Connection", "close")
-		refuse(w, http.StatusServiceUnavailable, "too many large requests at once", 1)
+// serveHealth serves a load balancer's health check.
+func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request) {
+	if !allowMethod(w, r, http.MethodGet) {
 		return
 	}
-	defer release()
-	buf := buffers.Get().(*bytes.Buffer)
-	defer func() {
-		if buf.Cap() <= pooledBody {
-			buffers.Put(buf)
-		}
-	}()
-	buf.Reset()
-	if r.ContentLength > 0 {
-		buf.Grow(int(r.ContentLength) + bytes.MinRead) // it need not grow while it is read
-	}
-	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBody+1)); err != nil {
-		refuse(w, http.StatusBadRequest, "body not readable", 0)
+	if !s.controller.Ready() {
+		writeError(w, http.StatusServiceUnavailable, "not able to take requests", unavailableRetryS)
 		return
 	}
-	if buf.Len() > protocol.MaxBody {
-		refuseLarge(w)
-		return
-	}
-	use(buf.Bytes())
-}
-
-// refuseLarge refuses a body over the limit, and what may be left of it.
-func refuseLarge(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close")
-	refuse(w, http.StatusBadRequest, "body over 64 KiB", 0)
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+// serveSubmission serves a user's submission of a job.
+func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
+	if !allowMethod(w, r, http.MethodPost) {
+		return
+	}
 	var spec storage.Spec
-	understood := false
-	s.withBody(w, r, func(body []byte) {
+	valid := false
+	s.readBody(w, r, func(body []byte) {
 		var err error
 		if spec, err = protocol.ParseSubmission(body); err != nil {
-			refuse(w, http.StatusBadRequest, err.Error(), 0)
+			writeError(w, http.StatusBadRequest, err.Error(), 0)
 			return
 		}
-		understood = true
+		valid = true
 	})
-	if !understood {
+	if !valid {
 		return
 	}
-	s.ask(w, r, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
+	s.handleUserRequest(w, r, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
 }
 
-func (s *Server) jobRequest(w http.ResponseWriter, r *http.Request, op api.Op, name string, timeout time.Duration) {
+// serveJob serves a user's poll or cancellation; name is the path after the prefix.
+func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, name string) {
+	method, op, timeout := http.MethodGet, api.OpPoll, pollTimeout
+	if job, ok := strings.CutSuffix(name, cancelSuffix); ok {
+		name = job
+		method, op, timeout = http.MethodPost, api.OpCancel, submitTimeout
+	}
+	if !allowMethod(w, r, method) {
+		return
+	}
 	id, ok := protocol.JobID(name)
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such job", 0)
+		writeError(w, http.StatusNotFound, "no such job", 0)
 		return
 	}
-	s.ask(w, r, api.Request{Op: op, ID: id}, timeout)
+	s.handleUserRequest(w, r, api.Request{Op: op, ID: id}, timeout)
 }
 
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, req api.Request, timeout time.Duration) {
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(timeout)*timeoutShare))
+// handleUserRequest has a request handled by the controller and writes its response.
+func (s *Server) handleUserRequest(w http.ResponseWriter, r *http.Request, req api.Request, timeout time.Duration) {
+	ctx, cancel := handlerContext(r, timeout)
 	defer cancel()
-	a := s.node.HandleUserRequest(ctx, req)
-	switch a.Code {
+	response := s.controller.HandleUserRequest(ctx, req)
+	switch response.Code {
 	case api.CodeCreated:
-		reply(w, http.StatusCreated, protocol.NewJobAnswer(a))
+		writeJSON(w, http.StatusCreated, protocol.NewJobStatus(response))
 	case api.CodeOK:
-		reply(w, http.StatusOK, protocol.NewJobAnswer(a))
+		writeJSON(w, http.StatusOK, protocol.NewJobStatus(response))
 	case api.CodeNotFound:
-		refuse(w, http.StatusNotFound, a.Reason, 0)
+		writeError(w, http.StatusNotFound, response.Reason, 0)
 	case api.CodeInfeasible:
-		refuse(w, http.StatusUnprocessableEntity, a.Reason, 0)
+		writeError(w, http.StatusUnprocessableEntity, response.Reason, 0)
 	case api.CodeBusy:
-		refuse(w, http.StatusTooManyRequests, a.Reason, a.RetrySeconds)
+		writeError(w, http.StatusTooManyRequests, response.Reason, response.RetrySeconds)
 	default:
-		refuse(w, http.StatusServiceUnavailable, a.Reason, a.RetrySeconds)
+		writeError(w, http.StatusServiceUnavailable, response.Reason, response.RetrySeconds)
 	}
 }
 
-// readReport reads a worker's report, with what is known of its connection if there is
-// one; nil if it is refused.
-func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *worker.Report) {
-	parse := protocol.ParseReport
-	if conn != nil {
-		parse = conn.reports.Read
+// serveHeartbeat serves a worker's heartbeat. The connection is closed afterwards if too many workers' connections
+// are open, or if the worker is to report to another controller.
+func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
+	if !allowMethod(w, r, http.MethodPost) {
+		return
 	}
-	s.withBody(w, r, func(body []byte) {
-		var err error
-		if report, err = parse(body); err != nil {
-			s.log.Debug("report not understood", "err", err)
-			refuse(w, http.StatusBadRequest, err.Error(), 0)
-		}
-	})
-	return report
-}
-
-func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
-	g := limitedConnOf(r.Context())
-	report := s.readReport(w, r, g)
+	conn := limitedConnFrom(r.Context())
+	report := s.readReport(w, r, conn)
 	if report == nil {
 		return
 	}
-	if g != nil {
-		g.busy.Store(true)
-		defer g.busy.Store(false)
-		if !g.markWorker() {
-			w.Header().Set("Connection", "close")
+	if conn != nil {
+		conn.busy.Store(true)
+		defer conn.busy.Store(false)
+		if !conn.markWorker() {
+			closeAfterResponse(w)
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(float64(heartbeatTimeout)*timeoutShare))
+	ctx, cancel := handlerContext(r, heartbeatTimeout)
 	defer cancel()
-	a := s.node.HandleHeartbeat(ctx, report)
-	if !a.Accepted {
-		w.Header().Set("Connection", "close") // it goes elsewhere
+	response := s.controller.HandleHeartbeat(ctx, report)
+	if !response.Accepted {
+		closeAfterResponse(w)
 	}
 	switch {
-	case a.Accepted:
-		reply(w, http.StatusOK, protocol.NewHeartbeatResponse(a))
-	case a.Busy:
-		refuse(w, http.StatusServiceUnavailable, "not able to take reports now", 1)
+	case response.Accepted:
+		writeJSON(w, http.StatusOK, protocol.NewHeartbeatResponse(response))
+	case response.Busy:
+		writeError(w, http.StatusServiceUnavailable, "not able to take reports now", unavailableRetryS)
 	default:
-		reply(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: a.Leader, Error: "not the leader"})
+		writeJSON(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: response.Leader, Error: "not the leader"})
 	}
 }
 
-// refuse answers with a reason and, where repeating makes sense, with when to
-// come back.
-func refuse(w http.ResponseWriter, status int, reason string, retryS int) {
-	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		w.Header().Set("Retry-After", strconv.Itoa(max(1, retryS)))
+// readReport reads the report of a heartbeat, by the connection's reader if conn is not nil. It returns nil
+// after it has written an error.
+func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *worker.Report) {
+	parse := protocol.ParseReport
+	if conn != nil {
+		parse = conn.heartbeats.Read
 	}
-	reply(w, status, protocol.Refusal{Error: reason})
+	s.readBody(w, r, func(body []byte) {
+		var err error
+		if report, err = parse(body); err != nil {
+			s.log.Debug("heartbeat decoding failed", "error", err)
+			writeError(w, http.StatusBadRequest, err.Error(), 0)
+		}
+	})
+	return report
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	w.WriteHeader(status)
-	// A reader that has gone away is no concern of ours.
-	_, _ = w.Write(raw)
+// handlerContext returns the context within which the controller handles a request whose client waits for
+// timeout.
+func handlerContext(r *http.Request, timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(r.Context(), time.Duration(float64(timeout)*handlerTimeoutShare))
 }
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -11,50 +11,64 @@
 	"sagevale/internal/worker"
 )
 
-// idleOrders is how long an idle connection to a worker is kept.
-const idleOrders = 10 * time.Second
+const (
+	// idleWorkerConnTimeout is how long an idle connection to a worker is kept.
+	idleWorkerConnTimeout = 10 * time.Second
+	// idleConnsPerWorker is how many idle connections to one worker are kept.
+	idleConnsPerWorker = 1
+)
 
-// WorkerClient sends orders straight to workers.
+// WorkerClient sends commands to workers. Its methods may be called from several goroutines.
 type WorkerClient struct {
-	c     *client
-	slots chan struct{} // one for each exchange under way
-	log   *slog.Logger
+	client *jsonClient
+	slots  chan struct{} // holds one value for each request in flight
+	log    *slog.Logger
 }
 
 var _ scheduler.WorkerLink = (*WorkerClient)(nil)
 
-// NewWorkerClient makes a client that keeps one idle connection a worker, as
-// far as the sockets allow.
+// NewWorkerClient returns a client that uses its share of a process's sockets.
 func NewWorkerClient(sockets int, log *slog.Logger) *WorkerClient {
-	return &WorkerClient{newClient(1, socketShare(sockets, idleOrderShare), idleOrders), make(chan struct{}, socketShare(sockets, directOrderShare)), log}
+	maxIdle := socketShare(sockets, idleCommandSocketShare)
+	return &WorkerClient{
+		client: newJSONClient(idleConnsPerWorker, maxIdle, idleWorkerConnTimeout),
+		slots:  make(chan struct{}, socketShare(sockets, commandSocketShare)),
+		log:    log,
+	}
 }
 
-// SendCommands sends orders, unless they have waited here until sendBy, and returns the
-// worker's report after them.
-func (w *WorkerClient) SendCommands(ctx context.Context, addr string, token, session uint64, orders []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+// SendCommands sends commands to the worker at addr, under a fencing token and to one incarnation. They are not
+// sent if no connection is free before sendBy, unless that is zero. The report is the worker's after the commands;
+// nil if there is none.
+func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	select {
-	case w.slots <- struct{}{}:
-		defer func() { <-w.slots }()
+	case c.slots <- struct{}{}:
+		defer func() { <-c.slots }()
 	case <-ctx.Done():
 		return worker.NotSent, nil
 	}
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return worker.NotSent, nil
 	}
-	ex, sent, err := w.c.do(ctx, http.MethodPost, "http://"+addr+"/orders", protocol.NewDirectOrders(token, session, orders))
+	resp, sent, err := c.client.do(ctx, http.MethodPost, "http://"+addr+"/orders", protocol.NewCommands(token, incarnation, commands))
 	switch {
 	case err != nil && !sent:
 		return worker.NotSent, nil
 	case err != nil:
-		w.log.Debug("direct orders unanswered", "addr", addr, "err", err)
+		c.log.Debug("worker commands unanswered", "address", addr, "error", err)
 		return worker.Unresolved, nil
 	}
-	report, err := protocol.ParseReport(ex.body)
-	switch ex.status {
+	return c.outcome(addr, resp)
+}
+
+// outcome returns what a worker's response means for the commands.
+func (c *WorkerClient) outcome(addr string, resp httpResponse) (worker.Outcome, *worker.Report) {
+	report, err := protocol.ParseReport(resp.body)
+	switch resp.status {
 	case http.StatusOK:
 		if err != nil {
-			// Executed, but what stands there now can't be told.
-			w.log.Error("worker's answer not understood", "addr", addr, "err", err)
+			// The commands were executed, but the state of the tasks is unknown.
+			c.log.Error("worker response decoding failed", "address", addr, "error", err)
 			return worker.Unresolved, nil
 		}
 		return worker.Executed, report
@@ -64,6 +78,6 @@
 		}
 		return worker.Rejected, report
 	}
-	w.log.Error("surprising answer of a worker", "addr", addr, "status", ex.status)
+	c.log.Error("unexpected worker response", "address", addr, "status", resp.status)
 	return worker.Unresolved, nil
 }
