--- a/internal/protocol/activation_properties_test.go
+++ b/internal/protocol/activation_properties_test.go
@@ -1,16 +1,15 @@
 package protocol
 
 import (
-	"strings"
 	"testing"
 	"time"
 )
 
-// objectiveOfSmall makes a class known.
-const objectiveOfSmall = "[[params.objectives]]\nkind = \"wait\"\nclass = \"small\"\nwithin_s = 1.0\nshare = 0.9\n"
+// smallClassObjective makes the class "small" known.
+const smallClassObjective = "[[params.objectives]]\nkind = \"wait\"\nclass = \"small\"\nwithin_s = 1.0\nshare = 0.9\n"
 
 func TestActivationProperties(t *testing.T) {
-	for file, fails := range map[string]string{
+	for file, wantError := range map[string]string{
 		"activation.classes = small\nactivation.listen = :8082\nactivation.target = {host}:9000/{model}\nactivation.idle.window = 5m\nactivation.hold = 10s\n": "",
 		"activation.classes = small\n":                                    "p: activation.classes: needs activation.listen",
 		"activation.classes = small, small\n":                             "p: activation.classes: must be names, each once",
@@ -34,23 +33,20 @@
 		"activation.start.stable = soon\n":                                "p: activation.start.stable: ",
 		"activation.idle = 5m\n":                                          "p: activation.idle: unknown property",
 	} {
-		s, err := ParseSettings("s.toml", []byte(goodSettings+objectiveOfSmall))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(s.Tuning.Activation.Classes) != 0 || s.Tuning.Activation.Listen != "" {
-			t.Error("on by default")
-		}
-		err = parseProperties("p", []byte(file), s)
-		if fails == "" {
-			a := &s.Tuning.Activation
-			if err != nil || a.Listen != "10.0.0.1:8082" || a.Hold != 10*time.Second || a.Policy.IdleWindow != 5*time.Minute {
-				t.Errorf("%q: %+v %v", file, a, err)
+		t.Run(file, func(t *testing.T) {
+			s := parseTestSettings(t, smallClassObjective)
+			tuning := &s.Tuning.Activation
+			if len(tuning.Classes) != 0 || tuning.Listen != "" {
+				t.Errorf("activation is on by default: %+v", tuning)
 			}
-			continue
-		}
-		if err == nil || !strings.HasPrefix(err.Error(), fails) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", file, err)
-		}
+			err := parseProperties("p", []byte(file), s)
+			if wantError != "" {
+				checkFieldError(t, err, wantError)
+				return
+			}
+			if err != nil || tuning.Listen != "10.0.0.1:8082" || tuning.Hold != 10*time.Second || tuning.Policy.IdleWindow != 5*time.Minute {
+				t.Errorf("tuning is %+v, %v", tuning, err)
+			}
+		})
 	}
 }
--- a/internal/protocol/archive_properties.go
+++ b/internal/protocol/archive_properties.go
@@ -9,19 +9,18 @@
 	archiveMemoryProperty  = "archive.memory.mb"
 )
 
+// Limits of these properties.
 const (
-	// mostKept bounds how many finished jobs may stay out of the archive.
-	mostKept = 10_000_000
-	// leastArchiveMB and mostArchiveMB bound the memory for the archive's pages.
-	leastArchiveMB = 0.1
-	mostArchiveMB  = 1 << 20
+	maxKeptJobs        = 10_000_000 // finished jobs that stay in the journal
+	minArchiveMemoryMB = 0.1
+	maxArchiveMemoryMB = 1 << 20
 )
 
-// archiveProperties adds the properties on the archive to those known.
-func (c *checker) archiveProperties(known map[string]func(string, string), tuning *config.Archive) {
-	known[archiveEnabledProperty] = func(key, value string) { tuning.Enabled = c.parseBool(key, value) }
-	known[archiveKeepProperty] = func(key, value string) { tuning.KeepInJournal = c.parseCount(key, value, 0, mostKept) }
-	known[archiveMemoryProperty] = func(key, value string) {
-		tuning.MemoryBytes = int(c.parseAmount(key, value, leastArchiveMB, mostArchiveMB) * (1 << 20))
+// addArchive adds the properties on the archive.
+func (p propertyParsers) addArchive(v *validator, archive *config.Archive) {
+	p[archiveEnabledProperty] = func(key, value string) { archive.Enabled = v.parseBool(key, value) }
+	p[archiveKeepProperty] = func(key, value string) { archive.KeepInJournal = v.parseCount(key, value, 0, maxKeptJobs) }
+	p[archiveMemoryProperty] = func(key, value string) {
+		archive.MemoryBytes = int(v.parseNumber(key, value, minArchiveMemoryMB, maxArchiveMemoryMB) * bytesPerMB)
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/storage"
 )
 
-// Catalogue is the cloud's catalogue.
+// Catalogue is the cloud's catalogue of instance types.
 type Catalogue struct {
 	Types []machineType `json:"Breeds"`
 }
@@ -25,84 +25,90 @@
 	Zones     []string `json:"Pastures"`
 }
 
-// MachineTypes takes the catalogue off the wire; entries that make no sense
-// are left out.
+// valid reports whether machines of the type can be launched and can run tasks.
+func (t *machineType) valid() bool {
+	return t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.GPUs >= 0 && len(t.Zones) > 0
+}
+
+// MachineTypes returns the valid instance types of the catalogue.
 func (c Catalogue) MachineTypes() []storage.MachineType {
-	var out []storage.MachineType
+	var types []storage.MachineType
 	for _, t := range c.Types {
-		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB <= 0 || t.GPUs < 0 || len(t.Zones) == 0 {
+		if !t.valid() {
 			continue
 		}
-		out = append(out, storage.MachineType{
+		types = append(types, storage.MachineType{
 			Name: t.Name, Resources: storage.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB},
 			CacheGB: t.CacheGB, FetchGBPS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones,
 		})
 	}
-	return out
+	return types
 }
 
-// Rental is a rental request.
+// Rental is the body of a launch request.
 type Rental struct {
-	Name  string `json:"Hire"`
+	Name  string `json:"Hire"` // idempotency key
 	Type  string `json:"Breed"`
 	Zone  string `json:"Pasture"`
 	Spot  bool   `json:"Loaner"`
 	Count int    `json:"Count"`
 }
 
-// NewRental puts a rental on the wire.
-func NewRental(name string, h storage.LaunchRecord) Rental {
-	return Rental{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Count: h.Count}
+// NewRental returns the body of a launch request, which is idempotent by its name.
+func NewRental(name string, launch storage.LaunchRecord) Rental {
+	return Rental{Name: name, Type: launch.Type, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count}
 }
 
-// MachineNames is a list of machines, as rented or to be returned.
+// MachineNames is the body of the response to a launch, and of a termination request.
 type MachineNames struct {
 	Machines []string `json:"Mounts"`
 }
 
-// NewMachineNames puts machines on the wire.
+// NewMachineNames returns the names of machines.
 func NewMachineNames(ids []int) MachineNames {
-	out := MachineNames{Machines: make([]string, 0, len(ids))}
+	names := make([]string, 0, len(ids))
 	for _, id := range ids {
-		out.Machines = append(out.Machines, MachineName(id))
+		names = append(names, MachineName(id))
 	}
-	return out
+	return MachineNames{Machines: names}
 }
 
-// IDs takes the machines off the wire.
+// IDs returns the ids of the machines; an error if any name is invalid.
 func (n MachineNames) IDs() ([]int, error) {
-	out := make([]int, 0, len(n.Machines))
-	for _, s := range n.Machines {
-		id, err := ParseMachine(s)
+	ids := make([]int, 0, len(n.Machines))
+	for _, name := range n.Machines {
+		id, err := ParseMachine(name)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, id)
+		ids = append(ids, id)
 	}
-	return out, nil
+	return ids, nil
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
-	Machines []struct {
-		ID    string  `json:"Id"`
-		Addr  string  `json:"Addr"`
-		Type  string  `json:"Breed"`
-		Zone  string  `json:"Pasture"`
-		Spot  bool    `json:"Loaner"`
-		State string  `json:"Standing"`
-		AgeS  float64 `json:"AgeS"`
-	} `json:"Mounts"`
-	More bool `json:"More"`
+	Machines []listedMachine `json:"Mounts"`
+	More     bool            `json:"More"`
+}
+
+type listedMachine struct {
+	ID         string  `json:"Id"`
+	Addr       string  `json:"Addr"`
+	Type       string  `json:"Breed"`
+	Zone       string  `json:"Pasture"`
+	Spot       bool    `json:"Loaner"`
+	State      string  `json:"Standing"`
+	AgeSeconds float64 `json:"AgeS"`
 }
 
 var machineStates = map[string]cloud.State{
 	"booting": cloud.Booting, "running": cloud.Running, "failed": cloud.Failed,
 }
 
-// Listed takes the page off the wire.
+// Listed returns the machines of the page; an error if any is invalid.
 func (l MachineList) Listed() ([]cloud.Machine, error) {
-	out := make([]cloud.Machine, 0, len(l.Machines))
+	machines := make([]cloud.Machine, 0, len(l.Machines))
 	for _, m := range l.Machines {
 		id, err := ParseMachine(m.ID)
 		if err != nil {
@@ -112,7 +118,7 @@
 		if !ok {
 			return nil, fmt.Errorf("unknown machine state %q", m.State)
 		}
-		out = append(out, cloud.Machine{ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeSeconds: m.AgeS})
+		machines = append(machines, cloud.Machine{ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: state, AgeSeconds: m.AgeSeconds})
 	}
-	return out, nil
+	return machines, nil
 }
--- a/internal/protocol/key_value.go
+++ b/internal/protocol/key_value.go
@@ -6,7 +6,7 @@
 	"sagevale/internal/storage"
 )
 
-// StoredItem is a key of the state service.
+// StoredItem is a key with its value in the key-value store.
 type StoredItem struct {
 	Key     string          `json:"K"`
 	Data    json.RawMessage `json:"Data"`
@@ -14,19 +14,19 @@
 	Lease   uint64          `json:"Tether"`
 }
 
-// Item takes a key off the wire.
+// Item returns the item as the domain has it.
 func (i StoredItem) Item() storage.Item {
 	return storage.Item{Key: i.Key, Data: i.Data, Version: i.Version, Lease: i.Lease}
 }
 
-// StoredItems is a page of keys.
+// StoredItems is a page of the list of keys.
 type StoredItems struct {
 	Items    []StoredItem `json:"Items"`
 	More     bool         `json:"More"`
 	Revision uint64       `json:"LedgerRev"`
 }
 
-// Txn is a transaction.
+// Txn is the body of a guarded transaction: its operations are executed if all guards hold.
 type Txn struct {
 	Guards []txnGuard `json:"Guards"`
 	Ops    []txnOp    `json:"Apply,omitempty"`
@@ -44,39 +44,39 @@
 	Remove string          `json:"Remove,omitempty"`
 }
 
-// NewTxn puts a transaction on the wire.
+// NewTxn returns the body of a guarded transaction.
 func NewTxn(guards []storage.Guard, ops []storage.Op) Txn {
-	t := Txn{Guards: make([]txnGuard, 0, len(guards)), Ops: make([]txnOp, 0, len(ops))}
+	txn := Txn{Guards: make([]txnGuard, 0, len(guards)), Ops: make([]txnOp, 0, len(ops))}
 	for _, g := range guards {
-		t.Guards = append(t.Guards, txnGuard{g.Key, g.Version})
+		txn.Guards = append(txn.Guards, txnGuard{g.Key, g.Version})
 	}
 	for _, o := range ops {
 		if o.Delete {
-			t.Ops = append(t.Ops, txnOp{Remove: o.Key})
+			txn.Ops = append(txn.Ops, txnOp{Remove: o.Key})
 			continue
 		}
-		t.Ops = append(t.Ops, txnOp{Set: o.Key, Data: o.Data, Lease: o.Lease})
+		txn.Ops = append(txn.Ops, txnOp{Set: o.Key, Data: o.Data, Lease: o.Lease})
 	}
-	return t
+	return txn
 }
 
-// TxnAnswer is the answer to a transaction.
+// TxnAnswer is the body of the response to a transaction.
 type TxnAnswer struct {
-	Failed   []string `json:"failed"`
-	Revision uint64   `json:"LedgerRev"`
+	Failed   []string `json:"failed"`    // keys of the guards that don't hold
+	Revision uint64   `json:"LedgerRev"` // of the store, after it
 }
 
-// Life asks for a lease.
+// Life is the body of a request for a lease.
 type Life struct {
 	LifeMS int64 `json:"LifeMs"`
 }
 
-// Lease is a lease granted.
+// Lease is the body of the response to a request for a lease.
 type Lease struct {
 	ID uint64 `json:"Tether"`
 }
 
-// Changes is what a watch returns.
+// Changes is the body of the response to a watch.
 type Changes struct {
 	Revision uint64   `json:"LedgerRev"`
 	Events   []change `json:"Events"`
@@ -89,15 +89,15 @@
 	Version uint64          `json:"Stamp"`
 }
 
-// Items takes the changes off the wire; a removed key has no data.
+// Items returns the changed items; a removed key has no data.
 func (c Changes) Items() []storage.Item {
-	out := make([]storage.Item, 0, len(c.Events))
+	items := make([]storage.Item, 0, len(c.Events))
 	for _, e := range c.Events {
 		if e.Remove != "" {
-			out = append(out, storage.Item{Key: e.Remove, Version: e.Version})
+			items = append(items, storage.Item{Key: e.Remove, Version: e.Version})
 			continue
 		}
-		out = append(out, storage.Item{Key: e.Set, Data: e.Data, Version: e.Version})
+		items = append(items, storage.Item{Key: e.Set, Data: e.Data, Version: e.Version})
 	}
-	return out
+	return items
 }
--- a/internal/protocol/properties.go
+++ b/internal/protocol/properties.go
@@ -10,65 +10,108 @@
 	"sagevale/internal/config"
 )
 
-// headroomProperty was called otherwise first; operators' files may still say so.
+// The operators' properties on the fleet and on leadership.
 const (
-	headroomProperty           = "fleet.headroom.deviations"
+	scaleOutWindowProperty = "fleet.up.window"
+	scaleInWindowProperty  = "fleet.down.window"
+	scaleOutStepProperty   = "fleet.grow.step"
+	cooldownProperty       = "fleet.cooldown"
+	headroomProperty       = "fleet.headroom.deviations"
+	leaderLeaseProperty    = "leader.lease"
+
+	// deprecatedHeadroomProperty is the earlier name of headroomProperty, which operators' files may still have.
 	deprecatedHeadroomProperty = "fleet.reserve.luck"
 )
 
-// parseProperties checks the operators' own settings.
+// Limits of these properties.
+const (
+	maxScaleOutStep       = 50
+	maxHeadroomDeviations = 10
+	minLeaderLease        = 100 * time.Millisecond
+)
+
+// propertyParser checks the value of a property and stores it. It may be called under a deprecated key.
+type propertyParser func(key, value string)
+
+// propertyParsers are the parsers of all properties by name.
+type propertyParsers map[string]propertyParser
+
+// parseProperties checks the contents of a properties file and stores them in s. Its error is a *FieldError, after
+// which s is not to be used.
 func parseProperties(file string, raw []byte, s *config.Settings) error {
-	p, err := properties.Load(raw, properties.UTF8)
+	parsed, err := properties.Load(raw, properties.UTF8)
 	if err != nil {
 		return &FieldError{File: file, Reason: reason(err)}
 	}
-	c := checker{file: file}
-	t := &s.Tuning
-	span := func(d *time.Duration) func(string, string) {
-		return func(key, v string) { *d = c.parseSpan(key, v) }
-	}
-	known := map[string]func(string, string){
-		"fleet.up.window":   span(&t.ScaleOutWindow),
-		"fleet.down.window": span(&t.ScaleInWindow),
-		"fleet.cooldown":    span(&t.Cooldown),
-		"leader.lease":      span(&t.LeaderLease),
-		"fleet.grow.step":   func(k, v string) { t.ScaleOutStep = c.parseCount(k, v, 1, 50) },
-
-		headroomProperty: func(k, v string) { t.HeadroomDeviations = c.parseAmount(k, v, 0, 10) },
-	}
-	c.upgradeProperties(known, &t.Upgrade)
-	c.archiveProperties(known, &t.Archive)
-	c.fencingProperties(known, &t.Fencing)
-	c.activationProperties(known, s)
-	known[deprecatedHeadroomProperty] = known[headroomProperty]
-	if _, old := p.Get(deprecatedHeadroomProperty); old {
+	v := &validator{file: file}
+	if _, deprecated := parsed.Get(deprecatedHeadroomProperty); deprecated {
 		s.Warnings = append(s.Warnings, fmt.Sprintf("%s: %s: is deprecated, use %s", file, deprecatedHeadroomProperty, headroomProperty))
-		if _, both := p.Get(headroomProperty); both {
-			c.fail(deprecatedHeadroomProperty, "is the deprecated name of "+headroomProperty+", which is given too")
+		if _, both := parsed.Get(headroomProperty); both {
+			v.fail(deprecatedHeadroomProperty, "is the deprecated name of "+headroomProperty+", which is given too")
 		}
 	}
-	for _, key := range p.Keys() {
-		set := known[key]
-		if set == nil {
-			c.fail(key, "unknown property")
+	parsers := newPropertyParsers(v, s)
+	for _, key := range parsed.Keys() {
+		parse, known := parsers[key]
+		if !known {
+			v.fail(key, "unknown property")
 			continue
 		}
-		set(key, strings.TrimSpace(p.GetString(key, "")))
+		parse(key, strings.TrimSpace(parsed.GetString(key, "")))
 	}
-	if c.err == nil && (t.LeaderLease < 100*time.Millisecond || t.LeaderLease > s.WorkerLease) {
-		c.fail("leader.lease", "must be from 100ms to the workers' lease_s")
+	if v.err == nil {
+		checkFleet(v, s)
 	}
-	if policy := &t.Upgrade.Policy; c.err == nil && policy.Target > t.Upgrade.Versions.Max {
-		c.fail(targetProperty, fmt.Sprintf("version %d is unknown here: this program has versions %s", policy.Target, t.Upgrade.Versions))
+	if v.err == nil {
+		checkActivation(v, s)
 	}
-	if c.err == nil && t.ScaleInWindow <= t.ScaleOutWindow {
-		c.fail("fleet.down.window", "must be longer than fleet.up.window")
+	if v.err != nil {
+		return v.err
 	}
-	if c.err == nil {
-		c.checkActivation(s)
+	return nil
+}
+
+// newPropertyParsers returns the parsers that store values in s.
+func newPropertyParsers(v *validator, s *config.Settings) propertyParsers {
+	parsers := make(propertyParsers)
+	parsers.addFleet(v, &s.Tuning)
+	parsers.addUpgrade(v, &s.Tuning.Upgrade)
+	parsers.addArchive(v, &s.Tuning.Archive)
+	parsers.addFencing(v, &s.Tuning.Fencing)
+	parsers.addActivation(v, s)
+	return parsers
+}
+
+// addDurations adds properties that are positive durations.
+func (p propertyParsers) addDurations(v *validator, durations map[string]*time.Duration) {
+	for name, duration := range durations {
+		p[name] = func(key, value string) { *duration = v.parseDuration(key, value, "10s") }
+	}
+}
+
+// addFleet adds the properties on the fleet and on leadership.
+func (p propertyParsers) addFleet(v *validator, tuning *config.Tuning) {
+	p.addDurations(v, map[string]*time.Duration{
+		scaleOutWindowProperty: &tuning.ScaleOutWindow,
+		scaleInWindowProperty:  &tuning.ScaleInWindow,
+		cooldownProperty:       &tuning.Cooldown,
+		leaderLeaseProperty:    &tuning.LeaderLease,
+	})
+	p[scaleOutStepProperty] = func(key, value string) { tuning.ScaleOutStep = v.parseCount(key, value, 1, maxScaleOutStep) }
+	p[headroomProperty] = func(key, value string) {
+		tuning.HeadroomDeviations = v.parseNumber(key, value, 0, maxHeadroomDeviations)
 	}
-	if c.err != nil {
-		return c.err
+	p[deprecatedHeadroomProperty] = p[headroomProperty]
+}
+
+// checkFleet checks the properties on the fleet, on leadership and on upgrades against each other and the settings.
+func checkFleet(v *validator, s *config.Settings) {
+	tuning := &s.Tuning
+	if tuning.LeaderLease < minLeaderLease || tuning.LeaderLease > s.WorkerLease {
+		v.fail(leaderLeaseProperty, "must be from 100ms to the workers' lease_s")
+	}
+	checkUpgrade(v, &tuning.Upgrade)
+	if tuning.ScaleInWindow <= tuning.ScaleOutWindow {
+		v.fail(scaleInWindowProperty, "must be longer than "+scaleOutWindowProperty)
 	}
-	return nil
 }
--- /dev/null
+++ b/internal/protocol/property_values.go
@@ -0,0 +1,69 @@
+package protocol
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// parseCount parses a whole number within bounds.
+func (v *validator) parseCount(key, value string, minimum, maximum int) int {
+	n, err := strconv.Atoi(value)
+	if err != nil || n < minimum || n > maximum {
+		v.fail(key, fmt.Sprintf("must be a whole number from %d to %d", minimum, maximum))
+	}
+	return n
+}
+
+// parseNumber parses a number within bounds.
+func (v *validator) parseNumber(key, value string, minimum, maximum float64) float64 {
+	x, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(x) || x < minimum || x > maximum {
+		v.fail(key, fmt.Sprintf("must be a number from %g to %g", minimum, maximum))
+	}
+	return x
+}
+
+// parseBool parses true or false.
+func (v *validator) parseBool(key, value string) bool {
+	b, err := strconv.ParseBool(value)
+	if err != nil {
+		v.fail(key, "must be true or false")
+	}
+	return b
+}
+
+// parseDuration parses a positive duration; example is one for the error's text.
+func (v *validator) parseDuration(key, value, example string) time.Duration {
+	d, err := time.ParseDuration(value)
+	if err != nil || d <= 0 {
+		v.fail(key, "must be a positive duration such as "+example)
+	}
+	return d
+}
+
+// parseNames parses distinct names that are separated by commas.
+func (v *validator) parseNames(key, value string) []string {
+	var names []string
+	for name := range strings.SplitSeq(value, ",") {
+		name = strings.TrimSpace(name)
+		if name == "" || slices.Contains(names, name) {
+			v.fail(key, "must be names, each once, separated by commas")
+			return nil
+		}
+		names = append(names, name)
+	}
+	return names
+}
+
+// parseListenAddress parses an address. One without a host gets that of defaultHostOf, another address.
+func (v *validator) parseListenAddress(key, value, defaultHostOf string) string {
+	if host, _, err := net.SplitHostPort(defaultHostOf); err == nil && strings.HasPrefix(value, ":") {
+		value = host + value
+	}
+	return v.address(key, value)
+}
--- a/internal/protocol/report_reader.go
+++ b/internal/protocol/report_reader.go
@@ -7,55 +7,56 @@
 	"sagevale/internal/worker"
 )
 
-// maxRememberedReport is the largest report that a ReportReader keeps, in bytes: one of
-// a machine with some thirty tasks. A node holds one for each worker's connection.
-const maxRememberedReport = 4 << 10
+// maxCachedReport is the largest report that a ReportReader caches, in bytes: that of a machine with some thirty
+// tasks. A controller caches one for each connection of a worker.
+const maxCachedReport = 4 << 10
 
-// seqField is what comes before a report's number on the wire.
+// seqField precedes a report's sequence number in JSON.
 var seqField = []byte(`"Tally":`)
 
-// ReportReader reads the reports that come on one connection. Most differ from the one
-// before only in their number; those are not decoded again. The zero value is ready.
+// ReportReader parses the reports that are received on one connection. Most differ from the previous one only in
+// their sequence number; those aren't decoded again. The zero value is ready to use, by one goroutine at a time.
 type ReportReader struct {
-	before, after []byte // the last report's bytes around its number; nil: none is kept
-	last          worker.Report
+	prefix, suffix []byte // the cached report's bytes around its sequence number; nil: no report is cached
+	cached         worker.Report
 }
 
-// Read is ParseReport. The tasks of the reports that it returns may be shared.
+// Read parses a report as ParseReport does. The reports that it returns may share their tasks, which must not be
+// changed.
 func (p *ReportReader) Read(body []byte) (*worker.Report, error) {
-	if r := p.repeated(body); r != nil {
+	if r := p.unchanged(body); r != nil {
 		return r, nil
 	}
 	r, err := ParseReport(body)
 	if err != nil {
-		p.before, p.after = nil, nil
+		p.prefix, p.suffix = nil, nil
 		return nil, err
 	}
-	p.remember(body, r)
+	p.cache(body, r)
 	return r, nil
 }
 
-// repeated returns the report if it says what the last one said, under another number.
-func (p *ReportReader) repeated(body []byte) *worker.Report {
-	if p.before == nil || len(body) <= len(p.before)+len(p.after) || !bytes.HasPrefix(body, p.before) || !bytes.HasSuffix(body, p.after) {
+// unchanged returns the report in body if it differs from the cached one only in its sequence number, and nil if not.
+func (p *ReportReader) unchanged(body []byte) *worker.Report {
+	if p.prefix == nil || len(body) <= len(p.prefix)+len(p.suffix) || !bytes.HasPrefix(body, p.prefix) || !bytes.HasSuffix(body, p.suffix) {
 		return nil
 	}
-	seq, ok := parseSeq(body[len(p.before) : len(body)-len(p.after)])
+	seq, ok := parseSeq(body[len(p.prefix) : len(body)-len(p.suffix)])
 	if !ok {
 		return nil
 	}
-	r := p.last
+	r := p.cached
 	r.Seq = seq
 	return &r
 }
 
-// remember keeps a report, if it is certain where its number stands.
-func (p *ReportReader) remember(body []byte, r *worker.Report) {
-	p.before, p.after = nil, nil
-	if len(body) > maxRememberedReport || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
-		return // with escapes a field could have another spelling
+// cache caches a report, if the position of its sequence number is unambiguous.
+func (p *ReportReader) cache(body []byte, r *worker.Report) {
+	p.prefix, p.suffix = nil, nil
+	if len(body) > maxCachedReport || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
+		return // with escapes, a field may have several spellings
 	}
-	// Fields are matched in any case: the one that was found must be the only one.
+	// encoding/json matches fields in any case: there must be only one spelling.
 	if bytes.Count(bytes.ToLower(body), bytes.ToLower(seqField[1:len(seqField)-2])) != 1 {
 		return
 	}
@@ -74,11 +75,11 @@
 	if seq, ok := parseSeq(body[start:end]); !ok || seq != r.Seq {
 		return
 	}
-	kept := bytes.Clone(body)
-	p.before, p.after, p.last = kept[:start:start], kept[end:], *r
+	copied := bytes.Clone(body)
+	p.prefix, p.suffix, p.cached = copied[:start:start], copied[end:], *r
 }
 
-// parseSeq reads a report's number as JSON has it.
+// parseSeq parses a positive sequence number in JSON.
 func parseSeq(digits []byte) (uint64, bool) {
 	if len(digits) == 0 || digits[0] == '0' {
 		return 0, false
--- a/internal/protocol/report_reader_test.go
+++ b/internal/protocol/report_reader_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// wireReport is a report with so many running tasks.
+// wireReport returns a report with running tasks, as it is received.
 func wireReport(seq uint64, tasks int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":%d,"Baton":41,"WarningS":null,"Chores":[`, seq)
@@ -22,8 +22,8 @@
 	return b.String()
 }
 
-// Whatever comes on a connection, in any order, is read as if it came alone.
-func TestAReportIsReadTheSameBehindAnyOther(t *testing.T) {
+// A report is read the same whichever reports precede it on its connection.
+func TestReportReaderMatchesParseReport(t *testing.T) {
 	bodies := []string{
 		wireReport(88, 3), wireReport(89, 3), wireReport(90, 3), wireReport(90, 2), wireReport(91, 0), wireReport(18446744073709551615, 3),
 		strings.Replace(wireReport(88, 3), `"Tally":88`, `"Tally": 88`, 1),
@@ -46,28 +46,28 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var reader ReportReader
-	repeats := 0
+	unchanged := 0
 	for range 20000 {
 		body := []byte(bodies[rng.IntN(len(bodies))])
-		if reader.repeated(body) != nil {
-			repeats++
+		if reader.unchanged(body) != nil {
+			unchanged++
 		}
 		got, err := reader.Read(body)
 		want, wantErr := ParseReport(body)
 		if (err == nil) != (wantErr == nil) || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s\nis read as %+v, %v\nand alone as %+v, %v", body, got, err, want, wantErr)
+			t.Fatalf("%s\nis read as %+v, %v\nParseReport returns %+v, %v", body, got, err, want, wantErr)
 		}
 		if got != nil && rng.IntN(8) == 0 {
-			got.Seq, got.Token = 1, 1 // what is returned may be changed, but for its tasks
+			got.Seq, got.Token = 1, 1 // the caller may change a report, except for its tasks
 		}
 	}
-	if repeats < 300 {
-		t.Errorf("only %d repeats were noticed", repeats)
+	if unchanged < 300 {
+		t.Errorf("%d reports were recognized as unchanged, want at least 300", unchanged)
 	}
 }
 
-// An unchanged report is the most frequent message by far: it is not decoded again.
-func TestAnUnchangedReportIsNotDecodedAgain(t *testing.T) {
+// An unchanged report is by far the most frequent message: it is not decoded again.
+func TestReportReaderAllocations(t *testing.T) {
 	var reader ReportReader
 	bodies := make([][]byte, 0, 64)
 	for i := range 64 {
@@ -81,22 +81,22 @@
 		i++
 	})
 	if allocs > 2 {
-		t.Errorf("%.0f allocations for an unchanged report", allocs)
+		t.Errorf("%.0f allocations for an unchanged report, want at most 2", allocs)
 	}
 }
 
-// What is kept of a connection's last report is bounded.
-func TestALargeReportIsNotKept(t *testing.T) {
+// The memory for a connection's cached report is bounded.
+func TestReportReaderDoesNotCacheLargeReport(t *testing.T) {
 	var reader ReportReader
 	if _, err := reader.Read([]byte(wireReport(1, 1000))); err != nil {
 		t.Fatal(err)
 	}
-	if reader.before != nil {
-		t.Errorf("%d bytes are kept", len(reader.before)+len(reader.after))
+	if got := len(reader.prefix) + len(reader.suffix); got != 0 {
+		t.Errorf("%d bytes are cached, want none", got)
 	}
 }
 
-func BenchmarkUnchangedReport(b *testing.B) {
+func BenchmarkReportReaderUnchanged(b *testing.B) {
 	var reader ReportReader
 	body := []byte(wireReport(100, 8))
 	b.ReportAllocs()
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -1,5 +1,3 @@
-// Package protocol holds the wire types of every interface, the settings
-// files, and the checks on both.
 package protocol
 
 import (
@@ -14,40 +12,32 @@
 	"sagevale/internal/storage"
 )
 
-// settingsFile is the platform's settings file.
-type settingsFile struct {
-	HostName   string `toml:"host_name"`
-	Zone       string `toml:"zone"`
-	ServeOn    string `toml:"serve_on"`
-	PeerListen string `toml:"peer_listen"`
-	Seeds      []struct {
+// The platform's settings file, in TOML. Unknown fields are ignored.
+type (
+	settingsFile struct {
+		HostName   string        `toml:"host_name"`
+		Zone       string        `toml:"zone"`
+		ServeOn    string        `toml:"serve_on"`
+		PeerListen string        `toml:"peer_listen"`
+		Seeds      []seedSection `toml:"seeds"`
+		Endpoints  struct {
+			Cloud string `toml:"cloud"`
+			State string `toml:"state"`
+		} `toml:"endpoints"`
+		Params paramsSection `toml:"params"`
+	}
+	seedSection struct {
 		HostName string `toml:"host_name"`
 		Zone     string `toml:"zone"`
 		Addr     string `toml:"addr"`
-	} `toml:"seeds"`
-	Endpoints struct {
-		Cloud string `toml:"cloud"`
-		State string `toml:"state"`
-	} `toml:"endpoints"`
-	Params struct {
-		Size         int      `toml:"size"`
-		Zones        []string `toml:"zones"`
-		ClockErrorMS float64  `toml:"clock_error_ms"`
-		Teams        []struct {
-			Name    string  `toml:"name"`
-			CPUs    float64 `toml:"cpus"`
-			CPUsMax float64 `toml:"cpus_max"`
-			GPUs    float64 `toml:"gpus"`
-			GPUsMax float64 `toml:"gpus_max"`
-		} `toml:"teams"`
-		Objectives []struct {
-			Kind    string  `toml:"kind"`
-			Class   string  `toml:"class"`
-			WithinS float64 `toml:"within_s"`
-			Share   float64 `toml:"share"`
-			Times   float64 `toml:"times"`
-		} `toml:"objectives"`
-		Workers struct {
+	}
+	paramsSection struct {
+		Size         int                `toml:"size"` // not used, but of the right type
+		Zones        []string           `toml:"zones"`
+		ClockErrorMS float64            `toml:"clock_error_ms"`
+		Teams        []teamSection      `toml:"teams"`
+		Objectives   []objectiveSection `toml:"objectives"`
+		Workers      struct {
 			ReportS   float64 `toml:"report_s"`
 			LeaseS    float64 `toml:"lease_s"`
 			GangWaitS float64 `toml:"gang_wait_s"`
@@ -55,16 +45,11 @@
 			CancelS   float64 `toml:"cancel_s"`
 		} `toml:"workers"`
 		State struct {
-			RPS      float64 `toml:"rps"`
-			WriteRPS float64 `toml:"write_rps"`
-			ValueKB  float64 `toml:"value_kb"`
-			TxnOps   int     `toml:"txn_ops"`
-			Next     *struct {
-				RPS      float64 `toml:"rps"`
-				WriteRPS float64 `toml:"write_rps"`
-				ValueKB  float64 `toml:"value_kb"`
-				TxnOps   int     `toml:"txn_ops"`
-			} `toml:"next"`
+			RPS      float64           `toml:"rps"`
+			WriteRPS float64           `toml:"write_rps"`
+			ValueKB  float64           `toml:"value_kb"`
+			TxnOps   int               `toml:"txn_ops"`
+			Next     *nextStateSection `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
 			RPS      float64 `toml:"rps"`
@@ -75,39 +60,65 @@
 			RAMMB    float64 `toml:"ram_mb"`
 			Sockets  int     `toml:"sockets"`
 		} `toml:"quota"`
-	} `toml:"params"`
-}
+	}
+	teamSection struct {
+		Name    string  `toml:"name"`
+		CPUs    float64 `toml:"cpus"`
+		CPUsMax float64 `toml:"cpus_max"`
+		GPUs    float64 `toml:"gpus"`
+		GPUsMax float64 `toml:"gpus_max"`
+	}
+	objectiveSection struct {
+		Kind    string  `toml:"kind"`
+		Class   string  `toml:"class"`
+		WithinS float64 `toml:"within_s"`
+		Share   float64 `toml:"share"`
+		Times   float64 `toml:"times"`
+	}
+	nextStateSection struct {
+		RPS      float64 `toml:"rps"`
+		WriteRPS float64 `toml:"write_rps"`
+		ValueKB  float64 `toml:"value_kb"`
+		TxnOps   int     `toml:"txn_ops"`
+	}
+)
 
-// FieldError names the file and the field that is wrong.
-type FieldError struct {
-	File, Field, Reason string
-}
+// Minimums of the settings.
+const (
+	minIntervalS = 0.01 // seconds
+	minCloudRPS  = 0.01
+	minStoreRPS  = 0.1
+	minValueKB   = 1
+	minTxnOps    = 3
+	minCPUShare  = 0.0001
+	minMemoryMB  = 16 // an idle controller uses about half of it
+	minSockets   = 8
+)
 
-func (e *FieldError) Error() string {
-	if e.Field == "" {
-		return fmt.Sprintf("%s: %s", e.File, e.Reason)
-	}
-	return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Reason)
-}
+// Units.
+const (
+	millisecondsPerSecond = 1000
+	bytesPerKB            = 1 << 10
+	bytesPerMB            = 1 << 20
+)
 
-// LoadSettings reads and checks the platform's file and, if a path is given,
-// the operators' properties.
+// LoadSettings reads and checks the settings file and, unless propertiesPath is empty, the operators' properties. Its
+// error is a *FieldError.
 func LoadSettings(path, propertiesPath string) (*config.Settings, error) {
-	raw, err := os.ReadFile(path)
+	raw, err := readFile(path)
 	if err != nil {
-		return nil, &FieldError{File: path, Reason: reason(err)}
+		return nil, err
 	}
 	s, err := ParseSettings(path, raw)
 	if err != nil {
 		return nil, err
 	}
-	s.Tuning = s.DefaultTuning()
 	if propertiesPath == "" {
 		return s, nil
 	}
-	raw, err = os.ReadFile(propertiesPath)
+	raw, err = readFile(propertiesPath)
 	if err != nil {
-		return nil, &FieldError{File: propertiesPath, Reason: reason(err)}
+		return nil, err
 	}
 	if err := parseProperties(propertiesPath, raw, s); err != nil {
 		return nil, err
@@ -115,7 +126,15 @@
 	return s, nil
 }
 
-// reason is an error's last part, on one line and without the path.
+func readFile(path string) ([]byte, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, &FieldError{File: path, Reason: reason(err)}
+	}
+	return raw, nil
+}
+
+// reason returns an error's text on one line, without the file's path.
 func reason(err error) string {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
@@ -124,122 +143,131 @@
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
 
-// ParseSettings checks the platform's settings.
+// ParseSettings checks the contents of a settings file and returns them with the default tuning. Its error is a
+// *FieldError, which names file.
 func ParseSettings(file string, raw []byte) (*config.Settings, error) {
 	var f settingsFile
 	if err := toml.Unmarshal(raw, &f); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, _ := de.Position()
-			field := strings.Join(de.Key(), ".")
-			why := reason(err)
-			if strings.Contains(why, "cannot decode") {
-				why = "is of the wrong type"
-			}
-			return nil, &FieldError{file, field, fmt.Sprintf("line %d: %s", row, why)}
-		}
-		return nil, &FieldError{File: file, Reason: reason(err)}
-	}
-	c := checker{file: file}
-	s := &config.Settings{
-		NodeName:          c.text("host_name", f.HostName),
-		Zone:              c.text("zone", f.Zone),
-		Listen:            c.addr("serve_on", f.ServeOn),
-		PeerListen:        c.addr("peer_listen", f.PeerListen),
-		CloudAddr:         c.addr("endpoints.cloud", f.Endpoints.Cloud),
-		StateAddr:         c.addr("endpoints.state", f.Endpoints.State),
-		Zones:             f.Params.Zones,
-		ClockError:        c.duration("params.clock_error_ms", f.Params.ClockErrorMS/1000, 0),
-		HeartbeatInterval: c.duration("params.workers.report_s", f.Params.Workers.ReportS, 0.01),
-		WorkerLease:       c.duration("params.workers.lease_s", f.Params.Workers.LeaseS, 0.01),
-		CancelTimeout:     c.duration("params.workers.cancel_s", f.Params.Workers.CancelS, 0.01),
-		GangWait:          c.duration("params.workers.gang_wait_s", f.Params.Workers.GangWaitS, 0),
-		GangStopWindow:    c.duration("params.workers.gang_peer_s", f.Params.Workers.GangPeerS, 0),
-		CloudRPS:          c.amount("params.cloud.rps", f.Params.Cloud.RPS, 0.01),
-		ListLag:           c.duration("params.cloud.list_lag_s", f.Params.Cloud.ListLagS, 0),
-		CPUShare:          c.amount("params.quota.cpu_share", f.Params.Quota.CPUShare, 0.0001),
-		MemoryMB:          c.amount("params.quota.ram_mb", f.Params.Quota.RAMMB, minMemoryMB),
-		Sockets:           c.count("params.quota.sockets", f.Params.Quota.Sockets, 8),
-		State: storage.Limits{
-			RequestsPerS: c.amount("params.state.rps", f.Params.State.RPS, 0.1),
-			ChangesPerS:  c.amount("params.state.write_rps", f.Params.State.WriteRPS, 0.1),
-			ValueBytes:   int(c.amount("params.state.value_kb", f.Params.State.ValueKB, 1) * 1024),
-			TxnOps:       c.count("params.state.txn_ops", f.Params.State.TxnOps, 3),
-			Next:         c.nextLimits(&f),
-		},
-		Peers:      c.peers(&f),
-		Teams:      c.teams(&f),
-		Objectives: c.objectives(&f),
+		return nil, decodeError(file, err)
 	}
-	if c.err == nil && s.WorkerLease <= s.HeartbeatInterval {
-		c.fail("params.workers.lease_s", "must be longer than report_s")
+	v := validator{file: file}
+	s := f.settings(&v)
+	if v.err == nil && s.WorkerLease <= s.HeartbeatInterval {
+		v.fail("params.workers.lease_s", "must be longer than report_s")
 	}
-	if c.err != nil {
-		return nil, c.err
+	if v.err != nil {
+		return nil, v.err
 	}
 	s.Tuning = s.DefaultTuning()
 	return s, nil
 }
 
-// minMemoryMB is the least that a node serves in: at rest it holds about half of it.
-const minMemoryMB = 16
+// decodeError returns the error of the TOML decoder with its line and field.
+func decodeError(file string, err error) *FieldError {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
+		return &FieldError{File: file, Reason: reason(err)}
+	}
+	line, _ := decodeErr.Position()
+	field := strings.Join(decodeErr.Key(), ".")
+	text := reason(err)
+	if strings.Contains(text, "cannot decode") {
+		text = "is of the wrong type"
+	}
+	return &FieldError{file, field, fmt.Sprintf("line %d: %s", line, text)}
+}
+
+// settings returns the settings, without their tuning.
+func (f *settingsFile) settings(v *validator) *config.Settings {
+	params := &f.Params
+	return &config.Settings{
+		NodeName:          v.nonEmpty("host_name", f.HostName),
+		Zone:              v.nonEmpty("zone", f.Zone),
+		Listen:            v.address("serve_on", f.ServeOn),
+		PeerListen:        v.address("peer_listen", f.PeerListen),
+		CloudAddr:         v.address("endpoints.cloud", f.Endpoints.Cloud),
+		StateAddr:         v.address("endpoints.state", f.Endpoints.State),
+		Zones:             params.Zones,
+		ClockError:        v.secondsAtLeast("params.clock_error_ms", params.ClockErrorMS/millisecondsPerSecond, 0),
+		HeartbeatInterval: v.secondsAtLeast("params.workers.report_s", params.Workers.ReportS, minIntervalS),
+		WorkerLease:       v.secondsAtLeast("params.workers.lease_s", params.Workers.LeaseS, minIntervalS),
+		CancelTimeout:     v.secondsAtLeast("params.workers.cancel_s", params.Workers.CancelS, minIntervalS),
+		GangWait:          v.secondsAtLeast("params.workers.gang_wait_s", params.Workers.GangWaitS, 0),
+		GangStopWindow:    v.secondsAtLeast("params.workers.gang_peer_s", params.Workers.GangPeerS, 0),
+		CloudRPS:          v.numberAtLeast("params.cloud.rps", params.Cloud.RPS, minCloudRPS),
+		ListLag:           v.secondsAtLeast("params.cloud.list_lag_s", params.Cloud.ListLagS, 0),
+		CPUShare:          v.numberAtLeast("params.quota.cpu_share", params.Quota.CPUShare, minCPUShare),
+		MemoryMB:          v.numberAtLeast("params.quota.ram_mb", params.Quota.RAMMB, minMemoryMB),
+		Sockets:           v.countAtLeast("params.quota.sockets", params.Quota.Sockets, minSockets),
+		State: storage.Limits{
+			RequestsPerS: v.numberAtLeast("params.state.rps", params.State.RPS, minStoreRPS),
+			ChangesPerS:  v.numberAtLeast("params.state.write_rps", params.State.WriteRPS, minStoreRPS),
+			ValueBytes:   int(v.numberAtLeast("params.state.value_kb", params.State.ValueKB, minValueKB) * bytesPerKB),
+			TxnOps:       v.countAtLeast("params.state.txn_ops", params.State.TxnOps, minTxnOps),
+			Next:         params.State.Next.limits(v),
+		},
+		Peers:      f.peers(v),
+		Teams:      params.teams(v),
+		Objectives: params.objectives(v),
+	}
+}
 
-// nextLimits reads what the state service will take from some moment on; nil: not said.
-func (c *checker) nextLimits(f *settingsFile) *storage.Limits {
-	next := f.Params.State.Next
-	if next == nil {
+// limits returns the announced limits of the key-value store; nil if none are announced. A limit that isn't announced
+// is 0.
+func (s *nextStateSection) limits(v *validator) *storage.Limits {
+	if s == nil {
 		return nil
 	}
 	return &storage.Limits{
-		RequestsPerS: c.optional("params.state.next.rps", next.RPS, 0.1),
-		ChangesPerS:  c.optional("params.state.next.write_rps", next.WriteRPS, 0.1),
-		ValueBytes:   int(c.optional("params.state.next.value_kb", next.ValueKB, 1) * 1024),
-		TxnOps:       int(c.optional("params.state.next.txn_ops", float64(next.TxnOps), 3)),
+		RequestsPerS: v.optionalAtLeast("params.state.next.rps", s.RPS, minStoreRPS),
+		ChangesPerS:  v.optionalAtLeast("params.state.next.write_rps", s.WriteRPS, minStoreRPS),
+		ValueBytes:   int(v.optionalAtLeast("params.state.next.value_kb", s.ValueKB, minValueKB) * bytesPerKB),
+		TxnOps:       int(v.optionalAtLeast("params.state.next.txn_ops", float64(s.TxnOps), minTxnOps)),
 	}
 }
 
-// peers reads the other controllers.
-func (c *checker) peers(f *settingsFile) []config.Peer {
+// peers returns the other controllers.
+func (f *settingsFile) peers(v *validator) []config.Peer {
 	var peers []config.Peer
-	for i, p := range f.Seeds {
+	for i, seed := range f.Seeds {
 		field := fmt.Sprintf("seeds[%d].", i)
 		peers = append(peers, config.Peer{
-			Name: c.text(field+"host_name", p.HostName), Zone: p.Zone, Addr: c.addr(field+"addr", p.Addr),
+			Name: v.nonEmpty(field+"host_name", seed.HostName), Zone: seed.Zone, Addr: v.address(field+"addr", seed.Addr),
 		})
-		if p.HostName == f.HostName {
-			c.fail(field+"host_name", "is this node's own name")
+		if seed.HostName == f.HostName {
+			v.fail(field+"host_name", "is this node's own name")
 		}
 	}
 	return peers
 }
 
-// teams reads the teams with their guarantees and limits.
-func (c *checker) teams(f *settingsFile) []config.Team {
+// teams returns the teams with their quotas.
+func (p *paramsSection) teams(v *validator) []config.Team {
 	var teams []config.Team
-	seen := make(map[string]bool)
-	for i, t := range f.Params.Teams {
+	names := make(map[string]bool)
+	for i, t := range p.Teams {
 		field := fmt.Sprintf("params.teams[%d].", i)
 		teams = append(teams, config.Team{
-			Name:      c.text(field+"name", t.Name),
-			Guarantee: storage.Resources{CPUs: c.amount(field+"cpus", t.CPUs, 0), GPUs: c.amount(field+"gpus", t.GPUs, 0)},
-			Limit:     storage.Resources{CPUs: c.amount(field+"cpus_max", t.CPUsMax, 0), GPUs: c.amount(field+"gpus_max", t.GPUsMax, 0)},
+			Name:      v.nonEmpty(field+"name", t.Name),
+			Guarantee: storage.Resources{CPUs: v.numberAtLeast(field+"cpus", t.CPUs, 0), GPUs: v.numberAtLeast(field+"gpus", t.GPUs, 0)},
+			Limit:     storage.Resources{CPUs: v.numberAtLeast(field+"cpus_max", t.CPUsMax, 0), GPUs: v.numberAtLeast(field+"gpus_max", t.GPUsMax, 0)},
 		})
-		if seen[t.Name] {
-			c.fail(field+"name", "names a team twice")
+		if names[t.Name] {
+			v.fail(field+"name", "names a team twice")
 		}
-		seen[t.Name] = true
+		names[t.Name] = true
 	}
 	return teams
 }
 
-// objectives reads the aims at start and finish.
-func (c *checker) objectives(f *settingsFile) []config.Objective {
+// objectives returns the service-level objectives.
+func (p *paramsSection) objectives(v *validator) []config.Objective {
 	var objectives []config.Objective
-	for i, o := range f.Params.Objectives {
+	for i, o := range p.Objectives {
 		field := fmt.Sprintf("params.objectives[%d].", i)
 		objectives = append(objectives, config.Objective{
-			Kind: o.Kind, Class: o.Class, Share: c.amount(field+"share", o.Share, 0), Times: o.Times,
-			Within: c.duration(field+"within_s", o.WithinS, 0),
+			Kind: o.Kind, Class: o.Class, Share: v.numberAtLeast(field+"share", o.Share, 0), Times: o.Times,
+			Within: v.secondsAtLeast(field+"within_s", o.WithinS, 0),
 		})
 	}
 	return objectives
--- a/internal/protocol/upgrade_properties.go
+++ b/internal/protocol/upgrade_properties.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"strconv"
-	"time"
 
 	"sagevale/internal/upgrade"
 )
@@ -13,51 +12,48 @@
 	targetProperty   = "upgrade.target"
 	finalizeProperty = "upgrade.finalize"
 	soakProperty     = "upgrade.soak"
-	// capProperty has the program act as an earlier version; it is for tests.
+	// capProperty has the program act as an earlier version. It is for tests.
 	capProperty = "upgrade.test.cap"
 )
 
-// upgradeProperties adds the properties on upgrades to those known.
-func (c *checker) upgradeProperties(known map[string]func(string, string), settings *upgrade.Settings) {
+// addUpgrade adds the properties on upgrades.
+func (p propertyParsers) addUpgrade(v *validator, settings *upgrade.Settings) {
 	policy := &settings.Policy
-	known[targetProperty] = func(key, value string) { c.parseTarget(key, value, policy) }
-	known[finalizeProperty] = func(key, value string) {
+	p[targetProperty] = func(key, value string) { parseUpgradeTarget(v, key, value, policy) }
+	p[finalizeProperty] = func(key, value string) {
 		if value != "auto" && value != "hold" {
-			c.fail(key, "must be auto or hold")
+			v.fail(key, "must be auto or hold")
 		}
 		policy.AutoFinalize = value == "auto"
 	}
-	known[soakProperty] = func(key, value string) {
-		soak, err := time.ParseDuration(value)
-		if err != nil || soak <= 0 {
-			c.fail(key, "must be a positive duration such as 10m")
-			return
-		}
-		policy.Soak = soak
-	}
-	known[capProperty] = func(key, value string) {
-		version := c.parseVersion(key, value)
-		*settings = settings.CappedAt(version)
-	}
+	p[soakProperty] = func(key, value string) { policy.Soak = v.parseDuration(key, value, "10m") }
+	p[capProperty] = func(key, value string) { *settings = settings.CappedAt(parseVersion(v, key, value)) }
 }
 
-// parseTarget reads latest, hold or a version.
-func (c *checker) parseTarget(key, value string, policy *upgrade.Policy) {
+// parseUpgradeTarget parses latest, hold or a version.
+func parseUpgradeTarget(v *validator, key, value string, policy *upgrade.Policy) {
 	switch value {
 	case "latest":
 	case "hold":
 		policy.Hold = true
 	default:
-		policy.Target = c.parseVersion(key, value)
+		policy.Target = parseVersion(v, key, value)
 	}
 }
 
-// parseVersion reads a version that this program knows.
-func (c *checker) parseVersion(key, value string) upgrade.Version {
+// parseVersion parses a version that this program has.
+func parseVersion(v *validator, key, value string) upgrade.Version {
 	version, err := strconv.ParseUint(value, 10, 32)
 	if err != nil || version < uint64(upgrade.Baseline) || version > uint64(upgrade.Current) {
-		c.fail(key, fmt.Sprintf("%q is no version that this program knows: %s", value, upgrade.Supported))
+		v.fail(key, fmt.Sprintf("%q is no version that this program knows: %s", value, upgrade.Supported))
 		return upgrade.Current
 	}
 	return upgrade.Version(version)
 }
+
+// checkUpgrade checks the properties on upgrades against each other.
+func checkUpgrade(v *validator, settings *upgrade.Settings) {
+	if target := settings.Policy.Target; target > settings.Versions.Max {
+		v.fail(targetProperty, fmt.Sprintf("version %d is unknown here: this program has versions %s", target, settings.Versions))
+	}
+}
--- a/internal/protocol/upgrade_properties_test.go
+++ b/internal/protocol/upgrade_properties_test.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"strings"
 	"testing"
 	"time"
 
@@ -9,50 +8,44 @@
 )
 
 func TestUpgradeProperties(t *testing.T) {
-	defaults, err := ParseSettings("s.toml", []byte(goodSettings))
-	if err != nil {
-		t.Fatal(err)
+	settings := parseTestSettings(t)
+	defaults := settings.Tuning.Upgrade
+	if p := defaults.Policy; p.Soak != 30*settings.WorkerLease || p.ReleaseAfter != 30*settings.WorkerLease || p.AutoFinalize || p.Hold || p.Target != 0 {
+		t.Errorf("the default policy is %+v", p)
 	}
-	good := defaults.Tuning.Upgrade
-	if p := good.Policy; p.Soak != 30*defaults.WorkerLease || p.ReleaseAfter != 30*defaults.WorkerLease || p.AutoFinalize || p.Hold || p.Target != 0 {
-		t.Errorf("the default is %+v", p)
-	}
-	held, target, finalizing := good, good, good
+	held, target, finalizing := defaults, defaults, defaults
 	held.Policy.Hold = true
 	target.Policy.Target = upgrade.Version2
 	finalizing.Policy.AutoFinalize, finalizing.Policy.Soak = true, 15*time.Minute
-	for _, c := range []struct {
-		file  string
-		want  upgrade.Settings
-		fails string
+	for _, tc := range []struct {
+		file      string
+		want      upgrade.Settings
+		wantError string
 	}{
-		{"upgrade.target = latest\n", good, ""},
+		{"upgrade.target = latest\n", defaults, ""},
 		{"upgrade.target = hold\n", held, ""},
 		{"upgrade.target = 2\n", target, ""},
 		{"upgrade.finalize = auto\nupgrade.soak = 15m\n", finalizing, ""},
-		{"upgrade.test.cap = 1\n", good.CappedAt(upgrade.Version1), ""},
-		{"upgrade.target = 9\n", good, `p: upgrade.target: "9" is no version that this program knows: 1 to 6`},
-		{"upgrade.target = 0\n", good, "p: upgrade.target: "},
-		{"upgrade.target = newest\n", good, "p: upgrade.target: "},
-		{"upgrade.test.cap = 1\nupgrade.target = 2\n", good, "p: upgrade.target: version 2 is unknown here"},
-		{"upgrade.finalize = yes\n", good, "p: upgrade.finalize: must be auto or hold"},
-		{"upgrade.soak = -3s\n", good, "p: upgrade.soak: "},
-		{"upgrade.soak = soon\n", good, "p: upgrade.soak: "},
+		{"upgrade.test.cap = 1\n", defaults.CappedAt(upgrade.Version1), ""},
+		{"upgrade.target = 9\n", defaults, `p: upgrade.target: "9" is no version that this program knows: 1 to 6`},
+		{"upgrade.target = 0\n", defaults, "p: upgrade.target: "},
+		{"upgrade.target = newest\n", defaults, "p: upgrade.target: "},
+		{"upgrade.test.cap = 1\nupgrade.target = 2\n", defaults, "p: upgrade.target: version 2 is unknown here"},
+		{"upgrade.finalize = yes\n", defaults, "p: upgrade.finalize: must be auto or hold"},
+		{"upgrade.soak = -3s\n", defaults, "p: upgrade.soak: "},
+		{"upgrade.soak = soon\n", defaults, "p: upgrade.soak: "},
 	} {
-		s, err := ParseSettings("s.toml", []byte(goodSettings))
-		if err != nil {
-			t.Fatal(err)
-		}
-		err = parseProperties("p", []byte(c.file), s)
-		if c.fails != "" {
-			if err == nil || !strings.HasPrefix(err.Error(), c.fails) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q: %v", c.file, err)
+		t.Run(tc.file, func(t *testing.T) {
+			s := parseTestSettings(t)
+			err := parseProperties("p", []byte(tc.file), s)
+			if tc.wantError != "" {
+				checkFieldError(t, err, tc.wantError)
+				return
+			}
+			got := s.Tuning.Upgrade
+			if err != nil || got.Policy != tc.want.Policy || got.Versions != tc.want.Versions || len(got.Known) != len(tc.want.Known) {
+				t.Errorf("settings are %+v, %v; want %+v", got, err, tc.want)
 			}
-			continue
-		}
-		got := s.Tuning.Upgrade
-		if err != nil || got.Policy != c.want.Policy || got.Versions != c.want.Versions || len(got.Known) != len(c.want.Known) {
-			t.Errorf("%q: %+v, %v", c.file, got, err)
-		}
+		})
 	}
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"regexp"
 	"strings"
 
@@ -13,24 +12,38 @@
 	"sagevale/internal/storage"
 )
 
-// MaxBody is the largest request body.
+// MaxBody is the largest request body in bytes.
 const MaxBody = 64 << 10
 
-// MaxTasks is the most tasks of a job.
+// MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
 
-// idPrefix begins every job id on the wire.
-const idPrefix = "job-"
+// Limits of a submission's texts in bytes, so that the job's record fits a value of the key-value store.
+const (
+	maxNameBytes  = 256
+	maxTypesBytes = 2048 // of all types, with separators
+)
+
+// jobIDPrefix is the prefix of every job's id in the interfaces.
+const jobIDPrefix = "job-"
 
-var idForm = regexp.MustCompile(`^job-[0-9]{6,18}$`)
+var jobIDPattern = regexp.MustCompile(`^job-[0-9]{6,18}$`)
+
+// JobID returns a job's id without its prefix; ok is false if s is no job id.
+func JobID(s string) (id string, ok bool) {
+	if !jobIDPattern.MatchString(s) {
+		return "", false
+	}
+	return strings.TrimPrefix(s, jobIDPrefix), true
+}
 
-// submission is a job on the wire. Pointers tell what is missing.
+// submission is a user's submission of a job. A nil pointer is a field that is missing.
 type submission struct {
 	ID          *string  `json:"Id"`
 	Class       *string  `json:"Bracket"`
 	Team        *string  `json:"Owner"`
 	Shape       *string  `json:"Shape"`
-	Urgency     *string  `json:"Urgency"`
+	Priority    *string  `json:"Urgency"`
 	Tasks       *int     `json:"Chores"`
 	CPUs        *float64 `json:"Cpus"`
 	GPUs        *float64 `json:"Gpus"`
@@ -52,137 +65,126 @@
 	"prod": storage.Production, "high": storage.High, "normal": storage.Normal, "best_effort": storage.BestEffort,
 }
 
-// JobID checks a job's id and returns it without its prefix.
-func JobID(s string) (string, bool) {
-	if !idForm.MatchString(s) {
-		return "", false
-	}
-	return strings.TrimPrefix(s, idPrefix), true
-}
-
-// ParseSubmission checks a submitted job.
+// ParseSubmission decodes and checks a submission. The error is a *FieldError where one field is invalid; its text is
+// for the user.
 func ParseSubmission(body []byte) (storage.Spec, error) {
 	var s submission
 	if trimmed := bytes.TrimSpace(body); len(trimmed) == 0 || trimmed[0] != '{' {
 		return storage.Spec{}, errors.New("not a JSON object")
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) && te.Field != "" {
-			return storage.Spec{}, fmt.Errorf("%s: wrong type", te.Field)
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) && typeError.Field != "" {
+			return storage.Spec{}, &FieldError{Field: typeError.Field, Reason: "wrong type"}
 		}
 		return storage.Spec{}, errors.New("not valid JSON")
 	}
-	c := checker{file: "job"}
+	var v validator
+	spec := s.spec(&v)
+	if v.err != nil {
+		return storage.Spec{}, v.err
+	}
+	return spec, nil
+}
+
+// spec returns the specification of the job.
+func (s *submission) spec(v *validator) storage.Spec {
 	spec := storage.Spec{
-		Class: need(&c, "Bracket", s.Class), Team: need(&c, "Owner", s.Team),
-		Tasks: need(&c, "Chores", s.Tasks),
+		Class: required(v, "Bracket", s.Class),
+		Team:  required(v, "Owner", s.Team),
+		Tasks: required(v, "Chores", s.Tasks),
 		Resources: storage.Resources{
-			CPUs: c.part("Cpus", s.CPUs), GPUs: c.part("Gpus", s.GPUs), MemoryGB: c.part("MemoryGb", s.MemoryGB),
+			CPUs: v.nonNegative("Cpus", s.CPUs), GPUs: v.nonNegative("Gpus", s.GPUs), MemoryGB: v.nonNegative("MemoryGb", s.MemoryGB),
 		},
-		Image: need(&c, "Kit", s.Image), ImageGB: c.part("ImageGb", s.ImageGB),
-		Types:    s.Types,
-		SameZone: need(&c, "SamePlace", s.SameZone), Spread: need(&c, "Scatter", s.Spread), Spot: need(&c, "Loaner", s.Spot),
-		EstimateS: c.part("ExpectedS", s.EstimateS), CheckpointS: c.part("BookmarkS", s.CheckpointS), SaveS: c.part("StowS", s.SaveS),
-	}
-	id, ok := JobID(need(&c, "Id", s.ID))
-	if !ok {
-		c.fail("Id", "is not a job id")
-	}
-	spec.ID = id
+		Image:       required(v, "Kit", s.Image),
+		ImageGB:     v.nonNegative("ImageGb", s.ImageGB),
+		Types:       s.Types,
+		SameZone:    required(v, "SamePlace", s.SameZone),
+		Spread:      required(v, "Scatter", s.Spread),
+		Spot:        required(v, "Loaner", s.Spot),
+		EstimateS:   v.nonNegative("ExpectedS", s.EstimateS),
+		CheckpointS: v.nonNegative("BookmarkS", s.CheckpointS),
+		SaveS:       v.nonNegative("StowS", s.SaveS),
+	}
+	spec.ID = s.jobID(v)
 	if s.Zone != nil {
-		spec.Zone = c.text("Pasture", *s.Zone)
+		spec.Zone = v.nonEmpty("Pasture", *s.Zone)
 	}
 	if s.DeadlineS != nil {
-		spec.DeadlineS = c.part("DueS", s.DeadlineS)
+		spec.DeadlineS = v.nonNegative("DueS", s.DeadlineS)
 	}
-	switch shape := need(&c, "Shape", s.Shape); shape {
+	spec.Service, spec.Gang = s.shape(v)
+	spec.Priority = s.priority(v)
+	checkSizes(v, &spec)
+	return spec
+}
+
+func (s *submission) jobID(v *validator) string {
+	id, ok := JobID(required(v, "Id", s.ID))
+	if !ok {
+		v.fail("Id", "is not a job id")
+	}
+	return id
+}
+
+// shape reports whether the job is a service, and whether it is a gang; a job array is neither.
+func (s *submission) shape(v *validator) (service, gang bool) {
+	switch shape := required(v, "Shape", s.Shape); shape {
 	case "service":
-		spec.Service = true
+		return true, false
 	case "group":
-		spec.Gang = true
+		return false, true
 	case "sweep":
 	default:
-		c.fail("Shape", fmt.Sprintf("unknown value %q", shape))
-	}
-	urgency := need(&c, "Urgency", s.Urgency)
-	priority, ok := priorities[urgency]
-	if !ok {
-		c.fail("Urgency", fmt.Sprintf("unknown value %q", urgency))
-	}
-	spec.Priority = priority
-	if spec.Tasks < 1 || spec.Tasks > MaxTasks {
-		c.fail("Chores", fmt.Sprintf("must be from 1 to %d", MaxTasks))
-	}
-	if s.Types != nil && len(s.Types) == 0 {
-		c.fail("Breeds", "allows no machine type")
-	}
-	c.short("Bracket", spec.Class)
-	c.short("Owner", spec.Team)
-	c.short("Kit", spec.Image)
-	c.short("Pasture", spec.Zone)
-	if size := len(strings.Join(spec.Types, " ")); size > maxList {
-		c.fail("Breeds", "is too long")
+		v.fail("Shape", fmt.Sprintf("unknown value %q", shape))
 	}
-	var fe *FieldError
-	if errors.As(c.err, &fe) {
-		return storage.Spec{}, fmt.Errorf("%s: %s", fe.Field, fe.Reason)
-	}
-	return spec, nil
+	return false, false
 }
 
-// maxName and maxList bound a submission's texts, so that its record fits a
-// value of the state service.
-const (
-	maxName = 256
-	maxList = 2048
-)
-
-func (c *checker) short(field, v string) {
-	if len(v) > maxName {
-		c.fail(field, "is too long")
+func (s *submission) priority(v *validator) storage.Priority {
+	name := required(v, "Urgency", s.Priority)
+	priority, ok := priorities[name]
+	if !ok {
+		v.fail("Urgency", fmt.Sprintf("unknown value %q", name))
 	}
+	return priority
 }
 
-// need returns a field that must be there.
-func need[T any](c *checker, field string, v *T) T {
-	if v == nil {
-		c.fail(field, "is missing")
-		var zero T
-		return zero
+// checkSizes checks the number of tasks and the lengths of a submission's texts.
+func checkSizes(v *validator, spec *storage.Spec) {
+	if spec.Tasks < 1 || spec.Tasks > MaxTasks {
+		v.fail("Chores", fmt.Sprintf("must be from 1 to %d", MaxTasks))
 	}
-	return *v
-}
-
-// part returns a finite amount that isn't negative.
-func (c *checker) part(field string, v *float64) float64 {
-	x := need(c, field, v)
-	if x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
-		c.fail(field, "must not be negative")
-		return 0
+	if spec.Types != nil && len(spec.Types) == 0 {
+		v.fail("Breeds", "allows no machine type")
 	}
-	return x
+	v.maxLength("Bracket", spec.Class, maxNameBytes)
+	v.maxLength("Owner", spec.Team, maxNameBytes)
+	v.maxLength("Kit", spec.Image, maxNameBytes)
+	v.maxLength("Pasture", spec.Zone, maxNameBytes)
+	v.maxLength("Breeds", strings.Join(spec.Types, " "), maxTypesBytes)
 }
 
-// JobStatus is the answer to a user.
+// JobStatus is the body of a successful response to a user.
 type JobStatus struct {
-	ID       string `json:"Id"`
-	Standing string `json:"Standing"`
-	Done     int    `json:"done"`
-	Running  int    `json:"running"`
+	ID      string `json:"Id"`
+	State   string `json:"Standing"`
+	Done    int    `json:"done"`    // tasks
+	Running int    `json:"running"` // tasks
 }
 
-var standings = map[api.JobState]string{
+var jobStates = map[api.JobState]string{
 	api.StatePending: "pending", api.StateRunning: "running",
 	api.StateDone: "done", api.StateCancelled: "aborted",
 }
 
-// NewJobStatus puts an answer on the wire.
-func NewJobStatus(a api.Response) JobStatus {
-	return JobStatus{ID: idPrefix + a.ID, Standing: standings[a.State], Done: a.Done, Running: a.Running}
+// NewJobStatus returns the body of a response with a job's state.
+func NewJobStatus(r api.Response) JobStatus {
+	return JobStatus{ID: jobIDPrefix + r.ID, State: jobStates[r.State], Done: r.Done, Running: r.Running}
 }
 
-// ErrorResponse is the body of every answer that isn't 200 or 201.
+// ErrorResponse is the body of every response that isn't successful. It is sent to users and workers, and received
+// from the cloud.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/validator.go
+++ b/internal/protocol/validator.go
@@ -8,78 +8,114 @@
 	"time"
 )
 
-// checker keeps the first thing found wrong.
-type checker struct {
-	file string
-	err  error
+// FieldError is an invalid field of a file or of a request. Its text is one line.
+type FieldError struct {
+	File   string // path; empty for a request
+	Field  string // by its name in the interface; empty if it isn't one field that is invalid
+	Reason string
 }
 
-// optional is amount for a figure that may be left out.
-func (c *checker) optional(field string, v, least float64) float64 {
-	if v == 0 {
-		return 0
+// Error returns the parts that aren't empty.
+func (e *FieldError) Error() string {
+	text := e.Reason
+	if e.Field != "" {
+		text = e.Field + ": " + text
+	}
+	if e.File != "" {
+		text = e.File + ": " + text
+	}
+	return text
+}
+
+// validator checks fields and keeps the first error. Its methods take a field's name and value, and return the value
+// that is to be used; it means nothing after an error.
+type validator struct {
+	file string // path; empty for a request
+	err  *FieldError
+}
+
+func (v *validator) fail(field, reason string) {
+	if v.err == nil {
+		v.err = &FieldError{v.file, field, reason}
 	}
-	return c.amount(field, v, least)
 }
 
-func (c *checker) fail(field, reason string) {
-	if c.err == nil {
-		c.err = &FieldError{c.file, field, reason}
+// nonEmpty checks that a text is there.
+func (v *validator) nonEmpty(field, value string) string {
+	if value == "" {
+		v.fail(field, "is missing or empty")
 	}
+	return value
 }
 
-func (c *checker) text(field, v string) string {
-	if v == "" {
-		c.fail(field, "is missing or empty")
+// address checks that a text is an IP address with a port.
+func (v *validator) address(field, value string) string {
+	host, port, err := net.SplitHostPort(value)
+	n, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
+		v.fail(field, fmt.Sprintf("%q is not an IP address with a port", value))
 	}
-	return v
+	return value
 }
 
-func (c *checker) addr(field, v string) string {
-	host, port, err := net.SplitHostPort(v)
-	n, perr := strconv.Atoi(port)
-	if err != nil || perr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
-		c.fail(field, fmt.Sprintf("%q is not an IP address with a port", v))
+// numberAtLeast checks that a number is finite and not below a minimum.
+func (v *validator) numberAtLeast(field string, value, minimum float64) float64 {
+	if math.IsNaN(value) || math.IsInf(value, 0) || value < minimum {
+		v.fail(field, fmt.Sprintf("is missing or out of range (at least %g)", minimum))
+		return minimum
 	}
-	return v
+	return value
 }
 
-func (c *checker) amount(field string, v, least float64) float64 {
-	if math.IsNaN(v) || math.IsInf(v, 0) || v < least {
-		c.fail(field, fmt.Sprintf("is missing or out of range (at least %g)", least))
-		return least
+// optionalAtLeast is numberAtLeast for a number that may be left out, which is 0.
+func (v *validator) optionalAtLeast(field string, value, minimum float64) float64 {
+	if value == 0 {
+		return 0
 	}
-	return v
+	return v.numberAtLeast(field, value, minimum)
 }
 
-func (c *checker) duration(field string, v, least float64) time.Duration {
-	const most = 1e9
-	if v > most {
-		c.fail(field, "is out of range")
+// secondsAtLeast checks a duration in seconds.
+func (v *validator) secondsAtLeast(field string, value, minimum float64) time.Duration {
+	const maximum = 1e9 // well below what a time.Duration holds
+	if value > maximum {
+		v.fail(field, "is out of range")
 		return 0
 	}
-	return time.Duration(c.amount(field, v, least) * float64(time.Second))
+	return time.Duration(v.numberAtLeast(field, value, minimum) * float64(time.Second))
 }
 
-func (c *checker) count(field string, v, least int) int {
-	if v < least {
-		c.fail(field, fmt.Sprintf("is missing or out of range (at least %d)", least))
+// countAtLeast checks that a whole number is not below a minimum.
+func (v *validator) countAtLeast(field string, value, minimum int) int {
+	if value < minimum {
+		v.fail(field, fmt.Sprintf("is missing or out of range (at least %d)", minimum))
 	}
-	return v
+	return value
 }
 
-func (c *checker) parseCount(field, v string, least, most int) int {
-	n, err := strconv.Atoi(v)
-	if err != nil || n < least || n > most {
-		c.fail(field, fmt.Sprintf("must be a whole number from %d to %d", least, most))
+// maxLength checks the length of a text in bytes.
+func (v *validator) maxLength(field, value string, maximum int) {
+	if len(value) > maximum {
+		v.fail(field, "is too long")
 	}
-	return n
 }
 
-func (c *checker) parseAmount(field, v string, least, most float64) float64 {
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(x) || x < least || x > most {
-		c.fail(field, fmt.Sprintf("must be a number from %g to %g", least, most))
+// nonNegative checks that a number is there, finite and not negative.
+func (v *validator) nonNegative(field string, value *float64) float64 {
+	x := required(v, field, value)
+	if x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
+		v.fail(field, "must not be negative")
+		return 0
 	}
 	return x
 }
+
+// required checks that a field is there.
+func required[T any](v *validator, field string, value *T) T {
+	if value == nil {
+		v.fail(field, "is missing")
+		var zero T
+		return zero
+	}
+	return *value
+}
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -10,57 +10,57 @@
 	"sagevale/internal/worker"
 )
 
-// machinePrefix begins every machine's name.
+// machinePrefix is the prefix of every machine's name.
 const machinePrefix = "host-"
 
-// MachineName is a machine's name on the wire; numbers have six digits at the
-// least, so names sort as they were created.
-func MachineName(n int) string { return fmt.Sprintf("%s%06d", machinePrefix, n) }
+// MachineName returns a machine's name in the interfaces. Its number has at least six digits, so that the names of
+// the first million machines sort by age.
+func MachineName(id int) string { return fmt.Sprintf("%s%06d", machinePrefix, id) }
 
-// ParseMachine reads a machine's name.
-func ParseMachine(s string) (int, error) {
-	rest, ok := strings.CutPrefix(s, machinePrefix)
-	n, err := strconv.Atoi(rest)
-	if !ok || err != nil || n < 0 || MachineName(n) != s {
-		return 0, fmt.Errorf("%q is not a machine's name", s)
+// ParseMachine returns the id of the machine with a name.
+func ParseMachine(name string) (int, error) {
+	digits, ok := strings.CutPrefix(name, machinePrefix)
+	id, err := strconv.Atoi(digits)
+	if !ok || err != nil || id < 0 || MachineName(id) != name {
+		return 0, fmt.Errorf("%q is not a machine's name", name)
 	}
-	return n, nil
+	return id, nil
 }
 
 func taskName(id worker.TaskID) string {
-	return idPrefix + id.Job + "/" + strconv.Itoa(id.Task)
+	return jobIDPrefix + id.Job + "/" + strconv.Itoa(id.Task)
 }
 
-func parseTask(s string) (worker.TaskID, error) {
-	job, task, ok := strings.Cut(s, "/")
+func parseTask(name string) (worker.TaskID, error) {
+	job, index, ok := strings.Cut(name, "/")
 	id, valid := JobID(job)
-	n, err := strconv.Atoi(task)
+	n, err := strconv.Atoi(index)
 	if !ok || !valid || err != nil || n < 0 {
-		return worker.TaskID{}, fmt.Errorf("%q is not a task's name", s)
+		return worker.TaskID{}, fmt.Errorf("%q is not a task's name", name)
 	}
 	return worker.TaskID{Job: id, Task: n}, nil
 }
 
-// report is a worker's report on the wire.
+// report is a worker's report: the body of a heartbeat, and of a response to commands.
 type report struct {
-	Machine string       `json:"Mount"`
-	Addr    string       `json:"Addr"`
-	Type    string       `json:"Breed"`
-	Zone    string       `json:"Pasture"`
-	Spot    bool         `json:"Loaner"`
-	Session uint64       `json:"Ride"`
-	Seq     uint64       `json:"Tally"`
-	Token   uint64       `json:"Baton"`
-	NoticeS *float64     `json:"WarningS"`
-	Tasks   []taskReport `json:"Chores"`
+	Machine       string       `json:"Mount"`
+	Addr          string       `json:"Addr"`
+	Type          string       `json:"Breed"`
+	Zone          string       `json:"Pasture"`
+	Spot          bool         `json:"Loaner"`
+	Incarnation   uint64       `json:"Ride"`
+	Seq           uint64       `json:"Tally"`
+	Token         uint64       `json:"Baton"`
+	NoticeSeconds *float64     `json:"WarningS"`
+	Tasks         []taskReport `json:"Chores"`
 }
 
 type taskReport struct {
-	Task  string `json:"Chore"`
-	Try   uint64 `json:"Try"`
-	State string `json:"Standing"`
-	Cause string `json:"Cause"`
-	Saved bool   `json:"Stored"`
+	Task    string `json:"Chore"`
+	Attempt uint64 `json:"Try"`
+	State   string `json:"Standing"`
+	Cause   string `json:"Cause"`
+	Saved   bool   `json:"Stored"`
 }
 
 var taskStates = map[string]worker.TaskState{
@@ -68,17 +68,17 @@
 	"gathering": worker.Gathering,
 }
 
-var causes = map[string]worker.ExitCause{
+var exitCauses = map[string]worker.ExitCause{
 	"done": worker.CauseDone, "stopped": worker.CauseStopped, "error": worker.CauseError,
 	"full": worker.CauseFull, "busy": worker.CauseBusy, "unknown": worker.CauseUnknown,
 	"peers": worker.CausePeers, "alone": worker.CausePeers,
 }
 
-// leastNoticeS stands for a notice that has run out.
-const leastNoticeS = 0.001
+// minNoticeSeconds replaces a notice period of zero, which gob would not send between controllers.
+const minNoticeSeconds = 0.001
 
-// ParseReport checks a worker's report. One that can't be understood in full
-// is refused in full: a task that we overlooked would seem to be gone.
+// ParseReport decodes and checks a worker's report. A report with any invalid task is invalid: a task that is left
+// out would seem to have ended.
 func ParseReport(body []byte) (*worker.Report, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -88,84 +88,94 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Session == 0 || r.Seq == 0 {
+	if r.Incarnation == 0 || r.Seq == 0 {
 		return nil, errors.New("report without Ride or Tally")
 	}
 	out := &worker.Report{
 		Machine: machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Incarnation: r.Session, Seq: r.Seq, Token: r.Token, NoticeSeconds: r.NoticeS,
+		Incarnation: r.Incarnation, Seq: r.Seq, Token: r.Token, NoticeSeconds: r.NoticeSeconds,
 		Tasks: make([]worker.TaskReport, 0, len(r.Tasks)),
 	}
-	if r.NoticeS != nil {
-		// A gob between nodes would drop a zero.
-		*out.NoticeSeconds = max(*r.NoticeS, leastNoticeS)
+	if r.NoticeSeconds != nil {
+		*out.NoticeSeconds = max(*r.NoticeSeconds, minNoticeSeconds)
 	}
-	for _, t := range r.Tasks {
-		id, err := parseTask(t.Task)
+	for i := range r.Tasks {
+		task, err := r.Tasks[i].parse()
 		if err != nil {
 			return nil, err
 		}
-		state, ok := taskStates[t.State]
-		if !ok {
-			return nil, fmt.Errorf("unknown task state %q", t.State)
-		}
-		cause, ok := causes[t.Cause]
-		if state == worker.Exited && !ok {
-			return nil, fmt.Errorf("unknown cause %q", t.Cause)
-		}
-		out.Tasks = append(out.Tasks, worker.TaskReport{ID: id, Attempt: t.Try, State: state, Cause: cause, Saved: t.Saved})
+		out.Tasks = append(out.Tasks, task)
 	}
 	return out, nil
 }
 
-type order struct {
-	Verb   string   `json:"Verb"`
-	Task   string   `json:"Chore"`
-	Try    uint64   `json:"Try"`
-	GraceS *float64 `json:"LeewayS,omitempty"`
+// parse checks the report of one task.
+func (t *taskReport) parse() (worker.TaskReport, error) {
+	id, err := parseTask(t.Task)
+	if err != nil {
+		return worker.TaskReport{}, err
+	}
+	state, ok := taskStates[t.State]
+	if !ok {
+		return worker.TaskReport{}, fmt.Errorf("unknown task state %q", t.State)
+	}
+	cause, ok := exitCauses[t.Cause]
+	if state == worker.Exited && !ok {
+		return worker.TaskReport{}, fmt.Errorf("unknown cause %q", t.Cause)
+	}
+	return worker.TaskReport{ID: id, Attempt: t.Attempt, State: state, Cause: cause, Saved: t.Saved}, nil
 }
 
-// HeartbeatResponse is the answer to a report.
-type HeartbeatResponse struct {
-	Token  uint64  `json:"Baton"`
-	Orders []order `json:"Orders"`
+// command is a command to a worker.
+type command struct {
+	Verb         string   `json:"Verb"`
+	Task         string   `json:"Chore"`
+	Attempt      uint64   `json:"Try"`
+	GraceSeconds *float64 `json:"LeewayS,omitempty"` // only of a stop
 }
 
-// NewHeartbeatResponse puts the answer to a report on the wire.
-func NewHeartbeatResponse(a worker.HeartbeatResponse) HeartbeatResponse {
-	return HeartbeatResponse{Token: a.Token, Orders: newOrders(a.Commands)}
+var verbs = map[worker.Verb]string{
+	worker.Start: "run", worker.Stop: "stop", worker.Forget: "forget",
 }
 
-// Redirect tells a worker where to report.
-type Redirect struct {
-	Leader string `json:"Steward,omitempty"`
-	Error  string `json:"error"`
+// newCommands returns commands as they are sent; never nil, which would be sent as null.
+func newCommands(commands []worker.Command) []command {
+	sent := make([]command, 0, len(commands))
+	for _, c := range commands {
+		s := command{Verb: verbs[c.Verb], Task: taskName(c.ID), Attempt: c.Attempt}
+		if c.Verb == worker.Stop {
+			s.GraceSeconds = &c.GraceSeconds
+		}
+		sent = append(sent, s)
+	}
+	return sent
 }
 
-// Commands is the body of orders sent straight to a worker.
-type Commands struct {
-	Token   uint64  `json:"Baton"`
-	Session uint64  `json:"Ride"`
-	Orders  []order `json:"Orders"`
+// HeartbeatResponse is the body of the response to an accepted heartbeat.
+type HeartbeatResponse struct {
+	Token    uint64    `json:"Baton"`
+	Commands []command `json:"Orders"`
 }
 
-// NewCommands puts direct orders on the wire.
-func NewCommands(token, session uint64, orders []worker.Command) Commands {
-	return Commands{Token: token, Session: session, Orders: newOrders(orders)}
+// NewHeartbeatResponse returns the body of the response to an accepted heartbeat.
+func NewHeartbeatResponse(r worker.HeartbeatResponse) HeartbeatResponse {
+	return HeartbeatResponse{Token: r.Token, Commands: newCommands(r.Commands)}
 }
 
-var verbs = map[worker.Verb]string{
-	worker.Start: "run", worker.Stop: "stop", worker.Forget: "forget",
+// Redirect is the body of the response to a heartbeat that another controller is to receive.
+type Redirect struct {
+	Leader string `json:"Steward,omitempty"` // by name; empty: not known
+	Error  string `json:"error"`
 }
 
-func newOrders(in []worker.Command) []order {
-	out := make([]order, 0, len(in))
-	for _, o := range in {
-		w := order{Verb: verbs[o.Verb], Task: taskName(o.ID), Try: o.Attempt}
-		if o.Verb == worker.Stop {
-			w.GraceS = &o.GraceSeconds
-		}
-		out = append(out, w)
-	}
-	return out
+// Commands is the body of a request that sends commands to a worker.
+type Commands struct {
+	Token       uint64    `json:"Baton"`
+	Incarnation uint64    `json:"Ride"`
+	Commands    []command `json:"Orders"`
+}
+
+// NewCommands returns the body of a request that sends commands to one incarnation of a worker, under a fencing token.
+func NewCommands(token, incarnation uint64, commands []worker.Command) Commands {
+	return Commands{Token: token, Incarnation: incarnation, Commands: newCommands(commands)}
 }
