--- /dev/null
+++ b/internal/activator/fakes_test.go
@@ -0,0 +1,111 @@
+package activator
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/activation"
+)
+
+// fakeLeader is a Scheduler with given responses, which records the requests.
+type fakeLeader struct {
+	mu       sync.Mutex
+	response activation.WakeResponse
+	latency  time.Duration // of response
+	drains   []activation.DrainOrder
+	wakes    []activation.WakeRequest
+	usages   []activation.UsageReport
+}
+
+func (f *fakeLeader) setResponse(response activation.WakeResponse) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.response = response
+}
+
+func (f *fakeLeader) setLatency(latency time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.latency = latency
+}
+
+func (f *fakeLeader) orderDrains(drains ...activation.DrainOrder) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.drains = drains
+}
+
+func (f *fakeLeader) Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
+	f.mu.Lock()
+	f.wakes = append(f.wakes, req)
+	response, latency := f.response, f.latency
+	f.mu.Unlock()
+	select {
+	case <-time.After(latency + req.Wait):
+	case <-ctx.Done():
+	}
+	return response
+}
+
+func (f *fakeLeader) ReportUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.usages = append(f.usages, report)
+	return activation.UsageResponse{Verdict: activation.Known, Draining: f.drains}
+}
+
+// wakeCount returns how many wake requests were received, after all goroutines are blocked.
+func (f *fakeLeader) wakeCount() int {
+	synctest.Wait()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.wakes)
+}
+
+// lastUsage returns the usage of a model in the latest report.
+func (f *fakeLeader) lastUsage(model string) activation.ModelUsage {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, u := range f.usages[len(f.usages)-1].Models {
+		if u.Model == model {
+			return u
+		}
+	}
+	return activation.ModelUsage{}
+}
+
+// knownResponse returns a response that is valid for two seconds.
+func knownResponse(state activation.State, generation uint64, machine string) activation.WakeResponse {
+	return activation.WakeResponse{Verdict: activation.Known, State: state, Generation: generation, Machine: machine, Holds: 2 * time.Second}
+}
+
+var testPace = Pace{Retry: 250 * time.Millisecond, Timeout: time.Second, Wait: 250 * time.Millisecond, Usage: time.Second, Repeat: 10 * time.Second, Remember: time.Minute}
+
+// startTracker starts a tracker. The function that it returns stops the tracker and waits for it.
+func startTracker(leader *fakeLeader, limits Limits) (tracker *Tracker, stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	tracker = NewTracker(leader, testPace, limits, rand.New(rand.NewPCG(1, 1)))
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		tracker.Run(ctx)
+	}()
+	return tracker, func() {
+		cancel()
+		<-stopped
+	}
+}
+
+// runTracker runs a test with a tracker in simulated time.
+func runTracker(t *testing.T, leader *fakeLeader, limits Limits, test func(ctx context.Context, tracker *Tracker)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		tracker, stop := startTracker(leader, limits)
+		defer stop()
+		test(t.Context(), tracker)
+	})
+}
--- a/internal/activator/server.go
+++ b/internal/activator/server.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"golang.org/x/net/netutil"
@@ -15,16 +16,20 @@
 const (
 	// headerTimeout is the longest that a request's header may take.
 	headerTimeout = 5 * time.Second
-	// headerBytes is the largest header.
-	headerBytes = 16 << 10
+	// maxHeaderBytes is the largest header.
+	maxHeaderBytes = 16 << 10
 )
 
-// Serve runs a tracker and answers requests for models on l until ctx ends. So many connections may be
-// open at a time; more wait to be accepted.
+// Serve runs a tracker and serves requests for models on l until ctx ends; it then returns nil. At most connections are
+// open at a time; others wait to be accepted.
 func Serve(ctx context.Context, l net.Listener, connections int, tracker *Tracker, handler http.Handler, log *slog.Logger) error {
-	go tracker.Run(ctx)
+	var trackers sync.WaitGroup
+	defer trackers.Wait()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	trackers.Go(func() { tracker.Run(ctx) })
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	// Idle connections would keep others from being accepted.
--- a/internal/activator/usage.go
+++ b/internal/activator/usage.go
@@ -7,10 +7,25 @@
 	"sagevale/internal/activation"
 )
 
-// usage is what the leader is told of the models that are used here.
-func (t *Tracker) usage(now time.Time) activation.UsageReport {
-	t.reports++
-	report := activation.UsageReport{Serial: t.reports, Uptime: now.Sub(t.began)}
+// reportUsage sends the leader a usage report, unless the last one has no response yet. The response comes as a
+// usageResponseMsg.
+func (t *Tracker) reportUsage(ctx context.Context, now time.Time) {
+	if t.usagePending {
+		return
+	}
+	t.usagePending = true
+	report := t.usageReport(now)
+	t.senders.Go(func() {
+		requestCtx, cancel := context.WithTimeout(ctx, t.pace.Timeout)
+		defer cancel()
+		t.post(ctx, usageResponseMsg{t.scheduler.ReportUsage(requestCtx, report)})
+	})
+}
+
+// usageReport returns the usage of all models that have been used here of late.
+func (t *Tracker) usageReport(now time.Time) activation.UsageReport {
+	t.usageSerial++
+	report := activation.UsageReport{Serial: t.usageSerial, Uptime: now.Sub(t.started)}
 	for name, m := range t.models {
 		report.Models = append(report.Models, activation.ModelUsage{
 			Model: name, InFlight: m.inFlight + len(m.waiting), QuietFor: now.Sub(m.lastUsed), Drained: m.drain,
@@ -19,23 +34,10 @@
 	return report
 }
 
-// reportUsage tells the leader of usage, one message at a time.
-func (t *Tracker) reportUsage(ctx context.Context, now time.Time) {
-	if t.reporting {
-		return
-	}
-	t.reporting = true
-	report := t.usage(now)
-	go func() {
-		asked, cancel := context.WithTimeout(ctx, t.pace.Timeout)
-		defer cancel()
-		t.post(ctx, usageMsg{t.scheduler.ReportUsage(asked, report)})
-	}()
-}
-
-// drain stops passing requests on by earlier answers to models that drain. The next report says so.
-func (t *Tracker) drain(response activation.UsageResponse, now time.Time) {
-	t.reporting = false
+// handleUsageResponse invalidates the latest responses on models that the leader drains. The next usage report
+// confirms it.
+func (t *Tracker) handleUsageResponse(response activation.UsageResponse, now time.Time) {
+	t.usagePending = false
 	if response.Verdict != activation.Known {
 		return
 	}
@@ -45,6 +47,6 @@
 			continue
 		}
 		m.drain, m.drainedAt = order.Drain, now
-		m.until = time.Time{}
+		m.validUntil = time.Time{}
 	}
 }
