--- a/cmd/sagevale/model_gateway.go
+++ b/cmd/sagevale/model_gateway.go
@@ -13,17 +13,20 @@
 	"sagevale/internal/scheduler"
 )
 
-// modelEdge takes requests for models, where the operators want it; nil: nowhere.
-type modelEdge struct {
+// socketsPerModelConnection counts a client's connection and that to the model's server.
+const socketsPerModelConnection = 2
+
+// modelGateway serves requests for models. A nil gateway serves none.
+type modelGateway struct {
 	listener    net.Listener
-	connections int
+	connections int // open at a time
 	tracker     *activator.Tracker
 	handler     *activator.Handler
 	log         *slog.Logger
 }
 
-// newModelEdge listens where the settings say.
-func newModelEdge(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelEdge, error) {
+// newModelGateway returns a gateway that listens where the settings say; nil if they have no address for it.
+func newModelGateway(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelGateway, error) {
 	tuning := &s.Tuning.Activation
 	if tuning.Listen == "" {
 		return nil, nil
@@ -37,26 +40,29 @@
 		Repeat: s.WorkerLease, Remember: 2 * tuning.Policy.IdleWindow,
 	}
 	limits := activator.Limits{Hold: tuning.Hold, Held: tuning.Held, Concurrent: tuning.Concurrent}
-	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	config := activator.Config{Target: tuning.Target, Body: tuning.Body, ModelOf: protocol.JobID}
-	return &modelEdge{
+	tracker := activator.NewTracker(node, pace, limits, newRand())
+	handlerConfig := activator.Config{Target: tuning.Target, Body: tuning.Body, ModelOf: protocol.JobID}
+	return &modelGateway{
 		listener: listener, connections: s.ModelConnections(),
-		tracker: tracker, handler: activator.NewHandler(tracker, config, log), log: log,
+		tracker: tracker, handler: activator.NewHandler(tracker, handlerConfig, log), log: log,
 	}, nil
 }
 
-// sockets is how many sockets the edge may use.
-func (e *modelEdge) sockets() int {
-	if e == nil {
+// sockets returns how many sockets the gateway may use.
+func (g *modelGateway) sockets() int {
+	if g == nil {
 		return 0
 	}
-	return 2 * e.connections
+	return socketsPerModelConnection * g.connections
 }
 
-// serve answers requests for models until ctx ends.
-func (e *modelEdge) serve(ctx context.Context) error {
-	if e == nil {
+// serve serves requests until ctx ends.
+func (g *modelGateway) serve(ctx context.Context) error {
+	if g == nil {
 		return nil
 	}
-	return activator.Serve(ctx, e.listener, e.connections, e.tracker, e.handler, e.log)
+	return activator.Serve(ctx, g.listener, g.connections, g.tracker, g.handler, g.log)
 }
+
+// newRand returns a source of random numbers with a random seed.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/cmd/sagevale/root.go
+++ b/cmd/sagevale/root.go
@@ -1,10 +1,7 @@
-// Command sagevale schedules fleets of rented machines that serve language
-// models.
 package main
 
 import (
 	"fmt"
-	"os"
 
 	"github.com/spf13/cobra"
 
@@ -12,29 +9,27 @@
 	"sagevale/internal/protocol"
 )
 
-// version is the program's version.
-const version = "0.1.0"
+// settingsFlags are the flags that all commands have.
+type settingsFlags struct {
+	configPath, propertiesPath string
+}
 
-func main() {
-	if err := newCommand().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "sagevale:", err)
-		os.Exit(1)
+// load reads the settings that the flags name, and prints their warnings.
+func (f *settingsFlags) load(cmd *cobra.Command) (*config.Settings, error) {
+	settings, err := protocol.LoadSettings(f.configPath, f.propertiesPath)
+	if err != nil {
+		return nil, err
+	}
+	for _, warning := range settings.Warnings {
+		fmt.Fprintln(cmd.ErrOrStderr(), "sagevale: warning:", warning)
 	}
+	return settings, nil
 }
 
-func newCommand() *cobra.Command {
-	var configPath, propertiesPath string
+// newRootCommand returns the command that runs a controller, with its subcommands.
+func newRootCommand() *cobra.Command {
+	var flags settingsFlags
 	var check bool
-	load := func(cmd *cobra.Command) (*config.Settings, error) {
-		settings, err := protocol.LoadSettings(configPath, propertiesPath)
-		if err != nil {
-			return nil, err
-		}
-		for _, warning := range settings.Warnings {
-			fmt.Fprintln(cmd.ErrOrStderr(), "sagevale: warning:", warning)
-		}
-		return settings, nil
-	}
 	cmd := &cobra.Command{
 		Use:           "sagevale --config FILE",
 		Short:         "Schedule fleets of rented machines that serve language models",
@@ -44,7 +39,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			settings, err := load(cmd)
+			settings, err := flags.load(cmd)
 			if err != nil {
 				return err
 			}
@@ -55,13 +50,15 @@
 			return serve(cmd.Context(), settings)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
-	cmd.PersistentFlags().StringVar(&propertiesPath, "properties", "", "the operators' own settings (Java-style properties, optional)")
+	cmd.PersistentFlags().StringVar(&flags.configPath, "config", "", "the platform's settings (TOML)")
+	cmd.PersistentFlags().StringVar(&flags.propertiesPath, "properties", "", "the operators' own settings (Java-style properties, optional)")
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	if err := cmd.MarkPersistentFlagRequired("config"); err != nil {
-		panic(err)
+		panic(err) // the flag is defined above
+	}
+	for _, status := range []statusCommand{upgradeStatus, archiveStatus, activationStatus} {
+		cmd.AddCommand(status.command(&flags))
 	}
-	cmd.AddCommand(upgradeStatus.build(load), archiveStatus.build(load), activationStatus.build(load))
 	cmd.CompletionOptions.DisableDefaultCmd = true
 	return cmd
 }
--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -4,10 +4,8 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"os"
-	"runtime/debug"
 	"strings"
 	"time"
 
@@ -19,63 +17,36 @@
 	"sagevale/internal/transport"
 )
 
-const (
-	// heapShare of the memory quota is the Go runtime's soft limit.
-	heapShare = 0.7
-	// smallHeapShare of the memory quota is what a small heap grows to before garbage is
-	// collected: on a small share of a processor a collection holds up all else for
-	// long.
-	smallHeapShare = 1.0 / 3
-	// minHeapMB is what the Go runtime lets a small heap grow to at 100 percent.
-	minHeapMB = 4
-)
-
-// gcPercent is the collector's percentage for a process with so much memory.
-func gcPercent(memoryMB float64) int {
-	return max(100, int(100*memoryMB*smallHeapShare/minHeapMB))
-}
-
-// usageReports is how often the process logs what it uses, in report intervals.
-const usageReports = 2.5
+// usageHeartbeats is the interval of the log lines on the process's usage, in heartbeat intervals.
+const usageHeartbeats = 2.5
 
-// began is when the program was started, but for loading it.
-var began = time.Now()
+// startTime is when the program was started, apart from the time to load it.
+var startTime = time.Now()
 
-// serve runs one controller until it fails.
+// serve runs one controller until a part of it fails, and returns that error.
 func serve(ctx context.Context, s *config.Settings) error {
-	debug.SetMemoryLimit(int64(s.MemoryMB * heapShare * (1 << 20)))
-	debug.SetGCPercent(gcPercent(s.MemoryMB))
+	limitMemory(s.MemoryMB)
 	log := newLogger().With("node", s.NodeName)
-	slog.SetDefault(log) // for the layers that are handed none
+	slog.SetDefault(log) // for packages that are given no logger
 	users, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return fmt.Errorf("serve_on: %w", err)
 	}
+	defer users.Close()
 	peerListener, err := net.Listen("tcp", s.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	peers := transport.NewPeers(s.NodeName, s.Peers, transport.PeerPacing{BatchWindow: s.BatchWindow(), PingInterval: s.LinkTestInterval(), QueueLength: s.QueueSize()}, log)
-	node := scheduler.NewNode(s, scheduler.Dependencies{
-		State:   transport.NewKeyValueClient(s.StateAddr),
-		Cloud:   transport.NewCloudClient(s.CloudAddr),
-		Workers: transport.NewWorkerClient(s.Sockets, log),
-		Peers:   peers,
-		Log:     log,
-		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-	})
-	log.Info("serving", "users", s.Listen, "peers", s.PeerListen, "version", version, "after", time.Since(began))
-	models, err := newModelEdge(s, node, log)
+	defer peerListener.Close()
+	peers := newPeers(s, log)
+	node := newNode(s, peers, log)
+	log.Info("serving", "users_address", s.Listen, "peers_address", s.PeerListen, "version", version, "startup", time.Since(startTime))
+	models, err := newModelGateway(s, node, log)
 	if err != nil {
 		return err
 	}
 	server := transport.NewServer(node, transport.Limits{Sockets: s.Sockets - models.sockets(), MemoryMB: s.MemoryMB}, log)
-	usage := &telemetry.Reporter{
-		Log: log, Interval: time.Duration(usageReports * float64(s.HeartbeatInterval)), CPUShare: s.CPUShare,
-		Gauges: func() []any {
-			return append([]any{"role", node.Role(), "connections", server.Connections()}, node.ArchiveGauges()...)
-		},
-	}
+	usage := newUsageReporter(s, node, server, log)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return node.Run(ctx) })
 	g.Go(func() error { return server.Serve(ctx, users) })
@@ -86,7 +57,35 @@
 	return g.Wait()
 }
 
-// newLogger logs to standard error as LOG_LEVEL says.
+// newPeers returns the clients of the other controllers.
+func newPeers(s *config.Settings, log *slog.Logger) *transport.Peers {
+	pacing := transport.PeerPacing{BatchWindow: s.BatchWindow(), PingInterval: s.LinkTestInterval(), QueueLength: s.QueueSize()}
+	return transport.NewPeers(s.NodeName, s.Peers, pacing, log)
+}
+
+// newNode returns the controller with the clients that it uses.
+func newNode(s *config.Settings, peers *transport.Peers, log *slog.Logger) *scheduler.Node {
+	return scheduler.NewNode(s, scheduler.Dependencies{
+		State:   transport.NewKeyValueClient(s.StateAddr),
+		Cloud:   transport.NewCloudClient(s.CloudAddr),
+		Workers: transport.NewWorkerClient(s.Sockets, log),
+		Peers:   peers,
+		Log:     log,
+		Rand:    newRand(),
+	})
+}
+
+// newUsageReporter returns what logs the process's usage of resources.
+func newUsageReporter(s *config.Settings, node *scheduler.Node, server *transport.Server, log *slog.Logger) *telemetry.Reporter {
+	return &telemetry.Reporter{
+		Log: log, Interval: time.Duration(usageHeartbeats * float64(s.HeartbeatInterval)), CPUShare: s.CPUShare,
+		Gauges: func() []any {
+			return append([]any{"role", node.Role(), "connections", server.Connections()}, node.ArchiveGauges()...)
+		},
+	}
+}
+
+// newLogger returns a logger to standard error at the level that LOG_LEVEL names, by default error.
 func newLogger() *slog.Logger {
 	level := slog.LevelError
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -111,7 +111,7 @@
 		requests:    make(chan peerRequest, max(1, pacing.QueueLength)),
 		pings:       make(chan struct{}, 1),
 		events:      make(chan peerEvent, peerQueueLength),
-		log:         log.With("peer", node.Name),
+		log:         log.With("controller", node.Name),
 		pending:     make(map[uint64]pendingRequest),
 	}
 }
