--- a/cmd/sagevale/activation_status.go
+++ b/cmd/sagevale/activation_status.go
@@ -1,14 +1,11 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
 
 	"sagevale/internal/activation"
-	"sagevale/internal/config"
 	"sagevale/internal/scheduler"
-	"sagevale/internal/storage"
 )
 
 // activationStatus reports the state of services that scale to zero.
@@ -16,13 +13,7 @@
 	name:        "activation",
 	short:       "Tell where services stand that hold no machine without demand",
 	statusShort: "Read the gate and each service's state, generation and place from the state service",
-	write: func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := scheduler.ReadActivationStatus(ctx, store, settings)
-		if err != nil {
-			return err
-		}
-		return writeActivationStatus(out, status)
-	},
+	report:      newStatusReport(scheduler.ReadActivationStatus, writeActivationStatus),
 }
 
 func writeActivationStatus(out io.Writer, status scheduler.ActivationStatus) error {
--- a/cmd/sagevale/archive_status.go
+++ b/cmd/sagevale/archive_status.go
@@ -1,13 +1,10 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
 
-	"sagevale/internal/config"
 	"sagevale/internal/scheduler"
-	"sagevale/internal/storage"
 )
 
 // archiveStatus reports the state of the archive of finished jobs.
@@ -15,13 +12,7 @@
 	name:        "archive",
 	short:       "Tell where the archive of finished jobs stands",
 	statusShort: "Read the archive's pages, its backlog in the journal and its gate from the state service",
-	write: func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := scheduler.ReadArchiveStatus(ctx, store, settings)
-		if err != nil {
-			return err
-		}
-		return writeArchiveStatus(out, status)
-	},
+	report:      newStatusReport(scheduler.ReadArchiveStatus, writeArchiveStatus),
 }
 
 func writeArchiveStatus(out io.Writer, status scheduler.ArchiveStatus) error {
--- a/cmd/sagevale/status.go
+++ b/cmd/sagevale/status.go
@@ -23,8 +23,24 @@
 	name        string
 	short       string // description of the command
 	statusShort string // description of its status
-	// write writes the status for people. Its error is that of reading the store or of writing to out.
-	write func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error
+	report      statusReport
+}
+
+// statusReport reads a status and writes it for people. Its error is that of reading the store or of writing to out.
+type statusReport func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error
+
+// newStatusReport returns the report that writes what read returns.
+func newStatusReport[S any](
+	read func(context.Context, storage.KeyValueStore, *config.Settings) (S, error),
+	write func(io.Writer, S) error,
+) statusReport {
+	return func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
+		status, err := read(ctx, store, settings)
+		if err != nil {
+			return err
+		}
+		return write(out, status)
+	}
 }
 
 // command returns the command.
@@ -54,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), statusTimeout)
 	defer cancel()
-	if err := s.write(ctx, transport.NewKeyValueClient(settings.StateAddr), settings, cmd.OutOrStdout()); err != nil {
+	if err := s.report(ctx, transport.NewKeyValueClient(settings.StateAddr), settings, cmd.OutOrStdout()); err != nil {
 		return fmt.Errorf("%s status: %w", s.name, err)
 	}
 	return nil
--- a/cmd/sagevale/upgrade_status.go
+++ b/cmd/sagevale/upgrade_status.go
@@ -1,14 +1,11 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"strings"
 
-	"sagevale/internal/config"
 	"sagevale/internal/scheduler"
-	"sagevale/internal/storage"
 )
 
 // upgradeStatus reports the state of a rolling upgrade.
@@ -16,13 +13,7 @@
 	name:        "upgrade",
 	short:       "Tell where an upgrade of the controllers stands",
 	statusShort: "Read the active version, the gates and each controller's versions from the state service",
-	write: func(ctx context.Context, store storage.KeyValueStore, settings *config.Settings, out io.Writer) error {
-		status, err := scheduler.ReadUpgradeStatus(ctx, store, settings)
-		if err != nil {
-			return err
-		}
-		return writeUpgradeStatus(out, status)
-	},
+	report:      newStatusReport(scheduler.ReadUpgradeStatus, writeUpgradeStatus),
 }
 
 // writeUpgradeStatus writes the status, its gates and its controllers as a table each.
--- a/internal/activator/wake.go
+++ b/internal/activator/wake.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/activation"
 )
 
-// sendWake sends a wake request that names the model's generation as it is known. The response comes as a
+// sendWake sends a wake request that names the latest known generation of the model. The response comes as a
 // wakeResponseMsg.
 func (t *Tracker) sendWake(ctx context.Context, name string, m *model, now time.Time) {
 	req := activation.WakeRequest{Model: name, Generation: m.response.Generation}
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -28,16 +28,6 @@
 	}
 }
 
-func dial(tb testing.TB, addr string) net.Conn {
-	tb.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() { conn.Close() })
-	return conn
-}
-
 func benchmarkRequest(b *testing.B, req []byte) {
 	conn := dial(b, startServer(b, Limits{Sockets: 1000}))
 	buf := make([]byte, 4096)
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -24,7 +24,7 @@
 
 // NewCloudClient returns a client of the cloud at addr, an IP address with a port.
 func NewCloudClient(addr string) *CloudClient {
-	return &CloudClient{"http://" + addr, newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)}
+	return &CloudClient{"http://" + addr, newServerClient()}
 }
 
 // noCapacity is the cloud's error text for a launch that it has no machines for.
--- a/internal/transport/fakes_test.go
+++ b/internal/transport/fakes_test.go
@@ -77,6 +77,17 @@
 	return l
 }
 
+// dial opens a connection until the test ends.
+func dial(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { conn.Close() })
+	return conn
+}
+
 // startServer starts a server of an accepting controller until the test ends, and returns its address.
 func startServer(tb testing.TB, limits Limits) string {
 	tb.Helper()
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -71,7 +71,7 @@
 	writeError(w, http.StatusBadRequest, "body over 64 KiB", 0)
 }
 
-// writeError writes an error response. Where a retry makes sense by the status, it is asked for after
+// writeError writes an error response. If its status is one after which clients retry, they are to do so after
 // retrySeconds, at least one.
 func writeError(w http.ResponseWriter, status int, reason string, retrySeconds int) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
@@ -84,6 +84,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
+		// The bodies of this package can all be encoded.
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/internal/transport/json_client.go
+++ b/internal/transport/json_client.go
@@ -18,8 +18,7 @@
 	maxResponseBytes = 16 << 20
 	// connectTimeout is the longest that a connection may take.
 	connectTimeout = 2 * time.Second
-	// Connections of a client that sends concurrent requests to one server: how many it keeps idle, and for how
-	// long.
+	// The idle connections of a newServerClient, and for how long they are kept.
 	idleConnsPerServer = 4
 	maxIdleConns       = 8
 	idleConnTimeout    = time.Minute
@@ -47,6 +46,11 @@
 	}}
 }
 
+// newServerClient returns a client for concurrent requests to one server.
+func newServerClient() *jsonClient {
+	return newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)
+}
+
 // httpResponse is a server's response.
 type httpResponse struct {
 	status int
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -23,7 +23,7 @@
 
 // NewKeyValueClient returns a client of the key-value store at addr, an IP address with a port.
 func NewKeyValueClient(addr string) *KeyValueClient {
-	return &KeyValueClient{"http://" + addr, newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)}
+	return &KeyValueClient{"http://" + addr, newServerClient()}
 }
 
 // send sends one request, decodes a successful response into out unless that is nil, and maps every other
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -81,7 +81,7 @@
 	return s
 }
 
-// Serve serves requests on l until ctx ends; it then returns nil. It may be called once.
+// Serve serves requests on l until ctx ends; it then closes all connections and returns nil. It may be called once.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
