--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -19,9 +19,14 @@
 // PeerHandler handles the requests of other controllers. Its methods are called from several goroutines, and
 // return soon after ctx has ended.
 type PeerHandler interface {
+	// HandleForwardedRequest handles a user request, or a ping, that another controller has sent.
 	HandleForwardedRequest(ctx context.Context, req api.Request) api.Response
+	// HandleForwardedHeartbeats handles workers' heartbeats. It returns a response to each in the same order, or nil if
+	// none is decided here.
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
+	// HandleForwardedWake handles a wake request.
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
+	// HandleForwardedUsage handles a usage report.
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
