--- /dev/null
+++ b/cmd/sagevale/archive_status.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"sagevale/internal/scheduler"
+)
+
+// archiveStatus reports the state of the archive of finished jobs.
+var archiveStatus = statusCommand{
+	name:        "archive",
+	short:       "Tell where the archive of finished jobs stands",
+	statusShort: "Read the archive's pages, its backlog in the journal and its gate from the state service",
+	report:      newStatusReport(scheduler.ReadArchiveStatus, writeArchiveStatus),
+}
+
+func writeArchiveStatus(out io.Writer, status scheduler.ArchiveStatus) error {
+	stored := status.Stored
+	table := newTable(out)
+	fmt.Fprintf(table, "gate job-archive:\t%s\n", gateText(status.Gate))
+	fmt.Fprintf(table, "waits for:\t%s\n", orDash(status.Waiting))
+	fmt.Fprintf(table, "archived jobs:\t%d\n", stored.Jobs)
+	fmt.Fprintf(table, "pages:\t%d (%d KB)\n", stored.Pages, stored.Bytes>>10)
+	fmt.Fprintf(table, "backlog:\t%d finished jobs in the journal\n", status.Backlog)
+	fmt.Fprintf(table, "open jobs:\t%d\n", status.Open)
+	if len(stored.Damaged) == 0 {
+		fmt.Fprintf(table, "damaged:\tnone\n")
+	}
+	for _, damage := range stored.Damaged {
+		fmt.Fprintf(table, "damaged:\t%s\n", damage)
+	}
+	return table.Flush()
+}
--- /dev/null
+++ b/cmd/sagevale/model_gateway.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+
+	"sagevale/internal/activator"
+	"sagevale/internal/config"
+	"sagevale/internal/protocol"
+	"sagevale/internal/scheduler"
+)
+
+// socketsPerModelConnection counts a client's connection and that to the model's server.
+const socketsPerModelConnection = 2
+
+// modelGateway serves requests for models. A nil gateway serves none.
+type modelGateway struct {
+	listener    net.Listener
+	connections int // open at a time
+	tracker     *activator.Tracker
+	handler     *activator.Handler
+	log         *slog.Logger
+}
+
+// newModelGateway returns a gateway that listens where the settings say; nil if they have no address for it.
+func newModelGateway(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelGateway, error) {
+	tuning := &s.Tuning.Activation
+	if tuning.Listen == "" {
+		return nil, nil
+	}
+	listener, err := net.Listen("tcp", tuning.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("activation.listen: %w", err)
+	}
+	pace := activator.Pace{
+		Retry: s.WakeInterval(), Timeout: s.UsageInterval(), Wait: s.WakeInterval(), Usage: s.UsageInterval(),
+		Repeat: s.WorkerLease, Remember: 2 * tuning.Policy.IdleWindow,
+	}
+	limits := activator.Limits{Hold: tuning.Hold, Held: tuning.Held, Concurrent: tuning.Concurrent}
+	tracker := activator.NewTracker(node, pace, limits, newRand())
+	handlerConfig := activator.Config{Target: tuning.Target, Body: tuning.Body, ModelOf: protocol.JobID}
+	return &modelGateway{
+		listener: listener, connections: s.ModelConnections(),
+		tracker: tracker, handler: activator.NewHandler(tracker, handlerConfig, log), log: log,
+	}, nil
+}
+
+// sockets returns how many sockets the gateway may use.
+func (g *modelGateway) sockets() int {
+	if g == nil {
+		return 0
+	}
+	return socketsPerModelConnection * g.connections
+}
+
+// serve serves requests until ctx ends.
+func (g *modelGateway) serve(ctx context.Context) error {
+	if g == nil {
+		return nil
+	}
+	return activator.Serve(ctx, g.listener, g.connections, g.tracker, g.handler, g.log)
+}
+
+// newRand returns a source of random numbers with a random seed.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- /dev/null
+++ b/internal/protocol/validator.go
@@ -0,0 +1,121 @@
+package protocol
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"strconv"
+	"time"
+)
+
+// FieldError is an invalid field of a file or of a request. Its text is one line.
+type FieldError struct {
+	File   string // path; empty for a request
+	Field  string // by its name in the interface; empty if it isn't one field that is invalid
+	Reason string
+}
+
+// Error returns the parts that aren't empty.
+func (e *FieldError) Error() string {
+	text := e.Reason
+	if e.Field != "" {
+		text = e.Field + ": " + text
+	}
+	if e.File != "" {
+		text = e.File + ": " + text
+	}
+	return text
+}
+
+// validator checks fields and keeps the first error. Its methods take a field's name and value, and return the value
+// that is to be used; it means nothing after an error.
+type validator struct {
+	file string // path; empty for a request
+	err  *FieldError
+}
+
+func (v *validator) fail(field, reason string) {
+	if v.err == nil {
+		v.err = &FieldError{v.file, field, reason}
+	}
+}
+
+// nonEmpty checks that a text is there.
+func (v *validator) nonEmpty(field, value string) string {
+	if value == "" {
+		v.fail(field, "is missing or empty")
+	}
+	return value
+}
+
+// address checks that a text is an IP address with a port.
+func (v *validator) address(field, value string) string {
+	host, port, err := net.SplitHostPort(value)
+	n, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
+		v.fail(field, fmt.Sprintf("%q is not an IP address with a port", value))
+	}
+	return value
+}
+
+// numberAtLeast checks that a number is finite and not below a minimum.
+func (v *validator) numberAtLeast(field string, value, minimum float64) float64 {
+	if math.IsNaN(value) || math.IsInf(value, 0) || value < minimum {
+		v.fail(field, fmt.Sprintf("is missing or out of range (at least %g)", minimum))
+		return minimum
+	}
+	return value
+}
+
+// optionalAtLeast is numberAtLeast for a number that may be left out, which is 0.
+func (v *validator) optionalAtLeast(field string, value, minimum float64) float64 {
+	if value == 0 {
+		return 0
+	}
+	return v.numberAtLeast(field, value, minimum)
+}
+
+// secondsAtLeast checks a duration in seconds.
+func (v *validator) secondsAtLeast(field string, value, minimum float64) time.Duration {
+	const maximum = 1e9 // well below what a time.Duration holds
+	if value > maximum {
+		v.fail(field, "is out of range")
+		return 0
+	}
+	return time.Duration(v.numberAtLeast(field, value, minimum) * float64(time.Second))
+}
+
+// countAtLeast checks that a whole number is not below a minimum.
+func (v *validator) countAtLeast(field string, value, minimum int) int {
+	if value < minimum {
+		v.fail(field, fmt.Sprintf("is missing or out of range (at least %d)", minimum))
+	}
+	return value
+}
+
+// maxLength checks the length of a text in bytes.
+func (v *validator) maxLength(field, value string, maximum int) {
+	if len(value) > maximum {
+		v.fail(field, "is too long")
+	}
+}
+
+// nonNegative checks that a number is there, finite and not negative.
+func (v *validator) nonNegative(field string, value *float64) float64 {
+	x := required(v, field, value)
+	if x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
+		v.fail(field, "must not be negative")
+		return 0
+	}
+	return x
+}
+
+// required checks that a field is there.
+func required[T any](v *validator, field string, value *T) T {
+	if value == nil {
+		v.fail(field, "is missing")
+		var zero T
+		return zero
+	}
+	return *value
+}
--- /dev/null
+++ b/internal/transport/json_client.go
@@ -0,0 +1,103 @@
+package transport
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// maxResponseBytes bounds the part of a response body that is read.
+	maxResponseBytes = 16 << 20
+	// connectTimeout is the longest that a connection may take.
+	connectTimeout = 2 * time.Second
+	// The idle connections of a newServerClient, and for how long they are kept.
+	idleConnsPerServer = 4
+	maxIdleConns       = 8
+	idleConnTimeout    = time.Minute
+)
+
+// jsonClient sends HTTP requests with JSON bodies. It never repeats or redirects a request.
+type jsonClient struct {
+	http *http.Client
+}
+
+// newJSONClient returns a client that keeps idle connections for idleTimeout: perHost to each server, and total
+// to all.
+func newJSONClient(perHost, total int, idleTimeout time.Duration) *jsonClient {
+	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
+	return &jsonClient{http: &http.Client{
+		Transport: &http.Transport{
+			DialContext:         dialer.DialContext,
+			MaxIdleConns:        total,
+			MaxIdleConnsPerHost: perHost,
+			MaxConnsPerHost:     0,
+			IdleConnTimeout:     idleTimeout,
+			DisableCompression:  true,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}}
+}
+
+// newServerClient returns a client for concurrent requests to one server.
+func newServerClient() *jsonClient {
+	return newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)
+}
+
+// httpResponse is a server's response.
+type httpResponse struct {
+	status int
+	body   []byte
+}
+
+// do sends one request with the JSON of in as its body, or without a body if in is nil. With an error, sent
+// reports whether the server may have received the request.
+func (c *jsonClient) do(ctx context.Context, method, url string, in any) (_ httpResponse, sent bool, err error) {
+	var body io.Reader
+	if in != nil {
+		raw, err := json.Marshal(in)
+		if err != nil {
+			return httpResponse{}, false, fmt.Errorf("encode request: %w", err)
+		}
+		body = bytes.NewReader(raw)
+	}
+	var connected atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
+	})
+	req, err := http.NewRequestWithContext(ctx, method, url, body)
+	if err != nil {
+		return httpResponse{}, false, fmt.Errorf("make request: %w", err)
+	}
+	if in != nil {
+		req.Header.Set("Content-Type", "application/json")
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return httpResponse{}, connected.Load(), fmt.Errorf("%s %s: %w", method, req.URL.Path, err)
+	}
+	defer resp.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return httpResponse{}, true, fmt.Errorf("%s %s: read answer: %w", method, req.URL.Path, err)
+	}
+	return httpResponse{resp.StatusCode, raw}, true, nil
+}
+
+// decode decodes the response's body into out, which may be nil.
+func (r httpResponse) decode(out any) error {
+	if out == nil {
+		return nil
+	}
+	if err := json.Unmarshal(r.body, out); err != nil {
+		return fmt.Errorf("decode answer: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/transport/key_value_client.go
@@ -0,0 +1,129 @@
+package transport
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"sagevale/internal/protocol"
+	"sagevale/internal/storage"
+)
+
+// KeyValueClient is the client of the key-value store. Its errors are those of package storage, wrapped. Its
+// methods may be called from several goroutines.
+type KeyValueClient struct {
+	baseURL string
+	client  *jsonClient
+}
+
+var _ storage.KeyValueStore = (*KeyValueClient)(nil)
+
+// NewKeyValueClient returns a client of the key-value store at addr, an IP address with a port.
+func NewKeyValueClient(addr string) *KeyValueClient {
+	return &KeyValueClient{"http://" + addr, newServerClient()}
+}
+
+// send sends one request, decodes a successful response into out unless that is nil, and maps every other
+// outcome to an error of package storage.
+func (c *KeyValueClient) send(ctx context.Context, method, path string, in, out any) error {
+	resp, sent, err := c.client.do(ctx, method, c.baseURL+path, in)
+	switch {
+	case err != nil && sent:
+		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
+	case err != nil:
+		return fmt.Errorf("%w: %w", storage.ErrRefused, err)
+	}
+	switch resp.status {
+	case http.StatusOK:
+		if err := resp.decode(out); err != nil {
+			return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, err)
+		}
+		return nil
+	case http.StatusNotFound:
+		return storage.ErrNotFound
+	case http.StatusConflict:
+		var conflict protocol.TxnAnswer
+		if err := resp.decode(&conflict); err != nil {
+			return err
+		}
+		return &storage.ConflictError{Failed: conflict.Failed}
+	case http.StatusGone:
+		return storage.ErrCompacted
+	case http.StatusTooManyRequests:
+		return storage.ErrRateLimited
+	case http.StatusServiceUnavailable:
+		return fmt.Errorf("%w: status %d", storage.ErrRefused, resp.status)
+	case http.StatusBadRequest:
+		return fmt.Errorf("%w: %.200s", storage.ErrMalformed, resp.body)
+	}
+	return fmt.Errorf("%w: status %d", storage.ErrOutcomeUnknown, resp.status)
+}
+
+// Get reads one key.
+func (c *KeyValueClient) Get(ctx context.Context, key string) (storage.Item, error) {
+	var item protocol.StoredItem
+	if err := c.send(ctx, http.MethodGet, "/store/"+key, nil, &item); err != nil {
+		return storage.Item{}, err
+	}
+	return item.Item(), nil
+}
+
+// List reads a page of at most limit keys with the prefix, those after a key unless after is empty. It returns
+// whether there are more, and the store's revision.
+func (c *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) (items []storage.Item, more bool, revision uint64, err error) {
+	query := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
+	if after != "" {
+		query.Set("From", after)
+	}
+	var page protocol.StoredItems
+	if err := c.send(ctx, http.MethodGet, "/store?"+query.Encode(), nil, &page); err != nil {
+		return nil, false, 0, err
+	}
+	items = make([]storage.Item, 0, len(page.Items))
+	for _, item := range page.Items {
+		items = append(items, item.Item())
+	}
+	return items, page.More, page.Revision, nil
+}
+
+// Txn executes a guarded transaction and returns the store's revision after it.
+func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
+	var result protocol.TxnAnswer
+	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
+		return 0, err
+	}
+	return result.Revision, nil
+}
+
+// Grant creates a lease that lasts for life, in whole milliseconds, and returns its id.
+func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+	var lease protocol.Lease
+	if err := c.send(ctx, http.MethodPost, "/grants", protocol.Life{LifeMS: life.Milliseconds()}, &lease); err != nil {
+		return 0, err
+	}
+	return lease.ID, nil
+}
+
+// Touch renews a lease.
+func (c *KeyValueClient) Touch(ctx context.Context, lease uint64) error {
+	return c.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
+}
+
+// Revoke ends a lease.
+func (c *KeyValueClient) Revoke(ctx context.Context, lease uint64) error {
+	return c.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
+}
+
+// Watch returns the changes under prefix after a revision, and the revision up to which they are complete. It
+// waits for a change for hold at most.
+func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
+	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+	var changes protocol.Changes
+	if err := c.send(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, &changes); err != nil {
+		return nil, 0, err
+	}
+	return changes.Items(), changes.Revision, nil
+}
