--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -4,10 +4,10 @@
 	"math"
 	"time"
 
-	"sagevale/internal/boots"
 	"sagevale/internal/clock"
 	"sagevale/internal/cloud"
 	"sagevale/internal/cluster"
+	"sagevale/internal/provisioning"
 )
 
 const (
@@ -23,29 +23,29 @@
 // provisioningHistory is what is known of the provisioning of machines in this term: by type, how slow it is,
 // and by offering, whether machines come at all.
 type provisioningHistory struct {
-	types     map[string]*boots.History
-	offerings map[cloud.Offering]*boots.History
+	types     map[string]*provisioning.History
+	offerings map[cloud.Offering]*provisioning.History
 	slowness  map[string]float64 // by type, as of the last snapshot
 }
 
 func newProvisioningHistory() *provisioningHistory {
 	return &provisioningHistory{
-		types:     make(map[string]*boots.History),
-		offerings: make(map[cloud.Offering]*boots.History),
+		types:     make(map[string]*provisioning.History),
+		offerings: make(map[cloud.Offering]*provisioning.History),
 		slowness:  make(map[string]float64),
 	}
 }
 
-func (h *provisioningHistory) ofType(name string) *boots.History {
+func (h *provisioningHistory) ofType(name string) *provisioning.History {
 	if h.types[name] == nil {
-		h.types[name] = &boots.History{}
+		h.types[name] = &provisioning.History{}
 	}
 	return h.types[name]
 }
 
-func (h *provisioningHistory) ofOffering(o cloud.Offering) *boots.History {
+func (h *provisioningHistory) ofOffering(o cloud.Offering) *provisioning.History {
 	if h.offerings[o] == nil {
-		h.offerings[o] = &boots.History{}
+		h.offerings[o] = &provisioning.History{}
 	}
 	return h.offerings[o]
 }
--- a/internal/boots/history.go
+++ b/internal/provisioning/history.go
@@ -1,9 +1,9 @@
-// Package boots learns how long machines take to provision, as a ratio to the nominal boot time of
+// Package provisioning learns how long machines take to provision, as a ratio to the nominal boot time of
 // their type. An overdue machine may never come up, or all machines of its type may boot slowly.
 // Only in the first case does a replacement help.
 //
 // The package does no input or output.
-package boots
+package provisioning
 
 import (
 	"slices"
--- a/internal/boots/history_test.go
+++ b/internal/provisioning/history_test.go
@@ -1,4 +1,4 @@
-package boots
+package provisioning
 
 import (
 	"testing"
