--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -28,7 +28,7 @@
 		defer cancel()
 		report := func(n int) {
 			for range n {
-				go d.heartbeats(ctx, nil)
+				go d.HandleHeartbeats(ctx, nil)
 			}
 			synctest.Wait()
 		}
@@ -42,7 +42,7 @@
 		if report(manyMachines / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
 			t.Error("users don't leave room for reports")
 		}
-		if a := d.userRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
+		if a := d.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
 			t.Errorf("answered %+v", a)
 		}
 		if report(manyMachines/8 - 1); len(d.mailbox) != manyMachines {
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -8,6 +8,7 @@
 	"sagevale/internal/clock"
 	"sagevale/internal/config"
 	"sagevale/internal/leadership"
+	"sagevale/internal/relay"
 	"sagevale/internal/worker"
 )
 
@@ -143,13 +144,13 @@
 	leader, _ := c.node.leader(v)
 	switch {
 	case v.scheduler != nil:
-		go c.decide(ctx, []pendingReport{p}, v.scheduler.heartbeats)
+		go c.decide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
 	case leader == "" || leader == c.settings.NodeName:
 		c.answerDelegated(p, now)
 	case c.node.deps.Peers.UnreachableFor(leader) > 0:
 		// Naming a leader that is out of reach would cost the worker seconds
 		// of its lease.
-		go c.decide(ctx, []pendingReport{p}, c.node.relay.heartbeats)
+		go c.decide(ctx, []pendingReport{p}, c.node.relay.HandleHeartbeats)
 	default:
 		c.enqueue(ctx, p, leader)
 	}
@@ -186,7 +187,7 @@
 
 // decide asks for the answers to a batch and brings them back to the actor.
 func (c *forwarder) decide(ctx context.Context, batch []pendingReport, ask func(context.Context, []*worker.Report) []worker.HeartbeatResponse) {
-	actx, cancel := context.WithTimeout(ctx, relayTimeout)
+	actx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
 	for _, p := range batch {
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -15,12 +15,9 @@
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
-	wire "sagevale/internal/wire/coordination"
-	"sagevale/internal/worker"
 )
 
-// TestFreeze writes what this version leaves in the state service, and a batch of
-// the relay, to the folder that FREEZE names: see the README.md of each folder in testdata.
+// TestFreeze writes what this version leaves in the key-value store to the folder that FREEZE names: see the README.md of each folder in testdata.
 func TestFreeze(t *testing.T) {
 	dir := os.Getenv("FREEZE")
 	write := func(name string, v any) {
@@ -71,24 +68,4 @@
 		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		freezeStore("store-lowered.json", sim)
 	})
-	notice := 12.5
-	requests := []wire.RelayRequest{
-		{User: &api.Request{Op: api.OpSubmit, ID: "000007", Spec: clustertest.Array("000007", 2)}},
-		{User: &api.Request{Op: api.OpCancel, ID: "000008"}},
-		{Report: &worker.Report{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
-			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true}, {ID: worker.TaskID{Job: "000001", Task: 2}, Attempt: 6, State: worker.Gathering}}}},
-	}
-	ask, err := encodeRequests(requests, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
-	if err != nil {
-		t.Fatal(err)
-	}
-	write("letters.json", ask)
-	done := api.Response{Code: api.CodeOK, ID: "000008", State: api.StateCancelled, Done: 1}
-	responses := []wire.RelayResponse{{Answered: true, User: &api.Response{Code: api.CodeCreated, ID: "000007", ValidFor: time.Second}}, {Answered: true, User: &done},
-		{Answered: true, Heartbeat: &worker.HeartbeatResponse{Accepted: true, Token: 4, Commands: []worker.Command{{Verb: worker.Stop, ID: worker.TaskID{Job: "000001", Task: 2}, Attempt: 6, GraceSeconds: 2.5}}}}}
-	got, err := encodeResponses(responses, 11, 12, storage.Limits{ValueBytes: 8192, TxnOps: 32})
-	if err != nil {
-		t.Fatal(err)
-	}
-	write("replies.json", got)
 }
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"encoding/json"
 	"fmt"
 	"testing"
 	"testing/synctest"
@@ -89,31 +88,6 @@
 	return r
 }
 
-// A batch that is carried out late comes among newer ones of its sender: the
-// newer must not be lost, and nobody waits for the older.
-func TestALateRelayBatchNeitherHidesNorFollowsANewerOne(t *testing.T) {
-	change := func(run, serial uint64, of, i int) storage.Item {
-		data, err := json.Marshal(batchFragment{Run: run, Serial: serial, Of: of})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return storage.Item{Key: relayOps(relayRequestPrefix, "n1", make([]json.RawMessage, i+1))[i].Key, Data: data}
-	}
-	got := collectBatches([]storage.Item{change(1, 8, 2, 0), change(1, 8, 2, 1), change(1, 7, 1, 0), change(1, 6, 2, 0)}, relayRequestPrefix)
-	if len(got) != 2 || len(got[batchID{"n1", 1, 8}]) != 2 || len(got[batchID{"n1", 1, 7}]) != 1 {
-		t.Errorf("collected %v", got)
-	}
-	p := &relayServer{latest: make(map[string]batchID)}
-	for _, c := range []struct {
-		run, serial uint64
-		news        bool
-	}{{1, 8, true}, {1, 7, false}, {1, 8, false}, {1, 9, true}, {2, 1, true}} {
-		if p.isLatest(batchID{"n1", c.run, c.serial}) != c.news {
-			t.Errorf("batch %d of run %d", c.serial, c.run)
-		}
-	}
-}
-
 // The journal asks again what stays unanswered, and settles it once.
 func TestAnUnansweredCommitIsAskedAgain(t *testing.T) {
 	inSimulation(t, func(sim *simulation) {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -19,6 +19,7 @@
 	"sagevale/internal/config"
 	"sagevale/internal/leadership"
 	"sagevale/internal/peer"
+	"sagevale/internal/relay"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
@@ -45,7 +46,7 @@
 	deps         Dependencies
 	election     *leadership.Election
 	registrar    *leadership.Registrar
-	relay        *relayClient
+	relay        *relay.Client
 	forwarder    *forwarder
 	limitTracker *storage.LimitTracker
 	archive      *archive.Archiver
@@ -71,7 +72,7 @@
 		Registered: n.registrar.Registered, Log: deps.Log,
 	})
 	n.archive = newArchive(s, deps, n.limitTracker)
-	n.relay = newRelayClient(s, deps, n.limitTracker)
+	n.relay = relay.NewClient(s, deps.State, n.limitTracker, deps.Rand.Uint64(), deps.Log)
 	n.forwarder = newForwarder(n)
 	n.view.Store(&view{})
 	return n
@@ -89,7 +90,7 @@
 	g.Go(func() error { return n.registrar.Run(ctx) })
 	g.Go(func() error { return n.election.Run(ctx, publish) })
 	g.Go(func() error { n.follow(ctx); return nil })
-	g.Go(func() error { n.relay.run(ctx); return nil })
+	g.Go(func() error { n.relay.Run(ctx); return nil })
 	g.Go(func() error { n.archive.Run(ctx); return nil })
 	g.Go(func() error { n.forwarder.run(ctx); return nil })
 	return g.Wait()
@@ -180,7 +181,10 @@
 	g.Go(func() error { return d.run(gctx) })
 	g.Go(func() error { return d.autoscaler.Run(gctx) })
 	g.Go(func() error { return u.run(gctx) })
-	g.Go(func() error { newRelayServer(n.settings, n.deps, n.limitTracker, role.Guard, d).run(gctx); return nil })
+	g.Go(func() error {
+		relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, d, n.deps.Log).Run(gctx)
+		return nil
+	})
 	select {
 	case loaded <- d:
 	case <-ctx.Done():
@@ -263,7 +267,7 @@
 func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
-		return v.scheduler.userRequest(ctx, req)
+		return v.scheduler.HandleUserRequest(ctx, req)
 	}
 	if a, ok := n.archived(req); ok {
 		return a
@@ -277,7 +281,7 @@
 	if n.useRelay(leader) {
 		// The leader's answer was carried by a transaction that its key guards,
 		// so only what changes from poll to poll can be outdated.
-		if a = n.relay.user(ctx, req); req.Op != api.OpPoll {
+		if a = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
 			return a
 		}
 	} else {
@@ -295,8 +299,8 @@
 // hearsState tells whether the state service has answered this node lately:
 // its leadership, or its relay while that leads to the leader.
 func (n *Node) hearsState() bool {
-	since := min(n.election.Status().SinceStoreContact, n.relay.lastAccepted.Since(math.MaxInt64))
-	return since < relayTimeout+n.settings.Tuning.LeaderLease
+	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
+	return since < relay.Timeout+n.settings.Tuning.LeaderLease
 }
 
 // useRelay tells whether the leader lives, for its key outlasts its grant's
@@ -311,7 +315,7 @@
 		return api.Response{Peer: n.status(req.ID)}
 	}
 	if v := n.view.Load(); v.scheduler != nil {
-		return v.scheduler.userRequest(ctx, req)
+		return v.scheduler.HandleUserRequest(ctx, req)
 	}
 	return api.Unavailable(req.ID, "not the leader")
 }
@@ -341,7 +345,7 @@
 // node doesn't decide on them.
 func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	if v := n.view.Load(); v.scheduler != nil {
-		return v.scheduler.heartbeats(ctx, reports)
+		return v.scheduler.HandleHeartbeats(ctx, reports)
 	}
 	return nil
 }
--- a/internal/scheduler/paired_guards_test.go
+++ b/internal/scheduler/paired_guards_test.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"context"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -11,8 +9,6 @@
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
-	"sagevale/internal/storage/storagetest"
-	wire "sagevale/internal/wire/coordination"
 	"sagevale/internal/worker"
 )
 
@@ -66,31 +62,3 @@
 		}
 	})
 }
-
-// A relay batch that is carried out late, behind a newer one of its sender, is not
-// acted on: its sender has given up on it, and its reports may be old.
-func TestALateRelayBatchIsNotActedOn(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
-		sim.awaitLeader()
-		client := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
-		send := func(serial uint64, spec storage.Spec) {
-			values, err := encodeRequests([]wire.RelayRequest{{User: &api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}}}, 1, serial, sim.settings.State)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := client.Txn(context.Background(), nil, relayOps(relayRequestPrefix, "n9", values)); err != nil {
-				t.Fatal(err)
-			}
-		}
-		known := func(id string) bool { return sim.poll(id).Code == api.CodeOK }
-		sim.submit(clustertest.Service("000009", 1)) // the machine types are known
-		sim.upload(clustertest.Service("000001", 1))
-		send(8, clustertest.Service("000001", 1))
-		sim.eventually("the batch is acted on", 10*time.Second, func() bool { return known("000001") })
-		send(7, clustertest.Service("000002", 1))
-		time.Sleep(10 * time.Second)
-		if known("000002") {
-			t.Error("an older batch is acted on")
-		}
-	})
-}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -176,7 +176,7 @@
 
 // userRequest asks the dispatcher on behalf of a userRequest. A full mailbox is answered at
 // once.
-func (d *scheduler) userRequest(ctx context.Context, req api.Request) api.Response {
+func (d *scheduler) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	asked := time.Now()
 	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetryS()}
 	if !d.admits(req.Op) {
@@ -215,7 +215,7 @@
 
 // heartbeats hands workers' reports to the dispatcher; nil means that it doesn't
 // decide on them.
-func (d *scheduler) heartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+func (d *scheduler) HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	reply := make(chan []worker.HeartbeatResponse, 1)
 	answers, err := call(ctx, d, heartbeatsMessage{reports, reply}, reply)
 	if err != nil {
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -117,44 +117,6 @@
 	sim.done("000005")
 }
 
-func TestEarlierVersionsRelayBatchesAreRead(t *testing.T) {
-	for _, version := range earlierVersions {
-		t.Run(version, func(t *testing.T) { readsRelayBatches(t, version) })
-	}
-}
-
-func readsRelayBatches(t *testing.T, version string) {
-	fragmentsOf := func(name string) []batchFragment {
-		t.Helper()
-		var raw []json.RawMessage
-		frozen(t, version, name, &raw)
-		var fragments []batchFragment
-		for _, r := range raw {
-			var p batchFragment
-			if err := json.Unmarshal(r, &p); err != nil {
-				t.Fatal(err)
-			}
-			fragments = append(fragments, p)
-		}
-		return fragments
-	}
-	requests, err := decodeRequests(fragmentsOf("letters.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(requests) != 3 || requests[0].User.Spec.Tasks != 2 || requests[1].User.Op != api.OpCancel ||
-		requests[2].Report.Tasks[0].Cause != worker.CausePeers || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
-		t.Errorf("requests %+v", requests)
-	}
-	responses, err := decodeResponses(fragmentsOf("replies.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(responses) != 3 || responses[0].User.ValidFor != time.Second || responses[1].User.State != api.StateCancelled || responses[2].Heartbeat.Commands[0].GraceSeconds != 2.5 {
-		t.Errorf("responses %+v", responses)
-	}
-}
-
 // longRecord is a service whose record is too large for a value of 2 KiB and hardly
 // shrinks, so that it is stored in fragments once the limits are that low.
 func longRecord(id string) storage.Spec {
