--- a/cmd/sagevale/upgrade_status.go
+++ b/cmd/sagevale/upgrade_status.go
@@ -5,7 +5,7 @@
 	"io"
 	"strings"
 
-	"sagevale/internal/scheduler"
+	"sagevale/internal/upgradecontrol"
 )
 
 // upgradeStatus reports the state of a rolling upgrade.
@@ -13,11 +13,11 @@
 	name:        "upgrade",
 	short:       "Tell where an upgrade of the controllers stands",
 	statusShort: "Read the active version, the gates and each controller's versions from the state service",
-	report:      newStatusReport(scheduler.ReadUpgradeStatus, writeUpgradeStatus),
+	report:      newStatusReport(upgradecontrol.ReadStatus, writeUpgradeStatus),
 }
 
 // writeUpgradeStatus writes the status, its gates and its controllers as a table each.
-func writeUpgradeStatus(out io.Writer, status scheduler.UpgradeStatus) error {
+func writeUpgradeStatus(out io.Writer, status upgradecontrol.Status) error {
 	table := newTable(out)
 	row := func(cells ...any) {
 		texts := make([]string, len(cells))
@@ -41,25 +41,25 @@
 	}
 	row()
 	row("NODE", "VERSIONS", "SESSION", "ALIVE")
-	for _, node := range status.Nodes {
-		row(node.Node, versionsText(node), orDash(node.Session), yesNo(node.Alive))
+	for _, controller := range status.Controllers {
+		row(controller.Name, versionsText(controller), orDash(controller.Session), yesNo(controller.Alive))
 	}
 	return table.Flush()
 }
 
-func leaderText(status scheduler.UpgradeStatus) string {
+func leaderText(status upgradecontrol.Status) string {
 	if status.Leader == "" {
 		return "none"
 	}
 	return fmt.Sprintf("%s (term %d)", status.Leader, status.Term)
 }
 
-func versionsText(node scheduler.NodeVersions) string {
+func versionsText(controller upgradecontrol.ControllerVersions) string {
 	switch {
-	case node.Damaged:
+	case controller.Damaged:
 		return "damaged"
-	case node.Versions.Max == 0:
+	case controller.Versions.Max == 0:
 		return "not registered"
 	}
-	return node.Versions.String()
+	return controller.Versions.String()
 }
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -11,6 +11,7 @@
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/upgradecontrol"
 )
 
 // ServiceStatus is what the state service tells of a service that may be at zero, or of an open one of a
@@ -34,7 +35,7 @@
 
 // ReadActivationStatus reads the journal. It writes nothing.
 func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ActivationStatus, error) {
-	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
+	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
 	if err != nil {
 		return ActivationStatus{}, err
 	}
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -7,6 +7,7 @@
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/upgradecontrol"
 )
 
 // ArchiveStatus is what the state service tells of the archive of finished jobs, for operators.
@@ -20,7 +21,7 @@
 
 // ReadArchiveStatus reads all pages and the journal. It writes nothing.
 func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ArchiveStatus, error) {
-	upgrading, err := ReadUpgradeStatus(ctx, svc, s)
+	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
 	if err != nil {
 		return ArchiveStatus{}, err
 	}
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -814,7 +814,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			go func() { _ = d.journal.Run(ctx) }()
-			usage, err := termGates{d, d.journal}.setGates(ctx, d.gates, true)
+			usage, err := termGates{d, d.journal}.CountGateUses(ctx, d.gates)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -88,21 +88,32 @@
 	journal   *storage.Journal
 }
 
-// setGates publishes a record; with count it also returns what depends on each gate.
-func (t termGates) setGates(ctx context.Context, record upgrade.Record, count bool) (upgrade.Usage, error) {
+// PublishGates has the term's actors go by a cluster record.
+func (t termGates) PublishGates(ctx context.Context, record upgrade.Record) error {
+	_, err := t.publish(ctx, record)
+	return err
+}
+
+// publish returns what the scheduler knows to depend on gates, once it goes by the record.
+func (t termGates) publish(ctx context.Context, record upgrade.Record) (gateUses, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
 	t.scheduler.post(gatesMessage{record, reply})
-	var uses gateUses
 	select {
-	case uses = <-reply:
+	case uses := <-reply:
+		return uses, nil
 	case <-t.scheduler.closed:
-		return nil, errTermEnded
+		return gateUses{}, errTermEnded
 	case <-ctx.Done():
-		return nil, ctx.Err()
+		return gateUses{}, ctx.Err()
 	}
-	if !count {
-		return nil, nil
+}
+
+// CountGateUses publishes a cluster record and then counts what depends on each gate.
+func (t termGates) CountGateUses(ctx context.Context, record upgrade.Record) (upgrade.Usage, error) {
+	uses, err := t.publish(ctx, record)
+	if err != nil {
+		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.CallTimeout())
 	defer cancel()
@@ -110,7 +121,11 @@
 	if err != nil {
 		return nil, err
 	}
-	usage := upgrade.Usage{upgrade.GangJobs: uses.openGangs, upgrade.CompressedChunks: encoded, upgrade.Activation: uses.lifecycles}
+	usage := upgrade.Usage{
+		upgrade.GangJobs:         uses.openGangs,
+		upgrade.CompressedChunks: encoded,
+		upgrade.Activation:       uses.lifecycles,
+	}
 	if uses.archive {
 		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -22,6 +22,7 @@
 	"sagevale/internal/relay"
 	"sagevale/internal/storage"
 	"sagevale/internal/upgrade"
+	"sagevale/internal/upgradecontrol"
 	"sagevale/internal/worker"
 )
 
@@ -163,11 +164,13 @@
 		return
 	}
 	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(n.election.Status().Uptime) }
-	u := newUpgradeController(n.settings, n.deps, role, termGates{d, journal}, log)
-	d.requestGate = u.requestUse
+	upgrades := upgradecontrol.New(upgradecontrol.Config{
+		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, Users: termGates{d, journal}, Log: log,
+	})
+	d.requestGate = upgrades.RequestUse
 	d.gates = role.Cluster.Record
 	n.beginArchive(ctx, d, role)
-	journal.OnEncodingNeeded(func() { u.requestUse(upgrade.CompressedChunks) })
+	journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	journal.SetEncoding(encodingOf(role.Cluster.Record))
 	log.Info("take-over", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(), "attempts", d.state.Reservations.Attempts(), "took", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
@@ -180,7 +183,7 @@
 	g.Go(func() error { return journal.Run(gctx) })
 	g.Go(func() error { return d.run(gctx) })
 	g.Go(func() error { return d.autoscaler.Run(gctx) })
-	g.Go(func() error { return u.run(gctx) })
+	g.Go(func() error { return upgrades.Run(gctx) })
 	g.Go(func() error {
 		relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, d, n.deps.Log).Run(gctx)
 		return nil
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -1,18 +1,13 @@
 package scheduler
 
 import (
-	"context"
-	"encoding/json"
-	"log/slog"
 	"strings"
 	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/leadership"
-	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
 )
@@ -109,105 +104,3 @@
 		}
 	})
 }
-
-// scriptedUsers stands for the leader's other actors: it notes what was published and says
-// what the script has of uses.
-type scriptedUsers struct {
-	published []upgrade.Record
-	gangs     func(count int) int
-	counts    int
-}
-
-func (u *scriptedUsers) setGates(_ context.Context, record upgrade.Record, count bool) (upgrade.Usage, error) {
-	u.published = append(u.published, record)
-	if !count {
-		return nil, nil
-	}
-	u.counts++
-	return upgrade.Usage{upgrade.GangJobs: u.gangs(u.counts), upgrade.CompressedChunks: 0}, nil
-}
-
-// usableAgain tells whether gang jobs were published as usable after a record without them.
-func (u *scriptedUsers) usableAgain() bool {
-	barred := false
-	for _, record := range u.published {
-		barred = barred || !record.Gate(upgrade.GangJobs).Usable()
-		if barred && record.Gate(upgrade.GangJobs).Usable() {
-			return true
-		}
-	}
-	return false
-}
-
-// releasing makes a controller whose gate for gang jobs has long been unused, on a store of
-// its own where this process alone is the fleet.
-func releasing(t *testing.T, users gateUsage) (*upgradeController, *storagetest.Client) {
-	t.Helper()
-	client := &storagetest.Client{Service: storagetest.NewService()}
-	settings := clustertest.Settings()
-	settings.NodeName, settings.Peers = "n0", nil
-	settings.Tuning.Upgrade.Policy = upgrade.Policy{Hold: true, ReleaseAfter: releaseAfter}
-	record := gangInUse()
-	registration, err := json.Marshal(upgrade.NewRegistration("n0", "run", upgrade.Supported))
-	if err != nil {
-		t.Fatal(err)
-	}
-	data, err := json.Marshal(record)
-	if err != nil {
-		t.Fatal(err)
-	}
-	revision, err := client.Apply(nil, []storage.Op{
-		{Key: leadership.LeaderKey, Data: []byte(`{}`)}, {Key: leadership.ClusterKey, Data: data}, {Key: leadership.RegistrationPrefix + "n0", Data: registration},
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	role := leadership.Role{Term: 1, Guard: storage.Guard{Key: leadership.LeaderKey, Version: revision}, Cluster: leadership.ClusterRecord{Record: record, Version: revision}}
-	log := slog.New(slog.DiscardHandler)
-	c := newUpgradeController(&settings, Dependencies{State: client, Log: log}, role, users, log)
-	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
-	return c, client
-}
-
-// While a release may yet be carried out, the other actors take the gate for unused.
-func TestNothingUsesAGateWhileItsReleaseIsUnanswered(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		users := &scriptedUsers{gangs: func(int) int { return 0 }}
-		c, client := releasing(t, users)
-		defer client.Close()
-		client.Late = func(tx storagetest.Txn) time.Duration {
-			if strings.Contains(string(tx.Ops[0].Data), `"used":true`) {
-				return 0
-			}
-			return time.Hour
-		}
-		for range 5 {
-			if err := c.advance(t.Context()); err != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(2 * time.Second)
-		}
-		if c.tentative == nil || users.usableAgain() {
-			t.Errorf("published: %+v", users.published)
-		}
-	})
-}
-
-// A use that comes after the count and before the release keeps the gate.
-func TestAUseAfterTheCountBarsTheRelease(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		users := &scriptedUsers{gangs: func(count int) int { return max(0, count-2) }}
-		c, client := releasing(t, users)
-		defer client.Close()
-		for range 2 { // the gates that are missing are opened first
-			if err := c.advance(t.Context()); err != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(2 * time.Second)
-		}
-		last := users.published[len(users.published)-1]
-		if users.counts < 3 || !c.cluster.Record.Gate(upgrade.GangJobs).Used || !last.Gate(upgrade.GangJobs).Usable() {
-			t.Errorf("%d counts, stored %+v, published %+v", users.counts, c.cluster.Record, last)
-		}
-	})
-}
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -32,9 +32,6 @@
 	}
 }
 
-// earlierVersions are the folders of testdata.
-var earlierVersions = []string{"production", "769a0b2"}
-
 func TestWhatEarlierVersionsStoredIsLedOn(t *testing.T) {
 	lowered := storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
 	for _, c := range []struct {
--- /dev/null
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -0,0 +1,131 @@
+package upgradecontrol
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/leadership"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/upgrade"
+)
+
+// releaseAfter is how long a gate has to be unused in these tests.
+const releaseAfter = 20 * time.Second
+
+// gangJobsInUse is a cluster record under which a process of version 1 must not lead.
+func gangJobsInUse() upgrade.Record {
+	record := upgrade.Initial()
+	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
+	record.Gates = map[upgrade.GateName]upgrade.GateState{upgrade.GangJobs: {Since: upgrade.Version2, Phase: upgrade.GateOpen, Used: true}}
+	return record
+}
+
+// scriptedUsers is a fake of the leader's other actors: it records what was published and
+// counts uses of gang jobs by a script.
+type scriptedUsers struct {
+	published []upgrade.Record
+	gangs     func(count int) int
+	counts    int
+}
+
+func (u *scriptedUsers) PublishGates(_ context.Context, record upgrade.Record) error {
+	u.published = append(u.published, record)
+	return nil
+}
+
+func (u *scriptedUsers) CountGateUses(_ context.Context, record upgrade.Record) (upgrade.Usage, error) {
+	u.published = append(u.published, record)
+	u.counts++
+	return upgrade.Usage{upgrade.GangJobs: u.gangs(u.counts), upgrade.CompressedChunks: 0}, nil
+}
+
+// usableAgain reports whether gang jobs were published as usable after a record without them.
+func (u *scriptedUsers) usableAgain() bool {
+	barred := false
+	for _, record := range u.published {
+		barred = barred || !record.Gate(upgrade.GangJobs).Usable()
+		if barred && record.Gate(upgrade.GangJobs).Usable() {
+			return true
+		}
+	}
+	return false
+}
+
+// newReleasingController returns a controller whose gate for gang jobs has long been unused,
+// on a store of its own. It is the only controller of its fleet.
+func newReleasingController(t *testing.T, users GateUsers) (*Controller, *storagetest.Client) {
+	t.Helper()
+	client := &storagetest.Client{Service: storagetest.NewService()}
+	settings := clustertest.Settings()
+	settings.NodeName, settings.Peers = "n0", nil
+	settings.Tuning.Upgrade.Policy = upgrade.Policy{Hold: true, ReleaseAfter: releaseAfter}
+	record := gangJobsInUse()
+	registration, err := json.Marshal(upgrade.NewRegistration("n0", "run", upgrade.Supported))
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := json.Marshal(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	revision, err := client.Apply(nil, []storage.Op{
+		{Key: leadership.LeaderKey, Data: []byte(`{}`)}, {Key: leadership.ClusterKey, Data: data}, {Key: leadership.RegistrationPrefix + "n0", Data: registration},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	role := leadership.Role{Term: 1, Guard: storage.Guard{Key: leadership.LeaderKey, Version: revision}, Cluster: leadership.ClusterRecord{Record: record, Version: revision}}
+	c := New(Config{Store: client, Settings: &settings, Role: role, Users: users, Log: slog.New(slog.DiscardHandler)})
+	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
+	return c, client
+}
+
+// While a release may still be committed, the other actors must not use the gate.
+func TestGateIsNotUsableWhileReleaseIsUnanswered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		users := &scriptedUsers{gangs: func(int) int { return 0 }}
+		c, client := newReleasingController(t, users)
+		defer client.Close()
+		client.Late = func(tx storagetest.Txn) time.Duration {
+			if strings.Contains(string(tx.Ops[0].Data), `"used":true`) {
+				return 0
+			}
+			return time.Hour
+		}
+		for range 5 {
+			if err := c.advance(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(2 * time.Second)
+		}
+		if c.tentative == nil || users.usableAgain() {
+			t.Errorf("published: %+v", users.published)
+		}
+	})
+}
+
+// A use that comes after the count and before the release keeps the gate.
+func TestUseAfterCountPreventsRelease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		users := &scriptedUsers{gangs: func(count int) int { return max(0, count-2) }}
+		c, client := newReleasingController(t, users)
+		defer client.Close()
+		for range 2 { // the gates that are missing are opened first
+			if err := c.advance(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(2 * time.Second)
+		}
+		last := users.published[len(users.published)-1]
+		if users.counts < 3 || !c.cluster.Record.Gate(upgrade.GangJobs).Used || !last.Gate(upgrade.GangJobs).Usable() {
+			t.Errorf("%d counts, stored %+v, published %+v", users.counts, c.cluster.Record, last)
+		}
+	})
+}
--- /dev/null
+++ b/internal/upgradecontrol/members.go
@@ -0,0 +1,120 @@
+package upgradecontrol
+
+import (
+	"context"
+	"errors"
+	"strings"
+
+	"sagevale/internal/clock"
+	"sagevale/internal/leadership"
+	"sagevale/internal/peer"
+	"sagevale/internal/storage"
+	"sagevale/internal/upgrade"
+)
+
+// maxUpgradeKeys is more keys than upgrades ever have.
+const maxUpgradeKeys = 1000
+
+// registration is a controller's registration as it is stored.
+type registration struct {
+	value   *upgrade.Registration // nil: none, or damaged
+	damaged bool
+	version uint64
+}
+
+// parseKeys reads the keys of upgrades. A damaged registration is no error, for only the controller that it names
+// is unknown then.
+func parseKeys(items []storage.Item) (leadership.ClusterRecord, map[string]registration, error) {
+	cluster := leadership.ClusterRecord{Record: upgrade.Initial()}
+	registrations := make(map[string]registration)
+	for _, item := range items {
+		if item.Key == leadership.ClusterKey {
+			record, err := upgrade.DecodeRecord(item.Key, item.Data)
+			if err != nil {
+				return leadership.ClusterRecord{}, nil, err
+			}
+			cluster = leadership.ClusterRecord{Record: record, Version: item.Version}
+		}
+		if name, ok := strings.CutPrefix(item.Key, leadership.RegistrationPrefix); ok {
+			registrations[name] = parseRegistration(name, item)
+		}
+	}
+	return cluster, registrations, nil
+}
+
+func parseRegistration(name string, item storage.Item) registration {
+	value, err := upgrade.DecodeRegistration(item.Key, name, item.Data)
+	if err != nil {
+		return registration{damaged: true, version: item.Version}
+	}
+	return registration{value: &value, version: item.Version}
+}
+
+// members returns all controllers with what is known of their versions.
+func (c *Controller) members() []upgrade.Member {
+	members := []upgrade.Member{c.member(c.settings.NodeName)}
+	for _, p := range c.settings.Peers {
+		m := c.member(p.Name)
+		if status, ok := c.peers.Status(p.Name); ok {
+			m.Unregistered = unregisteredVersion(status.Version)
+		}
+		members = append(members, m)
+	}
+	return members
+}
+
+func (c *Controller) member(name string) upgrade.Member {
+	r := c.registrations[name]
+	return upgrade.Member{Node: name, Registered: r.value, Damaged: r.damaged}
+}
+
+// unregisteredVersion is the version of a process that doesn't register, by what it tells its peers; 0: it
+// registers.
+func unregisteredVersion(told int) upgrade.Version {
+	switch {
+	case told >= peer.VersionRegistering:
+		return 0
+	case told == int(upgrade.Version2):
+		return upgrade.Version2
+	}
+	return upgrade.Version1
+}
+
+// watchRegistrations notifies the controller of each change of a registration, until ctx ends.
+func (c *Controller) watchRegistrations(ctx context.Context) {
+	hold := c.settings.WorkerLease
+	revision := c.leader.Version
+	for ctx.Err() == nil {
+		watchCtx, cancel := context.WithTimeout(ctx, hold+c.settings.Tuning.LeaderLease)
+		changes, next, err := c.store.Watch(watchCtx, leadership.RegistrationPrefix, revision, hold)
+		cancel()
+		switch {
+		case errors.Is(err, storage.ErrCompacted):
+			revision = c.latestRevision(ctx)
+		case err != nil:
+			clock.Sleep(ctx, c.settings.Tuning.LeaderLease/leadership.RenewalsPerLease)
+			continue
+		case len(changes) == 0:
+			revision = next
+			continue
+		default:
+			revision = next
+		}
+		select {
+		case c.changed <- struct{}{}:
+		default: // it will look anyway
+		}
+	}
+}
+
+// latestRevision returns the store's present revision, or 0 if it doesn't answer: then all changes that are still
+// kept are seen again.
+func (c *Controller) latestRevision(ctx context.Context) uint64 {
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
+	defer cancel()
+	_, _, revision, err := c.store.List(ctx, leadership.RegistrationPrefix, "", 1)
+	if err != nil {
+		return 0
+	}
+	return revision
+}
