--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry logs what a process uses: processor time, memory, garbage
-// collections, and how late its timers fire.
+// Package telemetry logs the resource usage of the process: processor time, memory,
+// garbage collection and timer lag.
 package telemetry
 
 import (
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// lagProbes is how many timers per interval are watched for how late they fire.
+// lagProbes is the number of timers per interval whose lag is measured.
 const lagProbes = 20
 
-// Reporter logs a line of usage per interval, at debug. It costs nothing at other
-// levels.
+// Reporter logs one line of resource usage per interval at level debug. At higher
+// levels it measures nothing.
 type Reporter struct {
 	Log      *slog.Logger
-	Interval time.Duration
-	CPUShare float64 // the share of a processor that the process may use
-	// Gauges returns what else belongs on the line, as for slog.
+	Interval time.Duration // between two lines
+	CPUShare float64       // the processors that the process may use, such as 0.5
+	// Gauges returns further key-value pairs for the line, as slog takes them.
 	Gauges func() []any
 }
 
-// Run logs until ctx ends.
+// Run logs usage until ctx ends. It returns at once if debug is not logged.
 func (r *Reporter) Run(ctx context.Context) {
 	if !r.Log.Enabled(ctx, slog.LevelDebug) {
 		return
 	}
-	pause := r.Interval / lagProbes
-	before := read(time.Now())
+	probeInterval := r.Interval / lagProbes
+	previous := readSample(time.Now())
 	var lag time.Duration
 	for {
-		due := time.Now().Add(pause)
+		due := time.Now().Add(probeInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(probeInterval):
 		}
 		now := time.Now()
 		lag = max(lag, now.Sub(due))
-		if now.Sub(before.at) < r.Interval {
+		if now.Sub(previous.at) < r.Interval {
 			continue
 		}
-		after := read(now)
-		r.Log.Debug("usage", append(after.since(before, r.CPUShare), append(r.Gauges(), "timer_lag", lag)...)...)
-		before, lag = after, 0
+		current := readSample(now)
+		r.Log.Debug("usage", append(current.usageSince(previous, r.CPUShare), append(r.Gauges(), "timer_lag", lag)...)...)
+		previous, lag = current, 0
 	}
 }
 
-// The runtime's metrics that a line is made of.
+// Names of the runtime metrics that are logged.
 const (
 	gcCycles     = "/gc/cycles/total:gc-cycles"
 	gcCPU        = "/cpu/classes/gc/total:cpu-seconds"
@@ -63,53 +63,58 @@
 	goroutines   = "/sched/goroutines:goroutines"
 )
 
-var names = []string{gcCycles, gcCPU, allocBytes, allocObjects, heapLive, heapGoal, stackBytes, totalBytes, freedBytes, goroutines}
+var metricNames = []string{
+	gcCycles, gcCPU, allocBytes, allocObjects, heapLive, heapGoal, stackBytes, totalBytes, freedBytes, goroutines,
+}
 
-// sample is what a process has used up to a point in time.
+// sample is the cumulative usage of the process at one time.
 type sample struct {
-	at    time.Time
-	cpu   time.Duration
-	value map[string]float64
+	at     time.Time
+	cpu    time.Duration      // user and system time
+	values map[string]float64 // by name of the runtime metric
 }
 
-func read(now time.Time) sample {
-	s := sample{at: now, value: make(map[string]float64, len(names))}
+// readSample reads the current usage. The processor time is 0 if the system does not report it.
+func readSample(now time.Time) sample {
+	s := sample{at: now, values: make(map[string]float64, len(metricNames))}
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err == nil {
 		s.cpu = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	}
-	samples := make([]metrics.Sample, len(names))
-	for i, name := range names {
+	samples := make([]metrics.Sample, len(metricNames))
+	for i, name := range metricNames {
 		samples[i].Name = name
 	}
 	metrics.Read(samples)
 	for _, m := range samples {
 		switch m.Value.Kind() {
 		case metrics.KindUint64:
-			s.value[m.Name] = float64(m.Value.Uint64())
+			s.values[m.Name] = float64(m.Value.Uint64())
 		case metrics.KindFloat64:
-			s.value[m.Name] = m.Value.Float64()
+			s.values[m.Name] = m.Value.Float64()
+		default: // histograms and unknown metrics are not logged
 		}
 	}
 	return s
 }
 
-// since describes the use between two samples, as for slog.
-func (s sample) since(before sample, share float64) []any {
+// usageSince returns the usage since an earlier sample as key-value pairs for slog.
+// cpuShare is the number of processors that the process may use.
+func (s sample) usageSince(earlier sample, cpuShare float64) []any {
 	const mb = 1 << 20
-	delta := func(name string) float64 { return s.value[name] - before.value[name] }
-	cpu := s.cpu - before.cpu
+	delta := func(name string) float64 { return s.values[name] - earlier.values[name] }
+	cpu := s.cpu - earlier.cpu
 	return []any{
 		"cpu", cpu,
-		"cpu_of_share", cpu.Seconds() / (s.at.Sub(before.at).Seconds() * share),
+		"cpu_of_share", cpu.Seconds() / (s.at.Sub(earlier.at).Seconds() * cpuShare),
 		"gc_cycles", delta(gcCycles),
 		"gc_cpu_s", delta(gcCPU),
 		"alloc_mb", delta(allocBytes) / mb,
 		"allocs", delta(allocObjects),
-		"heap_live_mb", s.value[heapLive] / mb,
-		"heap_goal_mb", s.value[heapGoal] / mb,
-		"stacks_mb", s.value[stackBytes] / mb,
-		"held_mb", (s.value[totalBytes] - s.value[freedBytes]) / mb,
-		"goroutines", s.value[goroutines],
+		"heap_live_mb", s.values[heapLive] / mb,
+		"heap_goal_mb", s.values[heapGoal] / mb,
+		"stacks_mb", s.values[stackBytes] / mb,
+		"held_mb", (s.values[totalBytes] - s.values[freedBytes]) / mb,
+		"goroutines", s.values[goroutines],
 	}
 }
