--- a/internal/fleetload/experiment.go
+++ b/internal/fleetload/experiment.go
@@ -95,7 +95,7 @@
 }
 
 func (e *Experiment) start() error {
-	program := loopbacktest.Program{Name: "sagevale", Binary: e.config.Binary, Properties: e.config.properties(), Registers: true}
+	program := loopbacktest.Program{Name: "sagevale", Binary: e.config.Binary, Properties: e.config.properties()}
 	for _, c := range e.fleet.Controllers {
 		if err := e.fleet.Start(c, program); err != nil {
 			return fmt.Errorf("start %s: %w", c.Name, err)
--- a/internal/fleetload/wake.go
+++ b/internal/fleetload/wake.go
@@ -109,7 +109,7 @@
 func (r *wakeRun) all(ctx context.Context) error {
 	for _, c := range r.fleet.Controllers {
 		properties := r.properties(c)
-		if err := r.fleet.Start(c, loopbacktest.Program{Name: "sagevale", Binary: r.config.Binary, Properties: properties, Registers: true}); err != nil {
+		if err := r.fleet.Start(c, loopbacktest.Program{Name: "sagevale", Binary: r.config.Binary, Properties: properties}); err != nil {
 			return fmt.Errorf("start %s: %w", c.Name, err)
 		}
 	}
--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -2,215 +2,189 @@
 
 import (
 	"fmt"
+	"strings"
 	"time"
 )
 
-// Class is a kind of job whose latencies are told apart.
-type Class string
+// gangChecksPerHeartbeat is how often per heartbeat interval a task of a gang checks the others.
+const gangChecksPerHeartbeat = 10
 
-// The classes.
-const (
-	Urgent Class = "urgent"
-	Other  Class = "other"
-)
-
-// Job is a job to be submitted, and what the workers fetch of it by themselves.
-type Job struct {
-	ID     string
-	Shape  string // sweep, service or group
-	Tasks  int
-	Run    time.Duration
-	Team   string  // "": the fleet's first
-	CPUs   float64 // of a task; 0: one
-	Urgent bool
-
-	accepted time.Time // when its user was told so
+// attemptID identifies an attempt of a task.
+type attemptID struct {
+	task   string
+	number uint64
 }
 
-// Class tells a job's class.
-func (j Job) Class() Class {
-	if j.Urgent {
-		return Urgent
-	}
-	return Other
+// attempt is one attempt of a task on a machine.
+type attempt struct {
+	id         attemptID
+	job        string
+	state      string // as in heartbeats
+	cause      string
+	stateSince time.Time
+	running    bool // started and not ended
+	restarted  bool // an earlier attempt of the task has been on a machine
+	team       string
+	cpus       float64
 }
 
-func (j Job) service() bool { return j.Shape == "service" }
-func (j Job) gang() bool    { return j.Shape == "group" }
-
-// taskName is a task and its attempt on a machine.
-type taskName struct {
-	task string
-	try  uint64
+// jobOfTask returns the job ID of a task's name.
+func jobOfTask(task string) string {
+	id, _, _ := strings.Cut(task, "/")
+	return id
 }
 
-// task is an attempt on a machine.
-type task struct {
-	name      taskName
-	job       string
-	state     string // as reported
-	cause     string
-	since     time.Time
-	running   bool // it has started and hasn't ended
-	restarted bool // another attempt of it has been on a machine before
-	team      string
-	cpus      float64
-}
-
-// begin takes in a start.
-func (w *Workers) begin(m *machine, name taskName, now time.Time) {
-	t := &task{name: name, job: jobOf(name.task), state: "pulling", since: now}
-	if _, known := w.jobs[t.job]; !known {
-		t.state, t.cause = "ended", "unknown"
-	}
-	for other, o := range m.tasks {
-		if other.task == name.task && o.state != "ended" {
-			t.state, t.cause = "ended", "busy"
+// startAttempt executes the start of an attempt. It ends at once if the worker can't run it.
+func (w *Workers) startAttempt(m *machine, id attemptID, now time.Time) {
+	a := &attempt{id: id, job: jobOfTask(id.task), state: statePulling, stateSince: now}
+	if _, known := w.jobs[a.job]; !known {
+		a.state, a.cause = stateEnded, causeUnknown
+	}
+	for otherID, other := range m.attempts {
+		if otherID.task == id.task && other.state != stateEnded {
+			a.state, a.cause = stateEnded, causeBusy
 		}
 	}
-	m.tasks[name] = t
-	w.ledger.know(m, t)
+	m.attempts[id] = a
+	w.audit.addAttempt(m, a)
 }
 
-// end ends a task, if it hasn't ended.
-func (w *Workers) end(t *task, cause string) {
-	if t.state != "ended" {
-		t.state, t.cause, t.running = "ended", cause, false
-		w.ledger.leave(t)
+// endAttempt ends an attempt, if it has not ended.
+func (w *Workers) endAttempt(a *attempt, cause string) {
+	if a.state != stateEnded {
+		a.state, a.cause, a.running = stateEnded, cause, false
+		w.audit.attemptEnded(a)
 	}
 }
 
-// expire ends a machine's session: its tasks are killed and forgotten.
-func (w *Workers) expire(m *machine, now time.Time) {
-	for _, t := range m.tasks {
-		t.running = false
-		w.ledger.forget(t)
-	}
-	m.tasks = make(map[taskName]*task)
-	m.session++
-	m.lastRenewed = now
+// expireLease kills all attempts of a machine whose lease has expired, and begins a new incarnation.
+func (w *Workers) expireLease(m *machine, now time.Time) {
+	for _, a := range m.attempts {
+		a.running = false
+		w.audit.removeAttempt(a)
+	}
+	m.attempts = make(map[attemptID]*attempt)
+	m.incarnation++
+	m.leaseRenewedAt = now
 }
 
-// settle brings a machine up to the present: leases, fetches, runs and gangs. It tells
-// whether anything has changed.
-func (w *Workers) settle(m *machine, now time.Time) (changed bool) {
+// advance applies what time has changed on a machine: lease expiry, fetched images, finished runs and
+// gangs. It reports whether anything has changed. w.mu must be held.
+func (w *Workers) advance(m *machine, now time.Time) (changed bool) {
 	if m.deleted {
 		return false
 	}
-	if now.Sub(m.lastRenewed) > w.timing.Lease {
-		w.expire(m, now)
+	if now.Sub(m.leaseRenewedAt) > w.timing.Lease {
+		w.expireLease(m, now)
 		return true
 	}
-	for name, t := range m.tasks {
-		j := w.jobs[t.job]
+	for id, a := range m.attempts {
+		j := w.jobs[a.job]
 		switch {
-		case t.state == "pulling" && now.Sub(t.since) >= w.timing.Fetch:
-			w.present(m, t, now)
+		case a.state == statePulling && now.Sub(a.stateSince) >= w.timing.Fetch:
+			w.runAttempt(m, a, now)
 			changed = true
-		case t.state == "gathering":
-			changed = w.gather(name.try, t.job, now) || changed
-		case t.state == "running" && !j.service() && now.Sub(t.since) >= j.Run:
-			w.end(t, "done")
-			w.ledger.done[name.task] = true
+		case a.state == stateGathering:
+			changed = w.startGang(a.job, id.number, now) || changed
+		case a.state == stateRunning && !j.isService() && now.Sub(a.stateSince) >= j.Run:
+			w.endAttempt(a, causeDone)
+			w.audit.completedTasks[id.task] = true
 			changed = true
-		case t.state == "running" && j.gang() && w.broken(name.try, t.job):
-			w.end(t, "peers")
+		case a.state == stateRunning && j.isGang() && w.gangIncomplete(a.job, id.number):
+			w.endAttempt(a, causePeers)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// nextChange is when a machine's tasks change next by themselves; zero: not of their own.
+// nextChange returns when time changes an attempt of the machine next; the zero time if it doesn't.
 func (w *Workers) nextChange(m *machine) time.Time {
 	var next time.Time
-	soonest := func(at time.Time) {
+	candidate := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
-	for _, t := range m.tasks {
-		j := w.jobs[t.job]
+	for _, a := range m.attempts {
+		j := w.jobs[a.job]
 		switch {
-		case t.state == "pulling":
-			soonest(t.since.Add(w.timing.Fetch))
-		case t.state == "gathering", t.state == "running" && j.gang():
-			soonest(time.Now().Add(w.timing.Report / gangLooks))
-		case t.state == "running" && !j.service():
-			soonest(t.since.Add(j.Run))
+		case a.state == statePulling:
+			candidate(a.stateSince.Add(w.timing.Fetch))
+		case a.state == stateGathering, a.state == stateRunning && j.isGang():
+			candidate(time.Now().Add(w.timing.Report / gangChecksPerHeartbeat))
+		case a.state == stateRunning && !j.isService():
+			candidate(a.stateSince.Add(j.Run))
 		}
 	}
 	return next
 }
 
-// gangLooks is how often within a report interval a gang's task looks for the others.
-const gangLooks = 10
-
-// present has a task be on its machine from now on. That is where a duplicate shows.
-func (w *Workers) present(m *machine, t *task, now time.Time) {
-	j := w.jobs[t.job]
-	t.restarted = w.startedBefore[t.name.task]
-	w.startedBefore[t.name.task] = true
-	w.ledger.enter(m, t, j, w.timing.Lease, now)
-	t.running, t.since, t.state = true, now, "running"
-	if j.gang() {
-		t.state = "gathering"
-	}
-	if j.service() {
-		w.modelStarted(t.job, now)
+// runAttempt makes an attempt run once its image is fetched. The audit log finds duplicates here.
+func (w *Workers) runAttempt(m *machine, a *attempt, now time.Time) {
+	j := w.jobs[a.job]
+	a.restarted = w.startedTasks[a.id.task]
+	w.startedTasks[a.id.task] = true
+	w.audit.attemptStarted(m, a, j, w.timing.Lease, now)
+	a.running, a.stateSince, a.state = true, now, stateRunning
+	if j.isGang() {
+		a.state = stateGathering
+	}
+	if j.isService() {
+		w.replicaStarted(a.job)
 	}
 }
 
-// gather starts a gang once all its tasks wait.
-func (w *Workers) gather(try uint64, id string, now time.Time) bool {
-	var waiting []*task
-	for t, m := range w.ledger.byJob[id] {
-		if t.name.try == try && t.state == "gathering" && !m.deleted {
-			waiting = append(waiting, t)
+// startGang starts a gang once all its tasks are gathering, and reports whether it did.
+func (w *Workers) startGang(job string, attemptNumber uint64, now time.Time) bool {
+	var gathering []*attempt
+	for a, m := range w.audit.attemptsByJob[job] {
+		if a.id.number == attemptNumber && a.state == stateGathering && !m.deleted {
+			gathering = append(gathering, a)
 		}
 	}
-	if len(waiting) < w.jobs[id].Tasks {
+	if len(gathering) < w.jobs[job].Tasks {
 		return false
 	}
-	for _, t := range waiting {
-		t.state, t.since = "running", now
+	for _, a := range gathering {
+		a.state, a.stateSince = stateRunning, now
 	}
 	return true
 }
 
-// broken tells whether a running gang has lost a task.
-func (w *Workers) broken(try uint64, id string) bool {
-	whole := 0
-	for t, m := range w.ledger.byJob[id] {
-		if t.name.try == try && !m.deleted && (t.state == "running" || t.cause == "done") {
-			whole++
+// gangIncomplete reports whether a running gang has lost a task.
+func (w *Workers) gangIncomplete(job string, attemptNumber uint64) bool {
+	present := 0
+	for a, m := range w.audit.attemptsByJob[job] {
+		if a.id.number == attemptNumber && !m.deleted && (a.state == stateRunning || a.cause == causeDone) {
+			present++
 		}
 	}
-	return whole < w.jobs[id].Tasks
+	return present < w.jobs[job].Tasks
 }
 
-// Running counts where each task of a job runs now.
+// Running returns the number of running attempts of each task of a job, by the task's name.
 func (w *Workers) Running(id string) map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	running := make(map[string]int)
-	for t, m := range w.ledger.byJob[id] {
-		if t.running && !m.deleted {
-			running[t.name.task]++
+	for a, m := range w.audit.attemptsByJob[id] {
+		if a.running && !m.deleted {
+			running[a.id.task]++
 		}
 	}
 	return running
 }
 
-// Done tells whether all tasks of a job have completed somewhere; of a gang, one is enough.
+// Done reports whether all tasks of a job have completed. One is enough for a gang.
 func (w *Workers) Done(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	completed := 0
 	for i := range w.jobs[id].Tasks {
-		if w.ledger.done[fmt.Sprintf("%s/%d", id, i)] {
+		if w.audit.completedTasks[fmt.Sprintf("%s/%d", id, i)] {
 			completed++
 		}
 	}
-	return completed == w.jobs[id].Tasks || w.jobs[id].gang() && completed > 0
+	return completed == w.jobs[id].Tasks || w.jobs[id].isGang() && completed > 0
 }
--- a/internal/loopbacktest/audit_log.go
+++ b/internal/loopbacktest/audit_log.go
@@ -2,23 +2,22 @@
 
 import (
 	"fmt"
-	"strings"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Rule names what a fault breaks, as the protocol does.
+// Rule names a rule of the protocol that the audit log checks.
 type Rule string
 
-// The rules that the workers' own log is checked against.
+// The rules that the audit log checks.
 const (
-	RanTwice     Rule = "ran_twice"
-	OverQuota    Rule = "quota"
-	RanCancelled Rule = "ran_cancelled"
+	RanTwice     Rule = "ran_twice"     // two attempts of a task ran at the same time
+	OverQuota    Rule = "quota"         // a team used more processors than its limit
+	RanCancelled Rule = "ran_cancelled" // a task ran too long after its job was cancelled
 )
 
-// Fault is a broken rule, with what shows it.
+// Fault is one broken rule, with the evidence.
 type Fault struct {
 	Rule Rule
 	Text string
@@ -26,126 +25,120 @@
 
 func (f Fault) String() string { return string(f.Rule) + ": " + f.Text }
 
-// faultsKept bounds the list of faults; a broken rule tends to be broken often.
-const faultsKept = 100
-
-// quotaSlack forgives the rounding of decimal sums.
-const quotaSlack = 1e-6
-
-// ledger is the workers' own log of what ran where. The workers' lock guards it.
-type ledger struct {
-	present    map[string]map[*task]*machine // the tasks on their machines, by name
-	byJob      map[string]map[*task]*machine // every attempt that is known to a machine, by job
-	used       map[string]float64            // processors in use, by team
-	limits     map[string]float64            // of teams; 0: none
-	cancelled  map[string]time.Time          // when a job's user was told of its cancel
-	done       map[string]bool               // tasks that have completed
-	faults     []Fault
-	faultCount int
-	starts     int
-	startDelay map[Class]*hdrhistogram.Histogram // from acceptance to start, in microseconds
+// maxViolations bounds the list of broken rules: one that is broken tends to be broken often.
+const maxViolations = 100
+
+// quotaTolerance allows for the rounding of decimal sums.
+const quotaTolerance = 1e-6
+
+// auditLog records which attempt ran where and checks the rules. Workers.mu guards it.
+type auditLog struct {
+	running        attemptIndex         // running attempts by task name
+	attemptsByJob  attemptIndex         // all attempts that a machine knows, by job
+	cpusInUse      map[string]float64   // by team
+	cpuLimits      map[string]float64   // by team; 0: no limit
+	cancelledAt    map[string]time.Time // when the user received the confirmation, by job
+	completedTasks map[string]bool
+	violations     []Fault
+	violationCount int
+	starts         int
+	startLatency   map[Class]*hdrhistogram.Histogram // from acceptance to start, in microseconds
 }
 
-func newLedger(teams []Team) *ledger {
-	l := &ledger{
-		present: make(map[string]map[*task]*machine), byJob: make(map[string]map[*task]*machine),
-		used: make(map[string]float64), limits: make(map[string]float64),
-		cancelled: make(map[string]time.Time), done: make(map[string]bool), startDelay: make(map[Class]*hdrhistogram.Histogram),
+func newAuditLog(teams []Team) *auditLog {
+	l := &auditLog{
+		running: make(attemptIndex), attemptsByJob: make(attemptIndex),
+		cpusInUse: make(map[string]float64), cpuLimits: make(map[string]float64),
+		cancelledAt: make(map[string]time.Time), completedTasks: make(map[string]bool), startLatency: make(map[Class]*hdrhistogram.Histogram),
 	}
 	for _, t := range teams {
-		l.limits[t.Name] = t.CPULimit
+		l.cpuLimits[t.Name] = t.CPULimit
 	}
 	return l
 }
 
-func (l *ledger) fault(rule Rule, format string, args ...any) {
-	l.faultCount++
-	if len(l.faults) < faultsKept {
-		l.faults = append(l.faults, Fault{rule, fmt.Sprintf(format, args...)})
+func (l *auditLog) addViolation(rule Rule, format string, args ...any) {
+	l.violationCount++
+	if len(l.violations) < maxViolations {
+		l.violations = append(l.violations, Fault{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-// know notes an attempt on a machine, forget removes it.
-func (l *ledger) know(m *machine, t *task) { addTask(l.byJob, t.job, t, m) }
+// addAttempt adds an attempt that a machine knows.
+func (l *auditLog) addAttempt(m *machine, a *attempt) { l.attemptsByJob.add(a.job, a, m) }
 
-func (l *ledger) forget(t *task) {
-	l.leave(t)
-	removeTask(l.byJob, t.job, t)
+// removeAttempt removes an attempt that its machine no longer knows.
+func (l *auditLog) removeAttempt(a *attempt) {
+	l.attemptEnded(a)
+	l.attemptsByJob.remove(a.job, a)
 }
 
-// enter notes that a task is on its machine from now on, and checks the rules.
-func (l *ledger) enter(m *machine, t *task, j Job, lease time.Duration, now time.Time) {
-	for other, where := range l.present[t.name.task] {
-		// A machine whose lease is over has ended its tasks, though it hasn't noted it.
-		if other != t && !where.deleted && now.Sub(where.lastRenewed) <= lease {
-			l.fault(RanTwice, "%s started on %s (attempt %d) while on %s (attempt %d)", t.name.task, m.name, t.name.try, where.name, other.name.try)
+// attemptStarted records that an attempt runs from now on, and checks the rules.
+func (l *auditLog) attemptStarted(m *machine, a *attempt, j Job, lease time.Duration, now time.Time) {
+	for other, otherMachine := range l.running[a.id.task] {
+		// A machine whose lease has expired has killed its tasks, though that may not be recorded yet.
+		if other != a && !otherMachine.deleted && now.Sub(otherMachine.leaseRenewedAt) <= lease {
+			l.addViolation(RanTwice, "%s started on %s (attempt %d) while on %s (attempt %d)", a.id.task, m.name, a.id.number, otherMachine.name, other.id.number)
 		}
 	}
-	addTask(l.present, t.name.task, t, m)
-	t.team, t.cpus = j.Team, j.CPUs
-	l.used[j.Team] += j.CPUs
-	if limit := l.limits[j.Team]; limit > 0 && l.used[j.Team] > limit+quotaSlack {
-		l.fault(OverQuota, "team %s uses %.1f processors of %.1f with %s", j.Team, l.used[j.Team], limit, t.name.task)
+	l.running.add(a.id.task, a, m)
+	a.team, a.cpus = j.Team, j.CPUs
+	l.cpusInUse[j.Team] += j.CPUs
+	if limit := l.cpuLimits[j.Team]; limit > 0 && l.cpusInUse[j.Team] > limit+quotaTolerance {
+		l.addViolation(OverQuota, "team %s uses %.1f processors of %.1f with %s", j.Team, l.cpusInUse[j.Team], limit, a.id.task)
 	}
 	l.starts++
-	if !j.accepted.IsZero() && !t.restarted {
-		record(l.startDelay, j.Class(), now.Sub(j.accepted))
+	if !j.acceptedAt.IsZero() && !a.restarted {
+		l.recordStartLatency(j.Class(), now.Sub(j.acceptedAt))
 	}
 }
 
-// leave notes that a task is no longer on its machine.
-func (l *ledger) leave(t *task) {
-	if _, present := l.present[t.name.task][t]; !present {
+// attemptEnded records that an attempt no longer runs. It does nothing if that is recorded already.
+func (l *auditLog) attemptEnded(a *attempt) {
+	if _, running := l.running[a.id.task][a]; !running {
 		return
 	}
-	removeTask(l.present, t.name.task, t)
-	l.used[t.team] -= t.cpus
+	l.running.remove(a.id.task, a)
+	l.cpusInUse[a.team] -= a.cpus
 }
 
-// checkCancelled looks for tasks of jobs that were cancelled too long ago.
-func (l *ledger) checkCancelled(timing Timing, now time.Time) {
-	for id, at := range l.cancelled {
+// checkCancelled checks for running tasks of jobs whose cancellation is older than the limit.
+func (l *auditLog) checkCancelled(timing Timing, now time.Time) {
+	for id, at := range l.cancelledAt {
 		if now.Sub(at) <= timing.Cancel {
 			continue
 		}
-		for t, m := range l.byJob[id] {
-			if t.running && !m.deleted && now.Sub(m.lastRenewed) <= timing.Lease {
-				l.fault(RanCancelled, "%s is on %s %v after its user was told", t.name.task, m.name, now.Sub(at))
+		for a, m := range l.attemptsByJob[id] {
+			if a.running && !m.deleted && now.Sub(m.leaseRenewedAt) <= timing.Lease {
+				l.addViolation(RanCancelled, "%s is on %s %v after its user was told", a.id.task, m.name, now.Sub(at))
 			}
 		}
-		delete(l.cancelled, id)
+		delete(l.cancelledAt, id)
 	}
 }
 
-func addTask(index map[string]map[*task]*machine, key string, t *task, m *machine) {
-	if index[key] == nil {
-		index[key] = make(map[*task]*machine)
-	}
-	index[key][t] = m
-}
-
-func removeTask(index map[string]map[*task]*machine, key string, t *task) {
-	delete(index[key], t)
-	if len(index[key]) == 0 {
-		delete(index, key)
+func (l *auditLog) recordStartLatency(class Class, latency time.Duration) {
+	h := l.startLatency[class]
+	if h == nil {
+		h = newLatencyHistogram()
+		l.startLatency[class] = h
 	}
+	recordMicros(h, latency)
 }
 
-// slowest is the longest latency that is told apart, in microseconds.
-const slowest = int64(10 * time.Minute / time.Microsecond)
+// attemptIndex holds attempts with their machines by a key, such as the job.
+type attemptIndex map[string]map[*attempt]*machine
 
-// record notes a latency of a class.
-func record[K comparable](histograms map[K]*hdrhistogram.Histogram, class K, latency time.Duration) {
-	h := histograms[class]
-	if h == nil {
-		h = hdrhistogram.New(1, slowest, 3)
-		histograms[class] = h
+func (x attemptIndex) add(key string, a *attempt, m *machine) {
+	if x[key] == nil {
+		x[key] = make(map[*attempt]*machine)
 	}
-	_ = h.RecordValue(min(max(latency.Microseconds(), 1), slowest))
+	x[key][a] = m
 }
 
-// jobOf is the job of a task's name.
-func jobOf(task string) string {
-	id, _, _ := strings.Cut(task, "/")
-	return id
+func (x attemptIndex) remove(key string, a *attempt) {
+	delete(x[key], a)
+	if len(x[key]) == 0 {
+		delete(x, key)
+	}
 }
--- a/internal/loopbacktest/audit_log_test.go
+++ b/internal/loopbacktest/audit_log_test.go
@@ -5,86 +5,93 @@
 	"time"
 )
 
-// logged is a ledger with two machines and a job of a limited team.
-func logged(limit float64) (l *ledger, a, b *machine, j Job, now time.Time) {
-	now = time.Now()
-	l = newLedger([]Team{{Name: "team", CPULimit: limit}})
-	a = &machine{name: "host-a", lastRenewed: now}
-	b = &machine{name: "host-b", lastRenewed: now}
-	return l, a, b, Job{ID: "job-000001", Team: "team", CPUs: 2, Tasks: 2}, now
+// auditFixture is an audit log with two machines and a job of a team.
+type auditFixture struct {
+	*auditLog
+	a, b *machine
+	job  Job
+	now  time.Time
 }
 
-// on puts an attempt of a task on a machine.
-func on(l *ledger, m *machine, name string, try uint64, j Job, now time.Time) *task {
-	t := &task{name: taskName{name, try}, job: j.ID, running: true}
-	l.know(m, t)
-	l.enter(m, t, j, time.Minute, now)
-	return t
+func newAuditFixture(cpuLimit float64) *auditFixture {
+	now := time.Now()
+	return &auditFixture{
+		auditLog: newAuditLog([]Team{{Name: "team", CPULimit: cpuLimit}}),
+		a:        &machine{name: "host-a", leaseRenewedAt: now},
+		b:        &machine{name: "host-b", leaseRenewedAt: now},
+		job:      Job{ID: "job-000001", Team: "team", CPUs: 2, Tasks: 2},
+		now:      now,
+	}
 }
 
-func rules(l *ledger) map[Rule]int {
-	broken := make(map[Rule]int)
-	for _, f := range l.faults {
-		broken[f.Rule]++
-	}
-	return broken
+// start starts an attempt of a task on a machine.
+func (f *auditFixture) start(m *machine, task string, number uint64) *attempt {
+	a := &attempt{id: attemptID{task, number}, job: f.job.ID, running: true}
+	f.addAttempt(m, a)
+	f.attemptStarted(m, a, f.job, time.Minute, f.now)
+	return a
 }
 
-// Each check of the workers' log can fail, and doesn't where the rule holds.
-func TestTheLogSeesATaskThatRunsTwice(t *testing.T) {
-	l, a, b, j, now := logged(0)
-	first := on(l, a, "job-000001/0", 1, j, now)
-	l.leave(first)
-	on(l, b, "job-000001/0", 2, j, now)
-	on(l, b, "job-000001/1", 3, j, now)
-	if len(l.faults) != 0 {
-		t.Fatalf("%v", l.faults)
+// expectViolations checks how often a rule was broken so far, and that no other was.
+func (f *auditFixture) expectViolations(t *testing.T, rule Rule, want int) {
+	t.Helper()
+	got := 0
+	for _, v := range f.violations {
+		if v.Rule == rule {
+			got++
+		}
 	}
-	on(l, a, "job-000001/1", 4, j, now)
-	if rules(l)[RanTwice] != 1 {
-		t.Errorf("%v", l.faults)
-	}
-	b.lastRenewed = now.Add(-2 * time.Minute) // its lease is over: nothing runs there
-	on(l, a, "job-000001/0", 5, j, now)
-	if rules(l)[RanTwice] != 1 {
-		t.Errorf("%v", l.faults)
+	if got != want || len(f.violations) != want {
+		t.Errorf("got violations %v, want %d of rule %s", f.violations, want, rule)
 	}
 }
 
-func TestTheLogSeesATeamBeyondItsLimit(t *testing.T) {
-	l, a, b, j, now := logged(4)
-	on(l, a, "job-000001/0", 1, j, now)
-	second := on(l, b, "job-000001/1", 2, j, now)
-	if len(l.faults) != 0 {
-		t.Fatalf("%v", l.faults)
-	}
-	on(l, b, "job-000002/0", 3, j, now)
-	if rules(l)[OverQuota] != 1 {
-		t.Errorf("%v", l.faults)
-	}
-	l.leave(second)
-	l.leave(second)
-	if l.used["team"] != 4 {
-		t.Errorf("%v in use", l.used["team"])
+func TestAuditLogFindsTaskRunningTwice(t *testing.T) {
+	f := newAuditFixture(0)
+	first := f.start(f.a, "job-000001/0", 1)
+	f.attemptEnded(first)
+	f.start(f.b, "job-000001/0", 2)
+	f.start(f.b, "job-000001/1", 3)
+	f.expectViolations(t, RanTwice, 0)
+	f.start(f.a, "job-000001/1", 4)
+	f.expectViolations(t, RanTwice, 1)
+	f.b.leaseRenewedAt = f.now.Add(-2 * time.Minute) // expired: nothing runs there
+	f.start(f.a, "job-000001/0", 5)
+	f.expectViolations(t, RanTwice, 1)
+}
+
+func TestAuditLogFindsTeamOverQuota(t *testing.T) {
+	f := newAuditFixture(4)
+	f.start(f.a, "job-000001/0", 1)
+	second := f.start(f.b, "job-000001/1", 2)
+	f.expectViolations(t, OverQuota, 0)
+	f.start(f.b, "job-000002/0", 3)
+	f.expectViolations(t, OverQuota, 1)
+	f.attemptEnded(second)
+	f.attemptEnded(second) // has no effect
+	if got := f.cpusInUse["team"]; got != 4 {
+		t.Errorf("got %v processors in use, want 4", got)
 	}
 }
 
-func TestTheLogSeesACancelledJobsTask(t *testing.T) {
+func TestAuditLogFindsTaskOfCancelledJob(t *testing.T) {
 	timing := Timing{Cancel: time.Second, Lease: time.Minute}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		running bool
 		after   time.Duration
 		want    int
-	}{{"in time", true, time.Second, 0}, {"gone", false, 2 * time.Second, 0}, {"too long", true, 2 * time.Second, 1}} {
-		t.Run(c.name, func(t *testing.T) {
-			l, a, _, j, now := logged(0)
-			on(l, a, "job-000001/0", 1, j, now).running = c.running
-			l.cancelled[j.ID] = now
-			l.checkCancelled(timing, now.Add(c.after))
-			if rules(l)[RanCancelled] != c.want {
-				t.Errorf("%v", l.faults)
-			}
+	}{
+		{name: "within the limit", running: true, after: time.Second, want: 0},
+		{name: "ended", running: false, after: 2 * time.Second, want: 0},
+		{name: "beyond the limit", running: true, after: 2 * time.Second, want: 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			f := newAuditFixture(0)
+			f.start(f.a, "job-000001/0", 1).running = tt.running
+			f.cancelledAt[f.job.ID] = f.now
+			f.checkCancelled(timing, f.now.Add(tt.after))
+			f.expectViolations(t, RanCancelled, tt.want)
 		})
 	}
 }
--- a/internal/loopbacktest/cloud.go
+++ b/internal/loopbacktest/cloud.go
@@ -1,155 +1,183 @@
 package loopbacktest
 
 import (
+	"cmp"
 	"encoding/json"
 	"net/http"
-	"sort"
+	"slices"
 	"strconv"
 	"time"
 
 	"sagevale/internal/protocol"
 )
 
-// machineKind is the only type of machine.
-const machineKind = "cpu"
+// maxPageSize is the largest page of the machine list.
+const maxPageSize = 500
 
-// Cloud rents machines by the protocol.
+// Cloud is the stand-in of the cloud. Workers.mu guards it.
 type Cloud struct {
-	Workers *Workers
-	cpus    float64
-	limit   int // 0: as many machines as are asked for
-	next    int
-	rentals map[string][]string
+	workers      *Workers
+	cpus         float64 // of a machine
+	machineLimit int     // 0: no limit
+	nextID       int
+	launched     map[string][]string // machine names by name of the launch request
 }
 
-// NewCloud makes a cloud without machines.
-func NewCloud(w *Workers, o *Options) *Cloud {
-	return &Cloud{Workers: w, cpus: o.MachineCPUs, limit: o.MachineLimit, rentals: make(map[string][]string)}
+// newCloud returns a cloud without machines.
+func newCloud(w *Workers, o *Options) *Cloud {
+	return &Cloud{workers: w, cpus: o.MachineCPUs, machineLimit: o.MachineLimit, launched: make(map[string][]string)}
 }
 
-// Provide has machines run from the start, spread over the zones.
-func (c *Cloud) Provide(count int) {
-	c.Workers.mu.Lock()
-	defer c.Workers.mu.Unlock()
+// provision creates machines without a request, spread over the zones.
+func (c *Cloud) provision(count int) {
+	c.workers.mu.Lock()
+	defer c.workers.mu.Unlock()
 	for i := range count {
-		m := c.create(machineKind, zones[i%len(zones)], false)
-		// They come up within a report interval, as if they had been up for long.
-		c.Workers.boot(m, time.Duration(i)*c.Workers.timing.Report/time.Duration(count))
+		m := c.create(machineTypeName, zones[i%len(zones)], false)
+		// Their heartbeats are spread over one interval, as those of a fleet that has been up for long.
+		c.workers.bootAfter(m, time.Duration(i)*c.workers.timing.Report/time.Duration(count))
 	}
 }
 
-// create makes a machine. The workers' lock is held.
-func (c *Cloud) create(kind, zone string, spot bool) *machine {
-	m := c.Workers.add(c.next, protocol.MachineName(c.next), kind, zone, spot)
-	c.next++
+// create creates a machine that is not booted yet.
+func (c *Cloud) create(typeName, zone string, spot bool) *machine {
+	m := c.workers.add(c.nextID, protocol.MachineName(c.nextID), typeName, zone, spot)
+	c.nextID++
 	return m
 }
 
-// Handler serves the protocol.
-func (c *Cloud) Handler() http.Handler {
+// handler serves the protocol.
+func (c *Cloud) handler() http.Handler {
 	mux := http.NewServeMux()
-	count := c.Workers.traffic.Counted
-	mux.HandleFunc("GET /catalog", count(CloudCalls, c.catalogue))
-	mux.HandleFunc("POST /rentals", count(CloudCalls, c.rent))
-	mux.HandleFunc("POST /rentals/delete", count(CloudCalls, c.remove))
-	mux.HandleFunc("GET /rentals", count(CloudCalls, c.list))
+	counted := c.workers.traffic.counted
+	mux.HandleFunc("GET /catalog", counted(CloudCalls, c.listTypes))
+	mux.HandleFunc("POST /rentals", counted(CloudCalls, c.launch))
+	mux.HandleFunc("POST /rentals/delete", counted(CloudCalls, c.terminate))
+	mux.HandleFunc("GET /rentals", counted(CloudCalls, c.listMachines))
 	return mux
 }
 
-func (c *Cloud) catalogue(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, map[string]any{"Breeds": []map[string]any{{
-		"Sku": machineKind, "Cpus": c.cpus, "Gpus": 0.0, "MemoryGb": 4 * c.cpus, "LocalGb": 100.0, "PullGbPerS": 5.0, "Hourly": 1.0, "LowPrice": 0.3,
-		"BootS": c.Workers.timing.Boot.Seconds(), "Pastures": zones,
+// machineType is a machine type on the wire.
+type machineType struct {
+	Name      string   `json:"Sku"`
+	CPUs      float64  `json:"Cpus"`
+	GPUs      float64  `json:"Gpus"`
+	MemoryGB  float64  `json:"MemoryGb"`
+	CacheGB   float64  `json:"LocalGb"`
+	FetchGBPS float64  `json:"PullGbPerS"`
+	Price     float64  `json:"Hourly"`
+	SpotPrice float64  `json:"LowPrice"`
+	BootS     float64  `json:"BootS"`
+	Zones     []string `json:"Pastures"`
+}
+
+// machineTypes is the list of machine types on the wire.
+type machineTypes struct {
+	Types []machineType `json:"Breeds"`
+}
+
+func (c *Cloud) listTypes(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, machineTypes{[]machineType{{
+		Name: machineTypeName, CPUs: c.cpus, MemoryGB: 4 * c.cpus, CacheGB: 100, FetchGBPS: 5, Price: 1, SpotPrice: 0.3,
+		BootS: c.workers.timing.Boot.Seconds(), Zones: zones,
 	}}})
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var rental protocol.Rental
-	if json.NewDecoder(r.Body).Decode(&rental) != nil || rental.Count < 1 {
-		reply(w, http.StatusBadRequest, nil)
+// launch creates machines. A repeated request of the same name returns the same machines.
+func (c *Cloud) launch(w http.ResponseWriter, r *http.Request) {
+	var request protocol.Rental
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Count < 1 {
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	c.Workers.mu.Lock()
-	defer c.Workers.mu.Unlock()
-	names, known := c.rentals[rental.Name]
+	c.workers.mu.Lock()
+	defer c.workers.mu.Unlock()
+	names, known := c.launched[request.Name]
 	if !known {
-		names = c.createAll(rental)
+		names = c.createAll(request)
 		if len(names) == 0 {
-			reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+			writeJSON(w, http.StatusServiceUnavailable, errorBody{"no capacity"})
 			return
 		}
-		c.rentals[rental.Name] = names
+		c.launched[request.Name] = names
 	}
-	reply(w, http.StatusOK, protocol.MachineNames{Machines: names})
+	writeJSON(w, http.StatusOK, protocol.MachineNames{Machines: names})
 }
 
-// createAll makes the machines of one rental, as far as the limit allows.
-func (c *Cloud) createAll(rental protocol.Rental) (names []string) {
-	for range rental.Count {
-		if c.limit > 0 && len(c.Workers.byAddr) >= c.limit {
+// createAll creates the machines of one launch request, as far as the limit allows.
+func (c *Cloud) createAll(request protocol.Rental) (names []string) {
+	for range request.Count {
+		if c.machineLimit > 0 && len(c.workers.byAddr) >= c.machineLimit {
 			break
 		}
-		m := c.create(rental.Type, rental.Zone, rental.Spot)
-		c.Workers.boot(m, c.Workers.timing.Boot)
+		m := c.create(request.Type, request.Zone, request.Spot)
+		c.workers.bootAfter(m, c.workers.timing.Boot)
 		names = append(names, m.name)
 	}
 	return names
 }
 
-func (c *Cloud) remove(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) terminate(w http.ResponseWriter, r *http.Request) {
 	var names protocol.MachineNames
 	if json.NewDecoder(r.Body).Decode(&names) != nil {
-		reply(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
 	ids, err := names.IDs()
 	if err != nil {
-		reply(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	c.Workers.mu.Lock()
-	defer c.Workers.mu.Unlock()
+	c.workers.mu.Lock()
+	defer c.workers.mu.Unlock()
 	for _, id := range ids {
-		if m := c.Workers.machines[id]; m != nil && !m.deleted {
-			c.Workers.remove(m)
+		if m := c.workers.machines[id]; m != nil && !m.deleted {
+			c.workers.remove(m)
 		}
 	}
-	reply(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
+}
+
+// listedMachine is a machine in the machine list on the wire.
+type listedMachine struct {
+	ID    string  `json:"Id"`
+	Addr  string  `json:"Addr"`
+	Type  string  `json:"Breed"`
+	Zone  string  `json:"Pasture"`
+	Spot  bool    `json:"Loaner"`
+	State string  `json:"Standing"`
+	AgeS  float64 `json:"AgeS"`
 }
 
-// listed is a machine in the cloud's list.
-type listed struct {
-	ID       string `json:"Id"`
-	Addr     string
-	Breed    string
-	Pasture  string
-	Loaner   bool
-	Standing string
-	AgeS     float64
+// machineList is a page of the machine list on the wire.
+type machineList struct {
+	Machines []listedMachine `json:"Mounts"`
+	More     bool            `json:"More"`
 }
 
-func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
-	after, page := -1, 500
+func (c *Cloud) listMachines(w http.ResponseWriter, r *http.Request) {
+	after, pageSize := -1, maxPageSize
 	if from := r.URL.Query().Get("From"); from != "" {
-		after, _ = protocol.ParseMachine(from)
+		after, _ = protocol.ParseMachine(from) // 0 if it is no machine's name
 	}
-	if n, err := strconv.Atoi(r.URL.Query().Get("Page")); err == nil && n > 0 && n < page {
-		page = n
+	if n, err := strconv.Atoi(r.URL.Query().Get("Page")); err == nil && n > 0 && n < pageSize {
+		pageSize = n
 	}
-	c.Workers.mu.Lock()
-	defer c.Workers.mu.Unlock()
-	mounts := []listed{}
-	for id, m := range c.Workers.machines {
+	c.workers.mu.Lock()
+	defer c.workers.mu.Unlock()
+	machines := []listedMachine{}
+	for id, m := range c.workers.machines {
 		if id <= after || m.deleted {
 			continue
 		}
-		standing := "booting"
+		state := "booting"
 		if m.up {
-			standing = "running"
+			state = "running"
 		}
-		mounts = append(mounts, listed{m.name, m.addr, m.kind, m.zone, m.spot, standing, time.Since(m.rented).Seconds()})
+		machines = append(machines, listedMachine{
+			ID: m.name, Addr: m.addr, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: state, AgeS: time.Since(m.createdAt).Seconds(),
+		})
 	}
-	sort.Slice(mounts, func(a, b int) bool { return mounts[a].ID < mounts[b].ID })
-	more := len(mounts) > page
-	reply(w, http.StatusOK, map[string]any{"Mounts": mounts[:min(page, len(mounts))], "More": more})
+	slices.SortFunc(machines, func(a, b listedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	writeJSON(w, http.StatusOK, machineList{Machines: machines[:min(pageSize, len(machines))], More: len(machines) > pageSize})
 }
--- /dev/null
+++ b/internal/loopbacktest/commands.go
@@ -0,0 +1,60 @@
+package loopbacktest
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+)
+
+// serveCommands executes commands that the leader sends directly.
+func (w *Workers) serveCommands(m *machine, rw http.ResponseWriter, r *http.Request) {
+	var request directCommands
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Token == 0 || request.Incarnation == 0 {
+		writeJSON(rw, http.StatusBadRequest, nil)
+		return
+	}
+	w.mu.Lock()
+	w.advance(m, time.Now())
+	status := http.StatusConflict
+	if request.Token >= m.token && request.Incarnation == m.incarnation && !m.deleted {
+		m.token, status = request.Token, http.StatusOK
+		w.execute(m, request.Commands)
+	}
+	response := m.newHeartbeat()
+	w.mu.Unlock()
+	writeJSON(rw, status, response)
+}
+
+// serveStatus returns the machine's status without a heartbeat.
+func (w *Workers) serveStatus(m *machine, rw http.ResponseWriter, _ *http.Request) {
+	w.mu.Lock()
+	w.advance(m, time.Now())
+	response := m.newHeartbeat()
+	w.mu.Unlock()
+	writeJSON(rw, http.StatusOK, response)
+}
+
+// execute executes commands in order. w.mu must be held.
+func (w *Workers) execute(m *machine, commands []command) {
+	now := time.Now()
+	changed := false
+	for _, c := range commands {
+		id := attemptID{c.Task, c.Attempt}
+		a := m.attempts[id]
+		switch {
+		case c.Verb == verbStart && a == nil:
+			w.startAttempt(m, id, now)
+			changed = true
+		case c.Verb == verbStop && a != nil && a.state != stateEnded:
+			w.endAttempt(a, causeStopped)
+			changed = true
+		case c.Verb == verbForget && a != nil && a.state == stateEnded:
+			delete(m.attempts, id)
+			w.audit.removeAttempt(a)
+			changed = true
+		}
+	}
+	if changed {
+		m.signalChange()
+	}
+}
--- /dev/null
+++ b/internal/loopbacktest/controller.go
@@ -0,0 +1,163 @@
+package loopbacktest
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+)
+
+// Program is a version of the controllers' program with its operators' properties.
+type Program struct {
+	Name       string
+	Binary     string // path
+	Properties string // contents of the properties file; empty: none
+}
+
+// Controller is one controller node and its current process. Its methods, Fleet.Start and Fleet.Close must not
+// be called concurrently for one controller.
+type Controller struct {
+	Name    string
+	Users   string // address for users and workers
+	Models  string // address for requests to models, if it listens there
+	Program Program
+
+	peersAddr string
+	process   *exec.Cmd     // nil: not running, or not started
+	exited    chan struct{} // closed when the process has exited
+	log       *os.File
+}
+
+// newController returns a controller with free addresses, not started.
+func newController(name string) (*Controller, error) {
+	c := &Controller{Name: name}
+	for _, addr := range []*string{&c.Users, &c.peersAddr, &c.Models} {
+		var err error
+		if *addr, err = freeAddress(); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+// The controllers' ports are below the range that the system assigns to outgoing connections and to listeners
+// without a port, so that none is taken between its choice and the controller's start.
+const (
+	firstPort = 16_000
+	portCount = 16_000
+)
+
+// portsTried counts the ports that were tried. Processes begin at different ones.
+var portsTried = func() *atomic.Int64 {
+	var n atomic.Int64
+	n.Store(int64(os.Getpid()) * 101)
+	return &n
+}()
+
+// freeAddress returns an address of the loopback interface that nobody listens on.
+func freeAddress() (string, error) {
+	var err error
+	for range portCount {
+		var l net.Listener
+		port := firstPort + int(portsTried.Add(1)%portCount)
+		if l, err = net.Listen("tcp4", fmt.Sprintf("0.0.0.0:%d", port)); err == nil {
+			return fmt.Sprintf("127.0.0.1:%d", port), l.Close()
+		}
+	}
+	return "", fmt.Errorf("find a free port: %w", err)
+}
+
+// Start starts a process of the program for the controller. A running process is killed first.
+func (f *Fleet) Start(c *Controller, p Program) error {
+	c.Kill()
+	c.Program = p
+	args, err := f.writeConfig(c)
+	if err != nil {
+		return err
+	}
+	log, err := os.OpenFile(f.logPath(c), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	process := exec.Command(p.Binary, args...)
+	process.Env = append(os.Environ(), "LOG_LEVEL="+f.options.LogLevel)
+	process.Stderr = log
+	if err := process.Start(); err != nil {
+		_ = log.Close() // the error of the start is returned
+		return err
+	}
+	exited := make(chan struct{})
+	go func() {
+		defer close(exited)
+		_ = process.Wait() // the tests read ProcessState
+	}()
+	c.process, c.exited, c.log = process, exited, log
+	return nil
+}
+
+// Kill kills the controller's process, if one runs, and waits for its exit. The process can't react to it.
+func (c *Controller) Kill() {
+	if c.process == nil {
+		return
+	}
+	_ = c.process.Process.Kill() // fails only if the process has exited
+	<-c.exited
+	_ = c.log.Close()
+	c.process = nil
+}
+
+// Log returns all that the controller's processes have logged, or the error that prevents it.
+func (f *Fleet) Log(c *Controller) string {
+	raw, err := os.ReadFile(f.logPath(c))
+	if err != nil {
+		return err.Error()
+	}
+	return string(raw)
+}
+
+func (f *Fleet) logPath(c *Controller) string      { return filepath.Join(f.dir, c.Name+".log") }
+func (f *Fleet) settingsPath(c *Controller) string { return filepath.Join(f.dir, c.Name+".toml") }
+func (f *Fleet) propertiesPath(c *Controller) string {
+	return filepath.Join(f.dir, c.Name+".properties")
+}
+
+// writeConfig writes the settings and the properties of the controller, and returns the arguments that name them.
+func (f *Fleet) writeConfig(c *Controller) (args []string, err error) {
+	if err := os.WriteFile(f.settingsPath(c), []byte(f.settings(c)), 0o600); err != nil {
+		return nil, err
+	}
+	args = []string{"--config", f.settingsPath(c)}
+	if c.Program.Properties == "" {
+		return args, nil
+	}
+	if err := os.WriteFile(f.propertiesPath(c), []byte(c.Program.Properties), 0o600); err != nil {
+		return nil, err
+	}
+	return append(args, "--properties", f.propertiesPath(c)), nil
+}
+
+// settings returns the contents of the controller's settings file.
+func (f *Fleet) settings(c *Controller) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "host_name = %q\nzone = %q\nserve_on = %q\npeer_listen = %q\n", c.Name, zones[0], c.Users, c.peersAddr)
+	for _, peer := range f.Controllers {
+		if peer != c {
+			fmt.Fprintf(&b, "[[seeds]]\nhost_name = %q\nzone = %q\naddr = %q\n", peer.Name, zones[0], peer.peersAddr)
+		}
+	}
+	o := &f.options
+	fmt.Fprintf(&b, "[endpoints]\ncloud = %q\nstate = %q\n", f.cloudAddr, f.stateAddr)
+	fmt.Fprintf(&b, "[params]\nsize = %d\nzones = [%q, %q]\nclock_error_ms = 5.0\n", o.Controllers, zones[0], zones[1])
+	for _, t := range o.Teams {
+		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %.1f\n", t.Name, t.CPULimit)
+	}
+	fmt.Fprintf(&b, "[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 5.0\ngang_peer_s = 1.0\ncancel_s = %g\n",
+		o.Timing.Report.Seconds(), o.Timing.Lease.Seconds(), o.Timing.Cancel.Seconds())
+	fmt.Fprintf(&b, "[params.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = %g\ntxn_ops = %d\n", o.RequestsPerS, o.ChangesPerS, o.ValueKB, o.TxnOps)
+	fmt.Fprintf(&b, "[params.cloud]\nrps = %g\nlist_lag_s = 0.1\n", o.CloudRPS)
+	fmt.Fprintf(&b, "[params.quota]\ncpu_share = %g\nram_mb = %g\nsockets = %d\n", o.CPUShare, o.MemoryMB, o.Sockets)
+	return b.String()
+}
--- a/internal/loopbacktest/heartbeats.go
+++ b/internal/loopbacktest/heartbeats.go
@@ -8,8 +8,11 @@
 	"time"
 )
 
-// run reports until the machine is gone.
-func (w *Workers) run(m *machine) {
+// heartbeatTimeout bounds the wait for the response to a heartbeat, by the protocol.
+const heartbeatTimeout = 4 * time.Second
+
+// runHeartbeats sends a machine's heartbeats until it is deleted or the workers are closed.
+func (w *Workers) runHeartbeats(m *machine) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	pendingChange := false
@@ -23,99 +26,95 @@
 		}
 		w.mu.Lock()
 		now := time.Now()
-		pendingChange = w.settle(m, now) || pendingChange
-		at := m.nextReport(w.timing, pendingChange)
-		due := !m.silent && !now.Before(at)
-		var r report
+		pendingChange = w.advance(m, now) || pendingChange
+		at := m.nextHeartbeat(w.timing, pendingChange)
+		due := !m.unresponsive && !now.Before(at)
+		var h heartbeat
 		if due {
-			m.lastBeat = now
-			r = m.report()
+			m.lastHeartbeat = now
+			h = m.newHeartbeat()
 		}
-		steward, gone := m.steward, m.deleted
-		wake := w.wake(m, at, due, now)
+		controller, deleted := m.controller, m.deleted
+		wait := w.untilNextWork(m, at, due, now)
 		w.mu.Unlock()
-		if gone {
+		if deleted {
 			return
 		}
 		if due {
 			pendingChange = false
-			w.beat(m, r, steward)
+			w.sendHeartbeat(m, h, controller)
 		}
-		timer.Reset(wake)
+		timer.Reset(wait)
 	}
 }
 
-// nextReport is when a machine reports next.
-func (m *machine) nextReport(timing Timing, changed bool) time.Time {
-	at := m.lastBeat.Add(timing.Report)
+// nextHeartbeat returns when the next heartbeat is due.
+func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
+	at := m.lastHeartbeat.Add(timing.Report)
 	if changed {
-		at = m.lastBeat.Add(timing.Change)
+		at = m.lastHeartbeat.Add(timing.Change)
 	}
-	if at.Before(m.tryNext) {
-		at = m.tryNext
+	if at.Before(m.retryAt) {
+		at = m.retryAt
 	}
 	return at
 }
 
-// wake is how long a machine has nothing to do by itself.
-func (w *Workers) wake(m *machine, report time.Time, reports bool, now time.Time) time.Duration {
-	if reports {
-		return 0 // look again once the answer has come
-	}
-	if m.silent {
-		report = now.Add(w.timing.Report)
+// untilNextWork returns the time until a machine has to send a heartbeat or one of its attempts changes.
+// w.mu must be held.
+func (w *Workers) untilNextWork(m *machine, heartbeatAt time.Time, heartbeatDue bool, now time.Time) time.Duration {
+	if heartbeatDue {
+		return 0 // check again after the response
 	}
-	if next := w.nextChange(m); !next.IsZero() && next.Before(report) {
-		report = next
+	next := heartbeatAt
+	if m.unresponsive {
+		next = now.Add(w.timing.Report)
 	}
-	return max(report.Sub(now), time.Millisecond)
-}
-
-func (m *machine) notify() {
-	select {
-	case m.changed <- struct{}{}:
-	default:
+	if change := w.nextChange(m); !change.IsZero() && change.Before(next) {
+		next = change
 	}
+	return max(next.Sub(now), time.Millisecond)
 }
 
-// beat sends one report and carries out its answer.
-func (w *Workers) beat(m *machine, r report, steward int) {
+// sendHeartbeat sends one heartbeat and executes the commands of the response. After a failure
+// the next heartbeat goes to another controller.
+func (w *Workers) sendHeartbeat(m *machine, h heartbeat, controller int) {
 	sent := time.Now()
-	a, status, err := w.send(r, steward)
-	took := time.Since(sent)
+	response, status, err := w.postHeartbeat(h, controller)
+	latency := time.Since(sent)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch next, named := w.names[a.Steward]; {
+	switch leader, known := w.controllerIndex[response.Leader]; {
 	case status == http.StatusOK && err == nil:
-		_ = w.reportDelay.RecordValue(min(max(took.Microseconds(), 1), slowest))
-		if r.Ride == m.session && a.Baton >= m.token && !m.deleted && took < reportTimeout {
-			m.token, m.lastRenewed = a.Baton, sent
-			w.carryOut(m, a.Orders)
+		recordMicros(w.heartbeatLatency, latency)
+		if h.Incarnation == m.incarnation && response.Token >= m.token && !m.deleted && latency < heartbeatTimeout {
+			m.token, m.leaseRenewedAt = response.Token, sent
+			w.execute(m, response.Commands)
 		}
-	case status == http.StatusMisdirectedRequest && named && next != steward:
-		m.steward = next
-		m.tryNext = time.Now()
+	case status == http.StatusMisdirectedRequest && known && leader != controller:
+		m.controller = leader
+		m.retryAt = time.Now()
 	default:
-		m.steward = (steward + 1) % len(w.nodes)
-		m.tryNext = time.Now().Add(min(w.timing.Report/3, time.Second))
+		m.controller = (controller + 1) % len(w.controllerAddrs)
+		m.retryAt = time.Now().Add(min(w.timing.Report/3, time.Second))
 	}
 }
 
-// send posts one report.
-func (w *Workers) send(r report, steward int) (a answer, status int, err error) {
-	body, err := json.Marshal(r)
+// postHeartbeat posts one heartbeat. The status is 0 if there was no response.
+func (w *Workers) postHeartbeat(h heartbeat, controller int) (response heartbeatResponse, status int, err error) {
+	body, err := json.Marshal(h)
 	if err != nil {
-		return a, 0, err
+		return response, 0, err
 	}
-	response, err := w.client.Post("http://"+w.nodes[steward]+"/agent/beat", "application/json", bytes.NewReader(body))
+	httpResponse, err := w.client.Post("http://"+w.controllerAddrs[controller]+"/agent/beat", "application/json", bytes.NewReader(body))
 	if err != nil {
-		return a, 0, err
+		return response, 0, err
 	}
-	defer response.Body.Close()
-	raw, err := io.ReadAll(response.Body)
+	defer httpResponse.Body.Close()
+	raw, err := io.ReadAll(httpResponse.Body)
 	if err == nil {
-		err = json.Unmarshal(raw, &a)
+		err = json.Unmarshal(raw, &response)
 	}
-	w.traffic.Add(Reports, int64(len(body)), int64(len(raw)))
-	return a, response.StatusCode, err
+	w.traffic.add(Reports, int64(len(body)), int64(len(raw)))
+	return response, httpResponse.StatusCode, err
 }
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -1,74 +1,57 @@
 package loopbacktest
 
-import (
-	"fmt"
-	"strings"
-	"time"
-)
+import "time"
 
-// Team is a team of the settings; limits of 0 mean none.
+// Timing holds intervals and limits of the workers.
+type Timing struct {
+	Report time.Duration // between two heartbeats
+	Change time.Duration // least pause before a heartbeat that a change causes
+	Lease  time.Duration // of a worker
+	Cancel time.Duration // from a confirmed cancellation until no task of the job may run
+	Boot   time.Duration // of a machine
+	Fetch  time.Duration // of a task's image
+}
+
+// Team is a team of the settings.
 type Team struct {
 	Name     string
-	CPULimit float64
+	CPULimit float64 // 0: none
 }
 
-// Options describe a fleet and what the platform tells its controllers.
+// Options describe a fleet and the limits that its controllers are configured with.
 type Options struct {
-	Controllers int
-	Timing      Timing
-	Teams       []Team
-	// Workers are machines that run from the start; the cloud has MachineLimit in all, 0:
-	// as many as are asked for.
-	Workers, MachineLimit int
-	MachineCPUs           float64
-	// RequestsPerS, ChangesPerS, ValueKB and TxnOps are the state service's limits, as they are
-	// told to the controllers. The stand-in enforces the latter two.
+	Controllers  int
+	Timing       Timing
+	Teams        []Team
+	Workers      int // machines that exist from the start
+	MachineLimit int // of the cloud; 0: none
+	MachineCPUs  float64
+
+	// The limits of the key-value store. The stand-in enforces only ValueKB and TxnOps.
 	RequestsPerS, ChangesPerS, ValueKB float64
 	TxnOps                             int
-	CloudRPS                           float64
-	MemoryMB                           float64
-	CPUShare                           float64
-	Sockets                            int
-	LogLevel                           string
+
+	CloudRPS float64 // requests per second to the cloud
+	MemoryMB float64 // of a controller
+	CPUShare float64 // of a controller, in processors
+	Sockets  int     // of a controller
+	LogLevel string  // of the controllers
 }
 
-// DefaultOptions are those of a small fleet of three controllers without machines at the start.
+// DefaultOptions returns the options of a small fleet: three controllers, and no machines at the start.
 func DefaultOptions() Options {
 	return Options{
-		Controllers: 3, Timing: leaseTiming, Teams: []Team{{Name: "team"}}, MachineCPUs: 16,
+		Controllers: 3, Timing: defaultTiming, Teams: []Team{{Name: "team"}}, MachineCPUs: 16,
 		RequestsPerS: 2000, ChangesPerS: 500, ValueKB: 8, TxnOps: 32, CloudRPS: 50,
 		MemoryMB: 128, CPUShare: 1, Sockets: 500, LogLevel: "info",
 	}
 }
 
-// leaseTiming is short enough for many steps, and long enough for a busy machine.
-var leaseTiming = Timing{
+// defaultTiming is short enough for tests with many steps, and long enough for a busy machine.
+var defaultTiming = Timing{
 	Report: 400 * time.Millisecond, Change: 100 * time.Millisecond, Lease: 5 * time.Second, Cancel: 12 * time.Second,
 	Boot: 300 * time.Millisecond, Fetch: 50 * time.Millisecond,
 }
 
-// zones are those of every fleet.
+// zones are the zones of every fleet.
 var zones = []string{"a", "b"}
-
-// settings is a controller's settings file.
-func (f *Fleet) settings(c *Controller) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "host_name = %q\nzone = %q\nserve_on = %q\npeer_listen = %q\n", c.Name, zones[0], c.Users, c.peers)
-	for _, o := range f.Controllers {
-		if o != c {
-			fmt.Fprintf(&b, "[[seeds]]\nhost_name = %q\nzone = %q\naddr = %q\n", o.Name, zones[0], o.peers)
-		}
-	}
-	o := &f.options
-	fmt.Fprintf(&b, "[endpoints]\ncloud = %q\nstate = %q\n", f.cloudAddr, f.stateAddr)
-	fmt.Fprintf(&b, "[params]\nsize = %d\nzones = [%q, %q]\nclock_error_ms = 5.0\n", o.Controllers, zones[0], zones[1])
-	for _, t := range o.Teams {
-		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %.1f\n", t.Name, t.CPULimit)
-	}
-	fmt.Fprintf(&b, "[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 5.0\ngang_peer_s = 1.0\ncancel_s = %g\n",
-		o.Timing.Report.Seconds(), o.Timing.Lease.Seconds(), o.Timing.Cancel.Seconds())
-	fmt.Fprintf(&b, "[params.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = %g\ntxn_ops = %d\n", o.RequestsPerS, o.ChangesPerS, o.ValueKB, o.TxnOps)
-	fmt.Fprintf(&b, "[params.cloud]\nrps = %g\nlist_lag_s = 0.1\n", o.CloudRPS)
-	fmt.Fprintf(&b, "[params.quota]\ncpu_share = %g\nram_mb = %g\nsockets = %d\n", o.CPUShare, o.MemoryMB, o.Sockets)
-	return b.String()
-}
--- a/internal/loopbacktest/process_usage.go
+++ b/internal/loopbacktest/process_usage.go
@@ -1,6 +1,7 @@
 package loopbacktest
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -9,11 +10,11 @@
 	"time"
 )
 
-// ProcessUsage is what the operating system tells of a process.
+// ProcessUsage is the resource usage of a process.
 type ProcessUsage struct {
-	CPU       time.Duration // used since it began
-	MemoryKB  int64         // resident now
-	PeakKB    int64         // resident at most
+	CPU       time.Duration // user and system time since the start
+	MemoryKB  int64         // resident
+	PeakKB    int64         // largest resident so far
 	OpenFiles int
 }
 
@@ -23,18 +24,19 @@
 // errNotRunning says that a controller has no process.
 var errNotRunning = errors.New("not running")
 
-// Usage tells what a controller's process uses.
+// Usage returns the usage of the controller's process.
 func (c *Controller) Usage() (ProcessUsage, error) {
 	if c.process == nil {
 		return ProcessUsage{}, errNotRunning
 	}
-	return usageOf(c.process.Process.Pid)
+	return readProcessUsage(c.process.Process.Pid)
 }
 
-// OwnUsage tells what this process, with all stand-ins, uses.
-func OwnUsage() (ProcessUsage, error) { return usageOf(os.Getpid()) }
+// OwnUsage returns the usage of this process, with all stand-ins.
+func OwnUsage() (ProcessUsage, error) { return readProcessUsage(os.Getpid()) }
 
-func usageOf(pid int) (ProcessUsage, error) {
+// readProcessUsage reads the usage of a process from /proc. OpenFiles is 0 if they can't be listed.
+func readProcessUsage(pid int) (ProcessUsage, error) {
 	var u ProcessUsage
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(dir + "stat")
@@ -42,7 +44,7 @@
 		return u, err
 	}
 	// The name, in parentheses, may hold anything; utime and stime are the 12th and 13th fields after it.
-	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) < 13 {
 		return u, fmt.Errorf("%sstat has %d fields", dir, len(fields))
 	}
@@ -57,19 +59,20 @@
 	if err != nil {
 		return u, err
 	}
-	u.MemoryKB, u.PeakKB = statusKB(string(status), "VmRSS:"), statusKB(string(status), "VmHWM:")
+	u.MemoryKB, u.PeakKB = statusFieldKB(string(status), "VmRSS:"), statusFieldKB(string(status), "VmHWM:")
 	if files, err := os.ReadDir(dir + "fd"); err == nil {
 		u.OpenFiles = len(files)
 	}
 	return u, nil
 }
 
-func statusKB(status, field string) int64 {
+// statusFieldKB returns a field of /proc/PID/status in kilobytes; 0 if it is missing.
+func statusFieldKB(status, field string) int64 {
 	_, rest, _ := strings.Cut(status, field)
 	parts := strings.Fields(rest)
 	if len(parts) == 0 {
 		return 0
 	}
-	kb, _ := strconv.ParseInt(parts[0], 10, 64)
+	kb, _ := strconv.ParseInt(parts[0], 10, 64) // the kernel writes a number
 	return kb
 }
--- a/internal/loopbacktest/traffic.go
+++ b/internal/loopbacktest/traffic.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Kind is a kind of message, named by who asks and what for.
+// Kind is a kind of message, by its sender and purpose.
 type Kind string
 
-// The kinds of messages that the stand-ins see. What the controllers say to each other passes none of them.
+// The kinds of messages that the stand-ins see. Messages between controllers are not among them.
 const (
 	Reports      Kind = "worker report"
 	DirectOrders Kind = "direct orders"
@@ -24,22 +24,21 @@
 	Cancels      Kind = "cancel"
 )
 
-// Flow counts messages of one kind: requests, and the bytes of their bodies both ways.
+// Flow counts messages of one kind: requests, and the bytes of the request and response bodies.
 type Flow struct {
 	Messages, RequestBytes, ResponseBytes int64
 }
 
-// Traffic counts messages by kind. It may be used from any goroutine.
+// Traffic counts messages by kind. It is safe for concurrent use.
 type Traffic struct {
 	mu    sync.Mutex
 	flows map[Kind]*Flow
 }
 
-// NewTraffic starts from nothing.
-func NewTraffic() *Traffic { return &Traffic{flows: make(map[Kind]*Flow)} }
+func newTraffic() *Traffic { return &Traffic{flows: make(map[Kind]*Flow)} }
 
-// Add counts one message.
-func (t *Traffic) Add(kind Kind, request, response int64) {
+// add counts one message.
+func (t *Traffic) add(kind Kind, requestBytes, responseBytes int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.flows[kind]
@@ -48,11 +47,11 @@
 		t.flows[kind] = f
 	}
 	f.Messages++
-	f.RequestBytes += request
-	f.ResponseBytes += response
+	f.RequestBytes += requestBytes
+	f.ResponseBytes += responseBytes
 }
 
-// Snapshot returns the counts so far.
+// Snapshot returns a copy of the counts.
 func (t *Traffic) Snapshot() map[Kind]Flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,42 +62,42 @@
 	return out
 }
 
-// Reset starts from nothing again.
+// Reset sets all counts to 0.
 func (t *Traffic) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.flows)
 }
 
-// Counted has a handler's messages counted under kind.
-func (t *Traffic) Counted(kind Kind, h http.HandlerFunc) http.HandlerFunc {
+// counted wraps a handler so that its messages are counted under kind.
+func (t *Traffic) counted(kind Kind, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body := &countingReader{ReadCloser: r.Body}
 		r.Body = body
-		out := &countingWriter{ResponseWriter: w}
-		h(out, r)
-		t.Add(kind, body.read, out.written)
+		response := &countingWriter{ResponseWriter: w}
+		h(response, r)
+		t.add(kind, body.bytes, response.bytes)
 	}
 }
 
 type countingReader struct {
 	io.ReadCloser
-	read int64
+	bytes int64
 }
 
 func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.ReadCloser.Read(p)
-	c.read += int64(n)
+	c.bytes += int64(n)
 	return n, err
 }
 
 type countingWriter struct {
 	http.ResponseWriter
-	written int64
+	bytes int64
 }
 
 func (c *countingWriter) Write(p []byte) (int, error) {
 	n, err := c.ResponseWriter.Write(p)
-	c.written += int64(n)
+	c.bytes += int64(n)
 	return n, err
 }
--- a/internal/loopbacktest/upgrade_bench_test.go
+++ b/internal/loopbacktest/upgrade_bench_test.go
@@ -11,55 +11,55 @@
 	"sagevale/internal/upgrade"
 )
 
-// highest is the longest time that is told apart, in microseconds.
-const highest = int64(time.Minute / time.Microsecond)
+// maxValue is the largest value that histograms distinguish: a minute in microseconds.
+const maxValue = int64(time.Minute / time.Microsecond)
 
-// distribution is a histogram of one figure.
+// distribution is the histogram of one quantity.
 type distribution struct {
-	what, unit string
+	name, unit string
 	values     *hdrhistogram.Histogram
 }
 
-// measurement is all figures of one version, in the order of their first value.
-type measurement struct {
-	figures map[string]*distribution
-	order   []string
+// measurements holds the distributions of one version, in the order of their first values.
+type measurements struct {
+	byName map[string]*distribution
+	order  []string
 }
 
-func newMeasurement() *measurement { return &measurement{figures: make(map[string]*distribution)} }
+func newMeasurements() *measurements { return &measurements{byName: make(map[string]*distribution)} }
 
-func (m *measurement) add(what, unit string, value int64) error {
-	d := m.figures[what]
+func (m *measurements) add(name, unit string, value int64) error {
+	d := m.byName[name]
 	if d == nil {
-		d = &distribution{what: what, unit: unit, values: hdrhistogram.New(0, highest, 3)}
-		m.figures[what] = d
-		m.order = append(m.order, what)
+		d = &distribution{name: name, unit: unit, values: hdrhistogram.New(0, maxValue, 3)}
+		m.byName[name] = d
+		m.order = append(m.order, name)
 	}
 	return d.values.RecordValue(value)
 }
 
-// table writes the distributions for the documents.
-func (m *measurement) table(name string) string {
+// table returns the distributions as a Markdown table.
+func (m *measurements) table(title string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "\n| %s | n | mean | median | 90%% | most |\n| --- | --- | --- | --- | --- | --- |\n", name)
-	for _, what := range m.order {
-		d := m.figures[what]
+	fmt.Fprintf(&b, "\n| %s | n | mean | median | 90%% | most |\n| --- | --- | --- | --- | --- | --- |\n", title)
+	for _, name := range m.order {
+		d := m.byName[name]
 		h := d.values
-		fmt.Fprintf(&b, "| %s, %s | %d | %.0f | %d | %d | %d |\n", what, d.unit, h.TotalCount(), h.Mean(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max())
+		fmt.Fprintf(&b, "| %s, %s | %d | %.0f | %d | %d | %d |\n", name, d.unit, h.TotalCount(), h.Mean(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max())
 	}
 	return b.String()
 }
 
-// prober is a user behind a load balancer that asks for a job again and again.
-type prober struct {
-	fleet   *Fleet
-	stop    chan struct{}
-	stopped chan struct{}
-	gap     time.Duration // the longest without an answer
+// availabilityProbe polls a job through all controllers, as a user behind a load balancer.
+type availabilityProbe struct {
+	stop       chan struct{}
+	stopped    chan struct{}
+	longestGap time.Duration // between two responses
 }
 
-func (f *Fleet) probe(id string) *prober {
-	p := &prober{fleet: f, stop: make(chan struct{}), stopped: make(chan struct{})}
+// startProbe starts a probe. stopAndWait ends it.
+func (f *Fleet) startProbe(id string) *availabilityProbe {
+	p := &availabilityProbe{stop: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
 		defer close(p.stopped)
 		last := time.Now()
@@ -69,8 +69,8 @@
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
-			if _, err := f.Ask(f.Controllers[i%len(f.Controllers)], "GET", "/v1/jobs/"+id, nil); err == nil {
-				p.gap = max(p.gap, time.Since(last))
+			if _, err := f.request(f.Controllers[i%len(f.Controllers)], "GET", "/v1/jobs/"+id, nil); err == nil {
+				p.longestGap = max(p.longestGap, time.Since(last))
 				last = time.Now()
 			}
 		}
@@ -78,107 +78,111 @@
 	return p
 }
 
-func (p *prober) end() time.Duration {
+// stopAndWait ends the probe and returns the longest gap between two responses.
+func (p *availabilityProbe) stopAndWait() time.Duration {
 	close(p.stop)
 	<-p.stopped
-	return p.gap
+	return p.longestGap
 }
 
 const (
-	restTime = 4 * time.Second // for which a fleet at rest is counted
-	stepTime = 3 * time.Second // for which a step is watched
+	idleDuration    = 4 * time.Second // of measureIdle
+	restartDuration = 3 * time.Second // of measureRestart
 )
 
-// measured is one run: a fleet that is upgraded one by one, at rest, and rolled back.
-type measured struct {
-	*drill
-	into *measurement
+// measuredFleet is a fleet whose upgrade, idle time and rollback are measured.
+type measuredFleet struct {
+	*testFleet
+	results *measurements
 }
 
-func (d *measured) record(what, unit string, value int64) {
-	d.t.Helper()
-	if err := d.into.add(what, unit, value); err != nil {
-		d.t.Fatalf("%s: %v", what, err)
+func (f *measuredFleet) record(name, unit string, value int64) {
+	f.tb.Helper()
+	if err := f.results.add(name, unit, value); err != nil {
+		f.tb.Fatalf("record %s: %v", name, err)
 	}
 }
 
-// watched restarts a controller and records what users and the state service notice.
-func (d *measured) watched(what string, c *Controller, p Program) {
-	requests, sent := d.State.Requests.Load(), d.State.Bytes.Load()
-	probe := d.probe("job-000001")
+// measureRestart restarts a controller and records the effects on users and the key-value store.
+func (f *measuredFleet) measureRestart(name string, c *Controller, p Program) {
+	requests, sent := f.State.Requests.Load(), f.State.Bytes.Load()
+	probe := f.startProbe("job-000001")
 	began := time.Now()
-	d.start(c, p)
-	time.Sleep(stepTime - time.Since(began))
-	d.record(what+": longest without an answer", "ms", probe.end().Milliseconds())
-	d.record(what+": requests to the state service", "in 3 s", d.State.Requests.Load()-requests)
-	d.record(what+": bytes to the state service", "in 3 s", d.State.Bytes.Load()-sent)
+	f.start(c, p)
+	time.Sleep(restartDuration - time.Since(began))
+	f.record(name+": longest without an answer", "ms", probe.stopAndWait().Milliseconds())
+	f.record(name+": requests to the state service", "in 3 s", f.State.Requests.Load()-requests)
+	f.record(name+": bytes to the state service", "in 3 s", f.State.Bytes.Load()-sent)
 }
 
-func (d *measured) atRest() {
-	requests, sent := d.State.Requests.Load(), d.State.Bytes.Load()
-	time.Sleep(restTime)
-	d.record("at rest: requests to the state service", "in 4 s", d.State.Requests.Load()-requests)
-	d.record("at rest: bytes to the state service", "in 4 s", d.State.Bytes.Load()-sent)
+// measureIdle records the load of the key-value store while nothing happens.
+func (f *measuredFleet) measureIdle() {
+	requests, sent := f.State.Requests.Load(), f.State.Bytes.Load()
+	time.Sleep(idleDuration)
+	f.record("at rest: requests to the state service", "in 4 s", f.State.Requests.Load()-requests)
+	f.record("at rest: bytes to the state service", "in 4 s", f.State.Bytes.Load()-sent)
 }
 
-// serves tells whether a controller answers a user by itself or by the leader.
-func (d *measured) serves(c *Controller) bool {
-	_, err := d.Ask(c, "GET", "/v1/jobs/job-000001", nil)
+// serves reports whether a controller responds to a user, by itself or through the leader.
+func (f *measuredFleet) serves(c *Controller) bool {
+	_, err := f.request(c, "GET", "/v1/jobs/job-000001", nil)
 	return err == nil
 }
 
 // BenchmarkUpgradeSteps prints distributions for docs/rolling-upgrade.md: run it with
-// -benchtime 15x. With -older it also measures the same restarts of that binary, which
-// knows nothing of registrations.
+// -benchtime 15x. With -older it also measures restarts of that binary, which does not
+// register.
 func BenchmarkUpgradeSteps(b *testing.B) {
-	now, before := newMeasurement(), newMeasurement()
+	current, older := newMeasurements(), newMeasurements()
 	seed := uint64(0)
 	for b.Loop() {
 		seed++
 		if *olderBinary != "" {
-			measureRestarts(b, seed, Program{Name: "older", Binary: *olderBinary}, before)
+			measureRestarts(b, seed, Program{Name: "older", Binary: *olderBinary}, older)
 		}
-		measureUpgrade(b, seed, now)
+		measureUpgrade(b, seed, current)
 	}
-	fmt.Println(now.table("loopback, this version") + before.table("loopback, the version before")) // b.Log cuts it short
+	fmt.Println(current.table("loopback, this version") + older.table("loopback, the version before")) // b.Log truncates
 }
 
-func measureRestarts(t testing.TB, seed uint64, p Program, into *measurement) {
-	d := &measured{newDrill(t, seed), into}
-	for _, c := range d.Controllers {
-		d.start(c, p)
+func measureRestarts(tb testing.TB, seed uint64, p Program, results *measurements) {
+	tb.Helper()
+	f := &measuredFleet{newTestFleet(tb, seed), results}
+	for _, c := range f.Controllers {
+		f.start(c, p)
 	}
-	d.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
-	d.check()
-	for _, c := range d.Controllers {
-		d.watched("a restart", c, p)
+	f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
+	f.checkJobs()
+	for _, c := range f.Controllers {
+		f.measureRestart("a restart", c, p)
 	}
-	d.atRest()
-	d.Close()
+	f.measureIdle()
+	f.Close()
 }
 
-func measureUpgrade(t testing.TB, seed uint64, into *measurement) {
-	d := &measured{newDrill(t, seed), into}
-	for _, c := range d.Controllers {
-		d.start(c, capped(upgrade.Version1))
+func measureUpgrade(tb testing.TB, seed uint64, results *measurements) {
+	tb.Helper()
+	f := &measuredFleet{newTestFleet(tb, seed), results}
+	for _, c := range f.Controllers {
+		f.start(c, cappedAt(upgrade.Version1))
 	}
-	d.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
-	d.check()
-	for _, c := range d.Controllers[:2] {
-		d.watched("a restart", c, newer)
+	f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
+	f.checkJobs()
+	for _, c := range f.Controllers[:2] {
+		f.measureRestart("a restart", c, currentProgram)
 	}
 	began := time.Now()
-	d.start(d.Controllers[2], newer)
-	d.eventually("activated", 20*time.Second, func() bool { return d.active(upgrade.Current) })
-	d.record("from the last process's start to activation", "ms", time.Since(began).Milliseconds())
+	f.start(f.Controllers[2], currentProgram)
+	f.eventually("activated", 20*time.Second, func() bool { return f.versionActive(upgrade.Current) })
+	f.record("from the last process's start to activation", "ms", time.Since(began).Milliseconds())
 	time.Sleep(time.Second)
-	d.atRest()
-	back := d.Controllers[d.random.IntN(3)]
+	f.measureIdle()
+	downgraded := f.Controllers[f.random.IntN(3)]
 	began = time.Now()
-	d.start(back, capped(upgrade.Version1))
-	d.eventually("serves", 20*time.Second, func() bool { return d.serves(back) })
-	d.record("rollback: until the older process serves", "ms", time.Since(began).Milliseconds())
-	d.eventually("withdrawn", 20*time.Second, func() bool { return d.active(upgrade.Version1) })
-	d.record("rollback: until version 1 is active again", "ms", time.Since(began).Milliseconds())
-	d.Close()
+	f.start(downgraded, cappedAt(upgrade.Version1))
+	f.eventually("serves", 20*time.Second, func() bool { return f.serves(downgraded) })
+	f.record("rollback: until the older process serves", "ms", time.Since(began).Milliseconds())
+	f.eventually("withdrawn", 20*time.Second, func() bool { return f.versionActive(upgrade.Version1) })
+	f.record("rollback: until version 1 is active again", "ms", time.Since(began).Milliseconds())
+	f.Close()
 }
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -1,12 +1,14 @@
 package loopbacktest
 
 import (
+	"context"
 	"flag"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"os/exec"
-	"path/filepath"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -16,70 +18,75 @@
 )
 
 var (
-	olderBinary = flag.String("older", "", "a binary of an earlier commit, to upgrade from; empty: this source, capped at version 1")
-	olderTold   = flag.String("older.registers", "no", "whether that binary registers: yes or no")
-	seeds       = flag.Int("seeds", 2, "random orders to play")
-	firstSeed   = flag.Uint64("seed", 1, "the first of them")
-	stepsEach   = flag.Int("steps", 8, "steps of each")
+	olderBinary  = flag.String("older", "", "a binary of an earlier commit, to upgrade from; empty: this source, capped at version 1")
+	seeds        = flag.Int("seeds", 2, "random orders to play")
+	firstSeed    = flag.Uint64("seed", 1, "the first of them")
+	stepsPerSeed = flag.Int("steps", 8, "steps of each")
 )
 
-// newer is this source, built once for all tests.
-var newer Program
+// currentProgram is this source, built once for all tests.
+var currentProgram Program
 
 func TestMain(m *testing.M) {
 	flag.Parse()
+	os.Exit(buildAndRun(m))
+}
+
+// buildAndRun builds currentProgram, runs the tests and returns the exit code.
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "sagevale-loopback")
 	if err != nil {
-		panic(err)
+		fmt.Fprintln(os.Stderr, err)
+		return 1
 	}
-	newer = Program{Name: "newer", Binary: filepath.Join(dir, "sagevale"), Registers: true}
-	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", newer.Binary, "sagevale/cmd/sagevale")
-	if out, err := build.CombinedOutput(); err != nil {
-		fmt.Fprintln(os.Stderr, "build:", err, string(out))
-		os.Exit(1)
+	defer func() { _ = os.RemoveAll(dir) }()
+	binary, err := Build(context.Background(), dir, os.Stderr)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
 	}
-	code := m.Run()
-	_ = os.RemoveAll(dir)
-	os.Exit(code)
+	currentProgram = Program{Name: "newer", Binary: binary}
+	return m.Run()
 }
 
-// capped is this source acting as an earlier version that registers.
-func capped(version upgrade.Version) Program {
-	return Program{Name: fmt.Sprintf("capped at %d", version), Binary: newer.Binary, Properties: fmt.Sprintf("upgrade.test.cap = %d\n", version), Registers: true}
+// cappedAt returns this source acting as an earlier version that registers.
+func cappedAt(version upgrade.Version) Program {
+	return Program{Name: fmt.Sprintf("capped at %d", version), Binary: currentProgram.Binary, Properties: fmt.Sprintf("upgrade.test.cap = %d\n", version)}
 }
 
-// older is what the fleet is upgraded from.
-func older() Program {
+// olderProgram returns the program that the fleet is upgraded from.
+func olderProgram() Program {
 	if *olderBinary == "" {
-		return capped(upgrade.Version1)
+		return cappedAt(upgrade.Version1)
 	}
-	return Program{Name: "older", Binary: *olderBinary, Registers: *olderTold == "yes"}
+	return Program{Name: "older", Binary: *olderBinary}
 }
 
-// drill is one fleet under a steady stream of jobs.
-type drill struct {
+// testFleet is a fleet with the jobs that were submitted to it. Its methods fail the test.
+type testFleet struct {
 	*Fleet
-	t      testing.TB
+	tb     testing.TB
 	random *rand.Rand
 	jobs   []Job
 }
 
-func newDrill(t testing.TB, seed uint64) *drill {
-	t.Helper()
-	f, err := NewFleet(t.TempDir())
+// newTestFleet starts the stand-ins of a fleet. It is closed with the test, which logs the ends of the
+// controllers' logs if it has failed.
+func newTestFleet(tb testing.TB, seed uint64) *testFleet {
+	tb.Helper()
+	fleet, err := NewFleetOf(tb.TempDir(), DefaultOptions())
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	d := &drill{Fleet: f, t: t, random: rand.New(rand.NewPCG(seed, 77))}
-	t.Cleanup(func() {
-		if t.Failed() {
-			for _, c := range f.Controllers {
-				t.Logf("log of %s:\n%s", c.Name, lastLines(f.Log(c), 25))
+	tb.Cleanup(func() {
+		if tb.Failed() {
+			for _, c := range fleet.Controllers {
+				tb.Logf("log of %s:\n%s", c.Name, lastLines(fleet.Log(c), 25))
 			}
 		}
-		f.Close()
+		fleet.Close()
 	})
-	return d
+	return &testFleet{Fleet: fleet, tb: tb, random: rand.New(rand.NewPCG(seed, 77))}
 }
 
 func lastLines(text string, n int) string {
@@ -87,199 +94,213 @@
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-func (d *drill) start(c *Controller, p Program) {
-	d.t.Helper()
-	if err := d.Start(c, p); err != nil {
-		d.t.Fatal(err)
+func (f *testFleet) start(c *Controller, p Program) {
+	f.tb.Helper()
+	if err := f.Start(c, p); err != nil {
+		f.tb.Fatal(err)
 	}
 }
 
-func (d *drill) submit(j Job) {
-	d.t.Helper()
-	if err := d.Submit(j, 40*time.Second); err != nil {
-		d.t.Fatalf("%s: %v", j.ID, err)
+func (f *testFleet) submit(j Job) {
+	f.tb.Helper()
+	if err := f.Submit(j, 40*time.Second); err != nil {
+		f.tb.Fatalf("%s: %v", j.ID, err)
 	}
-	d.jobs = append(d.jobs, j)
+	f.jobs = append(f.jobs, j)
 }
 
-func (d *drill) eventually(what string, within time.Duration, ok func() bool) time.Duration {
-	d.t.Helper()
+// eventually waits until a condition holds.
+func (f *testFleet) eventually(what string, within time.Duration, condition func() bool) {
+	f.tb.Helper()
 	began := time.Now()
 	for time.Since(began) < within {
-		if ok() {
-			return time.Since(began)
+		if condition() {
+			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	record, err := d.Cluster()
-	d.t.Fatalf("within %v not seen: %s; cluster record %+v, %v", within, what, record, err)
-	return 0
+	record, err := f.Cluster()
+	f.tb.Fatalf("not seen within %v: %s; cluster record %+v, %v", within, what, record, err)
 }
 
-func (d *drill) active(version upgrade.Version) bool {
-	r, err := d.Cluster()
-	return err == nil && r.Active == version && r.Phase != upgrade.Withdrawing
+// versionActive reports whether a version is active and not being withdrawn.
+func (f *testFleet) versionActive(version upgrade.Version) bool {
+	record, err := f.Cluster()
+	return err == nil && record.Active == version && record.Phase != upgrade.Withdrawing
 }
 
-// mayGoBack tells whether a controller may go back without leaving a gate in use to none
-// that knows it.
-func (d *drill) mayGoBack(c *Controller) bool {
-	record, err := d.Cluster()
+// exited reports whether the controller's process has exited by itself.
+func (f *testFleet) exited(c *Controller) bool {
+	f.tb.Helper()
+	select {
+	case <-c.exited:
+		return true
+	default:
+		return false
+	}
+}
+
+// canDowngrade reports whether another controller knows the gates that are in use, so that this one may
+// be downgraded.
+func (f *testFleet) canDowngrade(c *Controller) bool {
+	record, err := f.Cluster()
 	if err != nil {
-		d.t.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	inUse := false
 	for _, name := range record.GateNames() {
 		inUse = inUse || record.Gate(name).Used && record.Gate(name).Since > upgrade.Baseline
 	}
-	others := 0
-	for _, o := range d.Controllers {
-		if o != c && o.Program.Name == newer.Name {
-			others++
-		}
-	}
-	return !inUse || others > 0
+	othersKnowGates := slices.ContainsFunc(f.Controllers, func(other *Controller) bool {
+		return other != c && other.Program.Name == currentProgram.Name
+	})
+	return !inUse || othersKnowGates
 }
 
-// step does one thing to one controller.
-func (d *drill) step(i int, old Program) {
-	c := d.Controllers[d.random.IntN(len(d.Controllers))]
-	switch what := d.random.IntN(6); {
-	case what < 3:
-		d.start(c, newer)
-	case what < 5 && d.mayGoBack(c):
-		d.start(c, old)
+// restartAndSubmit upgrades, downgrades or kills a random controller and submits a job.
+func (f *testFleet) restartAndSubmit(step int, older Program) {
+	f.tb.Helper()
+	c := f.Controllers[f.random.IntN(len(f.Controllers))]
+	switch action := f.random.IntN(6); {
+	case action < 3:
+		f.start(c, currentProgram)
+	case action < 5 && f.canDowngrade(c):
+		f.start(c, older)
 	default:
-		d.start(c, c.Program) // a kill
+		f.start(c, c.Program) // killed and restarted
 	}
-	shape := "sweep"
-	if record, err := d.Cluster(); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && d.random.IntN(2) == 0 {
-		shape = "group"
+	job := Job{Shape: "sweep"}
+	if record, err := f.Cluster(); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
+		job.Shape = gangShape
 	}
-	job := Job{ID: fmt.Sprintf("job-%06d", 100+i), Shape: shape, Tasks: 2 + d.random.IntN(4), Run: 300 * time.Millisecond}
-	if shape == "group" {
-		// It may be refused for as long as an older controller is there.
-		if d.Submit(job, time.Second) == nil {
-			d.jobs = append(d.jobs, job)
-		}
-	} else {
-		d.submit(job)
+	job.ID, job.Tasks, job.Run = fmt.Sprintf("job-%06d", 100+step), 2+f.random.IntN(4), 300*time.Millisecond
+	if !job.isGang() {
+		f.submit(job)
+	} else if f.Submit(job, time.Second) == nil { // an older controller in the fleet may refuse it
+		f.jobs = append(f.jobs, job)
 	}
-	time.Sleep(time.Duration(d.random.IntN(1500)) * time.Millisecond) // a halt of any length
+	time.Sleep(time.Duration(f.random.IntN(1500)) * time.Millisecond) // a pause of any length
 }
 
-// check holds the workers' own logs against what was asked.
-func (d *drill) check() {
-	d.t.Helper()
-	for _, j := range d.jobs {
-		if j.Shape == "service" {
-			d.eventually(j.ID+" runs whole", 40*time.Second, func() bool {
-				running := d.Workers.Running(j.ID)
-				for _, n := range running {
-					if n != 1 {
-						return false
-					}
-				}
-				return len(running) == j.Tasks
-			})
+// checkJobs checks that services run completely, that other jobs complete, and that no rule was broken.
+func (f *testFleet) checkJobs() {
+	f.tb.Helper()
+	for _, j := range f.jobs {
+		if j.isService() {
+			f.eventually(j.ID+" runs whole", 40*time.Second, func() bool { return f.runsOnce(j) })
 			continue
 		}
-		d.eventually(j.ID+" done", 60*time.Second, func() bool {
-			s, err := d.Poll(j.ID)
+		f.eventually(j.ID+" done", 60*time.Second, func() bool {
+			s, err := f.Poll(j.ID)
 			return err == nil && s.Standing == "done"
 		})
-		if !d.Workers.Done(j.ID) {
-			d.t.Errorf("not_done: %s is called done", j.ID)
+		if !f.Workers.Done(j.ID) {
+			f.tb.Errorf("%s is reported as done, but not all of its tasks have completed", j.ID)
 		}
 	}
-	for _, fault := range d.Workers.Faults() {
-		d.t.Error(fault)
+	for _, fault := range f.Workers.Faults() {
+		f.tb.Errorf("broken rule: %v", fault)
+	}
+}
+
+// runsOnce reports whether each task of a job runs on exactly one machine.
+func (f *testFleet) runsOnce(j Job) bool {
+	running := f.Workers.Running(j.ID)
+	for _, attempts := range running {
+		if attempts != 1 {
+			return false
+		}
 	}
+	return len(running) == j.Tasks
 }
 
-// Three controllers are upgraded, halted, killed and rolled back in random order under a
-// steady stream of jobs: no replica is lost, and none runs twice.
+// Three controllers are upgraded, killed and rolled back in random order while jobs are
+// submitted: no replica is lost, and none runs twice.
 func TestUpgradesInRandomOrder(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			d := newDrill(t, seed)
-			for _, c := range d.Controllers {
-				d.start(c, older())
+			f := newTestFleet(t, seed)
+			for _, c := range f.Controllers {
+				f.start(c, olderProgram())
 			}
-			d.submit(Job{ID: "job-000001", Shape: "service", Tasks: 4})
-			for i := range *stepsEach {
-				d.step(i, older())
+			f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 4})
+			for i := range *stepsPerSeed {
+				f.restartAndSubmit(i, olderProgram())
 			}
-			for _, c := range d.Controllers {
-				if c.Program.Name != newer.Name {
-					d.start(c, newer)
+			for _, c := range f.Controllers {
+				if c.Program.Name != currentProgram.Name {
+					f.start(c, currentProgram)
 				}
 			}
-			d.eventually("this version active", 40*time.Second, func() bool { return d.active(upgrade.Current) })
-			d.submit(Job{ID: "job-000002", Shape: "group", Tasks: 3, Run: 300 * time.Millisecond})
-			d.check()
+			f.eventually("this version active", 40*time.Second, func() bool { return f.versionActive(upgrade.Current) })
+			f.submit(Job{ID: "job-000002", Shape: "group", Tasks: 3, Run: 300 * time.Millisecond})
+			f.checkJobs()
 		})
 	}
 }
 
-// After finalization an older controller ends with one line that names the version it
-// needs, and the others serve on.
-func TestAnOlderControllerIsRefusedAfterFinalization(t *testing.T) {
-	d := newDrill(t, 1)
-	finalizing := newer
+// After finalization an older controller exits with one line that names the required version,
+// and the others continue to serve.
+func TestFinalizedClusterRefusesOlderController(t *testing.T) {
+	f := newTestFleet(t, 1)
+	finalizing := currentProgram
 	finalizing.Properties = "upgrade.finalize = auto\nupgrade.soak = 200ms\n"
-	for _, c := range d.Controllers {
-		d.start(c, finalizing)
+	for _, c := range f.Controllers {
+		f.start(c, finalizing)
 	}
-	d.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
-	d.eventually("finalized", 20*time.Second, func() bool { r, err := d.Cluster(); return err == nil && r.Minimum == upgrade.Current })
-	back := d.Controllers[1]
-	d.start(back, capped(upgrade.Version2))
-	d.eventually("refused", 20*time.Second, back.Ended)
-	if last := lastLines(d.Log(back), 1); !strings.HasPrefix(last, "sagevale: ") || !strings.Contains(last, fmt.Sprintf("version %d or later is needed", upgrade.Current)) {
-		t.Errorf("it ends with %q", last)
+	f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
+	f.eventually("finalized", 20*time.Second, func() bool {
+		record, err := f.Cluster()
+		return err == nil && record.Minimum == upgrade.Current
+	})
+	older := f.Controllers[1]
+	f.start(older, cappedAt(upgrade.Version2))
+	f.eventually("refused", 20*time.Second, func() bool { return f.exited(older) })
+	want := fmt.Sprintf("version %d or later is needed", upgrade.Current)
+	if got := lastLines(f.Log(older), 1); !strings.HasPrefix(got, "sagevale: ") || !strings.Contains(got, want) {
+		t.Errorf("got last line %q, want a line of sagevale with %q", got, want)
 	}
-	if code := back.process.ProcessState.ExitCode(); code == 0 {
-		t.Error("it exits with 0")
+	if code := older.process.ProcessState.ExitCode(); code == 0 {
+		t.Errorf("got exit code %d, want another", code)
 	}
-	d.submit(Job{ID: "job-000002", Shape: "sweep", Tasks: 3, Run: 200 * time.Millisecond})
-	d.check()
+	f.submit(Job{ID: "job-000002", Shape: "sweep", Tasks: 3, Run: 200 * time.Millisecond})
+	f.checkJobs()
 }
 
-// upgradeStatus runs the operators' command.
-func (d *drill) upgradeStatus(c *Controller) (string, error) {
-	out, err := exec.Command(newer.Binary, "upgrade", "status", "--config", filepath.Join(d.dir, c.Name+".toml")).CombinedOutput()
+// upgradeStatus runs the command that shows the status of the upgrade.
+func (f *testFleet) upgradeStatus(c *Controller) (string, error) {
+	out, err := exec.CommandContext(f.tb.Context(), currentProgram.Binary, "upgrade", "status", "--config", f.settingsPath(c)).CombinedOutput()
 	return string(out), err
 }
 
-// The status is read from the state service alone, and a damaged record is named.
+// The status needs only the key-value store, and names a damaged record.
 func TestUpgradeStatus(t *testing.T) {
-	d := newDrill(t, 1)
-	for _, c := range d.Controllers[:2] {
-		d.start(c, newer)
+	f := newTestFleet(t, 1)
+	for _, c := range f.Controllers[:2] {
+		f.start(c, currentProgram)
 	}
-	d.eventually("waiting for the third node", 20*time.Second, func() bool {
-		out, err := d.upgradeStatus(d.Controllers[0])
+	f.eventually("waiting for the third node", 20*time.Second, func() bool {
+		out, err := f.upgradeStatus(f.Controllers[0])
 		return err == nil && strings.Contains(out, "version 2: the versions of node node-2 are not known") && strings.Contains(out, "not registered")
 	})
-	d.start(d.Controllers[2], newer)
-	d.eventually("active", 20*time.Second, func() bool { return d.active(upgrade.Current) })
-	d.submit(Job{ID: "job-000001", Shape: "group", Tasks: 2, Run: 100 * time.Millisecond})
-	out, err := d.upgradeStatus(d.Controllers[1])
+	f.start(f.Controllers[2], currentProgram)
+	f.eventually("active", 20*time.Second, func() bool { return f.versionActive(upgrade.Current) })
+	f.submit(Job{ID: "job-000001", Shape: "group", Tasks: 2, Run: 100 * time.Millisecond})
+	out, err := f.upgradeStatus(f.Controllers[1])
 	if err != nil {
-		t.Fatal(err, out)
+		t.Fatalf("upgrade status: %v\n%s", err, out)
 	}
 	t.Log("\n" + out)
 	for _, want := range []string{"active version:", "soaking", "gang-jobs", "fenced-term", "node-2", upgrade.Supported.String(), "held back by upgrade.finalize"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is missing in:\n%s", want, out)
+			t.Errorf("got status\n%s\nwant it to contain %q", out, want)
 		}
 	}
-	if _, err := d.State.Store.Apply(nil, []storage.Op{{Key: "upgrade/cluster", Data: []byte(`{"schema":1}`)}}); err != nil {
+	if _, err := f.State.Store.Apply(nil, []storage.Op{{Key: clusterKey, Data: []byte(`{"schema":1}`)}}); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := d.upgradeStatus(d.Controllers[1]); err == nil || !strings.Contains(out, "key upgrade/cluster is damaged") || strings.Count(out, "\n") != 1 {
-		t.Errorf("%v: %s", err, out)
+	if out, err := f.upgradeStatus(f.Controllers[1]); err == nil || !strings.Contains(out, "key upgrade/cluster is damaged") || strings.Count(out, "\n") != 1 {
+		t.Errorf("got error %v and output %q, want an error and one line that names the damaged key", err, out)
 	}
 }
--- a/internal/loopbacktest/worker_faults.go
+++ b/internal/loopbacktest/worker_faults.go
@@ -1,25 +1,26 @@
 package loopbacktest
 
-// Silence has a share of the machines report nothing and answer no orders, or ends that. Which ones they are
-// follows from their numbers alone.
+// Silence makes a share of the machines unresponsive, or responsive again, and returns their number. The
+// choice depends only on the machines' IDs.
 func (w *Workers) Silence(share float64, on bool) (affected int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, m := range w.machines {
-		if chosen(id, share) && !m.deleted {
-			m.silent = on
+		if inShare(id, share) && !m.deleted {
+			m.unresponsive = on
 			affected++
 		}
 	}
 	return affected
 }
 
-// chosen picks a share of the numbers, evenly.
-func chosen(id int, share float64) bool {
+// inShare reports whether an ID belongs to a share of all IDs, evenly spread.
+func inShare(id int, share float64) bool {
 	return int(float64(id+1)*share) > int(float64(id)*share)
 }
 
-// LoseZone ends all machines of a zone with what is on them; the cloud no longer lists them.
+// LoseZone deletes all machines of a zone with their attempts, and returns their number. The cloud no longer lists
+// them.
 func (w *Workers) LoseZone(zone string) (lost int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/loopbacktest/worker_metrics.go
+++ b/internal/loopbacktest/worker_metrics.go
@@ -1,41 +1,55 @@
 package loopbacktest
 
-import "github.com/HdrHistogram/hdrhistogram-go"
+import (
+	"time"
 
-// Counts tells how much is on the machines.
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// maxLatencyMicros is the largest latency that histograms distinguish, in microseconds.
+const maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+
+func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
+
+// recordMicros records a latency in microseconds, limited to the range of the histogram.
+func recordMicros(h *hdrhistogram.Histogram, latency time.Duration) {
+	_ = h.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) // never out of range
+}
+
+// Counts are numbers of machines, running attempts, starts so far and broken rules so far.
 type Counts struct {
 	Machines, Present, Starts, Faults int
 }
 
-// Counts counts machines, tasks on them now, starts ever and broken rules.
+// Counts returns the current counts.
 func (w *Workers) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Counts{Machines: len(w.byAddr), Present: len(w.ledger.present), Starts: w.ledger.starts, Faults: w.ledger.faultCount}
+	return Counts{Machines: len(w.byAddr), Present: len(w.audit.running), Starts: w.audit.starts, Faults: w.audit.violationCount}
 }
 
-// ReportDelays are the times from a report to its answer, in microseconds.
+// ReportDelays returns a copy of the latencies from heartbeat to response, in microseconds.
 func (w *Workers) ReportDelays() *hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return hdrhistogram.Import(w.reportDelay.Export())
+	return hdrhistogram.Import(w.heartbeatLatency.Export())
 }
 
-// StartDelays are the times from acceptance to start by class, in microseconds.
+// StartDelays returns a copy of the latencies from acceptance to start by class, in microseconds.
 func (w *Workers) StartDelays() map[Class]*hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[Class]*hdrhistogram.Histogram)
-	for class, h := range w.ledger.startDelay {
+	for class, h := range w.audit.startLatency {
 		out[class] = hdrhistogram.Import(h.Export())
 	}
 	return out
 }
 
-// ResetDelays forgets the latencies so far.
+// ResetDelays discards all latencies recorded so far.
 func (w *Workers) ResetDelays() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reportDelay.Reset()
-	clear(w.ledger.startDelay)
+	w.heartbeatLatency.Reset()
+	clear(w.audit.startLatency)
 }
--- a/internal/loopbacktest/worker_protocol.go
+++ b/internal/loopbacktest/worker_protocol.go
@@ -1,41 +1,86 @@
 package loopbacktest
 
-import "sort"
-
-// The worker's messages, by the protocol.
-type (
-	order struct {
-		Verb    string
-		Chore   string
-		Try     uint64
-		LeewayS float64
-	}
-	answer struct {
-		Baton   uint64
-		Ride    uint64
-		Orders  []order
-		Steward string
-	}
-	reportedTask struct {
-		Chore    string
-		Try      uint64
-		Standing string
-		Cause    string `json:",omitempty"`
-	}
-	report struct {
-		Mount, Addr, Breed, Pasture string
-		Loaner                      bool
-		Ride, Tally, Baton          uint64
-		Chores                      []reportedTask
-	}
+import (
+	"cmp"
+	"slices"
+)
+
+// Verbs of commands on the wire.
+const (
+	verbStart  = "run"
+	verbStop   = "stop"
+	verbForget = "forget"
 )
 
-func (m *machine) report() report {
-	m.seq++
-	r := report{Mount: m.name, Addr: m.addr, Breed: m.kind, Pasture: m.zone, Loaner: m.spot, Ride: m.session, Tally: m.seq, Baton: m.token, Chores: []reportedTask{}}
-	for name, t := range m.tasks {
-		r.Chores = append(r.Chores, reportedTask{name.task, name.try, t.state, t.cause})
+// States of attempts on the wire.
+const (
+	statePulling   = "pulling"
+	stateGathering = "gathering"
+	stateRunning   = "running"
+	stateEnded     = "ended"
+)
+
+// Causes of ended attempts on the wire.
+const (
+	causeDone    = "done"
+	causeStopped = "stopped"
+	causeUnknown = "unknown" // the job is not known to the worker
+	causeBusy    = "busy"    // another attempt of the task is on the machine
+	causePeers   = "peers"   // the gang has lost a task
+)
+
+// command is one command to a worker.
+type command struct {
+	Verb    string `json:"Verb"`
+	Task    string `json:"Chore"`
+	Attempt uint64 `json:"Try"`
+}
+
+// heartbeatResponse is the response to a heartbeat.
+type heartbeatResponse struct {
+	Token    uint64    `json:"Baton"`
+	Commands []command `json:"Orders"`
+	Leader   string    `json:"Steward"` // the controller to report to instead, in a redirect
+}
+
+// directCommands are commands that the leader sends to a worker on its own initiative.
+type directCommands struct {
+	Token       uint64    `json:"Baton"`
+	Incarnation uint64    `json:"Ride"`
+	Commands    []command `json:"Orders"`
+}
+
+// taskStatus is the status of one attempt in a heartbeat.
+type taskStatus struct {
+	Task    string `json:"Chore"`
+	Attempt uint64 `json:"Try"`
+	State   string `json:"Standing"`
+	Cause   string `json:"Cause,omitempty"`
+}
+
+// heartbeat is the full status of a worker.
+type heartbeat struct {
+	Machine     string       `json:"Mount"`
+	Addr        string       `json:"Addr"`
+	Type        string       `json:"Breed"`
+	Zone        string       `json:"Pasture"`
+	Spot        bool         `json:"Loaner"`
+	Incarnation uint64       `json:"Ride"`
+	Sequence    uint64       `json:"Tally"`
+	Token       uint64       `json:"Baton"`
+	Tasks       []taskStatus `json:"Chores"`
+}
+
+// newHeartbeat returns the next heartbeat of the machine.
+func (m *machine) newHeartbeat() heartbeat {
+	m.sequence++
+	h := heartbeat{
+		Machine: m.name, Addr: m.addr, Type: m.typeName, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.incarnation, Sequence: m.sequence, Token: m.token, Tasks: []taskStatus{},
+	}
+	for id, a := range m.attempts {
+		h.Tasks = append(h.Tasks, taskStatus{Task: id.task, Attempt: id.number, State: a.state, Cause: a.cause})
 	}
-	sort.Slice(r.Chores, func(a, b int) bool { return r.Chores[a].Chore < r.Chores[b].Chore })
-	return r
+	slices.SortFunc(h.Tasks, func(a, b taskStatus) int { return cmp.Compare(a.Task, b.Task) })
+	return h
 }
--- a/internal/loopbacktest/workers.go
+++ b/internal/loopbacktest/workers.go
@@ -1,7 +1,6 @@
 package loopbacktest
 
 import (
-	"encoding/json"
 	"net"
 	"net/http"
 	"sync"
@@ -10,74 +9,51 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Timing is the workers' part of the settings. Change is the least pause between two
-// reports that a change brings about.
-type Timing struct {
-	Report, Change, Lease, Cancel, Boot, Fetch time.Duration
-}
-
-// machine is one rented machine with its hollow worker: it speaks the worker's protocol
-// and runs tasks on timers.
-type machine struct {
-	id                int
-	name, addr        string
-	kind, zone        string
-	spot              bool
-	rented            time.Time
-	up, deleted       bool
-	silent            bool // it reports nothing and takes no orders
-	session, seq      uint64
-	token             uint64
-	lastRenewed       time.Time
-	tasks             map[taskName]*task
-	changed           chan struct{}
-	steward           int // the node it reports to
-	tryNext, lastBeat time.Time
-}
+// maxIdleConnsPerController bounds the idle connections to one controller: each worker keeps its own.
+const maxIdleConnsPerController = 20_000
 
-// Workers is all machines, in one process: one lock, for they share the log.
+// Workers is all machines with their hollow workers. One lock guards them, since they share the audit log.
 type Workers struct {
-	mu            sync.Mutex
-	timing        Timing
-	machines      map[int]*machine
-	byAddr        map[string]*machine
-	jobs          map[string]Job
-	nodes         []string // the controllers' addresses
-	names         map[string]int
-	ledger        *ledger
-	startedBefore map[string]bool
-	models        map[string]*ModelFigures // by job
-	reportDelay   *hdrhistogram.Histogram  // from report to answer, in microseconds
-	traffic       *Traffic
-	closed        chan struct{}
-	client        *http.Client
-	listener      net.Listener
-	server        *http.Server
-	port          string
-}
-
-// connectionsPerNode is how many idle connections to one controller are kept: a worker keeps its own.
-const connectionsPerNode = 20_000
-
-// NewWorkers makes the machines' side for controllers of these names and addresses.
-func NewWorkers(timing Timing, teams []Team, names, addrs []string, traffic *Traffic) (*Workers, error) {
+	timing          Timing
+	controllerAddrs []string
+	controllerIndex map[string]int // by name
+	traffic         *Traffic
+	client          *http.Client
+	server          *http.Server
+	port            string // of all machines' addresses
+	closed          chan struct{}
+	background      sync.WaitGroup
+
+	mu               sync.Mutex
+	machines         map[int]*machine
+	byAddr           map[string]*machine // those that are not deleted
+	jobs             map[string]Job      // by ID
+	audit            *auditLog
+	startedTasks     map[string]bool
+	models           map[string]*ModelFigures // by job
+	heartbeatLatency *hdrhistogram.Histogram  // from heartbeat to response, in microseconds
+}
+
+// newWorkers starts the workers' side without machines, for controllers of these names and addresses.
+func newWorkers(timing Timing, teams []Team, names, addrs []string, traffic *Traffic) (*Workers, error) {
 	w := &Workers{
-		timing: timing, machines: make(map[int]*machine), byAddr: make(map[string]*machine), jobs: make(map[string]Job),
-		nodes: addrs, names: make(map[string]int), ledger: newLedger(teams), startedBefore: make(map[string]bool), models: make(map[string]*ModelFigures),
-		reportDelay: hdrhistogram.New(1, slowest, 3), traffic: traffic, closed: make(chan struct{}),
-		client: &http.Client{Timeout: reportTimeout, Transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: connectionsPerNode}},
+		timing: timing, controllerAddrs: addrs, controllerIndex: make(map[string]int), traffic: traffic,
+		client: &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: maxIdleConnsPerController}},
+		closed: make(chan struct{}), machines: make(map[int]*machine), byAddr: make(map[string]*machine), jobs: make(map[string]Job),
+		audit: newAuditLog(teams), startedTasks: make(map[string]bool), models: make(map[string]*ModelFigures), heartbeatLatency: newLatencyHistogram(),
 	}
 	for i, name := range names {
-		w.names[name] = i
+		w.controllerIndex[name] = i
+	}
+	if err := w.listen(); err != nil {
+		return nil, err
 	}
-	return w, w.listen()
+	w.background.Go(w.checkCancelledJobs)
+	return w, nil
 }
 
-// reportTimeout is how long a worker waits for the answer to a report, by the protocol.
-const reportTimeout = 4 * time.Second
-
-// listen serves all machines' own addresses, which differ within the loopback range, by one
-// listener. Requests from anywhere else are refused.
+// listen serves the addresses of all machines, which differ within the loopback range, with one
+// listener. Requests to other addresses are refused.
 func (w *Workers) listen() error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -87,171 +63,95 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", w.traffic.Counted(DirectOrders, w.onMachine(w.orders)))
-	mux.HandleFunc("GET /show", w.onMachine(func(m *machine, rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.show(m))
-	}))
+	mux.HandleFunc("POST /orders", w.traffic.counted(DirectOrders, w.onMachine(w.serveCommands)))
+	mux.HandleFunc("GET /show", w.onMachine(w.serveStatus))
 	mux.HandleFunc("/", w.onMachine(w.serveModel))
-	w.listener, w.server = listener, &http.Server{Handler: mux}
-	go func() { _ = w.server.Serve(listener) }()
-	go w.watchCancelled()
+	w.server = &http.Server{Handler: mux}
+	w.background.Go(func() { _ = w.server.Serve(listener) }) // it returns ErrServerClosed
 	return nil
 }
 
-// onMachine hands a request to the machine whose address it was sent to.
+// onMachine passes a request to the machine whose address it was sent to. The connection is aborted if
+// there is none that responds.
 func (w *Workers) onMachine(serve func(*machine, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		local, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 		if !ok || !local.IP.IsLoopback() {
-			reply(rw, http.StatusForbidden, nil)
+			writeJSON(rw, http.StatusForbidden, nil)
 			return
 		}
 		w.mu.Lock()
 		m := w.byAddr[local.String()]
-		gone := m == nil || m.deleted || m.silent
+		unreachable := m == nil || m.deleted || m.unresponsive
 		w.mu.Unlock()
-		if gone {
-			panic(http.ErrAbortHandler) // nobody answers there
+		if unreachable {
+			panic(http.ErrAbortHandler)
 		}
 		serve(m, rw, r)
 	}
 }
 
-// Close ends all workers.
+// Close stops all workers and waits for their goroutines. It must be called once.
 func (w *Workers) Close() {
+	w.mu.Lock()
 	close(w.closed)
+	w.mu.Unlock()
 	_ = w.server.Close()
 	w.client.CloseIdleConnections()
+	w.background.Wait()
 }
 
-// Upload makes a job known to the workers, as its user does.
-func (w *Workers) Upload(j Job) {
+func (w *Workers) isClosed() bool {
+	select {
+	case <-w.closed:
+		return true
+	default:
+		return false
+	}
+}
+
+// addJob makes a job known to the workers.
+func (w *Workers) addJob(j Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[j.ID] = j
 }
 
-// Accepted notes when a job's user was told that it is accepted.
-func (w *Workers) Accepted(id string, at time.Time) {
+// jobAccepted records when the user of a job received the acceptance.
+func (w *Workers) jobAccepted(id string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j := w.jobs[id]
-	j.accepted = at
+	j.acceptedAt = at
 	w.jobs[id] = j
 }
 
-// Cancelled notes when a job's user was told that it is cancelled.
-func (w *Workers) Cancelled(id string, at time.Time) {
+// jobCancelled records when the user of a job received the confirmation of its cancellation.
+func (w *Workers) jobCancelled(id string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ledger.cancelled[id] = at
+	w.audit.cancelledAt[id] = at
 }
 
-// Faults lists what the workers' log shows to be wrong.
+// Faults returns the broken rules that the audit log has found, up to a limit.
 func (w *Workers) Faults() []Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Fault(nil), w.ledger.faults...)
+	return append([]Fault(nil), w.audit.violations...)
 }
 
-// watchCancelled checks cancelled jobs until the workers end.
-func (w *Workers) watchCancelled() {
-	tick := time.NewTicker(w.timing.Cancel / 20)
-	defer tick.Stop()
+// checkCancelledJobs checks periodically for tasks of cancelled jobs, until the workers are closed.
+func (w *Workers) checkCancelledJobs() {
+	ticker := time.NewTicker(w.timing.Cancel / 20)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-w.closed:
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			w.mu.Lock()
-			w.ledger.checkCancelled(w.timing, now)
+			w.audit.checkCancelled(w.timing, now)
 			w.mu.Unlock()
 		}
 	}
 }
-
-// add makes a machine that isn't up yet. The lock is held.
-func (w *Workers) add(id int, name, kind, zone string, spot bool) *machine {
-	m := &machine{
-		id: id, name: name, kind: kind, zone: zone, spot: spot, rented: time.Now(),
-		addr:  net.JoinHostPort(net.IPv4(127, byte(1+id>>16), byte(id>>8), byte(id)).String(), w.port),
-		tasks: make(map[taskName]*task), changed: make(chan struct{}, 1), steward: id % len(w.nodes),
-	}
-	w.machines[id], w.byAddr[m.addr] = m, m
-	return m
-}
-
-// boot brings a machine up after a time.
-func (w *Workers) boot(m *machine, after time.Duration) {
-	time.AfterFunc(after, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if m.deleted {
-			return
-		}
-		m.up, m.session, m.lastRenewed = true, 1, time.Now()
-		go w.run(m)
-	})
-}
-
-// remove ends a machine with all that is on it. The lock is held.
-func (w *Workers) remove(m *machine) {
-	m.deleted = true
-	for _, t := range m.tasks {
-		t.running = false
-		w.ledger.forget(t)
-	}
-	delete(w.byAddr, m.addr)
-	m.notify()
-}
-
-func (w *Workers) show(m *machine) report {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.settle(m, time.Now())
-	return m.report()
-}
-
-// orders takes direct commands.
-func (w *Workers) orders(m *machine, rw http.ResponseWriter, r *http.Request) {
-	var a answer
-	if json.NewDecoder(r.Body).Decode(&a) != nil || a.Baton == 0 || a.Ride == 0 {
-		reply(rw, http.StatusBadRequest, nil)
-		return
-	}
-	w.mu.Lock()
-	w.settle(m, time.Now())
-	status := http.StatusConflict
-	if a.Baton >= m.token && a.Ride == m.session && !m.deleted {
-		m.token, status = a.Baton, http.StatusOK
-		w.carryOut(m, a.Orders)
-	}
-	show := m.report()
-	w.mu.Unlock()
-	reply(rw, status, show)
-}
-
-// carryOut executes commands in order.
-func (w *Workers) carryOut(m *machine, orders []order) {
-	now := time.Now()
-	changed := false
-	for _, o := range orders {
-		name := taskName{o.Chore, o.Try}
-		t := m.tasks[name]
-		switch {
-		case o.Verb == "run" && t == nil:
-			w.begin(m, name, now)
-			changed = true
-		case o.Verb == "stop" && t != nil && t.state != "ended":
-			w.end(t, "stopped")
-			changed = true
-		case o.Verb == "forget" && t != nil && t.state == "ended":
-			delete(m.tasks, name)
-			w.ledger.forget(t)
-			changed = true
-		}
-	}
-	if changed {
-		m.notify()
-	}
-}
