--- a/cmd/fleetload/demo.go
+++ b/cmd/fleetload/demo.go
@@ -6,7 +6,7 @@
 	"sagevale/internal/fleetload"
 )
 
-// newDemoCommand makes the command that shows the program at work.
+// newDemoCommand returns the command that demonstrates a failover.
 func newDemoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "demo",
--- a/cmd/fleetload/fit.go
+++ b/cmd/fleetload/fit.go
@@ -13,7 +13,7 @@
 	"sagevale/internal/fleetload"
 )
 
-// newFitCommand makes the command that fits lines through results.
+// newFitCommand returns the command that fits lines to the figures of several results.
 func newFitCommand() *cobra.Command {
 	var x string
 	var only []string
@@ -47,11 +47,12 @@
 	return cmd
 }
 
+// printLines prints the fitted lines of the selected figures as a table.
 func printLines(cmd *cobra.Command, lines map[string]fleetload.Line, results []map[string]float64, only []string) error {
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FIGURE\tSLOPE\tAT 0\tRESIDUAL\tMEASURED")
 	for _, name := range slices.Sorted(maps.Keys(lines)) {
-		if !wanted(name, only) {
+		if !selected(name, only) {
 			continue
 		}
 		var measured []string
@@ -64,6 +65,7 @@
 	return w.Flush()
 }
 
-func wanted(name string, only []string) bool {
+// selected reports whether a name contains one of the texts, or there are none.
+func selected(name string, only []string) bool {
 	return len(only) == 0 || slices.ContainsFunc(only, func(text string) bool { return strings.Contains(name, text) })
 }
--- a/cmd/fleetload/main.go
+++ b/cmd/fleetload/main.go
@@ -1,5 +1,5 @@
-// Command fleetload tries and measures fleets of controllers on one machine: real controllers
-// over HTTP on the loopback, hollow workers, users, and faults.
+// Command fleetload tests and measures a fleet of real controllers on one machine, with simulated
+// workers, users and faults, over HTTP on the loopback interface.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errRulesBroken says that an experiment broke a rule; the result names it.
+// errRulesBroken reports that an experiment broke a rule, which the result names.
 var errRulesBroken = errors.New("a rule was broken")
 
 func main() {
@@ -21,7 +21,7 @@
 	defer stop()
 	if err := newCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "fleetload:", err)
-		os.Exit(1) //nolint:gocritic // nothing is left to be stopped
+		os.Exit(1) //nolint:gocritic // stop is not needed at exit
 	}
 }
 
--- a/cmd/fleetload/run.go
+++ b/cmd/fleetload/run.go
@@ -9,7 +9,7 @@
 	"sagevale/internal/fleetload"
 )
 
-// newRunCommand makes the command that carries out one experiment.
+// newRunCommand returns the command that runs one experiment.
 func newRunCommand() *cobra.Command {
 	config := fleetload.DefaultConfig()
 	var jsonFile string
@@ -31,19 +31,15 @@
   burst:1500@10s        so many jobs of one task are submitted at once`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, text := range faults {
-				f, err := fleetload.ParseFault(text)
-				if err != nil {
-					return err
-				}
-				config.Faults = append(config.Faults, f)
+			var err error
+			if config.Faults, err = parseFaults(faults); err != nil {
+				return err
 			}
 			return runExperiment(cmd, config, jsonFile)
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&config.Controllers, "controllers", config.Controllers, "controllers")
-	flags.IntVar(&config.Workers, "workers", config.Workers, "hollow workers of 16 processors each")
+	addFleetFlags(cmd, &config)
 	flags.IntVar(&config.Running, "running", config.Running, "standing tasks")
 	flags.IntVar(&config.PerStanding, "per-standing", config.PerStanding, "standing tasks of one job")
 	flags.Float64Var(&config.StartsPerS, "starts", config.StartsPerS, "starts of short tasks a second")
@@ -58,33 +54,56 @@
 	flags.BoolVar(&config.Archive, "archive", config.Archive, "switch the archive of finished jobs on")
 	flags.BoolVar(&config.Fencing, "fencing", config.Fencing, "have workers' tokens raised within a term")
 	flags.IntVar(&config.ArchiveKeep, "archive-keep", config.ArchiveKeep, "finished jobs that stay out of the archive; below 0: the default")
-	flags.DurationVar(&config.Report, "report", config.Report, "a worker's report interval")
-	flags.DurationVar(&config.Lease, "lease", config.Lease, "a worker's lease")
 	flags.DurationVar(&config.Fill, "fill", config.Fill, "the longest that the standing tasks may take to run")
 	flags.DurationVar(&config.Duration, "duration", config.Duration, "how long is measured")
 	flags.Uint64Var(&config.Seed, "seed", config.Seed, "of the load's random numbers")
 	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "MB that a controller is told it has")
 	flags.Float64Var(&config.ChangesPerS, "changes", config.ChangesPerS, "changes a second that the state service is said to take")
-	flags.StringVar(&config.LogLevel, "log", config.LogLevel, "the controllers' log level")
 	flags.StringArrayVar(&faults, "fault", nil, "a fault; may be given several times")
 	flags.StringVar(&jsonFile, "json", "", "file for the result as JSON")
+	return cmd
+}
+
+// addFleetFlags adds the flags of all commands that run experiments.
+func addFleetFlags(cmd *cobra.Command, config *fleetload.Config) {
+	flags := cmd.Flags()
+	flags.IntVar(&config.Controllers, "controllers", config.Controllers, "controllers")
+	flags.IntVar(&config.Workers, "workers", config.Workers, "hollow workers of 16 processors each")
+	flags.DurationVar(&config.Report, "report", config.Report, "a worker's report interval")
+	flags.DurationVar(&config.Lease, "lease", config.Lease, "a worker's lease")
+	flags.StringVar(&config.LogLevel, "log", config.LogLevel, "the controllers' log level")
 	flags.StringVar(&config.Binary, "binary", "", "the controllers' program; empty: built from this source")
 	flags.StringVar(&config.Dir, "dir", "", "folder for settings and logs; empty: a new one, removed at the end")
-	return cmd
 }
 
-// runExperiment prepares, runs and prints one experiment.
-func runExperiment(cmd *cobra.Command, config fleetload.Config, jsonFile string) error {
+// parseFaults parses the values of --fault.
+func parseFaults(texts []string) ([]fleetload.Fault, error) {
+	var faults []fleetload.Fault
+	for _, text := range texts {
+		f, err := fleetload.ParseFault(text)
+		if err != nil {
+			return nil, err
+		}
+		faults = append(faults, f)
+	}
+	return faults, nil
+}
+
+// runExperiment runs an experiment, prints the result and writes it to jsonFile, unless that is empty.
+func runExperiment(cmd *cobra.Command, config fleetload.Config, jsonFile string) (err error) {
 	if err := config.Check(); err != nil {
 		return err
 	}
 	var out *os.File
 	if jsonFile != "" {
-		var err error
 		if out, err = os.Create(jsonFile); err != nil {
 			return &fleetload.FlagError{Flag: "json", Reason: err.Error()}
 		}
-		defer out.Close()
+		defer func() {
+			if closeErr := out.Close(); err == nil {
+				err = closeErr
+			}
+		}()
 	}
 	if err := prepare(cmd, &config); err != nil {
 		return err
@@ -93,12 +112,12 @@
 	if result == nil {
 		return err
 	}
-	if werr := result.WriteText(cmd.OutOrStdout()); werr != nil {
-		return werr
+	if writeErr := result.WriteText(cmd.OutOrStdout()); writeErr != nil {
+		return writeErr
 	}
 	if out != nil {
-		if werr := result.WriteJSON(out); werr != nil {
-			return fmt.Errorf("write result: %w", werr)
+		if writeErr := result.WriteJSON(out); writeErr != nil {
+			return fmt.Errorf("write result: %w", writeErr)
 		}
 	}
 	if err == nil && len(result.Broken) > 0 {
@@ -107,7 +126,8 @@
 	return err
 }
 
-// prepare makes the folder and the program, where none is given.
+// prepare creates the directory and builds the program if the configuration names none. The directory is
+// removed at the end of the command.
 func prepare(cmd *cobra.Command, config *fleetload.Config) error {
 	if config.Dir == "" {
 		dir, err := os.MkdirTemp("", "fleetload")
--- a/cmd/fleetload/wake.go
+++ b/cmd/fleetload/wake.go
@@ -6,7 +6,7 @@
 	"sagevale/internal/fleetload"
 )
 
-// newWakeCommand makes the command that wakes models from zero.
+// newWakeCommand returns the command that wakes models from zero.
 func newWakeCommand() *cobra.Command {
 	config := fleetload.DefaultWakeConfig()
 	var faults []string
@@ -20,14 +20,10 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cmd.Flags().Changed("fault") {
-				config.Faults = nil
-			}
-			for _, text := range faults {
-				f, err := fleetload.ParseFault(text)
-				if err != nil {
+				var err error
+				if config.Faults, err = parseFaults(faults); err != nil {
 					return err
 				}
-				config.Faults = append(config.Faults, f)
 			}
 			return runWake(cmd, config)
 		},
@@ -36,22 +32,16 @@
 	flags.IntVar(&config.Models, "models", config.Models, "models, each a service of one task")
 	flags.IntVar(&config.Requests, "requests", config.Requests, "requests to each model in each wake")
 	flags.IntVar(&config.Wakes, "wakes", config.Wakes, "how often all models wake")
-	flags.IntVar(&config.Controllers, "controllers", config.Controllers, "controllers")
-	flags.IntVar(&config.Workers, "workers", config.Workers, "hollow workers of 16 processors each")
+	addFleetFlags(cmd, &config.Config)
 	flags.Uint64Var(&config.Seed, "seed", config.Seed, "of the requests' random numbers")
 	flags.DurationVar(&config.Idle, "idle", config.Idle, "how long without requests until a model goes back to zero")
 	flags.DurationVar(&config.Hold, "hold", config.Hold, "the longest that a request is held; 0: none is")
 	flags.DurationVar(&config.Patience, "patience", config.Patience, "the longest that a request, or a way back to zero, may take")
-	flags.DurationVar(&config.Report, "report", config.Report, "a worker's report interval")
-	flags.DurationVar(&config.Lease, "lease", config.Lease, "a worker's lease")
-	flags.StringVar(&config.LogLevel, "log", config.LogLevel, "the controllers' log level")
 	flags.StringArrayVar(&faults, "fault", nil, "a fault; may be given several times; without any the leader ends")
-	flags.StringVar(&config.Binary, "binary", "", "the controllers' program; empty: built from this source")
-	flags.StringVar(&config.Dir, "dir", "", "folder for settings and logs; empty: a new one, removed at the end")
 	return cmd
 }
 
-// runWake prepares, runs and prints one experiment.
+// runWake runs an experiment with models and prints the result.
 func runWake(cmd *cobra.Command, config fleetload.WakeConfig) error {
 	if err := config.Check(); err != nil {
 		return err
@@ -63,8 +53,8 @@
 	if result == nil {
 		return err
 	}
-	if werr := result.WriteText(cmd.OutOrStdout()); werr != nil {
-		return werr
+	if writeErr := result.WriteText(cmd.OutOrStdout()); writeErr != nil {
+		return writeErr
 	}
 	if err == nil && len(result.Broken) > 0 {
 		err = errRulesBroken
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -1,5 +1,6 @@
-// Package fleetload loads a fleet of real controllers with hollow workers and users, brings
-// about faults, and measures what each role spends. It is the engine of cmd/fleetload.
+// Package fleetload runs experiments with a fleet of real controllers: it simulates workers
+// and users, injects faults, and measures the resource usage of each role. It is the engine
+// of cmd/fleetload.
 package fleetload
 
 import (
@@ -8,72 +9,88 @@
 	"time"
 )
 
-// Config is one experiment.
+// Config describes one experiment.
 type Config struct {
-	Binary         string        `json:"-"` // the controller's program
-	Dir            string        `json:"-"` // for settings and logs
+	Binary         string        `json:"-"` // path of the controllers' program
+	Dir            string        `json:"-"` // for the controllers' settings and logs
 	Controllers    int           `json:"controllers"`
 	Workers        int           `json:"workers"`
-	Running        int           `json:"running"`       // standing tasks
-	PerStanding    int           `json:"per_standing"`  // standing tasks of one job
+	Running        int           `json:"running"`       // tasks that run throughout
+	PerStanding    int           `json:"per_standing"`  // such tasks of one job
 	StartsPerS     float64       `json:"starts_per_s"`  // of short tasks
-	TasksPerJob    int           `json:"tasks_per_job"` // of the short ones
+	TasksPerJob    int           `json:"tasks_per_job"` // of the short jobs
 	TaskTime       time.Duration `json:"task_ns"`
 	CancelShare    float64       `json:"cancel_share"` // of the short jobs
 	UrgentShare    float64       `json:"urgent_share"`
 	Teams          int           `json:"teams"`
-	Finished       int           `json:"finished"`          // finished jobs that are stored before the start
-	Archived       int           `json:"archived"`          // finished jobs that are archived before the start
-	FinalPollsPerS float64       `json:"final_polls_per_s"` // polls a second for jobs that were over before the start
-	Archive        bool          `json:"archive"`           // switch the archive of finished jobs on
-	Fencing        bool          `json:"fencing"`           // have workers' tokens raised within a term
-	// ArchiveKeep is how many finished jobs stay out of the archive; below 0: the default.
+	Finished       int           `json:"finished"`          // finished jobs that are stored in the journal before the start
+	Archived       int           `json:"archived"`          // finished jobs that are stored in the archive before the start
+	FinalPollsPerS float64       `json:"final_polls_per_s"` // polls per second of jobs that were stored before the start
+	Archive        bool          `json:"archive"`           // enable the archive of finished jobs
+	Fencing        bool          `json:"fencing"`           // raise the workers' fencing tokens within a term
+	// ArchiveKeep is the number of finished jobs that stay out of the archive; negative: the default.
 	ArchiveKeep int           `json:"archive_keep"`
 	Report      time.Duration `json:"report_ns"`
 	Lease       time.Duration `json:"lease_ns"`
-	Fill        time.Duration `json:"fill_ns"` // the longest that the standing tasks may take to run
+	Fill        time.Duration `json:"fill_ns"` // limit of the time until the standing tasks run
 	Duration    time.Duration `json:"duration_ns"`
 	Seed        uint64        `json:"seed"`
-	MemoryMB    float64       `json:"memory_mb"` // of a controller, as it is told
+	MemoryMB    float64       `json:"memory_mb"` // that a controller is configured with
 	ChangesPerS float64       `json:"changes_per_s"`
 	Faults      []Fault       `json:"faults"`
 	LogLevel    string        `json:"-"`
 }
 
-// DefaultConfig is a small experiment.
+// DefaultConfig returns a small experiment.
 func DefaultConfig() Config {
 	return Config{
-		Controllers: 3, Workers: 100, Running: 500, PerStanding: 200, StartsPerS: 20, TasksPerJob: 10, TaskTime: 5 * time.Second, UrgentShare: 0.1, Teams: 4, FinalPollsPerS: 10, ArchiveKeep: -1,
-		Report: 3 * time.Second, Lease: 22 * time.Second, Fill: 5 * time.Minute, Duration: 30 * time.Second, Seed: 1, MemoryMB: 512, ChangesPerS: 500,
-		LogLevel: "info",
+		Controllers: 3, Workers: 100, Running: 500, PerStanding: 200,
+		StartsPerS: 20, TasksPerJob: 10, TaskTime: 5 * time.Second, UrgentShare: 0.1, Teams: 4,
+		FinalPollsPerS: 10, ArchiveKeep: -1,
+		Report: 3 * time.Second, Lease: 22 * time.Second, Fill: 5 * time.Minute, Duration: 30 * time.Second,
+		Seed: 1, MemoryMB: 512, ChangesPerS: 500, LogLevel: "info",
 	}
 }
 
-// FlagError names the flag whose value can't be used.
+// FlagError is an unusable value of a command line flag.
 type FlagError struct{ Flag, Reason string }
 
 func (e *FlagError) Error() string { return fmt.Sprintf("--%s: %s", e.Flag, e.Reason) }
 
-// taskSlots is how many tasks of one processor a machine holds.
+// taskSlots is the number of tasks of one processor that a machine can run.
 const taskSlots = 16
 
-// The machine's bounds: hollow workers share this process, and a worker takes up to so much of it.
+// Limits of this machine. All hollow workers share this process.
 const (
-	workerBytes     = 160 << 10
-	taskBytes       = 1 << 10
-	filesPerWorker  = 2 // its connection to a controller, and the end of one for orders
-	filesBeside     = 500
-	memoryShare     = 0.5 // of the machine's
-	mostControllers = 16
+	workerBytes    = 160 << 10 // memory of a worker
+	taskBytes      = 1 << 10   // memory of a task
+	filesPerWorker = 2         // connections: one for heartbeats, one for direct commands
+	reservedFiles  = 500       // for all but the workers
+	memoryShare    = 0.5       // of the machine's memory that may be used
+	maxControllers = 16
 )
 
-// Check tells the first flag that is wrong, before anything is started.
+// flagRule is a condition under which the value of a flag is unusable.
+type flagRule struct {
+	violated     bool
+	flag, reason string
+}
+
+// checkFlags returns a FlagError for the first violated rule.
+func checkFlags(rules []flagRule) error {
+	for _, rule := range rules {
+		if rule.violated {
+			return &FlagError{rule.flag, rule.reason}
+		}
+	}
+	return nil
+}
+
+// Check returns a FlagError for the first unusable value. It starts nothing.
 func (c *Config) Check() error {
-	for _, rule := range []struct {
-		bad          bool
-		flag, reason string
-	}{
-		{c.Controllers < 1 || c.Controllers > mostControllers, "controllers", fmt.Sprintf("must be from 1 to %d", mostControllers)},
+	tasks := c.standingTasks() + c.shortTasks()
+	if err := checkFlags([]flagRule{
+		{c.Controllers < 1 || c.Controllers > maxControllers, "controllers", fmt.Sprintf("must be from 1 to %d", maxControllers)},
 		{c.Workers < 1, "workers", "must be above 0"},
 		{c.Running < 0, "running", "must not be negative"},
 		{c.PerStanding < 1, "per-standing", "must be above 0"},
@@ -93,11 +110,9 @@
 		{c.Fill <= 0, "fill", "must be above 0"},
 		{c.MemoryMB < 16, "memory", "must be at least 16 MB"},
 		{c.ChangesPerS <= 0, "changes", "must be above 0"},
-		{c.standing()+c.churning() > c.Workers*taskSlots, "running", fmt.Sprintf("%d tasks don't fit on %d workers of %d slots", c.standing()+c.churning(), c.Workers, taskSlots)},
-	} {
-		if rule.bad {
-			return &FlagError{rule.flag, rule.reason}
-		}
+		{tasks > c.Workers*taskSlots, "running", fmt.Sprintf("%d tasks don't fit on %d workers of %d slots", tasks, c.Workers, taskSlots)},
+	}); err != nil {
+		return err
 	}
 	for _, f := range c.Faults {
 		if f.At+f.For > c.Duration {
@@ -107,25 +122,25 @@
 	return c.checkMachine()
 }
 
-// standing is how many tasks run throughout, churning how many short ones at a time.
-func (c *Config) standing() int { return c.Running }
-func (c *Config) churning() int { return int(c.StartsPerS * c.TaskTime.Seconds()) }
+// standingTasks returns the number of tasks that run throughout, shortTasks that of short tasks at a time.
+func (c *Config) standingTasks() int { return c.Running }
+func (c *Config) shortTasks() int    { return int(c.StartsPerS * c.TaskTime.Seconds()) }
 
-// checkMachine tells what this machine can't hold.
+// checkMachine returns a FlagError if the experiment exceeds the limits of this machine.
 func (c *Config) checkMachine() error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
-		if most := (int(min(files.Max, 1<<30)) - filesBeside) / filesPerWorker; c.Workers > most {
-			return &FlagError{"workers", fmt.Sprintf("%d open files allow %d workers", files.Max, most)}
+		if limit := (int(min(files.Max, 1<<30)) - reservedFiles) / filesPerWorker; c.Workers > limit {
+			return &FlagError{"workers", fmt.Sprintf("%d open files allow %d workers", files.Max, limit)}
 		}
 	}
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
-		return nil //nolint:nilerr // not known, so not checked
+		return nil //nolint:nilerr // the memory is not known, so it is not checked
 	}
-	needed := int64(c.Workers)*workerBytes + int64(c.standing()+c.churning())*taskBytes + int64(c.Controllers)*int64(c.MemoryMB*(1<<20))
-	if most := int64(float64(info.Totalram) * float64(info.Unit) * memoryShare); needed > most {
-		return &FlagError{"workers", fmt.Sprintf("with --memory, needs %d MB: more than half of the machine's, %d MB", needed>>20, most>>20)}
+	needed := int64(c.Workers)*workerBytes + int64(c.standingTasks()+c.shortTasks())*taskBytes + int64(c.Controllers)*int64(c.MemoryMB*(1<<20))
+	if limit := int64(float64(info.Totalram) * float64(info.Unit) * memoryShare); needed > limit {
+		return &FlagError{"workers", fmt.Sprintf("with --memory, needs %d MB: more than half of the machine's, %d MB", needed>>20, limit>>20)}
 	}
 	return nil
 }
--- a/internal/fleetload/demo.go
+++ b/internal/fleetload/demo.go
@@ -10,17 +10,17 @@
 	"sagevale/internal/loopbacktest"
 )
 
-// demoWait is the longest that a step of the demonstration may take.
-const demoWait = 15 * time.Second
+// demoStepTimeout bounds each step of the demonstration.
+const demoStepTimeout = 15 * time.Second
 
-// demo is a demonstration under way.
-type demo struct {
+// demonstration is a running demonstration.
+type demonstration struct {
 	*Experiment
 	jobs []loopbacktest.Job
 }
 
-// Demo brings up three controllers and a few hollow workers, submits jobs, ends the leader and shows
-// that the work goes on. It ends by itself within a minute.
+// Demo starts three controllers and a few hollow workers, submits jobs, kills the leader and shows that
+// the work continues. It takes less than a minute. Its progress is written to out.
 func Demo(ctx context.Context, config Config, out io.Writer) error {
 	config.Controllers, config.Workers, config.Running, config.Teams = 3, 6, 0, 1
 	options := loopbacktest.DefaultOptions()
@@ -30,8 +30,8 @@
 		return fmt.Errorf("stand-ins: %w", err)
 	}
 	defer fleet.Close()
-	d := &demo{Experiment: &Experiment{config: config, out: out, fleet: fleet, result: &Result{}}}
-	for _, step := range []func(context.Context) error{d.begin, d.work, d.endLeader, d.finish} {
+	d := &demonstration{Experiment: &Experiment{config: config, out: out, fleet: fleet, result: &Result{}}}
+	for _, step := range []func(context.Context) error{d.startFleet, d.runJobs, d.killLeader, d.awaitJobs} {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -39,87 +39,79 @@
 	return nil
 }
 
-func (d *demo) begin(ctx context.Context) error {
-	d.say("starting %d controllers and %d hollow workers", len(d.fleet.Controllers), d.config.Workers)
+// startFleet starts the controllers and waits for a leader.
+func (d *demonstration) startFleet(ctx context.Context) error {
+	d.logf("starting %d controllers and %d hollow workers", len(d.fleet.Controllers), d.config.Workers)
 	if err := d.start(); err != nil {
 		return err
 	}
-	return d.until(ctx, "a leader", func() bool { return d.fleet.Leader() != nil })
+	return await(ctx, demoStepTimeout, "a leader", func() bool { return d.fleet.Leader() != nil })
 }
 
-func (d *demo) work(ctx context.Context) error {
-	d.say("%s leads", d.fleet.Leader().Name)
+// runJobs submits the jobs and waits until the service runs.
+func (d *demonstration) runJobs(ctx context.Context) error {
+	d.logf("%s leads", d.fleet.Leader().Name)
 	d.jobs = []loopbacktest.Job{
-		{ID: "job-000001", Shape: "service", Tasks: 4},
-		{ID: "job-000002", Shape: "sweep", Tasks: 12, Run: 2 * time.Second},
-		{ID: "job-000003", Shape: "sweep", Tasks: 6, Run: 8 * time.Second, Urgent: true},
+		{ID: "job-000001", Shape: serviceShape, Tasks: 4},
+		{ID: "job-000002", Shape: sweepShape, Tasks: 12, Run: 2 * time.Second},
+		{ID: "job-000003", Shape: sweepShape, Tasks: 6, Run: 8 * time.Second, Urgent: true},
 	}
 	for _, j := range d.jobs {
-		if err := d.fleet.Submit(j, demoWait); err != nil {
+		if err := d.fleet.Submit(j, demoStepTimeout); err != nil {
 			return err
 		}
-		d.say("submitted %s: %s of %d tasks", j.ID, j.Shape, j.Tasks)
+		d.logf("submitted %s: %s of %d tasks", j.ID, j.Shape, j.Tasks)
 	}
-	if err := d.until(ctx, "the service whole", func() bool { return len(d.fleet.Workers.Running("job-000001")) == 4 }); err != nil {
+	if err := await(ctx, demoStepTimeout, "the service whole", func() bool { return len(d.fleet.Workers.Running("job-000001")) == 4 }); err != nil {
 		return err
 	}
-	d.show()
+	d.printJobs()
 	return nil
 }
 
-func (d *demo) endLeader(ctx context.Context) error {
+// killLeader kills and restarts the leader, and waits until another controller leads.
+func (d *demonstration) killLeader(ctx context.Context) error {
 	leader := d.fleet.Leader()
 	if leader == nil {
 		return errors.New("nobody leads")
 	}
-	d.say("ending %s", leader.Name)
-	d.end(ctx, leader)
-	if err := d.until(ctx, "another leader", func() bool { l := d.fleet.Leader(); return l != nil && l != leader }); err != nil {
+	d.logf("ending %s", leader.Name)
+	d.killAndRestart(ctx, leader)
+	if err := await(ctx, demoStepTimeout, "another leader", func() bool { l := d.fleet.Leader(); return l != nil && l != leader }); err != nil {
 		return err
 	}
-	d.say("%s leads", d.fleet.Leader().Name)
+	d.logf("%s leads", d.fleet.Leader().Name)
 	return nil
 }
 
-func (d *demo) finish(ctx context.Context) error {
+// awaitJobs waits until the jobs other than the service are done, and checks that no rule was broken.
+func (d *demonstration) awaitJobs(ctx context.Context) error {
 	for _, j := range d.jobs[1:] {
 		done := func() bool {
 			s, err := d.fleet.Poll(j.ID)
-			return err == nil && s.Standing == "done"
+			return err == nil && s.Standing == doneState
 		}
-		if err := d.until(ctx, j.ID+" done", done); err != nil {
+		if err := await(ctx, demoStepTimeout, j.ID+" done", done); err != nil {
 			return err
 		}
 	}
-	d.show()
+	d.printJobs()
 	counts := d.fleet.Workers.Counts()
-	d.say("%d starts, %d rules broken", counts.Starts, counts.Faults)
+	d.logf("%d starts, %d rules broken", counts.Starts, counts.Faults)
 	if counts.Faults > 0 {
 		return fmt.Errorf("%v", d.fleet.Workers.Faults())
 	}
 	return nil
 }
 
-// show prints each job as its user sees it.
-func (d *demo) show() {
+// printJobs prints the state of each job as its user sees it.
+func (d *demonstration) printJobs() {
 	for _, j := range d.jobs {
 		s, err := d.fleet.Poll(j.ID)
 		if err != nil {
-			d.say("%s: %v", j.ID, err)
+			d.logf("%s: %v", j.ID, err)
 			continue
 		}
-		d.say("%s: %s, %d running, %d done", j.ID, s.Standing, s.Running, s.Done)
+		d.logf("%s: %s, %d running, %d done", j.ID, s.Standing, s.Running, s.Done)
 	}
 }
-
-func (d *demo) until(ctx context.Context, what string, ok func() bool) error {
-	for end := time.Now().Add(demoWait); time.Now().Before(end); {
-		if ok() {
-			return nil
-		}
-		if !sleep(ctx, 20*time.Millisecond) {
-			return ctx.Err()
-		}
-	}
-	return fmt.Errorf("not seen within %v: %s", demoWait, what)
-}
--- a/internal/fleetload/fault.go
+++ b/internal/fleetload/fault.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
-	LeaderEnds FaultKind = "leader"     // the leader's process is killed, and started again
-	AllEnd     FaultKind = "all"        // all controllers' processes likewise
-	Silent     FaultKind = "silent"     // a share of the workers is silent for a while
-	StateOut   FaultKind = "state-out"  // the state service refuses everything for a while
-	StateSlow  FaultKind = "state-slow" // it takes so many seconds longer for a while
-	ZoneLost   FaultKind = "zone"       // all workers of a zone are gone
-	Burst      FaultKind = "burst"      // so many jobs of one task are submitted at once
+	LeaderEnds FaultKind = "leader"     // the leader's process is killed and restarted
+	AllEnd     FaultKind = "all"        // all controllers' processes are killed and restarted
+	Silent     FaultKind = "silent"     // a share of the workers is unresponsive for a while
+	StateOut   FaultKind = "state-out"  // the key-value store refuses all requests for a while
+	StateSlow  FaultKind = "state-slow" // each of its requests takes longer, in seconds, for a while
+	ZoneLost   FaultKind = "zone"       // all machines of a zone are lost
+	Burst      FaultKind = "burst"      // jobs of one task each are submitted at the same time
 )
 
-// Fault is one trouble at its time within the measured part of the run.
+// Fault is a fault to inject at a time after the beginning of the measured part.
 type Fault struct {
 	Kind   FaultKind     `json:"kind"`
-	Amount float64       `json:"amount,omitempty"` // a share of the workers, seconds, or jobs
+	Amount float64       `json:"amount,omitempty"` // a share of the workers, seconds, or jobs, by the kind
 	At     time.Duration `json:"at_ns"`
 	For    time.Duration `json:"for_ns,omitempty"`
 }
 
+// String returns the form that ParseFault reads.
 func (f Fault) String() string {
 	text := string(f.Kind)
 	if f.Amount != 0 {
@@ -41,46 +42,46 @@
 	return text
 }
 
-// takesAmount and takesTime tell what each kind needs beside its time.
+// Which kinds need an amount and a duration besides the time. All kinds are keys of needsAmount.
 var (
-	takesAmount = map[FaultKind]bool{LeaderEnds: false, AllEnd: false, Silent: true, StateOut: false, StateSlow: true, ZoneLost: false, Burst: true}
-	takesTime   = map[FaultKind]bool{Silent: true, StateOut: true, StateSlow: true}
+	needsAmount   = map[FaultKind]bool{LeaderEnds: false, AllEnd: false, Silent: true, StateOut: false, StateSlow: true, ZoneLost: false, Burst: true}
+	needsDuration = map[FaultKind]bool{Silent: true, StateOut: true, StateSlow: true}
 )
 
-// ParseFault reads KIND[:AMOUNT]@TIME[+DURATION], such as silent:0.1@10s+5s.
+// ParseFault parses KIND[:AMOUNT]@TIME[+DURATION], such as silent:0.1@10s+5s. Its errors are of type *FlagError.
 func ParseFault(text string) (Fault, error) {
-	bad := func(reason string) (Fault, error) {
+	invalid := func(reason string) (Fault, error) {
 		return Fault{}, &FlagError{"fault", fmt.Sprintf("%q: %s", text, reason)}
 	}
-	what, when, ok := strings.Cut(text, "@")
+	kindAndAmount, timeAndDuration, ok := strings.Cut(text, "@")
 	if !ok {
-		return bad("has no time, as in leader@10s")
+		return invalid("has no time, as in leader@10s")
 	}
-	kind, amount, hasAmount := strings.Cut(what, ":")
+	kind, amount, hasAmount := strings.Cut(kindAndAmount, ":")
 	f := Fault{Kind: FaultKind(kind)}
-	needsAmount, known := takesAmount[f.Kind]
+	wantAmount, known := needsAmount[f.Kind]
 	if !known {
-		return bad("unknown kind")
+		return invalid("unknown kind")
 	}
-	if hasAmount != needsAmount {
-		return bad("takes an amount only if it is silent (a share), state-slow (seconds) or burst (jobs)")
+	if hasAmount != wantAmount {
+		return invalid("takes an amount only if it is silent (a share), state-slow (seconds) or burst (jobs)")
 	}
 	var err error
 	if hasAmount {
 		if f.Amount, err = strconv.ParseFloat(amount, 64); err != nil || f.Amount <= 0 || f.Kind == Silent && f.Amount > 1 {
-			return bad("the amount must be above 0, and a share at most 1")
+			return invalid("the amount must be above 0, and a share at most 1")
 		}
 	}
-	at, length, hasLength := strings.Cut(when, "+")
-	if hasLength != takesTime[f.Kind] {
-		return bad("silent, state-out and state-slow last for a while, the others don't")
+	at, duration, hasDuration := strings.Cut(timeAndDuration, "+")
+	if hasDuration != needsDuration[f.Kind] {
+		return invalid("silent, state-out and state-slow last for a while, the others don't")
 	}
 	if f.At, err = time.ParseDuration(at); err != nil || f.At < 0 {
-		return bad("the time must be a duration such as 10s")
+		return invalid("the time must be a duration such as 10s")
 	}
-	if hasLength {
-		if f.For, err = time.ParseDuration(length); err != nil || f.For <= 0 {
-			return bad("it must last for a duration such as 5s")
+	if hasDuration {
+		if f.For, err = time.ParseDuration(duration); err != nil || f.For <= 0 {
+			return invalid("it must last for a duration such as 5s")
 		}
 	}
 	return f, nil
--- a/internal/fleetload/fit.go
+++ b/internal/fleetload/fit.go
@@ -2,21 +2,21 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
-	"sort"
 	"strconv"
 	"strings"
 )
 
-// Point is one figure at one size.
+// Point is the value Y of a figure at the value X of another one.
 type Point struct{ X, Y float64 }
 
-// Line is a least-squares fit of points. Residual is the largest distance of a point from it, as a
-// share of the largest Y.
+// Line is a least-squares fit of points. Residual is the largest vertical distance of a point from the
+// line, relative to the largest |Y|.
 type Line struct{ Slope, Intercept, Residual float64 }
 
-// Fit fits a line. It needs two sizes at least.
+// Fit fits a line. It returns an error if there are fewer than two values of X.
 func Fit(points []Point) (Line, error) {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -28,18 +28,19 @@
 	}
 	line := Line{Slope: (n*sxy - sx*sy) / determinant}
 	line.Intercept = (sy - line.Slope*sx) / n
-	var most float64
+	var largest float64
 	for _, p := range points {
 		line.Residual = max(line.Residual, math.Abs(p.Y-line.Intercept-line.Slope*p.X))
-		most = max(most, math.Abs(p.Y))
+		largest = max(largest, math.Abs(p.Y))
 	}
-	if most > 0 {
-		line.Residual /= most
+	if largest > 0 {
+		line.Residual /= largest
 	}
 	return line, nil
 }
 
-// Figures reads a result's figures by their paths, such as config.workers or roles.leader.cores.
+// Figures parses a result's JSON and returns its numbers by their paths, such as config.workers or
+// roles.leader.cores.
 func Figures(raw []byte) (map[string]float64, error) {
 	var tree any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -50,6 +51,7 @@
 	return figures, nil
 }
 
+// flatten adds the numbers of a JSON tree to figures.
 func flatten(path string, node any, figures map[string]float64) {
 	join := func(name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 	switch node := node.(type) {
@@ -66,10 +68,14 @@
 	}
 }
 
-// Slopes fits every figure of the results that changes against one of them.
+// Slopes fits all figures of the results against the figure x, except those of the configuration. It returns an
+// error if x is missing or does not vary.
 func Slopes(results []map[string]float64, x string) (map[string]Line, error) {
+	if len(results) == 0 {
+		return nil, errors.New("there are no results")
+	}
 	lines := make(map[string]Line)
-	for _, name := range names(results) {
+	for name := range results[0] {
 		if name == x || strings.HasPrefix(name, "config.") {
 			continue
 		}
@@ -92,14 +98,3 @@
 	}
 	return lines, nil
 }
-
-func names(results []map[string]float64) []string {
-	var all []string
-	if len(results) > 0 {
-		for name := range results[0] {
-			all = append(all, name)
-		}
-	}
-	sort.Strings(all)
-	return all
-}
--- a/internal/fleetload/seed.go
+++ b/internal/fleetload/seed.go
@@ -1,6 +1,7 @@
 package fleetload
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -11,26 +12,26 @@
 	"sagevale/internal/upgrade"
 )
 
-// Finished jobs that are stored before the start have so many tasks, all done.
+// finishedTasks is the number of tasks of a finished job that is stored before the start.
 const finishedTasks = 10
 
-// seed stores finished jobs as an earlier leader left them, in the journal and in the archive.
-func (e *Experiment) seed() error {
-	if err := e.seedJournal(); err != nil {
+// storeFinished stores finished jobs in the journal and in the archive, as earlier leaders would have.
+func (e *Experiment) storeFinished() error {
+	if err := e.storeJournal(); err != nil {
 		return fmt.Errorf("store finished jobs: %w", err)
 	}
 	if e.config.Archived == 0 {
 		return nil
 	}
-	if err := e.seedArchive(); err != nil {
+	if err := e.storeArchive(); err != nil {
 		return fmt.Errorf("store an archive: %w", err)
 	}
 	return nil
 }
 
-// seedJournal stores chunks of final records.
-func (e *Experiment) seedJournal() error {
-	room := int(e.fleet.State.Store.ValueBytes * 9 / 10)
+// storeJournal stores journal chunks of final job records.
+func (e *Experiment) storeJournal() error {
+	maxSize := e.fleet.State.Store.ValueBytes * 9 / 10
 	var records []storage.Record
 	size, chunk := 2, uint64(1)
 	flush := func() error {
@@ -51,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		if size += len(r.Key) + len(r.Data) + 8; size > room {
+		if size += len(r.Key) + len(r.Data) + 8; size > maxSize {
 			if err := flush(); err != nil {
 				return err
 			}
@@ -62,21 +63,18 @@
 	return flush()
 }
 
-// seedArchive stores pages, and a cluster record under which they are in use.
-func (e *Experiment) seedArchive() error {
+// storeArchive stores archive pages, and a cluster record under which the archive is in use.
+func (e *Experiment) storeArchive() error {
 	entries := make([]archive.Entry, 0, e.config.Archived)
 	for i := range e.config.Archived {
-		rank, ok := archive.ParseJobNumber(finishedID(e.config.Finished + i))
+		number, ok := archive.ParseJobNumber(finishedID(e.config.Finished + i))
 		if !ok {
 			return fmt.Errorf("%q is no id", finishedID(e.config.Finished+i))
 		}
-		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: finishedTasks}})
+		entries = append(entries, archive.Entry{Number: number, FinalState: archive.FinalState{Done: finishedTasks}})
 	}
 	slices.SortFunc(entries, func(a, b archive.Entry) int {
-		if a.Number < b.Number {
-			return -1
-		}
-		return 1
+		return cmp.Compare(a.Number, b.Number)
 	})
 	ops, err := archive.Build(entries, &storage.Limits{ValueBytes: e.fleet.State.Store.ValueBytes})
 	if err != nil {
@@ -99,17 +97,20 @@
 	return err
 }
 
-// Ids come in no order: consecutive numbers are spread over idRange by a multiplier that is prime to it, so that no
-// two meet. Jobs that are stored before the start have the even ones, and those that are submitted the odd ones.
+// Job IDs are in no order: consecutive numbers are spread over idRange by a multiplier that is coprime to it, so that
+// they stay unique. Jobs that are stored before the start have even IDs, submitted jobs odd ones.
 const (
 	idRange      = 500_000_000
 	idMultiplier = 387_420_489
 )
 
-func scatter(i int) int { return int(int64(i+1) * idMultiplier % idRange) }
+// firstJob is the number of the first submitted job.
+const firstJob = 1
+
+func spreadNumber(i int) int { return (i + 1) * idMultiplier % idRange }
 
-// finishedID is the id, without its prefix, of a finished job that is stored before the start.
-func finishedID(i int) string { return fmt.Sprintf("%09d", 2*scatter(i)) }
+// finishedID returns the ID, without its prefix, of the i-th finished job that is stored before the start.
+func finishedID(i int) string { return fmt.Sprintf("%09d", 2*spreadNumber(i)) }
 
-// submittedID is the same of a job that is submitted.
-func submittedID(i int) string { return fmt.Sprintf("%09d", 2*scatter(i)+1) }
+// submittedID returns the ID, without its prefix, of the i-th submitted job.
+func submittedID(i int) string { return fmt.Sprintf("%09d", 2*spreadNumber(i)+1) }
--- /dev/null
+++ b/internal/fleetload/wake_test.go
@@ -0,0 +1,39 @@
+package fleetload
+
+import (
+	"io"
+	"testing"
+	"time"
+)
+
+// Bursts of requests at all controllers start each model once per wake, while controllers are killed and the
+// key-value store is out, and each request gets one final answer.
+func TestWakeStartsEachModelOnce(t *testing.T) {
+	binary, err := Program(t.Context(), t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for seed, faults := range [][]Fault{
+		{{Kind: LeaderEnds, At: 30 * time.Millisecond}, {Kind: StateOut, At: 100 * time.Millisecond, For: time.Second}},
+		{{Kind: AllEnd, At: 60 * time.Millisecond}, {Kind: LeaderEnds, At: 400 * time.Millisecond}},
+	} {
+		t.Run(faults[0].String(), func(t *testing.T) {
+			t.Parallel()
+			c := DefaultWakeConfig()
+			c.Binary, c.Dir, c.Models, c.Requests, c.Wakes, c.Seed, c.Faults = binary, t.TempDir(), 3, 60, 2, uint64(seed), faults
+			r, err := Wake(t.Context(), c, io.Discard)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(r.Broken) > 0 {
+				t.Errorf("got broken rules %v, want none", r.Broken)
+			}
+			if r.Starts != 6 || r.Wakes != 6 || r.FirstAnswer.Count != 6 {
+				t.Errorf("got %d starts in %d wakes with %d first answers, want 6 of each", r.Starts, r.Wakes, r.FirstAnswer.Count)
+			}
+			if r.Answers != 360 || r.Requests != 360 {
+				t.Errorf("got %d answers to %d requests, want 360 of each", r.Answers, r.Requests)
+			}
+		})
+	}
+}
