--- a/internal/fleetload/controller_logs.go
+++ b/internal/fleetload/controller_logs.go
@@ -1,6 +1,7 @@
 package fleetload
 
 import (
+	"context"
 	"regexp"
 	"strconv"
 	"time"
@@ -15,8 +16,8 @@
 var heapLine = regexp.MustCompile(`msg=usage .*heap_live_mb=(\S+) .*role=leader`)
 
 // leaderHeapMB returns the live heap that the current leader logged last; 0 if it logged none.
-func leaderHeapMB(f *loopbacktest.Fleet) (mb float64) {
-	leader := f.Leader()
+func leaderHeapMB(ctx context.Context, f *loopbacktest.Fleet) (mb float64) {
+	leader := f.Leader(ctx)
 	if leader == nil {
 		return 0
 	}
--- a/internal/fleetload/demo.go
+++ b/internal/fleetload/demo.go
@@ -45,12 +45,12 @@
 	if err := d.start(); err != nil {
 		return err
 	}
-	return await(ctx, demoStepTimeout, "a leader", func() bool { return d.fleet.Leader() != nil })
+	return await(ctx, demoStepTimeout, "a leader", func() bool { return d.fleet.Leader(ctx) != nil })
 }
 
 // runJobs submits the jobs and waits until the service runs.
 func (d *demonstration) runJobs(ctx context.Context) error {
-	d.logf("%s leads", d.fleet.Leader().Name)
+	d.logf("%s leads", d.fleet.Leader(ctx).Name)
 	d.jobs = []loopbacktest.Job{
 		{ID: "job-000001", Shape: serviceShape, Tasks: 4},
 		{ID: "job-000002", Shape: sweepShape, Tasks: 12, Run: 2 * time.Second},
@@ -71,16 +71,16 @@
 
 // killLeader kills and restarts the leader, and waits until another controller leads.
 func (d *demonstration) killLeader(ctx context.Context) error {
-	leader := d.fleet.Leader()
+	leader := d.fleet.Leader(ctx)
 	if leader == nil {
 		return errors.New("nobody leads")
 	}
 	d.logf("ending %s", leader.Name)
 	d.killAndRestart(ctx, leader)
-	if err := await(ctx, demoStepTimeout, "another leader", func() bool { l := d.fleet.Leader(); return l != nil && l != leader }); err != nil {
+	if err := await(ctx, demoStepTimeout, "another leader", func() bool { l := d.fleet.Leader(ctx); return l != nil && l != leader }); err != nil {
 		return err
 	}
-	d.logf("%s leads", d.fleet.Leader().Name)
+	d.logf("%s leads", d.fleet.Leader(ctx).Name)
 	return nil
 }
 
--- a/internal/fleetload/experiment.go
+++ b/internal/fleetload/experiment.go
@@ -47,7 +47,7 @@
 	if err == nil {
 		e.measure(ctx)
 	}
-	e.collectResults()
+	e.collectResults(context.WithoutCancel(ctx)) // also after an interruption
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return e.result, err
 	}
@@ -132,7 +132,7 @@
 }
 
 // collectResults adds to the result what the users and workers have recorded.
-func (e *Experiment) collectResults() {
+func (e *Experiment) collectResults(ctx context.Context) {
 	r, u := e.result, e.users
 	u.update(func() {
 		r.Submitted, r.DoneJobs, r.CancelledJobs, r.NotOffered, r.FailedRequests = u.submitted, u.doneJobs, u.cancelled, u.skipped, u.failed
@@ -154,7 +154,7 @@
 		r.Broken = append(r.Broken, fault.String())
 	}
 	r.Present = e.fleet.Workers.Counts().Present
-	r.LeaderHeapMB = leaderHeapMB(e.fleet)
+	r.LeaderHeapMB = leaderHeapMB(ctx, e.fleet)
 	r.TakeOverLoads = stateLoadTimes(e.fleet)
 	r.State.StoredKB, r.State.StoredKeys = e.fleet.State.Stored()
 }
--- a/internal/fleetload/fault_injection.go
+++ b/internal/fleetload/fault_injection.go
@@ -28,7 +28,7 @@
 	store := e.fleet.State.Store
 	switch f.Kind {
 	case LeaderEnds:
-		if leader := e.fleet.Leader(); leader != nil {
+		if leader := e.fleet.Leader(ctx); leader != nil {
 			e.killAndRestart(ctx, leader)
 		}
 	case AllEnd:
--- a/internal/fleetload/measurement.go
+++ b/internal/fleetload/measurement.go
@@ -61,7 +61,7 @@
 	r.MeasuredS = seconds
 	r.StartsPerS = float64(e.fleet.Workers.Counts().Starts-startsBefore) / seconds
 	r.State = e.stateCounters().ratesSince(stateBefore, seconds)
-	r.Roles = e.roleFigures(usageBefore, seconds)
+	r.Roles = e.roleFigures(context.WithoutCancel(ctx), usageBefore, seconds) // ctx has ended
 	r.Traffic = trafficFigures(e.fleet.Traffic.Snapshot(), seconds, e.config.Workers)
 	e.users.background.Wait()
 	background.Wait()
@@ -105,8 +105,8 @@
 
 // roleFigures returns the usage of each role's process since earlier usages. Processes that were started since
 // then are left out, and of several followers the busiest counts.
-func (e *Experiment) roleFigures(before []*loopbacktest.ProcessUsage, seconds float64) map[string]RoleFigures {
-	leader := e.fleet.Leader()
+func (e *Experiment) roleFigures(ctx context.Context, before []*loopbacktest.ProcessUsage, seconds float64) map[string]RoleFigures {
+	leader := e.fleet.Leader(ctx)
 	figures := make(map[string]RoleFigures)
 	for i, after := range e.processUsages() {
 		if after == nil || before[i] == nil || after.CPU < before[i].CPU {
--- a/internal/fleetload/wake.go
+++ b/internal/fleetload/wake.go
@@ -109,7 +109,7 @@
 			return fmt.Errorf("start %s: %w", c.Name, err)
 		}
 	}
-	if err := await(ctx, r.config.Patience, "the gate is open", r.gateOpen); err != nil {
+	if err := await(ctx, r.config.Patience, "the gate is open", func() bool { return r.gateOpen(ctx) }); err != nil {
 		return err
 	}
 	for i := range r.config.Models {
@@ -140,8 +140,8 @@
 }
 
 // gateOpen reports whether the cluster permits that models scale to zero.
-func (r *wakeExperiment) gateOpen() bool {
-	cluster, err := r.fleet.Cluster()
+func (r *wakeExperiment) gateOpen(ctx context.Context) bool {
+	cluster, err := r.fleet.Cluster(ctx)
 	return err == nil && cluster.Gate(upgrade.Activation).Phase == upgrade.GateOpen
 }
 
--- a/internal/loopbacktest/fleet.go
+++ b/internal/loopbacktest/fleet.go
@@ -108,8 +108,8 @@
 }
 
 // Cluster returns the cluster record; the initial one if none is stored.
-func (f *Fleet) Cluster() (upgrade.Record, error) {
-	item, err := f.State.client().Get(context.Background(), clusterKey)
+func (f *Fleet) Cluster(ctx context.Context) (upgrade.Record, error) {
+	item, err := f.State.client().Get(ctx, clusterKey)
 	if err != nil {
 		return upgrade.Initial(), nil //nolint:nilerr // none is stored yet
 	}
@@ -117,8 +117,8 @@
 }
 
 // Leader returns the controller that holds the leadership key; nil if there is none, or its process does not run.
-func (f *Fleet) Leader() *Controller {
-	item, err := f.State.client().Get(context.Background(), leadershipKey)
+func (f *Fleet) Leader(ctx context.Context) *Controller {
+	item, err := f.State.client().Get(ctx, leadershipKey)
 	if err != nil {
 		return nil
 	}
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -1,6 +1,7 @@
 package loopbacktest
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"io"
@@ -162,10 +163,10 @@
 }
 
 // withLease applies an operation to the lease that the request names.
-func (s *StateService) withLease(w http.ResponseWriter, r *http.Request, operation func(id uint64) error) {
+func (s *StateService) withLease(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err == nil {
-		err = operation(id)
+		err = operation(r.Context(), id)
 	}
 	if err != nil {
 		writeError(w, err)
@@ -175,11 +176,11 @@
 }
 
 func (s *StateService) touch(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, func(id uint64) error { return s.client().Touch(r.Context(), id) })
+	s.withLease(w, r, s.client().Touch)
 }
 
 func (s *StateService) revoke(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, func(id uint64) error { return s.client().Revoke(r.Context(), id) })
+	s.withLease(w, r, s.client().Revoke)
 }
 
 // watchEvent is one event of a watch on the wire.
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -119,13 +119,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	record, err := f.Cluster()
+	record, err := f.Cluster(f.tb.Context())
 	f.tb.Fatalf("not seen within %v: %s; cluster record %+v, %v", within, what, record, err)
 }
 
 // versionActive reports whether a version is active and not being withdrawn.
 func (f *testFleet) versionActive(version upgrade.Version) bool {
-	record, err := f.Cluster()
+	record, err := f.Cluster(f.tb.Context())
 	return err == nil && record.Active == version && record.Phase != upgrade.Withdrawing
 }
 
@@ -143,7 +143,7 @@
 // canDowngrade reports whether another controller knows the gates that are in use, so that this one may
 // be downgraded.
 func (f *testFleet) canDowngrade(c *Controller) bool {
-	record, err := f.Cluster()
+	record, err := f.Cluster(f.tb.Context())
 	if err != nil {
 		f.tb.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 		f.start(c, c.Program) // killed and restarted
 	}
 	job := Job{Shape: "sweep"}
-	if record, err := f.Cluster(); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
+	if record, err := f.Cluster(f.tb.Context()); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
 		job.Shape = gangShape
 	}
 	job.ID, job.Tasks, job.Run = fmt.Sprintf("job-%06d", 100+step), 2+f.random.IntN(4), 300*time.Millisecond
@@ -251,7 +251,7 @@
 	}
 	f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
 	f.eventually("finalized", 20*time.Second, func() bool {
-		record, err := f.Cluster()
+		record, err := f.Cluster(f.tb.Context())
 		return err == nil && record.Minimum == upgrade.Current
 	})
 	older := f.Controllers[1]
