--- a/internal/fleetload/controller_logs.go
+++ b/internal/fleetload/controller_logs.go
@@ -9,8 +9,9 @@
 	"sagevale/internal/loopbacktest"
 )
 
-// failoverLine matches the log line of a new leader that has loaded the state, with the duration.
-var failoverLine = regexp.MustCompile(`msg=take-over .* took=(\S+)`)
+// failoverLine matches the log line of a new leader that has loaded the state, with the duration. Controllers of
+// earlier versions call it a take-over.
+var failoverLine = regexp.MustCompile(`msg=(?:"failover complete" .* duration|take-over .* took)=(\S+)`)
 
 // heapLine matches the usage line of a leader, with its live heap in MB.
 var heapLine = regexp.MustCompile(`msg=usage .*heap_live_mb=(\S+) .*role=leader`)
