--- /dev/null
+++ b/internal/loopbacktest/attempts.go
@@ -0,0 +1,190 @@
+package loopbacktest
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// gangChecksPerHeartbeat is how often per heartbeat interval a task of a gang checks the others.
+const gangChecksPerHeartbeat = 10
+
+// attemptID identifies an attempt of a task.
+type attemptID struct {
+	task   string
+	number uint64
+}
+
+// attempt is one attempt of a task on a machine.
+type attempt struct {
+	id         attemptID
+	job        string
+	state      string // as in heartbeats
+	cause      string
+	stateSince time.Time
+	running    bool // started and not ended
+	restarted  bool // an earlier attempt of the task has been on a machine
+	team       string
+	cpus       float64
+}
+
+// jobOfTask returns the job ID of a task's name.
+func jobOfTask(task string) string {
+	id, _, _ := strings.Cut(task, "/")
+	return id
+}
+
+// startAttempt executes the start of an attempt. It ends at once if the worker can't run it.
+func (w *Workers) startAttempt(m *machine, id attemptID, now time.Time) {
+	a := &attempt{id: id, job: jobOfTask(id.task), state: statePulling, stateSince: now}
+	if _, known := w.jobs[a.job]; !known {
+		a.state, a.cause = stateEnded, causeUnknown
+	}
+	for otherID, other := range m.attempts {
+		if otherID.task == id.task && other.state != stateEnded {
+			a.state, a.cause = stateEnded, causeBusy
+		}
+	}
+	m.attempts[id] = a
+	w.audit.addAttempt(m, a)
+}
+
+// endAttempt ends an attempt, if it has not ended.
+func (w *Workers) endAttempt(a *attempt, cause string) {
+	if a.state != stateEnded {
+		a.state, a.cause, a.running = stateEnded, cause, false
+		w.audit.attemptEnded(a)
+	}
+}
+
+// expireLease kills all attempts of a machine whose lease has expired, and begins a new incarnation.
+func (w *Workers) expireLease(m *machine, now time.Time) {
+	for _, a := range m.attempts {
+		a.running = false
+		w.audit.removeAttempt(a)
+	}
+	m.attempts = make(map[attemptID]*attempt)
+	m.incarnation++
+	m.leaseRenewedAt = now
+}
+
+// advance applies what time has changed on a machine: lease expiry, fetched images, finished runs and
+// gangs. It reports whether anything has changed. w.mu must be held.
+func (w *Workers) advance(m *machine, now time.Time) (changed bool) {
+	if m.deleted {
+		return false
+	}
+	if now.Sub(m.leaseRenewedAt) > w.timing.Lease {
+		w.expireLease(m, now)
+		return true
+	}
+	for id, a := range m.attempts {
+		j := w.jobs[a.job]
+		switch {
+		case a.state == statePulling && now.Sub(a.stateSince) >= w.timing.Fetch:
+			w.runAttempt(m, a, now)
+			changed = true
+		case a.state == stateGathering:
+			changed = w.startGang(a.job, id.number, now) || changed
+		case a.state == stateRunning && !j.isService() && now.Sub(a.stateSince) >= j.Run:
+			w.endAttempt(a, causeDone)
+			w.audit.completedTasks[id.task] = true
+			changed = true
+		case a.state == stateRunning && j.isGang() && w.gangIncomplete(a.job, id.number):
+			w.endAttempt(a, causePeers)
+			changed = true
+		}
+	}
+	return changed
+}
+
+// nextChange returns when time changes an attempt of the machine next; the zero time if it doesn't.
+func (w *Workers) nextChange(m *machine) time.Time {
+	var next time.Time
+	candidate := func(at time.Time) {
+		if next.IsZero() || at.Before(next) {
+			next = at
+		}
+	}
+	for _, a := range m.attempts {
+		j := w.jobs[a.job]
+		switch {
+		case a.state == statePulling:
+			candidate(a.stateSince.Add(w.timing.Fetch))
+		case a.state == stateGathering, a.state == stateRunning && j.isGang():
+			candidate(time.Now().Add(w.timing.Report / gangChecksPerHeartbeat))
+		case a.state == stateRunning && !j.isService():
+			candidate(a.stateSince.Add(j.Run))
+		}
+	}
+	return next
+}
+
+// runAttempt makes an attempt run once its image is fetched. The audit log finds duplicates here.
+func (w *Workers) runAttempt(m *machine, a *attempt, now time.Time) {
+	j := w.jobs[a.job]
+	a.restarted = w.startedTasks[a.id.task]
+	w.startedTasks[a.id.task] = true
+	w.audit.attemptStarted(m, a, j, w.timing.Lease, now)
+	a.running, a.stateSince, a.state = true, now, stateRunning
+	if j.isGang() {
+		a.state = stateGathering
+	}
+	if j.isService() {
+		w.replicaStarted(a.job)
+	}
+}
+
+// startGang starts a gang once all its tasks are gathering, and reports whether it did.
+func (w *Workers) startGang(job string, attemptNumber uint64, now time.Time) bool {
+	var gathering []*attempt
+	for a, m := range w.audit.attemptsByJob[job] {
+		if a.id.number == attemptNumber && a.state == stateGathering && !m.deleted {
+			gathering = append(gathering, a)
+		}
+	}
+	if len(gathering) < w.jobs[job].Tasks {
+		return false
+	}
+	for _, a := range gathering {
+		a.state, a.stateSince = stateRunning, now
+	}
+	return true
+}
+
+// gangIncomplete reports whether a running gang has lost a task.
+func (w *Workers) gangIncomplete(job string, attemptNumber uint64) bool {
+	present := 0
+	for a, m := range w.audit.attemptsByJob[job] {
+		if a.id.number == attemptNumber && !m.deleted && (a.state == stateRunning || a.cause == causeDone) {
+			present++
+		}
+	}
+	return present < w.jobs[job].Tasks
+}
+
+// Running returns the number of running attempts of each task of a job, by the task's name.
+func (w *Workers) Running(id string) map[string]int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	running := make(map[string]int)
+	for a, m := range w.audit.attemptsByJob[id] {
+		if a.running && !m.deleted {
+			running[a.id.task]++
+		}
+	}
+	return running
+}
+
+// Done reports whether all tasks of a job have completed. One is enough for a gang.
+func (w *Workers) Done(id string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	completed := 0
+	for i := range w.jobs[id].Tasks {
+		if w.audit.completedTasks[fmt.Sprintf("%s/%d", id, i)] {
+			completed++
+		}
+	}
+	return completed == w.jobs[id].Tasks || w.jobs[id].isGang() && completed > 0
+}
--- /dev/null
+++ b/internal/loopbacktest/build.go
@@ -0,0 +1,21 @@
+package loopbacktest
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os/exec"
+	"path/filepath"
+)
+
+// Build builds the controllers' program of this source into dir and returns its path. It must be called within
+// the module. The compiler's messages are written to stderr.
+func Build(ctx context.Context, dir string, stderr io.Writer) (string, error) {
+	binary := filepath.Join(dir, "sagevale")
+	build := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", binary, "sagevale/cmd/sagevale")
+	build.Stderr = stderr
+	if err := build.Run(); err != nil {
+		return "", fmt.Errorf("build the controllers' program: %w", err)
+	}
+	return binary, nil
+}
--- /dev/null
+++ b/internal/loopbacktest/heartbeats.go
@@ -0,0 +1,120 @@
+package loopbacktest
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+)
+
+// heartbeatTimeout bounds the wait for the response to a heartbeat, by the protocol.
+const heartbeatTimeout = 4 * time.Second
+
+// runHeartbeats sends a machine's heartbeats until it is deleted or the workers are closed.
+func (w *Workers) runHeartbeats(m *machine) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	pendingChange := false
+	for {
+		select {
+		case <-w.closed:
+			return
+		case <-m.changed:
+			pendingChange = true
+		case <-timer.C:
+		}
+		w.mu.Lock()
+		now := time.Now()
+		pendingChange = w.advance(m, now) || pendingChange
+		at := m.nextHeartbeat(w.timing, pendingChange)
+		due := !m.unresponsive && !now.Before(at)
+		var h heartbeat
+		if due {
+			m.lastHeartbeat = now
+			h = m.newHeartbeat()
+		}
+		controller, deleted := m.controller, m.deleted
+		wait := w.untilNextWork(m, at, due, now)
+		w.mu.Unlock()
+		if deleted {
+			return
+		}
+		if due {
+			pendingChange = false
+			w.sendHeartbeat(m, h, controller)
+		}
+		timer.Reset(wait)
+	}
+}
+
+// nextHeartbeat returns when the next heartbeat is due.
+func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
+	at := m.lastHeartbeat.Add(timing.Report)
+	if changed {
+		at = m.lastHeartbeat.Add(timing.Change)
+	}
+	if at.Before(m.retryAt) {
+		at = m.retryAt
+	}
+	return at
+}
+
+// untilNextWork returns the time until a machine has to send a heartbeat or one of its attempts changes.
+// w.mu must be held.
+func (w *Workers) untilNextWork(m *machine, heartbeatAt time.Time, heartbeatDue bool, now time.Time) time.Duration {
+	if heartbeatDue {
+		return 0 // check again after the response
+	}
+	next := heartbeatAt
+	if m.unresponsive {
+		next = now.Add(w.timing.Report)
+	}
+	if change := w.nextChange(m); !change.IsZero() && change.Before(next) {
+		next = change
+	}
+	return max(next.Sub(now), time.Millisecond)
+}
+
+// sendHeartbeat sends one heartbeat and executes the commands of the response. After a failure
+// the next heartbeat goes to another controller.
+func (w *Workers) sendHeartbeat(m *machine, h heartbeat, controller int) {
+	sent := time.Now()
+	response, status, err := w.postHeartbeat(h, controller)
+	latency := time.Since(sent)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch leader, known := w.controllerIndex[response.Leader]; {
+	case status == http.StatusOK && err == nil:
+		recordMicros(w.heartbeatLatency, latency)
+		if h.Incarnation == m.incarnation && response.Token >= m.token && !m.deleted && latency < heartbeatTimeout {
+			m.token, m.leaseRenewedAt = response.Token, sent
+			w.execute(m, response.Commands)
+		}
+	case status == http.StatusMisdirectedRequest && known && leader != controller:
+		m.controller = leader
+		m.retryAt = time.Now()
+	default:
+		m.controller = (controller + 1) % len(w.controllerAddrs)
+		m.retryAt = time.Now().Add(min(w.timing.Report/3, time.Second))
+	}
+}
+
+// postHeartbeat posts one heartbeat. The status is 0 if there was no response.
+func (w *Workers) postHeartbeat(h heartbeat, controller int) (response heartbeatResponse, status int, err error) {
+	body, err := json.Marshal(h)
+	if err != nil {
+		return response, 0, err
+	}
+	httpResponse, err := w.client.Post("http://"+w.controllerAddrs[controller]+"/agent/beat", "application/json", bytes.NewReader(body))
+	if err != nil {
+		return response, 0, err
+	}
+	defer httpResponse.Body.Close()
+	raw, err := io.ReadAll(httpResponse.Body)
+	if err == nil {
+		err = json.Unmarshal(raw, &response)
+	}
+	w.traffic.add(Reports, int64(len(body)), int64(len(raw)))
+	return response, httpResponse.StatusCode, err
+}
