--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -78,9 +78,9 @@
 		now: time.UnixMilli(1e12),
 		policy: Policy{
 			IdleWindow:   10 * time.Second,
-			StartWithin:  20 * time.Second,
+			StartTimeout: 20 * time.Second,
 			StableAfter:  4 * time.Second,
-			Attempts:     3,
+			MaxAttempts:  3,
 			Backoff:      time.Second,
 			Cooldown:     30 * time.Second,
 			DrainTimeout: 15 * time.Second,
--- a/internal/activation/start_times.go
+++ b/internal/activation/start_times.go
@@ -21,9 +21,9 @@
 	byClass map[string]*hdrhistogram.Histogram
 }
 
-// Note records how long a wake took until its model was ready. Longer times than an hour count as an
+// Record records how long a wake took until its model was ready. Longer times than an hour count as an
 // hour.
-func (t *StartTimes) Note(class string, took time.Duration) {
+func (t *StartTimes) Record(class string, took time.Duration) {
 	if t.byClass == nil {
 		t.byClass = make(map[string]*hdrhistogram.Histogram)
 	}
--- a/internal/activation/start_times_test.go
+++ b/internal/activation/start_times_test.go
@@ -11,9 +11,9 @@
 		t.Errorf("without starts: got %v, want 0", got)
 	}
 	for s := range 100 {
-		times.Note("a", time.Duration(s)*time.Second)
+		times.Record("a", time.Duration(s)*time.Second)
 	}
-	times.Note("a", 1000*time.Hour)
+	times.Record("a", 1000*time.Hour)
 	if got := times.Expected("a", 30*time.Second).Round(time.Second); got != 60*time.Second {
 		t.Errorf("after 30 s: got %v, want the 90th percentile of 90 s less 30 s", got)
 	}
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -148,7 +148,7 @@
 	switch {
 	case r.State == Starting && r.Replica == NoReplica && r.BackoffRemaining(now) == 0:
 		return r, Reserve
-	case r.State == Starting && r.Replica != NoReplica && e.ReservedFor > p.StartWithin:
+	case r.State == Starting && r.Replica != NoReplica && e.ReservedFor > p.StartTimeout:
 		r.Abandoned = true
 		return r, Stop
 	case r.State == Draining && r.age(now) > p.DrainTimeout:
@@ -187,7 +187,7 @@
 		return next, Reserve
 	}
 	next.Failures++
-	if next.Failures >= p.Attempts {
+	if next.Failures >= p.MaxAttempts {
 		next.State = Failed
 		next.NotBeforeMS = now.Add(p.Cooldown).UnixMilli()
 		return next, Nothing
--- a/internal/activation/transition_test.go
+++ b/internal/activation/transition_test.go
@@ -9,9 +9,9 @@
 
 var testPolicy = Policy{
 	IdleWindow:   60 * time.Second,
-	StartWithin:  30 * time.Second,
+	StartTimeout: 30 * time.Second,
 	StableAfter:  5 * time.Second,
-	Attempts:     3,
+	MaxAttempts:  3,
 	Backoff:      2 * time.Second,
 	Cooldown:     100 * time.Second,
 	DrainTimeout: 20 * time.Second,
--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Note records a controller's report. It ignores late copies: reports that are older than the latest
+// RecordReport records a controller's report. It ignores late copies: reports that are older than the latest
 // one, or from a process that has ended.
-func (u *Usage) Note(report UsageReport, now time.Time) {
+func (u *Usage) RecordReport(report UsageReport, now time.Time) {
 	last := u.latest[report.Node]
 	switch {
 	case u.endedSessions[report.Session]:
--- a/internal/activation/usage_test.go
+++ b/internal/activation/usage_test.go
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			u := NewUsage([]string{"a", "b", "c"}, silentAfter)
 			for _, r := range append(others[:2:2], c.reports...) {
-				u.Note(r.message(model), at(r.atS))
+				u.RecordReport(r.message(model), at(r.atS))
 			}
 			since, known := u.QuietSince(model, at(c.atS))
 			if known != c.wantQuiet {
--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -19,8 +19,8 @@
 
 // Config configures a Handler.
 type Config struct {
-	Target string // template of the addresses of models' servers: see Target
-	Body   int64  // the largest request body, in bytes
+	Target       string // template of the addresses of models' servers: see Target
+	MaxBodyBytes int64  // the largest request body, in bytes
 	// ModelOf returns the model that a path element names; ok is false if it names none.
 	ModelOf func(element string) (model string, ok bool)
 }
@@ -68,11 +68,11 @@
 		writeError(w, http.StatusNotFound, "no such model", 0)
 		return
 	}
-	if r.ContentLength > h.config.Body {
+	if r.ContentLength > h.config.MaxBodyBytes {
 		writeBodyTooLarge(w)
 		return
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, h.config.Body)
+	r.Body = http.MaxBytesReader(w, r.Body, h.config.MaxBodyBytes)
 	c, decision := h.connect(r.Context(), model, element)
 	switch decision.Outcome {
 	case Granted:
--- a/internal/activator/handler_test.go
+++ b/internal/activator/handler_test.go
@@ -21,7 +21,7 @@
 	tracker, stop := startTracker(&fakeLeader{response: response}, limits)
 	t.Cleanup(stop)
 	config := Config{
-		Target: target, Body: 100,
+		Target: target, MaxBodyBytes: 100,
 		ModelOf: func(element string) (string, bool) { return strings.CutPrefix(element, "job-") },
 	}
 	server := httptest.NewServer(NewHandler(tracker, config, slog.New(slog.DiscardHandler)))
@@ -100,7 +100,7 @@
 		{"aborted by the server", "/models/job-000001/dies", "hi", ready, port, http.StatusBadGateway, "", "may have carried"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			url := startHandler(t, tc.response, Limits{Held: 1, Concurrent: 1}, "{host}:"+tc.port+"/{model}")
+			url := startHandler(t, tc.response, Limits{MaxHeld: 1, MaxConcurrent: 1}, "{host}:"+tc.port+"/{model}")
 			for range 2 { // the second is granted only if the first is released
 				var body io.Reader = strings.NewReader(tc.body)
 				if chunked, ok := strings.CutPrefix(tc.body, "chunked:"); ok {
@@ -126,7 +126,7 @@
 			_ = server.Serve(l)
 		}
 	})
-	limits := Limits{Held: 9, Concurrent: 9, Hold: 10 * time.Second}
+	limits := Limits{MaxHeld: 9, MaxConcurrent: 9, HoldTimeout: 10 * time.Second}
 	url := startHandler(t, knownResponse(activation.Ready, 1, address), limits, "{host}:"+portOf(t, address))
 	status, _, text := post(t, url+"/models/job-000001/x", strings.NewReader("hi"))
 	if status != http.StatusOK || served.Load() != 1 {
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -14,7 +14,7 @@
 }
 
 // Deadline returns until when a request that comes now may be held.
-func (t *Tracker) Deadline() time.Time { return time.Now().Add(t.limits.Hold) }
+func (t *Tracker) Deadline() time.Time { return time.Now().Add(t.limits.HoldTimeout) }
 
 // AcquireBy decides on a request for a model, which may be held until its deadline. If the model isn't known to be
 // ready, the leader gets a wake request. A request that is granted counts as in flight until Release.
@@ -93,7 +93,7 @@
 		t.reply(r, Decision{Outcome: Unknown, Response: *response, Reason: response.Reason})
 	case response.Verdict == activation.Damaged || response.State == activation.Failed:
 		t.reply(r, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model can't be started now"})
-	case response.Ready() && m.inFlight < t.limits.Concurrent:
+	case response.Ready() && m.inFlight < t.limits.MaxConcurrent:
 		m.inFlight++
 		t.reply(r, Decision{Outcome: Granted, Response: *response})
 	case response.Ready():
@@ -109,7 +109,7 @@
 	switch {
 	case r.held:
 		m.waiting = append(m.waiting, r)
-	case t.limits.Hold <= 0 || now.Add(decision.RetryAfter).After(r.deadline) || !t.canHold(m):
+	case t.limits.HoldTimeout <= 0 || now.Add(decision.RetryAfter).After(r.deadline) || !t.canHold(m):
 		t.reply(r, decision)
 	default:
 		r.held = true
@@ -120,7 +120,7 @@
 
 // canHold reports whether one more request for a model may be held: a model holds no more requests than are left for
 // all others, so that a burst for one leaves capacity for the next (dynamic thresholds).
-func (t *Tracker) canHold(m *model) bool { return m.heldRequests() < t.limits.Held-t.held }
+func (t *Tracker) canHold(m *model) bool { return m.heldRequests() < t.limits.MaxHeld-t.held }
 
 // reply gives a request its decision, unless it has one.
 func (t *Tracker) reply(r *request, decision Decision) {
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -30,9 +30,9 @@
 
 // Limits bound the requests that a tracker holds and grants.
 type Limits struct {
-	Hold       time.Duration // the longest that a request is held; 0: none is held
-	Held       int           // requests held at a time, of all models
-	Concurrent int           // requests in flight to one model at a time
+	HoldTimeout   time.Duration // the longest that a request is held; 0: none is held
+	MaxHeld       int           // requests held at a time, of all models
+	MaxConcurrent int           // requests in flight to one model at a time
 }
 
 const (
--- a/internal/activator/tracker_test.go
+++ b/internal/activator/tracker_test.go
@@ -15,7 +15,7 @@
 // repeated.
 func TestTrackerCoalescesWakeRequests(t *testing.T) {
 	leader := &fakeLeader{response: activation.WakeResponse{Reason: "no leader"}, latency: 10 * time.Millisecond}
-	runTracker(t, leader, Limits{Held: 1}, func(ctx context.Context, tracker *Tracker) {
+	runTracker(t, leader, Limits{MaxHeld: 1}, func(ctx context.Context, tracker *Tracker) {
 		var refused atomic.Int64
 		for range 500 {
 			go func() {
@@ -46,7 +46,7 @@
 // granted in order, up to the limit of concurrent requests. At the deadline they time out.
 func TestTrackerHoldsRequests(t *testing.T) {
 	leader := &fakeLeader{response: knownResponse(activation.Starting, 1, "")}
-	runTracker(t, leader, Limits{Held: 8, Concurrent: 2, Hold: 20 * time.Second}, func(ctx context.Context, tracker *Tracker) {
+	runTracker(t, leader, Limits{MaxHeld: 8, MaxConcurrent: 2, HoldTimeout: 20 * time.Second}, func(ctx context.Context, tracker *Tracker) {
 		var mu sync.Mutex
 		outcomes := make(map[Outcome]int)
 		count := func(o Outcome) int {
@@ -116,7 +116,7 @@
 // confirms the drain.
 func TestTrackerDrainInvalidatesEarlierResponses(t *testing.T) {
 	leader := &fakeLeader{response: knownResponse(activation.Ready, 1, "10.0.0.1:9000")}
-	runTracker(t, leader, Limits{Held: 8, Concurrent: 9}, func(ctx context.Context, tracker *Tracker) {
+	runTracker(t, leader, Limits{MaxHeld: 8, MaxConcurrent: 9}, func(ctx context.Context, tracker *Tracker) {
 		if d := tracker.Acquire(ctx, "m"); d.Outcome != Granted {
 			t.Fatalf("decision %+v, want Granted", d)
 		}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -83,18 +83,18 @@
 	}
 }
 
-// Measured updates the throughput with one measurement: the number of submissions recorded within
+// RecordThroughput updates the throughput with one measurement: the number of submissions recorded within
 // the duration took. Only measurements at saturation count, that is with submissions left waiting.
-func (l *Limiter) Measured(recorded int, took time.Duration) {
+func (l *Limiter) RecordThroughput(recorded int, took time.Duration) {
 	if recorded <= 0 || took <= 0 {
 		return
 	}
 	l.throughput += throughputWeight * (float64(recorded)/took.Seconds() - l.throughput)
 }
 
-// RetryS reserves a time to retry for a submission that is rejected now. It returns the time until
+// RetryAfterSeconds reserves a time to retry for a submission that is rejected now. It returns the time until
 // then in whole seconds, from 1 to 30.
-func (l *Limiter) RetryS(now time.Time) int {
+func (l *Limiter) RetryAfterSeconds(now time.Time) int {
 	if l.nextRetry.Before(now) {
 		l.nextRetry = now
 	}
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("at 100/s within 2 s: got %d admitted, want 200", admitted)
 	}
 	for range 40 {
-		l.Measured(100, 500*time.Millisecond)
+		l.RecordThroughput(100, 500*time.Millisecond)
 	}
 	admitted += admitUntilRejected(l, 0)
 	if capacity := l.capacity(0); admitted < 390 || admitted > 400 || capacity > 400 {
@@ -45,8 +45,8 @@
 func TestLimiterIgnoresEmptyMeasurements(t *testing.T) {
 	l := newTestLimiter(100)
 	want := l.capacity(0)
-	l.Measured(0, time.Second)
-	l.Measured(1, 0)
+	l.RecordThroughput(0, time.Second)
+	l.RecordThroughput(1, 0)
 	if got := l.capacity(0); got != want {
 		t.Errorf("capacity after empty measurements: got %d, want %d", got, want)
 	}
@@ -90,23 +90,23 @@
 	l, now := newTestLimiter(throughput), time.Now()
 	retries := make(map[int]int) // by seconds from now
 	for range 20 * throughput {
-		retries[l.RetryS(now)]++
+		retries[l.RetryAfterSeconds(now)]++
 	}
 	for s := 1; s <= 20; s++ {
 		if retries[s] < throughput-1 || retries[s] > throughput+1 {
 			t.Errorf("retries after %d s: got %d, want %d", s, retries[s], throughput)
 		}
 	}
-	if s := l.RetryS(now.Add(15 * time.Second)); s < 5 || s > 6 {
+	if s := l.RetryAfterSeconds(now.Add(15 * time.Second)); s < 5 || s > 6 {
 		t.Errorf("retry with 5 s of earlier ones left: got %d s, want 5 or 6", s)
 	}
 	for range 1000 {
-		l.RetryS(now)
+		l.RetryAfterSeconds(now)
 	}
-	if s := l.RetryS(now); s != maxRetrySeconds {
+	if s := l.RetryAfterSeconds(now); s != maxRetrySeconds {
 		t.Errorf("retry behind 1000 others: got %d s, want %d", s, maxRetrySeconds)
 	}
-	if s := l.RetryS(now.Add(time.Hour)); s != 1 {
+	if s := l.RetryAfterSeconds(now.Add(time.Hour)); s != 1 {
 		t.Errorf("retry after all earlier ones: got %d s, want 1", s)
 	}
 }
@@ -139,10 +139,10 @@
 			"measure": func(t *rapid.T) {
 				recorded := rapid.IntRange(0, 500).Draw(t, "recorded")
 				took := time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-				l.Measured(recorded, took)
+				l.RecordThroughput(recorded, took)
 			},
 			"": func(t *rapid.T) {
-				if s := l.RetryS(time.Now()); s < 1 || s > maxRetrySeconds {
+				if s := l.RetryAfterSeconds(time.Now()); s < 1 || s > maxRetrySeconds {
 					t.Fatalf("retry after %d s, want 1 to %d", s, maxRetrySeconds)
 				}
 				if l.total != len(admitted) {
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -57,7 +57,7 @@
 	entries := newEntries(300)
 	first := f.startLeader()
 	f.archive(first, entries[:100])
-	f.store.Trouble(faults)
+	f.store.Update(faults)
 	_, _ = archiveOnce(first, entries[100:200], shortTimeout) // may fail
 	f.archive(f.startLeader(), entries[50:])
 	if _, err := first.Archive(context.Background(), entries[200:]); err == nil {
@@ -84,7 +84,7 @@
 		for group := range slices.Chunk(entries, 40) {
 			f.archive(leader, group)
 		}
-		f.store.Trouble(func(s *storagetest.Service) {
+		f.store.Update(func(s *storagetest.Service) {
 			if len(s.Sent) < 8 {
 				t.Fatalf("got %d writes, want at least 8", len(s.Sent))
 			}
@@ -138,7 +138,7 @@
 				}
 				leader := f.startLeader()
 				f.archive(leader, early)
-				f.store.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = c.valueBytes, c.txnOps })
+				f.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = c.valueBytes, c.txnOps })
 				if c.canSplit {
 					f.archive(leader, late)
 				} else {
--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -34,10 +34,10 @@
 
 // Settings are the settings of an Archiver.
 type Settings struct {
-	Refresh     time.Duration // how often a follower reads the changes of pages
-	CallTime    time.Duration // the timeout of one request to the store
-	MemoryBytes int           // of the packed pages held in memory
-	Follow      bool          // hold pages also while another controller leads
+	RefreshInterval time.Duration // how often a follower reads the changes of pages
+	RequestTimeout  time.Duration // the timeout of one request to the store
+	MemoryBytes     int           // of the packed pages held in memory
+	Follow          bool          // hold pages also while another controller leads
 }
 
 // Leadership is one term of leadership.
@@ -167,7 +167,7 @@
 
 // withTimeout bounds one request to the store.
 func (a *Archiver) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, a.settings.CallTime)
+	return context.WithTimeout(ctx, a.settings.RequestTimeout)
 }
 
 // applyLimits applies what the limits of the store have become, and returns them.
@@ -180,7 +180,7 @@
 
 // exact reports whether the whole index is exact in the term of this controller.
 func (a *Archiver) exact() bool {
-	return a.leadership != nil && a.Index.CompleteFor(a.leadership.Term)
+	return a.leadership != nil && a.Index.ExactFor(a.leadership.Term)
 }
 
 // invalidate has the index refreshed before it counts as exact again.
--- a/internal/archive/fixture_test.go
+++ b/internal/archive/fixture_test.go
@@ -74,7 +74,7 @@
 
 // newArchiver returns an Archiver that isn't running.
 func (f *fixture) newArchiver(store storage.KeyValueStore, follow bool) *Archiver {
-	settings := Settings{Refresh: 10 * time.Second, CallTime: time.Second, MemoryBytes: f.memoryBytes, Follow: follow}
+	settings := Settings{RefreshInterval: 10 * time.Second, RequestTimeout: time.Second, MemoryBytes: f.memoryBytes, Follow: follow}
 	return NewArchiver(store, f.limits, settings, slog.New(slog.DiscardHandler))
 }
 
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -63,8 +63,8 @@
 	return s.pages[i].lookup(number, s.term)
 }
 
-// CompleteFor reports whether the whole index is exact for the leader of a term.
-func (x *Index) CompleteFor(term uint64) bool { return x.current.Load().term == term }
+// ExactFor reports whether the whole index is exact for the leader of a term.
+func (x *Index) ExactFor(term uint64) bool { return x.current.Load().term == term }
 
 // edit publishes a changed copy of the snapshot.
 func (x *Index) edit(f func(s *snapshot)) {
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -124,7 +124,7 @@
 func (m *model) injectFault() {
 	fault := rapid.IntRange(0, 2).Draw(m.t, "fault")
 	late := time.Duration(rapid.IntRange(1, 20_000).Draw(m.t, "late")) * time.Millisecond
-	m.store.Trouble(func(s *storagetest.Service) {
+	m.store.Update(func(s *storagetest.Service) {
 		switch fault {
 		case 0:
 			s.LoseAnswers = 1
--- a/internal/archive/page_writer.go
+++ b/internal/archive/page_writer.go
@@ -98,7 +98,7 @@
 		a.invalidate()
 		return ErrLeadershipLost
 	case errors.Is(err, storage.ErrMalformed), errors.Is(err, storage.ErrRateLimited):
-		a.limits.Learn(err)
+		a.limits.Observe(err)
 	case errors.Is(err, storage.ErrRefused):
 	default:
 		a.invalidate()
--- a/internal/archive/read_test.go
+++ b/internal/archive/read_test.go
@@ -79,7 +79,7 @@
 		leader, entries := f.startLeaderWith(100)
 		time.Sleep(loadTime)
 		requests := 0
-		f.store.Trouble(func(s *storagetest.Service) {
+		f.store.Update(func(s *storagetest.Service) {
 			s.Refuse = func(string) bool { requests++; return false }
 		})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -50,16 +50,16 @@
 		a.load = &load{}
 	case err != nil:
 		a.log.Debug("archive refresh failed", "error", err)
-		pause = max(pause, a.settings.CallTime)
+		pause = max(pause, a.settings.RequestTimeout)
 	case a.load == nil && a.leadership == nil:
-		pause = max(pause, a.settings.Refresh)
+		pause = max(pause, a.settings.RefreshInterval)
 	}
 	a.nextRefresh = time.Now().Add(pause)
 }
 
 // isStale reports whether the index is too old for its changes to be requested.
 func (a *Archiver) isStale(now time.Time) bool {
-	return !a.exact() && now.Sub(a.refreshed) > staleRefreshes*a.settings.Refresh
+	return !a.exact() && now.Sub(a.refreshed) > staleRefreshes*a.settings.RefreshInterval
 }
 
 // loadNext reads the next pages of a load. What has changed since it began is read by the refreshes
--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -32,13 +32,13 @@
 	tasks int
 }
 
-// Arrived records the arrival of a job.
-func (c *Class) Arrived(at time.Time, tasks int) {
+// RecordArrival records the arrival of a job.
+func (c *Class) RecordArrival(at time.Time, tasks int) {
 	c.arrivals = appendBounded(c.arrivals, event{at, tasks})
 }
 
-// Departed records the cancellation of a job.
-func (c *Class) Departed(at time.Time, tasks int) {
+// RecordDeparture records the cancellation of a job.
+func (c *Class) RecordDeparture(at time.Time, tasks int) {
 	c.departures = appendBounded(c.departures, event{at, tasks})
 }
 
@@ -111,9 +111,9 @@
 	return r.Tasks*windows + deviations*math.Sqrt(r.Squares*windows)
 }
 
-// Ran records the run time of a finished task and the run time that its owner expected, both in
+// RecordRun records the run time of a finished task and the run time that its owner expected, both in
 // seconds.
-func (c *Class) Ran(runS, expectedS float64) {
+func (c *Class) RecordRun(runS, expectedS float64) {
 	if c.meanRunS == 0 {
 		c.meanRunS, c.meanExpectedS = runS, expectedS
 	}
@@ -121,18 +121,18 @@
 	c.meanExpectedS += runWeight * (expectedS - c.meanExpectedS)
 }
 
-// MeanRunS returns the average run time of the class's tasks in seconds, or fallback if none has run.
-func (c *Class) MeanRunS(fallback float64) float64 {
+// MeanRunSeconds returns the average run time of the class's tasks in seconds, or fallback if none has run.
+func (c *Class) MeanRunSeconds(fallback float64) float64 {
 	if c.meanRunS > 0 {
 		return c.meanRunS
 	}
 	return fallback
 }
 
-// RunS estimates in seconds how long a task runs whose owner expects expectedS seconds. The class's
+// EstimateRunSeconds estimates in seconds how long a task runs whose owner expects expectedS seconds. The class's
 // average is scaled by the square root of how much this owner differs from the others, because
 // owners are often wrong by half.
-func (c *Class) RunS(expectedS float64) float64 {
+func (c *Class) EstimateRunSeconds(expectedS float64) float64 {
 	switch {
 	case c.meanRunS <= 0:
 		return expectedS
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -15,7 +15,7 @@
 	at := start
 	for range jobs {
 		at = at.Add(time.Duration(float64(time.Second) / perS))
-		c.Arrived(at, tasks)
+		c.RecordArrival(at, tasks)
 	}
 	return at
 }
@@ -65,8 +65,8 @@
 	var c Class
 	for i, tasks := range []int{1, 5, 2} {
 		at := start.Add(time.Duration(i) * time.Second)
-		c.Arrived(at, tasks)
-		c.Departed(at, tasks)
+		c.RecordArrival(at, tasks)
+		c.RecordDeparture(at, tasks)
 	}
 	if got := c.LargestJob(); got != 5 {
 		t.Errorf("largest job: got %d, want 5", got)
@@ -81,10 +81,10 @@
 
 func TestRunTimeEstimateWithoutRunsIsTheOwners(t *testing.T) {
 	var c Class
-	if got := c.RunS(30); got != 30 {
+	if got := c.EstimateRunSeconds(30); got != 30 {
 		t.Errorf("estimate: got %v s, want the owner's 30", got)
 	}
-	if got := c.MeanRunS(40); got != 40 {
+	if got := c.MeanRunSeconds(40); got != 40 {
 		t.Errorf("mean: got %v s, want the fallback of 40", got)
 	}
 }
@@ -92,19 +92,19 @@
 func TestRunTimeEstimateLiesBetweenClassAndOwner(t *testing.T) {
 	var c Class
 	for range 200 {
-		c.Ran(100, 25)
+		c.RecordRun(100, 25)
 	}
-	if got := c.MeanRunS(40); math.Abs(got-100) > 0.1 {
+	if got := c.MeanRunSeconds(40); math.Abs(got-100) > 0.1 {
 		t.Errorf("mean: got %v s, want 100", got)
 	}
-	if got := c.RunS(100); math.Abs(got-200) > 0.5 {
+	if got := c.EstimateRunSeconds(100); math.Abs(got-200) > 0.5 {
 		t.Errorf("estimate for an owner who expects four times the usual: got %v s, want 200", got)
 	}
-	if got := c.RunS(0); math.Abs(got-100) > 0.1 {
+	if got := c.EstimateRunSeconds(0); math.Abs(got-100) > 0.1 {
 		t.Errorf("estimate without the owner's expectation: got %v s, want 100", got)
 	}
-	c.Ran(200, 25)
-	if got := c.MeanRunS(0); math.Abs(got-105) > 0.1 {
+	c.RecordRun(200, 25)
+	if got := c.MeanRunSeconds(0); math.Abs(got-105) > 0.1 {
 		t.Errorf("mean after a run of 200 s, with a weight of a twentieth: got %v s, want 105", got)
 	}
 }
--- a/internal/cluster/class_table.go
+++ b/internal/cluster/class_table.go
@@ -17,7 +17,7 @@
 }
 
 // TypicalRunSeconds is how long a task of the class typically runs, in seconds.
-func (c *Class) TypicalRunSeconds() float64 { return c.MeanRunS(c.Latest.Spec.EstimateS) }
+func (c *Class) TypicalRunSeconds() float64 { return c.MeanRunSeconds(c.Latest.Spec.EstimateS) }
 
 // ClassTable keeps the statistics of the classes of jobs.
 type ClassTable struct {
@@ -48,27 +48,27 @@
 		t.FirstArrival = j.Submitted
 	}
 	c.Latest = j
-	c.Arrived(j.Submitted, j.Spec.Tasks)
+	c.RecordArrival(j.Submitted, j.Spec.Tasks)
 }
 
 // NoteDeparture counts the cancellation of a job to its class.
 func (t *ClassTable) NoteDeparture(j *Job, now time.Time) {
 	if c := t.byName[j.Spec.Class]; c != nil && !j.ScalesToZero() {
-		c.Departed(now, j.Spec.Tasks)
+		c.RecordDeparture(now, j.Spec.Tasks)
 	}
 }
 
 // NoteRunTime counts the run time of a completed task to its class.
 func (t *ClassTable) NoteRunTime(a *Attempt, now time.Time) {
 	if c := t.byName[a.Job.Spec.Class]; c != nil && !a.Started.IsZero() {
-		c.Ran(now.Sub(a.Started).Seconds(), a.Job.Spec.EstimateS)
+		c.RecordRun(now.Sub(a.Started).Seconds(), a.Job.Spec.EstimateS)
 	}
 }
 
 // RunSeconds is how long a task of the job is expected to run, in seconds.
 func (t *ClassTable) RunSeconds(j *Job) float64 {
 	if c := t.byName[j.Spec.Class]; c != nil {
-		return c.RunS(j.Spec.EstimateS)
+		return c.EstimateRunSeconds(j.Spec.EstimateS)
 	}
 	return j.Spec.EstimateS
 }
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -72,9 +72,9 @@
 		Policy: activation.Policy{
 			IdleWindow:   clock.Scale(s.WorkerLease, idlePerLease),
 			DrainTimeout: clock.Scale(s.WorkerLease, drainPerLease),
-			StartWithin:  clock.Scale(s.WorkerLease, startPerLease),
+			StartTimeout: clock.Scale(s.WorkerLease, startPerLease),
 			StableAfter:  clock.Scale(s.WorkerLease, stablePerLease),
-			Attempts:     defaultStartAttempts,
+			MaxAttempts:  defaultStartAttempts,
 			Backoff:      clock.Scale(s.WorkerLease, backoffPerLease),
 			Cooldown:     clock.Scale(s.WorkerLease, cooldownPerLease),
 		},
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -28,10 +28,10 @@
 	earlierByTask map[int]int // failures known from before this leader, of at most maxRemembered tasks
 }
 
-// Failed records that a task failed on a machine now. Tasks that ran at the same time are taken to
+// RecordFailure records that a task failed on a machine now. Tasks that ran at the same time are taken to
 // fail for one reason: only a task that was started after the last failure counted is a consecutive
 // one.
-func (j *Job) Failed(machine int, started, now time.Time) {
+func (j *Job) RecordFailure(machine int, started, now time.Time) {
 	j.addMachine(machine)
 	if j.consecutive == 0 || started.After(j.lastCounted) {
 		j.consecutive++
@@ -39,9 +39,9 @@
 	}
 }
 
-// Recall records that a task, given by its number, failed on a machine at an unknown earlier time.
+// RecordEarlierFailure records that a task, given by its number, failed on a machine at an unknown earlier time.
 // Several failures of the same task are consecutive, because it was retried after each.
-func (j *Job) Recall(machine, task int) {
+func (j *Job) RecordEarlierFailure(machine, task int) {
 	j.addMachine(machine)
 	if j.earlierByTask == nil {
 		j.earlierByTask = make(map[int]int)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Succeeded records that a task succeeded, so that the job isn't at fault.
-func (j *Job) Succeeded() { *j = Job{} }
+// RecordSuccess records that a task succeeded, so that the job isn't at fault.
+func (j *Job) RecordSuccess() { *j = Job{} }
 
 // AtFault reports whether the job is taken to fail wherever it runs.
 func (j *Job) AtFault() bool {
--- a/internal/failures/job_test.go
+++ b/internal/failures/job_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			var j Job
 			for _, f := range c.failures {
-				j.Failed(f.machine, at(f.startedS), at(f.failedS))
+				j.RecordFailure(f.machine, at(f.startedS), at(f.failedS))
 			}
 			if got := j.AtFault(); got != c.wantAtFault {
 				t.Errorf("at fault: got %v, want %v", got, c.wantAtFault)
@@ -36,7 +36,7 @@
 			if got := j.Backoff(time.Second); got != c.wantBackoff {
 				t.Errorf("backoff: got %v, want %v", got, c.wantBackoff)
 			}
-			if j.Succeeded(); j.AtFault() || len(j.Machines()) != 0 {
+			if j.RecordSuccess(); j.AtFault() || len(j.Machines()) != 0 {
 				t.Errorf("after a success: got at fault %v, machines %v, want neither", j.AtFault(), j.Machines())
 			}
 		})
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			var j Job
 			for _, f := range c.failures {
-				j.Recall(f.machine, f.task)
+				j.RecordEarlierFailure(f.machine, f.task)
 			}
 			if got := j.AtFault(); got != c.wantAtFault {
 				t.Errorf("at fault: got %v, want %v", got, c.wantAtFault)
@@ -68,7 +68,7 @@
 func TestRecalledTasksAreBounded(t *testing.T) {
 	var j Job
 	for task := range 1000 {
-		if j.Recall(1, task); len(j.earlierByTask) > maxRemembered {
+		if j.RecordEarlierFailure(1, task); len(j.earlierByTask) > maxRemembered {
 			t.Fatalf("after %d tasks: got %d remembered, want at most %d", task+1, len(j.earlierByTask), maxRemembered)
 		}
 	}
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -12,8 +12,8 @@
 	jobs []string // at most maxRemembered
 }
 
-// Failed records that a task of the job failed on the machine.
-func (m *Machine) Failed(job string) {
+// RecordFailure records that a task of the job failed on the machine.
+func (m *Machine) RecordFailure(job string) {
 	if len(m.jobs) < maxRemembered && !slices.Contains(m.jobs, job) {
 		m.jobs = append(m.jobs, job)
 	}
@@ -24,8 +24,8 @@
 	m.jobs = slices.DeleteFunc(m.jobs, func(other string) bool { return other == job })
 }
 
-// Succeeded records that a task succeeded on the machine.
-func (m *Machine) Succeeded() { m.jobs = nil }
+// RecordSuccess records that a task succeeded on the machine.
+func (m *Machine) RecordSuccess() { m.jobs = nil }
 
 // Suspected reports whether a job failed on the machine that isn't known to be at fault itself.
 func (m *Machine) Suspected() bool { return len(m.jobs) > 0 }
--- a/internal/fencing/tokens.go
+++ b/internal/fencing/tokens.go
@@ -17,20 +17,20 @@
 
 import "math"
 
-// PerTerm is the number of tokens in the range of one term of leadership. At one raise in each
+// TokensPerTerm is the number of tokens in the range of one term of leadership. At one raise in each
 // worker lease of 20 s it lasts for two weeks. After that a worker's attempts are started only by
 // the responses to its heartbeats, which are never carried out late.
-const PerTerm = 1 << 16
+const TokensPerTerm = 1 << 16
 
 // LastTerm is the highest number that a term may have. Attempt numbers are the term's number times
 // 2^24 and more, and must stay below 2^64.
-const LastTerm = math.MaxUint64>>24 - PerTerm
+const LastTerm = math.MaxUint64>>24 - TokensPerTerm
 
 // Tokens is the range of tokens of one term, from First to Last inclusive.
 type Tokens struct{ First, Last uint64 }
 
 // TermTokens returns the tokens of the term with that number.
-func TermTokens(term uint64) Tokens { return Tokens{First: term, Last: term + PerTerm - 1} }
+func TermTokens(term uint64) Tokens { return Tokens{First: term, Last: term + TokensPerTerm - 1} }
 
 // Contains reports whether a token belongs to the term.
 func (t Tokens) Contains(token uint64) bool { return t.First <= token && token <= t.Last }
--- a/internal/fleetload/bursts.go
+++ b/internal/fleetload/bursts.go
@@ -9,10 +9,10 @@
 
 // BurstFigures are the counts of bursts of submissions.
 type BurstFigures struct {
-	Refusals  int `json:"refusals"`  // refused requests
-	Refused   int `json:"refused"`   // submissions that were refused at least once
-	AtReturn  int `json:"at_return"` // of those, accepted by the first retry
-	Abandoned int `json:"abandoned"` // submissions that were never accepted
+	Refusals        int `json:"refusals"`  // refused requests
+	Refused         int `json:"refused"`   // submissions that were refused at least once
+	AcceptedOnRetry int `json:"at_return"` // of those, accepted by the first retry
+	Abandoned       int `json:"abandoned"` // submissions that were never accepted
 }
 
 // burstStats are the measurements of bursts. users.mu guards them.
@@ -36,7 +36,7 @@
 // submitInBurst submits one job of a burst and records the outcome.
 func (u *users) submitInBurst(j loopbacktest.Job) {
 	began, refusals := time.Now(), 0
-	err := u.fleet.SubmitAsUser(j, submitTimeout, func(s loopbacktest.Standing) {
+	err := u.fleet.SubmitWithBackoff(j, submitTimeout, func(s loopbacktest.JobStatus) {
 		refusals++
 		u.update(func() { u.bursts.retryAfter.record(s.RetryAfter) })
 	})
@@ -50,7 +50,7 @@
 			return
 		}
 		if refusals == 1 {
-			u.bursts.AtReturn++
+			u.bursts.AcceptedOnRetry++
 		}
 		u.bursts.accepted.record(time.Since(began))
 	})
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -11,43 +11,43 @@
 
 // Config describes one experiment.
 type Config struct {
-	Binary         string        `json:"-"` // path of the controllers' program
-	Dir            string        `json:"-"` // for the controllers' settings and logs
-	Controllers    int           `json:"controllers"`
-	Workers        int           `json:"workers"`
-	Running        int           `json:"running"`       // tasks that run throughout
-	PerStanding    int           `json:"per_standing"`  // such tasks of one job
-	StartsPerS     float64       `json:"starts_per_s"`  // of short tasks
-	TasksPerJob    int           `json:"tasks_per_job"` // of the short jobs
-	TaskTime       time.Duration `json:"task_ns"`
-	CancelShare    float64       `json:"cancel_share"` // of the short jobs
-	UrgentShare    float64       `json:"urgent_share"`
-	Teams          int           `json:"teams"`
-	Finished       int           `json:"finished"`          // finished jobs that are stored in the journal before the start
-	Archived       int           `json:"archived"`          // finished jobs that are stored in the archive before the start
-	FinalPollsPerS float64       `json:"final_polls_per_s"` // polls per second of jobs that were stored before the start
-	Archive        bool          `json:"archive"`           // enable the archive of finished jobs
-	Fencing        bool          `json:"fencing"`           // raise the workers' fencing tokens within a term
+	Binary              string        `json:"-"` // path of the controllers' program
+	Dir                 string        `json:"-"` // for the controllers' settings and logs
+	Controllers         int           `json:"controllers"`
+	Workers             int           `json:"workers"`
+	StandingTasks       int           `json:"running"`       // tasks that run throughout
+	TasksPerStandingJob int           `json:"per_standing"`  // such tasks of one job
+	StartsPerS          float64       `json:"starts_per_s"`  // of short tasks
+	TasksPerJob         int           `json:"tasks_per_job"` // of the short jobs
+	TaskTime            time.Duration `json:"task_ns"`
+	CancelShare         float64       `json:"cancel_share"` // of the short jobs
+	UrgentShare         float64       `json:"urgent_share"`
+	Teams               int           `json:"teams"`
+	Finished            int           `json:"finished"`          // finished jobs that are stored in the journal before the start
+	Archived            int           `json:"archived"`          // finished jobs that are stored in the archive before the start
+	FinalPollsPerS      float64       `json:"final_polls_per_s"` // polls per second of jobs that were stored before the start
+	Archive             bool          `json:"archive"`           // enable the archive of finished jobs
+	Fencing             bool          `json:"fencing"`           // raise the workers' fencing tokens within a term
 	// ArchiveKeep is the number of finished jobs that stay out of the archive; negative: the default.
-	ArchiveKeep int           `json:"archive_keep"`
-	Report      time.Duration `json:"report_ns"`
-	Lease       time.Duration `json:"lease_ns"`
-	Fill        time.Duration `json:"fill_ns"` // limit of the time until the standing tasks run
-	Duration    time.Duration `json:"duration_ns"`
-	Seed        uint64        `json:"seed"`
-	MemoryMB    float64       `json:"memory_mb"` // that a controller is configured with
-	ChangesPerS float64       `json:"changes_per_s"`
-	Faults      []Fault       `json:"faults"`
-	LogLevel    string        `json:"-"`
+	ArchiveKeep       int           `json:"archive_keep"`
+	HeartbeatInterval time.Duration `json:"report_ns"`
+	Lease             time.Duration `json:"lease_ns"`
+	FillTimeout       time.Duration `json:"fill_ns"` // limit of the time until the standing tasks run
+	Duration          time.Duration `json:"duration_ns"`
+	Seed              uint64        `json:"seed"`
+	MemoryMB          float64       `json:"memory_mb"` // that a controller is configured with
+	ChangesPerS       float64       `json:"changes_per_s"`
+	Faults            []Fault       `json:"faults"`
+	LogLevel          string        `json:"-"`
 }
 
 // DefaultConfig returns a small experiment.
 func DefaultConfig() Config {
 	return Config{
-		Controllers: 3, Workers: 100, Running: 500, PerStanding: 200,
+		Controllers: 3, Workers: 100, StandingTasks: 500, TasksPerStandingJob: 200,
 		StartsPerS: 20, TasksPerJob: 10, TaskTime: 5 * time.Second, UrgentShare: 0.1, Teams: 4,
 		FinalPollsPerS: 10, ArchiveKeep: -1,
-		Report: 3 * time.Second, Lease: 22 * time.Second, Fill: 5 * time.Minute, Duration: 30 * time.Second,
+		HeartbeatInterval: 3 * time.Second, Lease: 22 * time.Second, FillTimeout: 5 * time.Minute, Duration: 30 * time.Second,
 		Seed: 1, MemoryMB: 512, ChangesPerS: 500, LogLevel: "info",
 	}
 }
@@ -92,8 +92,8 @@
 	if err := checkFlags([]flagRule{
 		{c.Controllers < 1 || c.Controllers > maxControllers, "controllers", fmt.Sprintf("must be from 1 to %d", maxControllers)},
 		{c.Workers < 1, "workers", "must be above 0"},
-		{c.Running < 0, "running", "must not be negative"},
-		{c.PerStanding < 1, "per-standing", "must be above 0"},
+		{c.StandingTasks < 0, "running", "must not be negative"},
+		{c.TasksPerStandingJob < 1, "per-standing", "must be above 0"},
 		{c.StartsPerS < 0, "starts", "must not be negative"},
 		{c.TasksPerJob < 1, "tasks", "must be above 0"},
 		{c.TaskTime <= 0, "task-time", "must be above 0"},
@@ -105,9 +105,9 @@
 		{c.Archived > 0 && !c.Archive, "archived", "needs --archive"},
 		{c.FinalPollsPerS < 0, "final-polls", "must not be negative"},
 		{c.Duration <= 0, "duration", "must be above 0"},
-		{c.Report <= 0, "report", "must be above 0"},
-		{c.Lease <= c.Report, "lease", "must be longer than --report"},
-		{c.Fill <= 0, "fill", "must be above 0"},
+		{c.HeartbeatInterval <= 0, "report", "must be above 0"},
+		{c.Lease <= c.HeartbeatInterval, "lease", "must be longer than --report"},
+		{c.FillTimeout <= 0, "fill", "must be above 0"},
 		{c.MemoryMB < 16, "memory", "must be at least 16 MB"},
 		{c.ChangesPerS <= 0, "changes", "must be above 0"},
 		{tasks > c.Workers*taskSlots, "running", fmt.Sprintf("%d tasks don't fit on %d workers of %d slots", tasks, c.Workers, taskSlots)},
@@ -115,7 +115,7 @@
 		return err
 	}
 	for _, f := range c.Faults {
-		if f.At+f.For > c.Duration {
+		if f.Start+f.Duration > c.Duration {
 			return &FlagError{"fault", fmt.Sprintf("%s lasts beyond --duration %v", f, c.Duration)}
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // standingTasks returns the number of tasks that run throughout, shortTasks that of short tasks at a time.
-func (c *Config) standingTasks() int { return c.Running }
+func (c *Config) standingTasks() int { return c.StandingTasks }
 func (c *Config) shortTasks() int    { return int(c.StartsPerS * c.TaskTime.Seconds()) }
 
 // checkMachine returns a FlagError if the experiment exceeds the limits of this machine.
--- a/internal/fleetload/demo.go
+++ b/internal/fleetload/demo.go
@@ -22,10 +22,10 @@
 // Demo starts three controllers and a few hollow workers, submits jobs, kills the leader and shows that
 // the work continues. It takes less than a minute. Its progress is written to out.
 func Demo(ctx context.Context, config Config, out io.Writer) error {
-	config.Controllers, config.Workers, config.Running, config.Teams = 3, 6, 0, 1
+	config.Controllers, config.Workers, config.StandingTasks, config.Teams = 3, 6, 0, 1
 	options := loopbacktest.DefaultOptions()
 	options.Workers, options.Teams = config.Workers, []loopbacktest.Team{{Name: teamName(0), CPULimit: 64}}
-	fleet, err := loopbacktest.NewFleetOf(config.Dir, options)
+	fleet, err := loopbacktest.NewFleet(config.Dir, options)
 	if err != nil {
 		return fmt.Errorf("stand-ins: %w", err)
 	}
@@ -89,7 +89,7 @@
 	for _, j := range d.jobs[1:] {
 		done := func() bool {
 			s, err := d.fleet.Poll(j.ID)
-			return err == nil && s.Standing == doneState
+			return err == nil && s.State == doneState
 		}
 		if err := await(ctx, demoStepTimeout, j.ID+" done", done); err != nil {
 			return err
@@ -97,9 +97,9 @@
 	}
 	d.printJobs()
 	counts := d.fleet.Workers.Counts()
-	d.logf("%d starts, %d rules broken", counts.Starts, counts.Faults)
-	if counts.Faults > 0 {
-		return fmt.Errorf("%v", d.fleet.Workers.Faults())
+	d.logf("%d starts, %d rules broken", counts.Starts, counts.Violations)
+	if counts.Violations > 0 {
+		return fmt.Errorf("%v", d.fleet.Workers.Violations())
 	}
 	return nil
 }
@@ -112,6 +112,6 @@
 			d.logf("%s: %v", j.ID, err)
 			continue
 		}
-		d.logf("%s: %s, %d running, %d done", j.ID, s.Standing, s.Running, s.Done)
+		d.logf("%s: %s, %d running, %d done", j.ID, s.State, s.Running, s.Done)
 	}
 }
--- a/internal/fleetload/experiment.go
+++ b/internal/fleetload/experiment.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	e := &Experiment{config: config, out: out, result: &Result{Config: config}}
-	fleet, err := loopbacktest.NewFleetOf(config.Dir, config.fleetOptions())
+	fleet, err := loopbacktest.NewFleet(config.Dir, config.fleetOptions())
 	if err != nil {
 		return nil, fmt.Errorf("stand-ins: %w", err)
 	}
@@ -59,7 +59,7 @@
 	o := loopbacktest.DefaultOptions()
 	o.Controllers, o.Workers, o.MachineLimit, o.MachineCPUs = c.Controllers, c.Workers, c.Workers, taskSlots
 	o.Timing = loopbacktest.Timing{
-		Report: c.Report, Change: min(500*time.Millisecond, c.Report/4), Lease: c.Lease, Cancel: 2*c.Lease + 8*time.Second,
+		Heartbeat: c.HeartbeatInterval, Change: min(500*time.Millisecond, c.HeartbeatInterval/4), Lease: c.Lease, Cancel: 2*c.Lease + 8*time.Second,
 		Boot: 2 * time.Second, Fetch: 100 * time.Millisecond,
 	}
 	o.Teams = nil
@@ -74,7 +74,7 @@
 // teamLimit returns the limit of a team: a quarter above its even share of all tasks.
 func (c *Config) teamLimit() float64 {
 	even := float64(c.standingTasks()+c.shortTasks()) / float64(c.Teams)
-	return math.Ceil(1.25*even) + float64(c.PerStanding)
+	return math.Ceil(1.25*even) + float64(c.TasksPerStandingJob)
 }
 
 // properties returns the controllers' properties: they keep the size of the fleet, and enable the features of
@@ -117,13 +117,13 @@
 	}
 	for {
 		counts := e.fleet.Workers.Counts()
-		if counts.Present >= e.config.standingTasks() {
+		if counts.Running >= e.config.standingTasks() {
 			e.result.FillS = time.Since(began).Seconds()
-			e.logf("%d tasks run on %d workers after %.1f s", counts.Present, counts.Machines, e.result.FillS)
+			e.logf("%d tasks run on %d workers after %.1f s", counts.Running, counts.Machines, e.result.FillS)
 			return nil
 		}
-		if time.Since(began) > e.config.Fill {
-			return fmt.Errorf("only %d of %d standing tasks run after %v", counts.Present, e.config.standingTasks(), e.config.Fill)
+		if time.Since(began) > e.config.FillTimeout {
+			return fmt.Errorf("only %d of %d standing tasks run after %v", counts.Running, e.config.standingTasks(), e.config.FillTimeout)
 		}
 		if !sleep(ctx, time.Second) {
 			return ctx.Err()
@@ -135,7 +135,7 @@
 func (e *Experiment) collectResults(ctx context.Context) {
 	r, u := e.result, e.users
 	u.update(func() {
-		r.Submitted, r.DoneJobs, r.CancelledJobs, r.NotOffered, r.FailedRequests = u.submitted, u.doneJobs, u.cancelled, u.skipped, u.failed
+		r.Submitted, r.DoneJobs, r.CancelledJobs, r.SkippedJobs, r.FailedRequests = u.submitted, u.doneJobs, u.cancelled, u.skipped, u.failed
 		r.Broken = append(r.Broken, u.violations...)
 		r.Latencies = map[string]Quantiles{
 			"submit to accepted":          u.submitLatency.quantiles(),
@@ -146,17 +146,17 @@
 		}
 		r.Bursts = u.bursts.BurstFigures
 	})
-	for class, h := range e.fleet.Workers.StartDelays() {
+	for class, h := range e.fleet.Workers.StartLatencies() {
 		r.Latencies["accepted to start, "+string(class)] = quantiles(h)
 	}
-	r.Latencies["report to answer"] = quantiles(e.fleet.Workers.ReportDelays())
-	for _, fault := range e.fleet.Workers.Faults() {
+	r.Latencies["report to answer"] = quantiles(e.fleet.Workers.HeartbeatLatencies())
+	for _, fault := range e.fleet.Workers.Violations() {
 		r.Broken = append(r.Broken, fault.String())
 	}
-	r.Present = e.fleet.Workers.Counts().Present
+	r.RunningTasks = e.fleet.Workers.Counts().Running
 	r.LeaderHeapMB = leaderHeapMB(ctx, e.fleet)
-	r.TakeOverLoads = stateLoadTimes(e.fleet)
-	r.State.StoredKB, r.State.StoredKeys = e.fleet.State.Stored()
+	r.FailoverLoadMS = stateLoadTimes(e.fleet)
+	r.State.StoredKB, r.State.StoredKeys = e.fleet.Store.Stored()
 }
 
 // Program builds the controllers' program of this source into dir and returns its path.
--- a/internal/fleetload/experiment_test.go
+++ b/internal/fleetload/experiment_test.go
@@ -15,16 +15,16 @@
 		t.Fatal(err)
 	}
 	c := DefaultConfig()
-	c.Binary, c.Workers, c.Running, c.StartsPerS, c.TaskTime, c.CancelShare, c.Finished = binary, 20, 60, 20, time.Second, 0.3, 300
-	c.Report, c.Lease = 400*time.Millisecond, 5*time.Second
+	c.Binary, c.Workers, c.StandingTasks, c.StartsPerS, c.TaskTime, c.CancelShare, c.Finished = binary, 20, 60, 20, time.Second, 0.3, 300
+	c.HeartbeatInterval, c.Lease = 400*time.Millisecond, 5*time.Second
 
 	t.Run("breaks no rule under faults", func(t *testing.T) {
 		c := c
 		c.Dir, c.Duration = dir, 7*time.Second
 		c.Faults = []Fault{
-			{Kind: LeaderEnds, At: time.Second},
-			{Kind: StateOut, At: 3 * time.Second, For: 500 * time.Millisecond},
-			{Kind: Silent, Amount: 0.2, At: 4 * time.Second, For: time.Second},
+			{Kind: LeaderKilled, Start: time.Second},
+			{Kind: StoreOutage, Start: 3 * time.Second, Duration: 500 * time.Millisecond},
+			{Kind: WorkersUnresponsive, Amount: 0.2, Start: 4 * time.Second, Duration: time.Second},
 		}
 		r, err := Run(t.Context(), c, io.Discard)
 		if err != nil {
@@ -33,7 +33,7 @@
 		if len(r.Broken) > 0 {
 			t.Errorf("got broken rules %v, want none", r.Broken)
 		}
-		if len(r.TakeOverS) != 1 || r.Submitted == 0 || r.DoneJobs == 0 || r.StartsPerS <= 0 || r.Present < 60 {
+		if len(r.FailoverS) != 1 || r.Submitted == 0 || r.DoneJobs == 0 || r.StartsPerS <= 0 || r.RunningTasks < 60 {
 			t.Errorf("got %+v, want one failover, jobs that were submitted and done, and 60 running tasks", r)
 		}
 		if r.Roles[leaderRole].MemoryMB == 0 || r.Traffic["worker report"].PerS == 0 || r.State.StoredKeys == 0 || r.Latencies["accepted to start, other"].Count == 0 {
@@ -51,7 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Present == 0 {
+		if r.RunningTasks == 0 {
 			t.Errorf("got %+v, want running tasks", r)
 		}
 		if duration := time.Since(began); duration > 20*time.Second {
--- a/internal/fleetload/fault_injection.go
+++ b/internal/fleetload/fault_injection.go
@@ -15,7 +15,7 @@
 // injectFaults injects the configured faults one after the other, each at its time after began, until ctx ends.
 func (e *Experiment) injectFaults(ctx context.Context, began time.Time) {
 	for _, f := range e.config.Faults {
-		if !sleep(ctx, time.Until(began.Add(f.At))) {
+		if !sleep(ctx, time.Until(began.Add(f.Start))) {
 			return
 		}
 		e.logf("fault %s", f)
@@ -25,30 +25,30 @@
 
 // inject injects one fault and waits until it is over.
 func (e *Experiment) inject(ctx context.Context, f Fault) {
-	store := e.fleet.State.Store
+	store := e.fleet.Store.Service
 	switch f.Kind {
-	case LeaderEnds:
+	case LeaderKilled:
 		if leader := e.fleet.Leader(ctx); leader != nil {
 			e.killAndRestart(ctx, leader)
 		}
-	case AllEnd:
+	case AllKilled:
 		e.killAndRestart(ctx, e.fleet.Controllers...)
-	case Silent:
-		e.logf("%d workers are silent", e.fleet.Workers.Silence(f.Amount, true))
-		sleep(ctx, f.For)
-		e.fleet.Workers.Silence(f.Amount, false)
-	case StateOut:
+	case WorkersUnresponsive:
+		e.logf("%d workers are silent", e.fleet.Workers.SetUnresponsive(f.Amount, true))
+		sleep(ctx, f.Duration)
+		e.fleet.Workers.SetUnresponsive(f.Amount, false)
+	case StoreOutage:
 		store.Outage(true)
-		sleep(ctx, f.For)
+		sleep(ctx, f.Duration)
 		store.Outage(false)
-	case StateSlow:
-		store.Trouble(func(s *storagetest.Service) { s.Slow = time.Duration(f.Amount * float64(time.Second)) })
-		sleep(ctx, f.For)
-		store.Trouble(func(s *storagetest.Service) { s.Slow = 0 })
+	case StoreSlow:
+		store.Update(func(s *storagetest.Service) { s.Slow = time.Duration(f.Amount * float64(time.Second)) })
+		sleep(ctx, f.Duration)
+		store.Update(func(s *storagetest.Service) { s.Slow = 0 })
 	case Burst:
 		e.users.burst(int(f.Amount))
 	case ZoneLost:
-		e.logf("%d workers are lost", e.fleet.Workers.LoseZone(lostZone))
+		e.logf("%d workers are lost", e.fleet.Workers.DeleteZone(lostZone))
 	}
 }
 
@@ -65,12 +65,12 @@
 	}
 	path := "/v1/jobs/job-" + submittedID(firstJob)
 	for ctx.Err() == nil {
-		if _, err := e.fleet.Insist(http.MethodGet, path, nil, time.Second); err == nil {
+		if _, err := e.fleet.RequestWithRetry(http.MethodGet, path, nil, time.Second); err == nil {
 			break
 		}
 	}
 	seconds := time.Since(killed).Seconds()
-	e.result.TakeOverS = append(e.result.TakeOverS, seconds)
+	e.result.FailoverS = append(e.result.FailoverS, seconds)
 	e.logf("answered again after %.3f s", seconds)
 	if !allKilled {
 		e.restart(controllers)
--- a/internal/fleetload/latency.go
+++ b/internal/fleetload/latency.go
@@ -31,7 +31,7 @@
 	P50MS  float64 `json:"p50_ms"`
 	P90MS  float64 `json:"p90_ms"`
 	P99MS  float64 `json:"p99_ms"`
-	MostMS float64 `json:"most_ms"`
+	MaxMS  float64 `json:"most_ms"`
 }
 
 // quantiles returns the quantiles of a histogram in microseconds.
@@ -39,11 +39,11 @@
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	return Quantiles{
 		Count: h.TotalCount(), MeanMS: h.Mean() / 1000, P50MS: ms(h.ValueAtQuantile(50)), P90MS: ms(h.ValueAtQuantile(90)),
-		P99MS: ms(h.ValueAtQuantile(99)), MostMS: ms(h.Max()),
+		P99MS: ms(h.ValueAtQuantile(99)), MaxMS: ms(h.Max()),
 	}
 }
 
 // summary returns the quantiles as one line of text.
 func (q Quantiles) summary() string {
-	return fmt.Sprintf("p50 %.0f ms, p90 %.0f ms, p99 %.0f ms, most %.0f ms of %d", q.P50MS, q.P90MS, q.P99MS, q.MostMS, q.Count)
+	return fmt.Sprintf("p50 %.0f ms, p90 %.0f ms, p99 %.0f ms, most %.0f ms of %d", q.P50MS, q.P90MS, q.P99MS, q.MaxMS, q.Count)
 }
--- a/internal/fleetload/measurement.go
+++ b/internal/fleetload/measurement.go
@@ -26,7 +26,7 @@
 type stateCounters struct{ requests, bytes, changes int64 }
 
 func (e *Experiment) stateCounters() stateCounters {
-	s := e.fleet.State
+	s := e.fleet.Store
 	return stateCounters{requests: s.Requests.Load(), bytes: s.Bytes.Load(), changes: s.Changes.Load()}
 }
 
@@ -41,11 +41,11 @@
 
 // measure applies the load and the faults for the configured duration, and records the rates.
 func (e *Experiment) measure(ctx context.Context) {
-	if !sleep(ctx, settleHeartbeats*e.config.Report) {
+	if !sleep(ctx, settleHeartbeats*e.config.HeartbeatInterval) {
 		return
 	}
 	e.fleet.Traffic.Reset()
-	e.fleet.Workers.ResetDelays()
+	e.fleet.Workers.ResetLatencies()
 	stateBefore, startsBefore, usageBefore := e.stateCounters(), e.fleet.Workers.Counts().Starts, e.processUsages()
 	began := time.Now()
 	ctx, stop := context.WithTimeout(ctx, e.config.Duration)
@@ -76,7 +76,7 @@
 			return
 		}
 		total := 0.0
-		for _, kind := range []loopbacktest.Kind{loopbacktest.Reports, loopbacktest.DirectOrders} {
+		for _, kind := range []loopbacktest.Kind{loopbacktest.Heartbeats, loopbacktest.DirectCommands} {
 			flow := e.fleet.Traffic.Snapshot()[kind]
 			total += float64(flow.RequestBytes + flow.ResponseBytes)
 		}
--- a/internal/fleetload/result.go
+++ b/internal/fleetload/result.go
@@ -20,18 +20,18 @@
 	FillS          float64                              `json:"fill_s"`
 	MeasuredS      float64                              `json:"measured_s"`
 	StartsPerS     float64                              `json:"starts_per_s"`
-	Present        int                                  `json:"present"` // running tasks at the end
+	RunningTasks   int                                  `json:"present"` // running tasks at the end
 	Submitted      int                                  `json:"submitted"`
 	DoneJobs       int                                  `json:"done_jobs"`
 	CancelledJobs  int                                  `json:"cancelled_jobs"`
-	NotOffered     int                                  `json:"not_offered"` // skipped jobs: too many submissions were in flight
+	SkippedJobs    int                                  `json:"not_offered"` // skipped jobs: too many submissions were in flight
 	FailedRequests int                                  `json:"failed_requests"`
 	Roles          map[string]RoleFigures               `json:"roles"`
 	State          StateFigures                         `json:"state"`
 	Traffic        map[loopbacktest.Kind]TrafficFigures `json:"traffic"`
 	Latencies      map[string]Quantiles                 `json:"latencies"`
-	TakeOverS      []float64                            `json:"take_over_s"`              // from the kill to the first answer to a user
-	TakeOverLoads  []float64                            `json:"take_over_load_ms"`        // of loading the state, as new leaders logged it
+	FailoverS      []float64                            `json:"take_over_s"`              // from the kill to the first answer to a user
+	FailoverLoadMS []float64                            `json:"take_over_load_ms"`        // of loading the state, as new leaders logged it
 	LeaderHeapMB   float64                              `json:"leader_heap_mb,omitempty"` // live, as the last leader logged it at debug; 0: not logged
 	Bursts         BurstFigures                         `json:"bursts"`
 	WorkerBPerS    []float64                            `json:"worker_b_per_s"` // of a worker, both directions, by tenths of the measured time
@@ -74,14 +74,14 @@
 func (r *Result) WriteText(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "measured\t%.1f s, loopback\n", r.MeasuredS)
-	fmt.Fprintf(w, "workers, tasks on them\t%d, %d\n", r.Config.Workers, r.Present)
+	fmt.Fprintf(w, "workers, tasks on them\t%d, %d\n", r.Config.Workers, r.RunningTasks)
 	fmt.Fprintf(w, "starts a second\t%.1f of %.1f asked for\n", r.StartsPerS, r.Config.StartsPerS)
-	fmt.Fprintf(w, "jobs accepted, done, cancelled, not offered\t%d, %d, %d, %d\n", r.Submitted, r.DoneJobs, r.CancelledJobs, r.NotOffered)
+	fmt.Fprintf(w, "jobs accepted, done, cancelled, not offered\t%d, %d, %d, %d\n", r.Submitted, r.DoneJobs, r.CancelledJobs, r.SkippedJobs)
 	fmt.Fprintf(w, "requests that failed\t%d\n", r.FailedRequests)
-	fmt.Fprintf(w, "bursts: refused, accepted at the first return, never\t%d (%d requests), %d, %d\n", r.Bursts.Refused, r.Bursts.Refusals, r.Bursts.AtReturn, r.Bursts.Abandoned)
+	fmt.Fprintf(w, "bursts: refused, accepted at the first return, never\t%d (%d requests), %d, %d\n", r.Bursts.Refused, r.Bursts.Refusals, r.Bursts.AcceptedOnRetry, r.Bursts.Abandoned)
 	fmt.Fprintf(w, "a worker's B/s, by tenths of the time\t%.0f\n", r.WorkerBPerS)
-	fmt.Fprintf(w, "take-overs, s until answered\t%.3f\n", r.TakeOverS)
-	fmt.Fprintf(w, "state loaded, ms\t%.1f\n", r.TakeOverLoads)
+	fmt.Fprintf(w, "take-overs, s until answered\t%.3f\n", r.FailoverS)
+	fmt.Fprintf(w, "state loaded, ms\t%.1f\n", r.FailoverLoadMS)
 	fmt.Fprintf(w, "leader's live heap, MB\t%.1f\n\n", r.LeaderHeapMB)
 	fmt.Fprintln(w, "ROLE\tCORES\tMB\tPEAK MB\tFILES")
 	for _, role := range slices.Sorted(maps.Keys(r.Roles)) {
@@ -97,7 +97,7 @@
 	fmt.Fprintln(w, "\nLATENCY, MS\tN\tMEAN\t50%\t90%\t99%\tMOST")
 	for _, name := range slices.Sorted(maps.Keys(r.Latencies)) {
 		q := r.Latencies[name]
-		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", name, q.Count, q.MeanMS, q.P50MS, q.P90MS, q.P99MS, q.MostMS)
+		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", name, q.Count, q.MeanMS, q.P50MS, q.P90MS, q.P99MS, q.MaxMS)
 	}
 	fmt.Fprintf(w, "\nrules broken\t%d\n", len(r.Broken))
 	for _, broken := range r.Broken[:min(len(r.Broken), maxBrokenShown)] {
--- a/internal/fleetload/seed.go
+++ b/internal/fleetload/seed.go
@@ -31,7 +31,7 @@
 
 // storeJournal stores journal chunks of final job records.
 func (e *Experiment) storeJournal() error {
-	maxSize := e.fleet.State.Store.ValueBytes * 9 / 10
+	maxSize := e.fleet.Store.Service.ValueBytes * 9 / 10
 	var records []storage.Record
 	size, chunk := 2, uint64(1)
 	flush := func() error {
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = e.fleet.State.Store.Apply(nil, []storage.Op{{Key: storage.ChunkKey(chunk), Data: data}})
+		_, err = e.fleet.Store.Service.Apply(nil, []storage.Op{{Key: storage.ChunkKey(chunk), Data: data}})
 		records, size, chunk = nil, 2, chunk+1
 		return err
 	}
@@ -76,7 +76,7 @@
 	slices.SortFunc(entries, func(a, b archive.Entry) int {
 		return cmp.Compare(a.Number, b.Number)
 	})
-	ops, err := archive.Build(entries, &storage.Limits{ValueBytes: e.fleet.State.Store.ValueBytes})
+	ops, err := archive.Build(entries, &storage.Limits{ValueBytes: e.fleet.Store.Service.ValueBytes})
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = e.fleet.State.Store.Apply(nil, append(ops, storage.Op{Key: "upgrade/cluster", Data: data}))
+	_, err = e.fleet.Store.Service.Apply(nil, append(ops, storage.Op{Key: "upgrade/cluster", Data: data}))
 	return err
 }
 
--- a/internal/fleetload/users.go
+++ b/internal/fleetload/users.go
@@ -87,8 +87,8 @@
 
 // submitStanding submits the jobs whose tasks run throughout the experiment.
 func (u *users) submitStanding(ctx context.Context) error {
-	for remaining := u.config.standingTasks(); remaining > 0; remaining -= u.config.PerStanding {
-		j := u.newJob(serviceShape, min(remaining, u.config.PerStanding))
+	for remaining := u.config.standingTasks(); remaining > 0; remaining -= u.config.TasksPerStandingJob {
+		j := u.newJob(serviceShape, min(remaining, u.config.TasksPerStandingJob))
 		if err := u.fleet.Submit(j, submitTimeout); err != nil {
 			return fmt.Errorf("standing job: %w", err)
 		}
@@ -161,7 +161,7 @@
 	switch {
 	case err != nil:
 		u.addFailure()
-	case s.Status == http.StatusNotFound:
+	case s.Code == http.StatusNotFound:
 		u.addViolation("forgotten: %s is answered 404 to its cancel", j.ID)
 	default:
 		u.update(func() { u.cancelled++ })
@@ -176,12 +176,12 @@
 	case err != nil:
 		u.addFailure()
 		return false
-	case s.Status == http.StatusNotFound:
+	case s.Code == http.StatusNotFound:
 		u.addViolation("forgotten: %s is answered 404", j.ID)
 		return true
 	}
 	u.update(func() { u.pollLatency.record(time.Since(began)) })
-	if s.Standing != doneState {
+	if s.State != doneState {
 		return false
 	}
 	if !u.fleet.Workers.Done(j.ID) {
@@ -206,10 +206,10 @@
 		switch exists := i < stored; {
 		case err != nil:
 			u.addFailure()
-		case exists && s.Standing != doneState:
-			u.addViolation("went_back: job-%s, which was done, is answered %d %q", finishedID(i), s.Status, s.Standing)
-		case !exists && s.Status != http.StatusNotFound:
-			u.addViolation("invented: job-%s is answered %d %q", finishedID(i), s.Status, s.Standing)
+		case exists && s.State != doneState:
+			u.addViolation("went_back: job-%s, which was done, is answered %d %q", finishedID(i), s.Code, s.State)
+		case !exists && s.Code != http.StatusNotFound:
+			u.addViolation("invented: job-%s is answered %d %q", finishedID(i), s.Code, s.State)
 		default:
 			u.update(func() { u.finalPollLatency.record(time.Since(began)) })
 		}
--- a/internal/fleetload/wake.go
+++ b/internal/fleetload/wake.go
@@ -28,9 +28,9 @@
 // DefaultWakeConfig returns an experiment with one model and bursts of requests, in which the leader is killed.
 func DefaultWakeConfig() WakeConfig {
 	config := DefaultConfig()
-	config.Workers, config.Teams, config.Running, config.StartsPerS = 2, 1, 0, 0
-	config.Report, config.Lease = 400*time.Millisecond, 5*time.Second
-	config.Faults = []Fault{{Kind: LeaderEnds, At: 50 * time.Millisecond}}
+	config.Workers, config.Teams, config.StandingTasks, config.StartsPerS = 2, 1, 0, 0
+	config.HeartbeatInterval, config.Lease = 400*time.Millisecond, 5*time.Second
+	config.Faults = []Fault{{Kind: LeaderKilled, Start: 50 * time.Millisecond}}
 	config.Duration = time.Minute
 	return WakeConfig{Config: config, Models: 1, Requests: 300, Wakes: 3, Idle: 2 * time.Second, Hold: 10 * time.Second, Patience: 40 * time.Second}
 }
@@ -41,7 +41,7 @@
 		{c.Models < 1, "models", "must be above 0"},
 		{c.Requests < 1, "requests", "must be above 0"},
 		{c.Wakes < 1, "wakes", "must be above 0"},
-		{c.Idle < c.Report, "idle", "must not be shorter than --report"},
+		{c.Idle < c.HeartbeatInterval, "idle", "must not be shorter than --report"},
 		{c.Hold < 0, "hold", "must not be negative"},
 		{c.Patience <= c.Idle, "patience", "must be longer than --idle"},
 	}); err != nil {
@@ -55,14 +55,14 @@
 
 // WakeResult is what an experiment with models has measured.
 type WakeResult struct {
-	Starts, Wakes     int       // starts by the models' own count, and wanted ones
-	Requests, Answers int       // requests, and final answers to them
-	Refusals          int       // answers that asked the client to retry
-	TwiceCarriedOut   int       // requests that a model has executed more than once, after their clients' retries
-	FirstAnswer       Quantiles // from a wake's first request to its first answer, less the time to fetch the image
-	EachAnswer        Quantiles // from each request to its final answer
-	ChangesPerWake    float64   // of the key-value store, per model
-	Broken            []string
+	Starts, Wakes      int       // starts by the models' own count, and wanted ones
+	Requests, Answers  int       // requests, and final answers to them
+	Refusals           int       // answers that asked the client to retry
+	RepeatedExecutions int       // requests that a model has executed more than once, after their clients' retries
+	FirstAnswerLatency Quantiles // from a wake's first request to its first answer, less the time to fetch the image
+	AnswerLatency      Quantiles // from each request to its final answer
+	ChangesPerWake     float64   // of the key-value store, per model
+	Broken             []string
 }
 
 // wakeExperiment is a running experiment with models.
@@ -85,7 +85,7 @@
 	}
 	options := config.fleetOptions()
 	options.Sockets = max(options.Sockets, socketsPerRequest*config.Models*config.Requests)
-	fleet, err := loopbacktest.NewFleetOf(config.Dir, options)
+	fleet, err := loopbacktest.NewFleet(config.Dir, options)
 	if err != nil {
 		return nil, fmt.Errorf("stand-ins: %w", err)
 	}
@@ -131,7 +131,7 @@
 // properties returns the properties of one controller.
 func (r *wakeExperiment) properties(c *loopbacktest.Controller) string {
 	text := r.config.properties() + "activation.classes = service\n"
-	text += fmt.Sprintf("activation.listen = %s\nactivation.target = %s\n", c.Models, r.fleet.Workers.TargetTemplate())
+	text += fmt.Sprintf("activation.listen = %s\nactivation.target = %s\n", c.ModelsAddr, r.fleet.Workers.TargetTemplate())
 	text += fmt.Sprintf("activation.idle.window = %v\n", r.config.Idle)
 	if r.config.Hold > 0 {
 		text += fmt.Sprintf("activation.hold = %v\nactivation.hold.requests = %d\n", r.config.Hold, r.config.Models*r.config.Requests)
@@ -148,7 +148,7 @@
 // wake sends requests to all models, and waits until they are answered and the models are at zero again.
 func (r *wakeExperiment) wake(ctx context.Context, wake int) error {
 	random := rand.New(rand.NewPCG(r.config.Seed, uint64(wake)))
-	changes := r.fleet.State.Changes.Load()
+	changes := r.fleet.Store.Changes.Load()
 	began := time.Now()
 	var faults, clients sync.WaitGroup
 	if wake == 0 {
@@ -157,7 +157,7 @@
 	for model := range r.config.Models {
 		recordFirst := sync.OnceFunc(func() { r.recordFirstAnswer(time.Since(began)) })
 		for i := range r.config.Requests {
-			pause := time.Duration(random.Int64N(int64(r.config.Report)))
+			pause := time.Duration(random.Int64N(int64(r.config.HeartbeatInterval)))
 			if i == 0 {
 				pause = 0
 			}
@@ -171,7 +171,7 @@
 	clients.Wait()
 	faults.Wait()
 	r.update(func() {
-		r.result.ChangesPerWake += float64(r.fleet.State.Changes.Load()-changes) / float64(r.config.Models*r.config.Wakes)
+		r.result.ChangesPerWake += float64(r.fleet.Store.Changes.Load()-changes) / float64(r.config.Models*r.config.Wakes)
 	})
 	r.logf("wake %d: %d requests of %d models are answered after %.2f s", wake+1, r.config.Requests*r.config.Models, r.config.Models, time.Since(began).Seconds())
 	return await(ctx, r.config.Patience, "all models are at zero", func() bool {
@@ -197,7 +197,7 @@
 				r.eachAnswer.record(time.Since(began))
 			})
 			if n := r.fleet.Workers.Executions(model, id); n > 1 {
-				r.update(func() { r.result.TwiceCarriedOut++ })
+				r.update(func() { r.result.RepeatedExecutions++ })
 			}
 			return
 		}
@@ -219,7 +219,7 @@
 // sendOnce sends a request once. If there is no final answer it returns the pause before the next attempt.
 func (r *wakeExperiment) sendOnce(ctx context.Context, model, id string, c *loopbacktest.Controller) (pause time.Duration, answered bool) {
 	const retryPause = 100 * time.Millisecond
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Models+"/models/"+model+"/answer", http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.ModelsAddr+"/models/"+model+"/answer", http.NoBody)
 	if err != nil {
 		return retryPause, false
 	}
@@ -253,7 +253,7 @@
 func (r *wakeExperiment) collectWakeResults() {
 	result := &r.result
 	result.Wakes = r.config.Models * r.config.Wakes
-	result.FirstAnswer, result.EachAnswer = r.firstAnswer.quantiles(), r.eachAnswer.quantiles()
+	result.FirstAnswerLatency, result.AnswerLatency = r.firstAnswer.quantiles(), r.eachAnswer.quantiles()
 	for i := range r.config.Models {
 		starts := r.fleet.Workers.Model(modelID(i)).Starts
 		result.Starts += starts
@@ -261,7 +261,7 @@
 			result.Broken = append(result.Broken, fmt.Sprintf("%s: %d starts in %d wakes", modelID(i), starts, r.config.Wakes))
 		}
 	}
-	for _, fault := range r.fleet.Workers.Faults() {
+	for _, fault := range r.fleet.Workers.Violations() {
 		result.Broken = append(result.Broken, fault.String())
 	}
 }
@@ -269,7 +269,7 @@
 // losesMachines reports whether the faults remove machines, so that models have to start again.
 func (c *WakeConfig) losesMachines() bool {
 	for _, f := range c.Faults {
-		if f.Kind == Silent || f.Kind == ZoneLost {
+		if f.Kind == WorkersUnresponsive || f.Kind == ZoneLost {
 			return true
 		}
 	}
@@ -286,7 +286,7 @@
 each answer       after its request: %s
 state service     %.1f changes a wake and model
 broken            %d
-`, r.Starts, r.Wakes, r.Answers, r.Requests, r.Refusals, r.TwiceCarriedOut, r.FirstAnswer.summary(), r.EachAnswer.summary(), r.ChangesPerWake, len(r.Broken))
+`, r.Starts, r.Wakes, r.Answers, r.Requests, r.Refusals, r.RepeatedExecutions, r.FirstAnswerLatency.summary(), r.AnswerLatency.summary(), r.ChangesPerWake, len(r.Broken))
 	for _, broken := range r.Broken {
 		fmt.Fprintln(out, " ", broken)
 	}
--- a/internal/fleetload/wake_test.go
+++ b/internal/fleetload/wake_test.go
@@ -14,8 +14,8 @@
 		t.Fatal(err)
 	}
 	for seed, faults := range [][]Fault{
-		{{Kind: LeaderEnds, At: 30 * time.Millisecond}, {Kind: StateOut, At: 100 * time.Millisecond, For: time.Second}},
-		{{Kind: AllEnd, At: 60 * time.Millisecond}, {Kind: LeaderEnds, At: 400 * time.Millisecond}},
+		{{Kind: LeaderKilled, Start: 30 * time.Millisecond}, {Kind: StoreOutage, Start: 100 * time.Millisecond, Duration: time.Second}},
+		{{Kind: AllKilled, Start: 60 * time.Millisecond}, {Kind: LeaderKilled, Start: 400 * time.Millisecond}},
 	} {
 		t.Run(faults[0].String(), func(t *testing.T) {
 			t.Parallel()
@@ -28,8 +28,8 @@
 			if len(r.Broken) > 0 {
 				t.Errorf("got broken rules %v, want none", r.Broken)
 			}
-			if r.Starts != 6 || r.Wakes != 6 || r.FirstAnswer.Count != 6 {
-				t.Errorf("got %d starts in %d wakes with %d first answers, want 6 of each", r.Starts, r.Wakes, r.FirstAnswer.Count)
+			if r.Starts != 6 || r.Wakes != 6 || r.FirstAnswerLatency.Count != 6 {
+				t.Errorf("got %d starts in %d wakes with %d first answers, want 6 of each", r.Starts, r.Wakes, r.FirstAnswerLatency.Count)
 			}
 			if r.Answers != 360 || r.Requests != 360 {
 				t.Errorf("got %d answers to %d requests, want 360 of each", r.Answers, r.Requests)
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -105,10 +105,10 @@
 // Idle reports whether no commit is in flight.
 func (q *Queue) Idle() bool { return !q.inFlight }
 
-// Next begins a commit of at most so many bytes, but of at least one record if any waits. It
+// BeginCommit begins a commit of at most so many bytes, but of at least one record if any waits. It
 // returns false while a commit is in flight, and if nothing waits. Entities that can't be
 // encoded are passed to failed and left out.
-func (q *Queue) Next(bytes int, failed func(key string, err error)) ([]storage.Record, bool) {
+func (q *Queue) BeginCommit(bytes int, failed func(key string, err error)) ([]storage.Record, bool) {
 	waiting := q.lanesWaiting()
 	if q.inFlight || waiting == 0 && !q.callbackDue() {
 		return nil, false
@@ -180,10 +180,10 @@
 	return n
 }
 
-// Committed ends the commit in flight with its result, and calls the callbacks that waited for
+// EndCommit ends the commit in flight with its result, and calls the callbacks that waited for
 // it. After an error these are all callbacks. It reports whether the commit was full, so that
 // entities of the interactive lane had to be left to the next one.
-func (q *Queue) Committed(err error) (full bool) {
+func (q *Queue) EndCommit(err error) (full bool) {
 	for i := range q.lanes {
 		q.lanes[i].durable = q.lanes[i].taken
 	}
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -82,7 +82,7 @@
 }
 
 func (m *model) begin(bytes int) bool {
-	records, ok := m.queue.Next(bytes, unencodable)
+	records, ok := m.queue.BeginCommit(bytes, unencodable)
 	if !ok {
 		return false
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	m.committing = nil
-	m.queue.Committed(err)
+	m.queue.EndCommit(err)
 }
 
 // Whatever is marked, awaited and committed in any order, callbacks are called once, as soon as
@@ -118,7 +118,7 @@
 			"awaitInteractive": func(t *rapid.T) { m.await(t, Interactive) },
 			"begin": func(t *rapid.T) {
 				if m.committing != nil {
-					if _, ok := m.queue.Next(100, unencodable); ok {
+					if _, ok := m.queue.BeginCommit(100, unencodable); ok {
 						t.Fatal("got a second commit while one is in flight")
 					}
 					return
@@ -165,14 +165,14 @@
 				q.Mark(other, fmt.Sprintf("other%d", other), value(100))
 			}
 		}
-		records, _ := q.Next(2000, unencodable)
+		records, _ := q.BeginCommit(2000, unencodable)
 		if n := strings.Count(strings.Join(keys(records), " "), "other"); n != 2 {
 			t.Errorf("flood in lane %d: got %d records of the other lanes, want 2: %v", flood, n, keys(records))
 		}
 		if n := len(records); n < 15 || n > 25 {
 			t.Errorf("flood in lane %d: got %d records of 100 bytes, want 15 to 25 in 2000 bytes", flood, n)
 		}
-		if got, want := q.Committed(nil), flood == Interactive; got != want {
+		if got, want := q.EndCommit(nil), flood == Interactive; got != want {
 			t.Errorf("flood in lane %d: got full %v, want %v", flood, got, want)
 		}
 	}
@@ -185,12 +185,12 @@
 	}
 	var order []string
 	for {
-		records, ok := q.Next(1, unencodable)
+		records, ok := q.BeginCommit(1, unencodable)
 		if !ok {
 			break
 		}
 		order = append(order, keys(records)...)
-		q.Committed(nil)
+		q.EndCommit(nil)
 	}
 	if got, want := strings.Join(order, ""), "cab"; got != want {
 		t.Errorf("got order %s, want %s", got, want)
@@ -202,7 +202,7 @@
 	q.Mark(Interactive, "bad", func() any { return func() {} })
 	q.Mark(Interactive, "good", value(1))
 	var failed string
-	records, ok := q.Next(1000, func(key string, err error) { failed = key })
+	records, ok := q.BeginCommit(1000, func(key string, err error) { failed = key })
 	if !ok || failed != "bad" || !slices.Equal(keys(records), []string{"good"}) {
 		t.Errorf("got failed %q, records %v; want bad and good", failed, keys(records))
 	}
@@ -211,13 +211,13 @@
 func TestFailedCommitCallsAllCallbacks(t *testing.T) {
 	q := New()
 	q.Mark(Interactive, "job", value(1))
-	if _, ok := q.Next(1000, unencodable); !ok {
+	if _, ok := q.BeginCommit(1000, unencodable); !ok {
 		t.Fatal("no commit begins")
 	}
 	want := errors.New("leadership lost")
 	var got []error
 	q.OnAllDurable(func(err error) { got = append(got, err) })
-	q.Committed(want)
+	q.EndCommit(want)
 	if !slices.Equal(got, []error{want}) {
 		t.Errorf("got callbacks with %v, want one with %v", got, want)
 	}
@@ -229,27 +229,27 @@
 	calls := 0
 	q.Mark(Bulk, "page", value(100))
 	q.OnAllDurable(func(error) { calls++ })
-	if _, ok := q.Next(1000, unencodable); ok {
+	if _, ok := q.BeginCommit(1000, unencodable); ok {
 		t.Error("bulk is committed while it is held back")
 	}
 	q.Mark(Interactive, "job", value(100))
-	records, _ := q.Next(1000, unencodable)
+	records, _ := q.BeginCommit(1000, unencodable)
 	if got := keys(records); !slices.Equal(got, []string{"job"}) {
 		t.Errorf("got records %v, want only the job", got)
 	}
-	q.Committed(nil)
+	q.EndCommit(nil)
 	if calls != 0 {
 		t.Error("the callback was called before bulk is durable")
 	}
 	q.LimitBulk(1)
-	records, _ = q.Next(1000, unencodable)
-	q.Committed(nil)
+	records, _ = q.BeginCommit(1000, unencodable)
+	q.EndCommit(nil)
 	if got := keys(records); !slices.Equal(got, []string{"page"}) || calls != 1 {
 		t.Errorf("got records %v and %d calls, want only the page and one call", got, calls)
 	}
 	q.LimitBulk(0)
 	q.OnAllDurable(func(error) { calls++ })
-	if _, ok := q.Next(1000, unencodable); !ok {
+	if _, ok := q.BeginCommit(1000, unencodable); !ok {
 		t.Error("no commit begins for a callback that waits for nothing")
 	}
 }
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -153,7 +153,7 @@
 func (r *Registrar) renewSession(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout())
 	defer cancel()
-	err := r.store.Touch(ctx, r.session)
+	err := r.store.Renew(ctx, r.session)
 	if !errors.Is(err, storage.ErrNotFound) {
 		return err
 	}
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -51,7 +51,7 @@
 	}
 	sent := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
-	err := e.store.Touch(callCtx, held.id)
+	err := e.store.Renew(callCtx, held.id)
 	cancel()
 	if err != nil {
 		return e.handleFailedRenewal(ctx, held, err)
--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -112,7 +112,7 @@
 		case a.state == statePulling:
 			candidate(a.stateSince.Add(w.timing.Fetch))
 		case a.state == stateGathering, a.state == stateRunning && j.isGang():
-			candidate(time.Now().Add(w.timing.Report / gangChecksPerHeartbeat))
+			candidate(time.Now().Add(w.timing.Heartbeat / gangChecksPerHeartbeat))
 		case a.state == stateRunning && !j.isService():
 			candidate(a.stateSince.Add(j.Run))
 		}
--- a/internal/loopbacktest/audit_log.go
+++ b/internal/loopbacktest/audit_log.go
@@ -17,13 +17,13 @@
 	RanCancelled Rule = "ran_cancelled" // a task ran too long after its job was cancelled
 )
 
-// Fault is one broken rule, with the evidence.
-type Fault struct {
+// Violation is one broken rule, with the evidence.
+type Violation struct {
 	Rule Rule
 	Text string
 }
 
-func (f Fault) String() string { return string(f.Rule) + ": " + f.Text }
+func (f Violation) String() string { return string(f.Rule) + ": " + f.Text }
 
 // maxViolations bounds the list of broken rules: one that is broken tends to be broken often.
 const maxViolations = 100
@@ -39,7 +39,7 @@
 	cpuLimits      map[string]float64   // by team; 0: no limit
 	cancelledAt    map[string]time.Time // when the user received the confirmation, by job
 	completedTasks map[string]bool
-	violations     []Fault
+	violations     []Violation
 	violationCount int
 	starts         int
 	startLatency   map[Class]*hdrhistogram.Histogram // from acceptance to start, in microseconds
@@ -60,7 +60,7 @@
 func (l *auditLog) addViolation(rule Rule, format string, args ...any) {
 	l.violationCount++
 	if len(l.violations) < maxViolations {
-		l.violations = append(l.violations, Fault{rule, fmt.Sprintf(format, args...)})
+		l.violations = append(l.violations, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/loopbacktest/cloud.go
+++ b/internal/loopbacktest/cloud.go
@@ -35,7 +35,7 @@
 	for i := range count {
 		m := c.create(machineTypeName, zones[i%len(zones)], false)
 		// Their heartbeats are spread over one interval, as those of a fleet that has been up for long.
-		c.workers.bootAfter(m, time.Duration(i)*c.workers.timing.Report/time.Duration(count))
+		c.workers.bootAfter(m, time.Duration(i)*c.workers.timing.Heartbeat/time.Duration(count))
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // launch creates machines. A repeated request of the same name returns the same machines.
 func (c *Cloud) launch(w http.ResponseWriter, r *http.Request) {
-	var request protocol.Rental
+	var request protocol.LaunchRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Count < 1 {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
@@ -105,7 +105,7 @@
 }
 
 // createAll creates the machines of one launch request, as far as the limit allows.
-func (c *Cloud) createAll(request protocol.Rental) (names []string) {
+func (c *Cloud) createAll(request protocol.LaunchRequest) (names []string) {
 	for range request.Count {
 		if c.machineLimit > 0 && len(c.workers.byAddr) >= c.machineLimit {
 			break
@@ -158,7 +158,7 @@
 func (c *Cloud) listMachines(w http.ResponseWriter, r *http.Request) {
 	after, pageSize := -1, maxPageSize
 	if from := r.URL.Query().Get("From"); from != "" {
-		after, _ = protocol.ParseMachine(from) // 0 if it is no machine's name
+		after, _ = protocol.ParseMachineName(from) // 0 if it is no machine's name
 	}
 	if n, err := strconv.Atoi(r.URL.Query().Get("Page")); err == nil && n > 0 && n < pageSize {
 		pageSize = n
--- a/internal/loopbacktest/controller.go
+++ b/internal/loopbacktest/controller.go
@@ -20,10 +20,10 @@
 // Controller is one controller node and its current process. Its methods, Fleet.Start and Fleet.Close must not
 // be called concurrently for one controller.
 type Controller struct {
-	Name    string
-	Users   string // address for users and workers
-	Models  string // address for requests to models, if it listens there
-	Program Program
+	Name       string
+	UsersAddr  string // address for users and workers
+	ModelsAddr string // address for requests to models, if it listens there
+	Program    Program
 
 	peersAddr string
 	process   *exec.Cmd     // nil: not running, or not started
@@ -34,7 +34,7 @@
 // newController returns a controller with free addresses, not started.
 func newController(name string) (*Controller, error) {
 	c := &Controller{Name: name}
-	for _, addr := range []*string{&c.Users, &c.peersAddr, &c.Models} {
+	for _, addr := range []*string{&c.UsersAddr, &c.peersAddr, &c.ModelsAddr} {
 		var err error
 		if *addr, err = freeAddress(); err != nil {
 			return nil, err
@@ -142,7 +142,7 @@
 // settings returns the contents of the controller's settings file.
 func (f *Fleet) settings(c *Controller) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "host_name = %q\nzone = %q\nserve_on = %q\npeer_listen = %q\n", c.Name, zones[0], c.Users, c.peersAddr)
+	fmt.Fprintf(&b, "host_name = %q\nzone = %q\nserve_on = %q\npeer_listen = %q\n", c.Name, zones[0], c.UsersAddr, c.peersAddr)
 	for _, peer := range f.Controllers {
 		if peer != c {
 			fmt.Fprintf(&b, "[[seeds]]\nhost_name = %q\nzone = %q\naddr = %q\n", peer.Name, zones[0], peer.peersAddr)
@@ -155,7 +155,7 @@
 		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %.1f\n", t.Name, t.CPULimit)
 	}
 	fmt.Fprintf(&b, "[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 5.0\ngang_peer_s = 1.0\ncancel_s = %g\n",
-		o.Timing.Report.Seconds(), o.Timing.Lease.Seconds(), o.Timing.Cancel.Seconds())
+		o.Timing.Heartbeat.Seconds(), o.Timing.Lease.Seconds(), o.Timing.Cancel.Seconds())
 	fmt.Fprintf(&b, "[params.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = %g\ntxn_ops = %d\n", o.RequestsPerS, o.ChangesPerS, o.ValueKB, o.TxnOps)
 	fmt.Fprintf(&b, "[params.cloud]\nrps = %g\nlist_lag_s = 0.1\n", o.CloudRPS)
 	fmt.Fprintf(&b, "[params.quota]\ncpu_share = %g\nram_mb = %g\nsockets = %d\n", o.CPUShare, o.MemoryMB, o.Sockets)
--- a/internal/loopbacktest/fleet.go
+++ b/internal/loopbacktest/fleet.go
@@ -22,7 +22,7 @@
 // Fleet is a set of controllers, the stand-ins that they use, and a client of theirs.
 type Fleet struct {
 	Controllers []*Controller
-	State       *StateService
+	Store       *KeyValueStore
 	Workers     *Workers
 	Cloud       *Cloud
 	Traffic     *Traffic
@@ -39,12 +39,12 @@
 	nextController atomic.Int64 // spreads users' requests, as a load balancer does
 }
 
-// NewFleetOf starts the stand-ins of a fleet, and chooses the controllers' addresses. Start starts the
+// NewFleet starts the stand-ins of a fleet, and chooses the controllers' addresses. Start starts the
 // controllers; Close must be called in the end. The controllers' files are written to dir.
-func NewFleetOf(dir string, options Options) (*Fleet, error) {
+func NewFleet(dir string, options Options) (*Fleet, error) {
 	traffic := newTraffic()
-	f := &Fleet{options: options, dir: dir, Traffic: traffic, State: newStateService(traffic), client: newUserClient()}
-	f.State.Store.Trouble(func(s *storagetest.Service) {
+	f := &Fleet{options: options, dir: dir, Traffic: traffic, Store: newStateService(traffic), client: newUserClient()}
+	f.Store.Service.Update(func(s *storagetest.Service) {
 		s.ValueBytes, s.TxnOps = int(options.ValueKB*1024), options.TxnOps
 	})
 	var names, addrs []string
@@ -54,7 +54,7 @@
 			return nil, err
 		}
 		f.Controllers = append(f.Controllers, c)
-		names, addrs = append(names, c.Name), append(addrs, c.Users)
+		names, addrs = append(names, c.Name), append(addrs, c.UsersAddr)
 	}
 	var err error
 	if f.Workers, err = newWorkers(options.Timing, options.Teams, names, addrs, traffic); err != nil {
@@ -71,7 +71,7 @@
 
 // serveStandIns serves the key-value store and the cloud.
 func (f *Fleet) serveStandIns() (err error) {
-	if f.stateAddr, err = f.serve(f.State.handler()); err != nil {
+	if f.stateAddr, err = f.serve(f.Store.handler()); err != nil {
 		return err
 	}
 	f.cloudAddr, err = f.serve(f.Cloud.handler())
@@ -100,7 +100,7 @@
 		c.Kill()
 	}
 	f.Workers.Close()
-	f.State.Store.Close()
+	f.Store.Service.Close()
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
@@ -109,7 +109,7 @@
 
 // Cluster returns the cluster record; the initial one if none is stored.
 func (f *Fleet) Cluster(ctx context.Context) (upgrade.Record, error) {
-	item, err := f.State.client().Get(ctx, clusterKey)
+	item, err := f.Store.client().Get(ctx, clusterKey)
 	if err != nil {
 		return upgrade.Initial(), nil //nolint:nilerr // none is stored yet
 	}
@@ -118,7 +118,7 @@
 
 // Leader returns the controller that holds the leadership key; nil if there is none, or its process does not run.
 func (f *Fleet) Leader(ctx context.Context) *Controller {
-	item, err := f.State.client().Get(ctx, leadershipKey)
+	item, err := f.Store.client().Get(ctx, leadershipKey)
 	if err != nil {
 		return nil
 	}
--- a/internal/loopbacktest/heartbeats.go
+++ b/internal/loopbacktest/heartbeats.go
@@ -50,7 +50,7 @@
 
 // nextHeartbeat returns when the next heartbeat is due.
 func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
-	at := m.lastHeartbeat.Add(timing.Report)
+	at := m.lastHeartbeat.Add(timing.Heartbeat)
 	if changed {
 		at = m.lastHeartbeat.Add(timing.Change)
 	}
@@ -68,7 +68,7 @@
 	}
 	next := heartbeatAt
 	if m.unresponsive {
-		next = now.Add(w.timing.Report)
+		next = now.Add(w.timing.Heartbeat)
 	}
 	if change := w.nextChange(m); !change.IsZero() && change.Before(next) {
 		next = change
@@ -96,7 +96,7 @@
 		m.retryAt = time.Now()
 	default:
 		m.controller = (controller + 1) % len(w.controllerAddrs)
-		m.retryAt = time.Now().Add(min(w.timing.Report/3, time.Second))
+		m.retryAt = time.Now().Add(min(w.timing.Heartbeat/3, time.Second))
 	}
 }
 
@@ -115,6 +115,6 @@
 	if err == nil {
 		err = json.Unmarshal(raw, &response)
 	}
-	w.traffic.add(Reports, int64(len(body)), int64(len(raw)))
+	w.traffic.add(Heartbeats, int64(len(body)), int64(len(raw)))
 	return response, httpResponse.StatusCode, err
 }
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -4,12 +4,12 @@
 
 // Timing holds intervals and limits of the workers.
 type Timing struct {
-	Report time.Duration // between two heartbeats
-	Change time.Duration // least pause before a heartbeat that a change causes
-	Lease  time.Duration // of a worker
-	Cancel time.Duration // from a confirmed cancellation until no task of the job may run
-	Boot   time.Duration // of a machine
-	Fetch  time.Duration // of a task's image
+	Heartbeat time.Duration // between two heartbeats
+	Change    time.Duration // least pause before a heartbeat that a change causes
+	Lease     time.Duration // of a worker
+	Cancel    time.Duration // from a confirmed cancellation until no task of the job may run
+	Boot      time.Duration // of a machine
+	Fetch     time.Duration // of a task's image
 }
 
 // Team is a team of the settings.
@@ -49,7 +49,7 @@
 
 // defaultTiming is short enough for tests with many steps, and long enough for a busy machine.
 var defaultTiming = Timing{
-	Report: 400 * time.Millisecond, Change: 100 * time.Millisecond, Lease: 5 * time.Second, Cancel: 12 * time.Second,
+	Heartbeat: 400 * time.Millisecond, Change: 100 * time.Millisecond, Lease: 5 * time.Second, Cancel: 12 * time.Second,
 	Boot: 300 * time.Millisecond, Fetch: 50 * time.Millisecond,
 }
 
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -15,9 +15,9 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// StateService serves the stand-in of the key-value store over HTTP, and counts the requests.
-type StateService struct {
-	Store    *storagetest.Service
+// KeyValueStore serves the stand-in of the key-value store over HTTP, and counts the requests.
+type KeyValueStore struct {
+	Service  *storagetest.Service
 	Requests atomic.Int64
 	Bytes    atomic.Int64 // of request bodies
 	Changes  atomic.Int64 // committed puts and deletions
@@ -25,18 +25,18 @@
 }
 
 // newStateService returns an empty store.
-func newStateService(traffic *Traffic) *StateService {
+func newStateService(traffic *Traffic) *KeyValueStore {
 	store := storagetest.NewService()
-	store.Trouble(func(s *storagetest.Service) { s.ForgetSent = true })
-	return &StateService{Store: store, traffic: traffic}
+	store.Update(func(s *storagetest.Service) { s.ForgetSent = true })
+	return &KeyValueStore{Service: store, traffic: traffic}
 }
 
-func (s *StateService) client() *storagetest.Client { return &storagetest.Client{Service: s.Store} }
+func (s *KeyValueStore) client() *storagetest.Client { return &storagetest.Client{Service: s.Service} }
 
 // Stored returns the size of all keys and values in KiB, and the number of keys.
-func (s *StateService) Stored() (kb float64, keys int) {
+func (s *KeyValueStore) Stored() (kb float64, keys int) {
 	bytes := 0
-	s.Store.Each(func(it storage.Item) {
+	s.Service.Each(func(it storage.Item) {
 		bytes += len(it.Key) + len(it.Data)
 		keys++
 	})
@@ -44,7 +44,7 @@
 }
 
 // handler serves the protocol.
-func (s *StateService) handler() http.Handler {
+func (s *KeyValueStore) handler() http.Handler {
 	mux := http.NewServeMux()
 	counted := s.traffic.counted
 	mux.HandleFunc("GET /store/{key...}", counted(StateGet, s.get))
@@ -81,7 +81,7 @@
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.As(err, &conflict):
-		writeJSON(w, http.StatusConflict, protocol.TxnAnswer{Failed: conflict.Failed})
+		writeJSON(w, http.StatusConflict, protocol.TxnResponse{Failed: conflict.Failed})
 		return
 	case errors.Is(err, storage.ErrNotFound):
 		status = http.StatusNotFound
@@ -97,7 +97,7 @@
 	return protocol.StoredItem{Key: it.Key, Data: it.Data, Version: it.Version, Lease: it.Lease}
 }
 
-func (s *StateService) get(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) get(w http.ResponseWriter, r *http.Request) {
 	item, err := s.client().Get(r.Context(), r.PathValue("key"))
 	if err != nil {
 		writeError(w, err)
@@ -106,21 +106,21 @@
 	writeJSON(w, http.StatusOK, storedItem(item))
 }
 
-func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) list(w http.ResponseWriter, r *http.Request) {
 	limit, _ := strconv.Atoi(r.URL.Query().Get("Page")) // 0 if there is none
 	items, more, revision, err := s.client().List(r.Context(), r.URL.Query().Get("Under"), r.URL.Query().Get("From"), limit)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	page := protocol.StoredItems{More: more, Revision: revision}
+	page := protocol.ItemPage{More: more, Revision: revision}
 	for _, it := range items {
 		page.Items = append(page.Items, storedItem(it))
 	}
 	writeJSON(w, http.StatusOK, page)
 }
 
-func (s *StateService) transact(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) transact(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	var txn protocol.Txn
 	if err != nil || json.Unmarshal(body, &txn) != nil {
@@ -145,11 +145,11 @@
 		return
 	}
 	s.Changes.Add(int64(len(ops)))
-	writeJSON(w, http.StatusOK, protocol.TxnAnswer{Revision: revision})
+	writeJSON(w, http.StatusOK, protocol.TxnResponse{Revision: revision})
 }
 
-func (s *StateService) grant(w http.ResponseWriter, r *http.Request) {
-	var life protocol.Life
+func (s *KeyValueStore) grant(w http.ResponseWriter, r *http.Request) {
+	var life protocol.GrantRequest
 	if json.NewDecoder(r.Body).Decode(&life) != nil {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
@@ -159,11 +159,11 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, protocol.Lease{ID: id})
+	writeJSON(w, http.StatusOK, protocol.GrantResponse{ID: id})
 }
 
 // withLease applies an operation to the lease that the request names.
-func (s *StateService) withLease(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
+func (s *KeyValueStore) withLease(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err == nil {
 		err = operation(r.Context(), id)
@@ -175,11 +175,11 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (s *StateService) touch(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, s.client().Touch)
+func (s *KeyValueStore) touch(w http.ResponseWriter, r *http.Request) {
+	s.withLease(w, r, s.client().Renew)
 }
 
-func (s *StateService) revoke(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) revoke(w http.ResponseWriter, r *http.Request) {
 	s.withLease(w, r, s.client().Revoke)
 }
 
@@ -197,7 +197,7 @@
 	Events   []watchEvent `json:"Events"`
 }
 
-func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("From"), 10, 64) // 0 if there is none
 	hold, _ := strconv.Atoi(r.URL.Query().Get("HoldMs"))             // likewise
 	items, revision, err := s.client().Watch(r.Context(), r.URL.Query().Get("Under"), after, time.Duration(hold)*time.Millisecond)
--- a/internal/loopbacktest/traffic.go
+++ b/internal/loopbacktest/traffic.go
@@ -11,17 +11,17 @@
 
 // The kinds of messages that the stand-ins see. Messages between controllers are not among them.
 const (
-	Reports      Kind = "worker report"
-	DirectOrders Kind = "direct orders"
-	StateGet     Kind = "state get"
-	StateList    Kind = "state list"
-	StateTxn     Kind = "state txn"
-	StateLease   Kind = "state lease"
-	StateWatch   Kind = "state watch"
-	CloudCalls   Kind = "cloud call"
-	Submissions  Kind = "submit"
-	Polls        Kind = "poll"
-	Cancels      Kind = "cancel"
+	Heartbeats     Kind = "worker report"
+	DirectCommands Kind = "direct orders"
+	StateGet       Kind = "state get"
+	StateList      Kind = "state list"
+	StateTxn       Kind = "state txn"
+	StateLease     Kind = "state lease"
+	StateWatch     Kind = "state watch"
+	CloudCalls     Kind = "cloud call"
+	Submissions    Kind = "submit"
+	Polls          Kind = "poll"
+	Cancels        Kind = "cancel"
 )
 
 // Flow counts messages of one kind: requests, and the bytes of the request and response bodies.
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -74,7 +74,7 @@
 // controllers' logs if it has failed.
 func newTestFleet(tb testing.TB, seed uint64) *testFleet {
 	tb.Helper()
-	fleet, err := NewFleetOf(tb.TempDir(), DefaultOptions())
+	fleet, err := NewFleet(tb.TempDir(), DefaultOptions())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -192,13 +192,13 @@
 		}
 		f.eventually(j.ID+" done", 60*time.Second, func() bool {
 			s, err := f.Poll(j.ID)
-			return err == nil && s.Standing == "done"
+			return err == nil && s.State == "done"
 		})
 		if !f.Workers.Done(j.ID) {
 			f.tb.Errorf("%s is reported as done, but not all of its tasks have completed", j.ID)
 		}
 	}
-	for _, fault := range f.Workers.Faults() {
+	for _, fault := range f.Workers.Violations() {
 		f.tb.Errorf("broken rule: %v", fault)
 	}
 }
@@ -297,7 +297,7 @@
 			t.Errorf("got status\n%s\nwant it to contain %q", out, want)
 		}
 	}
-	if _, err := f.State.Store.Apply(nil, []storage.Op{{Key: clusterKey, Data: []byte(`{"schema":1}`)}}); err != nil {
+	if _, err := f.Store.Service.Apply(nil, []storage.Op{{Key: clusterKey, Data: []byte(`{"schema":1}`)}}); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := f.upgradeStatus(f.Controllers[1]); err == nil || !strings.Contains(out, "key upgrade/cluster is damaged") || strings.Count(out, "\n") != 1 {
--- a/internal/loopbacktest/user_client.go
+++ b/internal/loopbacktest/user_client.go
@@ -28,12 +28,12 @@
 // errNoDecision says that a controller could not decide a request for now, or that its decision is not known.
 var errNoDecision = errors.New("undecided")
 
-// Standing is the response to a user's request: the state of a job, if the request was decided.
-type Standing struct {
-	Status   int    `json:"Status"`   // of HTTP
-	Standing string `json:"Standing"` // state of the job on the wire, such as "done"
-	Running  int    `json:"running"`  // number of tasks
-	Done     int    `json:"done"`     // number of tasks
+// JobStatus is the response to a user's request: the state of a job, if the request was decided.
+type JobStatus struct {
+	Code    int    `json:"Status"`   // of HTTP
+	State   string `json:"Standing"` // state of the job on the wire, such as "done"
+	Running int    `json:"running"`  // number of tasks
+	Done    int    `json:"done"`     // number of tasks
 	// RetryAfter is the pause that a refusal asks for; 0: none.
 	RetryAfter time.Duration `json:"-"`
 }
@@ -43,31 +43,31 @@
 }
 
 // request sends one request to one controller. It returns errNoDecision if it may be retried.
-func (f *Fleet) request(c *Controller, method, path string, body any) (Standing, error) {
+func (f *Fleet) request(c *Controller, method, path string, body any) (JobStatus, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return Standing{}, err
+		return JobStatus{}, err
 	}
-	request, err := http.NewRequest(method, "http://"+c.Users+path, bytes.NewReader(raw))
+	request, err := http.NewRequest(method, "http://"+c.UsersAddr+path, bytes.NewReader(raw))
 	if err != nil {
-		return Standing{}, err
+		return JobStatus{}, err
 	}
 	response, err := f.client.Do(request)
 	if err != nil {
-		return Standing{}, fmt.Errorf("%w: %w", errNoDecision, err)
+		return JobStatus{}, fmt.Errorf("%w: %w", errNoDecision, err)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	f.Traffic.add(userRequestKind(method, path), int64(len(raw)), int64(len(answer)))
 	if err != nil {
-		return Standing{}, fmt.Errorf("%w: %w", errNoDecision, err)
+		return JobStatus{}, fmt.Errorf("%w: %w", errNoDecision, err)
 	}
-	s := Standing{Status: response.StatusCode}
+	s := JobStatus{Code: response.StatusCode}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		s.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	if s.Status >= http.StatusTooManyRequests {
-		return s, fmt.Errorf("%w: %d %s", errNoDecision, s.Status, answer)
+	if s.Code >= http.StatusTooManyRequests {
+		return s, fmt.Errorf("%w: %d %s", errNoDecision, s.Code, answer)
 	}
 	return s, json.Unmarshal(answer, &s)
 }
@@ -84,9 +84,9 @@
 	}
 }
 
-// Insist sends a request to the controllers in turn until one decides it, or the time is over.
-func (f *Fleet) Insist(method, path string, body any, within time.Duration) (Standing, error) {
-	var s Standing
+// RequestWithRetry sends a request to the controllers in turn until one decides it, or the time is over.
+func (f *Fleet) RequestWithRetry(method, path string, body any, within time.Duration) (JobStatus, error) {
+	var s JobStatus
 	err := errNoDecision
 	first := int(f.nextController.Add(1))
 	for end, i := time.Now().Add(within), first; time.Now().Before(end); i++ {
@@ -98,9 +98,9 @@
 	return s, err
 }
 
-// SubmitAsUser submits a job as the protocol requires of users: after a refusal they wait for a second, or as
+// SubmitWithBackoff submits a job as the protocol requires of users: after a refusal they wait for a second, or as
 // long as the refusal asks for if that is longer. refused is called for each refusal.
-func (f *Fleet) SubmitAsUser(j Job, within time.Duration, refused func(Standing)) error {
+func (f *Fleet) SubmitWithBackoff(j Job, within time.Duration, refused func(JobStatus)) error {
 	f.Workers.addJob(j)
 	end := time.Now().Add(within)
 	for i := int(f.nextController.Add(1)); ; i++ {
@@ -125,7 +125,7 @@
 		j.CPUs = 1
 	}
 	f.Workers.addJob(j)
-	s, err := f.Insist(http.MethodPost, "/v1/jobs", j.submission(), within)
+	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs", j.submission(), within)
 	if err != nil {
 		return err
 	}
@@ -133,24 +133,24 @@
 }
 
 // submitted records the acceptance of a job. It returns an error if the decision is another one.
-func (f *Fleet) submitted(j Job, s Standing) error {
-	if s.Status != http.StatusCreated && s.Status != http.StatusOK {
-		return fmt.Errorf("job %s is answered %d", j.ID, s.Status)
+func (f *Fleet) submitted(j Job, s JobStatus) error {
+	if s.Code != http.StatusCreated && s.Code != http.StatusOK {
+		return fmt.Errorf("job %s is answered %d", j.ID, s.Code)
 	}
 	f.Workers.jobAccepted(j.ID, time.Now())
 	return nil
 }
 
 // Cancel cancels a job, with retries until that is decided or the time is over.
-func (f *Fleet) Cancel(id string, within time.Duration) (Standing, error) {
-	s, err := f.Insist(http.MethodPost, "/v1/jobs/"+id+"/cancel", nil, within)
-	if err == nil && s.Standing == "aborted" {
+func (f *Fleet) Cancel(id string, within time.Duration) (JobStatus, error) {
+	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs/"+id+"/cancel", nil, within)
+	if err == nil && s.State == "aborted" {
 		f.Workers.jobCancelled(id, time.Now())
 	}
 	return s, err
 }
 
 // Poll requests the state of a job, with retries for up to 20 s.
-func (f *Fleet) Poll(id string) (Standing, error) {
-	return f.Insist(http.MethodGet, "/v1/jobs/"+id, nil, pollTimeout)
+func (f *Fleet) Poll(id string) (JobStatus, error) {
+	return f.RequestWithRetry(http.MethodGet, "/v1/jobs/"+id, nil, pollTimeout)
 }
--- a/internal/loopbacktest/worker_faults.go
+++ b/internal/loopbacktest/worker_faults.go
@@ -1,8 +1,8 @@
 package loopbacktest
 
-// Silence makes a share of the machines unresponsive, or responsive again, and returns their number. The
+// SetUnresponsive makes a share of the machines unresponsive, or responsive again, and returns their number. The
 // choice depends only on the machines' IDs.
-func (w *Workers) Silence(share float64, on bool) (affected int) {
+func (w *Workers) SetUnresponsive(share float64, on bool) (affected int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, m := range w.machines {
@@ -19,9 +19,9 @@
 	return int(float64(id+1)*share) > int(float64(id)*share)
 }
 
-// LoseZone deletes all machines of a zone with their attempts, and returns their number. The cloud no longer lists
+// DeleteZone deletes all machines of a zone with their attempts, and returns their number. The cloud no longer lists
 // them.
-func (w *Workers) LoseZone(zone string) (lost int) {
+func (w *Workers) DeleteZone(zone string) (lost int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
--- a/internal/loopbacktest/worker_metrics.go
+++ b/internal/loopbacktest/worker_metrics.go
@@ -18,25 +18,25 @@
 
 // Counts are numbers of machines, running attempts, starts so far and broken rules so far.
 type Counts struct {
-	Machines, Present, Starts, Faults int
+	Machines, Running, Starts, Violations int
 }
 
 // Counts returns the current counts.
 func (w *Workers) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Counts{Machines: len(w.byAddr), Present: len(w.audit.running), Starts: w.audit.starts, Faults: w.audit.violationCount}
+	return Counts{Machines: len(w.byAddr), Running: len(w.audit.running), Starts: w.audit.starts, Violations: w.audit.violationCount}
 }
 
-// ReportDelays returns a copy of the latencies from heartbeat to response, in microseconds.
-func (w *Workers) ReportDelays() *hdrhistogram.Histogram {
+// HeartbeatLatencies returns a copy of the latencies from heartbeat to response, in microseconds.
+func (w *Workers) HeartbeatLatencies() *hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return hdrhistogram.Import(w.heartbeatLatency.Export())
 }
 
-// StartDelays returns a copy of the latencies from acceptance to start by class, in microseconds.
-func (w *Workers) StartDelays() map[Class]*hdrhistogram.Histogram {
+// StartLatencies returns a copy of the latencies from acceptance to start by class, in microseconds.
+func (w *Workers) StartLatencies() map[Class]*hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[Class]*hdrhistogram.Histogram)
@@ -46,8 +46,8 @@
 	return out
 }
 
-// ResetDelays discards all latencies recorded so far.
-func (w *Workers) ResetDelays() {
+// ResetLatencies discards all latencies recorded so far.
+func (w *Workers) ResetLatencies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.heartbeatLatency.Reset()
--- a/internal/loopbacktest/workers.go
+++ b/internal/loopbacktest/workers.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", w.traffic.counted(DirectOrders, w.onMachine(w.serveCommands)))
+	mux.HandleFunc("POST /orders", w.traffic.counted(DirectCommands, w.onMachine(w.serveCommands)))
 	mux.HandleFunc("GET /show", w.onMachine(w.serveStatus))
 	mux.HandleFunc("/", w.onMachine(w.serveModel))
 	w.server = &http.Server{Handler: mux}
@@ -133,11 +133,11 @@
 	w.audit.cancelledAt[id] = at
 }
 
-// Faults returns the broken rules that the audit log has found, up to a limit.
-func (w *Workers) Faults() []Fault {
+// Violations returns the broken rules that the audit log has found, up to a limit.
+func (w *Workers) Violations() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Fault(nil), w.audit.violations...)
+	return append([]Violation(nil), w.audit.violations...)
 }
 
 // checkCancelledJobs checks periodically for tasks of cancelled jobs, until the workers are closed.
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -61,7 +61,7 @@
 				m.Images["img"] = cluster.Image{SizeGB: 1, LastUsed: time.Now()}
 			}
 			if rapid.Bool().Draw(t, "failures") {
-				m.Failures.Failed("000009")
+				m.Failures.RecordFailure("000009")
 			}
 		}
 		p.setPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -42,7 +42,7 @@
 	p.addDurations(v, map[string]*time.Duration{
 		activationIdleProperty:     &policy.IdleWindow,
 		activationDrainProperty:    &policy.DrainTimeout,
-		activationStartProperty:    &policy.StartWithin,
+		activationStartProperty:    &policy.StartTimeout,
 		activationStableProperty:   &policy.StableAfter,
 		activationBackoffProperty:  &policy.Backoff,
 		activationCooldownProperty: &policy.Cooldown,
@@ -51,7 +51,7 @@
 	p[activationClassesProperty] = func(key, value string) { tuning.Classes = v.parseNames(key, value) }
 	p[activationListenProperty] = func(key, value string) { tuning.Listen = v.parseListenAddress(key, value, s.Listen) }
 	p[activationTargetProperty] = func(key, value string) { tuning.Target = parseModelTarget(v, key, value) }
-	p[activationAttemptsProperty] = func(key, value string) { policy.Attempts = v.parseCount(key, value, 1, maxStartAttempts) }
+	p[activationAttemptsProperty] = func(key, value string) { policy.MaxAttempts = v.parseCount(key, value, 1, maxStartAttempts) }
 	p[activationHeldProperty] = func(key, value string) { tuning.Held = v.parseCount(key, value, 1, maxHeldRequests) }
 	p[activationConcurrencyProperty] = func(key, value string) {
 		tuning.Concurrent = v.parseCount(key, value, 1, maxConcurrentRequests)
@@ -80,7 +80,7 @@
 		v.fail(activationIdleProperty, "must not be shorter than report_s")
 	case policy.Cooldown <= s.RoutingLease():
 		v.fail(activationCooldownProperty, fmt.Sprintf("must be longer than a controller may go by an earlier answer, %v", s.RoutingLease()))
-	case policy.StartWithin < policy.Backoff:
+	case policy.StartTimeout < policy.Backoff:
 		v.fail(activationStartProperty, "must not be shorter than "+activationBackoffProperty)
 	case tuning.Held > s.MaxHeldRequests():
 		v.fail(activationHeldProperty, fmt.Sprintf("must not be above %d, three quarters of the connections that sockets allows for models", s.MaxHeldRequests()))
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -45,8 +45,8 @@
 	return types
 }
 
-// Rental is the body of a launch request.
-type Rental struct {
+// LaunchRequest is the body of a launch request.
+type LaunchRequest struct {
 	Name  string `json:"Hire"` // idempotency key
 	Type  string `json:"Breed"`
 	Zone  string `json:"Pasture"`
@@ -54,9 +54,9 @@
 	Count int    `json:"Count"`
 }
 
-// NewRental returns the body of a launch request, which is idempotent by its name.
-func NewRental(name string, launch storage.LaunchRecord) Rental {
-	return Rental{Name: name, Type: launch.Type, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count}
+// NewLaunchRequest returns the body of a launch request, which is idempotent by its name.
+func NewLaunchRequest(name string, launch storage.LaunchRecord) LaunchRequest {
+	return LaunchRequest{Name: name, Type: launch.Type, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count}
 }
 
 // MachineNames is the body of the response to a launch, and of a termination request.
@@ -77,7 +77,7 @@
 func (n MachineNames) IDs() ([]int, error) {
 	ids := make([]int, 0, len(n.Machines))
 	for _, name := range n.Machines {
-		id, err := ParseMachine(name)
+		id, err := ParseMachineName(name)
 		if err != nil {
 			return nil, err
 		}
@@ -106,11 +106,11 @@
 	"booting": cloud.Booting, "running": cloud.Running, "failed": cloud.Failed,
 }
 
-// Listed returns the machines of the page; an error if any is invalid.
-func (l MachineList) Listed() ([]cloud.Machine, error) {
+// Page returns the machines of the page; an error if any is invalid.
+func (l MachineList) Page() ([]cloud.Machine, error) {
 	machines := make([]cloud.Machine, 0, len(l.Machines))
 	for _, m := range l.Machines {
-		id, err := ParseMachine(m.ID)
+		id, err := ParseMachineName(m.ID)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/protocol/key_value.go
+++ b/internal/protocol/key_value.go
@@ -19,8 +19,8 @@
 	return storage.Item{Key: i.Key, Data: i.Data, Version: i.Version, Lease: i.Lease}
 }
 
-// StoredItems is a page of the list of keys.
-type StoredItems struct {
+// ItemPage is a page of the list of keys.
+type ItemPage struct {
 	Items    []StoredItem `json:"Items"`
 	More     bool         `json:"More"`
 	Revision uint64       `json:"LedgerRev"`
@@ -60,19 +60,19 @@
 	return txn
 }
 
-// TxnAnswer is the body of the response to a transaction.
-type TxnAnswer struct {
+// TxnResponse is the body of the response to a transaction.
+type TxnResponse struct {
 	Failed   []string `json:"failed"`    // keys of the guards that don't hold
 	Revision uint64   `json:"LedgerRev"` // of the store, after it
 }
 
-// Life is the body of a request for a lease.
-type Life struct {
+// GrantRequest is the body of a request for a lease.
+type GrantRequest struct {
 	LifeMS int64 `json:"LifeMs"`
 }
 
-// Lease is the body of the response to a request for a lease.
-type Lease struct {
+// GrantResponse is the body of the response to a request for a lease.
+type GrantResponse struct {
 	ID uint64 `json:"Tether"`
 }
 
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/storage"
 )
 
-// MaxBody is the largest request body in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body in bytes.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -17,8 +17,8 @@
 // the first million machines sort by age.
 func MachineName(id int) string { return fmt.Sprintf("%s%06d", machinePrefix, id) }
 
-// ParseMachine returns the id of the machine with a name.
-func ParseMachine(name string) (int, error) {
+// ParseMachineName returns the id of the machine with a name.
+func ParseMachineName(name string) (int, error) {
 	digits, ok := strings.CutPrefix(name, machinePrefix)
 	id, err := strconv.Atoi(digits)
 	if !ok || err != nil || id < 0 || MachineName(id) != name {
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	machine, err := ParseMachine(r.Machine)
+	machine, err := ParseMachineName(r.Machine)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -188,7 +188,7 @@
 	}
 	revision, err := c.store.Txn(ctx, nil, batchOps(requestPrefix, c.settings.NodeName, values))
 	if err != nil {
-		c.limits.Learn(err)
+		c.limits.Observe(err)
 		return nil, err
 	}
 	c.lastAccepted.Mark(time.Now())
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -109,7 +109,7 @@
 		return // the term ends
 	}
 	if _, err := s.store.Txn(decideCtx, []storage.Guard{s.leader}, batchOps(responsePrefix, id.sender, values)); err != nil {
-		s.limits.Learn(err)
+		s.limits.Observe(err)
 		s.log.Debug("relay response failed", "controller", id.sender, "count", len(requests), "error", err)
 		return
 	}
--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -328,7 +328,7 @@
 	starting := s.record.State == activation.Starting
 	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.Number}, now)
 	if starting && s.record.State == activation.Ready && !s.wokenAt.IsZero() {
-		c.starts.Note(s.job.Spec.Class, now.Sub(s.wokenAt))
+		c.starts.Record(s.job.Spec.Class, now.Sub(s.wokenAt))
 		s.wokenAt = time.Time{}
 	}
 }
--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -118,7 +118,7 @@
 			d.placeRound(time.Now())
 			d.commit(nil)
 			a := j.Attempts[0]
-			time.Sleep(d.settings.Tuning.Activation.Policy.StartWithin + time.Second)
+			time.Sleep(d.settings.Tuning.Activation.Policy.StartTimeout + time.Second)
 			d.activation.tick(time.Now())
 			d.activation.tick(time.Now())
 			if a.Stopping {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -28,7 +28,7 @@
 func newArchive(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
-		Refresh: s.WorkerLease, CallTime: s.CallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
+		RefreshInterval: s.WorkerLease, RequestTimeout: s.CallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
 	}, deps.Log)
 }
 
@@ -136,7 +136,7 @@
 
 // compareArchive looks once a term, when all pages are read, for open jobs that are archived.
 func (d *scheduler) compareArchive() {
-	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.CompleteFor(d.term) {
+	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.ExactFor(d.term) {
 		return
 	}
 	d.archiveCompared = true
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -62,7 +62,7 @@
 		before := liveHeap()
 		began := time.Now()
 		k := archive.NewArchiver(&storagetest.Client{Service: service}, storage.NewLimitTracker(limits),
-			archive.Settings{Refresh: time.Hour, CallTime: time.Minute, MemoryBytes: 1 << 30, Follow: true}, slog.New(slog.DiscardHandler))
+			archive.Settings{RefreshInterval: time.Hour, RequestTimeout: time.Minute, MemoryBytes: 1 << 30, Follow: true}, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(b.Context())
 		go k.Run(ctx)
 		for !k.Index.Stats().Complete {
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -198,7 +198,7 @@
 				sim.submit(clustertest.Service("000009", 2))
 				sim.finish("000007") // the gate is in use, and a page is there
 				sim.archivedAll(1)
-				sim.state.Trouble(func(s *storagetest.Service) { trouble(sim, s) })
+				sim.state.Update(func(s *storagetest.Service) { trouble(sim, s) })
 				s := clustertest.Array("000001", 2)
 				s.EstimateS = 3
 				sim.submit(s)
@@ -210,7 +210,7 @@
 						n.start()
 					}
 				}
-				sim.state.Trouble(func(s *storagetest.Service) { s.Lose = nil })
+				sim.state.Update(func(s *storagetest.Service) { s.Lose = nil })
 				sim.awaitLeader()
 				sim.archivedAll(2)
 				stop()
@@ -298,7 +298,7 @@
 		sim.archivedAll(2)
 		lead := sim.awaitLeader()
 		// Reads of the archive fail for the new leader; all else is answered.
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Refuse = func(key string) bool { return strings.HasPrefix(key, archivePrefix) }
 		})
 		lead.kill()
@@ -313,7 +313,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		sim.state.Trouble(func(s *storagetest.Service) { s.Refuse = nil })
+		sim.state.Update(func(s *storagetest.Service) { s.Refuse = nil })
 		lead.start()
 		sim.told("000002", api.StateDone)
 		sim.finish("000003")
@@ -429,7 +429,7 @@
 	inSimulationTuned(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
-		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
+		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
 		var ids []string
 		for i := range 20 {
 			ids = append(ids, fmt.Sprintf("%09d", 1_000_000+i))
@@ -719,7 +719,7 @@
 		case 5:
 			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
 		case 6:
-			sim.state.Trouble(func(s *storagetest.Service) { s.LoseAnswers = 1 + random.IntN(3) })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 + random.IntN(3) })
 		case 7:
 			sim.lateWrites(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
 		case 8:
@@ -736,7 +736,7 @@
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 	}
-	sim.state.Trouble(func(s *storagetest.Service) { s.LoseAnswers, s.Delay = 0, nil })
+	sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers, s.Delay = 0, nil })
 	time.Sleep(time.Minute)
 	sim.awaitLeader()
 	for i := range next - 1 {
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -126,7 +126,7 @@
 		a := d.Reserve(urgent, 0, m, time.Now())
 		d.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
-			if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
+			if _, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
 				d.handleCommitted(nil)
 			}
 		}
@@ -147,7 +147,7 @@
 		d.markJob(j) // for something else, at the end of the lane
 		reply := make(chan api.Response, 1)
 		d.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
-		if _, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
+		if _, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
 			t.Fatal("nothing to write")
 		}
 		d.handleCommitted(nil)
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -246,7 +246,7 @@
 	}, false},
 	{"the state service is out", func(sim *simulation, _ *fakeNode) { sim.outage(coldTroubleSpan) }, false},
 	{"answers of the state service are lost", func(sim *simulation, _ *fakeNode) {
-		sim.state.Trouble(func(s *storagetest.Service) { s.LoseAnswers = 3 })
+		sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
 	}, false},
 	{"transactions come late", func(sim *simulation, _ *fakeNode) {
 		sim.passing(func() { sim.lateWrites(2, time.Second) }, func() { sim.lateWrites(0, 0) })
@@ -320,14 +320,14 @@
 		nth := step + 1
 		moments = append(moments,
 			coldMoment{"before " + name + " is written", func(sim *simulation, strike func()) {
-				sim.state.Trouble(func(s *storagetest.Service) { s.Drop = nthWrite(nth, strike) })
+				sim.state.Update(func(s *storagetest.Service) { s.Drop = nthWrite(nth, strike) })
 			}},
 			coldMoment{"when " + name + " is written", func(sim *simulation, strike func()) {
 				once := nthWrite(nth, strike)
-				sim.state.Trouble(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { once(tx) } })
+				sim.state.Update(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { once(tx) } })
 			}},
 			coldMoment{"when " + name + " is written, without an answer", func(sim *simulation, strike func()) {
-				sim.state.Trouble(func(s *storagetest.Service) { s.Lose = nthWrite(nth, strike) })
+				sim.state.Update(func(s *storagetest.Service) { s.Lose = nthWrite(nth, strike) })
 			}})
 	}
 	return moments
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -30,7 +30,7 @@
 		sim.submit(clustertest.Service("000002", 2))
 		sim.runs("000002", 2)
 		for range 4 {
-			sim.state.Trouble(func(s *storagetest.Service) { s.LoseAnswers = 3 })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
 			sim.submit(clustertest.Service("000003", 1))
 			sim.cancel("000002")
 			sim.askEverywhere("000003")
@@ -105,10 +105,10 @@
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", i+1), 2))
 			sim.runs(fmt.Sprintf("%06d", i+1), 2)
 		}
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 400 * time.Millisecond })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = 400 * time.Millisecond })
 		sim.cancel("000001")
 		time.Sleep(10 * time.Second)
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 0 })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
 		old := sim.refuseLeader()
 		go sim.askNode(old, api.OpCancel, "000002", storage.Spec{})
 		sim.cancel("000003")
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -164,7 +164,7 @@
 		sim.locked(func() {
 			sim.cloud.full = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
 		})
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
 		for i := range 10 {
 			s := lasting(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
 			s.Priority = storage.Priority(i % 3)
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -33,7 +33,7 @@
 
 // admit tells whether a team's submission may wait to be recorded.
 func (d *scheduler) admit(team string) bool {
-	return d.admission.Admit(team, d.journal.Spare()/acceptanceBytes)
+	return d.admission.Admit(team, d.journal.SpareBytes()/acceptanceBytes)
 }
 
 // markRecord notes that an entity's record must be written; data is asked for its value when it
@@ -123,7 +123,7 @@
 		return
 	}
 	d.limitBulk(time.Now())
-	records, ok := d.queue.Next(d.settings.CommitBytes(), func(key string, err error) {
+	records, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) {
 		d.log.Error("record not encoded", "key", key, "err", err)
 	})
 	if !ok {
@@ -138,7 +138,7 @@
 	if d.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
 	}
-	saved, burst, _ := d.journal.Saved()
+	saved, burst, _ := d.journal.Budget()
 	allowed := d.bulkPace.Allow(now, saved, burst) * d.journal.ChangeBytes()
 	d.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
@@ -149,7 +149,7 @@
 	if !d.queue.Idle() || d.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
-	saved, burst, rate := d.journal.Saved()
+	saved, burst, rate := d.journal.Budget()
 	return d.bulkPace.Due(now, saved, burst, rate), true
 }
 
@@ -158,8 +158,8 @@
 	took := time.Since(d.commitStarted)
 	d.commitStarted = time.Time{}
 	d.acceptedInCommit = 0
-	if full := d.queue.Committed(err); full && !d.journal.HasSavings() {
-		d.admission.Measured(d.acceptedInCommit, took)
+	if full := d.queue.EndCommit(err); full && !d.journal.CanBurst() {
+		d.admission.RecordThroughput(d.acceptedInCommit, took)
 	}
 	d.waiters = slices.DeleteFunc(d.waiters, func(w *waiter) bool { return w.answered })
 }
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -78,7 +78,7 @@
 func (n *fakeNode) track(ctx context.Context, node *Node, s *config.Settings) {
 	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
-	limits := activator.Limits{Held: 100, Concurrent: 10, Hold: s.Tuning.Activation.Hold}
+	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: s.Tuning.Activation.Hold}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
 	go tracker.Run(ctx)
--- a/internal/scheduler/gates_test.go
+++ b/internal/scheduler/gates_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("accepted after %v", took)
 		}
 		sim.done("000001")
-		sim.state.Trouble(func(s *storagetest.Service) { s.Drop = touchesCluster })
+		sim.state.Update(func(s *storagetest.Service) { s.Drop = touchesCluster })
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
 			n.restart()
@@ -66,7 +66,7 @@
 		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
 			t.Errorf("told to come back after %v", took)
 		}
-		sim.state.Trouble(func(s *storagetest.Service) { s.Drop = nil })
+		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
 		sim.submit(gang("000002"))
 		sim.done("000002")
 	})
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -94,7 +94,7 @@
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		n := 0
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Delay = func() time.Duration {
 				if n++; n == 1 {
 					return time.Hour // never, as far as the scenario goes
@@ -105,7 +105,7 @@
 		began := time.Now()
 		sim.submit(clustertest.Service("000001", 1))
 		took := time.Since(began)
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			if took > 2*time.Second || n < 2 {
 				t.Errorf("accepted after %v, with %d transactions", took, n)
 			}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -225,8 +225,8 @@
 	j, m := a.Job, a.Machine
 	switch t.Cause {
 	case worker.CauseDone:
-		j.Failures.Succeeded()
-		m.Failures.Succeeded()
+		j.Failures.RecordSuccess()
+		m.Failures.RecordSuccess()
 		d.state.Classes.NoteRunTime(a, now)
 		if j.Spec.Gang {
 			d.completeGang(j)
@@ -237,7 +237,7 @@
 	case worker.CauseError:
 		a.Failed = true
 		if j.Gang.Failed {
-			m.Failures.Failed(j.Spec.ID) // the job's was counted with the first of the gang
+			m.Failures.RecordFailure(j.Spec.ID) // the job's was counted with the first of the gang
 		} else {
 			d.failed(j, m, a.ReservedAt, now)
 		}
--- a/internal/scheduler/leader_gap_test.go
+++ b/internal/scheduler/leader_gap_test.go
@@ -77,7 +77,7 @@
 	inSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.runs("000001", 1)
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 150 * time.Millisecond })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = 150 * time.Millisecond })
 		sim.awaitLeader().kill()
 		loading := 0
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -109,7 +109,7 @@
 		if loading == 0 {
 			t.Error("no leader was seen loading")
 		}
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = 0 })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
 		sim.runs("000001", 1)
 	})
 }
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -47,7 +47,7 @@
 
 // commit has all that is marked become durable, or fail.
 func (d *scheduler) commit(err error) {
-	d.queue.Next(math.MaxInt, func(key string, err error) { panic(key) })
+	d.queue.BeginCommit(math.MaxInt, func(key string, err error) { panic(key) })
 	d.handleCommitted(err)
 }
 
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -39,7 +39,7 @@
 // lateWrites has every nth transaction carried out late, without an answer.
 func (sim *simulation) lateWrites(nth int, late time.Duration) {
 	n := 0
-	sim.state.Trouble(func(s *storagetest.Service) {
+	sim.state.Update(func(s *storagetest.Service) {
 		s.Delay = func() time.Duration {
 			if n++; nth > 0 && n%nth == 0 {
 				return late + time.Duration(n%7)*time.Second
--- a/internal/scheduler/standstill_test.go
+++ b/internal/scheduler/standstill_test.go
@@ -54,10 +54,10 @@
 	return g.KeyValueStore.Grant(ctx, life)
 }
 
-func (g gatedState) Touch(ctx context.Context, lease uint64) error {
+func (g gatedState) Renew(ctx context.Context, lease uint64) error {
 	g.node.gate()
 	defer g.node.gate()
-	return g.KeyValueStore.Touch(ctx, lease)
+	return g.KeyValueStore.Renew(ctx, lease)
 }
 
 // work submits services and arrays, and waits until they run.
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -16,8 +16,8 @@
 // is retried a task at a time, after longer and longer pauses, and its machines are cleared of
 // it; a machine on which several jobs fail is left alone for a while.
 func (d *scheduler) failed(j *cluster.Job, m *cluster.Machine, booked, now time.Time) {
-	j.Failures.Failed(m.ID, booked, now)
-	m.Failures.Failed(j.Spec.ID)
+	j.Failures.RecordFailure(m.ID, booked, now)
+	m.Failures.RecordFailure(j.Spec.ID)
 	if j.Failures.AtFault() {
 		d.clearMachines(j)
 		m.ClearFailures(j)
@@ -49,7 +49,7 @@
 		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.Done > 0 {
 			continue
 		}
-		if j.Failures.Recall(m.ID, t.ID.Task); j.Failures.AtFault() {
+		if j.Failures.RecordEarlierFailure(m.ID, t.ID.Task); j.Failures.AtFault() {
 			d.clearMachines(j)
 		}
 	}
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -63,7 +63,7 @@
 		}
 		p.led.Add(1)
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, life/5); {
-			if svc.Touch(ctx, lease) != nil {
+			if svc.Renew(ctx, lease) != nil {
 				break
 			}
 		}
@@ -168,7 +168,7 @@
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(clustertest.Service("000001", 3))
 		sim.submit(clustertest.Array("000002", 60))
-		sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 4096, 8 })
+		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 4096, 8 })
 		sim.submit(clustertest.Array("000003", 60))
 		sim.done("000003")
 		client := &storagetest.Client{Service: sim.state}
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -33,7 +33,7 @@
 // onceBefore has f run before the first transaction that sets a key to such a value.
 func (sim *simulation) onceBefore(key, value string, f func()) {
 	var done atomic.Bool
-	sim.state.Trouble(func(s *storagetest.Service) {
+	sim.state.Update(func(s *storagetest.Service) {
 		s.Before = func(tx storagetest.Txn) {
 			if slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key && strings.Contains(string(o.Data), value) }) && done.CompareAndSwap(false, true) {
 				f()
@@ -177,7 +177,7 @@
 		node := sim.nodes[0]
 		node.kill()
 		var late atomic.Bool
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
 				if !sets(tx, leadership.RegistrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
 					return 0
@@ -201,7 +201,7 @@
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Drop = func(tx storagetest.Txn) bool { return sets(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
@@ -209,7 +209,7 @@
 		if sim.leader() != nil {
 			t.Error("it leads, though the fleet may count it by an earlier process")
 		}
-		sim.state.Trouble(func(s *storagetest.Service) { s.Drop = nil })
+		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
 		sim.awaitLeader()
 	})
 }
@@ -220,7 +220,7 @@
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		var lost atomic.Int32
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Lose = func(tx storagetest.Txn) bool {
 				if touchesCluster(tx) {
 					lost.Add(1)
@@ -245,7 +245,7 @@
 		sim.allAt(upgrade.Version1)
 		lead := sim.awaitLeader()
 		var held atomic.Bool
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
 				if !touchesCluster(tx) || !held.CompareAndSwap(false, true) {
 					return 0
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -63,7 +63,7 @@
 		sim.submitGang("000001")
 		sim.done("000001")
 		var held atomic.Bool
-		sim.state.Trouble(func(s *storagetest.Service) {
+		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
 				if !isRelease(tx) || !held.CompareAndSwap(false, true) {
 					return 0
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -94,7 +94,7 @@
 				for i := range 12 {
 					sim.submit(clustertest.Array(fmt.Sprintf("%06d", i+1), 40))
 				}
-				sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
+				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
 				sim.submit(clustertest.Array("000100", 60))
 				sim.eventually("compressed", time.Minute, func() bool {
 					return sim.cluster().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -128,7 +128,7 @@
 		}
 		return true
 	}
-	sim.state.Trouble(func(s *storagetest.Service) {
+	sim.state.Update(func(s *storagetest.Service) {
 		switch fate {
 		case "dropped":
 			s.Drop = hit
@@ -165,7 +165,7 @@
 		{"out", func(sim *simulation) { sim.state.Outage(true) }, func(sim *simulation) { sim.state.Outage(false) }},
 		{"refuses one", func(sim *simulation) { sim.nodes[1].cutState.Store(true) }, func(sim *simulation) { sim.nodes[1].cutState.Store(false) }},
 		{"lowers its limits", func(sim *simulation) {
-			sim.state.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
+			sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		}, func(*simulation) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -299,7 +299,7 @@
 			sim.state.Outage(true)
 			time.AfterFunc(4*time.Second, func() { sim.state.Outage(false) })
 		case 6:
-			sim.state.Trouble(func(s *storagetest.Service) { s.LoseAnswers = 2 })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 2 })
 		}
 		id := fmt.Sprintf("%06d", 10+i)
 		job := clustertest.Array(id, 1+random.IntN(4))
@@ -358,7 +358,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four more
-		sim.state.Trouble(func(s *storagetest.Service) { s.Slow = slow })
+		sim.state.Update(func(s *storagetest.Service) { s.Slow = slow })
 		for _, n := range sim.nodes {
 			n.restart()
 		}
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -65,7 +65,7 @@
 		return
 	}
 	c := d.activation
-	c.usage.Note(m.report, now)
+	c.usage.RecordReport(m.report, now)
 	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.draining()}
 }
 
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -129,7 +129,7 @@
 			return
 		}
 		if !d.admit(spec.Team) {
-			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: d.admission.RetryS(now)}
+			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: d.admission.RetryAfterSeconds(now)}
 			return
 		}
 		j = cluster.NewJob(spec, now)
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -51,7 +51,7 @@
 					n.kill()
 				}
 				time.Sleep(time.Minute)
-				sim.state.Trouble(func(s *storagetest.Service) {
+				sim.state.Update(func(s *storagetest.Service) {
 					s.Restore(items)
 					if c.next != nil {
 						s.ValueBytes, s.TxnOps = c.next.ValueBytes, c.next.TxnOps
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -218,10 +218,10 @@
 		first := sim.awaitLeader().node.view.Load().scheduler
 		sim.awaitLeader().kill()
 		next := sim.awaitLeader().node.view.Load().scheduler
-		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.PerTerm {
+		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.TokensPerTerm {
 			t.Errorf("tokens %+v and then %+v", first.tokens, next.tokens)
 		}
-		if room := next.lastAttempt - first.lastAttempt; room < fencing.PerTerm*attemptStride {
+		if room := next.lastAttempt - first.lastAttempt; room < fencing.TokensPerTerm*attemptStride {
 			t.Errorf("only %d attempts in a term", room)
 		}
 	})
--- a/internal/storage/fixture_test.go
+++ b/internal/storage/fixture_test.go
@@ -70,7 +70,7 @@
 
 // setLimits changes which limits the store enforces.
 func (f *fixture) setLimits(l storage.Limits) {
-	f.Trouble(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = l.ValueBytes, l.TxnOps })
+	f.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = l.ValueBytes, l.TxnOps })
 }
 
 // chunks lists the stored chunks.
@@ -142,7 +142,7 @@
 	f.t.Helper()
 	f.setLimits(lowered)
 	tracker := trackerTo(lowered)
-	tracker.Learn(storage.ErrMalformed)
+	tracker.Observe(storage.ErrMalformed)
 	return f.openWith(ctx, tracker)
 }
 
--- a/internal/storage/fragment_test.go
+++ b/internal/storage/fragment_test.go
@@ -16,20 +16,20 @@
 		f := newFixture(t)
 		f.setLimits(storage.Limits{ValueBytes: lowest.ValueBytes, TxnOps: 3})
 		tracker := trackerTo(lowest)
-		tracker.Learn(storage.ErrMalformed)
+		tracker.Observe(storage.ErrMalformed)
 		firstTerm, endFirstTerm := context.WithCancel(t.Context())
 		first := f.openWith(firstTerm, tracker)
 		first.write(map[string]any{"p1": text(1, 6000)})
 
 		transactions := 0
-		f.Trouble(func(s *storagetest.Service) {
+		f.Update(func(s *storagetest.Service) {
 			s.Drop = func(storagetest.Txn) bool { transactions++; return transactions > 2 }
 		})
 		go func() { _ = first.append(map[string]any{"p1": text(5, 7000)}) }() // ends with the term
 		synctest.Wait()
 		time.Sleep(20 * time.Second)
 		endFirstTerm()
-		f.Trouble(func(s *storagetest.Service) { s.Drop = nil })
+		f.Update(func(s *storagetest.Service) { s.Drop = nil })
 		if transactions < 3 {
 			t.Fatalf("%d transactions were sent, want 3", transactions)
 		}
--- a/internal/storage/journal_limits_test.go
+++ b/internal/storage/journal_limits_test.go
@@ -87,7 +87,7 @@
 		f := newFixture(t)
 		f.setLimits(lowest)
 		tracker := trackerTo(lowest)
-		tracker.Learn(storage.ErrMalformed)
+		tracker.Observe(storage.ErrMalformed)
 		j := f.openWith(t.Context(), tracker)
 		const rounds, pages = 20, 8
 		plain := 0
@@ -131,7 +131,7 @@
 		f := newFixture(t)
 		j := f.openWith(t.Context(), trackerTo(lowest))
 		j.write(map[string]any{"a": 1})
-		f.Trouble(func(s *storagetest.Service) { s.LoseAnswers = 1 })
+		f.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 })
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowest) })
 		if err := j.append(map[string]any{"b": text(1, 3000), "c": text(2, 3000)}); err == nil || errors.Is(err, storage.ErrMalformed) {
 			t.Errorf("append: got %v, want the loss of leadership", err)
@@ -150,7 +150,7 @@
 		j := f.openWith(t.Context(), trackerWithTimeout(time.Second))
 		j.write(map[string]any{"a": 1})
 		first := len(f.Sent)
-		f.Trouble(func(s *storagetest.Service) {
+		f.Update(func(s *storagetest.Service) {
 			s.Drop = func(storagetest.Txn) bool { return len(s.Sent) == first+1 }
 		})
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowest) })
--- a/internal/storage/journal_transaction.go
+++ b/internal/storage/journal_transaction.go
@@ -72,7 +72,7 @@
 		default:
 			return 0, fmt.Errorf("journal commit: %w", err)
 		}
-		if j.limitTracker.Learn(err) {
+		if j.limitTracker.Observe(err) {
 			j.applyLimits()
 		}
 		slog.Debug("journal commit retried", "chunk", t.chunkKey(), "error", err)
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -19,7 +19,7 @@
 		switch {
 		case err == nil:
 			pending = rest
-		case errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err):
+		case errors.Is(err, ErrMalformed) && j.limitTracker.Observe(err):
 			// All records once more, in smaller chunks: those that are written already are
 			// superseded.
 			if pending, err = j.splitUnderLowerLimits(ctx, records); err != nil {
--- a/internal/storage/key_value_store.go
+++ b/internal/storage/key_value_store.go
@@ -23,7 +23,7 @@
 	// Grant creates a lease that expires after life unless it is renewed.
 	Grant(ctx context.Context, life time.Duration) (lease uint64, err error)
 	// Touch renews a lease. It fails with ErrNotFound if the lease has expired.
-	Touch(ctx context.Context, lease uint64) error
+	Renew(ctx context.Context, lease uint64) error
 	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease uint64) error
 	// Watch waits until a key under prefix changes after the given revision, or until hold
--- a/internal/storage/limit_tracker.go
+++ b/internal/storage/limit_tracker.go
@@ -25,10 +25,10 @@
 // Limits returns the limits to keep to.
 func (t *LimitTracker) Limits() Limits { return *t.current.Load() }
 
-// Learn lowers the limits if the error of a request is a sign that they have fallen: a
+// Observe lowers the limits if the error of a request is a sign that they have fallen: a
 // malformed request has grown too large, and a rate-limited one came too fast. It reports
 // whether that changed the limits.
-func (t *LimitTracker) Learn(err error) bool {
+func (t *LimitTracker) Observe(err error) bool {
 	if t.next == nil {
 		return false
 	}
--- a/internal/storage/limit_tracker_test.go
+++ b/internal/storage/limit_tracker_test.go
@@ -10,23 +10,23 @@
 func TestLimitTrackerLowersLimitsOnFirstSign(t *testing.T) {
 	tracker := trackerTo(lowest)
 	for _, err := range []error{storage.ErrRefused, nil, storage.ErrOutcomeUnknown} {
-		if tracker.Learn(err) {
+		if tracker.Observe(err) {
 			t.Errorf("%v lowers the limits", err)
 		}
 	}
-	if !tracker.Learn(fmt.Errorf("status: %w", storage.ErrRateLimited)) {
+	if !tracker.Observe(fmt.Errorf("status: %w", storage.ErrRateLimited)) {
 		t.Errorf("%v doesn't lower the limits", storage.ErrRateLimited)
 	}
 	if l := tracker.Limits(); l.ChangesPerS != 15 || l.ValueBytes != 8192 || l.RequestsPerS != 100 {
 		t.Errorf("after %v: got %+v, want lower rates", storage.ErrRateLimited, l)
 	}
-	if !tracker.Learn(storage.ErrMalformed) || tracker.Learn(storage.ErrMalformed) {
+	if !tracker.Observe(storage.ErrMalformed) || tracker.Observe(storage.ErrMalformed) {
 		t.Errorf("%v doesn't lower the limits exactly once", storage.ErrMalformed)
 	}
 	if l := tracker.Limits(); l.ValueBytes != 2048 || l.TxnOps != 4 {
 		t.Errorf("after %v: got %+v, want lower sizes", storage.ErrMalformed, l)
 	}
-	if storage.NewLimitTracker(limits).Learn(storage.ErrMalformed) {
+	if storage.NewLimitTracker(limits).Observe(storage.ErrMalformed) {
 		t.Error("limits fall without lower ones that are known")
 	}
 }
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	err := j.write(ctx, []chunk{{data: emptyChunk}})
-	if errors.Is(err, ErrMalformed) && j.limitTracker.Learn(err) {
+	if errors.Is(err, ErrMalformed) && j.limitTracker.Observe(err) {
 		j.applyLimits()
 		return nil
 	}
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -71,7 +71,7 @@
 	const records = 30
 	f := newFixture(t)
 	stopMigration(t, f, records, steps, fail)
-	f.Trouble(func(s *storagetest.Service) { s.Drop, s.LoseAnswers = nil, 0 })
+	f.Update(func(s *storagetest.Service) { s.Drop, s.LoseAnswers = nil, 0 })
 
 	next := f.openLowered(t.Context())
 	next.SetEncoding(storage.PlainWherePossible)
@@ -104,7 +104,7 @@
 			t.Fatalf("migration step: %v", err)
 		}
 	}
-	f.Trouble(fail)
+	f.Update(fail)
 	lastStep, endLastStep := context.WithTimeout(term, 50*time.Millisecond)
 	defer endLastStep()
 	_, _ = j.MigrateStep(lastStep) // may fail
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Touch implements storage.KeyValueStore.
-func (c *Client) Touch(ctx context.Context, id uint64) error {
+// Renew implements storage.KeyValueStore.
+func (c *Client) Renew(ctx context.Context, id uint64) error {
 	return c.withLease(ctx, id, c.renewLease)
 }
 
--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -36,8 +36,8 @@
 	Refuse func(key string) bool
 }
 
-// Trouble changes the faults or the limits, under the lock of the store.
-func (s *Service) Trouble(f func(s *Service)) {
+// Update changes the faults or the limits, under the lock of the store.
+func (s *Service) Update(f func(s *Service)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
--- a/internal/transport/body_limiter.go
+++ b/internal/transport/body_limiter.go
@@ -10,7 +10,7 @@
 	// smallBodyBytes is the largest request body that is part of its connection's memory (connectionBytes).
 	smallBodyBytes = 4 << 10
 	// unknownLengthBytes is the memory for a body of unknown length: its buffer grows by doubling.
-	unknownLengthBytes = 2 * protocol.MaxBody
+	unknownLengthBytes = 2 * protocol.MaxBodyBytes
 )
 
 // bodyLimiter bounds the memory that large request bodies take while they are read.
--- a/internal/transport/body_limiter_test.go
+++ b/internal/transport/body_limiter_test.go
@@ -14,7 +14,7 @@
 	l := newBodyLimiter(Limits{MemoryMB: 16}) // 1 MB for bodies
 	var releases []func()
 	for len(releases) < 100 {
-		release, ok := l.acquire(protocol.MaxBody)
+		release, ok := l.acquire(protocol.MaxBodyBytes)
 		if !ok {
 			break
 		}
@@ -66,8 +66,8 @@
 		name, header string
 		admitted     int
 	}{
-		{"known length", fmt.Sprintf("Content-Length: %d", protocol.MaxBody), bodyMemory / protocol.MaxBody},
-		{"unknown length", "Transfer-Encoding: chunked", bodyMemory / protocol.MaxBody / 2},
+		{"known length", fmt.Sprintf("Content-Length: %d", protocol.MaxBodyBytes), bodyMemory / protocol.MaxBodyBytes},
+		{"unknown length", "Transfer-Encoding: chunked", bodyMemory / protocol.MaxBodyBytes / 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := startServer(t, Limits{Sockets: 1000, MemoryMB: 16})
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -76,7 +76,7 @@
 // Launch launches machines and returns their ids. The request is idempotent by its name.
 func (c *CloudClient) Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	var names protocol.MachineNames
-	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewRental(name, launch), &names); err != nil {
+	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewLaunchRequest(name, launch), &names); err != nil {
 		return nil, err
 	}
 	ids, err := names.IDs()
@@ -102,7 +102,7 @@
 	if err := c.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &page); err != nil {
 		return nil, false, err
 	}
-	machines, err = page.Listed()
+	machines, err = page.Page()
 	if err != nil {
 		return nil, false, fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	}
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -20,7 +20,7 @@
 // readBody reads a request's body and passes it to use, which must not retain it. If the body is too large,
 // can't be read, or finds no memory, readBody writes an error and doesn't call use.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
-	if r.ContentLength > protocol.MaxBody {
+	if r.ContentLength > protocol.MaxBodyBytes {
 		writeBodyTooLarge(w)
 		return
 	}
@@ -41,11 +41,11 @@
 	if r.ContentLength > 0 {
 		buf.Grow(int(r.ContentLength) + bytes.MinRead) // ReadFrom then doesn't grow it
 	}
-	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBody+1)); err != nil {
+	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBodyBytes+1)); err != nil {
 		writeError(w, http.StatusBadRequest, "body not readable", 0)
 		return
 	}
-	if buf.Len() > protocol.MaxBody {
+	if buf.Len() > protocol.MaxBodyBytes {
 		writeBodyTooLarge(w)
 		return
 	}
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -45,7 +45,7 @@
 	case http.StatusNotFound:
 		return storage.ErrNotFound
 	case http.StatusConflict:
-		var conflict protocol.TxnAnswer
+		var conflict protocol.TxnResponse
 		if err := resp.decode(&conflict); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	if after != "" {
 		query.Set("From", after)
 	}
-	var page protocol.StoredItems
+	var page protocol.ItemPage
 	if err := c.send(ctx, http.MethodGet, "/store?"+query.Encode(), nil, &page); err != nil {
 		return nil, false, 0, err
 	}
@@ -91,7 +91,7 @@
 
 // Txn executes a guarded transaction and returns the store's revision after it.
 func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
-	var result protocol.TxnAnswer
+	var result protocol.TxnResponse
 	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
 		return 0, err
 	}
@@ -100,15 +100,15 @@
 
 // Grant creates a lease that lasts for life, in whole milliseconds, and returns its id.
 func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	var lease protocol.Lease
-	if err := c.send(ctx, http.MethodPost, "/grants", protocol.Life{LifeMS: life.Milliseconds()}, &lease); err != nil {
+	var lease protocol.GrantResponse
+	if err := c.send(ctx, http.MethodPost, "/grants", protocol.GrantRequest{LifeMS: life.Milliseconds()}, &lease); err != nil {
 		return 0, err
 	}
 	return lease.ID, nil
 }
 
-// Touch renews a lease.
-func (c *KeyValueClient) Touch(ctx context.Context, lease uint64) error {
+// Renew renews a lease.
+func (c *KeyValueClient) Renew(ctx context.Context, lease uint64) error {
 	return c.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
 }
 
--- a/internal/upgrade/fence.go
+++ b/internal/upgrade/fence.go
@@ -44,7 +44,7 @@
 		return Step{}
 	}
 	for i := range s.Members {
-		version := s.Members[i].Unregistered
+		version := s.Members[i].UnregisteredVersion
 		if version == 0 || version < s.Record.requiredFence() {
 			continue
 		}
--- a/internal/upgrade/gate_use_test.go
+++ b/internal/upgrade/gate_use_test.go
@@ -28,7 +28,7 @@
 			s.Usage, s.Unused = c.usage, map[GateName]time.Duration{GangJobs: c.unused}
 			step := Next(s)
 			if step.Releases != c.wantReleases {
-				t.Errorf("releases: got %q by step %q, want %q", step.Releases, step.What, c.wantReleases)
+				t.Errorf("releases: got %q by step %q, want %q", step.Releases, step.Description, c.wantReleases)
 			}
 			if got, want := step.Changed, c.wantReleases != ""; got != want {
 				t.Errorf("changed: got %v, want %v", got, want)
--- a/internal/upgrade/invariants_test.go
+++ b/internal/upgrade/invariants_test.go
@@ -95,7 +95,7 @@
 		step, stored := w.step(answered)
 		w.checkState()
 		if step.Changed && !stored {
-			w.fault("a step failed though nothing else happened: %s", step.What)
+			w.fault("a step failed though nothing else happened: %s", step.Description)
 		}
 		if step.Changed {
 			continue
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -48,12 +48,12 @@
 func (w *world) members() []Member {
 	var members []Member
 	for _, node := range w.nodes {
-		m := Member{Node: node, Unregistered: w.leader.unregistered[node]}
+		m := Member{Node: node, UnregisteredVersion: w.leader.unregistered[node]}
 		if stored := w.leader.registrations[node]; stored.revision != 0 {
 			registration, err := DecodeRegistration("", node, stored.data)
 			m.Damaged = err != nil
 			if err == nil {
-				m.Registered = &registration
+				m.Registration = &registration
 			}
 		}
 		members = append(members, m)
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -25,9 +25,9 @@
 
 // Step is one transition of the cluster record, or the reason why there is none.
 type Step struct {
-	Changed bool
-	Record  Record // the next record, if Changed
-	What    string // what the step does, for operators
+	Changed     bool
+	Record      Record // the next record, if Changed
+	Description string // what the step does, for operators
 	// Releases is the gate that no longer counts as used after the step, or "". Before the step is
 	// stored, the caller must prevent new dependants of that gate.
 	Releases GateName
@@ -66,7 +66,7 @@
 // change returns the step to a record.
 func (s *Situation) change(r Record, format string, args ...any) Step {
 	r.Term = s.Term
-	return Step{Changed: true, Record: r, What: fmt.Sprintf(format, args...)}
+	return Step{Changed: true, Record: r, Description: fmt.Sprintf(format, args...)}
 }
 
 // wait returns the step that waits for something.
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -71,7 +71,7 @@
 	registration := NewRegistration("n0", "1", versions)
 	return Situation{
 		Record:   record,
-		Members:  []Member{{Node: "n0", Registered: &registration}},
+		Members:  []Member{{Node: "n0", Registration: &registration}},
 		Versions: Supported, Known: Gates,
 		Now: time.Unix(1, 0),
 	}
@@ -218,7 +218,7 @@
 		},
 	}, Range{1, 1})
 	if step := Next(s); step.Changed {
-		t.Errorf("got step %q, want none", step.What)
+		t.Errorf("got step %q, want none", step.Description)
 	}
 }
 
@@ -226,9 +226,9 @@
 	s := singleMember(Record{Schema: 1, Active: 2, Phase: Soaking}, Supported)
 	s.Known = GateList{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
 	registeredMembers := s.Members
-	s.Members = append(slices.Clone(registeredMembers), Member{Node: "n1", Unregistered: Version2})
+	s.Members = append(slices.Clone(registeredMembers), Member{Node: "n1", UnregisteredVersion: Version2})
 	if step := Next(s); step.Changed {
-		t.Errorf("with a member that doesn't register: got step %q, want none", step.What)
+		t.Errorf("with a member that doesn't register: got step %q, want none", step.Description)
 	}
 	s.Members = registeredMembers
 	s.Record = Next(s).Record
@@ -256,7 +256,7 @@
 			s.Known = c.known
 			step := Next(s)
 			if open := step.Record.Gate(JobArchive).Phase == GateOpen; open != c.wantOpen {
-				t.Errorf("archive gate open: got %v by step %q, want %v", open, step.What, c.wantOpen)
+				t.Errorf("archive gate open: got %v by step %q, want %v", open, step.Description, c.wantOpen)
 			}
 		})
 	}
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -170,7 +170,7 @@
 		if err := c.write(ctx, step.Record, situation.Members); err != nil {
 			return c.tolerate("write step", err)
 		}
-		c.log.Info("upgrade step", "step", step.What, "active", step.Record.Active, "phase", step.Record.Phase)
+		c.log.Info("upgrade step", "step", step.Description, "active", step.Record.Active, "phase", step.Record.Phase)
 	}
 	return nil
 }
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -56,7 +56,7 @@
 	for _, p := range c.settings.Peers {
 		m := c.member(p.Name)
 		if status, ok := c.peers.Status(p.Name); ok {
-			m.Unregistered = unregisteredVersion(status.Version)
+			m.UnregisteredVersion = unregisteredVersion(status.Version)
 		}
 		members = append(members, m)
 	}
@@ -65,7 +65,7 @@
 
 func (c *Controller) member(name string) upgrade.Member {
 	r := c.registrations[name]
-	return upgrade.Member{Node: name, Registered: r.value, Damaged: r.damaged}
+	return upgrade.Member{Node: name, Registration: r.value, Damaged: r.damaged}
 }
 
 // unregisteredVersion is the version of a process that doesn't register, by what it tells its peers; 0: it
