--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -14,21 +14,20 @@
 	"sagevale/internal/upgrade"
 )
 
-// Ratios of the defaults to the workers' lease.
-
-// managedService is a service that may be at zero, as the leader holds it.
+// managedService is a service that scales to zero, with the leader's copy of its lifecycle record.
 type managedService struct {
 	job       *cluster.Job
 	record    activation.Record
-	damaged   json.RawMessage // what is stored, if it can't be understood
-	unwritten int             // moves of the record that aren't durable yet
-	wokenAt   time.Time       // when the present wake began, if that was in this term
-	watchers  []wakeWatcher   // nodes that wait for it to start
-	// routedUntil is until when some node may pass requests on by an answer of this term or the one before.
+	damaged   json.RawMessage // what is stored, if it can't be decoded
+	unwritten int             // changes of the record that aren't durable yet
+	wokenAt   time.Time       // when the service was last woken, if that was in this term
+	watchers  []wakeWatcher   // controllers that wait for it to start
+	// routedUntil is until when a controller may route requests to the replica by a response of this term or the one
+	// before.
 	routedUntil time.Time
 }
 
-// Stored is the record as it goes into the job's.
+// Stored returns the lifecycle record as it is stored within the job's record.
 func (s *managedService) Stored() json.RawMessage {
 	if s.damaged != nil {
 		return s.damaged
@@ -40,13 +39,13 @@
 	return raw
 }
 
-// MayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else is to
-// be awaited.
+// MayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else has to be waited
+// for.
 func (s *managedService) MayPlace(now time.Time) bool {
 	return s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
 }
 
-// replica returns the attempt that the record is about, or nil.
+// replica returns the attempt that the record names, or nil.
 func (s *managedService) replica() *cluster.Attempt {
 	for _, a := range s.job.Attempts {
 		if a.Number == s.record.Replica {
@@ -58,34 +57,34 @@
 
 // activationHost is what the activation controller needs of the scheduler.
 type activationHost interface {
-	// recordJob has a job's record written, and calls then once it is durable as it is now.
+	// recordJob has a job's record written, and calls then once its present value is durable.
 	recordJob(j *cluster.Job, then func(error))
-	// afterJobCommit calls then once a job's record is durable as it is marked now.
+	// afterJobCommit calls then once the marked value of a job's record is durable.
 	afterJobCommit(j *cluster.Job, then func(error))
 	// stopAttempt has an attempt stopped.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
-	// commandJobStops tells the workers of a job's stopped attempts directly.
+	// commandJobStops sends the workers of a job's stopped attempts their stops directly.
 	commandJobStops(j *cluster.Job)
-	// placeSoon has placement look at the jobs.
+	// placeSoon requests a round of placement.
 	placeSoon()
-	// mayUse tells whether something new may depend on a gate, and asks for its use.
+	// mayUse reports whether something new may depend on a gate, and requests its use.
 	mayUse(name upgrade.GateName) bool
 }
 
 // recordJob is part of activationHost.
-func (d *scheduler) recordJob(j *cluster.Job, then func(error)) {
-	d.markJob(j)
-	d.onJobCommit(j, then)
+func (s *scheduler) recordJob(j *cluster.Job, then func(error)) {
+	s.markJob(j)
+	s.onJobCommit(j, then)
 }
 
 // afterJobCommit is part of activationHost.
-func (d *scheduler) afterJobCommit(j *cluster.Job, then func(error)) { d.onJobCommit(j, then) }
+func (s *scheduler) afterJobCommit(j *cluster.Job, then func(error)) { s.onJobCommit(j, then) }
 
 // placeSoon is part of activationHost.
-func (d *scheduler) placeSoon() { d.placementDue = true }
+func (s *scheduler) placeSoon() { s.placementDue = true }
 
-// activationController moves the lifecycles of the services that may be at zero. Each move is
-// durable before anything rests on it. It belongs to the dispatcher's goroutine.
+// activationController drives the lifecycles of the services that scale to zero. Each change is durable before anything is
+// done because of it. It belongs to the scheduler's goroutine.
 type activationController struct {
 	tuning   *config.Activation
 	settings *config.Settings
@@ -93,14 +92,14 @@
 	log      *slog.Logger
 	gate     upgrade.GateState
 	services map[string]*managedService // by job
-	awake    map[string]*managedService // those of them that aren't at zero
+	awake    map[string]*managedService // those of them whose state changes with time
 	usage    *activation.Usage
 	starts   activation.StartTimes
-	// postponed are services that the operators want at zero and that have no record: they were accepted
-	// while the gate was closed, and run.
+	// postponed are services that are to scale to zero and have no record, because they were accepted while the gate was
+	// closed. They run.
 	postponed map[string]*cluster.Job
 	removing  int  // records whose removal isn't durable yet
-	resumed   bool // the term's actors run; attempts that were found before are known by loaded
+	resumed   bool // the term's actors run; earlier attempts are handled by loaded
 }
 
 func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
@@ -111,8 +110,8 @@
 	}
 }
 
-// applies tells whether the operators want a service at zero while there is no demand. Services of
-// several tasks always run.
+// applies reports whether a job is a service that is to scale to zero while there is no demand. Services of several tasks
+// always run.
 func (c *activationController) applies(spec *storage.Spec) bool {
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
@@ -120,20 +119,20 @@
 // uses counts what depends on the gate.
 func (c *activationController) uses() int { return len(c.services) + c.removing }
 
-// track takes in a service that was just submitted. It is idle; the job's record tells so.
+// track adds a service that was just submitted. It begins idle, which is stored with the job's record.
 func (c *activationController) track(j *cluster.Job, now time.Time) {
 	c.hold(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
-// postpone notes that a service would be at zero, if lifecycles were in force. It runs.
+// postpone adds a service that is to scale to zero once the gate is in use. Until then it runs.
 func (c *activationController) postpone(j *cluster.Job) {
 	if c.applies(&j.Spec) {
 		c.postponed[j.Spec.ID] = j
 	}
 }
 
-// adoptPostponed gives records to services that have run without, once the gate is in use: from here on they
-// go to zero as any other.
+// adoptPostponed creates records for postponed services once the gate is in use. From then on they scale to zero like any
+// other.
 func (c *activationController) adoptPostponed(now time.Time) {
 	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.host.mayUse(upgrade.Activation) {
 		return
@@ -161,24 +160,25 @@
 	return s
 }
 
+// hold adds a service.
 func (c *activationController) hold(s *managedService) {
 	s.job.Lifecycle = s
 	delete(c.postponed, s.job.Spec.ID)
 	c.services[s.job.Spec.ID] = s
 }
 
-// load takes in what a job's record holds. A record that can't be understood stays as it is.
+// load decodes a service's stored record. A record that can't be decoded is kept unchanged.
 func (c *activationController) load(j *cluster.Job, raw json.RawMessage) {
 	record, err := activation.Decode(storage.JobKey(j.Spec.ID), raw)
 	if err != nil {
-		c.log.Error("service neither started nor stopped", "job", j.Spec.ID, "err", err)
+		c.log.Error("lifecycle record damaged", "job", j.Spec.ID, "error", err)
 		c.hold(&managedService{job: j, damaged: raw})
 		return
 	}
 	c.hold(&managedService{job: j, record: record})
 }
 
-// loaded brings the records of a new term together with its attempts.
+// loaded reconciles the records with the attempts at the start of a term.
 func (c *activationController) loaded(now time.Time) {
 	for _, s := range c.services {
 		if s.damaged != nil {
@@ -195,7 +195,7 @@
 	c.bringUpUnlisted()
 }
 
-// resume acts on the records of a new term, once its actors run.
+// resume acts on the records once the actors of a term run.
 func (c *activationController) resume(now time.Time) {
 	c.resumed = true
 	for _, s := range c.services {
@@ -205,13 +205,13 @@
 	}
 }
 
-// setGate takes in whether lifecycles may be in use. While they may not, every service comes up.
+// setGate updates the gate. Unless it is open, every service is started and runs always.
 func (c *activationController) setGate(gate upgrade.GateState) {
 	c.gate = gate
 	c.bringUpUnlisted()
 }
 
-// bringUpUnlisted has those services run always that are no longer to be at zero.
+// bringUpUnlisted makes the services that are no longer to scale to zero run always.
 func (c *activationController) bringUpUnlisted() {
 	for _, s := range c.services {
 		if c.gate.Phase != upgrade.GateOpen || !c.applies(&s.job.Spec) {
@@ -220,9 +220,9 @@
 	}
 }
 
-// bringUp removes a service's record: it runs like any other.
+// bringUp removes a service's lifecycle record, so that it runs like any other service.
 func (c *activationController) bringUp(s *managedService) {
-	c.log.Info("activation", "job", s.job.Spec.ID, "step", "runs always from now on", "generation", s.record.Generation)
+	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
 	c.release(s.job)
 	c.postpone(s.job)
 	c.removing++
@@ -234,7 +234,7 @@
 	c.host.placeSoon()
 }
 
-// release lets go of a service, which is cancelled or runs always from now on.
+// release removes a service that is cancelled or runs always from now on.
 func (c *activationController) release(j *cluster.Job) {
 	delete(c.services, j.Spec.ID)
 	delete(c.postponed, j.Spec.ID)
@@ -247,7 +247,7 @@
 	j.Lifecycle = nil
 }
 
-// apply moves a service's record by an event.
+// apply changes a service's record by an event.
 func (c *activationController) apply(s *managedService, e activation.Event, now time.Time) {
 	if s.damaged != nil {
 		return
@@ -256,15 +256,15 @@
 	c.move(s, next, activation.Cause(e), now)
 }
 
-// move takes a record as it was moved, and goes on once that is durable.
+// move sets a service's record, and acts on it once it is durable.
 func (c *activationController) move(s *managedService, next activation.Record, cause string, now time.Time) {
 	if !c.set(s, next, cause) {
 		c.act(s, now)
 	}
 }
 
-// set takes a record as it was moved, and has it written if it is stored otherwise now. It tells whether it
-// is; then the service goes on once that is durable.
+// set sets a service's record, and has it written if it differs from what is stored. It reports whether it does; then the
+// controller acts on it once it is durable.
 func (c *activationController) set(s *managedService, next activation.Record, cause string) (writes bool) {
 	before := s.record
 	s.record = next
@@ -272,7 +272,8 @@
 	if next.SameStored(before) {
 		return false
 	}
-	c.log.Info("activation", "job", s.job.Spec.ID, "class", s.job.Spec.Class, "state", next.State, "generation", next.Generation, "failures", next.Failures, "before", before.State, "cause", cause)
+	c.log.Info("service lifecycle changed", "job", s.job.Spec.ID, "class", s.job.Spec.Class, "previous_state", before.State,
+		"state", next.State, "cause", cause, "generation", next.Generation, "failures", next.Failures)
 	s.unwritten++
 	c.host.recordJob(s.job, func(err error) {
 		s.unwritten--
@@ -285,7 +286,7 @@
 	return true
 }
 
-// noteAwake keeps the set of services that time moves.
+// noteAwake updates the set of services whose state changes with time.
 func (c *activationController) noteAwake(s *managedService) {
 	if s.record.State == activation.Idle || s.record.State == activation.Failed {
 		delete(c.awake, s.job.Spec.ID)
@@ -294,8 +295,8 @@
 	c.awake[s.job.Spec.ID] = s
 }
 
-// act carries out what the record asks for, if it is durable. Starts go by the ordinary path of any
-// task, once placement has booked room for them.
+// act does what the record requires, if it is durable. Replicas are started like any other task, once placement has
+// reserved resources for them.
 func (c *activationController) act(s *managedService, now time.Time) {
 	if s.unwritten > 0 {
 		return
@@ -312,14 +313,14 @@
 	}
 }
 
-// attemptReserved takes in an attempt that was attemptReserved, or found on a machine.
+// attemptReserved handles a new attempt: a reservation, or a task found on a machine.
 func (c *activationController) attemptReserved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil && !a.Stopping && c.resumed {
 		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.Number}, now)
 	}
 }
 
-// attemptRunning takes in that an attempt runs: its model answers.
+// attemptRunning handles that an attempt runs, so its model answers.
 func (c *activationController) attemptRunning(a *cluster.Attempt, now time.Time) {
 	s := c.service(a.Job)
 	if s == nil {
@@ -333,22 +334,22 @@
 	}
 }
 
-// attemptRemoved takes in that an attempt's place is proved empty.
+// attemptRemoved handles that an attempt is proved to be gone.
 func (c *activationController) attemptRemoved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil {
 		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
 	}
 }
 
-// tick does what the clock asks for. Idle services cost nothing.
+// tick does the periodic work. Idle services cost nothing.
 func (c *activationController) tick(now time.Time) {
 	c.adoptPostponed(now)
 	for _, s := range c.awake {
-		var booked time.Duration
+		var reservedFor time.Duration
 		if a := s.replica(); a != nil {
-			booked = now.Sub(a.ReservedAt)
+			reservedFor = now.Sub(a.ReservedAt)
 		}
-		c.apply(s, activation.Tick{ReservedFor: booked}, now)
+		c.apply(s, activation.Tick{ReservedFor: reservedFor}, now)
 		c.checkUsage(s, now)
 		c.answerWatchers(s, now)
 	}
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -14,19 +14,19 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ServiceStatus is what the state service tells of a service that may be at zero, or of an open one of a
-// listed class, for operators.
+// ServiceStatus is the stored state of an open service that scales to zero, or of one whose class is listed to do so, for
+// operators.
 type ServiceStatus struct {
 	ID      string
 	Class   string
-	Record  activation.Record // its Replica is the attempt that may be on a machine
-	Machine int               // where that is
-	Managed bool              // it has a record; else it runs always
+	Record  activation.Record // its Replica is the attempt that may exist on a machine
+	Machine int               // of the replica
+	Managed bool              // it has a lifecycle record; else it always runs
 	Damaged string            // what is wrong with its record; "": nothing
-	Why     string            // why it isn't at zero, or not up; "": it is at zero
+	Why     string            // why it isn't idle, or not ready; "": it is idle
 }
 
-// ActivationStatus is the same of all of them.
+// ActivationStatus is the stored state of all such services.
 type ActivationStatus struct {
 	Gate     upgrade.GateState // the zero state is closed
 	Waiting  string            // what the latest leader to say so waits for; "": nothing
@@ -67,7 +67,7 @@
 	return status, nil
 }
 
-// serviceStatus reads a job's record; nil: it is of no concern here.
+// serviceStatus decodes a job's record, and returns nil unless it is such a service's.
 func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
 	var job storage.JobRecord
 	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.Open || job.Spec == nil || !job.Spec.Service {
@@ -88,7 +88,7 @@
 	return service
 }
 
-// notePlace reads where a service's replica may be.
+// notePlace reads the attempt and machine of a service's replica from a page.
 func notePlace(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
@@ -101,7 +101,7 @@
 	}
 }
 
-// explain tells why a service isn't at zero, or not up.
+// explain sets Why.
 func (s *ServiceStatus) explain(now time.Time) {
 	switch {
 	case s.Damaged != "":
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -7,62 +7,63 @@
 	"sagevale/internal/worker"
 )
 
-// Workers report to a node of their own zone, so that a cut between zones
-// leaves them with it, and the nodes of a zone share its workers: one node's
-// sockets don't hold them all. A worker that comes to another node is redirected
-// once; if it is back soon, it couldn't report there, and stays.
+// Workers send their heartbeats to a controller of their own zone, so that they keep it when zones are partitioned. The
+// controllers of a zone share its workers, because the sockets of one don't suffice for all. A worker that comes to
+// another controller is redirected once. If it returns soon it couldn't reach the other one, and stays.
 
 const (
-	// affinityLeases is how long a worker that was redirected may stay elsewhere, in
-	// leases.
+	// affinityLeases is for how long a worker isn't redirected again, in worker leases.
 	affinityLeases = 2
-	// affinityProbePause is how often a worker is sent to a node that hears none: it may
-	// have just begun, or be cut off from them.
+	// affinityProbePause is how often a worker is redirected to a controller that receives no heartbeats: it may have
+	// just started, or be partitioned from the workers.
 	affinityProbePause = time.Second
 )
 
-// affinity knows where workers belong. It is the forwarder's own.
+// affinity chooses the controllers for workers. It belongs to the forwarder's goroutine.
 type affinity struct {
 	node   *Node
-	names  []string // all nodes
-	zones  map[string]string
-	probed map[string]time.Time
+	names  []string             // all controllers
+	zones  map[string]string    // by controller
+	probed map[string]time.Time // when a worker was last redirected to a controller without heartbeats
 }
 
 func newAffinity(n *Node) affinity {
-	h := affinity{node: n, names: []string{n.settings.NodeName}, zones: map[string]string{n.settings.NodeName: n.settings.Zone}, probed: make(map[string]time.Time)}
+	a := affinity{
+		node: n, names: []string{n.settings.NodeName}, zones: map[string]string{n.settings.NodeName: n.settings.Zone},
+		probed: make(map[string]time.Time),
+	}
 	for _, p := range n.settings.Peers {
-		h.names = append(h.names, p.Name)
-		h.zones[p.Name] = p.Zone
+		a.names = append(a.names, p.Name)
+		a.zones[p.Name] = p.Zone
 	}
-	slices.Sort(h.names)
-	return h
+	slices.Sort(a.names)
+	return a
 }
 
-// nodeFor returns the node that a worker should report to; "" if it may stay here.
-func (h *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
-	self := h.node.settings.NodeName
-	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*h.node.settings.WorkerLease {
+// nodeFor returns the controller to which a worker should send its heartbeats, or "" if it may stay here.
+func (a *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
+	self := a.node.settings.NodeName
+	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*a.node.settings.WorkerLease {
 		return ""
 	}
-	leader, _ := h.node.leader(h.node.view.Load())
+	leader, _ := a.node.leader(a.node.view.Load())
 	if leader == "" {
 		return ""
 	}
-	node := h.pick(r.Machine, func(name string) bool { return h.zones[name] == r.Zone && h.canForward(name, leader) })
+	node := a.pick(r.Machine, func(name string) bool { return a.zones[name] == r.Zone && a.canForward(name, leader) })
 	if node == "" {
-		node = h.pick(r.Machine, func(name string) bool { return h.canForward(name, leader) })
+		node = a.pick(r.Machine, func(name string) bool { return a.canForward(name, leader) })
 	}
-	if node == "" || node == self || !h.hearsWorkers(node, now) {
+	if node == "" || node == self || !a.hearsWorkers(node, now) {
 		return ""
 	}
 	return node
 }
 
-// pick picks one of the nodes that suit, the same one for a machine each time.
-func (h *affinity) pick(machine int, suits func(string) bool) string {
+// pick returns one of the suitable controllers, the same one for a machine each time.
+func (a *affinity) pick(machine int, suits func(string) bool) string {
 	var names []string
-	for _, n := range h.names {
+	for _, n := range a.names {
 		if suits(n) {
 			names = append(names, n)
 		}
@@ -73,24 +74,23 @@
 	return names[machine%len(names)]
 }
 
-// canForward tells whether a node can hand reports to the leader.
-func (h *affinity) canForward(name, leader string) bool {
-	if name == h.node.settings.NodeName {
+// canForward reports whether a controller can forward heartbeats to the leader.
+func (a *affinity) canForward(name, leader string) bool {
+	if name == a.node.settings.NodeName {
 		return true
 	}
-	w, ok := h.node.deps.Peers.Status(name)
-	return ok && w.Leader == leader && h.node.deps.Peers.UnreachableFor(name) == 0
+	w, ok := a.node.deps.Peers.Status(name)
+	return ok && w.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
-// hearsWorkers tells whether a node hears workers; now and then one is sent to a node
-// that hears none.
-func (h *affinity) hearsWorkers(name string, now time.Time) bool {
-	if w, ok := h.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < h.node.settings.HeartbeatInterval {
+// hearsWorkers reports whether a controller receives heartbeats, or is to be probed with a worker now.
+func (a *affinity) hearsWorkers(name string, now time.Time) bool {
+	if w, ok := a.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < a.node.settings.HeartbeatInterval {
 		return true
 	}
-	if now.Sub(h.probed[name]) < affinityProbePause {
+	if now.Sub(a.probed[name]) < affinityProbePause {
 		return false
 	}
-	h.probed[name] = now
+	a.probed[name] = now
 	return true
 }
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -10,7 +10,7 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ArchiveStatus is what the state service tells of the archive of finished jobs, for operators.
+// ArchiveStatus is the stored state of the archive of finished jobs, for operators.
 type ArchiveStatus struct {
 	Gate    upgrade.GateState // the zero state is closed
 	Waiting string            // what the latest leader to say so waits for; "": nothing
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// ArchiveGauges are figures of this process's view of the archive, for its usage line; nothing where it
-// holds none.
+// ArchiveGauges returns figures of this process's view of the archive as keys and values of a log line, or nil if it
+// holds no pages.
 func (n *Node) ArchiveGauges() []any {
 	stats := n.archive.Index.Stats()
 	if stats.Pages == 0 {
--- a/internal/scheduler/archive_withdrawal.go
+++ b/internal/scheduler/archive_withdrawal.go
@@ -7,16 +7,16 @@
 	"sagevale/internal/upgrade"
 )
 
-// countArchived counts the archived jobs. Where the archive is being withdrawn it first brings those of its first page
-// back: into the journal, and then out of the archive. Whoever leads next goes on with what is left.
+// countArchived counts the archived jobs. While the archive is being withdrawn it first moves those of its first page back
+// to the journal. If this leader ends in between, the next one continues.
 func (t termGates) countArchived(ctx context.Context, record upgrade.Record) (int, error) {
 	gate := record.Gate(upgrade.JobArchive)
 	count, err := t.scheduler.archive.Count(ctx)
 	if err != nil || gate.Phase != upgrade.GateWithdrawing || count == 0 {
 		return count, err
 	}
-	if most := t.scheduler.settings.MaxRestoredJobs(); count > most {
-		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: fmt.Sprintf("%d jobs are archived, and only %d fit in memory", count, most)}
+	if limit := t.scheduler.settings.MaxRestoredJobs(); count > limit {
+		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: fmt.Sprintf("%d jobs are archived, and only %d fit in memory", count, limit)}
 	}
 	if err := t.restoreFirst(ctx); err != nil {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: err.Error()}
@@ -24,7 +24,7 @@
 	return t.scheduler.archive.Count(ctx)
 }
 
-// restoreFirst brings the jobs of the first page back.
+// restoreFirst moves the jobs of the first page back: into the journal, and then out of the archive.
 func (t termGates) restoreFirst(ctx context.Context) error {
 	page, err := t.scheduler.archive.FirstPage(ctx)
 	if err != nil || page.Upper == 0 {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -14,17 +14,14 @@
 	"sagevale/internal/upgrade"
 )
 
-// Jobs that are over leave the leader's table and the journal for the archive: the archive's page is durable first, then the
-// job's record is removed. A leader that ends in between leaves the job in both places, and the next one
-// offers it again.
+// Finished jobs move from the leader's memory and the journal to the archive: the archive's page is durable first, then
+// the job's record is removed. If the leader ends in between, the job is in both places, and the next leader archives it
+// again.
 
-const (
+// maxArchiveBatch is how many finished jobs are passed to the archive at a time.
+const maxArchiveBatch = 4096
 
-	// maxArchiveBatch is how many finished jobs are offered to the archive at a time.
-	maxArchiveBatch = 4096
-)
-
-// newArchive makes the node's keeper of the archive.
+// newArchive returns the controller's archiver.
 func newArchive(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
@@ -32,7 +29,7 @@
 	}, deps.Log)
 }
 
-// Messages of the archive to the dispatcher.
+// The messages of the archive.
 type (
 	archiveReadMessage struct {
 		user   userMessage
@@ -49,7 +46,7 @@
 	}
 )
 
-// archivedAnswer tells a user of an archived job.
+// archivedAnswer is the response to a request for an archived job.
 func archivedAnswer(id string, final archive.FinalState) api.Response {
 	state := api.StateDone
 	if final.Cancelled {
@@ -58,55 +55,57 @@
 	return api.Response{Code: api.CodeOK, ID: id, State: state, Done: final.Done}
 }
 
-// archived answers a request from the archive's pages in memory, if they hold the job. Any node may.
+// archived answers a request from the archive's pages in memory, if they hold the job. Followers may do so too,
+// because archived states are final.
 func (n *Node) archived(req api.Request) (a api.Response, ok bool) {
-	rank, ok := archive.ParseJobNumber(req.ID)
+	number, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
 		return api.Response{}, false
 	}
-	r := n.archive.Index.Lookup(rank)
+	r := n.archive.Index.Lookup(number)
 	return archivedAnswer(req.ID, r.Final), r.Knowledge == archive.Found
 }
 
-// answerArchived sees to a request for a job that isn't held, and tells whether it has answered it, or will once the job's page has been
-// read. It returns false if the job is known not to be archived, or nothing may be told anyway.
-func (d *scheduler) answerArchived(m userMessage, now time.Time) bool {
-	rank, ok := archive.ParseJobNumber(m.req.ID)
-	if !d.archiveUsed || !ok {
+// answerArchived handles a request for a job that isn't in memory. It reports whether it has answered it, or will do
+// so once the job's page has been read. It returns false if the job is known not to be archived, or if this leader may
+// not answer anyway.
+func (s *scheduler) answerArchived(m userMessage, now time.Time) bool {
+	number, ok := archive.ParseJobNumber(m.req.ID)
+	if !s.archiveUsed || !ok {
 		return false
 	}
-	r := d.archive.Index.Lookup(rank)
+	r := s.archive.Index.Lookup(number)
 	switch {
 	case r.Knowledge == archive.Found:
 		m.reply <- archivedAnswer(m.req.ID, r.Final)
 		return true
-	case m.absent, r.Knowledge == archive.Absent && r.Term == d.term, !d.leaseValid(now):
+	case m.absent, r.Knowledge == archive.Absent && r.Term == s.term, !s.leaseValid(now):
 		return false
 	}
-	d.readArchive(m, rank)
+	s.readArchive(m, number)
 	return true
 }
 
-// readArchive has a job's page read and brings the result back to the dispatcher.
-func (d *scheduler) readArchive(m userMessage, rank archive.JobNumber) {
-	d.background(d.settings.CallTimeout(), func(ctx context.Context) {
-		result, err := d.archive.Read(ctx, rank)
-		d.post(archiveReadMessage{m, result, err})
+// readArchive reads a job's page in the background, and posts the result to the scheduler.
+func (s *scheduler) readArchive(m userMessage, number archive.JobNumber) {
+	s.background(s.settings.CallTimeout(), func(ctx context.Context) {
+		result, err := s.archive.Read(ctx, number)
+		s.post(archiveReadMessage{m, result, err})
 	})
 }
 
-// handleArchiveRead goes on with a request whose job's page was read. Only a page that was read in this term
-// tells that a job isn't archived.
-func (d *scheduler) handleArchiveRead(m archiveReadMessage) {
+// handleArchiveRead continues a request whose job's page was read. Only a page that was read in this term proves that a
+// job isn't archived.
+func (s *scheduler) handleArchiveRead(m archiveReadMessage) {
 	id := m.user.req.ID
 	switch {
 	case m.err != nil:
 		m.user.reply <- api.Unavailable(id, m.err.Error())
 	case m.result.Knowledge == archive.Found:
 		m.user.reply <- archivedAnswer(id, m.result.Final)
-	case m.result.Knowledge == archive.Absent && m.result.Term == d.term:
+	case m.result.Knowledge == archive.Absent && m.result.Term == s.term:
 		m.user.absent = true
-		d.handleUser(m.user)
+		s.handleUser(m.user)
 	case m.result.Knowledge == archive.Damaged:
 		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
 	default:
@@ -114,117 +113,117 @@
 	}
 }
 
-// finalizeArchived makes a job final that is held as open though it is archived: the final record wins.
-func (d *scheduler) finalizeArchived(j *cluster.Job) {
-	rank, ok := archive.ParseJobNumber(j.Spec.ID)
-	if !d.archiveUsed || !ok || j.Phase != storage.Open {
+// finalizeArchived makes a job final that is open in memory although it is archived: the final record wins.
+func (s *scheduler) finalizeArchived(j *cluster.Job) {
+	number, ok := archive.ParseJobNumber(j.Spec.ID)
+	if !s.archiveUsed || !ok || j.Phase != storage.Open {
 		return
 	}
-	r := d.archive.Index.Lookup(rank)
+	r := s.archive.Index.Lookup(number)
 	if r.Knowledge != archive.Found {
 		return
 	}
-	d.log.Error("an open job is archived as final", "job", j.Spec.ID, "phase", r.Final.Phase())
+	s.log.Error("open job found in archive", "job", j.Spec.ID, "phase", r.Final.Phase())
 	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = r.Final.Phase(), r.Final.Done, true, true
-	d.activation.release(j)
-	d.state.Jobs.TrackCancelling(j)
-	d.markJob(j)
-	d.stopJob(j)
-	d.commandJobStops(j)
-	d.retire(j)
+	s.activation.release(j)
+	s.state.Jobs.TrackCancelling(j)
+	s.markJob(j)
+	s.stopJob(j)
+	s.commandJobStops(j)
+	s.retire(j)
 }
 
-// compareArchive looks once a term, when all pages are read, for open jobs that are archived.
-func (d *scheduler) compareArchive() {
-	if !d.archiveUsed || d.archiveCompared || !d.archive.Index.ExactFor(d.term) {
+// compareArchive finalizes open jobs that are archived, once a term when all pages have been read.
+func (s *scheduler) compareArchive() {
+	if !s.archiveUsed || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
 	}
-	d.archiveCompared = true
-	for _, j := range d.state.Jobs.Open {
-		d.finalizeArchived(j)
+	s.archiveCompared = true
+	for _, j := range s.state.Jobs.Open {
+		s.finalizeArchived(j)
 	}
 }
 
-// useArchive notes that jobs may be archived from now on, or were in an earlier term. That holds for the rest of the term,
-// whatever becomes of the gate.
-func (d *scheduler) useArchive() {
-	d.archiveUsed = d.archiveUsed || d.gates.Gate(upgrade.JobArchive).Used
+// useArchive records that jobs may be archived from now on, or were in an earlier term. That holds for the rest of the
+// term, also if the gate is closed again.
+func (s *scheduler) useArchive() {
+	s.archiveUsed = s.archiveUsed || s.gates.Gate(upgrade.JobArchive).Used
 }
 
-// archiveFinished offers finished jobs to the archive, where there are more than are to be kept.
-func (d *scheduler) archiveFinished(now time.Time) {
-	tuning := &d.settings.Tuning.Archive
-	if !tuning.Enabled || d.archiving || !d.leaseValid(now) || d.state.Jobs.Finished() <= tuning.KeepInJournal || !d.mayUse(upgrade.JobArchive) {
+// archiveFinished archives finished jobs, if there are more than the journal is to keep.
+func (s *scheduler) archiveFinished(now time.Time) {
+	tuning := &s.settings.Tuning.Archive
+	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.Finished() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
 		return
 	}
-	d.archiving = true
-	d.offerToArchive(d.state.Jobs.NextFinished(maxArchiveBatch))
+	s.archiving = true
+	s.writeToArchive(s.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
-// archiveCalls is how many calls to the state service an offer may take, behind others.
+// archiveCalls is how many calls to the key-value store archiving a batch may take, queued behind others.
 const archiveCalls = 4
 
-// offerToArchive hands finished jobs to the archive, and brings back which of them are durable there.
-func (d *scheduler) offerToArchive(entries []archive.Entry) {
-	d.background(archiveCalls*d.settings.CallTimeout(), func(ctx context.Context) {
-		jobs, err := d.archive.Archive(ctx, entries)
-		d.post(archivedMessage{jobs, err})
+// writeToArchive archives finished jobs in the background, and posts to the scheduler which of them are durable there.
+func (s *scheduler) writeToArchive(entries []archive.Entry) {
+	s.background(archiveCalls*s.settings.CallTimeout(), func(ctx context.Context) {
+		jobs, err := s.archive.Archive(ctx, entries)
+		s.post(archivedMessage{jobs, err})
 	})
 }
 
-// handleArchived forgets jobs that are archived, and has their records removed.
-func (d *scheduler) handleArchived(m archivedMessage) {
-	d.archiving = false
+// handleArchived removes jobs that are archived from memory and from the journal.
+func (s *scheduler) handleArchived(m archivedMessage) {
+	s.archiving = false
 	if m.err != nil {
-		d.log.Debug("nothing archived", "err", m.err)
+		s.log.Debug("archiving failed", "error", m.err)
 		return
 	}
-	for _, rank := range m.jobs {
-		j := d.state.Jobs.RemoveFinished(rank)
+	for _, number := range m.jobs {
+		j := s.state.Jobs.RemoveFinished(number)
 		if j == nil {
 			continue
 		}
-		d.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), removed)
+		s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), removed)
 		for _, key := range j.StoredPages {
-			d.markRecord(key, removed)
+			s.markRecord(key, removed)
 		}
 	}
 	if len(m.jobs) > 0 {
-		d.log.Debug("archived", "jobs", len(m.jobs), "left", d.state.Jobs.Finished())
+		s.log.Debug("jobs archived", "count", len(m.jobs), "remaining", s.state.Jobs.Finished())
 	}
 }
 
-// errArchivingInProgress says that jobs are on their way to the archive.
+// errArchivingInProgress: a batch of jobs is being archived.
 var errArchivingInProgress = errors.New("jobs are being archived")
 
-// restoreArchived takes archived jobs back into the journal. While an offer is under way nothing is taken back: its answer could remove a job
-// from the journal whose page is dropped then.
-func (d *scheduler) restoreArchived(m restoreMessage) {
-	if d.archiving {
+// restoreArchived moves archived jobs back into the journal. That has to wait while a batch is being archived: its
+// completion could remove a job from the journal whose page is dropped next.
+func (s *scheduler) restoreArchived(m restoreMessage) {
+	if s.archiving {
 		m.reply <- errArchivingInProgress
 		return
 	}
 	for _, e := range m.entries {
-		if d.state.Jobs.Get(e.Number.ID()) != nil {
+		if s.state.Jobs.Get(e.Number.ID()) != nil {
 			continue // its record was never removed
 		}
 		j := cluster.RestoredJob(e)
-		d.state.Jobs.Add(j)
-		d.trackFinished(j)
-		d.markJob(j)
+		s.state.Jobs.Add(j)
+		s.trackFinished(j)
+		s.markJob(j)
 	}
-	d.onCommit(func(err error) { m.reply <- err })
+	s.onCommit(func(err error) { m.reply <- err })
 }
 
-// trackFinished notes that a job may be archived.
-func (d *scheduler) trackFinished(j *cluster.Job) {
-	if d.settings.Tuning.Archive.Enabled {
-		d.state.Jobs.TrackFinished(j)
+// trackFinished adds a job to those that may be archived.
+func (s *scheduler) trackFinished(j *cluster.Job) {
+	if s.settings.Tuning.Archive.Enabled {
+		s.state.Jobs.TrackFinished(j)
 	}
 }
 
-func (m archiveReadMessage) handle(d *scheduler) { d.handleArchiveRead(m) }
+func (m archiveReadMessage) handle(s *scheduler) { s.handleArchiveRead(m) }
 
-func (m archivedMessage) handle(d *scheduler) { d.handleArchived(m) }
+func (m archivedMessage) handle(s *scheduler) { s.handleArchived(m) }
 
-func (m restoreMessage) handle(d *scheduler) { d.restoreArchived(m) }
+func (m restoreMessage) handle(s *scheduler) { s.restoreArchived(m) }
--- /dev/null
+++ b/internal/scheduler/attempts.go
@@ -0,0 +1,45 @@
+package scheduler
+
+import (
+	"time"
+
+	"sagevale/internal/cluster"
+	"sagevale/internal/storage"
+)
+
+// addAttempt adds an attempt and reserves its resources.
+func (s *scheduler) addAttempt(a *cluster.Attempt) {
+	s.state.AddAttempt(a)
+	s.activation.attemptReserved(a, time.Now())
+}
+
+// removeAttempt removes an attempt that is proved absent from its machine, or whose start was never sent, and releases
+// its resources.
+func (s *scheduler) removeAttempt(a *cluster.Attempt, reason string) {
+	now := time.Now()
+	if !s.state.RemoveAttempt(a, now) {
+		return
+	}
+	j, m := a.Job, a.Machine
+	s.markPage(j, a.Task)
+	if j.Spec.Gang && j.Phase == storage.Open {
+		s.gangTaskLost(a)
+	}
+	if m.DrainReason != "" && len(m.Attempts) == 0 {
+		s.nextSnapshot = time.Time{} // the machine can be terminated, and the next drain waits for that
+	}
+	s.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
+	s.activation.attemptRemoved(a, now)
+	s.retire(j)
+	s.placementDue = true
+}
+
+// stopAttempt has an attempt stopped, with a grace period in which it may save a checkpoint. An attempt whose start was
+// never sent is removed at once.
+func (s *scheduler) stopAttempt(a *cluster.Attempt, graceSeconds float64) {
+	if !a.MaybeDelivered() {
+		s.removeAttempt(a, "stopped before its start")
+		return
+	}
+	s.state.MarkStopping(a, graceSeconds)
+}
--- a/internal/scheduler/background.go
+++ b/internal/scheduler/background.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// backgroundCalls returns a function that runs a call to others in a goroutine of its own, for a limited time and
-// no longer than ctx, and a function that waits for all such calls.
+// backgroundCalls returns a function that runs a call in a goroutine of its own, for a limited time and no longer than
+// ctx, and a function that waits for all such calls.
 func backgroundCalls(ctx context.Context) (start func(limit time.Duration, f func(context.Context)), wait func()) {
 	var calls sync.WaitGroup
 	start = func(limit time.Duration, f func(context.Context)) {
--- a/internal/scheduler/bounds.go
+++ b/internal/scheduler/bounds.go
@@ -6,33 +6,31 @@
 	"sagevale/internal/api"
 )
 
-// What may wait or be done at once, derived from the settings or from the fleet. Each bound
-// is listed in docs/limits.md with what happens where it is reached.
+// The bounds of queues. docs/limits.md lists each with what happens when it is reached.
 
-// submissionShare of the dispatcher's mailbox may be filled when a submission comes, and
-// questionShare when a question or a cancellation does: the rest is left for the workers' reports,
-// without which leases end.
+// Shares of the scheduler's mailbox that may be filled when a submission comes, or a poll or cancellation. The rest is
+// left for the workers' heartbeats, without which leases expire.
 const (
 	submissionShare = 3.0 / 4
-	questionShare   = 7.0 / 8
+	requestShare    = 7.0 / 8
 )
 
-// admits tells whether a user's request may join what waits for the dispatcher.
-func (d *scheduler) admits(op api.Op) bool {
-	share := questionShare
+// admits reports whether a user's request may be sent to the scheduler's mailbox.
+func (s *scheduler) admits(op api.Op) bool {
+	share := requestShare
 	if op == api.OpSubmit {
 		share = submissionShare
 	}
-	return float64(len(d.mailbox)) < share*float64(cap(d.mailbox))
+	return float64(len(s.mailbox)) < share*float64(cap(s.mailbox))
 }
 
-// maxCommands is how many orders one answer to a report carries: they stay within a line of
-// 64 KiB. The rest goes with the next answer.
+// maxCommands is how many commands the response to a heartbeat carries, so that it fits a line of 64 KiB. The rest goes
+// with the next response.
 const maxCommands = 512
 
-// busySpread is within how many seconds those are told to return who found the mailbox full: it
-// is empty again after a round, and they shouldn't return together.
+// busySpread is the range in seconds of the retry times of users who found the mailbox full. It is empty again after a
+// round, and they shouldn't return together.
 const busySpread = 3
 
-// busyRetryS is when a user who found the mailbox full should come again, in seconds.
+// busyRetryS returns after how many seconds a user who found the mailbox full should retry.
 func busyRetryS() int { return 1 + rand.IntN(busySpread) }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -10,8 +10,8 @@
 	"sagevale/internal/worker"
 )
 
-// commandsFor makes the orders that go with the answer to a report.
-func (d *scheduler) commandsFor(m *cluster.Machine, r *worker.Report, now time.Time) []worker.Command {
+// commandsFor returns the commands in the response to a heartbeat.
+func (s *scheduler) commandsFor(m *cluster.Machine, r *worker.Report, now time.Time) []worker.Command {
 	var out []worker.Command
 	for _, a := range m.SortedAttempts() {
 		if a.Incarnation != r.Incarnation {
@@ -23,19 +23,19 @@
 				out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 			}
 		case a.Stopping && !a.MaybeDelivered():
-			d.removeAttempt(a, "stopped before its start")
+			s.removeAttempt(a, "stopped before its start")
 		case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
-			// The start may still come, minutes late. Having the worker learn
-			// the attempt and end it makes the late start void.
-			if d.leaseValid(now) {
+			// The direct start may still arrive, minutes late. Starting and stopping the attempt now makes the
+			// worker know it, and so ignore the late start.
+			if s.leaseValid(now) {
 				a.NoteCommanded(r)
 				out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
 			}
 			out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number})
-		case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && d.tokens.Contains(r.Token):
-			d.removeAttempt(a, "its start was not executed")
+		case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && s.tokens.Contains(r.Token):
+			s.removeAttempt(a, "its start was not executed")
 		case a.Stopping:
-		case !a.Reported && a.Durable && a.Job.Phase == storage.Open && d.leaseValid(now) && !m.Terminating:
+		case !a.Reported && a.Durable && a.Job.Phase == storage.Open && s.leaseValid(now) && !m.Terminating:
 			a.NoteCommanded(r)
 			out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
 		}
@@ -48,9 +48,8 @@
 		if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
 			continue
 		}
-		// A start that went directly may be repeated late: only an attempt
-		// that the worker still knows makes that harmless.
-		if m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) || !d.leaseValid(now) || !d.pageDurable(t.ID) {
+		// A direct start may be delivered again late. That is harmless only while the worker still knows the attempt.
+		if m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) || !s.leaseValid(now) || !s.pageDurable(t.ID) {
 			continue
 		}
 		out = append(out, worker.Command{Verb: worker.Forget, ID: t.ID, Attempt: t.Attempt})
@@ -58,92 +57,92 @@
 	return out[:min(len(out), maxCommands)]
 }
 
-// commandJobStops tells the workers of a job's stopped attempts directly.
-func (d *scheduler) commandJobStops(j *cluster.Job) {
-	orders := make(map[*cluster.Machine][]worker.Command)
+// commandJobStops sends the workers of a job's stopped attempts their stops directly.
+func (s *scheduler) commandJobStops(j *cluster.Job) {
+	commands := make(map[*cluster.Machine][]worker.Command)
 	for _, a := range j.Attempts {
 		if a.Stopping && a.Incarnation == a.Machine.Incarnation {
-			orders[a.Machine] = append(orders[a.Machine], worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
+			commands[a.Machine] = append(commands[a.Machine], worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 		}
 	}
-	for m, o := range orders {
-		d.sendCommands(m, o, nil)
+	for m, stops := range commands {
+		s.sendCommands(m, stops, nil)
 	}
 }
 
-// maxInFlightCommands is how many direct orders may be on their way to a worker. One that
-// leaves them unanswered gets the rest with its reports, and its sockets are for
-// others.
+// maxInFlightCommands is how many direct requests to a worker may be in flight. A worker that doesn't answer them gets
+// further commands in the responses to its heartbeats, and the sockets are left for others.
 const maxInFlightCommands = 3
 
-// sendCommands sends orders straight to a worker. The starts among them are loose
-// until the answer comes.
-func (d *scheduler) sendCommands(m *cluster.Machine, orders []worker.Command, starts []*cluster.Attempt) {
+// sendCommands sends commands to a worker directly. It is unknown whether the starts among them are executed until the
+// worker responds.
+func (s *scheduler) sendCommands(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt) {
 	if m.Addr == "" || m.Incarnation == 0 || m.InFlight >= maxInFlightCommands {
 		return
 	}
 	for _, a := range starts {
 		a.Delivery, a.DeliveryToken = cluster.DeliveryInFlight, m.Fence.Token()
 	}
-	d.deliver(m, orders, starts, d.settings.HeartbeatInterval)
+	s.deliver(m, commands, starts, s.settings.HeartbeatInterval)
 }
 
-func (d *scheduler) deliver(m *cluster.Machine, orders []worker.Command, starts []*cluster.Attempt, limit time.Duration) {
-	addr, token, session, id := m.Addr, m.Fence.Token(), m.Incarnation, m.ID
+// deliver makes a direct request to a worker in the background, and posts its outcome to the scheduler.
+func (s *scheduler) deliver(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt, limit time.Duration) {
+	addr, token, incarnation, id := m.Addr, m.Fence.Token(), m.Incarnation, m.ID
 	m.InFlight++
 	var sendBy time.Time
 	if len(starts) > 0 {
-		sendBy = d.role.LeaseValidUntil // a process that falls behind may get to it late
+		sendBy = s.role.LeaseValidUntil // a paused process may send it late
 	}
-	d.background(limit, func(ctx context.Context) {
-		outcome, report := d.deps.Workers.SendCommands(ctx, addr, token, session, orders, sendBy)
-		d.post(deliveredMessage{machine: id, announcement: len(orders) == 0, starts: starts, outcome: outcome, report: report})
+	s.background(limit, func(ctx context.Context) {
+		outcome, report := s.deps.Workers.SendCommands(ctx, addr, token, incarnation, commands, sendBy)
+		s.post(deliveredMessage{machine: id, announcement: len(commands) == 0, starts: starts, outcome: outcome, report: report})
 	})
 }
 
-// announceToken spreads our token to one worker, unless as many as the sockets allow
-// are being told already: then its own next report brings it the token.
-func (d *scheduler) announceToken(m *cluster.Machine) bool {
-	if d.announcements >= d.settings.MaxTokenAnnouncements() {
+// announceToken sends this term's fencing token to a worker. It returns false if as many announcements are in flight as
+// the sockets allow; the worker then gets the token in the response to its next heartbeat.
+func (s *scheduler) announceToken(m *cluster.Machine) bool {
+	if s.announcements >= s.settings.MaxTokenAnnouncements() {
 		return false
 	}
-	if m.Token >= d.tokens.First || m.Terminating || m.Addr == "" || m.Incarnation == 0 {
-		return true // knows it, or can't be told
+	if m.Token >= s.tokens.First || m.Terminating || m.Addr == "" || m.Incarnation == 0 {
+		return true // it knows the token, or can't be reached
 	}
-	d.announcements++
-	d.deliver(m, nil, nil, clock.Scale(d.settings.HeartbeatInterval, announcePerHeartbeat))
+	s.announcements++
+	s.deliver(m, nil, nil, clock.Scale(s.settings.HeartbeatInterval, announcePerHeartbeat))
 	return true
 }
 
-// announcePerHeartbeat is how long a worker has to take our token, in report
-// intervals: behind a cut it would only hold a socket.
+// announcePerHeartbeat is the timeout of a token announcement, in heartbeat intervals. It is short because unreachable
+// workers only hold sockets.
 const announcePerHeartbeat = 0.25
 
-// announceTokens tells all known workers at the start of a term that their old
-// leader's commands are over, some at a time.
-func (d *scheduler) announceTokens() {
-	for len(d.tokenPending) > 0 {
-		m := d.tokenPending[0]
-		if d.state.Machines.Get(m.ID) == m && !d.announceToken(m) {
+// announceTokens sends this term's fencing token to all workers that are known at its start, a limited number at a time,
+// so that they reject late commands of the earlier leader.
+func (s *scheduler) announceTokens() {
+	for len(s.tokenPending) > 0 {
+		m := s.tokenPending[0]
+		if s.state.Machines.Get(m.ID) == m && !s.announceToken(m) {
 			return
 		}
-		d.tokenPending = d.tokenPending[1:]
+		s.tokenPending = s.tokenPending[1:]
 	}
 }
 
-// handleDelivered takes in what became of direct orders.
-func (d *scheduler) handleDelivered(msg deliveredMessage) {
+// handleDelivered handles the outcome of direct commands.
+func (s *scheduler) handleDelivered(msg deliveredMessage) {
 	now := time.Now()
-	m := d.state.Machines.Get(msg.machine)
+	m := s.state.Machines.Get(msg.machine)
 	if m != nil {
 		m.InFlight = max(0, m.InFlight-1)
-		d.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
+		s.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
 	}
 	if msg.announcement {
-		d.announcements--
-		d.announceTokens()
+		s.announcements--
+		s.announceTokens()
 	}
-	defer d.dropUnsent(msg.starts)
+	defer s.dropUnsent(msg.starts)
 	for _, a := range msg.starts {
 		switch msg.outcome {
 		case worker.Executed:
@@ -161,40 +160,40 @@
 	if r.Machine != m.ID {
 		return
 	}
-	if r.Token > d.tokens.Last {
-		d.handleHigherToken(r, now)
+	if r.Token > s.tokens.Last {
+		s.handleHigherToken(r, now)
 		return
 	}
-	d.applyReport(m, r, false, now)
-	// What is to be stopped but was first seen here needn't wait for a report.
-	d.commandStops(m)
+	s.applyReport(m, r, false, now)
+	// Attempts to be stopped that are first reported here needn't wait for a heartbeat.
+	s.commandStops(m)
 }
 
-// dropUnsent takes out what was stopped while its start was on its way and
-// turned out not to have been executed.
-func (d *scheduler) dropUnsent(starts []*cluster.Attempt) {
+// dropUnsent removes attempts that were stopped while their starts were in flight, if these turned out not to have been
+// executed.
+func (s *scheduler) dropUnsent(starts []*cluster.Attempt) {
 	for _, a := range starts {
 		if a.Stopping && !a.MaybeDelivered() {
-			d.removeAttempt(a, "stopped before its start")
+			s.removeAttempt(a, "stopped before its start")
 		}
 	}
 }
 
-// commandStops tells one worker directly what to stop.
-func (d *scheduler) commandStops(m *cluster.Machine) {
-	var orders []worker.Command
+// commandStops sends a worker the stops of its attempts directly.
+func (s *scheduler) commandStops(m *cluster.Machine) {
+	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
 		if a.Stopping && a.Reported && a.State != worker.Saving && !a.StopCommanded {
 			a.StopCommanded = true
-			orders = append(orders, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
+			commands = append(commands, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
 		}
 	}
-	if len(orders) > 0 {
-		d.sendCommands(m, orders, nil)
+	if len(commands) > 0 {
+		s.sendCommands(m, commands, nil)
 	}
 }
 
-// deliveredMessage tells what became of commands that were sent directly.
+// deliveredMessage is the outcome of commands that were sent directly.
 type deliveredMessage struct {
 	machine      int
 	announcement bool // of a fencing token, without commands
@@ -203,4 +202,4 @@
 	report       *worker.Report
 }
 
-func (m deliveredMessage) handle(d *scheduler) { d.handleDelivered(m) }
+func (m deliveredMessage) handle(s *scheduler) { s.handleDelivered(m) }
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -14,41 +14,38 @@
 	"sagevale/internal/worker"
 )
 
-const (
+// acceptanceBytes is the typical size of an accepted job's record, in bytes. It gives the expected throughput of
+// submissions until that is measured.
+const acceptanceBytes = 250
 
-	// acceptanceBytes is about what the record of an accepted job takes. It gives the pace
-	// of acceptances until that is measured.
-	acceptanceBytes = 250
-)
-
-// maxSubmissionWait is how long a submission may wait to be recorded: its user gives up after 5 s, by
-// the protocol, and the answer has to travel.
+// maxSubmissionWait is how long a submission may wait for its commit. By the protocol users time out after 5 s, and
+// the response needs time to arrive.
 const maxSubmissionWait = 3 * time.Second
 
-// newAdmission admits submissions that are expected to be recorded while their users wait.
+// newAdmission returns the limiter that admits submissions that are expected to be committed while their users wait.
 func newAdmission(s *config.Settings) *admission.Limiter {
-	pace := float64(s.State.BytesWithin(time.Second)) / acceptanceBytes
-	return admission.NewLimiter(maxSubmissionWait, pace, len(s.Teams))
+	throughput := float64(s.State.BytesWithin(time.Second)) / acceptanceBytes
+	return admission.NewLimiter(maxSubmissionWait, throughput, len(s.Teams))
 }
 
-// admit tells whether a team's submission may wait to be recorded.
-func (d *scheduler) admit(team string) bool {
-	return d.admission.Admit(team, d.journal.SpareBytes()/acceptanceBytes)
+// admit reports whether a team's submission may wait for a commit.
+func (s *scheduler) admit(team string) bool {
+	return s.admission.Admit(team, s.journal.SpareBytes()/acceptanceBytes)
 }
 
-// markRecord notes that an entity's record must be written; data is asked for its value when it
-// is. It returns nil to remove the entity.
-func (d *scheduler) markRecord(key string, data func() any) {
-	d.queue.Mark(groupcommit.Bulk, key, data)
+// markRecord has an entity's record written in the bulk lane. data returns its value at the time of the write, or nil
+// to remove the entity.
+func (s *scheduler) markRecord(key string, data func() any) {
+	s.queue.Mark(groupcommit.Bulk, key, data)
 }
 
-// markJob notes that a job's own record must be written: users wait for that.
-func (d *scheduler) markJob(j *cluster.Job) {
-	d.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), func() any { return j.Record() })
+// markJob has a job's own record written. Users wait for that.
+func (s *scheduler) markJob(j *cluster.Job) {
+	s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), func() any { return j.Record() })
 }
 
-// jobLane is the lane of a job's own record. A cancelled job's tasks run to nobody's use, so it
-// doesn't wait behind acceptances.
+// jobLane is the lane of a job's own record. A cancellation doesn't wait behind submissions, because it frees
+// resources.
 func jobLane(j *cluster.Job) groupcommit.Lane {
 	if j.Urgent() || j.Phase == storage.Cancelled {
 		return groupcommit.Urgent
@@ -64,9 +61,10 @@
 	return groupcommit.Bulk
 }
 
-func (d *scheduler) markPage(j *cluster.Job, task int) {
+// markPage has the page of a job's task written.
+func (s *scheduler) markPage(j *cluster.Job, task int) {
 	p := task / storage.PageTasks
-	d.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), func() any {
+	s.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), func() any {
 		if rec := j.PageRecord(p); rec != nil {
 			return rec
 		}
@@ -74,100 +72,100 @@
 	})
 }
 
-func (d *scheduler) markMachine(m *cluster.Machine) {
+// markMachine has a machine's record written.
+func (s *scheduler) markMachine(m *cluster.Machine) {
 	m.Recorded = true
-	d.markRecord(storage.MachineKey(m.ID), func() any { return m.Record() })
+	s.markRecord(storage.MachineKey(m.ID), func() any { return m.Record() })
 }
 
-// pageDurable tells whether a task's page is durable as it stands.
-func (d *scheduler) pageDurable(id worker.TaskID) bool {
-	return d.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
+// pageDurable reports whether the present value of a task's page is durable.
+func (s *scheduler) pageDurable(id worker.TaskID) bool {
+	return s.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
 }
 
-// onCommit calls f once all that is marked now is durable.
-func (d *scheduler) onCommit(f func(error)) { d.queue.OnAllDurable(f) }
+// onCommit calls f once everything that is marked now is durable, or with the error of its commit.
+func (s *scheduler) onCommit(f func(error)) { s.queue.OnAllDurable(f) }
 
-// onJobCommit calls f once a job's own record is durable as it is marked now.
-func (d *scheduler) onJobCommit(j *cluster.Job, f func(error)) { d.queue.OnDurable(f, jobLane(j)) }
+// onJobCommit calls f once the present value of a job's own record is durable, or with the error of its commit.
+func (s *scheduler) onJobCommit(j *cluster.Job, f func(error)) { s.queue.OnDurable(f, jobLane(j)) }
 
-// startWhenDurable starts what was booked once its jobs and pages are durable. Urgent work doesn't
-// wait for the rest.
-func (d *scheduler) startWhenDurable(booked []*cluster.Attempt) {
+// startWhenDurable starts reserved attempts once their jobs and pages are durable. Urgent work doesn't wait for the
+// rest.
+func (s *scheduler) startWhenDurable(reserved []*cluster.Attempt) {
 	var urgent, others []*cluster.Attempt
-	for _, a := range booked {
+	for _, a := range reserved {
 		if a.Job.Urgent() {
 			urgent = append(urgent, a)
 		} else {
 			others = append(others, a)
 		}
 	}
-	starts := func(booked []*cluster.Attempt) func(error) {
+	start := func(attempts []*cluster.Attempt) func(error) {
 		return func(err error) {
 			if err == nil {
-				d.startReserved(booked)
+				s.startReserved(attempts)
 			}
 		}
 	}
 	if len(urgent) > 0 {
-		d.queue.OnDurable(starts(urgent), groupcommit.Urgent)
+		s.queue.OnDurable(start(urgent), groupcommit.Urgent)
 	}
 	if len(others) > 0 {
-		d.onCommit(starts(others))
+		s.onCommit(start(others))
 	}
 }
 
-// flush hands what is marked to the journal, as much as one commit holds, unless one is
-// under way. Of the bulk lane it takes what leaves changes for the others.
-func (d *scheduler) flush(ctx context.Context) {
-	if !d.queue.Idle() {
+// flush starts a commit of what is marked, as much as one commit holds, unless one is in flight. It takes only as much
+// of the bulk lane as leaves changes for the other lanes.
+func (s *scheduler) flush(ctx context.Context) {
+	if !s.queue.Idle() {
 		return
 	}
-	d.limitBulk(time.Now())
-	records, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) {
-		d.log.Error("record not encoded", "key", key, "err", err)
+	s.limitBulk(time.Now())
+	records, ok := s.queue.BeginCommit(s.settings.CommitBytes(), func(key string, err error) {
+		s.log.Error("record encoding failed", "key", key, "error", err)
 	})
 	if !ok {
 		return
 	}
-	d.commitStarted = time.Now()
-	d.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { d.post(committedMessage{err}) }})
+	s.commitStarted = time.Now()
+	s.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { s.post(committedMessage{err}) }})
 }
 
-// limitBulk lets the bulk lane use what the journal has saved beyond a reserve.
-func (d *scheduler) limitBulk(now time.Time) {
-	if d.queue.Waiting(groupcommit.Bulk) == 0 {
+// limitBulk lets the bulk lane use the changes that the journal has saved beyond a reserve.
+func (s *scheduler) limitBulk(now time.Time) {
+	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
 	}
-	saved, burst, _ := d.journal.Budget()
-	allowed := d.bulkPace.Allow(now, saved, burst) * d.journal.ChangeBytes()
-	d.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
+	saved, burst, _ := s.journal.Budget()
+	allowed := s.bulkPace.Allow(now, saved, burst) * s.journal.ChangeBytes()
+	s.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
 
-// bulkHeld tells whether records wait only because the bulk lane is held back, and in what time
-// it is to be looked at again.
-func (d *scheduler) bulkHeld(now time.Time) (again time.Duration, held bool) {
-	if !d.queue.Idle() || d.queue.Waiting(groupcommit.Bulk) == 0 {
+// bulkHeld reports whether records wait only because the bulk lane is throttled, and after what time to try again.
+func (s *scheduler) bulkHeld(now time.Time) (retryAfter time.Duration, held bool) {
+	if !s.queue.Idle() || s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
-	saved, burst, rate := d.journal.Budget()
-	return d.bulkPace.Due(now, saved, burst, rate), true
+	saved, burst, rate := s.journal.Budget()
+	return s.bulkPace.Due(now, saved, burst, rate), true
 }
 
-// handleCommitted takes in what became of the commit under way.
-func (d *scheduler) handleCommitted(err error) {
-	took := time.Since(d.commitStarted)
-	d.commitStarted = time.Time{}
-	d.acceptedInCommit = 0
-	if full := d.queue.EndCommit(err); full && !d.journal.CanBurst() {
-		d.admission.RecordThroughput(d.acceptedInCommit, took)
+// handleCommitted ends the commit in flight. Ending it calls what waited for it, which counts acceptances.
+func (s *scheduler) handleCommitted(err error) {
+	duration := time.Since(s.commitStarted)
+	s.commitStarted = time.Time{}
+	s.acceptedInCommit = 0
+	if full := s.queue.EndCommit(err); full && !s.journal.CanBurst() {
+		s.admission.RecordThroughput(s.acceptedInCommit, duration)
 	}
-	d.waiters = slices.DeleteFunc(d.waiters, func(w *waiter) bool { return w.answered })
+	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool { return w.answered })
 }
 
-// removed is the value of an entity that is to be removed.
+// removed is the value of an entity whose record is to be removed.
 func removed() any { return nil }
 
-// committedMessage tells what became of the commit under way.
+// committedMessage is the result of the commit in flight.
 type committedMessage struct{ err error }
 
-func (m committedMessage) handle(d *scheduler) { d.handleCommitted(m.err) }
+func (m committedMessage) handle(s *scheduler) { s.handleCommitted(m.err) }
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -13,27 +13,26 @@
 	"sagevale/internal/worker"
 )
 
-// A leader delegates to the nodes that it hears the right to renew the leases of the
-// workers in their own zone while they can't reach it: behind a cut of their
-// zone, or in the seconds in which nobody leads. The delegation is as long as the
-// leader's own hold without the state service, and for the same reason: a user
-// may be told that a job is cancelled as soon as the leader, or a successor,
-// can't reach the workers; their tasks must be gone within cancel_s, so the last
-// renewal comes no later than cancel_s - lease_s, less a margin, after the last
-// word with the leader. Workers that are still to stop tasks of a cancelled job are
-// left out, and a renewal carries no orders.
+// Delegation of lease renewals. The leader delegates to its peers the right to renew the leases of the workers in their
+// zones while they can't reach it: while their zone is partitioned, or in the seconds between two leaders.
 //
-// The leader reckons with what it has delegated: see delegatedLeaseBound.
+// A delegation lasts as long as the leader itself may renew leases without the key-value store, for the same reason: a
+// successor may confirm the cancellation of a job without reaching its workers. The job's tasks must be gone within
+// cancel_s, so the last renewal must come no later than cancel_s - lease_s, less a margin, after the last contact with
+// the leader. Workers that still have to stop tasks of a cancelled job are excluded, and a delegated renewal carries no
+// commands.
+//
+// The leader takes what it has delegated into account before it declares a machine empty: see delegatedLeaseBound.
 
-// delegation is the right to renew leases for a while.
+// delegation is the right to renew leases for a limited time.
 type delegation struct {
-	tokens   fencing.Tokens // of the leader that gave it
+	tokens   fencing.Tokens // of the leader that granted it
 	until    time.Time
 	excluded []int
 }
 
-// refreshDelegation takes in what the peers that lead have delegated. A delegation outlasts the status
-// that gave it: its giver may since have ended, or begun anew.
+// refreshDelegation adopts the latest delegation in the statuses of the peers. It stays valid when the peer that granted
+// it has ended or restarted.
 func (c *forwarder) refreshDelegation() {
 	for _, p := range c.settings.Peers {
 		w, ok := c.node.deps.Peers.Status(p.Name)
@@ -47,11 +46,12 @@
 	}
 }
 
-// answerDelegated answers a report on which no leader has decided.
+// answerDelegated answers a heartbeat that no leader has answered.
 func (c *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- c.decideDelegated(p, now)
 }
 
+// decideDelegated renews the lease of a worker if the delegation allows that.
 func (c *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
 	c.refreshDelegation()
 	r, known, grant := p.report, c.workers[p.report.Machine], &c.delegation
@@ -60,21 +60,19 @@
 		slices.Contains(grant.excluded, r.Machine), c.isolated():
 		return worker.HeartbeatResponse{Busy: true}
 	case p.digest != known.digest && c.mayRedirect(known, now):
-		// It has news, which only a leader can act on: maybe the next node
-		// finds one.
+		// Its state has changed, which only a leader can act on. Another controller may reach one.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	// The leader must be able to learn of this before the worker does.
+	// Marked before the worker is answered: no leader may learn of this later than the worker.
 	c.lastDelegated.Mark(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
-// isolated tells whether this node alone seems to be cut off: it hears neither
-// the state service nor a peer, but the load balancer still asks it. Then its
-// workers are better off with the other nodes.
+// isolated reports whether this controller alone seems to be cut off: it reaches neither the key-value store nor a peer,
+// but the load balancer still probes it. Then its workers should go to the other controllers.
 func (c *forwarder) isolated() bool {
-	if len(c.settings.Peers) == 0 || c.node.hearsState() {
+	if len(c.settings.Peers) == 0 || c.node.storeReachable() {
 		return false
 	}
 	for _, p := range c.settings.Peers {
@@ -85,29 +83,28 @@
 	return c.lastProbe.Since(math.MaxInt64) < probeMissed
 }
 
-// probeMissed is how long after the load balancer's last probe, one a second,
-// this node still counts as in its reach.
+// probeMissed is how long after the load balancer's last probe this controller still counts as in its reach. It probes
+// once a second.
 const probeMissed = 5 * time.Second / 2
 
-// mayRedirect tells whether a worker can ask all other nodes in vain and be
-// back here within its lease.
+// mayRedirect reports whether a worker can try all other controllers without success and be back here within its lease.
 func (c *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
 	round := time.Duration(len(c.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
 	return len(c.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
 }
 
-// delegationTerms is what the dispatcher publishes of its lead, for delegations.
+// delegationTerms are what delegations depend on. They are immutable, and published by the scheduler.
 type delegationTerms struct {
-	at         time.Time // as of when barred is complete
+	at         time.Time // as of when excluded is complete
 	renewUntil time.Time
 	excluded   map[string][]int // by zone
 }
 
-// delegator is the leader's side of the delegations.
+// delegator grants the leader's delegations. Its methods may be called from any goroutine.
 type delegator struct {
 	renewalGrace time.Duration
 	terms        atomic.Pointer[delegationTerms]
-	until        map[string]*atomic.Int64 // what each peer has been delegated at the most, in ns after began
+	until        map[string]*atomic.Int64 // the latest end of any delegation to each peer, in ns after began
 	zones        map[string]string
 	began        time.Time
 }
@@ -120,8 +117,7 @@
 	return l
 }
 
-// delegate returns for how long a peer may renew leases alone, counted from when it
-// asked, and which machines it may not.
+// delegate returns for how long a peer may renew leases itself, counted from its request, and the excluded machines.
 func (l *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
 	p, until := l.terms.Load(), l.until[peer]
@@ -135,18 +131,18 @@
 	if !now.Before(end) {
 		return 0, nil
 	}
-	// Noted before it is told. Each peer asks through one link at a time, but a
-	// repeat may come late: the latest counts.
-	for mine := int64(end.Sub(l.began)); ; {
+	// Recorded before it is sent. Each peer sends one request at a time, but a repeated one may come late: the latest
+	// end counts.
+	for sinceBegan := int64(end.Sub(l.began)); ; {
 		old := until.Load()
-		if old >= mine || until.CompareAndSwap(old, mine) {
+		if old >= sinceBegan || until.CompareAndSwap(old, sinceBegan) {
 			break
 		}
 	}
 	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
 }
 
-// delegatedUntil is until when a peer may renew leases at the most; zero: nothing delegated.
+// delegatedUntil is the latest time at which a peer may renew leases; zero: nothing was delegated to it.
 func (l *delegator) delegatedUntil(peer string) time.Time {
 	if v := l.until[peer].Load(); v != 0 {
 		return l.began.Add(time.Duration(v))
@@ -154,19 +150,19 @@
 	return time.Time{}
 }
 
-// delegationPerHeartbeat is how old what the delegations depend on may be, in report
-// intervals: a delegation counts from there.
+// delegationPerHeartbeat is the age limit of published delegation terms, in heartbeat intervals. Delegations count from
+// the time of the terms.
 const delegationPerHeartbeat = 0.02
 
-// publishDelegation renews what the delegations depend on.
-func (d *scheduler) publishDelegation(now time.Time) {
-	if old := d.delegator.terms.Load(); d.resigned || old != nil && now.Sub(old.at) < clock.Scale(d.settings.HeartbeatInterval, delegationPerHeartbeat) {
+// publishDelegation renews the delegation terms.
+func (s *scheduler) publishDelegation(now time.Time) {
+	if old := s.delegator.terms.Load(); s.resigned || old != nil && now.Sub(old.at) < clock.Scale(s.settings.HeartbeatInterval, delegationPerHeartbeat) {
 		return
 	}
-	p := &delegationTerms{at: now, renewUntil: d.role.RenewUntil, excluded: make(map[string][]int)}
-	for id, j := range d.state.Jobs.Cancelling {
+	p := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
+	for id, j := range s.state.Jobs.Cancelling {
 		if len(j.Attempts) == 0 {
-			delete(d.state.Jobs.Cancelling, id)
+			delete(s.state.Jobs.Cancelling, id)
 		}
 		for _, a := range j.Attempts {
 			if z := a.Machine.Zone; !slices.Contains(p.excluded[z], a.Machine.ID) {
@@ -174,28 +170,27 @@
 			}
 		}
 	}
-	d.delegator.terms.Store(p)
+	s.delegator.terms.Store(p)
 }
 
-// delegatedLeaseBound is when a machine's lease has surely ended that this leader last
-// answered when m tells, if peers in its zone may have renewed it alone since.
-func (d *scheduler) delegatedLeaseBound(m *cluster.Machine) time.Time {
-	end := m.LastAcknowledged.Add(d.settings.LeaseBound())
-	for i := range d.peerRenewals {
-		s := &d.peerRenewals[i]
-		if !s.covers(m) {
+// delegatedLeaseBound is the time by which a machine's lease has expired that this leader renewed last at
+// m.LastAcknowledged, considering that peers may have renewed it since under a delegation.
+func (s *scheduler) delegatedLeaseBound(m *cluster.Machine) time.Time {
+	end := m.LastAcknowledged.Add(s.settings.LeaseBound())
+	for i := range s.peerRenewals {
+		renewals := &s.peerRenewals[i]
+		if !renewals.covers(m) {
 			continue
 		}
-		// What it has renewed, as far as is known, and what it may have since
-		// it was last asked.
-		if b := s.last.Add(d.settings.LeaseBound()); !s.last.IsZero() && b.After(end) {
+		// The latest renewal that is known. The second pass adds those that the peer may have made since its status.
+		if b := renewals.last.Add(s.settings.LeaseBound()); !renewals.last.IsZero() && b.After(end) {
 			end = b
 		}
 	}
-	for i := range d.peerRenewals {
-		s := &d.peerRenewals[i]
-		if s.covers(m) && s.asked.Before(end) {
-			if b := s.until.Add(d.settings.LeaseBound()); b.After(end) {
+	for i := range s.peerRenewals {
+		renewals := &s.peerRenewals[i]
+		if renewals.covers(m) && renewals.asked.Before(end) {
+			if b := renewals.until.Add(s.settings.LeaseBound()); b.After(end) {
 				end = b
 			}
 		}
@@ -203,33 +198,32 @@
 	return end
 }
 
-// peerRenewals is what is known of a peer's renewals under our delegations.
+// peerRenewals is what is known of a peer's renewals under this leader's delegations.
 type peerRenewals struct {
 	zone  string
-	until time.Time // until when it may renew at the most
-	last  time.Time // when it last did, at the latest, as of asked
-	asked time.Time
+	until time.Time // latest time at which it may renew
+	last  time.Time // latest time of its last renewal before asked; zero: unknown
+	asked time.Time // when its latest status was requested
 }
 
-// covers tells whether the peer may renew the machine's lease at all.
+// covers reports whether the peer may renew the machine's lease at all.
 func (s *peerRenewals) covers(m *cluster.Machine) bool {
 	return s.zone == m.Zone || s.zone == "" || m.Zone == ""
 }
 
-// updatePeerRenewals asks what the peers have told, once for a tick.
-func (d *scheduler) updatePeerRenewals() {
-	d.peerRenewals = d.peerRenewals[:0]
-	for _, p := range d.settings.Peers {
-		s := peerRenewals{zone: p.Zone, until: d.delegator.delegatedUntil(p.Name)}
-		if s.until.IsZero() {
+// updatePeerRenewals updates the renewals from the statuses of the peers, once a tick.
+func (s *scheduler) updatePeerRenewals() {
+	s.peerRenewals = s.peerRenewals[:0]
+	for _, p := range s.settings.Peers {
+		renewals := peerRenewals{zone: p.Zone, until: s.delegator.delegatedUntil(p.Name)}
+		if renewals.until.IsZero() {
 			continue
 		}
-		if w, ok := d.deps.Peers.Status(p.Name); ok && w.Sent.After(d.termStarted) {
-			// A process that has begun since may have renewed in its earlier
-			// run until then.
-			s.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
-			s.asked = w.Sent
+		if w, ok := s.deps.Peers.Status(p.Name); ok && w.Sent.After(s.termStarted) {
+			// A restarted process may have renewed leases until its restart.
+			renewals.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
+			renewals.asked = w.Sent
 		}
-		d.peerRenewals = append(d.peerRenewals, s)
+		s.peerRenewals = append(s.peerRenewals, renewals)
 	}
 }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -12,133 +12,148 @@
 	"sagevale/internal/worker"
 )
 
-// drain has nothing more placed on a machine and moves its tasks: services and
-// what can save its progress restart elsewhere, others may finish unless the
-// machine is being taken.
-func (d *scheduler) drain(m *cluster.Machine, reason string) {
+// maxListLags is after how many of the cloud's list lags a machine that isn't listed counts as gone.
+const maxListLags = 4
+
+// drain cordons a machine and evicts its tasks: services and tasks that save checkpoints restart
+// elsewhere. Others may finish, unless the machine is preempted before that.
+func (s *scheduler) drain(m *cluster.Machine, reason string) {
 	if m.DrainReason != "" || m.Terminating {
 		return
 	}
 	m.DrainReason = reason
-	d.log.Info("drain", "machine", m.ID, "type", m.TypeName, "spot", m.Spot, "reason", reason, "tasks", len(m.Attempts))
+	s.log.Info("machine draining", "machine", m.ID, "type", m.TypeName, "spot", m.Spot, "reason", reason, "tasks", len(m.Attempts))
 	now := time.Now()
 	for _, a := range m.SortedAttempts() {
-		s := &a.Job.Spec
+		spec := &a.Job.Spec
 		switch {
-		case s.Gang:
-			d.drainGang(a, now)
-		case s.Service:
-			d.stopAttempt(a, 0)
-		case s.CheckpointS > 0:
-			d.stopAttempt(a, s.SaveS) // goes on elsewhere from where it was
+		case spec.Gang:
+			s.drainGang(a, now)
+		case spec.Service:
+			s.stopAttempt(a, 0)
+		case spec.CheckpointS > 0:
+			s.stopAttempt(a, spec.SaveS) // resumes elsewhere from its checkpoint
 		case m.PreemptionAt.IsZero():
-		case !a.Reported || a.State == worker.Pulling || clock.Seconds(s.EstimateS)-now.Sub(a.Started) > m.PreemptionAt.Sub(now):
-			d.stopAttempt(a, 0)
+		case !a.Reported || a.State == worker.Pulling || clock.Seconds(spec.EstimateS)-now.Sub(a.Started) > m.PreemptionAt.Sub(now):
+			s.stopAttempt(a, 0)
 		}
 	}
-	d.commandStops(m)
-	d.placementDue = true
+	s.commandStops(m)
+	s.placementDue = true
 }
 
-// drainSurplus drains a machine that the fleet can do without, unless it has got work since that was found. An
-// empty one is terminated at once.
-func (d *scheduler) drainSurplus(surplus autoscaling.SurplusMachine) {
-	d.drainsRequested++
-	m := d.state.Machines.Get(surplus.Machine)
+// drainSurplus drains a machine that the autoscaler found to be surplus, unless it has got more work since. An
+// empty machine is terminated at once.
+func (s *scheduler) drainSurplus(surplus autoscaling.SurplusMachine) {
+	s.drainsRequested++
+	m := s.state.Machines.Get(surplus.Machine)
 	if m == nil || len(m.Attempts) > surplus.Attempts {
-		d.autoscaler.DrainCompleted()
+		s.autoscaler.DrainCompleted()
 		return
 	}
-	d.drain(m, "surplus")
+	s.drain(m, "surplus")
 	if len(m.Attempts) == 0 {
-		d.terminateMachines([]int{m.ID})
-		d.autoscaler.DrainCompleted()
+		s.terminateMachines([]int{m.ID})
+		s.autoscaler.DrainCompleted()
 	}
 }
 
-// handleList takes in what the cloud lists. Absence from a list proves
-// nothing; a machine is only let go once its lease has surely ended too.
-func (d *scheduler) handleList(machines []cloud.Machine) {
+// handleList reconciles the machines with the cloud's list. Absence from the list alone proves nothing, because
+// the list lags: a machine is removed only once its worker lease has provably expired too.
+func (s *scheduler) handleList(machines []cloud.Machine) {
 	now := time.Now()
-	d.machinesListed = true
+	s.machinesListed = true
 	seen := make(map[int]bool, len(machines))
-	for _, l := range machines {
-		seen[l.ID] = true
-		m := d.state.Machines.Get(l.ID)
-		if m == nil {
-			if d.terminated[l.ID] {
-				continue
-			}
-			m = d.state.EnsureMachine(l.ID, now)
-			m.FirstSeen, m.ProvisioningObserved = now.Add(-clock.Seconds(l.AgeSeconds)), true
-			d.log.Info("unexpected machine", "machine", l.ID, "type", l.Type, "zone", l.Zone, "spot", l.Spot)
-		}
-		if m.TypeName == "" {
-			m.TypeName, m.Zone, m.Spot, m.Type = l.Type, l.Zone, l.Spot, d.state.Types.Get(l.Type)
-		}
-		if m.Addr == "" {
-			m.Addr = l.Addr
+	for _, listed := range machines {
+		seen[listed.ID] = true
+		s.updateListed(listed, now)
+	}
+	for _, m := range slices.Clone(s.state.Machines.InOrder()) {
+		if !seen[m.ID] && s.unlistedForGood(m, now) {
+			s.removeMachine(m.ID, "no longer listed")
 		}
-		m.ListedAt = now
-		m.Failed = l.State == cloud.Failed
 	}
-	for _, m := range slices.Clone(d.state.Machines.InOrder()) {
-		silent := now.Sub(m.LastContact) > d.settings.WorkerLease && now.Sub(m.FirstSeen) > d.settings.WorkerLease+4*d.settings.ListLag
-		if !seen[m.ID] && !m.Terminating && silent && now.Sub(m.ListedAt) > 4*d.settings.ListLag && now.After(d.provenEmptyAt(m)) {
-			d.removeMachine(m.ID, "no longer listed")
+}
+
+// updateListed updates a machine from its entry in the cloud's list. Terminated machines are still listed for a while.
+func (s *scheduler) updateListed(listed cloud.Machine, now time.Time) {
+	m := s.state.Machines.Get(listed.ID)
+	if m == nil {
+		if s.terminated[listed.ID] {
+			return
 		}
+		m = s.state.EnsureMachine(listed.ID, now)
+		m.FirstSeen, m.ProvisioningObserved = now.Add(-clock.Seconds(listed.AgeSeconds)), true
+		s.log.Info("unexpected machine listed", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "spot", listed.Spot)
+	}
+	if m.TypeName == "" {
+		m.TypeName, m.Zone, m.Spot, m.Type = listed.Type, listed.Zone, listed.Spot, s.state.Types.Get(listed.Type)
 	}
+	if m.Addr == "" {
+		m.Addr = listed.Addr
+	}
+	m.ListedAt = now
+	m.Failed = listed.State == cloud.Failed
+}
+
+// unlistedForGood reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
+// than the list lags, and its worker lease has provably expired.
+func (s *scheduler) unlistedForGood(m *cluster.Machine, now time.Time) bool {
+	lag := maxListLags * s.settings.ListLag
+	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
+	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.provenEmptyAt(m))
 }
 
-// removeMachine forgets a machine that the cloud has surely taken.
-func (d *scheduler) removeMachine(id int, why string) {
-	m := d.state.Machines.Get(id)
+// removeMachine forgets a machine that no longer exists, with the attempts on it.
+func (s *scheduler) removeMachine(id int, reason string) {
+	m := s.state.Machines.Get(id)
 	if m == nil {
 		return
 	}
 	for _, a := range m.SortedAttempts() {
-		d.removeAttempt(a, "its machine is gone")
+		s.removeAttempt(a, "machine removed")
 	}
-	d.state.Machines.Remove(m)
-	d.markRecord(storage.MachineKey(id), removed)
-	d.log.Info("machine gone", "machine", id, "why", why)
-	d.placementDue = true
+	s.state.Machines.Remove(m)
+	s.markRecord(storage.MachineKey(id), removed)
+	s.log.Info("machine removed", "machine", id, "reason", reason)
+	s.placementDue = true
 }
 
-func (d *scheduler) handleLaunched(msg launchedMessage) {
+// handleLaunched adds the machines of a completed launch, which may not be listed for a while yet.
+func (s *scheduler) handleLaunched(msg launchedMessage) {
 	now := time.Now()
 	for _, id := range msg.machines {
-		m := d.state.Machines.Get(id)
+		m := s.state.Machines.Get(id)
 		if m == nil {
-			if d.terminated[id] {
+			if s.terminated[id] {
 				continue
 			}
-			m = d.state.EnsureMachine(id, now)
+			m = s.state.EnsureMachine(id, now)
 			m.FirstSeen, m.ProvisioningObserved, m.ListedAt = now, true, now
 		}
 		if m.TypeName == "" {
-			m.TypeName, m.Zone, m.Spot, m.Type = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, d.state.Types.Get(msg.launch.Type)
+			m.TypeName, m.Zone, m.Spot, m.Type = msg.launch.Type, msg.launch.Zone, msg.launch.Spot, s.state.Types.Get(msg.launch.Type)
 		}
 	}
-	d.placementDue = true
+	s.placementDue = true
 }
 
-// terminateMachines has machines returned, once it is durable that they will be. The
-// cloud may carry out a deletion late, so there is no way back from here.
-func (d *scheduler) terminateMachines(ids []int) {
+// terminateMachines has the cloud delete machines, once that decision is durable. It can't be revoked, because
+// the cloud may carry out a deletion late.
+func (s *scheduler) terminateMachines(ids []int) {
 	if len(ids) == 0 {
 		return
 	}
 	for _, id := range ids {
-		if m := d.state.Machines.Get(id); !m.Terminating {
-			d.log.Info("return", "machine", id, "type", m.TypeName, "spot", m.Spot, "draining", m.DrainReason, "failed", m.Failed, "age", time.Since(m.FirstSeen))
+		if m := s.state.Machines.Get(id); !m.Terminating {
+			s.log.Info("machine termination requested", "machine", id, "type", m.TypeName, "spot", m.Spot, "drain_reason", m.DrainReason, "failed", m.Failed, "age", time.Since(m.FirstSeen))
 			m.Terminating = true
-			d.markMachine(m)
+			s.markMachine(m)
 		}
 	}
-	d.onCommit(func(err error) {
+	s.onCommit(func(err error) {
 		if err == nil {
-			d.autoscaler.Terminate(ids)
+			s.autoscaler.Terminate(ids)
 		}
 	})
 }
--- a/internal/scheduler/fleet_messages.go
+++ b/internal/scheduler/fleet_messages.go
@@ -22,44 +22,44 @@
 )
 
 // HandleMachineTypes is part of autoscaling.Scheduler.
-func (d *scheduler) HandleMachineTypes(types []storage.MachineType) {
-	d.post(machineTypesMessage{types})
+func (s *scheduler) HandleMachineTypes(types []storage.MachineType) {
+	s.post(machineTypesMessage{types})
 }
 
 // HandleMachineList is part of autoscaling.Scheduler.
-func (d *scheduler) HandleMachineList(machines []cloud.Machine) { d.post(machineListMessage{machines}) }
+func (s *scheduler) HandleMachineList(machines []cloud.Machine) { s.post(machineListMessage{machines}) }
 
 // HandleLaunched is part of autoscaling.Scheduler.
-func (d *scheduler) HandleLaunched(launch storage.LaunchRecord, machines []int) {
-	d.post(launchedMessage{launch, machines})
+func (s *scheduler) HandleLaunched(launch storage.LaunchRecord, machines []int) {
+	s.post(launchedMessage{launch, machines})
 }
 
 // HandleRejected is part of autoscaling.Scheduler.
-func (d *scheduler) HandleRejected(o cloud.Offering) { d.post(rejectedMessage{o}) }
+func (s *scheduler) HandleRejected(o cloud.Offering) { s.post(rejectedMessage{o}) }
 
 // HandleTerminated is part of autoscaling.Scheduler.
-func (d *scheduler) HandleTerminated(machines []int) { d.post(terminatedMessage{machines}) }
+func (s *scheduler) HandleTerminated(machines []int) { s.post(terminatedMessage{machines}) }
 
 // HandleSurplus is part of autoscaling.Scheduler.
-func (d *scheduler) HandleSurplus(m autoscaling.SurplusMachine) { d.post(surplusMessage{m}) }
+func (s *scheduler) HandleSurplus(m autoscaling.SurplusMachine) { s.post(surplusMessage{m}) }
 
-func (m machineTypesMessage) handle(d *scheduler) {
-	d.state.SetTypes(m.types)
-	d.markRecord(storage.MachineTypesKey, func() any { return m.types })
-	d.placementDue = true
+func (m machineTypesMessage) handle(s *scheduler) {
+	s.state.SetTypes(m.types)
+	s.markRecord(storage.MachineTypesKey, func() any { return m.types })
+	s.placementDue = true
 }
 
-func (m machineListMessage) handle(d *scheduler) { d.handleList(m.machines) }
+func (m machineListMessage) handle(s *scheduler) { s.handleList(m.machines) }
 
-func (m launchedMessage) handle(d *scheduler) { d.handleLaunched(m) }
+func (m launchedMessage) handle(s *scheduler) { s.handleLaunched(m) }
 
-func (m rejectedMessage) handle(d *scheduler) { d.reviewer.NoteRejected(m.offering, time.Now()) }
+func (m rejectedMessage) handle(s *scheduler) { s.reviewer.NoteRejected(m.offering, time.Now()) }
 
-func (m terminatedMessage) handle(d *scheduler) {
+func (m terminatedMessage) handle(s *scheduler) {
 	for _, id := range m.machines {
-		d.removeMachine(id, "terminated")
-		d.terminated[id] = true
+		s.removeMachine(id, "terminated")
+		s.terminated[id] = true
 	}
 }
 
-func (m surplusMessage) handle(d *scheduler) { d.drainSurplus(m.surplus) }
+func (m surplusMessage) handle(s *scheduler) { s.drainSurplus(m.surplus) }
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -12,22 +12,20 @@
 	"sagevale/internal/worker"
 )
 
-// Every worker's report passes the forwarder of the node that it reaches. It
-// hands the report to whoever leads: to this node's own dispatcher, in batches
-// to the leader over the peer link, or through the relay where only the state service
-// leads there. The worker's answer is always the leader's own, under its token,
-// so leases go on counting from the leader's answers. Only while no leader can
-// be reached the forwarder answers alone, within what the last one delegated it: see
-// delegation.go.
+// Every worker's heartbeat passes the forwarder of the controller that it reaches. The forwarder passes it to the leader:
+// to the scheduler of its own controller, in batches over the peer link, or through the relay if only the key-value store
+// reaches the leader. The worker always gets the leader's own response under the leader's token, so leases count from the
+// leader's responses. Only while no leader can be reached the forwarder responds itself, within the last leader's
+// delegation: see delegation.go.
 
 const (
-	// maxBatchReports is how many reports one batch for the leader holds.
+	// maxBatchReports is how many heartbeats one batch for the leader holds.
 	maxBatchReports = 128
-	// workerMemoryLeases is how long a silent worker is remembered, in leases.
+	// workerMemoryLeases is how long a silent worker is remembered, in worker leases.
 	workerMemoryLeases = 2
 )
 
-// forwarder is the actor of the reports that reach this node.
+// forwarder is the actor that receives the heartbeats that reach this controller.
 type forwarder struct {
 	node          *Node
 	settings      *config.Settings
@@ -35,34 +33,33 @@
 	decided       chan decidedBatch
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
-	pending       []pendingReport // gathers for the leader
-	leader        string          // the leader that it gathers for
+	pending       []pendingReport // the next batch
+	leader        string          // to which the next batch goes
 	flush         <-chan time.Time
 	affinity      affinity
 	delegation    delegation
-	lastHeartbeat clock.AtomicTime // when a worker last reported here
-	lastDelegated clock.AtomicTime // when this node last renewed a lease alone
-	lastProbe     clock.AtomicTime // when the load balancer last asked
+	lastHeartbeat clock.AtomicTime // when the last heartbeat arrived here
+	lastDelegated clock.AtomicTime // when this controller last renewed a lease under a delegation
+	lastProbe     clock.AtomicTime // when the load balancer last probed
 }
 
-// knownWorker is what is remembered of a worker that reports here.
+// knownWorker is what is remembered of a worker that sends its heartbeats here.
 type knownWorker struct {
 	incarnation, seq uint64
-	digest           uint64    // of the last report that the leader answered
-	lastAcknowledged time.Time // when a report of its was last answered 200
+	digest           uint64    // of the last heartbeat that the leader accepted
+	lastAcknowledged time.Time // when its lease was last renewed
 	lastSeen         time.Time
-	redirected       time.Time
+	redirected       time.Time // when it was last sent to another controller
 }
 
-// pendingReport is a report on its way.
+// pendingReport is a heartbeat that waits for its response.
 type pendingReport struct {
 	report *worker.Report
-	ctx    context.Context
 	digest uint64
 	reply  chan worker.HeartbeatResponse
 }
 
-// decidedBatch is what became of a batch; without answers nobody decided on it.
+// decidedBatch is a batch with the responses of the leader; without responses no leader decided on it.
 type decidedBatch struct {
 	reports   []pendingReport
 	responses []worker.HeartbeatResponse
@@ -75,10 +72,10 @@
 	}
 }
 
-// heartbeat takes in a report and returns its answer. What can't be taken is
-// answered at once.
+// heartbeat returns the response to a worker's heartbeat. It may be called from any goroutine. A full queue is answered at
+// once.
 func (c *forwarder) heartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
-	p := pendingReport{report: r, ctx: ctx, reply: make(chan worker.HeartbeatResponse, 1)}
+	p := pendingReport{report: r, reply: make(chan worker.HeartbeatResponse, 1)}
 	select {
 	case c.in <- p:
 	default:
@@ -92,6 +89,7 @@
 	}
 }
 
+// run forwards heartbeats until ctx ends.
 func (c *forwarder) run(ctx context.Context) {
 	sweep := time.NewTicker(c.settings.WorkerLease)
 	defer sweep.Stop()
@@ -115,7 +113,7 @@
 	}
 }
 
-// sweep forgets the workers that report here no longer.
+// sweep forgets the workers whose heartbeats no longer arrive here.
 func (c *forwarder) sweep(now time.Time) {
 	for id, known := range c.workers {
 		if now.Sub(known.lastSeen) > workerMemoryLeases*c.settings.WorkerLease {
@@ -124,7 +122,7 @@
 	}
 }
 
-// accept sends one report on its way.
+// accept redirects a worker, or passes its heartbeat on towards the leader.
 func (c *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
 	c.lastHeartbeat.Mark(now)
@@ -148,15 +146,14 @@
 	case leader == "" || leader == c.settings.NodeName:
 		c.answerDelegated(p, now)
 	case c.node.deps.Peers.UnreachableFor(leader) > 0:
-		// Naming a leader that is out of reach would cost the worker seconds
-		// of its lease.
+		// Redirecting the worker to an unreachable leader would cost it seconds of its lease.
 		go c.decide(ctx, []pendingReport{p}, c.node.relay.HandleHeartbeats)
 	default:
 		c.enqueue(ctx, p, leader)
 	}
 }
 
-// enqueue adds a report to the batch for the leader.
+// enqueue adds a heartbeat to the batch for the leader.
 func (c *forwarder) enqueue(ctx context.Context, p pendingReport, leader string) {
 	if c.leader != leader {
 		c.send(ctx)
@@ -170,37 +167,37 @@
 	}
 }
 
-// send hands the batch to the leader.
+// send sends the batch to the leader.
 func (c *forwarder) send(ctx context.Context) {
 	batch, leader := c.pending, c.leader
 	c.pending, c.flush = nil, nil
 	if len(batch) > 0 {
 		go c.decide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
-			answers, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
+			responses, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
-				return nil
+				return nil // no leader decided on them
 			}
-			return answers
+			return responses
 		})
 	}
 }
 
-// decide asks for the answers to a batch and brings them back to the actor.
-func (c *forwarder) decide(ctx context.Context, batch []pendingReport, ask func(context.Context, []*worker.Report) []worker.HeartbeatResponse) {
-	actx, cancel := context.WithTimeout(ctx, relay.Timeout)
+// decide requests the responses to a batch and returns them to the actor.
+func (c *forwarder) decide(ctx context.Context, batch []pendingReport, request func(context.Context, []*worker.Report) []worker.HeartbeatResponse) {
+	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
 	for _, p := range batch {
 		reports = append(reports, p.report)
 	}
 	select {
-	case c.decided <- decidedBatch{batch, ask(actx, reports)}:
+	case c.decided <- decidedBatch{batch, request(requestCtx, reports)}:
 	case <-ctx.Done():
 	}
 }
 
-// handleDecided passes the leader's answers on to the workers. A report on which
-// nobody has decided may be answered alone.
+// handleDecided passes the leader's responses on to the workers. Heartbeats that no leader decided on may be answered under
+// a delegation.
 func (c *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
 	for i, p := range d.reports {
@@ -216,12 +213,12 @@
 	}
 }
 
-// stale tells whether a report is a late copy of what was answered already.
+// stale reports whether a heartbeat is a late copy of one that was answered already.
 func (known *knownWorker) stale(r *worker.Report) bool {
 	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
 
-// digest sums up what a report tells, but for its number.
+// digest is a hash of the state in a heartbeat, without its number.
 func (c *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
 	h.SetSeed(c.seed)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,19 +9,18 @@
 	"sagevale/internal/worker"
 )
 
-// A gang's tasks run at the same time or not at all. The workers find each other
-// by the number of the attempt, so all tasks of one attempt share it. All hold
-// booked room, durably, before any is started. Until they run, a task that is lost
-// is replaced under the same number; from then on a loss ends the attempt, and the
-// next one begins once every task of it is proved gone.
+// Gang scheduling: a gang's tasks run at the same time or not at all. The workers find each other by the number of the
+// attempt, so all tasks of one attempt share it. Resources of all of them are durably reserved before any is started.
+// Until the gang runs, a task that is lost is replaced under the same number. After that a loss ends the attempt, and
+// the next one begins once every task of it is proved to be gone.
 
-// gatherPatience of gang_wait_s is how long the others wait for a task before it is
-// looked for elsewhere; it then has as long again, and more, to come.
+// gatherPatience is the part of the settings' GangWait for which the others wait for a task before it is started
+// elsewhere. The replacement has the rest of it to come.
 const gatherPatience = 0.4
 
-// gangTaskLost takes in that a task of a gang is gone, and why; what is left of an attempt
-// that ran is stopped at once, for its progress since the last save is gangTaskLost.
-func (d *scheduler) gangTaskLost(a *cluster.Attempt) {
+// gangTaskLost handles the loss of a gang's task. The other tasks of an attempt that ran are stopped at once, because
+// its progress since the last checkpoint is lost.
+func (s *scheduler) gangTaskLost(a *cluster.Attempt) {
 	j := a.Job
 	if len(j.Attempts) == 0 {
 		j.Gang = cluster.Gang{}
@@ -37,91 +36,89 @@
 		j.Gang.Failed = true
 	}
 	if j.Gang.Failed && j.Waiting > 0 {
-		d.abortGang(j)
+		s.abortGang(j)
 	}
 }
 
 // abortGang ends what is left of a gang's attempt.
-func (d *scheduler) abortGang(j *cluster.Job) {
+func (s *scheduler) abortGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && (!a.Stopping || a.GraceSeconds > 0) {
 			a.StopCommanded = false
-			d.stopAttempt(a, 0)
+			s.stopAttempt(a, 0)
 		}
 	}
-	d.commandStopsOf(j)
+	s.commandStopsOf(j)
 }
 
-// stopGang stops all tasks of a gang so that it saves its progress: all are told
-// within gang_peer_s of the first, directly, and again with their reports.
-func (d *scheduler) stopGang(j *cluster.Job) {
+// stopGang stops all tasks of a gang so that it saves a checkpoint. That takes all of them to be told within
+// gang_peer_s of the first: by direct commands, repeated in the responses to heartbeats.
+func (s *scheduler) stopGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && !a.Stopping {
-			d.stopAttempt(a, j.Spec.SaveS)
+			s.stopAttempt(a, j.Spec.SaveS)
 		}
 	}
-	d.commandStopsOf(j)
+	s.commandStopsOf(j)
 }
 
-// commandStopsOf tells the workers of a job's tasks directly what to stop.
-func (d *scheduler) commandStopsOf(j *cluster.Job) {
-	told := make(map[*cluster.Machine]bool)
+// commandStopsOf sends the workers of a gang's tasks their stops directly.
+func (s *scheduler) commandStopsOf(j *cluster.Job) {
+	commanded := make(map[*cluster.Machine]bool)
 	for _, a := range j.GangAttempts() {
-		if !told[a.Machine] {
-			told[a.Machine] = true
-			d.commandStops(a.Machine)
+		if !commanded[a.Machine] {
+			commanded[a.Machine] = true
+			s.commandStops(a.Machine)
 		}
 	}
 }
 
-// completeGang makes all tasks of a gang done, for one of them is: they complete
-// together.
-func (d *scheduler) completeGang(j *cluster.Job) {
+// completeGang marks all tasks of a gang as done because one of them is: they complete together.
+func (s *scheduler) completeGang(j *cluster.Job) {
 	for i := range j.Tasks {
 		j.SetTask(i, cluster.TaskDone)
 		if i%storage.PageTasks == 0 {
-			d.markPage(j, i)
+			s.markPage(j, i)
 		}
 	}
 }
 
-// drainGang sees to a gang's task on a machine that is drained. It may finish,
-// unless the machine is being taken: then it is replaced while its gang waits to
-// run, and saves where there is time for that. Otherwise it goes on: another save
-// point may be reached.
-func (d *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
+// drainGang handles a gang's task on a draining machine. It may finish, unless the machine is preempted before that:
+// then it is replaced if its gang hasn't run yet, and else the gang saves a checkpoint if there is time for that.
+// Without the time it runs on, because it may still reach its next checkpoint.
+func (s *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if m.PreemptionAt.IsZero() {
 		return
 	}
 	if !j.Gang.Started {
-		d.stopAttempt(a, 0)
+		s.stopAttempt(a, 0)
 		return
 	}
 	if j.Spec.CheckpointS <= 0 {
 		return
 	}
 	left := m.PreemptionAt.Sub(now)
-	ends := clock.Seconds(d.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
-	if ends > left && clock.Seconds(j.Spec.SaveS)+d.settings.HeartbeatInterval/2 < left && d.GangReachable(j, now) {
-		d.stopGang(j)
+	ends := clock.Seconds(s.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
+	if ends > left && clock.Seconds(j.Spec.SaveS)+s.settings.HeartbeatInterval/2 < left && s.GangReachable(j, now) {
+		s.stopGang(j)
 	}
 }
 
-// replaceStalledGangTasks looks for tasks that keep the others of their gang waiting, on
-// machines that hang or fetch for too long, and has them start elsewhere.
-func (d *scheduler) replaceStalledGangTasks(now time.Time) {
-	patience := clock.Scale(d.settings.GangWait, gatherPatience)
-	for _, j := range d.state.Jobs.Open {
+// replaceStalledGangTasks restarts elsewhere the tasks that keep the others of their gang waiting, on machines that
+// hang or pull an image for too long.
+func (s *scheduler) replaceStalledGangTasks(now time.Time) {
+	patience := clock.Scale(s.settings.GangWait, gatherPatience)
+	for _, j := range s.state.Jobs.Open {
 		if !j.Spec.Gang || j.Phase != storage.Open || patience <= 0 || !j.GangCompletable() || j.GatherTime(now) < patience {
 			continue
 		}
 		for _, a := range j.GangAttempts() {
 			if j.Attempts[a.Task] == a && a.State != worker.Gathering && now.Sub(a.ReservedAt) > patience {
-				d.log.Info("a gang's task doesn't come", "job", j.Spec.ID, "task", a.Task, "machine", a.Machine.ID)
-				d.stopAttempt(a, 0)
+				s.log.Info("gang task stalled", "job", j.Spec.ID, "task", a.Task, "machine", a.Machine.ID)
+				s.stopAttempt(a, 0)
 			}
 		}
-		d.commandJobStops(j)
+		s.commandJobStops(j)
 	}
 }
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -12,53 +12,53 @@
 	"sagevale/internal/upgrade"
 )
 
-// mayUse tells whether something new may depend on a gate. An open gate is taken into use
-// before its first dependant is made, so that no version that lacks it can lead then.
-func (d *scheduler) mayUse(name upgrade.GateName) bool {
-	gate := d.gates.Gate(name)
+// mayUse reports whether something new may depend on a gate. An open gate is marked as used before anything depends on it,
+// so that no version without the feature can lead from then on.
+func (s *scheduler) mayUse(name upgrade.GateName) bool {
+	gate := s.gates.Gate(name)
 	if gate.Phase == upgrade.GateOpen && !gate.Used {
-		d.requestGate(name)
+		s.requestGate(name)
 	}
 	return gate.Usable()
 }
 
-// gateWaiter is a submission whose acceptance hangs on the use of a gate being durable.
+// gateWaiter is a submission that waits for the use of a gate to be durable.
 type gateWaiter struct {
 	msg   userMessage
 	since time.Time
 }
 
-// awaitGate keeps a submission until the use of an open gate is durable, as it would wait
-// for a commit. Where the gate is closed its user is told at once to come back.
-func (d *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
-	if d.gates.Gate(name).Phase != upgrade.GateOpen {
+// awaitGate has a submission wait until the use of an open gate is durable, as it would wait for a commit. If the gate is
+// closed its user is told at once to retry.
+func (s *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
+	if s.gates.Gate(name).Phase != upgrade.GateOpen {
 		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
 		return
 	}
-	d.gateWaiters = append(d.gateWaiters, gateWaiter{m, now})
+	s.gateWaiters = append(s.gateWaiters, gateWaiter{m, now})
 }
 
-// setGates takes in what is in force, and goes on with what waited for it.
-func (d *scheduler) setGates(record upgrade.Record) {
-	d.gates = record
-	d.useArchive()
-	d.activation.setGate(record.Gate(upgrade.Activation))
-	waiting := d.gateWaiters
-	d.gateWaiters = nil
+// setGates updates the gates in force, and handles the submissions that waited for them.
+func (s *scheduler) setGates(record upgrade.Record) {
+	s.gates = record
+	s.useArchive()
+	s.activation.setGate(record.Gate(upgrade.Activation))
+	waiting := s.gateWaiters
+	s.gateWaiters = nil
 	for _, w := range waiting {
-		kept := len(d.gateWaiters)
-		d.handleUser(w.msg)
-		if len(d.gateWaiters) > kept {
-			d.gateWaiters[kept].since = w.since // it waits on
+		kept := len(s.gateWaiters)
+		s.handleUser(w.msg)
+		if len(s.gateWaiters) > kept {
+			s.gateWaiters[kept].since = w.since // it keeps waiting
 		}
 	}
 }
 
-// failGateWaiters tells those to come back who have waited for a gate for too long; all of
-// them if the lead isn't certain.
-func (d *scheduler) failGateWaiters(now time.Time) {
-	d.gateWaiters = slices.DeleteFunc(d.gateWaiters, func(w gateWaiter) bool {
-		late := !d.leaseValid(now) || now.Sub(w.since) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
+// failGateWaiters tells users to retry who have waited for a gate for too long, or all of them if this controller isn't
+// certainly the leader.
+func (s *scheduler) failGateWaiters(now time.Time) {
+	s.gateWaiters = slices.DeleteFunc(s.gateWaiters, func(w gateWaiter) bool {
+		late := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
 		if late {
 			w.msg.reply <- api.Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
@@ -66,7 +66,7 @@
 	})
 }
 
-// encodingOf is what the journal may write under a cluster record.
+// encodingOf is the encoding that the journal may write under a cluster record.
 func encodingOf(record upgrade.Record) storage.Encoding {
 	gate := record.Gate(upgrade.CompressedChunks)
 	switch {
@@ -78,11 +78,11 @@
 	return storage.PlainOnly
 }
 
-// errTermEnded says that the leader's actors have stopped.
+// errTermEnded: the leader's actors have stopped.
 var errTermEnded = errors.New("the term has ended")
 
-// termGates publishes what is in force to one term's actors. Each confirms it before
-// what depends on a gate is counted, so nothing can be missed.
+// termGates publishes the gates in force to one term's actors. Each confirms them before uses are counted, so that no use
+// is missed. It implements upgradecontrol.GateUsers.
 type termGates struct {
 	scheduler *scheduler
 	journal   *storage.Journal
@@ -129,13 +129,13 @@
 	if uses.archive {
 		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
 	}
-	if uses.archiving { // what is offered may not be counted yet
+	if uses.archiving { // the batch may not be counted yet
 		usage[upgrade.JobArchive]++
 	}
 	return usage, err
 }
 
-// gatesMessage tells what is in force.
+// gatesMessage is a change of the gates in force.
 type gatesMessage struct {
 	record upgrade.Record
 	reply  chan gateUses
@@ -144,17 +144,17 @@
 // gateUses is what the scheduler knows to depend on gates.
 type gateUses struct {
 	openGangs  int
-	archive    bool // jobs may be archived: the archive itself is to be counted
-	archiving  bool // jobs are on their way there
+	archive    bool // jobs may be archived, so the archive has to be counted
+	archiving  bool // a batch of jobs is being archived
 	lifecycles int  // records of services that scale to zero
 }
 
-func (m gatesMessage) handle(d *scheduler) {
-	d.setGates(m.record)
+func (m gatesMessage) handle(s *scheduler) {
+	s.setGates(m.record)
 	m.reply <- gateUses{
-		openGangs:  d.state.Jobs.OpenGangs(),
-		archive:    d.archiveUsed,
-		archiving:  d.archiving,
-		lifecycles: d.activation.uses(),
+		openGangs:  s.state.Jobs.OpenGangs(),
+		archive:    s.archiveUsed,
+		archiving:  s.archiving,
+		lifecycles: s.activation.uses(),
 	}
 }
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -208,7 +208,7 @@
 		d := newTestDispatcher(t, s)
 		m := d.up(7, "cpu", "a", false)
 		for i := range 12 {
-			d.failed(d.accept(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
+			d.recordFailure(d.accept(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
 			d.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.QuarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -6,32 +6,30 @@
 	"sagevale/internal/cluster"
 )
 
-// expireLeases frees the attempts on machines whose lease has surely ended, and
-// gives up starts that no worker takes.
-func (d *scheduler) expireLeases(now time.Time) {
-	for _, m := range d.state.Machines.InOrder() {
+// expireLeases removes the attempts on machines whose leases have provably expired.
+func (s *scheduler) expireLeases(now time.Time) {
+	for _, m := range s.state.Machines.InOrder() {
 		if !m.Confirmed && len(m.Attempts) == 0 {
 			continue
 		}
-		if now.Before(d.provenEmptyAt(m)) {
+		if now.Before(s.provenEmptyAt(m)) {
 			continue
 		}
-		d.log.Info("lease surely ended", "machine", m.ID, "attempts", len(m.Attempts))
+		s.log.Info("worker lease expired", "machine", m.ID, "attempts", len(m.Attempts))
 		for _, a := range m.SortedAttempts() {
-			d.removeAttempt(a, "its lease has surely ended")
+			s.removeAttempt(a, "worker lease expired")
 		}
-		// The next report comes under a later session.
+		// The worker's next report has a later incarnation.
 		m.Confirmed, m.ExpiredIncarnation = false, m.Incarnation
 	}
 }
 
-// provenEmptyAt is when a machine that stays silent has surely lost its lease. Until
-// it has heard our token, an earlier leader, or a peer with a delegation of that one,
-// may have been renewing it.
-func (d *scheduler) provenEmptyAt(m *cluster.Machine) time.Time {
-	bound := d.delegatedLeaseBound(m)
+// provenEmptyAt is the time by which the lease of a machine that stays silent has expired for certain. Until the machine
+// has reported our token, an earlier leader, or a peer under that one's delegation, may have renewed it.
+func (s *scheduler) provenEmptyAt(m *cluster.Machine) time.Time {
+	bound := s.delegatedLeaseBound(m)
 	if !m.Confirmed {
-		if b := d.termStarted.Add(d.settings.UnconfirmedLeaseBound()); b.After(bound) {
+		if b := s.termStarted.Add(s.settings.UnconfirmedLeaseBound()); b.After(bound) {
 			return b
 		}
 	}
--- a/internal/scheduler/messages.go
+++ b/internal/scheduler/messages.go
@@ -7,27 +7,27 @@
 	"sagevale/internal/leadership"
 )
 
-// message is what the scheduler is told. Each type has one handler, which runs in the scheduler's goroutine.
+// message is a message to the scheduler. Its handler runs in the scheduler's goroutine.
 type message interface {
-	handle(d *scheduler)
+	handle(s *scheduler)
 }
 
 // Errors of calling the scheduler.
 var (
-	// errMailboxFull: too many requests wait; it was not asked.
+	// errMailboxFull: too many messages wait, and this one was not sent.
 	errMailboxFull = errors.New("too much asked at once")
-	// errSteppingDown: the term has ended; it may have been decided.
+	// errSteppingDown: the term has ended; the message may have been handled.
 	errSteppingDown = errors.New("leader is stepping down")
-	// errDeadline: the caller's time ran out; it may yet be decided.
+	// errDeadline: the caller's deadline has passed; the message may still be handled.
 	errDeadline = errors.New("not decided in time")
 )
 
 // call sends the scheduler a message and waits for the reply to it. A full mailbox fails at once.
-func call[Reply any](ctx context.Context, d *scheduler, m message, reply <-chan Reply) (Reply, error) {
+func call[Reply any](ctx context.Context, s *scheduler, m message, reply <-chan Reply) (Reply, error) {
 	var none Reply
 	select {
-	case d.mailbox <- m:
-	case <-d.closed:
+	case s.mailbox <- m:
+	case <-s.closed:
 		return none, errSteppingDown
 	default:
 		return none, errMailboxFull
@@ -35,30 +35,31 @@
 	select {
 	case r := <-reply:
 		return r, nil
-	case <-d.closed:
+	case <-s.closed:
 		return none, errSteppingDown
 	case <-ctx.Done():
 		return none, errDeadline
 	}
 }
 
-// post sends a message that must not be lost. The mailbox is large, and an ended scheduler takes nothing.
-func (d *scheduler) post(m message) {
+// post sends a message that must not be lost, and blocks while the mailbox is full. Messages to a scheduler that has
+// ended are dropped.
+func (s *scheduler) post(m message) {
 	select {
-	case d.mailbox <- m:
-	case <-d.closed:
+	case s.mailbox <- m:
+	case <-s.closed:
 	}
 }
 
 // close ends the waiting of all who call the scheduler.
-func (d *scheduler) close() { close(d.closed) }
+func (s *scheduler) close() { close(s.closed) }
 
-// roleMessage tells of a change of our role.
+// roleMessage is a change of this controller's role.
 type roleMessage struct{ role leadership.Role }
 
-// handle ignores a renewal that was under way when we resigned: the lease may be revoked at any moment.
-func (m roleMessage) handle(d *scheduler) {
-	if !d.resigned {
-		d.setRole(m.role)
+// handle ignores a renewal that was in flight when leadership was resigned: the lease may be revoked at any moment.
+func (m roleMessage) handle(s *scheduler) {
+	if !s.resigned {
+		s.setRole(m.role)
 	}
 }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -26,22 +26,25 @@
 	"sagevale/internal/worker"
 )
 
-// writeShare of the leader's grant is how long the journal waits for an answer
-// before it asks again: answers come within a tenth of that, and asking twice is
-// harmless.
+// writeShare is the journal's request timeout as a share of the leader's lease. Responses usually come within a tenth of
+// that, and retries are idempotent.
 const writeShare = 0.2
 
-// Dependencies are the outside parts that a node speaks to.
+// roleQueue is how many changes of the role may wait to be followed.
+const roleQueue = 16
+
+// Dependencies are the external systems that a node speaks to, and its sources of log and chance.
 type Dependencies struct {
 	State   storage.KeyValueStore
-	Cloud   Cloud
+	Cloud   autoscaling.Cloud
 	Workers WorkerLink
 	Peers   PeerLink
 	Log     *slog.Logger
 	Rand    *rand.Rand
 }
 
-// Node is one controller: it follows or leads, and answers users and workers.
+// Node is one controller: it follows or leads, and answers users and workers. Its methods may be called from any
+// goroutine.
 type Node struct {
 	settings     *config.Settings
 	deps         Dependencies
@@ -55,17 +58,17 @@
 	view         atomic.Pointer[view] // published by the node's own goroutine
 }
 
-// view is what request handlers need to know, replaced as a whole.
+// view is what request handlers need to know. It is immutable and replaced as a whole.
 type view struct {
 	role      leadership.Role
 	scheduler *scheduler // only while leading with the state loaded
 }
 
-// NewNode makes a node; Run starts it.
+// NewNode returns a controller; Run starts it.
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
-	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, 16)}
+	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, roleQueue)}
 	process := fmt.Sprintf("%016x", deps.Rand.Uint64())
 	n.registrar = leadership.NewRegistrar(deps.State, s, process, deps.Log)
 	n.election = leadership.New(leadership.Config{
@@ -79,7 +82,7 @@
 	return n
 }
 
-// Run serves until ctx ends.
+// Run runs the controller's actors until ctx ends, and returns the first error of one of them.
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	publish := func(r leadership.Role) {
@@ -97,7 +100,7 @@
 	return g.Wait()
 }
 
-// follow turns changes of role into terms begun and ended.
+// follow begins a term when this controller becomes the leader, and ends it when it no longer is.
 func (n *Node) follow(ctx context.Context) {
 	var end context.CancelFunc
 	var leading *scheduler
@@ -117,7 +120,7 @@
 		case d := <-loaded:
 			cur := n.view.Load()
 			if end == nil || !cur.role.Leading || cur.role.Term != d.term {
-				continue // of a term that is over; the present one stays
+				continue // it belongs to a term that is over
 			}
 			leading, role = d, cur.role
 		case role = <-n.roles:
@@ -135,6 +138,7 @@
 	}
 }
 
+// publish replaces the view of the request handlers, and tells the scheduler its role.
 func (n *Node) publish(role leadership.Role, leading *scheduler) {
 	if leading != nil && leading.term != role.Term {
 		leading = nil
@@ -152,14 +156,14 @@
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
 	if err != nil {
 		if ctx.Err() == nil {
-			log.Error("state not loaded", "err", err)
+			log.Error("state loading failed", "error", err)
 			n.resign(role.Term)
 		}
 		return
 	}
 	d, err := newScheduler(n.settings, n.deps, role, journal, n.election.Resign, log)
 	if err != nil {
-		log.Error("state not understood", "err", err)
+		log.Error("state decoding failed", "error", err)
 		n.resign(role.Term)
 		return
 	}
@@ -172,7 +176,8 @@
 	n.beginArchive(ctx, d, role)
 	journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	journal.SetEncoding(encodingOf(role.Cluster.Record))
-	log.Info("take-over", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(), "attempts", d.state.Reservations.Attempts(), "took", time.Since(started))
+	log.Info("failover complete", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(),
+		"attempts", d.state.Reservations.Attempts(), "duration", time.Since(started))
 	g, gctx := errgroup.WithContext(ctx)
 	background, waitForCalls := backgroundCalls(gctx)
 	d.background = background // before any of the actors can speak to another
@@ -199,28 +204,28 @@
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
 	case errors.Is(err, storage.ErrLeadershipLost):
-		log.Info("term ended", "err", err) // a successor leads, or will
+		log.Info("term ended", "error", err) // a successor leads, or will
 		n.resign(role.Term)
 	default:
-		log.Error("term ended", "err", err)
+		log.Error("term ended", "error", err)
 		n.resign(role.Term)
 	}
 }
 
-// beginArchive has the archive's pages be read for a term, if there may be any.
-func (n *Node) beginArchive(ctx context.Context, d *scheduler, role leadership.Role) {
-	d.archive = n.archive
-	if d.archiveUsed || n.settings.Tuning.Archive.Enabled {
+// beginArchive has the archive's pages read for a term, if there may be any.
+func (n *Node) beginArchive(ctx context.Context, s *scheduler, role leadership.Role) {
+	s.archive = n.archive
+	if s.archiveUsed || n.settings.Tuning.Archive.Enabled {
 		n.archive.BeginTerm(ctx, archive.Leadership{Term: role.Term, Guard: role.Guard})
 	}
 }
 
-// resign asks the leadership to end a term, unless it is ending anyway.
+// resign has the election give up the leadership of a term, if it still holds it.
 func (n *Node) resign(term uint64) {
 	n.election.Resign(leadership.Resignation{Term: term})
 }
 
-// Role names what this node does at present, for operators.
+// Role describes what this controller does at present, for operators.
 func (n *Node) Role() string {
 	v := n.view.Load()
 	switch {
@@ -234,10 +239,9 @@
 	return "without a leader"
 }
 
-// Ready tells whether users should be sent here: not where a leader lives but is
-// out of reach, nor where this node neither leads for certain nor reaches any
-// other. While nobody leads all nodes that see each other are as good. That the
-// load balancer asks is noted, for it tells that this node isn't cut off.
+// Ready reports whether the load balancer should send users here: not if there is a leader that this controller can't
+// reach, and not if it is neither certainly the leader nor reaches any other controller. While nobody leads, all
+// controllers that reach each other are as good. Each call also shows that this controller isn't cut off from users.
 func (n *Node) Ready() bool {
 	n.forwarder.lastProbe.Mark(time.Now())
 	v := n.view.Load()
@@ -256,17 +260,17 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader is who leads, first-hand or, where that is later, by the status of the
-// peers: this node alone may have lost the state service.
+// leader returns the leader that this controller knows of, or that its peers tell of if that has a later term: this
+// controller alone may have lost the key-value store.
 func (n *Node) leader(v *view) (name string, term uint64) {
 	name, term = v.role.Leader, v.role.Term
-	if told, t := n.deps.Peers.KnownLeader(); t > term && told != n.settings.NodeName {
-		return told, t
+	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > term && peersLeader != n.settings.NodeName {
+		return peersLeader, peersTerm
 	}
 	return name, term
 }
 
-// HandleUserRequest answers a user's request here, if this node leads, or by the leader.
+// HandleUserRequest answers a user's request: itself as the leader, else from the archive or through the leader.
 func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
@@ -279,40 +283,45 @@
 	if leader == "" || leader == n.settings.NodeName {
 		return api.Unavailable(req.ID, "no leader yet")
 	}
-	asked := time.Now()
-	var a api.Response
+	return n.forwardUserRequest(ctx, leader, req)
+}
+
+// forwardUserRequest has the leader answer a user's request, and drops its response if that isn't valid any more.
+func (n *Node) forwardUserRequest(ctx context.Context, leader string, req api.Request) api.Response {
+	sent := time.Now()
+	var response api.Response
 	if n.useRelay(leader) {
-		// The leader's answer was carried by a transaction that its key guards,
-		// so only what changes from poll to poll can be outdated.
-		if a = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
-			return a
+		// The leader's key guarded the transaction that carried its response, so only a job's state, which polls ask
+		// for, can be outdated.
+		if response = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
+			return response
 		}
 	} else {
 		var err error
-		if a, err = n.deps.Peers.Forward(ctx, leader, req); err != nil {
+		if response, err = n.deps.Peers.Forward(ctx, leader, req); err != nil {
 			return api.Unavailable(req.ID, "leader out of reach")
 		}
 	}
-	if a.ValidFor > 0 && !a.Final() && time.Since(asked) > clock.Scale(a.ValidFor, 1/clock.DriftBound) {
+	if response.ValidFor > 0 && !response.Final() && time.Since(sent) > clock.Scale(response.ValidFor, 1/clock.DriftBound) {
 		return api.Unavailable(req.ID, "the leader's answer came late")
 	}
-	return a
+	return response
 }
 
-// hearsState tells whether the state service has answered this node lately:
-// its leadership, or its relay while that leads to the leader.
-func (n *Node) hearsState() bool {
+// storeReachable reports whether the key-value store has answered this controller lately: its election, or its relay
+// while that is in use.
+func (n *Node) storeReachable() bool {
 	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
 	return since < relay.Timeout+n.settings.Tuning.LeaderLease
 }
 
-// useRelay tells whether the leader lives, for its key outlasts its grant's
-// life, and yet can't be reached: then only the state service leads to it.
+// useRelay reports whether the leader has to be reached through the key-value store: it has been unreachable for longer
+// than its lease lasts, and still holds its key.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
 
-// HandleForwardedRequest answers a request that another node forwarded.
+// HandleForwardedRequest answers a request that another controller forwarded.
 func (n *Node) HandleForwardedRequest(ctx context.Context, req api.Request) api.Response {
 	if req.Op == api.OpPing {
 		return api.Response{Peer: n.status(req.ID)}
@@ -323,8 +332,8 @@
 	return api.Unavailable(req.ID, "not the leader")
 }
 
-// status is what this node tells a peer of itself.
-func (n *Node) status(asker string) peer.Status {
+// status returns the status of this controller that it sends to a peer, with what it delegates to it.
+func (n *Node) status(peerName string) peer.Status {
 	v := n.view.Load()
 	st := n.election.Status()
 	st.Version = peer.Version
@@ -334,18 +343,18 @@
 	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(st.Uptime), n.forwarder.lastDelegated.Since(st.Uptime)
 	if v.scheduler != nil {
 		st.DelegationTerm = v.scheduler.term
-		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(asker)
+		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(peerName)
 	}
 	return st
 }
 
-// HandleHeartbeat answers a worker's report.
+// HandleHeartbeat answers a worker's heartbeat.
 func (n *Node) HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
 	return n.forwarder.heartbeat(ctx, r)
 }
 
-// HandleForwardedHeartbeats answers reports that another node hands on; nil means that this
-// node doesn't decide on them.
+// HandleForwardedHeartbeats answers heartbeats that another controller forwarded. It returns nil if this controller isn't
+// the leader.
 func (n *Node) HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.HandleHeartbeats(ctx, reports)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	// tickPerHeartbeat is the dispatcher's clock, in report intervals.
+	// tickPerHeartbeat is the scheduler's tick, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// snapshotPerHeartbeat is how often the fleet is reviewed, in report intervals.
+	// snapshotPerHeartbeat is the pause between two reviews of the fleet, in heartbeat intervals.
 	snapshotPerHeartbeat = 0.25
-	// snapshotPause is the least pause between two snapshots, in durations of one.
+	// snapshotPause is the least pause between two reviews of the fleet, in durations of one.
 	snapshotPause = 10
-	// stallPerHeartbeat is how long a commit may take, in report intervals,
-	// before those who wait for it are told to come back.
+	// stallPerHeartbeat is how long a commit may take, in heartbeat intervals, before users who wait for it are told
+	// to retry.
 	stallPerHeartbeat = 0.35
 	// attemptStride is how many attempts are numbered by each token of a term.
 	attemptStride = 1 << 24
@@ -69,7 +69,7 @@
 	pacing
 }
 
-// termState is the term and our role in it.
+// termState is the term and this controller's role in it.
 type termState struct {
 	term            uint64
 	tokens          fencing.Tokens // under which workers are commanded in this term
@@ -78,7 +78,7 @@
 	role            leadership.Role
 	resign          func(leadership.Resignation)
 	resigned        bool
-	leaseValidUntil atomic.Pointer[time.Time] // of the role, for those who pass answers on; read by any goroutine
+	leaseValidUntil atomic.Pointer[time.Time] // of the role; read by any goroutine that passes responses on
 }
 
 // gateState is which feature gates are in force.
@@ -88,23 +88,23 @@
 	gateWaiters []gateWaiter           // submissions that wait for it
 }
 
-// commitState is what is to become durable, and who waits for it.
+// commitState is what is to be committed, and who waits for it.
 type commitState struct {
 	journal          *storage.Journal
 	queue            *groupcommit.Queue
 	bulkPace         *groupcommit.BulkPacer
 	admission        *admission.Limiter
-	commitStarted    time.Time // of the commit under way; zero: none is
-	acceptedInCommit int       // submissions that it makes durable
+	commitStarted    time.Time // of the commit in flight; zero: none is
+	acceptedInCommit int       // submissions that it commits
 	waiters          []*waiter
 }
 
-// archiveState is what has become of the archive in this term.
+// archiveState is this term's view of the archive.
 type archiveState struct {
 	archive         *archive.Archiver
 	archiveUsed     bool // jobs may be archived
 	archiveCompared bool // the open jobs have been compared with it
-	archiving       bool // finished jobs are on their way to it
+	archiving       bool // a batch of finished jobs is being archived
 }
 
 // fleetState is what is known of the fleet beside its machines.
@@ -116,12 +116,12 @@
 	drainsRequested int
 }
 
-// commandState is what is under way to the workers.
+// commandState is what is in flight to the workers.
 type commandState struct {
-	tokenPending    []*cluster.Machine   // known at the failover and not yet told our fencing token
-	announcements   int                  // workers that are being told it
-	commandsFailing map[int]bool         // machines that report but execute no direct commands, since one last did
-	sinceHeartbeat  func() time.Duration // since a worker last reported to this controller
+	tokenPending    []*cluster.Machine   // known at the failover, to be sent this term's fencing token
+	announcements   int                  // token announcements in flight
+	commandsFailing map[int]bool         // machines that send heartbeats but execute no direct commands, since one last did
+	sinceHeartbeat  func() time.Duration // since this controller last received a heartbeat
 }
 
 // delegationState is the renewal of workers' leases by peers.
@@ -130,13 +130,15 @@
 	peerRenewals []peerRenewals
 }
 
-// pacing is when the scheduler does what costs much.
+// pacing limits how often the scheduler does expensive work.
 type pacing struct {
-	placementDue         bool // something has changed that placement should look at
+	placementDue         bool // something has changed that may let a task be placed
 	placementPausedUntil time.Time
 	nextSnapshot         time.Time // of the fleet
 }
 
+// newScheduler rebuilds the cluster state from the journal at the start of a term. It fails if a record can't be
+// decoded.
 func newScheduler(s *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal, resign func(leadership.Resignation), log *slog.Logger) (*scheduler, error) {
 	random := rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term))
 	tokens := fencing.TermTokens(role.Term)
@@ -174,32 +176,32 @@
 	return d, d.load(journal.Records())
 }
 
-// userRequest asks the dispatcher on behalf of a userRequest. A full mailbox is answered at
-// once.
-func (d *scheduler) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
+// HandleUserRequest answers a user's request. It may be called from any goroutine. If too many requests wait it responds
+// at once that the user has to retry.
+func (s *scheduler) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	asked := time.Now()
 	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetryS()}
-	if !d.admits(req.Op) {
+	if !s.admits(req.Op) {
 		return busy
 	}
 	reply := make(chan api.Response, 1)
-	a, err := call(ctx, d, userMessage{req: req, reply: reply}, reply)
+	a, err := call(ctx, s, userMessage{req: req, reply: reply}, reply)
 	switch {
 	case errors.Is(err, errMailboxFull):
 		return busy
 	case err != nil:
 		return api.Unavailable(req.ID, err.Error())
 	}
-	return d.withValidity(a, asked)
+	return s.withValidity(a, asked)
 }
 
-// withValidity bounds for how long an answer may be told that isn't final. This
-// process may have stood still since it was given.
-func (d *scheduler) withValidity(a api.Response, asked time.Time) api.Response {
+// withValidity limits for how long a response that isn't final may be passed on. This process may have been paused since
+// it was decided.
+func (s *scheduler) withValidity(a api.Response, asked time.Time) api.Response {
 	if a.Final() || !a.Decided() {
 		return a
 	}
-	certain := d.leaseValidUntil.Load()
+	certain := s.leaseValidUntil.Load()
 	if certain == nil || !time.Now().Before(*certain) {
 		return api.Unavailable(a.ID, "leadership not certain")
 	}
@@ -207,107 +209,105 @@
 	return a
 }
 
-// setRole takes in a change of our role.
-func (d *scheduler) setRole(r leadership.Role) {
-	d.role = r
-	d.leaseValidUntil.Store(&r.LeaseValidUntil)
+// setRole updates this controller's role.
+func (s *scheduler) setRole(r leadership.Role) {
+	s.role = r
+	s.leaseValidUntil.Store(&r.LeaseValidUntil)
 }
 
-// heartbeats hands workers' reports to the dispatcher; nil means that it doesn't
-// decide on them.
-func (d *scheduler) HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+// HandleHeartbeats answers workers' heartbeats. It may be called from any goroutine, and returns nil if nothing was
+// decided.
+func (s *scheduler) HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	reply := make(chan []worker.HeartbeatResponse, 1)
-	answers, err := call(ctx, d, heartbeatsMessage{reports, reply}, reply)
+	responses, err := call(ctx, s, heartbeatsMessage{reports, reply}, reply)
 	if err != nil {
 		return nil
 	}
-	return answers
+	return responses
 }
 
-// run works in rounds: it takes what has arrived, decides once for all of it,
-// and writes in one group what must be durable. The more arrives, the wider
-// the rounds.
-func (d *scheduler) run(ctx context.Context) error {
-	d.tokenPending = slices.Clone(d.state.Machines.InOrder())
-	d.announceTokens()
-	d.activation.resume(time.Now())
-	tick := time.NewTicker(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat))
+// run works in rounds until ctx ends: it handles all messages that have arrived, decides once for all of them, and
+// commits the results as a group. Under load the rounds get larger, not more.
+func (s *scheduler) run(ctx context.Context) error {
+	s.tokenPending = slices.Clone(s.state.Machines.InOrder())
+	s.announceTokens()
+	s.activation.resume(time.Now())
+	tick := time.NewTicker(clock.Scale(s.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
-	rest := time.NewTimer(0) // ends placement's rest
-	defer rest.Stop()
-	bulk := time.NewTimer(0) // ends the time for which bulk is held back
+	placementTimer := time.NewTimer(0) // ends the pause of placement
+	defer placementTimer.Stop()
+	bulk := time.NewTimer(0) // ends the throttling of the bulk lane
 	defer bulk.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			d.failWaiters(api.Unavailable("", "leader is stepping down"))
+			s.failWaiters(api.Unavailable("", "leader is stepping down"))
 			return ctx.Err()
-		case m := <-d.mailbox:
-			m.handle(d)
-			for n := len(d.mailbox); n > 0; n-- {
-				(<-d.mailbox).handle(d)
+		case m := <-s.mailbox:
+			m.handle(s)
+			for n := len(s.mailbox); n > 0; n-- {
+				(<-s.mailbox).handle(s)
 			}
 		case <-tick.C:
-			d.tick()
-		case <-rest.C:
+			s.tick()
+		case <-placementTimer.C:
 		case <-bulk.C:
 		}
-		d.publishDelegation(time.Now())
-		if d.placementDue {
-			d.placeIfDue(rest)
+		s.publishDelegation(time.Now())
+		if s.placementDue {
+			s.placeIfDue(placementTimer)
 		}
-		d.flush(ctx)
-		if again, held := d.bulkHeld(time.Now()); held {
-			bulk.Reset(again)
+		s.flush(ctx)
+		if retryAfter, held := s.bulkHeld(time.Now()); held {
+			bulk.Reset(retryAfter)
 		}
 	}
 }
 
-// placeIfDue holds a round of placement, unless the last one cost so much that
-// placement still rests; then the timer wakes it.
-func (d *scheduler) placeIfDue(rest *time.Timer) {
+// placeIfDue runs a round of placement, unless placement pauses after an expensive round. Then the timer ends the pause.
+func (s *scheduler) placeIfDue(timer *time.Timer) {
 	now := time.Now()
-	if now.Before(d.placementPausedUntil) {
-		rest.Reset(d.placementPausedUntil.Sub(now))
+	if now.Before(s.placementPausedUntil) {
+		timer.Reset(s.placementPausedUntil.Sub(now))
 		return
 	}
-	d.placeRound(now)
+	s.placeRound(now)
 	end := time.Now()
-	d.placementPausedUntil = end.Add(roundPause * end.Sub(now))
-	if d.placementDue {
-		rest.Reset(d.placementPausedUntil.Sub(end))
+	s.placementPausedUntil = end.Add(roundPause * end.Sub(now))
+	if s.placementDue {
+		timer.Reset(s.placementPausedUntil.Sub(end))
 	}
 }
 
-// leaseValid tells whether this node surely leads now.
-func (d *scheduler) leaseValid(now time.Time) bool { return now.Before(d.role.LeaseValidUntil) }
+// leaseValid reports whether this controller certainly is the leader now.
+func (s *scheduler) leaseValid(now time.Time) bool { return now.Before(s.role.LeaseValidUntil) }
 
 // snapshotFleet reviews the fleet for the autoscaler.
-func (d *scheduler) snapshotFleet(now time.Time) autoscaling.Snapshot {
-	return d.reviewer.Snapshot(now, autoscaling.Conditions{
-		LeaseValid: d.leaseValid(now), MachinesListed: d.machinesListed, DrainsRequested: d.drainsRequested,
+func (s *scheduler) snapshotFleet(now time.Time) autoscaling.Snapshot {
+	return s.reviewer.Snapshot(now, autoscaling.Conditions{
+		LeaseValid: s.leaseValid(now), MachinesListed: s.machinesListed, DrainsRequested: s.drainsRequested,
 	})
 }
 
-// tick does what the clock asks for.
-func (d *scheduler) tick() {
+// tick does the periodic work.
+func (s *scheduler) tick() {
 	now := time.Now()
-	if d.stalled(now) || !d.leaseValid(now) {
-		d.failWaiters(api.Unavailable("", "state service slow or out of reach"))
+	if s.stalled(now) || !s.leaseValid(now) {
+		s.failWaiters(api.Unavailable("", "state service slow or out of reach"))
 	}
-	d.failGateWaiters(now)
-	d.compareArchive()
-	d.archiveFinished(now)
-	d.updatePeerRenewals()
-	d.expireLeases(now)
-	d.replaceStalledGangTasks(now)
-	d.activation.tick(now)
-	d.resignToForget(now)
-	d.placementDue = true
-	if !now.Before(d.nextSnapshot) {
-		snapshot := d.snapshotFleet(now)
-		d.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, d.abandonUnconfirmed(now)))
-		d.autoscaler.HandleSnapshot(snapshot)
-		d.nextSnapshot = now.Add(max(clock.Scale(d.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
+	s.failGateWaiters(now)
+	s.compareArchive()
+	s.archiveFinished(now)
+	s.updatePeerRenewals()
+	s.expireLeases(now)
+	s.replaceStalledGangTasks(now)
+	s.activation.tick(now)
+	s.resignToForget(now)
+	s.placementDue = true
+	if !now.Before(s.nextSnapshot) {
+		snapshot := s.snapshotFleet(now)
+		s.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, s.abandonUnconfirmed(now)))
+		s.autoscaler.HandleSnapshot(snapshot)
+		s.nextSnapshot = now.Add(max(clock.Scale(s.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
 	}
 }
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -8,49 +8,49 @@
 	"sagevale/internal/worker"
 )
 
-// maxQuarantineLeases is the longest that a machine in trouble is left alone, in leases:
-// beyond that, work would wait for long beside its room.
+// maxQuarantineLeases is the longest that a failing machine is quarantined, in worker leases. More would keep work
+// waiting beside free resources.
 const maxQuarantineLeases = 2
 
-// failed attributes a task's failure to its job or its machine. A job that fails wherever it runs
-// is retried a task at a time, after longer and longer pauses, and its machines are cleared of
-// it; a machine on which several jobs fail is left alone for a while.
-func (d *scheduler) failed(j *cluster.Job, m *cluster.Machine, booked, now time.Time) {
-	j.Failures.RecordFailure(m.ID, booked, now)
+// recordFailure attributes a task's failure to its job or its machine. A job that fails on every machine is retried one
+// task at a time with a growing backoff, and its failures no longer count against the machines. A machine on which
+// several jobs fail is quarantined for a while.
+func (s *scheduler) recordFailure(j *cluster.Job, m *cluster.Machine, reservedAt, now time.Time) {
+	j.Failures.RecordFailure(m.ID, reservedAt, now)
 	m.Failures.RecordFailure(j.Spec.ID)
 	if j.Failures.AtFault() {
-		d.clearMachines(j)
+		s.clearMachines(j)
 		m.ClearFailures(j)
-		j.RetryAfter = now.Add(j.Failures.Backoff(d.settings.HeartbeatInterval))
-		d.log.Info("job fails wherever it runs", "job", j.Spec.ID, "pause", j.RetryAfter.Sub(now))
+		j.RetryAfter = now.Add(j.Failures.Backoff(s.settings.HeartbeatInterval))
+		s.log.Info("job failing on every machine", "job", j.Spec.ID, "backoff", j.RetryAfter.Sub(now))
 		return
 	}
 	if m.Failures.AtFault() {
-		pause := clock.Scale(d.settings.WorkerLease, float64(min(1+m.Failures.Excess(), maxQuarantineLeases)))
-		m.QuarantinedUntil = now.Add(pause)
-		d.log.Info("machine fails several jobs", "machine", m.ID, "pause", pause)
+		quarantine := clock.Scale(s.settings.WorkerLease, float64(min(1+m.Failures.Excess(), maxQuarantineLeases)))
+		m.QuarantinedUntil = now.Add(quarantine)
+		s.log.Info("machine quarantined", "machine", m.ID, "duration", quarantine)
 	}
 }
 
-// clearMachines clears the machines that a job at fault has failed on.
-func (d *scheduler) clearMachines(j *cluster.Job) {
+// clearMachines removes the failures of a job at fault from the machines that it has failed on.
+func (s *scheduler) clearMachines(j *cluster.Job) {
 	for _, id := range j.Failures.Machines() {
-		if m := d.state.Machines.Get(id); m != nil {
+		if m := s.state.Machines.Get(id); m != nil {
 			m.ClearFailures(j)
 		}
 	}
 }
 
-// recallFailures takes in what a worker's first report of this term tells of failures that an
-// earlier leader has dealt with: a job that fails wherever it runs isn't started everywhere anew.
-func (d *scheduler) recallFailures(m *cluster.Machine, r *worker.Report) {
+// recallFailures learns from a worker's first report of this term of failures under earlier leaders, so that a job that
+// fails on every machine isn't started everywhere again.
+func (s *scheduler) recallFailures(m *cluster.Machine, r *worker.Report) {
 	for _, t := range r.Tasks {
-		j := d.state.Jobs.Get(t.ID.Job)
+		j := s.state.Jobs.Get(t.ID.Job)
 		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.Done > 0 {
 			continue
 		}
 		if j.Failures.RecordEarlierFailure(m.ID, t.ID.Task); j.Failures.AtFault() {
-			d.clearMachines(j)
+			s.clearMachines(j)
 		}
 	}
 }
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -93,9 +93,9 @@
 			other, j := d.accept(clustertest.Array("000001", 1)), d.accept(clustertest.Array("000002", 8))
 			booked := time.Now()
 			time.Sleep(time.Second)
-			d.failed(other, d.state.Machines.Get(1), booked, time.Now())
+			d.recordFailure(other, d.state.Machines.Get(1), booked, time.Now())
 			for _, id := range c.machines {
-				d.failed(j, d.state.Machines.Get(id), booked, time.Now())
+				d.recordFailure(j, d.state.Machines.Get(id), booked, time.Now())
 			}
 			faulty := 0
 			for _, m := range d.state.Machines.InOrder() {
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,21 +7,21 @@
 	"sagevale/internal/activation"
 )
 
-// usageIntervals is how many report intervals of usage may pass until a controller counts as silent.
+// usageIntervals is after how many usage intervals without a report a controller counts as silent.
 const usageIntervals = 2
 
-// usageMessage brings the dispatcher a controller's usage.
+// usageMessage is a controller's usage report.
 type usageMessage struct {
 	report activation.UsageReport
 	reply  chan activation.UsageResponse
 }
 
-// usageUndecided is the answer of whoever doesn't lead for certain.
+// usageUndecided is the response of a controller that isn't certainly the leader.
 func usageUndecided(reason string) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.Undecided, Reason: reason}
 }
 
-// ReportUsage tells the leader how models are used at this node.
+// ReportUsage tells the leader how models are used at this controller.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	report.Node, report.Session = n.settings.NodeName, n.election.Process()
 	v := n.view.Load()
@@ -39,7 +39,7 @@
 	return response
 }
 
-// HandleForwardedUsage answers a report that another node sent.
+// HandleForwardedUsage answers a usage report that another controller sent.
 func (n *Node) HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.reportUsage(ctx, report)
@@ -47,29 +47,29 @@
 	return usageUndecided("not the leader")
 }
 
-// reportUsage hands a controller's usage to the dispatcher.
-func (d *scheduler) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
+// reportUsage has the scheduler answer a usage report.
+func (s *scheduler) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	reply := make(chan activation.UsageResponse, 1)
-	response, err := call(ctx, d, usageMessage{report, reply}, reply)
+	response, err := call(ctx, s, usageMessage{report, reply}, reply)
 	if err != nil {
 		return usageUndecided(err.Error())
 	}
 	return response
 }
 
-// handleUsage takes in a controller's usage.
-func (d *scheduler) handleUsage(m usageMessage) {
+// handleUsage records a controller's usage, and responds with the models that it has to drain.
+func (s *scheduler) handleUsage(m usageMessage) {
 	now := time.Now()
-	if !d.leaseValid(now) {
+	if !s.leaseValid(now) {
 		m.reply <- usageUndecided("leadership not certain")
 		return
 	}
-	c := d.activation
+	c := s.activation
 	c.usage.RecordReport(m.report, now)
 	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.draining()}
 }
 
-// draining lists the models that drain, once that is durable.
+// draining returns the models whose draining is durable.
 func (c *activationController) draining() []activation.DrainOrder {
 	var orders []activation.DrainOrder
 	for id, s := range c.awake {
@@ -80,14 +80,14 @@
 	return orders
 }
 
-// checkUsage has a service that nobody uses drain, and one that has drained stop.
+// checkUsage drains a service that nobody uses, and stops one that has drained.
 func (c *activationController) checkUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.unwritten > 0 {
 		return
 	}
 	switch s.record.State {
 	case activation.Ready:
-		if since, told := c.usage.QuietSince(s.job.Spec.ID, now); told && c.tuning.Policy.IdleWindow > 0 {
+		if since, known := c.usage.QuietSince(s.job.Spec.ID, now); known && c.tuning.Policy.IdleWindow > 0 {
 			c.apply(s, activation.Quiet{Generation: s.record.Generation, Since: since}, now)
 		}
 	case activation.Draining:
@@ -98,4 +98,4 @@
 	}
 }
 
-func (m usageMessage) handle(d *scheduler) { d.handleUsage(m) }
+func (m usageMessage) handle(s *scheduler) { s.handleUsage(m) }
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -11,13 +11,14 @@
 	"sagevale/internal/upgrade"
 )
 
-// waiter is a user whose answer hangs on a commit.
+// waiter is a user whose response waits for a commit.
 type waiter struct {
 	id       string
 	reply    chan api.Response
 	answered bool
 }
 
+// answer sends the first response, and drops later ones.
 func (w *waiter) answer(a api.Response) {
 	if !w.answered {
 		w.answered = true
@@ -25,68 +26,68 @@
 	}
 }
 
-// whenDurable answers a user once a job's record is durable as it is marked now. A user
-// whose commit takes too long is told to come back: see failWaiters.
-func (d *scheduler) whenDurable(j *cluster.Job, reply chan api.Response, then func() api.Response) {
+// answerWhenDurable answers a user once the present value of a job's record is durable. A user whose commit takes too long
+// is told to retry: see failWaiters.
+func (s *scheduler) answerWhenDurable(j *cluster.Job, reply chan api.Response, response func() api.Response) {
 	id := j.Spec.ID
 	w := &waiter{id: id, reply: reply}
-	d.waiters = append(d.waiters, w)
-	d.onJobCommit(j, func(err error) {
+	s.waiters = append(s.waiters, w)
+	s.onJobCommit(j, func(err error) {
 		if err != nil {
 			w.answer(api.Unavailable(id, "not recorded"))
 			return
 		}
-		a := then()
-		w.answer(a)
+		w.answer(response())
 	})
 }
 
-// failWaiters answers all who wait for a commit, at once.
-func (d *scheduler) failWaiters(a api.Response) {
-	for _, w := range d.waiters {
+// failWaiters answers all users who wait for a commit, without waiting further.
+func (s *scheduler) failWaiters(a api.Response) {
+	for _, w := range s.waiters {
 		a.ID = w.id
 		w.answer(a)
 	}
-	d.waiters = d.waiters[:0]
+	s.waiters = s.waiters[:0]
 }
 
-// stalled tells whether the commit under way takes too long to let others
-// wait behind it.
-func (d *scheduler) stalled(now time.Time) bool {
-	return !d.commitStarted.IsZero() && now.Sub(d.commitStarted) > clock.Scale(d.settings.HeartbeatInterval, stallPerHeartbeat)
+// stalled reports whether the commit in flight takes too long to let more users wait behind it.
+func (s *scheduler) stalled(now time.Time) bool {
+	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
-func (d *scheduler) handleUser(m userMessage) {
+// handleUser answers a user's request, or has it answered once what it rests on is known or durable.
+func (s *scheduler) handleUser(m userMessage) {
 	now := time.Now()
-	j := d.state.Jobs.Get(m.req.ID)
+	j := s.state.Jobs.Get(m.req.ID)
 	if j != nil {
-		d.finalizeArchived(j)
+		s.finalizeArchived(j)
 	}
 	if j != nil && j.FinalDurable {
 		m.reply <- responseOf(j)
 		return
 	}
-	if j == nil && d.answerArchived(m, now) {
+	if j == nil && s.answerArchived(m, now) {
 		return
 	}
-	// Anything that isn't final may be outdated by a successor.
-	if !d.leaseValid(now) {
+	// A successor may already have changed anything that isn't final.
+	if !s.leaseValid(now) {
 		m.reply <- api.Unavailable(m.req.ID, "leadership not certain")
 		return
 	}
 	switch m.req.Op {
 	case api.OpSubmit:
-		d.submit(m, j, now)
+		s.submit(m, j, now)
 	case api.OpPoll:
-		d.poll(m, j)
+		s.poll(m, j)
 	case api.OpCancel:
-		d.cancel(m, j, now)
+		s.cancel(m, j, now)
 	default:
 		m.reply <- api.Unavailable(m.req.ID, "unknown request")
 	}
 }
 
-func (d *scheduler) poll(m userMessage, j *cluster.Job) {
+// poll answers a poll for a job.
+func (s *scheduler) poll(m userMessage, j *cluster.Job) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
@@ -97,83 +98,108 @@
 	}
 }
 
-func (d *scheduler) submit(m userMessage, j *cluster.Job, now time.Time) {
+// submit handles a submission. It is idempotent: a repeated submission of a job gets the job's state, and one whose first
+// copy isn't durable yet waits for the same commit.
+func (s *scheduler) submit(m userMessage, j *cluster.Job, now time.Time) {
 	if j != nil && j.Acknowledged {
 		m.reply <- responseOf(j)
 		return
 	}
-	if d.stalled(now) {
+	if s.stalled(now) {
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	}
 	if j == nil {
-		if d.state.Types.Count() == 0 {
+		if s.state.Types.Count() == 0 {
 			m.reply <- api.Unavailable(m.req.ID, "machine types not yet known")
 			return
 		}
-		spec := m.req.Spec
-		if reason := d.infeasible(&spec); reason != "" {
-			m.reply <- api.Response{Code: api.CodeInfeasible, ID: spec.ID, Reason: reason}
-			return
-		}
-		if spec.Gang && !d.mayUse(upgrade.GangJobs) {
-			d.awaitGate(m, upgrade.GangJobs, now)
+		if reason := s.infeasible(&m.req.Spec); reason != "" {
+			m.reply <- api.Response{Code: api.CodeInfeasible, ID: m.req.Spec.ID, Reason: reason}
 			return
 		}
-		if d.activation.applies(&spec) && d.gates.Gate(upgrade.Activation).Phase == upgrade.GateOpen && !d.mayUse(upgrade.Activation) {
-			d.awaitGate(m, upgrade.Activation, now)
+		if gate, closed := s.missingGate(&m.req.Spec); closed {
+			s.awaitGate(m, gate, now)
 			return
 		}
-		if d.state.Jobs.OpenTasks+spec.Tasks > d.settings.MaxOpenTasks() {
-			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(d.settings.WorkerLease.Seconds())}
+		if overload := s.overload(&m.req.Spec, now); overload != nil {
+			m.reply <- *overload
 			return
 		}
-		if !d.admit(spec.Team) {
-			m.reply <- api.Response{Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: d.admission.RetryAfterSeconds(now)}
-			return
-		}
-		j = cluster.NewJob(spec, now)
-		d.state.Jobs.AddOpen(j)
-		if d.activation.applies(&spec) && d.mayUse(upgrade.Activation) {
-			d.activation.track(j, now)
-		}
-		if !j.ScalesToZero() {
-			d.activation.postpone(j)
-		}
-		d.state.Classes.NoteArrival(j)
-		d.markJob(j)
-		d.onJobCommit(j, func(error) {
-			d.admission.Recorded(spec.Team)
-			d.acceptedInCommit++
-		})
-		d.placementDue = true
-		d.log.Debug("accept", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "estimate", spec.EstimateS, "due", spec.DeadlineS, "team", spec.Team)
+		j = s.acceptJob(m.req.Spec, now)
 	}
-	d.whenDurable(j, m.reply, func() api.Response {
+	s.answerWhenDurable(j, m.reply, func() api.Response {
 		j.Acknowledged = true
 		return api.Response{Code: api.CodeCreated, ID: j.Spec.ID, State: api.StatePending}
 	})
-	// Others may wait for the same commit; the job is known however the
-	// first of them fares.
-	d.onJobCommit(j, func(err error) {
+	// The job becomes known with its commit, even if its first user was told to retry meanwhile.
+	s.onJobCommit(j, func(err error) {
 		if err == nil {
 			j.Acknowledged = true
 		}
 	})
 }
 
-// infeasible tells why a job can never run.
-func (d *scheduler) infeasible(s *storage.Spec) string {
-	team := d.settings.Team(s.Team)
+// missingGate returns the gate that a job depends on and that isn't durably in use yet, if any. It requests the use.
+func (s *scheduler) missingGate(spec *storage.Spec) (gate upgrade.GateName, missing bool) {
+	if spec.Gang && !s.mayUse(upgrade.GangJobs) {
+		return upgrade.GangJobs, true
+	}
+	if s.activation.applies(spec) && s.gates.Gate(upgrade.Activation).Phase == upgrade.GateOpen && !s.mayUse(upgrade.Activation) {
+		return upgrade.Activation, true
+	}
+	return "", false
+}
+
+// overload returns the response to a job for which there is no capacity to queue or record it, or nil.
+func (s *scheduler) overload(spec *storage.Spec, now time.Time) *api.Response {
+	if s.state.Jobs.OpenTasks+spec.Tasks > s.settings.MaxOpenTasks() {
+		return &api.Response{
+			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
+		}
+	}
+	if !s.admit(spec.Team) {
+		return &api.Response{
+			Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
+		}
+	}
+	return nil
+}
+
+// acceptJob adds a job and has its record written.
+func (s *scheduler) acceptJob(spec storage.Spec, now time.Time) *cluster.Job {
+	j := cluster.NewJob(spec, now)
+	s.state.Jobs.AddOpen(j)
+	if s.activation.applies(&spec) && s.mayUse(upgrade.Activation) {
+		s.activation.track(j, now)
+	}
+	if !j.ScalesToZero() {
+		s.activation.postpone(j)
+	}
+	s.state.Classes.NoteArrival(j)
+	s.markJob(j)
+	s.onJobCommit(j, func(error) {
+		s.admission.Recorded(spec.Team)
+		s.acceptedInCommit++
+	})
+	s.placementDue = true
+	s.log.Debug("job accepted", "job", spec.ID, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks,
+		"estimate_s", spec.EstimateS, "deadline_s", spec.DeadlineS)
+	return j
+}
+
+// infeasible returns the reason why a job can never run, or "".
+func (s *scheduler) infeasible(spec *storage.Spec) string {
+	team := s.settings.Team(spec.Team)
 	if team == nil {
-		return fmt.Sprintf("unknown team %q", s.Team)
+		return fmt.Sprintf("unknown team %q", spec.Team)
 	}
-	if len(d.state.Types.Feasible(s)) == 0 {
+	if len(s.state.Types.Feasible(spec)) == 0 {
 		return "a task fits no allowed machine type"
 	}
-	need := s.Resources
-	if s.Service || s.Gang {
-		need = need.Mul(s.Tasks)
+	need := spec.Resources
+	if spec.Service || spec.Gang {
+		need = need.Mul(spec.Tasks)
 	}
 	if !storage.WithinLimit(need, team.Limit) {
 		return "the job needs more than its team's limit"
@@ -181,75 +207,77 @@
 	return ""
 }
 
-func (d *scheduler) cancel(m userMessage, j *cluster.Job, now time.Time) {
+// cancel handles a cancellation. The job's tasks are stopped once the cancellation is durable.
+func (s *scheduler) cancel(m userMessage, j *cluster.Job, now time.Time) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 		return
-	case !j.Acknowledged, d.stalled(now):
+	case !j.Acknowledged, s.stalled(now):
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	case j.Phase == storage.Open:
 		j.Phase = storage.Cancelled
-		d.state.Jobs.TrackCancelling(j)
-		d.state.Classes.NoteDeparture(j, now)
-		d.activation.release(j)
-		d.log.Debug("cancel", "job", j.Spec.ID, "attempts", len(j.Attempts))
-		d.markJob(j)
-		d.onJobCommit(j, func(err error) {
+		s.state.Jobs.TrackCancelling(j)
+		s.state.Classes.NoteDeparture(j, now)
+		s.activation.release(j)
+		s.log.Debug("job cancelled", "job", j.Spec.ID, "attempts", len(j.Attempts))
+		s.markJob(j)
+		s.onJobCommit(j, func(err error) {
 			if err != nil {
 				return
 			}
 			j.FinalDurable = true
-			d.stopJob(j)
-			d.commandJobStops(j)
-			d.retire(j)
+			s.stopJob(j)
+			s.commandJobStops(j)
+			s.retire(j)
 		})
 	}
-	d.whenDurable(j, m.reply, func() api.Response { return responseOf(j) })
+	s.answerWhenDurable(j, m.reply, func() api.Response { return responseOf(j) })
 }
 
-// finish makes a job done whose tasks have all completed.
-func (d *scheduler) finish(j *cluster.Job) {
+// finish marks a job as done if all of its tasks are.
+func (s *scheduler) finish(j *cluster.Job) {
 	if j.Phase != storage.Open || j.Done < j.Spec.Tasks || j.Spec.Service {
 		return
 	}
 	j.Phase = storage.Done
-	d.markJob(j)
-	d.log.Debug("done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", time.Since(j.Submitted), "due", j.Spec.DeadlineS)
-	d.onJobCommit(j, func(err error) {
+	s.markJob(j)
+	s.log.Debug("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks,
+		"duration", time.Since(j.Submitted), "deadline_s", j.Spec.DeadlineS)
+	s.onJobCommit(j, func(err error) {
 		if err == nil {
 			j.FinalDurable = true
-			d.retire(j)
+			s.retire(j)
 		}
 	})
 }
 
-// retire lets go of a final job's tasks once none of them can be anywhere.
-func (d *scheduler) retire(j *cluster.Job) {
+// retire releases the memory and the stored pages of a final job's tasks, once no attempt of it can exist.
+func (s *scheduler) retire(j *cluster.Job) {
 	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
 	}
 	for p := 0; p*storage.PageTasks < len(j.Tasks); p++ {
-		d.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), removed)
+		s.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), removed)
 	}
-	d.state.Jobs.ReleaseTasks(j)
-	d.markJob(j)
-	d.onCommit(func(err error) {
+	s.state.Jobs.ReleaseTasks(j)
+	s.markJob(j)
+	s.onCommit(func(err error) {
 		if err == nil {
-			d.trackFinished(j)
+			s.trackFinished(j)
 		}
 	})
 }
 
 // stopJob has every attempt of a job stopped at once.
-func (d *scheduler) stopJob(j *cluster.Job) {
+func (s *scheduler) stopJob(j *cluster.Job) {
 	for _, a := range j.Attempts {
-		d.stopAttempt(a, 0)
+		s.stopAttempt(a, 0)
 	}
 }
 
-// stateOf is what a job's user sees. Only durable facts count as final.
+// stateOf is the state that users see. A final state counts only once it is durable.
 func stateOf(j *cluster.Job) api.JobState {
 	switch {
 	case j.FinalDurable && j.Phase == storage.Done:
@@ -262,7 +290,7 @@
 	return api.StatePending
 }
 
-// responseOf tells a user of a job.
+// responseOf is the response with a job's state.
 func responseOf(j *cluster.Job) api.Response {
 	response := api.Response{Code: api.CodeOK, ID: j.Spec.ID, State: stateOf(j), Done: j.Done}
 	if !response.Final() {
@@ -271,11 +299,11 @@
 	return response
 }
 
-// userMessage brings a request of a user.
+// userMessage is a request of a user.
 type userMessage struct {
 	req    api.Request
 	reply  chan api.Response
 	absent bool // the job is known not to be archived
 }
 
-func (m userMessage) handle(d *scheduler) { d.handleUser(m) }
+func (m userMessage) handle(s *scheduler) { s.handleUser(m) }
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -12,18 +12,18 @@
 	"sagevale/internal/storage"
 )
 
-// wakeMessage tells the dispatcher of demand for a model at some node.
+// wakeMessage is demand for a model at some controller.
 type wakeMessage struct {
 	req   activation.WakeRequest
 	reply chan activation.WakeResponse
 }
 
-// undecided is the answer of whoever can't tell where a model stands.
+// undecided is the response of a controller that doesn't know the state of a model.
 func undecided(reason string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.Undecided, Reason: reason}
 }
 
-// Wake tells the leader of demand for a model, and returns where the model stands.
+// Wake tells the leader of demand for a model, and returns the state of the model.
 func (n *Node) Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	v := n.view.Load()
 	if v.scheduler != nil {
@@ -44,8 +44,8 @@
 	return response
 }
 
-// activationLeader names the leader, if it is another node that takes demand and usage; else it tells
-// why not. Earlier versions would take the messages for something else.
+// activationLeader returns the leader, if it is another controller that supports wake requests and usage reports, or the
+// reason why there is none. Earlier versions would misinterpret these messages.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader, _ = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
@@ -57,7 +57,7 @@
 	return leader, ""
 }
 
-// HandleForwardedWake answers a wake request that another node sent.
+// HandleForwardedWake answers a wake request that another controller sent.
 func (n *Node) HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.wake(ctx, req)
@@ -65,24 +65,24 @@
 	return undecided("not the leader")
 }
 
-// wake asks the dispatcher on behalf of a node. A full mailbox is answered at once.
-func (d *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
+// wake has the scheduler answer a wake request. A full mailbox is answered at once.
+func (s *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	asked := time.Now()
-	response, err := call(ctx, d, wakeMessage{req, reply}, reply)
+	response, err := call(ctx, s, wakeMessage{req, reply}, reply)
 	if err != nil {
 		return undecided(err.Error())
 	}
-	return d.withLeaseBound(response, asked)
+	return s.withLeaseBound(response, asked)
 }
 
-// withLeaseBound bounds for how long an answer may be gone by: until the lead may have ended. This process
-// may have stood still since it was given.
-func (d *scheduler) withLeaseBound(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
+// withLeaseBound limits the validity of a response to the end of the leader's lease. This process may have been paused since
+// it was decided.
+func (s *scheduler) withLeaseBound(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
 	if response.Verdict == activation.Undecided {
 		return response
 	}
-	certain := d.leaseValidUntil.Load()
+	certain := s.leaseValidUntil.Load()
 	if certain == nil || !time.Now().Before(*certain) {
 		return undecided("leadership not certain")
 	}
@@ -90,27 +90,27 @@
 	return response
 }
 
-// handleWake takes in demand for a model, and answers once what it moved is durable.
-func (d *scheduler) handleWake(m wakeMessage) {
+// handleWake handles demand for a model. It responds once the change of the service is durable.
+func (s *scheduler) handleWake(m wakeMessage) {
 	now := time.Now()
-	j := d.state.Jobs.Get(m.req.Model)
+	j := s.state.Jobs.Get(m.req.Model)
 	switch {
-	case !d.leaseValid(now):
+	case !s.leaseValid(now):
 		m.reply <- undecided("leadership not certain")
 	case j == nil:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: d.settings.WakeInterval()}
+		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: s.settings.WakeInterval()}
 	case !j.Acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
 	case j.Phase != storage.Open || !j.Spec.Service:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: d.settings.WakeInterval()}
-	case d.stalled(now):
+		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
+	case s.stalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
-		d.activation.demand(j, m, now)
+		s.activation.demand(j, m, now)
 	}
 }
 
-// demand moves a service by a wake request, and answers it.
+// demand applies a wake request to a service, and answers it.
 func (c *activationController) demand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
@@ -139,14 +139,13 @@
 	})
 }
 
-// wakeWatcher is a node that waits for a model to start.
+// wakeWatcher is a controller that waits for a model to start.
 type wakeWatcher struct {
 	reply chan activation.WakeResponse
 	until time.Time
 }
 
-// answerWatchers answers those who have waited for long enough, and all once the model has started, or
-// won't.
+// answerWatchers answers the watchers whose time is over, and all of them once the model no longer is starting.
 func (c *activationController) answerWatchers(s *managedService, now time.Time) {
 	if s.unwritten > 0 {
 		return
@@ -161,10 +160,10 @@
 	})
 }
 
-// runsAlways is the reason that is told with a service that has no lifecycle.
+// runsAlways is the reason in responses about services that have no lifecycle.
 const runsAlways = "runs always"
 
-// alwaysUp tells of a service that runs without regard to demand.
+// alwaysUp is the response about a service that runs without regard to demand.
 func (c *activationController) alwaysUp(j *cluster.Job) activation.WakeResponse {
 	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: runsAlways}
 	for _, a := range j.Attempts {
@@ -175,7 +174,7 @@
 	return response
 }
 
-// response tells where a service stands.
+// response is the response about a service with a lifecycle.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
 	if s.damaged != nil {
 		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "its record is damaged", Holds: c.settings.WakeInterval()}
@@ -200,4 +199,4 @@
 	return response
 }
 
-func (m wakeMessage) handle(d *scheduler) { d.handleWake(m) }
+func (m wakeMessage) handle(s *scheduler) { s.handleWake(m) }
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -7,9 +7,9 @@
 	"net/url"
 	"strconv"
 
+	"sagevale/internal/autoscaling"
 	"sagevale/internal/cloud"
 	"sagevale/internal/protocol"
-	"sagevale/internal/scheduler"
 	"sagevale/internal/storage"
 )
 
@@ -20,7 +20,7 @@
 	client  *jsonClient
 }
 
-var _ scheduler.Cloud = (*CloudClient)(nil)
+var _ autoscaling.Cloud = (*CloudClient)(nil)
 
 // NewCloudClient returns a client of the cloud at addr, an IP address with a port.
 func NewCloudClient(addr string) *CloudClient {
