--- /dev/null
+++ b/internal/architecture_test.go
@@ -0,0 +1,297 @@
+package internal_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// architecturePage is the page that describes the packages, from this directory.
+const architecturePage = "../docs/architecture.md"
+
+// modulePrefix begins the import paths of the module's packages.
+const modulePrefix = "sagevale/"
+
+// testSupport is the layer of packages that only tests and fleetload import. They may import each other.
+const testSupport = "tests"
+
+// layers are the packages of the module, each with its layer. A package imports only packages of lower layers.
+var layers = map[string]string{
+	"cmd/sagevale":                 "9",
+	"internal/transport":           "8",
+	"internal/scheduler":           "7",
+	"internal/autoscaling":         "6",
+	"internal/placement":           "5",
+	"internal/relay":               "5",
+	"internal/upgradecontrol":      "5",
+	"internal/cluster":             "4",
+	"internal/leadership":          "4",
+	"internal/protocol":            "4",
+	"internal/wire/coordination":   "4",
+	"internal/api":                 "3",
+	"internal/archive":             "3",
+	"internal/config":              "3",
+	"internal/groupcommit":         "3",
+	"internal/activator":           "2",
+	"internal/peer":                "2",
+	"internal/storage":             "2",
+	"internal/activation":          "1",
+	"internal/admission":           "1",
+	"internal/classstats":          "1",
+	"internal/clock":               "1",
+	"internal/cloud":               "1",
+	"internal/failures":            "1",
+	"internal/fencing":             "1",
+	"internal/provisioning":        "1",
+	"internal/telemetry":           "1",
+	"internal/upgrade":             "1",
+	"internal/worker":              "1",
+	"internal/storage/storagetest": testSupport,
+	"internal/cluster/clustertest": testSupport,
+	"internal/loopbacktest":        testSupport,
+	"internal/fleetload":           testSupport,
+	"cmd/fleetload":                testSupport,
+}
+
+// sourcePackage is a package as its program files declare it.
+type sourcePackage struct {
+	name    string
+	imports []string        // packages of the module, by directory, sorted
+	members map[string]bool // "Name" of declarations, "Type.Member" of methods, fields and interface methods
+}
+
+// TestImportsGoDownwards checks the program files of each package against the layers.
+func TestImportsGoDownwards(t *testing.T) {
+	packages := readPackages(t)
+	for dir := range layers {
+		if packages[dir] == nil {
+			t.Errorf("layers has %s, which is no package", dir)
+		}
+	}
+	for dir, p := range packages {
+		layer, ok := layers[dir]
+		if !ok {
+			t.Errorf("layers lacks package %s", dir)
+			continue
+		}
+		for _, imported := range p.imports {
+			if !mayImport(layer, layers[imported]) {
+				t.Errorf("%s (layer %s) imports %s (layer %s), want only lower layers", dir, layer, imported, layers[imported])
+			}
+		}
+	}
+}
+
+// mayImport reports whether a package of a layer may import one of another.
+func mayImport(layer, imported string) bool {
+	if layer == testSupport {
+		return imported != ""
+	}
+	return imported != testSupport && imported != "" && imported < layer
+}
+
+// TestArchitecturePageListsPackages checks that the page has one row for each package, with its layer and imports.
+func TestArchitecturePageListsPackages(t *testing.T) {
+	packages := readPackages(t)
+	rows := pageRows(t)
+	for dir, p := range packages {
+		row, ok := rows[dir]
+		if !ok {
+			t.Errorf("%s has no row for package %s", architecturePage, dir)
+			continue
+		}
+		if row.layer != layers[dir] {
+			t.Errorf("%s: layer of %s: got %s, want %s", architecturePage, dir, row.layer, layers[dir])
+		}
+		if row.job == "" {
+			t.Errorf("%s: %s has no description", architecturePage, dir)
+		}
+		if want := shortNames(p.imports); row.imports != want {
+			t.Errorf("%s: imports of %s: got %q, want %q", architecturePage, dir, row.imports, want)
+		}
+	}
+	for dir := range rows {
+		if packages[dir] == nil {
+			t.Errorf("%s has a row for %s, which is no package", architecturePage, dir)
+		}
+	}
+}
+
+// TestArchitecturePageNamesExistingCode checks each name of the form `package.Name` or `package.Type.Member`.
+func TestArchitecturePageNamesExistingCode(t *testing.T) {
+	byName := make(map[string]*sourcePackage)
+	for dir, p := range readPackages(t) {
+		if strings.HasPrefix(dir, "internal/") {
+			byName[p.name] = p
+		}
+	}
+	found := 0
+	for _, match := range codeName.FindAllStringSubmatch(readPage(t), -1) {
+		p := byName[match[1]]
+		if p == nil {
+			continue // a key, a property, a file
+		}
+		found++
+		if !p.members[match[2]] {
+			t.Errorf("%s names %s.%s, which doesn't exist", architecturePage, match[1], match[2])
+		}
+	}
+	if found == 0 {
+		t.Errorf("%s: got no names of code, want some", architecturePage)
+	}
+}
+
+var (
+	// codeName matches a name of code: the package, then a declaration and possibly its member.
+	codeName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
+	// packageRow matches a row of the table of packages: layer, directory, job, imports.
+	packageRow = regexp.MustCompile("(?m)^\\| (\\w+) \\| `((?:cmd|internal)/[\\w/]+)` \\| ([^|]*) \\|([^|]*)\\|$")
+)
+
+// pageRow is a row of the page's table of packages.
+type pageRow struct{ layer, job, imports string }
+
+func pageRows(t *testing.T) map[string]pageRow {
+	t.Helper()
+	rows := make(map[string]pageRow)
+	for _, match := range packageRow.FindAllStringSubmatch(readPage(t), -1) {
+		if _, twice := rows[match[2]]; twice {
+			t.Errorf("%s has two rows for %s", architecturePage, match[2])
+		}
+		rows[match[2]] = pageRow{layer: match[1], job: strings.TrimSpace(match[3]), imports: strings.TrimSpace(match[4])}
+	}
+	return rows
+}
+
+func readPage(t *testing.T) string {
+	t.Helper()
+	page, err := os.ReadFile(architecturePage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
+}
+
+// shortNames lists packages as the page does.
+func shortNames(dirs []string) string {
+	names := make([]string, 0, len(dirs))
+	for _, dir := range dirs {
+		names = append(names, strings.TrimPrefix(dir, "internal/"))
+	}
+	return strings.Join(names, ", ")
+}
+
+// readPackages parses the program files of the module, and returns its packages by directory.
+func readPackages(t *testing.T) map[string]*sourcePackage {
+	t.Helper()
+	packages := make(map[string]*sourcePackage)
+	files := token.NewFileSet()
+	read := func(file string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && entry.Name() == "testdata" {
+			return filepath.SkipDir
+		}
+		if entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
+			return nil
+		}
+		parsed, err := parser.ParseFile(files, file, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		dir := path.Dir(strings.TrimPrefix(filepath.ToSlash(file), "../"))
+		if packages[dir] == nil {
+			packages[dir] = &sourcePackage{name: parsed.Name.Name, members: make(map[string]bool)}
+		}
+		return packages[dir].add(parsed)
+	}
+	for _, root := range []string{"../cmd", "../internal"} {
+		if err := filepath.WalkDir(root, read); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, p := range packages {
+		slices.Sort(p.imports)
+		p.imports = slices.Compact(p.imports)
+	}
+	return packages
+}
+
+// add adds the imports and the declarations of a file.
+func (p *sourcePackage) add(file *ast.File) error {
+	for _, spec := range file.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			return err
+		}
+		if dir, ok := strings.CutPrefix(imported, modulePrefix); ok {
+			p.imports = append(p.imports, dir)
+		}
+	}
+	for _, declaration := range file.Decls {
+		switch d := declaration.(type) {
+		case *ast.FuncDecl:
+			p.members[receiverPrefix(d)+d.Name.Name] = true
+		case *ast.GenDecl:
+			for _, spec := range d.Specs {
+				p.addSpec(spec)
+			}
+		}
+	}
+	return nil
+}
+
+func (p *sourcePackage) addSpec(spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			p.members[name.Name] = true
+		}
+	case *ast.TypeSpec:
+		p.members[s.Name.Name] = true
+		for _, field := range fieldsOf(s.Type) {
+			for _, name := range field.Names {
+				p.members[s.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+// fieldsOf returns the fields of a struct, or the methods of an interface.
+func fieldsOf(expr ast.Expr) []*ast.Field {
+	switch e := expr.(type) {
+	case *ast.StructType:
+		return e.Fields.List
+	case *ast.InterfaceType:
+		return e.Methods.List
+	}
+	return nil
+}
+
+// receiverPrefix returns the receiver's type with a dot, or "" for a function.
+func receiverPrefix(f *ast.FuncDecl) string {
+	if f.Recv == nil {
+		return ""
+	}
+	expr := f.Recv.List[0].Type
+	if star, ok := expr.(*ast.StarExpr); ok {
+		expr = star.X
+	}
+	if index, ok := expr.(*ast.IndexExpr); ok {
+		expr = index.X
+	}
+	if name, ok := expr.(*ast.Ident); ok {
+		return name.Name + "."
+	}
+	return ""
+}
