--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -185,6 +185,7 @@
 			w.store(t)
 		case delayed:
 			w.delayed = append(w.delayed, t)
+		default: // nothing is stored yet
 		}
 		if result != answered || !w.store(t) {
 			w.changeLeader() // a leader resigns if a write isn't answered
--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -99,8 +99,7 @@
 // handleProxyError responds to a request that has no response of its model.
 func (h *Handler) handleProxyError(w http.ResponseWriter, _ *http.Request, err error) {
 	h.log.Debug("model request failed", "error", err)
-	var tooLarge *http.MaxBytesError
-	if errors.As(err, &tooLarge) {
+	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		writeBodyTooLarge(w)
 		return
 	}
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -107,7 +107,7 @@
 }
 
 func TestArchivedFinalStateIsNotReplaced(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	inFixture(t, func(_ *testing.T, f *fixture) {
 		leader := f.startLeader()
 		e := newEntries(5)[4]
 		f.archive(leader, []Entry{e})
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 	"testing"
@@ -96,9 +97,7 @@
 func (m *model) end(err error) {
 	m.failed = err != nil
 	if err == nil {
-		for key, v := range m.committing {
-			m.durable[key] = v
-		}
+		maps.Copy(m.durable, m.committing)
 	}
 	m.committing = nil
 	m.queue.EndCommit(err)
@@ -125,7 +124,7 @@
 				}
 				m.begin(rapid.IntRange(0, 60).Draw(t, "bytes"))
 			},
-			"end": func(t *rapid.T) {
+			"end": func(*rapid.T) {
 				if m.committing != nil {
 					m.end(nil)
 				}
@@ -202,7 +201,7 @@
 	q.Mark(Interactive, "bad", func() any { return func() {} })
 	q.Mark(Interactive, "good", value(1))
 	var failed string
-	records, ok := q.BeginCommit(1000, func(key string, err error) { failed = key })
+	records, ok := q.BeginCommit(1000, func(key string, _ error) { failed = key })
 	if !ok || failed != "bad" || !slices.Equal(keys(records), []string{"good"}) {
 		t.Errorf("got failed %q, records %v; want bad and good", failed, keys(records))
 	}
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -69,8 +69,7 @@
 // logFailure logs a failed registration, the same error only once.
 func (r *Registrar) logFailure(err error) {
 	level := slog.LevelDebug
-	var damaged *upgrade.DamagedError
-	if errors.As(err, &damaged) {
+	if _, ok := errors.AsType[*upgrade.DamagedError](err); ok {
 		level = slog.LevelError
 	}
 	if err.Error() != r.lastLogged {
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -73,7 +73,7 @@
 // another tier.
 func (p *Planner) noteReserved(list *shortlist, c *Candidate) {
 	j := list.job
-	fits := j.Spec.Resources.Fits(c.Free) && !(p.settings.IsOpportunistic(&j.Spec) && p.strandsGPUs(j, c))
+	fits := j.Spec.Resources.Fits(c.Free) && (!p.settings.IsOpportunistic(&j.Spec) || !p.strandsGPUs(j, c))
 	switch tier := p.tierOf(j, c); {
 	case fits && tier == list.tier:
 	case fits && tier < list.tier:
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -77,7 +77,7 @@
 	admission := &deadlineAdmission{pace: p.batchPace(), now: now, urgencies: urgencies}
 	for priority := storage.Production; priority >= storage.BestEffort; priority-- {
 		left := withDeadline[priority]
-		for rank := rankStartAtRisk; rank < rankHopeless; rank++ {
+		for rank := rankStartAtRisk; rank < rankHopeless; rank++ { //nolint:modernize // the first rank is named, whatever its value
 			left = admission.admit(left, rank, func(j *cluster.Job) []time.Time {
 				return p.startBounds(j, rank, urgencies[j].withinQuota, now)
 			})
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -136,8 +136,7 @@
 
 // reason returns an error's text on one line, without the file's path.
 func reason(err error) string {
-	var pathErr *os.PathError
-	if errors.As(err, &pathErr) {
+	if pathErr, ok := errors.AsType[*os.PathError](err); ok {
 		err = pathErr.Err
 	}
 	return strings.Join(strings.Fields(err.Error()), " ")
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -132,7 +132,7 @@
 		data = append(data, f.Data...)
 	}
 	decompressor := flate.NewReader(bytes.NewReader(data))
-	defer decompressor.Close() //nolint:errcheck // it was read to the end of the batch
+	defer decompressor.Close()
 	if err := decode(io.LimitReader(decompressor, maxBatchSize*maxRequestBytes)); err != nil {
 		return fmt.Errorf("decode relay batch: %w", err)
 	}
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -46,7 +46,7 @@
 	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*a.node.settings.WorkerLease {
 		return ""
 	}
-	leader, _ := a.node.leader(a.node.view.Load())
+	leader := a.node.leader(a.node.view.Load())
 	if leader == "" {
 		return ""
 	}
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -139,7 +139,7 @@
 		return
 	}
 	v := c.node.view.Load()
-	leader, _ := c.node.leader(v)
+	leader := c.node.leader(v)
 	switch {
 	case v.scheduler != nil:
 		go c.decide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -248,7 +248,7 @@
 	if v.role.Leading && time.Now().Before(v.role.LeaseValidUntil) {
 		return true
 	}
-	leader, _ := n.leader(v)
+	leader := n.leader(v)
 	if leader != "" && leader != n.settings.NodeName {
 		return n.deps.Peers.UnreachableFor(leader) <= n.settings.Tuning.LeaderLease
 	}
@@ -262,12 +262,11 @@
 
 // leader returns the leader that this controller knows of, or that its peers tell of if that has a later term: this
 // controller alone may have lost the key-value store.
-func (n *Node) leader(v *view) (name string, term uint64) {
-	name, term = v.role.Leader, v.role.Term
-	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > term && peersLeader != n.settings.NodeName {
-		return peersLeader, peersTerm
+func (n *Node) leader(v *view) string {
+	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > v.role.Term && peersLeader != n.settings.NodeName {
+		return peersLeader
 	}
-	return name, term
+	return v.role.Leader
 }
 
 // HandleUserRequest answers a user's request: itself as the leader, else from the archive or through the leader.
@@ -279,7 +278,7 @@
 	if a, ok := n.archived(req); ok {
 		return a
 	}
-	leader, _ := n.leader(v)
+	leader := n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
 		return api.Unavailable(req.ID, "no leader yet")
 	}
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -115,6 +115,7 @@
 		m.QuarantinedUntil = now.Add(s.settings.HeartbeatInterval)
 	case worker.CauseUnknown:
 		j.RetryAfter = now.Add(s.settings.HeartbeatInterval)
+	case worker.CauseStopped, worker.CauseNone: // nothing is at fault
 	}
 	s.log.Debug("attempt exited", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
 	s.removeAttempt(a, "exited")
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -47,7 +47,7 @@
 // activationLeader returns the leader, if it is another controller that supports wake requests and usage reports, or the
 // reason why there is none. Earlier versions would misinterpret these messages.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
-	leader, _ = n.leader(v)
+	leader = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
 		return "", "no leader yet"
 	}
--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -117,8 +117,8 @@
 
 // chunksUntilPlain returns how many of the oldest chunks have to be deleted until all are plain.
 func (x *journalIndex) chunksUntilPlain() int {
-	for i := len(x.chunks) - 1; i >= 0; i-- {
-		if x.chunks[i].encoded {
+	for i, chunk := range slices.Backward(x.chunks) {
+		if chunk.encoded {
 			return i + 1
 		}
 	}
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -82,7 +82,7 @@
 			break
 		}
 		if c.worker.Load() && !c.busy.Load() {
-			c.Close()
+			_ = c.Close() // it is closed to free its slot, and nothing is lost with it
 			shed++
 		}
 	}
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -75,7 +75,7 @@
 			return
 		}
 		goroutines.Add(1)
-		go func() { // not goroutines.Go, which would allocate for each request
+		go func() { //nolint:modernize // goroutines.Go would allocate for each request
 			defer goroutines.Done()
 			handlerCtx, cancelHandler := context.WithTimeout(ctx, peerTimeout)
 			defer cancelHandler()
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -65,13 +65,14 @@
 
 // settledPhase returns the phase of the record once no withdrawal is under way.
 func (r *Record) settledPhase() Phase {
-	switch {
-	case r.Active == r.Minimum:
+	switch r.Active {
+	case r.Minimum:
 		return Finalized
-	case r.Active == Baseline:
+	case Baseline:
 		return Stable
+	default:
+		return Soaking
 	}
-	return Soaking
 }
 
 // plainRecord is Record without its methods, for encoding/json.
--- a/internal/upgrade/unknown_fields.go
+++ b/internal/upgrade/unknown_fields.go
@@ -20,8 +20,8 @@
 func FieldNames(structValue any) []string {
 	var names []string
 	t := reflect.TypeOf(structValue)
-	for i := range t.NumField() {
-		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
+	for field := range t.Fields() {
+		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		if name != "" && name != "-" {
 			names = append(names, name)
 		}
--- a/internal/wire/coordination/messages_test.go
+++ b/internal/wire/coordination/messages_test.go
@@ -112,8 +112,8 @@
 			fill(t, v.Index(i), next)
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+		for _, field := range v.Fields() {
+			fill(t, field, next)
 		}
 	default:
 		t.Fatalf("no value for %v", v.Type())
