--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -12,49 +12,62 @@
 
 // commandsFor returns the commands in the response to a heartbeat.
 func (s *scheduler) commandsFor(m *cluster.Machine, r *worker.Report, now time.Time) []worker.Command {
-	var out []worker.Command
+	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
-		if a.Incarnation != r.Incarnation {
-			continue
-		}
-		switch {
-		case a.Stopping && a.Reported:
-			if a.State != worker.Saving || a.GraceSeconds == 0 {
-				out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number, GraceSeconds: a.GraceSeconds})
-			}
-		case a.Stopping && !a.MaybeDelivered():
-			s.removeAttempt(a, "stopped before its start")
-		case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
-			// The direct start may still arrive, minutes late. Starting and stopping the attempt now makes the
-			// worker know it, and so ignore the late start.
-			if s.leaseValid(now) {
-				a.NoteCommanded(r)
-				out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
-			}
-			out = append(out, worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number})
-		case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && s.tokens.Contains(r.Token):
-			s.removeAttempt(a, "its start was not executed")
-		case a.Stopping:
-		case !a.Reported && a.Durable && a.Job.Phase == storage.Open && s.leaseValid(now) && !m.Terminating:
-			a.NoteCommanded(r)
-			out = append(out, worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number})
+		if a.Incarnation == r.Incarnation {
+			commands = s.appendAttemptCommands(commands, a, r, now)
 		}
 	}
 	for _, t := range m.Orphans {
-		out = append(out, worker.Command{Verb: worker.Stop, ID: t.ID, Attempt: t.Attempt})
+		commands = append(commands, worker.Command{Verb: worker.Stop, ID: t.ID, Attempt: t.Attempt})
 	}
 	m.Orphans = m.Orphans[:0]
 	for _, t := range m.Exited {
-		if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
-			continue
+		if s.mayForget(m, t, now) {
+			commands = append(commands, worker.Command{Verb: worker.Forget, ID: t.ID, Attempt: t.Attempt})
+		}
+	}
+	return commands[:min(len(commands), maxCommands)]
+}
+
+// appendAttemptCommands appends the commands for an attempt of the worker that sent the heartbeat. An attempt that is to
+// be stopped and provably wasn't started is removed instead.
+func (s *scheduler) appendAttemptCommands(commands []worker.Command, a *cluster.Attempt, r *worker.Report, now time.Time) []worker.Command {
+	start := worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number}
+	stop := worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number}
+	switch {
+	case a.Stopping && a.Reported:
+		if a.State != worker.Saving || a.GraceSeconds == 0 {
+			stop.GraceSeconds = a.GraceSeconds
+			return append(commands, stop)
 		}
-		// A direct start may be delivered again late. That is harmless only while the worker still knows the attempt.
-		if m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) || !s.leaseValid(now) || !s.pageDurable(t.ID) {
-			continue
+	case a.Stopping && !a.MaybeDelivered():
+		s.removeAttempt(a, "stopped before its start")
+	case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
+		// The direct start may still arrive, minutes late. Starting and stopping the attempt now makes the worker know
+		// it, and so ignore the late start.
+		if s.leaseValid(now) {
+			a.NoteCommanded(r)
+			commands = append(commands, start)
 		}
-		out = append(out, worker.Command{Verb: worker.Forget, ID: t.ID, Attempt: t.Attempt})
+		return append(commands, stop)
+	case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && s.tokens.Contains(r.Token):
+		s.removeAttempt(a, "its start was not executed")
+	case a.Stopping:
+	case !a.Reported && a.Durable && a.Job.Phase == storage.Open && s.leaseValid(now) && !a.Machine.Terminating:
+		a.NoteCommanded(r)
+		return append(commands, start)
+	}
+	return commands
+}
+
+// mayForget reports whether a worker may forget an exited attempt: it is no longer known here, its result is durable, and
+// no direct start of it can arrive late. Such a start is harmless only while the worker still knows the attempt.
+func (s *scheduler) mayForget(m *cluster.Machine, t worker.TaskReport, now time.Time) bool {
+	if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
+		return false
 	}
-	return out[:min(len(out), maxCommands)]
+	return !m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) && s.leaseValid(now) && s.pageDurable(t.ID)
 }
 
 // commandJobStops sends the workers of a job's stopped attempts their stops directly.
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -149,11 +149,11 @@
 	}
 }
 
-// term loads the state under a fresh lead, then runs its actors.
+// term is a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
+// term's scheduler to loaded once it may be used.
 func (n *Node) term(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
-	started := time.Now()
 	log := n.deps.Log.With("term", role.Term)
-	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
+	s, err := n.loadState(ctx, role, log)
 	if err != nil {
 		if ctx.Err() == nil {
 			log.Error("state loading failed", "error", err)
@@ -161,55 +161,71 @@
 		}
 		return
 	}
-	d, err := newScheduler(n.settings, n.deps, role, journal, n.election.Resign, log)
+	n.runTerm(ctx, role, s, loaded, log)
+}
+
+// loadState reads the journal under a new leader's guard, and returns a scheduler with the cluster state.
+func (n *Node) loadState(ctx context.Context, role leadership.Role, log *slog.Logger) (*scheduler, error) {
+	started := time.Now()
+	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
 	if err != nil {
-		log.Error("state decoding failed", "error", err)
-		n.resign(role.Term)
-		return
+		return nil, fmt.Errorf("read journal: %w", err)
 	}
-	d.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(n.election.Status().Uptime) }
-	upgrades := upgradecontrol.New(upgradecontrol.Config{
-		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, Users: termGates{d, journal}, Log: log,
-	})
-	d.requestGate = upgrades.RequestUse
-	d.gates = role.Cluster.Record
-	n.beginArchive(ctx, d, role)
-	journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	journal.SetEncoding(encodingOf(role.Cluster.Record))
-	log.Info("failover complete", "jobs", d.state.Jobs.Count(), "machines", d.state.Machines.Count(),
-		"attempts", d.state.Reservations.Attempts(), "duration", time.Since(started))
+	s, err := newScheduler(n.settings, n.deps, role, journal, n.election.Resign, log)
+	if err != nil {
+		return nil, fmt.Errorf("decode journal: %w", err)
+	}
+	s.sinceHeartbeat = func() time.Duration { return n.forwarder.lastHeartbeat.Since(n.election.Status().Uptime) }
+	n.beginArchive(ctx, s, role)
+	log.Info("failover complete", "jobs", s.state.Jobs.Count(), "machines", s.state.Machines.Count(),
+		"attempts", s.state.Reservations.Attempts(), "duration", time.Since(started))
+	return s, nil
+}
+
+// runTerm runs the actors of a term until one fails or ctx ends.
+func (n *Node) runTerm(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
 	g, gctx := errgroup.WithContext(ctx)
+	// All of the scheduler's links to other actors are set before any of them runs.
 	background, waitForCalls := backgroundCalls(gctx)
-	d.background = background // before any of the actors can speak to another
-	d.autoscaler = autoscaling.New(autoscaling.Config{
-		Settings: n.settings, Cloud: n.deps.Cloud, Journal: journal, Scheduler: d, Term: role.Term,
-		Desired: d.desired, Launches: d.openLaunches, Done: gctx.Done(), Log: log,
+	defer waitForCalls()
+	s.background = background
+	upgrades := upgradecontrol.New(upgradecontrol.Config{
+		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, Users: termGates{s, s.journal}, Log: log,
 	})
-	g.Go(func() error { return journal.Run(gctx) })
-	g.Go(func() error { return d.run(gctx) })
-	g.Go(func() error { return d.autoscaler.Run(gctx) })
-	g.Go(func() error { return upgrades.Run(gctx) })
-	g.Go(func() error {
-		relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, d, n.deps.Log).Run(gctx)
-		return nil
+	s.requestGate = upgrades.RequestUse
+	s.journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
+	s.autoscaler = autoscaling.New(autoscaling.Config{
+		Settings: n.settings, Cloud: n.deps.Cloud, Journal: s.journal, Scheduler: s, Term: role.Term,
+		Desired: s.desired, Launches: s.openLaunches, Done: gctx.Done(), Log: log,
 	})
+	relayServer := relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, s, n.deps.Log)
+	g.Go(func() error { return s.journal.Run(gctx) })
+	g.Go(func() error { return s.run(gctx) })
+	g.Go(func() error { return s.autoscaler.Run(gctx) })
+	g.Go(func() error { return upgrades.Run(gctx) })
+	g.Go(func() error { relayServer.Run(gctx); return nil })
 	select {
-	case loaded <- d:
+	case loaded <- s:
 	case <-ctx.Done():
 	}
-	err = g.Wait()
-	d.close()
+	err := g.Wait()
+	s.close()
 	n.archive.EndTerm(context.WithoutCancel(ctx), role.Term)
-	defer waitForCalls()
+	n.endTerm(role.Term, err, log)
+}
+
+// endTerm gives up the leadership of a term whose actors ended with an error.
+func (n *Node) endTerm(term uint64, err error, log *slog.Logger) {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
+		return
 	case errors.Is(err, storage.ErrLeadershipLost):
-		log.Info("term ended", "error", err) // a successor leads, or will
-		n.resign(role.Term)
+		log.Info("term ended", "error", err) // expected: there is a successor, or will be one
 	default:
 		log.Error("term ended", "error", err)
-		n.resign(role.Term)
 	}
+	n.resign(term)
 }
 
 // beginArchive has the archive's pages read for a term, if there may be any.
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -19,13 +19,7 @@
 	}
 	m.Incarnation, m.Seq, m.Token = r.Incarnation, r.Seq, max(m.Token, r.Token)
 	m.Fence.ObserveToken(r.Token)
-	if m.TypeName != r.Type || m.Addr != r.Addr || m.Zone != r.Zone {
-		m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = r.Addr, r.Type, r.Zone, r.Spot, s.state.Types.Get(r.Type)
-		m.Recorded = false
-	}
-	if !m.Recorded {
-		s.markMachine(m)
-	}
+	s.updateMachine(m, r)
 	first := s.tokens.Contains(r.Token) && !m.Confirmed && r.Incarnation > m.ExpiredIncarnation
 	if first {
 		s.confirmMachine(m, now)
@@ -57,6 +51,17 @@
 	}
 }
 
+// updateMachine updates what a machine's record holds, and has it written if it has changed.
+func (s *scheduler) updateMachine(m *cluster.Machine, r *worker.Report) {
+	if m.TypeName != r.Type || m.Addr != r.Addr || m.Zone != r.Zone {
+		m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = r.Addr, r.Type, r.Zone, r.Spot, s.state.Types.Get(r.Type)
+		m.Recorded = false
+	}
+	if !m.Recorded {
+		s.markMachine(m)
+	}
+}
+
 // confirmMachine handles the first report of a machine under this term's token. From here on only this leader's own
 // responses renew its lease.
 func (s *scheduler) confirmMachine(m *cluster.Machine, now time.Time) {
