--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -13,6 +13,7 @@
 	"fmt"
 	"log/slog"
 	"slices"
+	"sync"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -85,6 +86,7 @@
 	mailbox   chan message
 	done      <-chan struct{}
 	limiter   *rate.Limiter
+	calls     sync.WaitGroup // calls of the cloud in flight, which Run awaits
 	started   time.Time
 
 	// The desired size and the steps towards it.
@@ -176,6 +178,7 @@
 	defer tick.Stop()
 	cooldown := time.NewTimer(0) // ends the pause after a drain
 	defer cooldown.Stop()
+	defer a.calls.Wait() // ctx ends them
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -46,14 +46,14 @@
 
 // call makes one call of the cloud within its request budget, in a goroutine that ends with ctx.
 func (a *Autoscaler) call(ctx context.Context, f func(ctx context.Context)) {
-	go func() {
+	a.calls.Go(func() {
 		if err := a.limiter.Wait(ctx); err != nil {
 			return // the term ends
 		}
 		callCtx, cancel := a.callContext(ctx)
 		defer cancel()
 		f(callCtx)
-	}()
+	})
 }
 
 func (a *Autoscaler) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"hash/maphash"
+	"sync"
 	"time"
 
 	"sagevale/internal/clock"
@@ -41,6 +42,7 @@
 	lastHeartbeat clock.AtomicTime // when the last heartbeat arrived here
 	lastDelegated clock.AtomicTime // when this controller last renewed a lease under a delegation
 	lastProbe     clock.AtomicTime // when the load balancer last probed
+	requests      sync.WaitGroup   // goroutines of decide, which run awaits
 }
 
 // knownWorker is what is remembered of a worker that sends its heartbeats here.
@@ -59,6 +61,9 @@
 	reply  chan worker.HeartbeatResponse
 }
 
+// heartbeatRequest has a leader answer heartbeats; without responses it decided on none.
+type heartbeatRequest func(context.Context, []*worker.Report) []worker.HeartbeatResponse
+
 // decidedBatch is a batch with the responses of the leader; without responses no leader decided on it.
 type decidedBatch struct {
 	reports   []pendingReport
@@ -95,6 +100,7 @@
 	defer sweep.Stop()
 	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
+	defer c.requests.Wait() // ctx ends them
 	for {
 		select {
 		case <-ctx.Done():
@@ -142,12 +148,12 @@
 	leader := c.node.leader(v)
 	switch {
 	case v.scheduler != nil:
-		go c.decide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
+		c.startDecide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
 	case leader == "" || leader == c.settings.NodeName:
 		c.answerDelegated(p, now)
 	case c.node.deps.Peers.UnreachableFor(leader) > 0:
 		// Redirecting the worker to an unreachable leader would cost it seconds of its lease.
-		go c.decide(ctx, []pendingReport{p}, c.node.relay.HandleHeartbeats)
+		c.startDecide(ctx, []pendingReport{p}, c.node.relay.HandleHeartbeats)
 	default:
 		c.enqueue(ctx, p, leader)
 	}
@@ -172,7 +178,7 @@
 	batch, leader := c.pending, c.leader
 	c.pending, c.flush = nil, nil
 	if len(batch) > 0 {
-		go c.decide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+		c.startDecide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 			responses, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
 				return nil // no leader decided on them
@@ -182,8 +188,17 @@
 	}
 }
 
+// startDecide runs decide in a goroutine of its own.
+func (c *forwarder) startDecide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
+	c.requests.Add(1)
+	go func() { //nolint:modernize // requests.Go would allocate for each heartbeat
+		defer c.requests.Done()
+		c.decide(ctx, batch, request)
+	}()
+}
+
 // decide requests the responses to a batch and returns them to the actor.
-func (c *forwarder) decide(ctx context.Context, batch []pendingReport, request func(context.Context, []*worker.Report) []worker.HeartbeatResponse) {
+func (c *forwarder) decide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"math"
 	"math/rand/v2"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -102,6 +103,7 @@
 
 // follow begins a term when this controller becomes the leader, and ends it when it no longer is.
 func (n *Node) follow(ctx context.Context) {
+	var terms sync.WaitGroup
 	var end context.CancelFunc
 	var leading *scheduler
 	loaded := make(chan *scheduler, 1)
@@ -111,6 +113,7 @@
 			end, leading = nil, nil
 		}
 	}
+	defer terms.Wait()
 	defer stop()
 	for {
 		var role leadership.Role
@@ -131,9 +134,9 @@
 		}
 		n.publish(role, leading)
 		if role.Leading && end == nil {
-			tctx, cancel := context.WithCancel(ctx)
+			termCtx, cancel := context.WithCancel(ctx)
 			end = cancel
-			go n.term(tctx, role, loaded)
+			terms.Go(func() { n.term(termCtx, role, loaded) })
 		}
 	}
 }
