--- /dev/null
+++ b/internal/log_messages_test.go
@@ -0,0 +1,154 @@
+package internal_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logPage is the page whose table lists all log messages, from this directory.
+const logPage = "../docs/operating-incidents.md"
+
+// logRow matches a row of the table: message, levels, keys.
+var logRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([a-z, ]+) \\| ([^|]+) \\| [^|]+ \\|$")
+
+// loggedMessage is a log call with its constant message and keys.
+type loggedMessage struct {
+	position token.Position
+	message  string
+	level    string // "": chosen at run time
+	keys     []string
+}
+
+// TestIncidentsPageListsLogMessages checks that the page lists exactly the messages that the programs log, with their
+// levels and keys: engineers on call search the page for what they read in the log.
+func TestIncidentsPageListsLogMessages(t *testing.T) {
+	page, err := os.ReadFile(logPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	type row struct{ levels, keys string }
+	rows := make(map[string]row)
+	for _, match := range logRow.FindAllStringSubmatch(string(page), -1) {
+		rows[match[1]] = row{levels: match[2], keys: match[3]}
+	}
+	logged := make(map[string]bool)
+	for _, m := range readLogCalls(t) {
+		logged[m.message] = true
+		r, ok := rows[m.message]
+		if !ok {
+			t.Errorf("%v: message %q has no row in %s", m.position, m.message, logPage)
+			continue
+		}
+		if m.level != "" && !slices.Contains(strings.Split(r.levels, ", "), m.level) {
+			t.Errorf("%v: message %q is logged at level %s, %s lists %q", m.position, m.message, m.level, logPage, r.levels)
+		}
+		for _, key := range m.keys {
+			if !strings.Contains(r.keys, "`"+key+"`") {
+				t.Errorf("%v: message %q has key %s, %s lists %s", m.position, m.message, key, logPage, r.keys)
+			}
+		}
+	}
+	for message := range rows {
+		if !logged[message] {
+			t.Errorf("%s lists message %q, which nothing logs", logPage, message)
+		}
+	}
+}
+
+// readLogCalls returns the log calls of all program files but those of test support.
+func readLogCalls(t *testing.T) []loggedMessage {
+	t.Helper()
+	var calls []loggedMessage
+	for dir, layer := range layers {
+		if layer == testSupport {
+			continue
+		}
+		files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range files {
+			if !strings.HasSuffix(name, "_test.go") {
+				calls = append(calls, readLogCallsOf(t, name)...)
+			}
+		}
+	}
+	if len(calls) == 0 {
+		t.Fatal("got no log calls, want some")
+	}
+	return calls
+}
+
+func readLogCallsOf(t *testing.T, name string) []loggedMessage {
+	t.Helper()
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, name, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var calls []loggedMessage
+	ast.Inspect(file, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		if m, ok := parseLogCall(call); ok {
+			m.position = files.Position(call.Pos())
+			calls = append(calls, m)
+		}
+		return true
+	})
+	return calls
+}
+
+// parseLogCall returns the message and the constant keys of a call of a logger.
+func parseLogCall(call *ast.CallExpr) (m loggedMessage, ok bool) {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !isLogger(method.X) {
+		return loggedMessage{}, false
+	}
+	args := call.Args
+	switch method.Sel.Name {
+	case "Debug", "Info", "Warn", "Error":
+		m.level = strings.ToLower(method.Sel.Name)
+	case "Log":
+		args = args[2:] // after the context and the level
+	default:
+		return loggedMessage{}, false
+	}
+	m.message, ok = stringConstant(args[0])
+	for i := 1; i < len(args); i += 2 {
+		if key, isConstant := stringConstant(args[i]); isConstant {
+			m.keys = append(m.keys, key)
+		}
+	}
+	return m, ok
+}
+
+// isLogger reports whether an expression is a logger by its name: log, x.log, x.Log or the package slog.
+func isLogger(e ast.Expr) bool {
+	switch e := e.(type) {
+	case *ast.Ident:
+		return strings.EqualFold(e.Name, "log") || e.Name == "slog"
+	case *ast.SelectorExpr:
+		return strings.EqualFold(e.Sel.Name, "log")
+	}
+	return false
+}
+
+func stringConstant(e ast.Expr) (string, bool) {
+	literal, ok := e.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	value, err := strconv.Unquote(literal.Value)
+	return value, err == nil
+}
