--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -30,16 +30,16 @@
 	s := clustertest.Settings()
 	s.NodeName, s.Peers = "n0", []config.Peer{{Name: "n1"}, {Name: "n2"}}
 	s.Tuning.Activation.Classes = []string{coldClass}
-	d := newTestDispatcher(t, s)
+	d := newTestScheduler(t, s)
 	d.setGates(openActivation)
 	d.activation.resume(time.Now())
 	reply := make(chan api.Response, 1)
 	d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: reply})
-	d.commit(nil)
+	d.commitPending(nil)
 	if a := <-reply; a.Code != api.CodeCreated {
 		t.Fatalf("answered %+v", a)
 	}
-	return d, d.state.Jobs.Get(coldModel), d.up(7, "cpu", "a", false)
+	return d, d.state.Jobs.Get(coldModel), d.addReadyMachine(7, "cpu", "a", false)
 }
 
 // asked puts demand to the dispatcher; ok is false if it isn't answered yet.
@@ -52,12 +52,12 @@
 // started brings a model up on a machine.
 func started(d *scheduler, j *cluster.Job, m *cluster.Machine) *cluster.Attempt {
 	d.asked(d.activation.service(j).record.Generation, 0)
-	d.commit(nil)
+	d.commitPending(nil)
 	d.placeRound(time.Now())
-	d.commit(nil)
+	d.commitPending(nil)
 	a := j.Attempts[0]
 	d.report(m, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
-	d.commit(nil)
+	d.commitPending(nil)
 	return a
 }
 
@@ -73,7 +73,7 @@
 			if len(reply) > 0 || len(j.Attempts) > 0 {
 				t.Errorf("%d told, %d placed", len(reply), len(j.Attempts))
 			}
-			d.commit(nil)
+			d.commitPending(nil)
 			d.placeRound(time.Now())
 			if r := <-reply; r.State != activation.Starting || r.Generation != 1 || len(j.Attempts) != 1 {
 				t.Errorf("%+v, %d placed", r, len(j.Attempts))
@@ -81,7 +81,7 @@
 		},
 		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *cluster.Job, _ *cluster.Machine) {
 			reply := d.asked(0, 0)
-			d.commit(storage.ErrLeadershipLost)
+			d.commitPending(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
 				t.Errorf("%+v", r)
 			}
@@ -114,9 +114,9 @@
 		},
 		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			d.asked(0, 0)
-			d.commit(nil)
+			d.commitPending(nil)
 			d.placeRound(time.Now())
-			d.commit(nil)
+			d.commitPending(nil)
 			a := j.Attempts[0]
 			time.Sleep(d.settings.Tuning.Activation.Policy.StartTimeout + time.Second)
 			d.activation.tick(time.Now())
@@ -124,7 +124,7 @@
 			if a.Stopping {
 				t.Error("stopped before that is durable")
 			}
-			d.commit(nil)
+			d.commitPending(nil)
 			if !a.Stopping {
 				t.Error("not stopped")
 			}
@@ -147,7 +147,7 @@
 				t.Errorf("%d uses", d.activation.uses())
 			}
 			d.cancel(userMessage{reply: make(chan api.Response, 1)}, j, time.Now())
-			d.commit(nil)
+			d.commitPending(nil)
 			if d.activation.uses() != 0 || j.Record().Activation != nil {
 				t.Errorf("%d uses", d.activation.uses())
 			}
@@ -168,12 +168,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Tuning.Activation.Classes = []string{coldClass}
-		d := newTestDispatcher(t, s)
+		d := newTestScheduler(t, s)
 		d.activation.gate = openActivation.Gate(upgrade.Activation)
 		spec := model(coldModel)
 		if err := d.load([]storage.Record{
-			record(t, storage.JobKey(coldModel), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
-			record(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
+			newRecord(t, storage.JobKey(coldModel), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
+			newRecord(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +203,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := clustertest.Settings()
 			s.Tuning.Activation.Classes = []string{coldClass}
-			d := newTestDispatcher(t, s)
+			d := newTestScheduler(t, s)
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
 			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan api.Response, 1)})
 			j := d.state.Jobs.Get(coldModel)
@@ -226,12 +226,12 @@
 		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Known {
 			t.Errorf("%+v", r)
 		}
-		lead.holdUp.Store(int64(2 * sim.settings.WakeInterval()))
+		lead.responseDelay.Store(int64(2 * sim.settings.WakeInterval()))
 		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Undecided {
 			t.Errorf("passed on late: %+v", r)
 		}
-		lead.holdUp.Store(0)
-		sim.locked(func() {
+		lead.responseDelay.Store(0)
+		sim.withLock(func() {
 			for name, status := range follower.statuses {
 				status.Version = peer.VersionTokenRanges
 				follower.statuses[name] = status
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -41,7 +41,7 @@
 		records = append(records, r)
 	}
 	for b.Loop() {
-		d := newTestDispatcher(b, clustertest.Settings())
+		d := newTestScheduler(b, clustertest.Settings())
 		before := liveHeap()
 		began := time.Now()
 		if err := d.load(records); err != nil {
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -29,7 +29,7 @@
 // inArchiving runs a scenario whose finished jobs are archived, but for so many.
 func inArchiving(t *testing.T, keep int, story func(sim *simulation)) {
 	t.Helper()
-	inSimulationTuned(t, func(*config.Settings) {}, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
+	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
 }
 
 // status is what an operator is told of the archive.
@@ -60,7 +60,7 @@
 		sim.submit(s)
 	}
 	for _, id := range ids {
-		sim.done(id)
+		sim.awaitDone(id)
 	}
 }
 
@@ -71,7 +71,7 @@
 		for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 			var a api.Response
 			for range 20 {
-				if a = sim.askNode(n, op, id, clustertest.Array(id, 2)); a.Decided() {
+				if a = sim.requestFrom(n, op, id, clustertest.Array(id, 2)); a.Decided() {
 					break
 				}
 				time.Sleep(500 * time.Millisecond)
@@ -89,7 +89,7 @@
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000000", 2))
-		sim.runs("000000", 2)
+		sim.awaitRunning("000000", 2)
 		sim.cancel("000000")
 		sim.finish("999999999999999999", "0000000", "555555")
 		sim.archivedAll(4)
@@ -123,7 +123,7 @@
 
 // With the archive off nothing of it is stored, and a job that is over stays in the journal.
 func TestWithoutTheArchiveNothingIsStored(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
 		time.Sleep(2 * time.Minute)
@@ -203,10 +203,10 @@
 				s.EstimateS = 3
 				sim.submit(s)
 				stop := sim.askAll("000001", s)
-				sim.done("000001")
+				sim.awaitDone("000001")
 				time.Sleep(20 * time.Second)
 				for _, n := range sim.nodes {
-					if n.end == nil {
+					if n.cancelRun == nil {
 						n.start()
 					}
 				}
@@ -216,7 +216,7 @@
 				stop()
 				sim.told("000001", api.StateDone)
 				sim.told("000007", api.StateDone)
-				sim.runs("000009", 2)
+				sim.awaitRunning("000009", 2)
 			})
 		})
 	}
@@ -224,7 +224,7 @@
 
 // dropOnce kills the leader the first time, and has what it sent be lost.
 func (sim *simulation) dropOnce(leader func() *fakeNode) bool {
-	if !sim.dropped.CompareAndSwap(false, true) {
+	if !sim.messagesDropped.CompareAndSwap(false, true) {
 		return false
 	}
 	go leader().kill()
@@ -239,7 +239,7 @@
 		for _, op := range []api.Op{api.OpPoll, api.OpSubmit} {
 			wait.Go(func() {
 				for !over.Load() {
-					sim.askNode(n, op, id, spec)
+					sim.requestFrom(n, op, id, spec)
 					time.Sleep(7 * time.Millisecond)
 				}
 			})
@@ -273,10 +273,10 @@
 		for range 30 {
 			for _, n := range sim.nodes {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
-					if a := sim.askNode(n, op, "000002", clustertest.Array("000002", 2)); a.Code != api.CodeOK || a.State != api.StateDone {
+					if a := sim.requestFrom(n, op, "000002", clustertest.Array("000002", 2)); a.Code != api.CodeOK || a.State != api.StateDone {
 						t.Fatalf("%s answers %v by %+v", n.name, op, a)
 					}
-					if a := sim.askNode(n, op, "000003", clustertest.Array("000003", 2)); a.Code == api.CodeCreated || a.Code == api.CodeOK {
+					if a := sim.requestFrom(n, op, "000003", clustertest.Array("000003", 2)); a.Code == api.CodeCreated || a.Code == api.CodeOK {
 						t.Fatalf("%s answers %v of an unknown job by %+v", n.name, op, a)
 					}
 				}
@@ -306,7 +306,7 @@
 		for range 10 {
 			for _, id := range []string{"000002", "000003"} {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
-					if a := sim.askNode(next, op, id, clustertest.Array(id, 2)); a.Decided() && !a.Final() {
+					if a := sim.requestFrom(next, op, id, clustertest.Array(id, 2)); a.Decided() && !a.Final() {
 						t.Fatalf("%v of job %s is answered %+v", op, id, a)
 					}
 				}
@@ -335,7 +335,7 @@
 		for range 5 {
 			for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 				for _, id := range []string{"000001", "000002"} {
-					if a := sim.askNode(lead, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
+					if a := sim.requestFrom(lead, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
 						t.Errorf("%v of job %s is answered %+v", op, id, a)
 					}
 				}
@@ -350,7 +350,7 @@
 
 // A burst of polls for jobs that nobody submitted, at a leader that holds no pages, starves neither its lease nor commits.
 func TestABurstOfUnknownPolls(t *testing.T) {
-	inSimulationTuned(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
+	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
 		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
 	}, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -363,7 +363,7 @@
 		for i := range 60 {
 			wait.Go(func() {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					switch a := sim.askNode(lead, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
+					switch a := sim.requestFrom(lead, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
 					case api.CodeNotFound:
 						unknown.Add(1)
 					case api.CodeUnavailable:
@@ -380,7 +380,7 @@
 		if took := time.Since(began); took > 5*time.Second {
 			t.Errorf("accepted after %v", took)
 		}
-		sim.done("000002")
+		sim.awaitDone("000002")
 		wait.Wait()
 		if sim.awaitLeader() != lead || lead.node.view.Load().role.Term != term {
 			t.Error("the lead was lost")
@@ -398,7 +398,7 @@
 		sim.finish("000001")
 		sim.archivedAll(1)
 		sim.submit(clustertest.Service("000002", 2))
-		sim.runs("000002", 2)
+		sim.awaitRunning("000002", 2)
 		for _, n := range sim.nodes {
 			n.kill()
 		}
@@ -411,13 +411,13 @@
 		if _, err := sim.state.Apply(nil, ops); err != nil {
 			t.Fatal(err)
 		}
-		sim.locked(func() { sim.askedOff["000002"] = true })
+		sim.withLock(func() { sim.cancelRequested["000002"] = true })
 		for _, n := range sim.nodes {
 			n.start()
 		}
 		sim.awaitLeader()
 		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
-		sim.gone("000002")
+		sim.awaitStopped("000002")
 		sim.archivedAll(2)
 		sim.told("000002", api.StateCancelled)
 	})
@@ -426,7 +426,7 @@
 // The limits fall below the pages that are stored: they are told as ever, and further jobs are archived.
 func TestLimitsFallBelowTheArchive(t *testing.T) {
 	next := &storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 8}
-	inSimulationTuned(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
+	runSimulationWithTuning(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
 		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
@@ -487,7 +487,7 @@
 			began := time.Now()
 			for decided := false; !decided; time.Sleep(10 * time.Millisecond) {
 				if lead := sim.leader(); lead != nil {
-					a := sim.askNode(lead, api.OpPoll, "000001", storage.Spec{})
+					a := sim.requestFrom(lead, api.OpPoll, "000001", storage.Spec{})
 					decided = a.Decided()
 				}
 			}
@@ -523,7 +523,7 @@
 				if sim.awaitLeader() == back {
 					back = sim.nodes[1]
 				}
-				back.replace(upgrade.Version3)
+				back.restartWithVersion(upgrade.Version3)
 				for range kills {
 					time.Sleep(900 * time.Millisecond)
 					if lead := sim.leader(); lead != nil {
@@ -565,9 +565,9 @@
 		if sim.awaitLeader() == back {
 			back = sim.nodes[1]
 		}
-		back.replace(upgrade.Version3)
+		back.restartWithVersion(upgrade.Version3)
 		sim.eventually("some are back", time.Minute, func() bool { s := sim.status(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
-		back.replace(upgrade.Current)
+		back.restartWithVersion(upgrade.Current)
 		for i := range 5 {
 			sim.told(archivedID(i*700), api.StateDone)
 		}
@@ -582,14 +582,14 @@
 
 // An archive that doesn't fit into the leader's memory isn't brought back, and operators are told why.
 func TestAnArchiveThatCantBeBroughtBack(t *testing.T) {
-	inSimulationTuned(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
+	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
 		back := sim.nodes[0]
 		if sim.awaitLeader() == back {
 			back = sim.nodes[1]
 		}
-		back.replace(upgrade.Version3)
+		back.restartWithVersion(upgrade.Version3)
 		sim.eventually("told why", time.Minute, func() bool { return strings.Contains(sim.status().Waiting, "fit in memory") })
 		if s := sim.status(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
 			t.Errorf("%+v", s)
@@ -714,24 +714,24 @@
 			next++
 		case 4:
 			if id := fmt.Sprintf("%06d", 1+random.IntN(next)); sim.knows(id) {
-				sim.ask(api.OpCancel, id, storage.Spec{})
+				sim.request(api.OpCancel, id, storage.Spec{})
 			}
 		case 5:
 			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
 		case 6:
 			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 + random.IntN(3) })
 		case 7:
-			sim.lateWrites(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
+			sim.delayCommits(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
 		case 8:
 			sim.outage(time.Duration(random.IntN(15_000)) * time.Millisecond)
 		case 9:
 			n := sim.nodes[random.IntN(len(sim.nodes))]
-			n.cutState.Store(true)
-			time.AfterFunc(time.Duration(random.IntN(20_000))*time.Millisecond, func() { n.cutState.Store(false) })
+			n.cutStore.Store(true)
+			time.AfterFunc(time.Duration(random.IntN(20_000))*time.Millisecond, func() { n.cutStore.Store(false) })
 		default:
 			id := fmt.Sprintf("%06d", 1+random.IntN(next+2))
 			for _, n := range sim.nodes {
-				sim.askNode(n, api.OpPoll, id, storage.Spec{})
+				sim.requestFrom(n, api.OpPoll, id, storage.Spec{})
 			}
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
@@ -748,13 +748,13 @@
 		id := fmt.Sprintf("%06d", i+1)
 		sim.told(id, sim.poll(id).State)
 	}
-	sim.runs("900000", 3)
+	sim.awaitRunning("900000", 3)
 }
 
 // knows tells whether a user was told of a job.
 func (sim *simulation) knows(id string) bool {
 	known := false
-	sim.locked(func() { _, known = sim.answered[id] })
+	sim.withLock(func() { _, known = sim.reportedStates[id] })
 	return known
 }
 
@@ -777,7 +777,7 @@
 // be over.
 func TestAPageOfAnotherTermIsNoProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		for _, c := range []struct {
 			result archive.Result
 			want   api.Code
@@ -801,12 +801,12 @@
 // then, and the gate counts as used though no page holds anything yet.
 func TestAnOfferUnderWayIsAUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		rank, _ := archive.ParseJobNumber("000001")
 		restore := func() error {
 			reply := make(chan error, 1)
 			d.restoreArchived(restoreMessage{[]archive.Entry{{Number: rank}}, reply})
-			d.commit(nil)
+			d.commitPending(nil)
 			return <-reply
 		}
 		uses := func() int {
@@ -840,7 +840,7 @@
 // What was archived in a term stays to be looked for in it, though the gate's release is on its way and may be taken back.
 func TestTheArchiveIsUsedForTheRestOfTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		if d.archiveUsed {
 			t.Error("used from the start")
 		}
@@ -859,7 +859,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		service := storagetest.NewService()
 		defer service.Close()
 		rank, _ := archive.ParseJobNumber("000001")
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -23,21 +23,21 @@
 // newBenchDispatcher is a dispatcher with a fleet that carries services and arrays.
 func newBenchDispatcher(b *testing.B) *scheduler {
 	b.Helper()
-	d := newTestDispatcher(b, clustertest.Settings())
+	d := newTestScheduler(b, clustertest.Settings())
 	for i := range benchMachines {
 		kind := "cpu"
 		if i%2 == 0 {
 			kind = "gpu"
 		}
-		d.up(i+1, kind, []string{"a", "b"}[i/2%2], i%6 == 0)
+		d.addReadyMachine(i+1, kind, []string{"a", "b"}[i/2%2], i%6 == 0)
 	}
 	for i := range benchServices {
 		s := clustertest.Spread(fmt.Sprintf("%06d", i), 5)
 		s.Image = fmt.Sprintf("img-%02d", i%16)
-		d.accept(s)
+		d.addAcceptedJob(s)
 	}
 	for i := range benchArrays {
-		d.accept(benchArray(100000+i, 12))
+		d.addAcceptedJob(benchArray(100000+i, 12))
 	}
 	for d.placementDue = true; d.placementDue; {
 		d.placeRound(time.Now())
@@ -47,7 +47,7 @@
 			a.Durable, a.Reported, a.State, a.Started = true, true, worker.Running, time.Now()
 		}
 	}
-	d.unmark()
+	d.discardPending()
 	d.state.Classes.FirstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
 	return d
 }
@@ -80,7 +80,7 @@
 	for i := range 200 {
 		s := clustertest.Spread(fmt.Sprintf("%06d", 200000+i), 6)
 		s.Resources = storage.Resources{CPUs: 65}
-		d.accept(s)
+		d.addAcceptedJob(s)
 	}
 	for b.Loop() {
 		d.placeRound(time.Now())
@@ -92,12 +92,12 @@
 func BenchmarkRoundOfOne(b *testing.B) {
 	d := newBenchDispatcher(b)
 	for i := range 200 {
-		d.accept(benchArray(200000+i, 40))
+		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
 	s := clustertest.Service("300000", 1)
 	s.Resources = storage.Resources{CPUs: 0.1}
 	for b.Loop() {
-		j := d.accept(s)
+		j := d.addAcceptedJob(s)
 		d.placeRound(time.Now())
 		d.removeAttempt(j.Attempts[0], "placed")
 		delete(d.state.Jobs.Open, s.ID)
@@ -116,7 +116,7 @@
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
 	d := newBenchDispatcher(b)
 	for i := range 200 {
-		d.accept(benchArray(200000+i, 40))
+		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
 	for b.Loop() {
 		d.snapshotFleet(time.Now())
@@ -152,7 +152,7 @@
 		add(storage.PageKey(id, 0), j.PageRecord(0))
 	}
 	for b.Loop() {
-		if err := newTestDispatcher(b, clustertest.Settings()).load(records); err != nil {
+		if err := newTestScheduler(b, clustertest.Settings()).load(records); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -165,7 +165,7 @@
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			s := clustertest.Settings()
 			s.Tuning.Activation.Classes = []string{coldClass}
-			d := newTestDispatcher(b, s)
+			d := newTestScheduler(b, s)
 			for i := range services {
 				j := cluster.NewJob(model(fmt.Sprintf("%06d", i)), time.Now())
 				d.state.Jobs.AddOpen(j)
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Sockets = manyMachines
-		d := newTestDispatcher(t, s) // it takes nothing in
+		d := newTestScheduler(t, s) // it takes nothing in
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		report := func(n int) {
@@ -54,8 +54,8 @@
 // A worker that reports more unknown tasks than an answer holds orders for is told a part at a time.
 func TestAnAnswerHoldsSoManyOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		d.up(1, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		d.addReadyMachine(1, "cpu", "a", false)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term}
 		for i := range 3 * maxCommands / 2 {
 			r.Tasks = append(r.Tasks, worker.TaskReport{ID: worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}, Attempt: uint64(i), State: worker.Running})
@@ -75,7 +75,7 @@
 // already is answered all the same.
 func TestAFloodOfSubmissionsIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		submit := func(i int) (api.Response, bool) {
 			reply := make(chan api.Response, 1)
 			spec := clustertest.Array(fmt.Sprintf("%06d", i), 1)
@@ -102,7 +102,7 @@
 		if admitted == 0 || admitted > 10000 || longest < 10 {
 			t.Errorf("%d of 20,000 admitted at once, the rest within %d s", admitted, longest)
 		}
-		d.commit(nil)
+		d.commitPending(nil)
 		if a, told := submit(0); !told || a.Code != api.CodeOK {
 			t.Errorf("a repeat is answered %+v", a)
 		}
@@ -115,14 +115,14 @@
 // A flood of other work doesn't hold up the start of an urgent task, nor a flood of acceptances.
 func TestUrgentWorkIsRecordedBesideAFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
 		for i := range 5000 {
-			j := d.accept(clustertest.Array(fmt.Sprintf("%06d", i), 1))
+			j := d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1))
 			d.markJob(j)
 			d.markPage(j, 0)
 		}
-		urgent := d.accept(clustertest.Service("900000", 1))
+		urgent := d.addAcceptedJob(clustertest.Service("900000", 1))
 		a := d.Reserve(urgent, 0, m, time.Now())
 		d.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
@@ -139,10 +139,10 @@
 // A cancellation doesn't wait behind a flood of acceptances, also where the job's record waits among them.
 func TestACancellationIsRecordedBesideAFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		j := d.accept(clustertest.Array("900000", 1))
+		d := newTestScheduler(t, clustertest.Settings())
+		j := d.addAcceptedJob(clustertest.Array("900000", 1))
 		for i := range 5000 {
-			d.markJob(d.accept(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
+			d.markJob(d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
 		d.markJob(j) // for something else, at the end of the lane
 		reply := make(chan api.Response, 1)
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -34,18 +34,18 @@
 )
 
 func (sim *simulation) noteWakeRequest(req activation.WakeRequest) {
-	sim.locked(func() { sim.wakes = append(sim.wakes, req) })
+	sim.withLock(func() { sim.wakeRequests = append(sim.wakeRequests, req) })
 }
 
 func (sim *simulation) noteUsage(report activation.UsageReport) {
-	sim.locked(func() { sim.usages = append(sim.usages, report) })
+	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
 }
 
 // replayPeers brings all demand and usage that was ever sent to all nodes again.
 func (sim *simulation) replayPeers() {
 	var wakes []activation.WakeRequest
 	var usages []activation.UsageReport
-	sim.locked(func() { wakes, usages = append(wakes, sim.wakes...), append(usages, sim.usages...) })
+	sim.withLock(func() { wakes, usages = append(wakes, sim.wakeRequests...), append(usages, sim.usageReports...) })
 	for _, n := range sim.nodes {
 		live := n.live.Load()
 		if live == nil {
@@ -62,7 +62,7 @@
 }
 
 func (sim *simulation) launchesOf(id string) (out []startRecord) {
-	sim.locked(func() { out = append(out, sim.startsByJob[id]...) })
+	sim.withLock(func() { out = append(out, sim.startsByJob[id]...) })
 	return out
 }
 
@@ -87,10 +87,10 @@
 		tuning.Activation.Policy.IdleWindow = coldIdle
 		tuning.Activation.Hold = coldHold
 	}
-	inSimulationOf(t, controllers, func(*config.Settings) {}, tune, func(sim *simulation) {
+	runSimulationInZones(t, controllers, func(*config.Settings) {}, tune, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 		sim.submit(model(coldModel))
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		if n := len(sim.launchesOf(coldModel)); n != 0 {
@@ -117,7 +117,7 @@
 		clients = append(clients, c)
 		go func() {
 			time.Sleep(time.Duration(i) * 300 * time.Microsecond)
-			for !sim.over.Load() {
+			for !sim.ended.Load() {
 				if !c.rests.Load() {
 					c.ask(sim)
 				}
@@ -157,10 +157,10 @@
 func (sim *simulation) passOn(n *fakeNode, machine string) {
 	for range 3 {
 		served := false
-		for _, wk := range sim.running(coldModel) {
+		for _, wk := range sim.runningTasks(coldModel) {
 			served = served || fmt.Sprint(wk.id) == machine
 		}
-		if !served && !sim.lossy.Load() && !sim.over.Load() {
+		if !served && !sim.requestsMayFail.Load() && !sim.ended.Load() {
 			sim.t.Errorf("%s passes a request on to machine %s, where the model isn't", n.name, machine)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -176,7 +176,7 @@
 				return false
 			}
 		}
-		return len(sim.running(coldModel)) == 1
+		return len(sim.runningTasks(coldModel)) == 1
 	})
 }
 
@@ -194,17 +194,17 @@
 // end ends nodes' processes, and begins them again after a while. Troubles that meet may end the same.
 func (sim *simulation) end(back time.Duration, nodes ...*fakeNode) {
 	for _, n := range nodes {
-		sim.processes.Lock()
+		sim.processMu.Lock()
 		n.kill()
-		sim.processes.Unlock()
+		sim.processMu.Unlock()
 	}
 	time.Sleep(back)
 	for _, n := range nodes {
-		sim.processes.Lock()
-		if n.end == nil {
+		sim.processMu.Lock()
+		if n.cancelRun == nil {
 			n.start()
 		}
-		sim.processes.Unlock()
+		sim.processMu.Unlock()
 	}
 }
 
@@ -227,7 +227,7 @@
 var coldTroubles = []coldTrouble{
 	{"the leader ends", func(sim *simulation, lead *fakeNode) { sim.end(4*time.Second, lead) }, false},
 	{"the leader restarts at once", func(sim *simulation, lead *fakeNode) { sim.end(time.Millisecond, lead) }, false},
-	{"the leader stands still for longer than its grant", func(sim *simulation, lead *fakeNode) { lead.freeze(coldTroubleSpan) }, false},
+	{"the leader stands still for longer than its grant", func(sim *simulation, lead *fakeNode) { lead.pause(coldTroubleSpan) }, false},
 	{"two of three end", func(sim *simulation, lead *fakeNode) {
 		sim.end(4*time.Second, lead, sim.followers(lead)[0])
 	}, false},
@@ -236,26 +236,26 @@
 	}, false},
 	{"a follower with demand ends", func(sim *simulation, lead *fakeNode) { sim.end(4*time.Second, sim.followers(lead)[0]) }, false},
 	{"the leader loses the state service", func(sim *simulation, lead *fakeNode) {
-		sim.passing(func() { lead.cutState.Store(true) }, func() { lead.cutState.Store(false) })
+		sim.passing(func() { lead.cutStore.Store(true) }, func() { lead.cutStore.Store(false) })
 	}, false},
 	{"the leader loses its peers", func(sim *simulation, lead *fakeNode) {
 		sim.passing(func() { lead.cutPeers.Store(true) }, func() { lead.cutPeers.Store(false) })
 	}, false},
 	{"the leader loses the workers", func(sim *simulation, lead *fakeNode) {
-		sim.passing(func() { lead.cutWork.Store(true) }, func() { lead.cutWork.Store(false) })
+		sim.passing(func() { lead.cutWorkers.Store(true) }, func() { lead.cutWorkers.Store(false) })
 	}, false},
 	{"the state service is out", func(sim *simulation, _ *fakeNode) { sim.outage(coldTroubleSpan) }, false},
 	{"answers of the state service are lost", func(sim *simulation, _ *fakeNode) {
 		sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
 	}, false},
 	{"transactions come late", func(sim *simulation, _ *fakeNode) {
-		sim.passing(func() { sim.lateWrites(2, time.Second) }, func() { sim.lateWrites(0, 0) })
+		sim.passing(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
 	}, false},
 	{"reports and demand come again late", func(sim *simulation, _ *fakeNode) {
-		sim.keepReports()
+		sim.recordReports()
 		for range 5 {
 			time.Sleep(time.Second)
-			sim.replay(sim.nodes...)
+			sim.replayReports(sim.nodes...)
 			sim.replayPeers()
 		}
 	}, false},
@@ -266,13 +266,13 @@
 	}, true},
 	{"the machine stands still", func(sim *simulation, _ *fakeNode) {
 		for _, wk := range sim.machinesOf(coldModel) {
-			sim.passing(func() { wk.still.Store(true) }, func() { wk.still.Store(false); wk.catchUp() })
+			sim.passing(func() { wk.paused.Store(true) }, func() { wk.paused.Store(false); wk.executeDelayed() })
 		}
 	}, true},
 	{"the model ends after its first answers", func(sim *simulation, _ *fakeNode) {
-		sim.locked(func() { sim.failing[coldModel] = time.Second })
+		sim.withLock(func() { sim.failAfter[coldModel] = time.Second })
 		time.Sleep(6 * coldTroubleSpan)
-		sim.locked(func() { delete(sim.failing, coldModel) })
+		sim.withLock(func() { delete(sim.failAfter, coldModel) })
 	}, true},
 }
 
@@ -336,12 +336,12 @@
 // coldStart plays one wake with troubles at a moment of it.
 func (sim *simulation) coldStart(m coldMoment, troubles ...coldTrouble) {
 	sim.t.Helper()
-	for _, wk := range sim.all() {
-		wk.fetches.Store(true)
+	for _, wk := range sim.allWorkers() {
+		wk.stuckPulling.Store(true)
 	}
 	time.AfterFunc(8*time.Second, func() { sim.imagesCome() })
 	for _, c := range troubles {
-		sim.lossy.Store(sim.lossy.Load() || c.restarts)
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.restarts)
 	}
 	lead := sim.awaitLeader()
 	struck := make(chan struct{}, len(troubles))
@@ -369,9 +369,9 @@
 
 // imagesCome has all machines fetch images at once, and those that are awaited arrive.
 func (sim *simulation) imagesCome() {
-	sim.locked(func() {
+	sim.withLock(func() {
 		for _, wk := range sim.workers {
-			wk.fetches.Store(false)
+			wk.stuckPulling.Store(false)
 			for _, t := range wk.tasks {
 				if t.state == worker.Pulling {
 					t.state = worker.Running
@@ -383,7 +383,7 @@
 
 // noteServed adds to the history of requests that were passed on.
 func (sim *simulation) noteServed(client int, called time.Time, generation uint64) {
-	sim.locked(func() {
+	sim.withLock(func() {
 		sim.served = append(sim.served, porcupine.Operation{
 			ClientId: client, Call: called.UnixNano(), Return: time.Now().UnixNano(), Output: generation,
 		})
@@ -404,7 +404,7 @@
 func (sim *simulation) checkServed() {
 	sim.t.Helper()
 	var served []porcupine.Operation
-	sim.locked(func() { served = append(served, sim.served...) })
+	sim.withLock(func() { served = append(served, sim.served...) })
 	if !porcupine.CheckOperations(servedModel, served) {
 		sim.t.Errorf("%d requests are served in no order that their clients could have seen", len(served))
 	}
@@ -429,13 +429,13 @@
 	sim.t.Helper()
 	launches := sim.launchesOf(coldModel)
 	for i, l := range launches {
-		if i > 0 && l.try <= launches[i-1].try {
-			sim.t.Errorf("attempt %d after %d", l.try, launches[i-1].try)
+		if i > 0 && l.attempt <= launches[i-1].attempt {
+			sim.t.Errorf("attempt %d after %d", l.attempt, launches[i-1].attempt)
 		}
 	}
 	generation := sim.awaitLeader().node.Wake(sim.t.Context(), activation.WakeRequest{Model: coldModel}).Generation
 	sim.checkServed()
-	if sim.lossy.Load() {
+	if sim.requestsMayFail.Load() {
 		return
 	}
 	if !slices.Contains(wakes, generation) || len(launches) != int(generation) {
@@ -486,7 +486,7 @@
 
 func (sim *simulation) awaitZero() {
 	sim.t.Helper()
-	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.running(coldModel)) == 0 })
+	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.runningTasks(coldModel)) == 0 })
 }
 
 // modelStatus is the model's, as operators read it.
@@ -518,7 +518,7 @@
 		}
 		sim.awaitReady(clients)
 		sim.judge(4)
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 	})
 }
 
@@ -539,7 +539,7 @@
 				n := sim.followers(sim.awaitLeader())[0]
 				silence(n)
 				time.Sleep(4 * coldIdle)
-				if len(sim.running(coldModel)) != 1 {
+				if len(sim.runningTasks(coldModel)) != 1 {
 					t.Error("it stopped")
 				}
 				n.cutPeers.Store(false)
@@ -569,7 +569,7 @@
 	rest(clients, true)
 	time.Sleep(coldIdle / 2)
 	for _, c := range troubles {
-		sim.lossy.Store(sim.lossy.Load() || c.restarts)
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.restarts)
 	}
 	lead := sim.awaitLeader()
 	m.at(sim, func() {
@@ -619,7 +619,7 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			inColdStart(t, func(sim *simulation) {
-				sim.lossy.Store(true)
+				sim.requestsMayFail.Store(true)
 				cancelled := make(chan time.Time, 1)
 				m.at(sim, func() {
 					sim.cancel(coldModel)
@@ -628,7 +628,7 @@
 				clients := sim.demand()
 				told := <-cancelled
 				sim.crash(sim.awaitLeader(), time.Second)
-				sim.gone(coldModel)
+				sim.awaitStopped(coldModel)
 				time.Sleep(sim.settings.CancelTimeout)
 				for _, l := range sim.launchesOf(coldModel) {
 					if l.at.After(told) {
@@ -656,8 +656,8 @@
 					clients = sim.demand()
 					time.Sleep(20 * time.Millisecond)
 				}
-				back.replace(upgrade.Version5)
-				sim.runs(coldModel, 1)
+				back.restartWithVersion(upgrade.Version5)
+				sim.awaitRunning(coldModel, 1)
 				sim.awaitActive(upgrade.Version5, time.Minute)
 				for _, n := range sim.nodes {
 					if n != back {
@@ -668,7 +668,7 @@
 					t.Error("it doesn't lead")
 				}
 				time.Sleep(sim.settings.WorkerLease)
-				sim.runs(coldModel, 1)
+				sim.awaitRunning(coldModel, 1)
 				if n := len(sim.launchesOf(coldModel)); n != 1 {
 					t.Errorf("%d starts", n)
 				}
@@ -687,11 +687,11 @@
 		other := model("000003")
 		s := clustertest.Settings()
 		s.Tuning.Activation.Classes = []string{coldClass}
-		d := newTestDispatcher(t, s)
+		d := newTestScheduler(t, s)
 		d.activation.gate = upgrade.GateState{Phase: upgrade.GateOpen, Used: true}
 		err := d.load([]storage.Record{
-			record(t, storage.JobKey(spec.ID), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"asleep","generation":3}`)}),
-			record(t, storage.JobKey(other.ID), storage.JobRecord{Tasks: 1, Spec: &other, Activation: []byte(`{"state":"starting","generation":3}`)}),
+			newRecord(t, storage.JobKey(spec.ID), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"asleep","generation":3}`)}),
+			newRecord(t, storage.JobKey(other.ID), storage.JobRecord{Tasks: 1, Spec: &other, Activation: []byte(`{"state":"starting","generation":3}`)}),
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -9,16 +9,16 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// machineCombinations are those of machines, their reports and what they run.
-var machineCombinations = []combination{
+// machineFaultScenarios are those of machines, their reports and what they run.
+var machineFaultScenarios = []scenario{
 	{"zone-bound jobs and arrays lose machines", func(sim *simulation) {
-		a, b, c := clustertest.Array("000001", 6), onZone("000002", "b", 4), lasting("000003", 5, time.Minute)
+		a, b, c := clustertest.Array("000001", 6), zonalService("000002", "b", 4), arrayWithRuntime("000003", 5, time.Minute)
 		a.SameZone, a.EstimateS, c.Spread = true, 60, true
 		for _, s := range []storage.Spec{a, b, c} {
 			sim.submit(s)
 		}
-		sim.runs("000002", 4)
-		sim.runs("000001", 6)
+		sim.awaitRunning("000002", 4)
+		sim.awaitRunning("000001", 6)
 		for i, wk := range sim.machinesOf("000001") {
 			if i%2 == 0 {
 				wk.dead.Store(true)
@@ -31,18 +31,18 @@
 			remaining[0].dead.Store(true)
 		}
 		time.Sleep(3 * sim.settings.WorkerLease)
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
-		sim.runs("000002", 4)
-		sim.done("000001")
-		sim.done("000003")
+		sim.awaitRunning("000002", 4)
+		sim.awaitDone("000001")
+		sim.awaitDone("000003")
 	}},
 	{"tasks end far apart across a change of leader", func(sim *simulation) {
-		sim.submit(lasting("000001", 2, 20*time.Second))
-		sim.submit(lasting("000002", 3, 20*time.Second))
-		sim.runs("000002", 3)
-		sim.locked(func() {
+		sim.submit(arrayWithRuntime("000001", 2, 20*time.Second))
+		sim.submit(arrayWithRuntime("000002", 3, 20*time.Second))
+		sim.awaitRunning("000002", 3)
+		sim.withLock(func() {
 			for _, wk := range sim.workers {
 				for k, t := range wk.tasks {
 					if k.ID.Task > 0 {
@@ -54,16 +54,16 @@
 		for range 5 {
 			time.Sleep(15 * time.Second)
 			sim.crash(sim.awaitLeader(), 2*time.Second)
-			sim.askEverywhere("000001")
-			sim.askEverywhere("000002")
+			sim.requestFromAll("000001")
+			sim.requestFromAll("000002")
 		}
-		sim.done("000001")
-		sim.done("000002")
+		sim.awaitDone("000001")
+		sim.awaitDone("000002")
 	}},
 	{"one-task jobs, four a second, a quarter cancelled", func(sim *simulation) {
 		const jobs = 480
 		for i := range jobs {
-			s := lasting(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
+			s := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
 			s.Resources.CPUs = 0.5
 			sim.submit(s)
 			if i%4 == 0 {
@@ -76,7 +76,7 @@
 		}
 		for i := range jobs {
 			if i%4 != 0 {
-				sim.done(fmt.Sprintf("%06d", i+1))
+				sim.awaitDone(fmt.Sprintf("%06d", i+1))
 			}
 		}
 		if n := len(sim.state.Keys("log/")); n > 400 {
@@ -86,164 +86,164 @@
 	{"workers that reach no controller, but direct commands reach them", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 6))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.runs("000001", 6)
-		sim.runs("000002", 2)
+		sim.awaitRunning("000001", 6)
+		sim.awaitRunning("000002", 2)
 		mute := sim.machinesOf("000002")
 		for _, wk := range mute {
-			wk.mute.Store(true)
+			wk.dropsHeartbeats.Store(true)
 		}
 		sim.cancel("000002")
 		sim.crash(sim.awaitLeader(), 3*time.Second)
-		before := sim.startsSoFar()
+		before := sim.startCount()
 		time.Sleep(4 * sim.settings.WorkerLease)
-		sim.gone("000002")
-		if n := sim.startsSoFar() - before; n > 2*6 {
+		sim.awaitStopped("000002")
+		if n := sim.startCount() - before; n > 2*6 {
 			sim.t.Errorf("%d starts while some machines are mute", n)
 		}
-		for id, wk := range sim.running("000001") {
-			if wk.mute.Load() {
+		for id, wk := range sim.runningTasks("000001") {
+			if wk.dropsHeartbeats.Load() {
 				sim.t.Errorf("%v is on a machine that can't report", id)
 			}
 		}
-		sim.runs("000001", 6)
+		sim.awaitRunning("000001", 6)
 	}},
 	{"reports held back until a new leader has acted", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.submit(lasting("000002", 4, 20*time.Second))
-		sim.runs("000001", 4)
-		sim.keepReports()
+		sim.submit(arrayWithRuntime("000002", 4, 20*time.Second))
+		sim.awaitRunning("000001", 4)
+		sim.recordReports()
 		time.Sleep(3 * sim.settings.HeartbeatInterval)
-		sim.locked(func() { sim.keeping = false })
+		sim.withLock(func() { sim.recordingReports = false })
 		sim.cancel("000001")
 		sim.crash(sim.awaitLeader(), time.Second)
 		next := sim.awaitLeader()
-		sim.replay(next)
+		sim.replayReports(next)
 		time.Sleep(sim.settings.HeartbeatInterval)
-		sim.replay(next)
-		sim.gone("000001")
-		sim.done("000002")
+		sim.replayReports(next)
+		sim.awaitStopped("000001")
+		sim.awaitDone("000002")
 	}},
 	{"machines up within two seconds, work at once, writes lag, the leader ends", func(sim *simulation) {
-		sim.locked(func() { sim.cloud.boot = 1500 * time.Millisecond })
-		sim.lateWrites(3, time.Second)
+		sim.withLock(func() { sim.cloud.bootTime = 1500 * time.Millisecond })
+		sim.delayCommits(3, time.Second)
 		for i := range 8 {
-			sim.submit(lasting(fmt.Sprintf("%06d", i+1), 4, 20*time.Second))
+			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+1), 4, 20*time.Second))
 			time.Sleep(2 * time.Second)
 			if i%2 == 1 {
 				sim.crash(sim.awaitLeader(), time.Second)
 			}
 		}
-		sim.lateWrites(0, 0)
+		sim.delayCommits(0, 0)
 		for i := range 8 {
-			sim.done(fmt.Sprintf("%06d", i+1))
+			sim.awaitDone(fmt.Sprintf("%06d", i+1))
 		}
 	}},
 	{"old reports after newer ones, of earlier sessions and attempts", func(sim *simulation) {
-		sim.submit(lasting("000001", 4, 50*time.Second))
+		sim.submit(arrayWithRuntime("000001", 4, 50*time.Second))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.runs("000001", 4)
-		sim.keepReports()
+		sim.awaitRunning("000001", 4)
+		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
 			wk.cut.Store(true) // its session ends, its tasks go elsewhere
 		}
 		time.Sleep(2 * sim.settings.WorkerLease)
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
 		for range 5 {
-			sim.replay(sim.nodes...)
+			sim.replayReports(sim.nodes...)
 			time.Sleep(sim.settings.HeartbeatInterval)
 		}
 		sim.crash(sim.awaitLeader(), time.Second)
-		sim.replay(sim.nodes...)
-		sim.done("000001")
-		sim.runs("000002", 2)
+		sim.replayReports(sim.nodes...)
+		sim.awaitDone("000001")
+		sim.awaitRunning("000002", 2)
 	}},
 	{"more work than room, urgent and not, over slow links", func(sim *simulation) {
-		sim.locked(func() {
-			sim.cloud.full = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
+		sim.withLock(func() {
+			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
 		})
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
 		for i := range 10 {
-			s := lasting(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
+			s := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
 			s.Priority = storage.Priority(i % 3)
 			sim.submit(s)
 		}
 		urgent := clustertest.Service("000100", 4)
 		sim.submit(urgent)
-		sim.runs("000100", 4)
+		sim.awaitRunning("000100", 4)
 		for i := range 10 {
-			sim.done(fmt.Sprintf("%06d", i+1))
+			sim.awaitDone(fmt.Sprintf("%06d", i+1))
 		}
 	}},
 	{"a command or its answer held up, and the machine goes on", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
-		sim.runs("000001", 2)
-		for _, wk := range sim.all() {
-			wk.still.Store(true)
+		sim.awaitRunning("000001", 2)
+		for _, wk := range sim.allWorkers() {
+			wk.paused.Store(true)
 		}
 		sim.submit(clustertest.Service("000002", 2))
 		time.Sleep(time.Second)
 		sim.cancel("000001")
 		sim.cancel("000002")
 		time.Sleep(sim.settings.WorkerLease * 3 / 4)
-		for _, wk := range sim.all() {
-			wk.still.Store(false)
-			wk.catchUp()
+		for _, wk := range sim.allWorkers() {
+			wk.paused.Store(false)
+			wk.executeDelayed()
 		}
 		time.Sleep(sim.settings.CancelTimeout)
-		sim.gone("000001")
-		sim.gone("000002")
+		sim.awaitStopped("000001")
+		sim.awaitStopped("000002")
 	}},
 	{"a team at its limit, machines that can't be asked, a cancel, a new leader", func(sim *simulation) {
-		sim.submit(onLimit(clustertest.Service("000001", 2)))
-		sim.runs("000001", 2)
-		sim.submit(onLimit(lasting("000002", 2, 20*time.Second)))
+		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
+		sim.awaitRunning("000001", 2)
+		sim.submit(withLimitedTeam(arrayWithRuntime("000002", 2, 20*time.Second)))
 		for _, wk := range sim.machinesOf("000001") {
 			wk.cut.Store(true)
 		}
 		sim.crash(sim.awaitLeader(), 2*time.Second)
 		sim.cancel("000001")
 		time.Sleep(sim.settings.WorkerLease / 2)
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
-		sim.done("000002")
-		sim.gone("000001")
+		sim.awaitDone("000002")
+		sim.awaitStopped("000001")
 	}},
 	{"old reports reach every controller as a new leader begins", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.submit(lasting("000002", 4, 30*time.Second))
-		sim.runs("000001", 4)
-		sim.keepReports()
+		sim.submit(arrayWithRuntime("000002", 4, 30*time.Second))
+		sim.awaitRunning("000001", 4)
+		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		sim.done("000002")
-		sim.locked(func() { sim.keeping = false })
+		sim.awaitDone("000002")
+		sim.withLock(func() { sim.recordingReports = false })
 		for range 3 {
 			old := sim.awaitLeader()
 			old.kill()
 			for range 20 {
-				sim.replay(sim.nodes...)
+				sim.replayReports(sim.nodes...)
 				time.Sleep(150 * time.Millisecond)
 			}
 			old.start()
 		}
-		before := sim.startsSoFar()
+		before := sim.startCount()
 		time.Sleep(sim.settings.WorkerLease)
-		sim.runs("000001", 4)
-		if sim.startsSoFar() != before {
-			sim.t.Errorf("%d starts anew", sim.startsSoFar()-before)
+		sim.awaitRunning("000001", 4)
+		if sim.startCount() != before {
+			sim.t.Errorf("%d starts anew", sim.startCount()-before)
 		}
 	}},
 	{"every team at its limit, cancels beside cut and hung machines, a new leader", func(sim *simulation) {
-		sim.submit(onLimit(clustertest.Service("000001", 1)))
-		sim.submit(onLimit(clustertest.Service("000002", 1)))
-		sim.runs("000001", 1)
-		sim.runs("000002", 1)
-		sim.submit(onLimit(lasting("000003", 3, 20*time.Second)))
+		sim.submit(withLimitedTeam(clustertest.Service("000001", 1)))
+		sim.submit(withLimitedTeam(clustertest.Service("000002", 1)))
+		sim.awaitRunning("000001", 1)
+		sim.awaitRunning("000002", 1)
+		sim.submit(withLimitedTeam(arrayWithRuntime("000003", 3, 20*time.Second)))
 		for _, wk := range sim.machinesOf("000001") {
-			wk.still.Store(true)
+			wk.paused.Store(true)
 		}
 		for _, wk := range sim.machinesOf("000002") {
 			wk.cut.Store(true)
@@ -252,11 +252,11 @@
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.cancel("000002")
 		time.Sleep(sim.settings.WorkerLease * 2 / 3)
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
-			wk.still.Store(false)
-			wk.catchUp()
+			wk.paused.Store(false)
+			wk.executeDelayed()
 		}
-		sim.done("000003")
+		sim.awaitDone("000003")
 	}},
 }
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -16,15 +16,15 @@
 	"sagevale/internal/worker"
 )
 
-// onZone is a service whose tasks all run in one zone.
-func onZone(id, zone string, tasks int) storage.Spec {
+// zonalService is a service whose tasks all run in one zone.
+func zonalService(id, zone string, tasks int) storage.Spec {
 	s := clustertest.Service(id, tasks)
 	s.Zone = zone
 	return s
 }
 
-// leadOutside makes a node lead that isn't in the zone.
-func (sim *simulation) leadOutside(zone string) {
+// moveLeaderOutOf makes a node lead that isn't in the zone.
+func (sim *simulation) moveLeaderOutOf(zone string) {
 	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
 		n.kill()
 		sim.awaitLeader()
@@ -32,24 +32,24 @@
 	}
 }
 
-// restarts counts the starts since a count was taken.
-func (sim *simulation) restarts(before int) int { return sim.startsSoFar() - before }
+// startsSince counts the starts since a count was taken.
+func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
 
 // Behind a zone's cut all leases ran out though a node of the zone heard its
 // workers. It renews them by delegation, for longer than a lease.
 func TestDelegatedRenewalsKeepACutZonesTasks(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
-		sim.submit(onZone("000001", "b", 6))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
-		sim.leadOutside("b")
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(zonalService("000001", "b", 6))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
+		sim.moveLeaderOutOf("b")
 		time.Sleep(2 * sim.settings.WorkerLease) // all workers have gone to nodes of their zone
-		before := sim.startsSoFar()
-		sim.cutZone("b")
+		before := sim.startCount()
+		sim.isolateZone("b")
 		time.Sleep(sim.settings.RenewalGrace() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
-		sim.cutZone("")
+		sim.isolateZone("")
 		time.Sleep(sim.settings.WorkerLease)
-		if n := sim.restarts(before); n != 0 || len(sim.running("000001")) != 6 {
-			t.Errorf("%d starts anew, %d run", n, len(sim.running("000001")))
+		if n := sim.startsSince(before); n != 0 || len(sim.runningTasks("000001")) != 6 {
+			t.Errorf("%d starts anew, %d run", n, len(sim.runningTasks("000001")))
 		}
 	})
 }
@@ -57,15 +57,15 @@
 // A job may be cancelled while its tasks are kept by delegation behind a cut: they
 // must be gone in time, though the node there can't know.
 func TestADelegationEndsBeforeACancelIsDue(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
-		sim.submit(onZone("000001", "b", 6))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 6 })
-		sim.leadOutside("b")
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(zonalService("000001", "b", 6))
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
+		sim.moveLeaderOutOf("b")
 		time.Sleep(2 * sim.settings.WorkerLease)
-		sim.cutZone("b")
+		sim.isolateZone("b")
 		sim.cancel("000001")
 		time.Sleep(sim.settings.CancelTimeout)
-		if n := len(sim.running("000001")); n != 0 {
+		if n := len(sim.runningTasks("000001")); n != 0 {
 			t.Errorf("%d tasks outlive their cancel", n)
 		}
 	})
@@ -77,9 +77,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
-		d := newTestDispatcher(t, s)
-		j := d.accept(clustertest.Service("000001", 1))
-		d.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: d.up(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
+		d := newTestScheduler(t, s)
+		j := d.addAcceptedJob(clustertest.Service("000001", 1))
+		d.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: d.addReadyMachine(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
 		d.publishDelegation(time.Now())
 		if span, excluded := d.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
 			t.Errorf("lent for %v, without %v", span, excluded)
@@ -107,10 +107,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		d := newTestDispatcher(t, s)
+		d := newTestScheduler(t, s)
 		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 		d.deps.Peers = words
-		m := d.up(7, "cpu", "a", false)
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		own := m.LastAcknowledged.Add(s.LeaseBound())
 		d.publishDelegation(time.Now())
 		d.updatePeerRenewals()
@@ -141,7 +141,7 @@
 // A late copy of a report must not be renewed alone either, nor a report of a
 // worker that knows a higher token.
 func TestOnlyThePresentIsRenewedByDelegation(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		var n *fakeNode
@@ -161,7 +161,7 @@
 			machine++
 		}
 		n.cutPeers.Store(true)
-		n.cutState.Store(true)
+		n.cutStore.Store(true)
 		time.Sleep(2 * time.Second)
 		if a := report(4, term); a.Accepted {
 			t.Error("a late copy is answered")
@@ -188,13 +188,13 @@
 // A leader that no longer reached its workers kept its lead, and all leases ran
 // out. Their reports come by way of the others, and the lead goes there.
 func TestALeaderWithoutWorkersHandsOver(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 12 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 12 })
 		old := sim.awaitLeader()
 		time.Sleep(2 * sim.settings.WorkerLease)
-		before := sim.startsSoFar()
-		old.cutWork.Store(true)
+		before := sim.startCount()
+		old.cutWorkers.Store(true)
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for i := range 20 { // direct orders that go nowhere
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 100+i), 1))
@@ -202,15 +202,15 @@
 		}
 		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
 		time.Sleep(sim.settings.WorkerLease)
-		if n := sim.restarts(before); n != 20 || len(sim.running("000001")) != 12 {
-			t.Errorf("%d starts, %d run", n, len(sim.running("000001")))
+		if n := sim.startsSince(before); n != 20 || len(sim.runningTasks("000001")) != 12 {
+			t.Errorf("%d starts, %d run", n, len(sim.runningTasks("000001")))
 		}
 	})
 }
 
 // Workers report to a node of their own zone, and are sent there once.
 func TestAWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		away, node := sim.nodes[0], sim.nodes[1]
--- a/internal/scheduler/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -13,14 +13,14 @@
 
 // fakeCloud rents workers by the protocol.
 type fakeCloud struct {
-	sim     *simulation
-	next    int
-	rentals map[string][]int
-	asked   map[string]int
-	loseOne bool // the answer to the next rental is lost
-	full    func(storage.LaunchRecord) bool
-	boot    time.Duration // 0: by type
-	gone    map[int]bool  // returned before they came up
+	sim              *simulation
+	next             int
+	launches         map[string][]int
+	launchCalls      map[string]int
+	loseNextResponse bool // the answer to the next rental is lost
+	noCapacity       func(storage.LaunchRecord) bool
+	bootTime         time.Duration // 0: by type
+	terminated       map[int]bool  // returned before they came up
 }
 
 func (c *fakeCloud) MachineTypes(context.Context) ([]storage.MachineType, error) {
@@ -30,14 +30,14 @@
 func (c *fakeCloud) Launch(_ context.Context, name string, h storage.LaunchRecord) ([]int, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
-	if c.asked == nil {
-		c.asked = make(map[string]int)
+	if c.launchCalls == nil {
+		c.launchCalls = make(map[string]int)
 	}
-	c.asked[name]++
-	if got, ok := c.rentals[name]; ok {
+	c.launchCalls[name]++
+	if got, ok := c.launches[name]; ok {
 		return got, nil
 	}
-	if c.full != nil && c.full(h) {
+	if c.noCapacity != nil && c.noCapacity(h) {
 		return nil, cloud.ErrNoCapacity
 	}
 	var got []int
@@ -45,27 +45,27 @@
 		id := c.next
 		c.next++
 		got = append(got, id)
-		boot := c.boot
+		boot := c.bootTime
 		if boot == 0 {
 			boot = 15 * time.Second
 		}
 		time.AfterFunc(boot, func() {
-			if !c.returned(id) {
+			if !c.isTerminated(id) {
 				c.sim.addWorker(id, h.Type, h.Zone, h.Spot)
 			}
 		})
 	}
-	c.rentals[name] = got
-	if c.loseOne {
-		c.loseOne = false
+	c.launches[name] = got
+	if c.loseNextResponse {
+		c.loseNextResponse = false
 		return nil, cloud.ErrUnknownOutcome
 	}
 	return got, nil
 }
 
-// returned tells whether a machine has been returned.
-func (c *fakeCloud) returned(id int) (gone bool) {
-	c.sim.locked(func() { gone = c.gone[id] })
+// isTerminated tells whether a machine has been returned.
+func (c *fakeCloud) isTerminated(id int) (gone bool) {
+	c.sim.withLock(func() { gone = c.terminated[id] })
 	return gone
 }
 
@@ -73,10 +73,10 @@
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
 	for _, id := range machines {
-		if c.gone == nil {
-			c.gone = make(map[int]bool)
+		if c.terminated == nil {
+			c.terminated = make(map[int]bool)
 		}
-		c.gone[id] = true
+		c.terminated[id] = true
 		if wk := c.sim.workers[id]; wk != nil {
 			wk.dead.Store(true)
 		}
@@ -90,7 +90,7 @@
 	var out []cloud.Machine
 	for id, wk := range c.sim.workers {
 		if id > after && !wk.dead.Load() {
-			out = append(out, cloud.Machine{ID: id, Addr: fmt.Sprint(id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot, State: cloud.Running})
+			out = append(out, cloud.Machine{ID: id, Addr: fmt.Sprint(id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot, State: cloud.Running})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -18,21 +18,21 @@
 )
 
 type fakeNode struct {
-	sim      *simulation
-	name     string
-	zone     string
-	node     *Node                // its latest process, for the scenario
-	live     atomic.Pointer[Node] // the same; nil once it has ended
-	end      context.CancelFunc
-	cutState atomic.Bool
-	cutPeers atomic.Bool
-	cutWork  atomic.Bool                       // it doesn't reach the workers, nor they it
-	frozen   atomic.Pointer[chan struct{}]     // it stands still until that is closed; nil: it doesn't
-	holdUp   atomic.Int64                      // its answers to other nodes' users come so much later
-	statuses map[string]peer.ObservedStatus    // what the others told last
-	upgrade  func(*upgrade.Settings)           // changes what its next process brings to an upgrade
-	refused  atomic.Pointer[error]             // why its process ended by itself
-	tracker  atomic.Pointer[activator.Tracker] // of its latest process, where services may be at zero
+	sim           *simulation
+	name          string
+	zone          string
+	node          *Node                // its latest process, for the scenario
+	live          atomic.Pointer[Node] // the same; nil once it has ended
+	cancelRun     context.CancelFunc
+	cutStore      atomic.Bool
+	cutPeers      atomic.Bool
+	cutWorkers    atomic.Bool                       // it doesn't reach the workers, nor they it
+	resumed       atomic.Pointer[chan struct{}]     // it stands still until that is closed; nil: it doesn't
+	responseDelay atomic.Int64                      // its answers to other nodes' users come so much later
+	statuses      map[string]peer.ObservedStatus    // what the others told last
+	upgrade       func(*upgrade.Settings)           // changes what its next process brings to an upgrade
+	refusal       atomic.Pointer[error]             // why its process ended by itself
+	tracker       atomic.Pointer[activator.Tracker] // of its latest process, where services may be at zero
 	// unregistered is its process of a version that doesn't register; nil: none
 	unregistered atomic.Pointer[unregisteredProcess]
 }
@@ -49,24 +49,24 @@
 	if n.upgrade != nil {
 		n.upgrade(&s.Tuning.Upgrade)
 	}
-	n.refused.Store(nil)
+	n.refusal.Store(nil)
 	n.node = NewNode(&s, Dependencies{
-		State: gatedState{&storagetest.Client{Service: n.sim.state, Cut: &n.cutState}, n}, Cloud: n.sim.cloud, Workers: n, Peers: n,
+		State: pausableStore{&storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n}, Cloud: n.sim.cloud, Workers: n, Peers: n,
 		Log: n.sim.log, Rand: rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // so that no two processes are alike
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	n.end = cancel
+	n.cancelRun = cancel
 	n.live.Store(n.node)
 	go n.ping(ctx)
 	node := n.node
 	if len(s.Tuning.Activation.Classes) > 0 {
-		n.track(ctx, node, &s)
+		n.runTracker(ctx, node, &s)
 	}
 	go func() {
 		err := node.Run(ctx)
 		switch {
 		case upgrade.IsRefusal(err):
-			n.refused.Store(&err)
+			n.refusal.Store(&err)
 			n.live.CompareAndSwap(node, nil)
 		case err != nil:
 			n.sim.t.Errorf("node ended: %v", err)
@@ -74,8 +74,8 @@
 	}()
 }
 
-// track runs the process's tracker of models.
-func (n *fakeNode) track(ctx context.Context, node *Node, s *config.Settings) {
+// runTracker runs the process's tracker of models.
+func (n *fakeNode) runTracker(ctx context.Context, node *Node, s *config.Settings) {
 	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
 	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: s.Tuning.Activation.Hold}
@@ -84,17 +84,17 @@
 	go tracker.Run(ctx)
 }
 
-// replace ends the node's process and begins one of another version.
-func (n *fakeNode) replace(version upgrade.Version) {
+// restartWithVersion ends the node's process and begins one of another version.
+func (n *fakeNode) restartWithVersion(version upgrade.Version) {
 	n.upgrade = func(s *upgrade.Settings) { *s = s.CappedAt(version) }
 	n.restart()
 }
 
 func (n *fakeNode) kill() {
-	if n.end != nil {
+	if n.cancelRun != nil {
 		n.live.Store(nil)
-		n.end()
-		n.end = nil
+		n.cancelRun()
+		n.cancelRun = nil
 	}
 }
 
@@ -107,16 +107,16 @@
 			return api.Response{Peer: peer.Status{Version: old.told}}, nil
 		}
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.gate()
-			o.gate()
+			n.waitWhilePaused()
+			o.waitWhilePaused()
 			a := live.HandleForwardedRequest(ctx, req)
-			o.gate()
-			n.gate()
+			o.waitWhilePaused()
+			n.waitWhilePaused()
 			if ctx.Err() != nil {
 				return api.Response{}, ctx.Err()
 			}
 			if req.Op != api.OpPing {
-				time.Sleep(time.Duration(o.holdUp.Load()))
+				time.Sleep(time.Duration(o.responseDelay.Load()))
 			}
 			return a, nil
 		}
@@ -128,12 +128,12 @@
 func (n *fakeNode) ReportUsage(ctx context.Context, name string, report activation.UsageReport) (activation.UsageResponse, error) {
 	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.gate()
-			o.gate()
+			n.waitWhilePaused()
+			o.waitWhilePaused()
 			n.sim.noteUsage(report)
 			response := live.HandleForwardedUsage(ctx, report)
-			o.gate()
-			n.gate()
+			o.waitWhilePaused()
+			n.waitWhilePaused()
 			return response, ctx.Err()
 		}
 	}
@@ -144,13 +144,13 @@
 func (n *fakeNode) Wake(ctx context.Context, name string, req activation.WakeRequest) (activation.WakeResponse, error) {
 	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.gate()
-			o.gate()
+			n.waitWhilePaused()
+			o.waitWhilePaused()
 			n.sim.noteWakeRequest(req)
 			response := live.HandleForwardedWake(ctx, req)
-			o.gate()
-			n.gate()
-			time.Sleep(time.Duration(o.holdUp.Load()))
+			o.waitWhilePaused()
+			n.waitWhilePaused()
+			time.Sleep(time.Duration(o.responseDelay.Load()))
 			return response, ctx.Err()
 		}
 	}
@@ -161,11 +161,11 @@
 func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	for _, o := range n.sim.nodes {
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.gate()
-			o.gate()
+			n.waitWhilePaused()
+			o.waitWhilePaused()
 			answers := live.HandleForwardedHeartbeats(ctx, reports)
-			o.gate()
-			n.gate()
+			o.waitWhilePaused()
+			n.waitWhilePaused()
 			if answers != nil && ctx.Err() == nil {
 				return answers, nil
 			}
@@ -221,10 +221,10 @@
 	return 0
 }
 
-// reaches tells whether the network leads from a worker to a node and back.
-func (n *fakeNode) reaches(wk *fakeWorker) bool {
-	apart := n.sim.apart.Load()
-	return !n.cutWork.Load() && (wk.only.Load() == nil || wk.only.Load() == n) &&
+// canReach tells whether the network leads from a worker to a node and back.
+func (n *fakeNode) canReach(wk *fakeWorker) bool {
+	apart := n.sim.isolatedZone.Load()
+	return !n.cutWorkers.Load() && (wk.onlyNode.Load() == nil || wk.onlyNode.Load() == n) &&
 		(apart == nil || n.zone == wk.zone || n.zone != *apart && wk.zone != *apart)
 }
 
@@ -233,28 +233,28 @@
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return worker.NotSent, nil
 	}
-	n.gate() // between the check and the sending
+	n.waitWhilePaused() // between the check and the sending
 	var id int
 	if _, err := fmt.Sscan(addr, &id); err != nil {
 		n.sim.t.Errorf("address %q", addr)
 	}
 	n.sim.mu.Lock()
 	wk := n.sim.workers[id]
-	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.deaf.Load() || !n.reaches(wk)
-	if !lost && (wk.hang.Load() || wk.still.Load()) {
-		wk.late = append(wk.late, lateOrders{token, session, orders})
+	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.dropsResponses.Load() || !n.canReach(wk)
+	if !lost && (wk.delaysCommands.Load() || wk.paused.Load()) {
+		wk.delayedCommands = append(wk.delayedCommands, commandBatch{token, session, orders})
 	}
-	if wk != nil && n.sim.copying {
-		wk.copies = append(wk.copies, lateOrders{token, session, orders})
+	if wk != nil && n.sim.recordingCommands {
+		wk.recordedCommands = append(wk.recordedCommands, commandBatch{token, session, orders})
 	}
 	n.sim.mu.Unlock()
 	switch {
 	case lost:
 		<-ctx.Done()
 		return worker.NotSent, nil
-	case wk.hang.Load(), wk.still.Load():
+	case wk.delaysCommands.Load(), wk.paused.Load():
 		<-ctx.Done()
 		return worker.Unresolved, nil
 	}
-	return wk.direct(token, session, orders)
+	return wk.executeDirect(token, session, orders)
 }
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -18,35 +18,35 @@
 
 // fakeWorker follows the protocol's worker.
 type fakeWorker struct {
-	sim     *simulation
-	id      int
-	kind    string
-	zone    string
-	spot    bool
-	dead    atomic.Bool
-	cut     atomic.Bool              // nothing passes in either direction
-	only    atomic.Pointer[fakeNode] // nothing passes to or from other nodes
-	deaf    atomic.Bool              // its reports pass, answers and orders don't
-	mute    atomic.Bool              // orders pass, its reports don't
-	hang    atomic.Bool              // orders reach it only later: see late
-	still   atomic.Bool              // it stands still, and may go on at any time
-	sick    atomic.Bool              // every task fails
-	fetches atomic.Bool              // no image ever comes
-	notice  *float64
-	session uint64
-	seq     uint64
-	token   uint64
-	node    int
-	leased  time.Time // when the last answered report was sent
-	tasks   map[workerKey]*workerTask
-	late    []lateOrders
-	copies  []lateOrders       // of all direct orders, while sim.copying
-	forgot  map[workerKey]bool // what it was told to forget
+	sim              *simulation
+	id               int
+	typeName         string
+	zone             string
+	spot             bool
+	dead             atomic.Bool
+	cut              atomic.Bool              // nothing passes in either direction
+	onlyNode         atomic.Pointer[fakeNode] // nothing passes to or from other nodes
+	dropsResponses   atomic.Bool              // its reports pass, answers and orders don't
+	dropsHeartbeats  atomic.Bool              // orders pass, its reports don't
+	delaysCommands   atomic.Bool              // orders reach it only later: see late
+	paused           atomic.Bool              // it stands still, and may go on at any time
+	failsTasks       atomic.Bool              // every task fails
+	stuckPulling     atomic.Bool              // no image ever comes
+	spotNotice       *float64
+	incarnation      uint64
+	seq              uint64
+	token            uint64
+	nodeIndex        int
+	leaseRenewed     time.Time // when the last answered report was sent
+	tasks            map[attemptKey]*workerTask
+	delayedCommands  []commandBatch
+	recordedCommands []commandBatch      // of all direct orders, while sim.copying
+	forgotten        map[attemptKey]bool // what it was told to forget
 }
 
-type workerKey struct {
-	ID  worker.TaskID
-	Try uint64
+type attemptKey struct {
+	ID     worker.TaskID
+	Number uint64
 }
 
 type workerTask struct {
@@ -61,29 +61,29 @@
 // startRecord is a start that a worker took on.
 type startRecord struct {
 	at      time.Time
-	try     uint64
+	attempt uint64
 	machine int
 }
 
-type lateOrders struct {
-	token, session uint64
-	orders         []worker.Command
+type commandBatch struct {
+	token, incarnation uint64
+	commands           []worker.Command
 }
 
 func (sim *simulation) addWorker(id int, kind, zone string, spot bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.over.Load() {
+	if sim.ended.Load() {
 		return
 	}
-	wk := &fakeWorker{sim: sim, id: id, kind: kind, zone: zone, spot: spot, session: 1, leased: time.Now(), tasks: make(map[workerKey]*workerTask), forgot: make(map[workerKey]bool)}
+	wk := &fakeWorker{sim: sim, id: id, typeName: kind, zone: zone, spot: spot, incarnation: 1, leaseRenewed: time.Now(), tasks: make(map[attemptKey]*workerTask), forgotten: make(map[attemptKey]bool)}
 	sim.workers[id] = wk
 	go wk.run()
 }
 
-func (wk *fakeWorker) typ() storage.MachineType {
+func (wk *fakeWorker) machineType() storage.MachineType {
 	for _, t := range clustertest.Types {
-		if t.Name == wk.kind {
+		if t.Name == wk.typeName {
 			return t
 		}
 	}
@@ -97,35 +97,35 @@
 }
 
 func (wk *fakeWorker) makeReport() *worker.Report {
-	wk.settle()
+	wk.advance()
 	wk.seq++
-	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot,
-		Incarnation: wk.session, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.notice}
+	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot,
+		Incarnation: wk.incarnation, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.spotNotice}
 	for k, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Try, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Number, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Attempt < r.Tasks[b].Attempt })
 	return r
 }
 
-// settle ends what has run long enough, and everything with the lease.
-func (wk *fakeWorker) settle() {
-	if wk.still.Load() {
+// advance ends what has run long enough, and everything with the lease.
+func (wk *fakeWorker) advance() {
+	if wk.paused.Load() {
 		return
 	}
 	now := time.Now()
-	if now.Sub(wk.leased) > wk.sim.settings.WorkerLease {
+	if now.Sub(wk.leaseRenewed) > wk.sim.settings.WorkerLease {
 		clear(wk.tasks)
-		wk.session++
-		wk.seq, wk.leased = 0, now
+		wk.incarnation++
+		wk.seq, wk.leaseRenewed = 0, now
 	}
 	for k, t := range wk.tasks {
 		if t.state == worker.Running && !t.ends.IsZero() && now.After(t.ends) {
 			t.state, t.cause = worker.Exited, worker.CauseDone
-			if t.fails || wk.sick.Load() || wk.sim.mistaken[k.ID.Job] {
+			if t.fails || wk.failsTasks.Load() || wk.sim.failingJobs[k.ID.Job] {
 				t.cause = worker.CauseError
 			}
-			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == worker.CauseDone
+			wk.sim.completed[k.ID] = wk.sim.completed[k.ID] || t.cause == worker.CauseDone
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
 		pause := wk.sim.settings.HeartbeatInterval
-		if !wk.cut.Load() && !wk.mute.Load() && !wk.still.Load() {
+		if !wk.cut.Load() && !wk.dropsHeartbeats.Load() && !wk.paused.Load() {
 			pause = wk.heartbeat()
 		}
 		time.Sleep(pause)
@@ -142,54 +142,54 @@
 
 // heartbeat reports and returns when to report again.
 func (wk *fakeWorker) heartbeat() time.Duration {
-	n := wk.sim.nodes[wk.node%len(wk.sim.nodes)]
+	n := wk.sim.nodes[wk.nodeIndex%len(wk.sim.nodes)]
 	r := wk.report()
 	sent := time.Now()
-	wk.sim.locked(func() {
-		if wk.sim.keeping {
-			wk.sim.kept = append(wk.sim.kept, r)
+	wk.sim.withLock(func() {
+		if wk.sim.recordingReports {
+			wk.sim.recordedReports = append(wk.sim.recordedReports, r)
 		}
 	})
 	live := n.live.Load()
-	if live == nil || !n.reaches(wk) {
-		wk.node++
+	if live == nil || !n.canReach(wk) {
+		wk.nodeIndex++
 		if live == nil {
 			return config.WorkerRetryPause // refused
 		}
 		return config.WorkerResponseTimeout + config.WorkerRetryPause
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), config.WorkerResponseTimeout)
-	n.gate()
+	n.waitWhilePaused()
 	a := live.HandleHeartbeat(ctx, r)
-	n.gate()
+	n.waitWhilePaused()
 	cancel()
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	switch {
 	case time.Since(sent) > config.WorkerResponseTimeout: // it has gone on to the next node
-		wk.node++
+		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case wk.deaf.Load() || wk.cut.Load() || wk.dead.Load() || wk.still.Load() || !n.reaches(wk):
+	case wk.dropsResponses.Load() || wk.cut.Load() || wk.dead.Load() || wk.paused.Load() || !n.canReach(wk):
 	case !a.Accepted:
 		for i, o := range wk.sim.nodes {
 			if o.name == a.Leader && o != n {
-				wk.node = i
+				wk.nodeIndex = i
 				return 0
 			}
 		}
-		wk.node++
+		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case a.Token >= wk.token && r.Incarnation == wk.session:
-		wk.token, wk.leased = a.Token, sent
+	case a.Token >= wk.token && r.Incarnation == wk.incarnation:
+		wk.token, wk.leaseRenewed = a.Token, sent
 		wk.execute(a.Commands)
 	}
 	return wk.sim.settings.HeartbeatInterval
 }
 
 func (wk *fakeWorker) execute(orders []worker.Command) {
-	wk.settle()
+	wk.advance()
 	for _, o := range orders {
-		k := workerKey{o.ID, o.Attempt}
+		k := attemptKey{o.ID, o.Attempt}
 		t := wk.tasks[k]
 		switch o.Verb {
 		case worker.Start:
@@ -205,24 +205,24 @@
 		case worker.Forget:
 			if t != nil && t.state == worker.Exited {
 				delete(wk.tasks, k)
-				wk.forgot[k] = true
+				wk.forgotten[k] = true
 			}
 		}
 	}
 }
 
 // startTask starts a task and checks the rules at that moment.
-func (wk *fakeWorker) startTask(k workerKey) *workerTask {
+func (wk *fakeWorker) startTask(k attemptKey) *workerTask {
 	sim := wk.sim
 	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
 		return &workerTask{state: worker.Exited, cause: worker.CauseUnknown}
 	}
 	sim.starts++
-	if wk.forgot[k] {
+	if wk.forgotten[k] {
 		sim.t.Errorf("forgotten attempt %v began anew on %d", k, wk.id)
 	}
-	free := wk.typ().Resources
+	free := wk.machineType().Resources
 	for o, t := range wk.tasks {
 		if t.state != worker.Exited {
 			free = free.Sub(sim.specs[o.ID.Job].Resources)
@@ -233,7 +233,7 @@
 	}
 	used, zones := spec.Resources, map[string]int{wk.zone: 1}
 	for _, other := range sim.workers {
-		other.settle()
+		other.advance()
 		for o, t := range other.tasks {
 			if other.dead.Load() || t.state == worker.Exited {
 				continue
@@ -252,20 +252,20 @@
 	if team := sim.settings.Team(spec.Team); !storage.WithinLimit(used, team.Limit) {
 		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
 	}
-	if wk.spot && !spec.Spot || !cluster.Allows(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
+	if wk.spot && !spec.Spot || !cluster.Allows(spec.Types, wk.typeName) || spec.Zone != "" && spec.Zone != wk.zone ||
 		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
 		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
 	}
-	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
+	if at, ok := sim.cancelledAt[k.ID.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
 		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
 	}
-	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{time.Now(), k.Try, wk.id})
+	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{time.Now(), k.Number, wk.id})
 	t := &workerTask{state: worker.Running}
-	if after, fails := sim.failing[k.ID.Job]; fails {
+	if after, fails := sim.failAfter[k.ID.Job]; fails {
 		t.fails, t.ends = true, time.Now().Add(after)
 	}
 	switch {
-	case wk.fetches.Load():
+	case wk.stuckPulling.Load():
 		t.state = worker.Pulling
 	case spec.Gang:
 		t.state, t.since = worker.Gathering, time.Now()
@@ -275,20 +275,20 @@
 	return t
 }
 
-// catchUp executes the orders that a hang has held back.
-func (wk *fakeWorker) catchUp() {
-	var late []lateOrders
-	wk.sim.locked(func() { late = slices.Concat(wk.late, wk.copies) })
+// executeDelayed executes the orders that a hang has held back.
+func (wk *fakeWorker) executeDelayed() {
+	var late []commandBatch
+	wk.sim.withLock(func() { late = slices.Concat(wk.delayedCommands, wk.recordedCommands) })
 	for _, l := range late {
-		wk.direct(l.token, l.session, l.orders)
+		wk.executeDirect(l.token, l.incarnation, l.commands)
 	}
 }
 
-func (wk *fakeWorker) direct(token, session uint64, orders []worker.Command) (worker.Outcome, *worker.Report) {
+func (wk *fakeWorker) executeDirect(token, session uint64, orders []worker.Command) (worker.Outcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
-	wk.settle()
-	if token < wk.token || session != wk.session {
+	wk.advance()
+	if token < wk.token || session != wk.incarnation {
 		return worker.Rejected, wk.makeReport()
 	}
 	wk.token = token
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -63,8 +63,8 @@
 		}
 		write(name, items)
 	}
-	inSimulation(t, func(sim *simulation) { freezeStore("store.json", sim) })
-	inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) { freezeStore("store.json", sim) })
+	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
 		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		freezeStore("store-lowered.json", sim)
 	})
--- a/internal/scheduler/gang_page_test.go
+++ b/internal/scheduler/gang_page_test.go
@@ -19,12 +19,12 @@
 // machine and one elsewhere; the machine of the first one's third task is returned.
 func rivalGangs(d *scheduler, now time.Time) (first, second *cluster.Job, elsewhere *cluster.Machine) {
 	for m := 1; m <= 4; m++ {
-		d.up(m, "cpu", "a", false)
+		d.addReadyMachine(m, "cpu", "a", false)
 	}
 	enter := func(id string, try uint64, machines ...int) *cluster.Job {
-		spec := gangOf(id, 3)
+		spec := gangSpec(id, 3)
 		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
-		j := d.accept(spec)
+		j := d.addAcceptedJob(spec)
 		for i, m := range machines {
 			d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: try, Machine: d.state.Machines.Get(m), Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
 				State: worker.Running, ReservedAt: now, Started: now.Add(-time.Minute)})
@@ -71,10 +71,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestDispatcher(t, clustertest.Settings())
+				d := newTestScheduler(t, clustertest.Settings())
 				first, second, elsewhere := rivalGangs(d, time.Now())
 				c.trouble(d, elsewhere)
-				d.accept(urgentService())
+				d.addAcceptedJob(urgentService())
 				d.placeRound(time.Now())
 				if n, _ := stops(first); n != 0 {
 					t.Errorf("%d tasks are stopped of the gang that can't save", n)
@@ -91,11 +91,11 @@
 // only hold its room.
 func TestAGangThatCantSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
 		elsewhere.InFlight = maxInFlightCommands
 		d.state.Machines.Get(4).InFlight = maxInFlightCommands
-		d.accept(urgentService())
+		d.addAcceptedJob(urgentService())
 		d.placeRound(time.Now())
 		n1, saving1 := stops(first)
 		n2, saving2 := stops(second)
@@ -110,7 +110,7 @@
 func TestANoticeStopsOnlyAGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newTestDispatcher(t, clustertest.Settings())
+			d := newTestScheduler(t, clustertest.Settings())
 			first, _, elsewhere := rivalGangs(d, time.Now())
 			first.Spec.EstimateS = 1000
 			if !reachable {
@@ -129,9 +129,9 @@
 // `alone` and `peers` are the gang's failure: its machine isn't left alone for them.
 func TestAGangsFailureIsNotItsMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
+		d := newTestScheduler(t, clustertest.Settings())
+		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, two)
 		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
 		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
 			t.Errorf("failures of the machine %+v, of the job %+v", one.Failures, j.Failures)
@@ -146,15 +146,15 @@
 // of other zones until the earlier one is gone everywhere.
 func TestAGangStaysInItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		full, other := d.up(1, "cpu", "a", false), d.up(2, "cpu", "b", false)
-		spec := gangOf("000001", 2)
+		d := newTestScheduler(t, clustertest.Settings())
+		full, other := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "b", false)
+		spec := gangSpec("000001", 2)
 		spec.Resources.CPUs = 4
 		j := d.gangOn(spec, worker.Gathering, full, full)
 		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		blocker := clustertest.Service("000002", 1)
 		blocker.Resources.CPUs = 4
-		d.Reserve(d.accept(blocker), 0, full, time.Now())
+		d.Reserve(d.addAcceptedJob(blocker), 0, full, time.Now())
 		d.placeRound(time.Now())
 		if a := j.Attempts[0]; a != nil {
 			t.Errorf("replaced on machine %d of another zone", a.Machine.ID)
@@ -171,9 +171,9 @@
 // being stopped or has lost a task.
 func TestTasksOfAStoppedGangCountAsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.stopGang(j)
 		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
@@ -189,11 +189,11 @@
 // twice.
 func TestEveryStartHasItsOwnNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		for i := range 4 {
-			d.up(i, "cpu", "a", false)
+			d.addReadyMachine(i, "cpu", "a", false)
 		}
-		array, replicas := d.accept(clustertest.Array("000001", 4)), d.accept(clustertest.Service("000002", 3))
+		array, replicas := d.addAcceptedJob(clustertest.Array("000001", 4)), d.addAcceptedJob(clustertest.Service("000002", 3))
 		used := make(map[uint64]worker.TaskID)
 		for range 3 {
 			d.placeRound(time.Now())
@@ -216,11 +216,11 @@
 // A repeat of the submission or of the cancel of a gang that is over is told how it
 // ended.
 func TestARepeatAfterAGangsEndIsToldTheEnd(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
-		sim.submit(gangOf("000001", 2))
-		sim.done("000001")
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(gangSpec("000001", 2))
+		sim.awaitDone("000001")
 		for _, op := range []api.Op{api.OpSubmit, api.OpCancel, api.OpPoll} {
-			if a := sim.ask(op, "000001", gangOf("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
+			if a := sim.request(op, "000001", gangSpec("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
 				t.Errorf("request %d is answered %+v", op, a)
 			}
 		}
@@ -232,9 +232,9 @@
 // the present one.
 func TestStrangeReportsOfAGangChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), worker.Running, m, m)
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Running, m, m)
 		for _, r := range []worker.TaskReport{
 			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
 			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CausePeers},
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// gangOf is a gang whose tasks must be in one zone.
-func gangOf(id string, tasks int) storage.Spec {
+// gangSpec is a gang whose tasks must be in one zone.
+func gangSpec(id string, tasks int) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
 	return s
@@ -23,7 +23,7 @@
 
 // begun is how often a gang has begun.
 func (sim *simulation) begun(id string) (n int) {
-	sim.locked(func() { n = sim.together[id] })
+	sim.withLock(func() { n = sim.gangStarts[id] })
 	return n
 }
 
@@ -33,10 +33,10 @@
 	defer sim.mu.Unlock()
 	out := make(map[uint64]int)
 	for _, wk := range sim.workers {
-		wk.settle()
+		wk.advance()
 		for k, t := range wk.tasks {
 			if k.ID.Job == id && t.state != worker.Exited && !wk.dead.Load() {
-				out[k.Try]++
+				out[k.Number]++
 			}
 		}
 	}
@@ -49,12 +49,12 @@
 }{
 	{"starts together and is done together", func(sim *simulation) {
 		for i, n := range []int{1, 3, 16} {
-			sim.submit(gangOf(fmt.Sprintf("%06d", i+1), n))
+			sim.submit(gangSpec(fmt.Sprintf("%06d", i+1), n))
 		}
 		for i := range 3 {
 			id := fmt.Sprintf("%06d", i+1)
-			sim.done(id)
-			sim.askEverywhere(id)
+			sim.awaitDone(id)
+			sim.requestFromAll(id)
 			if n := sim.begun(id); n != 1 {
 				sim.t.Errorf("job %s began %d times", id, n)
 			}
@@ -62,30 +62,30 @@
 	}},
 	{"waiting for the others is neither running nor progress", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.runs("000001", 4)
-		for _, wk := range sim.all() {
-			wk.fetches.Store(true)
+		sim.awaitRunning("000001", 4)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
 		}
-		sim.submit(gangOf("000002", 3))
-		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.running("000002")) == 3 })
+		sim.submit(gangSpec("000002", 3))
+		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
 			sim.t.Errorf("told %+v", a)
 		}
 	}},
 	{"a task that doesn't come is replaced under the same number", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
-		sim.submit(lasting("000009", 16, 5*time.Minute)) // keeps machines
-		sim.runs("000001", 8)
-		sim.runs("000009", 16)
+		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps machines
+		sim.awaitRunning("000001", 8)
+		sim.awaitRunning("000009", 16)
 		slow := sim.machinesOf("000001")[0]
-		slow.fetches.Store(true)
-		sim.submit(gangOf("000002", 5))
+		slow.stuckPulling.Store(true)
+		sim.submit(gangSpec("000002", 5))
 		var first uint64
 		sim.eventually("it is placed", 2*time.Minute, func() bool {
 			for try := range sim.tries("000002") {
 				first = try
 			}
-			return len(sim.running("000002")) == 5
+			return len(sim.runningTasks("000002")) == 5
 		})
 		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.begun("000002") == 1 })
 		for try := range sim.tries("000002") {
@@ -93,20 +93,20 @@
 				sim.t.Errorf("it runs as %d, began as %d", try, first)
 			}
 		}
-		sim.done("000002")
+		sim.awaitDone("000002")
 	}},
 	{"a task lost before the start is replaced, one lost later ends the attempt", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
-		sim.runs("000001", 8)
-		for _, wk := range sim.all() {
-			wk.fetches.Store(true)
+		sim.awaitRunning("000001", 8)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
 		}
-		sim.submit(gangOf("000002", 4))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.running("000002")) == 4 })
+		sim.submit(gangSpec("000002", 4))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
 		sim.machinesOf("000002")[0].dead.Store(true)
-		for _, wk := range sim.all() {
-			wk.fetches.Store(false)
-			sim.locked(func() {
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(false)
+			sim.withLock(func() {
 				for k, t := range wk.tasks {
 					if k.ID.Job == "000002" && t.state == worker.Pulling {
 						t.state, t.since = worker.Gathering, time.Now()
@@ -117,102 +117,102 @@
 		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000002") == 1 })
 		sim.machinesOf("000002")[0].dead.Store(true)
 		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.begun("000002") == 2 })
-		sim.done("000002")
+		sim.awaitDone("000002")
 	}},
 	{"the leader ends between the starts", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
-		sim.runs("000001", 8)
+		sim.awaitRunning("000001", 8)
 		for i := range 12 {
 			id := fmt.Sprintf("%06d", 100+i)
-			sim.upload(gangOf(id, 5))
-			go sim.askNode(sim.awaitLeader(), api.OpSubmit, id, gangOf(id, 5))
+			sim.storeSpec(gangSpec(id, 5))
+			go sim.requestFrom(sim.awaitLeader(), api.OpSubmit, id, gangSpec(id, 5))
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			sim.crash(sim.awaitLeader(), time.Second)
-			sim.submit(gangOf(id, 5))
-			sim.done(id)
+			sim.submit(gangSpec(id, 5))
+			sim.awaitDone(id)
 			if n := sim.begun(id); n > 1 {
 				sim.t.Errorf("gang %s began %d times", id, n)
 			}
 		}
 	}},
 	{"a cut zone has half of the gang", func(sim *simulation) {
-		sim.submit(onZone("000001", "a", 8))
-		sim.submit(onZone("000002", "b", 8))
-		sim.runs("000001", 8)
-		sim.runs("000002", 8)
-		g := gangOf("000003", 10)
+		sim.submit(zonalService("000001", "a", 8))
+		sim.submit(zonalService("000002", "b", 8))
+		sim.awaitRunning("000001", 8)
+		sim.awaitRunning("000002", 8)
+		g := gangSpec("000003", 10)
 		g.SameZone, g.Spread, g.EstimateS = false, true, 60
 		sim.submit(g)
 		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
-		sim.leadOutside("b")
-		sim.cutZone("b")
+		sim.moveLeaderOutOf("b")
+		sim.isolateZone("b")
 		time.Sleep(2 * sim.settings.WorkerLease)
-		sim.cutZone("")
-		sim.done("000003")
+		sim.isolateZone("")
+		sim.awaitDone("000003")
 	}},
 	{"cancelled while it waits, and repeated after", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.runs("000001", 4)
-		for _, wk := range sim.all() {
-			wk.fetches.Store(true)
+		sim.awaitRunning("000001", 4)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
 		}
-		sim.submit(gangOf("000002", 3))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.running("000002")) == 3 })
+		sim.submit(gangSpec("000002", 3))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		sim.cancel("000002")
 		sim.crash(sim.awaitLeader(), time.Second)
-		sim.askEverywhere("000002")
-		sim.gone("000002")
-		for _, wk := range sim.all() {
-			wk.fetches.Store(false)
+		sim.requestFromAll("000002")
+		sim.awaitStopped("000002")
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(false)
 		}
-		sim.askEverywhere("000002")
+		sim.requestFromAll("000002")
 		if sim.begun("000002") != 0 {
 			sim.t.Error("a cancelled gang began")
 		}
 	}},
 	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
-		sim.submit(gangOf("000001", 6))
+		sim.submit(gangSpec("000001", 6))
 		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000001") == 1 })
-		sim.keepReports()
+		sim.recordReports()
 		time.Sleep(19 * time.Second)
 		for range 3 {
 			sim.crash(sim.awaitLeader(), time.Second)
-			sim.replay(sim.nodes...)
+			sim.replayReports(sim.nodes...)
 		}
-		sim.done("000001")
-		sim.replay(sim.nodes...)
-		sim.askEverywhere("000001")
+		sim.awaitDone("000001")
+		sim.replayReports(sim.nodes...)
+		sim.requestFromAll("000001")
 		if n := sim.begun("000001"); n != 1 {
 			sim.t.Errorf("began %d times", n)
 		}
 	}},
 	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
-		sim.locked(func() {
-			sim.cloud.full = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
+		sim.withLock(func() {
+			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
 		})
 		for i := range 6 {
-			sim.submit(lasting(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
+			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
 		}
-		sim.runs("000001", 4)
-		sim.submit(gangOf("000100", 10))
-		sim.submit(gangOf("000101", 10))
+		sim.awaitRunning("000001", 4)
+		sim.submit(gangSpec("000100", 10))
+		sim.submit(gangSpec("000101", 10))
 		submitted := time.Now()
 		for i := range 40 {
-			sim.submit(lasting(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
+			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
 			time.Sleep(time.Second)
 		}
 		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.begun("000100") > 0 && sim.begun("000101") > 0 })
-		sim.done("000100")
-		sim.done("000101")
+		sim.awaitDone("000100")
+		sim.awaitDone("000101")
 		for i := range 40 {
-			sim.done(fmt.Sprintf("%06d", i+200))
+			sim.awaitDone(fmt.Sprintf("%06d", i+200))
 		}
 	}},
 	{"more tasks than one transaction holds", func(sim *simulation) {
-		s := gangOf("000001", 400)
+		s := gangSpec("000001", 400)
 		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
 		sim.submit(s)
-		sim.done("000001")
+		sim.awaitDone("000001")
 		if n := sim.begun("000001"); n != 1 {
 			sim.t.Errorf("began %d times", n)
 		}
@@ -221,36 +221,36 @@
 
 func TestGangs(t *testing.T) {
 	for _, g := range gangStories {
-		t.Run(g.name, func(t *testing.T) { inSimulation(t, g.story) })
+		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
 	}
 }
 
 // What a gang needs as a whole decides whether it is taken.
 func TestAGangThatCanNeverRunIsRefused(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000009", 1)) // the types are known
-		for id, s := range map[string]storage.Spec{"000001": onLimit(gangOf("000001", 3)), "000002": gangOf("000002", 2)} {
+		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
 			if id == "000002" {
 				s.Resources.CPUs = 1000
 			}
-			if a := sim.ask(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
+			if a := sim.request(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
 				t.Errorf("job %s is answered %+v", id, a)
 			}
 		}
-		sim.submit(onLimit(gangOf("000003", 2)))
-		sim.done("000003")
+		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
+		sim.awaitDone("000003")
 	})
 }
 
 // A gang either gets room for all or stops nothing.
 func TestPreemptionForAGangIsWholeOrNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		low := lasting("000001", 8, time.Hour)
+		d := newTestScheduler(t, clustertest.Settings())
+		low := arrayWithRuntime("000001", 8, time.Hour)
 		low.Priority, low.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
-		j := d.accept(low)
+		j := d.addAcceptedJob(low)
 		for i := range 4 {
-			m := d.up(i, "cpu", "a", false)
+			m := d.addReadyMachine(i, "cpu", "a", false)
 			for k := range 2 {
 				d.addAttempt(&cluster.Attempt{Job: j, Task: 2*i + k, Number: uint64(1 + 2*i + k), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 			}
@@ -263,12 +263,12 @@
 			}
 			return n
 		}
-		d.accept(gangOf("000002", 17)) // 16 would fit
+		d.addAcceptedJob(gangSpec("000002", 17)) // 16 would fit
 		d.placeRound(time.Now())
 		if n := stopped(); n != 0 {
 			t.Errorf("%d stopped for a gang that finds no room all the same", n)
 		}
-		g := d.accept(gangOf("000003", 5))
+		g := d.addAcceptedJob(gangSpec("000003", 5))
 		d.state.Jobs.Get("000002").RetryAfter = time.Now().Add(time.Hour)
 		time.Sleep(time.Second)
 		d.placeRound(time.Now())
@@ -296,11 +296,11 @@
 // save.
 func TestAGangIsStoppedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		g := d.accept(gangOf("000001", 4))
+		d := newTestScheduler(t, clustertest.Settings())
+		g := d.addAcceptedJob(gangSpec("000001", 4))
 		var machines []*cluster.Machine
 		for i := range 2 {
-			machines = append(machines, d.up(i, "cpu", "a", false))
+			machines = append(machines, d.addReadyMachine(i, "cpu", "a", false))
 		}
 		for i := range 4 {
 			d.addAttempt(&cluster.Attempt{Job: g, Task: i, Number: 9, Machine: machines[i/2], Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
@@ -308,7 +308,7 @@
 		g.Gang.Started = true
 		urgent := clustertest.Service("000002", 1)
 		urgent.Resources = storage.Resources{CPUs: 8, MemoryGB: 8}
-		d.accept(urgent)
+		d.addAcceptedJob(urgent)
 		d.placeRound(time.Now())
 		for _, a := range g.GangAttempts() {
 			if !a.Stopping || a.GraceSeconds != g.Spec.SaveS || !a.StopCommanded {
@@ -321,17 +321,17 @@
 // What an earlier leader left half written is begun anew, once all of it is gone.
 func TestARecordOfTwoAttemptsIsDisbanded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := gangOf("000001", 3)
-		d := newTestDispatcher(t, clustertest.Settings())
-		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
+		spec := gangSpec("000001", 3)
+		d := newTestScheduler(t, clustertest.Settings())
+		if err := d.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
 		d.state.SetTypes(clustertest.Types)
 		j := d.state.Jobs.Get("000001")
 		for i := 10; i < 14; i++ {
-			d.up(i, "cpu", "a", false)
+			d.addReadyMachine(i, "cpu", "a", false)
 		}
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 2 || !j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
@@ -349,7 +349,7 @@
 
 // gangOn enters a gang's attempt with a task on each of the machines.
 func (d *scheduler) gangOn(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
-	j := d.accept(spec)
+	j := d.addAcceptedJob(spec)
 	for i, m := range machines {
 		d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true, State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now()})
 	}
@@ -362,9 +362,9 @@
 // begun before all of it is gone.
 func TestALossEndsAnAttemptThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		j := d.gangOn(gangOf("000001", 3), worker.Running, d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false), d.up(3, "cpu", "a", false))
-		d.up(4, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		j := d.gangOn(gangSpec("000001", 3), worker.Running, d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false), d.addReadyMachine(3, "cpu", "a", false))
+		d.addReadyMachine(4, "cpu", "a", false)
 		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		for _, a := range j.GangAttempts() {
 			if !a.Stopping || a.GraceSeconds != 0 {
@@ -389,9 +389,9 @@
 // under the same number goes elsewhere.
 func TestAReplacementGoesWhereItsNumberIsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, one)
+		d := newTestScheduler(t, clustertest.Settings())
+		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, one)
 		j.Attempts[0].State = worker.Exited
 		d.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
 		if len(j.Attempts) != 1 {
@@ -407,9 +407,9 @@
 
 func TestOneDoneIsAllDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 3), worker.Running, m, m, m)
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
 		if j.Done != 3 || j.Phase != storage.Done {
 			t.Errorf("%d of 3 done, phase %v", j.Done, j.Phase)
@@ -423,9 +423,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.GangWait = 45 * time.Second
-		d := newTestDispatcher(t, s)
-		one, two := d.up(1, "cpu", "a", false), d.up(2, "cpu", "a", false)
-		j := d.gangOn(gangOf("000001", 2), worker.Gathering, one, two)
+		d := newTestScheduler(t, s)
+		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, two)
 		j.Attempts[1].State = worker.Pulling
 		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
 		if d.tick(); j.Attempts[1].Stopping {
@@ -443,10 +443,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
-		d := newTestDispatcher(t, s)
-		m := d.up(1, "gpu", "a", false)
-		other := d.gangOn(onLimit(gangOf("000001", 1)), worker.Running, m)
-		j := d.accept(onLimit(gangOf("000002", 2)))
+		d := newTestScheduler(t, s)
+		m := d.addReadyMachine(1, "gpu", "a", false)
+		other := d.gangOn(withLimitedTeam(gangSpec("000001", 1)), worker.Running, m)
+		j := d.addAcceptedJob(withLimitedTeam(gangSpec("000002", 2)))
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 0 {
 			t.Error("placed beyond the limit")
--- a/internal/scheduler/gates_test.go
+++ b/internal/scheduler/gates_test.go
@@ -35,23 +35,23 @@
 // The first gang job waits until the use of its gate is durable, like any acceptance for its
 // commit; where that takes too long, or the gate is closed, its user is told to come back.
 func TestTheFirstGangJobWaitsForItsGate(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		gang := func(id string) storage.Spec {
 			g := clustertest.Array(id, 2)
 			g.Gang = true
-			sim.upload(g)
+			sim.storeSpec(g)
 			return g
 		}
 		lead := sim.awaitLeader()
 		began := time.Now()
-		if a := sim.askNode(lead, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
+		if a := sim.requestFrom(lead, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("accepted after %v", took)
 		}
-		sim.done("000001")
+		sim.awaitDone("000001")
 		sim.state.Update(func(s *storagetest.Service) { s.Drop = touchesCluster })
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
@@ -60,7 +60,7 @@
 		lead = sim.awaitLeader()
 		time.Sleep(20 * time.Second) // a release is unanswered, and so are uses
 		began = time.Now()
-		if a := sim.askNode(lead, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
+		if a := sim.requestFrom(lead, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
@@ -68,6 +68,6 @@
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
 		sim.submit(gang("000002"))
-		sim.done("000002")
+		sim.awaitDone("000002")
 	})
 }
--- a/internal/scheduler/guards_test.go
+++ b/internal/scheduler/guards_test.go
@@ -21,8 +21,8 @@
 func TestDirectAnswersAloneDontMakeAMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestDispatcher(t, s)
-		m := d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, s)
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		answer := func() {
 			d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, false, time.Now())
 		}
@@ -33,7 +33,7 @@
 		if m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("ready without a report")
 		}
-		d.up(7, "cpu", "a", false)
+		d.addReadyMachine(7, "cpu", "a", false)
 		if !m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("not ready after a report")
 		}
@@ -44,9 +44,9 @@
 // user was told.
 func TestNoStartLeavesOnceACancelIsOnItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		j := d.accept(clustertest.Service("000001", 1))
-		m := d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		j := d.addAcceptedJob(clustertest.Service("000001", 1))
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		a := d.Reserve(j, 0, m, time.Now())
 		j.Phase = storage.Cancelled
 		d.startReserved([]*cluster.Attempt{a})
@@ -67,9 +67,9 @@
 func TestAJobWhosePagesAreDoneIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 3)
-		records := []storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}})}
-		d := newTestDispatcher(t, clustertest.Settings())
+		records := []storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}})}
+		d := newTestScheduler(t, clustertest.Settings())
 		if err := d.load(records); err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 	})
 }
 
-func record(t *testing.T, key string, data any) storage.Record {
+func newRecord(t *testing.T, key string, data any) storage.Record {
 	t.Helper()
 	r, err := storage.NewRecord(key, data)
 	if err != nil {
@@ -90,7 +90,7 @@
 
 // The journal asks again what stays unanswered, and settles it once.
 func TestAnUnansweredCommitIsAskedAgain(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		n := 0
@@ -117,9 +117,9 @@
 // successor would start the task a second time, or miss that it is done.
 func TestOrdersWaitForWhatTheyRestOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		j := d.accept(clustertest.Array("000001", 1))
-		m := d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		j := d.addAcceptedJob(clustertest.Array("000001", 1))
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		a := d.Reserve(j, 0, m, time.Now())
 		orders := func() []worker.Command {
 			return d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now())
@@ -128,7 +128,7 @@
 			t.Errorf("ordered %+v before the booking is durable", o)
 		}
 		a.Durable = true
-		d.unmark()
+		d.discardPending()
 		if o := orders(); len(o) != 1 || o[0].Verb != worker.Start {
 			t.Errorf("ordered %+v", o)
 		}
@@ -137,7 +137,7 @@
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the end is durable", o)
 		}
-		d.unmark()
+		d.discardPending()
 		if o := orders(); len(o) != 1 || o[0].Verb != worker.Forget {
 			t.Errorf("ordered %+v", o)
 		}
@@ -147,7 +147,7 @@
 // Nothing is told before it is durable: a successor would not know of it.
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		tell := func(op api.Op, spec storage.Spec) (api.Response, bool) {
 			reply := make(chan api.Response, 1)
 			d.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
@@ -159,7 +159,7 @@
 			}
 		}
 		commit := func(err error) {
-			d.commit(err)
+			d.commitPending(err)
 		}
 		a, b := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
 		if got, told := tell(api.OpSubmit, a); told {
@@ -205,10 +205,10 @@
 func TestAMachineInTroubleIsTriedAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestDispatcher(t, s)
-		m := d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, s)
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		for i := range 12 {
-			d.failed(d.accept(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
+			d.failed(d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
 			d.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.QuarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
@@ -221,9 +221,9 @@
 // the task is.
 func TestNoStartLeavesBeforeItsRecordIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		jobs := []*cluster.Job{d.accept(clustertest.Service("000001", 1)), d.accept(gangOf("000002", 2))}
-		d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		jobs := []*cluster.Job{d.addAcceptedJob(clustertest.Service("000001", 1)), d.addAcceptedJob(gangSpec("000002", 2))}
+		d.addReadyMachine(7, "cpu", "a", false)
 		d.placeRound(time.Now())
 		left := func() (n int) {
 			for _, j := range jobs {
@@ -238,7 +238,7 @@
 		if left() != 0 || len(jobs[0].Attempts) != 1 || len(jobs[1].Attempts) != 2 {
 			t.Errorf("%d starts left before their records", left())
 		}
-		d.commit(nil)
+		d.commitPending(nil)
 		if left() != 3 {
 			t.Errorf("%d of 3 starts left after their records", left())
 		}
--- a/internal/scheduler/leader_gap_test.go
+++ b/internal/scheduler/leader_gap_test.go
@@ -21,25 +21,25 @@
 	for _, peers := range []string{"heard", "cut", "restarted"} {
 		for _, after := range []time.Duration{life / 2, life - 100*time.Millisecond, life + 50*time.Millisecond, life + 500*time.Millisecond, 2 * life, 4 * life} {
 			t.Run(fmt.Sprintf("peers %s, outage after %v", peers, after), func(t *testing.T) {
-				inSimulation(t, func(sim *simulation) {
+				runSimulation(t, func(sim *simulation) {
 					for _, id := range []string{"000001", "000002", "000003"} {
 						sim.submit(clustertest.Service(id, 3))
-						sim.runs(id, 3)
+						sim.awaitRunning(id, 3)
 					}
 					old := sim.awaitLeader()
-					for _, wk := range sim.all() {
-						wk.only.Store(old)
+					for _, wk := range sim.allWorkers() {
+						wk.onlyNode.Store(old)
 					}
 					time.Sleep(2 * sim.settings.HeartbeatInterval)
-					old.cutState.Store(true)
+					old.cutStore.Store(true)
 					old.cutPeers.Store(peers == "cut")
 					cancelled := make(chan struct{})
 					go func() { // users call off as soon as anybody takes it
 						defer close(cancelled)
 						for end := time.Now().Add(after + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 							for _, n := range sim.nodes {
-								sim.askNode(n, api.OpCancel, "000001", storage.Spec{})
-								sim.askNode(n, api.OpCancel, "000002", storage.Spec{})
+								sim.requestFrom(n, api.OpCancel, "000001", storage.Spec{})
+								sim.requestFrom(n, api.OpCancel, "000002", storage.Spec{})
 							}
 						}
 					}()
@@ -54,17 +54,17 @@
 					}
 					<-cancelled
 					time.Sleep(sim.settings.CancelTimeout + sim.settings.WorkerLease)
-					old.cutState.Store(false)
+					old.cutStore.Store(false)
 					old.cutPeers.Store(false)
 					sim.state.Outage(false)
-					for _, wk := range sim.all() {
-						wk.only.Store(nil)
+					for _, wk := range sim.allWorkers() {
+						wk.onlyNode.Store(nil)
 					}
 					sim.cancel("000001")
 					sim.cancel("000002")
-					sim.gone("000001")
-					sim.gone("000002")
-					sim.runs("000003", 3)
+					sim.awaitStopped("000001")
+					sim.awaitStopped("000002")
+					sim.awaitRunning("000003", 3)
 				})
 			})
 		}
@@ -74,9 +74,9 @@
 // A leader that is still loading the state answers nobody, neither of jobs that it will know nor of
 // one that nobody submitted.
 func TestNobodyIsAnsweredBeforeTheStateIsLoaded(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.runs("000001", 1)
+		sim.awaitRunning("000001", 1)
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 150 * time.Millisecond })
 		sim.awaitLeader().kill()
 		loading := 0
@@ -110,6 +110,6 @@
 			t.Error("no leader was seen loading")
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
-		sim.runs("000001", 1)
+		sim.awaitRunning("000001", 1)
 	})
 }
--- a/internal/scheduler/lean_test.go
+++ b/internal/scheduler/lean_test.go
@@ -17,44 +17,46 @@
 // Nodes with little processor and memory: they fall behind, and must keep every rule all
 // the same. The simulation watches the rules.
 
-// lean has the nodes run on a few hundredths of a processor.
-func lean(s *config.Settings) { s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second }
+// lowResources has the nodes run on a few hundredths of a processor.
+func lowResources(s *config.Settings) {
+	s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second
+}
 
 // A process that falls behind fires its timers late and gets to each step late: between
 // a check and its effect the lead may be over.
 func TestASlowProcessorKeepsTheRules(t *testing.T) {
 	for _, most := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(most.String(), func(t *testing.T) {
-			inSimulationWith(t, lean, func(sim *simulation) {
+			runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 				sim.submit(clustertest.Service("000001", 6))
-				sim.runs("000001", 6)
-				sim.slow.Store(int64(most))
+				sim.awaitRunning("000001", 6)
+				sim.maxLogDelay.Store(int64(most))
 				for i := range 3 {
-					sim.submit(lasting(fmt.Sprintf("%06d", 100+i), 3, time.Hour)) // to be cancelled
-					sim.submit(lasting(fmt.Sprintf("%06d", 103+i), 3, 20*time.Second))
+					sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", 100+i), 3, time.Hour)) // to be cancelled
+					sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", 103+i), 3, 20*time.Second))
 				}
-				sim.submit(gangOf("000200", 4))
+				sim.submit(gangSpec("000200", 4))
 				sim.crash(sim.awaitLeader(), time.Second)
 				sim.cancel("000100")
-				sim.refuseLeader()
+				sim.cutLeaderFromStore()
 				time.Sleep(2 * sim.settings.Tuning.LeaderLease)
 				sim.cancel("000101")
 				for _, n := range sim.nodes {
-					n.cutState.Store(false)
+					n.cutStore.Store(false)
 				}
 				sim.outage(sim.settings.WorkerLease)
 				for _, n := range sim.nodes {
 					n.restart()
 				}
 				sim.cancel("000102")
-				sim.slow.Store(0)
+				sim.maxLogDelay.Store(0)
 				for _, id := range []string{"000103", "000104", "000105", "000200"} {
-					sim.done(id)
+					sim.awaitDone(id)
 				}
 				for _, id := range []string{"000100", "000101", "000102"} {
-					sim.gone(id)
+					sim.awaitStopped(id)
 				}
-				sim.runs("000001", 6)
+				sim.awaitRunning("000001", 6)
 			})
 		})
 	}
@@ -63,36 +65,36 @@
 // All controllers come back at once, and all workers report to them in the same moments:
 // nothing is lost, and nothing begins anew.
 func TestAFullTakeOverLosesNothing(t *testing.T) {
-	inSimulationWith(t, lean, func(sim *simulation) {
+	runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 		const jobs, tasks = 20, 8
 		for i := range jobs {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 1+i), tasks))
 		}
 		for i := range jobs {
-			sim.runs(fmt.Sprintf("%06d", 1+i), tasks)
+			sim.awaitRunning(fmt.Sprintf("%06d", 1+i), tasks)
 		}
-		starts := sim.startsSoFar()
+		starts := sim.startCount()
 		for _, n := range sim.nodes {
 			n.kill()
 		}
 		time.Sleep(5 * time.Second)
-		sim.slow.Store(int64(5 * time.Millisecond))
+		sim.maxLogDelay.Store(int64(5 * time.Millisecond))
 		for _, n := range sim.nodes {
 			n.start()
 		}
 		lead := sim.awaitLeader()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		sim.slow.Store(0)
+		sim.maxLogDelay.Store(0)
 		for i := range jobs {
 			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != api.StateRunning || a.Running != tasks {
 				t.Errorf("two report intervals after the take-over: %+v", a)
 			}
 		}
-		if got := sim.startsSoFar(); got != starts {
+		if got := sim.startCount(); got != starts {
 			t.Errorf("%d tasks began anew", got-starts)
 		}
 		sim.submit(clustertest.Array("000900", 4))
-		sim.done("000900")
+		sim.awaitDone("000900")
 		if sim.leader() != lead {
 			t.Error("the lead changed hands")
 		}
@@ -101,17 +103,17 @@
 
 // Work that doesn't fit into the memory is told when to come back; the rest goes on.
 func TestWorkBeyondTheMemoryIsToldToComeBack(t *testing.T) {
-	inSimulationWith(t, func(s *config.Settings) { lean(s); s.MemoryMB = 16 }, func(sim *simulation) {
+	runSimulationWithSettings(t, func(s *config.Settings) { lowResources(s); s.MemoryMB = 16 }, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2)) // the machine types are known
 		most := sim.settings.MaxOpenTasks()
 		large := clustertest.Array("000002", most+1)
-		a := sim.askNode(sim.awaitLeader(), api.OpSubmit, large.ID, large)
+		a := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
 		if a.Code != api.CodeBusy || a.RetrySeconds < 1 {
 			t.Errorf("a job of %d tasks is answered %+v", large.Tasks, a)
 		}
 		sim.submit(clustertest.Array("000003", 3))
-		sim.done("000003")
-		sim.runs("000001", 2)
+		sim.awaitDone("000003")
+		sim.awaitRunning("000001", 2)
 	})
 }
 
@@ -119,11 +121,11 @@
 // may have confirmed a cancel by then.
 func TestAStartIsNotSentAfterTheLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		sent := make(chan time.Time, 2)
-		d.deps.Workers = boundRecorder{sent}
-		m := d.up(7, "cpu", "a", false)
-		a := d.Reserve(d.accept(clustertest.Service("000001", 1)), 0, m, time.Now())
+		d.deps.Workers = sendDeadlineRecorder{sent}
+		m := d.addReadyMachine(7, "cpu", "a", false)
+		a := d.Reserve(d.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
 		d.startReserved([]*cluster.Attempt{a})
 		if bound := <-sent; !bound.Equal(d.role.LeaseValidUntil) {
 			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.LeaseValidUntil)
@@ -137,10 +139,10 @@
 	})
 }
 
-// boundRecorder tells until when orders may be sent.
-type boundRecorder struct{ sent chan time.Time }
+// sendDeadlineRecorder tells until when orders may be sent.
+type sendDeadlineRecorder struct{ sent chan time.Time }
 
-func (b boundRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+func (b sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	b.sent <- sendBy
 	return worker.NotSent, nil
 }
--- a/internal/scheduler/lease_guards_test.go
+++ b/internal/scheduler/lease_guards_test.go
@@ -23,7 +23,7 @@
 // ended: by then an answer on its way is void, unless it is final.
 func TestAnAnswerLastsAsLongAsTheLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		r := d.role
 		r.LeaseValidUntil = time.Now().Add(time.Second)
 		d.setRole(r)
@@ -46,20 +46,20 @@
 }
 
 func TestAHeldUpAnswerIsNotPassedOn(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(clustertest.Service("000002", 1))
 		sim.cancel("000002")
 		lead := sim.awaitLeader()
-		lead.holdUp.Store(int64(sim.settings.Tuning.LeaderLease))
+		lead.responseDelay.Store(int64(sim.settings.Tuning.LeaderLease))
 		for _, n := range sim.nodes {
 			if n == lead {
 				continue
 			}
-			if a := sim.askNode(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
+			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
 				t.Errorf("passed on late: %+v", a)
 			}
-			if a := sim.askNode(n, api.OpPoll, "000002", storage.Spec{}); !a.Final() {
+			if a := sim.requestFrom(n, api.OpPoll, "000002", storage.Spec{}); !a.Final() {
 				t.Errorf("a final state isn't passed on: %+v", a)
 			}
 		}
@@ -80,7 +80,7 @@
 		due := func(confirmed time.Time) time.Time { return confirmed.Add(clock.Scale(s.CancelTimeout, 1/1.0005)) }
 		t.Run("the leader's own answers", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestDispatcher(t, s)
+				d := newTestScheduler(t, s)
 				certain := time.Now()
 				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				last := time.Time{}
@@ -98,7 +98,7 @@
 		})
 		t.Run("a peer on loan", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestDispatcher(t, s)
+				d := newTestScheduler(t, s)
 				certain := time.Now()
 				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
@@ -150,8 +150,8 @@
 func TestTheBoundOfANewSessionCountsFromItsFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestDispatcher(t, s)
-		m := d.up(7, "cpu", "a", false)
+		d := newTestScheduler(t, s)
+		m := d.addReadyMachine(7, "cpu", "a", false)
 		time.Sleep(s.WorkerLease)
 		heard := time.Now()
 		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: d.term}, false, heard)
@@ -166,10 +166,10 @@
 func TestAMachineUnheardSinceTheTakeOverIsBoundByTheEarlierHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestDispatcher(t, s)
+		d := newTestScheduler(t, s)
 		spec := clustertest.Service("000001", 1)
-		if err := d.load([]storage.Record{record(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
+		if err := d.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(s.RenewalGrace() + s.WorkerLease)
@@ -188,11 +188,11 @@
 func TestALaterTermEndsTheLead(t *testing.T) {
 	for _, certain := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newTestDispatcher(t, clustertest.Settings())
+			d := newTestScheduler(t, clustertest.Settings())
 			resignations := 0
 			d.resign = func(leadership.Resignation) { resignations++ }
-			d.up(7, "cpu", "a", false)
-			d.up(8, "cpu", "a", false)
+			d.addReadyMachine(7, "cpu", "a", false)
+			d.addReadyMachine(8, "cpu", "a", false)
 			if !certain {
 				d.role.LeaseValidUntil = time.Now()
 			}
--- a/internal/scheduler/paired_guards_test.go
+++ b/internal/scheduler/paired_guards_test.go
@@ -19,12 +19,12 @@
 // on.
 func TestNothingIsDecidedWithoutACertainLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		d.accept(clustertest.Service("000001", 1))
+		d := newTestScheduler(t, clustertest.Settings())
+		d.addAcceptedJob(clustertest.Service("000001", 1))
 		r := d.role
 		r.LeaseValidUntil = time.Now()
 		d.setRole(r)
-		d.unmark()
+		d.discardPending()
 		for op, id := range map[api.Op]string{api.OpSubmit: "000002", api.OpPoll: "000001", api.OpCancel: "000001"} {
 			reply := make(chan api.Response, 1)
 			d.handleUser(userMessage{req: api.Request{Op: op, ID: id, Spec: clustertest.Service(id, 1)}, reply: reply})
@@ -43,10 +43,10 @@
 func TestAReportUnderOurTokenProvesAnEarlierStartAbsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 1)
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		if err := d.load([]storage.Record{
-			record(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
-			record(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -23,9 +23,9 @@
 	"sagevale/internal/worker"
 )
 
-// newTestDispatcher makes a dispatcher without the actors around it, for what a snapshot or a
+// newTestScheduler makes a dispatcher without the actors around it, for what a snapshot or a
 // round decides. Its clock stands still unless the test moves it.
-func newTestDispatcher(tb testing.TB, s config.Settings) *scheduler {
+func newTestScheduler(tb testing.TB, s config.Settings) *scheduler {
 	tb.Helper()
 	svc := storagetest.NewService()
 	tb.Cleanup(svc.Close)
@@ -45,14 +45,14 @@
 	return d
 }
 
-// commit has all that is marked become durable, or fail.
-func (d *scheduler) commit(err error) {
+// commitPending has all that is marked become durable, or fail.
+func (d *scheduler) commitPending(err error) {
 	d.queue.BeginCommit(math.MaxInt, func(key string, err error) { panic(key) })
 	d.handleCommitted(err)
 }
 
-// unmark forgets what is to become durable, with those who wait for it.
-func (d *scheduler) unmark() { d.queue = groupcommit.New() }
+// discardPending forgets what is to become durable, with those who wait for it.
+func (d *scheduler) discardPending() { d.queue = groupcommit.New() }
 
 // silentWorkers never get a direct order.
 type silentWorkers struct{}
@@ -61,15 +61,15 @@
 	return worker.NotSent, nil
 }
 
-// up makes a machine that has just reported under the present token.
-func (d *scheduler) up(id int, kind, zone string, spot bool) *cluster.Machine {
+// addReadyMachine makes a machine that has just reported under the present token.
+func (d *scheduler) addReadyMachine(id int, kind, zone string, spot bool) *cluster.Machine {
 	m := d.state.EnsureMachine(id, time.Now())
 	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, true, time.Now())
 	return m
 }
 
-// accept enters a job as if its acceptance were durable.
-func (d *scheduler) accept(spec storage.Spec) *cluster.Job {
+// addAcceptedJob enters a job as if its acceptance were durable.
+func (d *scheduler) addAcceptedJob(spec storage.Spec) *cluster.Job {
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
 	d.state.Jobs.AddOpen(j)
@@ -80,25 +80,25 @@
 // Hundreds of services at once: the fleet grows to what they need in steps
 // that at most double it, and all run within a few boots.
 func TestAFleetGrowsFromNothingToHundreds(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		for i := range 120 {
 			sim.submit(clustertest.Spread(fmt.Sprintf("%06d", i), 6))
 		}
 		sim.eventually("all run", 90*time.Second, func() bool {
 			n := 0
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				n += len(wk.report().Tasks)
 			}
 			return n >= 720
 		})
 		// Four tasks fit a machine: 180, and half of what boots once more
 		// while few are up.
-		if n := len(sim.all()); n < 180 || n > 270 {
+		if n := len(sim.allWorkers()); n < 180 || n > 270 {
 			t.Errorf("%d machines for 180 machines' work", n)
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		for name, got := range sim.cloud.rentals {
+		for name, got := range sim.cloud.launches {
 			if len(got) > config.MaxLaunchMachines {
 				t.Errorf("rental %s is of %d machines", name, len(got))
 			}
@@ -110,17 +110,17 @@
 // first machine that was being freed.
 func TestPreemptionMakesRoomForEachWaitingTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		low := clustertest.Array("000001", 40)
 		low.Priority = storage.BestEffort
-		j := d.accept(low)
+		j := d.addAcceptedJob(low)
 		for i := range 10 {
-			m := d.up(i+1, "cpu", "a", false)
+			m := d.addReadyMachine(i+1, "cpu", "a", false)
 			for k := range 4 {
 				d.addAttempt(&cluster.Attempt{Job: j, Task: 4*i + k, Number: uint64(4*i + k + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 			}
 		}
-		d.accept(clustertest.Service("000002", 12))
+		d.addAcceptedJob(clustertest.Service("000002", 12))
 		d.placeRound(time.Now())
 		d.placeRound(time.Now()) // what is being freed isn't made room for twice
 		stopped := 0
@@ -138,11 +138,11 @@
 // Behind a cut a machine may be back sooner than another boots; returned at
 // once, half a fleet was lost with a zone's cut.
 func TestACutMachineIsNotReturnedAtOnce(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 40))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 40 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
 		var cut []*fakeWorker // that carry tasks; idle ones may be returned
-		for _, wk := range sim.running("000001") {
+		for _, wk := range sim.runningTasks("000001") {
 			if !wk.cut.Load() && len(cut) < 5 {
 				wk.cut.Store(true)
 				cut = append(cut, wk)
@@ -155,20 +155,20 @@
 			}
 			wk.cut.Store(false)
 		}
-		sim.eventually("the service runs again", time.Minute, func() bool { return len(sim.running("000001")) == 40 })
+		sim.eventually("the service runs again", time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
 	})
 }
 
 // A node that the state service alone refuses learns the leader from its peers.
 func TestARefusedNodeForwardsByItsPeersStatus(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		old := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
-		old.cutState.Store(true)
+		old.cutStore.Store(true)
 		sim.eventually("a successor leads", 30*time.Second, func() bool { n := sim.leader(); return n != nil && n != old })
 		sim.eventually("the old leader has stepped down", 3*time.Second, func() bool { return old.node.view.Load().scheduler == nil })
 		spec := clustertest.Array("000001", 1)
-		sim.upload(spec)
+		sim.storeSpec(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		if a := old.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
@@ -187,7 +187,7 @@
 
 // Users are kept away from a node from which no leader can be reached.
 func TestANodeBeyondItsLeaderIsUnwell(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		for _, n := range sim.nodes {
@@ -207,7 +207,7 @@
 // A renewal that overlaps a resignation must not make the leader certain again.
 func TestAResignedLeaderStaysUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		role := d.role
 		d.resignLeadership("told to")
 		roleMessage{role}.handle(d)
@@ -221,9 +221,9 @@
 // repeat of either must find it known.
 func TestBothTriesOfATaskStayKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.accept(clustertest.Array("000001", 1))
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.addAcceptedJob(clustertest.Array("000001", 1))
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Token: d.term}
 		for try := uint64(1); try <= 2; try++ {
 			a := &cluster.Attempt{Job: j, Task: 0, Number: try, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Delivery: cluster.DeliverySettled, DeliveryToken: d.term}
@@ -232,7 +232,7 @@
 			r.Seq = m.Seq + 1
 			d.applyReport(m, r, true, time.Now())
 		}
-		d.unmark()
+		d.discardPending()
 		for _, o := range d.commandsFor(m, r, time.Now()) {
 			if o.Verb == worker.Forget {
 				t.Errorf("try %d is to be forgotten", o.Attempt)
@@ -245,7 +245,7 @@
 // every socket that their own reports need.
 func TestTokenAnnouncementsKeepToTheirSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		for i := range 400 {
 			m := d.state.EnsureMachine(i+1, time.Now())
 			m.Addr, m.Incarnation = fmt.Sprint(i+1), 1
@@ -269,8 +269,8 @@
 // replicas went to machines that had to fetch their images.
 func TestANewLeaderKnowsTheFetchedImages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, next := newTestDispatcher(t, clustertest.Settings()), newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
+		d, next := newTestScheduler(t, clustertest.Settings()), newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
 		m.UseImage("seldom", 5, time.Now())
 		if m.Recorded {
 			t.Error("a new image is not to be recorded")
@@ -291,18 +291,18 @@
 // The cloud numbers its machines from 0, which once stood for no machine: as long
 // as that one was the best to return, none was.
 func TestTheFirstMachineIsReturnedToo(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 8))
 		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		sim.eventually("all machines are given back", 2*time.Minute, func() bool {
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				if !wk.dead.Load() {
 					return false
 				}
 			}
 			return true
 		})
-		if all := sim.all(); len(all) == 0 || all[0].id != 0 {
+		if all := sim.allWorkers(); len(all) == 0 || all[0].id != 0 {
 			t.Fatal("there was no machine 0")
 		}
 	})
@@ -313,9 +313,9 @@
 // reports.
 func TestAHungMachineHoldsFewSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.accept(clustertest.Array("000001", 10))
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.addAcceptedJob(clustertest.Array("000001", 10))
 		sent := 0
 		for i := range 10 {
 			a := &cluster.Attempt{Job: j, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Durable: true}
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -22,10 +22,10 @@
 	}
 }
 
-// refuseLeader has the state service refuse the leader alone, and returns it.
-func (sim *simulation) refuseLeader() *fakeNode {
+// cutLeaderFromStore has the state service refuse the leader alone, and returns it.
+func (sim *simulation) cutLeaderFromStore() *fakeNode {
 	n := sim.awaitLeader()
-	n.cutState.Store(true)
+	n.cutStore.Store(true)
 	return n
 }
 
@@ -36,8 +36,8 @@
 	sim.state.Outage(false)
 }
 
-// lateWrites has every nth transaction carried out late, without an answer.
-func (sim *simulation) lateWrites(nth int, late time.Duration) {
+// delayCommits has every nth transaction carried out late, without an answer.
+func (sim *simulation) delayCommits(nth int, late time.Duration) {
 	n := 0
 	sim.state.Update(func(s *storagetest.Service) {
 		s.Delay = func() time.Duration {
@@ -49,12 +49,12 @@
 	})
 }
 
-// keepReports begins to keep copies of all reports; replay brings them to a node again.
-func (sim *simulation) keepReports() { sim.locked(func() { sim.keeping = true }) }
+// recordReports begins to keep copies of all reports; replay brings them to a node again.
+func (sim *simulation) recordReports() { sim.withLock(func() { sim.recordingReports = true }) }
 
-func (sim *simulation) replay(nodes ...*fakeNode) {
+func (sim *simulation) replayReports(nodes ...*fakeNode) {
 	var kept []*worker.Report
-	sim.locked(func() { kept = sim.kept })
+	sim.withLock(func() { kept = sim.recordedReports })
 	for _, n := range nodes {
 		for _, r := range kept {
 			if live := n.live.Load(); live != nil {
@@ -65,43 +65,43 @@
 	}
 }
 
-// askEverywhere asks all nodes again and again within milliseconds.
-func (sim *simulation) askEverywhere(id string) {
+// requestFromAll asks all nodes again and again within milliseconds.
+func (sim *simulation) requestFromAll(id string) {
 	for range 3 {
 		for _, n := range sim.nodes {
-			sim.askNode(n, api.OpPoll, id, storage.Spec{})
-			sim.askNode(n, api.OpSubmit, id, sim.specs[id])
+			sim.requestFrom(n, api.OpPoll, id, storage.Spec{})
+			sim.requestFrom(n, api.OpSubmit, id, sim.specs[id])
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// runs waits until so many tasks of a job run.
-func (sim *simulation) runs(id string, tasks int) {
+// awaitRunning waits until so many tasks of a job run.
+func (sim *simulation) awaitRunning(id string, tasks int) {
 	sim.t.Helper()
-	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), 4*time.Minute, func() bool { return len(sim.running(id)) == tasks })
+	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), 4*time.Minute, func() bool { return len(sim.runningTasks(id)) == tasks })
 }
 
-// done waits until a job is done.
-func (sim *simulation) done(id string) {
+// awaitDone waits until a job is done.
+func (sim *simulation) awaitDone(id string) {
 	sim.t.Helper()
 	sim.eventually("job "+id+" is done", 6*time.Minute, func() bool { return sim.poll(id).State == api.StateDone })
 }
 
-// gone waits until a cancelled job's tasks are gone; watch has the time.
-func (sim *simulation) gone(id string) {
+// awaitStopped waits until a cancelled job's tasks are gone; watch has the time.
+func (sim *simulation) awaitStopped(id string) {
 	sim.t.Helper()
-	sim.eventually("job "+id+" is gone", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.running(id)) == 0 })
+	sim.eventually("job "+id+" is gone", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
 }
 
-// onLimit is a job of the team whose limit is two accelerators.
-func onLimit(spec storage.Spec) storage.Spec {
+// withLimitedTeam is a job of the team whose limit is two accelerators.
+func withLimitedTeam(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
 }
 
-// lasting is an array whose tasks run for so long.
-func lasting(id string, tasks int, run time.Duration) storage.Spec {
+// arrayWithRuntime is an array whose tasks run for so long.
+func arrayWithRuntime(id string, tasks int, run time.Duration) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.EstimateS = run.Seconds()
 	return s
@@ -111,7 +111,7 @@
 func (sim *simulation) machinesOf(id string) []*fakeWorker {
 	var out []*fakeWorker
 	seen := make(map[int]bool)
-	for _, wk := range sim.running(id) {
+	for _, wk := range sim.runningTasks(id) {
 		if !seen[wk.id] {
 			seen[wk.id] = true
 			out = append(out, wk)
--- a/internal/scheduler/scenarios_test.go
+++ b/internal/scheduler/scenarios_test.go
@@ -16,10 +16,10 @@
 )
 
 func TestAcceptanceSurvivesTheEndOfAllNodes(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 3))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000002")) == 2 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 2 })
 		for _, n := range sim.nodes {
 			n.kill()
 		}
@@ -30,11 +30,11 @@
 		if a := sim.poll("000001"); a.Code != api.CodeOK {
 			t.Fatalf("forgotten: %+v", a)
 		}
-		if a := sim.ask(api.OpSubmit, "000001", clustertest.Array("000001", 3)); a.Code != api.CodeOK {
+		if a := sim.request(api.OpSubmit, "000001", clustertest.Array("000001", 3)); a.Code != api.CodeOK {
 			t.Fatalf("a repeated submission is answered %+v", a)
 		}
 		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
-		if len(sim.running("000002")) != 2 {
+		if len(sim.runningTasks("000002")) != 2 {
 			t.Fatal("the service didn't go on")
 		}
 		if a := sim.poll("999999"); a.Code != api.CodeNotFound {
@@ -44,7 +44,7 @@
 }
 
 func TestTakeOverNeverRunsATaskTwice(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		for i, id := range []string{"000001", "000002", "000003"} {
 			s := clustertest.Array(id, 6)
 			s.Service = i == 0
@@ -60,24 +60,24 @@
 		sim.eventually("both sweeps are done", 5*time.Minute, func() bool {
 			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
 		})
-		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.running("000001")) == 6 })
+		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
 	})
 }
 
 // A leader that alone has lost the state service and its peers goes on hearing
 // its workers; its successor must not start their tasks before they are gone.
 func TestADeposedLeaderIsWithoutEffect(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Array("000002", 1))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
 		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
 		old := sim.awaitLeader()
 		oldTerm := old.node.view.Load().role.Term
-		old.cutState.Store(true)
+		old.cutStore.Store(true)
 		old.cutPeers.Store(true)
-		for _, wk := range sim.all() {
-			wk.only.Store(old)
+		for _, wk := range sim.allWorkers() {
+			wk.onlyNode.Store(old)
 		}
 		cutoff := func(op api.Op, id string) api.Response {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -99,27 +99,27 @@
 			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
 		})
 		sim.cancel("000001")
-		sim.eventually("the cancelled tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.running("000001")) == 0 })
+		sim.eventually("the cancelled tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
 		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
 	})
 }
 
 // Orders sent directly may be executed minutes late, after a cancel too.
 func TestALateDirectStartIsHarmless(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("a machine is up", 2*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
-		for _, wk := range sim.all() {
-			wk.hang.Store(true)
+		sim.eventually("a machine is up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
+		for _, wk := range sim.allWorkers() {
+			wk.delaysCommands.Store(true)
 		}
 		sim.submit(clustertest.Service("000002", 2))
 		time.Sleep(200 * time.Millisecond)
 		sim.cancel("000002")
 		time.Sleep(2 * sim.settings.CancelTimeout)
-		for _, wk := range sim.all() {
-			wk.catchUp()
+		for _, wk := range sim.allWorkers() {
+			wk.executeDelayed()
 		}
-		if n := len(sim.running("000002")); n != 0 {
+		if n := len(sim.runningTasks("000002")); n != 0 {
 			t.Fatalf("%d cancelled tasks run", n)
 		}
 	})
@@ -127,12 +127,12 @@
 
 // A repeat of a start that was answered would start a forgotten attempt anew.
 func TestARepeatedDirectStartIsHarmless(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 1))
-		var k workerKey
+		var k attemptKey
 		var on *fakeWorker
 		sim.eventually("the task runs", 2*time.Minute, func() bool {
-			for id, wk := range sim.running("000001") {
+			for id, wk := range sim.runningTasks("000001") {
 				on = wk
 				for key := range wk.tasks {
 					if key.ID == id {
@@ -144,28 +144,28 @@
 		})
 		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		time.Sleep(30 * time.Second)
-		before := sim.startsSoFar()
-		on.direct(on.token, on.session, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Try}})
-		if sim.startsSoFar() != before {
+		before := sim.startCount()
+		on.executeDirect(on.token, on.incarnation, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Number}})
+		if sim.startCount() != before {
 			t.Fatal("a repeated order started a finished task anew")
 		}
 	})
 }
 
 func TestCancelBeatsAStartAndHoldsPastACut(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 2 })
-		for _, wk := range sim.all() {
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(true)
 		}
 		sim.cancel("000001")
-		sim.eventually("the tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.running("000001")) == 0 })
-		for _, wk := range sim.all() {
+		sim.eventually("the tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
+		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
 		time.Sleep(time.Minute)
-		if len(sim.running("000001")) != 0 {
+		if len(sim.runningTasks("000001")) != 0 {
 			t.Fatal("a cancelled task runs")
 		}
 		if a := sim.poll("000001"); a.State != api.StateCancelled {
@@ -175,28 +175,28 @@
 }
 
 func TestATotalOutageCostsNoTasks(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 3 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 3 })
 		sim.state.Outage(true)
-		before := sim.startsSoFar()
+		before := sim.startCount()
 		time.Sleep(3 * time.Minute)
 		sim.state.Outage(false)
 		time.Sleep(time.Minute)
-		if len(sim.running("000001")) != 3 || sim.startsSoFar() != before {
-			t.Fatalf("%d of 3 run, %d starts anew", len(sim.running("000001")), sim.startsSoFar()-before)
+		if len(sim.runningTasks("000001")) != 3 || sim.startCount() != before {
+			t.Fatalf("%d of 3 run, %d starts anew", len(sim.runningTasks("000001")), sim.startCount()-before)
 		}
 	})
 }
 
 // A peer that has restarted can't know whether it led meanwhile.
 func TestARestartedPeerDoesNotConfirmAnOutage(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		time.Sleep(10 * time.Second)
 		term := lead.node.view.Load().role.Term
 		cut := time.Now()
-		lead.cutState.Store(true)
+		lead.cutStore.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
 		if !lead.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
@@ -216,16 +216,16 @@
 }
 
 func TestADeafMachineLosesItsTasksAndGetsNoMore(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 4 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
 		var deaf *fakeWorker
-		for _, wk := range sim.running("000001") {
+		for _, wk := range sim.runningTasks("000001") {
 			deaf = wk
 		}
-		deaf.deaf.Store(true)
+		deaf.dropsResponses.Store(true)
 		sim.eventually("its tasks run elsewhere", 4*time.Minute, func() bool {
-			on := sim.running("000001")
+			on := sim.runningTasks("000001")
 			for _, wk := range on {
 				if wk == deaf {
 					return false
@@ -238,11 +238,11 @@
 
 // A late copy neither shows the present nor renews a lease.
 func TestALateCopyOfAReportIsNotTaken(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.running("000001")) == 1 })
+		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
 		lead := sim.awaitLeader()
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			old := wk.report()
 			old.Tasks = nil
 			time.Sleep(10 * time.Second)
@@ -251,15 +251,15 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		if sim.startsSoFar() != 1 || len(sim.running("000001")) != 1 {
-			t.Fatalf("%d starts, %d run", sim.startsSoFar(), len(sim.running("000001")))
+		if sim.startCount() != 1 || len(sim.runningTasks("000001")) != 1 {
+			t.Fatalf("%d starts, %d run", sim.startCount(), len(sim.runningTasks("000001")))
 		}
 	})
 }
 
 // Where the leader is out of reach, what comes to a follower goes through the relay.
 func TestAFollowerBeyondACutRelaysThroughTheStateService(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		var follower *fakeNode
 		for i, n := range sim.nodes {
@@ -272,7 +272,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		spec := clustertest.Service("000001", 1)
-		sim.upload(spec)
+		sim.storeSpec(spec)
 		if a := follower.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
 			t.Fatalf("not accepted by mail: %+v", a)
 		}
@@ -286,13 +286,13 @@
 // Workers must remember attempts that were started directly; a new token ends
 // that before their reports grow too large.
 func TestReportsStayBoundedOverManyTasks(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		s := clustertest.Array("000001", 1500)
 		s.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
 		s.EstimateS = 2
 		sim.submit(s)
 		sim.eventually("the sweep is done", 30*time.Minute, func() bool {
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				if n := len(wk.report().Tasks); n > 2*fencing.MaxRetained {
 					t.Fatalf("a report of %d tasks", n)
 				}
@@ -305,24 +305,24 @@
 // A session that is first heard of in the answer to a direct order has its
 // lease from then on; the bound of the session before says nothing of its tasks.
 func TestANewSessionHeardDirectlyHasItsOwnLease(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(clustertest.Service("000003", 4))
-		sim.eventually("the services run", 2*time.Minute, func() bool { return len(sim.running("000001"))+len(sim.running("000003")) == 5 })
+		sim.eventually("the services run", 2*time.Minute, func() bool { return len(sim.runningTasks("000001"))+len(sim.runningTasks("000003")) == 5 })
 		var on *fakeWorker
-		for _, wk := range sim.running("000001") {
+		for _, wk := range sim.runningTasks("000001") {
 			on = wk
 		}
-		on.mute.Store(true)
+		on.dropsHeartbeats.Store(true)
 		var leased time.Time
-		sim.locked(func() { leased = on.leased })
+		sim.withLock(func() { leased = on.leaseRenewed })
 		time.Sleep(time.Until(leased.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
 		sim.cancel("000001") // the stop tells of the new session
 		for i := range 3 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 10+i), 1))
 		}
 		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // others have booted meanwhile
-		on.mute.Store(false)
+		on.dropsHeartbeats.Store(false)
 		time.Sleep(10 * time.Second)
 	})
 }
@@ -332,10 +332,10 @@
 // list it. It was called absent, started elsewhere, and ran twice.
 func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
+		d := newTestScheduler(t, clustertest.Settings())
 		m := d.state.EnsureMachine(1, time.Now())
 		m.Addr, m.Incarnation = "1", 1
-		j := d.accept(clustertest.Array("000001", 1))
+		j := d.addAcceptedJob(clustertest.Array("000001", 1))
 		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // loaded
 		d.addAttempt(a)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: d.term - 1}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -27,43 +27,43 @@
 // simulation is a small deployment in memory and simulated time: nodes, a state
 // service, a cloud, workers and the cuts between them. It watches the rules.
 type simulation struct {
-	t            *testing.T
-	settings     config.Settings
-	state        *storagetest.Service
-	cloud        *fakeCloud
-	nodes        []*fakeNode
-	mu           sync.Mutex // guards what follows, and all workers and the cloud
-	workers      map[int]*fakeWorker
-	specs        map[string]storage.Spec
-	cancelAt     map[string]time.Time    // when a user was told so
-	answered     map[string]api.JobState // the latest that a user was told, running as pending
-	askedOff     map[string]bool         // jobs that a user asked to cancel
-	ran          map[worker.TaskID]bool  // tasks that have completed
-	kept         []*worker.Report        // copies of reports, to come again late
-	keeping      bool
-	copying      bool            // copies of direct orders are kept, to be repeated late
-	together     map[string]int  // how often a gang has begun
-	overrun      map[string]bool // cancelled jobs seen beyond their time
-	mistaken     map[string]bool // jobs that fail wherever they run
-	starts       int
-	startsByJob  map[string][]startRecord // starts that a worker took on, by job
-	wakes        []activation.WakeRequest // that nodes sent each other, to come again late
-	served       []porcupine.Operation    // requests to models that were passed on
-	usages       []activation.UsageReport // likewise
-	failing      map[string]time.Duration // jobs whose tasks fail after so long on any machine
-	apart        atomic.Pointer[string]   // a zone that is cut off from everything
-	over         atomic.Bool              // machines that boot now stay away
-	dropped      atomic.Bool              // a leader has been killed with what it sent
-	processCount atomic.Uint64            // processes that were begun
-	lossy        atomic.Bool              // machines or models fail, so that requests may find none
-	processes    sync.Mutex               // of nodes that several troubles begin and end
-	log          *slog.Logger
-	slow         atomic.Int64 // up to how long each log record holds up its node, in ns
+	t                 *testing.T
+	settings          config.Settings
+	state             *storagetest.Service
+	cloud             *fakeCloud
+	nodes             []*fakeNode
+	mu                sync.Mutex // guards what follows, and all workers and the cloud
+	workers           map[int]*fakeWorker
+	specs             map[string]storage.Spec
+	cancelledAt       map[string]time.Time    // when a user was told so
+	reportedStates    map[string]api.JobState // the latest that a user was told, running as pending
+	cancelRequested   map[string]bool         // jobs that a user asked to cancel
+	completed         map[worker.TaskID]bool  // tasks that have completed
+	recordedReports   []*worker.Report        // copies of reports, to come again late
+	recordingReports  bool
+	recordingCommands bool            // copies of direct orders are kept, to be repeated late
+	gangStarts        map[string]int  // how often a gang has begun
+	overdue           map[string]bool // cancelled jobs seen beyond their time
+	failingJobs       map[string]bool // jobs that fail wherever they run
+	starts            int
+	startsByJob       map[string][]startRecord // starts that a worker took on, by job
+	wakeRequests      []activation.WakeRequest // that nodes sent each other, to come again late
+	served            []porcupine.Operation    // requests to models that were passed on
+	usageReports      []activation.UsageReport // likewise
+	failAfter         map[string]time.Duration // jobs whose tasks fail after so long on any machine
+	isolatedZone      atomic.Pointer[string]   // a zone that is cut off from everything
+	ended             atomic.Bool              // machines that boot now stay away
+	messagesDropped   atomic.Bool              // a leader has been killed with what it sent
+	processCount      atomic.Uint64            // processes that were begun
+	requestsMayFail   atomic.Bool              // machines or models fail, so that requests may find none
+	processMu         sync.Mutex               // of nodes that several troubles begin and end
+	log               *slog.Logger
+	maxLogDelay       atomic.Int64 // up to how long each log record holds up its node, in ns
 }
 
-// slowProcessor holds up whoever logs: what comes between a check and its effect on a
+// slowLogHandler holds up whoever logs: what comes between a check and its effect on a
 // processor that falls behind.
-type slowProcessor struct {
+type slowLogHandler struct {
 	slog.Handler
 	sim  *simulation
 	mu   sync.Mutex
@@ -71,11 +71,13 @@
 }
 
 // Enabled has all levels logged while the processor is slow.
-func (p *slowProcessor) Enabled(context.Context, slog.Level) bool { return p.sim.slow.Load() > 0 }
+func (p *slowLogHandler) Enabled(context.Context, slog.Level) bool {
+	return p.sim.maxLogDelay.Load() > 0
+}
 
 // Handle takes its time.
-func (p *slowProcessor) Handle(context.Context, slog.Record) error {
-	most := p.sim.slow.Load()
+func (p *slowLogHandler) Handle(context.Context, slog.Record) error {
+	most := p.sim.maxLogDelay.Load()
 	if most <= 0 {
 		return nil
 	}
@@ -87,18 +89,18 @@
 }
 
 // WithAttrs keeps the handler as it is.
-func (p *slowProcessor) WithAttrs([]slog.Attr) slog.Handler { return p }
+func (p *slowLogHandler) WithAttrs([]slog.Attr) slog.Handler { return p }
 
-// inSimulation runs a scenario in simulated time.
-func inSimulation(t *testing.T, story func(sim *simulation)) {
+// runSimulation runs a scenario in simulated time.
+func runSimulation(t *testing.T, story func(sim *simulation)) {
 	t.Helper()
-	inSimulationWith(t, func(*config.Settings) {}, story)
+	runSimulationWithSettings(t, func(*config.Settings) {}, story)
 }
 
-// inSimulationWith runs a scenario in simulated time, with settings of its own.
-func inSimulationWith(t *testing.T, change func(*config.Settings), story func(sim *simulation)) {
+// runSimulationWithSettings runs a scenario in simulated time, with settings of its own.
+func runSimulationWithSettings(t *testing.T, change func(*config.Settings), story func(sim *simulation)) {
 	t.Helper()
-	inSimulationTuned(t, change, func(*config.Tuning) {}, story)
+	runSimulationWithTuning(t, change, func(*config.Tuning) {}, story)
 }
 
 // threeControllers and fiveControllers are the zones of a deployment's controllers.
@@ -107,14 +109,14 @@
 	fiveControllers  = []string{"a", "b", "a", "b", "a"}
 )
 
-// inSimulationTuned runs a scenario with the operators' settings changed too.
-func inSimulationTuned(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
+// runSimulationWithTuning runs a scenario with the operators' settings changed too.
+func runSimulationWithTuning(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
 	t.Helper()
-	inSimulationOf(t, threeControllers, change, tune, story)
+	runSimulationInZones(t, threeControllers, change, tune, story)
 }
 
-// inSimulationOf runs a scenario with controllers in these zones.
-func inSimulationOf(t *testing.T, controllers []string, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
+// runSimulationInZones runs a scenario with controllers in these zones.
+func runSimulationInZones(t *testing.T, controllers []string, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{
@@ -125,31 +127,31 @@
 				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
 				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
 			},
-			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelAt: make(map[string]time.Time),
-			answered: make(map[string]api.JobState), askedOff: make(map[string]bool), ran: make(map[worker.TaskID]bool), overrun: make(map[string]bool), mistaken: make(map[string]bool), together: make(map[string]int),
-			startsByJob: make(map[string][]startRecord), failing: make(map[string]time.Duration),
+			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelledAt: make(map[string]time.Time),
+			reportedStates: make(map[string]api.JobState), cancelRequested: make(map[string]bool), completed: make(map[worker.TaskID]bool), overdue: make(map[string]bool), failingJobs: make(map[string]bool), gangStarts: make(map[string]int),
+			startsByJob: make(map[string][]startRecord), failAfter: make(map[string]time.Duration),
 		}
-		sim.log = slog.New(&slowProcessor{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
+		sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
 		change(&sim.settings)
 		sim.settings.Tuning = sim.settings.DefaultTuning()
 		tune(&sim.settings.Tuning)
 		sim.state = storagetest.NewService()
-		sim.cloud = &fakeCloud{sim: sim, rentals: make(map[string][]int)}
+		sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int)}
 		for i, zone := range controllers {
 			sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
 		}
 		for _, n := range sim.nodes {
 			n.start()
 		}
-		go sim.watch()
+		go sim.watchCancelledJobs()
 		defer func() {
 			for _, n := range sim.nodes {
 				n.kill()
 			}
 			sim.mu.Lock()
-			sim.over.Store(true)
+			sim.ended.Store(true)
 			sim.mu.Unlock()
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				wk.dead.Store(true)
 			}
 			sim.state.Close()
@@ -188,10 +190,10 @@
 	return nil
 }
 
-// ask puts a user's request to the nodes in turn until one decides it.
-func (sim *simulation) ask(op api.Op, id string, spec storage.Spec) api.Response {
+// request puts a user's request to the nodes in turn until one decides it.
+func (sim *simulation) request(op api.Op, id string, spec storage.Spec) api.Response {
 	for try := range 120 {
-		if a := sim.askNode(sim.nodes[try%len(sim.nodes)], op, id, spec); a.Decided() {
+		if a := sim.requestFrom(sim.nodes[try%len(sim.nodes)], op, id, spec); a.Decided() {
 			return a
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -200,23 +202,23 @@
 	return api.Response{}
 }
 
-// askNode puts one request to one node, and checks that the answer is no older
+// requestFrom puts one request to one node, and checks that the answer is no older
 // than what any node had told before it was asked.
-func (sim *simulation) askNode(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
+func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.live.Load()
 	if live == nil {
 		return api.Unavailable(id, "not running")
 	}
 	var before api.JobState
 	var known bool
-	sim.locked(func() {
-		before, known = sim.answered[id]
-		sim.askedOff[id] = sim.askedOff[id] || op == api.OpCancel
+	sim.withLock(func() {
+		before, known = sim.reportedStates[id]
+		sim.cancelRequested[id] = sim.cancelRequested[id] || op == api.OpCancel
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-	n.gate()
+	n.waitWhilePaused()
 	a := live.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: spec})
-	n.gate()
+	n.waitWhilePaused()
 	late := ctx.Err() != nil
 	cancel()
 	if late {
@@ -241,42 +243,42 @@
 		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
 	}
 	switch {
-	case now == api.StateCancelled && !sim.askedOff[id]:
+	case now == api.StateCancelled && !sim.cancelRequested[id]:
 		sim.t.Errorf("went_back: nobody cancelled job %s", id)
-	case now == api.StateCancelled && sim.cancelAt[id].IsZero():
-		sim.cancelAt[id] = time.Now()
+	case now == api.StateCancelled && sim.cancelledAt[id].IsZero():
+		sim.cancelledAt[id] = time.Now()
 	case now == api.StateDone:
 		for _, wk := range sim.workers {
-			wk.settle()
+			wk.advance()
 		}
 		for i := range sim.specs[id].Tasks {
-			if !sim.ran[worker.TaskID{Job: id, Task: i}] {
+			if !sim.completed[worker.TaskID{Job: id, Task: i}] {
 				sim.t.Errorf("not_done: job %s without task %d", id, i)
 			}
 		}
 	}
-	if sim.answered[id] == api.StatePending {
-		sim.answered[id] = now
+	if sim.reportedStates[id] == api.StatePending {
+		sim.reportedStates[id] = now
 	}
 	return a
 }
 
-// watch looks out for tasks that outlive their job's cancel.
-func (sim *simulation) watch() {
-	for !sim.over.Load() {
+// watchCancelledJobs looks out for tasks that outlive their job's cancel.
+func (sim *simulation) watchCancelledJobs() {
+	for !sim.ended.Load() {
 		time.Sleep(250 * time.Millisecond)
-		sim.locked(func() {
-			sim.gather()
+		sim.withLock(func() {
+			sim.advanceGangs()
 			for _, wk := range sim.workers {
-				if wk.dead.Load() || wk.still.Load() {
+				if wk.dead.Load() || wk.paused.Load() {
 					continue // one that stands still runs nothing, unless it goes on
 				}
-				wk.settle()
+				wk.advance()
 				for k, t := range wk.tasks {
 					job := k.ID.Job
-					at, ok := sim.cancelAt[job]
-					if ok && t.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overrun[job] {
-						sim.overrun[job] = true
+					at, ok := sim.cancelledAt[job]
+					if ok && t.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overdue[job] {
+						sim.overdue[job] = true
 						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
 					}
 				}
@@ -285,9 +287,9 @@
 	}
 }
 
-// gather has the tasks of gangs find each other: by the number of the attempt they
+// advanceGangs has the tasks of gangs find each other: by the number of the attempt they
 // start together, and notice that one is gone.
-func (sim *simulation) gather() {
+func (sim *simulation) advanceGangs() {
 	type attemptKey struct {
 		job string
 		try uint64
@@ -295,13 +297,13 @@
 	now := time.Now()
 	gangs := make(map[attemptKey][]*workerTask)
 	for _, wk := range sim.workers {
-		if wk.dead.Load() || wk.still.Load() {
+		if wk.dead.Load() || wk.paused.Load() {
 			continue
 		}
-		wk.settle()
+		wk.advance()
 		for k, t := range wk.tasks {
 			if sim.specs[k.ID.Job].Gang {
-				g := attemptKey{k.ID.Job, k.Try}
+				g := attemptKey{k.ID.Job, k.Number}
 				gangs[g] = append(gangs[g], t)
 			}
 		}
@@ -334,20 +336,20 @@
 			}
 		}
 		if waiting == spec.Tasks {
-			sim.together[g.job]++
+			sim.gangStarts[g.job]++
 		}
 	}
 }
 
-// upload makes a job's description known to the workers.
-func (sim *simulation) upload(spec storage.Spec) {
+// storeSpec makes a job's description known to the workers.
+func (sim *simulation) storeSpec(spec storage.Spec) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.specs[spec.ID] = spec
 }
 
-// all lists the machines that ever came up.
-func (sim *simulation) all() []*fakeWorker {
+// allWorkers lists the machines that ever came up.
+func (sim *simulation) allWorkers() []*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []*fakeWorker
@@ -358,23 +360,23 @@
 	return out
 }
 
-// locked runs f under the simulation's lock.
-func (sim *simulation) locked(f func()) {
+// withLock runs f under the simulation's lock.
+func (sim *simulation) withLock(f func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	f()
 }
 
-// cutZone cuts a zone off from everything, or with "" ends that.
-func (sim *simulation) cutZone(zone string) {
-	sim.apart.Store(&zone)
+// isolateZone cuts a zone off from everything, or with "" ends that.
+func (sim *simulation) isolateZone(zone string) {
+	sim.isolatedZone.Store(&zone)
 	for _, n := range sim.nodes {
-		n.cutState.Store(n.zone == zone)
+		n.cutStore.Store(n.zone == zone)
 		n.cutPeers.Store(n.zone == zone)
 	}
 }
 
-func (sim *simulation) startsSoFar() int {
+func (sim *simulation) startCount() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.starts
@@ -382,20 +384,22 @@
 
 func (sim *simulation) submit(spec storage.Spec) {
 	sim.t.Helper()
-	sim.upload(spec)
-	if a := sim.ask(api.OpSubmit, spec.ID, spec); a.Code != api.CodeCreated && a.Code != api.CodeOK {
+	sim.storeSpec(spec)
+	if a := sim.request(api.OpSubmit, spec.ID, spec); a.Code != api.CodeCreated && a.Code != api.CodeOK {
 		sim.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
 	}
 }
 
 func (sim *simulation) cancel(id string) {
 	sim.t.Helper()
-	if a := sim.ask(api.OpCancel, id, storage.Spec{}); a.Code != api.CodeOK || a.State != api.StateCancelled {
+	if a := sim.request(api.OpCancel, id, storage.Spec{}); a.Code != api.CodeOK || a.State != api.StateCancelled {
 		sim.t.Fatalf("job %s not cancelled: %+v", id, a)
 	}
 }
 
-func (sim *simulation) poll(id string) api.Response { return sim.ask(api.OpPoll, id, storage.Spec{}) }
+func (sim *simulation) poll(id string) api.Response {
+	return sim.request(api.OpPoll, id, storage.Spec{})
+}
 
 // eventually waits for a condition.
 func (sim *simulation) eventually(what string, within time.Duration, ok func() bool) {
@@ -408,13 +412,13 @@
 	sim.t.Fatalf("within %v not seen: %s", within, what)
 }
 
-// running lists where a job's tasks run now.
-func (sim *simulation) running(id string) map[worker.TaskID]*fakeWorker {
+// runningTasks lists where a job's tasks run now.
+func (sim *simulation) runningTasks(id string) map[worker.TaskID]*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	out := make(map[worker.TaskID]*fakeWorker)
 	for _, wk := range sim.workers {
-		wk.settle()
+		wk.advance()
 		for k, t := range wk.tasks {
 			if k.ID.Job == id && !wk.dead.Load() && t.state != worker.Exited {
 				out[k.ID] = wk
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -19,33 +19,33 @@
 	for name, trouble := range map[string]func(sim *simulation){
 		"alone":                      func(*simulation) {},
 		"the leader ends":            func(sim *simulation) { sim.crash(sim.awaitLeader(), 3*time.Second) },
-		"the leader stands still":    func(sim *simulation) { sim.awaitLeader().freeze(8 * time.Second) },
+		"the leader stands still":    func(sim *simulation) { sim.awaitLeader().pause(8 * time.Second) },
 		"an outage":                  func(sim *simulation) { sim.outage(30 * time.Second) },
 		"all controllers end":        func(sim *simulation) { sim.restartAll() },
-		"late writes, a leader ends": func(sim *simulation) { sim.lateWrites(5, time.Second); sim.crash(sim.awaitLeader(), time.Second) },
+		"late writes, a leader ends": func(sim *simulation) { sim.delayCommits(5, time.Second); sim.crash(sim.awaitLeader(), time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSimulation(t, func(sim *simulation) {
+			runSimulation(t, func(sim *simulation) {
 				sim.submit(clustertest.Service("000001", 6)) // two machines
-				sim.submit(lasting("000002", 12, 10*time.Second))
-				sim.done("000002")
-				sim.locked(func() { sim.mistaken["000003"] = true })
-				sim.submit(lasting("000003", 12, 2*time.Second))
+				sim.submit(arrayWithRuntime("000002", 12, 10*time.Second))
+				sim.awaitDone("000002")
+				sim.withLock(func() { sim.failingJobs["000003"] = true })
+				sim.submit(arrayWithRuntime("000003", 12, 2*time.Second))
 				time.Sleep(time.Minute)
-				before := sim.startsSoFar()
+				before := sim.startCount()
 				trouble(sim)
 				time.Sleep(90 * time.Second)
-				if n := sim.startsSoFar() - before; n > 8 {
+				if n := sim.startCount() - before; n > 8 {
 					t.Errorf("%d starts of a mistaken job in two minutes", n)
 				}
 				for id, m := range sim.awaitLeader().node.view.Load().scheduler.suspects() {
 					t.Errorf("machine %d is suspected for a mistaken job: %+v", id, m)
 				}
-				sim.submit(lasting("000004", 4, 10*time.Second))
-				sim.done("000004")
-				sim.runs("000001", 6)
+				sim.submit(arrayWithRuntime("000004", 4, 10*time.Second))
+				sim.awaitDone("000004")
+				sim.awaitRunning("000001", 6)
 				sim.cancel("000003")
-				sim.gone("000003")
+				sim.awaitStopped("000003")
 			})
 		})
 	}
@@ -86,11 +86,11 @@
 		"several, mixed": {[]int{1, 1, 2, 2, 3, 4}, true, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newTestDispatcher(t, clustertest.Settings())
+			d := newTestScheduler(t, clustertest.Settings())
 			for id := range 5 {
-				d.up(id, "cpu", "a", false)
+				d.addReadyMachine(id, "cpu", "a", false)
 			}
-			other, j := d.accept(clustertest.Array("000001", 1)), d.accept(clustertest.Array("000002", 8))
+			other, j := d.addAcceptedJob(clustertest.Array("000001", 1)), d.addAcceptedJob(clustertest.Array("000002", 8))
 			booked := time.Now()
 			time.Sleep(time.Second)
 			d.failed(other, d.state.Machines.Get(1), booked, time.Now())
@@ -113,12 +113,12 @@
 // A flood of short tasks had workers remember so many that the term was given up again and again.
 func TestAFloodOfShortTasksEndsNoTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
 		start := func(spec storage.Spec) (direct int) {
 			for _, task := range []int{0, 1} {
 				m.InFlight = 0 // each is answered
-				a := d.Reserve(d.accept(spec), task, m, time.Now())
+				a := d.Reserve(d.addAcceptedJob(spec), task, m, time.Now())
 				d.startReserved([]*cluster.Attempt{a})
 				if a.Delivery != cluster.DeliveryNone {
 					direct++
@@ -138,7 +138,7 @@
 		if n := start(clustertest.Service("900000", 2)); n != 2 {
 			t.Errorf("%d of 2 urgent tasks are started directly", n)
 		}
-		a := d.Reserve(d.accept(clustertest.Array("900001", 2)), 0, m, time.Now())
+		a := d.Reserve(d.addAcceptedJob(clustertest.Array("900001", 2)), 0, m, time.Now())
 		a.Durable = true
 		time.Sleep(time.Second)
 		if orders := d.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now()); len(orders) != 1 || orders[0].Verb != worker.Start {
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -34,9 +34,9 @@
 	n.kill()
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &unregisteredProcess{told: told}
-	n.end = cancel
+	n.cancelRun = cancel
 	n.unregistered.Store(p)
-	go p.contend(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutState}, n.sim.settings.Tuning.LeaderLease, n.name)
+	go p.contend(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
 	return p
 }
 
@@ -74,7 +74,7 @@
 // 3661d31 comes back while a gang job is in use: it can't take the lead, though nobody else
 // holds it, until all that it can't read is gone.
 func TestAnUnregisteredProcessIsFencedWhileAGateIsInUse(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		g := clustertest.Array("000002", 3)
@@ -94,7 +94,7 @@
 			t.Errorf("it led %d times beside a gang job", n)
 		}
 		sim.eventually("withdrawing", 20*time.Second, func() bool { return sim.cluster().Phase == upgrade.Withdrawing })
-		sim.done("000002")
+		sim.awaitDone("000002")
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		sim.eventually("not fenced", 20*time.Second, func() bool { return sim.cluster().Fence == 0 })
 		for _, n := range sim.nodes {
@@ -103,20 +103,20 @@
 			}
 		}
 		sim.eventually("it leads", 20*time.Second, func() bool { return old.led.Load() > 0 })
-		back.replace(upgrade.Current)
+		back.restartWithVersion(upgrade.Current)
 		for _, n := range sim.nodes {
-			if n.end == nil {
+			if n.cancelRun == nil {
 				n.start()
 			}
 		}
 		sim.awaitActive(upgrade.Current, 2*time.Minute)
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 	})
 }
 
 // Before anything depends on a gate all nodes may go back to 3661d31 at once: it leads.
 func TestUnregisteredProcessesLeadBeforeAnyUse(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		old := sim.nodes[0].startUnregistered(0)
@@ -124,17 +124,17 @@
 		sim.nodes[2].startUnregistered(0)
 		sim.eventually("it leads", time.Minute, func() bool { return old.led.Load() > 0 })
 		for _, n := range sim.nodes {
-			n.replace(upgrade.Current)
+			n.restartWithVersion(upgrade.Current)
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 	})
 }
 
 // af96c21 reads gang jobs and compressed chunks. Beside it they stay in force, nothing is
 // fenced, and it may lead.
 func TestAnUnregisteredVersion2MayLead(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		g := clustertest.Array("000002", 3)
 		g.Gang, g.EstimateS = true, 600
@@ -164,13 +164,13 @@
 // While version 1 is active nothing is written that 3661d31 can't read, not even where the
 // state service takes less: chunks are plain, records whole, fields known.
 func TestOnlyWhat3661d31ReadsIsWrittenBesideIt(t *testing.T) {
-	inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
+	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(clustertest.Service("000001", 3))
 		sim.submit(clustertest.Array("000002", 60))
 		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 4096, 8 })
 		sim.submit(clustertest.Array("000003", 60))
-		sim.done("000003")
+		sim.awaitDone("000003")
 		client := &storagetest.Client{Service: sim.state}
 		items, _, _, err := client.List(context.Background(), "log/", "", 1000)
 		if err != nil {
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -88,7 +88,7 @@
 }
 
 func TestAnOlderProcessRegistersBetweenCheckAndWrite(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		node := sim.nodes[2].name
@@ -108,7 +108,7 @@
 }
 
 func TestAGateIsUsedWhileAnOlderProcessTakesTheLead(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		for _, n := range sim.nodes[1:] {
 			n.kill()
@@ -121,35 +121,35 @@
 		if sim.leader() != nil {
 			t.Error("a process of version 1 leads beside a gang job")
 		}
-		sim.nodes[1].replace(upgrade.Current)
-		sim.nodes[2].replace(upgrade.Current)
+		sim.nodes[1].restartWithVersion(upgrade.Current)
+		sim.nodes[2].restartWithVersion(upgrade.Current)
 		sim.awaitLeader()
 	})
 }
 
 func TestAProcessDoesntLeadBesideWhatItCantRead(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001")
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		sim.nodes[0].replace(upgrade.Version1)
+		sim.nodes[0].restartWithVersion(upgrade.Version1)
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
 			t.Error("a process of version 1 leads beside a gang job")
 		}
-		if a := sim.askNode(sim.nodes[0], api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
+		if a := sim.requestFrom(sim.nodes[0], api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
 			t.Errorf("it answers %+v", a)
 		}
 		sim.nodes[1].start()
-		sim.done("000001")
+		sim.awaitDone("000001")
 		sim.awaitActive(upgrade.Version1, time.Minute)
 	})
 }
 
 func TestAVersionIsFinalizedWhileAnOlderProcessRegisters(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		back := sim.nodes[0]
 		if sim.awaitLeader() == back {
@@ -161,8 +161,8 @@
 			record.Minimum, record.Phase = record.Active, upgrade.Finalized
 			sim.apply(leadership.ClusterKey, record)
 		})
-		back.replace(upgrade.Version2)
-		sim.eventually("refused", 20*time.Second, func() bool { return back.refused.Load() != nil })
+		back.restartWithVersion(upgrade.Version2)
+		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
 		if r := sim.registrationOf(back.name); r.Max != upgrade.Current {
 			t.Errorf("it registered all the same: %+v", r)
 		}
@@ -170,7 +170,7 @@
 }
 
 func TestALateRegistrationOfAnEarlierProcessHasNoEffect(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		time.Sleep(10 * time.Second) // the record moves no more, which would bar it too
@@ -185,9 +185,9 @@
 				return 15 * time.Second
 			}
 		})
-		node.replace(upgrade.Version1) // its registration is carried out late
+		node.restartWithVersion(upgrade.Version1) // its registration is carried out late
 		time.Sleep(200 * time.Millisecond)
-		node.replace(upgrade.Current)
+		node.restartWithVersion(upgrade.Current)
 		time.Sleep(30 * time.Second)
 		if r := sim.registrationOf(node.name); r.Max != upgrade.Current {
 			t.Errorf("the earlier process's registration stands: %+v", r)
@@ -196,7 +196,7 @@
 }
 
 func TestAProcessThatHasntRegisteredDoesntLead(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		for _, n := range sim.nodes {
 			n.kill()
@@ -216,7 +216,7 @@
 
 // A leader whose step has gone unanswered reads the record again before the next.
 func TestAnUnansweredStepIsReadAgain(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		var lost atomic.Int32
@@ -232,7 +232,7 @@
 		sim.allAt(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001")
-		sim.done("000001")
+		sim.awaitDone("000001")
 		if n := lost.Load(); n < 3 {
 			t.Errorf("only %d answers were lost", n)
 		}
@@ -241,7 +241,7 @@
 
 // A deposed leader's step that comes late must not move the record under its successor.
 func TestADeposedLeadersStepHasNoEffect(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		lead := sim.awaitLeader()
 		var held atomic.Bool
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -17,7 +17,7 @@
 
 // inReleasingSimulation runs a scenario in which gates are released soon.
 func inReleasingSimulation(t *testing.T, story func(sim *simulation)) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = releaseAfter }
 			n.restart()
@@ -44,7 +44,7 @@
 		if r := sim.cluster(); r.Fence == 0 {
 			t.Errorf("not fenced: %+v", r)
 		}
-		sim.done("000001")
+		sim.awaitDone("000001")
 		sim.eventually("released", 2*time.Minute, func() bool {
 			r := sim.cluster()
 			return !r.Gate(upgrade.GangJobs).Used && !r.Gate(upgrade.FencedTerm).Used && r.Fence == 0
@@ -61,7 +61,7 @@
 func TestALateReleaseUndoesNoUse(t *testing.T) {
 	inReleasingSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
-		sim.done("000001")
+		sim.awaitDone("000001")
 		var held atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
@@ -80,7 +80,7 @@
 		if r := sim.cluster(); !r.Gate(upgrade.GangJobs).Used || r.Fence == 0 {
 			t.Errorf("a gang job is open beside %+v", r)
 		}
-		sim.done("000002")
+		sim.awaitDone("000002")
 	})
 }
 
@@ -88,7 +88,7 @@
 func TestAUseBeforeTheReleaseKeepsTheGate(t *testing.T) {
 	inReleasingSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
-		sim.done("000001")
+		sim.awaitDone("000001")
 		for i := range 6 {
 			time.Sleep(releaseAfter * 9 / 10)
 			if r := sim.cluster(); !r.Gate(upgrade.GangJobs).Used {
@@ -100,7 +100,7 @@
 			if r := sim.cluster(); !r.Gate(upgrade.GangJobs).Used {
 				t.Fatalf("a gang job is open beside %+v", r)
 			}
-			sim.done(g.ID)
+			sim.awaitDone(g.ID)
 		}
 	})
 }
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -20,7 +20,7 @@
 func TestRollbackOfOneController(t *testing.T) {
 	for _, leader := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader=%v", leader), func(t *testing.T) {
-			inSimulation(t, func(sim *simulation) {
+			runSimulation(t, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000001", 3))
 				sim.submitGang("000002")
@@ -31,21 +31,21 @@
 				if !leader && back == sim.awaitLeader() {
 					back = sim.nodes[0]
 				}
-				back.replace(upgrade.Version1)
+				back.restartWithVersion(upgrade.Version1)
 				if sim.awaitLeader() == back {
 					t.Error("it leads beside a gang job")
 				}
 				refused := clustertest.Array("000003", 3)
 				refused.Gang = true
 				sim.eventually("answers", 10*time.Second, func() bool {
-					a := sim.askNode(back, api.OpPoll, "000002", storage.Spec{})
+					a := sim.requestFrom(back, api.OpPoll, "000002", storage.Spec{})
 					return a.Decided()
 				})
 				sim.eventually("withdrawing", 10*time.Second, func() bool { return sim.cluster().Phase == upgrade.Withdrawing })
-				if a := sim.askNode(back, api.OpSubmit, refused.ID, refused); a.Decided() {
+				if a := sim.requestFrom(back, api.OpSubmit, refused.ID, refused); a.Decided() {
 					t.Errorf("a gang job is taken during the withdrawal: %+v", a)
 				}
-				sim.done("000002")
+				sim.awaitDone("000002")
 				sim.awaitActive(upgrade.Version1, time.Minute)
 				for _, n := range sim.nodes {
 					if n != back {
@@ -55,9 +55,9 @@
 				if sim.awaitLeader() != back {
 					t.Error("it doesn't lead")
 				}
-				sim.runs("000001", 3)
+				sim.awaitRunning("000001", 3)
 				sim.submit(clustertest.Array("000004", 4))
-				sim.done("000004")
+				sim.awaitDone("000004")
 			})
 		})
 	}
@@ -66,7 +66,7 @@
 // All controllers go back at once before anything depends on a gate: nothing is stuck, and
 // the fleet may be upgraded again.
 func TestRollbackOfAllBeforeAnyUse(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 3))
 		sim.allAt(upgrade.Version1)
@@ -75,11 +75,11 @@
 		if r := sim.cluster(); r.Phase != upgrade.Stable || r.Gate(upgrade.GangJobs).Phase != "" {
 			t.Errorf("%+v", r)
 		}
-		sim.runs("000001", 3)
+		sim.awaitRunning("000001", 3)
 		sim.allAt(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000002")
-		sim.done("000002")
+		sim.awaitDone("000002")
 	})
 }
 
@@ -89,7 +89,7 @@
 	for kills := range 4 {
 		t.Run(fmt.Sprint(kills), func(t *testing.T) {
 			next := &storage.Limits{ChangesPerS: 30, ValueBytes: 3072, TxnOps: 6}
-			inSimulationWith(t, func(s *config.Settings) { s.State.Next = next }, func(sim *simulation) {
+			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = next }, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				for i := range 12 {
 					sim.submit(clustertest.Array(fmt.Sprintf("%06d", i+1), 40))
@@ -103,7 +103,7 @@
 				if sim.awaitLeader() == back {
 					back = sim.nodes[1]
 				}
-				back.replace(upgrade.Version1)
+				back.restartWithVersion(upgrade.Version1)
 				for range kills {
 					time.Sleep(700 * time.Millisecond)
 					if lead := sim.leader(); lead != nil && lead != back {
@@ -122,7 +122,7 @@
 				}
 				sim.awaitLeader()
 				for i := range 12 {
-					sim.done(fmt.Sprintf("%06d", i+1))
+					sim.awaitDone(fmt.Sprintf("%06d", i+1))
 				}
 			})
 		})
@@ -147,7 +147,7 @@
 
 // After finalization an older process ends and says what it needs; the others go on.
 func TestAFinalizedVersionRefusesOlderProcesses(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.AutoFinalize, s.Policy.Soak = true, 10*time.Second }
 			n.restart()
@@ -155,15 +155,15 @@
 		sim.submit(clustertest.Service("000001", 3))
 		sim.eventually("finalized", time.Minute, func() bool { return sim.cluster().Minimum == upgrade.Current })
 		back := sim.awaitLeader()
-		back.replace(upgrade.Version2)
-		sim.eventually("refused", 20*time.Second, func() bool { return back.refused.Load() != nil })
-		if why := (*back.refused.Load()).Error(); !strings.Contains(why, fmt.Sprintf("version %d or later is needed", upgrade.Current)) || strings.Contains(why, "\n") {
+		back.restartWithVersion(upgrade.Version2)
+		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
+		if why := (*back.refusal.Load()).Error(); !strings.Contains(why, fmt.Sprintf("version %d or later is needed", upgrade.Current)) || strings.Contains(why, "\n") {
 			t.Errorf("it ends with %q", why)
 		}
 		sim.awaitLeader()
 		sim.submit(clustertest.Array("000002", 3))
-		sim.done("000002")
-		sim.runs("000001", 3)
+		sim.awaitDone("000002")
+		sim.awaitRunning("000001", 3)
 		if r := sim.cluster(); r.Active != upgrade.Current || r.Phase != upgrade.Finalized {
 			t.Errorf("%+v", r)
 		}
@@ -172,17 +172,17 @@
 
 // The leader itself goes back just after the activation, before and after a gate's use.
 func TestRollbackOfTheLeaderJustAfterActivation(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
 		sim.allAt(upgrade.Current)
 		sim.eventually("version 2 active", time.Minute, func() bool { return sim.cluster().Active >= upgrade.Version2 })
 		lead := sim.awaitLeader()
-		lead.replace(upgrade.Version1)
+		lead.restartWithVersion(upgrade.Version1)
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		sim.submit(clustertest.Array("000001", 3))
-		sim.done("000001")
-		lead.replace(upgrade.Current)
+		sim.awaitDone("000001")
+		lead.restartWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 	})
 }
