--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -49,7 +49,7 @@
 // allAt begins all nodes anew with a version.
 func (sim *simulation) allAt(version upgrade.Version) {
 	for _, n := range sim.nodes {
-		n.replace(version)
+		n.restartWithVersion(version)
 	}
 }
 
@@ -68,26 +68,26 @@
 // New behaviour stays off until the last controller has it, and a gang job is told to come
 // back until then.
 func TestGatesOpenOnceEveryControllerHasThem(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.submit(clustertest.Service("000001", 3))
 		g := clustertest.Array("000002", 3)
 		g.Gang = true
-		sim.upload(g)
+		sim.storeSpec(g)
 		for i, n := range sim.nodes {
-			if a := sim.askNode(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
+			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
 				t.Errorf("with %d nodes upgraded the gang job is answered %+v", i, a)
 			}
 			if r := sim.cluster(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
 				t.Errorf("with %d nodes upgraded: %+v", i, r)
 			}
-			n.replace(upgrade.Current)
+			n.restartWithVersion(upgrade.Current)
 			time.Sleep(10 * time.Second)
 		}
 		sim.awaitActive(upgrade.Current, 10*time.Second)
 		sim.submit(g)
-		sim.done("000002")
-		sim.runs("000001", 3)
+		sim.awaitDone("000002")
+		sim.awaitRunning("000001", 3)
 	})
 }
 
@@ -98,7 +98,7 @@
 		for _, kill := range []bool{false, true} {
 			for step := range 4 {
 				t.Run(fmt.Sprintf("%s/kill=%v/%d", fate, kill, step), func(t *testing.T) {
-					inSimulation(t, func(sim *simulation) { sim.loseStep(fate, kill, step) })
+					runSimulation(t, func(sim *simulation) { sim.loseStep(fate, kill, step) })
 				})
 			}
 		}
@@ -146,12 +146,12 @@
 	sim.allAt(upgrade.Current)
 	sim.awaitActive(upgrade.Current, time.Minute)
 	sim.submitGang("000002")
-	sim.done("000002")
+	sim.awaitDone("000002")
 	time.Sleep(30 * time.Second) // what is late has come
 	if r := sim.cluster(); r.Active != upgrade.Current || !r.Gate(upgrade.GangJobs).Usable() {
 		sim.t.Errorf("%+v", r)
 	}
-	sim.runs("000001", 2)
+	sim.awaitRunning("000001", 2)
 }
 
 // The state service is out through the whole window, or refuses one node only, or lowers
@@ -163,26 +163,26 @@
 		mended  func(sim *simulation)
 	}{
 		{"out", func(sim *simulation) { sim.state.Outage(true) }, func(sim *simulation) { sim.state.Outage(false) }},
-		{"refuses one", func(sim *simulation) { sim.nodes[1].cutState.Store(true) }, func(sim *simulation) { sim.nodes[1].cutState.Store(false) }},
+		{"refuses one", func(sim *simulation) { sim.nodes[1].cutStore.Store(true) }, func(sim *simulation) { sim.nodes[1].cutStore.Store(false) }},
 		{"lowers its limits", func(sim *simulation) {
 			sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		}, func(*simulation) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inSimulationWith(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
 				sim.allAt(upgrade.Version1)
 				sim.submit(clustertest.Service("000001", 3))
-				sim.runs("000001", 3)
+				sim.awaitRunning("000001", 3)
 				c.trouble(sim)
 				for _, n := range sim.nodes {
-					n.replace(upgrade.Current)
+					n.restartWithVersion(upgrade.Current)
 					time.Sleep(5 * time.Second)
 				}
 				c.mended(sim)
 				sim.awaitActive(upgrade.Current, 2*time.Minute)
 				sim.submitGang("000002")
-				sim.done("000002")
-				sim.runs("000001", 3)
+				sim.awaitDone("000002")
+				sim.awaitRunning("000001", 3)
 			})
 		})
 	}
@@ -190,7 +190,7 @@
 
 // A damaged cluster record: nobody guesses, nobody leads, and users are told to come back.
 func TestADamagedClusterRecordLeadsNobody(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		client := &storagetest.Client{Service: sim.state}
@@ -218,23 +218,23 @@
 			t.Errorf("%s leads", lead.name)
 		}
 		for _, n := range sim.nodes {
-			if a := sim.askNode(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
+			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 				t.Errorf("%s answers %+v", n.name, a)
 			}
 		}
 		set(string(good.Data))
 		sim.awaitLeader()
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 	})
 }
 
 // A damaged registration holds the activation up until its node registers anew.
 func TestADamagedRegistrationActivatesNothing(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
-		sim.nodes[0].replace(upgrade.Current)
-		sim.nodes[1].replace(upgrade.Current)
+		sim.nodes[0].restartWithVersion(upgrade.Current)
+		sim.nodes[1].restartWithVersion(upgrade.Current)
 		time.Sleep(5 * time.Second)
 		sim.nodes[2].kill()
 		client := &storagetest.Client{Service: sim.state}
@@ -245,17 +245,17 @@
 		if r := sim.cluster(); r.Active != upgrade.Version1 {
 			t.Errorf("%+v", r)
 		}
-		sim.nodes[2].replace(upgrade.Current)
+		sim.nodes[2].restartWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, 20*time.Second)
 	})
 }
 
 // Three nodes, three versions: the lowest counts, whoever leads.
 func TestThreeNodesThreeVersions(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
-		sim.nodes[0].replace(upgrade.Version1)
-		sim.nodes[1].replace(upgrade.Version2)
-		sim.nodes[2].replace(upgrade.Version3)
+	runSimulation(t, func(sim *simulation) {
+		sim.nodes[0].restartWithVersion(upgrade.Version1)
+		sim.nodes[1].restartWithVersion(upgrade.Version2)
+		sim.nodes[2].restartWithVersion(upgrade.Version3)
 		sim.submit(clustertest.Service("000001", 3))
 		for range 4 {
 			time.Sleep(10 * time.Second)
@@ -264,11 +264,11 @@
 			}
 			sim.awaitLeader().restart()
 		}
-		sim.nodes[0].replace(upgrade.Version2)
+		sim.nodes[0].restartWithVersion(upgrade.Version2)
 		sim.awaitActive(upgrade.Version2, time.Minute)
 		sim.submitGang("000002")
-		sim.done("000002")
-		sim.runs("000001", 3)
+		sim.awaitDone("000002")
+		sim.awaitRunning("000001", 3)
 	})
 }
 
@@ -277,7 +277,7 @@
 func TestUpgradesAndRollbacksInRandomOrder(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inSimulation(t, func(sim *simulation) { sim.randomUpgrades(rand.New(rand.NewPCG(seed, 21))) })
+			runSimulation(t, func(sim *simulation) { sim.randomUpgrades(rand.New(rand.NewPCG(seed, 21))) })
 		})
 	}
 }
@@ -289,12 +289,12 @@
 		node := sim.nodes[random.IntN(len(sim.nodes))]
 		switch random.IntN(7) {
 		case 0, 1, 2:
-			node.replace(upgrade.Version(1 + random.IntN(3)))
+			node.restartWithVersion(upgrade.Version(1 + random.IntN(3)))
 		case 3:
 			node.restart()
 		case 4:
-			node.cutState.Store(true)
-			time.AfterFunc(8*time.Second, func() { node.cutState.Store(false) })
+			node.cutStore.Store(true)
+			time.AfterFunc(8*time.Second, func() { node.cutStore.Store(false) })
 		case 5:
 			sim.state.Outage(true)
 			time.AfterFunc(4*time.Second, func() { sim.state.Outage(false) })
@@ -304,39 +304,39 @@
 		id := fmt.Sprintf("%06d", 10+i)
 		job := clustertest.Array(id, 1+random.IntN(4))
 		job.Gang = random.IntN(3) == 0 && sim.cluster().Gate(upgrade.GangJobs).Usable()
-		sim.upload(job)
-		sim.askNode(node, api.OpSubmit, id, job)
+		sim.storeSpec(job)
+		sim.requestFrom(node, api.OpSubmit, id, job)
 		time.Sleep(time.Duration(random.IntN(10_000)) * time.Millisecond)
 	}
 	sim.state.Outage(false)
 	sim.allAt(upgrade.Current)
 	sim.awaitActive(upgrade.Current, 2*time.Minute)
-	sim.runs("000001", 4)
+	sim.awaitRunning("000001", 4)
 	sim.submitGang("000100")
-	sim.done("000100")
+	sim.awaitDone("000100")
 }
 
 // A target that another leader has gone beyond refuses a process that begins, in one line,
 // but ends none that serves.
 func TestATargetBelowTheActiveVersion(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		held := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
 		for _, n := range sim.nodes {
 			n.upgrade = held
 			n.restart()
 		}
 		sim.awaitActive(upgrade.Version2, time.Minute)
-		sim.awaitLeader().replace(upgrade.Current)
+		sim.awaitLeader().restartWithVersion(upgrade.Current)
 		for _, n := range sim.nodes {
 			if n.node.settings.Tuning.Upgrade.Policy.Target == 0 {
 				continue
 			}
-			n.cutState.Store(true) // so that the one without a target leads
-			defer n.cutState.Store(false)
+			n.cutStore.Store(true) // so that the one without a target leads
+			defer n.cutStore.Store(false)
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
 		for _, n := range sim.nodes {
-			n.cutState.Store(false)
+			n.cutStore.Store(false)
 		}
 		sim.awaitLeader().kill()
 		lead := sim.awaitLeader()
@@ -344,8 +344,8 @@
 			t.Errorf("the target of the next leader lowers the version: %+v", r)
 		}
 		lead.restart()
-		sim.eventually("refused", 20*time.Second, func() bool { return lead.refused.Load() != nil })
-		if why := (*lead.refused.Load()).Error(); !strings.HasPrefix(why, "upgrade.target: ") || strings.Contains(why, "\n") {
+		sim.eventually("refused", 20*time.Second, func() bool { return lead.refusal.Load() != nil })
+		if why := (*lead.refusal.Load()).Error(); !strings.HasPrefix(why, "upgrade.target: ") || strings.Contains(why, "\n") {
 			t.Errorf("refused with %q", why)
 		}
 	})
@@ -354,7 +354,7 @@
 // A state service that answers slowly keeps nobody from registering and leading that it did
 // not keep from leading before: reading the cluster record has a time of its own.
 func TestASlowStateServiceIsLedOn(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four more
@@ -363,6 +363,6 @@
 			n.restart()
 		}
 		sim.eventually("a leader", 20*time.Second, func() bool { return sim.leader() != nil })
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 	})
 }
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -45,7 +45,7 @@
 		t.Run(c.version+"/"+c.file, func(t *testing.T) {
 			var items []storage.Item
 			frozen(t, c.version, c.file, &items)
-			inSimulationWith(t, func(s *config.Settings) { s.State.Next = c.next }, func(sim *simulation) {
+			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = c.next }, func(sim *simulation) {
 				sim.awaitLeader()
 				for _, n := range sim.nodes {
 					n.kill()
@@ -76,7 +76,7 @@
 		want["000006"] = api.StatePending
 	}
 	for _, s := range submitted {
-		sim.upload(s)
+		sim.storeSpec(s)
 	}
 	for _, n := range sim.nodes {
 		n.start()
@@ -86,10 +86,10 @@
 		t.Errorf("leads term %d after the earlier version's first", term)
 	}
 	for id, state := range want {
-		sim.locked(func() { sim.askedOff[id] = id == "000004" })
-		sim.locked(func() {
+		sim.withLock(func() { sim.cancelRequested[id] = id == "000004" })
+		sim.withLock(func() {
 			for i := range 2 {
-				sim.ran[worker.TaskID{Job: "000003", Task: i}] = true
+				sim.completed[worker.TaskID{Job: "000003", Task: i}] = true
 			}
 		})
 		if a := sim.poll(id); a.Code != api.CodeOK || a.State != state {
@@ -101,17 +101,17 @@
 		t.Errorf("%d tasks of the array are done", done)
 	}
 	// Its machines are gone: all that was on them is begun anew in time.
-	sim.locked(func() {
+	sim.withLock(func() {
 		for i := range 70 {
-			sim.ran[worker.TaskID{Job: "000001", Task: i}] = true // those done before are not ours to check
+			sim.completed[worker.TaskID{Job: "000001", Task: i}] = true // those done before are not ours to check
 		}
 	})
-	sim.runs("000002", 3)
+	sim.awaitRunning("000002", 3)
 	if longRecordToo {
-		sim.runs("000006", 1)
+		sim.awaitRunning("000006", 1)
 	}
-	sim.done("000001")
-	sim.done("000005")
+	sim.awaitDone("000001")
+	sim.awaitDone("000005")
 }
 
 // longRecord is a service whose record is too large for a value of 2 KiB and hardly
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -20,7 +20,7 @@
 	sweepers := func(s *config.Settings) {
 		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Resources{CPUs: 2}})
 	}
-	inSimulationTuned(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
+	runSimulationWithTuning(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
 }
 
 // sweep is an array of many short tasks, few of which run at a time.
@@ -34,7 +34,7 @@
 // mostRemembered is the longest report of a worker.
 func (sim *simulation) mostRemembered() int {
 	most := 0
-	for _, wk := range sim.all() {
+	for _, wk := range sim.allWorkers() {
 		if !wk.dead.Load() {
 			most = max(most, len(wk.report().Tasks))
 		}
@@ -48,7 +48,7 @@
 	withFencing(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(sweep("000002", 20000))
-		sim.runs("000001", 2)
+		sim.awaitRunning("000001", 2)
 		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		for end := time.Now().Add(30 * time.Minute); time.Now().Before(end); time.Sleep(3 * time.Second) {
@@ -67,13 +67,13 @@
 
 // repeatOrders has all direct orders carried out again and again, however old.
 func (sim *simulation) repeatOrders() {
-	sim.locked(func() { sim.copying = true })
+	sim.withLock(func() { sim.recordingCommands = true })
 	go func() {
-		for !sim.over.Load() {
+		for !sim.ended.Load() {
 			time.Sleep(700 * time.Millisecond)
-			for _, wk := range sim.all() {
-				if !wk.still.Load() {
-					wk.catchUp()
+			for _, wk := range sim.allWorkers() {
+				if !wk.paused.Load() {
+					wk.executeDelayed()
 				}
 			}
 		}
@@ -96,10 +96,10 @@
 			}
 		}
 	}
-	deaf := func(wk *fakeWorker, on bool) { wk.deaf.Store(on) }
-	mute := func(wk *fakeWorker, on bool) { wk.mute.Store(on) }
-	heldUp := func(wk *fakeWorker, on bool) { wk.hang.Store(on) }
-	still := func(wk *fakeWorker, on bool) { wk.still.Store(on) }
+	deaf := func(wk *fakeWorker, on bool) { wk.dropsResponses.Store(on) }
+	mute := func(wk *fakeWorker, on bool) { wk.dropsHeartbeats.Store(on) }
+	heldUp := func(wk *fakeWorker, on bool) { wk.delaysCommands.Store(on) }
+	still := func(wk *fakeWorker, on bool) { wk.paused.Store(on) }
 	for _, c := range []struct {
 		name  string
 		fault func(*simulation)
@@ -114,39 +114,39 @@
 		{"still", machineFault(still, short)},
 		{"still for most of its lease", machineFault(still, 18*time.Second)},
 		{"zone cut off", func(sim *simulation) {
-			sim.cutZone("b")
+			sim.isolateZone("b")
 			time.Sleep(20 * time.Second)
-			sim.cutZone("")
+			sim.isolateZone("")
 		}},
 		{"old reports", func(sim *simulation) {
-			sim.keepReports()
+			sim.recordReports()
 			time.Sleep(short)
-			sim.replay(sim.nodes...)
+			sim.replayReports(sim.nodes...)
 		}},
 		{"the leader ends", func(sim *simulation) { sim.crash(sim.awaitLeader(), short) }},
 		{"the leader ends, and its reports come again", func(sim *simulation) {
-			sim.keepReports()
+			sim.recordReports()
 			time.Sleep(short)
 			sim.crash(sim.awaitLeader(), time.Second)
 			sim.awaitLeader()
-			sim.replay(sim.nodes...)
+			sim.replayReports(sim.nodes...)
 		}},
 		{"the leader alone is refused, then all", func(sim *simulation) {
-			lead := sim.refuseLeader()
+			lead := sim.cutLeaderFromStore()
 			sim.cancel("000003")
 			sim.outage(sim.settings.CancelTimeout + 5*time.Second)
-			lead.cutState.Store(false)
+			lead.cutStore.Store(false)
 		}},
 		{"writes are late", func(sim *simulation) {
-			sim.lateWrites(5, 2*time.Second)
+			sim.delayCommits(5, 2*time.Second)
 			sim.crash(sim.awaitLeader(), short)
 			time.Sleep(long)
-			sim.lateWrites(0, 0)
+			sim.delayCommits(0, 0)
 		}},
 		{"rollback and upgrade", func(sim *simulation) {
 			for _, version := range []upgrade.Version{upgrade.Version4, upgrade.Current} {
 				for _, n := range sim.nodes {
-					n.replace(version)
+					n.restartWithVersion(version)
 					time.Sleep(short)
 				}
 			}
@@ -158,11 +158,11 @@
 				sim.submit(clustertest.Service("000001", 4))
 				sim.submit(sweep("000002", 4000))
 				sim.submit(clustertest.Service("000003", 2))
-				sim.runs("000001", 4)
+				sim.awaitRunning("000001", 4)
 				time.Sleep(30 * time.Second)
 				c.fault(sim)
 				time.Sleep(long)
-				sim.runs("000001", 4)
+				sim.awaitRunning("000001", 4)
 				before := sim.poll("000002").Done
 				time.Sleep(long)
 				if n := sim.poll("000002").Done; n <= before && n < 4000 {
@@ -185,34 +185,34 @@
 		standing.Zone, short.Zone = cut, cut
 		sim.submit(standing)
 		sim.submit(short)
-		sim.runs("000001", 4)
+		sim.awaitRunning("000001", 4)
 		for sim.awaitLeader().zone == cut {
 			sim.crash(sim.awaitLeader(), 2*time.Second)
 		}
 		sessions := make(map[*fakeWorker]uint64)
 		sim.eventually("a worker's token is raised", 2*time.Minute, func() bool {
 			term := sim.awaitLeader().node.view.Load().role.Term
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				if r := wk.report(); r.Token > term && len(r.Tasks) > 0 && !wk.dead.Load() {
 					sessions[wk] = r.Incarnation
 				}
 			}
 			return len(sessions) > 0
 		})
-		sim.cutZone(cut)
+		sim.isolateZone(cut)
 		time.Sleep(sim.settings.WorkerLease + 2*time.Second)
 		for wk, session := range sessions {
 			if wk.report().Incarnation != session {
 				t.Errorf("worker %d has lost its lease behind the cut", wk.id)
 			}
 		}
-		sim.cutZone("")
+		sim.isolateZone("")
 	})
 }
 
 // The next leader's tokens are above all of this one's, and so are its attempts' numbers.
 func TestTheNextTermIsAboveAllTokens(t *testing.T) {
-	inSimulation(t, func(sim *simulation) {
+	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001") // takes a gate into use, which writes the term anew
 		first := sim.awaitLeader().node.view.Load().scheduler
@@ -232,15 +232,15 @@
 func TestAWorkerThatRemembersTooMuchIsStartedByAnswers(t *testing.T) {
 	withFencing(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.runs("000001", 1)
+		sim.awaitRunning("000001", 1)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		time.Sleep(10 * time.Second)
 		d := sim.awaitLeader().node.view.Load().scheduler
-		for _, wk := range sim.all() { // each knows the term's last token
-			wk.direct(d.tokens.Last, wk.session, nil)
+		for _, wk := range sim.allWorkers() { // each knows the term's last token
+			wk.executeDirect(d.tokens.Last, wk.incarnation, nil)
 		}
 		sim.submit(sweep("000002", 700))
-		sim.done("000002")
+		sim.awaitDone("000002")
 		if n := sim.mostRemembered(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
 			t.Errorf("a report of %d tasks", n)
 		}
@@ -257,21 +257,21 @@
 // renew the leases of such workers.
 func TestNoTokenIsRaisedBesideAnEarlierVersion(t *testing.T) {
 	withFencing(t, 1, func(sim *simulation) {
-		sim.nodes[2].replace(upgrade.Version4)
+		sim.nodes[2].restartWithVersion(upgrade.Version4)
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(sweep("000002", 5000))
-		sim.runs("000001", 1)
+		sim.awaitRunning("000001", 1)
 		time.Sleep(time.Minute)
 		lead := sim.awaitLeader().node.view.Load().role.Term
-		for _, wk := range sim.all() {
+		for _, wk := range sim.allWorkers() {
 			if r := wk.report(); r.Token > lead {
 				t.Errorf("worker %d is commanded under %d in term %d", wk.id, r.Token, lead)
 			}
 		}
-		sim.nodes[2].replace(upgrade.Current)
+		sim.nodes[2].restartWithVersion(upgrade.Current)
 		sim.eventually("a token is raised", 3*time.Minute, func() bool {
 			lead := sim.awaitLeader().node.view.Load().role.Term
-			for _, wk := range sim.all() {
+			for _, wk := range sim.allWorkers() {
 				if wk.report().Token > lead {
 					return true
 				}
@@ -284,9 +284,9 @@
 // Reports under a raised token prove what those under the term's first one do.
 func TestARaisedTokenIsThisTerms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDispatcher(t, clustertest.Settings())
-		m := d.up(1, "cpu", "a", false)
-		j := d.accept(clustertest.Array("000001", 1))
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.addAcceptedJob(clustertest.Array("000001", 1))
 		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Delivery: cluster.DeliverySettled, DeliveryToken: d.term, Reported: true}
 		d.addAttempt(a)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term + 1}
