--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -37,7 +37,7 @@
 
 // Behind a zone's cut all leases ran out though a node of the zone heard its
 // workers. It renews them by delegation, for longer than a lease.
-func TestDelegatedRenewalsKeepACutZonesTasks(t *testing.T) {
+func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
@@ -56,7 +56,7 @@
 
 // A job may be cancelled while its tasks are kept by delegation behind a cut: they
 // must be gone in time, though the node there can't know.
-func TestADelegationEndsBeforeACancelIsDue(t *testing.T) {
+func TestDelegationEndsBeforeCancelTimeout(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
@@ -73,29 +73,29 @@
 
 // A machine whose tasks are to be stopped is left out of the delegation: it was
 // cancelled before the last exchange with the leader, so the delegation may outlast it.
-func TestADelegationExcludesMachinesWithTasksToStop(t *testing.T) {
+func TestDelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
-		d := newTestScheduler(t, s)
-		j := d.addAcceptedJob(clustertest.Service("000001", 1))
-		d.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: d.addReadyMachine(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
-		d.publishDelegation(time.Now())
-		if span, excluded := d.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
+		sched := newTestScheduler(t, s)
+		j := sched.addAcceptedJob(clustertest.Service("000001", 1))
+		sched.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: sched.addReadyMachine(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
+		sched.publishDelegation(time.Now())
+		if span, excluded := sched.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
 			t.Errorf("lent for %v, without %v", span, excluded)
 		}
 		j.Phase = storage.Cancelled
-		d.state.Jobs.TrackCancelling(j)
+		sched.state.Jobs.TrackCancelling(j)
 		time.Sleep(time.Second)
-		d.publishDelegation(time.Now())
-		if _, excluded := d.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
+		sched.publishDelegation(time.Now())
+		if _, excluded := sched.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
 			t.Errorf("left out: %v", excluded)
 		}
-		if _, excluded := d.delegator.delegate("n2"); len(excluded) != 0 {
+		if _, excluded := sched.delegator.delegate("n2"); len(excluded) != 0 {
 			t.Errorf("left out in the other zone: %v", excluded)
 		}
-		d.resignLeadership("told to")
-		if span, _ := d.delegator.delegate("n1"); span != 0 {
+		sched.resignLeadership("told to")
+		if span, _ := sched.delegator.delegate("n1"); span != 0 {
 			t.Errorf("one that has resigned lends %v", span)
 		}
 	})
@@ -103,36 +103,36 @@
 
 // What has been delegated counts to the bound after which a silent machine is called
 // empty, until the borrower tells what it did.
-func TestAMachineUnderDelegationIsNotCalledEmpty(t *testing.T) {
+func TestDelegationExtendsLeaseBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		d := newTestScheduler(t, s)
+		sched := newTestScheduler(t, s)
 		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
-		d.deps.Peers = words
-		m := d.addReadyMachine(7, "cpu", "a", false)
+		sched.deps.Peers = words
+		m := sched.addReadyMachine(7, "cpu", "a", false)
 		own := m.LastAcknowledged.Add(s.LeaseBound())
-		d.publishDelegation(time.Now())
-		d.updatePeerRenewals()
-		if !d.provenEmptyAt(m).Equal(own) {
+		sched.publishDelegation(time.Now())
+		sched.updatePeerRenewals()
+		if !sched.provenEmptyAt(m).Equal(own) {
 			t.Error("the bound of a machine that nobody else may renew has moved")
 		}
-		span, _ := d.delegator.delegate("n1")
+		span, _ := sched.delegator.delegate("n1")
 		until := time.Now().Add(span)
-		d.updatePeerRenewals()
-		if want := until.Add(s.LeaseBound()); !d.provenEmptyAt(m).Equal(want) {
-			t.Errorf("empty by %v, lent until %v", d.provenEmptyAt(m), until)
+		sched.updatePeerRenewals()
+		if want := until.Add(s.LeaseBound()); !sched.provenEmptyAt(m).Equal(want) {
+			t.Errorf("empty by %v, lent until %v", sched.provenEmptyAt(m), until)
 		}
 		time.Sleep(s.LeaseBound() + time.Second)
 		now := time.Now()
 		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
-		d.updatePeerRenewals()
-		if !d.provenEmptyAt(m).Equal(own) {
-			t.Errorf("it renewed nothing, and yet the bound is %v", d.provenEmptyAt(m).Sub(own))
+		sched.updatePeerRenewals()
+		if !sched.provenEmptyAt(m).Equal(own) {
+			t.Errorf("it renewed nothing, and yet the bound is %v", sched.provenEmptyAt(m).Sub(own))
 		}
 		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
-		d.updatePeerRenewals()
-		if !d.provenEmptyAt(m).After(now) {
+		sched.updatePeerRenewals()
+		if !sched.provenEmptyAt(m).After(now) {
 			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
 		}
 	})
@@ -140,13 +140,13 @@
 
 // A late copy of a report must not be renewed alone either, nor a report of a
 // worker that knows a higher token.
-func TestOnlyThePresentIsRenewedByDelegation(t *testing.T) {
+func TestDelegationRenewsOnlyCurrentReports(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		lead := sim.awaitLeader()
-		term := lead.node.view.Load().role.Term
+		leader := sim.awaitLeader()
+		term := leader.node.view.Load().role.Term
 		var n *fakeNode
 		for _, o := range sim.nodes {
-			if o != lead {
+			if o != leader {
 				n = o
 			}
 		}
@@ -187,7 +187,7 @@
 
 // A leader that no longer reached its workers kept its lead, and all leases ran
 // out. Their reports come by way of the others, and the lead goes there.
-func TestALeaderWithoutWorkersHandsOver(t *testing.T) {
+func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 12 })
@@ -209,7 +209,7 @@
 }
 
 // Workers report to a node of their own zone, and are sent there once.
-func TestAWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
+func TestWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -18,13 +18,13 @@
 
 // A machine whose reports don't come through loses its lease, however well
 // direct commands reach it.
-func TestDirectAnswersAloneDontMakeAMachineReady(t *testing.T) {
+func TestDirectResponsesDoNotMakeMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestScheduler(t, s)
-		m := d.addReadyMachine(7, "cpu", "a", false)
+		sched := newTestScheduler(t, s)
+		m := sched.addReadyMachine(7, "cpu", "a", false)
 		answer := func() {
-			d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, false, time.Now())
+			sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, false, time.Now())
 		}
 		for range 2 * config.FreshIntervals {
 			time.Sleep(s.HeartbeatInterval)
@@ -33,7 +33,7 @@
 		if m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("ready without a report")
 		}
-		d.addReadyMachine(7, "cpu", "a", false)
+		sched.addReadyMachine(7, "cpu", "a", false)
 		if !m.Ready(time.Now(), s.ReportFreshness()) {
 			t.Error("not ready after a report")
 		}
@@ -42,19 +42,19 @@
 
 // Between a cancel and its commit no start may leave: it would come after the
 // user was told.
-func TestNoStartLeavesOnceACancelIsOnItsWay(t *testing.T) {
+func TestNoStartIsSentDuringCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		j := d.addAcceptedJob(clustertest.Service("000001", 1))
-		m := d.addReadyMachine(7, "cpu", "a", false)
-		a := d.Reserve(j, 0, m, time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addAcceptedJob(clustertest.Service("000001", 1))
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(j, 0, m, time.Now())
 		j.Phase = storage.Cancelled
-		d.startReserved([]*cluster.Attempt{a})
+		sched.startReserved([]*cluster.Attempt{a})
 		if a.Delivery != cluster.DeliveryNone {
 			t.Error("started directly")
 		}
 		a.Durable = true
-		for _, o := range d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now()) {
+		for _, o := range sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now()) {
 			if o.Verb == worker.Start {
 				t.Error("started with the answer to a report")
 			}
@@ -64,16 +64,16 @@
 
 // What a successor finds when a leader ended between the commits of a job's last
 // page and of the job itself.
-func TestAJobWhosePagesAreDoneIsDone(t *testing.T) {
+func TestLoadCompletesJobWhoseTasksAreDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 3)
 		records := []storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}})}
-		d := newTestScheduler(t, clustertest.Settings())
-		if err := d.load(records); err != nil {
+		sched := newTestScheduler(t, clustertest.Settings())
+		if err := sched.load(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := d.state.Jobs.Get("000001"); j.Phase != storage.Done || d.queue.Waiting(groupcommit.Interactive) == 0 {
+		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done || sched.queue.Waiting(groupcommit.Interactive) == 0 {
 			t.Errorf("phase %v", j.Phase)
 		}
 	})
@@ -89,7 +89,7 @@
 }
 
 // The journal asks again what stays unanswered, and settles it once.
-func TestAnUnansweredCommitIsAskedAgain(t *testing.T) {
+func TestJournalRetriesUnansweredCommit(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
@@ -115,29 +115,29 @@
 
 // Neither a start nor a forget may come before what it rests on is durable: a
 // successor would start the task a second time, or miss that it is done.
-func TestOrdersWaitForWhatTheyRestOn(t *testing.T) {
+func TestCommandsWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		j := d.addAcceptedJob(clustertest.Array("000001", 1))
-		m := d.addReadyMachine(7, "cpu", "a", false)
-		a := d.Reserve(j, 0, m, time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(j, 0, m, time.Now())
 		orders := func() []worker.Command {
-			return d.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now())
+			return sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now())
 		}
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the booking is durable", o)
 		}
 		a.Durable = true
-		d.discardPending()
+		sched.discardPending()
 		if o := orders(); len(o) != 1 || o[0].Verb != worker.Start {
 			t.Errorf("ordered %+v", o)
 		}
-		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: d.term,
+		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term,
 			Tasks: []worker.TaskReport{{ID: a.ID(), Attempt: a.Number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
 		if o := orders(); len(o) != 0 {
 			t.Errorf("ordered %+v before the end is durable", o)
 		}
-		d.discardPending()
+		sched.discardPending()
 		if o := orders(); len(o) != 1 || o[0].Verb != worker.Forget {
 			t.Errorf("ordered %+v", o)
 		}
@@ -145,12 +145,12 @@
 }
 
 // Nothing is told before it is durable: a successor would not know of it.
-func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
+func TestResponsesWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
+		sched := newTestScheduler(t, clustertest.Settings())
 		tell := func(op api.Op, spec storage.Spec) (api.Response, bool) {
 			reply := make(chan api.Response, 1)
-			d.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
+			sched.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
 			select {
 			case a := <-reply:
 				return a, true
@@ -159,7 +159,7 @@
 			}
 		}
 		commit := func(err error) {
-			d.commitPending(err)
+			sched.commitPending(err)
 		}
 		a, b := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
 		if got, told := tell(api.OpSubmit, a); told {
@@ -179,9 +179,9 @@
 		if got, _ := tell(api.OpPoll, a); got.Final() {
 			t.Errorf("cancelled before it is durable: %+v", got)
 		}
-		j := d.state.Jobs.Get(b.ID)
+		j := sched.state.Jobs.Get(b.ID)
 		j.SetTask(0, cluster.TaskDone)
-		d.finish(j)
+		sched.finish(j)
 		if got, _ := tell(api.OpPoll, b); got.Final() {
 			t.Errorf("done before it is durable: %+v", got)
 		}
@@ -202,14 +202,14 @@
 }
 
 // Work must not wait long beside a machine's room, whatever it did in trouble.
-func TestAMachineInTroubleIsTriedAgainSoon(t *testing.T) {
+func TestQuarantineIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestScheduler(t, s)
-		m := d.addReadyMachine(7, "cpu", "a", false)
+		sched := newTestScheduler(t, s)
+		m := sched.addReadyMachine(7, "cpu", "a", false)
 		for i := range 12 {
-			d.failed(d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
-			d.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
+			sched.failed(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
+			sched.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.QuarantinedUntil); pause > 2*s.WorkerLease {
 				t.Fatalf("left alone for %v", pause)
 			}
@@ -219,12 +219,12 @@
 
 // A start leaves only once its record is durable: a successor would not know where
 // the task is.
-func TestNoStartLeavesBeforeItsRecordIsDurable(t *testing.T) {
+func TestStartWaitsForDurableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		jobs := []*cluster.Job{d.addAcceptedJob(clustertest.Service("000001", 1)), d.addAcceptedJob(gangSpec("000002", 2))}
-		d.addReadyMachine(7, "cpu", "a", false)
-		d.placeRound(time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		jobs := []*cluster.Job{sched.addAcceptedJob(clustertest.Service("000001", 1)), sched.addAcceptedJob(gangSpec("000002", 2))}
+		sched.addReadyMachine(7, "cpu", "a", false)
+		sched.placeRound(time.Now())
 		left := func() (n int) {
 			for _, j := range jobs {
 				for _, a := range j.Attempts {
@@ -238,7 +238,7 @@
 		if left() != 0 || len(jobs[0].Attempts) != 1 || len(jobs[1].Attempts) != 2 {
 			t.Errorf("%d starts left before their records", left())
 		}
-		d.commitPending(nil)
+		sched.commitPending(nil)
 		if left() != 3 {
 			t.Errorf("%d of 3 starts left after their records", left())
 		}
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -16,7 +16,7 @@
 // cancel_s, while the workers go on reporting to the old leader. The second
 // trouble comes from before the grant can end to well after, and the old leader
 // hears its peers or not.
-func TestTheGapBetweenTwoLeaders(t *testing.T) {
+func TestStoreOutageAfterFailover(t *testing.T) {
 	life := clustertest.Settings().Tuning.LeaderLease
 	for _, peers := range []string{"heard", "cut", "restarted"} {
 		for _, after := range []time.Duration{life / 2, life - 100*time.Millisecond, life + 50*time.Millisecond, life + 500*time.Millisecond, 2 * life, 4 * life} {
@@ -73,7 +73,7 @@
 
 // A leader that is still loading the state answers nobody, neither of jobs that it will know nor of
 // one that nobody submitted.
-func TestNobodyIsAnsweredBeforeTheStateIsLoaded(t *testing.T) {
+func TestLoadingLeaderAnswersNoRequests(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -15,7 +15,7 @@
 	"sagevale/internal/worker"
 )
 
-func TestAcceptanceSurvivesTheEndOfAllNodes(t *testing.T) {
+func TestAcceptedJobsSurviveRestartOfAllNodes(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 3))
 		sim.submit(clustertest.Service("000002", 2))
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestTakeOverNeverRunsATaskTwice(t *testing.T) {
+func TestFailoverNeverRunsTaskTwice(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i, id := range []string{"000001", "000002", "000003"} {
 			s := clustertest.Array(id, 6)
@@ -66,7 +66,7 @@
 
 // A leader that alone has lost the state service and its peers goes on hearing
 // its workers; its successor must not start their tasks before they are gone.
-func TestADeposedLeaderIsWithoutEffect(t *testing.T) {
+func TestDeposedLeaderHasNoEffect(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Array("000002", 1))
@@ -105,7 +105,7 @@
 }
 
 // Orders sent directly may be executed minutes late, after a cancel too.
-func TestALateDirectStartIsHarmless(t *testing.T) {
+func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("a machine is up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
@@ -126,7 +126,7 @@
 }
 
 // A repeat of a start that was answered would start a forgotten attempt anew.
-func TestARepeatedDirectStartIsHarmless(t *testing.T) {
+func TestRepeatedStartDoesNotRestartFinishedTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 1))
 		var k attemptKey
@@ -152,7 +152,7 @@
 	})
 }
 
-func TestCancelBeatsAStartAndHoldsPastACut(t *testing.T) {
+func TestCancelHoldsAcrossNetworkPartition(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestATotalOutageCostsNoTasks(t *testing.T) {
+func TestStoreOutageKeepsTasksRunning(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 3 })
@@ -190,32 +190,32 @@
 }
 
 // A peer that has restarted can't know whether it led meanwhile.
-func TestARestartedPeerDoesNotConfirmAnOutage(t *testing.T) {
+func TestRestartedPeerDoesNotConfirmNoLeader(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		time.Sleep(10 * time.Second)
-		term := lead.node.view.Load().role.Term
+		term := leader.node.view.Load().role.Term
 		cut := time.Now()
-		lead.cutStore.Store(true)
+		leader.cutStore.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
-		if !lead.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
+		if !leader.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
 			t.Error("peers that heard nothing since don't confirm")
 		}
 		for _, n := range sim.nodes {
-			if n != lead {
+			if n != leader {
 				n.restart()
 				break
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if lead.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
+		if leader.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
 			t.Error("a restarted peer confirms what it can't know")
 		}
 	})
 }
 
-func TestADeafMachineLosesItsTasksAndGetsNoMore(t *testing.T) {
+func TestTasksLeaveMachineThatDropsResponses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
@@ -237,16 +237,16 @@
 }
 
 // A late copy neither shows the present nor renews a lease.
-func TestALateCopyOfAReportIsNotTaken(t *testing.T) {
+func TestStaleReportIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		for _, wk := range sim.allWorkers() {
 			old := wk.report()
 			old.Tasks = nil
 			time.Sleep(10 * time.Second)
-			if a := lead.node.HandleHeartbeat(context.Background(), old); a.Accepted {
+			if a := leader.node.HandleHeartbeat(context.Background(), old); a.Accepted {
 				t.Error("a copy is accepted")
 			}
 		}
@@ -258,12 +258,12 @@
 }
 
 // Where the leader is out of reach, what comes to a follower goes through the relay.
-func TestAFollowerBeyondACutRelaysThroughTheStateService(t *testing.T) {
+func TestPartitionedFollowerRelaysThroughStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		var follower *fakeNode
 		for i, n := range sim.nodes {
-			if n != lead {
+			if n != leader {
 				follower = sim.nodes[i]
 			}
 		}
@@ -277,7 +277,7 @@
 			t.Fatalf("not accepted by mail: %+v", a)
 		}
 		a := follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Incarnation: 1, Seq: 1})
-		if !a.Accepted || a.Token != lead.node.view.Load().role.Term {
+		if !a.Accepted || a.Token != leader.node.view.Load().role.Term {
 			t.Fatalf("no report by mail: %+v", a)
 		}
 	})
@@ -285,7 +285,7 @@
 
 // Workers must remember attempts that were started directly; a new token ends
 // that before their reports grow too large.
-func TestReportsStayBoundedOverManyTasks(t *testing.T) {
+func TestReportSizeStaysBounded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		s := clustertest.Array("000001", 1500)
 		s.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
@@ -304,7 +304,7 @@
 
 // A session that is first heard of in the answer to a direct order has its
 // lease from then on; the bound of the session before says nothing of its tasks.
-func TestANewSessionHeardDirectlyHasItsOwnLease(t *testing.T) {
+func TestIncarnationSeenInDirectResponseHasOwnLease(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(clustertest.Service("000003", 4))
@@ -330,24 +330,24 @@
 // A new leader orders an attempt of the earlier one again in the answer to a
 // report; the worker's answer to the greeting, made before that came, doesn't
 // list it. It was called absent, started elsewhere, and ran twice.
-func TestAStartOrderedAgainIsNotProvedAbsentByAnOlderAnswer(t *testing.T) {
+func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.state.EnsureMachine(1, time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.state.EnsureMachine(1, time.Now())
 		m.Addr, m.Incarnation = "1", 1
-		j := d.addAcceptedJob(clustertest.Array("000001", 1))
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
 		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // loaded
-		d.addAttempt(a)
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: d.term - 1}
-		if got := d.handleHeartbeat(r); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
+		sched.addAttempt(a)
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: sched.term - 1}
+		if got := sched.handleHeartbeat(r); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
 			t.Fatalf("answered %+v", got)
 		}
-		d.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed,
-			report: &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 2, Token: d.term}})
+		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed,
+			report: &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 2, Token: sched.term}})
 		if j.Attempts[0] != a {
 			t.Error("the attempt is called absent while its start is on the way")
 		}
-		if got := d.handleHeartbeat(&worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 3, Token: d.term}); len(got.Commands) != 1 {
+		if got := sched.handleHeartbeat(&worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 3, Token: sched.term}); len(got.Commands) != 1 {
 			t.Errorf("not ordered again: %+v", got)
 		}
 	})
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -11,7 +11,7 @@
 	"sagevale/internal/worker"
 )
 
-func TestAnUnansweredRentalRentsOnce(t *testing.T) {
+func TestUnansweredLaunchIsRetriedIdempotently(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.withLock(func() { sim.cloud.loseNextResponse = true })
 		sim.submit(clustertest.Service("000001", 1))
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestADrainCompletesBeforeTheReturn(t *testing.T) {
+func TestMachineIsDrainedBeforeTermination(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 12))
 		sim.submit(clustertest.Service("000002", 1))
@@ -60,7 +60,7 @@
 
 // Tasks on a machine that has fallen silent count to their team's limit until
 // their place is proved empty.
-func TestLimitsHoldWhileAPlaceIsUnproved(t *testing.T) {
+func TestTeamLimitCountsTasksOnUnreachableMachines(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		s := clustertest.Service("000001", 2)
 		s.Team, s.Resources.GPUs = "small", 1
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestAMistakenJobDoesNotWearOutMachines(t *testing.T) {
+func TestFailingTasksAreRetriedSparingly(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 4))
 		sim.eventually("machines are up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestASpotNoticeMovesTheTasks(t *testing.T) {
+func TestSpotNoticeMovesTasks(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		s := clustertest.Array("000001", 2)
 		s.Spot, s.EstimateS, s.CheckpointS, s.SaveS = true, 100, 5, 1
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestRefusedRentalsGoElsewhere(t *testing.T) {
+func TestLaunchWithoutCapacityTriesOtherOfferings(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.withLock(func() {
 			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return h.Zone == "a" || h.Type == "cpu" }
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestPlacementKeepsZonesAndSpot(t *testing.T) {
+func TestPlacementHonorsZoneAndSpotConstraints(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		spread, same := clustertest.Service("000001", 5), clustertest.Service("000002", 3)
 		spread.Spread, same.SameZone = true, true
@@ -160,7 +160,7 @@
 	})
 }
 
-func TestWhatCanNeverRunIsRefused(t *testing.T) {
+func TestSubmitRejectsInfeasibleJob(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		for name, change := range map[string]func(*storage.Spec){
@@ -184,7 +184,7 @@
 }
 
 // Room is kept for what is expected; a class that has ceased expects nothing.
-func TestAnIdleFleetIsGivenBack(t *testing.T) {
+func TestIdleFleetIsScaledIn(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 12 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", i), 1))
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -21,39 +21,39 @@
 
 // A successor may have told the user something newer once our lead may have
 // ended: by then an answer on its way is void, unless it is final.
-func TestAnAnswerLastsAsLongAsTheLead(t *testing.T) {
+func TestResponseValidityEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		r := d.role
+		sched := newTestScheduler(t, clustertest.Settings())
+		r := sched.role
 		r.LeaseValidUntil = time.Now().Add(time.Second)
-		d.setRole(r)
+		sched.setRole(r)
 		asked := time.Now()
 		running := api.Response{Code: api.CodeOK, ID: "000001", State: api.StateRunning}
-		if a := d.withValidity(running, asked); a.Code != api.CodeOK || a.ValidFor != time.Second {
+		if a := sched.withValidity(running, asked); a.Code != api.CodeOK || a.ValidFor != time.Second {
 			t.Errorf("told %+v", a)
 		}
 		time.Sleep(time.Second)
-		if a := d.withValidity(running, asked); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
+		if a := sched.withValidity(running, asked); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.withValidity(api.Response{Code: api.CodeNotFound}, asked); a.Code != api.CodeUnavailable {
+		if a := sched.withValidity(api.Response{Code: api.CodeNotFound}, asked); a.Code != api.CodeUnavailable {
 			t.Errorf("told after the lead may have ended: %+v", a)
 		}
-		if a := d.withValidity(api.Response{Code: api.CodeOK, State: api.StateDone}, asked); a.Code != api.CodeOK {
+		if a := sched.withValidity(api.Response{Code: api.CodeOK, State: api.StateDone}, asked); a.Code != api.CodeOK {
 			t.Errorf("a final state isn't told: %+v", a)
 		}
 	})
 }
 
-func TestAHeldUpAnswerIsNotPassedOn(t *testing.T) {
+func TestDelayedResponseIsNotForwarded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(clustertest.Service("000002", 1))
 		sim.cancel("000002")
-		lead := sim.awaitLeader()
-		lead.responseDelay.Store(int64(sim.settings.Tuning.LeaderLease))
+		leader := sim.awaitLeader()
+		leader.responseDelay.Store(int64(sim.settings.Tuning.LeaderLease))
 		for _, n := range sim.nodes {
-			if n == lead {
+			if n == leader {
 				continue
 			}
 			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
@@ -70,7 +70,7 @@
 // renewal, a lease on a slow clock after it, and the moment that a worker takes to
 // end its tasks come before cancel_s after the earliest cancel that the renewer
 // can't know of. docs/design.md has the argument.
-func TestEveryRenewalEndsBeforeAnUnknownCancelIsDue(t *testing.T) {
+func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	for _, s := range []config.Settings{clustertest.Settings(), {HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
 		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond}} {
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
@@ -80,13 +80,13 @@
 		due := func(confirmed time.Time) time.Time { return confirmed.Add(clock.Scale(s.CancelTimeout, 1/1.0005)) }
 		t.Run("the leader's own answers", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestScheduler(t, s)
+				sched := newTestScheduler(t, s)
 				certain := time.Now()
-				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
 					r := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: 2}
-					if d.handleHeartbeat(r).Accepted {
+					if sched.handleHeartbeat(r).Accepted {
 						last = time.Now()
 					}
 					time.Sleep(100 * time.Millisecond)
@@ -98,15 +98,15 @@
 		})
 		t.Run("a peer on loan", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestScheduler(t, s)
+				sched := newTestScheduler(t, s)
 				certain := time.Now()
-				d.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
 				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 				c.node.deps.Peers = words
 				for time.Since(certain) < s.CancelTimeout {
-					d.publishDelegation(time.Now())
-					span, excluded := d.delegator.delegate("n1")
+					sched.publishDelegation(time.Now())
+					span, excluded := sched.delegator.delegate("n1")
 					words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Received: time.Now()}
 					c.refreshDelegation()
 					time.Sleep(100 * time.Millisecond)
@@ -127,7 +127,7 @@
 }
 
 // A machine that has tasks of a cancelled job is left out of a delegation.
-func TestAnExcludedMachineIsNotRenewedByDelegation(t *testing.T) {
+func TestDelegationDoesNotRenewExcludedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Zone = "a"
@@ -147,15 +147,15 @@
 // A session that is first heard of directly has its own lease, whenever the one
 // before was last answered. The scenario of it no longer places work there, since
 // such a machine isn't ready; the bound must hold all the same.
-func TestTheBoundOfANewSessionCountsFromItsFirstReport(t *testing.T) {
+func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestScheduler(t, s)
-		m := d.addReadyMachine(7, "cpu", "a", false)
+		sched := newTestScheduler(t, s)
+		m := sched.addReadyMachine(7, "cpu", "a", false)
 		time.Sleep(s.WorkerLease)
 		heard := time.Now()
-		d.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: d.term}, false, heard)
-		if by := d.provenEmptyAt(m); by.Before(heard.Add(s.WorkerLease)) {
+		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: sched.term}, false, heard)
+		if by := sched.provenEmptyAt(m); by.Before(heard.Add(s.WorkerLease)) {
 			t.Errorf("called empty %v after the session's first word", by.Sub(heard))
 		}
 	})
@@ -163,21 +163,21 @@
 
 // An earlier leader may have gone on renewing leases for its whole hold: a machine
 // that this term hasn't heard isn't called empty before the last of them has ended.
-func TestAMachineUnheardSinceTheTakeOverIsBoundByTheEarlierHold(t *testing.T) {
+func TestLeaseBoundAfterFailoverCoversEarlierLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		d := newTestScheduler(t, s)
+		sched := newTestScheduler(t, s)
 		spec := clustertest.Service("000001", 1)
-		if err := d.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
+		if err := sched.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(s.RenewalGrace() + s.WorkerLease)
-		if d.expireLeases(time.Now()); len(d.state.Jobs.Get("000001").Attempts) != 1 {
+		if sched.expireLeases(time.Now()); len(sched.state.Jobs.Get("000001").Attempts) != 1 {
 			t.Error("called empty while an earlier leader's last lease may last")
 		}
 		time.Sleep(time.Second)
-		if d.expireLeases(time.Now()); len(d.state.Jobs.Get("000001").Attempts) != 0 {
+		if sched.expireLeases(time.Now()); len(sched.state.Jobs.Get("000001").Attempts) != 0 {
 			t.Error("never called empty")
 		}
 	})
@@ -185,26 +185,26 @@
 
 // A worker that knows a later term ends this one at once, unless this lead is certain: then
 // nobody can have led later, and a faulty worker must not end it for all others.
-func TestALaterTermEndsTheLead(t *testing.T) {
+func TestLaterTermEndsExpiredLeadership(t *testing.T) {
 	for _, certain := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newTestScheduler(t, clustertest.Settings())
+			sched := newTestScheduler(t, clustertest.Settings())
 			resignations := 0
-			d.resign = func(leadership.Resignation) { resignations++ }
-			d.addReadyMachine(7, "cpu", "a", false)
-			d.addReadyMachine(8, "cpu", "a", false)
+			sched.resign = func(leadership.Resignation) { resignations++ }
+			sched.addReadyMachine(7, "cpu", "a", false)
+			sched.addReadyMachine(8, "cpu", "a", false)
 			if !certain {
-				d.role.LeaseValidUntil = time.Now()
+				sched.role.LeaseValidUntil = time.Now()
 			}
-			later := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 9, Token: d.tokens.Last + 1}
-			if a := d.handleHeartbeat(later); a.Accepted {
+			later := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 9, Token: sched.tokens.Last + 1}
+			if a := sched.handleHeartbeat(later); a.Accepted {
 				t.Errorf("certain %v: answered under the earlier term", certain)
 			}
-			d.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
-			if leads := d.leaseValid(time.Now()); leads != certain || resignations > 0 == certain {
+			sched.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
+			if leads := sched.leaseValid(time.Now()); leads != certain || resignations > 0 == certain {
 				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, resignations)
 			}
-			other := d.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: d.term})
+			other := sched.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: sched.term})
 			if other.Accepted != certain {
 				t.Errorf("certain %v: another worker is answered %+v", certain, other)
 			}
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -24,7 +24,7 @@
 
 // A process that falls behind fires its timers late and gets to each step late: between
 // a check and its effect the lead may be over.
-func TestASlowProcessorKeepsTheRules(t *testing.T) {
+func TestSlowProcessorKeepsInvariants(t *testing.T) {
 	for _, most := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(most.String(), func(t *testing.T) {
 			runSimulationWithSettings(t, lowResources, func(sim *simulation) {
@@ -64,7 +64,7 @@
 
 // All controllers come back at once, and all workers report to them in the same moments:
 // nothing is lost, and nothing begins anew.
-func TestAFullTakeOverLosesNothing(t *testing.T) {
+func TestRestartOfAllNodesKeepsTasksRunning(t *testing.T) {
 	runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 		const jobs, tasks = 20, 8
 		for i := range jobs {
@@ -82,7 +82,7 @@
 		for _, n := range sim.nodes {
 			n.start()
 		}
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		sim.maxLogDelay.Store(0)
 		for i := range jobs {
@@ -95,14 +95,14 @@
 		}
 		sim.submit(clustertest.Array("000900", 4))
 		sim.awaitDone("000900")
-		if sim.leader() != lead {
+		if sim.leader() != leader {
 			t.Error("the lead changed hands")
 		}
 	})
 }
 
 // Work that doesn't fit into the memory is told when to come back; the rest goes on.
-func TestWorkBeyondTheMemoryIsToldToComeBack(t *testing.T) {
+func TestSubmitBeyondMemoryReturnsBusy(t *testing.T) {
 	runSimulationWithSettings(t, func(s *config.Settings) { lowResources(s); s.MemoryMB = 16 }, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2)) // the machine types are known
 		most := sim.settings.MaxOpenTasks()
@@ -119,20 +119,20 @@
 
 // An order that has waited until its sender's lead may be over isn't sent: a successor
 // may have confirmed a cancel by then.
-func TestAStartIsNotSentAfterTheLead(t *testing.T) {
+func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
+		sched := newTestScheduler(t, clustertest.Settings())
 		sent := make(chan time.Time, 2)
-		d.deps.Workers = sendDeadlineRecorder{sent}
-		m := d.addReadyMachine(7, "cpu", "a", false)
-		a := d.Reserve(d.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
-		d.startReserved([]*cluster.Attempt{a})
-		if bound := <-sent; !bound.Equal(d.role.LeaseValidUntil) {
-			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, d.role.LeaseValidUntil)
+		sched.deps.Workers = sendDeadlineRecorder{sent}
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(sched.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
+		sched.startReserved([]*cluster.Attempt{a})
+		if bound := <-sent; !bound.Equal(sched.role.LeaseValidUntil) {
+			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, sched.role.LeaseValidUntil)
 		}
 		a.Reported = true
-		d.stopAttempt(a, 0)
-		d.commandStops(m)
+		sched.stopAttempt(a, 0)
+		sched.commandStops(m)
 		if bound := <-sent; !bound.IsZero() {
 			t.Errorf("a stop is bound by %v", bound)
 		}
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -16,21 +16,21 @@
 // The first of several large jobs took all room, and the last began after minutes.
 func TestOpportunisticJobsShareEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
+		sched := newTestScheduler(t, clustertest.Settings())
 		var jobs []*cluster.Job
 		for i := range 4 {
-			jobs = append(jobs, d.addAcceptedJob(clustertest.Opportunistic(fmt.Sprintf("00000%d", i), 1000)))
+			jobs = append(jobs, sched.addAcceptedJob(clustertest.Opportunistic(fmt.Sprintf("00000%d", i), 1000)))
 			time.Sleep(time.Second)
 		}
 		late := clustertest.Array("000009", 1)
 		late.Priority, late.Spot, late.DeadlineS = storage.BestEffort, true, 600
-		hurried := d.addAcceptedJob(late)
+		hurried := sched.addAcceptedJob(late)
 		for batch := range 4 {
 			for i := range 20 {
-				d.addReadyMachine(batch*20+i+1, "cpu", "a", true)
+				sched.addReadyMachine(batch*20+i+1, "cpu", "a", true)
 			}
 			for range 4 {
-				d.placeRound(time.Now())
+				sched.placeRound(time.Now())
 			}
 		}
 		if hurried.Allocated() != 1 {
@@ -45,22 +45,22 @@
 }
 
 // Who may stop opportunistic work of its own priority: what its team is guaranteed.
-func TestGuaranteedWorkStopsOpportunisticWork(t *testing.T) {
+func TestGuaranteedWorkPreemptsOpportunisticWork(t *testing.T) {
 	for name, guarantee := range map[string]float64{"guaranteed": 100, "beyond the guarantee": 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := clustertest.Settings()
 				s.Teams = append(s.Teams, config.Team{Name: "home", Guarantee: storage.Resources{CPUs: guarantee, MemoryGB: 100}})
-				d := newTestScheduler(t, s)
-				m := d.addReadyMachine(1, "cpu", "a", true)
-				idle := d.addAcceptedJob(clustertest.Opportunistic("000001", 2))
+				sched := newTestScheduler(t, s)
+				m := sched.addReadyMachine(1, "cpu", "a", true)
+				idle := sched.addAcceptedJob(clustertest.Opportunistic("000001", 2))
 				for i := range 2 {
-					d.addAttempt(&cluster.Attempt{Job: idle, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
+					sched.addAttempt(&cluster.Attempt{Job: idle, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
 				}
 				spec := clustertest.Opportunistic("000002", 1)
 				spec.Team, spec.DeadlineS = "home", 600
-				d.addAcceptedJob(spec)
-				d.placeRound(time.Now())
+				sched.addAcceptedJob(spec)
+				sched.placeRound(time.Now())
 				stopped := 0
 				for _, a := range idle.Attempts {
 					if a.Stopping {
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -19,20 +19,20 @@
 const manyMachines = 6000
 
 // All workers may report at once: none is turned away before users are, and submissions go first.
-func TestAllWorkersMayReportAtOnce(t *testing.T) {
+func TestMailboxReservesCapacityForHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Sockets = manyMachines
-		d := newTestScheduler(t, s) // it takes nothing in
+		sched := newTestScheduler(t, s) // it takes nothing in
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		report := func(n int) {
 			for range n {
-				go d.HandleHeartbeats(ctx, nil)
+				go sched.HandleHeartbeats(ctx, nil)
 			}
 			synctest.Wait()
 		}
-		busy := func(op api.Op) bool { return !d.admits(op) }
+		busy := func(op api.Op) bool { return !sched.admits(op) }
 		if report(manyMachines*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("users are turned away from a mailbox a quarter empty")
 		}
@@ -42,30 +42,30 @@
 		if report(manyMachines / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
 			t.Error("users don't leave room for reports")
 		}
-		if a := d.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
+		if a := sched.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
 			t.Errorf("answered %+v", a)
 		}
-		if report(manyMachines/8 - 1); len(d.mailbox) != manyMachines {
-			t.Errorf("%d of %d reports wait", len(d.mailbox), manyMachines)
+		if report(manyMachines/8 - 1); len(sched.mailbox) != manyMachines {
+			t.Errorf("%d of %d reports wait", len(sched.mailbox), manyMachines)
 		}
 	})
 }
 
 // A worker that reports more unknown tasks than an answer holds orders for is told a part at a time.
-func TestAnAnswerHoldsSoManyOrders(t *testing.T) {
+func TestHeartbeatResponseLimitsCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		d.addReadyMachine(1, "cpu", "a", false)
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term}
+		sched := newTestScheduler(t, clustertest.Settings())
+		sched.addReadyMachine(1, "cpu", "a", false)
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: sched.term}
 		for i := range 3 * maxCommands / 2 {
 			r.Tasks = append(r.Tasks, worker.TaskReport{ID: worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}, Attempt: uint64(i), State: worker.Running})
 		}
-		if a := d.handleHeartbeat(r); !a.Accepted || len(a.Commands) != maxCommands || slices.ContainsFunc(a.Commands, func(o worker.Command) bool { return o.Verb != worker.Stop }) {
+		if a := sched.handleHeartbeat(r); !a.Accepted || len(a.Commands) != maxCommands || slices.ContainsFunc(a.Commands, func(o worker.Command) bool { return o.Verb != worker.Stop }) {
 			t.Errorf("%d orders", len(a.Commands))
 		}
 		r.Seq++
 		r.Tasks = r.Tasks[maxCommands:]
-		if a := d.handleHeartbeat(r); len(a.Commands) != maxCommands/2 {
+		if a := sched.handleHeartbeat(r); len(a.Commands) != maxCommands/2 {
 			t.Errorf("%d orders for the rest", len(a.Commands))
 		}
 	})
@@ -73,13 +73,13 @@
 
 // A flood of submissions is refused beyond what is recorded in time, in turns, and what is known
 // already is answered all the same.
-func TestAFloodOfSubmissionsIsBounded(t *testing.T) {
+func TestSubmissionFloodIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
+		sched := newTestScheduler(t, clustertest.Settings())
 		submit := func(i int) (api.Response, bool) {
 			reply := make(chan api.Response, 1)
 			spec := clustertest.Array(fmt.Sprintf("%06d", i), 1)
-			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, reply: reply})
+			sched.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, reply: reply})
 			select {
 			case a := <-reply:
 				return a, true
@@ -102,7 +102,7 @@
 		if admitted == 0 || admitted > 10000 || longest < 10 {
 			t.Errorf("%d of 20,000 admitted at once, the rest within %d s", admitted, longest)
 		}
-		d.commitPending(nil)
+		sched.commitPending(nil)
 		if a, told := submit(0); !told || a.Code != api.CodeOK {
 			t.Errorf("a repeat is answered %+v", a)
 		}
@@ -113,21 +113,21 @@
 }
 
 // A flood of other work doesn't hold up the start of an urgent task, nor a flood of acceptances.
-func TestUrgentWorkIsRecordedBesideAFlood(t *testing.T) {
+func TestUrgentStartBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
 		for i := range 5000 {
-			j := d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1))
-			d.markJob(j)
-			d.markPage(j, 0)
+			j := sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1))
+			sched.markJob(j)
+			sched.markPage(j, 0)
 		}
-		urgent := d.addAcceptedJob(clustertest.Service("900000", 1))
-		a := d.Reserve(urgent, 0, m, time.Now())
-		d.startWhenDurable([]*cluster.Attempt{a})
+		urgent := sched.addAcceptedJob(clustertest.Service("900000", 1))
+		a := sched.Reserve(urgent, 0, m, time.Now())
+		sched.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
-			if _, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
-				d.handleCommitted(nil)
+			if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
+				sched.handleCommitted(nil)
 			}
 		}
 		if !a.Durable || a.Delivery != cluster.DeliveryInFlight {
@@ -137,20 +137,20 @@
 }
 
 // A cancellation doesn't wait behind a flood of acceptances, also where the job's record waits among them.
-func TestACancellationIsRecordedBesideAFlood(t *testing.T) {
+func TestCancellationBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		j := d.addAcceptedJob(clustertest.Array("900000", 1))
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addAcceptedJob(clustertest.Array("900000", 1))
 		for i := range 5000 {
-			d.markJob(d.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
+			sched.markJob(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
-		d.markJob(j) // for something else, at the end of the lane
+		sched.markJob(j) // for something else, at the end of the lane
 		reply := make(chan api.Response, 1)
-		d.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
-		if _, ok := d.queue.BeginCommit(d.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
+		sched.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
+		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
 			t.Fatal("nothing to write")
 		}
-		d.handleCommitted(nil)
+		sched.handleCommitted(nil)
 		select {
 		case a := <-reply:
 			if a.State != api.StateCancelled {
--- a/internal/scheduler/process_pause_test.go
+++ b/internal/scheduler/process_pause_test.go
@@ -140,14 +140,14 @@
 			}},
 			scenario{"a follower " + c.name + " while the leader ends", func(sim *simulation) {
 				sim.startWorkload()
-				lead := sim.awaitLeader()
+				leader := sim.awaitLeader()
 				for _, n := range sim.nodes {
-					if n != lead {
+					if n != leader {
 						n.pause(c.span)
 						break
 					}
 				}
-				sim.crash(lead, 4*time.Second)
+				sim.crash(leader, 4*time.Second)
 				sim.submit(arrayWithRuntime("000004", 2, 20*time.Second))
 				time.Sleep(c.span)
 				sim.awaitDone("000004")
@@ -157,7 +157,7 @@
 	return out
 }
 
-func TestStandstills(t *testing.T) {
+func TestProcessPauses(t *testing.T) {
 	for _, c := range pauseScenarios() {
 		t.Run(c.name, func(t *testing.T) { runSimulation(t, c.run) })
 	}
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -9,7 +9,7 @@
 
 // When all machines booted four times as slowly, each was returned before it was up, and its
 // replacement too.
-func TestMachinesThatAllBootSlowlyAreWaitedFor(t *testing.T) {
+func TestSlowProvisioningIsAwaited(t *testing.T) {
 	for name, trouble := range map[string]func(sim *simulation){
 		"alone":          func(*simulation) {},
 		"a leader's end": func(sim *simulation) { time.Sleep(40 * time.Second); sim.crash(sim.awaitLeader(), 3*time.Second) },
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -14,7 +14,7 @@
 
 // What the journal may write follows the gate: while that is being withdrawn, a record that
 // is too large for a plain chunk must still be written, or every commit would stand still.
-func TestTheJournalsEncodingFollowsItsGate(t *testing.T) {
+func TestJournalEncodingFollowsGate(t *testing.T) {
 	for _, c := range []struct {
 		gate upgrade.GateState
 		want storage.Encoding
@@ -34,7 +34,7 @@
 
 // The first gang job waits until the use of its gate is durable, like any acceptance for its
 // commit; where that takes too long, or the gate is closed, its user is told to come back.
-func TestTheFirstGangJobWaitsForItsGate(t *testing.T) {
+func TestFirstGangJobWaitsForGate(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		gang := func(id string) storage.Spec {
@@ -43,9 +43,9 @@
 			sim.storeSpec(g)
 			return g
 		}
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		began := time.Now()
-		if a := sim.requestFrom(lead, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
+		if a := sim.requestFrom(leader, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
@@ -57,10 +57,10 @@
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
 			n.restart()
 		}
-		lead = sim.awaitLeader()
+		leader = sim.awaitLeader()
 		time.Sleep(20 * time.Second) // a release is unanswered, and so are uses
 		began = time.Now()
-		if a := sim.requestFrom(lead, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
+		if a := sim.requestFrom(leader, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
 			t.Errorf("answered %+v", a)
 		}
 		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
