--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -16,25 +16,6 @@
 	"sagevale/internal/worker"
 )
 
-// zonalService is a service whose tasks all run in one zone.
-func zonalService(id, zone string, tasks int) storage.Spec {
-	s := clustertest.Service(id, tasks)
-	s.Zone = zone
-	return s
-}
-
-// moveLeaderOutOf makes a node lead that isn't in the zone.
-func (sim *simulation) moveLeaderOutOf(zone string) {
-	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
-		n.kill()
-		sim.awaitLeader()
-		n.start()
-	}
-}
-
-// startsSince counts the starts since a count was taken.
-func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
-
 // Behind a zone's cut all leases ran out though a node of the zone heard its
 // workers. It renews them by delegation, for longer than a lease.
 func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
--- a/internal/scheduler/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"cmp"
 	"context"
 	"fmt"
-	"sort"
+	"slices"
 	"time"
 
 	"sagevale/internal/cloud"
@@ -11,71 +12,67 @@
 	"sagevale/internal/storage"
 )
 
-// fakeCloud rents workers by the protocol.
+// defaultBootTime is the time from a launch until the worker is up.
+const defaultBootTime = 15 * time.Second
+
+// fakeCloud launches and terminates workers. Its fields are guarded by sim.mu.
 type fakeCloud struct {
 	sim              *simulation
-	next             int
-	launches         map[string][]int
-	launchCalls      map[string]int
-	loseNextResponse bool // the answer to the next rental is lost
+	next             int              // number of the next machine
+	launches         map[string][]int // machines of each launch, by its name
+	launchCalls      map[string]int   // calls for each launch, by its name
+	loseNextResponse bool             // the response to the next new launch is lost
 	noCapacity       func(storage.LaunchRecord) bool
-	bootTime         time.Duration // 0: by type
-	terminated       map[int]bool  // returned before they came up
+	bootTime         time.Duration // 0: defaultBootTime
+	terminated       map[int]bool
 }
 
+// MachineTypes returns the instance types of the tests' clusters.
 func (c *fakeCloud) MachineTypes(context.Context) ([]storage.MachineType, error) {
 	return clustertest.Types, nil
 }
 
-func (c *fakeCloud) Launch(_ context.Context, name string, h storage.LaunchRecord) ([]int, error) {
+// Launch starts machines once per name; a repeated call returns the same machines.
+func (c *fakeCloud) Launch(_ context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
-	if c.launchCalls == nil {
-		c.launchCalls = make(map[string]int)
-	}
 	c.launchCalls[name]++
-	if got, ok := c.launches[name]; ok {
-		return got, nil
+	if machines, ok := c.launches[name]; ok {
+		return machines, nil
 	}
-	if c.noCapacity != nil && c.noCapacity(h) {
+	if c.noCapacity != nil && c.noCapacity(launch) {
 		return nil, cloud.ErrNoCapacity
 	}
-	var got []int
-	for range h.Count {
+	var machines []int
+	for range launch.Count {
 		id := c.next
 		c.next++
-		got = append(got, id)
-		boot := c.bootTime
-		if boot == 0 {
-			boot = 15 * time.Second
-		}
-		time.AfterFunc(boot, func() {
+		machines = append(machines, id)
+		time.AfterFunc(cmp.Or(c.bootTime, defaultBootTime), func() {
 			if !c.isTerminated(id) {
-				c.sim.addWorker(id, h.Type, h.Zone, h.Spot)
+				c.sim.addWorker(id, launch.Type, launch.Zone, launch.Spot)
 			}
 		})
 	}
-	c.launches[name] = got
+	c.launches[name] = machines
 	if c.loseNextResponse {
 		c.loseNextResponse = false
 		return nil, cloud.ErrUnknownOutcome
 	}
-	return got, nil
+	return machines, nil
 }
 
-// isTerminated tells whether a machine has been returned.
-func (c *fakeCloud) isTerminated(id int) (gone bool) {
-	c.sim.withLock(func() { gone = c.terminated[id] })
-	return gone
+// isTerminated reports whether a machine has been terminated.
+func (c *fakeCloud) isTerminated(id int) (terminated bool) {
+	c.sim.withLock(func() { terminated = c.terminated[id] })
+	return terminated
 }
 
+// Terminate ends machines, also those that have not come up.
 func (c *fakeCloud) Terminate(_ context.Context, machines []int) error {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
 	for _, id := range machines {
-		if c.terminated == nil {
-			c.terminated = make(map[int]bool)
-		}
 		c.terminated[id] = true
 		if wk := c.sim.workers[id]; wk != nil {
 			wk.dead.Store(true)
@@ -84,15 +81,16 @@
 	return nil
 }
 
+// List returns all machines after a number in one page.
 func (c *fakeCloud) List(_ context.Context, after, _ int) ([]cloud.Machine, bool, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
-	var out []cloud.Machine
+	var machines []cloud.Machine
 	for id, wk := range c.sim.workers {
 		if id > after && !wk.dead.Load() {
-			out = append(out, cloud.Machine{ID: id, Addr: fmt.Sprint(id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot, State: cloud.Running})
+			machines = append(machines, cloud.Machine{ID: id, Addr: fmt.Sprint(id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot, State: cloud.Running})
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
-	return out, false, nil
+	slices.SortFunc(machines, func(a, b cloud.Machine) int { return cmp.Compare(a.ID, b.ID) })
+	return machines, false, nil
 }
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -12,31 +14,37 @@
 	"sagevale/internal/api"
 	"sagevale/internal/config"
 	"sagevale/internal/peer"
+	"sagevale/internal/storage"
 	"sagevale/internal/storage/storagetest"
 	"sagevale/internal/upgrade"
 	"sagevale/internal/worker"
 )
 
+// fakeNode is a controller of the simulation: its current process, the peer link and its
+// connections to the workers, with the faults of each.
 type fakeNode struct {
-	sim           *simulation
-	name          string
-	zone          string
-	node          *Node                // its latest process, for the scenario
-	live          atomic.Pointer[Node] // the same; nil once it has ended
-	cancelRun     context.CancelFunc
+	sim       *simulation
+	name      string
+	zone      string
+	node      *Node                // its latest process, for the scenario
+	live      atomic.Pointer[Node] // its running process; nil: none
+	cancelRun context.CancelFunc   // ends the running process; nil: none
+
 	cutStore      atomic.Bool
 	cutPeers      atomic.Bool
-	cutWorkers    atomic.Bool                       // it doesn't reach the workers, nor they it
-	resumed       atomic.Pointer[chan struct{}]     // it stands still until that is closed; nil: it doesn't
-	responseDelay atomic.Int64                      // its answers to other nodes' users come so much later
-	statuses      map[string]peer.ObservedStatus    // what the others told last
-	upgrade       func(*upgrade.Settings)           // changes what its next process brings to an upgrade
-	refusal       atomic.Pointer[error]             // why its process ended by itself
-	tracker       atomic.Pointer[activator.Tracker] // of its latest process, where services may be at zero
-	// unregistered is its process of a version that doesn't register; nil: none
+	cutWorkers    atomic.Bool                   // no messages to or from workers
+	resumed       atomic.Pointer[chan struct{}] // closed when its pause ends; nil: it isn't paused
+	responseDelay atomic.Int64                  // delay in ns of its responses to forwarded requests
+
+	statuses map[string]peer.ObservedStatus    // the latest of each peer; guarded by sim.mu
+	upgrade  func(*upgrade.Settings)           // changes the upgrade settings of its next process; nil: none
+	refusal  atomic.Pointer[error]             // why its process ended by itself; nil: it didn't
+	tracker  atomic.Pointer[activator.Tracker] // of its latest process, if services may be at zero
+	// unregistered is its process of a version that doesn't register; nil: none.
 	unregistered atomic.Pointer[unregisteredProcess]
 }
 
+// start begins a new process.
 func (n *fakeNode) start() {
 	n.unregistered.Store(nil)
 	s := n.sim.settings
@@ -51,8 +59,12 @@
 	}
 	n.refusal.Store(nil)
 	n.node = NewNode(&s, Dependencies{
-		State: pausableStore{&storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n}, Cloud: n.sim.cloud, Workers: n, Peers: n,
-		Log: n.sim.log, Rand: rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // so that no two processes are alike
+		State:   pausableStore{&storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n},
+		Cloud:   n.sim.cloud,
+		Workers: n,
+		Peers:   n,
+		Log:     n.sim.log,
+		Rand:    rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // no two processes draw the same numbers
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancelRun = cancel
@@ -74,7 +86,7 @@
 	}()
 }
 
-// runTracker runs the process's tracker of models.
+// runTracker starts the process's tracker of models; the context ends it.
 func (n *fakeNode) runTracker(ctx context.Context, node *Node, s *config.Settings) {
 	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
@@ -84,12 +96,13 @@
 	go tracker.Run(ctx)
 }
 
-// restartWithVersion ends the node's process and begins one of another version.
+// restartWithVersion restarts the node with a process of another version.
 func (n *fakeNode) restartWithVersion(version upgrade.Version) {
 	n.upgrade = func(s *upgrade.Settings) { *s = s.CappedAt(version) }
 	n.restart()
 }
 
+// kill ends the process, if one runs.
 func (n *fakeNode) kill() {
 	if n.cancelRun != nil {
 		n.live.Store(nil)
@@ -98,83 +111,104 @@
 	}
 }
 
-func (n *fakeNode) restart() { n.kill(); n.start() }
+func (n *fakeNode) restart() {
+	n.kill()
+	n.start()
+}
+
+// errNoConnection is returned for a peer that is down or unreachable.
+var errNoConnection = errors.New("no connection to the peer")
+
+// reachablePeer returns another node unless the link between them is cut.
+func (n *fakeNode) reachablePeer(name string) (*fakeNode, bool) {
+	i := slices.IndexFunc(n.sim.nodes, func(o *fakeNode) bool { return o.name == name })
+	if i < 0 || n.cutPeers.Load() || n.sim.nodes[i].cutPeers.Load() {
+		return nil, false
+	}
+	return n.sim.nodes[i], true
+}
+
+// callPeer makes one call of a peer's process and returns the peer. The pauses of both nodes
+// delay the request and the response.
+func (n *fakeNode) callPeer(name string, call func(process *Node)) (*fakeNode, error) {
+	o, ok := n.reachablePeer(name)
+	if !ok {
+		return nil, errNoConnection
+	}
+	process := o.live.Load()
+	if process == nil {
+		return nil, errNoConnection
+	}
+	n.waitWhilePaused()
+	o.waitWhilePaused()
+	call(process)
+	o.waitWhilePaused()
+	n.waitWhilePaused()
+	return o, nil
+}
 
-// Forward is the peer link.
+// Forward is the peer link for users' requests and pings.
 func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
-	for _, o := range n.sim.nodes {
-		if old := o.unregistered.Load(); o.name == name && old != nil && req.Op == api.OpPing && !o.cutPeers.Load() && !n.cutPeers.Load() {
+	if o, ok := n.reachablePeer(name); ok && req.Op == api.OpPing {
+		if old := o.unregistered.Load(); old != nil {
 			return api.Response{Peer: peer.Status{Version: old.told}}, nil
 		}
-		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.waitWhilePaused()
-			o.waitWhilePaused()
-			a := live.HandleForwardedRequest(ctx, req)
-			o.waitWhilePaused()
-			n.waitWhilePaused()
-			if ctx.Err() != nil {
-				return api.Response{}, ctx.Err()
-			}
-			if req.Op != api.OpPing {
-				time.Sleep(time.Duration(o.responseDelay.Load()))
-			}
-			return a, nil
-		}
 	}
-	return api.Response{}, fmt.Errorf("no way to %s", name)
+	var response api.Response
+	o, err := n.callPeer(name, func(process *Node) { response = process.HandleForwardedRequest(ctx, req) })
+	if err == nil {
+		err = ctx.Err()
+	}
+	if err != nil {
+		return api.Response{}, err
+	}
+	if req.Op != api.OpPing {
+		time.Sleep(time.Duration(o.responseDelay.Load()))
+	}
+	return response, nil
 }
 
 // ReportUsage is the peer link for usage.
 func (n *fakeNode) ReportUsage(ctx context.Context, name string, report activation.UsageReport) (activation.UsageResponse, error) {
-	for _, o := range n.sim.nodes {
-		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.waitWhilePaused()
-			o.waitWhilePaused()
-			n.sim.noteUsage(report)
-			response := live.HandleForwardedUsage(ctx, report)
-			o.waitWhilePaused()
-			n.waitWhilePaused()
-			return response, ctx.Err()
-		}
+	var response activation.UsageResponse
+	_, err := n.callPeer(name, func(process *Node) {
+		n.sim.noteUsage(report)
+		response = process.HandleForwardedUsage(ctx, report)
+	})
+	if err != nil {
+		return activation.UsageResponse{}, err
 	}
-	return activation.UsageResponse{}, fmt.Errorf("no way to %s", name)
+	return response, ctx.Err()
 }
 
 // Wake is the peer link for demand.
 func (n *fakeNode) Wake(ctx context.Context, name string, req activation.WakeRequest) (activation.WakeResponse, error) {
-	for _, o := range n.sim.nodes {
-		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.waitWhilePaused()
-			o.waitWhilePaused()
-			n.sim.noteWakeRequest(req)
-			response := live.HandleForwardedWake(ctx, req)
-			o.waitWhilePaused()
-			n.waitWhilePaused()
-			time.Sleep(time.Duration(o.responseDelay.Load()))
-			return response, ctx.Err()
-		}
+	var response activation.WakeResponse
+	o, err := n.callPeer(name, func(process *Node) {
+		n.sim.noteWakeRequest(req)
+		response = process.HandleForwardedWake(ctx, req)
+	})
+	if err != nil {
+		return activation.WakeResponse{}, err
 	}
-	return activation.WakeResponse{}, fmt.Errorf("no way to %s", name)
+	time.Sleep(time.Duration(o.responseDelay.Load()))
+	return response, ctx.Err()
 }
 
-// ForwardHeartbeats is the peer link for reports.
+// ForwardHeartbeats is the peer link for heartbeats.
 func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
-	for _, o := range n.sim.nodes {
-		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			n.waitWhilePaused()
-			o.waitWhilePaused()
-			answers := live.HandleForwardedHeartbeats(ctx, reports)
-			o.waitWhilePaused()
-			n.waitWhilePaused()
-			if answers != nil && ctx.Err() == nil {
-				return answers, nil
-			}
-		}
+	var responses []worker.HeartbeatResponse
+	_, err := n.callPeer(name, func(process *Node) { responses = process.HandleForwardedHeartbeats(ctx, reports) })
+	switch {
+	case err != nil:
+		return nil, err
+	case responses == nil || ctx.Err() != nil:
+		return nil, errNoConnection
 	}
-	return nil, fmt.Errorf("no way to %s", name)
+	return responses, nil
 }
 
-// ping asks the others for their status, as the link does.
+// ping requests the statuses of the peers until the context ends, as the peer link does.
 func (n *fakeNode) ping(ctx context.Context) {
 	n.sim.mu.Lock()
 	n.statuses = make(map[string]peer.ObservedStatus)
@@ -195,7 +229,7 @@
 	}
 }
 
-// Status is a node's latest status.
+// Status returns the latest status of a peer.
 func (n *fakeNode) Status(name string) (peer.ObservedStatus, bool) {
 	n.sim.mu.Lock()
 	defer n.sim.mu.Unlock()
@@ -203,7 +237,7 @@
 	return w, ok
 }
 
-// KnownLeader is the latest leader that the other nodes tell of.
+// KnownLeader returns the latest leader that reachable peers have reported.
 func (n *fakeNode) KnownLeader() (leader string, term uint64) {
 	for _, o := range n.sim.nodes {
 		if w, ok := n.Status(o.name); ok && o.live.Load() != nil && !o.cutPeers.Load() && !n.cutPeers.Load() && w.Term > term {
@@ -213,7 +247,7 @@
 	return leader, term
 }
 
-// UnreachableFor is the peer link's measure of silence.
+// UnreachableFor returns how long a peer hasn't been reached.
 func (n *fakeNode) UnreachableFor(string) time.Duration {
 	if n.cutPeers.Load() {
 		return time.Hour
@@ -221,31 +255,31 @@
 	return 0
 }
 
-// canReach tells whether the network leads from a worker to a node and back.
+// canReach reports whether messages pass between the node and a worker.
 func (n *fakeNode) canReach(wk *fakeWorker) bool {
-	apart := n.sim.isolatedZone.Load()
+	isolated := n.sim.isolatedZone.Load()
 	return !n.cutWorkers.Load() && (wk.onlyNode.Load() == nil || wk.onlyNode.Load() == n) &&
-		(apart == nil || n.zone == wk.zone || n.zone != *apart && wk.zone != *apart)
+		(isolated == nil || n.zone == wk.zone || n.zone != *isolated && wk.zone != *isolated)
 }
 
-// SendCommands is a node's direct way to the workers.
-func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, session uint64, orders []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+// SendCommands sends commands to a worker directly, not in a heartbeat response.
+func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return worker.NotSent, nil
 	}
-	n.waitWhilePaused() // between the check and the sending
+	n.waitWhilePaused() // a pause may fall between the check and the sending
 	var id int
 	if _, err := fmt.Sscan(addr, &id); err != nil {
-		n.sim.t.Errorf("address %q", addr)
+		n.sim.t.Errorf("worker address %q: %v", addr, err)
 	}
 	n.sim.mu.Lock()
 	wk := n.sim.workers[id]
 	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.dropsResponses.Load() || !n.canReach(wk)
 	if !lost && (wk.delaysCommands.Load() || wk.paused.Load()) {
-		wk.delayedCommands = append(wk.delayedCommands, commandBatch{token, session, orders})
+		wk.delayedCommands = append(wk.delayedCommands, commandBatch{token, incarnation, commands})
 	}
 	if wk != nil && n.sim.recordingCommands {
-		wk.recordedCommands = append(wk.recordedCommands, commandBatch{token, session, orders})
+		wk.recordedCommands = append(wk.recordedCommands, commandBatch{token, incarnation, commands})
 	}
 	n.sim.mu.Unlock()
 	switch {
@@ -256,5 +290,54 @@
 		<-ctx.Done()
 		return worker.Unresolved, nil
 	}
-	return wk.executeDirect(token, session, orders)
+	return wk.executeDirect(token, incarnation, commands)
+}
+
+// waitWhilePaused blocks while the node is paused: what it sends leaves late, and what it
+// receives is handled late. Its clock goes on.
+func (n *fakeNode) waitWhilePaused() {
+	if resumed := n.resumed.Load(); resumed != nil {
+		<-*resumed
+	}
+}
+
+// pause pauses the node for a while, as a process that gets no processor time.
+func (n *fakeNode) pause(duration time.Duration) {
+	resumed := make(chan struct{})
+	n.resumed.Store(&resumed)
+	time.AfterFunc(duration, func() {
+		n.resumed.CompareAndSwap(&resumed, nil)
+		close(resumed)
+	})
+}
+
+// pausableStore is a node's client of the key-value store. A pause delays each request and
+// each response.
+type pausableStore struct {
+	storage.KeyValueStore
+	node *fakeNode
+}
+
+func (s pausableStore) Get(ctx context.Context, key string) (storage.Item, error) {
+	s.node.waitWhilePaused()
+	defer s.node.waitWhilePaused()
+	return s.KeyValueStore.Get(ctx, key)
+}
+
+func (s pausableStore) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
+	s.node.waitWhilePaused()
+	defer s.node.waitWhilePaused()
+	return s.KeyValueStore.Txn(ctx, guards, ops)
+}
+
+func (s pausableStore) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+	s.node.waitWhilePaused()
+	defer s.node.waitWhilePaused()
+	return s.KeyValueStore.Grant(ctx, life)
+}
+
+func (s pausableStore) Renew(ctx context.Context, lease uint64) error {
+	s.node.waitWhilePaused()
+	defer s.node.waitWhilePaused()
+	return s.KeyValueStore.Renew(ctx, lease)
 }
--- a/internal/scheduler/process_pause_test.go
+++ b/internal/scheduler/process_pause_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -11,55 +10,6 @@
 	"sagevale/internal/storage"
 )
 
-// waitWhilePaused holds up whoever passes while the node stands still: what it was about to send leaves late,
-// and what has come is learnt late. Its clocks go on.
-func (n *fakeNode) waitWhilePaused() {
-	if until := n.resumed.Load(); until != nil {
-		<-*until
-	}
-}
-
-// pause has the node stand still for a while.
-func (n *fakeNode) pause(d time.Duration) {
-	until := make(chan struct{})
-	n.resumed.Store(&until)
-	time.AfterFunc(d, func() {
-		n.resumed.CompareAndSwap(&until, nil)
-		close(until)
-	})
-}
-
-// pausableStore is a node's way to the state service. Each call is held up before it is sent and
-// before its answer is learnt.
-type pausableStore struct {
-	storage.KeyValueStore
-	node *fakeNode
-}
-
-func (g pausableStore) Get(ctx context.Context, key string) (storage.Item, error) {
-	g.node.waitWhilePaused()
-	defer g.node.waitWhilePaused()
-	return g.KeyValueStore.Get(ctx, key)
-}
-
-func (g pausableStore) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
-	g.node.waitWhilePaused()
-	defer g.node.waitWhilePaused()
-	return g.KeyValueStore.Txn(ctx, guards, ops)
-}
-
-func (g pausableStore) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	g.node.waitWhilePaused()
-	defer g.node.waitWhilePaused()
-	return g.KeyValueStore.Grant(ctx, life)
-}
-
-func (g pausableStore) Renew(ctx context.Context, lease uint64) error {
-	g.node.waitWhilePaused()
-	defer g.node.waitWhilePaused()
-	return g.KeyValueStore.Renew(ctx, lease)
-}
-
 // startWorkload submits services and arrays, and waits until they run.
 func (sim *simulation) startWorkload() {
 	sim.submit(clustertest.Service("000001", 3))
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -36,9 +36,3 @@
 		})
 	}
 }
-
-// submitFailing submits a job that fails wherever it runs.
-func (sim *simulation) submitFailing(id string) {
-	sim.withLock(func() { sim.failingJobs[id] = true })
-	sim.submit(arrayWithRuntime(id, 4, 2*time.Second))
-}
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -13,59 +13,60 @@
 
 // Steps that the scenarios share.
 
-// crash ends a node; it is back after a while, or stays away with 0.
-func (sim *simulation) crash(n *fakeNode, back time.Duration) {
+// crash ends a node's process. It restarts after the given time, or not at all with 0.
+func (sim *simulation) crash(n *fakeNode, restartAfter time.Duration) {
 	n.kill()
-	if back > 0 {
-		time.Sleep(back)
+	if restartAfter > 0 {
+		time.Sleep(restartAfter)
 		n.start()
 	}
 }
 
-// cutLeaderFromStore has the state service refuse the leader alone, and returns it.
+// cutLeaderFromStore cuts the leader alone off from the key-value store, and returns it.
 func (sim *simulation) cutLeaderFromStore() *fakeNode {
 	n := sim.awaitLeader()
 	n.cutStore.Store(true)
 	return n
 }
 
-// outage takes the state service down for all, for that long.
-func (sim *simulation) outage(d time.Duration) {
+// outage takes the key-value store down for all nodes.
+func (sim *simulation) outage(duration time.Duration) {
 	sim.state.Outage(true)
-	time.Sleep(d)
+	time.Sleep(duration)
 	sim.state.Outage(false)
 }
 
-// delayCommits has every nth transaction carried out late, without an answer.
-func (sim *simulation) delayCommits(nth int, late time.Duration) {
-	n := 0
+// delayCommits applies every nth transaction late and without a response, or with 0 none.
+func (sim *simulation) delayCommits(nth int, delay time.Duration) {
+	count := 0
 	sim.state.Update(func(s *storagetest.Service) {
 		s.Delay = func() time.Duration {
-			if n++; nth > 0 && n%nth == 0 {
-				return late + time.Duration(n%7)*time.Second
+			if count++; nth > 0 && count%nth == 0 {
+				return delay + time.Duration(count%7)*time.Second
 			}
 			return 0
 		}
 	})
 }
 
-// recordReports begins to keep copies of all reports; replay brings them to a node again.
+// recordReports records all reports from now on, for replayReports.
 func (sim *simulation) recordReports() { sim.withLock(func() { sim.recordingReports = true }) }
 
+// replayReports delivers the recorded reports to nodes again.
 func (sim *simulation) replayReports(nodes ...*fakeNode) {
-	var kept []*worker.Report
-	sim.withLock(func() { kept = sim.recordedReports })
+	var reports []*worker.Report
+	sim.withLock(func() { reports = sim.recordedReports })
 	for _, n := range nodes {
-		for _, r := range kept {
+		for _, r := range reports {
 			if live := n.live.Load(); live != nil {
-				copied := *r
-				live.HandleHeartbeat(sim.t.Context(), &copied)
+				report := *r
+				live.HandleHeartbeat(sim.t.Context(), &report)
 			}
 		}
 	}
 }
 
-// requestFromAll asks all nodes again and again within milliseconds.
+// requestFromAll polls and submits a job again at all nodes, three times within milliseconds.
 func (sim *simulation) requestFromAll(id string) {
 	for range 3 {
 		for _, n := range sim.nodes {
@@ -76,7 +77,7 @@
 	}
 }
 
-// awaitRunning waits until so many tasks of a job run.
+// awaitRunning waits until the given number of a job's tasks run.
 func (sim *simulation) awaitRunning(id string, tasks int) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), 4*time.Minute, func() bool { return len(sim.runningTasks(id)) == tasks })
@@ -88,34 +89,60 @@
 	sim.eventually("job "+id+" is done", 6*time.Minute, func() bool { return sim.poll(id).State == api.StateDone })
 }
 
-// awaitStopped waits until a cancelled job's tasks are gone; watch has the time.
+// awaitStopped waits until no task of a cancelled job runs. Whether they stop within the cancel
+// timeout is checked by watchCancelledJobs.
 func (sim *simulation) awaitStopped(id string) {
 	sim.t.Helper()
-	sim.eventually("job "+id+" is gone", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
+	sim.eventually("job "+id+" has stopped", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
 }
 
-// withLimitedTeam is a job of the team whose limit is two accelerators.
+// withLimitedTeam changes a job to one of the team whose limit is two GPUs; each task takes one.
 func withLimitedTeam(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
 }
 
-// arrayWithRuntime is an array whose tasks run for so long.
-func arrayWithRuntime(id string, tasks int, run time.Duration) storage.Spec {
-	s := clustertest.Array(id, tasks)
-	s.EstimateS = run.Seconds()
-	return s
+// arrayWithRuntime returns a job array whose tasks run for the given time.
+func arrayWithRuntime(id string, tasks int, runtime time.Duration) storage.Spec {
+	spec := clustertest.Array(id, tasks)
+	spec.EstimateS = runtime.Seconds()
+	return spec
+}
+
+// zonalService returns a service whose tasks all run in one zone.
+func zonalService(id, zone string, tasks int) storage.Spec {
+	spec := clustertest.Service(id, tasks)
+	spec.Zone = zone
+	return spec
 }
 
 // machinesOf lists the machines that a job runs on.
 func (sim *simulation) machinesOf(id string) []*fakeWorker {
-	var out []*fakeWorker
+	var machines []*fakeWorker
 	seen := make(map[int]bool)
 	for _, wk := range sim.runningTasks(id) {
 		if !seen[wk.id] {
 			seen[wk.id] = true
-			out = append(out, wk)
+			machines = append(machines, wk)
 		}
 	}
-	return out
+	return machines
 }
+
+// moveLeaderOutOf restarts leaders until the leader is outside the zone.
+func (sim *simulation) moveLeaderOutOf(zone string) {
+	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
+		n.kill()
+		sim.awaitLeader()
+		n.start()
+	}
+}
+
+// submitFailing submits a job that fails on any machine.
+func (sim *simulation) submitFailing(id string) {
+	sim.withLock(func() { sim.failingJobs[id] = true })
+	sim.submit(arrayWithRuntime(id, 4, 2*time.Second))
+}
+
+// startsSince returns the number of starts since an earlier startCount.
+func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -1,12 +1,14 @@
 package scheduler
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"io"
 	"log/slog"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -24,45 +26,49 @@
 	"sagevale/internal/worker"
 )
 
-// simulation is a small deployment in memory and simulated time: nodes, a state
-// service, a cloud, workers and the cuts between them. It watches the rules.
+// simulation is a small deployment in memory and simulated time: controllers, a
+// key-value store, a cloud, workers and the network between them. It reports violated
+// invariants as errors of the test.
 type simulation struct {
-	t                 *testing.T
-	settings          config.Settings
-	state             *storagetest.Service
-	cloud             *fakeCloud
-	nodes             []*fakeNode
-	mu                sync.Mutex // guards what follows, and all workers and the cloud
+	t        *testing.T
+	settings config.Settings
+	state    *storagetest.Service
+	cloud    *fakeCloud
+	nodes    []*fakeNode
+	log      *slog.Logger
+
+	// mu guards the fields of this group, and all workers and the cloud.
+	mu                sync.Mutex
 	workers           map[int]*fakeWorker
 	specs             map[string]storage.Spec
-	cancelledAt       map[string]time.Time    // when a user was told so
-	reportedStates    map[string]api.JobState // the latest that a user was told, running as pending
-	cancelRequested   map[string]bool         // jobs that a user asked to cancel
-	completed         map[worker.TaskID]bool  // tasks that have completed
-	recordedReports   []*worker.Report        // copies of reports, to come again late
+	cancelledAt       map[string]time.Time    // when a cancellation was first confirmed to a user
+	reportedStates    map[string]api.JobState // the latest state in a response to a user; pending for any that isn't final
+	cancelRequested   map[string]bool         // jobs with a cancel request, answered or not
+	completed         map[worker.TaskID]bool
+	recordedReports   []*worker.Report // to be delivered again late
 	recordingReports  bool
-	recordingCommands bool            // copies of direct orders are kept, to be repeated late
-	gangStarts        map[string]int  // how often a gang has begun
-	overdue           map[string]bool // cancelled jobs seen beyond their time
-	failingJobs       map[string]bool // jobs that fail wherever they run
+	recordingCommands bool            // direct commands are recorded, to be delivered again late
+	gangStarts        map[string]int  // number of times that all tasks of a gang began to run, by job
+	overdue           map[string]bool // cancelled jobs reported for running beyond the cancel timeout
+	failingJobs       map[string]bool // jobs whose tasks end in an error on any machine
 	starts            int
-	startsByJob       map[string][]startRecord // starts that a worker took on, by job
-	wakeRequests      []activation.WakeRequest // that nodes sent each other, to come again late
-	served            []porcupine.Operation    // requests to models that were passed on
-	usageReports      []activation.UsageReport // likewise
-	failAfter         map[string]time.Duration // jobs whose tasks fail after so long on any machine
-	isolatedZone      atomic.Pointer[string]   // a zone that is cut off from everything
-	ended             atomic.Bool              // machines that boot now stay away
-	messagesDropped   atomic.Bool              // a leader has been killed with what it sent
-	processCount      atomic.Uint64            // processes that were begun
-	requestsMayFail   atomic.Bool              // machines or models fail, so that requests may find none
-	processMu         sync.Mutex               // of nodes that several troubles begin and end
-	log               *slog.Logger
-	maxLogDelay       atomic.Int64 // up to how long each log record holds up its node, in ns
+	startsByJob       map[string][]startRecord // start commands that a worker accepted
+	wakeRequests      []activation.WakeRequest // sent between nodes, to be delivered again late
+	served            []porcupine.Operation    // requests to models that were forwarded
+	usageReports      []activation.UsageReport // sent between nodes, to be delivered again late
+	failAfter         map[string]time.Duration // run time after which the tasks of a job fail on any machine
+
+	isolatedZone    atomic.Pointer[string] // this zone reaches nothing outside itself; "" or nil: none
+	ended           atomic.Bool            // no further machines come up
+	messagesDropped atomic.Bool            // a leader has been killed together with what it sent
+	processCount    atomic.Uint64          // controller processes started so far
+	requestsMayFail atomic.Bool            // machines or models fail, so requests may go unserved
+	processMu       sync.Mutex             // serializes faults that stop and start nodes
+	maxLogDelay     atomic.Int64           // upper bound in ns of the delay of a log call; 0: none
 }
 
-// slowLogHandler holds up whoever logs: what comes between a check and its effect on a
-// processor that falls behind.
+// slowLogHandler delays the logging goroutine at random. It stands for a slow processor: a
+// delay may fall between any check and its effect.
 type slowLogHandler struct {
 	slog.Handler
 	sim  *simulation
@@ -70,37 +76,37 @@
 	rand *rand.Rand
 }
 
-// Enabled has all levels logged while the processor is slow.
-func (p *slowLogHandler) Enabled(context.Context, slog.Level) bool {
-	return p.sim.maxLogDelay.Load() > 0
+// Enabled reports whether delays are on: then all levels are logged.
+func (h *slowLogHandler) Enabled(context.Context, slog.Level) bool {
+	return h.sim.maxLogDelay.Load() > 0
 }
 
-// Handle takes its time.
-func (p *slowLogHandler) Handle(context.Context, slog.Record) error {
-	most := p.sim.maxLogDelay.Load()
-	if most <= 0 {
+// Handle drops the record after the delay.
+func (h *slowLogHandler) Handle(context.Context, slog.Record) error {
+	maxDelay := h.sim.maxLogDelay.Load()
+	if maxDelay <= 0 {
 		return nil
 	}
-	p.mu.Lock()
-	pause := p.rand.Int64N(most)
-	p.mu.Unlock()
-	time.Sleep(time.Duration(pause))
+	h.mu.Lock()
+	delay := h.rand.Int64N(maxDelay)
+	h.mu.Unlock()
+	time.Sleep(time.Duration(delay))
 	return nil
 }
 
-// WithAttrs keeps the handler as it is.
-func (p *slowLogHandler) WithAttrs([]slog.Attr) slog.Handler { return p }
+// WithAttrs ignores the attributes, since no record is written.
+func (h *slowLogHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
 // runSimulation runs a scenario in simulated time.
-func runSimulation(t *testing.T, story func(sim *simulation)) {
+func runSimulation(t *testing.T, run func(sim *simulation)) {
 	t.Helper()
-	runSimulationWithSettings(t, func(*config.Settings) {}, story)
+	runSimulationWithSettings(t, func(*config.Settings) {}, run)
 }
 
-// runSimulationWithSettings runs a scenario in simulated time, with settings of its own.
-func runSimulationWithSettings(t *testing.T, change func(*config.Settings), story func(sim *simulation)) {
+// runSimulationWithSettings runs a scenario with changed settings.
+func runSimulationWithSettings(t *testing.T, change func(*config.Settings), run func(sim *simulation)) {
 	t.Helper()
-	runSimulationWithTuning(t, change, func(*config.Tuning) {}, story)
+	runSimulationWithTuning(t, change, func(*config.Tuning) {}, run)
 }
 
 // threeControllers and fiveControllers are the zones of a deployment's controllers.
@@ -109,101 +115,134 @@
 	fiveControllers  = []string{"a", "b", "a", "b", "a"}
 )
 
-// runSimulationWithTuning runs a scenario with the operators' settings changed too.
-func runSimulationWithTuning(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
+// runSimulationWithTuning runs a scenario with changed settings and tuning.
+func runSimulationWithTuning(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), run func(sim *simulation)) {
 	t.Helper()
-	runSimulationInZones(t, threeControllers, change, tune, story)
+	runSimulationInZones(t, threeControllers, change, tune, run)
 }
 
-// runSimulationInZones runs a scenario with controllers in these zones.
-func runSimulationInZones(t *testing.T, controllers []string, change func(*config.Settings), tune func(*config.Tuning), story func(sim *simulation)) {
+// runSimulationInZones runs a scenario with one controller in each of the zones.
+func runSimulationInZones(t *testing.T, zones []string, change func(*config.Settings), tune func(*config.Tuning), run func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		sim := &simulation{
-			t: t,
-			settings: config.Settings{
-				Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 22 * time.Second, CancelTimeout: 52 * time.Second, GangWait: 45 * time.Second, GangStopWindow: 4 * time.Second,
-				Teams:    []config.Team{{Name: "team"}, {Name: "small", Limit: storage.Resources{GPUs: 2}}},
-				State:    storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
-				CloudRPS: 6, ListLag: 4 * time.Second, MemoryMB: 98, Sockets: 1000,
-			},
-			workers: make(map[int]*fakeWorker), specs: make(map[string]storage.Spec), cancelledAt: make(map[string]time.Time),
-			reportedStates: make(map[string]api.JobState), cancelRequested: make(map[string]bool), completed: make(map[worker.TaskID]bool), overdue: make(map[string]bool), failingJobs: make(map[string]bool), gangStarts: make(map[string]int),
-			startsByJob: make(map[string][]startRecord), failAfter: make(map[string]time.Duration),
-		}
-		sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
-		change(&sim.settings)
-		sim.settings.Tuning = sim.settings.DefaultTuning()
-		tune(&sim.settings.Tuning)
-		sim.state = storagetest.NewService()
-		sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int)}
-		for i, zone := range controllers {
-			sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
-		}
+		settings := simulationSettings()
+		change(&settings)
+		settings.Tuning = settings.DefaultTuning()
+		tune(&settings.Tuning)
+		sim := newSimulation(t, settings, zones)
 		for _, n := range sim.nodes {
 			n.start()
 		}
 		go sim.watchCancelledJobs()
-		defer func() {
-			for _, n := range sim.nodes {
-				n.kill()
-			}
-			sim.mu.Lock()
-			sim.ended.Store(true)
-			sim.mu.Unlock()
-			for _, wk := range sim.allWorkers() {
-				wk.dead.Store(true)
-			}
-			sim.state.Close()
-			time.Sleep(time.Minute)
-		}()
-		story(sim)
+		defer sim.shutDown()
+		run(sim)
 	})
 }
 
+// simulationSettings are the settings of a scenario that doesn't change them.
+func simulationSettings() config.Settings {
+	return config.Settings{
+		Zones:             []string{"a", "b"},
+		HeartbeatInterval: 3 * time.Second,
+		WorkerLease:       22 * time.Second,
+		CancelTimeout:     52 * time.Second,
+		GangWait:          45 * time.Second,
+		GangStopWindow:    4 * time.Second,
+		Teams:             []config.Team{{Name: "team"}, {Name: "small", Limit: storage.Resources{GPUs: 2}}},
+		State:             storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32},
+		CloudRPS:          6,
+		ListLag:           4 * time.Second,
+		MemoryMB:          98,
+		Sockets:           1000,
+	}
+}
+
+// newSimulation returns a deployment whose controllers are not started yet.
+func newSimulation(t *testing.T, settings config.Settings, zones []string) *simulation {
+	sim := &simulation{
+		t:               t,
+		settings:        settings,
+		state:           storagetest.NewService(),
+		workers:         make(map[int]*fakeWorker),
+		specs:           make(map[string]storage.Spec),
+		cancelledAt:     make(map[string]time.Time),
+		reportedStates:  make(map[string]api.JobState),
+		cancelRequested: make(map[string]bool),
+		completed:       make(map[worker.TaskID]bool),
+		gangStarts:      make(map[string]int),
+		overdue:         make(map[string]bool),
+		failingJobs:     make(map[string]bool),
+		startsByJob:     make(map[string][]startRecord),
+		failAfter:       make(map[string]time.Duration),
+	}
+	sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
+	sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int), launchCalls: make(map[string]int), terminated: make(map[int]bool)}
+	for i, zone := range zones {
+		sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
+	}
+	return sim
+}
+
+// shutDown ends all processes and machines, and gives their goroutines time to return.
+func (sim *simulation) shutDown() {
+	for _, n := range sim.nodes {
+		n.kill()
+	}
+	sim.withLock(func() { sim.ended.Store(true) })
+	for _, wk := range sim.allWorkers() {
+		wk.dead.Store(true)
+	}
+	sim.state.Close()
+	time.Sleep(time.Minute)
+}
+
+// leader returns the node that leads under a valid lease with the state loaded, or nil.
 func (sim *simulation) leader() *fakeNode {
-	var lead *fakeNode
+	var leader *fakeNode
 	for _, n := range sim.nodes {
 		live := n.live.Load()
 		if live == nil {
 			continue
 		}
 		if v := live.view.Load(); v.scheduler != nil && time.Now().Before(v.role.LeaseValidUntil) {
-			if lead != nil {
-				sim.t.Fatal("two nodes lead for certain")
+			if leader != nil {
+				sim.t.Fatalf("two leaders hold valid leases: %s and %s", leader.name, n.name)
 			}
-			lead = n
+			leader = n
 		}
 	}
-	return lead
+	return leader
 }
 
 // awaitLeader waits until some node leads with the state loaded.
 func (sim *simulation) awaitLeader() *fakeNode {
+	sim.t.Helper()
 	for range 300 {
 		if n := sim.leader(); n != nil {
 			return n
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	sim.t.Fatal("no leader")
+	sim.t.Fatal("no leader after 30s")
 	return nil
 }
 
-// request puts a user's request to the nodes in turn until one decides it.
+// request sends a user's request to the nodes in turn until one decides it.
 func (sim *simulation) request(op api.Op, id string, spec storage.Spec) api.Response {
-	for try := range 120 {
-		if a := sim.requestFrom(sim.nodes[try%len(sim.nodes)], op, id, spec); a.Decided() {
-			return a
+	sim.t.Helper()
+	for attempt := range 120 {
+		n := sim.nodes[attempt%len(sim.nodes)]
+		if response := sim.requestFrom(n, op, id, spec); response.Decided() {
+			return response
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	sim.t.Fatalf("no node decides on job %s", id)
+	sim.t.Fatalf("no node decides request %v for job %s", op, id)
 	return api.Response{}
 }
 
-// requestFrom puts one request to one node, and checks that the answer is no older
-// than what any node had told before it was asked.
+// requestFrom sends one request to one node, and checks that the response is no older
+// than any response that was received before the request was sent.
 func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.live.Load()
 	if live == nil {
@@ -215,149 +254,163 @@
 		before, known = sim.reportedStates[id]
 		sim.cancelRequested[id] = sim.cancelRequested[id] || op == api.OpCancel
 	})
+	// Not the test's context: a scenario may leave a request running when it ends.
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	n.waitWhilePaused()
-	a := live.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: spec})
+	response := live.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: spec})
 	n.waitWhilePaused()
-	late := ctx.Err() != nil
+	timedOut := ctx.Err() != nil
 	cancel()
-	if late {
+	if timedOut {
 		return api.Unavailable(id, "the user has gone")
 	}
-	if !a.Decided() {
-		return a
+	if !response.Decided() {
+		return response
 	}
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	if a.Code == api.CodeNotFound || a.Code == api.CodeInfeasible {
-		if known {
-			sim.t.Errorf("forgotten: job %s, told %v, is answered %+v by %s", id, before, a, n.name)
+	sim.withLock(func() {
+		if response.Code != api.CodeNotFound && response.Code != api.CodeInfeasible {
+			sim.checkState(n, id, response, before, known)
+		} else if known {
+			sim.t.Errorf("forgotten: job %s was reported as %v, now %s responds %+v", id, before, n.name, response)
 		}
-		return a
-	}
+	})
+	return response
+}
+
+// checkState checks the state of a job in a response and records it. The state before is the
+// one known when the request was sent. It is called under the lock.
+func (sim *simulation) checkState(n *fakeNode, id string, response api.Response, before api.JobState, known bool) {
 	now := api.StatePending
-	if a.Final() {
-		now = a.State
+	if response.Final() {
+		now = response.State
 	}
 	if known && before != api.StatePending && now != before {
-		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, a, n.name)
+		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, response, n.name)
 	}
 	switch {
 	case now == api.StateCancelled && !sim.cancelRequested[id]:
-		sim.t.Errorf("went_back: nobody cancelled job %s", id)
+		sim.t.Errorf("went_back: job %s is cancelled without a request", id)
 	case now == api.StateCancelled && sim.cancelledAt[id].IsZero():
 		sim.cancelledAt[id] = time.Now()
 	case now == api.StateDone:
-		for _, wk := range sim.workers {
-			wk.advance()
-		}
-		for i := range sim.specs[id].Tasks {
-			if !sim.completed[worker.TaskID{Job: id, Task: i}] {
-				sim.t.Errorf("not_done: job %s without task %d", id, i)
-			}
-		}
+		sim.checkAllCompleted(id)
 	}
 	if sim.reportedStates[id] == api.StatePending {
 		sim.reportedStates[id] = now
 	}
-	return a
 }
 
-// watchCancelledJobs looks out for tasks that outlive their job's cancel.
+// checkAllCompleted checks that each task of a job reported as done has completed. It is
+// called under the lock.
+func (sim *simulation) checkAllCompleted(id string) {
+	for _, wk := range sim.workers {
+		wk.advance()
+	}
+	for task := range sim.specs[id].Tasks {
+		if !sim.completed[worker.TaskID{Job: id, Task: task}] {
+			sim.t.Errorf("not_done: job %s is done without task %d", id, task)
+		}
+	}
+}
+
+// watchCancelledJobs looks for tasks that run beyond their job's cancel timeout.
 func (sim *simulation) watchCancelledJobs() {
 	for !sim.ended.Load() {
 		time.Sleep(250 * time.Millisecond)
 		sim.withLock(func() {
 			sim.advanceGangs()
 			for _, wk := range sim.workers {
-				if wk.dead.Load() || wk.paused.Load() {
-					continue // one that stands still runs nothing, unless it goes on
-				}
-				wk.advance()
-				for k, t := range wk.tasks {
-					job := k.ID.Job
-					at, ok := sim.cancelledAt[job]
-					if ok && t.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overdue[job] {
-						sim.overdue[job] = true
-						sim.t.Errorf("ran_cancelled: %v is on %d %v after", k.ID, wk.id, time.Since(at))
-					}
+				if !wk.dead.Load() && !wk.paused.Load() { // a paused worker runs nothing until it resumes
+					sim.checkCancelledTasks(wk)
 				}
 			}
 		})
 	}
 }
 
-// advanceGangs has the tasks of gangs find each other: by the number of the attempt they
-// start together, and notice that one is gone.
+// checkCancelledTasks reports each cancelled job once that runs on a worker beyond the cancel
+// timeout. It is called under the lock.
+func (sim *simulation) checkCancelledTasks(wk *fakeWorker) {
+	wk.advance()
+	for k, task := range wk.tasks {
+		job := k.ID.Job
+		at, ok := sim.cancelledAt[job]
+		if ok && task.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overdue[job] {
+			sim.overdue[job] = true
+			sim.t.Errorf("ran_cancelled: %v is on machine %d %v after its cancellation, want at most %v", k.ID, wk.id, time.Since(at), sim.settings.CancelTimeout)
+		}
+	}
+}
+
+// advanceGangs lets the tasks of a gang's attempt start together and notice the end of
+// another one. It is called under the lock.
 func (sim *simulation) advanceGangs() {
-	type attemptKey struct {
-		job string
-		try uint64
+	type gangAttempt struct {
+		job    string
+		number uint64
 	}
-	now := time.Now()
-	gangs := make(map[attemptKey][]*workerTask)
+	gangs := make(map[gangAttempt][]*workerTask)
 	for _, wk := range sim.workers {
 		if wk.dead.Load() || wk.paused.Load() {
 			continue
 		}
 		wk.advance()
-		for k, t := range wk.tasks {
+		for k, task := range wk.tasks {
 			if sim.specs[k.ID.Job].Gang {
-				g := attemptKey{k.ID.Job, k.Number}
-				gangs[g] = append(gangs[g], t)
+				g := gangAttempt{k.ID.Job, k.Number}
+				gangs[g] = append(gangs[g], task)
 			}
 		}
 	}
 	for g, tasks := range gangs {
-		spec := sim.specs[g.job]
-		waiting, running, done := 0, 0, 0
-		for _, t := range tasks {
-			switch {
-			case t.state == worker.Gathering:
-				waiting++
-			case t.state == worker.Running:
-				running++
-			case t.cause == worker.CauseDone:
-				done++
-			}
+		if sim.advanceGang(sim.specs[g.job], tasks) {
+			sim.gangStarts[g.job]++
 		}
-		for _, t := range tasks {
-			switch {
-			case waiting == spec.Tasks:
-				t.state, t.since, t.ends = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
-			case t.state == worker.Gathering && now.Sub(t.since) > sim.settings.GangWait:
-				t.state, t.cause = worker.Exited, worker.CausePeers
-			case t.state != worker.Running || running+done == spec.Tasks:
-			case t.since.After(now.Add(-sim.settings.GangStopWindow)) && t.ends.IsZero():
-			case !t.ends.IsZero() && running+done < spec.Tasks:
-				t.ends, t.since = time.Time{}, now // it notices soon
-			case t.ends.IsZero():
-				t.state, t.cause = worker.Exited, worker.CausePeers
-			}
+	}
+}
+
+// advanceGang advances the tasks of one attempt of a gang, and reports whether all of them
+// were gathered and begin to run.
+func (sim *simulation) advanceGang(spec storage.Spec, tasks []*workerTask) (started bool) {
+	now := time.Now()
+	gathering, running, done := 0, 0, 0
+	for _, task := range tasks {
+		switch {
+		case task.state == worker.Gathering:
+			gathering++
+		case task.state == worker.Running:
+			running++
+		case task.cause == worker.CauseDone:
+			done++
 		}
-		if waiting == spec.Tasks {
-			sim.gangStarts[g.job]++
+	}
+	for _, task := range tasks {
+		switch {
+		case gathering == spec.Tasks:
+			task.state, task.since, task.ends = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
+		case task.state == worker.Gathering && now.Sub(task.since) > sim.settings.GangWait:
+			task.state, task.cause = worker.Exited, worker.CausePeers
+		case task.state != worker.Running || running+done == spec.Tasks:
+		case task.since.After(now.Add(-sim.settings.GangStopWindow)) && task.ends.IsZero():
+		case !task.ends.IsZero() && running+done < spec.Tasks:
+			task.ends, task.since = time.Time{}, now // it exits after the stop window
+		case task.ends.IsZero():
+			task.state, task.cause = worker.Exited, worker.CausePeers
 		}
 	}
+	return gathering == spec.Tasks
 }
 
-// storeSpec makes a job's description known to the workers.
+// storeSpec makes a job's specification known to the workers.
 func (sim *simulation) storeSpec(spec storage.Spec) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	sim.specs[spec.ID] = spec
+	sim.withLock(func() { sim.specs[spec.ID] = spec })
 }
 
-// allWorkers lists the machines that ever came up.
+// allWorkers lists the machines that ever came up, in order of their numbers.
 func (sim *simulation) allWorkers() []*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []*fakeWorker
-	for _, wk := range sim.workers {
-		out = append(out, wk)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].id < out[b].id })
-	return out
+	return slices.SortedFunc(maps.Values(sim.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.id, b.id) })
 }
 
 // withLock runs f under the simulation's lock.
@@ -367,7 +420,7 @@
 	f()
 }
 
-// isolateZone cuts a zone off from everything, or with "" ends that.
+// isolateZone cuts a zone off from everything outside it, or with "" reconnects all zones.
 func (sim *simulation) isolateZone(zone string) {
 	sim.isolatedZone.Store(&zone)
 	for _, n := range sim.nodes {
@@ -376,6 +429,7 @@
 	}
 }
 
+// startCount returns the number of start commands that workers have accepted so far.
 func (sim *simulation) startCount() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -385,45 +439,46 @@
 func (sim *simulation) submit(spec storage.Spec) {
 	sim.t.Helper()
 	sim.storeSpec(spec)
-	if a := sim.request(api.OpSubmit, spec.ID, spec); a.Code != api.CodeCreated && a.Code != api.CodeOK {
-		sim.t.Fatalf("job %s not accepted: %+v", spec.ID, a)
+	if got := sim.request(api.OpSubmit, spec.ID, spec); got.Code != api.CodeCreated && got.Code != api.CodeOK {
+		sim.t.Fatalf("submit of job %s: got %+v, want it accepted", spec.ID, got)
 	}
 }
 
 func (sim *simulation) cancel(id string) {
 	sim.t.Helper()
-	if a := sim.request(api.OpCancel, id, storage.Spec{}); a.Code != api.CodeOK || a.State != api.StateCancelled {
-		sim.t.Fatalf("job %s not cancelled: %+v", id, a)
+	if got := sim.request(api.OpCancel, id, storage.Spec{}); got.Code != api.CodeOK || got.State != api.StateCancelled {
+		sim.t.Fatalf("cancel of job %s: got %+v, want it cancelled", id, got)
 	}
 }
 
 func (sim *simulation) poll(id string) api.Response {
+	sim.t.Helper()
 	return sim.request(api.OpPoll, id, storage.Spec{})
 }
 
-// eventually waits for a condition.
-func (sim *simulation) eventually(what string, within time.Duration, ok func() bool) {
+// eventually waits until a condition holds, and fails the test if it doesn't in time.
+func (sim *simulation) eventually(what string, timeout time.Duration, condition func() bool) {
 	sim.t.Helper()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if ok() {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	sim.t.Fatalf("within %v not seen: %s", within, what)
+	sim.t.Fatalf("not within %v: %s", timeout, what)
 }
 
-// runningTasks lists where a job's tasks run now.
+// runningTasks returns the worker of each task of a job that runs now.
 func (sim *simulation) runningTasks(id string) map[worker.TaskID]*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	out := make(map[worker.TaskID]*fakeWorker)
+	running := make(map[worker.TaskID]*fakeWorker)
 	for _, wk := range sim.workers {
 		wk.advance()
-		for k, t := range wk.tasks {
-			if k.ID.Job == id && !wk.dead.Load() && t.state != worker.Exited {
-				out[k.ID] = wk
+		for k, task := range wk.tasks {
+			if k.ID.Job == id && !wk.dead.Load() && task.state != worker.Exited {
+				running[k.ID] = wk
 			}
 		}
 	}
-	return out
+	return running
 }
