--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -12,20 +12,22 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The operators' list of troubles that broke rules where two of them met. Each
-// scenario brings one combination of faults about; the simulation watches the rules all the while:
-// launch checks places, limits and doubles, watch what outlives a cancel, look
-// what users are told. docs/combined-faults.md names the code that guards each.
+// Combinations of faults that violated invariants on real machines, as the operators listed
+// them. Each scenario produces one combination while the simulation checks the invariants:
+// fakeWorker.checkStart checks placement, limits and duplicate tasks, watchCancelledJobs checks
+// cancellations, and requestFrom checks the responses to users. docs/combined-faults.md names
+// the code that guards against each combination.
 
-// scenario is a scenario of faults that meet.
+// scenario is a named run of the simulation.
 type scenario struct {
 	name string
 	run  func(sim *simulation)
 }
 
-// leaderFaultScenarios are those of leaders, the state service and the links between them.
+// leaderFaultScenarios are combinations of faults of leaders, the key-value store and the
+// network between them.
 var leaderFaultScenarios = []scenario{
-	{"a transaction whose answer alone is lost", func(sim *simulation) {
+	{"a transaction is applied and its response lost", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 3, 40*time.Second))
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000002", 2)
@@ -40,7 +42,7 @@
 		sim.awaitDone("000001")
 		sim.awaitStopped("000002")
 	}},
-	{"a cut zone with a controller, beyond the lease", func(sim *simulation) {
+	{"a zone with a controller isolated beyond the worker lease", func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 4))
 		sim.submit(zonalService("000002", "b", 4))
 		sim.awaitRunning("000001", 4)
@@ -54,7 +56,7 @@
 		sim.isolateZone("")
 		sim.awaitRunning("000002", 4)
 	}},
-	{"transactions carried out late, after newer ones", func(sim *simulation) {
+	{"transactions applied late, after newer ones", func(sim *simulation) {
 		sim.delayCommits(4, 2*time.Second)
 		for i := range 12 {
 			id := fmt.Sprintf("%06d", i+1)
@@ -74,15 +76,15 @@
 			}
 		}
 	}},
-	{"handing over and back, all end, one returns at once", func(sim *simulation) {
+	{"leadership moves back and forth, all nodes end, one restarts at once", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
 		sim.submit(arrayWithRuntime("000002", 3, time.Minute))
 		sim.awaitRunning("000001", 3)
 		for range 3 {
-			a := sim.awaitLeader()
-			a.kill()
+			leader := sim.awaitLeader()
+			leader.kill()
 			time.Sleep(300 * time.Millisecond)
-			a.start()
+			leader.start()
 			sim.awaitLeader().node.resign(sim.awaitLeader().node.view.Load().role.Term)
 			time.Sleep(2 * time.Second)
 		}
@@ -100,7 +102,7 @@
 		sim.awaitStopped("000001")
 		sim.awaitDone("000002")
 	}},
-	{"a slow state service, then the leader alone refused, then all", func(sim *simulation) {
+	{"a slow store, then the leader cut from it, then an outage for all", func(sim *simulation) {
 		for i := range 4 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", i+1), 2))
 			sim.awaitRunning(fmt.Sprintf("%06d", i+1), 2)
@@ -121,10 +123,10 @@
 		sim.awaitStopped("000003")
 		sim.awaitRunning("000004", 2)
 	}},
-	{"a leader without store and peers, with workers and users", func(sim *simulation) {
+	{"a leader without store and peers that workers and users reach", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.submit(clustertest.Service("000003", 2)) // the successor must not start it anew while it runs
+		sim.submit(clustertest.Service("000003", 2)) // the successor must not start its tasks again while they run
 		sim.awaitRunning("000001", 2)
 		sim.awaitRunning("000002", 2)
 		sim.awaitRunning("000003", 2)
@@ -154,7 +156,7 @@
 		sim.awaitStopped("000002")
 		sim.awaitRunning("000003", 2)
 	}},
-	{"all controllers away, beyond the lease", func(sim *simulation) {
+	{"all controllers down beyond the worker lease", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
 		sim.submit(arrayWithRuntime("000002", 3, 30*time.Second))
 		sim.submit(clustertest.Service("000003", 2))
@@ -171,7 +173,7 @@
 		sim.awaitRunning("000001", 3)
 		sim.awaitDone("000002")
 	}},
-	{"a leader ends while long tasks can't be reached or don't hear", func(sim *simulation) {
+	{"a leader ends while machines are unreachable or drop responses", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 6, 3*time.Minute))
 		sim.submit(clustertest.Service("000002", 6))
 		sim.awaitRunning("000001", 6)
@@ -195,7 +197,7 @@
 		sim.awaitStopped("000002")
 		sim.awaitDone("000001")
 	}},
-	{"ten leaders in two minutes, also within an outage", func(sim *simulation) {
+	{"ten leader restarts in two minutes, some within an outage", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.submit(arrayWithRuntime("000002", 4, 30*time.Second))
 		sim.awaitRunning("000001", 4)
@@ -218,11 +220,10 @@
 		sim.awaitStopped("000001")
 		sim.awaitDone("000002")
 	}},
-	{"questions at all nodes right after each word", func(sim *simulation) {
+	{"polls at all nodes right after each response", func(sim *simulation) {
 		for i := range 12 {
 			id := fmt.Sprintf("%06d", i+1)
-			s := arrayWithRuntime(id, 1, 5*time.Second)
-			sim.submit(s)
+			sim.submit(arrayWithRuntime(id, 1, 5*time.Second))
 			sim.requestFromAll(id)
 			if i%3 == 0 {
 				sim.cancel(id)
@@ -246,7 +247,7 @@
 			}
 		}
 	}},
-	{"cancels in the seconds in which a controller's work changes hands", func(sim *simulation) {
+	{"cancellations during failover", func(sim *simulation) {
 		for i := range 6 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", i+1), 2))
 		}
@@ -277,16 +278,16 @@
 			sim.awaitStopped(fmt.Sprintf("%06d", i+1))
 		}
 	}},
-	{"cancels, questions and repeats at the end of a last task", func(sim *simulation) {
+	{"cancellations, polls and repeated submissions as the last task ends", func(sim *simulation) {
 		for i := range 40 {
 			id := fmt.Sprintf("%06d", i+1)
 			sim.submit(arrayWithRuntime(id, 1, 10*time.Second))
 			sim.awaitRunning(id, 1)
 			time.Sleep(9900*time.Millisecond + time.Duration(i)*10*time.Millisecond)
 			sim.requestFromAll(id)
-			sim.eventually("a final state", time.Minute, func() bool {
-				a := sim.request(api.OpCancel, id, storage.Spec{})
-				return a.Final()
+			sim.eventually("job "+id+" is in a final state", time.Minute, func() bool {
+				response := sim.request(api.OpCancel, id, storage.Spec{})
+				return response.Final()
 			})
 			sim.requestFromAll(id)
 		}
@@ -294,7 +295,7 @@
 }
 
 func TestCombinedFaults(t *testing.T) {
-	for _, m := range slices.Concat(leaderFaultScenarios, machineFaultScenarios) {
-		t.Run(m.name, func(t *testing.T) { runSimulation(t, m.run) })
+	for _, s := range slices.Concat(leaderFaultScenarios, machineFaultScenarios) {
+		t.Run(s.name, func(t *testing.T) { runSimulation(t, s.run) })
 	}
 }
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -9,9 +9,9 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// machineFaultScenarios are those of machines, their reports and what they run.
+// machineFaultScenarios are combinations of faults of machines, their reports and their tasks.
 var machineFaultScenarios = []scenario{
-	{"zone-bound jobs and arrays lose machines", func(sim *simulation) {
+	{"jobs with zone constraints lose machines", func(sim *simulation) {
 		a, b, c := clustertest.Array("000001", 6), zonalService("000002", "b", 4), arrayWithRuntime("000003", 5, time.Minute)
 		a.SameZone, a.EstimateS, c.Spread = true, 60, true
 		for _, s := range []storage.Spec{a, b, c} {
@@ -38,15 +38,15 @@
 		sim.awaitDone("000001")
 		sim.awaitDone("000003")
 	}},
-	{"tasks end far apart across a change of leader", func(sim *simulation) {
+	{"tasks end far apart across failovers", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 2, 20*time.Second))
 		sim.submit(arrayWithRuntime("000002", 3, 20*time.Second))
 		sim.awaitRunning("000002", 3)
 		sim.withLock(func() {
 			for _, wk := range sim.workers {
-				for k, t := range wk.tasks {
+				for k, task := range wk.tasks {
 					if k.ID.Task > 0 {
-						t.ends = t.ends.Add(time.Duration(k.ID.Task) * 40 * time.Second)
+						task.ends = task.ends.Add(time.Duration(k.ID.Task) * 40 * time.Second)
 					}
 				}
 			}
@@ -60,7 +60,7 @@
 		sim.awaitDone("000001")
 		sim.awaitDone("000002")
 	}},
-	{"one-task jobs, four a second, a quarter cancelled", func(sim *simulation) {
+	{"small jobs, four a second, a quarter cancelled", func(sim *simulation) {
 		const jobs = 480
 		for i := range jobs {
 			s := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
@@ -80,16 +80,15 @@
 			}
 		}
 		if n := len(sim.state.Keys("log/")); n > 400 {
-			sim.t.Errorf("%d chunks are left", n)
+			sim.t.Errorf("got %d journal chunks, want at most 400", n)
 		}
 	}},
-	{"workers that reach no controller, but direct commands reach them", func(sim *simulation) {
+	{"workers that only direct commands reach", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 6))
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000001", 6)
 		sim.awaitRunning("000002", 2)
-		mute := sim.machinesOf("000002")
-		for _, wk := range mute {
+		for _, wk := range sim.machinesOf("000002") {
 			wk.dropsHeartbeats.Store(true)
 		}
 		sim.cancel("000002")
@@ -98,16 +97,16 @@
 		time.Sleep(4 * sim.settings.WorkerLease)
 		sim.awaitStopped("000002")
 		if n := sim.startCount() - before; n > 2*6 {
-			sim.t.Errorf("%d starts while some machines are mute", n)
+			sim.t.Errorf("got %d starts while some machines can't report, want at most %d", n, 2*6)
 		}
 		for id, wk := range sim.runningTasks("000001") {
 			if wk.dropsHeartbeats.Load() {
-				sim.t.Errorf("%v is on a machine that can't report", id)
+				sim.t.Errorf("task %v is on machine %d, which can't report", id, wk.id)
 			}
 		}
 		sim.awaitRunning("000001", 6)
 	}},
-	{"reports held back until a new leader has acted", func(sim *simulation) {
+	{"reports delayed until a new leader has acted", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.submit(arrayWithRuntime("000002", 4, 20*time.Second))
 		sim.awaitRunning("000001", 4)
@@ -123,7 +122,7 @@
 		sim.awaitStopped("000001")
 		sim.awaitDone("000002")
 	}},
-	{"machines up within two seconds, work at once, writes lag, the leader ends", func(sim *simulation) {
+	{"fast provisioning, delayed commits and leader restarts", func(sim *simulation) {
 		sim.withLock(func() { sim.cloud.bootTime = 1500 * time.Millisecond })
 		sim.delayCommits(3, time.Second)
 		for i := range 8 {
@@ -138,14 +137,14 @@
 			sim.awaitDone(fmt.Sprintf("%06d", i+1))
 		}
 	}},
-	{"old reports after newer ones, of earlier sessions and attempts", func(sim *simulation) {
+	{"stale reports of earlier incarnations and attempts", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 4, 50*time.Second))
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000001", 4)
 		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
-			wk.cut.Store(true) // its session ends, its tasks go elsewhere
+			wk.cut.Store(true) // its incarnation ends, and its tasks start elsewhere
 		}
 		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
@@ -160,9 +159,9 @@
 		sim.awaitDone("000001")
 		sim.awaitRunning("000002", 2)
 	}},
-	{"more work than room, urgent and not, over slow links", func(sim *simulation) {
+	{"more work than capacity, with preemption and a slow store", func(sim *simulation) {
 		sim.withLock(func() {
-			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" }
+			sim.cloud.noCapacity = func(launch storage.LaunchRecord) bool { return len(sim.workers) >= 4 || launch.Type == "gpu" }
 		})
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
 		for i := range 10 {
@@ -170,14 +169,13 @@
 			s.Priority = storage.Priority(i % 3)
 			sim.submit(s)
 		}
-		urgent := clustertest.Service("000100", 4)
-		sim.submit(urgent)
+		sim.submit(clustertest.Service("000100", 4)) // urgent
 		sim.awaitRunning("000100", 4)
 		for i := range 10 {
 			sim.awaitDone(fmt.Sprintf("%06d", i+1))
 		}
 	}},
-	{"a command or its answer held up, and the machine goes on", func(sim *simulation) {
+	{"commands delayed while machines are paused, then executed", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.awaitRunning("000001", 2)
 		for _, wk := range sim.allWorkers() {
@@ -196,7 +194,7 @@
 		sim.awaitStopped("000001")
 		sim.awaitStopped("000002")
 	}},
-	{"a team at its limit, machines that can't be asked, a cancel, a new leader", func(sim *simulation) {
+	{"a team at its limit, unreachable machines, a cancellation and a failover", func(sim *simulation) {
 		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
 		sim.awaitRunning("000001", 2)
 		sim.submit(withLimitedTeam(arrayWithRuntime("000002", 2, 20*time.Second)))
@@ -212,7 +210,7 @@
 		sim.awaitDone("000002")
 		sim.awaitStopped("000001")
 	}},
-	{"old reports reach every controller as a new leader begins", func(sim *simulation) {
+	{"stale reports reach every controller during failover", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.submit(arrayWithRuntime("000002", 4, 30*time.Second))
 		sim.awaitRunning("000001", 4)
@@ -233,10 +231,10 @@
 		time.Sleep(sim.settings.WorkerLease)
 		sim.awaitRunning("000001", 4)
 		if sim.startCount() != before {
-			sim.t.Errorf("%d starts anew", sim.startCount()-before)
+			sim.t.Errorf("got %d starts of running tasks, want none", sim.startCount()-before)
 		}
 	}},
-	{"every team at its limit, cancels beside cut and hung machines, a new leader", func(sim *simulation) {
+	{"a team at its limit, cancellations, unreachable and paused machines, a failover", func(sim *simulation) {
 		sim.submit(withLimitedTeam(clustertest.Service("000001", 1)))
 		sim.submit(withLimitedTeam(clustertest.Service("000002", 1)))
 		sim.awaitRunning("000001", 1)
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -11,15 +11,17 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The gap: the state service refuses the leader alone, another node takes over
-// and confirms cancels, and then the store is down for all, for longer than
-// cancel_s, while the workers go on reporting to the old leader. The second
-// trouble comes from before the grant can end to well after, and the old leader
-// hears its peers or not.
+// The leader alone loses the key-value store, another node takes the leadership over and
+// confirms cancellations, and then the store is down for all nodes for longer than the cancel
+// timeout, while the workers go on reporting to the old leader. The outage begins at times from
+// well before the leader's lease can expire to well after, and the old leader's peers are
+// reachable, cut off or restarted.
 func TestStoreOutageAfterFailover(t *testing.T) {
-	life := clustertest.Settings().Tuning.LeaderLease
-	for _, peers := range []string{"heard", "cut", "restarted"} {
-		for _, after := range []time.Duration{life / 2, life - 100*time.Millisecond, life + 50*time.Millisecond, life + 500*time.Millisecond, 2 * life, 4 * life} {
+	lease := clustertest.Settings().Tuning.LeaderLease
+	for _, peers := range []string{"reachable", "cut", "restarted"} {
+		for _, after := range []time.Duration{
+			lease / 2, lease - 100*time.Millisecond, lease + 50*time.Millisecond, lease + 500*time.Millisecond, 2 * lease, 4 * lease,
+		} {
 			t.Run(fmt.Sprintf("peers %s, outage after %v", peers, after), func(t *testing.T) {
 				runSimulation(t, func(sim *simulation) {
 					for _, id := range []string{"000001", "000002", "000003"} {
@@ -34,7 +36,7 @@
 					old.cutStore.Store(true)
 					old.cutPeers.Store(peers == "cut")
 					cancelled := make(chan struct{})
-					go func() { // users call off as soon as anybody takes it
+					go func() { // users cancel as soon as any node accepts it
 						defer close(cancelled)
 						for end := time.Now().Add(after + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 							for _, n := range sim.nodes {
@@ -71,8 +73,8 @@
 	}
 }
 
-// A leader that is still loading the state answers nobody, neither of jobs that it will know nor of
-// one that nobody submitted.
+// A leader that is still loading the state decides no request: neither for a job that the state
+// has nor for one that was never submitted.
 func TestLoadingLeaderAnswersNoRequests(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -81,17 +83,17 @@
 		sim.awaitLeader().kill()
 		loading := 0
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			leads, loaded := false, false
+			leading, loaded := false, false
 			for _, n := range sim.nodes {
 				if live := n.live.Load(); live != nil {
 					v := live.view.Load()
-					leads, loaded = leads || v.role.Leading, loaded || v.scheduler != nil
+					leading, loaded = leading || v.role.Leading, loaded || v.scheduler != nil
 				}
 			}
 			if loaded {
 				break
 			}
-			if leads {
+			if leading {
 				loading++
 			}
 			for _, n := range sim.nodes {
@@ -100,14 +102,14 @@
 					continue
 				}
 				for _, id := range []string{"000001", "999999"} {
-					if a := live.HandleForwardedRequest(t.Context(), api.Request{Op: api.OpPoll, ID: id}); a.Decided() {
-						t.Fatalf("%s answers %+v with nothing loaded", n.name, a)
+					if got := live.HandleForwardedRequest(t.Context(), api.Request{Op: api.OpPoll, ID: id}); got.Decided() {
+						t.Fatalf("poll of job %s at %s without loaded state: got %+v, want it undecided", id, n.name, got)
 					}
 				}
 			}
 		}
 		if loading == 0 {
-			t.Error("no leader was seen loading")
+			t.Error("no leader was observed while loading")
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
 		sim.awaitRunning("000001", 1)
--- a/internal/scheduler/process_pause_test.go
+++ b/internal/scheduler/process_pause_test.go
@@ -10,7 +10,7 @@
 	"sagevale/internal/storage"
 )
 
-// startWorkload submits services and arrays, and waits until they run.
+// startWorkload submits a service and two arrays, and waits until they run.
 func (sim *simulation) startWorkload() {
 	sim.submit(clustertest.Service("000001", 3))
 	sim.submit(arrayWithRuntime("000002", 3, 2*time.Minute))
@@ -19,7 +19,7 @@
 	sim.awaitRunning("000003", 2)
 }
 
-// awaitWorkload checks that the work of a scenario goes on, and ends.
+// awaitWorkload waits until the service of startWorkload runs and its arrays are done.
 func (sim *simulation) awaitWorkload() {
 	sim.t.Helper()
 	sim.awaitRunning("000001", 3)
@@ -27,88 +27,93 @@
 	sim.awaitDone("000003")
 }
 
-// pauseScenarios are scenarios in which a controller stands still while its clocks run on.
+// pauseScenarios are scenarios in which a controller process is paused while its clocks run on.
 func pauseScenarios() []scenario {
-	var out []scenario
+	var scenarios []scenario
 	for _, c := range []struct {
-		name string
-		span time.Duration
-	}{{"within a grant", time.Second}, {"for seconds", 4 * time.Second}, {"beyond the lease", 35 * time.Second}, {"beyond cancel_s", 70 * time.Second}} {
-		out = append(out,
-			scenario{"the leader " + c.name + ", cancels meanwhile", func(sim *simulation) {
+		name  string
+		pause time.Duration
+	}{
+		{"within the leader lease", time.Second},
+		{"for seconds", 4 * time.Second},
+		{"beyond the worker lease", 35 * time.Second},
+		{"beyond the cancel timeout", 70 * time.Second},
+	} {
+		scenarios = append(scenarios,
+			scenario{"leader paused " + c.name + " during cancellations", func(sim *simulation) {
 				sim.startWorkload()
 				sim.submit(clustertest.Service("000004", 2))
 				sim.awaitRunning("000004", 2)
 				old := sim.awaitLeader()
-				old.pause(c.span)
+				old.pause(c.pause)
 				go sim.requestFrom(old, api.OpPoll, "000004", storage.Spec{})
 				go sim.requestFrom(old, api.OpCancel, "000004", storage.Spec{})
 				sim.cancel("000004")
 				sim.requestFromAll("000004")
-				time.Sleep(c.span)
+				time.Sleep(c.pause)
 				sim.requestFromAll("000004")
 				sim.awaitStopped("000004")
 				sim.awaitWorkload()
 			}},
-			scenario{"the leader " + c.name + " with starts on their way", func(sim *simulation) {
+			scenario{"leader paused " + c.name + " while starts are sent", func(sim *simulation) {
 				sim.startWorkload()
 				for i := range 8 {
 					sim.submit(arrayWithRuntime(fmt.Sprintf("1%05d", i), 2, 3*time.Minute))
 				}
-				sim.awaitLeader().pause(c.span)
-				time.Sleep(c.span / 2)
+				sim.awaitLeader().pause(c.pause)
+				time.Sleep(c.pause / 2)
 				sim.cancel("100000")
-				time.Sleep(c.span)
+				time.Sleep(c.pause)
 				sim.awaitStopped("100000")
 				for i := range 7 {
 					sim.awaitDone(fmt.Sprintf("1%05d", i+1))
 				}
 				sim.awaitWorkload()
 			}},
-			scenario{"two controllers in turn " + c.name, func(sim *simulation) {
+			scenario{"two leaders in turn paused " + c.name, func(sim *simulation) {
 				sim.startWorkload()
-				sim.awaitLeader().pause(c.span)
+				sim.awaitLeader().pause(c.pause)
 				time.Sleep(2*sim.settings.Tuning.LeaderLease + time.Second)
 				if n := sim.leader(); n != nil {
-					n.pause(c.span)
+					n.pause(c.pause)
 				}
 				sim.submit(clustertest.Service("000004", 1))
 				sim.cancel("000004")
-				time.Sleep(2 * c.span)
+				time.Sleep(2 * c.pause)
 				sim.awaitStopped("000004")
 				sim.awaitWorkload()
 			}},
-			scenario{"the leader " + c.name + " in an outage", func(sim *simulation) {
+			scenario{"leader paused " + c.name + " in an outage", func(sim *simulation) {
 				sim.startWorkload()
-				sim.awaitLeader().pause(c.span)
-				sim.outage(c.span / 2)
+				sim.awaitLeader().pause(c.pause)
+				sim.outage(c.pause / 2)
 				sim.cancel("000002")
-				time.Sleep(c.span)
+				time.Sleep(c.pause)
 				sim.awaitStopped("000002")
 				sim.awaitRunning("000001", 3)
 				sim.awaitDone("000003")
 			}},
-			scenario{"a follower " + c.name + " while the leader ends", func(sim *simulation) {
+			scenario{"follower paused " + c.name + " while the leader ends", func(sim *simulation) {
 				sim.startWorkload()
 				leader := sim.awaitLeader()
 				for _, n := range sim.nodes {
 					if n != leader {
-						n.pause(c.span)
+						n.pause(c.pause)
 						break
 					}
 				}
 				sim.crash(leader, 4*time.Second)
 				sim.submit(arrayWithRuntime("000004", 2, 20*time.Second))
-				time.Sleep(c.span)
+				time.Sleep(c.pause)
 				sim.awaitDone("000004")
 				sim.awaitWorkload()
 			}})
 	}
-	return out
+	return scenarios
 }
 
 func TestProcessPauses(t *testing.T) {
-	for _, c := range pauseScenarios() {
-		t.Run(c.name, func(t *testing.T) { runSimulation(t, c.run) })
+	for _, s := range pauseScenarios() {
+		t.Run(s.name, func(t *testing.T) { runSimulation(t, s.run) })
 	}
 }
