--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -27,18 +27,18 @@
 		for _, n := range sim.nodes {
 			n.start()
 		}
-		if a := sim.poll("000001"); a.Code != api.CodeOK {
-			t.Fatalf("forgotten: %+v", a)
+		if got := sim.poll("000001"); got.Code != api.CodeOK {
+			t.Fatalf("poll after the restart: got %+v, want code %v", got, api.CodeOK)
 		}
-		if a := sim.request(api.OpSubmit, "000001", clustertest.Array("000001", 3)); a.Code != api.CodeOK {
-			t.Fatalf("a repeated submission is answered %+v", a)
+		if got := sim.request(api.OpSubmit, "000001", clustertest.Array("000001", 3)); got.Code != api.CodeOK {
+			t.Fatalf("repeated submission: got %+v, want code %v", got, api.CodeOK)
 		}
-		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
-		if len(sim.runningTasks("000002")) != 2 {
-			t.Fatal("the service didn't go on")
+		sim.eventually("the array is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		if n := len(sim.runningTasks("000002")); n != 2 {
+			t.Fatalf("got %d running tasks of the service, want 2", n)
 		}
-		if a := sim.poll("999999"); a.Code != api.CodeNotFound {
-			t.Fatalf("invented: %+v", a)
+		if got := sim.poll("999999"); got.Code != api.CodeNotFound {
+			t.Fatalf("poll of an unknown job: got %+v, want code %v", got, api.CodeNotFound)
 		}
 	})
 }
@@ -46,9 +46,9 @@
 func TestFailoverNeverRunsTaskTwice(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i, id := range []string{"000001", "000002", "000003"} {
-			s := clustertest.Array(id, 6)
-			s.Service = i == 0
-			sim.submit(s)
+			spec := clustertest.Array(id, 6)
+			spec.Service = i == 0
+			sim.submit(spec)
 		}
 		for range 6 {
 			time.Sleep(7 * time.Second)
@@ -57,21 +57,21 @@
 			time.Sleep(4 * time.Second)
 			old.start()
 		}
-		sim.eventually("both sweeps are done", 5*time.Minute, func() bool {
+		sim.eventually("both arrays are done", 5*time.Minute, func() bool {
 			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
 		})
 		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
 	})
 }
 
-// A leader that alone has lost the state service and its peers goes on hearing
-// its workers; its successor must not start their tasks before they are gone.
+// A leader that alone has lost the key-value store and its peers still receives the
+// heartbeats of its workers; its successor must not start their tasks before they have stopped.
 func TestDeposedLeaderHasNoEffect(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Array("000002", 1))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
-		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
+		sim.eventually("the array is done", 2*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
 		old := sim.awaitLeader()
 		oldTerm := old.node.view.Load().role.Term
 		old.cutStore.Store(true)
@@ -79,32 +79,32 @@
 		for _, wk := range sim.allWorkers() {
 			wk.onlyNode.Store(old)
 		}
-		cutoff := func(op api.Op, id string) api.Response {
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		requestFromOld := func(op api.Op, id string) api.Response {
+			ctx, cancel := context.WithTimeout(sim.t.Context(), time.Second)
 			defer cancel()
 			return old.node.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: clustertest.Array(id, 1)})
 		}
 		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
-		if a := cutoff(api.OpPoll, "000001"); a.Code != api.CodeUnavailable {
-			t.Errorf("an uncertain leader tells %+v", a)
+		if got := requestFromOld(api.OpPoll, "000001"); got.Code != api.CodeUnavailable {
+			t.Errorf("poll of an open job after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
 		}
-		if a := cutoff(api.OpPoll, "000002"); a.Code != api.CodeOK || a.State != api.StateDone {
-			t.Errorf("a final state isn't told: %+v", a)
+		if got := requestFromOld(api.OpPoll, "000002"); got.Code != api.CodeOK || got.State != api.StateDone {
+			t.Errorf("poll of a final job after lease expiry: got %+v, want state %v", got, api.StateDone)
 		}
-		if a := cutoff(api.OpSubmit, "000003"); a.Code != api.CodeUnavailable {
-			t.Errorf("an uncertain leader accepts: %+v", a)
+		if got := requestFromOld(api.OpSubmit, "000003"); got.Code != api.CodeUnavailable {
+			t.Errorf("submission after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
 		}
 		sim.eventually("a successor leads", time.Minute, func() bool {
 			n := sim.leader()
 			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
 		})
 		sim.cancel("000001")
-		sim.eventually("the cancelled tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
-		sim.eventually("the old leader has stepped down", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
+		sim.eventually("the cancelled tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
+		sim.eventually("the old leader has resigned", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
 	})
 }
 
-// Orders sent directly may be executed minutes late, after a cancel too.
+// A direct command may be executed minutes after it was sent, also after a cancellation.
 func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -120,12 +120,12 @@
 			wk.executeDelayed()
 		}
 		if n := len(sim.runningTasks("000002")); n != 0 {
-			t.Fatalf("%d cancelled tasks run", n)
+			t.Fatalf("got %d running tasks of a cancelled job, want none", n)
 		}
 	})
 }
 
-// A repeat of a start that was answered would start a forgotten attempt anew.
+// A duplicate of a start command that was answered must not start a forgotten attempt again.
 func TestRepeatedStartDoesNotRestartFinishedTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 1))
@@ -142,12 +142,12 @@
 			}
 			return on != nil
 		})
-		sim.eventually("the sweep is done", 2*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.eventually("the array is done", 2*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 		time.Sleep(30 * time.Second)
 		before := sim.startCount()
 		on.executeDirect(on.token, on.incarnation, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Number}})
-		if sim.startCount() != before {
-			t.Fatal("a repeated order started a finished task anew")
+		if n := sim.startsSince(before); n != 0 {
+			t.Fatalf("repeated start of a finished task: got %d starts, want none", n)
 		}
 	})
 }
@@ -160,16 +160,16 @@
 			wk.cut.Store(true)
 		}
 		sim.cancel("000001")
-		sim.eventually("the tasks are gone", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
+		sim.eventually("the tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
 		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
 		time.Sleep(time.Minute)
-		if len(sim.runningTasks("000001")) != 0 {
-			t.Fatal("a cancelled task runs")
+		if n := len(sim.runningTasks("000001")); n != 0 {
+			t.Fatalf("got %d running tasks of a cancelled job, want none", n)
 		}
-		if a := sim.poll("000001"); a.State != api.StateCancelled {
-			t.Fatalf("went back: %+v", a)
+		if got := sim.poll("000001"); got.State != api.StateCancelled {
+			t.Fatalf("poll after the partition: got %+v, want state %v", got, api.StateCancelled)
 		}
 	})
 }
@@ -183,13 +183,13 @@
 		time.Sleep(3 * time.Minute)
 		sim.state.Outage(false)
 		time.Sleep(time.Minute)
-		if len(sim.runningTasks("000001")) != 3 || sim.startCount() != before {
-			t.Fatalf("%d of 3 run, %d starts anew", len(sim.runningTasks("000001")), sim.startCount()-before)
+		if running, started := len(sim.runningTasks("000001")), sim.startsSince(before); running != 3 || started != 0 {
+			t.Fatalf("after the outage: got %d running tasks and %d starts, want 3 and none", running, started)
 		}
 	})
 }
 
-// A peer that has restarted can't know whether it led meanwhile.
+// A peer that has restarted can't know whether its earlier process led meanwhile.
 func TestRestartedPeerDoesNotConfirmNoLeader(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -199,8 +199,8 @@
 		leader.cutStore.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
-		if !leader.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
-			t.Error("peers that heard nothing since don't confirm")
+		if !leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+			t.Error("peers without a later leader don't confirm that there is none")
 		}
 		for _, n := range sim.nodes {
 			if n != leader {
@@ -209,8 +209,8 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if leader.node.election.PeersConfirmNoLeader(context.Background(), term, cut) {
-			t.Error("a restarted peer confirms what it can't know")
+		if leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+			t.Error("a restarted peer confirms that there was no leader")
 		}
 	})
 }
@@ -219,45 +219,45 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
-		var deaf *fakeWorker
+		var faulty *fakeWorker
 		for _, wk := range sim.runningTasks("000001") {
-			deaf = wk
+			faulty = wk
 		}
-		deaf.dropsResponses.Store(true)
+		faulty.dropsResponses.Store(true)
 		sim.eventually("its tasks run elsewhere", 4*time.Minute, func() bool {
-			on := sim.runningTasks("000001")
-			for _, wk := range on {
-				if wk == deaf {
+			running := sim.runningTasks("000001")
+			for _, wk := range running {
+				if wk == faulty {
 					return false
 				}
 			}
-			return len(on) == 4
+			return len(running) == 4
 		})
 	})
 }
 
-// A late copy neither shows the present nor renews a lease.
+// A late copy of a report neither replaces newer ones nor renews a lease.
 func TestStaleReportIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
 		leader := sim.awaitLeader()
 		for _, wk := range sim.allWorkers() {
-			old := wk.report()
-			old.Tasks = nil
+			stale := wk.report()
+			stale.Tasks = nil
 			time.Sleep(10 * time.Second)
-			if a := leader.node.HandleHeartbeat(context.Background(), old); a.Accepted {
-				t.Error("a copy is accepted")
+			if got := leader.node.HandleHeartbeat(sim.t.Context(), stale); got.Accepted {
+				t.Errorf("stale report: got %+v, want it rejected", got)
 			}
 		}
 		time.Sleep(5 * time.Second)
-		if sim.startCount() != 1 || len(sim.runningTasks("000001")) != 1 {
-			t.Fatalf("%d starts, %d run", sim.startCount(), len(sim.runningTasks("000001")))
+		if starts, running := sim.startCount(), len(sim.runningTasks("000001")); starts != 1 || running != 1 {
+			t.Fatalf("got %d starts and %d running tasks, want 1 and 1", starts, running)
 		}
 	})
 }
 
-// Where the leader is out of reach, what comes to a follower goes through the relay.
+// A follower that doesn't reach the leader forwards requests and heartbeats through the store.
 func TestPartitionedFollowerRelaysThroughStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -269,32 +269,31 @@
 		}
 		time.Sleep(5 * time.Second)
 		follower.cutPeers.Store(true)
-		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
 		defer cancel()
 		spec := clustertest.Service("000001", 1)
 		sim.storeSpec(spec)
-		if a := follower.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
-			t.Fatalf("not accepted by mail: %+v", a)
+		if got := follower.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); got.Code != api.CodeCreated {
+			t.Fatalf("relayed submission: got %+v, want code %v", got, api.CodeCreated)
 		}
-		a := follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Incarnation: 1, Seq: 1})
-		if !a.Accepted || a.Token != leader.node.view.Load().role.Term {
-			t.Fatalf("no report by mail: %+v", a)
+		got := follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Incarnation: 1, Seq: 1})
+		if term := leader.node.view.Load().role.Term; !got.Accepted || got.Token != term {
+			t.Fatalf("relayed heartbeat: got %+v, want it accepted under token %d", got, term)
 		}
 	})
 }
 
-// Workers must remember attempts that were started directly; a new token ends
-// that before their reports grow too large.
+// Workers must retain attempts that were started directly; a new token ends the retention
+// before their reports grow too large.
 func TestReportSizeStaysBounded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		s := clustertest.Array("000001", 1500)
-		s.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
-		s.EstimateS = 2
-		sim.submit(s)
-		sim.eventually("the sweep is done", 30*time.Minute, func() bool {
+		spec := arrayWithRuntime("000001", 1500, 2*time.Second)
+		spec.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
+		sim.submit(spec)
+		sim.eventually("the array is done", 30*time.Minute, func() bool {
 			for _, wk := range sim.allWorkers() {
 				if n := len(wk.report().Tasks); n > 2*fencing.MaxRetained {
-					t.Fatalf("a report of %d tasks", n)
+					t.Fatalf("got a report of %d tasks, want at most %d", n, 2*fencing.MaxRetained)
 				}
 			}
 			return sim.poll("000001").State == api.StateDone
@@ -302,8 +301,9 @@
 	})
 }
 
-// A session that is first heard of in the answer to a direct order has its
-// lease from then on; the bound of the session before says nothing of its tasks.
+// An incarnation that is first seen in the response to a direct command has its own lease from
+// then on; the lease bound of the incarnation before it doesn't apply to its tasks. The
+// simulation checks that no task runs twice.
 func TestIncarnationSeenInDirectResponseHasOwnLease(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -317,38 +317,39 @@
 		var leased time.Time
 		sim.withLock(func() { leased = on.leaseRenewed })
 		time.Sleep(time.Until(leased.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
-		sim.cancel("000001") // the stop tells of the new session
+		sim.cancel("000001") // the response to the stop shows the new incarnation
 		for i := range 3 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 10+i), 1))
 		}
-		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // others have booted meanwhile
+		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // further machines are up by now
 		on.dropsHeartbeats.Store(false)
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// A new leader orders an attempt of the earlier one again in the answer to a
-// report; the worker's answer to the greeting, made before that came, doesn't
-// list it. It was called absent, started elsewhere, and ran twice.
+// A new leader repeats the start of an earlier leader's attempt in a heartbeat response. The
+// worker's response to the token announcement, sent before that start arrived, doesn't list the
+// attempt. It was taken for proof of absence: the task was started elsewhere and ran twice.
 func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		m := sched.state.EnsureMachine(1, time.Now())
 		m.Addr, m.Incarnation = "1", 1
 		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
-		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // loaded
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
 		sched.addAttempt(a)
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 1, Token: sched.term - 1}
-		if got := sched.handleHeartbeat(r); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
-			t.Fatalf("answered %+v", got)
+		report := func(seq, token uint64) *worker.Report {
+			return &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
 		}
-		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed,
-			report: &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 2, Token: sched.term}})
+		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
+			t.Fatalf("first heartbeat: got %+v, want one start command", got)
+		}
+		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
 		if j.Attempts[0] != a {
-			t.Error("the attempt is called absent while its start is on the way")
+			t.Errorf("attempt while its start is in flight: got %+v, want it unchanged", j.Attempts[0])
 		}
-		if got := sched.handleHeartbeat(&worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 3, Token: sched.term}); len(got.Commands) != 1 {
-			t.Errorf("not ordered again: %+v", got)
+		if got := sched.handleHeartbeat(report(3, sched.term)); len(got.Commands) != 1 {
+			t.Errorf("next heartbeat: got %+v, want the start command again", got)
 		}
 	})
 }
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -17,16 +17,16 @@
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
 		repeated := false
-		sim.mu.Lock()
-		for _, n := range sim.cloud.launchCalls {
-			repeated = repeated || n > 1
-		}
-		sim.mu.Unlock()
+		sim.withLock(func() {
+			for _, calls := range sim.cloud.launchCalls {
+				repeated = repeated || calls > 1
+			}
+		})
 		if !repeated {
-			t.Fatal("the hire wasn't repeated under its name")
+			t.Fatal("the unanswered launch wasn't repeated under its name")
 		}
-		if len(sim.allWorkers()) > 2 {
-			t.Fatalf("%d machines for one task", len(sim.allWorkers()))
+		if n := len(sim.allWorkers()); n > 2 {
+			t.Fatalf("got %d machines for one task, want at most 2", n)
 		}
 	})
 }
@@ -35,50 +35,46 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 12))
 		sim.submit(clustertest.Service("000002", 1))
-		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
-		grown := len(sim.allWorkers())
-		sim.eventually("machines are returned", 5*time.Minute, func() bool {
+		sim.eventually("the array is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		remaining := len(sim.allWorkers())
+		sim.eventually("machines are terminated", 5*time.Minute, func() bool {
 			for _, wk := range sim.allWorkers() {
 				if !wk.dead.Load() {
 					continue
 				}
 				for k, task := range wk.tasks {
 					if task.state != worker.Exited {
-						t.Fatalf("task %v was on a returned machine", k.ID)
+						t.Fatalf("task %v ran on terminated machine %d", k.ID, wk.id)
 					}
 				}
-				grown--
+				remaining--
 				wk.tasks = nil
 			}
-			return grown <= 1
+			return remaining <= 1
 		})
-		if len(sim.runningTasks("000002")) != 1 {
-			t.Fatal("the service was lost")
+		if n := len(sim.runningTasks("000002")); n != 1 {
+			t.Fatalf("got %d running tasks of the service, want 1", n)
 		}
 	})
 }
 
-// Tasks on a machine that has fallen silent count to their team's limit until
-// their place is proved empty.
+// Tasks on an unreachable machine count to their team's limit until they are known to have
+// ended. The simulation checks the limit at each start.
 func TestTeamLimitCountsTasksOnUnreachableMachines(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		s := clustertest.Service("000001", 2)
-		s.Team, s.Resources.GPUs = "small", 1
-		sim.submit(s)
+		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
 		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
 		for _, wk := range sim.runningTasks("000001") {
 			wk.cut.Store(true)
 		}
-		o := clustertest.Array("000002", 2)
-		o.Team, o.Resources.GPUs = "small", 1
-		sim.submit(o)
+		sim.submit(withLimitedTeam(clustertest.Array("000002", 2)))
 		time.Sleep(30 * time.Second)
 		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
 		sim.eventually("the service runs again", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
 		sim.cancel("000001")
-		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
+		sim.eventually("the array is done", 3*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
 	})
 }
 
@@ -87,13 +83,13 @@
 		sim.submit(clustertest.Array("000001", 4))
 		sim.eventually("machines are up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
 		for _, wk := range sim.allWorkers() {
-			wk.failsTasks.Store(true) // now every task fails, as a mistaken job's would
+			wk.failsTasks.Store(true) // as if the job itself were faulty
 		}
 		time.Sleep(40 * time.Second)
 		before := sim.startCount()
 		time.Sleep(5 * time.Minute)
-		if n := sim.startCount() - before; n > 60 {
-			t.Errorf("%d starts in five minutes", n)
+		if n := sim.startsSince(before); n > 60 {
+			t.Errorf("got %d starts in five minutes, want at most 60", n)
 		}
 		for _, wk := range sim.allWorkers() {
 			wk.failsTasks.Store(false)
@@ -104,28 +100,28 @@
 
 func TestSpotNoticeMovesTasks(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		s := clustertest.Array("000001", 2)
-		s.Spot, s.EstimateS, s.CheckpointS, s.SaveS = true, 100, 5, 1
-		sim.submit(s)
+		spec := arrayWithRuntime("000001", 2, 100*time.Second)
+		spec.Spot, spec.CheckpointS, spec.SaveS = true, 5, 1
+		sim.submit(spec)
 		sim.eventually("the tasks run", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
 		notice := 10.0
-		var taken []*fakeWorker
+		var reclaimed []*fakeWorker
 		for _, wk := range sim.runningTasks("000001") {
 			sim.withLock(func() { wk.spotNotice = &notice })
-			taken = append(taken, wk)
+			reclaimed = append(reclaimed, wk)
 		}
 		time.Sleep(10 * time.Second)
-		for _, wk := range taken {
-			if len(wk.tasks) > 0 && !wk.dead.Load() {
+		for _, wk := range reclaimed {
+			if !wk.dead.Load() {
 				for k, task := range wk.tasks {
 					if task.state != worker.Exited {
-						t.Errorf("task %v is still on a machine that is taken", k.ID)
+						t.Errorf("task %v still runs on machine %d when its spot notice ends", k.ID, wk.id)
 					}
 				}
 			}
 			wk.dead.Store(true)
 		}
-		sim.eventually("the sweep is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.eventually("the array is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
 	})
 }
 
@@ -136,12 +132,12 @@
 		})
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
-		s := clustertest.Service("000002", 1)
-		s.Types, s.Zone = []string{"cpu"}, "a"
-		sim.submit(s)
+		spec := zonalService("000002", "a", 1)
+		spec.Types = []string{"cpu"}
+		sim.submit(spec)
 		time.Sleep(time.Minute)
 		sim.withLock(func() { sim.cloud.noCapacity = nil })
-		sim.eventually("it runs once there is room", 3*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 1 })
+		sim.eventually("it runs once there is capacity", 3*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 1 })
 	})
 }
 
@@ -164,26 +160,26 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		for name, change := range map[string]func(*storage.Spec){
-			"unknown team":  func(s *storage.Spec) { s.Team = "strangers" },
+			"unknown team":  func(s *storage.Spec) { s.Team = "unknown" },
 			"too large":     func(s *storage.Spec) { s.Resources.CPUs = 65 },
 			"unknown type":  func(s *storage.Spec) { s.Types = []string{"tpu"} },
 			"over a limit":  func(s *storage.Spec) { s.Team, s.Resources.GPUs = "small", 3 },
 			"limit for all": func(s *storage.Spec) { s.Team, s.Resources.GPUs, s.Service, s.Tasks = "small", 1, true, 3 },
 			"unknown zone":  func(s *storage.Spec) { s.Zone = "c" },
 		} {
-			s := clustertest.Array("000001", 1)
-			change(&s)
-			if a := sim.request(api.OpSubmit, s.ID, s); a.Code != api.CodeInfeasible || a.Reason == "" {
-				t.Errorf("%s: %+v", name, a)
+			spec := clustertest.Array("000001", 1)
+			change(&spec)
+			if got := sim.request(api.OpSubmit, spec.ID, spec); got.Code != api.CodeInfeasible || got.Reason == "" {
+				t.Errorf("%s: got %+v, want code %v with a reason", name, got, api.CodeInfeasible)
 			}
 		}
-		if a := sim.poll("000001"); a.Code != api.CodeNotFound {
-			t.Errorf("a refused job is known: %+v", a)
+		if got := sim.poll("000001"); got.Code != api.CodeNotFound {
+			t.Errorf("poll of a rejected job: got %+v, want code %v", got, api.CodeNotFound)
 		}
 	})
 }
 
-// Room is kept for what is expected; a class that has ceased expects nothing.
+// Idle capacity is kept for expected arrivals; a class whose arrivals have ceased expects none.
 func TestIdleFleetIsScaledIn(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 12 {
@@ -193,7 +189,7 @@
 		for i := range 12 {
 			sim.cancel(fmt.Sprintf("%06d", i))
 		}
-		sim.eventually("all machines are given back", 90*time.Second, func() bool {
+		sim.eventually("all machines are terminated", 90*time.Second, func() bool {
 			for _, wk := range sim.allWorkers() {
 				if !wk.dead.Load() {
 					return false
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -14,25 +14,25 @@
 	"sagevale/internal/worker"
 )
 
-// Nodes with little processor and memory: they fall behind, and must keep every rule all
-// the same. The simulation watches the rules.
+// Controllers with little processor time and memory fall behind, and must keep all invariants
+// that the simulation checks.
 
-// lowResources has the nodes run on a few hundredths of a processor.
+// lowResources gives the controllers a few hundredths of a processor.
 func lowResources(s *config.Settings) {
 	s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second
 }
 
-// A process that falls behind fires its timers late and gets to each step late: between
-// a check and its effect the lead may be over.
+// On a slow processor timers fire late and each step is late: the leadership may end between a
+// check and its effect.
 func TestSlowProcessorKeepsInvariants(t *testing.T) {
-	for _, most := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
-		t.Run(most.String(), func(t *testing.T) {
+	for _, maxDelay := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
+		t.Run(maxDelay.String(), func(t *testing.T) {
 			runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 				sim.submit(clustertest.Service("000001", 6))
 				sim.awaitRunning("000001", 6)
-				sim.maxLogDelay.Store(int64(most))
+				sim.maxLogDelay.Store(int64(maxDelay))
 				for i := range 3 {
-					sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", 100+i), 3, time.Hour)) // to be cancelled
+					sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", 100+i), 3, time.Hour)) // cancelled below
 					sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", 103+i), 3, 20*time.Second))
 				}
 				sim.submit(gangSpec("000200", 4))
@@ -62,8 +62,8 @@
 	}
 }
 
-// All controllers come back at once, and all workers report to them in the same moments:
-// nothing is lost, and nothing begins anew.
+// All controllers restart at once and all workers report to them at about the same time: no
+// job is lost and no task starts again.
 func TestRestartOfAllNodesKeepsTasksRunning(t *testing.T) {
 	runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 		const jobs, tasks = 20, 8
@@ -73,7 +73,7 @@
 		for i := range jobs {
 			sim.awaitRunning(fmt.Sprintf("%06d", 1+i), tasks)
 		}
-		starts := sim.startCount()
+		before := sim.startCount()
 		for _, n := range sim.nodes {
 			n.kill()
 		}
@@ -86,30 +86,33 @@
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		sim.maxLogDelay.Store(0)
 		for i := range jobs {
-			if a := sim.poll(fmt.Sprintf("%06d", 1+i)); a.State != api.StateRunning || a.Running != tasks {
-				t.Errorf("two report intervals after the take-over: %+v", a)
+			if got := sim.poll(fmt.Sprintf("%06d", 1+i)); got.State != api.StateRunning || got.Running != tasks {
+				t.Errorf("two heartbeat intervals after failover: got %+v, want %d running tasks", got, tasks)
 			}
 		}
-		if got := sim.startCount(); got != starts {
-			t.Errorf("%d tasks began anew", got-starts)
+		if n := sim.startsSince(before); n != 0 {
+			t.Errorf("got %d starts of running tasks, want none", n)
 		}
 		sim.submit(clustertest.Array("000900", 4))
 		sim.awaitDone("000900")
 		if sim.leader() != leader {
-			t.Error("the lead changed hands")
+			t.Error("the leader has changed")
 		}
 	})
 }
 
-// Work that doesn't fit into the memory is told when to come back; the rest goes on.
+// A submission that doesn't fit into memory gets a retry interval; other work goes on.
 func TestSubmitBeyondMemoryReturnsBusy(t *testing.T) {
-	runSimulationWithSettings(t, func(s *config.Settings) { lowResources(s); s.MemoryMB = 16 }, func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 2)) // the machine types are known
-		most := sim.settings.MaxOpenTasks()
-		large := clustertest.Array("000002", most+1)
-		a := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
-		if a.Code != api.CodeBusy || a.RetrySeconds < 1 {
-			t.Errorf("a job of %d tasks is answered %+v", large.Tasks, a)
+	lowMemory := func(s *config.Settings) {
+		lowResources(s)
+		s.MemoryMB = 16
+	}
+	runSimulationWithSettings(t, lowMemory, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 2)) // now the machine types are known
+		large := clustertest.Array("000002", sim.settings.MaxOpenTasks()+1)
+		got := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
+		if got.Code != api.CodeBusy || got.RetrySeconds < 1 {
+			t.Errorf("submission of %d tasks: got %+v, want code %v with a retry interval", large.Tasks, got, api.CodeBusy)
 		}
 		sim.submit(clustertest.Array("000003", 3))
 		sim.awaitDone("000003")
@@ -117,32 +120,32 @@
 	})
 }
 
-// An order that has waited until its sender's lead may be over isn't sent: a successor
-// may have confirmed a cancel by then.
+// A start command isn't sent once the sender's lease may have expired: a successor may have
+// confirmed a cancellation by then. Stop commands are not bound by the lease.
 func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		sent := make(chan time.Time, 2)
-		sched.deps.Workers = sendDeadlineRecorder{sent}
+		sched.deps.Workers = sendDeadlineRecorder{sent: sent}
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		a := sched.Reserve(sched.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
 		sched.startReserved([]*cluster.Attempt{a})
-		if bound := <-sent; !bound.Equal(sched.role.LeaseValidUntil) {
-			t.Errorf("a start is sent until %v, the lead is certain until %v", bound, sched.role.LeaseValidUntil)
+		if sendBy := <-sent; !sendBy.Equal(sched.role.LeaseValidUntil) {
+			t.Errorf("start command: got send deadline %v, want the lease's end %v", sendBy, sched.role.LeaseValidUntil)
 		}
 		a.Reported = true
 		sched.stopAttempt(a, 0)
 		sched.commandStops(m)
-		if bound := <-sent; !bound.IsZero() {
-			t.Errorf("a stop is bound by %v", bound)
+		if sendBy := <-sent; !sendBy.IsZero() {
+			t.Errorf("stop command: got send deadline %v, want none", sendBy)
 		}
 	})
 }
 
-// sendDeadlineRecorder tells until when orders may be sent.
-type sendDeadlineRecorder struct{ sent chan time.Time }
+// sendDeadlineRecorder records the send deadline of each message of commands, and sends none.
+type sendDeadlineRecorder struct{ sent chan<- time.Time }
 
-func (b sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
-	b.sent <- sendBy
+func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+	r.sent <- sendBy
 	return worker.NotSent, nil
 }
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -7,30 +7,43 @@
 	"sagevale/internal/cluster/clustertest"
 )
 
-// When all machines booted four times as slowly, each was returned before it was up, and its
-// replacement too.
+// Machines that all boot four times as slowly as expected are waited for. They were terminated
+// before they were up, and so were their replacements.
 func TestSlowProvisioningIsAwaited(t *testing.T) {
-	for name, trouble := range map[string]func(sim *simulation){
-		"alone":          func(*simulation) {},
-		"a leader's end": func(sim *simulation) { time.Sleep(40 * time.Second); sim.crash(sim.awaitLeader(), 3*time.Second) },
-		"a standstill":   func(sim *simulation) { time.Sleep(30 * time.Second); sim.awaitLeader().pause(8 * time.Second) },
-		"a mistaken job": func(sim *simulation) { sim.submitFailing("000002") },
-		"a cancellation": func(sim *simulation) { sim.submit(clustertest.Service("000002", 4)); sim.cancel("000002") },
-		"opportunistic":  func(sim *simulation) { sim.submit(clustertest.Opportunistic("000002", 40)) },
-		"an outage":      func(sim *simulation) { time.Sleep(5 * time.Second); sim.outage(10 * time.Second) },
+	const opportunistic = "opportunistic work"
+	for name, disturb := range map[string]func(sim *simulation){
+		"undisturbed": func(*simulation) {},
+		"leader crash": func(sim *simulation) {
+			time.Sleep(40 * time.Second)
+			sim.crash(sim.awaitLeader(), 3*time.Second)
+		},
+		"leader pause": func(sim *simulation) {
+			time.Sleep(30 * time.Second)
+			sim.awaitLeader().pause(8 * time.Second)
+		},
+		"failing job": func(sim *simulation) { sim.submitFailing("000002") },
+		"cancellation": func(sim *simulation) {
+			sim.submit(clustertest.Service("000002", 4))
+			sim.cancel("000002")
+		},
+		opportunistic: func(sim *simulation) { sim.submit(clustertest.Opportunistic("000002", 40)) },
+		"store outage": func(sim *simulation) {
+			time.Sleep(5 * time.Second)
+			sim.outage(10 * time.Second)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulation(t, func(sim *simulation) {
 				sim.withLock(func() { sim.cloud.bootTime = 60 * time.Second })
-				six := clustertest.Service("000001", 24) // six machines
-				six.Types = []string{"cpu"}
-				sim.submit(six)
-				trouble(sim)
+				spec := clustertest.Service("000001", 24) // fills six machines
+				spec.Types = []string{"cpu"}
+				sim.submit(spec)
+				disturb(sim)
 				sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 24 })
-				rented := 0
-				sim.withLock(func() { rented = sim.cloud.next })
-				if rented > 20 && name != "opportunistic" {
-					t.Errorf("%d machines rented for six machines' work", rented)
+				launched := 0
+				sim.withLock(func() { launched = sim.cloud.next })
+				if launched > 20 && name != opportunistic {
+					t.Errorf("got %d launched machines for the work of six, want at most 20", launched)
 				}
 			})
 		})
