--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -16,32 +16,30 @@
 	"sagevale/internal/worker"
 )
 
-// A machine whose reports don't come through loses its lease, however well
-// direct commands reach it.
+// A machine whose heartbeats are lost loses its lease, even if direct commands reach it: only a
+// heartbeat makes it ready.
 func TestDirectResponsesDoNotMakeMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		sched := newTestScheduler(t, s)
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
 		m := sched.addReadyMachine(7, "cpu", "a", false)
-		answer := func() {
-			sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, false, time.Now())
-		}
 		for range 2 * config.FreshIntervals {
-			time.Sleep(s.HeartbeatInterval)
-			answer()
+			time.Sleep(settings.HeartbeatInterval)
+			report := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}
+			sched.applyReport(m, report, false, time.Now())
 		}
-		if m.Ready(time.Now(), s.ReportFreshness()) {
-			t.Error("ready without a report")
+		if m.Ready(time.Now(), settings.ReportFreshness()) {
+			t.Error("machine is ready after direct responses alone")
 		}
 		sched.addReadyMachine(7, "cpu", "a", false)
-		if !m.Ready(time.Now(), s.ReportFreshness()) {
-			t.Error("not ready after a report")
+		if !m.Ready(time.Now(), settings.ReportFreshness()) {
+			t.Error("machine isn't ready after a heartbeat")
 		}
 	})
 }
 
-// Between a cancel and its commit no start may leave: it would come after the
-// user was told.
+// No start is sent between a cancellation and its commit: it could arrive after the user was
+// told that the job is cancelled.
 func TestNoStartIsSentDuringCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -51,181 +49,189 @@
 		j.Phase = storage.Cancelled
 		sched.startReserved([]*cluster.Attempt{a})
 		if a.Delivery != cluster.DeliveryNone {
-			t.Error("started directly")
+			t.Errorf("direct start of a cancelled job: got delivery %v, want none", a.Delivery)
 		}
 		a.Durable = true
-		for _, o := range sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now()) {
-			if o.Verb == worker.Start {
-				t.Error("started with the answer to a report")
+		for _, command := range sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now()) {
+			if command.Verb == worker.Start {
+				t.Errorf("heartbeat response for a cancelled job: got %+v, want no start", command)
 			}
 		}
 	})
 }
 
-// What a successor finds when a leader ended between the commits of a job's last
-// page and of the job itself.
+// A leader may end between the commits of a job's last page and of the job itself: its
+// successor finds a job that is open, but whose tasks are done.
 func TestLoadCompletesJobWhoseTasksAreDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 3)
-		records := []storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}})}
+		records := []storage.Record{
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}}),
+		}
 		sched := newTestScheduler(t, clustertest.Settings())
 		if err := sched.load(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done || sched.queue.Waiting(groupcommit.Interactive) == 0 {
-			t.Errorf("phase %v", j.Phase)
+		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done {
+			t.Errorf("got phase %v, want %v", j.Phase, storage.Done)
+		}
+		if sched.queue.Waiting(groupcommit.Interactive) == 0 {
+			t.Error("the new phase isn't queued to be written")
 		}
 	})
 }
 
+// newRecord returns the record that stores data under a key.
 func newRecord(t *testing.T, key string, data any) storage.Record {
 	t.Helper()
-	r, err := storage.NewRecord(key, data)
+	record, err := storage.NewRecord(key, data)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("record %s: %v", key, err)
 	}
-	return r
+	return record
 }
 
-// The journal asks again what stays unanswered, and settles it once.
+// The journal retries a commit whose response doesn't arrive; the commit takes effect once.
 func TestJournalRetriesUnansweredCommit(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
-		n := 0
+		transactions := 0
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Delay = func() time.Duration {
-				if n++; n == 1 {
-					return time.Hour // never, as far as the scenario goes
+				if transactions++; transactions == 1 {
+					return time.Hour // beyond the end of the scenario
 				}
 				return 0
 			}
 		})
-		began := time.Now()
+		start := time.Now()
 		sim.submit(clustertest.Service("000001", 1))
-		took := time.Since(began)
+		duration := time.Since(start)
 		sim.state.Update(func(s *storagetest.Service) {
-			if took > 2*time.Second || n < 2 {
-				t.Errorf("accepted after %v, with %d transactions", took, n)
+			if duration > 2*time.Second || transactions < 2 {
+				t.Errorf("accepted after %v with %d transactions, want at most 2s and at least 2", duration, transactions)
 			}
 		})
 	})
 }
 
-// Neither a start nor a forget may come before what it rests on is durable: a
-// successor would start the task a second time, or miss that it is done.
+// Neither a start nor a forget command is sent before the record that it depends on is durable:
+// a successor would start the task a second time, or miss that it is done.
 func TestCommandsWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		a := sched.Reserve(j, 0, m, time.Now())
-		orders := func() []worker.Command {
+		commands := func() []worker.Command {
 			return sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now())
 		}
-		if o := orders(); len(o) != 0 {
-			t.Errorf("ordered %+v before the booking is durable", o)
+		if got := commands(); len(got) != 0 {
+			t.Errorf("before the reservation is durable: got commands %+v, want none", got)
 		}
 		a.Durable = true
 		sched.discardPending()
-		if o := orders(); len(o) != 1 || o[0].Verb != worker.Start {
-			t.Errorf("ordered %+v", o)
+		if got := commands(); len(got) != 1 || got[0].Verb != worker.Start {
+			t.Errorf("after the reservation is durable: got commands %+v, want one start", got)
 		}
 		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term,
 			Tasks: []worker.TaskReport{{ID: a.ID(), Attempt: a.Number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
-		if o := orders(); len(o) != 0 {
-			t.Errorf("ordered %+v before the end is durable", o)
+		if got := commands(); len(got) != 0 {
+			t.Errorf("before the task's end is durable: got commands %+v, want none", got)
 		}
 		sched.discardPending()
-		if o := orders(); len(o) != 1 || o[0].Verb != worker.Forget {
-			t.Errorf("ordered %+v", o)
+		if got := commands(); len(got) != 1 || got[0].Verb != worker.Forget {
+			t.Errorf("after the task's end is durable: got commands %+v, want one forget", got)
 		}
 	})
 }
 
-// Nothing is told before it is durable: a successor would not know of it.
+// requestWithoutCommit handles a user's request, and returns the response if there is one before
+// the next commit.
+func (d *scheduler) requestWithoutCommit(op api.Op, spec storage.Spec) (response api.Response, responded bool) {
+	reply := make(chan api.Response, 1)
+	d.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
+	select {
+	case response = <-reply:
+		return response, true
+	default:
+		return api.Response{}, false
+	}
+}
+
+// No response shows a state before it is durable: a successor would not know of it.
 func TestResponsesWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
-		tell := func(op api.Op, spec storage.Spec) (api.Response, bool) {
-			reply := make(chan api.Response, 1)
-			sched.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
-			select {
-			case a := <-reply:
-				return a, true
-			default:
-				return api.Response{}, false
-			}
-		}
-		commit := func(err error) {
-			sched.commitPending(err)
-		}
+		request := sched.requestWithoutCommit
 		a, b := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
-		if got, told := tell(api.OpSubmit, a); told {
-			t.Errorf("accepted before it is durable: %+v", got)
+		if got, responded := request(api.OpSubmit, a); responded {
+			t.Errorf("submission before the commit: got %+v, want no response", got)
 		}
-		if got, _ := tell(api.OpPoll, a); got.Code != api.CodeUnavailable {
-			t.Errorf("told before it is durable: %+v", got)
+		if got, _ := request(api.OpPoll, a); got.Code != api.CodeUnavailable {
+			t.Errorf("poll before the submission's commit: got %+v, want code %v", got, api.CodeUnavailable)
 		}
-		tell(api.OpSubmit, b)
-		commit(nil)
-		if got, _ := tell(api.OpPoll, a); got.Code != api.CodeOK {
-			t.Errorf("not told: %+v", got)
+		request(api.OpSubmit, b)
+		sched.commitPending(nil)
+		if got, _ := request(api.OpPoll, a); got.Code != api.CodeOK {
+			t.Errorf("poll after the submission's commit: got %+v, want code %v", got, api.CodeOK)
 		}
-		if got, told := tell(api.OpCancel, a); told {
-			t.Errorf("cancelled before it is durable: %+v", got)
+		if got, responded := request(api.OpCancel, a); responded {
+			t.Errorf("cancellation before the commit: got %+v, want no response", got)
 		}
-		if got, _ := tell(api.OpPoll, a); got.Final() {
-			t.Errorf("cancelled before it is durable: %+v", got)
+		if got, _ := request(api.OpPoll, a); got.Final() {
+			t.Errorf("poll before the cancellation's commit: got %+v, want an open state", got)
 		}
 		j := sched.state.Jobs.Get(b.ID)
 		j.SetTask(0, cluster.TaskDone)
 		sched.finish(j)
-		if got, _ := tell(api.OpPoll, b); got.Final() {
-			t.Errorf("done before it is durable: %+v", got)
+		if got, _ := request(api.OpPoll, b); got.Final() {
+			t.Errorf("poll before the completion's commit: got %+v, want an open state", got)
 		}
-		commit(nil)
+		sched.commitPending(nil)
 		for _, spec := range []storage.Spec{a, b} {
-			if got, _ := tell(api.OpPoll, spec); !got.Final() {
-				t.Errorf("not told: %+v", got)
+			if got, _ := request(api.OpPoll, spec); !got.Final() {
+				t.Errorf("poll after the commit: got %+v, want a final state", got)
 			}
 		}
-		// A cancel of a done job tells that it is done; a repeat, what it is.
-		if got, _ := tell(api.OpCancel, b); got.Code != api.CodeOK || got.State != api.StateDone {
-			t.Errorf("a done job's cancel is answered %+v", got)
+		// The response to any request for a final job is its final state.
+		if got, _ := request(api.OpCancel, b); got.Code != api.CodeOK || got.State != api.StateDone {
+			t.Errorf("cancellation of a done job: got %+v, want state %v", got, api.StateDone)
 		}
-		if got, _ := tell(api.OpSubmit, a); got.Code != api.CodeOK || got.State != api.StateCancelled {
-			t.Errorf("a cancelled job's repeat is answered %+v", got)
+		if got, _ := request(api.OpSubmit, a); got.Code != api.CodeOK || got.State != api.StateCancelled {
+			t.Errorf("repeated submission of a cancelled job: got %+v, want state %v", got, api.StateCancelled)
 		}
 	})
 }
 
-// Work must not wait long beside a machine's room, whatever it did in trouble.
+// A machine is tried again within two leases, however often its tasks or incarnations ended: work
+// must not wait long beside free capacity.
 func TestQuarantineIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		sched := newTestScheduler(t, s)
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		for i := range 12 {
 			sched.failed(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
 			sched.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
-			if pause := time.Until(m.QuarantinedUntil); pause > 2*s.WorkerLease {
-				t.Fatalf("left alone for %v", pause)
+			if pause := time.Until(m.QuarantinedUntil); pause > 2*settings.WorkerLease {
+				t.Fatalf("got a quarantine of %v, want at most %v", pause, 2*settings.WorkerLease)
 			}
 		}
 	})
 }
 
-// A start leaves only once its record is durable: a successor would not know where
-// the task is.
+// A start is sent only once its record is durable: a successor would not know where the task
+// runs.
 func TestStartWaitsForDurableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		jobs := []*cluster.Job{sched.addAcceptedJob(clustertest.Service("000001", 1)), sched.addAcceptedJob(gangSpec("000002", 2))}
 		sched.addReadyMachine(7, "cpu", "a", false)
 		sched.placeRound(time.Now())
-		left := func() (n int) {
+		sent := func() (n int) {
 			for _, j := range jobs {
 				for _, a := range j.Attempts {
 					if a.Delivery != cluster.DeliveryNone {
@@ -235,12 +241,15 @@
 			}
 			return n
 		}
-		if left() != 0 || len(jobs[0].Attempts) != 1 || len(jobs[1].Attempts) != 2 {
-			t.Errorf("%d starts left before their records", left())
+		if n := sent(); n != 0 {
+			t.Errorf("before the commit: got %d starts sent, want none", n)
+		}
+		if a, b := len(jobs[0].Attempts), len(jobs[1].Attempts); a != 1 || b != 2 {
+			t.Errorf("got %d and %d attempts, want 1 and 2", a, b)
 		}
 		sched.commitPending(nil)
-		if left() != 3 {
-			t.Errorf("%d of 3 starts left after their records", left())
+		if n := sent(); n != 3 {
+			t.Errorf("after the commit: got %d starts sent, want 3", n)
 		}
 	})
 }
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -128,7 +128,7 @@
 func TestLaunchWithoutCapacityTriesOtherOfferings(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.withLock(func() {
-			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return h.Zone == "a" || h.Type == "cpu" }
+			sim.cloud.noCapacity = func(launch storage.LaunchRecord) bool { return launch.Zone == "a" || launch.Type == "cpu" }
 		})
 		sim.submit(clustertest.Service("000001", 1))
 		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -16,35 +16,37 @@
 	"sagevale/internal/worker"
 )
 
-// What guards against a combination of faults, taken alone: the scenarios show that it is
-// survived, these tests that the guard does its part.
+// The bounds of leases: a worker's, a leader's, and what a leader may still do near its end.
+// The scenarios of combined faults depend on them; here each is tested alone.
 
-// A successor may have told the user something newer once our lead may have
-// ended: by then an answer on its way is void, unless it is final.
+// Once the leader's lease may have expired, a successor may have sent the user a newer state: a
+// response that is still on its way is void then, unless its state is final.
 func TestResponseValidityEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
-		r := sched.role
-		r.LeaseValidUntil = time.Now().Add(time.Second)
-		sched.setRole(r)
-		asked := time.Now()
+		role := sched.role
+		role.LeaseValidUntil = time.Now().Add(time.Second)
+		sched.setRole(role)
+		received := time.Now()
 		running := api.Response{Code: api.CodeOK, ID: "000001", State: api.StateRunning}
-		if a := sched.withValidity(running, asked); a.Code != api.CodeOK || a.ValidFor != time.Second {
-			t.Errorf("told %+v", a)
+		if got := sched.withValidity(running, received); got.Code != api.CodeOK || got.ValidFor != time.Second {
+			t.Errorf("running state under the lease: got %+v, want code %v valid for 1s", got, api.CodeOK)
 		}
 		time.Sleep(time.Second)
-		if a := sched.withValidity(running, asked); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
-			t.Errorf("told after the lead may have ended: %+v", a)
+		if got := sched.withValidity(running, received); got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
+			t.Errorf("running state after lease expiry: got %+v, want code %v with a retry interval", got, api.CodeUnavailable)
 		}
-		if a := sched.withValidity(api.Response{Code: api.CodeNotFound}, asked); a.Code != api.CodeUnavailable {
-			t.Errorf("told after the lead may have ended: %+v", a)
+		if got := sched.withValidity(api.Response{Code: api.CodeNotFound}, received); got.Code != api.CodeUnavailable {
+			t.Errorf("unknown job after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
 		}
-		if a := sched.withValidity(api.Response{Code: api.CodeOK, State: api.StateDone}, asked); a.Code != api.CodeOK {
-			t.Errorf("a final state isn't told: %+v", a)
+		if got := sched.withValidity(api.Response{Code: api.CodeOK, State: api.StateDone}, received); got.Code != api.CodeOK {
+			t.Errorf("final state after lease expiry: got %+v, want code %v", got, api.CodeOK)
 		}
 	})
 }
 
+// A follower drops a leader's response that arrives after the leader's lease, unless its state
+// is final.
 func TestDelayedResponseIsNotForwarded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -56,77 +58,87 @@
 			if n == leader {
 				continue
 			}
-			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
-				t.Errorf("passed on late: %+v", a)
+			if got := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); got.Code != api.CodeUnavailable {
+				t.Errorf("delayed open state: got %+v, want code %v", got, api.CodeUnavailable)
 			}
-			if a := sim.requestFrom(n, api.OpPoll, "000002", storage.Spec{}); !a.Final() {
-				t.Errorf("a final state isn't passed on: %+v", a)
+			if got := sim.requestFrom(n, api.OpPoll, "000002", storage.Spec{}); !got.Final() {
+				t.Errorf("delayed final state: got %+v, want it forwarded", got)
 			}
 		}
 	})
 }
 
-// Every path on which a worker's lease can be renewed, as an inequality: the last
-// renewal, a lease on a slow clock after it, and the moment that a worker takes to
-// end its tasks come before cancel_s after the earliest cancel that the renewer
-// can't know of. docs/design.md has the argument.
+// For each way to renew a worker's lease: the last renewal plus a lease on a slow clock ends
+// before the cancel timeout of the earliest cancellation that the renewer can't know of.
+// docs/design.md has the argument.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
-	for _, s := range []config.Settings{clustertest.Settings(), {HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
-		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond}} {
+	const maxClockSkew = 1.0005
+	for _, s := range []config.Settings{
+		clustertest.Settings(),
+		{HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
+		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond},
+	} {
 		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
 		s.Tuning = s.DefaultTuning()
-		// endOf is when a lease renewed then has ended on any worker's clock.
-		endOf := func(renewed time.Time) time.Time { return renewed.Add(clock.Scale(s.WorkerLease, 1.0005)) }
-		due := func(confirmed time.Time) time.Time { return confirmed.Add(clock.Scale(s.CancelTimeout, 1/1.0005)) }
-		t.Run("the leader's own answers", func(t *testing.T) {
+		// leaseEnd is when a lease has expired on any worker's clock.
+		leaseEnd := func(renewed time.Time) time.Time { return renewed.Add(clock.Scale(s.WorkerLease, maxClockSkew)) }
+		// cancelDeadline is when the tasks of a job must have ended on any user's clock.
+		cancelDeadline := func(confirmed time.Time) time.Time {
+			return confirmed.Add(clock.Scale(s.CancelTimeout, 1/maxClockSkew))
+		}
+		t.Run("heartbeat responses of the leader", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sched := newTestScheduler(t, s)
-				certain := time.Now()
-				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				leaseExpiry := time.Now()
+				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(s.RenewalGrace())})
 				last := time.Time{}
-				for seq := uint64(1); time.Since(certain) < 2*s.CancelTimeout; seq++ {
+				for seq := uint64(1); time.Since(leaseExpiry) < 2*s.CancelTimeout; seq++ {
 					r := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: 2}
 					if sched.handleHeartbeat(r).Accepted {
 						last = time.Now()
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				if last.IsZero() || !endOf(last).Before(due(certain)) {
-					t.Errorf("last renewed %v after the lead may have ended", last.Sub(certain))
+				if last.IsZero() || !leaseEnd(last).Before(cancelDeadline(leaseExpiry)) {
+					t.Errorf("got the last renewal %v after lease expiry, want it to end before the cancel timeout", last.Sub(leaseExpiry))
 				}
 			})
 		})
-		t.Run("a peer on loan", func(t *testing.T) {
+		t.Run("delegation to a peer", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sched := newTestScheduler(t, s)
-				certain := time.Now()
-				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: certain, RenewUntil: certain.Add(s.RenewalGrace())})
+				leaseExpiry := time.Now()
+				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(s.RenewalGrace())})
 				c := newForwarder(&Node{settings: &s})
-				words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
-				c.node.deps.Peers = words
-				for time.Since(certain) < s.CancelTimeout {
+				peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
+				c.node.deps.Peers = peers
+				for time.Since(leaseExpiry) < s.CancelTimeout {
 					sched.publishDelegation(time.Now())
 					span, excluded := sched.delegator.delegate("n1")
-					words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded}, Sent: time.Now(), Received: time.Now()}
+					peers.statuses["n1"] = peer.ObservedStatus{
+						Status:   peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded},
+						Sent:     time.Now(),
+						Received: time.Now(),
+					}
 					c.refreshDelegation()
 					time.Sleep(100 * time.Millisecond)
 				}
-				if c.delegation.until.IsZero() || !endOf(c.delegation.until).Before(due(certain)) {
-					t.Errorf("lent until %v after the lead may have ended", c.delegation.until.Sub(certain))
+				if c.delegation.until.IsZero() || !leaseEnd(c.delegation.until).Before(cancelDeadline(leaseExpiry)) {
+					t.Errorf("got a delegation until %v after lease expiry, want it to end before the cancel timeout", c.delegation.until.Sub(leaseExpiry))
 				}
 			})
 		})
-		t.Run("prolonged by the peers' word", func(t *testing.T) {
-			// What a peer does after its status it does after we asked for it.
-			asked := time.Now()
-			if !endOf(asked.Add(s.RenewalGrace())).Before(due(asked)) {
-				t.Error("beyond a cancel that is confirmed right after the word")
+		t.Run("grace confirmed by the peers", func(t *testing.T) {
+			// A peer that becomes leader after its status does so after the status was requested.
+			requested := time.Now()
+			if !leaseEnd(requested.Add(s.RenewalGrace())).Before(cancelDeadline(requested)) {
+				t.Error("a lease may last beyond the timeout of a cancellation confirmed right after the status")
 			}
 		})
 	}
 }
 
-// A machine that has tasks of a cancelled job is left out of a delegation.
+// A machine that has tasks of a cancelled job is excluded from a delegation.
 func TestDelegationDoesNotRenewExcludedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -137,76 +149,78 @@
 			c.workers[machine] = &knownWorker{incarnation: 1, seq: 1, lastAcknowledged: time.Now()}
 			r := &worker.Report{Machine: machine, Zone: "a", Incarnation: 1, Seq: 2, Token: 2}
 			p := pendingReport{report: r, digest: c.workers[machine].digest}
-			if a := c.decideDelegated(p, time.Now()); a.Accepted != renewed {
-				t.Errorf("machine %d: %+v", machine, a)
+			if got := c.decideDelegated(p, time.Now()); got.Accepted != renewed {
+				t.Errorf("machine %d: got %+v, want accepted %v", machine, got, renewed)
 			}
 		}
 	})
 }
 
-// A session that is first heard of directly has its own lease, whenever the one
-// before was last answered. The scenario of it no longer places work there, since
-// such a machine isn't ready; the bound must hold all the same.
+// An incarnation that is first seen in a direct response has its own lease, whenever the one
+// before was last acknowledged. The scenario of this no longer places work there, since such a
+// machine isn't ready; the bound must hold all the same.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		sched := newTestScheduler(t, s)
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		time.Sleep(s.WorkerLease)
-		heard := time.Now()
-		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: sched.term}, false, heard)
-		if by := sched.provenEmptyAt(m); by.Before(heard.Add(s.WorkerLease)) {
-			t.Errorf("called empty %v after the session's first word", by.Sub(heard))
+		received := time.Now()
+		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: sched.term}, false, received)
+		if emptyAt := sched.provenEmptyAt(m); emptyAt.Before(received.Add(s.WorkerLease)) {
+			t.Errorf("got the lease bound %v after the incarnation's first report, want at least %v", emptyAt.Sub(received), s.WorkerLease)
 		}
 	})
 }
 
-// An earlier leader may have gone on renewing leases for its whole hold: a machine
-// that this term hasn't heard isn't called empty before the last of them has ended.
+// An earlier leader may have renewed leases until the end of its grace: a machine without a
+// report in this term isn't taken for empty before the last such lease has expired.
 func TestLeaseBoundAfterFailoverCoversEarlierLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		sched := newTestScheduler(t, s)
 		spec := clustertest.Service("000001", 1)
-		if err := sched.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}})}); err != nil {
+		if err := sched.load([]storage.Record{
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
+		}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(s.RenewalGrace() + s.WorkerLease)
 		if sched.expireLeases(time.Now()); len(sched.state.Jobs.Get("000001").Attempts) != 1 {
-			t.Error("called empty while an earlier leader's last lease may last")
+			t.Error("the attempt is dropped while the last lease of an earlier leader may be valid")
 		}
 		time.Sleep(time.Second)
 		if sched.expireLeases(time.Now()); len(sched.state.Jobs.Get("000001").Attempts) != 0 {
-			t.Error("never called empty")
+			t.Error("the attempt is kept after the last lease of an earlier leader has expired")
 		}
 	})
 }
 
-// A worker that knows a later term ends this one at once, unless this lead is certain: then
-// nobody can have led later, and a faulty worker must not end it for all others.
+// A worker that knows a later term ends this leadership at once, unless its lease is valid: then
+// nobody can have led later, and a faulty worker must not end the term for all others.
 func TestLaterTermEndsExpiredLeadership(t *testing.T) {
-	for _, certain := range []bool{false, true} {
+	for _, leaseValid := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			sched := newTestScheduler(t, clustertest.Settings())
 			resignations := 0
 			sched.resign = func(leadership.Resignation) { resignations++ }
 			sched.addReadyMachine(7, "cpu", "a", false)
 			sched.addReadyMachine(8, "cpu", "a", false)
-			if !certain {
+			if !leaseValid {
 				sched.role.LeaseValidUntil = time.Now()
 			}
 			later := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 9, Token: sched.tokens.Last + 1}
-			if a := sched.handleHeartbeat(later); a.Accepted {
-				t.Errorf("certain %v: answered under the earlier term", certain)
+			if got := sched.handleHeartbeat(later); got.Accepted {
+				t.Errorf("lease valid %v: heartbeat with a later token: got %+v, want it rejected", leaseValid, got)
 			}
 			sched.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
-			if leads := sched.leaseValid(time.Now()); leads != certain || resignations > 0 == certain {
-				t.Errorf("certain %v: leads on %v, resigned %d", certain, leads, resignations)
+			if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
+				t.Errorf("lease valid %v: got leading %v after %d resignations", leaseValid, leading, resignations)
 			}
 			other := sched.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: sched.term})
-			if other.Accepted != certain {
-				t.Errorf("certain %v: another worker is answered %+v", certain, other)
+			if other.Accepted != leaseValid {
+				t.Errorf("lease valid %v: heartbeat of another worker: got %+v", leaseValid, other)
 			}
 		})
 	}
--- a/internal/scheduler/redundant_guards_test.go
+++ b/internal/scheduler/redundant_guards_test.go
@@ -12,34 +12,38 @@
 	"sagevale/internal/worker"
 )
 
-// Guards that stand behind another one, each alone: the scenarios don't fail where
-// either is taken out.
-
-// Nothing is decided by a node whose lead may have ended, whoever passes its answers
-// on.
+// A leader whose lease may have expired decides no request. withValidity holds its responses
+// back too, so no scenario fails without this guard; here it is tested alone.
 func TestNoRequestIsDecidedAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		sched.addAcceptedJob(clustertest.Service("000001", 1))
-		r := sched.role
-		r.LeaseValidUntil = time.Now()
-		sched.setRole(r)
+		role := sched.role
+		role.LeaseValidUntil = time.Now()
+		sched.setRole(role)
 		sched.discardPending()
 		for op, id := range map[api.Op]string{api.OpSubmit: "000002", api.OpPoll: "000001", api.OpCancel: "000001"} {
 			reply := make(chan api.Response, 1)
 			sched.handleUser(userMessage{req: api.Request{Op: op, ID: id, Spec: clustertest.Service(id, 1)}, reply: reply})
-			if a := <-reply; a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
-				t.Errorf("request %d is answered %+v", op, a)
+			if got := <-reply; got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
+				t.Errorf("request %v: got %+v, want code %v with a retry interval", op, got, api.CodeUnavailable)
 			}
 		}
-		if sched.state.Jobs.Count() != 1 || sched.queue.Waiting(groupcommit.Interactive) != 0 || sched.state.Jobs.Get("000001").Phase != storage.Open {
-			t.Errorf("%d jobs, %d records to write", sched.state.Jobs.Count(), sched.queue.Waiting(groupcommit.Interactive))
+		if n := sched.state.Jobs.Count(); n != 1 {
+			t.Errorf("got %d jobs, want 1", n)
+		}
+		if n := sched.queue.Waiting(groupcommit.Interactive); n != 0 {
+			t.Errorf("got %d records to write, want none", n)
+		}
+		if phase := sched.state.Jobs.Get("000001").Phase; phase != storage.Open {
+			t.Errorf("got phase %v, want %v", phase, storage.Open)
 		}
 	})
 }
 
-// What an earlier leader started can't come any more where our token is known: a
-// report without it proves its place empty, and a cancelled job lets go of it.
+// A start command of an earlier leader can't take effect any more at a worker that knows the
+// current token: a report without the attempt proves that it doesn't run, and its reservation
+// ends. Other guards stand before this one, so no scenario fails without it.
 func TestReportUnderCurrentTokenDisprovesEarlierStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 1)
@@ -51,14 +55,14 @@
 			t.Fatal(err)
 		}
 		m := sched.state.Machines.Get(7)
-		for seq, token := range []uint64{sched.term - 1, sched.term - 1, sched.term} {
+		for i, token := range []uint64{sched.term - 1, sched.term - 1, sched.term} {
 			if len(m.Attempts) != 1 {
-				t.Fatalf("freed by a report under token %d", token)
+				t.Fatalf("reservation ended before the report under token %d, want it kept until token %d is known", token, sched.term)
 			}
-			sched.handleHeartbeat(&worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: uint64(seq + 1), Token: token})
+			sched.handleHeartbeat(&worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: uint64(i + 1), Token: token})
 		}
 		if len(m.Attempts) != 0 || *m.Reserved != (storage.Resources{}) {
-			t.Errorf("%d attempts and %+v are still booked", len(m.Attempts), *m.Reserved)
+			t.Errorf("got %d attempts with %+v reserved, want none", len(m.Attempts), *m.Reserved)
 		}
 	})
 }
