--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -16,27 +16,27 @@
 	"sagevale/internal/worker"
 )
 
-// Behind a zone's cut all leases ran out though a node of the zone heard its
-// workers. It renews them by delegation, for longer than a lease.
+// In an isolated zone all leases expired although a node of the zone received the heartbeats of
+// its workers. It renews their leases by delegation, for longer than a lease.
 func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
 		sim.moveLeaderOutOf("b")
-		time.Sleep(2 * sim.settings.WorkerLease) // all workers have gone to nodes of their zone
+		time.Sleep(2 * sim.settings.WorkerLease) // by now all workers report to nodes of their zone
 		before := sim.startCount()
 		sim.isolateZone("b")
 		time.Sleep(sim.settings.RenewalGrace() + sim.settings.WorkerLease - 2*sim.settings.HeartbeatInterval)
 		sim.isolateZone("")
 		time.Sleep(sim.settings.WorkerLease)
-		if n := sim.startsSince(before); n != 0 || len(sim.runningTasks("000001")) != 6 {
-			t.Errorf("%d starts anew, %d run", n, len(sim.runningTasks("000001")))
+		if starts, running := sim.startsSince(before), len(sim.runningTasks("000001")); starts != 0 || running != 6 {
+			t.Errorf("got %d starts and %d running tasks, want none and 6", starts, running)
 		}
 	})
 }
 
-// A job may be cancelled while its tasks are kept by delegation behind a cut: they
-// must be gone in time, though the node there can't know.
+// A job may be cancelled while delegation keeps its tasks in an isolated zone: they must end in
+// time, although the node there can't know of the cancellation.
 func TestDelegationEndsBeforeCancelTimeout(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
@@ -47,80 +47,81 @@
 		sim.cancel("000001")
 		time.Sleep(sim.settings.CancelTimeout)
 		if n := len(sim.runningTasks("000001")); n != 0 {
-			t.Errorf("%d tasks outlive their cancel", n)
+			t.Errorf("got %d running tasks after the cancel timeout, want none", n)
 		}
 	})
 }
 
-// A machine whose tasks are to be stopped is left out of the delegation: it was
-// cancelled before the last exchange with the leader, so the delegation may outlast it.
+// A machine with tasks to stop is excluded from the delegation: their job was cancelled before
+// the last exchange with the leader, so the delegation may last beyond the cancel timeout.
 func TestDelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
-		sched := newTestScheduler(t, s)
+		settings := clustertest.Settings()
+		settings.Peers = []config.Peer{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
+		sched := newTestScheduler(t, settings)
 		j := sched.addAcceptedJob(clustertest.Service("000001", 1))
-		sched.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: sched.addReadyMachine(7, "cpu", "a", false), Incarnation: 1, ThisTerm: true, Reported: true})
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		sched.addAttempt(&cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Reported: true})
 		sched.publishDelegation(time.Now())
 		if span, excluded := sched.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
-			t.Errorf("lent for %v, without %v", span, excluded)
+			t.Errorf("got a delegation for %v that excludes %v, want one without exclusions", span, excluded)
 		}
 		j.Phase = storage.Cancelled
 		sched.state.Jobs.TrackCancelling(j)
 		time.Sleep(time.Second)
 		sched.publishDelegation(time.Now())
 		if _, excluded := sched.delegator.delegate("n1"); len(excluded) != 1 || excluded[0] != 7 {
-			t.Errorf("left out: %v", excluded)
+			t.Errorf("same zone: got exclusions %v, want [7]", excluded)
 		}
 		if _, excluded := sched.delegator.delegate("n2"); len(excluded) != 0 {
-			t.Errorf("left out in the other zone: %v", excluded)
+			t.Errorf("other zone: got exclusions %v, want none", excluded)
 		}
-		sched.resignLeadership("told to")
+		sched.resignLeadership("test")
 		if span, _ := sched.delegator.delegate("n1"); span != 0 {
-			t.Errorf("one that has resigned lends %v", span)
+			t.Errorf("after the resignation: got a delegation for %v, want none", span)
 		}
 	})
 }
 
-// What has been delegated counts to the bound after which a silent machine is called
-// empty, until the borrower tells what it did.
+// A delegation extends the bound after which an unreachable machine is taken for empty, until
+// the peer reports which renewals it has made.
 func TestDelegationExtendsLeaseBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		sched := newTestScheduler(t, s)
-		words := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
-		sched.deps.Peers = words
+		settings := clustertest.Settings()
+		settings.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
+		sched := newTestScheduler(t, settings)
+		peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
+		sched.deps.Peers = peers
 		m := sched.addReadyMachine(7, "cpu", "a", false)
-		own := m.LastAcknowledged.Add(s.LeaseBound())
+		own := m.LastAcknowledged.Add(settings.LeaseBound())
 		sched.publishDelegation(time.Now())
 		sched.updatePeerRenewals()
-		if !sched.provenEmptyAt(m).Equal(own) {
-			t.Error("the bound of a machine that nobody else may renew has moved")
+		if got := sched.provenEmptyAt(m); !got.Equal(own) {
+			t.Errorf("without a delegation: got lease bound %v, want the leader's own %v", got, own)
 		}
 		span, _ := sched.delegator.delegate("n1")
 		until := time.Now().Add(span)
 		sched.updatePeerRenewals()
-		if want := until.Add(s.LeaseBound()); !sched.provenEmptyAt(m).Equal(want) {
-			t.Errorf("empty by %v, lent until %v", sched.provenEmptyAt(m), until)
+		if got, want := sched.provenEmptyAt(m), until.Add(settings.LeaseBound()); !got.Equal(want) {
+			t.Errorf("under a delegation: got lease bound %v, want %v", got, want)
 		}
-		time.Sleep(s.LeaseBound() + time.Second)
+		time.Sleep(settings.LeaseBound() + time.Second)
 		now := time.Now()
-		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
+		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
-		if !sched.provenEmptyAt(m).Equal(own) {
-			t.Errorf("it renewed nothing, and yet the bound is %v", sched.provenEmptyAt(m).Sub(own))
+		if got := sched.provenEmptyAt(m); !got.Equal(own) {
+			t.Errorf("after a delegation without renewals: got lease bound %v, want the leader's own %v", got, own)
 		}
-		words.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
+		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
-		if !sched.provenEmptyAt(m).After(now) {
-			t.Error("it renewed ten seconds ago, and yet the machine is called empty")
+		if got := sched.provenEmptyAt(m); !got.After(now) {
+			t.Errorf("after a delegated renewal ten seconds ago: got lease bound %v, want it after %v", got, now)
 		}
 	})
 }
 
-// A late copy of a report must not be renewed alone either, nor a report of a
-// worker that knows a higher token.
+// Delegation renews no lease for a late copy of a report, nor for a worker that knows a higher
+// token.
 func TestDelegationRenewsOnlyCurrentReports(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -132,9 +133,9 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		machine := 900
+		machine := 900 // raised until the machine belongs to this node of the zone
 		report := func(seq, token uint64) worker.HeartbeatResponse {
-			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+			ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
 			defer cancel()
 			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Incarnation: 1, Seq: seq, Token: token})
 		}
@@ -144,30 +145,30 @@
 		n.cutPeers.Store(true)
 		n.cutStore.Store(true)
 		time.Sleep(2 * time.Second)
-		if a := report(4, term); a.Accepted {
-			t.Error("a late copy is answered")
+		if got := report(4, term); got.Accepted {
+			t.Errorf("late copy: got %+v, want it rejected", got)
 		}
 		later := fencing.TermTokens(term).Last + 1
-		if a := report(6, later); a.Accepted {
-			t.Error("a worker with a later leader's token is answered")
+		if got := report(6, later); got.Accepted {
+			t.Errorf("report with the token of a later term: got %+v, want it rejected", got)
 		}
-		if a := report(7, term); !a.Accepted || a.Token != term || len(a.Commands) != 0 {
-			t.Errorf("the present report is answered %+v", a)
+		if got := report(7, term); !got.Accepted || got.Token != term || len(got.Commands) != 0 {
+			t.Errorf("current report: got %+v, want it accepted under token %d without commands", got, term)
 		}
-		// A token that the leader has raised within its term is the worker's own: under a
-		// lower one it would drop the answer.
-		if a := report(8, later-1); !a.Accepted || a.Token != later-1 || len(a.Commands) != 0 {
-			t.Errorf("a worker with a raised token is answered %+v", a)
+		// The response to a worker with a token that the leader has raised within its term has
+		// that token: the worker would drop a response under a lower one.
+		if got := report(8, later-1); !got.Accepted || got.Token != later-1 || len(got.Commands) != 0 {
+			t.Errorf("report with a raised token: got %+v, want it accepted under token %d without commands", got, later-1)
 		}
-		n.node.Ready() // the balancer asks: only this node is cut off
-		if a := report(9, term); a.Accepted {
-			t.Error("a worker is kept that is better off elsewhere")
+		n.node.Ready() // the load balancer's check arrives: only this node is cut off
+		if got := report(9, term); got.Accepted {
+			t.Errorf("report of a worker that can reach other nodes: got %+v, want it rejected", got)
 		}
 	})
 }
 
-// A leader that no longer reached its workers kept its lead, and all leases ran
-// out. Their reports come by way of the others, and the lead goes there.
+// A leader that no longer reached its workers kept the leadership, and all leases expired. Now
+// the heartbeats reach it through the other nodes, and it resigns for one of them.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
@@ -177,43 +178,44 @@
 		before := sim.startCount()
 		old.cutWorkers.Store(true)
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		for i := range 20 { // direct orders that go nowhere
+		for i := range 20 { // their direct commands are lost
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 100+i), 1))
 			time.Sleep(time.Second)
 		}
 		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
 		time.Sleep(sim.settings.WorkerLease)
-		if n := sim.startsSince(before); n != 20 || len(sim.runningTasks("000001")) != 12 {
-			t.Errorf("%d starts, %d run", n, len(sim.runningTasks("000001")))
+		if starts, running := sim.startsSince(before), len(sim.runningTasks("000001")); starts != 20 || running != 12 {
+			t.Errorf("got %d starts and %d running tasks, want 20 and 12", starts, running)
 		}
 	})
 }
 
-// Workers report to a node of their own zone, and are sent there once.
+// A worker that reports to a node of another zone is redirected to its own zone once, and again
+// only after some leases.
 func TestWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
-		away, node := sim.nodes[0], sim.nodes[1]
+		remote, local := sim.nodes[0], sim.nodes[1]
 		seq := uint64(0)
 		report := func(n *fakeNode) worker.HeartbeatResponse {
-			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+			ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
 			defer cancel()
 			seq++
-			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: node.zone, Incarnation: 1, Seq: seq})
+			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: local.zone, Incarnation: 1, Seq: seq})
 		}
-		if a := report(away); a.Leader != node.name {
-			t.Fatalf("not sent home: %+v", a)
+		if got := report(remote); got.Leader != local.name {
+			t.Fatalf("first report to a remote node: got %+v, want a redirect to %s", got, local.name)
 		}
-		if a := report(node); !a.Accepted {
-			t.Errorf("not taken at home: %+v", a)
+		if got := report(local); !got.Accepted {
+			t.Errorf("report to a local node: got %+v, want it accepted", got)
 		}
-		if a := report(away); !a.Accepted {
-			t.Errorf("sent home again at once: %+v", a)
+		if got := report(remote); !got.Accepted {
+			t.Errorf("second report to a remote node: got %+v, want it accepted", got)
 		}
 		time.Sleep(affinityLeases * sim.settings.WorkerLease)
-		if a := report(away); a.Leader != node.name {
-			t.Errorf("not sent home later: %+v", a)
+		if got := report(remote); got.Leader != local.name {
+			t.Errorf("later report to a remote node: got %+v, want a redirect to %s", got, local.name)
 		}
 	})
 }
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -3,9 +3,9 @@
 package scheduler
 
 import (
-	"context"
 	"encoding/json"
 	"os"
+	"path/filepath"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,7 +17,8 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// TestFreeze writes what this version leaves in the key-value store to the folder that FREEZE names: see the README.md of each folder in testdata.
+// TestFreeze writes what this version leaves in the key-value store to the directory that FREEZE
+// names: see the README.md of each directory in testdata.
 func TestFreeze(t *testing.T) {
 	dir := os.Getenv("FREEZE")
 	write := func(name string, v any) {
@@ -25,37 +26,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(dir+"/"+name, append(raw, '\n'), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), append(raw, '\n'), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// freezeStore plays the scenario and writes the keys that it leaves.
+	// freezeStore runs the scenario and writes the keys that it leaves in the store.
 	freezeStore := func(name string, sim *simulation) {
-		sw := clustertest.Array("000001", 70)
-		sw.EstimateS, sw.Spot, sw.DeadlineS, sw.CheckpointS, sw.SaveS = 30, true, 900, 10, 2
-		sim.submit(sw)
-		sv := clustertest.Service("000002", 3)
-		sv.Spread, sv.Types = true, []string{"cpu"}
-		sim.submit(sv)
+		array := clustertest.Array("000001", 70)
+		array.EstimateS, array.Spot, array.DeadlineS, array.CheckpointS, array.SaveS = 30, true, 900, 10, 2
+		sim.submit(array)
+		service := clustertest.Service("000002", 3)
+		service.Spread, service.Types = true, []string{"cpu"}
+		sim.submit(service)
 		if sim.settings.State.Next != nil {
 			sim.submit(longRecord("000006"))
 		}
 		sim.submit(clustertest.Array("000003", 2))
 		sim.submit(clustertest.Service("000004", 2))
-		g := clustertest.Array("000005", 3)
-		g.Gang, g.SameZone, g.EstimateS = true, true, 600
-		sim.submit(g)
-		sim.eventually("done", 5*time.Minute, func() bool { return sim.poll("000003").State == api.StateDone })
+		gang := clustertest.Array("000005", 3)
+		gang.Gang, gang.SameZone, gang.EstimateS = true, true, 600
+		sim.submit(gang)
+		sim.eventually("job 000003 is done", 5*time.Minute, func() bool { return sim.poll("000003").State == api.StateDone })
 		sim.cancel("000004")
-		sim.eventually("partly done", 5*time.Minute, func() bool { return sim.poll("000001").Done > 20 })
+		sim.eventually("job 000001 is partly done", 5*time.Minute, func() bool { return sim.poll("000001").Done > 20 })
 		for _, n := range sim.nodes {
 			n.kill()
 		}
 		time.Sleep(time.Second)
-		c := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
+		client := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
 		var items []storage.Item
 		for _, prefix := range []string{"log/", "term", "lead"} {
-			got, _, _, err := c.List(context.Background(), prefix, "", 1000)
+			got, _, _, err := client.List(sim.t.Context(), prefix, "", 1000)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,7 +65,10 @@
 		write(name, items)
 	}
 	runSimulation(t, func(sim *simulation) { freezeStore("store.json", sim) })
-	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
+	lowerNext := func(s *config.Settings) {
+		s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
+	}
+	runSimulationWithSettings(t, lowerNext, func(sim *simulation) {
 		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		freezeStore("store-lowered.json", sim)
 	})
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -13,7 +13,8 @@
 	"sagevale/internal/worker"
 )
 
-// The first of several large jobs took all room, and the last began after minutes.
+// Opportunistic jobs share the capacity evenly, and a job with a deadline goes before them. The
+// first of several large jobs used to take all capacity, and the last started after minutes.
 func TestOpportunisticJobsShareEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -22,9 +23,9 @@
 			jobs = append(jobs, sched.addAcceptedJob(clustertest.Opportunistic(fmt.Sprintf("00000%d", i), 1000)))
 			time.Sleep(time.Second)
 		}
-		late := clustertest.Array("000009", 1)
-		late.Priority, late.Spot, late.DeadlineS = storage.BestEffort, true, 600
-		hurried := sched.addAcceptedJob(late)
+		spec := clustertest.Array("000009", 1)
+		spec.Priority, spec.Spot, spec.DeadlineS = storage.BestEffort, true, 600
+		withDeadline := sched.addAcceptedJob(spec)
 		for batch := range 4 {
 			for i := range 20 {
 				sched.addReadyMachine(batch*20+i+1, "cpu", "a", true)
@@ -33,46 +34,52 @@
 				sched.placeRound(time.Now())
 			}
 		}
-		if hurried.Allocated() != 1 {
-			t.Error("a job with a deadline waits behind opportunistic work")
+		if n := withDeadline.Allocated(); n != 1 {
+			t.Errorf("job with a deadline: got %d allocated tasks, want 1", n)
 		}
 		for _, j := range jobs {
 			if n := j.Allocated(); n < 30 || n > 60 {
-				t.Errorf("job %s has %d of some 160 places", j.Spec.ID, n)
+				t.Errorf("job %s: got %d allocated tasks of some 160, want 30 to 60", j.Spec.ID, n)
 			}
 		}
 	})
 }
 
-// Who may stop opportunistic work of its own priority: what its team is guaranteed.
+// Work within its team's guarantee preempts opportunistic work of the same priority; work beyond
+// the guarantee doesn't.
 func TestGuaranteedWorkPreemptsOpportunisticWork(t *testing.T) {
-	for name, guarantee := range map[string]float64{"guaranteed": 100, "beyond the guarantee": 1} {
+	for name, c := range map[string]struct {
+		guaranteedCPUs float64
+		wantStopped    int
+	}{
+		"within the guarantee": {guaranteedCPUs: 100, wantStopped: 1},
+		"beyond the guarantee": {guaranteedCPUs: 1, wantStopped: 0},
+	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := clustertest.Settings()
-				s.Teams = append(s.Teams, config.Team{Name: "home", Guarantee: storage.Resources{CPUs: guarantee, MemoryGB: 100}})
-				sched := newTestScheduler(t, s)
+				settings := clustertest.Settings()
+				settings.Teams = append(settings.Teams, config.Team{Name: "guaranteed", Guarantee: storage.Resources{CPUs: c.guaranteedCPUs, MemoryGB: 100}})
+				sched := newTestScheduler(t, settings)
 				m := sched.addReadyMachine(1, "cpu", "a", true)
-				idle := sched.addAcceptedJob(clustertest.Opportunistic("000001", 2))
+				opportunistic := sched.addAcceptedJob(clustertest.Opportunistic("000001", 2))
 				for i := range 2 {
-					sched.addAttempt(&cluster.Attempt{Job: idle, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
+					sched.addAttempt(&cluster.Attempt{
+						Job: opportunistic, Task: i, Number: uint64(i + 1), Machine: m, Incarnation: 1,
+						ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now(),
+					})
 				}
 				spec := clustertest.Opportunistic("000002", 1)
-				spec.Team, spec.DeadlineS = "home", 600
+				spec.Team, spec.DeadlineS = "guaranteed", 600
 				sched.addAcceptedJob(spec)
 				sched.placeRound(time.Now())
 				stopped := 0
-				for _, a := range idle.Attempts {
+				for _, a := range opportunistic.Attempts {
 					if a.Stopping {
 						stopped++
 					}
 				}
-				want := 0
-				if name == "guaranteed" {
-					want = 1
-				}
-				if stopped != want {
-					t.Errorf("%d idle tasks are stopped, not %d", stopped, want)
+				if stopped != c.wantStopped {
+					t.Errorf("got %d opportunistic tasks stopped, want %d", stopped, c.wantStopped)
 				}
 			})
 		})
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -14,16 +14,16 @@
 	"sagevale/internal/worker"
 )
 
-// What bounds the size of a fleet: at 6,000 machines nothing that was fixed stands in the way.
+// largeFleet is a number of machines that no fixed limit may stand in the way of.
+const largeFleet = 6000
 
-const manyMachines = 6000
-
-// All workers may report at once: none is turned away before users are, and submissions go first.
+// All workers may report at once: users are turned away before heartbeats are, and submissions
+// before polls and cancellations.
 func TestMailboxReservesCapacityForHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		s.Sockets = manyMachines
-		sched := newTestScheduler(t, s) // it takes nothing in
+		settings := clustertest.Settings()
+		settings.Sockets = largeFleet
+		sched := newTestScheduler(t, settings) // it handles no message
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		report := func(n int) {
@@ -33,86 +33,88 @@
 			synctest.Wait()
 		}
 		busy := func(op api.Op) bool { return !sched.admits(op) }
-		if report(manyMachines*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
-			t.Error("users are turned away from a mailbox a quarter empty")
+		if report(largeFleet*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
+			t.Error("a request is rejected while a quarter of the mailbox is free")
 		}
 		if report(2); !busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
-			t.Error("submissions don't leave room for questions and cancellations")
+			t.Error("beyond three quarters: want submissions rejected, polls and cancellations admitted")
 		}
-		if report(manyMachines / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
-			t.Error("users don't leave room for reports")
+		if report(largeFleet / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
+			t.Error("beyond seven eighths: want polls and cancellations rejected")
 		}
-		if a := sched.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); a.Code != api.CodeBusy || a.RetrySeconds < 1 || a.RetrySeconds > busySpread {
-			t.Errorf("answered %+v", a)
+		got := sched.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"})
+		if got.Code != api.CodeBusy || got.RetrySeconds < 1 || got.RetrySeconds > busySpread {
+			t.Errorf("poll: got %+v, want code %v with a retry interval of 1 to %d s", got, api.CodeBusy, busySpread)
 		}
-		if report(manyMachines/8 - 1); len(sched.mailbox) != manyMachines {
-			t.Errorf("%d of %d reports wait", len(sched.mailbox), manyMachines)
+		if report(largeFleet/8 - 1); len(sched.mailbox) != largeFleet {
+			t.Errorf("got %d waiting heartbeats, want %d", len(sched.mailbox), largeFleet)
 		}
 	})
 }
 
-// A worker that reports more unknown tasks than an answer holds orders for is told a part at a time.
+// A worker that reports more unknown tasks than fit into one response gets their stop commands in
+// several responses.
 func TestHeartbeatResponseLimitsCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		sched.addReadyMachine(1, "cpu", "a", false)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: sched.term}
 		for i := range 3 * maxCommands / 2 {
-			r.Tasks = append(r.Tasks, worker.TaskReport{ID: worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}, Attempt: uint64(i), State: worker.Running})
+			id := worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}
+			r.Tasks = append(r.Tasks, worker.TaskReport{ID: id, Attempt: uint64(i), State: worker.Running})
 		}
-		if a := sched.handleHeartbeat(r); !a.Accepted || len(a.Commands) != maxCommands || slices.ContainsFunc(a.Commands, func(o worker.Command) bool { return o.Verb != worker.Stop }) {
-			t.Errorf("%d orders", len(a.Commands))
+		notStop := func(c worker.Command) bool { return c.Verb != worker.Stop }
+		if got := sched.handleHeartbeat(r); !got.Accepted || len(got.Commands) != maxCommands || slices.ContainsFunc(got.Commands, notStop) {
+			t.Errorf("first response: got accepted %v with %d commands, want %d stop commands", got.Accepted, len(got.Commands), maxCommands)
 		}
 		r.Seq++
 		r.Tasks = r.Tasks[maxCommands:]
-		if a := sched.handleHeartbeat(r); len(a.Commands) != maxCommands/2 {
-			t.Errorf("%d orders for the rest", len(a.Commands))
+		if got := sched.handleHeartbeat(r); len(got.Commands) != maxCommands/2 {
+			t.Errorf("second response: got %d commands, want %d", len(got.Commands), maxCommands/2)
 		}
 	})
 }
 
-// A flood of submissions is refused beyond what is recorded in time, in turns, and what is known
-// already is answered all the same.
+// Submissions beyond what can be committed in time are rejected with staggered retry intervals;
+// repeated submissions of known jobs are answered all the same.
 func TestSubmissionFloodIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		submit := func(i int) (api.Response, bool) {
-			reply := make(chan api.Response, 1)
-			spec := clustertest.Array(fmt.Sprintf("%06d", i), 1)
-			sched.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, reply: reply})
-			select {
-			case a := <-reply:
-				return a, true
-			default:
-				return api.Response{}, false
-			}
+			return sched.requestWithoutCommit(api.OpSubmit, clustertest.Array(fmt.Sprintf("%06d", i), 1))
 		}
 		admitted, longest := 0, 0
 		for i := range 20000 {
-			a, refused := submit(i)
+			got, rejected := submit(i)
 			switch {
-			case !refused:
+			case !rejected:
 				admitted++
-			case a.Code != api.CodeBusy || a.RetrySeconds < 1:
-				t.Fatalf("answered %+v", a)
+			case got.Code != api.CodeBusy || got.RetrySeconds < 1:
+				t.Fatalf("submission %d: got %+v, want it admitted or code %v with a retry interval", i, got, api.CodeBusy)
 			default:
-				longest = max(longest, a.RetrySeconds)
+				longest = max(longest, got.RetrySeconds)
 			}
 		}
 		if admitted == 0 || admitted > 10000 || longest < 10 {
-			t.Errorf("%d of 20,000 admitted at once, the rest within %d s", admitted, longest)
+			t.Errorf("got %d of 20,000 submissions admitted and retry intervals up to %d s, want 1 to 10,000 and at least 10 s", admitted, longest)
 		}
 		sched.commitPending(nil)
-		if a, told := submit(0); !told || a.Code != api.CodeOK {
-			t.Errorf("a repeat is answered %+v", a)
+		if got, responded := submit(0); !responded || got.Code != api.CodeOK {
+			t.Errorf("repeated submission: got %+v, want code %v", got, api.CodeOK)
 		}
-		if _, refused := submit(30000); refused {
-			t.Error("refused with nothing waiting")
+		if got, rejected := submit(30000); rejected {
+			t.Errorf("submission after the commit: got %+v, want it admitted", got)
 		}
 	})
 }
 
-// A flood of other work doesn't hold up the start of an urgent task, nor a flood of acceptances.
+// failRecord returns a callback for a record that can't be encoded: it fails the test.
+func failRecord(t *testing.T) func(key string, err error) {
+	t.Helper()
+	return func(key string, err error) { t.Errorf("record %s: %v", key, err) }
+}
+
+// The start of an urgent task doesn't wait for the records of a flood of other jobs.
 func TestUrgentStartBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -126,17 +128,18 @@
 		a := sched.Reserve(urgent, 0, m, time.Now())
 		sched.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
-			if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); ok {
+			if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failRecord(t)); ok {
 				sched.handleCommitted(nil)
 			}
 		}
 		if !a.Durable || a.Delivery != cluster.DeliveryInFlight {
-			t.Error("an urgent task waits for what isn't")
+			t.Errorf("urgent attempt after two commits: got durable %v, delivery %v, want it in flight", a.Durable, a.Delivery)
 		}
 	})
 }
 
-// A cancellation doesn't wait behind a flood of acceptances, also where the job's record waits among them.
+// A cancellation doesn't wait behind a flood of accepted jobs, even if the job's own record is
+// queued behind them already.
 func TestCancellationBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -144,20 +147,20 @@
 		for i := range 5000 {
 			sched.markJob(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
-		sched.markJob(j) // for something else, at the end of the lane
+		sched.markJob(j) // for another change, at the end of the bulk lane
 		reply := make(chan api.Response, 1)
 		sched.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
-		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), func(key string, err error) { t.Error(key, err) }); !ok {
-			t.Fatal("nothing to write")
+		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failRecord(t)); !ok {
+			t.Fatal("no record is queued to be written")
 		}
 		sched.handleCommitted(nil)
 		select {
-		case a := <-reply:
-			if a.State != api.StateCancelled {
-				t.Errorf("answered %+v", a)
+		case got := <-reply:
+			if got.State != api.StateCancelled {
+				t.Errorf("cancellation: got %+v, want state %v", got, api.StateCancelled)
 			}
 		default:
-			t.Error("the cancellation waits for the flood")
+			t.Error("the cancellation has no response after one commit")
 		}
 	})
 }
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -12,8 +12,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// What the journal may write follows the gate: while that is being withdrawn, a record that
-// is too large for a plain chunk must still be written, or every commit would stand still.
+// The encodings that the journal may write follow the state of their gate. While the gate is
+// being withdrawn, a record that is too large for a plain chunk must still be written, or every
+// commit would stall.
 func TestJournalEncodingFollowsGate(t *testing.T) {
 	for _, c := range []struct {
 		gate upgrade.GateState
@@ -27,29 +28,29 @@
 	} {
 		record := upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.CompressedChunks: c.gate}}
 		if got := encodingOf(record); got != c.want {
-			t.Errorf("%+v: %v instead of %v", c.gate, got, c.want)
+			t.Errorf("gate %+v: got encoding %v, want %v", c.gate, got, c.want)
 		}
 	}
 }
 
-// The first gang job waits until the use of its gate is durable, like any acceptance for its
-// commit; where that takes too long, or the gate is closed, its user is told to come back.
+// The first gang job waits until the use of its gate is durable, as any accepted job waits for
+// its commit. If that takes too long or the gate is closed, the response has a retry interval.
 func TestFirstGangJobWaitsForGate(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		gang := func(id string) storage.Spec {
-			g := clustertest.Array(id, 2)
-			g.Gang = true
-			sim.storeSpec(g)
-			return g
+			spec := clustertest.Array(id, 2)
+			spec.Gang = true
+			sim.storeSpec(spec)
+			return spec
 		}
 		leader := sim.awaitLeader()
-		began := time.Now()
-		if a := sim.requestFrom(leader, api.OpSubmit, "000001", gang("000001")); a.Code != api.CodeCreated {
-			t.Errorf("answered %+v", a)
+		start := time.Now()
+		if got := sim.requestFrom(leader, api.OpSubmit, "000001", gang("000001")); got.Code != api.CodeCreated {
+			t.Errorf("first gang job: got %+v, want code %v", got, api.CodeCreated)
 		}
-		if took := time.Since(began); took > 100*time.Millisecond {
-			t.Errorf("accepted after %v", took)
+		if duration := time.Since(start); duration > 100*time.Millisecond {
+			t.Errorf("first gang job: got a response after %v, want at most 100ms", duration)
 		}
 		sim.awaitDone("000001")
 		sim.state.Update(func(s *storagetest.Service) { s.Drop = touchesCluster })
@@ -58,13 +59,13 @@
 			n.restart()
 		}
 		leader = sim.awaitLeader()
-		time.Sleep(20 * time.Second) // a release is unanswered, and so are uses
-		began = time.Now()
-		if a := sim.requestFrom(leader, api.OpSubmit, "000002", gang("000002")); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
-			t.Errorf("answered %+v", a)
+		time.Sleep(20 * time.Second) // a release of the gate is unanswered, and so are its uses
+		start = time.Now()
+		if got := sim.requestFrom(leader, api.OpSubmit, "000002", gang("000002")); got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
+			t.Errorf("gang job with a blocked gate: got %+v, want code %v with a retry interval", got, api.CodeUnavailable)
 		}
-		if took := time.Since(began); took > clock.Scale(sim.settings.HeartbeatInterval, 0.7) {
-			t.Errorf("told to come back after %v", took)
+		if duration, limit := time.Since(start), clock.Scale(sim.settings.HeartbeatInterval, 0.7); duration > limit {
+			t.Errorf("gang job with a blocked gate: got a response after %v, want at most %v", duration, limit)
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
 		sim.submit(gang("000002"))
