--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -4,11 +4,9 @@
 	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"sagevale/internal/api"
-	"sagevale/internal/cluster"
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/fencing"
 	"sagevale/internal/storage"
@@ -326,30 +324,3 @@
 		time.Sleep(10 * time.Second)
 	})
 }
-
-// A new leader repeats the start of an earlier leader's attempt in a heartbeat response. The
-// worker's response to the token announcement, sent before that start arrived, doesn't list the
-// attempt. It was taken for proof of absence: the task was started elsewhere and ran twice.
-func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		sched := newTestScheduler(t, clustertest.Settings())
-		m := sched.state.EnsureMachine(1, time.Now())
-		m.Addr, m.Incarnation = "1", 1
-		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
-		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
-		sched.addAttempt(a)
-		report := func(seq, token uint64) *worker.Report {
-			return &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
-		}
-		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
-			t.Fatalf("first heartbeat: got %+v, want one start command", got)
-		}
-		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
-		if j.Attempts[0] != a {
-			t.Errorf("attempt while its start is in flight: got %+v, want it unchanged", j.Attempts[0])
-		}
-		if got := sched.handleHeartbeat(report(3, sched.term)); len(got.Commands) != 1 {
-			t.Errorf("next heartbeat: got %+v, want the start command again", got)
-		}
-	})
-}
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -1,15 +1,18 @@
 package scheduler
 
 import (
+	"context"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"sagevale/internal/api"
 	"sagevale/internal/clock"
+	"sagevale/internal/cluster"
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/config"
 	"sagevale/internal/fencing"
+	"sagevale/internal/groupcommit"
 	"sagevale/internal/leadership"
 	"sagevale/internal/peer"
 	"sagevale/internal/storage"
@@ -225,3 +228,62 @@
 		})
 	}
 }
+
+// A start command isn't sent once the sender's lease may have expired: a successor may have
+// confirmed a cancellation by then. Stop commands are not bound by the lease.
+func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		sent := make(chan time.Time, 2)
+		sched.deps.Workers = sendDeadlineRecorder{sent: sent}
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(sched.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
+		sched.startReserved([]*cluster.Attempt{a})
+		if sendBy := <-sent; !sendBy.Equal(sched.role.LeaseValidUntil) {
+			t.Errorf("start command: got send deadline %v, want the lease's end %v", sendBy, sched.role.LeaseValidUntil)
+		}
+		a.Reported = true
+		sched.stopAttempt(a, 0)
+		sched.commandStops(m)
+		if sendBy := <-sent; !sendBy.IsZero() {
+			t.Errorf("stop command: got send deadline %v, want none", sendBy)
+		}
+	})
+}
+
+// sendDeadlineRecorder records the send deadline of each message of commands, and sends none.
+type sendDeadlineRecorder struct{ sent chan<- time.Time }
+
+func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+	r.sent <- sendBy
+	return worker.NotSent, nil
+}
+
+// A leader whose lease may have expired decides no request. withValidity holds its responses
+// back too, so no scenario fails without this guard; here it is tested alone.
+func TestNoRequestIsDecidedAfterLeaseExpiry(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		sched.addAcceptedJob(clustertest.Service("000001", 1))
+		role := sched.role
+		role.LeaseValidUntil = time.Now()
+		sched.setRole(role)
+		sched.discardPending()
+		for op, id := range map[api.Op]string{api.OpSubmit: "000002", api.OpPoll: "000001", api.OpCancel: "000001"} {
+			reply := make(chan api.Response, 1)
+			sched.handleUser(userMessage{req: api.Request{Op: op, ID: id, Spec: clustertest.Service(id, 1)}, reply: reply})
+			if got := <-reply; got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
+				t.Errorf("request %v: got %+v, want code %v with a retry interval", op, got, api.CodeUnavailable)
+			}
+		}
+		if n := sched.state.Jobs.Count(); n != 1 {
+			t.Errorf("got %d jobs, want 1", n)
+		}
+		if n := sched.queue.Waiting(groupcommit.Interactive); n != 0 {
+			t.Errorf("got %d records to write, want none", n)
+		}
+		if phase := sched.state.Jobs.Get("000001").Phase; phase != storage.Open {
+			t.Errorf("got phase %v, want %v", phase, storage.Open)
+		}
+	})
+}
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -1,17 +1,13 @@
 package scheduler
 
 import (
-	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"sagevale/internal/api"
-	"sagevale/internal/cluster"
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/config"
-	"sagevale/internal/worker"
 )
 
 // Controllers with little processor time and memory fall behind, and must keep all invariants
@@ -119,33 +115,3 @@
 		sim.awaitRunning("000001", 2)
 	})
 }
-
-// A start command isn't sent once the sender's lease may have expired: a successor may have
-// confirmed a cancellation by then. Stop commands are not bound by the lease.
-func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		sched := newTestScheduler(t, clustertest.Settings())
-		sent := make(chan time.Time, 2)
-		sched.deps.Workers = sendDeadlineRecorder{sent: sent}
-		m := sched.addReadyMachine(7, "cpu", "a", false)
-		a := sched.Reserve(sched.addAcceptedJob(clustertest.Service("000001", 1)), 0, m, time.Now())
-		sched.startReserved([]*cluster.Attempt{a})
-		if sendBy := <-sent; !sendBy.Equal(sched.role.LeaseValidUntil) {
-			t.Errorf("start command: got send deadline %v, want the lease's end %v", sendBy, sched.role.LeaseValidUntil)
-		}
-		a.Reported = true
-		sched.stopAttempt(a, 0)
-		sched.commandStops(m)
-		if sendBy := <-sent; !sendBy.IsZero() {
-			t.Errorf("stop command: got send deadline %v, want none", sendBy)
-		}
-	})
-}
-
-// sendDeadlineRecorder records the send deadline of each message of commands, and sends none.
-type sendDeadlineRecorder struct{ sent chan<- time.Time }
-
-func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
-	r.sent <- sendBy
-	return worker.NotSent, nil
-}
--- /dev/null
+++ b/internal/scheduler/machine_readiness_test.go
@@ -0,0 +1,51 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/config"
+	"sagevale/internal/worker"
+)
+
+// A machine whose heartbeats are lost loses its lease, even if direct commands reach it: only a
+// heartbeat makes it ready.
+func TestDirectResponsesDoNotMakeMachineReady(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		for range 2 * config.FreshIntervals {
+			time.Sleep(settings.HeartbeatInterval)
+			report := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}
+			sched.applyReport(m, report, false, time.Now())
+		}
+		if m.Ready(time.Now(), settings.ReportFreshness()) {
+			t.Error("machine is ready after direct responses alone")
+		}
+		sched.addReadyMachine(7, "cpu", "a", false)
+		if !m.Ready(time.Now(), settings.ReportFreshness()) {
+			t.Error("machine isn't ready after a heartbeat")
+		}
+	})
+}
+
+// A machine is tried again within two leases, however often its tasks or incarnations ended: work
+// must not wait long beside free capacity.
+func TestQuarantineIsBounded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		for i := range 12 {
+			sched.failed(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
+			sched.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
+			if pause := time.Until(m.QuarantinedUntil); pause > 2*settings.WorkerLease {
+				t.Fatalf("got a quarantine of %v, want at most %v", pause, 2*settings.WorkerLease)
+			}
+		}
+	})
+}
--- a/internal/scheduler/redundant_guards_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -5,42 +5,12 @@
 	"testing/synctest"
 	"time"
 
-	"sagevale/internal/api"
+	"sagevale/internal/cluster"
 	"sagevale/internal/cluster/clustertest"
-	"sagevale/internal/groupcommit"
 	"sagevale/internal/storage"
 	"sagevale/internal/worker"
 )
 
-// A leader whose lease may have expired decides no request. withValidity holds its responses
-// back too, so no scenario fails without this guard; here it is tested alone.
-func TestNoRequestIsDecidedAfterLeaseExpiry(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		sched := newTestScheduler(t, clustertest.Settings())
-		sched.addAcceptedJob(clustertest.Service("000001", 1))
-		role := sched.role
-		role.LeaseValidUntil = time.Now()
-		sched.setRole(role)
-		sched.discardPending()
-		for op, id := range map[api.Op]string{api.OpSubmit: "000002", api.OpPoll: "000001", api.OpCancel: "000001"} {
-			reply := make(chan api.Response, 1)
-			sched.handleUser(userMessage{req: api.Request{Op: op, ID: id, Spec: clustertest.Service(id, 1)}, reply: reply})
-			if got := <-reply; got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
-				t.Errorf("request %v: got %+v, want code %v with a retry interval", op, got, api.CodeUnavailable)
-			}
-		}
-		if n := sched.state.Jobs.Count(); n != 1 {
-			t.Errorf("got %d jobs, want 1", n)
-		}
-		if n := sched.queue.Waiting(groupcommit.Interactive); n != 0 {
-			t.Errorf("got %d records to write, want none", n)
-		}
-		if phase := sched.state.Jobs.Get("000001").Phase; phase != storage.Open {
-			t.Errorf("got phase %v, want %v", phase, storage.Open)
-		}
-	})
-}
-
 // A start command of an earlier leader can't take effect any more at a worker that knows the
 // current token: a report without the attempt proves that it doesn't run, and its reservation
 // ends. Other guards stand before this one, so no scenario fails without it.
@@ -66,3 +36,30 @@
 		}
 	})
 }
+
+// A new leader repeats the start of an earlier leader's attempt in a heartbeat response. The
+// worker's response to the token announcement, sent before that start arrived, doesn't list the
+// attempt. It was taken for proof of absence: the task was started elsewhere and ran twice.
+func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.state.EnsureMachine(1, time.Now())
+		m.Addr, m.Incarnation = "1", 1
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
+		sched.addAttempt(a)
+		report := func(seq, token uint64) *worker.Report {
+			return &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
+		}
+		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
+			t.Fatalf("first heartbeat: got %+v, want one start command", got)
+		}
+		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
+		if j.Attempts[0] != a {
+			t.Errorf("attempt while its start is in flight: got %+v, want it unchanged", j.Attempts[0])
+		}
+		if got := sched.handleHeartbeat(report(3, sched.term)); len(got.Commands) != 1 {
+			t.Errorf("next heartbeat: got %+v, want the start command again", got)
+		}
+	})
+}
