--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -21,7 +21,7 @@
 func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 6)
 		sim.moveLeaderOutOf("b")
 		time.Sleep(2 * sim.settings.WorkerLease) // by now all workers report to nodes of their zone
 		before := sim.startCount()
@@ -40,7 +40,7 @@
 func TestDelegationEndsBeforeCancelTimeout(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 6)
 		sim.moveLeaderOutOf("b")
 		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.isolateZone("b")
@@ -172,7 +172,7 @@
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 12 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 12)
 		old := sim.awaitLeader()
 		time.Sleep(2 * sim.settings.WorkerLease)
 		before := sim.startCount()
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -331,3 +331,9 @@
 	wk.execute(commands)
 	return worker.Executed, wk.makeReport()
 }
+
+// cpuReport returns a report without tasks of the first incarnation of a machine of type cpu in
+// zone a.
+func cpuReport(machine int, seq, token uint64) *worker.Report {
+	return &worker.Report{Machine: machine, Addr: fmt.Sprint(machine), Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
+}
--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -17,7 +17,7 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 3))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 2 })
+		sim.awaitRunningWithin(2*time.Minute, "000002", 2)
 		for _, n := range sim.nodes {
 			n.kill()
 		}
@@ -31,7 +31,7 @@
 		if got := sim.request(api.OpSubmit, "000001", clustertest.Array("000001", 3)); got.Code != api.CodeOK {
 			t.Fatalf("repeated submission: got %+v, want code %v", got, api.CodeOK)
 		}
-		sim.eventually("the array is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.awaitDoneWithin(3*time.Minute, "000001")
 		if n := len(sim.runningTasks("000002")); n != 2 {
 			t.Fatalf("got %d running tasks of the service, want 2", n)
 		}
@@ -58,7 +58,7 @@
 		sim.eventually("both arrays are done", 5*time.Minute, func() bool {
 			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
 		})
-		sim.eventually("the service runs", time.Minute, func() bool { return len(sim.runningTasks("000001")) == 6 })
+		sim.awaitRunningWithin(time.Minute, "000001", 6)
 	})
 }
 
@@ -68,8 +68,8 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Array("000002", 1))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
-		sim.eventually("the array is done", 2*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
+		sim.awaitDoneWithin(2*time.Minute, "000002")
 		old := sim.awaitLeader()
 		oldTerm := old.node.view.Load().role.Term
 		old.cutStore.Store(true)
@@ -106,7 +106,7 @@
 func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("a machine is up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 1)
 		for _, wk := range sim.allWorkers() {
 			wk.delaysCommands.Store(true)
 		}
@@ -140,7 +140,7 @@
 			}
 			return on != nil
 		})
-		sim.eventually("the array is done", 2*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.awaitDoneWithin(2*time.Minute, "000001")
 		time.Sleep(30 * time.Second)
 		before := sim.startCount()
 		on.executeDirect(on.token, on.incarnation, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Number}})
@@ -153,7 +153,7 @@
 func TestCancelHoldsAcrossNetworkPartition(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
 		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(true)
 		}
@@ -175,7 +175,7 @@
 func TestStoreOutageKeepsTasksRunning(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 3 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 3)
 		sim.state.Outage(true)
 		before := sim.startCount()
 		time.Sleep(3 * time.Minute)
@@ -216,7 +216,7 @@
 func TestTasksLeaveMachineThatDropsResponses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 4)
 		var faulty *fakeWorker
 		for _, wk := range sim.runningTasks("000001") {
 			faulty = wk
@@ -238,7 +238,7 @@
 func TestStaleReportIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 1)
 		leader := sim.awaitLeader()
 		for _, wk := range sim.allWorkers() {
 			stale := wk.report()
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -15,7 +15,7 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.withLock(func() { sim.cloud.loseNextResponse = true })
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 1)
 		repeated := false
 		sim.withLock(func() {
 			for _, calls := range sim.cloud.launchCalls {
@@ -35,7 +35,7 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 12))
 		sim.submit(clustertest.Service("000002", 1))
-		sim.eventually("the array is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.awaitDoneWithin(5*time.Minute, "000001")
 		remaining := len(sim.allWorkers())
 		sim.eventually("machines are terminated", 5*time.Minute, func() bool {
 			for _, wk := range sim.allWorkers() {
@@ -63,7 +63,7 @@
 func TestTeamLimitCountsTasksOnUnreachableMachines(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
-		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
+		sim.awaitRunningWithin(3*time.Minute, "000001", 2)
 		for _, wk := range sim.runningTasks("000001") {
 			wk.cut.Store(true)
 		}
@@ -72,16 +72,16 @@
 		for _, wk := range sim.allWorkers() {
 			wk.cut.Store(false)
 		}
-		sim.eventually("the service runs again", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
+		sim.awaitRunningWithin(3*time.Minute, "000001", 2)
 		sim.cancel("000001")
-		sim.eventually("the array is done", 3*time.Minute, func() bool { return sim.poll("000002").State == api.StateDone })
+		sim.awaitDoneWithin(3*time.Minute, "000002")
 	})
 }
 
 func TestFailingTasksAreRetriedSparingly(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 4))
-		sim.eventually("machines are up", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 4 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 4)
 		for _, wk := range sim.allWorkers() {
 			wk.failsTasks.Store(true) // as if the job itself were faulty
 		}
@@ -94,7 +94,7 @@
 		for _, wk := range sim.allWorkers() {
 			wk.failsTasks.Store(false)
 		}
-		sim.eventually("the job is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.awaitDoneWithin(5*time.Minute, "000001")
 	})
 }
 
@@ -103,7 +103,7 @@
 		spec := arrayWithRuntime("000001", 2, 100*time.Second)
 		spec.Spot, spec.CheckpointS, spec.SaveS = true, 5, 1
 		sim.submit(spec)
-		sim.eventually("the tasks run", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 2 })
+		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
 		notice := 10.0
 		var reclaimed []*fakeWorker
 		for _, wk := range sim.runningTasks("000001") {
@@ -121,7 +121,7 @@
 			}
 			wk.dead.Store(true)
 		}
-		sim.eventually("the array is done", 5*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
+		sim.awaitDoneWithin(5*time.Minute, "000001")
 	})
 }
 
@@ -131,13 +131,13 @@
 			sim.cloud.noCapacity = func(launch storage.LaunchRecord) bool { return launch.Zone == "a" || launch.Type == "cpu" }
 		})
 		sim.submit(clustertest.Service("000001", 1))
-		sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 1 })
+		sim.awaitRunningWithin(3*time.Minute, "000001", 1)
 		spec := zonalService("000002", "a", 1)
 		spec.Types = []string{"cpu"}
 		sim.submit(spec)
 		time.Sleep(time.Minute)
 		sim.withLock(func() { sim.cloud.noCapacity = nil })
-		sim.eventually("it runs once there is capacity", 3*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 1 })
+		sim.awaitRunningWithin(3*time.Minute, "000002", 1)
 	})
 }
 
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -10,7 +10,6 @@
 	"testing"
 	"time"
 
-	"sagevale/internal/api"
 	"sagevale/internal/cluster/clustertest"
 	"sagevale/internal/config"
 	"sagevale/internal/storage"
@@ -46,7 +45,7 @@
 		gang := clustertest.Array("000005", 3)
 		gang.Gang, gang.SameZone, gang.EstimateS = true, true, 600
 		sim.submit(gang)
-		sim.eventually("job 000003 is done", 5*time.Minute, func() bool { return sim.poll("000003").State == api.StateDone })
+		sim.awaitDoneWithin(5*time.Minute, "000003")
 		sim.cancel("000004")
 		sim.eventually("job 000001 is partly done", 5*time.Minute, func() bool { return sim.poll("000001").Done > 20 })
 		for _, n := range sim.nodes {
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -96,7 +96,7 @@
 				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(s.RenewalGrace())})
 				last := time.Time{}
 				for seq := uint64(1); time.Since(leaseExpiry) < 2*s.CancelTimeout; seq++ {
-					r := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: 2}
+					r := cpuReport(7, seq, 2)
 					if sched.handleHeartbeat(r).Accepted {
 						last = time.Now()
 					}
@@ -213,7 +213,7 @@
 			if !leaseValid {
 				sched.role.LeaseValidUntil = time.Now()
 			}
-			later := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 9, Token: sched.tokens.Last + 1}
+			later := cpuReport(7, 9, sched.tokens.Last+1)
 			if got := sched.handleHeartbeat(later); got.Accepted {
 				t.Errorf("lease valid %v: heartbeat with a later token: got %+v, want it rejected", leaseValid, got)
 			}
@@ -221,7 +221,7 @@
 			if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
 				t.Errorf("lease valid %v: got leading %v after %d resignations", leaseValid, leading, resignations)
 			}
-			other := sched.handleHeartbeat(&worker.Report{Machine: 8, Addr: "8", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 10, Token: sched.term})
+			other := sched.handleHeartbeat(cpuReport(8, 10, sched.term))
 			if other.Accepted != leaseValid {
 				t.Errorf("lease valid %v: heartbeat of another worker: got %+v", leaseValid, other)
 			}
--- a/internal/scheduler/machine_readiness_test.go
+++ b/internal/scheduler/machine_readiness_test.go
@@ -20,7 +20,7 @@
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		for range 2 * config.FreshIntervals {
 			time.Sleep(settings.HeartbeatInterval)
-			report := &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}
+			report := cpuReport(7, m.Seq+1, sched.term)
 			sched.applyReport(m, report, false, time.Now())
 		}
 		if m.Ready(time.Now(), settings.ReportFreshness()) {
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -58,7 +58,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		sched.addReadyMachine(1, "cpu", "a", false)
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: sched.term}
+		r := cpuReport(1, 5, sched.term)
 		for i := range 3 * maxCommands / 2 {
 			id := worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}
 			r.Tasks = append(r.Tasks, worker.TaskReport{ID: id, Attempt: uint64(i), State: worker.Running})
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -39,7 +39,7 @@
 				spec.Types = []string{"cpu"}
 				sim.submit(spec)
 				disturb(sim)
-				sim.eventually("the service runs", 3*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 24 })
+				sim.awaitRunningWithin(3*time.Minute, "000001", 24)
 				launched := 0
 				sim.withLock(func() { launched = sim.cloud.next })
 				if launched > 20 && name != opportunistic {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -29,7 +29,7 @@
 			if len(m.Attempts) != 1 {
 				t.Fatalf("reservation ended before the report under token %d, want it kept until token %d is known", token, sched.term)
 			}
-			sched.handleHeartbeat(&worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: uint64(i + 1), Token: token})
+			sched.handleHeartbeat(cpuReport(7, uint64(i+1), token))
 		}
 		if len(m.Attempts) != 0 || *m.Reserved != (storage.Resources{}) {
 			t.Errorf("got %d attempts with %+v reserved, want none", len(m.Attempts), *m.Reserved)
@@ -49,7 +49,7 @@
 		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
 		sched.addAttempt(a)
 		report := func(seq, token uint64) *worker.Report {
-			return &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
+			return cpuReport(1, seq, token)
 		}
 		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
 			t.Fatalf("first heartbeat: got %+v, want one start command", got)
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -80,13 +80,25 @@
 // awaitRunning waits until the given number of a job's tasks run.
 func (sim *simulation) awaitRunning(id string, tasks int) {
 	sim.t.Helper()
-	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), 4*time.Minute, func() bool { return len(sim.runningTasks(id)) == tasks })
+	sim.awaitRunningWithin(4*time.Minute, id, tasks)
+}
+
+// awaitRunningWithin is awaitRunning with another timeout.
+func (sim *simulation) awaitRunningWithin(timeout time.Duration, id string, tasks int) {
+	sim.t.Helper()
+	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), timeout, func() bool { return len(sim.runningTasks(id)) == tasks })
 }
 
 // awaitDone waits until a job is done.
 func (sim *simulation) awaitDone(id string) {
 	sim.t.Helper()
-	sim.eventually("job "+id+" is done", 6*time.Minute, func() bool { return sim.poll(id).State == api.StateDone })
+	sim.awaitDoneWithin(6*time.Minute, id)
+}
+
+// awaitDoneWithin is awaitDone with another timeout.
+func (sim *simulation) awaitDoneWithin(timeout time.Duration, id string) {
+	sim.t.Helper()
+	sim.eventually("job "+id+" is done", timeout, func() bool { return sim.poll(id).State == api.StateDone })
 }
 
 // awaitStopped waits until no task of a cancelled job runs. Whether they stop within the cancel
