--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -76,83 +77,96 @@
 // docs/design.md has the argument.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	const maxClockSkew = 1.0005
-	for _, s := range []config.Settings{
+	for _, settings := range []config.Settings{
 		clustertest.Settings(),
 		{HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, CancelTimeout: 42 * time.Second},
 		{HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancelTimeout: 56500 * time.Millisecond},
 	} {
-		s.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
-		s.Tuning = s.DefaultTuning()
-		// leaseEnd is when a lease has expired on any worker's clock.
-		leaseEnd := func(renewed time.Time) time.Time { return renewed.Add(clock.Scale(s.WorkerLease, maxClockSkew)) }
-		// cancelDeadline is when the tasks of a job must have ended on any user's clock.
-		cancelDeadline := func(confirmed time.Time) time.Time {
-			return confirmed.Add(clock.Scale(s.CancelTimeout, 1/maxClockSkew))
-		}
-		t.Run("heartbeat responses of the leader", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				sched := newTestScheduler(t, s)
-				leaseExpiry := time.Now()
-				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(s.RenewalGrace())})
-				last := time.Time{}
-				for seq := uint64(1); time.Since(leaseExpiry) < 2*s.CancelTimeout; seq++ {
-					r := cpuReport(7, seq, 2)
-					if sched.handleHeartbeat(r).Accepted {
-						last = time.Now()
+		settings.Peers = []config.Peer{{Name: "n1", Zone: "a"}}
+		settings.Tuning = settings.DefaultTuning()
+		for _, c := range []struct {
+			name string
+			// lastRenewal returns when a lease is renewed last, and from when on a cancellation may
+			// be confirmed that the renewer can't know of.
+			lastRenewal func(t *testing.T, settings config.Settings) (renewed, unknownSince time.Time)
+		}{
+			{"heartbeat responses of the leader", lastLeaderRenewal},
+			{"delegation to a peer", lastDelegatedRenewal},
+			{"grace confirmed by the peers", lastConfirmedRenewal},
+		} {
+			t.Run(c.name, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					renewed, unknownSince := c.lastRenewal(t, settings)
+					leaseEnd := renewed.Add(clock.Scale(settings.WorkerLease, maxClockSkew))
+					cancelDeadline := unknownSince.Add(clock.Scale(settings.CancelTimeout, 1/maxClockSkew))
+					if renewed.IsZero() || !leaseEnd.Before(cancelDeadline) {
+						t.Errorf("last renewal %v: got the lease's end %v, want it before the cancel deadline %v", renewed, leaseEnd, cancelDeadline)
 					}
-					time.Sleep(100 * time.Millisecond)
-				}
-				if last.IsZero() || !leaseEnd(last).Before(cancelDeadline(leaseExpiry)) {
-					t.Errorf("got the last renewal %v after lease expiry, want it to end before the cancel timeout", last.Sub(leaseExpiry))
-				}
+				})
 			})
-		})
-		t.Run("delegation to a peer", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				sched := newTestScheduler(t, s)
-				leaseExpiry := time.Now()
-				sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(s.RenewalGrace())})
-				c := newForwarder(&Node{settings: &s})
-				peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
-				c.node.deps.Peers = peers
-				for time.Since(leaseExpiry) < s.CancelTimeout {
-					sched.publishDelegation(time.Now())
-					span, excluded := sched.delegator.delegate("n1")
-					peers.statuses["n1"] = peer.ObservedStatus{
-						Status:   peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded},
-						Sent:     time.Now(),
-						Received: time.Now(),
-					}
-					c.refreshDelegation()
-					time.Sleep(100 * time.Millisecond)
-				}
-				if c.delegation.until.IsZero() || !leaseEnd(c.delegation.until).Before(cancelDeadline(leaseExpiry)) {
-					t.Errorf("got a delegation until %v after lease expiry, want it to end before the cancel timeout", c.delegation.until.Sub(leaseExpiry))
-				}
-			})
-		})
-		t.Run("grace confirmed by the peers", func(t *testing.T) {
-			// A peer that becomes leader after its status does so after the status was requested.
-			requested := time.Now()
-			if !leaseEnd(requested.Add(s.RenewalGrace())).Before(cancelDeadline(requested)) {
-				t.Error("a lease may last beyond the timeout of a cancellation confirmed right after the status")
-			}
-		})
+		}
+	}
+}
+
+// lastLeaderRenewal has a leader whose lease has just expired answer heartbeats for as long as it
+// renews leases.
+func lastLeaderRenewal(t *testing.T, settings config.Settings) (renewed, leaseExpiry time.Time) {
+	t.Helper()
+	sched := newTestScheduler(t, settings)
+	leaseExpiry = time.Now()
+	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(settings.RenewalGrace())})
+	for seq := uint64(1); time.Since(leaseExpiry) < 2*settings.CancelTimeout; seq++ {
+		if sched.handleHeartbeat(cpuReport(7, seq, 2)).Accepted {
+			renewed = time.Now()
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	return renewed, leaseExpiry
+}
+
+// lastDelegatedRenewal has a leader whose lease has just expired delegate renewals to a peer for
+// as long as it does, and returns the end of the delegation.
+func lastDelegatedRenewal(t *testing.T, settings config.Settings) (until, leaseExpiry time.Time) {
+	t.Helper()
+	sched := newTestScheduler(t, settings)
+	leaseExpiry = time.Now()
+	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(settings.RenewalGrace())})
+	forwarder := newForwarder(&Node{settings: &settings})
+	peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
+	forwarder.node.deps.Peers = peers
+	for time.Since(leaseExpiry) < settings.CancelTimeout {
+		sched.publishDelegation(time.Now())
+		span, excluded := sched.delegator.delegate("n1")
+		peers.statuses["n1"] = peer.ObservedStatus{
+			Status:   peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded},
+			Sent:     time.Now(),
+			Received: time.Now(),
+		}
+		forwarder.refreshDelegation()
+		time.Sleep(100 * time.Millisecond)
 	}
+	return forwarder.delegation.until, leaseExpiry
+}
+
+// lastConfirmedRenewal returns the end of the grace that peers have confirmed with a status. A
+// peer that becomes leader after its status does so after the status was requested.
+func lastConfirmedRenewal(_ *testing.T, settings config.Settings) (renewed, requested time.Time) {
+	requested = time.Now()
+	return requested.Add(settings.RenewalGrace()), requested
 }
 
 // A machine that has tasks of a cancelled job is excluded from a delegation.
 func TestDelegationDoesNotRenewExcludedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		s.Zone = "a"
-		c := newForwarder(&Node{settings: &s})
-		c.delegation = delegation{tokens: fencing.TermTokens(2), until: time.Now().Add(time.Minute), excluded: []int{7}}
+		settings := clustertest.Settings()
+		settings.Zone = "a"
+		forwarder := newForwarder(&Node{settings: &settings})
+		forwarder.delegation = delegation{tokens: fencing.TermTokens(2), until: time.Now().Add(time.Minute), excluded: []int{7}}
 		for machine, renewed := range map[int]bool{7: false, 8: true} {
-			c.workers[machine] = &knownWorker{incarnation: 1, seq: 1, lastAcknowledged: time.Now()}
+			forwarder.workers[machine] = &knownWorker{incarnation: 1, seq: 1, lastAcknowledged: time.Now()}
 			r := &worker.Report{Machine: machine, Zone: "a", Incarnation: 1, Seq: 2, Token: 2}
-			p := pendingReport{report: r, digest: c.workers[machine].digest}
-			if got := c.decideDelegated(p, time.Now()); got.Accepted != renewed {
+			p := pendingReport{report: r, digest: forwarder.workers[machine].digest}
+			if got := forwarder.decideDelegated(p, time.Now()); got.Accepted != renewed {
 				t.Errorf("machine %d: got %+v, want accepted %v", machine, got, renewed)
 			}
 		}
@@ -164,14 +178,14 @@
 // machine isn't ready; the bound must hold all the same.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		sched := newTestScheduler(t, s)
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
 		m := sched.addReadyMachine(7, "cpu", "a", false)
-		time.Sleep(s.WorkerLease)
+		time.Sleep(settings.WorkerLease)
 		received := time.Now()
 		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: sched.term}, false, received)
-		if emptyAt := sched.provenEmptyAt(m); emptyAt.Before(received.Add(s.WorkerLease)) {
-			t.Errorf("got the lease bound %v after the incarnation's first report, want at least %v", emptyAt.Sub(received), s.WorkerLease)
+		if emptyAt := sched.provenEmptyAt(m); emptyAt.Before(received.Add(settings.WorkerLease)) {
+			t.Errorf("got the lease bound %v after the incarnation's first report, want at least %v", emptyAt.Sub(received), settings.WorkerLease)
 		}
 	})
 }
@@ -180,8 +194,8 @@
 // report in this term isn't taken for empty before the last such lease has expired.
 func TestLeaseBoundAfterFailoverCoversEarlierLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := clustertest.Settings()
-		sched := newTestScheduler(t, s)
+		settings := clustertest.Settings()
+		sched := newTestScheduler(t, settings)
 		spec := clustertest.Service("000001", 1)
 		if err := sched.load([]storage.Record{
 			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
@@ -189,7 +203,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(s.RenewalGrace() + s.WorkerLease)
+		time.Sleep(settings.RenewalGrace() + settings.WorkerLease)
 		if sched.expireLeases(time.Now()); len(sched.state.Jobs.Get("000001").Attempts) != 1 {
 			t.Error("the attempt is dropped while the last lease of an earlier leader may be valid")
 		}
@@ -204,27 +218,29 @@
 // nobody can have led later, and a faulty worker must not end the term for all others.
 func TestLaterTermEndsExpiredLeadership(t *testing.T) {
 	for _, leaseValid := range []bool{false, true} {
-		synctest.Test(t, func(t *testing.T) {
-			sched := newTestScheduler(t, clustertest.Settings())
-			resignations := 0
-			sched.resign = func(leadership.Resignation) { resignations++ }
-			sched.addReadyMachine(7, "cpu", "a", false)
-			sched.addReadyMachine(8, "cpu", "a", false)
-			if !leaseValid {
-				sched.role.LeaseValidUntil = time.Now()
-			}
-			later := cpuReport(7, 9, sched.tokens.Last+1)
-			if got := sched.handleHeartbeat(later); got.Accepted {
-				t.Errorf("lease valid %v: heartbeat with a later token: got %+v, want it rejected", leaseValid, got)
-			}
-			sched.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
-			if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
-				t.Errorf("lease valid %v: got leading %v after %d resignations", leaseValid, leading, resignations)
-			}
-			other := sched.handleHeartbeat(cpuReport(8, 10, sched.term))
-			if other.Accepted != leaseValid {
-				t.Errorf("lease valid %v: heartbeat of another worker: got %+v", leaseValid, other)
-			}
+		t.Run(fmt.Sprintf("lease valid %v", leaseValid), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				sched := newTestScheduler(t, clustertest.Settings())
+				resignations := 0
+				sched.resign = func(leadership.Resignation) { resignations++ }
+				sched.addReadyMachine(7, "cpu", "a", false)
+				sched.addReadyMachine(8, "cpu", "a", false)
+				if !leaseValid {
+					sched.role.LeaseValidUntil = time.Now()
+				}
+				later := cpuReport(7, 9, sched.tokens.Last+1)
+				if got := sched.handleHeartbeat(later); got.Accepted {
+					t.Errorf("heartbeat with a later token: got %+v, want it rejected", got)
+				}
+				sched.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
+				if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
+					t.Errorf("got leading %v after %d resignations, want leading %v", leading, resignations, leaseValid)
+				}
+				other := sched.handleHeartbeat(cpuReport(8, 10, sched.term))
+				if other.Accepted != leaseValid {
+					t.Errorf("heartbeat of another worker: got %+v, want accepted %v", other, leaseValid)
+				}
+			})
 		})
 	}
 }
