--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -16,282 +16,324 @@
 	"sagevale/internal/worker"
 )
 
-// fakeWorker follows the protocol's worker.
+// fakeWorker is a machine with an agent that follows the worker protocol. All fields that
+// are not atomic are guarded by sim.mu.
 type fakeWorker struct {
-	sim     *simulation
-	id      int
-	kind    string
-	zone    string
-	spot    bool
-	dead    atomic.Bool
-	cut     atomic.Bool              // nothing passes in either direction
-	only    atomic.Pointer[fakeNode] // nothing passes to or from other nodes
-	deaf    atomic.Bool              // its reports pass, answers and orders don't
-	mute    atomic.Bool              // orders pass, its reports don't
-	hang    atomic.Bool              // orders reach it only later: see late
-	still   atomic.Bool              // it stands still, and may go on at any time
-	sick    atomic.Bool              // every task fails
-	fetches atomic.Bool              // no image ever comes
-	notice  *float64
-	session uint64
-	seq     uint64
-	token   uint64
-	node    int
-	leased  time.Time // when the last answered report was sent
-	tasks   map[workerKey]*workerTask
-	late    []lateOrders
-	copies  []lateOrders       // of all direct orders, while sim.copying
-	forgot  map[workerKey]bool // what it was told to forget
+	sim      *simulation
+	id       int
+	typeName string
+	zone     string
+	spot     bool
+
+	dead            atomic.Bool
+	cut             atomic.Bool              // no messages in either direction
+	onlyNode        atomic.Pointer[fakeNode] // no messages to or from other nodes; nil: all nodes
+	dropsResponses  atomic.Bool              // heartbeats arrive, responses and direct commands are lost
+	dropsHeartbeats atomic.Bool              // direct commands arrive, heartbeats are lost
+	delaysCommands  atomic.Bool              // direct commands wait for executeDelayed
+	paused          atomic.Bool              // the process is paused, and may resume at any time
+	failsTasks      atomic.Bool              // every task ends in an error
+	stuckPulling    atomic.Bool              // no image pull completes
+
+	spotNotice       *float64 // seconds until the spot instance is reclaimed; nil: no notice
+	incarnation      uint64
+	seq              uint64
+	token            uint64
+	nodeIndex        int       // the node that it reports to, modulo their number
+	leaseRenewed     time.Time // when the last answered heartbeat was sent
+	tasks            map[attemptKey]*workerTask
+	delayedCommands  []commandBatch
+	recordedCommands []commandBatch      // all direct commands while sim.recordingCommands
+	forgotten        map[attemptKey]bool // attempts dropped by a forget command
 }
 
-type workerKey struct {
-	ID  worker.TaskID
-	Try uint64
+// attemptKey identifies an attempt of a task on any worker.
+type attemptKey struct {
+	ID     worker.TaskID
+	Number uint64
 }
 
+// workerTask is an attempt on a worker.
 type workerTask struct {
 	state worker.TaskState
 	cause worker.ExitCause
-	ends  time.Time
-	since time.Time // in its state, of a gang's task
-	saved bool
-	fails bool // it ends in an error
+	ends  time.Time // when it exits by itself; zero: it doesn't
+	since time.Time // when a gang's task entered its state
+	saved bool      // it left a checkpoint
+	fails bool      // it ends in an error
 }
 
-// startRecord is a start that a worker took on.
+// startRecord is a start command that a worker accepted.
 type startRecord struct {
 	at      time.Time
-	try     uint64
+	attempt uint64
 	machine int
 }
 
-type lateOrders struct {
-	token, session uint64
-	orders         []worker.Command
+// commandBatch holds the direct commands of one message.
+type commandBatch struct {
+	token, incarnation uint64
+	commands           []worker.Command
 }
 
-func (sim *simulation) addWorker(id int, kind, zone string, spot bool) {
+// addWorker brings up a machine, unless the scenario has ended.
+func (sim *simulation) addWorker(id int, typeName, zone string, spot bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.over.Load() {
+	if sim.ended.Load() {
 		return
 	}
-	wk := &fakeWorker{sim: sim, id: id, kind: kind, zone: zone, spot: spot, session: 1, leased: time.Now(), tasks: make(map[workerKey]*workerTask), forgot: make(map[workerKey]bool)}
+	wk := &fakeWorker{
+		sim:          sim,
+		id:           id,
+		typeName:     typeName,
+		zone:         zone,
+		spot:         spot,
+		incarnation:  1,
+		leaseRenewed: time.Now(),
+		tasks:        make(map[attemptKey]*workerTask),
+		forgotten:    make(map[attemptKey]bool),
+	}
 	sim.workers[id] = wk
 	go wk.run()
 }
 
-func (wk *fakeWorker) typ() storage.MachineType {
+// machineType returns the machine's entry among the instance types.
+func (wk *fakeWorker) machineType() storage.MachineType {
 	for _, t := range clustertest.Types {
-		if t.Name == wk.kind {
+		if t.Name == wk.typeName {
 			return t
 		}
 	}
 	return storage.MachineType{}
 }
 
+// report returns its next heartbeat report.
 func (wk *fakeWorker) report() *worker.Report {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	return wk.makeReport()
 }
 
+// makeReport is report for callers that hold the lock.
 func (wk *fakeWorker) makeReport() *worker.Report {
-	wk.settle()
+	wk.advance()
 	wk.seq++
-	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.kind, Zone: wk.zone, Spot: wk.spot,
-		Incarnation: wk.session, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.notice}
+	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot,
+		Incarnation: wk.incarnation, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.spotNotice}
 	for k, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Try, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Number, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Attempt < r.Tasks[b].Attempt })
 	return r
 }
 
-// settle ends what has run long enough, and everything with the lease.
-func (wk *fakeWorker) settle() {
-	if wk.still.Load() {
+// advance ends the tasks that are complete, or all tasks once the lease has expired. It is
+// called under the lock.
+func (wk *fakeWorker) advance() {
+	if wk.paused.Load() {
 		return
 	}
 	now := time.Now()
-	if now.Sub(wk.leased) > wk.sim.settings.WorkerLease {
+	if now.Sub(wk.leaseRenewed) > wk.sim.settings.WorkerLease {
 		clear(wk.tasks)
-		wk.session++
-		wk.seq, wk.leased = 0, now
+		wk.incarnation++
+		wk.seq, wk.leaseRenewed = 0, now
 	}
 	for k, t := range wk.tasks {
 		if t.state == worker.Running && !t.ends.IsZero() && now.After(t.ends) {
 			t.state, t.cause = worker.Exited, worker.CauseDone
-			if t.fails || wk.sick.Load() || wk.sim.mistaken[k.ID.Job] {
+			if t.fails || wk.failsTasks.Load() || wk.sim.failingJobs[k.ID.Job] {
 				t.cause = worker.CauseError
 			}
-			wk.sim.ran[k.ID] = wk.sim.ran[k.ID] || t.cause == worker.CauseDone
+			wk.sim.completed[k.ID] = wk.sim.completed[k.ID] || t.cause == worker.CauseDone
 		}
 	}
 }
 
+// run sends heartbeats until the machine is dead.
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
 		pause := wk.sim.settings.HeartbeatInterval
-		if !wk.cut.Load() && !wk.mute.Load() && !wk.still.Load() {
+		if !wk.cut.Load() && !wk.dropsHeartbeats.Load() && !wk.paused.Load() {
 			pause = wk.heartbeat()
 		}
 		time.Sleep(pause)
 	}
 }
 
-// heartbeat reports and returns when to report again.
+// heartbeat sends a report and returns the pause until the next one.
 func (wk *fakeWorker) heartbeat() time.Duration {
-	n := wk.sim.nodes[wk.node%len(wk.sim.nodes)]
+	n := wk.sim.nodes[wk.nodeIndex%len(wk.sim.nodes)]
 	r := wk.report()
 	sent := time.Now()
-	wk.sim.locked(func() {
-		if wk.sim.keeping {
-			wk.sim.kept = append(wk.sim.kept, r)
+	wk.sim.withLock(func() {
+		if wk.sim.recordingReports {
+			wk.sim.recordedReports = append(wk.sim.recordedReports, r)
 		}
 	})
 	live := n.live.Load()
-	if live == nil || !n.reaches(wk) {
-		wk.node++
+	if live == nil || !n.canReach(wk) {
+		wk.nodeIndex++
 		if live == nil {
-			return config.WorkerRetryPause // refused
+			return config.WorkerRetryPause // the connection was refused
 		}
 		return config.WorkerResponseTimeout + config.WorkerRetryPause
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), config.WorkerResponseTimeout)
-	n.gate()
-	a := live.HandleHeartbeat(ctx, r)
-	n.gate()
+	n.waitWhilePaused()
+	response := live.HandleHeartbeat(ctx, r)
+	n.waitWhilePaused()
 	cancel()
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	switch {
-	case time.Since(sent) > config.WorkerResponseTimeout: // it has gone on to the next node
-		wk.node++
+	case time.Since(sent) > config.WorkerResponseTimeout: // the worker gave up waiting
+		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case wk.deaf.Load() || wk.cut.Load() || wk.dead.Load() || wk.still.Load() || !n.reaches(wk):
-	case !a.Accepted:
+	case wk.dropsResponses.Load() || wk.cut.Load() || wk.dead.Load() || wk.paused.Load() || !n.canReach(wk):
+	case !response.Accepted:
 		for i, o := range wk.sim.nodes {
-			if o.name == a.Leader && o != n {
-				wk.node = i
+			if o.name == response.Leader && o != n {
+				wk.nodeIndex = i
 				return 0
 			}
 		}
-		wk.node++
+		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case a.Token >= wk.token && r.Incarnation == wk.session:
-		wk.token, wk.leased = a.Token, sent
-		wk.execute(a.Commands)
+	case response.Token >= wk.token && r.Incarnation == wk.incarnation:
+		wk.token, wk.leaseRenewed = response.Token, sent
+		wk.execute(response.Commands)
 	}
 	return wk.sim.settings.HeartbeatInterval
 }
 
-func (wk *fakeWorker) execute(orders []worker.Command) {
-	wk.settle()
-	for _, o := range orders {
-		k := workerKey{o.ID, o.Attempt}
+// execute executes commands. It is called under the lock.
+func (wk *fakeWorker) execute(commands []worker.Command) {
+	wk.advance()
+	for _, c := range commands {
+		k := attemptKey{c.ID, c.Attempt}
 		t := wk.tasks[k]
-		switch o.Verb {
+		switch c.Verb {
 		case worker.Start:
 			if t == nil {
 				wk.tasks[k] = wk.startTask(k)
 			}
 		case worker.Stop:
 			if t != nil && t.state != worker.Exited {
-				spec := wk.sim.specs[o.ID.Job]
-				t.saved = spec.Gang && t.state == worker.Running && o.GraceSeconds >= spec.SaveS
+				spec := wk.sim.specs[c.ID.Job]
+				t.saved = spec.Gang && t.state == worker.Running && c.GraceSeconds >= spec.SaveS
 				t.state, t.cause = worker.Exited, worker.CauseStopped
 			}
 		case worker.Forget:
 			if t != nil && t.state == worker.Exited {
 				delete(wk.tasks, k)
-				wk.forgot[k] = true
+				wk.forgotten[k] = true
 			}
 		}
 	}
 }
 
-// startTask starts a task and checks the rules at that moment.
-func (wk *fakeWorker) startTask(k workerKey) *workerTask {
+// startTask starts a task, and checks that no invariant is violated by it.
+func (wk *fakeWorker) startTask(k attemptKey) *workerTask {
 	sim := wk.sim
 	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
 		return &workerTask{state: worker.Exited, cause: worker.CauseUnknown}
 	}
 	sim.starts++
-	if wk.forgot[k] {
-		sim.t.Errorf("forgotten attempt %v began anew on %d", k, wk.id)
+	if wk.forgotten[k] {
+		sim.t.Errorf("attempt %v was forgotten, and starts again on machine %d", k, wk.id)
+	}
+	if !spec.Resources.Fits(wk.freeResources()) {
+		return &workerTask{state: worker.Exited, cause: worker.CauseFull}
 	}
-	free := wk.typ().Resources
-	for o, t := range wk.tasks {
+	wk.checkStart(k.ID, spec)
+	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{at: time.Now(), attempt: k.Number, machine: wk.id})
+	t := &workerTask{state: worker.Running}
+	if after, fails := sim.failAfter[k.ID.Job]; fails {
+		t.fails, t.ends = true, time.Now().Add(after)
+	}
+	switch {
+	case wk.stuckPulling.Load():
+		t.state = worker.Pulling
+	case spec.Gang:
+		t.state, t.since = worker.Gathering, time.Now()
+	case !spec.Service && t.ends.IsZero():
+		t.ends = time.Now().Add(clock.Seconds(spec.EstimateS))
+	}
+	return t
+}
+
+// freeResources returns what the running tasks leave of the machine.
+func (wk *fakeWorker) freeResources() storage.Resources {
+	free := wk.machineType().Resources
+	for k, t := range wk.tasks {
 		if t.state != worker.Exited {
-			free = free.Sub(sim.specs[o.ID.Job].Resources)
+			free = free.Sub(wk.sim.specs[k.ID.Job].Resources)
 		}
 	}
-	if !spec.Resources.Fits(free) {
-		return &workerTask{state: worker.Exited, cause: worker.CauseFull}
-	}
+	return free
+}
+
+// checkStart checks the invariants that the start of a task may violate: a task runs once, its
+// team stays within its limit, it is placed as its job requires, and its job isn't cancelled.
+func (wk *fakeWorker) checkStart(id worker.TaskID, spec storage.Spec) {
+	sim := wk.sim
 	used, zones := spec.Resources, map[string]int{wk.zone: 1}
 	for _, other := range sim.workers {
-		other.settle()
-		for o, t := range other.tasks {
+		other.advance()
+		for k, t := range other.tasks {
 			if other.dead.Load() || t.state == worker.Exited {
 				continue
 			}
-			if o.ID == k.ID {
-				sim.t.Errorf("ran_twice: %v on %d and %d", k.ID, other.id, wk.id)
+			if k.ID == id {
+				sim.t.Errorf("ran_twice: %v on machines %d and %d", id, other.id, wk.id)
 			}
-			if sim.specs[o.ID.Job].Team == spec.Team {
-				used = used.Add(sim.specs[o.ID.Job].Resources)
+			if sim.specs[k.ID.Job].Team == spec.Team {
+				used = used.Add(sim.specs[k.ID.Job].Resources)
 			}
-			if o.ID.Job == k.ID.Job {
+			if k.ID.Job == id.Job {
 				zones[other.zone]++
 			}
 		}
 	}
 	if team := sim.settings.Team(spec.Team); !storage.WithinLimit(used, team.Limit) {
-		sim.t.Errorf("quota: team %s uses %+v", spec.Team, used)
+		sim.t.Errorf("quota: team %s uses %+v, want at most %+v", spec.Team, used, team.Limit)
 	}
-	if wk.spot && !spec.Spot || !cluster.Allows(spec.Types, wk.kind) || spec.Zone != "" && spec.Zone != wk.zone ||
+	if wk.spot && !spec.Spot || !cluster.Allows(spec.Types, wk.typeName) || spec.Zone != "" && spec.Zone != wk.zone ||
 		spec.SameZone && len(zones) > 1 || spec.Spread && zones[wk.zone] > (spec.Tasks+1)/2 {
-		sim.t.Errorf("wrong_place: %v on %d", k.ID, wk.id)
-	}
-	if at, ok := sim.cancelAt[k.ID.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
-		sim.t.Errorf("ran_cancelled: %v started %v after", k.ID, time.Since(at))
-	}
-	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{time.Now(), k.Try, wk.id})
-	t := &workerTask{state: worker.Running}
-	if after, fails := sim.failing[k.ID.Job]; fails {
-		t.fails, t.ends = true, time.Now().Add(after)
+		sim.t.Errorf("wrong_place: %v on machine %d", id, wk.id)
 	}
-	switch {
-	case wk.fetches.Load():
-		t.state = worker.Pulling
-	case spec.Gang:
-		t.state, t.since = worker.Gathering, time.Now()
-	case !spec.Service && t.ends.IsZero():
-		t.ends = time.Now().Add(clock.Seconds(spec.EstimateS))
+	if at, ok := sim.cancelledAt[id.Job]; ok && time.Since(at) > sim.settings.CancelTimeout {
+		sim.t.Errorf("ran_cancelled: %v starts %v after its cancellation, want none after %v", id, time.Since(at), sim.settings.CancelTimeout)
 	}
-	return t
 }
 
-// catchUp executes the orders that a hang has held back.
-func (wk *fakeWorker) catchUp() {
-	var late []lateOrders
-	wk.sim.locked(func() { late = slices.Concat(wk.late, wk.copies) })
-	for _, l := range late {
-		wk.direct(l.token, l.session, l.orders)
+// executeDelayed executes the direct commands that were delayed, and repeats the recorded ones.
+func (wk *fakeWorker) executeDelayed() {
+	var batches []commandBatch
+	wk.sim.withLock(func() { batches = slices.Concat(wk.delayedCommands, wk.recordedCommands) })
+	for _, b := range batches {
+		wk.executeDirect(b.token, b.incarnation, b.commands)
 	}
 }
 
-func (wk *fakeWorker) direct(token, session uint64, orders []worker.Command) (worker.Outcome, *worker.Report) {
+// executeDirect executes commands that were sent directly under a fencing token.
+func (wk *fakeWorker) executeDirect(token, incarnation uint64, commands []worker.Command) (worker.Outcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
-	wk.settle()
-	if token < wk.token || session != wk.session {
+	wk.advance()
+	if token < wk.token || incarnation != wk.incarnation {
 		return worker.Rejected, wk.makeReport()
 	}
 	wk.token = token
-	wk.execute(orders)
+	wk.execute(commands)
 	return worker.Executed, wk.makeReport()
 }
+
+// cpuReport returns a report without tasks of the first incarnation of a machine of type cpu in
+// zone a.
+func cpuReport(machine int, seq, token uint64) *worker.Report {
+	return &worker.Report{Machine: machine, Addr: fmt.Sprint(machine), Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
+}
--- /dev/null
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -0,0 +1,326 @@
+package scheduler
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/fencing"
+	"sagevale/internal/storage"
+	"sagevale/internal/worker"
+)
+
+func TestAcceptedJobsSurviveRestartOfAllNodes(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Array("000001", 3))
+		sim.submit(clustertest.Service("000002", 2))
+		sim.awaitRunningWithin(2*time.Minute, "000002", 2)
+		for _, n := range sim.nodes {
+			n.kill()
+		}
+		time.Sleep(5 * time.Second)
+		for _, n := range sim.nodes {
+			n.start()
+		}
+		if got := sim.poll("000001"); got.Code != api.CodeOK {
+			t.Fatalf("poll after the restart: got %+v, want code %v", got, api.CodeOK)
+		}
+		if got := sim.request(api.OpSubmit, "000001", clustertest.Array("000001", 3)); got.Code != api.CodeOK {
+			t.Fatalf("repeated submission: got %+v, want code %v", got, api.CodeOK)
+		}
+		sim.awaitDoneWithin(3*time.Minute, "000001")
+		if n := len(sim.runningTasks("000002")); n != 2 {
+			t.Fatalf("got %d running tasks of the service, want 2", n)
+		}
+		if got := sim.poll("999999"); got.Code != api.CodeNotFound {
+			t.Fatalf("poll of an unknown job: got %+v, want code %v", got, api.CodeNotFound)
+		}
+	})
+}
+
+func TestFailoverNeverRunsTaskTwice(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		for i, id := range []string{"000001", "000002", "000003"} {
+			spec := clustertest.Array(id, 6)
+			spec.Service = i == 0
+			sim.submit(spec)
+		}
+		for range 6 {
+			time.Sleep(7 * time.Second)
+			old := sim.awaitLeader()
+			old.kill()
+			time.Sleep(4 * time.Second)
+			old.start()
+		}
+		sim.eventually("both arrays are done", 5*time.Minute, func() bool {
+			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
+		})
+		sim.awaitRunningWithin(time.Minute, "000001", 6)
+	})
+}
+
+// A leader that alone has lost the key-value store and its peers still receives the
+// heartbeats of its workers; its successor must not start their tasks before they have stopped.
+func TestDeposedLeaderHasNoEffect(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 2))
+		sim.submit(clustertest.Array("000002", 1))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
+		sim.awaitDoneWithin(2*time.Minute, "000002")
+		old := sim.awaitLeader()
+		oldTerm := old.node.view.Load().role.Term
+		old.cutStore.Store(true)
+		old.cutPeers.Store(true)
+		for _, wk := range sim.allWorkers() {
+			wk.onlyNode.Store(old)
+		}
+		requestFromOld := func(op api.Op, id string) api.Response {
+			ctx, cancel := context.WithTimeout(sim.t.Context(), time.Second)
+			defer cancel()
+			return old.node.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: clustertest.Array(id, 1)})
+		}
+		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
+		if got := requestFromOld(api.OpPoll, "000001"); got.Code != api.CodeUnavailable {
+			t.Errorf("poll of an open job after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
+		}
+		if got := requestFromOld(api.OpPoll, "000002"); got.Code != api.CodeOK || got.State != api.StateDone {
+			t.Errorf("poll of a final job after lease expiry: got %+v, want state %v", got, api.StateDone)
+		}
+		if got := requestFromOld(api.OpSubmit, "000003"); got.Code != api.CodeUnavailable {
+			t.Errorf("submission after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
+		}
+		sim.eventually("a successor leads", time.Minute, func() bool {
+			n := sim.leader()
+			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
+		})
+		sim.cancel("000001")
+		sim.eventually("the cancelled tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
+		sim.eventually("the old leader has resigned", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
+	})
+}
+
+// A direct command may be executed minutes after it was sent, also after a cancellation.
+func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 1))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 1)
+		for _, wk := range sim.allWorkers() {
+			wk.delaysCommands.Store(true)
+		}
+		sim.submit(clustertest.Service("000002", 2))
+		time.Sleep(200 * time.Millisecond)
+		sim.cancel("000002")
+		time.Sleep(2 * sim.settings.CancelTimeout)
+		for _, wk := range sim.allWorkers() {
+			wk.executeDelayed()
+		}
+		if n := len(sim.runningTasks("000002")); n != 0 {
+			t.Fatalf("got %d running tasks of a cancelled job, want none", n)
+		}
+	})
+}
+
+// A duplicate of a start command that was answered must not start a forgotten attempt again.
+func TestRepeatedStartDoesNotRestartFinishedTask(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Array("000001", 1))
+		var k attemptKey
+		var on *fakeWorker
+		sim.eventually("the task runs", 2*time.Minute, func() bool {
+			for id, wk := range sim.runningTasks("000001") {
+				on = wk
+				for key := range wk.tasks {
+					if key.ID == id {
+						k = key
+					}
+				}
+			}
+			return on != nil
+		})
+		sim.awaitDoneWithin(2*time.Minute, "000001")
+		time.Sleep(30 * time.Second)
+		before := sim.startCount()
+		on.executeDirect(on.token, on.incarnation, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Number}})
+		if n := sim.startsSince(before); n != 0 {
+			t.Fatalf("repeated start of a finished task: got %d starts, want none", n)
+		}
+	})
+}
+
+func TestCancelHoldsAcrossNetworkPartition(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 2))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
+		for _, wk := range sim.allWorkers() {
+			wk.cut.Store(true)
+		}
+		sim.cancel("000001")
+		sim.eventually("the tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
+		for _, wk := range sim.allWorkers() {
+			wk.cut.Store(false)
+		}
+		time.Sleep(time.Minute)
+		if n := len(sim.runningTasks("000001")); n != 0 {
+			t.Fatalf("got %d running tasks of a cancelled job, want none", n)
+		}
+		if got := sim.poll("000001"); got.State != api.StateCancelled {
+			t.Fatalf("poll after the partition: got %+v, want state %v", got, api.StateCancelled)
+		}
+	})
+}
+
+func TestStoreOutageKeepsTasksRunning(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 3))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 3)
+		sim.state.Outage(true)
+		before := sim.startCount()
+		time.Sleep(3 * time.Minute)
+		sim.state.Outage(false)
+		time.Sleep(time.Minute)
+		if running, started := len(sim.runningTasks("000001")), sim.startsSince(before); running != 3 || started != 0 {
+			t.Fatalf("after the outage: got %d running tasks and %d starts, want 3 and none", running, started)
+		}
+	})
+}
+
+// A peer that has restarted can't know whether its earlier process led meanwhile.
+func TestRestartedPeerDoesNotConfirmNoLeader(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		leader := sim.awaitLeader()
+		time.Sleep(10 * time.Second)
+		term := leader.node.view.Load().role.Term
+		cut := time.Now()
+		leader.cutStore.Store(true)
+		sim.state.Outage(true)
+		time.Sleep(10 * time.Second)
+		if !leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+			t.Error("peers without a later leader don't confirm that there is none")
+		}
+		for _, n := range sim.nodes {
+			if n != leader {
+				n.restart()
+				break
+			}
+		}
+		time.Sleep(3 * time.Second)
+		if leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+			t.Error("a restarted peer confirms that there was no leader")
+		}
+	})
+}
+
+func TestTasksLeaveMachineThatDropsResponses(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 4))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 4)
+		var faulty *fakeWorker
+		for _, wk := range sim.runningTasks("000001") {
+			faulty = wk
+		}
+		faulty.dropsResponses.Store(true)
+		sim.eventually("its tasks run elsewhere", 4*time.Minute, func() bool {
+			running := sim.runningTasks("000001")
+			for _, wk := range running {
+				if wk == faulty {
+					return false
+				}
+			}
+			return len(running) == 4
+		})
+	})
+}
+
+// A late copy of a report neither replaces newer ones nor renews a lease.
+func TestStaleReportIsRejected(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 1))
+		sim.awaitRunningWithin(2*time.Minute, "000001", 1)
+		leader := sim.awaitLeader()
+		for _, wk := range sim.allWorkers() {
+			stale := wk.report()
+			stale.Tasks = nil
+			time.Sleep(10 * time.Second)
+			if got := leader.node.HandleHeartbeat(sim.t.Context(), stale); got.Accepted {
+				t.Errorf("stale report: got %+v, want it rejected", got)
+			}
+		}
+		time.Sleep(5 * time.Second)
+		if starts, running := sim.startCount(), len(sim.runningTasks("000001")); starts != 1 || running != 1 {
+			t.Fatalf("got %d starts and %d running tasks, want 1 and 1", starts, running)
+		}
+	})
+}
+
+// A follower that doesn't reach the leader forwards requests and heartbeats through the store.
+func TestPartitionedFollowerRelaysThroughStore(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		leader := sim.awaitLeader()
+		var follower *fakeNode
+		for i, n := range sim.nodes {
+			if n != leader {
+				follower = sim.nodes[i]
+			}
+		}
+		time.Sleep(5 * time.Second)
+		follower.cutPeers.Store(true)
+		ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
+		defer cancel()
+		spec := clustertest.Service("000001", 1)
+		sim.storeSpec(spec)
+		if got := follower.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); got.Code != api.CodeCreated {
+			t.Fatalf("relayed submission: got %+v, want code %v", got, api.CodeCreated)
+		}
+		got := follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Addr: "900", Type: "cpu", Zone: "b", Incarnation: 1, Seq: 1})
+		if term := leader.node.view.Load().role.Term; !got.Accepted || got.Token != term {
+			t.Fatalf("relayed heartbeat: got %+v, want it accepted under token %d", got, term)
+		}
+	})
+}
+
+// Workers must retain attempts that were started directly; a new token ends the retention
+// before their reports grow too large.
+func TestReportSizeStaysBounded(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		spec := arrayWithRuntime("000001", 1500, 2*time.Second)
+		spec.Resources = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
+		sim.submit(spec)
+		sim.eventually("the array is done", 30*time.Minute, func() bool {
+			for _, wk := range sim.allWorkers() {
+				if n := len(wk.report().Tasks); n > 2*fencing.MaxRetained {
+					t.Fatalf("got a report of %d tasks, want at most %d", n, 2*fencing.MaxRetained)
+				}
+			}
+			return sim.poll("000001").State == api.StateDone
+		})
+	})
+}
+
+// An incarnation that is first seen in the response to a direct command has its own lease from
+// then on; the lease bound of the incarnation before it doesn't apply to its tasks. The
+// simulation checks that no task runs twice.
+func TestIncarnationSeenInDirectResponseHasOwnLease(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 1))
+		sim.submit(clustertest.Service("000003", 4))
+		sim.eventually("the services run", 2*time.Minute, func() bool { return len(sim.runningTasks("000001"))+len(sim.runningTasks("000003")) == 5 })
+		var on *fakeWorker
+		for _, wk := range sim.runningTasks("000001") {
+			on = wk
+		}
+		on.dropsHeartbeats.Store(true)
+		var leased time.Time
+		sim.withLock(func() { leased = on.leaseRenewed })
+		time.Sleep(time.Until(leased.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
+		sim.cancel("000001") // the response to the stop shows the new incarnation
+		for i := range 3 {
+			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 10+i), 1))
+		}
+		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // further machines are up by now
+		on.dropsHeartbeats.Store(false)
+		time.Sleep(10 * time.Second)
+	})
+}
--- /dev/null
+++ b/internal/scheduler/reconcile_test.go
@@ -0,0 +1,65 @@
+package scheduler
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/cluster"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/storage"
+	"sagevale/internal/worker"
+)
+
+// A start command of an earlier leader can't take effect any more at a worker that knows the
+// current token: a report without the attempt proves that it doesn't run, and its reservation
+// ends. Other guards stand before this one, so no scenario fails without it.
+func TestReportUnderCurrentTokenDisprovesEarlierStart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		spec := clustertest.Array("000001", 1)
+		sched := newTestScheduler(t, clustertest.Settings())
+		if err := sched.load([]storage.Record{
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
+		}); err != nil {
+			t.Fatal(err)
+		}
+		m := sched.state.Machines.Get(7)
+		for i, token := range []uint64{sched.term - 1, sched.term - 1, sched.term} {
+			if len(m.Attempts) != 1 {
+				t.Fatalf("reservation ended before the report under token %d, want it kept until token %d is known", token, sched.term)
+			}
+			sched.handleHeartbeat(cpuReport(7, uint64(i+1), token))
+		}
+		if len(m.Attempts) != 0 || *m.Reserved != (storage.Resources{}) {
+			t.Errorf("got %d attempts with %+v reserved, want none", len(m.Attempts), *m.Reserved)
+		}
+	})
+}
+
+// A new leader repeats the start of an earlier leader's attempt in a heartbeat response. The
+// worker's response to the token announcement, sent before that start arrived, doesn't list the
+// attempt. It was taken for proof of absence: the task was started elsewhere and ran twice.
+func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.state.EnsureMachine(1, time.Now())
+		m.Addr, m.Incarnation = "1", 1
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
+		sched.addAttempt(a)
+		report := func(seq, token uint64) *worker.Report {
+			return cpuReport(1, seq, token)
+		}
+		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
+			t.Fatalf("first heartbeat: got %+v, want one start command", got)
+		}
+		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
+		if j.Attempts[0] != a {
+			t.Errorf("attempt while its start is in flight: got %+v, want it unchanged", j.Attempts[0])
+		}
+		if got := sched.handleHeartbeat(report(3, sched.term)); len(got.Commands) != 1 {
+			t.Errorf("next heartbeat: got %+v, want the start command again", got)
+		}
+	})
+}
