--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -65,7 +65,7 @@
 	d.applyReport(m, &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Seq: m.Seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
-func TestGuardsOfAColdStart(t *testing.T) {
+func TestColdStartGuards(t *testing.T) {
 	for name, story := range map[string]func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine){
 		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			reply := d.asked(0, 0)
@@ -164,7 +164,7 @@
 
 // What a new leader finds: an attempt beside a record that has no replica is stopped, and what the term
 // before has answered may still be gone by.
-func TestANewLeaderOfColdStarts(t *testing.T) {
+func TestNewLeaderReconcilesActivation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Tuning.Activation.Classes = []string{coldClass}
@@ -198,7 +198,7 @@
 
 // A service is at zero only behind the gate: where that is closed it runs always, and the first waits for
 // the gate's use to be durable.
-func TestTheFirstServiceAtZeroWaitsForItsGate(t *testing.T) {
+func TestFirstServiceAtZeroWaitsForGate(t *testing.T) {
 	for phase, want := range map[upgrade.GatePhase]struct{ accepted, managed bool }{"": {true, false}, upgrade.GateOpen: {false, false}, upgrade.GateWithdrawing: {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			s := clustertest.Settings()
@@ -218,7 +218,7 @@
 }
 
 // A leader of an earlier version is sent no demand, and an answer that comes later than it holds is void.
-func TestDemandOfAFollower(t *testing.T) {
+func TestFollowerForwardsDemand(t *testing.T) {
 	inColdStart(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		follower := sim.followers(lead)[0]
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -85,7 +85,7 @@
 
 // A done and a cancelled job are archived: polls, repeated submissions and cancels are answered at every node by their final states, by those that
 // led when they ended, by a new leader, and by one node after a restart of all. Ids are at the ends of the range too.
-func TestArchivedJobsStayKnown(t *testing.T) {
+func TestArchivedJobsKeepFinalStates(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000000", 2))
@@ -122,7 +122,7 @@
 }
 
 // With the archive off nothing of it is stored, and a job that is over stays in the journal.
-func TestWithoutTheArchiveNothingIsStored(t *testing.T) {
+func TestDisabledArchiveStoresNothing(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -162,7 +162,7 @@
 
 // The leader ends before, between and after the two steps of a move, or their answers are lost or their requests come
 // late, while users ask at every node all the time.
-func TestAMoveIsCutShort(t *testing.T) {
+func TestArchiveMoveSurvivesFaults(t *testing.T) {
 	first := func(kind func(storagetest.Txn) bool, d time.Duration) func(storagetest.Txn) time.Duration {
 		var happened atomic.Bool
 		return func(txn storagetest.Txn) time.Duration {
@@ -249,7 +249,7 @@
 }
 
 // A user who was told only that the job is pending is told that it is done, once it is archived: by a node that has never heard of it before.
-func TestAnArchivedDoneIsToldToWhoHeardLess(t *testing.T) {
+func TestPollAfterPendingReturnsArchivedState(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		s := clustertest.Array("000001", 2)
@@ -262,7 +262,7 @@
 
 // While the state service is out archived jobs are told by every node that held their pages, and what isn't known isn't accepted
 // nor called unknown.
-func TestArchivedJobsAreToldDuringAnOutage(t *testing.T) {
+func TestArchivedJobsAnsweredDuringStoreOutage(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001", "000002")
@@ -288,7 +288,7 @@
 
 // A new leader whose view of the archive is old, and who can't read it, calls no job unknown and accepts none: the jobs that the
 // leader before it archived last are in pages that it hasn't seen.
-func TestANewLeaderWithAnOldIndex(t *testing.T) {
+func TestNewLeaderWithStaleArchiveIndex(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -321,7 +321,7 @@
 }
 
 // A damaged page is told by 503 with its key, never by 404, and its ids are not accepted anew; others go on.
-func TestADamagedArchivePage(t *testing.T) {
+func TestDamagedArchivePage(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -349,7 +349,7 @@
 }
 
 // A burst of polls for jobs that nobody submitted, at a leader that holds no pages, starves neither its lease nor commits.
-func TestABurstOfUnknownPolls(t *testing.T) {
+func TestUnknownPollsDoNotStarveLeader(t *testing.T) {
 	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
 		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
 	}, func(sim *simulation) {
@@ -392,7 +392,7 @@
 }
 
 // A job that is open in the journal and final in the archive is final: its tasks are stopped.
-func TestTheArchivedStateWins(t *testing.T) {
+func TestArchivedStateOverridesJournal(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -424,7 +424,7 @@
 }
 
 // The limits fall below the pages that are stored: they are told as ever, and further jobs are archived.
-func TestLimitsFallBelowTheArchive(t *testing.T) {
+func TestArchiveAfterLimitsAreLowered(t *testing.T) {
 	next := &storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 8}
 	runSimulationWithTuning(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -476,7 +476,7 @@
 
 // A take-over beside an archive of a million jobs takes no longer than beside none, and a job is accepted at once by
 // a leader that has just been started.
-func TestATakeOverBesideAMillionJobs(t *testing.T) {
+func TestFailoverWithMillionArchivedJobs(t *testing.T) {
 	takeOver := func(jobs int) (answered, accepted time.Duration) {
 		inArchiving(t, 0, func(sim *simulation) {
 			sim.awaitActive(upgrade.Current, time.Minute)
@@ -509,7 +509,7 @@
 
 // A controller goes back: the archive is brought back into the journal in steps, whoever leads, and the older one leads then and
 // knows all jobs. Afterwards the fleet is upgraded again.
-func TestTheArchiveIsWithdrawn(t *testing.T) {
+func TestRollbackRestoresArchive(t *testing.T) {
 	for kills := range 3 {
 		t.Run(fmt.Sprint(kills), func(t *testing.T) {
 			inArchiving(t, 0, func(sim *simulation) {
@@ -557,7 +557,7 @@
 
 // A withdrawal that is halted halfway, and taken back: jobs are in the journal, in the archive, or in both, and are told
 // as ever.
-func TestAHaltedWithdrawal(t *testing.T) {
+func TestHaltedArchiveWithdrawal(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(3000)
@@ -581,7 +581,7 @@
 }
 
 // An archive that doesn't fit into the leader's memory isn't brought back, and operators are told why.
-func TestAnArchiveThatCantBeBroughtBack(t *testing.T) {
+func TestArchiveTooLargeToRestore(t *testing.T) {
 	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
@@ -599,7 +599,7 @@
 }
 
 // 3661d31 and af96c21 come back beside an archive: neither takes the lead, though nobody else holds it.
-func TestUnregisteredVersionsDontLeadOverAnArchive(t *testing.T) {
+func TestUnregisteredVersionsCannotLeadWithArchive(t *testing.T) {
 	for _, told := range []int{0, 2} {
 		t.Run(fmt.Sprint(told), func(t *testing.T) {
 			inArchiving(t, 0, func(sim *simulation) {
@@ -633,7 +633,7 @@
 }
 
 // Two finished jobs stay in the journal if they are to be kept.
-func TestFinishedJobsAreKept(t *testing.T) {
+func TestJournalKeepsLatestFinishedJobs(t *testing.T) {
 	inArchiving(t, 2, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001", "000002")
@@ -647,7 +647,7 @@
 }
 
 // Page records of a job whose removal was cut short are cleaned up, and what they say of unknown jobs counts for nothing.
-func TestPageRecordsOfArchivedJobsAreRemoved(t *testing.T) {
+func TestOrphanPageRecordsAreRemoved(t *testing.T) {
 	inArchiving(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.finish("000001")
@@ -693,7 +693,7 @@
 
 // Random days: submissions, cancels, ends of leaders, writes that are lost, late or unanswered, outages, cuts of one node, and
 // controllers that go back and forth. Every answer is held against what any node told before.
-func TestRandomDaysWithAnArchive(t *testing.T) {
+func TestArchiveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			inArchiving(t, int(seed%2)*5, func(sim *simulation) { sim.randomDay(rand.New(rand.NewPCG(seed, 26))) })
@@ -759,7 +759,7 @@
 }
 
 // What an archived job's record becomes when it is brought back is read by earlier versions as a final job.
-func TestARestoredRecord(t *testing.T) {
+func TestRestoredJobRecord(t *testing.T) {
 	rank, _ := archive.ParseJobNumber("000412")
 	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
 		data, err := json.Marshal(cluster.RestoredJob(archive.Entry{Number: rank, FinalState: final}).Record())
@@ -775,7 +775,7 @@
 
 // A page that was read in another term, or not at all, is no proof that a job isn't archived: the term of whoever asks may
 // be over.
-func TestAPageOfAnotherTermIsNoProof(t *testing.T) {
+func TestArchiveReadOfAnotherTermIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		for _, c := range []struct {
@@ -799,7 +799,7 @@
 
 // While an offer to the archive is under way its answer may still remove jobs from the journal: nothing is brought back
 // then, and the gate counts as used though no page holds anything yet.
-func TestAnOfferUnderWayIsAUse(t *testing.T) {
+func TestArchivingInProgressCountsAsGateUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		rank, _ := archive.ParseJobNumber("000001")
@@ -838,7 +838,7 @@
 }
 
 // What was archived in a term stays to be looked for in it, though the gate's release is on its way and may be taken back.
-func TestTheArchiveIsUsedForTheRestOfTheTerm(t *testing.T) {
+func TestArchiveStaysInUseUntilTermEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		if d.archiveUsed {
@@ -855,7 +855,7 @@
 }
 
 // A page isn't dropped unless its jobs are durable in the journal.
-func TestAPageIsDroppedAfterItsJobsAreBack(t *testing.T) {
+func TestArchivePageRemovedAfterJobsAreRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -411,7 +411,7 @@
 }
 
 // A history in which an earlier generation serves after a later one has answered is rejected.
-func TestTheSpecificationRejectsAnEarlierGeneration(t *testing.T) {
+func TestServedModelRejectsEarlierGeneration(t *testing.T) {
 	operation := func(call, end int64, generation uint64) porcupine.Operation {
 		return porcupine.Operation{Call: call, Return: end, Output: generation}
 	}
@@ -464,7 +464,7 @@
 }
 
 // The same with two troubles at once, drawn by seed.
-func TestOneStartPerWakeWithTwoTroubles(t *testing.T) {
+func TestOneStartPerWakeWithTwoFaults(t *testing.T) {
 	moments := coldMoments()
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 37))
@@ -500,7 +500,7 @@
 }
 
 // A model that nobody asks for goes back to zero, and comes back once, again and again.
-func TestBackToZeroAndBack(t *testing.T) {
+func TestScaleToZeroAndBack(t *testing.T) {
 	inColdStart(t, func(sim *simulation) {
 		clients := sim.demand()
 		for range 3 {
@@ -524,7 +524,7 @@
 
 // A controller that tells nothing keeps a model up, for it may have requests; so does one that has
 // requests under way.
-func TestASilentControllerKeepsAModelUp(t *testing.T) {
+func TestUnresponsiveControllerPreventsScaleToZero(t *testing.T) {
 	for name, silence := range map[string]func(n *fakeNode){
 		"ended":                    func(n *fakeNode) { n.kill() },
 		"cut off from its peers":   func(n *fakeNode) { n.cutPeers.Store(true) },
@@ -587,7 +587,7 @@
 
 // Whatever fails at whichever moment of a drain: demand that comes back revives the model, or begins
 // the next generation once it has stopped, never both.
-func TestDemandInADrain(t *testing.T) {
+func TestDemandDuringDrain(t *testing.T) {
 	for i, m := range drainMoments() {
 		for k, c := range coldTroubles {
 			t.Run(m.name+"/"+c.name, func(t *testing.T) {
@@ -600,7 +600,7 @@
 }
 
 // The same with two troubles at once, drawn by seed.
-func TestDemandInADrainWithTwoTroubles(t *testing.T) {
+func TestDemandDuringDrainWithTwoFaults(t *testing.T) {
 	moments := drainMoments()
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 41))
@@ -614,7 +614,7 @@
 }
 
 // Cancellation outranks a wake at every moment: nothing starts after a user was told.
-func TestCancelDuringAWake(t *testing.T) {
+func TestCancelDuringWake(t *testing.T) {
 	for _, m := range coldMoments() {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
@@ -646,7 +646,7 @@
 
 // A controller goes back a version: services at zero come up and run always, and their records are gone
 // before the older version may lead.
-func TestAWithdrawalBringsServicesUp(t *testing.T) {
+func TestActivationWithdrawalStartsServices(t *testing.T) {
 	for name, awake := range map[string]bool{"at zero": false, "while it starts": true} {
 		t.Run(name, func(t *testing.T) {
 			inColdStart(t, func(sim *simulation) {
@@ -681,7 +681,7 @@
 }
 
 // A service whose lifecycle can't be understood is neither started nor stopped; the others go on.
-func TestADamagedLifecycleConcernsOneService(t *testing.T) {
+func TestDamagedActivationRecordAffectsOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := model(coldModel)
 		other := model("000003")
--- a/internal/scheduler/gang_page_test.go
+++ b/internal/scheduler/gang_page_test.go
@@ -57,7 +57,7 @@
 
 // All tasks of a gang must be told to stop within gang_peer_s, or what it would have
 // saved is lost: another victim is found where there is one.
-func TestAGangThatCantBeStoppedInOrderIsSpared(t *testing.T) {
+func TestPreemptionSparesGangThatCannotSave(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		trouble func(d *scheduler, m *cluster.Machine)
@@ -89,7 +89,7 @@
 
 // Where none other is left the gang goes at once: waiting for a save that fails would
 // only hold its room.
-func TestAGangThatCantSaveIsStoppedAtOnce(t *testing.T) {
+func TestGangThatCannotSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		first, second, elsewhere := rivalGangs(d, time.Now())
@@ -107,7 +107,7 @@
 
 // A gang that could not save all the same runs on when one of its machines is to be
 // taken: it may reach another checkpoint.
-func TestANoticeStopsOnlyAGangThatCanSave(t *testing.T) {
+func TestSpotNoticeStopsOnlyGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			d := newTestScheduler(t, clustertest.Settings())
@@ -127,7 +127,7 @@
 }
 
 // `alone` and `peers` are the gang's failure: its machine isn't left alone for them.
-func TestAGangsFailureIsNotItsMachines(t *testing.T) {
+func TestGangFailureIsNotMachineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
@@ -144,7 +144,7 @@
 
 // A replacement joins the zone that the others hold, and a new attempt too stays out
 // of other zones until the earlier one is gone everywhere.
-func TestAGangStaysInItsZone(t *testing.T) {
+func TestGangStaysInZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		full, other := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "b", false)
@@ -169,7 +169,7 @@
 
 // Users are told tasks as running until they exit, also those of a gang that is
 // being stopped or has lost a task.
-func TestTasksOfAStoppedGangCountAsRunning(t *testing.T) {
+func TestStoppingGangTasksCountAsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
@@ -187,7 +187,7 @@
 
 // For arrays and services the number only tells one start from another: none is used
 // twice.
-func TestEveryStartHasItsOwnNumber(t *testing.T) {
+func TestAttemptNumbersAreUnique(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		for i := range 4 {
@@ -215,7 +215,7 @@
 
 // A repeat of the submission or of the cancel of a gang that is over is told how it
 // ended.
-func TestARepeatAfterAGangsEndIsToldTheEnd(t *testing.T) {
+func TestRepeatedRequestAfterGangIsDone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(gangSpec("000001", 2))
 		sim.awaitDone("000001")
@@ -230,7 +230,7 @@
 // A report of states that a gang can't be in changes nothing: tasks that the job
 // doesn't have, a gang that waits again after it ran, an end of an attempt that isn't
 // the present one.
-func TestStrangeReportsOfAGangChangeNothing(t *testing.T) {
+func TestImpossibleGangReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -219,14 +219,14 @@
 	}},
 }
 
-func TestGangs(t *testing.T) {
+func TestGangScheduling(t *testing.T) {
 	for _, g := range gangStories {
 		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
 	}
 }
 
 // What a gang needs as a whole decides whether it is taken.
-func TestAGangThatCanNeverRunIsRefused(t *testing.T) {
+func TestInfeasibleGangIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000009", 1)) // the types are known
 		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
@@ -243,7 +243,7 @@
 }
 
 // A gang either gets room for all or stops nothing.
-func TestPreemptionForAGangIsWholeOrNone(t *testing.T) {
+func TestGangPreemptionIsAllOrNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		low := arrayWithRuntime("000001", 8, time.Hour)
@@ -294,7 +294,7 @@
 
 // A gang in the way of something more urgent is stopped whole, with the time to
 // save.
-func TestAGangIsStoppedInOrder(t *testing.T) {
+func TestPreemptedGangGetsTimeToSave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		g := d.addAcceptedJob(gangSpec("000001", 4))
@@ -319,7 +319,7 @@
 }
 
 // What an earlier leader left half written is begun anew, once all of it is gone.
-func TestARecordOfTwoAttemptsIsDisbanded(t *testing.T) {
+func TestLoadedGangOfTwoAttemptsIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := gangSpec("000001", 3)
 		d := newTestScheduler(t, clustertest.Settings())
@@ -360,7 +360,7 @@
 
 // A loss ends an attempt that has run: the rest is stopped at once, and nothing is
 // begun before all of it is gone.
-func TestALossEndsAnAttemptThatRan(t *testing.T) {
+func TestTaskLossAbortsRunningGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		j := d.gangOn(gangSpec("000001", 3), worker.Running, d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false), d.addReadyMachine(3, "cpu", "a", false))
@@ -387,7 +387,7 @@
 
 // A worker that knows an attempt's end doesn't start it again: the replacement
 // under the same number goes elsewhere.
-func TestAReplacementGoesWhereItsNumberIsNew(t *testing.T) {
+func TestGangReplacementAvoidsMachineOfSameAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
@@ -405,7 +405,7 @@
 	})
 }
 
-func TestOneDoneIsAllDone(t *testing.T) {
+func TestGangIsDoneWithFirstTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
@@ -419,7 +419,7 @@
 
 // One task whose image doesn't come keeps its whole gang waiting, until all of it
 // gives up.
-func TestATaskThatDoesntComeIsLookedForElsewhere(t *testing.T) {
+func TestGangTaskThatDoesNotStartIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.GangWait = 45 * time.Second
@@ -439,7 +439,7 @@
 }
 
 // A gang beyond what its team may use now takes nothing and stops nothing.
-func TestAGangWaitsForItsTeamsLimit(t *testing.T) {
+func TestGangWaitsForTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -79,7 +79,7 @@
 
 // Hundreds of services at once: the fleet grows to what they need in steps
 // that at most double it, and all run within a few boots.
-func TestAFleetGrowsFromNothingToHundreds(t *testing.T) {
+func TestScaleOutFromEmptyFleet(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 120 {
 			sim.submit(clustertest.Spread(fmt.Sprintf("%06d", i), 6))
@@ -108,7 +108,7 @@
 
 // Each waiting task claims room of its own; once all of them counted on the
 // first machine that was being freed.
-func TestPreemptionMakesRoomForEachWaitingTask(t *testing.T) {
+func TestPreemptionFreesResourcesForEachWaitingTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		low := clustertest.Array("000001", 40)
@@ -137,7 +137,7 @@
 
 // Behind a cut a machine may be back sooner than another boots; returned at
 // once, half a fleet was lost with a zone's cut.
-func TestACutMachineIsNotReturnedAtOnce(t *testing.T) {
+func TestPartitionedMachineIsNotTerminatedAtOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 40))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
@@ -160,7 +160,7 @@
 }
 
 // A node that the state service alone refuses learns the leader from its peers.
-func TestARefusedNodeForwardsByItsPeersStatus(t *testing.T) {
+func TestNodeWithoutStoreForwardsByPeerStatus(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		old := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
@@ -186,7 +186,7 @@
 }
 
 // Users are kept away from a node from which no leader can be reached.
-func TestANodeBeyondItsLeaderIsUnwell(t *testing.T) {
+func TestNodeThatCannotReachLeaderIsNotReady(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		time.Sleep(5 * time.Second)
@@ -205,7 +205,7 @@
 }
 
 // A renewal that overlaps a resignation must not make the leader certain again.
-func TestAResignedLeaderStaysUncertain(t *testing.T) {
+func TestLateRenewalDoesNotUndoResignation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		role := d.role
@@ -219,7 +219,7 @@
 
 // Two tries of a task may have been started directly on one machine; the late
 // repeat of either must find it known.
-func TestBothTriesOfATaskStayKnown(t *testing.T) {
+func TestBothAttemptsOfTaskAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
@@ -243,7 +243,7 @@
 
 // A take-over tells its workers the token some at a time: all at once took
 // every socket that their own reports need.
-func TestTokenAnnouncementsKeepToTheirSockets(t *testing.T) {
+func TestTokenAnnouncementsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		for i := range 400 {
@@ -267,7 +267,7 @@
 
 // What a machine has fetched outlives the leader that saw it: after a take-over
 // replicas went to machines that had to fetch their images.
-func TestANewLeaderKnowsTheFetchedImages(t *testing.T) {
+func TestCachedImagesSurviveFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, next := newTestScheduler(t, clustertest.Settings()), newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
@@ -290,7 +290,7 @@
 
 // The cloud numbers its machines from 0, which once stood for no machine: as long
 // as that one was the best to return, none was.
-func TestTheFirstMachineIsReturnedToo(t *testing.T) {
+func TestMachineZeroIsTerminated(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 8))
 		sim.eventually("the sweep is done", 3*time.Minute, func() bool { return sim.poll("000001").State == api.StateDone })
@@ -311,7 +311,7 @@
 // Machines that hang keep each direct order waiting. A hundred of them once held
 // all the sockets for orders; now each holds a few, and the rest goes with its
 // reports.
-func TestAHungMachineHoldsFewSockets(t *testing.T) {
+func TestInFlightCommandsAreLimitedPerMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -15,7 +15,7 @@
 // A job that was submitted with a mistake, beside sound ones and a machine that is truly at fault,
 // and troubles that meet it. It is retried a task at a time, also by a new leader; nobody else
 // suffers, and its cancellation ends it.
-func TestAMistakenJobBesideTroubles(t *testing.T) {
+func TestFaultyJobIsContainedDuringFaults(t *testing.T) {
 	for name, trouble := range map[string]func(sim *simulation){
 		"alone":                      func(*simulation) {},
 		"the leader ends":            func(sim *simulation) { sim.crash(sim.awaitLeader(), 3*time.Second) },
@@ -75,7 +75,7 @@
 }
 
 // All tasks of a job on one machine failed at once, and the job was taken for mistaken.
-func TestAFaultyMachineIsToldFromAMistakenJob(t *testing.T) {
+func TestFailuresBlameMachineOrJob(t *testing.T) {
 	for name, c := range map[string]struct {
 		machines []int // on which tasks of the job fail
 		job      bool  // which is at fault
@@ -111,7 +111,7 @@
 }
 
 // A flood of short tasks had workers remember so many that the term was given up again and again.
-func TestAFloodOfShortTasksEndsNoTerm(t *testing.T) {
+func TestShortTasksDoNotFillFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -73,7 +73,7 @@
 
 // 3661d31 comes back while a gang job is in use: it can't take the lead, though nobody else
 // holds it, until all that it can't read is gone.
-func TestAnUnregisteredProcessIsFencedWhileAGateIsInUse(t *testing.T) {
+func TestUnregisteredProcessIsFencedDuringGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
@@ -115,7 +115,7 @@
 }
 
 // Before anything depends on a gate all nodes may go back to 3661d31 at once: it leads.
-func TestUnregisteredProcessesLeadBeforeAnyUse(t *testing.T) {
+func TestUnregisteredProcessLeadsBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
@@ -133,7 +133,7 @@
 
 // af96c21 reads gang jobs and compressed chunks. Beside it they stay in force, nothing is
 // fenced, and it may lead.
-func TestAnUnregisteredVersion2MayLead(t *testing.T) {
+func TestUnregisteredVersion2CanLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		g := clustertest.Array("000002", 3)
@@ -163,7 +163,7 @@
 
 // While version 1 is active nothing is written that 3661d31 can't read, not even where the
 // state service takes less: chunks are plain, records whole, fields known.
-func TestOnlyWhat3661d31ReadsIsWrittenBesideIt(t *testing.T) {
+func TestStoredRecordsAreReadableBy3661d31(t *testing.T) {
 	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(clustertest.Service("000001", 3))
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -87,7 +87,7 @@
 	return record
 }
 
-func TestAnOlderProcessRegistersBetweenCheckAndWrite(t *testing.T) {
+func TestActivationDetectsConcurrentRegistration(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
@@ -107,7 +107,7 @@
 	})
 }
 
-func TestAGateIsUsedWhileAnOlderProcessTakesTheLead(t *testing.T) {
+func TestElectionDetectsConcurrentGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		for _, n := range sim.nodes[1:] {
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestAProcessDoesntLeadBesideWhatItCantRead(t *testing.T) {
+func TestOlderVersionCannotLeadDuringGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001")
@@ -148,7 +148,7 @@
 	})
 }
 
-func TestAVersionIsFinalizedWhileAnOlderProcessRegisters(t *testing.T) {
+func TestRegistrationDetectsConcurrentFinalization(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		back := sim.nodes[0]
@@ -169,7 +169,7 @@
 	})
 }
 
-func TestALateRegistrationOfAnEarlierProcessHasNoEffect(t *testing.T) {
+func TestLateRegistrationOfEarlierProcessIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestAProcessThatHasntRegisteredDoesntLead(t *testing.T) {
+func TestProcessWithoutRegistrationCannotLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		for _, n := range sim.nodes {
@@ -215,7 +215,7 @@
 }
 
 // A leader whose step has gone unanswered reads the record again before the next.
-func TestAnUnansweredStepIsReadAgain(t *testing.T) {
+func TestUnansweredUpgradeStepIsReadAgain(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
@@ -240,7 +240,7 @@
 }
 
 // A deposed leader's step that comes late must not move the record under its successor.
-func TestADeposedLeadersStepHasNoEffect(t *testing.T) {
+func TestLateUpgradeStepOfFormerLeaderIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		lead := sim.awaitLeader()
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -38,7 +38,7 @@
 }
 
 // Once nothing has depended on a gate for long, all controllers may go back at once.
-func TestAnUnusedGateIsReleased(t *testing.T) {
+func TestUnusedGateIsReleased(t *testing.T) {
 	inReleasingSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
 		if r := sim.cluster(); r.Fence == 0 {
@@ -58,7 +58,7 @@
 
 // A release goes unanswered and is carried out late, while the next gang job has come: the
 // use is stored anew first, so that the release can't undo it.
-func TestALateReleaseUndoesNoUse(t *testing.T) {
+func TestLateReleaseDoesNotUndoUse(t *testing.T) {
 	inReleasingSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
 		sim.awaitDone("000001")
@@ -85,7 +85,7 @@
 }
 
 // A gang job that arrives between the count and the release keeps the gate in use.
-func TestAUseBeforeTheReleaseKeepsTheGate(t *testing.T) {
+func TestUseBeforeReleaseKeepsGate(t *testing.T) {
 	inReleasingSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
 		sim.awaitDone("000001")
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -65,7 +65,7 @@
 
 // All controllers go back at once before anything depends on a gate: nothing is stuck, and
 // the fleet may be upgraded again.
-func TestRollbackOfAllBeforeAnyUse(t *testing.T) {
+func TestRollbackOfAllBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 3))
@@ -146,7 +146,7 @@
 }
 
 // After finalization an older process ends and says what it needs; the others go on.
-func TestAFinalizedVersionRefusesOlderProcesses(t *testing.T) {
+func TestFinalizedVersionRejectsOlderProcesses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.AutoFinalize, s.Policy.Soak = true, 10*time.Second }
@@ -171,7 +171,7 @@
 }
 
 // The leader itself goes back just after the activation, before and after a gate's use.
-func TestRollbackOfTheLeaderJustAfterActivation(t *testing.T) {
+func TestRollbackOfLeaderAfterActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -67,7 +67,7 @@
 
 // New behaviour stays off until the last controller has it, and a gang job is told to come
 // back until then.
-func TestGatesOpenOnceEveryControllerHasThem(t *testing.T) {
+func TestGatesOpenOnceAllControllersAreUpgraded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.submit(clustertest.Service("000001", 3))
@@ -93,7 +93,7 @@
 
 // A transaction of the upgrade is lost, carried out without an answer, or late, and the
 // leader ends with it: whoever leads goes on from the record.
-func TestAnyStepMayBeLost(t *testing.T) {
+func TestUpgradeSurvivesLostStep(t *testing.T) {
 	for _, fate := range []string{"dropped", "unanswered", "late"} {
 		for _, kill := range []bool{false, true} {
 			for step := range 4 {
@@ -156,7 +156,7 @@
 
 // The state service is out through the whole window, or refuses one node only, or lowers
 // its limits in the middle: the upgrade is held up, and nothing else.
-func TestUpgradeThroughTroubleOfTheStateService(t *testing.T) {
+func TestUpgradeDuringStoreFaults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		trouble func(sim *simulation)
@@ -189,7 +189,7 @@
 }
 
 // A damaged cluster record: nobody guesses, nobody leads, and users are told to come back.
-func TestADamagedClusterRecordLeadsNobody(t *testing.T) {
+func TestDamagedClusterRecordPreventsLeadership(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
@@ -229,7 +229,7 @@
 }
 
 // A damaged registration holds the activation up until its node registers anew.
-func TestADamagedRegistrationActivatesNothing(t *testing.T) {
+func TestDamagedRegistrationDelaysActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.allAt(upgrade.Version1)
 		sim.awaitLeader()
@@ -251,7 +251,7 @@
 }
 
 // Three nodes, three versions: the lowest counts, whoever leads.
-func TestThreeNodesThreeVersions(t *testing.T) {
+func TestFleetOfThreeVersions(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.nodes[0].restartWithVersion(upgrade.Version1)
 		sim.nodes[1].restartWithVersion(upgrade.Version2)
@@ -274,7 +274,7 @@
 
 // A seeded history of upgrades, rollbacks, kills, cuts and outages under a stream of jobs:
 // the simulation watches that no task is lost or runs twice, and that no answer goes back.
-func TestUpgradesAndRollbacksInRandomOrder(t *testing.T) {
+func TestRandomUpgradesAndRollbacks(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runSimulation(t, func(sim *simulation) { sim.randomUpgrades(rand.New(rand.NewPCG(seed, 21))) })
@@ -318,7 +318,7 @@
 
 // A target that another leader has gone beyond refuses a process that begins, in one line,
 // but ends none that serves.
-func TestATargetBelowTheActiveVersion(t *testing.T) {
+func TestTargetBelowActiveVersion(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		held := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
 		for _, n := range sim.nodes {
@@ -353,7 +353,7 @@
 
 // A state service that answers slowly keeps nobody from registering and leading that it did
 // not keep from leading before: reading the cluster record has a time of its own.
-func TestASlowStateServiceIsLedOn(t *testing.T) {
+func TestElectionWithSlowStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWhatEarlierVersionsStoredIsLedOn(t *testing.T) {
+func TestLeaderLoadsStoreOfEarlierVersions(t *testing.T) {
 	lowered := storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
 	for _, c := range []struct {
 		version, file string
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -44,7 +44,7 @@
 
 // In a term of any length, a worker's reports and the leader's memory of it follow the live
 // tasks and a small window.
-func TestWorkersForgetWithinATerm(t *testing.T) {
+func TestRetainedAttemptsAreBoundedWithinTerm(t *testing.T) {
 	withFencing(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(sweep("000002", 20000))
@@ -82,7 +82,7 @@
 
 // Faults through which tokens are raised, while all direct orders are repeated late; the
 // workers tell what begins anew, the simulation the broken rules.
-func TestTokensAreRaisedThroughFaults(t *testing.T) {
+func TestTokensAreRaisedDuringFaults(t *testing.T) {
 	const short, long = 8 * time.Second, 40 * time.Second
 	machineFault := func(set func(*fakeWorker, bool), during time.Duration) func(*simulation) {
 		return func(sim *simulation) {
@@ -178,7 +178,7 @@
 
 // While a zone is cut off, its controller renews the leases of workers with raised tokens:
 // nothing there is lost.
-func TestRaisedTokensAreRenewedByDelegation(t *testing.T) {
+func TestDelegationRenewsRaisedTokens(t *testing.T) {
 	withFencing(t, 1, func(sim *simulation) {
 		const cut = "b"
 		standing, short := clustertest.Service("000001", 4), sweep("000002", 2000)
@@ -211,7 +211,7 @@
 }
 
 // The next leader's tokens are above all of this one's, and so are its attempts' numbers.
-func TestTheNextTermIsAboveAllTokens(t *testing.T) {
+func TestNextTermExceedsAllTokens(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001") // takes a gate into use, which writes the term anew
@@ -229,7 +229,7 @@
 
 // Without a token left to raise, a worker that remembers too much is given its starts with the
 // answers to its reports, and remembers no more for them.
-func TestAWorkerThatRemembersTooMuchIsStartedByAnswers(t *testing.T) {
+func TestWorkerWithFullFenceStartsTasksByHeartbeat(t *testing.T) {
 	withFencing(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
@@ -255,7 +255,7 @@
 
 // While a controller doesn't know the range of a term's tokens, none is raised: it could not
 // renew the leases of such workers.
-func TestNoTokenIsRaisedBesideAnEarlierVersion(t *testing.T) {
+func TestTokensAreNotRaisedBesideEarlierVersion(t *testing.T) {
 	withFencing(t, 1, func(sim *simulation) {
 		sim.nodes[2].restartWithVersion(upgrade.Version4)
 		sim.submit(clustertest.Service("000001", 1))
@@ -282,7 +282,7 @@
 }
 
 // Reports under a raised token prove what those under the term's first one do.
-func TestARaisedTokenIsThisTerms(t *testing.T) {
+func TestRaisedTokenBelongsToTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
