--- /dev/null
+++ b/internal/scheduler/archiving_faults_test.go
@@ -0,0 +1,325 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/config"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/upgrade"
+)
+
+// The leader ends before, between and after the two steps of a move, or their answers are lost or their requests come
+// late, while users ask at every node all the time.
+func TestArchiveMoveSurvivesFaults(t *testing.T) {
+	first := func(kind func(storagetest.Txn) bool, d time.Duration) func(storagetest.Txn) time.Duration {
+		var happened atomic.Bool
+		return func(txn storagetest.Txn) time.Duration {
+			if kind(txn) && happened.CompareAndSwap(false, true) {
+				return d
+			}
+			return 0
+		}
+	}
+	for name, trouble := range map[string]func(sim *simulation, s *storagetest.Service){
+		"ends before the archive's write": func(sim *simulation, s *storagetest.Service) {
+			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.dropOnce(sim.leader) }
+		},
+		"ends with the archive's write": func(sim *simulation, s *storagetest.Service) {
+			s.Before = once(isArchiveWrite, func() { go sim.leader().kill() })
+		},
+		"ends before the removal": func(sim *simulation, s *storagetest.Service) {
+			s.Drop = func(txn storagetest.Txn) bool { return isRemoval("000001")(txn) && sim.dropOnce(sim.leader) }
+		},
+		"ends with the removal": func(sim *simulation, s *storagetest.Service) {
+			s.Before = once(isRemoval("000001"), func() { go sim.leader().kill() })
+		},
+		"the write's answer is lost": func(_ *simulation, s *storagetest.Service) {
+			s.Lose = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) }
+		},
+		"the removal's answer is lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isRemoval("000001") },
+		"the write comes late":         func(_ *simulation, s *storagetest.Service) { s.Late = first(isArchiveWrite, 9*time.Second) },
+		"the removal comes late":       func(_ *simulation, s *storagetest.Service) { s.Late = first(isRemoval("000001"), 9*time.Second) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			inArchiving(t, 0, func(sim *simulation) {
+				sim.awaitActive(upgrade.Current, time.Minute)
+				sim.submit(clustertest.Service("000009", 2))
+				sim.finish("000007") // the gate is in use, and a page is there
+				sim.archivedAll(1)
+				sim.state.Update(func(s *storagetest.Service) { trouble(sim, s) })
+				s := clustertest.Array("000001", 2)
+				s.EstimateS = 3
+				sim.submit(s)
+				stop := sim.askAll("000001", s)
+				sim.awaitDone("000001")
+				time.Sleep(20 * time.Second)
+				for _, n := range sim.nodes {
+					if n.cancelRun == nil {
+						n.start()
+					}
+				}
+				sim.state.Update(func(s *storagetest.Service) { s.Lose = nil })
+				sim.awaitLeader()
+				sim.archivedAll(2)
+				stop()
+				sim.told("000001", api.StateDone)
+				sim.told("000007", api.StateDone)
+				sim.awaitRunning("000009", 2)
+			})
+		})
+	}
+}
+
+// isArchiveWrite and isRemoval tell the two steps of a move by their transactions.
+func isArchiveWrite(txn storagetest.Txn) bool {
+	return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, archivePrefix)
+}
+
+func isRemoval(id string) func(storagetest.Txn) bool {
+	return func(txn storagetest.Txn) bool {
+		return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, "log/") && strings.Contains(string(txn.Ops[0].Data), `["j`+id+`"]`)
+	}
+}
+
+// once calls f for the first transaction that is of the kind.
+func once(kind func(storagetest.Txn) bool, f func()) func(storagetest.Txn) {
+	var happened atomic.Bool
+	return func(txn storagetest.Txn) {
+		if kind(txn) && happened.CompareAndSwap(false, true) {
+			f()
+		}
+	}
+}
+
+// dropOnce kills the leader the first time, and has what it sent be lost.
+func (sim *simulation) dropOnce(leader func() *fakeNode) bool {
+	if !sim.messagesDropped.CompareAndSwap(false, true) {
+		return false
+	}
+	go leader().kill()
+	return true
+}
+
+// askAll has users poll for a job and submit it again at every node, within milliseconds of each other, until stopped.
+func (sim *simulation) askAll(id string, spec storage.Spec) (stop func()) {
+	var over atomic.Bool
+	var wait sync.WaitGroup
+	for _, n := range sim.nodes {
+		for _, op := range []api.Op{api.OpPoll, api.OpSubmit} {
+			wait.Go(func() {
+				for !over.Load() {
+					sim.requestFrom(n, op, id, spec)
+					time.Sleep(7 * time.Millisecond)
+				}
+			})
+		}
+	}
+	return func() { over.Store(true); wait.Wait() }
+}
+
+// While the state service is out archived jobs are told by every node that held their pages, and what isn't known isn't accepted
+// nor called unknown.
+func TestArchivedJobsAnsweredDuringStoreOutage(t *testing.T) {
+	inArchiving(t, 0, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.finish("000001", "000002")
+		sim.archivedAll(2)
+		time.Sleep(2 * sim.settings.WorkerLease) // the followers look
+		sim.state.Outage(true)
+		defer sim.state.Outage(false)
+		for range 30 {
+			for _, n := range sim.nodes {
+				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+					if a := sim.requestFrom(n, op, "000002", clustertest.Array("000002", 2)); a.Code != api.CodeOK || a.State != api.StateDone {
+						t.Fatalf("%s answers %v by %+v", n.name, op, a)
+					}
+					if a := sim.requestFrom(n, op, "000003", clustertest.Array("000003", 2)); a.Code == api.CodeCreated || a.Code == api.CodeOK {
+						t.Fatalf("%s answers %v of an unknown job by %+v", n.name, op, a)
+					}
+				}
+			}
+			time.Sleep(3 * time.Second)
+		}
+	})
+}
+
+// A new leader whose view of the archive is old, and who can't read it, calls no job unknown and accepts none: the jobs that the
+// leader before it archived last are in pages that it hasn't seen.
+func TestNewLeaderWithStaleArchiveIndex(t *testing.T) {
+	inArchiving(t, 0, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.finish("000001")
+		sim.archivedAll(1)
+		time.Sleep(2 * sim.settings.WorkerLease)
+		sim.finish("000002")
+		sim.archivedAll(2)
+		lead := sim.awaitLeader()
+		// Reads of the archive fail for the new leader; all else is answered.
+		sim.state.Update(func(s *storagetest.Service) {
+			s.Refuse = func(key string) bool { return strings.HasPrefix(key, archivePrefix) }
+		})
+		lead.kill()
+		next := sim.awaitLeader()
+		for range 10 {
+			for _, id := range []string{"000002", "000003"} {
+				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+					if a := sim.requestFrom(next, op, id, clustertest.Array(id, 2)); a.Decided() && !a.Final() {
+						t.Fatalf("%v of job %s is answered %+v", op, id, a)
+					}
+				}
+			}
+			time.Sleep(time.Second)
+		}
+		sim.state.Update(func(s *storagetest.Service) { s.Refuse = nil })
+		lead.start()
+		sim.told("000002", api.StateDone)
+		sim.finish("000003")
+	})
+}
+
+// A damaged page is told by 503 with its key, never by 404, and its ids are not accepted anew; others go on.
+func TestDamagedArchivePage(t *testing.T) {
+	inArchiving(t, 0, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.finish("000001")
+		sim.archivedAll(1)
+		key := sim.state.Keys(archivePrefix)[0]
+		sim.apply(key, "AAAA")
+		for _, n := range sim.nodes {
+			n.restart()
+		}
+		lead := sim.awaitLeader()
+		for range 5 {
+			for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
+				for _, id := range []string{"000001", "000002"} {
+					if a := sim.requestFrom(lead, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
+						t.Errorf("%v of job %s is answered %+v", op, id, a)
+					}
+				}
+			}
+			time.Sleep(time.Second)
+		}
+		if status := sim.status(); len(status.Stored.Damaged) != 1 || !strings.Contains(status.Stored.Damaged[0], key) {
+			t.Errorf("%+v", status)
+		}
+	})
+}
+
+// A burst of polls for jobs that nobody submitted, at a leader that holds no pages, starves neither its lease nor commits.
+func TestUnknownPollsDoNotStarveLeader(t *testing.T) {
+	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
+		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
+	}, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.finish("000001")
+		sim.archivedAll(1)
+		lead := sim.awaitLeader()
+		term := lead.node.view.Load().role.Term
+		var busy, unknown atomic.Int64
+		var wait sync.WaitGroup
+		for i := range 60 {
+			wait.Go(func() {
+				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+					switch a := sim.requestFrom(lead, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
+					case api.CodeNotFound:
+						unknown.Add(1)
+					case api.CodeUnavailable:
+						busy.Add(1)
+					}
+				}
+			})
+		}
+		time.Sleep(5 * time.Second)
+		began := time.Now()
+		s := clustertest.Array("000002", 2)
+		s.EstimateS = 3
+		sim.submit(s)
+		if took := time.Since(began); took > 5*time.Second {
+			t.Errorf("accepted after %v", took)
+		}
+		sim.awaitDone("000002")
+		wait.Wait()
+		if sim.awaitLeader() != lead || lead.node.view.Load().role.Term != term {
+			t.Error("the lead was lost")
+		}
+		if most := sim.settings.State.RequestsPerS * 0.05 * 21; float64(unknown.Load()) > most+5 || busy.Load() == 0 {
+			t.Errorf("%d answered of at most %v, %d refused", unknown.Load(), most, busy.Load())
+		}
+	})
+}
+
+// Random days: submissions, cancels, ends of leaders, writes that are lost, late or unanswered, outages, cuts of one node, and
+// controllers that go back and forth. Every answer is held against what any node told before.
+func TestArchiveUnderRandomFaults(t *testing.T) {
+	for seed := range uint64(6) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			inArchiving(t, int(seed%2)*5, func(sim *simulation) { sim.randomDay(rand.New(rand.NewPCG(seed, 26))) })
+		})
+	}
+}
+
+func (sim *simulation) randomDay(random *rand.Rand) {
+	sim.awaitActive(upgrade.Current, time.Minute)
+	sim.submit(clustertest.Service("900000", 3))
+	next := 1
+	for range 60 {
+		switch random.IntN(12) {
+		case 0, 1, 2, 3:
+			s := clustertest.Array(fmt.Sprintf("%06d", next), 1+random.IntN(3))
+			s.EstimateS = 1 + 3*random.Float64()
+			sim.submit(s)
+			next++
+		case 4:
+			if id := fmt.Sprintf("%06d", 1+random.IntN(next)); sim.knows(id) {
+				sim.request(api.OpCancel, id, storage.Spec{})
+			}
+		case 5:
+			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
+		case 6:
+			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 + random.IntN(3) })
+		case 7:
+			sim.delayCommits(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
+		case 8:
+			sim.outage(time.Duration(random.IntN(15_000)) * time.Millisecond)
+		case 9:
+			n := sim.nodes[random.IntN(len(sim.nodes))]
+			n.cutStore.Store(true)
+			time.AfterFunc(time.Duration(random.IntN(20_000))*time.Millisecond, func() { n.cutStore.Store(false) })
+		default:
+			id := fmt.Sprintf("%06d", 1+random.IntN(next+2))
+			for _, n := range sim.nodes {
+				sim.requestFrom(n, api.OpPoll, id, storage.Spec{})
+			}
+		}
+		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
+	}
+	sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers, s.Delay = 0, nil })
+	time.Sleep(time.Minute)
+	sim.awaitLeader()
+	for i := range next - 1 {
+		id := fmt.Sprintf("%06d", i+1)
+		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.Final() })
+	}
+	sim.eventually("archived", 2*time.Minute, func() bool { return sim.status().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
+	for i := range next - 1 {
+		id := fmt.Sprintf("%06d", i+1)
+		sim.told(id, sim.poll(id).State)
+	}
+	sim.awaitRunning("900000", 3)
+}
+
+// knows tells whether a user was told of a job.
+func (sim *simulation) knows(id string) bool {
+	known := false
+	sim.withLock(func() { _, known = sim.reportedStates[id] })
+	return known
+}
--- /dev/null
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -0,0 +1,254 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/storage"
+	"sagevale/internal/worker"
+)
+
+// begun is how often a gang has begun.
+func (sim *simulation) begun(id string) (n int) {
+	sim.withLock(func() { n = sim.gangStarts[id] })
+	return n
+}
+
+// tries are the numbers of the attempts that a job's live tasks have.
+func (sim *simulation) tries(id string) map[uint64]int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	out := make(map[uint64]int)
+	for _, wk := range sim.workers {
+		wk.advance()
+		for k, t := range wk.tasks {
+			if k.ID.Job == id && t.state != worker.Exited && !wk.dead.Load() {
+				out[k.Number]++
+			}
+		}
+	}
+	return out
+}
+
+var gangStories = []struct {
+	name  string
+	story func(sim *simulation)
+}{
+	{"starts together and is done together", func(sim *simulation) {
+		for i, n := range []int{1, 3, 16} {
+			sim.submit(gangSpec(fmt.Sprintf("%06d", i+1), n))
+		}
+		for i := range 3 {
+			id := fmt.Sprintf("%06d", i+1)
+			sim.awaitDone(id)
+			sim.requestFromAll(id)
+			if n := sim.begun(id); n != 1 {
+				sim.t.Errorf("job %s began %d times", id, n)
+			}
+		}
+	}},
+	{"waiting for the others is neither running nor progress", func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 4))
+		sim.awaitRunning("000001", 4)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
+		}
+		sim.submit(gangSpec("000002", 3))
+		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
+		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
+			sim.t.Errorf("told %+v", a)
+		}
+	}},
+	{"a task that doesn't come is replaced under the same number", func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 8))
+		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps machines
+		sim.awaitRunning("000001", 8)
+		sim.awaitRunning("000009", 16)
+		slow := sim.machinesOf("000001")[0]
+		slow.stuckPulling.Store(true)
+		sim.submit(gangSpec("000002", 5))
+		var first uint64
+		sim.eventually("it is placed", 2*time.Minute, func() bool {
+			for try := range sim.tries("000002") {
+				first = try
+			}
+			return len(sim.runningTasks("000002")) == 5
+		})
+		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.begun("000002") == 1 })
+		for try := range sim.tries("000002") {
+			if try != first {
+				sim.t.Errorf("it runs as %d, began as %d", try, first)
+			}
+		}
+		sim.awaitDone("000002")
+	}},
+	{"a task lost before the start is replaced, one lost later ends the attempt", func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 8))
+		sim.awaitRunning("000001", 8)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
+		}
+		sim.submit(gangSpec("000002", 4))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
+		sim.machinesOf("000002")[0].dead.Store(true)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(false)
+			sim.withLock(func() {
+				for k, t := range wk.tasks {
+					if k.ID.Job == "000002" && t.state == worker.Pulling {
+						t.state, t.since = worker.Gathering, time.Now()
+					}
+				}
+			})
+		}
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000002") == 1 })
+		sim.machinesOf("000002")[0].dead.Store(true)
+		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.begun("000002") == 2 })
+		sim.awaitDone("000002")
+	}},
+	{"the leader ends between the starts", func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 8))
+		sim.awaitRunning("000001", 8)
+		for i := range 12 {
+			id := fmt.Sprintf("%06d", 100+i)
+			sim.storeSpec(gangSpec(id, 5))
+			go sim.requestFrom(sim.awaitLeader(), api.OpSubmit, id, gangSpec(id, 5))
+			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
+			sim.crash(sim.awaitLeader(), time.Second)
+			sim.submit(gangSpec(id, 5))
+			sim.awaitDone(id)
+			if n := sim.begun(id); n > 1 {
+				sim.t.Errorf("gang %s began %d times", id, n)
+			}
+		}
+	}},
+	{"a cut zone has half of the gang", func(sim *simulation) {
+		sim.submit(zonalService("000001", "a", 8))
+		sim.submit(zonalService("000002", "b", 8))
+		sim.awaitRunning("000001", 8)
+		sim.awaitRunning("000002", 8)
+		g := gangSpec("000003", 10)
+		g.SameZone, g.Spread, g.EstimateS = false, true, 60
+		sim.submit(g)
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
+		sim.moveLeaderOutOf("b")
+		sim.isolateZone("b")
+		time.Sleep(2 * sim.settings.WorkerLease)
+		sim.isolateZone("")
+		sim.awaitDone("000003")
+	}},
+	{"cancelled while it waits, and repeated after", func(sim *simulation) {
+		sim.submit(clustertest.Service("000001", 4))
+		sim.awaitRunning("000001", 4)
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(true)
+		}
+		sim.submit(gangSpec("000002", 3))
+		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
+		sim.cancel("000002")
+		sim.crash(sim.awaitLeader(), time.Second)
+		sim.requestFromAll("000002")
+		sim.awaitStopped("000002")
+		for _, wk := range sim.allWorkers() {
+			wk.stuckPulling.Store(false)
+		}
+		sim.requestFromAll("000002")
+		if sim.begun("000002") != 0 {
+			sim.t.Error("a cancelled gang began")
+		}
+	}},
+	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
+		sim.submit(gangSpec("000001", 6))
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000001") == 1 })
+		sim.recordReports()
+		time.Sleep(19 * time.Second)
+		for range 3 {
+			sim.crash(sim.awaitLeader(), time.Second)
+			sim.replayReports(sim.nodes...)
+		}
+		sim.awaitDone("000001")
+		sim.replayReports(sim.nodes...)
+		sim.requestFromAll("000001")
+		if n := sim.begun("000001"); n != 1 {
+			sim.t.Errorf("began %d times", n)
+		}
+	}},
+	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
+		sim.withLock(func() {
+			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
+		})
+		for i := range 6 {
+			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
+		}
+		sim.awaitRunning("000001", 4)
+		sim.submit(gangSpec("000100", 10))
+		sim.submit(gangSpec("000101", 10))
+		submitted := time.Now()
+		for i := range 40 {
+			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
+			time.Sleep(time.Second)
+		}
+		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.begun("000100") > 0 && sim.begun("000101") > 0 })
+		sim.awaitDone("000100")
+		sim.awaitDone("000101")
+		for i := range 40 {
+			sim.awaitDone(fmt.Sprintf("%06d", i+200))
+		}
+	}},
+	{"more tasks than one transaction holds", func(sim *simulation) {
+		s := gangSpec("000001", 400)
+		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
+		sim.submit(s)
+		sim.awaitDone("000001")
+		if n := sim.begun("000001"); n != 1 {
+			sim.t.Errorf("began %d times", n)
+		}
+	}},
+}
+
+func TestGangScheduling(t *testing.T) {
+	for _, g := range gangStories {
+		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
+	}
+}
+
+// What a gang needs as a whole decides whether it is taken.
+func TestInfeasibleGangIsRejected(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(clustertest.Service("000009", 1)) // the types are known
+		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
+			if id == "000002" {
+				s.Resources.CPUs = 1000
+			}
+			if a := sim.request(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
+				t.Errorf("job %s is answered %+v", id, a)
+			}
+		}
+		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
+		sim.awaitDone("000003")
+	})
+}
+
+// A repeat of the submission or of the cancel of a gang that is over is told how it
+// ended.
+func TestRepeatedRequestAfterGangIsDone(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.submit(gangSpec("000001", 2))
+		sim.awaitDone("000001")
+		for _, op := range []api.Op{api.OpSubmit, api.OpCancel, api.OpPoll} {
+			if a := sim.request(op, "000001", gangSpec("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
+				t.Errorf("request %d is answered %+v", op, a)
+			}
+		}
+	})
+}
+
+// gangSpec is a gang whose tasks must be in one zone.
+func gangSpec(id string, tasks int) storage.Spec {
+	s := clustertest.Array(id, tasks)
+	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
+	return s
+}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,310 +13,6 @@
 	"sagevale/internal/worker"
 )
 
-// gangSpec is a gang whose tasks must be in one zone.
-func gangSpec(id string, tasks int) storage.Spec {
-	s := clustertest.Array(id, tasks)
-	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
-	return s
-}
-
-// begun is how often a gang has begun.
-func (sim *simulation) begun(id string) (n int) {
-	sim.withLock(func() { n = sim.gangStarts[id] })
-	return n
-}
-
-// tries are the numbers of the attempts that a job's live tasks have.
-func (sim *simulation) tries(id string) map[uint64]int {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	out := make(map[uint64]int)
-	for _, wk := range sim.workers {
-		wk.advance()
-		for k, t := range wk.tasks {
-			if k.ID.Job == id && t.state != worker.Exited && !wk.dead.Load() {
-				out[k.Number]++
-			}
-		}
-	}
-	return out
-}
-
-var gangStories = []struct {
-	name  string
-	story func(sim *simulation)
-}{
-	{"starts together and is done together", func(sim *simulation) {
-		for i, n := range []int{1, 3, 16} {
-			sim.submit(gangSpec(fmt.Sprintf("%06d", i+1), n))
-		}
-		for i := range 3 {
-			id := fmt.Sprintf("%06d", i+1)
-			sim.awaitDone(id)
-			sim.requestFromAll(id)
-			if n := sim.begun(id); n != 1 {
-				sim.t.Errorf("job %s began %d times", id, n)
-			}
-		}
-	}},
-	{"waiting for the others is neither running nor progress", func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 4))
-		sim.awaitRunning("000001", 4)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
-		sim.submit(gangSpec("000002", 3))
-		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
-		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
-			sim.t.Errorf("told %+v", a)
-		}
-	}},
-	{"a task that doesn't come is replaced under the same number", func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 8))
-		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps machines
-		sim.awaitRunning("000001", 8)
-		sim.awaitRunning("000009", 16)
-		slow := sim.machinesOf("000001")[0]
-		slow.stuckPulling.Store(true)
-		sim.submit(gangSpec("000002", 5))
-		var first uint64
-		sim.eventually("it is placed", 2*time.Minute, func() bool {
-			for try := range sim.tries("000002") {
-				first = try
-			}
-			return len(sim.runningTasks("000002")) == 5
-		})
-		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.begun("000002") == 1 })
-		for try := range sim.tries("000002") {
-			if try != first {
-				sim.t.Errorf("it runs as %d, began as %d", try, first)
-			}
-		}
-		sim.awaitDone("000002")
-	}},
-	{"a task lost before the start is replaced, one lost later ends the attempt", func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 8))
-		sim.awaitRunning("000001", 8)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
-		sim.submit(gangSpec("000002", 4))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
-		sim.machinesOf("000002")[0].dead.Store(true)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(false)
-			sim.withLock(func() {
-				for k, t := range wk.tasks {
-					if k.ID.Job == "000002" && t.state == worker.Pulling {
-						t.state, t.since = worker.Gathering, time.Now()
-					}
-				}
-			})
-		}
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000002") == 1 })
-		sim.machinesOf("000002")[0].dead.Store(true)
-		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.begun("000002") == 2 })
-		sim.awaitDone("000002")
-	}},
-	{"the leader ends between the starts", func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 8))
-		sim.awaitRunning("000001", 8)
-		for i := range 12 {
-			id := fmt.Sprintf("%06d", 100+i)
-			sim.storeSpec(gangSpec(id, 5))
-			go sim.requestFrom(sim.awaitLeader(), api.OpSubmit, id, gangSpec(id, 5))
-			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			sim.crash(sim.awaitLeader(), time.Second)
-			sim.submit(gangSpec(id, 5))
-			sim.awaitDone(id)
-			if n := sim.begun(id); n > 1 {
-				sim.t.Errorf("gang %s began %d times", id, n)
-			}
-		}
-	}},
-	{"a cut zone has half of the gang", func(sim *simulation) {
-		sim.submit(zonalService("000001", "a", 8))
-		sim.submit(zonalService("000002", "b", 8))
-		sim.awaitRunning("000001", 8)
-		sim.awaitRunning("000002", 8)
-		g := gangSpec("000003", 10)
-		g.SameZone, g.Spread, g.EstimateS = false, true, 60
-		sim.submit(g)
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
-		sim.moveLeaderOutOf("b")
-		sim.isolateZone("b")
-		time.Sleep(2 * sim.settings.WorkerLease)
-		sim.isolateZone("")
-		sim.awaitDone("000003")
-	}},
-	{"cancelled while it waits, and repeated after", func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 4))
-		sim.awaitRunning("000001", 4)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
-		sim.submit(gangSpec("000002", 3))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
-		sim.cancel("000002")
-		sim.crash(sim.awaitLeader(), time.Second)
-		sim.requestFromAll("000002")
-		sim.awaitStopped("000002")
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(false)
-		}
-		sim.requestFromAll("000002")
-		if sim.begun("000002") != 0 {
-			sim.t.Error("a cancelled gang began")
-		}
-	}},
-	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
-		sim.submit(gangSpec("000001", 6))
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000001") == 1 })
-		sim.recordReports()
-		time.Sleep(19 * time.Second)
-		for range 3 {
-			sim.crash(sim.awaitLeader(), time.Second)
-			sim.replayReports(sim.nodes...)
-		}
-		sim.awaitDone("000001")
-		sim.replayReports(sim.nodes...)
-		sim.requestFromAll("000001")
-		if n := sim.begun("000001"); n != 1 {
-			sim.t.Errorf("began %d times", n)
-		}
-	}},
-	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
-		sim.withLock(func() {
-			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
-		})
-		for i := range 6 {
-			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+1), 4, 10*time.Second))
-		}
-		sim.awaitRunning("000001", 4)
-		sim.submit(gangSpec("000100", 10))
-		sim.submit(gangSpec("000101", 10))
-		submitted := time.Now()
-		for i := range 40 {
-			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
-			time.Sleep(time.Second)
-		}
-		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.begun("000100") > 0 && sim.begun("000101") > 0 })
-		sim.awaitDone("000100")
-		sim.awaitDone("000101")
-		for i := range 40 {
-			sim.awaitDone(fmt.Sprintf("%06d", i+200))
-		}
-	}},
-	{"more tasks than one transaction holds", func(sim *simulation) {
-		s := gangSpec("000001", 400)
-		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
-		sim.submit(s)
-		sim.awaitDone("000001")
-		if n := sim.begun("000001"); n != 1 {
-			sim.t.Errorf("began %d times", n)
-		}
-	}},
-}
-
-func TestGangScheduling(t *testing.T) {
-	for _, g := range gangStories {
-		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
-	}
-}
-
-// What a gang needs as a whole decides whether it is taken.
-func TestInfeasibleGangIsRejected(t *testing.T) {
-	runSimulation(t, func(sim *simulation) {
-		sim.submit(clustertest.Service("000009", 1)) // the types are known
-		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
-			if id == "000002" {
-				s.Resources.CPUs = 1000
-			}
-			if a := sim.request(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
-				t.Errorf("job %s is answered %+v", id, a)
-			}
-		}
-		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
-		sim.awaitDone("000003")
-	})
-}
-
-// A gang either gets room for all or stops nothing.
-func TestGangPreemptionIsAllOrNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		low := arrayWithRuntime("000001", 8, time.Hour)
-		low.Priority, low.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
-		j := d.addAcceptedJob(low)
-		for i := range 4 {
-			m := d.addReadyMachine(i, "cpu", "a", false)
-			for k := range 2 {
-				d.addAttempt(&cluster.Attempt{Job: j, Task: 2*i + k, Number: uint64(1 + 2*i + k), Machine: m, Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
-			}
-		}
-		stopped := func() (n int) {
-			for _, a := range j.Attempts {
-				if a.Stopping {
-					n++
-				}
-			}
-			return n
-		}
-		d.addAcceptedJob(gangSpec("000002", 17)) // 16 would fit
-		d.placeRound(time.Now())
-		if n := stopped(); n != 0 {
-			t.Errorf("%d stopped for a gang that finds no room all the same", n)
-		}
-		g := d.addAcceptedJob(gangSpec("000003", 5))
-		d.state.Jobs.Get("000002").RetryAfter = time.Now().Add(time.Hour)
-		time.Sleep(time.Second)
-		d.placeRound(time.Now())
-		if n := stopped(); n != 3 || len(g.Attempts) != 0 {
-			t.Errorf("%d stopped for five tasks of two CPUs, %d placed", n, len(g.Attempts))
-		}
-		time.Sleep(time.Second)
-		d.placeRound(time.Now())
-		if n := stopped(); n != 3 {
-			t.Errorf("%d stopped at the second look", n)
-		}
-		for _, a := range j.GangAttempts() {
-			if a.Stopping {
-				d.removeAttempt(a, "stopped")
-			}
-		}
-		d.placeRound(time.Now())
-		if len(g.Attempts) != 5 {
-			t.Errorf("%d of 5 placed", len(g.Attempts))
-		}
-	})
-}
-
-// A gang in the way of something more urgent is stopped whole, with the time to
-// save.
-func TestPreemptedGangGetsTimeToSave(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		g := d.addAcceptedJob(gangSpec("000001", 4))
-		var machines []*cluster.Machine
-		for i := range 2 {
-			machines = append(machines, d.addReadyMachine(i, "cpu", "a", false))
-		}
-		for i := range 4 {
-			d.addAttempt(&cluster.Attempt{Job: g, Task: i, Number: 9, Machine: machines[i/2], Incarnation: 1, ThisTerm: true, Reported: true, State: worker.Running, Started: time.Now()})
-		}
-		g.Gang.Started = true
-		urgent := clustertest.Service("000002", 1)
-		urgent.Resources = storage.Resources{CPUs: 8, MemoryGB: 8}
-		d.addAcceptedJob(urgent)
-		d.placeRound(time.Now())
-		for _, a := range g.GangAttempts() {
-			if !a.Stopping || a.GraceSeconds != g.Spec.SaveS || !a.StopCommanded {
-				t.Errorf("task %d: %+v", a.Task, a)
-			}
-		}
-	})
-}
-
 // What an earlier leader left half written is begun anew, once all of it is gone.
 func TestLoadedGangOfTwoAttemptsIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -459,3 +154,112 @@
 		}
 	})
 }
+
+// `alone` and `peers` are the gang's failure: its machine isn't left alone for them.
+func TestGangFailureIsNotMachineFailure(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, two)
+		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
+		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
+			t.Errorf("failures of the machine %+v, of the job %+v", one.Failures, j.Failures)
+		}
+		if a := j.Attempts[1]; a == nil || !a.Stopping {
+			t.Error("the rest of an attempt that can't be completed goes on")
+		}
+	})
+}
+
+// A replacement joins the zone that the others hold, and a new attempt too stays out
+// of other zones until the earlier one is gone everywhere.
+func TestGangStaysInZone(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		full, other := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "b", false)
+		spec := gangSpec("000001", 2)
+		spec.Resources.CPUs = 4
+		j := d.gangOn(spec, worker.Gathering, full, full)
+		d.removeAttempt(j.Attempts[0], "its machine is gone")
+		blocker := clustertest.Service("000002", 1)
+		blocker.Resources.CPUs = 4
+		d.Reserve(d.addAcceptedJob(blocker), 0, full, time.Now())
+		d.placeRound(time.Now())
+		if a := j.Attempts[0]; a != nil {
+			t.Errorf("replaced on machine %d of another zone", a.Machine.ID)
+		}
+		d.removeAttempt(j.Attempts[1], "ended")
+		d.placeRound(time.Now())
+		if len(j.Attempts) != 2 || j.Attempts[0].Machine != other {
+			t.Errorf("begun anew with %d tasks", len(j.Attempts))
+		}
+	})
+}
+
+// Users are told tasks as running until they exit, also those of a gang that is
+// being stopped or has lost a task.
+func TestStoppingGangTasksCountAsRunning(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 3), worker.Running, m, m, m)
+		d.stopGang(j)
+		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
+			t.Errorf("told %+v", a)
+		}
+		d.removeAttempt(j.Attempts[0], "ended")
+		if a := responseOf(j); a.Running != 2 || a.State != api.StateRunning {
+			t.Errorf("told %+v", a)
+		}
+	})
+}
+
+// For arrays and services the number only tells one start from another: none is used
+// twice.
+func TestAttemptNumbersAreUnique(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		for i := range 4 {
+			d.addReadyMachine(i, "cpu", "a", false)
+		}
+		array, replicas := d.addAcceptedJob(clustertest.Array("000001", 4)), d.addAcceptedJob(clustertest.Service("000002", 3))
+		used := make(map[uint64]worker.TaskID)
+		for range 3 {
+			d.placeRound(time.Now())
+			for _, j := range []*cluster.Job{array, replicas} {
+				for _, a := range j.GangAttempts() {
+					if id, taken := used[a.Number]; taken {
+						t.Errorf("%v starts under the number of %v", a.ID(), id)
+					}
+					used[a.Number] = a.ID()
+					d.removeAttempt(a, "lost")
+				}
+			}
+		}
+		if len(used) != 3*7 {
+			t.Errorf("%d starts", len(used))
+		}
+	})
+}
+
+// A report of states that a gang can't be in changes nothing: tasks that the job
+// doesn't have, a gang that waits again after it ran, an end of an attempt that isn't
+// the present one.
+func TestImpossibleGangReportsAreIgnored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		m := d.addReadyMachine(1, "cpu", "a", false)
+		j := d.gangOn(gangSpec("000001", 2), worker.Running, m, m)
+		for _, r := range []worker.TaskReport{
+			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
+			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CausePeers},
+			{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Gathering},
+			{ID: worker.TaskID{Job: "999999", Task: 0}, Attempt: 9, State: worker.Running},
+		} {
+			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
+		}
+		if n, _ := stops(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
+			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.Done, len(j.Attempts), n, j.Gang)
+		}
+	})
+}
