--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -24,8 +24,8 @@
 // openActivation is the gate in use.
 var openActivation = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: upgrade.GateOpen, Used: true}}}
 
-// coldDispatcher leads three controllers, with a model at zero beside a machine.
-func coldDispatcher(t *testing.T) (*scheduler, *cluster.Job, *cluster.Machine) {
+// newColdStartScheduler leads three controllers, with a model at zero beside a machine.
+func newColdStartScheduler(t *testing.T) (*scheduler, *cluster.Job, *cluster.Machine) {
 	t.Helper()
 	s := clustertest.Settings()
 	s.NodeName, s.Peers = "n0", []config.Peer{{Name: "n1"}, {Name: "n2"}}
@@ -34,7 +34,7 @@
 	d.setGates(openActivation)
 	d.activation.resume(time.Now())
 	reply := make(chan api.Response, 1)
-	d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: reply})
+	d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: reply})
 	d.commitPending(nil)
 	if a := <-reply; a.Code != api.CodeCreated {
 		t.Fatalf("answered %+v", a)
@@ -42,33 +42,33 @@
 	return d, d.state.Jobs.Get(coldModel), d.addReadyMachine(7, "cpu", "a", false)
 }
 
-// asked puts demand to the dispatcher; ok is false if it isn't answered yet.
-func (d *scheduler) asked(generation uint64, wait time.Duration) (reply chan activation.WakeResponse) {
+// requestWake sends the scheduler a wake request, and returns the channel of its response.
+func (d *scheduler) requestWake(generation uint64, wait time.Duration) (reply chan activation.WakeResponse) {
 	reply = make(chan activation.WakeResponse, 1)
 	d.handleWake(wakeMessage{activation.WakeRequest{Model: coldModel, Generation: generation, Wait: wait}, reply})
 	return reply
 }
 
-// started brings a model up on a machine.
-func started(d *scheduler, j *cluster.Job, m *cluster.Machine) *cluster.Attempt {
-	d.asked(d.activation.service(j).record.Generation, 0)
+// startModel brings a model up on a machine.
+func startModel(d *scheduler, j *cluster.Job, m *cluster.Machine) *cluster.Attempt {
+	d.requestWake(d.activation.service(j).record.Generation, 0)
 	d.commitPending(nil)
 	d.placeRound(time.Now())
 	d.commitPending(nil)
 	a := j.Attempts[0]
-	d.report(m, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
+	d.reportTasks(m, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
 	d.commitPending(nil)
 	return a
 }
 
-func (d *scheduler) report(m *cluster.Machine, tasks ...worker.TaskReport) {
+func (d *scheduler) reportTasks(m *cluster.Machine, tasks ...worker.TaskReport) {
 	d.applyReport(m, &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Seq: m.Seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
 func TestColdStartGuards(t *testing.T) {
 	for name, story := range map[string]func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine){
 		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
-			reply := d.asked(0, 0)
+			reply := d.requestWake(0, 0)
 			d.placeRound(time.Now())
 			if len(reply) > 0 || len(j.Attempts) > 0 {
 				t.Errorf("%d told, %d placed", len(reply), len(j.Attempts))
@@ -80,7 +80,7 @@
 			}
 		},
 		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *cluster.Job, _ *cluster.Machine) {
-			reply := d.asked(0, 0)
+			reply := d.requestWake(0, 0)
 			d.commitPending(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
 				t.Errorf("%+v", r)
@@ -94,7 +94,7 @@
 				t.Errorf("holds for %v", r.Holds)
 			}
 			time.Sleep(time.Second)
-			if r := <-d.asked(0, 0); r.Verdict != activation.Undecided || d.activation.service(j).record.Generation != 0 {
+			if r := <-d.requestWake(0, 0); r.Verdict != activation.Undecided || d.activation.service(j).record.Generation != 0 {
 				t.Errorf("%+v, %s", r, d.activation.service(j).record)
 			}
 			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
@@ -107,13 +107,13 @@
 			}
 		},
 		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
-			d.report(m, worker.TaskReport{ID: worker.TaskID{Job: coldModel, Task: 0}, Attempt: 3, State: worker.Running})
+			d.reportTasks(m, worker.TaskReport{ID: worker.TaskID{Job: coldModel, Task: 0}, Attempt: 3, State: worker.Running})
 			if a := j.Attempts[0]; a == nil || !a.Stopping {
 				t.Errorf("%+v", a)
 			}
 		},
 		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
-			d.asked(0, 0)
+			d.requestWake(0, 0)
 			d.commitPending(nil)
 			d.placeRound(time.Now())
 			d.commitPending(nil)
@@ -130,12 +130,12 @@
 			}
 		},
 		"what is to be stopped isn't routed to": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
-			a := started(d, j, m)
-			if r := <-d.asked(1, 0); !r.Ready() {
+			a := startModel(d, j, m)
+			if r := <-d.requestWake(1, 0); !r.Ready() {
 				t.Errorf("%+v", r)
 			}
 			d.stopAttempt(a, 0)
-			if r := <-d.asked(1, 0); r.Ready() {
+			if r := <-d.requestWake(1, 0); r.Ready() {
 				t.Errorf("routed to what is being stopped: %+v", r)
 			}
 		},
@@ -155,7 +155,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d, j, m := coldDispatcher(t)
+				d, j, m := newColdStartScheduler(t)
 				story(t, d, j, m)
 			})
 		})
@@ -170,7 +170,7 @@
 		s.Tuning.Activation.Classes = []string{coldClass}
 		d := newTestScheduler(t, s)
 		d.activation.gate = openActivation.Gate(upgrade.Activation)
-		spec := model(coldModel)
+		spec := modelSpec(coldModel)
 		if err := d.load([]storage.Record{
 			newRecord(t, storage.JobKey(coldModel), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
 			newRecord(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
@@ -205,7 +205,7 @@
 			s.Tuning.Activation.Classes = []string{coldClass}
 			d := newTestScheduler(t, s)
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
-			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: model(coldModel)}, reply: make(chan api.Response, 1)})
+			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: make(chan api.Response, 1)})
 			j := d.state.Jobs.Get(coldModel)
 			if accepted := j != nil; accepted != want.accepted || accepted && j.ScalesToZero() != want.managed {
 				t.Errorf("gate %q: %+v", phase, j)
@@ -219,7 +219,7 @@
 
 // A leader of an earlier version is sent no demand, and an answer that comes later than it holds is void.
 func TestFollowerForwardsDemand(t *testing.T) {
-	inColdStart(t, func(sim *simulation) {
+	runColdStart(t, func(sim *simulation) {
 		lead := sim.awaitLeader()
 		follower := sim.followers(lead)[0]
 		req := activation.WakeRequest{Model: coldModel, Generation: 7}
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -26,13 +26,13 @@
 func TestRollbackRestoresArchive(t *testing.T) {
 	for kills := range 3 {
 		t.Run(fmt.Sprint(kills), func(t *testing.T) {
-			inArchiving(t, 0, func(sim *simulation) {
+			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.seedArchive(2000)
-				sim.finish("000001")
+				sim.runToCompletion("000001")
 				sim.submit(clustertest.Service("000002", 2))
 				sim.cancel("000002")
-				sim.archivedAll(2002)
+				sim.awaitArchived(2002)
 				back := sim.nodes[0]
 				if sim.awaitLeader() == back {
 					back = sim.nodes[1]
@@ -49,21 +49,21 @@
 					sim.awaitLeader()
 				}
 				sim.awaitActive(upgrade.Version3, 5*time.Minute)
-				if status := sim.status(); status.Stored.Pages != 0 || status.Backlog != 2002 {
+				if status := sim.archiveStatus(); status.Stored.Pages != 0 || status.Backlog != 2002 {
 					t.Errorf("%+v", status)
 				}
-				sim.allAt(upgrade.Version3)
+				sim.restartAllWithVersion(upgrade.Version3)
 				sim.awaitLeader()
-				sim.told("000001", api.StateDone)
-				sim.told("000002", api.StateCancelled)
-				sim.told(archivedID(1234), api.StateDone)
-				if a := sim.poll(archivedID(1234)); a.Done != 1234%50 {
+				sim.checkFinalState("000001", api.StateDone)
+				sim.checkFinalState("000002", api.StateCancelled)
+				sim.checkFinalState(archivedJobID(1234), api.StateDone)
+				if a := sim.poll(archivedJobID(1234)); a.Done != 1234%50 {
 					t.Errorf("%+v", a)
 				}
-				sim.allAt(upgrade.Current)
+				sim.restartAllWithVersion(upgrade.Current)
 				sim.awaitActive(upgrade.Current, time.Minute)
-				sim.archivedAll(2002)
-				sim.told("000001", api.StateDone)
+				sim.awaitArchived(2002)
+				sim.checkFinalState("000001", api.StateDone)
 			})
 		})
 	}
@@ -72,7 +72,7 @@
 // A withdrawal that is halted halfway, and taken back: jobs are in the journal, in the archive, or in both, and are told
 // as ever.
 func TestHaltedArchiveWithdrawal(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(3000)
 		back := sim.nodes[0]
@@ -80,16 +80,16 @@
 			back = sim.nodes[1]
 		}
 		back.restartWithVersion(upgrade.Version3)
-		sim.eventually("some are back", time.Minute, func() bool { s := sim.status(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
+		sim.eventually("some are back", time.Minute, func() bool { s := sim.archiveStatus(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
 		back.restartWithVersion(upgrade.Current)
 		for i := range 5 {
-			sim.told(archivedID(i*700), api.StateDone)
+			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
 		}
 		sim.awaitLeader().restart()
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.archivedAll(3000)
+		sim.awaitArchived(3000)
 		for i := range 5 {
-			sim.told(archivedID(i*700), api.StateDone)
+			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
 		}
 	})
 }
@@ -104,11 +104,11 @@
 			back = sim.nodes[1]
 		}
 		back.restartWithVersion(upgrade.Version3)
-		sim.eventually("told why", time.Minute, func() bool { return strings.Contains(sim.status().Waiting, "fit in memory") })
-		if s := sim.status(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
+		sim.eventually("told why", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
+		if s := sim.archiveStatus(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
 			t.Errorf("%+v", s)
 		}
-		sim.told(archivedID(77), api.StateDone)
+		sim.checkFinalState(archivedJobID(77), api.StateDone)
 	})
 }
 
@@ -116,10 +116,10 @@
 func TestUnregisteredVersionsCannotLeadWithArchive(t *testing.T) {
 	for _, told := range []int{0, 2} {
 		t.Run(fmt.Sprint(told), func(t *testing.T) {
-			inArchiving(t, 0, func(sim *simulation) {
+			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
-				sim.finish("000001")
-				sim.archivedAll(1)
+				sim.runToCompletion("000001")
+				sim.awaitArchived(1)
 				lead := sim.awaitLeader()
 				back := sim.nodes[0]
 				if lead == back {
@@ -132,7 +132,7 @@
 					}
 				}
 				time.Sleep(time.Minute)
-				if n := old.led.Load(); n > 0 {
+				if n := old.terms.Load(); n > 0 {
 					t.Errorf("it led %d times", n)
 				}
 				back.kill()
@@ -140,7 +140,7 @@
 					n.start()
 				}
 				sim.awaitLeader()
-				sim.told("000001", api.StateDone)
+				sim.checkFinalState("000001", api.StateDone)
 			})
 		})
 	}
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -31,35 +31,37 @@
 	}
 	for name, trouble := range map[string]func(sim *simulation, s *storagetest.Service){
 		"ends before the archive's write": func(sim *simulation, s *storagetest.Service) {
-			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.dropOnce(sim.leader) }
+			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.killLeaderOnce(sim.leader) }
 		},
 		"ends with the archive's write": func(sim *simulation, s *storagetest.Service) {
-			s.Before = once(isArchiveWrite, func() { go sim.leader().kill() })
+			s.Before = callOnce(isArchiveWrite, func() { go sim.leader().kill() })
 		},
 		"ends before the removal": func(sim *simulation, s *storagetest.Service) {
-			s.Drop = func(txn storagetest.Txn) bool { return isRemoval("000001")(txn) && sim.dropOnce(sim.leader) }
+			s.Drop = func(txn storagetest.Txn) bool {
+				return isJournalRemoval("000001")(txn) && sim.killLeaderOnce(sim.leader)
+			}
 		},
 		"ends with the removal": func(sim *simulation, s *storagetest.Service) {
-			s.Before = once(isRemoval("000001"), func() { go sim.leader().kill() })
+			s.Before = callOnce(isJournalRemoval("000001"), func() { go sim.leader().kill() })
 		},
 		"the write's answer is lost": func(_ *simulation, s *storagetest.Service) {
 			s.Lose = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) }
 		},
-		"the removal's answer is lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isRemoval("000001") },
+		"the removal's answer is lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isJournalRemoval("000001") },
 		"the write comes late":         func(_ *simulation, s *storagetest.Service) { s.Late = first(isArchiveWrite, 9*time.Second) },
-		"the removal comes late":       func(_ *simulation, s *storagetest.Service) { s.Late = first(isRemoval("000001"), 9*time.Second) },
+		"the removal comes late":       func(_ *simulation, s *storagetest.Service) { s.Late = first(isJournalRemoval("000001"), 9*time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inArchiving(t, 0, func(sim *simulation) {
+			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000009", 2))
-				sim.finish("000007") // the gate is in use, and a page is there
-				sim.archivedAll(1)
+				sim.runToCompletion("000007") // the gate is in use, and a page is there
+				sim.awaitArchived(1)
 				sim.state.Update(func(s *storagetest.Service) { trouble(sim, s) })
 				s := clustertest.Array("000001", 2)
 				s.EstimateS = 3
 				sim.submit(s)
-				stop := sim.askAll("000001", s)
+				stop := sim.pollContinuously("000001", s)
 				sim.awaitDone("000001")
 				time.Sleep(20 * time.Second)
 				for _, n := range sim.nodes {
@@ -69,29 +71,29 @@
 				}
 				sim.state.Update(func(s *storagetest.Service) { s.Lose = nil })
 				sim.awaitLeader()
-				sim.archivedAll(2)
+				sim.awaitArchived(2)
 				stop()
-				sim.told("000001", api.StateDone)
-				sim.told("000007", api.StateDone)
+				sim.checkFinalState("000001", api.StateDone)
+				sim.checkFinalState("000007", api.StateDone)
 				sim.awaitRunning("000009", 2)
 			})
 		})
 	}
 }
 
-// isArchiveWrite and isRemoval tell the two steps of a move by their transactions.
+// isArchiveWrite and isJournalRemoval tell the two steps of a move by their transactions.
 func isArchiveWrite(txn storagetest.Txn) bool {
 	return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, archivePrefix)
 }
 
-func isRemoval(id string) func(storagetest.Txn) bool {
+func isJournalRemoval(id string) func(storagetest.Txn) bool {
 	return func(txn storagetest.Txn) bool {
 		return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, "log/") && strings.Contains(string(txn.Ops[0].Data), `["j`+id+`"]`)
 	}
 }
 
-// once calls f for the first transaction that is of the kind.
-func once(kind func(storagetest.Txn) bool, f func()) func(storagetest.Txn) {
+// callOnce calls f for the first transaction that is of the kind.
+func callOnce(kind func(storagetest.Txn) bool, f func()) func(storagetest.Txn) {
 	var happened atomic.Bool
 	return func(txn storagetest.Txn) {
 		if kind(txn) && happened.CompareAndSwap(false, true) {
@@ -100,8 +102,8 @@
 	}
 }
 
-// dropOnce kills the leader the first time, and has what it sent be lost.
-func (sim *simulation) dropOnce(leader func() *fakeNode) bool {
+// killLeaderOnce kills the leader the first time, and has what it sent be lost.
+func (sim *simulation) killLeaderOnce(leader func() *fakeNode) bool {
 	if !sim.messagesDropped.CompareAndSwap(false, true) {
 		return false
 	}
@@ -109,8 +111,8 @@
 	return true
 }
 
-// askAll has users poll for a job and submit it again at every node, within milliseconds of each other, until stopped.
-func (sim *simulation) askAll(id string, spec storage.Spec) (stop func()) {
+// pollContinuously has users poll for a job and submit it again at every node, within milliseconds of each other, until stopped.
+func (sim *simulation) pollContinuously(id string, spec storage.Spec) (stop func()) {
 	var over atomic.Bool
 	var wait sync.WaitGroup
 	for _, n := range sim.nodes {
@@ -129,10 +131,10 @@
 // While the state service is out archived jobs are told by every node that held their pages, and what isn't known isn't accepted
 // nor called unknown.
 func TestArchivedJobsAnsweredDuringStoreOutage(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001", "000002")
-		sim.archivedAll(2)
+		sim.runToCompletion("000001", "000002")
+		sim.awaitArchived(2)
 		time.Sleep(2 * sim.settings.WorkerLease) // the followers look
 		sim.state.Outage(true)
 		defer sim.state.Outage(false)
@@ -155,13 +157,13 @@
 // A new leader whose view of the archive is old, and who can't read it, calls no job unknown and accepts none: the jobs that the
 // leader before it archived last are in pages that it hasn't seen.
 func TestNewLeaderWithStaleArchiveIndex(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
-		sim.archivedAll(1)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(1)
 		time.Sleep(2 * sim.settings.WorkerLease)
-		sim.finish("000002")
-		sim.archivedAll(2)
+		sim.runToCompletion("000002")
+		sim.awaitArchived(2)
 		lead := sim.awaitLeader()
 		// Reads of the archive fail for the new leader; all else is answered.
 		sim.state.Update(func(s *storagetest.Service) {
@@ -181,19 +183,19 @@
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Refuse = nil })
 		lead.start()
-		sim.told("000002", api.StateDone)
-		sim.finish("000003")
+		sim.checkFinalState("000002", api.StateDone)
+		sim.runToCompletion("000003")
 	})
 }
 
 // A damaged page is told by 503 with its key, never by 404, and its ids are not accepted anew; others go on.
 func TestDamagedArchivePage(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
-		sim.archivedAll(1)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(1)
 		key := sim.state.Keys(archivePrefix)[0]
-		sim.apply(key, "AAAA")
+		sim.writeKey(key, "AAAA")
 		for _, n := range sim.nodes {
 			n.restart()
 		}
@@ -208,7 +210,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if status := sim.status(); len(status.Stored.Damaged) != 1 || !strings.Contains(status.Stored.Damaged[0], key) {
+		if status := sim.archiveStatus(); len(status.Stored.Damaged) != 1 || !strings.Contains(status.Stored.Damaged[0], key) {
 			t.Errorf("%+v", status)
 		}
 	})
@@ -220,8 +222,8 @@
 		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
 	}, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
-		sim.archivedAll(1)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(1)
 		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		var busy, unknown atomic.Int64
@@ -262,12 +264,12 @@
 func TestArchiveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inArchiving(t, int(seed%2)*5, func(sim *simulation) { sim.randomDay(rand.New(rand.NewPCG(seed, 26))) })
+			runArchiveSimulation(t, int(seed%2)*5, func(sim *simulation) { sim.runRandomFaults(rand.New(rand.NewPCG(seed, 26))) })
 		})
 	}
 }
 
-func (sim *simulation) randomDay(random *rand.Rand) {
+func (sim *simulation) runRandomFaults(random *rand.Rand) {
 	sim.awaitActive(upgrade.Current, time.Minute)
 	sim.submit(clustertest.Service("900000", 3))
 	next := 1
@@ -279,7 +281,7 @@
 			sim.submit(s)
 			next++
 		case 4:
-			if id := fmt.Sprintf("%06d", 1+random.IntN(next)); sim.knows(id) {
+			if id := fmt.Sprintf("%06d", 1+random.IntN(next)); sim.wasReported(id) {
 				sim.request(api.OpCancel, id, storage.Spec{})
 			}
 		case 5:
@@ -309,16 +311,16 @@
 		id := fmt.Sprintf("%06d", i+1)
 		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.Final() })
 	}
-	sim.eventually("archived", 2*time.Minute, func() bool { return sim.status().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
+	sim.eventually("archived", 2*time.Minute, func() bool { return sim.archiveStatus().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range next - 1 {
 		id := fmt.Sprintf("%06d", i+1)
-		sim.told(id, sim.poll(id).State)
+		sim.checkFinalState(id, sim.poll(id).State)
 	}
 	sim.awaitRunning("900000", 3)
 }
 
-// knows tells whether a user was told of a job.
-func (sim *simulation) knows(id string) bool {
+// wasReported tells whether a user was told of a job.
+func (sim *simulation) wasReported(id string) bool {
 	known := false
 	sim.withLock(func() { _, known = sim.reportedStates[id] })
 	return known
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -18,14 +18,14 @@
 
 const archivePrefix = "archive/page/"
 
-// inArchiving runs a scenario whose finished jobs are archived, but for so many.
-func inArchiving(t *testing.T, keep int, story func(sim *simulation)) {
+// runArchiveSimulation runs a scenario whose finished jobs are archived, but for so many.
+func runArchiveSimulation(t *testing.T, keep int, story func(sim *simulation)) {
 	t.Helper()
 	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
 }
 
-// status is what an operator is told of the archive.
-func (sim *simulation) status() ArchiveStatus {
+// archiveStatus is what an operator is told of the archive.
+func (sim *simulation) archiveStatus() ArchiveStatus {
 	sim.t.Helper()
 	status, err := ReadArchiveStatus(context.Background(), &storagetest.Client{Service: sim.state}, &sim.settings)
 	if err != nil {
@@ -34,17 +34,17 @@
 	return status
 }
 
-// archivedAll waits until so many jobs are archived, and none of the finished ones is left in the journal.
-func (sim *simulation) archivedAll(jobs int) {
+// awaitArchived waits until so many jobs are archived, and none of the finished ones is left in the journal.
+func (sim *simulation) awaitArchived(jobs int) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d jobs archived", jobs), 2*time.Minute, func() bool {
-		status := sim.status()
+		status := sim.archiveStatus()
 		return status.Stored.Jobs == jobs && status.Backlog == 0 && len(status.Stored.Damaged) == 0
 	})
 }
 
-// finish has short jobs be run to their end.
-func (sim *simulation) finish(ids ...string) {
+// runToCompletion has short jobs be run to their end.
+func (sim *simulation) runToCompletion(ids ...string) {
 	sim.t.Helper()
 	for _, id := range ids {
 		s := clustertest.Array(id, 2)
@@ -56,8 +56,8 @@
 	}
 }
 
-// told checks what every node tells of a job that is over, whatever is asked.
-func (sim *simulation) told(id string, want api.JobState) {
+// checkFinalState checks what every node tells of a job that is over, whatever is asked.
+func (sim *simulation) checkFinalState(id string, want api.JobState) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
 		for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
@@ -78,18 +78,18 @@
 // A done and a cancelled job are archived: polls, repeated submissions and cancels are answered at every node by their final states, by those that
 // led when they ended, by a new leader, and by one node after a restart of all. Ids are at the ends of the range too.
 func TestArchivedJobsKeepFinalStates(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000000", 2))
 		sim.awaitRunning("000000", 2)
 		sim.cancel("000000")
-		sim.finish("999999999999999999", "0000000", "555555")
-		sim.archivedAll(4)
+		sim.runToCompletion("999999999999999999", "0000000", "555555")
+		sim.awaitArchived(4)
 		check := func() {
 			sim.t.Helper()
-			sim.told("000000", api.StateCancelled)
+			sim.checkFinalState("000000", api.StateCancelled)
 			for _, id := range []string{"999999999999999999", "0000000", "555555"} {
-				sim.told(id, api.StateDone)
+				sim.checkFinalState(id, api.StateDone)
 			}
 			if a := sim.poll("000001"); a.Code != api.CodeNotFound {
 				t.Errorf("a job that nobody submitted: %+v", a)
@@ -104,8 +104,8 @@
 		}
 		sim.awaitLeader()
 		check()
-		sim.finish("000001")
-		sim.archivedAll(5)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(5)
 		check2 := sim.poll("000001")
 		if check2.State != api.StateDone || check2.Done != 2 {
 			t.Errorf("%+v", check2)
@@ -117,9 +117,9 @@
 func TestDisabledArchiveStoresNothing(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
+		sim.runToCompletion("000001")
 		time.Sleep(2 * time.Minute)
-		status := sim.status()
+		status := sim.archiveStatus()
 		if len(sim.state.Keys("archive")) > 0 || status.Backlog != 1 || status.Gate.Used {
 			t.Errorf("%v, %+v", sim.state.Keys("archive"), status)
 		}
@@ -133,22 +133,22 @@
 
 // A user who was told only that the job is pending is told that it is done, once it is archived: by a node that has never heard of it before.
 func TestPollAfterPendingReturnsArchivedState(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		s := clustertest.Array("000001", 2)
 		s.EstimateS = 3
 		sim.submit(s)
-		sim.archivedAll(1)
-		sim.told("000001", api.StateDone)
+		sim.awaitArchived(1)
+		sim.checkFinalState("000001", api.StateDone)
 	})
 }
 
 // A job that is open in the journal and final in the archive is final: its tasks are stopped.
 func TestArchivedStateOverridesJournal(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
-		sim.archivedAll(1)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(1)
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000002", 2)
 		for _, n := range sim.nodes {
@@ -170,8 +170,8 @@
 		sim.awaitLeader()
 		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
 		sim.awaitStopped("000002")
-		sim.archivedAll(2)
-		sim.told("000002", api.StateCancelled)
+		sim.awaitArchived(2)
+		sim.checkFinalState("000002", api.StateCancelled)
 	})
 }
 
@@ -186,15 +186,15 @@
 		for i := range 20 {
 			ids = append(ids, fmt.Sprintf("%09d", 1_000_000+i))
 		}
-		sim.finish(ids...)
-		sim.archivedAll(1520)
-		sim.told(ids[3], api.StateDone)
-		sim.told(archivedID(700), api.StateDone)
+		sim.runToCompletion(ids...)
+		sim.awaitArchived(1520)
+		sim.checkFinalState(ids[3], api.StateDone)
+		sim.checkFinalState(archivedJobID(700), api.StateDone)
 	})
 }
 
-// archivedID is the id of a job of a seeded archive.
-func archivedID(i int) string { return fmt.Sprintf("%018d", (i+1)*1_000_003) }
+// archivedJobID is the id of a job of a seeded archive.
+func archivedJobID(i int) string { return fmt.Sprintf("%018d", (i+1)*1_000_003) }
 
 // seedArchive stores an archive, as an earlier leader left it: its gate is in use.
 func (sim *simulation) seedArchive(jobs int) {
@@ -205,7 +205,7 @@
 	time.Sleep(time.Minute)
 	entries := make([]archive.Entry, 0, jobs)
 	for i := range jobs {
-		rank, _ := archive.ParseJobNumber(archivedID(i))
+		rank, _ := archive.ParseJobNumber(archivedJobID(i))
 		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: i % 50}})
 	}
 	ops, err := archive.Build(entries, &sim.settings.State)
@@ -215,11 +215,11 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	record, err := upgrade.MarkGateUsed(sim.cluster(), upgrade.JobArchive, sim.cluster().Term)
+	record, err := upgrade.MarkGateUsed(sim.clusterRecord(), upgrade.JobArchive, sim.clusterRecord().Term)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	sim.apply(leadership.ClusterKey, record)
+	sim.writeKey(leadership.ClusterKey, record)
 	for _, n := range sim.nodes {
 		n.start()
 	}
@@ -230,7 +230,7 @@
 // a leader that has just been started.
 func TestFailoverWithMillionArchivedJobs(t *testing.T) {
 	takeOver := func(jobs int) (answered, accepted time.Duration) {
-		inArchiving(t, 0, func(sim *simulation) {
+		runArchiveSimulation(t, 0, func(sim *simulation) {
 			sim.awaitActive(upgrade.Current, time.Minute)
 			sim.submit(clustertest.Service("000001", 2))
 			sim.seedArchive(jobs)
@@ -247,7 +247,7 @@
 			sim.submit(clustertest.Array("000002", 2))
 			accepted = time.Since(began)
 			lead.start()
-			sim.told(archivedID(jobs-1), api.StateDone)
+			sim.checkFinalState(archivedJobID(jobs-1), api.StateDone)
 		})
 		return answered, accepted
 	}
@@ -261,24 +261,24 @@
 
 // Two finished jobs stay in the journal if they are to be kept.
 func TestJournalKeepsLatestFinishedJobs(t *testing.T) {
-	inArchiving(t, 2, func(sim *simulation) {
+	runArchiveSimulation(t, 2, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001", "000002")
+		sim.runToCompletion("000001", "000002")
 		time.Sleep(time.Minute)
-		if s := sim.status(); s.Backlog != 2 || s.Stored.Jobs != 0 || s.Gate.Used {
+		if s := sim.archiveStatus(); s.Backlog != 2 || s.Stored.Jobs != 0 || s.Gate.Used {
 			t.Errorf("%+v", s)
 		}
-		sim.finish("000003")
-		sim.eventually("archived", time.Minute, func() bool { s := sim.status(); return s.Stored.Jobs > 0 && s.Backlog <= 2 })
+		sim.runToCompletion("000003")
+		sim.eventually("archived", time.Minute, func() bool { s := sim.archiveStatus(); return s.Stored.Jobs > 0 && s.Backlog <= 2 })
 	})
 }
 
 // Page records of a job whose removal was cut short are cleaned up, and what they say of unknown jobs counts for nothing.
 func TestOrphanPageRecordsAreRemoved(t *testing.T) {
-	inArchiving(t, 0, func(sim *simulation) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.finish("000001")
-		sim.archivedAll(1)
+		sim.runToCompletion("000001")
+		sim.awaitArchived(1)
 		for _, n := range sim.nodes {
 			n.kill()
 		}
@@ -314,6 +314,6 @@
 			}
 			return true
 		})
-		sim.told("000001", api.StateDone)
+		sim.checkFinalState("000001", api.StateDone)
 	})
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -20,8 +20,8 @@
 	benchArrays   = 600  // of twelve tasks
 )
 
-// newBenchDispatcher is a dispatcher with a fleet that carries services and arrays.
-func newBenchDispatcher(b *testing.B) *scheduler {
+// newBenchScheduler is a dispatcher with a fleet that carries services and arrays.
+func newBenchScheduler(b *testing.B) *scheduler {
 	b.Helper()
 	d := newTestScheduler(b, clustertest.Settings())
 	for i := range benchMachines {
@@ -61,7 +61,7 @@
 
 // BenchmarkHeartbeat is a report of an ordinary machine and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	m := d.state.Machines.InOrder()[1]
 	r := &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Token: d.term}
 	for _, a := range m.SortedAttempts() {
@@ -76,7 +76,7 @@
 
 // BenchmarkRoundInVain is a round in which 200 jobs wait and none finds room.
 func BenchmarkRoundInVain(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		s := clustertest.Spread(fmt.Sprintf("%06d", 200000+i), 6)
 		s.Resources = storage.Resources{CPUs: 65}
@@ -90,7 +90,7 @@
 // BenchmarkRoundOfOne is a round that places a service of one task while 200
 // arrays wait for accelerators.
 func BenchmarkRoundOfOne(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
@@ -106,7 +106,7 @@
 
 // BenchmarkFleetSnapshot is a snapshot of the fleet at a quiet time.
 func BenchmarkFleetSnapshot(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for b.Loop() {
 		d.snapshotFleet(time.Now())
 	}
@@ -114,7 +114,7 @@
 
 // BenchmarkFleetSnapshotBacklog is a snapshot while 200 arrays of 40 tasks wait.
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
@@ -125,7 +125,7 @@
 
 // BenchmarkTick is the clock's work besides snapshots and rounds.
 func BenchmarkTick(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	d.nextSnapshot = time.Now().Add(time.Hour)
 	for b.Loop() {
 		d.tick()
@@ -135,7 +135,7 @@
 
 // BenchmarkLoad rebuilds the state of the whole fleet from its records.
 func BenchmarkLoad(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	var records []storage.Record
 	add := func(key string, data any) {
 		r, err := storage.NewRecord(key, data)
@@ -167,7 +167,7 @@
 			s.Tuning.Activation.Classes = []string{coldClass}
 			d := newTestScheduler(b, s)
 			for i := range services {
-				j := cluster.NewJob(model(fmt.Sprintf("%06d", i)), time.Now())
+				j := cluster.NewJob(modelSpec(fmt.Sprintf("%06d", i)), time.Now())
 				d.state.Jobs.AddOpen(j)
 				d.activation.track(j, time.Now())
 			}
--- a/internal/scheduler/cold_start_history_test.go
+++ b/internal/scheduler/cold_start_history_test.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// judge counts the starts of so many wakes by the workers' own account.
-func (sim *simulation) judge(wakes ...uint64) {
+// checkStarts counts the starts of so many wakes by the workers' own account.
+func (sim *simulation) checkStarts(wakes ...uint64) {
 	sim.t.Helper()
-	launches := sim.launchesOf(coldModel)
+	launches := sim.startsOf(coldModel)
 	for i, l := range launches {
 		if i > 0 && l.attempt <= launches[i-1].attempt {
 			sim.t.Errorf("attempt %d after %d", l.attempt, launches[i-1].attempt)
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -32,8 +32,8 @@
 	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
 }
 
-// replayPeers brings all demand and usage that was ever sent to all nodes again.
-func (sim *simulation) replayPeers() {
+// replayPeerMessages brings all demand and usage that was ever sent to all nodes again.
+func (sim *simulation) replayPeerMessages() {
 	var wakes []activation.WakeRequest
 	var usages []activation.UsageReport
 	sim.withLock(func() { wakes, usages = append(wakes, sim.wakeRequests...), append(usages, sim.usageReports...) })
@@ -52,26 +52,26 @@
 	}
 }
 
-func (sim *simulation) launchesOf(id string) (out []startRecord) {
+func (sim *simulation) startsOf(id string) (out []startRecord) {
 	sim.withLock(func() { out = append(out, sim.startsByJob[id]...) })
 	return out
 }
 
-// model is a service that is at zero until there is demand.
-func model(id string) storage.Spec {
+// modelSpec is a service that is at zero until there is demand.
+func modelSpec(id string) storage.Spec {
 	s := clustertest.Service(id, 1)
 	s.Class = coldClass
 	return s
 }
 
-// inColdStart runs a scenario with a model at zero beside a service that runs.
-func inColdStart(t *testing.T, story func(sim *simulation)) {
+// runColdStart runs a scenario with a model at zero beside a service that runs.
+func runColdStart(t *testing.T, story func(sim *simulation)) {
 	t.Helper()
-	inColdStartOf(t, threeControllers, story)
+	runColdStartInZones(t, threeControllers, story)
 }
 
-// inColdStartOf does so with controllers in these zones.
-func inColdStartOf(t *testing.T, controllers []string, story func(sim *simulation)) {
+// runColdStartInZones does so with controllers in these zones.
+func runColdStartInZones(t *testing.T, controllers []string, story func(sim *simulation)) {
 	t.Helper()
 	tune := func(tuning *config.Tuning) {
 		tuning.Activation.Classes = []string{coldClass}
@@ -82,35 +82,35 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		sim.awaitRunning("000001", 2)
-		sim.submit(model(coldModel))
+		sim.submit(modelSpec(coldModel))
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		if n := len(sim.launchesOf(coldModel)); n != 0 {
+		if n := len(sim.startsOf(coldModel)); n != 0 {
 			t.Errorf("started %d times without demand", n)
 		}
 		story(sim)
 	})
 }
 
-// client asks for the model at one node until it answers, and again.
-type client struct {
-	id    int
-	node  *fakeNode
-	ready atomic.Bool // what the latest answer said
-	rests atomic.Bool // it asks for nothing
-	last  uint64      // the latest generation that it was told of
+// modelClient asks for the model at one node until it answers, and again.
+type modelClient struct {
+	id             int
+	node           *fakeNode
+	ready          atomic.Bool // what the latest answer said
+	paused         atomic.Bool // it asks for nothing
+	lastGeneration uint64      // the latest generation that it was told of
 }
 
-// demand has clients of all nodes ask for the model within a millisecond, and go on.
-func (sim *simulation) demand() []*client {
-	var clients []*client
+// startClients has clients of all nodes ask for the model within a millisecond, and go on.
+func (sim *simulation) startClients() []*modelClient {
+	var clients []*modelClient
 	for i, n := range sim.nodes {
-		c := &client{id: i, node: n}
+		c := &modelClient{id: i, node: n}
 		clients = append(clients, c)
 		go func() {
 			time.Sleep(time.Duration(i) * 300 * time.Microsecond)
 			for !sim.ended.Load() {
-				if !c.rests.Load() {
-					c.ask(sim)
+				if !c.paused.Load() {
+					c.acquire(sim)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -122,7 +122,7 @@
 // clientPatience is how long a client waits for an answer.
 const clientPatience = 20 * time.Second
 
-func (c *client) ask(sim *simulation) {
+func (c *modelClient) acquire(sim *simulation) {
 	ctx, cancel := context.WithTimeout(context.Background(), clientPatience)
 	defer cancel()
 	tracker := c.node.tracker.Load()
@@ -130,22 +130,22 @@
 	decision := tracker.Acquire(ctx, coldModel)
 	c.ready.Store(decision.Outcome == activator.Granted)
 	if decision.Outcome == activator.Granted {
-		sim.passOn(c.node, decision.Response.Machine)
+		sim.serveRequest(c.node, decision.Response.Machine)
 		sim.noteServed(c.id, called, decision.Response.Generation)
 		tracker.Release(coldModel)
 	}
 	if decision.Response.Verdict != activation.Known || decision.Response.Reason == runsAlways {
 		return
 	}
-	if decision.Response.Generation < c.last {
-		sim.t.Errorf("%s tells generation %d after %d", c.node.name, decision.Response.Generation, c.last)
+	if decision.Response.Generation < c.lastGeneration {
+		sim.t.Errorf("%s tells generation %d after %d", c.node.name, decision.Response.Generation, c.lastGeneration)
 	}
-	c.last = decision.Response.Generation
+	c.lastGeneration = decision.Response.Generation
 }
 
-// passOn is a request to the model, which takes a moment. Its replica must be there all the while, but
+// serveRequest is a request to the model, which takes a moment. Its replica must be there all the while, but
 // for troubles of machines and models.
-func (sim *simulation) passOn(n *fakeNode, machine string) {
+func (sim *simulation) serveRequest(n *fakeNode, machine string) {
 	for range 3 {
 		served := false
 		for _, wk := range sim.runningTasks(coldModel) {
@@ -159,7 +159,7 @@
 }
 
 // awaitReady waits until all clients are told that the model answers, and it does.
-func (sim *simulation) awaitReady(clients []*client) {
+func (sim *simulation) awaitReady(clients []*modelClient) {
 	sim.t.Helper()
 	sim.eventually("all nodes pass requests on", 5*time.Minute, func() bool {
 		for _, c := range clients {
@@ -181,8 +181,8 @@
 	return out
 }
 
-// imagesCome has all machines fetch images at once, and those that are awaited arrive.
-func (sim *simulation) imagesCome() {
+// completePulls has all machines fetch images at once, and those that are awaited arrive.
+func (sim *simulation) completePulls() {
 	sim.withLock(func() {
 		for _, wk := range sim.workers {
 			wk.stuckPulling.Store(false)
@@ -195,10 +195,10 @@
 	})
 }
 
-// rest has the clients ask for nothing, or again.
-func rest(clients []*client, rests bool) {
+// setPaused has the clients ask for nothing, or again.
+func setPaused(clients []*modelClient, rests bool) {
 	for _, c := range clients {
-		c.rests.Store(rests)
+		c.paused.Store(rests)
 		c.ready.Store(false)
 	}
 }
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -14,27 +14,27 @@
 	"sagevale/internal/upgrade"
 )
 
-// coldStart plays one wake with troubles at a moment of it.
-func (sim *simulation) coldStart(m coldMoment, troubles ...coldTrouble) {
+// runColdStartFaults plays one wake with troubles at a moment of it.
+func (sim *simulation) runColdStartFaults(m coldStartMoment, troubles ...coldStartFault) {
 	sim.t.Helper()
 	for _, wk := range sim.allWorkers() {
 		wk.stuckPulling.Store(true)
 	}
-	time.AfterFunc(8*time.Second, func() { sim.imagesCome() })
+	time.AfterFunc(8*time.Second, func() { sim.completePulls() })
 	for _, c := range troubles {
-		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.restarts)
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.mayRestart)
 	}
 	lead := sim.awaitLeader()
 	struck := make(chan struct{}, len(troubles))
-	m.at(sim, func() {
+	m.schedule(sim, func() {
 		for _, c := range troubles {
 			go func() {
-				c.strike(sim, lead)
+				c.inject(sim, lead)
 				struck <- struct{}{}
 			}()
 		}
 	})
-	clients := sim.demand()
+	clients := sim.startClients()
 	for range troubles {
 		select {
 		case <-struck:
@@ -45,23 +45,23 @@
 	sim.awaitReady(clients)
 	time.Sleep(2 * sim.settings.WorkerLease) // what comes late has come
 	sim.awaitReady(clients)
-	sim.judge(1)
+	sim.checkStarts(1)
 }
 
 // Whatever fails at whichever moment of a wake, it starts the model once.
 func TestOneStartPerWake(t *testing.T) {
-	for _, m := range coldMoments() {
-		for _, c := range coldTroubles {
+	for _, m := range coldStartMoments() {
+		for _, c := range coldStartFaults {
 			t.Run(m.name+"/"+c.name, func(t *testing.T) {
 				t.Parallel()
-				inColdStart(t, func(sim *simulation) { sim.coldStart(m, c) })
+				runColdStart(t, func(sim *simulation) { sim.runColdStartFaults(m, c) })
 			})
 		}
 	}
 }
 
-// drawn is three controllers or five, in turn.
-func drawn(seed uint64) []string {
+// zonesForSeed is three controllers or five, in turn.
+func zonesForSeed(seed uint64) []string {
 	if seed%2 == 0 {
 		return threeControllers
 	}
@@ -70,36 +70,36 @@
 
 // The same with two troubles at once, drawn by seed.
 func TestOneStartPerWakeWithTwoFaults(t *testing.T) {
-	moments := coldMoments()
+	moments := coldStartMoments()
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 37))
-		m, a, b := moments[random.IntN(len(moments))], coldTroubles[random.IntN(len(coldTroubles))], coldTroubles[random.IntN(len(coldTroubles))]
+		m, a, b := moments[random.IntN(len(moments))], coldStartFaults[random.IntN(len(coldStartFaults))], coldStartFaults[random.IntN(len(coldStartFaults))]
 		t.Run(fmt.Sprintf("%d/%s/%s/%s", seed, m.name, a.name, b.name), func(t *testing.T) {
 			t.Parallel()
-			inColdStartOf(t, drawn(seed), func(sim *simulation) { sim.coldStart(m, a, b) })
+			runColdStartInZones(t, zonesForSeed(seed), func(sim *simulation) { sim.runColdStartFaults(m, a, b) })
 		})
 	}
 }
 
 // A model that nobody asks for goes back to zero, and comes back once, again and again.
 func TestScaleToZeroAndBack(t *testing.T) {
-	inColdStart(t, func(sim *simulation) {
-		clients := sim.demand()
+	runColdStart(t, func(sim *simulation) {
+		clients := sim.startClients()
 		for range 3 {
 			sim.awaitReady(clients)
 			if s := sim.modelStatus(); s.Record.State != activation.Ready || s.Record.Replica == activation.NoReplica || s.Why == "" {
 				t.Errorf("status %+v", s)
 			}
-			rest(clients, true)
+			setPaused(clients, true)
 			sim.awaitZero()
 			time.Sleep(sim.settings.WorkerLease)
 			if s := sim.modelStatus(); s.Record.State != activation.Idle || s.Record.Replica != activation.NoReplica || s.Why != "" {
 				t.Errorf("status %+v", s)
 			}
-			rest(clients, false)
+			setPaused(clients, false)
 		}
 		sim.awaitReady(clients)
-		sim.judge(4)
+		sim.checkStarts(4)
 		sim.awaitRunning("000001", 2)
 	})
 }
@@ -113,10 +113,10 @@
 		"with a request under way": func(n *fakeNode) { n.tracker.Load().Acquire(n.sim.t.Context(), coldModel) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inColdStart(t, func(sim *simulation) {
-				clients := sim.demand()
+			runColdStart(t, func(sim *simulation) {
+				clients := sim.startClients()
 				sim.awaitReady(clients)
-				rest(clients, true)
+				setPaused(clients, true)
 				time.Sleep(sim.settings.HeartbeatInterval)
 				n := sim.followers(sim.awaitLeader())[0]
 				silence(n)
@@ -132,39 +132,39 @@
 	}
 }
 
-// coldDrain plays a wake, a drain with troubles at a moment of it, and demand that comes back meanwhile.
-func (sim *simulation) coldDrain(m coldMoment, after time.Duration, troubles ...coldTrouble) {
+// runDrainFaults plays a wake, a drain with troubles at a moment of it, and demand that comes back meanwhile.
+func (sim *simulation) runDrainFaults(m coldStartMoment, after time.Duration, troubles ...coldStartFault) {
 	sim.t.Helper()
-	clients := sim.demand()
+	clients := sim.startClients()
 	sim.awaitReady(clients)
-	rest(clients, true)
+	setPaused(clients, true)
 	time.Sleep(coldIdle / 2)
 	for _, c := range troubles {
-		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.restarts)
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.mayRestart)
 	}
 	lead := sim.awaitLeader()
-	m.at(sim, func() {
+	m.schedule(sim, func() {
 		for _, c := range troubles {
-			go c.strike(sim, lead)
+			go c.inject(sim, lead)
 		}
 	})
 	time.Sleep(coldIdle/2 + after)
-	rest(clients, false)
+	setPaused(clients, false)
 	sim.awaitReady(clients)
 	time.Sleep(2 * sim.settings.WorkerLease)
 	sim.awaitReady(clients)
-	sim.judge(1, 2)
+	sim.checkStarts(1, 2)
 }
 
 // Whatever fails at whichever moment of a drain: demand that comes back revives the model, or begins
 // the next generation once it has stopped, never both.
 func TestDemandDuringDrain(t *testing.T) {
 	for i, m := range drainMoments() {
-		for k, c := range coldTroubles {
+		for k, c := range coldStartFaults {
 			t.Run(m.name+"/"+c.name, func(t *testing.T) {
 				t.Parallel()
 				after := time.Duration(rand.New(rand.NewPCG(uint64(i), uint64(k))).Int64N(int64(8 * time.Second)))
-				inColdStart(t, func(sim *simulation) { sim.coldDrain(m, after, c) })
+				runColdStart(t, func(sim *simulation) { sim.runDrainFaults(m, after, c) })
 			})
 		}
 	}
@@ -175,38 +175,38 @@
 	moments := drainMoments()
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 41))
-		m, a, b := moments[random.IntN(len(moments))], coldTroubles[random.IntN(len(coldTroubles))], coldTroubles[random.IntN(len(coldTroubles))]
+		m, a, b := moments[random.IntN(len(moments))], coldStartFaults[random.IntN(len(coldStartFaults))], coldStartFaults[random.IntN(len(coldStartFaults))]
 		after := time.Duration(random.Int64N(int64(8 * time.Second)))
 		t.Run(fmt.Sprintf("%d/%s/%s/%s", seed, m.name, a.name, b.name), func(t *testing.T) {
 			t.Parallel()
-			inColdStartOf(t, drawn(seed), func(sim *simulation) { sim.coldDrain(m, after, a, b) })
+			runColdStartInZones(t, zonesForSeed(seed), func(sim *simulation) { sim.runDrainFaults(m, after, a, b) })
 		})
 	}
 }
 
 // Cancellation outranks a wake at every moment: nothing starts after a user was told.
 func TestCancelDuringWake(t *testing.T) {
-	for _, m := range coldMoments() {
+	for _, m := range coldStartMoments() {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			inColdStart(t, func(sim *simulation) {
+			runColdStart(t, func(sim *simulation) {
 				sim.requestsMayFail.Store(true)
 				cancelled := make(chan time.Time, 1)
-				m.at(sim, func() {
+				m.schedule(sim, func() {
 					sim.cancel(coldModel)
 					cancelled <- time.Now()
 				})
-				clients := sim.demand()
+				clients := sim.startClients()
 				told := <-cancelled
 				sim.crash(sim.awaitLeader(), time.Second)
 				sim.awaitStopped(coldModel)
 				time.Sleep(sim.settings.CancelTimeout)
-				for _, l := range sim.launchesOf(coldModel) {
+				for _, l := range sim.startsOf(coldModel) {
 					if l.at.After(told) {
 						t.Errorf("started %v after its user was told", l.at.Sub(told))
 					}
 				}
-				rest(clients, true)
+				setPaused(clients, true)
 				if d := clients[0].node.tracker.Load().Acquire(sim.t.Context(), coldModel); d.Outcome != activator.Unknown {
 					t.Errorf("answered %+v", d)
 				}
@@ -220,11 +220,11 @@
 func TestActivationWithdrawalStartsServices(t *testing.T) {
 	for name, awake := range map[string]bool{"at zero": false, "while it starts": true} {
 		t.Run(name, func(t *testing.T) {
-			inColdStart(t, func(sim *simulation) {
+			runColdStart(t, func(sim *simulation) {
 				back := sim.followers(sim.awaitLeader())[0]
-				var clients []*client
+				var clients []*modelClient
 				if awake {
-					clients = sim.demand()
+					clients = sim.startClients()
 					time.Sleep(20 * time.Millisecond)
 				}
 				back.restartWithVersion(upgrade.Version5)
@@ -240,11 +240,11 @@
 				}
 				time.Sleep(sim.settings.WorkerLease)
 				sim.awaitRunning(coldModel, 1)
-				if n := len(sim.launchesOf(coldModel)); n != 1 {
+				if n := len(sim.startsOf(coldModel)); n != 1 {
 					t.Errorf("%d starts", n)
 				}
-				rest(clients, true)
-				sim.allAt(upgrade.Current)
+				setPaused(clients, true)
+				sim.restartAllWithVersion(upgrade.Current)
 				sim.awaitZero() // its class is listed still
 			})
 		})
@@ -254,8 +254,8 @@
 // A service whose lifecycle can't be understood is neither started nor stopped; the others go on.
 func TestDamagedActivationRecordAffectsOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := model(coldModel)
-		other := model("000003")
+		spec := modelSpec(coldModel)
+		other := modelSpec("000003")
 		s := clustertest.Settings()
 		s.Tuning.Activation.Classes = []string{coldClass}
 		d := newTestScheduler(t, s)
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -104,7 +104,7 @@
 func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
 	for _, o := range n.sim.nodes {
 		if old := o.unregistered.Load(); o.name == name && old != nil && req.Op == api.OpPing && !o.cutPeers.Load() && !n.cutPeers.Load() {
-			return api.Response{Peer: peer.Status{Version: old.told}}, nil
+			return api.Response{Peer: peer.Status{Version: old.version}}, nil
 		}
 		if live := o.live.Load(); o.name == name && live != nil && !o.cutPeers.Load() && !n.cutPeers.Load() {
 			n.waitWhilePaused()
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -87,9 +87,9 @@
 	})
 }
 
-// rivalGangs are two gangs of three tasks that run, each with two tasks that fill a
+// addCompetingGangs are two gangs of three tasks that run, each with two tasks that fill a
 // machine and one elsewhere; the machine of the first one's third task is returned.
-func rivalGangs(d *scheduler, now time.Time) (first, second *cluster.Job, elsewhere *cluster.Machine) {
+func addCompetingGangs(d *scheduler, now time.Time) (first, second *cluster.Job, elsewhere *cluster.Machine) {
 	for m := 1; m <= 4; m++ {
 		d.addReadyMachine(m, "cpu", "a", false)
 	}
@@ -114,8 +114,8 @@
 	return s
 }
 
-// stops counts a job's attempts that are to be stopped, and those that may save.
-func stops(j *cluster.Job) (stopped, saving int) {
+// countStopping counts a job's attempts that are to be stopped, and those that may save.
+func countStopping(j *cluster.Job) (stopped, saving int) {
 	for _, a := range j.Attempts {
 		if a.Stopping {
 			stopped++
@@ -144,14 +144,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestScheduler(t, clustertest.Settings())
-				first, second, elsewhere := rivalGangs(d, time.Now())
+				first, second, elsewhere := addCompetingGangs(d, time.Now())
 				c.trouble(d, elsewhere)
 				d.addAcceptedJob(urgentService())
 				d.placeRound(time.Now())
-				if n, _ := stops(first); n != 0 {
+				if n, _ := countStopping(first); n != 0 {
 					t.Errorf("%d tasks are stopped of the gang that can't save", n)
 				}
-				if n, saving := stops(second); n != 3 || saving != 3 {
+				if n, saving := countStopping(second); n != 3 || saving != 3 {
 					t.Errorf("%d tasks are stopped of the gang that can, %d with time to save", n, saving)
 				}
 			})
@@ -164,13 +164,13 @@
 func TestGangThatCannotSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
-		first, second, elsewhere := rivalGangs(d, time.Now())
+		first, second, elsewhere := addCompetingGangs(d, time.Now())
 		elsewhere.InFlight = maxInFlightCommands
 		d.state.Machines.Get(4).InFlight = maxInFlightCommands
 		d.addAcceptedJob(urgentService())
 		d.placeRound(time.Now())
-		n1, saving1 := stops(first)
-		n2, saving2 := stops(second)
+		n1, saving1 := countStopping(first)
+		n2, saving2 := countStopping(second)
 		if n1+n2 != 3 || saving1+saving2 != 0 {
 			t.Errorf("stopped %d and %d tasks, %d and %d with time to save", n1, n2, saving1, saving2)
 		}
@@ -183,7 +183,7 @@
 	for _, reachable := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			d := newTestScheduler(t, clustertest.Settings())
-			first, _, elsewhere := rivalGangs(d, time.Now())
+			first, _, elsewhere := addCompetingGangs(d, time.Now())
 			first.Spec.EstimateS = 1000
 			if !reachable {
 				elsewhere.InFlight = maxInFlightCommands
@@ -191,7 +191,7 @@
 			m := d.state.Machines.Get(1)
 			m.PreemptionAt = time.Now().Add(10 * time.Second)
 			d.drain(m, "spot notice")
-			if n, saving := stops(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
+			if n, saving := countStopping(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
 				t.Errorf("reachable %v: %d tasks are stopped, %d with time to save", reachable, n, saving)
 			}
 		})
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -11,14 +11,14 @@
 	"sagevale/internal/worker"
 )
 
-// begun is how often a gang has begun.
-func (sim *simulation) begun(id string) (n int) {
+// gangStartCount is how often a gang has begun.
+func (sim *simulation) gangStartCount(id string) (n int) {
 	sim.withLock(func() { n = sim.gangStarts[id] })
 	return n
 }
 
-// tries are the numbers of the attempts that a job's live tasks have.
-func (sim *simulation) tries(id string) map[uint64]int {
+// attemptNumbers are the numbers of the attempts that a job's live tasks have.
+func (sim *simulation) attemptNumbers(id string) map[uint64]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	out := make(map[uint64]int)
@@ -33,7 +33,7 @@
 	return out
 }
 
-var gangStories = []struct {
+var gangScenarios = []struct {
 	name  string
 	story func(sim *simulation)
 }{
@@ -45,7 +45,7 @@
 			id := fmt.Sprintf("%06d", i+1)
 			sim.awaitDone(id)
 			sim.requestFromAll(id)
-			if n := sim.begun(id); n != 1 {
+			if n := sim.gangStartCount(id); n != 1 {
 				sim.t.Errorf("job %s began %d times", id, n)
 			}
 		}
@@ -72,13 +72,13 @@
 		sim.submit(gangSpec("000002", 5))
 		var first uint64
 		sim.eventually("it is placed", 2*time.Minute, func() bool {
-			for try := range sim.tries("000002") {
+			for try := range sim.attemptNumbers("000002") {
 				first = try
 			}
 			return len(sim.runningTasks("000002")) == 5
 		})
-		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.begun("000002") == 1 })
-		for try := range sim.tries("000002") {
+		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
+		for try := range sim.attemptNumbers("000002") {
 			if try != first {
 				sim.t.Errorf("it runs as %d, began as %d", try, first)
 			}
@@ -104,9 +104,9 @@
 				}
 			})
 		}
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000002") == 1 })
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
 		sim.machinesOf("000002")[0].dead.Store(true)
-		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.begun("000002") == 2 })
+		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 2 })
 		sim.awaitDone("000002")
 	}},
 	{"the leader ends between the starts", func(sim *simulation) {
@@ -120,7 +120,7 @@
 			sim.crash(sim.awaitLeader(), time.Second)
 			sim.submit(gangSpec(id, 5))
 			sim.awaitDone(id)
-			if n := sim.begun(id); n > 1 {
+			if n := sim.gangStartCount(id); n > 1 {
 				sim.t.Errorf("gang %s began %d times", id, n)
 			}
 		}
@@ -133,7 +133,7 @@
 		g := gangSpec("000003", 10)
 		g.SameZone, g.Spread, g.EstimateS = false, true, 60
 		sim.submit(g)
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000003") == 1 })
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000003") == 1 })
 		sim.moveLeaderOutOf("b")
 		sim.isolateZone("b")
 		time.Sleep(2 * sim.settings.WorkerLease)
@@ -156,13 +156,13 @@
 			wk.stuckPulling.Store(false)
 		}
 		sim.requestFromAll("000002")
-		if sim.begun("000002") != 0 {
+		if sim.gangStartCount("000002") != 0 {
 			sim.t.Error("a cancelled gang began")
 		}
 	}},
 	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
 		sim.submit(gangSpec("000001", 6))
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.begun("000001") == 1 })
+		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000001") == 1 })
 		sim.recordReports()
 		time.Sleep(19 * time.Second)
 		for range 3 {
@@ -172,7 +172,7 @@
 		sim.awaitDone("000001")
 		sim.replayReports(sim.nodes...)
 		sim.requestFromAll("000001")
-		if n := sim.begun("000001"); n != 1 {
+		if n := sim.gangStartCount("000001"); n != 1 {
 			sim.t.Errorf("began %d times", n)
 		}
 	}},
@@ -191,7 +191,7 @@
 			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
 			time.Sleep(time.Second)
 		}
-		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.begun("000100") > 0 && sim.begun("000101") > 0 })
+		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.gangStartCount("000100") > 0 && sim.gangStartCount("000101") > 0 })
 		sim.awaitDone("000100")
 		sim.awaitDone("000101")
 		for i := range 40 {
@@ -203,14 +203,14 @@
 		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
 		sim.submit(s)
 		sim.awaitDone("000001")
-		if n := sim.begun("000001"); n != 1 {
+		if n := sim.gangStartCount("000001"); n != 1 {
 			sim.t.Errorf("began %d times", n)
 		}
 	}},
 }
 
 func TestGangScheduling(t *testing.T) {
-	for _, g := range gangStories {
+	for _, g := range gangScenarios {
 		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
 	}
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// gangOn enters a gang's attempt with a task on each of the machines.
-func (d *scheduler) gangOn(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
+// addGang enters a gang's attempt with a task on each of the machines.
+func (d *scheduler) addGang(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
 	j := d.addAcceptedJob(spec)
 	for i, m := range machines {
 		d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true, State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now()})
@@ -58,7 +58,7 @@
 func TestTaskLossAbortsRunningGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
-		j := d.gangOn(gangSpec("000001", 3), worker.Running, d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false), d.addReadyMachine(3, "cpu", "a", false))
+		j := d.addGang(gangSpec("000001", 3), worker.Running, d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false), d.addReadyMachine(3, "cpu", "a", false))
 		d.addReadyMachine(4, "cpu", "a", false)
 		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		for _, a := range j.GangAttempts() {
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, one)
+		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, one)
 		j.Attempts[0].State = worker.Exited
 		d.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
 		if len(j.Attempts) != 1 {
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 3), worker.Running, m, m, m)
+		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
 		if j.Done != 3 || j.Phase != storage.Done {
 			t.Errorf("%d of 3 done, phase %v", j.Done, j.Phase)
@@ -120,7 +120,7 @@
 		s.GangWait = 45 * time.Second
 		d := newTestScheduler(t, s)
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, two)
+		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
 		j.Attempts[1].State = worker.Pulling
 		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
 		if d.tick(); j.Attempts[1].Stopping {
@@ -140,7 +140,7 @@
 		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
 		d := newTestScheduler(t, s)
 		m := d.addReadyMachine(1, "gpu", "a", false)
-		other := d.gangOn(withLimitedTeam(gangSpec("000001", 1)), worker.Running, m)
+		other := d.addGang(withLimitedTeam(gangSpec("000001", 1)), worker.Running, m)
 		j := d.addAcceptedJob(withLimitedTeam(gangSpec("000002", 2)))
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 0 {
@@ -160,7 +160,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 2), worker.Gathering, one, two)
+		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
 		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
 		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
 			t.Errorf("failures of the machine %+v, of the job %+v", one.Failures, j.Failures)
@@ -179,7 +179,7 @@
 		full, other := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "b", false)
 		spec := gangSpec("000001", 2)
 		spec.Resources.CPUs = 4
-		j := d.gangOn(spec, worker.Gathering, full, full)
+		j := d.addGang(spec, worker.Gathering, full, full)
 		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		blocker := clustertest.Service("000002", 1)
 		blocker.Resources.CPUs = 4
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 3), worker.Running, m, m, m)
+		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.stopGang(j)
 		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
 			t.Errorf("told %+v", a)
@@ -249,7 +249,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.gangOn(gangSpec("000001", 2), worker.Running, m, m)
+		j := d.addGang(gangSpec("000001", 2), worker.Running, m, m)
 		for _, r := range []worker.TaskReport{
 			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
 			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CausePeers},
@@ -258,7 +258,7 @@
 		} {
 			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
 		}
-		if n, _ := stops(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
+		if n, _ := countStopping(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
 			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.Done, len(j.Attempts), n, j.Gang)
 		}
 	})
--- a/internal/scheduler/gates_test.go
+++ b/internal/scheduler/gates_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("accepted after %v", took)
 		}
 		sim.awaitDone("000001")
-		sim.state.Update(func(s *storagetest.Service) { s.Drop = touchesCluster })
+		sim.state.Update(func(s *storagetest.Service) { s.Drop = writesClusterRecord })
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
 			n.restart()
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -21,7 +21,7 @@
 		"the leader ends":            func(sim *simulation) { sim.crash(sim.awaitLeader(), 3*time.Second) },
 		"the leader stands still":    func(sim *simulation) { sim.awaitLeader().pause(8 * time.Second) },
 		"an outage":                  func(sim *simulation) { sim.outage(30 * time.Second) },
-		"all controllers end":        func(sim *simulation) { sim.restartAll() },
+		"all controllers end":        func(sim *simulation) { sim.restartAllNodes() },
 		"late writes, a leader ends": func(sim *simulation) { sim.delayCommits(5, time.Second); sim.crash(sim.awaitLeader(), time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				if n := sim.startCount() - before; n > 8 {
 					t.Errorf("%d starts of a mistaken job in two minutes", n)
 				}
-				for id, m := range sim.awaitLeader().node.view.Load().scheduler.suspects() {
+				for id, m := range sim.awaitLeader().node.view.Load().scheduler.suspectedMachines() {
 					t.Errorf("machine %d is suspected for a mistaken job: %+v", id, m)
 				}
 				sim.submit(arrayWithRuntime("000004", 4, 10*time.Second))
@@ -51,8 +51,8 @@
 	}
 }
 
-// suspects are the machines that the leader suspects; it is read while nothing else happens.
-func (d *scheduler) suspects() map[int]string {
+// suspectedMachines are the machines that the leader suspects; it is read while nothing else happens.
+func (d *scheduler) suspectedMachines() map[int]string {
 	synctest.Wait()
 	out := make(map[int]string)
 	for _, m := range d.state.Machines.InOrder() {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// restartAll ends all controllers and begins them again.
-func (sim *simulation) restartAll() {
+// restartAllNodes ends all controllers and begins them again.
+func (sim *simulation) restartAllNodes() {
 	for _, n := range sim.nodes {
 		n.kill()
 	}
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -25,15 +25,15 @@
 
 // unregisteredProcess takes the lead as those versions do, and does nothing with it.
 type unregisteredProcess struct {
-	told int
-	led  atomic.Int32
+	version int
+	terms   atomic.Int32
 }
 
 // startUnregistered replaces a node's process by one that doesn't register.
 func (n *fakeNode) startUnregistered(told int) *unregisteredProcess {
 	n.kill()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &unregisteredProcess{told: told}
+	p := &unregisteredProcess{version: told}
 	n.cancelRun = cancel
 	n.unregistered.Store(p)
 	go p.contend(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
@@ -61,7 +61,7 @@
 			[]storage.Op{{Key: leadership.LeaderKey, Data: lead, Lease: lease}, {Key: leadership.TermKey, Data: next}}); err != nil {
 			continue
 		}
-		p.led.Add(1)
+		p.terms.Add(1)
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, life/5); {
 			if svc.Renew(ctx, lease) != nil {
 				break
@@ -90,19 +90,19 @@
 		time.Sleep(20 * time.Second)
 		sim.awaitLeader()
 		lead.start()
-		if n := old.led.Load(); n > 0 {
+		if n := old.terms.Load(); n > 0 {
 			t.Errorf("it led %d times beside a gang job", n)
 		}
-		sim.eventually("withdrawing", 20*time.Second, func() bool { return sim.cluster().Phase == upgrade.Withdrawing })
+		sim.eventually("withdrawing", 20*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
 		sim.awaitDone("000002")
 		sim.awaitActive(upgrade.Version1, time.Minute)
-		sim.eventually("not fenced", 20*time.Second, func() bool { return sim.cluster().Fence == 0 })
+		sim.eventually("not fenced", 20*time.Second, func() bool { return sim.clusterRecord().Fence == 0 })
 		for _, n := range sim.nodes {
 			if n != back {
 				n.kill()
 			}
 		}
-		sim.eventually("it leads", 20*time.Second, func() bool { return old.led.Load() > 0 })
+		sim.eventually("it leads", 20*time.Second, func() bool { return old.terms.Load() > 0 })
 		back.restartWithVersion(upgrade.Current)
 		for _, n := range sim.nodes {
 			if n.cancelRun == nil {
@@ -122,7 +122,7 @@
 		old := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("it leads", time.Minute, func() bool { return old.led.Load() > 0 })
+		sim.eventually("it leads", time.Minute, func() bool { return old.terms.Load() > 0 })
 		for _, n := range sim.nodes {
 			n.restartWithVersion(upgrade.Current)
 		}
@@ -142,13 +142,13 @@
 		old := sim.nodes[0].startUnregistered(2)
 		sim.awaitLeader()
 		sim.awaitActive(upgrade.Version2, time.Minute)
-		sim.eventually("not fenced", time.Minute, func() bool { return sim.cluster().Fence == 0 })
-		if r := sim.cluster(); !r.Gate(upgrade.GangJobs).Usable() {
+		sim.eventually("not fenced", time.Minute, func() bool { return sim.clusterRecord().Fence == 0 })
+		if r := sim.clusterRecord(); !r.Gate(upgrade.GangJobs).Usable() {
 			t.Errorf("%+v", r)
 		}
 		sim.nodes[1].kill()
 		sim.nodes[2].kill()
-		sim.eventually("it leads", time.Minute, func() bool { return old.led.Load() > 0 })
+		sim.eventually("it leads", time.Minute, func() bool { return old.terms.Load() > 0 })
 	})
 }
 
@@ -182,7 +182,7 @@
 				t.Fatalf("%s is no list of records: %.60s", it.Key, it.Data)
 			}
 			for _, r := range records {
-				checkKnownTo3661d31(t, r)
+				checkReadableBy3661d31(t, r)
 			}
 		}
 		term, err := client.Get(context.Background(), leadership.TermKey)
@@ -192,7 +192,7 @@
 	})
 }
 
-func checkKnownTo3661d31(t *testing.T, record []json.RawMessage) {
+func checkReadableBy3661d31(t *testing.T, record []json.RawMessage) {
 	t.Helper()
 	if len(record) > 2 {
 		t.Fatalf("a record in fragments: %s", record)
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -19,8 +19,8 @@
 // What happens between a check and the write that rests on it. Each test fails without the
 // guard that it is about.
 
-// apply writes keys as some other process would, whatever else goes on.
-func (sim *simulation) apply(key string, value any) {
+// writeKey writes keys as some other process would, whatever else goes on.
+func (sim *simulation) writeKey(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		sim.t.Fatal(err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// onceBefore has f run before the first transaction that sets a key to such a value.
-func (sim *simulation) onceBefore(key, value string, f func()) {
+// beforeFirstWrite has f run before the first transaction that sets a key to such a value.
+func (sim *simulation) beforeFirstWrite(key, value string, f func()) {
 	var done atomic.Bool
 	sim.state.Update(func(s *storagetest.Service) {
 		s.Before = func(tx storagetest.Txn) {
@@ -42,7 +42,7 @@
 	})
 }
 
-func sets(tx storagetest.Txn, key string) bool {
+func writes(tx storagetest.Txn, key string) bool {
 	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key })
 }
 
@@ -79,8 +79,8 @@
 	return registration
 }
 
-// gangInUse is a cluster record under which a process of version 1 must not lead.
-func gangInUse() upgrade.Record {
+// gangJobsInUse is a cluster record under which a process of version 1 must not lead.
+func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
 	record.Gates = map[upgrade.GateName]upgrade.GateState{upgrade.GangJobs: {Since: upgrade.Version2, Phase: upgrade.GateOpen, Used: true}}
@@ -89,13 +89,13 @@
 
 func TestActivationDetectsConcurrentRegistration(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		node := sim.nodes[2].name
-		sim.onceBefore(leadership.ClusterKey, `"active":2`, func() {
-			sim.apply(leadership.RegistrationPrefix+node, upgrade.NewRegistration(node, "older", upgrade.Range{Min: 1, Max: 1}))
+		sim.beforeFirstWrite(leadership.ClusterKey, `"active":2`, func() {
+			sim.writeKey(leadership.RegistrationPrefix+node, upgrade.NewRegistration(node, "older", upgrade.Range{Min: 1, Max: 1}))
 		})
-		sim.allAt(upgrade.Current)
+		sim.restartAllWithVersion(upgrade.Current)
 		time.Sleep(20 * time.Second)
 		for _, record := range sim.clusterHistory() {
 			if record.Active != upgrade.Version1 {
@@ -109,13 +109,13 @@
 
 func TestElectionDetectsConcurrentGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		for _, n := range sim.nodes[1:] {
 			n.kill()
 		}
 		sim.nodes[0].kill()
 		time.Sleep(5 * time.Second)
-		sim.onceBefore(leadership.LeaderKey, "", func() { sim.apply(leadership.ClusterKey, gangInUse()) })
+		sim.beforeFirstWrite(leadership.LeaderKey, "", func() { sim.writeKey(leadership.ClusterKey, gangJobsInUse()) })
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
@@ -156,10 +156,10 @@
 			back = sim.nodes[1]
 		}
 		back.kill()
-		sim.onceBefore(leadership.RegistrationPrefix+back.name, "", func() {
-			record := sim.cluster()
+		sim.beforeFirstWrite(leadership.RegistrationPrefix+back.name, "", func() {
+			record := sim.clusterRecord()
 			record.Minimum, record.Phase = record.Active, upgrade.Finalized
-			sim.apply(leadership.ClusterKey, record)
+			sim.writeKey(leadership.ClusterKey, record)
 		})
 		back.restartWithVersion(upgrade.Version2)
 		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
@@ -171,7 +171,7 @@
 
 func TestLateRegistrationOfEarlierProcessIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		time.Sleep(10 * time.Second) // the record moves no more, which would bar it too
 		node := sim.nodes[0]
@@ -179,7 +179,7 @@
 		var late atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !sets(tx, leadership.RegistrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
+				if !writes(tx, leadership.RegistrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
@@ -202,7 +202,7 @@
 			n.kill()
 		}
 		sim.state.Update(func(s *storagetest.Service) {
-			s.Drop = func(tx storagetest.Txn) bool { return sets(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
+			s.Drop = func(tx storagetest.Txn) bool { return writes(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
@@ -217,19 +217,19 @@
 // A leader whose step has gone unanswered reads the record again before the next.
 func TestUnansweredUpgradeStepIsReadAgain(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		var lost atomic.Int32
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Lose = func(tx storagetest.Txn) bool {
-				if touchesCluster(tx) {
+				if writesClusterRecord(tx) {
 					lost.Add(1)
 					return true
 				}
 				return false
 			}
 		})
-		sim.allAt(upgrade.Current)
+		sim.restartAllWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001")
 		sim.awaitDone("000001")
@@ -242,18 +242,18 @@
 // A deposed leader's step that comes late must not move the record under its successor.
 func TestLateUpgradeStepOfFormerLeaderIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		lead := sim.awaitLeader()
 		var held atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !touchesCluster(tx) || !held.CompareAndSwap(false, true) {
+				if !writesClusterRecord(tx) || !held.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
 			}
 		})
-		sim.allAt(upgrade.Current)
+		sim.restartAllWithVersion(upgrade.Current)
 		sim.eventually("a step is late", time.Minute, held.Load)
 		for _, n := range sim.nodes {
 			n.kill()
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -41,7 +41,7 @@
 					a := sim.requestFrom(back, api.OpPoll, "000002", storage.Spec{})
 					return a.Decided()
 				})
-				sim.eventually("withdrawing", 10*time.Second, func() bool { return sim.cluster().Phase == upgrade.Withdrawing })
+				sim.eventually("withdrawing", 10*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
 				if a := sim.requestFrom(back, api.OpSubmit, refused.ID, refused); a.Decided() {
 					t.Errorf("a gang job is taken during the withdrawal: %+v", a)
 				}
@@ -69,14 +69,14 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 3))
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		sim.awaitActive(upgrade.Version1, time.Minute)
-		if r := sim.cluster(); r.Phase != upgrade.Stable || r.Gate(upgrade.GangJobs).Phase != "" {
+		if r := sim.clusterRecord(); r.Phase != upgrade.Stable || r.Gate(upgrade.GangJobs).Phase != "" {
 			t.Errorf("%+v", r)
 		}
 		sim.awaitRunning("000001", 3)
-		sim.allAt(upgrade.Current)
+		sim.restartAllWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000002")
 		sim.awaitDone("000002")
@@ -97,7 +97,7 @@
 				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
 				sim.submit(clustertest.Array("000100", 60))
 				sim.eventually("compressed", time.Minute, func() bool {
-					return sim.cluster().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
+					return sim.clusterRecord().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
 				})
 				back := sim.nodes[0]
 				if sim.awaitLeader() == back {
@@ -153,7 +153,7 @@
 			n.restart()
 		}
 		sim.submit(clustertest.Service("000001", 3))
-		sim.eventually("finalized", time.Minute, func() bool { return sim.cluster().Minimum == upgrade.Current })
+		sim.eventually("finalized", time.Minute, func() bool { return sim.clusterRecord().Minimum == upgrade.Current })
 		back := sim.awaitLeader()
 		back.restartWithVersion(upgrade.Version2)
 		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
@@ -164,7 +164,7 @@
 		sim.submit(clustertest.Array("000002", 3))
 		sim.awaitDone("000002")
 		sim.awaitRunning("000001", 3)
-		if r := sim.cluster(); r.Active != upgrade.Current || r.Phase != upgrade.Finalized {
+		if r := sim.clusterRecord(); r.Active != upgrade.Current || r.Phase != upgrade.Finalized {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -173,10 +173,10 @@
 // The leader itself goes back just after the activation, before and after a gate's use.
 func TestRollbackOfLeaderAfterActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
-		sim.allAt(upgrade.Current)
-		sim.eventually("version 2 active", time.Minute, func() bool { return sim.cluster().Active >= upgrade.Version2 })
+		sim.restartAllWithVersion(upgrade.Current)
+		sim.eventually("version 2 active", time.Minute, func() bool { return sim.clusterRecord().Active >= upgrade.Version2 })
 		lead := sim.awaitLeader()
 		lead.restartWithVersion(upgrade.Version1)
 		sim.awaitActive(upgrade.Version1, time.Minute)
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -22,8 +22,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// cluster reads the cluster record as it is stored.
-func (sim *simulation) cluster() upgrade.Record {
+// clusterRecord reads the cluster record as it is stored.
+func (sim *simulation) clusterRecord() upgrade.Record {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
 	item, err := client.Get(context.Background(), leadership.ClusterKey)
@@ -41,13 +41,13 @@
 func (sim *simulation) awaitActive(version upgrade.Version, within time.Duration) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("version %d active", version), within, func() bool {
-		r := sim.cluster()
+		r := sim.clusterRecord()
 		return r.Active == version && r.Phase != upgrade.Withdrawing
 	})
 }
 
-// allAt begins all nodes anew with a version.
-func (sim *simulation) allAt(version upgrade.Version) {
+// restartAllWithVersion begins all nodes anew with a version.
+func (sim *simulation) restartAllWithVersion(version upgrade.Version) {
 	for _, n := range sim.nodes {
 		n.restartWithVersion(version)
 	}
@@ -61,7 +61,7 @@
 	sim.submit(g)
 }
 
-func touchesCluster(tx storagetest.Txn) bool {
+func writesClusterRecord(tx storagetest.Txn) bool {
 	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == leadership.ClusterKey })
 }
 
@@ -69,7 +69,7 @@
 // back until then.
 func TestGatesOpenOnceAllControllersAreUpgraded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.submit(clustertest.Service("000001", 3))
 		g := clustertest.Array("000002", 3)
 		g.Gang = true
@@ -78,7 +78,7 @@
 			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
 				t.Errorf("with %d nodes upgraded the gang job is answered %+v", i, a)
 			}
-			if r := sim.cluster(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
+			if r := sim.clusterRecord(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
 				t.Errorf("with %d nodes upgraded: %+v", i, r)
 			}
 			n.restartWithVersion(upgrade.Current)
@@ -98,22 +98,22 @@
 		for _, kill := range []bool{false, true} {
 			for step := range 4 {
 				t.Run(fmt.Sprintf("%s/kill=%v/%d", fate, kill, step), func(t *testing.T) {
-					runSimulation(t, func(sim *simulation) { sim.loseStep(fate, kill, step) })
+					runSimulation(t, func(sim *simulation) { sim.runUpgradeWithLostStep(fate, kill, step) })
 				})
 			}
 		}
 	}
 }
 
-// loseStep has the nth transaction on the cluster record meet its fate, during an upgrade
+// runUpgradeWithLostStep has the nth transaction on the cluster record meet its fate, during an upgrade
 // and the use of a gate.
-func (sim *simulation) loseStep(fate string, kill bool, step int) {
-	sim.allAt(upgrade.Version1)
+func (sim *simulation) runUpgradeWithLostStep(fate string, kill bool, step int) {
+	sim.restartAllWithVersion(upgrade.Version1)
 	sim.submit(clustertest.Service("000001", 2))
 	sim.awaitLeader()
 	var seen atomic.Int32
 	hit := func(tx storagetest.Txn) bool {
-		if !touchesCluster(tx) {
+		if !writesClusterRecord(tx) {
 			return false
 		}
 		if int(seen.Add(1)) != step+1 {
@@ -143,12 +143,12 @@
 			}
 		}
 	})
-	sim.allAt(upgrade.Current)
+	sim.restartAllWithVersion(upgrade.Current)
 	sim.awaitActive(upgrade.Current, time.Minute)
 	sim.submitGang("000002")
 	sim.awaitDone("000002")
 	time.Sleep(30 * time.Second) // what is late has come
-	if r := sim.cluster(); r.Active != upgrade.Current || !r.Gate(upgrade.GangJobs).Usable() {
+	if r := sim.clusterRecord(); r.Active != upgrade.Current || !r.Gate(upgrade.GangJobs).Usable() {
 		sim.t.Errorf("%+v", r)
 	}
 	sim.awaitRunning("000001", 2)
@@ -170,7 +170,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4} }, func(sim *simulation) {
-				sim.allAt(upgrade.Version1)
+				sim.restartAllWithVersion(upgrade.Version1)
 				sim.submit(clustertest.Service("000001", 3))
 				sim.awaitRunning("000001", 3)
 				c.trouble(sim)
@@ -205,7 +205,7 @@
 		}
 		set(`{"schema":1,"active":0}`)
 		// The leader has no reason to look until a registration changes.
-		sim.apply(leadership.RegistrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
+		sim.writeKey(leadership.RegistrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
 		time.Sleep(10 * time.Second)
 		if lead := sim.leader(); lead != nil {
 			t.Errorf("%s leads on", lead.name)
@@ -231,7 +231,7 @@
 // A damaged registration holds the activation up until its node registers anew.
 func TestDamagedRegistrationDelaysActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.allAt(upgrade.Version1)
+		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		sim.nodes[0].restartWithVersion(upgrade.Current)
 		sim.nodes[1].restartWithVersion(upgrade.Current)
@@ -242,7 +242,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
-		if r := sim.cluster(); r.Active != upgrade.Version1 {
+		if r := sim.clusterRecord(); r.Active != upgrade.Version1 {
 			t.Errorf("%+v", r)
 		}
 		sim.nodes[2].restartWithVersion(upgrade.Current)
@@ -259,7 +259,7 @@
 		sim.submit(clustertest.Service("000001", 3))
 		for range 4 {
 			time.Sleep(10 * time.Second)
-			if r := sim.cluster(); r.Active != upgrade.Version1 {
+			if r := sim.clusterRecord(); r.Active != upgrade.Version1 {
 				t.Fatalf("%+v", r)
 			}
 			sim.awaitLeader().restart()
@@ -277,13 +277,13 @@
 func TestRandomUpgradesAndRollbacks(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runSimulation(t, func(sim *simulation) { sim.randomUpgrades(rand.New(rand.NewPCG(seed, 21))) })
+			runSimulation(t, func(sim *simulation) { sim.runRandomUpgrades(rand.New(rand.NewPCG(seed, 21))) })
 		})
 	}
 }
 
-func (sim *simulation) randomUpgrades(random *rand.Rand) {
-	sim.allAt(upgrade.Version(1 + random.IntN(3)))
+func (sim *simulation) runRandomUpgrades(random *rand.Rand) {
+	sim.restartAllWithVersion(upgrade.Version(1 + random.IntN(3)))
 	sim.submit(clustertest.Service("000001", 4))
 	for i := range 14 {
 		node := sim.nodes[random.IntN(len(sim.nodes))]
@@ -303,13 +303,13 @@
 		}
 		id := fmt.Sprintf("%06d", 10+i)
 		job := clustertest.Array(id, 1+random.IntN(4))
-		job.Gang = random.IntN(3) == 0 && sim.cluster().Gate(upgrade.GangJobs).Usable()
+		job.Gang = random.IntN(3) == 0 && sim.clusterRecord().Gate(upgrade.GangJobs).Usable()
 		sim.storeSpec(job)
 		sim.requestFrom(node, api.OpSubmit, id, job)
 		time.Sleep(time.Duration(random.IntN(10_000)) * time.Millisecond)
 	}
 	sim.state.Outage(false)
-	sim.allAt(upgrade.Current)
+	sim.restartAllWithVersion(upgrade.Current)
 	sim.awaitActive(upgrade.Current, 2*time.Minute)
 	sim.awaitRunning("000001", 4)
 	sim.submitGang("000100")
@@ -340,7 +340,7 @@
 		}
 		sim.awaitLeader().kill()
 		lead := sim.awaitLeader()
-		if r := sim.cluster(); r.Active != upgrade.Current {
+		if r := sim.clusterRecord(); r.Active != upgrade.Current {
 			t.Errorf("the target of the next leader lowers the version: %+v", r)
 		}
 		lead.restart()
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -20,8 +20,8 @@
 // The versions in use lead in turn with this one: each reads what the others wrote.
 // Every folder of testdata holds what one of them really wrote.
 
-// frozen reads one file that an earlier version wrote.
-func frozen(t *testing.T, version, name string, into any) {
+// readFrozen reads one file that an earlier version wrote.
+func readFrozen(t *testing.T, version, name string, into any) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", version, name))
 	if err != nil {
@@ -44,7 +44,7 @@
 	} {
 		t.Run(c.version+"/"+c.file, func(t *testing.T) {
 			var items []storage.Item
-			frozen(t, c.version, c.file, &items)
+			readFrozen(t, c.version, c.file, &items)
 			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = c.next }, func(sim *simulation) {
 				sim.awaitLeader()
 				for _, n := range sim.nodes {
@@ -57,15 +57,15 @@
 						s.ValueBytes, s.TxnOps = c.next.ValueBytes, c.next.TxnOps
 					}
 				})
-				sim.leadOn(c.next != nil)
+				sim.checkLoadedStore(c.next != nil)
 			})
 		})
 	}
 }
 
-// leadOn starts the nodes on a store that freeze_test.go has written, and checks that
+// checkLoadedStore starts the nodes on a store that freeze_test.go has written, and checks that
 // all of it is known and goes on.
-func (sim *simulation) leadOn(longRecordToo bool) {
+func (sim *simulation) checkLoadedStore(longRecordToo bool) {
 	t := sim.t
 	array, replicas, gang := clustertest.Array("000001", 70), clustertest.Service("000002", 3), clustertest.Array("000005", 3)
 	array.Spot, replicas.Spread, replicas.Types, gang.Gang, gang.SameZone = true, true, []string{"cpu"}, true, true
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// withFencing runs a scenario in which workers' tokens are raised after so many ended attempts.
-func withFencing(t *testing.T, window int, story func(sim *simulation)) {
+// runFencingSimulation runs a scenario in which workers' tokens are raised after so many ended attempts.
+func runFencingSimulation(t *testing.T, window int, story func(sim *simulation)) {
 	t.Helper()
 	sweepers := func(s *config.Settings) {
 		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Resources{CPUs: 2}})
@@ -23,16 +23,16 @@
 	runSimulationWithTuning(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
 }
 
-// sweep is an array of many short tasks, few of which run at a time.
-func sweep(id string, tasks int) storage.Spec {
+// shortTaskArray is an array of many short tasks, few of which run at a time.
+func shortTaskArray(id string, tasks int) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.Team, s.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
 	s.EstimateS = 2
 	return s
 }
 
-// mostRemembered is the longest report of a worker.
-func (sim *simulation) mostRemembered() int {
+// longestReport is the longest report of a worker.
+func (sim *simulation) longestReport() int {
 	most := 0
 	for _, wk := range sim.allWorkers() {
 		if !wk.dead.Load() {
@@ -45,14 +45,14 @@
 // In a term of any length, a worker's reports and the leader's memory of it follow the live
 // tasks and a small window.
 func TestRetainedAttemptsAreBoundedWithinTerm(t *testing.T) {
-	withFencing(t, 4, func(sim *simulation) {
+	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
-		sim.submit(sweep("000002", 20000))
+		sim.submit(shortTaskArray("000002", 20000))
 		sim.awaitRunning("000001", 2)
 		lead := sim.awaitLeader()
 		term := lead.node.view.Load().role.Term
 		for end := time.Now().Add(30 * time.Minute); time.Now().Before(end); time.Sleep(3 * time.Second) {
-			if n := sim.mostRemembered(); n > fencing.MaxRetained/2 {
+			if n := sim.longestReport(); n > fencing.MaxRetained/2 {
 				t.Fatalf("a report of %d tasks", n)
 			}
 		}
@@ -65,8 +65,8 @@
 	})
 }
 
-// repeatOrders has all direct orders carried out again and again, however old.
-func (sim *simulation) repeatOrders() {
+// repeatCommands has all direct orders carried out again and again, however old.
+func (sim *simulation) repeatCommands() {
 	sim.withLock(func() { sim.recordingCommands = true })
 	go func() {
 		for !sim.ended.Load() {
@@ -153,10 +153,10 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withFencing(t, 4, func(sim *simulation) {
-				sim.repeatOrders()
+			runFencingSimulation(t, 4, func(sim *simulation) {
+				sim.repeatCommands()
 				sim.submit(clustertest.Service("000001", 4))
-				sim.submit(sweep("000002", 4000))
+				sim.submit(shortTaskArray("000002", 4000))
 				sim.submit(clustertest.Service("000003", 2))
 				sim.awaitRunning("000001", 4)
 				time.Sleep(30 * time.Second)
@@ -168,7 +168,7 @@
 				if n := sim.poll("000002").Done; n <= before && n < 4000 {
 					t.Errorf("the sweep stands still at %d tasks", n)
 				}
-				if n := sim.mostRemembered(); n > fencing.MaxRetained/2 {
+				if n := sim.longestReport(); n > fencing.MaxRetained/2 {
 					t.Errorf("a report of %d tasks", n)
 				}
 			})
@@ -179,9 +179,9 @@
 // While a zone is cut off, its controller renews the leases of workers with raised tokens:
 // nothing there is lost.
 func TestDelegationRenewsRaisedTokens(t *testing.T) {
-	withFencing(t, 1, func(sim *simulation) {
+	runFencingSimulation(t, 1, func(sim *simulation) {
 		const cut = "b"
-		standing, short := clustertest.Service("000001", 4), sweep("000002", 2000)
+		standing, short := clustertest.Service("000001", 4), shortTaskArray("000002", 2000)
 		standing.Zone, short.Zone = cut, cut
 		sim.submit(standing)
 		sim.submit(short)
@@ -230,7 +230,7 @@
 // Without a token left to raise, a worker that remembers too much is given its starts with the
 // answers to its reports, and remembers no more for them.
 func TestWorkerWithFullFenceStartsTasksByHeartbeat(t *testing.T) {
-	withFencing(t, 4, func(sim *simulation) {
+	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -239,9 +239,9 @@
 		for _, wk := range sim.allWorkers() { // each knows the term's last token
 			wk.executeDirect(d.tokens.Last, wk.incarnation, nil)
 		}
-		sim.submit(sweep("000002", 700))
+		sim.submit(shortTaskArray("000002", 700))
 		sim.awaitDone("000002")
-		if n := sim.mostRemembered(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
+		if n := sim.longestReport(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
 			t.Errorf("a report of %d tasks", n)
 		}
 		if d.resigned {
@@ -249,17 +249,17 @@
 		}
 		sim.awaitLeader().kill()
 		sim.awaitLeader()
-		sim.eventually("all is forgotten under the next term", time.Minute, func() bool { return sim.mostRemembered() < fencing.MaxRetained/2 })
+		sim.eventually("all is forgotten under the next term", time.Minute, func() bool { return sim.longestReport() < fencing.MaxRetained/2 })
 	})
 }
 
 // While a controller doesn't know the range of a term's tokens, none is raised: it could not
 // renew the leases of such workers.
 func TestTokensAreNotRaisedBesideEarlierVersion(t *testing.T) {
-	withFencing(t, 1, func(sim *simulation) {
+	runFencingSimulation(t, 1, func(sim *simulation) {
 		sim.nodes[2].restartWithVersion(upgrade.Version4)
 		sim.submit(clustertest.Service("000001", 1))
-		sim.submit(sweep("000002", 5000))
+		sim.submit(shortTaskArray("000002", 5000))
 		sim.awaitRunning("000001", 1)
 		time.Sleep(time.Minute)
 		lead := sim.awaitLeader().node.view.Load().role.Term
