--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -21,11 +21,11 @@
 	"sagevale/internal/upgrade"
 )
 
-// A controller goes back: the archive is brought back into the journal in steps, whoever leads, and the older one leads then and
-// knows all jobs. Afterwards the fleet is upgraded again.
+// One controller is rolled back: the leaders, which are restarted meanwhile, restore the archive into the journal in steps. Then
+// the older version leads and knows all jobs, and the fleet is upgraded again.
 func TestRollbackRestoresArchive(t *testing.T) {
 	for kills := range 3 {
-		t.Run(fmt.Sprint(kills), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d leader restarts", kills), func(t *testing.T) {
 			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.seedArchive(2000)
@@ -42,7 +42,7 @@
 					time.Sleep(900 * time.Millisecond)
 					if lead := sim.leader(); lead != nil {
 						if lead == back {
-							t.Error("it leads beside the archive")
+							t.Error("the older version leads while jobs are archived")
 						}
 						lead.restart()
 					}
@@ -50,7 +50,7 @@
 				}
 				sim.awaitActive(upgrade.Version3, 5*time.Minute)
 				if status := sim.archiveStatus(); status.Stored.Pages != 0 || status.Backlog != 2002 {
-					t.Errorf("%+v", status)
+					t.Errorf("status %+v, want no pages and a backlog of 2002 jobs", status)
 				}
 				sim.restartAllWithVersion(upgrade.Version3)
 				sim.awaitLeader()
@@ -58,7 +58,7 @@
 				sim.checkFinalState("000002", api.StateCancelled)
 				sim.checkFinalState(archivedJobID(1234), api.StateDone)
 				if a := sim.poll(archivedJobID(1234)); a.Done != 1234%50 {
-					t.Errorf("%+v", a)
+					t.Errorf("poll returns %+v, want %d tasks done", a, 1234%50)
 				}
 				sim.restartAllWithVersion(upgrade.Current)
 				sim.awaitActive(upgrade.Current, time.Minute)
@@ -69,8 +69,7 @@
 	}
 }
 
-// A withdrawal that is halted halfway, and taken back: jobs are in the journal, in the archive, or in both, and are told
-// as ever.
+// A withdrawal is cancelled halfway: jobs are in the journal, in the archive, or in both, and keep their final states.
 func TestHaltedArchiveWithdrawal(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -80,7 +79,7 @@
 			back = sim.nodes[1]
 		}
 		back.restartWithVersion(upgrade.Version3)
-		sim.eventually("some are back", time.Minute, func() bool { s := sim.archiveStatus(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
+		sim.eventually("some jobs are restored", time.Minute, func() bool { s := sim.archiveStatus(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
 		back.restartWithVersion(upgrade.Current)
 		for i := range 5 {
 			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
@@ -94,7 +93,7 @@
 	})
 }
 
-// An archive that doesn't fit into the leader's memory isn't brought back, and operators are told why.
+// An archive that doesn't fit into the leader's memory isn't restored, and the status says why.
 func TestArchiveTooLargeToRestore(t *testing.T) {
 	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -104,18 +103,18 @@
 			back = sim.nodes[1]
 		}
 		back.restartWithVersion(upgrade.Version3)
-		sim.eventually("told why", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
+		sim.eventually("the status says why", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
 		if s := sim.archiveStatus(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
-			t.Errorf("%+v", s)
+			t.Errorf("status %+v, want no backlog and %s named", s, back.name)
 		}
 		sim.checkFinalState(archivedJobID(77), api.StateDone)
 	})
 }
 
-// 3661d31 and af96c21 come back beside an archive: neither takes the lead, though nobody else holds it.
+// While jobs are archived, neither 3661d31 nor af96c21 becomes leader, even if no other controller runs.
 func TestUnregisteredVersionsCannotLeadWithArchive(t *testing.T) {
-	for _, told := range []int{0, 2} {
-		t.Run(fmt.Sprint(told), func(t *testing.T) {
+	for _, version := range []int{0, 2} {
+		t.Run(fmt.Sprintf("peer version %d", version), func(t *testing.T) {
 			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.runToCompletion("000001")
@@ -125,7 +124,7 @@
 				if lead == back {
 					back = sim.nodes[1]
 				}
-				old := back.startUnregistered(told)
+				old := back.startUnregistered(version)
 				for _, n := range sim.nodes {
 					if n != back {
 						n.kill()
@@ -133,7 +132,7 @@
 				}
 				time.Sleep(time.Minute)
 				if n := old.terms.Load(); n > 0 {
-					t.Errorf("it led %d times", n)
+					t.Errorf("it became leader %d times, want never", n)
 				}
 				back.kill()
 				for _, n := range sim.nodes {
@@ -146,22 +145,22 @@
 	}
 }
 
-// What an archived job's record becomes when it is brought back is read by earlier versions as a final job.
+// Earlier versions read the record of a restored job as that of a final one.
 func TestRestoredJobRecord(t *testing.T) {
-	rank, _ := archive.ParseJobNumber("000412")
+	number := jobNumber(t, "000412")
 	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
-		data, err := json.Marshal(cluster.RestoredJob(archive.Entry{Number: rank, FinalState: final}).Record())
+		data, err := json.Marshal(cluster.RestoredJob(archive.Entry{Number: number, FinalState: final}).Record())
 		if err != nil {
 			t.Fatal(err)
 		}
 		var r storage.JobRecord
 		if err := json.Unmarshal(data, &r); err != nil || r.Phase != final.Phase() || r.DoneTasks != final.Done || r.Spec != nil {
-			t.Errorf("%s: %+v %v", data, r, err)
+			t.Errorf("%s is read as %+v, %v; want %+v", data, r, err, final)
 		}
 	}
 }
 
-// A page isn't dropped unless its jobs are durable in the journal.
+// A page is removed only once its jobs are durable in the journal.
 func TestArchivePageRemovedAfterJobsAreRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -169,8 +168,7 @@
 		d := newTestScheduler(t, clustertest.Settings())
 		service := storagetest.NewService()
 		defer service.Close()
-		rank, _ := archive.ParseJobNumber("000001")
-		ops, err := archive.Build([]archive.Entry{{Number: rank, FinalState: archive.FinalState{Done: 1}}}, &d.settings.State)
+		ops, err := archive.Build([]archive.Entry{{Number: jobNumber(t, "000001"), FinalState: archive.FinalState{Done: 1}}}, &d.settings.State)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,20 +181,20 @@
 		go d.archive.Run(ctx)
 		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadership.LeaderKey, Version: version}})
 		time.Sleep(time.Minute)
-		answer := make(chan error, 1) // of the journal
+		result := make(chan error, 1) // of the journal's commit
 		go func() {
 			for m := range d.mailbox {
-				m.(restoreMessage).reply <- <-answer
+				m.(restoreMessage).reply <- <-result
 			}
 		}()
 		defer close(d.mailbox)
 		for _, c := range []struct {
-			committed error
-			pages     int
+			commitErr error
+			wantPages int
 		}{{errArchivingInProgress, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
-			answer <- c.committed
-			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.committed) || len(service.Keys(archivePrefix)) != c.pages {
-				t.Errorf("%v: %d pages left, %v", c.committed, len(service.Keys(archivePrefix)), err)
+			result <- c.commitErr
+			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.commitErr) || len(service.Keys(archivePrefix)) != c.wantPages {
+				t.Errorf("restoreFirst() = %v with %d pages left, want %v with %d", err, len(service.Keys(archivePrefix)), c.commitErr, c.wantPages)
 			}
 		}
 	})
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -16,10 +16,10 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// finishedJobs is how many finished jobs the benchmarks hold: those of one day of a large fleet.
+// finishedJobs is the number of finished jobs in the benchmarks: those of one day of a large fleet.
 const finishedJobs = 190_000
 
-// liveHeap is what is in use after a collection.
+// liveHeap returns the bytes of live heap objects, after two collections so that finalized objects are freed too.
 func liveHeap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -61,27 +61,26 @@
 	for b.Loop() {
 		before := liveHeap()
 		began := time.Now()
-		k := archive.NewArchiver(&storagetest.Client{Service: service}, storage.NewLimitTracker(limits),
+		archiver := archive.NewArchiver(&storagetest.Client{Service: service}, storage.NewLimitTracker(limits),
 			archive.Settings{RefreshInterval: time.Hour, RequestTimeout: time.Minute, MemoryBytes: 1 << 30, Follow: true}, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(b.Context())
-		go k.Run(ctx)
-		for !k.Index.Stats().Complete {
+		go archiver.Run(ctx)
+		for !archiver.Index.Stats().Complete {
 			time.Sleep(time.Millisecond)
 		}
 		b.ReportMetric(float64(time.Since(began).Nanoseconds())/finishedJobs, "ns/job")
 		cancel()
 		b.ReportMetric(float64(liveHeap()-before)/finishedJobs, "heap-B/job")
 		b.ReportMetric(float64(bytes)/finishedJobs, "stored-B/job")
-		runtime.KeepAlive(k)
+		runtime.KeepAlive(archiver)
 	}
 }
 
-// seedPages stores an archive, and returns how many bytes it takes.
+// seedPages stores an archive, and returns its size in bytes.
 func seedPages(b *testing.B, service *storagetest.Service, limits *storage.Limits) (bytes int) {
 	entries := make([]archive.Entry, 0, finishedJobs)
 	for i := range finishedJobs {
-		rank, _ := archive.ParseJobNumber(finishedJobID(i))
-		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: 10}})
+		entries = append(entries, archive.Entry{Number: jobNumber(b, finishedJobID(i)), FinalState: archive.FinalState{Done: 10}})
 	}
 	slices.SortFunc(entries, func(a, b archive.Entry) int { return cmp.Compare(a.Number, b.Number) })
 	ops, err := archive.Build(entries, limits)
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -17,47 +17,49 @@
 	"sagevale/internal/upgrade"
 )
 
-// The leader ends before, between and after the two steps of a move, or their answers are lost or their requests come
-// late, while users ask at every node all the time.
+// A job moves to the archive in two steps: its page is written, then its records are removed from the journal. The leader
+// is killed before, between and after them, or their responses are lost or their requests delayed, while users poll every node.
 func TestArchiveMoveSurvivesFaults(t *testing.T) {
-	first := func(kind func(storagetest.Txn) bool, d time.Duration) func(storagetest.Txn) time.Duration {
+	delayFirst := func(matches func(storagetest.Txn) bool, d time.Duration) func(storagetest.Txn) time.Duration {
 		var happened atomic.Bool
 		return func(txn storagetest.Txn) time.Duration {
-			if kind(txn) && happened.CompareAndSwap(false, true) {
+			if matches(txn) && happened.CompareAndSwap(false, true) {
 				return d
 			}
 			return 0
 		}
 	}
-	for name, trouble := range map[string]func(sim *simulation, s *storagetest.Service){
-		"ends before the archive's write": func(sim *simulation, s *storagetest.Service) {
-			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.killLeaderOnce(sim.leader) }
+	for name, inject := range map[string]func(sim *simulation, s *storagetest.Service){
+		"leader killed before archive write": func(sim *simulation, s *storagetest.Service) {
+			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.killLeaderOnce() }
 		},
-		"ends with the archive's write": func(sim *simulation, s *storagetest.Service) {
+		"leader killed during archive write": func(sim *simulation, s *storagetest.Service) {
 			s.Before = callOnce(isArchiveWrite, func() { go sim.leader().kill() })
 		},
-		"ends before the removal": func(sim *simulation, s *storagetest.Service) {
+		"leader killed before removal": func(sim *simulation, s *storagetest.Service) {
 			s.Drop = func(txn storagetest.Txn) bool {
-				return isJournalRemoval("000001")(txn) && sim.killLeaderOnce(sim.leader)
+				return isJournalRemoval("000001")(txn) && sim.killLeaderOnce()
 			}
 		},
-		"ends with the removal": func(sim *simulation, s *storagetest.Service) {
+		"leader killed during removal": func(sim *simulation, s *storagetest.Service) {
 			s.Before = callOnce(isJournalRemoval("000001"), func() { go sim.leader().kill() })
 		},
-		"the write's answer is lost": func(_ *simulation, s *storagetest.Service) {
+		"archive write response lost": func(_ *simulation, s *storagetest.Service) {
 			s.Lose = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) }
 		},
-		"the removal's answer is lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isJournalRemoval("000001") },
-		"the write comes late":         func(_ *simulation, s *storagetest.Service) { s.Late = first(isArchiveWrite, 9*time.Second) },
-		"the removal comes late":       func(_ *simulation, s *storagetest.Service) { s.Late = first(isJournalRemoval("000001"), 9*time.Second) },
+		"removal response lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isJournalRemoval("000001") },
+		"archive write delayed": func(_ *simulation, s *storagetest.Service) { s.Late = delayFirst(isArchiveWrite, 9*time.Second) },
+		"removal delayed": func(_ *simulation, s *storagetest.Service) {
+			s.Late = delayFirst(isJournalRemoval("000001"), 9*time.Second)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000009", 2))
-				sim.runToCompletion("000007") // the gate is in use, and a page is there
+				sim.runToCompletion("000007") // so that the gate is in use and a page exists
 				sim.awaitArchived(1)
-				sim.state.Update(func(s *storagetest.Service) { trouble(sim, s) })
+				sim.state.Update(func(s *storagetest.Service) { inject(sim, s) })
 				s := clustertest.Array("000001", 2)
 				s.EstimateS = 3
 				sim.submit(s)
@@ -81,71 +83,72 @@
 	}
 }
 
-// isArchiveWrite and isJournalRemoval tell the two steps of a move by their transactions.
+// isArchiveWrite reports whether a transaction is the first step of a move, the write of a page.
 func isArchiveWrite(txn storagetest.Txn) bool {
 	return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, archivePrefix)
 }
 
+// isJournalRemoval reports whether a transaction is the second step of a job's move, the removal of its records.
 func isJournalRemoval(id string) func(storagetest.Txn) bool {
 	return func(txn storagetest.Txn) bool {
 		return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, "log/") && strings.Contains(string(txn.Ops[0].Data), `["j`+id+`"]`)
 	}
 }
 
-// callOnce calls f for the first transaction that is of the kind.
-func callOnce(kind func(storagetest.Txn) bool, f func()) func(storagetest.Txn) {
+// callOnce returns a hook that calls f for the first matching transaction.
+func callOnce(matches func(storagetest.Txn) bool, f func()) func(storagetest.Txn) {
 	var happened atomic.Bool
 	return func(txn storagetest.Txn) {
-		if kind(txn) && happened.CompareAndSwap(false, true) {
+		if matches(txn) && happened.CompareAndSwap(false, true) {
 			f()
 		}
 	}
 }
 
-// killLeaderOnce kills the leader the first time, and has what it sent be lost.
-func (sim *simulation) killLeaderOnce(leader func() *fakeNode) bool {
+// killLeaderOnce kills the leader at the first call, and reports whether it has, so that the caller drops its transaction.
+func (sim *simulation) killLeaderOnce() bool {
 	if !sim.messagesDropped.CompareAndSwap(false, true) {
 		return false
 	}
-	go leader().kill()
+	go sim.leader().kill()
 	return true
 }
 
-// pollContinuously has users poll for a job and submit it again at every node, within milliseconds of each other, until stopped.
+// pollContinuously polls and resubmits a job at every node every few milliseconds, until stop is called.
 func (sim *simulation) pollContinuously(id string, spec storage.Spec) (stop func()) {
-	var over atomic.Bool
+	var stopped atomic.Bool
 	var wait sync.WaitGroup
 	for _, n := range sim.nodes {
 		for _, op := range []api.Op{api.OpPoll, api.OpSubmit} {
 			wait.Go(func() {
-				for !over.Load() {
+				for !stopped.Load() {
 					sim.requestFrom(n, op, id, spec)
 					time.Sleep(7 * time.Millisecond)
 				}
 			})
 		}
 	}
-	return func() { over.Store(true); wait.Wait() }
+	return func() { stopped.Store(true); wait.Wait() }
 }
 
-// While the state service is out archived jobs are told by every node that held their pages, and what isn't known isn't accepted
-// nor called unknown.
+// During an outage of the key-value store every node answers for the archived jobs whose pages it holds; a job it doesn't know is
+// neither accepted nor reported unknown.
 func TestArchivedJobsAnsweredDuringStoreOutage(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001", "000002")
 		sim.awaitArchived(2)
-		time.Sleep(2 * sim.settings.WorkerLease) // the followers look
+		time.Sleep(2 * sim.settings.WorkerLease) // the followers refresh their index
 		sim.state.Outage(true)
 		defer sim.state.Outage(false)
 		for range 30 {
 			for _, n := range sim.nodes {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 					if a := sim.requestFrom(n, op, "000002", clustertest.Array("000002", 2)); a.Code != api.CodeOK || a.State != api.StateDone {
-						t.Fatalf("%s answers %v by %+v", n.name, op, a)
+						t.Fatalf("%s answers %v of an archived job by %+v, want state %v", n.name, op, a, api.StateDone)
 					}
 					if a := sim.requestFrom(n, op, "000003", clustertest.Array("000003", 2)); a.Code == api.CodeCreated || a.Code == api.CodeOK {
-						t.Fatalf("%s answers %v of an unknown job by %+v", n.name, op, a)
+						t.Fatalf("%s answers %v of an unknown job by %+v, want no decision", n.name, op, a)
 					}
 				}
 			}
@@ -154,8 +157,8 @@
 	})
 }
 
-// A new leader whose view of the archive is old, and who can't read it, calls no job unknown and accepts none: the jobs that the
-// leader before it archived last are in pages that it hasn't seen.
+// A new leader with a stale index that can't read the archive neither reports a job unknown nor accepts one: the jobs that its
+// predecessor archived last are in pages that it hasn't seen.
 func TestNewLeaderWithStaleArchiveIndex(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -165,7 +168,7 @@
 		sim.runToCompletion("000002")
 		sim.awaitArchived(2)
 		lead := sim.awaitLeader()
-		// Reads of the archive fail for the new leader; all else is answered.
+		// Only reads of the archive fail for the new leader.
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Refuse = func(key string) bool { return strings.HasPrefix(key, archivePrefix) }
 		})
@@ -175,7 +178,7 @@
 			for _, id := range []string{"000002", "000003"} {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 					if a := sim.requestFrom(next, op, id, clustertest.Array(id, 2)); a.Decided() && !a.Final() {
-						t.Fatalf("%v of job %s is answered %+v", op, id, a)
+						t.Fatalf("%v of job %s is answered %+v, want a final state or no decision", op, id, a)
 					}
 				}
 			}
@@ -188,7 +191,7 @@
 	})
 }
 
-// A damaged page is told by 503 with its key, never by 404, and its ids are not accepted anew; others go on.
+// Requests for jobs of a damaged page fail as unavailable with the page's key: they are neither reported unknown nor accepted again.
 func TestDamagedArchivePage(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -204,19 +207,19 @@
 			for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 				for _, id := range []string{"000001", "000002"} {
 					if a := sim.requestFrom(lead, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
-						t.Errorf("%v of job %s is answered %+v", op, id, a)
+						t.Errorf("%v of job %s is answered %+v, want unavailable for %s", op, id, a, key)
 					}
 				}
 			}
 			time.Sleep(time.Second)
 		}
 		if status := sim.archiveStatus(); len(status.Stored.Damaged) != 1 || !strings.Contains(status.Stored.Damaged[0], key) {
-			t.Errorf("%+v", status)
+			t.Errorf("status %+v, want %s damaged", status, key)
 		}
 	})
 }
 
-// A burst of polls for jobs that nobody submitted, at a leader that holds no pages, starves neither its lease nor commits.
+// A burst of polls for unknown jobs, at a leader that caches no pages, delays neither its lease nor its commits.
 func TestUnknownPollsDoNotStarveLeader(t *testing.T) {
 	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
 		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
@@ -246,21 +249,21 @@
 		s.EstimateS = 3
 		sim.submit(s)
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("accepted after %v", took)
+			t.Errorf("accepted after %v, want at most 5s", took)
 		}
 		sim.awaitDone("000002")
 		wait.Wait()
 		if sim.awaitLeader() != lead || lead.node.view.Load().role.Term != term {
-			t.Error("the lead was lost")
+			t.Error("leadership was lost")
 		}
 		if most := sim.settings.State.RequestsPerS * 0.05 * 21; float64(unknown.Load()) > most+5 || busy.Load() == 0 {
-			t.Errorf("%d answered of at most %v, %d refused", unknown.Load(), most, busy.Load())
+			t.Errorf("%d polls answered and %d rejected, want at most %v and some", unknown.Load(), busy.Load(), most)
 		}
 	})
 }
 
-// Random days: submissions, cancels, ends of leaders, writes that are lost, late or unanswered, outages, cuts of one node, and
-// controllers that go back and forth. Every answer is held against what any node told before.
+// Random submissions and cancellations meet controller crashes, lost responses, delayed writes, outages and partitions of one
+// node. The simulation checks every response against those before it.
 func TestArchiveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -269,6 +272,7 @@
 	}
 }
 
+// runRandomFaults runs sixty random steps, and then checks the final state of every job.
 func (sim *simulation) runRandomFaults(random *rand.Rand) {
 	sim.awaitActive(upgrade.Current, time.Minute)
 	sim.submit(clustertest.Service("900000", 3))
@@ -309,7 +313,7 @@
 	sim.awaitLeader()
 	for i := range next - 1 {
 		id := fmt.Sprintf("%06d", i+1)
-		sim.eventually(id+" over", 3*time.Minute, func() bool { a := sim.poll(id); return a.Final() })
+		sim.eventually(id+" is final", 3*time.Minute, func() bool { a := sim.poll(id); return a.Final() })
 	}
 	sim.eventually("archived", 2*time.Minute, func() bool { return sim.archiveStatus().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range next - 1 {
@@ -319,7 +323,7 @@
 	sim.awaitRunning("900000", 3)
 }
 
-// wasReported tells whether a user was told of a job.
+// wasReported reports whether a response has named the job's state.
 func (sim *simulation) wasReported(id string) bool {
 	known := false
 	sim.withLock(func() { _, known = sim.reportedStates[id] })
--- a/internal/scheduler/archiving_guards_test.go
+++ b/internal/scheduler/archiving_guards_test.go
@@ -13,8 +13,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// A page that was read in another term, or not at all, is no proof that a job isn't archived: the term of whoever asks may
-// be over.
+// Only a page that was read in the scheduler's own term proves that a job isn't archived: a later leader may have archived it.
 func TestArchiveReadOfAnotherTermIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -31,21 +30,21 @@
 			reply := make(chan api.Response, 1)
 			d.handleArchiveRead(archiveReadMessage{user: userMessage{req: api.Request{Op: api.OpPoll, ID: "000001"}, reply: reply}, result: c.result})
 			if a := <-reply; a.Code != c.want {
-				t.Errorf("%+v is answered %+v", c.result, a)
+				t.Errorf("%+v is answered %+v, want code %v", c.result, a, c.want)
 			}
 		}
 	})
 }
 
-// While an offer to the archive is under way its answer may still remove jobs from the journal: nothing is brought back
-// then, and the gate counts as used though no page holds anything yet.
+// Until a request to the archive is answered, its response may still remove jobs from the journal: no job is restored then, and the
+// gate counts as used though no page is stored yet.
 func TestArchivingInProgressCountsAsGateUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
-		rank, _ := archive.ParseJobNumber("000001")
+		number := jobNumber(t, "000001")
 		restore := func() error {
 			reply := make(chan error, 1)
-			d.restoreArchived(restoreMessage{[]archive.Entry{{Number: rank}}, reply})
+			d.restoreArchived(restoreMessage{[]archive.Entry{{Number: number}}, reply})
 			d.commitPending(nil)
 			return <-reply
 		}
@@ -61,35 +60,35 @@
 			return usage[upgrade.JobArchive]
 		}
 		if uses() != 0 {
-			t.Error("an idle leader uses the gate")
+			t.Error("an idle leader counts as a use of the gate")
 		}
 		d.archiving = true
 		if err := restore(); !errors.Is(err, errArchivingInProgress) || d.state.Jobs.Get("000001") != nil {
-			t.Errorf("brought back: %v", err)
+			t.Errorf("restore during archiving = %v, want %v and no job", err, errArchivingInProgress)
 		}
 		if uses() == 0 {
-			t.Error("an offer under way is no use")
+			t.Error("archiving in progress doesn't count as a use of the gate")
 		}
 		d.archiving = false
 		if err := restore(); err != nil || d.state.Jobs.Get("000001") == nil {
-			t.Errorf("not brought back: %v", err)
+			t.Errorf("restore after archiving = %v, want the job", err)
 		}
 	})
 }
 
-// What was archived in a term stays to be looked for in it, though the gate's release is on its way and may be taken back.
+// Jobs archived in a term are looked up until its end, because a release of the gate may still be undone.
 func TestArchiveStaysInUseUntilTermEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		if d.archiveUsed {
-			t.Error("used from the start")
+			t.Error("the archive is in use before the gate is")
 		}
 		used := upgrade.Initial()
 		used.Gates = map[upgrade.GateName]upgrade.GateState{upgrade.JobArchive: {Since: upgrade.Version4, Phase: upgrade.GateOpen, Used: true}}
 		d.setGates(used)
 		d.setGates(upgrade.Initial())
 		if !d.archiveUsed {
-			t.Error("no longer used")
+			t.Error("the archive is out of use within the term")
 		}
 	})
 }
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -16,15 +16,20 @@
 	"sagevale/internal/upgrade"
 )
 
+// archivePrefix starts the keys of archive pages.
 const archivePrefix = "archive/page/"
 
-// runArchiveSimulation runs a scenario whose finished jobs are archived, but for so many.
-func runArchiveSimulation(t *testing.T, keep int, story func(sim *simulation)) {
+// runArchiveSimulation runs a scenario with the archive enabled; the journal keeps the given number of finished jobs.
+func runArchiveSimulation(t *testing.T, keep int, scenario func(sim *simulation)) {
 	t.Helper()
-	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }, story)
+	runSimulationWithTuning(t, func(*config.Settings) {}, enableArchive(keep), scenario)
 }
 
-// archiveStatus is what an operator is told of the archive.
+func enableArchive(keep int) func(*config.Tuning) {
+	return func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keep }
+}
+
+// archiveStatus returns the status of the archive as operators read it.
 func (sim *simulation) archiveStatus() ArchiveStatus {
 	sim.t.Helper()
 	status, err := ReadArchiveStatus(context.Background(), &storagetest.Client{Service: sim.state}, &sim.settings)
@@ -34,7 +39,7 @@
 	return status
 }
 
-// awaitArchived waits until so many jobs are archived, and none of the finished ones is left in the journal.
+// awaitArchived waits until exactly the given number of jobs is archived and no finished job is left in the journal.
 func (sim *simulation) awaitArchived(jobs int) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d jobs archived", jobs), 2*time.Minute, func() bool {
@@ -43,7 +48,7 @@
 	})
 }
 
-// runToCompletion has short jobs be run to their end.
+// runToCompletion submits short jobs and waits until they are done.
 func (sim *simulation) runToCompletion(ids ...string) {
 	sim.t.Helper()
 	for _, id := range ids {
@@ -56,7 +61,7 @@
 	}
 }
 
-// checkFinalState checks what every node tells of a job that is over, whatever is asked.
+// checkFinalState checks that every node answers polls, submissions and cancellations of a finished job by its final state.
 func (sim *simulation) checkFinalState(id string, want api.JobState) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
@@ -69,14 +74,14 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 			if a.Code != api.CodeOK || a.State != want {
-				sim.t.Errorf("%s answers %v of job %s by %+v", n.name, op, id, a)
+				sim.t.Errorf("%s answers %v of job %s by %+v, want state %v", n.name, op, id, a, want)
 			}
 		}
 	}
 }
 
-// A done and a cancelled job are archived: polls, repeated submissions and cancels are answered at every node by their final states, by those that
-// led when they ended, by a new leader, and by one node after a restart of all. Ids are at the ends of the range too.
+// Archived jobs are answered by their final states at every node: by the leader that archived them, by the next one, and
+// after a restart of all controllers. The job IDs include both ends of their range.
 func TestArchivedJobsKeepFinalStates(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -92,7 +97,7 @@
 				sim.checkFinalState(id, api.StateDone)
 			}
 			if a := sim.poll("000001"); a.Code != api.CodeNotFound {
-				t.Errorf("a job that nobody submitted: %+v", a)
+				t.Errorf("poll of an unknown job returns %+v, want code %v", a, api.CodeNotFound)
 			}
 		}
 		check()
@@ -106,14 +111,12 @@
 		check()
 		sim.runToCompletion("000001")
 		sim.awaitArchived(5)
-		check2 := sim.poll("000001")
-		if check2.State != api.StateDone || check2.Done != 2 {
-			t.Errorf("%+v", check2)
+		if a := sim.poll("000001"); a.State != api.StateDone || a.Done != 2 {
+			t.Errorf("poll of the last job returns %+v, want it done with 2 tasks", a)
 		}
 	})
 }
 
-// With the archive off nothing of it is stored, and a job that is over stays in the journal.
 func TestDisabledArchiveStoresNothing(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -121,17 +124,17 @@
 		time.Sleep(2 * time.Minute)
 		status := sim.archiveStatus()
 		if len(sim.state.Keys("archive")) > 0 || status.Backlog != 1 || status.Gate.Used {
-			t.Errorf("%v, %+v", sim.state.Keys("archive"), status)
+			t.Errorf("stored keys %v, status %+v; want no keys and a backlog of one job", sim.state.Keys("archive"), status)
 		}
 		for _, n := range sim.nodes {
 			if n.node.archive.Index.Stats().Complete {
-				t.Errorf("%s has read an archive", n.name)
+				t.Errorf("%s has read an archive that is disabled", n.name)
 			}
 		}
 	})
 }
 
-// A user who was told only that the job is pending is told that it is done, once it is archived: by a node that has never heard of it before.
+// A node that has never answered for a job reports it done once it is archived, though its user last saw it pending.
 func TestPollAfterPendingReturnsArchivedState(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -154,11 +157,12 @@
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		rank, _ := archive.ParseJobNumber("000002")
-		one, _ := archive.ParseJobNumber("000001")
-		ops, err := archive.Build([]archive.Entry{{Number: one, FinalState: archive.FinalState{Done: 2}}, {Number: rank, FinalState: archive.FinalState{Cancelled: true}}}, &sim.settings.State)
+		ops, err := archive.Build([]archive.Entry{
+			{Number: jobNumber(t, "000001"), FinalState: archive.FinalState{Done: 2}},
+			{Number: jobNumber(t, "000002"), FinalState: archive.FinalState{Cancelled: true}},
+		}, &sim.settings.State)
 		if err != nil || len(ops) != 1 {
-			t.Fatal(ops, err)
+			t.Fatalf("Build() = %v, %v, want one operation", ops, err)
 		}
 		if _, err := sim.state.Apply(nil, ops); err != nil {
 			t.Fatal(err)
@@ -175,10 +179,10 @@
 	})
 }
 
-// The limits fall below the pages that are stored: they are told as ever, and further jobs are archived.
+// Pages that are larger than lowered limits stay readable, and further jobs are archived.
 func TestArchiveAfterLimitsAreLowered(t *testing.T) {
 	next := &storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 8}
-	runSimulationWithTuning(t, func(s *config.Settings) { s.State.Next = next }, func(tuning *config.Tuning) { tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, 0 }, func(sim *simulation) {
+	runSimulationWithTuning(t, func(s *config.Settings) { s.State.Next = next }, enableArchive(0), func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
 		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
@@ -193,10 +197,20 @@
 	})
 }
 
-// archivedJobID is the id of a job of a seeded archive.
+// archivedJobID returns the ID of the i-th job of a seeded archive.
 func archivedJobID(i int) string { return fmt.Sprintf("%018d", (i+1)*1_000_003) }
 
-// seedArchive stores an archive, as an earlier leader left it: its gate is in use.
+// jobNumber parses a job ID.
+func jobNumber(tb testing.TB, id string) archive.JobNumber {
+	tb.Helper()
+	number, ok := archive.ParseJobNumber(id)
+	if !ok {
+		tb.Fatalf("job ID %q has no number", id)
+	}
+	return number
+}
+
+// seedArchive stops the controllers, stores an archive of an earlier leader with its gate in use, and starts them again.
 func (sim *simulation) seedArchive(jobs int) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
@@ -205,8 +219,8 @@
 	time.Sleep(time.Minute)
 	entries := make([]archive.Entry, 0, jobs)
 	for i := range jobs {
-		rank, _ := archive.ParseJobNumber(archivedJobID(i))
-		entries = append(entries, archive.Entry{Number: rank, FinalState: archive.FinalState{Done: i % 50}})
+		number := jobNumber(sim.t, archivedJobID(i))
+		entries = append(entries, archive.Entry{Number: number, FinalState: archive.FinalState{Done: i % 50}})
 	}
 	ops, err := archive.Build(entries, &sim.settings.State)
 	if err == nil {
@@ -226,10 +240,9 @@
 	sim.awaitLeader()
 }
 
-// A take-over beside an archive of a million jobs takes no longer than beside none, and a job is accepted at once by
-// a leader that has just been started.
+// A failover with an archive of a million jobs takes no longer than with one job, and the new leader accepts jobs at once.
 func TestFailoverWithMillionArchivedJobs(t *testing.T) {
-	takeOver := func(jobs int) (answered, accepted time.Duration) {
+	failover := func(jobs int) (answered, accepted time.Duration) {
 		runArchiveSimulation(t, 0, func(sim *simulation) {
 			sim.awaitActive(upgrade.Current, time.Minute)
 			sim.submit(clustertest.Service("000001", 2))
@@ -251,29 +264,28 @@
 		})
 		return answered, accepted
 	}
-	answered, accepted := takeOver(1)
-	answeredMillion, acceptedMillion := takeOver(1_000_000)
-	t.Log(answered, accepted, answeredMillion, acceptedMillion)
+	answered, accepted := failover(1)
+	answeredMillion, acceptedMillion := failover(1_000_000)
+	t.Logf("answered after %v, accepted after %v; with a million jobs %v, %v", answered, accepted, answeredMillion, acceptedMillion)
 	if answeredMillion > answered+answered/10 || acceptedMillion > accepted+time.Second {
-		t.Errorf("answered after %v beside none, %v beside a million; accepted after %v, %v", answered, answeredMillion, accepted, acceptedMillion)
+		t.Errorf("answered after %v with a million archived jobs, %v with one; accepted after %v, %v", answeredMillion, answered, acceptedMillion, accepted)
 	}
 }
 
-// Two finished jobs stay in the journal if they are to be kept.
 func TestJournalKeepsLatestFinishedJobs(t *testing.T) {
 	runArchiveSimulation(t, 2, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001", "000002")
 		time.Sleep(time.Minute)
 		if s := sim.archiveStatus(); s.Backlog != 2 || s.Stored.Jobs != 0 || s.Gate.Used {
-			t.Errorf("%+v", s)
+			t.Errorf("status %+v, want a backlog of two jobs and nothing archived", s)
 		}
 		sim.runToCompletion("000003")
 		sim.eventually("archived", time.Minute, func() bool { s := sim.archiveStatus(); return s.Stored.Jobs > 0 && s.Backlog <= 2 })
 	})
 }
 
-// Page records of a job whose removal was cut short are cleaned up, and what they say of unknown jobs counts for nothing.
+// Page records without a job record, which an interrupted removal leaves, are removed and create no job.
 func TestOrphanPageRecordsAreRemoved(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -302,7 +314,7 @@
 			n.start()
 		}
 		sim.awaitLeader()
-		sim.eventually("removed", 20*time.Second, func() bool {
+		sim.eventually("the page record is removed", 20*time.Second, func() bool {
 			journal, err := storage.OpenJournal(context.Background(), &storagetest.Client{Service: sim.state}, storage.NewLimitTracker(sim.settings.State), storage.Guard{})
 			if err != nil {
 				return false
