--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -18,13 +18,12 @@
 	"sagevale/internal/worker"
 )
 
-// What guards a cold start, each guard alone: the scenarios show that troubles are survived, these tests
-// that the guard does its part.
+// The scenarios of cold_start_test.go show that faults are survived; these tests show each guard's part in that.
 
-// openActivation is the gate in use.
+// openActivation is a cluster record with the activation gate in use.
 var openActivation = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: upgrade.GateOpen, Used: true}}}
 
-// newColdStartScheduler leads three controllers, with a model at zero beside a machine.
+// newColdStartScheduler returns the scheduler of a leader of three controllers, a model at zero and a ready machine.
 func newColdStartScheduler(t *testing.T) (*scheduler, *cluster.Job, *cluster.Machine) {
 	t.Helper()
 	s := clustertest.Settings()
@@ -37,7 +36,7 @@
 	d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: reply})
 	d.commitPending(nil)
 	if a := <-reply; a.Code != api.CodeCreated {
-		t.Fatalf("answered %+v", a)
+		t.Fatalf("submission is answered %+v, want code %v", a, api.CodeCreated)
 	}
 	return d, d.state.Jobs.Get(coldModel), d.addReadyMachine(7, "cpu", "a", false)
 }
@@ -49,7 +48,7 @@
 	return reply
 }
 
-// startModel brings a model up on a machine.
+// startModel starts the model on a machine, and returns its attempt.
 func startModel(d *scheduler, j *cluster.Job, m *cluster.Machine) *cluster.Attempt {
 	d.requestWake(d.activation.service(j).record.Generation, 0)
 	d.commitPending(nil)
@@ -61,58 +60,59 @@
 	return a
 }
 
+// reportTasks applies a machine's next heartbeat with these tasks.
 func (d *scheduler) reportTasks(m *cluster.Machine, tasks ...worker.TaskReport) {
 	d.applyReport(m, &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Seq: m.Seq + 1, Token: d.term, Tasks: tasks}, true, time.Now())
 }
 
 func TestColdStartGuards(t *testing.T) {
-	for name, story := range map[string]func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine){
-		"nothing is told or placed before the wake is durable": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
+	for name, check := range map[string]func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine){
+		"wake is answered and placed only once durable": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			reply := d.requestWake(0, 0)
 			d.placeRound(time.Now())
 			if len(reply) > 0 || len(j.Attempts) > 0 {
-				t.Errorf("%d told, %d placed", len(reply), len(j.Attempts))
+				t.Errorf("%d responses and %d attempts before the commit, want none", len(reply), len(j.Attempts))
 			}
 			d.commitPending(nil)
 			d.placeRound(time.Now())
 			if r := <-reply; r.State != activation.Starting || r.Generation != 1 || len(j.Attempts) != 1 {
-				t.Errorf("%+v, %d placed", r, len(j.Attempts))
+				t.Errorf("response %+v and %d attempts after the commit, want generation 1 starting and one", r, len(j.Attempts))
 			}
 		},
-		"a commit that fails tells nobody that it starts": func(t *testing.T, d *scheduler, _ *cluster.Job, _ *cluster.Machine) {
+		"failed commit leaves wake undecided": func(t *testing.T, d *scheduler, _ *cluster.Job, _ *cluster.Machine) {
 			reply := d.requestWake(0, 0)
 			d.commitPending(storage.ErrLeadershipLost)
 			if r := <-reply; r.Verdict != activation.Undecided {
-				t.Errorf("%+v", r)
+				t.Errorf("wake response %+v, want undecided", r)
 			}
 		},
-		"who doesn't lead for certain decides nothing": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
-			certain := d.role
-			certain.LeaseValidUntil = time.Now().Add(time.Second)
-			d.setRole(certain)
+		"expired leader lease decides nothing": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
+			role := d.role
+			role.LeaseValidUntil = time.Now().Add(time.Second)
+			d.setRole(role)
 			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Holds > time.Second {
-				t.Errorf("holds for %v", r.Holds)
+				t.Errorf("response is valid for %v, want at most the second left of the lease", r.Holds)
 			}
 			time.Sleep(time.Second)
 			if r := <-d.requestWake(0, 0); r.Verdict != activation.Undecided || d.activation.service(j).record.Generation != 0 {
-				t.Errorf("%+v, %s", r, d.activation.service(j).record)
+				t.Errorf("wake response %+v with record %s, want undecided in generation 0", r, d.activation.service(j).record)
 			}
 			if r := d.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
-				t.Errorf("told after the lead may have ended: %+v", r)
+				t.Errorf("response %+v after the lease, want undecided", r)
 			}
 			reply := make(chan activation.UsageResponse, 1)
 			d.handleUsage(usageMessage{activation.UsageReport{Node: "n1", Serial: 1}, reply})
 			if r := <-reply; r.Verdict != activation.Undecided {
-				t.Errorf("%+v", r)
+				t.Errorf("usage response %+v, want undecided", r)
 			}
 		},
-		"a late start of a model at zero is stopped": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
+		"late start at zero is stopped": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
 			d.reportTasks(m, worker.TaskReport{ID: worker.TaskID{Job: coldModel, Task: 0}, Attempt: 3, State: worker.Running})
 			if a := j.Attempts[0]; a == nil || !a.Stopping {
-				t.Errorf("%+v", a)
+				t.Errorf("attempt %+v, want it stopping", a)
 			}
 		},
-		"an overrun is durable before the stop": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
+		"start timeout is durable before the stop": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			d.requestWake(0, 0)
 			d.commitPending(nil)
 			d.placeRound(time.Now())
@@ -122,48 +122,48 @@
 			d.activation.tick(time.Now())
 			d.activation.tick(time.Now())
 			if a.Stopping {
-				t.Error("stopped before that is durable")
+				t.Error("stopped before the timeout is durable")
 			}
 			d.commitPending(nil)
 			if !a.Stopping {
-				t.Error("not stopped")
+				t.Error("not stopped once the timeout is durable")
 			}
 		},
-		"what is to be stopped isn't routed to": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
+		"stopping replica gets no requests": func(t *testing.T, d *scheduler, j *cluster.Job, m *cluster.Machine) {
 			a := startModel(d, j, m)
 			if r := <-d.requestWake(1, 0); !r.Ready() {
-				t.Errorf("%+v", r)
+				t.Errorf("response %+v, want ready", r)
 			}
 			d.stopAttempt(a, 0)
 			if r := <-d.requestWake(1, 0); r.Ready() {
-				t.Errorf("routed to what is being stopped: %+v", r)
+				t.Errorf("response %+v while the replica is stopping, want not ready", r)
 			}
 		},
-		"idle services are no arrivals, and a cancelled one depends on no gate": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
+		"idle service counts only as gate use": func(t *testing.T, d *scheduler, j *cluster.Job, _ *cluster.Machine) {
 			if d.state.Classes.Get(coldClass) != nil || d.state.Jobs.CurrentTasks(coldClass) != 0 || len(d.planner.WaitingByUrgency(time.Now())) > 0 || len(d.snapshotFleet(time.Now()).Desired) > 0 {
-				t.Error("room is kept or wanted")
+				t.Error("an idle service counts as an arrival, a task, demand or desired machines")
 			}
 			if d.activation.uses() != 1 {
-				t.Errorf("%d uses", d.activation.uses())
+				t.Errorf("%d uses of the gate, want 1", d.activation.uses())
 			}
 			d.cancel(userMessage{reply: make(chan api.Response, 1)}, j, time.Now())
 			d.commitPending(nil)
 			if d.activation.uses() != 0 || j.Record().Activation != nil {
-				t.Errorf("%d uses", d.activation.uses())
+				t.Errorf("%d uses of the gate and record %s after the cancellation, want none", d.activation.uses(), j.Record().Activation)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d, j, m := newColdStartScheduler(t)
-				story(t, d, j, m)
+				check(t, d, j, m)
 			})
 		})
 	}
 }
 
-// What a new leader finds: an attempt beside a record that has no replica is stopped, and what the term
-// before has answered may still be gone by.
+// A new leader stops an attempt whose activation record has no replica, and assumes that responses of earlier terms are
+// still valid for a routing lease.
 func TestNewLeaderReconcilesActivation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -181,25 +181,25 @@
 		if j.Attempts[0].Stopping {
 			t.Error("stopped before the term's actors run")
 		}
-		ctx, end := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		d.background, _ = backgroundCalls(ctx)
 		go func() { _ = d.run(ctx) }()
-		time.Sleep(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the clock's first look
-		end()
+		time.Sleep(clock.Scale(d.settings.HeartbeatInterval, tickPerHeartbeat/2)) // before the first tick
+		cancel()
 		synctest.Wait()
 		if !j.Attempts[0].Stopping {
-			t.Error("not stopped")
+			t.Error("an attempt without a replica in its record isn't stopped")
 		}
-		if till := d.activation.service(j).routedUntil; till.Sub(d.termStarted) < d.settings.RoutingLease() {
-			t.Errorf("routed till %v", till)
+		if until := d.activation.service(j).routedUntil; until.Sub(d.termStarted) < d.settings.RoutingLease() {
+			t.Errorf("routed until %v after the term's start, want at least %v", until.Sub(d.termStarted), d.settings.RoutingLease())
 		}
 	})
 }
 
-// A service is at zero only behind the gate: where that is closed it runs always, and the first waits for
-// the gate's use to be durable.
+// A service scales to zero only with the gate in use: while the gate isn't open it always runs, and the first one waits until
+// the use is durable.
 func TestFirstServiceAtZeroWaitsForGate(t *testing.T) {
-	for phase, want := range map[upgrade.GatePhase]struct{ accepted, managed bool }{"": {true, false}, upgrade.GateOpen: {false, false}, upgrade.GateWithdrawing: {true, false}} {
+	for phase, wantAccepted := range map[upgrade.GatePhase]bool{"": true, upgrade.GateOpen: false, upgrade.GateWithdrawing: true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := clustertest.Settings()
 			s.Tuning.Activation.Classes = []string{coldClass}
@@ -207,30 +207,30 @@
 			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
 			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: make(chan api.Response, 1)})
 			j := d.state.Jobs.Get(coldModel)
-			if accepted := j != nil; accepted != want.accepted || accepted && j.ScalesToZero() != want.managed {
-				t.Errorf("gate %q: %+v", phase, j)
+			if accepted := j != nil; accepted != wantAccepted || accepted && j.ScalesToZero() {
+				t.Errorf("gate %q: job %+v, want accepted %v and never at zero", phase, j, wantAccepted)
 			}
 			if phase == upgrade.GateOpen && len(d.gateWaiters) != 1 {
-				t.Error("it doesn't wait")
+				t.Errorf("%d submissions wait for the gate, want 1", len(d.gateWaiters))
 			}
 		})
 	}
 }
 
-// A leader of an earlier version is sent no demand, and an answer that comes later than it holds is void.
+// Demand isn't forwarded to a leader of an earlier version, and a response that arrives after its validity is discarded.
 func TestFollowerForwardsDemand(t *testing.T) {
 	runColdStart(t, func(sim *simulation) {
-		lead := sim.awaitLeader()
-		follower := sim.followers(lead)[0]
+		leader := sim.awaitLeader()
+		follower := sim.followers(leader)[0]
 		req := activation.WakeRequest{Model: coldModel, Generation: 7}
 		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Known {
-			t.Errorf("%+v", r)
+			t.Errorf("response %+v, want verdict known", r)
 		}
-		lead.responseDelay.Store(int64(2 * sim.settings.WakeInterval()))
+		leader.responseDelay.Store(int64(2 * sim.settings.WakeInterval()))
 		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Undecided {
-			t.Errorf("passed on late: %+v", r)
+			t.Errorf("late response %+v, want undecided", r)
 		}
-		lead.responseDelay.Store(0)
+		leader.responseDelay.Store(0)
 		sim.withLock(func() {
 			for name, status := range follower.statuses {
 				status.Version = peer.VersionTokenRanges
@@ -238,7 +238,7 @@
 			}
 		})
 		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Undecided {
-			t.Errorf("sent to an earlier version: %+v", r)
+			t.Errorf("response of an earlier version %+v, want undecided", r)
 		}
 	})
 }
--- a/internal/scheduler/cold_start_faults_test.go
+++ b/internal/scheduler/cold_start_faults_test.go
@@ -9,25 +9,26 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// A trouble begins at a moment of the wake, and ends by itself.
+// coldStartFault is a fault that is injected at some moment of a wake or a drain, and passes by itself.
 type coldStartFault struct {
 	name   string
-	inject func(sim *simulation, lead *fakeNode)
-	// restarts tells that the replica may be started anew in its generation: not only
-	// controllers fail.
+	inject func(sim *simulation, leader *fakeNode)
+	// mayRestart is whether the replica may be restarted within its generation, because a machine or
+	// the model fails too.
 	mayRestart bool
 }
 
+// coldFaultDuration is longer than a leader's lease.
 const coldFaultDuration = 6 * time.Second
 
-// restartAfter ends nodes' processes, and begins them again after a while. Troubles that meet may end the same.
-func (sim *simulation) restartAfter(back time.Duration, nodes ...*fakeNode) {
+// restartAfter kills nodes and starts them again after a delay. Two faults at once may concern the same node.
+func (sim *simulation) restartAfter(delay time.Duration, nodes ...*fakeNode) {
 	for _, n := range nodes {
 		sim.processMu.Lock()
 		n.kill()
 		sim.processMu.Unlock()
 	}
-	time.Sleep(back)
+	time.Sleep(delay)
 	for _, n := range nodes {
 		sim.processMu.Lock()
 		if n.cancelRun == nil {
@@ -37,40 +38,41 @@
 	}
 }
 
-func (sim *simulation) duringFault(set, reset func()) {
-	set()
+// duringFault begins a fault, and ends it after coldFaultDuration.
+func (sim *simulation) duringFault(begin, end func()) {
+	begin()
 	time.Sleep(coldFaultDuration)
-	reset()
+	end()
 }
 
 var coldStartFaults = []coldStartFault{
-	{"the leader ends", func(sim *simulation, lead *fakeNode) { sim.restartAfter(4*time.Second, lead) }, false},
-	{"the leader restarts at once", func(sim *simulation, lead *fakeNode) { sim.restartAfter(time.Millisecond, lead) }, false},
-	{"the leader stands still for longer than its grant", func(sim *simulation, lead *fakeNode) { lead.pause(coldFaultDuration) }, false},
-	{"two of three end", func(sim *simulation, lead *fakeNode) {
-		sim.restartAfter(4*time.Second, lead, sim.followers(lead)[0])
+	{"leader crash", func(sim *simulation, leader *fakeNode) { sim.restartAfter(4*time.Second, leader) }, false},
+	{"leader restart", func(sim *simulation, leader *fakeNode) { sim.restartAfter(time.Millisecond, leader) }, false},
+	{"leader paused beyond its lease", func(sim *simulation, leader *fakeNode) { leader.pause(coldFaultDuration) }, false},
+	{"leader and follower crash", func(sim *simulation, leader *fakeNode) {
+		sim.restartAfter(4*time.Second, leader, sim.followers(leader)[0])
 	}, false},
-	{"all end", func(sim *simulation, _ *fakeNode) {
+	{"all controllers crash", func(sim *simulation, _ *fakeNode) {
 		sim.restartAfter(4*time.Second, sim.nodes...)
 	}, false},
-	{"a follower with demand ends", func(sim *simulation, lead *fakeNode) { sim.restartAfter(4*time.Second, sim.followers(lead)[0]) }, false},
-	{"the leader loses the state service", func(sim *simulation, lead *fakeNode) {
-		sim.duringFault(func() { lead.cutStore.Store(true) }, func() { lead.cutStore.Store(false) })
+	{"follower crash", func(sim *simulation, leader *fakeNode) { sim.restartAfter(4*time.Second, sim.followers(leader)[0]) }, false},
+	{"leader cut off from store", func(sim *simulation, leader *fakeNode) {
+		sim.duringFault(func() { leader.cutStore.Store(true) }, func() { leader.cutStore.Store(false) })
 	}, false},
-	{"the leader loses its peers", func(sim *simulation, lead *fakeNode) {
-		sim.duringFault(func() { lead.cutPeers.Store(true) }, func() { lead.cutPeers.Store(false) })
+	{"leader cut off from peers", func(sim *simulation, leader *fakeNode) {
+		sim.duringFault(func() { leader.cutPeers.Store(true) }, func() { leader.cutPeers.Store(false) })
 	}, false},
-	{"the leader loses the workers", func(sim *simulation, lead *fakeNode) {
-		sim.duringFault(func() { lead.cutWorkers.Store(true) }, func() { lead.cutWorkers.Store(false) })
+	{"leader cut off from workers", func(sim *simulation, leader *fakeNode) {
+		sim.duringFault(func() { leader.cutWorkers.Store(true) }, func() { leader.cutWorkers.Store(false) })
 	}, false},
-	{"the state service is out", func(sim *simulation, _ *fakeNode) { sim.outage(coldFaultDuration) }, false},
-	{"answers of the state service are lost", func(sim *simulation, _ *fakeNode) {
+	{"store outage", func(sim *simulation, _ *fakeNode) { sim.outage(coldFaultDuration) }, false},
+	{"store responses lost", func(sim *simulation, _ *fakeNode) {
 		sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
 	}, false},
-	{"transactions come late", func(sim *simulation, _ *fakeNode) {
+	{"transactions delayed", func(sim *simulation, _ *fakeNode) {
 		sim.duringFault(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
 	}, false},
-	{"reports and demand come again late", func(sim *simulation, _ *fakeNode) {
+	{"heartbeats and demand replayed", func(sim *simulation, _ *fakeNode) {
 		sim.recordReports()
 		for range 5 {
 			time.Sleep(time.Second)
@@ -78,43 +80,43 @@
 			sim.replayPeerMessages()
 		}
 	}, false},
-	{"the machine dies", func(sim *simulation, _ *fakeNode) {
+	{"machine loss", func(sim *simulation, _ *fakeNode) {
 		for _, wk := range sim.machinesOf(coldModel) {
 			wk.dead.Store(true)
 		}
 	}, true},
-	{"the machine stands still", func(sim *simulation, _ *fakeNode) {
+	{"machine paused", func(sim *simulation, _ *fakeNode) {
 		for _, wk := range sim.machinesOf(coldModel) {
 			sim.duringFault(func() { wk.paused.Store(true) }, func() { wk.paused.Store(false); wk.executeDelayed() })
 		}
 	}, true},
-	{"the model ends after its first answers", func(sim *simulation, _ *fakeNode) {
+	{"model exits after its first responses", func(sim *simulation, _ *fakeNode) {
 		sim.withLock(func() { sim.failAfter[coldModel] = time.Second })
 		time.Sleep(6 * coldFaultDuration)
 		sim.withLock(func() { delete(sim.failAfter, coldModel) })
 	}, true},
 }
 
-// A moment of a wake at which troubles begin.
+// coldStartMoment is a moment of a wake or a drain at which faults are injected.
 type coldStartMoment struct {
 	name string
-	// at has strike called at the moment of the wake that is about to begin.
-	schedule func(sim *simulation, strike func())
+	// schedule arranges for inject to be called at that moment of the wake or drain about to begin.
+	schedule func(sim *simulation, inject func())
 }
 
-// isLeaderRecordWrite tells whether a transaction is the leader's, of its records.
+// isLeaderRecordWrite reports whether a transaction is the leader's commit of journal records, not one on upgrades.
 func isLeaderRecordWrite(tx storagetest.Txn) bool {
-	led := false
+	byLeader := false
 	for _, g := range tx.Guards {
-		led = led || g.Key == leadership.LeaderKey
+		byLeader = byLeader || g.Key == leadership.LeaderKey
 	}
 	for _, op := range tx.Ops {
-		led = led && !strings.HasPrefix(op.Key, leadership.UpgradePrefix)
+		byLeader = byLeader && !strings.HasPrefix(op.Key, leadership.UpgradePrefix)
 	}
-	return led
+	return byLeader
 }
 
-// onNthWrite calls f once for the nth transaction of records from now on, and tells whether it was that.
+// onNthWrite returns a hook that starts f with the nth commit of records from now on, and reports whether a transaction is that commit.
 func onNthWrite(nth int, f func()) func(storagetest.Txn) bool {
 	var seen atomic.Int64
 	return func(tx storagetest.Txn) bool {
@@ -129,30 +131,31 @@
 	}
 }
 
+// coldStartMoments returns the moments of a wake, by its durable steps and between them. Tests draw them by index.
 func coldStartMoments() []coldStartMoment {
 	moments := []coldStartMoment{
-		{"as demand comes", func(_ *simulation, strike func()) { go strike() }},
-		{"while it starts", func(_ *simulation, strike func()) { time.AfterFunc(4*time.Second, strike) }},
-		{"after it answered", func(_ *simulation, strike func()) { time.AfterFunc(15*time.Second, strike) }},
+		{"at first demand", func(_ *simulation, inject func()) { go inject() }},
+		{"during start", func(_ *simulation, inject func()) { time.AfterFunc(4*time.Second, inject) }},
+		{"after first response", func(_ *simulation, inject func()) { time.AfterFunc(15*time.Second, inject) }},
 	}
-	for step, name := range []string{"the wake", "the booking", "the first answer"} {
+	for step, name := range []string{"the wake", "the reservation", "the first response"} {
 		nth := step + 1
 		moments = append(moments,
-			coldStartMoment{"before " + name + " is written", func(sim *simulation, strike func()) {
-				sim.state.Update(func(s *storagetest.Service) { s.Drop = onNthWrite(nth, strike) })
+			coldStartMoment{"before " + name + " is written", func(sim *simulation, inject func()) {
+				sim.state.Update(func(s *storagetest.Service) { s.Drop = onNthWrite(nth, inject) })
 			}},
-			coldStartMoment{"when " + name + " is written", func(sim *simulation, strike func()) {
-				once := onNthWrite(nth, strike)
-				sim.state.Update(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { once(tx) } })
+			coldStartMoment{"when " + name + " is written", func(sim *simulation, inject func()) {
+				injectAtNth := onNthWrite(nth, inject)
+				sim.state.Update(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { injectAtNth(tx) } })
 			}},
-			coldStartMoment{"when " + name + " is written, without an answer", func(sim *simulation, strike func()) {
-				sim.state.Update(func(s *storagetest.Service) { s.Lose = onNthWrite(nth, strike) })
+			coldStartMoment{"when " + name + " is written but unanswered", func(sim *simulation, inject func()) {
+				sim.state.Update(func(s *storagetest.Service) { s.Lose = onNthWrite(nth, inject) })
 			}})
 	}
 	return moments
 }
 
-// drainMoments are those of a drain, by its durable steps: draining, stopping, idle.
+// drainMoments returns the moments of a drain, by its three durable steps: draining, stopping, idle.
 func drainMoments() []coldStartMoment {
 	var moments []coldStartMoment
 	for _, m := range coldStartMoments() {
--- a/internal/scheduler/cold_start_history_test.go
+++ b/internal/scheduler/cold_start_history_test.go
@@ -10,7 +10,7 @@
 	"sagevale/internal/activation"
 )
 
-// noteServed adds to the history of requests that were passed on.
+// noteServed adds a forwarded request to the history.
 func (sim *simulation) noteServed(client int, called time.Time, generation uint64) {
 	sim.withLock(func() {
 		sim.served = append(sim.served, porcupine.Operation{
@@ -19,8 +19,8 @@
 	})
 }
 
-// servedModel is the sequential specification of requests that are passed on: each is served by the
-// generation of the one before, or by a later one.
+// servedModel is the sequential specification of forwarded requests: each is served by the generation of
+// the one before, or by a later one.
 var servedModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -29,37 +29,37 @@
 	},
 }
 
-// checkServed checks the history of requests against its specification.
+// checkServed checks that the history of requests is linearizable.
 func (sim *simulation) checkServed() {
 	sim.t.Helper()
 	var served []porcupine.Operation
 	sim.withLock(func() { served = append(served, sim.served...) })
 	if !porcupine.CheckOperations(servedModel, served) {
-		sim.t.Errorf("%d requests are served in no order that their clients could have seen", len(served))
+		sim.t.Errorf("the history of %d requests is not linearizable", len(served))
 	}
 }
 
-// A history in which an earlier generation serves after a later one has answered is rejected.
 func TestServedModelRejectsEarlierGeneration(t *testing.T) {
 	operation := func(call, end int64, generation uint64) porcupine.Operation {
 		return porcupine.Operation{Call: call, Return: end, Output: generation}
 	}
-	beside := []porcupine.Operation{operation(0, 10, 2), operation(5, 15, 1), operation(20, 30, 2)}
-	if !porcupine.CheckOperations(servedModel, beside) {
-		t.Error("requests beside each other may be served in either order")
+	concurrent := []porcupine.Operation{operation(0, 10, 2), operation(5, 15, 1), operation(20, 30, 2)}
+	if !porcupine.CheckOperations(servedModel, concurrent) {
+		t.Error("concurrent requests in either order are rejected")
 	}
-	if porcupine.CheckOperations(servedModel, append(beside, operation(31, 40, 1))) {
-		t.Error("a request served by an earlier generation isn't found")
+	if porcupine.CheckOperations(servedModel, append(concurrent, operation(31, 40, 1))) {
+		t.Error("a request served by an earlier generation is accepted")
 	}
 }
 
-// checkStarts counts the starts of so many wakes by the workers' own account.
-func (sim *simulation) checkStarts(wakes ...uint64) {
+// checkStarts checks, by the workers' record, that the model started once in each generation, and that the present generation is
+// one of those given.
+func (sim *simulation) checkStarts(generations ...uint64) {
 	sim.t.Helper()
-	launches := sim.startsOf(coldModel)
-	for i, l := range launches {
-		if i > 0 && l.attempt <= launches[i-1].attempt {
-			sim.t.Errorf("attempt %d after %d", l.attempt, launches[i-1].attempt)
+	starts := sim.startsOf(coldModel)
+	for i, start := range starts {
+		if i > 0 && start.attempt <= starts[i-1].attempt {
+			sim.t.Errorf("attempt %d starts after attempt %d", start.attempt, starts[i-1].attempt)
 		}
 	}
 	generation := sim.awaitLeader().node.Wake(sim.t.Context(), activation.WakeRequest{Model: coldModel}).Generation
@@ -67,7 +67,7 @@
 	if sim.requestsMayFail.Load() {
 		return
 	}
-	if !slices.Contains(wakes, generation) || len(launches) != int(generation) {
-		sim.t.Errorf("%d starts in %d wakes, wanted one in each of %v: %+v", len(launches), generation, wakes, launches)
+	if !slices.Contains(generations, generation) || len(starts) != int(generation) {
+		sim.t.Errorf("%d starts in generation %d, want one in each of a generation of %v: %+v", len(starts), generation, generations, starts)
 	}
 }
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -24,15 +24,17 @@
 	coldHold  = 10 * time.Second // time for which a request waits for it
 )
 
+// noteWakeRequest records a wake request that a controller has sent to another.
 func (sim *simulation) noteWakeRequest(req activation.WakeRequest) {
 	sim.withLock(func() { sim.wakeRequests = append(sim.wakeRequests, req) })
 }
 
+// noteUsage records a usage report that a controller has sent to another.
 func (sim *simulation) noteUsage(report activation.UsageReport) {
 	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
 }
 
-// replayPeerMessages brings all demand and usage that was ever sent to all nodes again.
+// replayPeerMessages delivers every recorded wake request and usage report to all nodes again.
 func (sim *simulation) replayPeerMessages() {
 	var wakes []activation.WakeRequest
 	var usages []activation.UsageReport
@@ -52,55 +54,56 @@
 	}
 }
 
-func (sim *simulation) startsOf(id string) (out []startRecord) {
-	sim.withLock(func() { out = append(out, sim.startsByJob[id]...) })
-	return out
+// startsOf returns a job's starts by the workers' record.
+func (sim *simulation) startsOf(id string) (starts []startRecord) {
+	sim.withLock(func() { starts = append(starts, sim.startsByJob[id]...) })
+	return starts
 }
 
-// modelSpec is a service that is at zero until there is demand.
+// modelSpec returns the specification of a service that is at zero until there is demand.
 func modelSpec(id string) storage.Spec {
 	s := clustertest.Service(id, 1)
 	s.Class = coldClass
 	return s
 }
 
-// runColdStart runs a scenario with a model at zero beside a service that runs.
-func runColdStart(t *testing.T, story func(sim *simulation)) {
+// runColdStart runs a scenario with a model at zero beside a running service.
+func runColdStart(t *testing.T, scenario func(sim *simulation)) {
 	t.Helper()
-	runColdStartInZones(t, threeControllers, story)
+	runColdStartInZones(t, threeControllers, scenario)
 }
 
-// runColdStartInZones does so with controllers in these zones.
-func runColdStartInZones(t *testing.T, controllers []string, story func(sim *simulation)) {
+// runColdStartInZones is runColdStart with one controller in each of the given zones.
+func runColdStartInZones(t *testing.T, zones []string, scenario func(sim *simulation)) {
 	t.Helper()
 	tune := func(tuning *config.Tuning) {
 		tuning.Activation.Classes = []string{coldClass}
 		tuning.Activation.Policy.IdleWindow = coldIdle
 		tuning.Activation.Hold = coldHold
 	}
-	runSimulationInZones(t, controllers, func(*config.Settings) {}, tune, func(sim *simulation) {
+	runSimulationInZones(t, zones, func(*config.Settings) {}, tune, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		sim.awaitRunning("000001", 2)
 		sim.submit(modelSpec(coldModel))
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		if n := len(sim.startsOf(coldModel)); n != 0 {
-			t.Errorf("started %d times without demand", n)
+			t.Errorf("the model started %d times without demand, want never", n)
 		}
-		story(sim)
+		scenario(sim)
 	})
 }
 
-// modelClient asks for the model at one node until it answers, and again.
+// modelClient requests the model at one node again and again.
 type modelClient struct {
 	id             int
 	node           *fakeNode
-	ready          atomic.Bool // what the latest answer said
-	paused         atomic.Bool // it asks for nothing
-	lastGeneration uint64      // the latest generation that it was told of
+	ready          atomic.Bool // whether the latest request was granted
+	paused         atomic.Bool // whether it sends no requests
+	lastGeneration uint64      // the latest generation in a response
 }
 
-// startClients has clients of all nodes ask for the model within a millisecond, and go on.
+// startClients starts a client at every node, all within a millisecond; they run until the simulation ends.
 func (sim *simulation) startClients() []*modelClient {
 	var clients []*modelClient
 	for i, n := range sim.nodes {
@@ -119,11 +122,12 @@
 	return clients
 }
 
-// clientPatience is how long a client waits for an answer.
-const clientPatience = 20 * time.Second
+// clientTimeout is how long a client waits for a response.
+const clientTimeout = 20 * time.Second
 
+// acquire sends one request, and checks that generations never go back.
 func (c *modelClient) acquire(sim *simulation) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	tracker := c.node.tracker.Load()
 	called := time.Now()
@@ -138,13 +142,13 @@
 		return
 	}
 	if decision.Response.Generation < c.lastGeneration {
-		sim.t.Errorf("%s tells generation %d after %d", c.node.name, decision.Response.Generation, c.lastGeneration)
+		sim.t.Errorf("%s reports generation %d after %d", c.node.name, decision.Response.Generation, c.lastGeneration)
 	}
 	c.lastGeneration = decision.Response.Generation
 }
 
-// serveRequest is a request to the model, which takes a moment. Its replica must be there all the while, but
-// for troubles of machines and models.
+// serveRequest forwards a request to the model, which takes 60 ms. The replica must run on that machine throughout, unless the
+// scenario's faults concern machines or the model.
 func (sim *simulation) serveRequest(n *fakeNode, machine string) {
 	for range 3 {
 		served := false
@@ -152,16 +156,16 @@
 			served = served || fmt.Sprint(wk.id) == machine
 		}
 		if !served && !sim.requestsMayFail.Load() && !sim.ended.Load() {
-			sim.t.Errorf("%s passes a request on to machine %s, where the model isn't", n.name, machine)
+			sim.t.Errorf("%s forwards a request to machine %s, where the model doesn't run", n.name, machine)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// awaitReady waits until all clients are told that the model answers, and it does.
+// awaitReady waits until all clients' requests are granted and exactly one replica runs.
 func (sim *simulation) awaitReady(clients []*modelClient) {
 	sim.t.Helper()
-	sim.eventually("all nodes pass requests on", 5*time.Minute, func() bool {
+	sim.eventually("all nodes forward requests", 5*time.Minute, func() bool {
 		for _, c := range clients {
 			if !c.ready.Load() {
 				return false
@@ -171,17 +175,18 @@
 	})
 }
 
-func (sim *simulation) followers(lead *fakeNode) []*fakeNode {
-	var out []*fakeNode
+// followers returns all nodes but the leader.
+func (sim *simulation) followers(leader *fakeNode) []*fakeNode {
+	var followers []*fakeNode
 	for _, n := range sim.nodes {
-		if n != lead {
-			out = append(out, n)
+		if n != leader {
+			followers = append(followers, n)
 		}
 	}
-	return out
+	return followers
 }
 
-// completePulls has all machines fetch images at once, and those that are awaited arrive.
+// completePulls completes all image pulls, and makes later ones immediate.
 func (sim *simulation) completePulls() {
 	sim.withLock(func() {
 		for _, wk := range sim.workers {
@@ -195,25 +200,26 @@
 	})
 }
 
-// setPaused has the clients ask for nothing, or again.
-func setPaused(clients []*modelClient, rests bool) {
+// setPaused pauses or resumes clients; none counts as ready until its next request is granted.
+func setPaused(clients []*modelClient, paused bool) {
 	for _, c := range clients {
-		c.paused.Store(rests)
+		c.paused.Store(paused)
 		c.ready.Store(false)
 	}
 }
 
+// awaitZero waits until no replica of the model runs.
 func (sim *simulation) awaitZero() {
 	sim.t.Helper()
 	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.runningTasks(coldModel)) == 0 })
 }
 
-// modelStatus is the model's, as operators read it.
+// modelStatus returns the model's activation status as operators read it.
 func (sim *simulation) modelStatus() ServiceStatus {
 	sim.t.Helper()
 	status, err := ReadActivationStatus(sim.t.Context(), &storagetest.Client{Service: sim.state}, &sim.settings)
 	if err != nil || !status.Gate.Used || len(status.Services) != 1 || status.Services[0].ID != coldModel {
-		sim.t.Fatalf("status %+v %v", status, err)
+		sim.t.Fatalf("ReadActivationStatus() = %+v, %v, want %s alone", status, err, coldModel)
 	}
 	return status.Services[0]
 }
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -14,53 +14,53 @@
 	"sagevale/internal/upgrade"
 )
 
-// runColdStartFaults plays one wake with troubles at a moment of it.
-func (sim *simulation) runColdStartFaults(m coldStartMoment, troubles ...coldStartFault) {
+// runColdStartFaults wakes the model once, with faults at one moment of the wake.
+func (sim *simulation) runColdStartFaults(m coldStartMoment, faults ...coldStartFault) {
 	sim.t.Helper()
 	for _, wk := range sim.allWorkers() {
 		wk.stuckPulling.Store(true)
 	}
 	time.AfterFunc(8*time.Second, func() { sim.completePulls() })
-	for _, c := range troubles {
-		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.mayRestart)
+	for _, f := range faults {
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || f.mayRestart)
 	}
-	lead := sim.awaitLeader()
-	struck := make(chan struct{}, len(troubles))
+	leader := sim.awaitLeader()
+	ended := make(chan struct{}, len(faults))
 	m.schedule(sim, func() {
-		for _, c := range troubles {
+		for _, f := range faults {
 			go func() {
-				c.inject(sim, lead)
-				struck <- struct{}{}
+				f.inject(sim, leader)
+				ended <- struct{}{}
 			}()
 		}
 	})
 	clients := sim.startClients()
-	for range troubles {
+	for range faults {
 		select {
-		case <-struck:
+		case <-ended:
 		case <-time.After(2 * time.Minute):
-			sim.t.Fatal("the moment never came")
+			sim.t.Fatalf("a fault at the moment %q hasn't passed", m.name)
 		}
 	}
 	sim.awaitReady(clients)
-	time.Sleep(2 * sim.settings.WorkerLease) // what comes late has come
+	time.Sleep(2 * sim.settings.WorkerLease) // until delayed messages have arrived
 	sim.awaitReady(clients)
 	sim.checkStarts(1)
 }
 
-// Whatever fails at whichever moment of a wake, it starts the model once.
+// Whatever fails at whichever moment of a wake, the model starts once.
 func TestOneStartPerWake(t *testing.T) {
 	for _, m := range coldStartMoments() {
-		for _, c := range coldStartFaults {
-			t.Run(m.name+"/"+c.name, func(t *testing.T) {
+		for _, fault := range coldStartFaults {
+			t.Run(m.name+"/"+fault.name, func(t *testing.T) {
 				t.Parallel()
-				runColdStart(t, func(sim *simulation) { sim.runColdStartFaults(m, c) })
+				runColdStart(t, func(sim *simulation) { sim.runColdStartFaults(m, fault) })
 			})
 		}
 	}
 }
 
-// zonesForSeed is three controllers or five, in turn.
+// zonesForSeed returns the zones of three controllers or of five, in turn.
 func zonesForSeed(seed uint64) []string {
 	if seed%2 == 0 {
 		return threeControllers
@@ -68,7 +68,7 @@
 	return fiveControllers
 }
 
-// The same with two troubles at once, drawn by seed.
+// Two faults at once, drawn by seed.
 func TestOneStartPerWakeWithTwoFaults(t *testing.T) {
 	moments := coldStartMoments()
 	for seed := range uint64(40) {
@@ -81,20 +81,20 @@
 	}
 }
 
-// A model that nobody asks for goes back to zero, and comes back once, again and again.
+// A model without requests scales to zero, and each return of demand starts it once.
 func TestScaleToZeroAndBack(t *testing.T) {
 	runColdStart(t, func(sim *simulation) {
 		clients := sim.startClients()
 		for range 3 {
 			sim.awaitReady(clients)
 			if s := sim.modelStatus(); s.Record.State != activation.Ready || s.Record.Replica == activation.NoReplica || s.Why == "" {
-				t.Errorf("status %+v", s)
+				t.Errorf("status %+v, want ready with a replica", s)
 			}
 			setPaused(clients, true)
 			sim.awaitZero()
 			time.Sleep(sim.settings.WorkerLease)
 			if s := sim.modelStatus(); s.Record.State != activation.Idle || s.Record.Replica != activation.NoReplica || s.Why != "" {
-				t.Errorf("status %+v", s)
+				t.Errorf("status %+v, want idle without a replica", s)
 			}
 			setPaused(clients, false)
 		}
@@ -104,13 +104,13 @@
 	})
 }
 
-// A controller that tells nothing keeps a model up, for it may have requests; so does one that has
-// requests under way.
+// A controller that reports no usage may have requests, so that the model must stay up; so it must for one that has
+// requests in flight.
 func TestUnresponsiveControllerPreventsScaleToZero(t *testing.T) {
-	for name, silence := range map[string]func(n *fakeNode){
-		"ended":                    func(n *fakeNode) { n.kill() },
-		"cut off from its peers":   func(n *fakeNode) { n.cutPeers.Store(true) },
-		"with a request under way": func(n *fakeNode) { n.tracker.Load().Acquire(n.sim.t.Context(), coldModel) },
+	for name, disturb := range map[string]func(n *fakeNode){
+		"crashed":            func(n *fakeNode) { n.kill() },
+		"cut off from peers": func(n *fakeNode) { n.cutPeers.Store(true) },
+		"request in flight":  func(n *fakeNode) { n.tracker.Load().Acquire(n.sim.t.Context(), coldModel) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runColdStart(t, func(sim *simulation) {
@@ -119,10 +119,10 @@
 				setPaused(clients, true)
 				time.Sleep(sim.settings.HeartbeatInterval)
 				n := sim.followers(sim.awaitLeader())[0]
-				silence(n)
+				disturb(n)
 				time.Sleep(4 * coldIdle)
 				if len(sim.runningTasks(coldModel)) != 1 {
-					t.Error("it stopped")
+					t.Errorf("%d replicas run, want 1", len(sim.runningTasks(coldModel)))
 				}
 				n.cutPeers.Store(false)
 				n.restart()
@@ -132,20 +132,21 @@
 	}
 }
 
-// runDrainFaults plays a wake, a drain with troubles at a moment of it, and demand that comes back meanwhile.
-func (sim *simulation) runDrainFaults(m coldStartMoment, after time.Duration, troubles ...coldStartFault) {
+// runDrainFaults wakes and drains the model, with faults at one moment of the drain; demand returns the given time after the
+// idle window.
+func (sim *simulation) runDrainFaults(m coldStartMoment, after time.Duration, faults ...coldStartFault) {
 	sim.t.Helper()
 	clients := sim.startClients()
 	sim.awaitReady(clients)
 	setPaused(clients, true)
 	time.Sleep(coldIdle / 2)
-	for _, c := range troubles {
-		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || c.mayRestart)
+	for _, f := range faults {
+		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || f.mayRestart)
 	}
-	lead := sim.awaitLeader()
+	leader := sim.awaitLeader()
 	m.schedule(sim, func() {
-		for _, c := range troubles {
-			go c.inject(sim, lead)
+		for _, f := range faults {
+			go f.inject(sim, leader)
 		}
 	})
 	time.Sleep(coldIdle/2 + after)
@@ -156,21 +157,21 @@
 	sim.checkStarts(1, 2)
 }
 
-// Whatever fails at whichever moment of a drain: demand that comes back revives the model, or begins
-// the next generation once it has stopped, never both.
+// Whatever fails at whichever moment of a drain: demand that returns either cancels the drain or, once the model has
+// stopped, begins the next generation, never both.
 func TestDemandDuringDrain(t *testing.T) {
 	for i, m := range drainMoments() {
-		for k, c := range coldStartFaults {
-			t.Run(m.name+"/"+c.name, func(t *testing.T) {
+		for k, fault := range coldStartFaults {
+			t.Run(m.name+"/"+fault.name, func(t *testing.T) {
 				t.Parallel()
 				after := time.Duration(rand.New(rand.NewPCG(uint64(i), uint64(k))).Int64N(int64(8 * time.Second)))
-				runColdStart(t, func(sim *simulation) { sim.runDrainFaults(m, after, c) })
+				runColdStart(t, func(sim *simulation) { sim.runDrainFaults(m, after, fault) })
 			})
 		}
 	}
 }
 
-// The same with two troubles at once, drawn by seed.
+// Two faults at once, drawn by seed.
 func TestDemandDuringDrainWithTwoFaults(t *testing.T) {
 	moments := drainMoments()
 	for seed := range uint64(40) {
@@ -184,7 +185,7 @@
 	}
 }
 
-// Cancellation outranks a wake at every moment: nothing starts after a user was told.
+// A cancellation takes precedence over a wake at every moment: nothing starts after it has been acknowledged.
 func TestCancelDuringWake(t *testing.T) {
 	for _, m := range coldStartMoments() {
 		t.Run(m.name, func(t *testing.T) {
@@ -197,33 +198,33 @@
 					cancelled <- time.Now()
 				})
 				clients := sim.startClients()
-				told := <-cancelled
+				acknowledged := <-cancelled
 				sim.crash(sim.awaitLeader(), time.Second)
 				sim.awaitStopped(coldModel)
 				time.Sleep(sim.settings.CancelTimeout)
-				for _, l := range sim.startsOf(coldModel) {
-					if l.at.After(told) {
-						t.Errorf("started %v after its user was told", l.at.Sub(told))
+				for _, start := range sim.startsOf(coldModel) {
+					if start.at.After(acknowledged) {
+						t.Errorf("the model started %v after its cancellation was acknowledged", start.at.Sub(acknowledged))
 					}
 				}
 				setPaused(clients, true)
 				if d := clients[0].node.tracker.Load().Acquire(sim.t.Context(), coldModel); d.Outcome != activator.Unknown {
-					t.Errorf("answered %+v", d)
+					t.Errorf("Acquire() = %+v, want an unknown model", d)
 				}
 			})
 		})
 	}
 }
 
-// A controller goes back a version: services at zero come up and run always, and their records are gone
-// before the older version may lead.
+// One controller is rolled back: services at zero are started and stay up, and their activation records are removed before the
+// older version may lead.
 func TestActivationWithdrawalStartsServices(t *testing.T) {
-	for name, awake := range map[string]bool{"at zero": false, "while it starts": true} {
+	for name, demand := range map[string]bool{"at zero": false, "during start": true} {
 		t.Run(name, func(t *testing.T) {
 			runColdStart(t, func(sim *simulation) {
 				back := sim.followers(sim.awaitLeader())[0]
 				var clients []*modelClient
-				if awake {
+				if demand {
 					clients = sim.startClients()
 					time.Sleep(20 * time.Millisecond)
 				}
@@ -236,22 +237,22 @@
 					}
 				}
 				if sim.awaitLeader() != back {
-					t.Error("it doesn't lead")
+					t.Errorf("%s doesn't lead, though no other controller runs", back.name)
 				}
 				time.Sleep(sim.settings.WorkerLease)
 				sim.awaitRunning(coldModel, 1)
 				if n := len(sim.startsOf(coldModel)); n != 1 {
-					t.Errorf("%d starts", n)
+					t.Errorf("the model started %d times, want once", n)
 				}
 				setPaused(clients, true)
 				sim.restartAllWithVersion(upgrade.Current)
-				sim.awaitZero() // its class is listed still
+				sim.awaitZero() // its class is still listed
 			})
 		})
 	}
 }
 
-// A service whose lifecycle can't be understood is neither started nor stopped; the others go on.
+// A service with a damaged activation record is neither started nor stopped; other services are unaffected.
 func TestDamagedActivationRecordAffectsOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := modelSpec(coldModel)
@@ -268,17 +269,17 @@
 			t.Fatal(err)
 		}
 		now := time.Now()
-		damaged, sound := d.state.Jobs.Get(spec.ID), d.state.Jobs.Get(other.ID)
-		if damaged.MayPlace(now) || !sound.MayPlace(now) {
-			t.Error("the wrong one may be placed")
+		damaged, intact := d.state.Jobs.Get(spec.ID), d.state.Jobs.Get(other.ID)
+		if damaged.MayPlace(now) || !intact.MayPlace(now) {
+			t.Errorf("MayPlace() = %v for the damaged service and %v for the other, want false and true", damaged.MayPlace(now), intact.MayPlace(now))
 		}
 		if string(damaged.Record().Activation) != `{"state":"asleep","generation":3}` {
-			t.Errorf("rewritten as %s", damaged.Record().Activation)
+			t.Errorf("the damaged record is rewritten as %s", damaged.Record().Activation)
 		}
 		reply := make(chan activation.WakeResponse, 1)
 		d.activation.demand(damaged, wakeMessage{activation.WakeRequest{Model: spec.ID, Generation: 3}, reply}, now)
 		if response := <-reply; response.Verdict != activation.Damaged {
-			t.Errorf("answered %+v", response)
+			t.Errorf("wake response %+v, want verdict damaged", response)
 		}
 	})
 }
