--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -11,33 +11,33 @@
 	"sagevale/internal/worker"
 )
 
-// gangStartCount is how often a gang has begun.
+// gangStartCount returns how often all tasks of a gang have started together.
 func (sim *simulation) gangStartCount(id string) (n int) {
 	sim.withLock(func() { n = sim.gangStarts[id] })
 	return n
 }
 
-// attemptNumbers are the numbers of the attempts that a job's live tasks have.
+// attemptNumbers counts a job's live tasks by their attempt number.
 func (sim *simulation) attemptNumbers(id string) map[uint64]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	out := make(map[uint64]int)
+	numbers := make(map[uint64]int)
 	for _, wk := range sim.workers {
 		wk.advance()
 		for k, t := range wk.tasks {
 			if k.ID.Job == id && t.state != worker.Exited && !wk.dead.Load() {
-				out[k.Number]++
+				numbers[k.Number]++
 			}
 		}
 	}
-	return out
+	return numbers
 }
 
 var gangScenarios = []struct {
-	name  string
-	story func(sim *simulation)
+	name string
+	run  func(sim *simulation)
 }{
-	{"starts together and is done together", func(sim *simulation) {
+	{"all tasks start and finish together", func(sim *simulation) {
 		for i, n := range []int{1, 3, 16} {
 			sim.submit(gangSpec(fmt.Sprintf("%06d", i+1), n))
 		}
@@ -46,53 +46,53 @@
 			sim.awaitDone(id)
 			sim.requestFromAll(id)
 			if n := sim.gangStartCount(id); n != 1 {
-				sim.t.Errorf("job %s began %d times", id, n)
+				sim.t.Errorf("gang %s started %d times, want once", id, n)
 			}
 		}
 	}},
-	{"waiting for the others is neither running nor progress", func(sim *simulation) {
+	{"gathering tasks count neither as running nor as done", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
 		for _, wk := range sim.allWorkers() {
 			wk.stuckPulling.Store(true)
 		}
 		sim.submit(gangSpec("000002", 3))
-		sim.eventually("it is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
+		sim.eventually("the gang is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
-			sim.t.Errorf("told %+v", a)
+			sim.t.Errorf("poll returns %+v, want a pending job without running tasks", a)
 		}
 	}},
-	{"a task that doesn't come is replaced under the same number", func(sim *simulation) {
+	{"task that does not start is replaced within the attempt", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
-		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps machines
+		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps the machines from being terminated
 		sim.awaitRunning("000001", 8)
 		sim.awaitRunning("000009", 16)
 		slow := sim.machinesOf("000001")[0]
 		slow.stuckPulling.Store(true)
 		sim.submit(gangSpec("000002", 5))
-		var first uint64
-		sim.eventually("it is placed", 2*time.Minute, func() bool {
-			for try := range sim.attemptNumbers("000002") {
-				first = try
+		var placed uint64 // the number of the attempt
+		sim.eventually("the gang is placed", 2*time.Minute, func() bool {
+			for number := range sim.attemptNumbers("000002") {
+				placed = number
 			}
 			return len(sim.runningTasks("000002")) == 5
 		})
-		sim.eventually("it runs", 2*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
-		for try := range sim.attemptNumbers("000002") {
-			if try != first {
-				sim.t.Errorf("it runs as %d, began as %d", try, first)
+		sim.eventually("the gang runs", 2*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
+		for number := range sim.attemptNumbers("000002") {
+			if number != placed {
+				sim.t.Errorf("a task runs as attempt %d, want %d", number, placed)
 			}
 		}
 		sim.awaitDone("000002")
 	}},
-	{"a task lost before the start is replaced, one lost later ends the attempt", func(sim *simulation) {
+	{"task lost before the start is replaced, one lost later aborts the attempt", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.awaitRunning("000001", 8)
 		for _, wk := range sim.allWorkers() {
 			wk.stuckPulling.Store(true)
 		}
 		sim.submit(gangSpec("000002", 4))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
+		sim.eventually("the gang is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
 		sim.machinesOf("000002")[0].dead.Store(true)
 		for _, wk := range sim.allWorkers() {
 			wk.stuckPulling.Store(false)
@@ -104,12 +104,12 @@
 				}
 			})
 		}
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
+		sim.eventually("the gang runs", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
 		sim.machinesOf("000002")[0].dead.Store(true)
-		sim.eventually("it runs again", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 2 })
+		sim.eventually("the gang runs again", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 2 })
 		sim.awaitDone("000002")
 	}},
-	{"the leader ends between the starts", func(sim *simulation) {
+	{"leader crash between starts", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.awaitRunning("000001", 8)
 		for i := range 12 {
@@ -121,11 +121,11 @@
 			sim.submit(gangSpec(id, 5))
 			sim.awaitDone(id)
 			if n := sim.gangStartCount(id); n > 1 {
-				sim.t.Errorf("gang %s began %d times", id, n)
+				sim.t.Errorf("gang %s started %d times, want at most once", id, n)
 			}
 		}
 	}},
-	{"a cut zone has half of the gang", func(sim *simulation) {
+	{"partition of a zone with half of the gang", func(sim *simulation) {
 		sim.submit(zonalService("000001", "a", 8))
 		sim.submit(zonalService("000002", "b", 8))
 		sim.awaitRunning("000001", 8)
@@ -133,21 +133,21 @@
 		g := gangSpec("000003", 10)
 		g.SameZone, g.Spread, g.EstimateS = false, true, 60
 		sim.submit(g)
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000003") == 1 })
+		sim.eventually("the gang runs", 3*time.Minute, func() bool { return sim.gangStartCount("000003") == 1 })
 		sim.moveLeaderOutOf("b")
 		sim.isolateZone("b")
 		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.isolateZone("")
 		sim.awaitDone("000003")
 	}},
-	{"cancelled while it waits, and repeated after", func(sim *simulation) {
+	{"cancelled while gathering, and requested again", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
 		for _, wk := range sim.allWorkers() {
 			wk.stuckPulling.Store(true)
 		}
 		sim.submit(gangSpec("000002", 3))
-		sim.eventually("it is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
+		sim.eventually("the gang is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		sim.cancel("000002")
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.requestFromAll("000002")
@@ -157,12 +157,12 @@
 		}
 		sim.requestFromAll("000002")
 		if sim.gangStartCount("000002") != 0 {
-			sim.t.Error("a cancelled gang began")
+			sim.t.Error("a cancelled gang started")
 		}
 	}},
-	{"an end is told though the leader ends and old reports come", func(sim *simulation) {
+	{"completion survives leader crashes and replayed heartbeats", func(sim *simulation) {
 		sim.submit(gangSpec("000001", 6))
-		sim.eventually("it runs", 3*time.Minute, func() bool { return sim.gangStartCount("000001") == 1 })
+		sim.eventually("the gang runs", 3*time.Minute, func() bool { return sim.gangStartCount("000001") == 1 })
 		sim.recordReports()
 		time.Sleep(19 * time.Second)
 		for range 3 {
@@ -173,10 +173,10 @@
 		sim.replayReports(sim.nodes...)
 		sim.requestFromAll("000001")
 		if n := sim.gangStartCount("000001"); n != 1 {
-			sim.t.Errorf("began %d times", n)
+			sim.t.Errorf("the gang started %d times, want once", n)
 		}
 	}},
-	{"two gangs and a stream of small jobs share too little room", func(sim *simulation) {
+	{"two gangs and a stream of small jobs compete for resources", func(sim *simulation) {
 		sim.withLock(func() {
 			sim.cloud.noCapacity = func(h storage.LaunchRecord) bool { return len(sim.workers) >= 4 || h.Type == "gpu" || h.Zone != "a" }
 		})
@@ -191,40 +191,40 @@
 			sim.submit(arrayWithRuntime(fmt.Sprintf("%06d", i+200), 2, 10*time.Second))
 			time.Sleep(time.Second)
 		}
-		sim.eventually("both have begun", 4*time.Minute-time.Since(submitted), func() bool { return sim.gangStartCount("000100") > 0 && sim.gangStartCount("000101") > 0 })
+		sim.eventually("both gangs have started", 4*time.Minute-time.Since(submitted), func() bool { return sim.gangStartCount("000100") > 0 && sim.gangStartCount("000101") > 0 })
 		sim.awaitDone("000100")
 		sim.awaitDone("000101")
 		for i := range 40 {
 			sim.awaitDone(fmt.Sprintf("%06d", i+200))
 		}
 	}},
-	{"more tasks than one transaction holds", func(sim *simulation) {
+	{"more tasks than fit in a transaction", func(sim *simulation) {
 		s := gangSpec("000001", 400)
 		s.Resources, s.SameZone = storage.Resources{CPUs: 0.1, MemoryGB: 0.1}, false
 		sim.submit(s)
 		sim.awaitDone("000001")
 		if n := sim.gangStartCount("000001"); n != 1 {
-			sim.t.Errorf("began %d times", n)
+			sim.t.Errorf("the gang started %d times, want once", n)
 		}
 	}},
 }
 
 func TestGangScheduling(t *testing.T) {
 	for _, g := range gangScenarios {
-		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.story) })
+		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.run) })
 	}
 }
 
-// What a gang needs as a whole decides whether it is taken.
+// Whether a gang is accepted depends on what it needs as a whole.
 func TestInfeasibleGangIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.submit(clustertest.Service("000009", 1)) // the types are known
+		sim.submit(clustertest.Service("000009", 1)) // so that the machine types are known
 		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
 			if id == "000002" {
 				s.Resources.CPUs = 1000
 			}
 			if a := sim.request(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
-				t.Errorf("job %s is answered %+v", id, a)
+				t.Errorf("submission of job %s is answered %+v, want code %v", id, a, api.CodeInfeasible)
 			}
 		}
 		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
@@ -232,21 +232,20 @@
 	})
 }
 
-// A repeat of the submission or of the cancel of a gang that is over is told how it
-// ended.
+// Requests for a gang that is done return its final state.
 func TestRepeatedRequestAfterGangIsDone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(gangSpec("000001", 2))
 		sim.awaitDone("000001")
 		for _, op := range []api.Op{api.OpSubmit, api.OpCancel, api.OpPoll} {
 			if a := sim.request(op, "000001", gangSpec("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
-				t.Errorf("request %d is answered %+v", op, a)
+				t.Errorf("request %v is answered %+v, want the job done with 2 tasks", op, a)
 			}
 		}
 	})
 }
 
-// gangSpec is a gang whose tasks must be in one zone.
+// gangSpec returns the specification of a gang whose tasks must be in one zone.
 func gangSpec(id string, tasks int) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -13,7 +13,7 @@
 	"sagevale/internal/worker"
 )
 
-// What an earlier leader left half written is begun anew, once all of it is gone.
+// Attempts of two numbers, which an earlier leader left half written, are all stopped; the gang starts again once they are gone.
 func TestLoadedGangOfTwoAttemptsIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := gangSpec("000001", 3)
@@ -30,31 +30,34 @@
 		}
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 2 || !j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
-			t.Errorf("attempts %+v", j.Attempts)
+			t.Errorf("attempts %+v, want both stopping", j.Attempts)
 		}
 		for _, a := range j.GangAttempts() {
-			d.removeAttempt(a, "proved gone")
+			d.removeAttempt(a, "gone")
 		}
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 3 || len(map[uint64]bool{j.Attempts[0].Number: true, j.Attempts[1].Number: true, j.Attempts[2].Number: true}) != 1 {
-			t.Errorf("attempts %+v", j.Attempts)
+			t.Errorf("attempts %+v, want three of one number", j.Attempts)
 		}
 	})
 }
 
-// addGang enters a gang's attempt with a task on each of the machines.
+// addGang adds a gang with an attempt in the given state, one task on each of the machines.
 func (d *scheduler) addGang(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
 	j := d.addAcceptedJob(spec)
 	for i, m := range machines {
-		d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true, State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now()})
+		d.addAttempt(&cluster.Attempt{
+			Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
+			State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now(),
+		})
 	}
 	d.lastAttempt = 9
 	j.Gang.Started = state == worker.Running
 	return j
 }
 
-// A loss ends an attempt that has run: the rest is stopped at once, and nothing is
-// begun before all of it is gone.
+// The loss of a task aborts a running attempt: the other tasks are stopped at once, and no new attempt starts before all of them
+// are gone.
 func TestTaskLossAbortsRunningGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -63,25 +66,25 @@
 		d.removeAttempt(j.Attempts[0], "its machine is gone")
 		for _, a := range j.GangAttempts() {
 			if !a.Stopping || a.GraceSeconds != 0 {
-				t.Errorf("task %d goes on: %+v", a.Task, a)
+				t.Errorf("attempt of task %d is %+v, want it stopping at once", a.Task, a)
 			}
 		}
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 2 {
-			t.Errorf("%d attempts while the earlier one isn't over", len(j.Attempts))
+			t.Errorf("%d tasks while the earlier attempt isn't over, want its 2", len(j.Attempts))
 		}
 		for _, a := range j.GangAttempts() {
 			d.removeAttempt(a, "ended")
 		}
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 3 || j.Attempts[0].Number == 9 {
-			t.Errorf("begun anew as %+v", j.Gang)
+			t.Errorf("restarted as %+v with %d tasks, want 3 under a new number", j.Gang, len(j.Attempts))
 		}
 	})
 }
 
-// A worker that knows an attempt's end doesn't start it again: the replacement
-// under the same number goes elsewhere.
+// A worker doesn't start an attempt again whose exit it has recorded, so that a replacement under the same number is placed on
+// another machine.
 func TestGangReplacementAvoidsMachineOfSameAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -90,12 +93,12 @@
 		j.Attempts[0].State = worker.Exited
 		d.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
 		if len(j.Attempts) != 1 {
-			t.Fatalf("%d attempts are left", len(j.Attempts))
+			t.Fatalf("%d attempts are left, want 1", len(j.Attempts))
 		}
-		one.Images["img"] = cluster.Image{SizeGB: 1} // the better place, but for that
+		one.Images["img"] = cluster.Image{SizeGB: 1} // preferred otherwise
 		d.placeRound(time.Now())
 		if a := j.Attempts[0]; a == nil || a.Machine != two || a.Number != 9 {
-			t.Errorf("replaced by %+v", a)
+			t.Errorf("replaced by %+v, want attempt 9 on machine 2", a)
 		}
 	})
 }
@@ -107,13 +110,12 @@
 		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
 		if j.Done != 3 || j.Phase != storage.Done {
-			t.Errorf("%d of 3 done, phase %v", j.Done, j.Phase)
+			t.Errorf("%d tasks done in phase %v, want all 3 and done", j.Done, j.Phase)
 		}
 	})
 }
 
-// One task whose image doesn't come keeps its whole gang waiting, until all of it
-// gives up.
+// A task whose image pull doesn't complete would keep its whole gang waiting: after a while it is stopped, to be placed elsewhere.
 func TestGangTaskThatDoesNotStartIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -122,18 +124,18 @@
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
 		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
 		j.Attempts[1].State = worker.Pulling
-		d.nextSnapshot = time.Now().Add(time.Hour) // no snapshot of the fleet here
+		d.nextSnapshot = time.Now().Add(time.Hour) // no fleet snapshots in this test
 		if d.tick(); j.Attempts[1].Stopping {
-			t.Error("given up at once")
+			t.Error("the pulling task is stopped at once")
 		}
-		time.Sleep(s.GangWait * 45 / 100) // within the machines' leases
+		time.Sleep(s.GangWait * 45 / 100) // before the machines' leases expire
 		if d.tick(); j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
-			t.Errorf("the waiting one: %v, the other: %v", j.Attempts[0].Stopping, j.Attempts[1].Stopping)
+			t.Errorf("gathering task stopping: %v, pulling task stopping: %v; want false and true", j.Attempts[0].Stopping, j.Attempts[1].Stopping)
 		}
 	})
 }
 
-// A gang beyond what its team may use now takes nothing and stops nothing.
+// A gang beyond its team's remaining limit reserves nothing.
 func TestGangWaitsForTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -144,18 +146,18 @@
 		j := d.addAcceptedJob(withLimitedTeam(gangSpec("000002", 2)))
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 0 {
-			t.Error("placed beyond the limit")
+			t.Errorf("%d tasks are placed beyond the limit, want none", len(j.Attempts))
 		}
 		d.removeAttempt(other.Attempts[0], "ended")
 		other.RetryAfter = time.Now().Add(time.Hour)
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 2 {
-			t.Errorf("%d of 2 placed within the limit", len(j.Attempts))
+			t.Errorf("%d tasks are placed within the limit, want 2", len(j.Attempts))
 		}
 	})
 }
 
-// `alone` and `peers` are the gang's failure: its machine isn't left alone for them.
+// An exit caused by the other tasks of a gang is no failure of the machine: it isn't quarantined.
 func TestGangFailureIsNotMachineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -163,16 +165,15 @@
 		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
 		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
 		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
-			t.Errorf("failures of the machine %+v, of the job %+v", one.Failures, j.Failures)
+			t.Errorf("failures of the machine %+v and of the job %+v, want none", one.Failures, j.Failures)
 		}
 		if a := j.Attempts[1]; a == nil || !a.Stopping {
-			t.Error("the rest of an attempt that can't be completed goes on")
+			t.Errorf("the other task's attempt is %+v, want it stopping", a)
 		}
 	})
 }
 
-// A replacement joins the zone that the others hold, and a new attempt too stays out
-// of other zones until the earlier one is gone everywhere.
+// A replacement stays in the zone of the other tasks, and no attempt starts in another zone before the earlier one is gone.
 func TestGangStaysInZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -186,18 +187,17 @@
 		d.Reserve(d.addAcceptedJob(blocker), 0, full, time.Now())
 		d.placeRound(time.Now())
 		if a := j.Attempts[0]; a != nil {
-			t.Errorf("replaced on machine %d of another zone", a.Machine.ID)
+			t.Errorf("replaced on machine %d of another zone, want no replacement", a.Machine.ID)
 		}
 		d.removeAttempt(j.Attempts[1], "ended")
 		d.placeRound(time.Now())
 		if len(j.Attempts) != 2 || j.Attempts[0].Machine != other {
-			t.Errorf("begun anew with %d tasks", len(j.Attempts))
+			t.Errorf("restarted with %d tasks, want 2 in the other zone", len(j.Attempts))
 		}
 	})
 }
 
-// Users are told tasks as running until they exit, also those of a gang that is
-// being stopped or has lost a task.
+// Tasks are reported as running until they exit, even if their gang is being stopped or has lost a task.
 func TestStoppingGangTasksCountAsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -205,17 +205,16 @@
 		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
 		d.stopGang(j)
 		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
-			t.Errorf("told %+v", a)
+			t.Errorf("response %+v, want 3 running tasks", a)
 		}
 		d.removeAttempt(j.Attempts[0], "ended")
 		if a := responseOf(j); a.Running != 2 || a.State != api.StateRunning {
-			t.Errorf("told %+v", a)
+			t.Errorf("response %+v after a loss, want 2 running tasks", a)
 		}
 	})
 }
 
-// For arrays and services the number only tells one start from another: none is used
-// twice.
+// For arrays and services every start has an attempt number of its own.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -228,8 +227,8 @@
 			d.placeRound(time.Now())
 			for _, j := range []*cluster.Job{array, replicas} {
 				for _, a := range j.GangAttempts() {
-					if id, taken := used[a.Number]; taken {
-						t.Errorf("%v starts under the number of %v", a.ID(), id)
+					if id, ok := used[a.Number]; ok {
+						t.Errorf("%v starts under attempt number %d, which %v had", a.ID(), a.Number, id)
 					}
 					used[a.Number] = a.ID()
 					d.removeAttempt(a, "lost")
@@ -237,14 +236,13 @@
 			}
 		}
 		if len(used) != 3*7 {
-			t.Errorf("%d starts", len(used))
+			t.Errorf("%d starts, want %d", len(used), 3*7)
 		}
 	})
 }
 
-// A report of states that a gang can't be in changes nothing: tasks that the job
-// doesn't have, a gang that waits again after it ran, an end of an attempt that isn't
-// the present one.
+// Reports that no gang can cause change nothing: of a task that the job doesn't have, of the exit of another attempt, of
+// gathering after the start, and of an unknown job.
 func TestImpossibleGangReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
@@ -259,7 +257,7 @@
 			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
 		}
 		if n, _ := countStopping(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
-			t.Errorf("%d done, %d attempts, %d stopped, %+v", j.Done, len(j.Attempts), n, j.Gang)
+			t.Errorf("%d done, %d attempts, %d stopping, %+v; want two attempts that run on", j.Done, len(j.Attempts), n, j.Gang)
 		}
 	})
 }
