--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -33,10 +33,7 @@
 				sim.submit(clustertest.Service("000002", 2))
 				sim.cancel("000002")
 				sim.awaitArchived(2002)
-				back := sim.nodes[0]
-				if sim.awaitLeader() == back {
-					back = sim.nodes[1]
-				}
+				back := sim.follower()
 				back.restartWithVersion(upgrade.Version3)
 				for range kills {
 					time.Sleep(900 * time.Millisecond)
@@ -74,10 +71,7 @@
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(3000)
-		back := sim.nodes[0]
-		if sim.awaitLeader() == back {
-			back = sim.nodes[1]
-		}
+		back := sim.follower()
 		back.restartWithVersion(upgrade.Version3)
 		sim.eventually("some jobs are restored", time.Minute, func() bool { s := sim.archiveStatus(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
 		back.restartWithVersion(upgrade.Current)
@@ -98,10 +92,7 @@
 	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
-		back := sim.nodes[0]
-		if sim.awaitLeader() == back {
-			back = sim.nodes[1]
-		}
+		back := sim.follower()
 		back.restartWithVersion(upgrade.Version3)
 		sim.eventually("the status says why", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
 		if s := sim.archiveStatus(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
@@ -119,25 +110,15 @@
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.runToCompletion("000001")
 				sim.awaitArchived(1)
-				lead := sim.awaitLeader()
-				back := sim.nodes[0]
-				if lead == back {
-					back = sim.nodes[1]
-				}
+				back := sim.follower()
 				old := back.startUnregistered(version)
-				for _, n := range sim.nodes {
-					if n != back {
-						n.kill()
-					}
-				}
+				sim.killAllBut(back)
 				time.Sleep(time.Minute)
 				if n := old.terms.Load(); n > 0 {
 					t.Errorf("it became leader %d times, want never", n)
 				}
 				back.kill()
-				for _, n := range sim.nodes {
-					n.start()
-				}
+				sim.startAll()
 				sim.awaitLeader()
 				sim.checkFinalState("000001", api.StateDone)
 			})
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -66,11 +66,7 @@
 				stop := sim.pollContinuously("000001", s)
 				sim.awaitDone("000001")
 				time.Sleep(20 * time.Second)
-				for _, n := range sim.nodes {
-					if n.cancelRun == nil {
-						n.start()
-					}
-				}
+				sim.startKilled()
 				sim.state.Update(func(s *storagetest.Service) { s.Lose = nil })
 				sim.awaitLeader()
 				sim.awaitArchived(2)
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -154,9 +154,7 @@
 		sim.awaitArchived(1)
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000002", 2)
-		for _, n := range sim.nodes {
-			n.kill()
-		}
+		sim.killAll()
 		ops, err := archive.Build([]archive.Entry{
 			{Number: jobNumber(t, "000001"), FinalState: archive.FinalState{Done: 2}},
 			{Number: jobNumber(t, "000002"), FinalState: archive.FinalState{Cancelled: true}},
@@ -168,9 +166,7 @@
 			t.Fatal(err)
 		}
 		sim.withLock(func() { sim.cancelRequested["000002"] = true })
-		for _, n := range sim.nodes {
-			n.start()
-		}
+		sim.startAll()
 		sim.awaitLeader()
 		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
 		sim.awaitStopped("000002")
@@ -213,9 +209,7 @@
 // seedArchive stops the controllers, stores an archive of an earlier leader with its gate in use, and starts them again.
 func (sim *simulation) seedArchive(jobs int) {
 	sim.t.Helper()
-	for _, n := range sim.nodes {
-		n.kill()
-	}
+	sim.killAll()
 	time.Sleep(time.Minute)
 	entries := make([]archive.Entry, 0, jobs)
 	for i := range jobs {
@@ -234,9 +228,7 @@
 		sim.t.Fatal(err)
 	}
 	sim.writeKey(leadership.ClusterKey, record)
-	for _, n := range sim.nodes {
-		n.start()
-	}
+	sim.startAll()
 	sim.awaitLeader()
 }
 
@@ -291,9 +283,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001")
 		sim.awaitArchived(1)
-		for _, n := range sim.nodes {
-			n.kill()
-		}
+		sim.killAll()
 		chunks := sim.state.Keys("log/")
 		var next uint64
 		if _, err := fmt.Sscanf(chunks[len(chunks)-1], "log/%d", &next); err != nil {
@@ -310,9 +300,7 @@
 		if _, err := sim.state.Apply(nil, []storage.Op{{Key: storage.ChunkKey(next + 1), Data: data}}); err != nil {
 			t.Fatal(err)
 		}
-		for _, n := range sim.nodes {
-			n.start()
-		}
+		sim.startAll()
 		sim.awaitLeader()
 		sim.eventually("the page record is removed", 20*time.Second, func() bool {
 			journal, err := storage.OpenJournal(context.Background(), &storagetest.Client{Service: sim.state}, storage.NewLimitTracker(sim.settings.State), storage.Guard{})
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -231,11 +231,7 @@
 				back.restartWithVersion(upgrade.Version5)
 				sim.awaitRunning(coldModel, 1)
 				sim.awaitActive(upgrade.Version5, time.Minute)
-				for _, n := range sim.nodes {
-					if n != back {
-						n.kill()
-					}
-				}
+				sim.killAllBut(back)
 				if sim.awaitLeader() != back {
 					t.Errorf("%s doesn't lead, though no other controller runs", back.name)
 				}
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -65,13 +65,9 @@
 
 // restartAllNodes ends all controllers and begins them again.
 func (sim *simulation) restartAllNodes() {
-	for _, n := range sim.nodes {
-		n.kill()
-	}
+	sim.killAll()
 	time.Sleep(3 * time.Second)
-	for _, n := range sim.nodes {
-		n.start()
-	}
+	sim.startAll()
 }
 
 // All tasks of a job on one machine failed at once, and the job was taken for mistaken.
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -19,60 +19,59 @@
 	"sagevale/internal/upgrade"
 )
 
-// The versions that don't register: 3661d31 tells its peers nothing, af96c21 tells 2. The
-// loopback test outside CI runs their real binaries; here is what of them matters to the
-// others: how they take the lead, and what they tell.
+// Two earlier versions don't register: 3661d31 reports no version to its peers, af96c21 reports 2. The loopback test outside CI runs
+// their real binaries; this file models how they acquire leadership and what they report.
 
-// unregisteredProcess takes the lead as those versions do, and does nothing with it.
+// unregisteredProcess acquires leadership as those versions do, and does nothing as leader.
 type unregisteredProcess struct {
-	version int
-	terms   atomic.Int32
+	version int          // reported to peers
+	terms   atomic.Int32 // in which it has led
 }
 
 // startUnregistered replaces a node's process by one that doesn't register.
-func (n *fakeNode) startUnregistered(told int) *unregisteredProcess {
+func (n *fakeNode) startUnregistered(version int) *unregisteredProcess {
 	n.kill()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &unregisteredProcess{version: told}
+	p := &unregisteredProcess{version: version}
 	n.cancelRun = cancel
 	n.unregistered.Store(p)
 	go p.contend(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
 	return p
 }
 
-// contend takes the lead wherever it finds it free, and holds it for a while.
-func (p *unregisteredProcess) contend(ctx context.Context, svc storage.KeyValueStore, life time.Duration, node string) {
-	for clock.Sleep(ctx, life/20) {
-		if _, err := svc.Get(ctx, leadership.LeaderKey); err == nil {
+// contend acquires leadership whenever it is vacant, and resigns after three seconds.
+func (p *unregisteredProcess) contend(ctx context.Context, store storage.KeyValueStore, ttl time.Duration, node string) {
+	for clock.Sleep(ctx, ttl/20) {
+		if _, err := store.Get(ctx, leadership.LeaderKey); err == nil {
 			continue
 		}
-		lease, err := svc.Grant(ctx, life)
+		lease, err := store.Grant(ctx, ttl)
 		if err != nil {
 			continue
 		}
 		term := uint64(0)
-		item, err := svc.Get(ctx, leadership.TermKey)
+		item, err := store.Get(ctx, leadership.TermKey)
 		if err == nil && json.Unmarshal(item.Data, &term) != nil {
-			continue // "term record: ..."
+			continue // a fenced term, which these versions can't read
 		}
-		lead, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
+		leader, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
 		next, _ := json.Marshal(term + 1)
-		if _, err = svc.Txn(ctx, []storage.Guard{{Key: leadership.LeaderKey}, {Key: leadership.TermKey, Version: item.Version}},
-			[]storage.Op{{Key: leadership.LeaderKey, Data: lead, Lease: lease}, {Key: leadership.TermKey, Data: next}}); err != nil {
+		if _, err = store.Txn(ctx, []storage.Guard{{Key: leadership.LeaderKey}, {Key: leadership.TermKey, Version: item.Version}},
+			[]storage.Op{{Key: leadership.LeaderKey, Data: leader, Lease: lease}, {Key: leadership.TermKey, Data: next}}); err != nil {
 			continue
 		}
 		p.terms.Add(1)
-		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, life/5); {
-			if svc.Renew(ctx, lease) != nil {
+		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, ttl/5); {
+			if store.Renew(ctx, lease) != nil {
 				break
 			}
 		}
-		_ = svc.Revoke(ctx, lease)
+		_ = store.Revoke(ctx, lease)
 	}
 }
 
-// 3661d31 comes back while a gang job is in use: it can't take the lead, though nobody else
-// holds it, until all that it can't read is gone.
+// 3661d31 returns while a gang job is open: it can't become leader, even if leadership is vacant, before everything that it can't
+// read is gone.
 func TestUnregisteredProcessIsFencedDuringGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -80,49 +79,41 @@
 		g := clustertest.Array("000002", 3)
 		g.Gang, g.EstimateS = true, 120
 		sim.submit(g)
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		back := sim.nodes[0]
-		if lead == back {
+		if leader == back {
 			back = sim.nodes[1]
 		}
-		old := back.startUnregistered(0)
-		lead.kill()
+		older := back.startUnregistered(0)
+		leader.kill()
 		time.Sleep(20 * time.Second)
 		sim.awaitLeader()
-		lead.start()
-		if n := old.terms.Load(); n > 0 {
-			t.Errorf("it led %d times beside a gang job", n)
+		leader.start()
+		if n := older.terms.Load(); n > 0 {
+			t.Errorf("it became leader %d times while a gang job was open, want never", n)
 		}
-		sim.eventually("withdrawing", 20*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
+		sim.eventually("the gate is being withdrawn", 20*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
 		sim.awaitDone("000002")
 		sim.awaitActive(upgrade.Version1, time.Minute)
-		sim.eventually("not fenced", 20*time.Second, func() bool { return sim.clusterRecord().Fence == 0 })
-		for _, n := range sim.nodes {
-			if n != back {
-				n.kill()
-			}
-		}
-		sim.eventually("it leads", 20*time.Second, func() bool { return old.terms.Load() > 0 })
+		sim.eventually("the fence is removed", 20*time.Second, func() bool { return sim.clusterRecord().Fence == 0 })
+		sim.killAllBut(back)
+		sim.eventually("the older version leads", 20*time.Second, func() bool { return older.terms.Load() > 0 })
 		back.restartWithVersion(upgrade.Current)
-		for _, n := range sim.nodes {
-			if n.cancelRun == nil {
-				n.start()
-			}
-		}
+		sim.startKilled()
 		sim.awaitActive(upgrade.Current, 2*time.Minute)
 		sim.awaitRunning("000001", 2)
 	})
 }
 
-// Before anything depends on a gate all nodes may go back to 3661d31 at once: it leads.
+// Before a gate is used, all nodes may be rolled back to 3661d31 at once, and it leads.
 func TestUnregisteredProcessLeadsBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		old := sim.nodes[0].startUnregistered(0)
+		older := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("it leads", time.Minute, func() bool { return old.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return older.terms.Load() > 0 })
 		for _, n := range sim.nodes {
 			n.restartWithVersion(upgrade.Current)
 		}
@@ -131,28 +122,27 @@
 	})
 }
 
-// af96c21 reads gang jobs and compressed chunks. Beside it they stay in force, nothing is
-// fenced, and it may lead.
+// af96c21 reads gang jobs and compressed chunks, so that their gates stay open, there is no fence, and it may lead.
 func TestUnregisteredVersion2CanLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		g := clustertest.Array("000002", 3)
 		g.Gang, g.EstimateS = true, 600
 		sim.submit(g)
-		old := sim.nodes[0].startUnregistered(2)
+		older := sim.nodes[0].startUnregistered(2)
 		sim.awaitLeader()
 		sim.awaitActive(upgrade.Version2, time.Minute)
-		sim.eventually("not fenced", time.Minute, func() bool { return sim.clusterRecord().Fence == 0 })
+		sim.eventually("the fence is removed", time.Minute, func() bool { return sim.clusterRecord().Fence == 0 })
 		if r := sim.clusterRecord(); !r.Gate(upgrade.GangJobs).Usable() {
-			t.Errorf("%+v", r)
+			t.Errorf("cluster record %+v, want gang jobs usable", r)
 		}
 		sim.nodes[1].kill()
 		sim.nodes[2].kill()
-		sim.eventually("it leads", time.Minute, func() bool { return old.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return older.terms.Load() > 0 })
 	})
 }
 
-// fieldsOf3661d31 are the fields of records that 3661d31 knows, by kind of record.
+// fieldsOf3661d31 lists the fields that 3661d31 knows, by kind of record.
 var fieldsOf3661d31 = map[byte][]string{
 	storage.KindJob:     {"f", "n", "a", "s", "d"},
 	storage.KindPage:    {"d", "a"},
@@ -161,8 +151,8 @@
 	storage.KindFleet:   {"n", "t"},
 }
 
-// While version 1 is active nothing is written that 3661d31 can't read, not even where the
-// state service takes less: chunks are plain, records whole, fields known.
+// While version 1 is active, 3661d31 can read all that is written, even under lowered limits: chunks are uncompressed, records are
+// whole and all fields known.
 func TestStoredRecordsAreReadableBy3661d31(t *testing.T) {
 	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
@@ -179,7 +169,7 @@
 		for _, it := range items {
 			var records [][]json.RawMessage
 			if err := json.Unmarshal(it.Data, &records); err != nil {
-				t.Fatalf("%s is no list of records: %.60s", it.Key, it.Data)
+				t.Fatalf("%s is no list of records: %.60s: %v", it.Key, it.Data, err)
 			}
 			for _, r := range records {
 				checkReadableBy3661d31(t, r)
@@ -187,11 +177,12 @@
 		}
 		term, err := client.Get(context.Background(), leadership.TermKey)
 		if err != nil || bytes.ContainsAny(term.Data, "{") {
-			t.Errorf("term %s, %v", term.Data, err)
+			t.Errorf("term record %s, %v, want a plain number", term.Data, err)
 		}
 	})
 }
 
+// checkReadableBy3661d31 checks that a record is whole and has only fields that 3661d31 knows.
 func checkReadableBy3661d31(t *testing.T, record []json.RawMessage) {
 	t.Helper()
 	if len(record) > 2 {
@@ -200,7 +191,7 @@
 	key := strings.Trim(string(record[0]), `"`)
 	var fields map[string]json.RawMessage
 	if len(record) < 2 || json.Unmarshal(record[1], &fields) != nil {
-		return // removed, or the catalogue
+		return // a removal, or the machine types
 	}
 	for name := range fields {
 		if !slices.Contains(fieldsOf3661d31[key[0]], name) {
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -16,10 +16,10 @@
 	"sagevale/internal/upgrade"
 )
 
-// What happens between a check and the write that rests on it. Each test fails without the
-// guard that it is about.
+// The tests of this file change the store between a check and the write that depends on it. Each fails without the guard of that
+// write.
 
-// writeKey writes keys as some other process would, whatever else goes on.
+// writeKey writes a key as another process would, without guards.
 func (sim *simulation) writeKey(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// beforeFirstWrite has f run before the first transaction that sets a key to such a value.
+// beforeFirstWrite calls f before the first transaction that sets a key to a value which contains the given text.
 func (sim *simulation) beforeFirstWrite(key, value string, f func()) {
 	var done atomic.Bool
 	sim.state.Update(func(s *storagetest.Service) {
@@ -42,11 +42,12 @@
 	})
 }
 
+// writes reports whether a transaction writes a key.
 func writes(tx storagetest.Txn, key string) bool {
 	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key })
 }
 
-// clusterHistory lists all that the cluster record has been.
+// clusterHistory returns all revisions of the cluster record.
 func (sim *simulation) clusterHistory() (history []upgrade.Record) {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
@@ -64,7 +65,7 @@
 	return history
 }
 
-// registrationOf reads a node's registration.
+// registrationOf reads a node's stored registration.
 func (sim *simulation) registrationOf(node string) upgrade.Registration {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
@@ -79,7 +80,7 @@
 	return registration
 }
 
-// gangJobsInUse is a cluster record under which a process of version 1 must not lead.
+// gangJobsInUse returns a cluster record under which a process of version 1 must not lead.
 func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
@@ -99,7 +100,7 @@
 		time.Sleep(20 * time.Second)
 		for _, record := range sim.clusterHistory() {
 			if record.Active != upgrade.Version1 {
-				t.Errorf("activated beside an older process: %+v", record)
+				t.Errorf("cluster record %+v, want version 1 active while an older process is registered", record)
 			}
 		}
 		sim.nodes[2].restart()
@@ -119,7 +120,7 @@
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
-			t.Error("a process of version 1 leads beside a gang job")
+			t.Error("a process of version 1 leads while gang jobs are in use")
 		}
 		sim.nodes[1].restartWithVersion(upgrade.Current)
 		sim.nodes[2].restartWithVersion(upgrade.Current)
@@ -131,16 +132,14 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submitGang("000001")
-		for _, n := range sim.nodes {
-			n.kill()
-		}
+		sim.killAll()
 		sim.nodes[0].restartWithVersion(upgrade.Version1)
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
-			t.Error("a process of version 1 leads beside a gang job")
+			t.Error("a process of version 1 leads while gang jobs are in use")
 		}
 		if a := sim.requestFrom(sim.nodes[0], api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
-			t.Errorf("it answers %+v", a)
+			t.Errorf("it answers %+v, want unavailable", a)
 		}
 		sim.nodes[1].start()
 		sim.awaitDone("000001")
@@ -151,10 +150,7 @@
 func TestRegistrationDetectsConcurrentFinalization(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		back := sim.nodes[0]
-		if sim.awaitLeader() == back {
-			back = sim.nodes[1]
-		}
+		back := sim.follower()
 		back.kill()
 		sim.beforeFirstWrite(leadership.RegistrationPrefix+back.name, "", func() {
 			record := sim.clusterRecord()
@@ -162,9 +158,9 @@
 			sim.writeKey(leadership.ClusterKey, record)
 		})
 		back.restartWithVersion(upgrade.Version2)
-		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
+		sim.eventually("the start is refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
 		if r := sim.registrationOf(back.name); r.Max != upgrade.Current {
-			t.Errorf("it registered all the same: %+v", r)
+			t.Errorf("registration %+v, want that of the earlier process up to version %d", r, upgrade.Current)
 		}
 	})
 }
@@ -173,24 +169,24 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
-		time.Sleep(10 * time.Second) // the record moves no more, which would bar it too
+		time.Sleep(10 * time.Second) // until the record is stable, whose changes would reject the registration too
 		node := sim.nodes[0]
 		node.kill()
-		var late atomic.Bool
+		var delayed atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !writes(tx, leadership.RegistrationPrefix+node.name) || !late.CompareAndSwap(false, true) {
+				if !writes(tx, leadership.RegistrationPrefix+node.name) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
 			}
 		})
-		node.restartWithVersion(upgrade.Version1) // its registration is carried out late
+		node.restartWithVersion(upgrade.Version1) // its registration is delayed
 		time.Sleep(200 * time.Millisecond)
 		node.restartWithVersion(upgrade.Current)
 		time.Sleep(30 * time.Second)
 		if r := sim.registrationOf(node.name); r.Max != upgrade.Current {
-			t.Errorf("the earlier process's registration stands: %+v", r)
+			t.Errorf("registration %+v of the earlier process, want that of the present one up to version %d", r, upgrade.Current)
 		}
 	})
 }
@@ -198,23 +194,21 @@
 func TestProcessWithoutRegistrationCannotLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		for _, n := range sim.nodes {
-			n.kill()
-		}
+		sim.killAll()
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Drop = func(tx storagetest.Txn) bool { return writes(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
-			t.Error("it leads, though the fleet may count it by an earlier process")
+			t.Error("a process leads though only an earlier process of its node is registered")
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
 		sim.awaitLeader()
 	})
 }
 
-// A leader whose step has gone unanswered reads the record again before the next.
+// After an unanswered step the leader reads the record again before the next one.
 func TestUnansweredUpgradeStepIsReadAgain(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -234,36 +228,34 @@
 		sim.submitGang("000001")
 		sim.awaitDone("000001")
 		if n := lost.Load(); n < 3 {
-			t.Errorf("only %d answers were lost", n)
+			t.Errorf("%d responses were lost, want at least 3", n)
 		}
 	})
 }
 
-// A deposed leader's step that comes late must not move the record under its successor.
+// A delayed step of a former leader must not change the record under its successor.
 func TestLateUpgradeStepOfFormerLeaderIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
-		lead := sim.awaitLeader()
-		var held atomic.Bool
+		leader := sim.awaitLeader()
+		var delayed atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !writesClusterRecord(tx) || !held.CompareAndSwap(false, true) {
+				if !writesClusterRecord(tx) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
 			}
 		})
 		sim.restartAllWithVersion(upgrade.Current)
-		sim.eventually("a step is late", time.Minute, held.Load)
-		for _, n := range sim.nodes {
-			n.kill()
-		}
+		sim.eventually("a step is delayed", time.Minute, delayed.Load)
+		sim.killAll()
 		before := len(sim.clusterHistory())
-		time.Sleep(16 * time.Second) // no successor steps before the late one comes
+		time.Sleep(16 * time.Second) // until the delayed step has arrived, before a successor takes one
 		if history := sim.clusterHistory(); len(history) > before {
-			t.Errorf("carried out for a leader that has ended: %+v", history[before:])
+			t.Errorf("changes %+v of the cluster record by a former leader, want none", history[before:])
 		}
-		lead.start()
+		leader.start()
 		sim.awaitLeader()
 	})
 }
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -15,45 +15,41 @@
 	"sagevale/internal/upgrade"
 )
 
-// One controller goes back while a gang job is in use: it answers, but doesn't lead; the
-// gate is withdrawn once the gang is over, and then it leads.
+// One controller is rolled back while a gang job is open: it answers, but doesn't lead. The gate is withdrawn once the gang is done,
+// and then the controller may lead.
 func TestRollbackOfOneController(t *testing.T) {
-	for _, leader := range []bool{false, true} {
-		t.Run(fmt.Sprintf("leader=%v", leader), func(t *testing.T) {
+	for _, rollBackLeader := range []bool{false, true} {
+		t.Run(fmt.Sprintf("leader=%v", rollBackLeader), func(t *testing.T) {
 			runSimulation(t, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000001", 3))
 				sim.submitGang("000002")
 				back := sim.nodes[2]
-				if lead := sim.awaitLeader(); leader == (lead != back) {
-					back = lead
+				if leader := sim.awaitLeader(); rollBackLeader == (leader != back) {
+					back = leader
 				}
-				if !leader && back == sim.awaitLeader() {
+				if !rollBackLeader && back == sim.awaitLeader() {
 					back = sim.nodes[0]
 				}
 				back.restartWithVersion(upgrade.Version1)
 				if sim.awaitLeader() == back {
-					t.Error("it leads beside a gang job")
+					t.Errorf("%s leads while a gang job is open", back.name)
 				}
 				refused := clustertest.Array("000003", 3)
 				refused.Gang = true
-				sim.eventually("answers", 10*time.Second, func() bool {
+				sim.eventually("the older version answers", 10*time.Second, func() bool {
 					a := sim.requestFrom(back, api.OpPoll, "000002", storage.Spec{})
 					return a.Decided()
 				})
-				sim.eventually("withdrawing", 10*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
+				sim.eventually("the gate is being withdrawn", 10*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
 				if a := sim.requestFrom(back, api.OpSubmit, refused.ID, refused); a.Decided() {
-					t.Errorf("a gang job is taken during the withdrawal: %+v", a)
+					t.Errorf("a gang job is answered %+v during the withdrawal, want no decision", a)
 				}
 				sim.awaitDone("000002")
 				sim.awaitActive(upgrade.Version1, time.Minute)
-				for _, n := range sim.nodes {
-					if n != back {
-						n.kill()
-					}
-				}
+				sim.killAllBut(back)
 				if sim.awaitLeader() != back {
-					t.Error("it doesn't lead")
+					t.Errorf("%s doesn't lead, though no other controller runs", back.name)
 				}
 				sim.awaitRunning("000001", 3)
 				sim.submit(clustertest.Array("000004", 4))
@@ -63,8 +59,7 @@
 	}
 }
 
-// All controllers go back at once before anything depends on a gate: nothing is stuck, and
-// the fleet may be upgraded again.
+// All controllers are rolled back at once before a gate is used: they carry on, and the fleet may be upgraded again.
 func TestRollbackOfAllBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -73,7 +68,7 @@
 		sim.awaitLeader()
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		if r := sim.clusterRecord(); r.Phase != upgrade.Stable || r.Gate(upgrade.GangJobs).Phase != "" {
-			t.Errorf("%+v", r)
+			t.Errorf("cluster record %+v, want it stable without the gate", r)
 		}
 		sim.awaitRunning("000001", 3)
 		sim.restartAllWithVersion(upgrade.Current)
@@ -83,11 +78,10 @@
 	})
 }
 
-// Chunks are compressed under lowered limits; going back rewrites them, wherever the leader
-// ends meanwhile.
+// Chunks are compressed under lowered limits. A rollback rewrites them, even if leaders are restarted meanwhile.
 func TestRollbackDuringMigration(t *testing.T) {
-	for kills := range 4 {
-		t.Run(fmt.Sprint(kills), func(t *testing.T) {
+	for restarts := range 4 {
+		t.Run(fmt.Sprintf("%d leader restarts", restarts), func(t *testing.T) {
 			next := &storage.Limits{ChangesPerS: 30, ValueBytes: 3072, TxnOps: 6}
 			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = next }, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
@@ -96,30 +90,23 @@
 				}
 				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
 				sim.submit(clustertest.Array("000100", 60))
-				sim.eventually("compressed", time.Minute, func() bool {
+				sim.eventually("chunks are compressed", time.Minute, func() bool {
 					return sim.clusterRecord().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
 				})
-				back := sim.nodes[0]
-				if sim.awaitLeader() == back {
-					back = sim.nodes[1]
-				}
+				back := sim.follower()
 				back.restartWithVersion(upgrade.Version1)
-				for range kills {
+				for range restarts {
 					time.Sleep(700 * time.Millisecond)
-					if lead := sim.leader(); lead != nil && lead != back {
-						lead.restart()
+					if leader := sim.leader(); leader != nil && leader != back {
+						leader.restart()
 					}
 					sim.awaitLeader()
 				}
 				sim.awaitActive(upgrade.Version1, 3*time.Minute)
 				if n := sim.encodedChunks(); n > 0 {
-					t.Errorf("%d encoded chunks are left", n)
-				}
-				for _, n := range sim.nodes {
-					if n != back {
-						n.kill()
-					}
+					t.Errorf("%d compressed chunks are left, want none", n)
 				}
+				sim.killAllBut(back)
 				sim.awaitLeader()
 				for i := range 12 {
 					sim.awaitDone(fmt.Sprintf("%06d", i+1))
@@ -129,23 +116,23 @@
 	}
 }
 
-// encodedChunks counts the stored chunks that the first versions can't read.
+// encodedChunks counts the stored chunks that are compressed, which version 1 can't read.
 func (sim *simulation) encodedChunks() int {
 	client := &storagetest.Client{Service: sim.state}
 	items, _, _, err := client.List(context.Background(), "log/", "", 1000)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	n := 0
+	encoded := 0
 	for _, it := range items {
 		if storage.IsEncoded(it.Data) {
-			n++
+			encoded++
 		}
 	}
-	return n
+	return encoded
 }
 
-// After finalization an older process ends and says what it needs; the others go on.
+// After finalization a process of an older version exits and says which version is needed; the others are unaffected.
 func TestFinalizedVersionRejectsOlderProcesses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
@@ -153,36 +140,36 @@
 			n.restart()
 		}
 		sim.submit(clustertest.Service("000001", 3))
-		sim.eventually("finalized", time.Minute, func() bool { return sim.clusterRecord().Minimum == upgrade.Current })
+		sim.eventually("the version is finalized", time.Minute, func() bool { return sim.clusterRecord().Minimum == upgrade.Current })
 		back := sim.awaitLeader()
 		back.restartWithVersion(upgrade.Version2)
-		sim.eventually("refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
+		sim.eventually("the start is refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
 		if why := (*back.refusal.Load()).Error(); !strings.Contains(why, fmt.Sprintf("version %d or later is needed", upgrade.Current)) || strings.Contains(why, "\n") {
-			t.Errorf("it ends with %q", why)
+			t.Errorf("it exits with %q, want one line with the version needed", why)
 		}
 		sim.awaitLeader()
 		sim.submit(clustertest.Array("000002", 3))
 		sim.awaitDone("000002")
 		sim.awaitRunning("000001", 3)
 		if r := sim.clusterRecord(); r.Active != upgrade.Current || r.Phase != upgrade.Finalized {
-			t.Errorf("%+v", r)
+			t.Errorf("cluster record %+v, want version %d finalized", r, upgrade.Current)
 		}
 	})
 }
 
-// The leader itself goes back just after the activation, before and after a gate's use.
+// The leader is rolled back right after an activation, and upgraded again.
 func TestRollbackOfLeaderAfterActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		sim.restartAllWithVersion(upgrade.Current)
 		sim.eventually("version 2 active", time.Minute, func() bool { return sim.clusterRecord().Active >= upgrade.Version2 })
-		lead := sim.awaitLeader()
-		lead.restartWithVersion(upgrade.Version1)
+		leader := sim.awaitLeader()
+		leader.restartWithVersion(upgrade.Version1)
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		sim.submit(clustertest.Array("000001", 3))
 		sim.awaitDone("000001")
-		lead.restartWithVersion(upgrade.Current)
+		leader.restartWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, time.Minute)
 	})
 }
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -22,7 +21,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// clusterRecord reads the cluster record as it is stored.
+// clusterRecord reads the stored cluster record.
 func (sim *simulation) clusterRecord() upgrade.Record {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
@@ -37,7 +36,7 @@
 	return record
 }
 
-// awaitActive waits until a version is active and nothing is being withdrawn.
+// awaitActive waits until a version is active and no gate is being withdrawn.
 func (sim *simulation) awaitActive(version upgrade.Version, within time.Duration) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("version %d active", version), within, func() bool {
@@ -46,14 +45,52 @@
 	})
 }
 
-// restartAllWithVersion begins all nodes anew with a version.
+// restartAllWithVersion restarts all nodes with a version.
+// follower returns a node that doesn't lead.
+func (sim *simulation) follower() *fakeNode {
+	sim.t.Helper()
+	if sim.awaitLeader() == sim.nodes[0] {
+		return sim.nodes[1]
+	}
+	return sim.nodes[0]
+}
+
+func (sim *simulation) killAll() {
+	for _, n := range sim.nodes {
+		n.kill()
+	}
+}
+
+func (sim *simulation) killAllBut(survivor *fakeNode) {
+	for _, n := range sim.nodes {
+		if n != survivor {
+			n.kill()
+		}
+	}
+}
+
+func (sim *simulation) startAll() {
+	for _, n := range sim.nodes {
+		n.start()
+	}
+}
+
+// startKilled starts the nodes that don't run.
+func (sim *simulation) startKilled() {
+	for _, n := range sim.nodes {
+		if n.cancelRun == nil {
+			n.start()
+		}
+	}
+}
+
 func (sim *simulation) restartAllWithVersion(version upgrade.Version) {
 	for _, n := range sim.nodes {
 		n.restartWithVersion(version)
 	}
 }
 
-// submitGang submits a gang job, again and again until it is accepted.
+// submitGang submits a gang job until it is accepted.
 func (sim *simulation) submitGang(id string) {
 	sim.t.Helper()
 	g := clustertest.Array(id, 3)
@@ -62,11 +99,10 @@
 }
 
 func writesClusterRecord(tx storagetest.Txn) bool {
-	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == leadership.ClusterKey })
+	return writes(tx, leadership.ClusterKey)
 }
 
-// New behaviour stays off until the last controller has it, and a gang job is told to come
-// back until then.
+// New behaviour is disabled until every controller supports it; until then gang jobs are left undecided, so that users retry.
 func TestGatesOpenOnceAllControllersAreUpgraded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -76,10 +112,10 @@
 		sim.storeSpec(g)
 		for i, n := range sim.nodes {
 			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
-				t.Errorf("with %d nodes upgraded the gang job is answered %+v", i, a)
+				t.Errorf("with %d nodes upgraded a gang job is answered %+v, want no decision", i, a)
 			}
 			if r := sim.clusterRecord(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
-				t.Errorf("with %d nodes upgraded: %+v", i, r)
+				t.Errorf("cluster record with %d nodes upgraded is %+v, want version 1 without the gate", i, r)
 			}
 			n.restartWithVersion(upgrade.Current)
 			time.Sleep(10 * time.Second)
@@ -91,28 +127,27 @@
 	})
 }
 
-// A transaction of the upgrade is lost, carried out without an answer, or late, and the
-// leader ends with it: whoever leads goes on from the record.
+// A transaction of the upgrade is lost, committed without a response, or delayed, and the leader may crash with it. The next leader
+// continues from the record.
 func TestUpgradeSurvivesLostStep(t *testing.T) {
-	for _, fate := range []string{"dropped", "unanswered", "late"} {
+	for _, fault := range []string{"dropped", "unanswered", "delayed"} {
 		for _, kill := range []bool{false, true} {
 			for step := range 4 {
-				t.Run(fmt.Sprintf("%s/kill=%v/%d", fate, kill, step), func(t *testing.T) {
-					runSimulation(t, func(sim *simulation) { sim.runUpgradeWithLostStep(fate, kill, step) })
+				t.Run(fmt.Sprintf("%s/kill=%v/%d", fault, kill, step), func(t *testing.T) {
+					runSimulation(t, func(sim *simulation) { sim.runUpgradeWithLostStep(fault, kill, step) })
 				})
 			}
 		}
 	}
 }
 
-// runUpgradeWithLostStep has the nth transaction on the cluster record meet its fate, during an upgrade
-// and the use of a gate.
-func (sim *simulation) runUpgradeWithLostStep(fate string, kill bool, step int) {
+// runUpgradeWithLostStep upgrades the fleet and uses a gate, while the given transaction on the cluster record meets a fault.
+func (sim *simulation) runUpgradeWithLostStep(fault string, kill bool, step int) {
 	sim.restartAllWithVersion(upgrade.Version1)
 	sim.submit(clustertest.Service("000001", 2))
 	sim.awaitLeader()
 	var seen atomic.Int32
-	hit := func(tx storagetest.Txn) bool {
+	matches := func(tx storagetest.Txn) bool {
 		if !writesClusterRecord(tx) {
 			return false
 		}
@@ -121,22 +156,22 @@
 		}
 		if kill {
 			time.AfterFunc(time.Millisecond, func() {
-				if lead := sim.leader(); lead != nil {
-					lead.restart()
+				if leader := sim.leader(); leader != nil {
+					leader.restart()
 				}
 			})
 		}
 		return true
 	}
 	sim.state.Update(func(s *storagetest.Service) {
-		switch fate {
+		switch fault {
 		case "dropped":
-			s.Drop = hit
+			s.Drop = matches
 		case "unanswered":
-			s.Lose = hit
-		case "late":
+			s.Lose = matches
+		case "delayed":
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if hit(tx) {
+				if matches(tx) {
 					return 20 * time.Second
 				}
 				return 0
@@ -147,24 +182,24 @@
 	sim.awaitActive(upgrade.Current, time.Minute)
 	sim.submitGang("000002")
 	sim.awaitDone("000002")
-	time.Sleep(30 * time.Second) // what is late has come
+	time.Sleep(30 * time.Second) // until the delayed transaction has arrived
 	if r := sim.clusterRecord(); r.Active != upgrade.Current || !r.Gate(upgrade.GangJobs).Usable() {
-		sim.t.Errorf("%+v", r)
+		sim.t.Errorf("cluster record %+v, want version %d with usable gang jobs", r, upgrade.Current)
 	}
 	sim.awaitRunning("000001", 2)
 }
 
-// The state service is out through the whole window, or refuses one node only, or lowers
-// its limits in the middle: the upgrade is held up, and nothing else.
+// Throughout the upgrade the key-value store is unavailable, to all nodes or to one, or its limits are lowered. That delays the
+// upgrade and nothing else.
 func TestUpgradeDuringStoreFaults(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		trouble func(sim *simulation)
-		mended  func(sim *simulation)
+		name  string
+		begin func(sim *simulation)
+		end   func(sim *simulation)
 	}{
-		{"out", func(sim *simulation) { sim.state.Outage(true) }, func(sim *simulation) { sim.state.Outage(false) }},
-		{"refuses one", func(sim *simulation) { sim.nodes[1].cutStore.Store(true) }, func(sim *simulation) { sim.nodes[1].cutStore.Store(false) }},
-		{"lowers its limits", func(sim *simulation) {
+		{"outage", func(sim *simulation) { sim.state.Outage(true) }, func(sim *simulation) { sim.state.Outage(false) }},
+		{"one node cut off", func(sim *simulation) { sim.nodes[1].cutStore.Store(true) }, func(sim *simulation) { sim.nodes[1].cutStore.Store(false) }},
+		{"lowered limits", func(sim *simulation) {
 			sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		}, func(*simulation) {}},
 	} {
@@ -173,12 +208,12 @@
 				sim.restartAllWithVersion(upgrade.Version1)
 				sim.submit(clustertest.Service("000001", 3))
 				sim.awaitRunning("000001", 3)
-				c.trouble(sim)
+				c.begin(sim)
 				for _, n := range sim.nodes {
 					n.restartWithVersion(upgrade.Current)
 					time.Sleep(5 * time.Second)
 				}
-				c.mended(sim)
+				c.end(sim)
 				sim.awaitActive(upgrade.Current, 2*time.Minute)
 				sim.submitGang("000002")
 				sim.awaitDone("000002")
@@ -188,7 +223,7 @@
 	}
 }
 
-// A damaged cluster record: nobody guesses, nobody leads, and users are told to come back.
+// With a damaged cluster record no controller leads, and users are asked to retry.
 func TestDamagedClusterRecordPreventsLeadership(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -204,22 +239,22 @@
 			}
 		}
 		set(`{"schema":1,"active":0}`)
-		// The leader has no reason to look until a registration changes.
+		// The leader reads the record again only when a registration changes.
 		sim.writeKey(leadership.RegistrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
 		time.Sleep(10 * time.Second)
-		if lead := sim.leader(); lead != nil {
-			t.Errorf("%s leads on", lead.name)
+		if leader := sim.leader(); leader != nil {
+			t.Errorf("%s still leads", leader.name)
 		}
 		for _, n := range sim.nodes {
 			n.restart()
 		}
 		time.Sleep(20 * time.Second)
-		if lead := sim.leader(); lead != nil {
-			t.Errorf("%s leads", lead.name)
+		if leader := sim.leader(); leader != nil {
+			t.Errorf("%s leads after its restart", leader.name)
 		}
 		for _, n := range sim.nodes {
 			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
-				t.Errorf("%s answers %+v", n.name, a)
+				t.Errorf("%s answers %+v, want unavailable with a time to retry", n.name, a)
 			}
 		}
 		set(string(good.Data))
@@ -228,7 +263,7 @@
 	})
 }
 
-// A damaged registration holds the activation up until its node registers anew.
+// A damaged registration delays the activation until its node registers again.
 func TestDamagedRegistrationDelaysActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -243,7 +278,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		if r := sim.clusterRecord(); r.Active != upgrade.Version1 {
-			t.Errorf("%+v", r)
+			t.Errorf("cluster record %+v, want version 1 active", r)
 		}
 		sim.nodes[2].restartWithVersion(upgrade.Current)
 		sim.awaitActive(upgrade.Current, 20*time.Second)
@@ -272,8 +307,8 @@
 	})
 }
 
-// A seeded history of upgrades, rollbacks, kills, cuts and outages under a stream of jobs:
-// the simulation watches that no task is lost or runs twice, and that no answer goes back.
+// Random upgrades, rollbacks, restarts, partitions and outages under a stream of jobs. The simulation checks that no task is lost or
+// runs twice, and that no response goes back behind an earlier one.
 func TestRandomUpgradesAndRollbacks(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -282,6 +317,7 @@
 	}
 }
 
+// runRandomUpgrades runs fourteen random steps, and then upgrades the fleet.
 func (sim *simulation) runRandomUpgrades(random *rand.Rand) {
 	sim.restartAllWithVersion(upgrade.Version(1 + random.IntN(3)))
 	sim.submit(clustertest.Service("000001", 4))
@@ -316,13 +352,13 @@
 	sim.awaitDone("000100")
 }
 
-// A target that another leader has gone beyond refuses a process that begins, in one line,
-// but ends none that serves.
+// If another leader has activated a version above a node's target, the node doesn't start and says why in one line; a running
+// one isn't stopped.
 func TestTargetBelowActiveVersion(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		held := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
+		limitTarget := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
 		for _, n := range sim.nodes {
-			n.upgrade = held
+			n.upgrade = limitTarget
 			n.restart()
 		}
 		sim.awaitActive(upgrade.Version2, time.Minute)
@@ -331,7 +367,7 @@
 			if n.node.settings.Tuning.Upgrade.Policy.Target == 0 {
 				continue
 			}
-			n.cutStore.Store(true) // so that the one without a target leads
+			n.cutStore.Store(true) // so that the node without a target leads
 			defer n.cutStore.Store(false)
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -339,25 +375,24 @@
 			n.cutStore.Store(false)
 		}
 		sim.awaitLeader().kill()
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		if r := sim.clusterRecord(); r.Active != upgrade.Current {
-			t.Errorf("the target of the next leader lowers the version: %+v", r)
+			t.Errorf("cluster record %+v, want version %d active despite the next leader's target", r, upgrade.Current)
 		}
-		lead.restart()
-		sim.eventually("refused", 20*time.Second, func() bool { return lead.refusal.Load() != nil })
-		if why := (*lead.refusal.Load()).Error(); !strings.HasPrefix(why, "upgrade.target: ") || strings.Contains(why, "\n") {
-			t.Errorf("refused with %q", why)
+		leader.restart()
+		sim.eventually("the start is refused", 20*time.Second, func() bool { return leader.refusal.Load() != nil })
+		if why := (*leader.refusal.Load()).Error(); !strings.HasPrefix(why, "upgrade.target: ") || strings.Contains(why, "\n") {
+			t.Errorf("refused with %q, want one line on upgrade.target", why)
 		}
 	})
 }
 
-// A state service that answers slowly keeps nobody from registering and leading that it did
-// not keep from leading before: reading the cluster record has a time of its own.
+// A slow key-value store prevents neither registration nor leadership, because reading the cluster record has a timeout of its own.
 func TestElectionWithSlowStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four more
+		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four take more
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = slow })
 		for _, n := range sim.nodes {
 			n.restart()
