--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -37,11 +37,11 @@
 				back.restartWithVersion(upgrade.Version3)
 				for range kills {
 					time.Sleep(900 * time.Millisecond)
-					if lead := sim.leader(); lead != nil {
-						if lead == back {
+					if leader := sim.leader(); leader != nil {
+						if leader == back {
 							t.Error("the older version leads while jobs are archived")
 						}
-						lead.restart()
+						leader.restart()
 					}
 					sim.awaitLeader()
 				}
@@ -111,10 +111,10 @@
 				sim.runToCompletion("000001")
 				sim.awaitArchived(1)
 				back := sim.follower()
-				old := back.startUnregistered(version)
+				older := back.startUnregistered(version)
 				sim.killAllBut(back)
 				time.Sleep(time.Minute)
-				if n := old.terms.Load(); n > 0 {
+				if n := older.terms.Load(); n > 0 {
 					t.Errorf("it became leader %d times, want never", n)
 				}
 				back.kill()
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -30,7 +30,7 @@
 
 func finishedJobID(i int) string { return fmt.Sprintf("%09d", (i+1)*387_420_489%500_000_000) }
 
-// BenchmarkFinishedInTheJournal loads final records into a leader's table.
+// BenchmarkFinishedInTheJournal measures time and memory per finished job whose record a leader loads from the journal.
 func BenchmarkFinishedInTheJournal(b *testing.B) {
 	records := make([]storage.Record, 0, finishedJobs)
 	for i := range finishedJobs {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkFinishedInTheArchive loads pages into a node's index.
+// BenchmarkFinishedInTheArchive measures time and memory per finished job whose archive page a node loads into its index.
 func BenchmarkFinishedInTheArchive(b *testing.B) {
 	limits := storage.Limits{RequestsPerS: 1e6, ChangesPerS: 1e6, ValueBytes: 8192, TxnOps: 32}
 	service := storagetest.NewService()
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -163,12 +163,12 @@
 		time.Sleep(2 * sim.settings.WorkerLease)
 		sim.runToCompletion("000002")
 		sim.awaitArchived(2)
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		// Only reads of the archive fail for the new leader.
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Refuse = func(key string) bool { return strings.HasPrefix(key, archivePrefix) }
 		})
-		lead.kill()
+		leader.kill()
 		next := sim.awaitLeader()
 		for range 10 {
 			for _, id := range []string{"000002", "000003"} {
@@ -181,7 +181,7 @@
 			time.Sleep(time.Second)
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Refuse = nil })
-		lead.start()
+		leader.start()
 		sim.checkFinalState("000002", api.StateDone)
 		sim.runToCompletion("000003")
 	})
@@ -198,11 +198,11 @@
 		for _, n := range sim.nodes {
 			n.restart()
 		}
-		lead := sim.awaitLeader()
+		leader := sim.awaitLeader()
 		for range 5 {
 			for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 				for _, id := range []string{"000001", "000002"} {
-					if a := sim.requestFrom(lead, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
+					if a := sim.requestFrom(leader, op, id, clustertest.Array(id, 2)); a.Code != api.CodeUnavailable || a.RetrySeconds < 1 || !strings.Contains(a.Reason, key) && !strings.Contains(a.Reason, "too many") {
 						t.Errorf("%v of job %s is answered %+v, want unavailable for %s", op, id, a, key)
 					}
 				}
@@ -223,14 +223,14 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001")
 		sim.awaitArchived(1)
-		lead := sim.awaitLeader()
-		term := lead.node.view.Load().role.Term
+		leader := sim.awaitLeader()
+		term := leader.node.view.Load().role.Term
 		var busy, unknown atomic.Int64
 		var wait sync.WaitGroup
 		for i := range 60 {
 			wait.Go(func() {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					switch a := sim.requestFrom(lead, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
+					switch a := sim.requestFrom(leader, api.OpPoll, fmt.Sprintf("%09d", i), storage.Spec{}); a.Code {
 					case api.CodeNotFound:
 						unknown.Add(1)
 					case api.CodeUnavailable:
@@ -249,7 +249,7 @@
 		}
 		sim.awaitDone("000002")
 		wait.Wait()
-		if sim.awaitLeader() != lead || lead.node.view.Load().role.Term != term {
+		if sim.awaitLeader() != leader || leader.node.view.Load().role.Term != term {
 			t.Error("leadership was lost")
 		}
 		if most := sim.settings.State.RequestsPerS * 0.05 * 21; float64(unknown.Load()) > most+5 || busy.Load() == 0 {
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -239,19 +239,19 @@
 			sim.awaitActive(upgrade.Current, time.Minute)
 			sim.submit(clustertest.Service("000001", 2))
 			sim.seedArchive(jobs)
-			lead := sim.awaitLeader()
-			lead.kill()
+			leader := sim.awaitLeader()
+			leader.kill()
 			began := time.Now()
 			for decided := false; !decided; time.Sleep(10 * time.Millisecond) {
-				if lead := sim.leader(); lead != nil {
-					a := sim.requestFrom(lead, api.OpPoll, "000001", storage.Spec{})
+				if leader := sim.leader(); leader != nil {
+					a := sim.requestFrom(leader, api.OpPoll, "000001", storage.Spec{})
 					decided = a.Decided()
 				}
 			}
 			answered = time.Since(began)
 			sim.submit(clustertest.Array("000002", 2))
 			accepted = time.Since(began)
-			lead.start()
+			leader.start()
 			sim.checkFinalState(archivedJobID(jobs-1), api.StateDone)
 		})
 		return answered, accepted
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -11,8 +11,7 @@
 	"sagevale/internal/worker"
 )
 
-// The hot paths at fleet size, 2,000 machines and 12,000 attempts, to be
-// compared with earlier versions of our own.
+// The benchmarks measure the hot paths with a fleet of 2,000 machines and 12,000 attempts.
 
 const (
 	benchMachines = 2000
@@ -20,7 +19,7 @@
 	benchArrays   = 600  // of twelve tasks
 )
 
-// newBenchScheduler is a dispatcher with a fleet that carries services and arrays.
+// newBenchScheduler returns a scheduler whose fleet runs services and arrays.
 func newBenchScheduler(b *testing.B) *scheduler {
 	b.Helper()
 	d := newTestScheduler(b, clustertest.Settings())
@@ -52,6 +51,7 @@
 	return d
 }
 
+// benchArray returns the specification of an array of GPU tasks with a deadline.
 func benchArray(id, tasks int) storage.Spec {
 	s := clustertest.Array(fmt.Sprintf("%06d", id), tasks)
 	s.Resources, s.Spot, s.DeadlineS = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
@@ -59,7 +59,7 @@
 	return s
 }
 
-// BenchmarkHeartbeat is a report of an ordinary machine and its answer.
+// BenchmarkHeartbeat measures the handling of a machine's heartbeat, with the response.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := newBenchScheduler(b)
 	m := d.state.Machines.InOrder()[1]
@@ -74,7 +74,7 @@
 	}
 }
 
-// BenchmarkRoundInVain is a round in which 200 jobs wait and none finds room.
+// BenchmarkRoundInVain measures a round in which 200 jobs wait and none fits.
 func BenchmarkRoundInVain(b *testing.B) {
 	d := newBenchScheduler(b)
 	for i := range 200 {
@@ -87,8 +87,7 @@
 	}
 }
 
-// BenchmarkRoundOfOne is a round that places a service of one task while 200
-// arrays wait for accelerators.
+// BenchmarkRoundOfOne measures a round that places a service of one task while 200 arrays wait for GPUs.
 func BenchmarkRoundOfOne(b *testing.B) {
 	d := newBenchScheduler(b)
 	for i := range 200 {
@@ -104,7 +103,7 @@
 	}
 }
 
-// BenchmarkFleetSnapshot is a snapshot of the fleet at a quiet time.
+// BenchmarkFleetSnapshot measures a snapshot of the fleet while no job waits.
 func BenchmarkFleetSnapshot(b *testing.B) {
 	d := newBenchScheduler(b)
 	for b.Loop() {
@@ -112,7 +111,7 @@
 	}
 }
 
-// BenchmarkFleetSnapshotBacklog is a snapshot while 200 arrays of 40 tasks wait.
+// BenchmarkFleetSnapshotBacklog measures a snapshot while 200 arrays of 40 tasks wait.
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
 	d := newBenchScheduler(b)
 	for i := range 200 {
@@ -123,7 +122,7 @@
 	}
 }
 
-// BenchmarkTick is the clock's work besides snapshots and rounds.
+// BenchmarkTick measures a tick without a snapshot or a round.
 func BenchmarkTick(b *testing.B) {
 	d := newBenchScheduler(b)
 	d.nextSnapshot = time.Now().Add(time.Hour)
@@ -133,7 +132,7 @@
 	}
 }
 
-// BenchmarkLoad rebuilds the state of the whole fleet from its records.
+// BenchmarkLoad measures loading the records of the whole fleet.
 func BenchmarkLoad(b *testing.B) {
 	d := newBenchScheduler(b)
 	var records []storage.Record
@@ -158,8 +157,7 @@
 	}
 }
 
-// BenchmarkIdleServices is one tick of a leader's activation controller beside so many services at
-// zero: they cost memory alone.
+// BenchmarkIdleServices measures a tick of the activation controller with services at zero, which cost memory alone.
 func BenchmarkIdleServices(b *testing.B) {
 	for _, services := range []int{0, 1000, 100_000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -14,16 +14,16 @@
 	"sagevale/internal/worker"
 )
 
-// runFencingSimulation runs a scenario in which workers' tokens are raised after so many ended attempts.
-func runFencingSimulation(t *testing.T, window int, story func(sim *simulation)) {
+// runFencingSimulation runs a scenario in which a worker's token is raised after the given number of ended attempts.
+func runFencingSimulation(t *testing.T, window int, scenario func(sim *simulation)) {
 	t.Helper()
-	sweepers := func(s *config.Settings) {
+	addTeam := func(s *config.Settings) {
 		s.Teams = append(s.Teams, config.Team{Name: "sweepers", Limit: storage.Resources{CPUs: 2}})
 	}
-	runSimulationWithTuning(t, sweepers, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, story)
+	runSimulationWithTuning(t, addTeam, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, scenario)
 }
 
-// shortTaskArray is an array of many short tasks, few of which run at a time.
+// shortTaskArray returns the specification of an array of short tasks, few of which run at a time.
 func shortTaskArray(id string, tasks int) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.Team, s.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
@@ -31,41 +31,40 @@
 	return s
 }
 
-// longestReport is the longest report of a worker.
+// longestReport returns the largest number of tasks in a worker's report.
 func (sim *simulation) longestReport() int {
-	most := 0
+	longest := 0
 	for _, wk := range sim.allWorkers() {
 		if !wk.dead.Load() {
-			most = max(most, len(wk.report().Tasks))
+			longest = max(longest, len(wk.report().Tasks))
 		}
 	}
-	return most
+	return longest
 }
 
-// In a term of any length, a worker's reports and the leader's memory of it follow the live
-// tasks and a small window.
+// In a term of any length, a worker's reports and what the leader retains of it are bounded by its live tasks and a small window.
 func TestRetainedAttemptsAreBoundedWithinTerm(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(shortTaskArray("000002", 20000))
 		sim.awaitRunning("000001", 2)
-		lead := sim.awaitLeader()
-		term := lead.node.view.Load().role.Term
+		leader := sim.awaitLeader()
+		term := leader.node.view.Load().role.Term
 		for end := time.Now().Add(30 * time.Minute); time.Now().Before(end); time.Sleep(3 * time.Second) {
 			if n := sim.longestReport(); n > fencing.MaxRetained/2 {
-				t.Fatalf("a report of %d tasks", n)
+				t.Fatalf("a report of %d tasks, want at most %d", n, fencing.MaxRetained/2)
 			}
 		}
 		if a := sim.poll("000002"); a.Done < 5000 {
-			t.Errorf("only %d tasks done: too few to show anything", a.Done)
+			t.Errorf("%d tasks done, want at least 5000 for the test to mean anything", a.Done)
 		}
-		if now := sim.awaitLeader(); now != lead || now.node.view.Load().role.Term != term {
-			t.Error("the term was given up")
+		if now := sim.awaitLeader(); now != leader || now.node.view.Load().role.Term != term {
+			t.Error("leadership was lost")
 		}
 	})
 }
 
-// repeatCommands has all direct orders carried out again and again, however old.
+// repeatCommands makes workers execute all recorded direct commands again and again until the simulation ends.
 func (sim *simulation) repeatCommands() {
 	sim.withLock(func() { sim.recordingCommands = true })
 	go func() {
@@ -80,64 +79,64 @@
 	}()
 }
 
-// Faults through which tokens are raised, while all direct orders are repeated late; the
-// workers tell what begins anew, the simulation the broken rules.
+// Tokens are raised during faults, while all direct commands are delivered again late. The workers show that tasks make progress, and
+// the simulation checks its invariants.
 func TestTokensAreRaisedDuringFaults(t *testing.T) {
 	const short, long = 8 * time.Second, 40 * time.Second
-	machineFault := func(set func(*fakeWorker, bool), during time.Duration) func(*simulation) {
+	machineFault := func(set func(*fakeWorker, bool), duration time.Duration) func(*simulation) {
 		return func(sim *simulation) {
 			machines := sim.machinesOf("000002")
 			for _, wk := range machines {
 				set(wk, true)
 			}
-			time.Sleep(during)
+			time.Sleep(duration)
 			for _, wk := range machines {
 				set(wk, false)
 			}
 		}
 	}
-	deaf := func(wk *fakeWorker, on bool) { wk.dropsResponses.Store(on) }
-	mute := func(wk *fakeWorker, on bool) { wk.dropsHeartbeats.Store(on) }
-	heldUp := func(wk *fakeWorker, on bool) { wk.delaysCommands.Store(on) }
-	still := func(wk *fakeWorker, on bool) { wk.paused.Store(on) }
+	dropResponses := func(wk *fakeWorker, on bool) { wk.dropsResponses.Store(on) }
+	dropHeartbeats := func(wk *fakeWorker, on bool) { wk.dropsHeartbeats.Store(on) }
+	delayCommands := func(wk *fakeWorker, on bool) { wk.delaysCommands.Store(on) }
+	pause := func(wk *fakeWorker, on bool) { wk.paused.Store(on) }
 	for _, c := range []struct {
 		name  string
 		fault func(*simulation)
 	}{
 		{"none", func(*simulation) { time.Sleep(long) }},
-		{"commands held up over an epoch", machineFault(heldUp, short)},
-		{"commands held up over several", machineFault(heldUp, long)},
-		{"deaf", machineFault(deaf, short)},
-		{"deaf beyond its lease", machineFault(deaf, long)},
-		{"mute", machineFault(mute, short)},
-		{"mute beyond its lease", machineFault(mute, long)},
-		{"still", machineFault(still, short)},
-		{"still for most of its lease", machineFault(still, 18*time.Second)},
-		{"zone cut off", func(sim *simulation) {
+		{"commands delayed beyond an epoch", machineFault(delayCommands, short)},
+		{"commands delayed beyond several epochs", machineFault(delayCommands, long)},
+		{"responses lost", machineFault(dropResponses, short)},
+		{"responses lost beyond the lease", machineFault(dropResponses, long)},
+		{"heartbeats lost", machineFault(dropHeartbeats, short)},
+		{"heartbeats lost beyond the lease", machineFault(dropHeartbeats, long)},
+		{"paused", machineFault(pause, short)},
+		{"paused for most of the lease", machineFault(pause, 18*time.Second)},
+		{"zone partition", func(sim *simulation) {
 			sim.isolateZone("b")
 			time.Sleep(20 * time.Second)
 			sim.isolateZone("")
 		}},
-		{"old reports", func(sim *simulation) {
+		{"heartbeats replayed", func(sim *simulation) {
 			sim.recordReports()
 			time.Sleep(short)
 			sim.replayReports(sim.nodes...)
 		}},
-		{"the leader ends", func(sim *simulation) { sim.crash(sim.awaitLeader(), short) }},
-		{"the leader ends, and its reports come again", func(sim *simulation) {
+		{"leader crash", func(sim *simulation) { sim.crash(sim.awaitLeader(), short) }},
+		{"leader crash and heartbeats replayed", func(sim *simulation) {
 			sim.recordReports()
 			time.Sleep(short)
 			sim.crash(sim.awaitLeader(), time.Second)
 			sim.awaitLeader()
 			sim.replayReports(sim.nodes...)
 		}},
-		{"the leader alone is refused, then all", func(sim *simulation) {
-			lead := sim.cutLeaderFromStore()
+		{"leader cut off from store, then outage", func(sim *simulation) {
+			leader := sim.cutLeaderFromStore()
 			sim.cancel("000003")
 			sim.outage(sim.settings.CancelTimeout + 5*time.Second)
-			lead.cutStore.Store(false)
+			leader.cutStore.Store(false)
 		}},
-		{"writes are late", func(sim *simulation) {
+		{"writes delayed", func(sim *simulation) {
 			sim.delayCommits(5, 2*time.Second)
 			sim.crash(sim.awaitLeader(), short)
 			time.Sleep(long)
@@ -166,69 +165,68 @@
 				before := sim.poll("000002").Done
 				time.Sleep(long)
 				if n := sim.poll("000002").Done; n <= before && n < 4000 {
-					t.Errorf("the sweep stands still at %d tasks", n)
+					t.Errorf("%d tasks of the array are done after %d before, want progress", n, before)
 				}
 				if n := sim.longestReport(); n > fencing.MaxRetained/2 {
-					t.Errorf("a report of %d tasks", n)
+					t.Errorf("a report of %d tasks, want at most %d", n, fencing.MaxRetained/2)
 				}
 			})
 		})
 	}
 }
 
-// While a zone is cut off, its controller renews the leases of workers with raised tokens:
-// nothing there is lost.
+// While a zone is partitioned, its controller renews the leases of workers with raised tokens.
 func TestDelegationRenewsRaisedTokens(t *testing.T) {
 	runFencingSimulation(t, 1, func(sim *simulation) {
-		const cut = "b"
-		standing, short := clustertest.Service("000001", 4), shortTaskArray("000002", 2000)
-		standing.Zone, short.Zone = cut, cut
-		sim.submit(standing)
+		const zone = "b"
+		service, short := clustertest.Service("000001", 4), shortTaskArray("000002", 2000)
+		service.Zone, short.Zone = zone, zone
+		sim.submit(service)
 		sim.submit(short)
 		sim.awaitRunning("000001", 4)
-		for sim.awaitLeader().zone == cut {
+		for sim.awaitLeader().zone == zone {
 			sim.crash(sim.awaitLeader(), 2*time.Second)
 		}
-		sessions := make(map[*fakeWorker]uint64)
+		incarnations := make(map[*fakeWorker]uint64)
 		sim.eventually("a worker's token is raised", 2*time.Minute, func() bool {
 			term := sim.awaitLeader().node.view.Load().role.Term
 			for _, wk := range sim.allWorkers() {
 				if r := wk.report(); r.Token > term && len(r.Tasks) > 0 && !wk.dead.Load() {
-					sessions[wk] = r.Incarnation
+					incarnations[wk] = r.Incarnation
 				}
 			}
-			return len(sessions) > 0
+			return len(incarnations) > 0
 		})
-		sim.isolateZone(cut)
+		sim.isolateZone(zone)
 		time.Sleep(sim.settings.WorkerLease + 2*time.Second)
-		for wk, session := range sessions {
-			if wk.report().Incarnation != session {
-				t.Errorf("worker %d has lost its lease behind the cut", wk.id)
+		for wk, incarnation := range incarnations {
+			if wk.report().Incarnation != incarnation {
+				t.Errorf("worker %d has lost its lease in the partition", wk.id)
 			}
 		}
 		sim.isolateZone("")
 	})
 }
 
-// The next leader's tokens are above all of this one's, and so are its attempts' numbers.
+// The next leader's tokens exceed all of this one's, and so do its attempt numbers.
 func TestNextTermExceedsAllTokens(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.submitGang("000001") // takes a gate into use, which writes the term anew
+		sim.submitGang("000001") // uses a gate, which writes the term record again
 		first := sim.awaitLeader().node.view.Load().scheduler
 		sim.awaitLeader().kill()
 		next := sim.awaitLeader().node.view.Load().scheduler
 		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.TokensPerTerm {
-			t.Errorf("tokens %+v and then %+v", first.tokens, next.tokens)
+			t.Errorf("tokens %+v and then %+v, want ranges of %d in ascending order", first.tokens, next.tokens, fencing.TokensPerTerm)
 		}
-		if room := next.lastAttempt - first.lastAttempt; room < fencing.TokensPerTerm*attemptStride {
-			t.Errorf("only %d attempts in a term", room)
+		if numbers := next.lastAttempt - first.lastAttempt; numbers < fencing.TokensPerTerm*attemptStride {
+			t.Errorf("%d attempt numbers in a term, want at least %d", numbers, fencing.TokensPerTerm*attemptStride)
 		}
 	})
 }
 
-// Without a token left to raise, a worker that remembers too much is given its starts with the
-// answers to its reports, and remembers no more for them.
+// If no token is left to raise, a worker that retains too many attempts receives start commands only in responses to its
+// heartbeats, for which it need not retain more.
 func TestWorkerWithFullFenceStartsTasksByHeartbeat(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -236,25 +234,25 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		time.Sleep(10 * time.Second)
 		d := sim.awaitLeader().node.view.Load().scheduler
-		for _, wk := range sim.allWorkers() { // each knows the term's last token
+		for _, wk := range sim.allWorkers() { // each receives the term's last token
 			wk.executeDirect(d.tokens.Last, wk.incarnation, nil)
 		}
 		sim.submit(shortTaskArray("000002", 700))
 		sim.awaitDone("000002")
 		if n := sim.longestReport(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
-			t.Errorf("a report of %d tasks", n)
+			t.Errorf("a report of %d tasks, want %d to %d", n, fencing.MaxRetained, fencing.MaxRetained+fencing.MaxRetained/2)
 		}
 		if d.resigned {
-			t.Error("the term was given up")
+			t.Error("the leader has resigned")
 		}
 		sim.awaitLeader().kill()
 		sim.awaitLeader()
-		sim.eventually("all is forgotten under the next term", time.Minute, func() bool { return sim.longestReport() < fencing.MaxRetained/2 })
+		sim.eventually("reports are short in the next term", time.Minute, func() bool { return sim.longestReport() < fencing.MaxRetained/2 })
 	})
 }
 
-// While a controller doesn't know the range of a term's tokens, none is raised: it could not
-// renew the leases of such workers.
+// While a controller doesn't know the range of a term's tokens, none is raised, because it could not renew the leases of workers
+// with raised tokens.
 func TestTokensAreNotRaisedBesideEarlierVersion(t *testing.T) {
 	runFencingSimulation(t, 1, func(sim *simulation) {
 		sim.nodes[2].restartWithVersion(upgrade.Version4)
@@ -262,17 +260,17 @@
 		sim.submit(shortTaskArray("000002", 5000))
 		sim.awaitRunning("000001", 1)
 		time.Sleep(time.Minute)
-		lead := sim.awaitLeader().node.view.Load().role.Term
+		term := sim.awaitLeader().node.view.Load().role.Term
 		for _, wk := range sim.allWorkers() {
-			if r := wk.report(); r.Token > lead {
-				t.Errorf("worker %d is commanded under %d in term %d", wk.id, r.Token, lead)
+			if r := wk.report(); r.Token > term {
+				t.Errorf("worker %d has token %d in term %d, want none raised", wk.id, r.Token, term)
 			}
 		}
 		sim.nodes[2].restartWithVersion(upgrade.Current)
 		sim.eventually("a token is raised", 3*time.Minute, func() bool {
-			lead := sim.awaitLeader().node.view.Load().role.Term
+			term := sim.awaitLeader().node.view.Load().role.Term
 			for _, wk := range sim.allWorkers() {
-				if wk.report().Token > lead {
+				if wk.report().Token > term {
 					return true
 				}
 			}
@@ -281,32 +279,35 @@
 	})
 }
 
-// Reports under a raised token prove what those under the term's first one do.
+// Reports under a raised token prove the same as those under the term's first one.
 func TestRaisedTokenBelongsToTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
 		m := d.addReadyMachine(1, "cpu", "a", false)
 		j := d.addAcceptedJob(clustertest.Array("000001", 1))
-		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Delivery: cluster.DeliverySettled, DeliveryToken: d.term, Reported: true}
+		a := &cluster.Attempt{
+			Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true,
+			Delivery: cluster.DeliverySettled, DeliveryToken: d.term, Reported: true,
+		}
 		d.addAttempt(a)
 		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term + 1}
 		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
-			t.Error("an attempt that is gone is booked on")
+			t.Error("an attempt that is gone is still reserved")
 		}
 		stopped := &cluster.Attempt{Job: j, Task: 0, Number: 3, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, CommandedSeq: 5, Stopping: true}
 		d.addAttempt(stopped)
 		r.Seq++
 		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
-			t.Error("a stopped attempt whose start was not carried out is booked on")
+			t.Error("a stopped attempt that never started is still reserved")
 		}
 		m.Fence.Retain(cluster.AttemptKey{ID: a.ID(), Number: 2}, d.term+1)
 		d.expireLeases(time.Now().Add(time.Hour))
 		if m.Confirmed {
-			t.Fatal("its lease never ends")
+			t.Fatal("the machine is confirmed after its lease has expired")
 		}
 		r.Incarnation, r.Seq = 2, 1
 		if d.handleHeartbeat(r); !m.Confirmed || m.Fence.Retained() != 0 {
-			t.Errorf("a later session is heard %v, and remembers %d", m.Confirmed, m.Fence.Retained())
+			t.Errorf("a later incarnation is confirmed %v and retains %d attempts, want true and none", m.Confirmed, m.Fence.Retained())
 		}
 	})
 }
