--- /dev/null
+++ b/internal/scheduler/durability_test.go
@@ -0,0 +1,214 @@
+package scheduler
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/cluster"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/groupcommit"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/worker"
+)
+
+// No start is sent between a cancellation and its commit: it could arrive after the user was
+// told that the job is cancelled.
+func TestNoStartIsSentDuringCancellation(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addAcceptedJob(clustertest.Service("000001", 1))
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(j, 0, m, time.Now())
+		j.Phase = storage.Cancelled
+		sched.startReserved([]*cluster.Attempt{a})
+		if a.Delivery != cluster.DeliveryNone {
+			t.Errorf("direct start of a cancelled job: got delivery %v, want none", a.Delivery)
+		}
+		a.Durable = true
+		for _, command := range sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now()) {
+			if command.Verb == worker.Start {
+				t.Errorf("heartbeat response for a cancelled job: got %+v, want no start", command)
+			}
+		}
+	})
+}
+
+// A leader may end between the commits of a job's last page and of the job itself: its
+// successor finds a job that is open, but whose tasks are done.
+func TestLoadCompletesJobWhoseTasksAreDone(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		spec := clustertest.Array("000001", 3)
+		records := []storage.Record{
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}}),
+		}
+		sched := newTestScheduler(t, clustertest.Settings())
+		if err := sched.load(records); err != nil {
+			t.Fatal(err)
+		}
+		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done {
+			t.Errorf("got phase %v, want %v", j.Phase, storage.Done)
+		}
+		if sched.queue.Waiting(groupcommit.Interactive) == 0 {
+			t.Error("the new phase isn't queued to be written")
+		}
+	})
+}
+
+// newRecord returns the record that stores data under a key.
+func newRecord(t *testing.T, key string, data any) storage.Record {
+	t.Helper()
+	record, err := storage.NewRecord(key, data)
+	if err != nil {
+		t.Fatalf("record %s: %v", key, err)
+	}
+	return record
+}
+
+// The journal retries a commit whose response doesn't arrive; the commit takes effect once.
+func TestJournalRetriesUnansweredCommit(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		sim.awaitLeader()
+		time.Sleep(5 * time.Second)
+		transactions := 0
+		sim.state.Update(func(s *storagetest.Service) {
+			s.Delay = func() time.Duration {
+				if transactions++; transactions == 1 {
+					return time.Hour // beyond the end of the scenario
+				}
+				return 0
+			}
+		})
+		start := time.Now()
+		sim.submit(clustertest.Service("000001", 1))
+		duration := time.Since(start)
+		sim.state.Update(func(s *storagetest.Service) {
+			if duration > 2*time.Second || transactions < 2 {
+				t.Errorf("accepted after %v with %d transactions, want at most 2s and at least 2", duration, transactions)
+			}
+		})
+	})
+}
+
+// Neither a start nor a forget command is sent before the record that it depends on is durable:
+// a successor would start the task a second time, or miss that it is done.
+func TestCommandsWaitForDurableRecords(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
+		m := sched.addReadyMachine(7, "cpu", "a", false)
+		a := sched.Reserve(j, 0, m, time.Now())
+		commands := func() []worker.Command {
+			return sched.commandsFor(m, &worker.Report{Machine: 7, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now())
+		}
+		if got := commands(); len(got) != 0 {
+			t.Errorf("before the reservation is durable: got commands %+v, want none", got)
+		}
+		a.Durable = true
+		sched.discardPending()
+		if got := commands(); len(got) != 1 || got[0].Verb != worker.Start {
+			t.Errorf("after the reservation is durable: got commands %+v, want one start", got)
+		}
+		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 1, Seq: m.Seq + 1, Token: sched.term,
+			Tasks: []worker.TaskReport{{ID: a.ID(), Attempt: a.Number, State: worker.Exited, Cause: worker.CauseDone}}}, true, time.Now())
+		if got := commands(); len(got) != 0 {
+			t.Errorf("before the task's end is durable: got commands %+v, want none", got)
+		}
+		sched.discardPending()
+		if got := commands(); len(got) != 1 || got[0].Verb != worker.Forget {
+			t.Errorf("after the task's end is durable: got commands %+v, want one forget", got)
+		}
+	})
+}
+
+// requestWithoutCommit handles a user's request, and returns the response if there is one before
+// the next commit.
+func (d *scheduler) requestWithoutCommit(op api.Op, spec storage.Spec) (response api.Response, responded bool) {
+	reply := make(chan api.Response, 1)
+	d.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
+	select {
+	case response = <-reply:
+		return response, true
+	default:
+		return api.Response{}, false
+	}
+}
+
+// No response shows a state before it is durable: a successor would not know of it.
+func TestResponsesWaitForDurableRecords(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		request := sched.requestWithoutCommit
+		a, b := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
+		if got, responded := request(api.OpSubmit, a); responded {
+			t.Errorf("submission before the commit: got %+v, want no response", got)
+		}
+		if got, _ := request(api.OpPoll, a); got.Code != api.CodeUnavailable {
+			t.Errorf("poll before the submission's commit: got %+v, want code %v", got, api.CodeUnavailable)
+		}
+		request(api.OpSubmit, b)
+		sched.commitPending(nil)
+		if got, _ := request(api.OpPoll, a); got.Code != api.CodeOK {
+			t.Errorf("poll after the submission's commit: got %+v, want code %v", got, api.CodeOK)
+		}
+		if got, responded := request(api.OpCancel, a); responded {
+			t.Errorf("cancellation before the commit: got %+v, want no response", got)
+		}
+		if got, _ := request(api.OpPoll, a); got.Final() {
+			t.Errorf("poll before the cancellation's commit: got %+v, want an open state", got)
+		}
+		j := sched.state.Jobs.Get(b.ID)
+		j.SetTask(0, cluster.TaskDone)
+		sched.finish(j)
+		if got, _ := request(api.OpPoll, b); got.Final() {
+			t.Errorf("poll before the completion's commit: got %+v, want an open state", got)
+		}
+		sched.commitPending(nil)
+		for _, spec := range []storage.Spec{a, b} {
+			if got, _ := request(api.OpPoll, spec); !got.Final() {
+				t.Errorf("poll after the commit: got %+v, want a final state", got)
+			}
+		}
+		// The response to any request for a final job is its final state.
+		if got, _ := request(api.OpCancel, b); got.Code != api.CodeOK || got.State != api.StateDone {
+			t.Errorf("cancellation of a done job: got %+v, want state %v", got, api.StateDone)
+		}
+		if got, _ := request(api.OpSubmit, a); got.Code != api.CodeOK || got.State != api.StateCancelled {
+			t.Errorf("repeated submission of a cancelled job: got %+v, want state %v", got, api.StateCancelled)
+		}
+	})
+}
+
+// A start is sent only once its record is durable: a successor would not know where the task
+// runs.
+func TestStartWaitsForDurableRecord(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		jobs := []*cluster.Job{sched.addAcceptedJob(clustertest.Service("000001", 1)), sched.addAcceptedJob(gangSpec("000002", 2))}
+		sched.addReadyMachine(7, "cpu", "a", false)
+		sched.placeRound(time.Now())
+		sent := func() (n int) {
+			for _, j := range jobs {
+				for _, a := range j.Attempts {
+					if a.Delivery != cluster.DeliveryNone {
+						n++
+					}
+				}
+			}
+			return n
+		}
+		if n := sent(); n != 0 {
+			t.Errorf("before the commit: got %d starts sent, want none", n)
+		}
+		if a, b := len(jobs[0].Attempts), len(jobs[1].Attempts); a != 1 || b != 2 {
+			t.Errorf("got %d and %d attempts, want 1 and 2", a, b)
+		}
+		sched.commitPending(nil)
+		if n := sent(); n != 3 {
+			t.Errorf("after the commit: got %d starts sent, want 3", n)
+		}
+	})
+}
