--- /dev/null
+++ b/internal/scheduler/node_test.go
@@ -0,0 +1,70 @@
+package scheduler
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/worker"
+)
+
+// A node that is cut off from the key-value store alone learns the leader from its peers.
+func TestNodeWithoutStoreForwardsByPeerStatus(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		old := sim.awaitLeader()
+		time.Sleep(5 * time.Second)
+		old.cutStore.Store(true)
+		sim.eventually("a successor leads", 30*time.Second, func() bool { n := sim.leader(); return n != nil && n != old })
+		sim.eventually("the old leader has resigned", 3*time.Second, func() bool { return old.node.view.Load().scheduler == nil })
+		spec := clustertest.Array("000001", 1)
+		sim.storeSpec(spec)
+		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		defer cancel()
+		if a := old.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
+			t.Errorf("submission is answered %+v, want it forwarded and accepted", a)
+		}
+		if !old.node.Ready() {
+			t.Error("the node isn't ready though it reaches the leader")
+		}
+		leader := sim.leader()
+		a := old.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Incarnation: 1, Seq: 1, Zone: "a"})
+		if forwarded := a.Accepted && a.Token == leader.node.view.Load().role.Term; !forwarded && (a.Leader == "" || a.Leader == old.name) {
+			t.Errorf("heartbeat is answered %+v, want it forwarded or another leader named", a)
+		}
+	})
+}
+
+// A node that can't reach a leader isn't ready, so that users are directed to others.
+func TestNodeThatCannotReachLeaderIsNotReady(t *testing.T) {
+	runSimulation(t, func(sim *simulation) {
+		leader := sim.awaitLeader()
+		time.Sleep(5 * time.Second)
+		for _, n := range sim.nodes {
+			if !n.node.Ready() {
+				t.Errorf("%s isn't ready without any fault", n.name)
+			}
+			n.cutPeers.Store(n != leader)
+		}
+		for _, n := range sim.nodes {
+			if n.node.Ready() != (n == leader) {
+				t.Errorf("%s: Ready() = %v, want only the leader ready", n.name, n.node.Ready())
+			}
+		}
+	})
+}
+
+// A renewal that overlaps a resignation must not make the lease valid again.
+func TestLateRenewalDoesNotUndoResignation(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestScheduler(t, clustertest.Settings())
+		role := d.role
+		d.resignLeadership("test")
+		roleMessage{role}.handle(d)
+		if d.leaseValid(time.Now()) || time.Now().Before(d.role.RenewUntil) {
+			t.Error("the lease is valid or renewable after a resignation")
+		}
+	})
+}
