--- a/internal/autoscaling/autoscaler_test.go
+++ b/internal/autoscaling/autoscaler_test.go
@@ -16,8 +16,7 @@
 	"sagevale/internal/storage"
 )
 
-// The cloud calls a launch request for more than fifty machines malformed, and that looked like a type that is
-// sold out.
+// The cloud rejects a launch request for more than fifty machines as malformed, which once was taken for missing capacity.
 func TestLaunchesStayWithinTheCloudsLimit(t *testing.T) {
 	var desired []cloud.Offering
 	for i := range 173 {
@@ -35,6 +34,7 @@
 	}
 }
 
+// manyMachines takes many pages to list.
 const manyMachines = 6000
 
 // slowCloud lists many machines, each page after a second.
@@ -60,7 +60,7 @@
 	return page, after+1+len(page) < c.machines, nil
 }
 
-// A list of many pages takes longer than one call may; it leaves requests for the rest.
+// A list of many pages takes longer than the timeout of one call, and must leave most of the cloud's request rate to other calls.
 func TestLongMachineListIsReadWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -89,7 +89,7 @@
 	}
 }
 
-// fakeScheduler counts what it is told.
+// fakeScheduler records the autoscaler's notifications.
 type fakeScheduler struct {
 	launched   []storage.LaunchRecord
 	rejected   []cloud.Offering
@@ -108,11 +108,11 @@
 }
 func (f *fakeScheduler) HandleSurplus(m SurplusMachine) { f.surplus = append(f.surplus, m) }
 
-// fakeCloud has capacity, or loses the answers to launches, or has none.
+// fakeCloud launches machines, or fails with launchErr.
 type fakeCloud struct {
 	slowCloud
 	launchErr error
-	requests  map[string]int // by name
+	requests  map[string]int // calls of Launch by name
 }
 
 func (c *fakeCloud) Launch(_ context.Context, name string, _ storage.LaunchRecord) ([]int, error) {
@@ -120,8 +120,7 @@
 	return []int{1}, c.launchErr
 }
 
-// runAutoscaler runs an autoscaler of a second term until the test ends, past the time in which it waits for
-// reports.
+// runAutoscaler runs an autoscaler of term 2 until the test ends, and returns after the time in which it waits for heartbeats.
 func runAutoscaler(t *testing.T, c *fakeCloud, journal Journal) (*Autoscaler, *fakeScheduler) {
 	t.Helper()
 	settings := clustertest.Settings()
@@ -144,14 +143,14 @@
 	return a, scheduler
 }
 
-// missing is a snapshot in which a machine is missing.
+// missing returns a snapshot in which one machine is desired.
 func missing(o cloud.Offering) Snapshot {
 	return Snapshot{Healthy: true, MachinesListed: true, Desired: []cloud.Offering{o}, NonOpportunistic: 1, Size: 1}
 }
 
 var testOffering = cloud.Offering{Type: "cpu", Zone: "a", Spot: true}
 
-// sustain hands the autoscaler a snapshot again and again for a while.
+// sustain sends the autoscaler a snapshot every half second for the given time.
 func sustain(a *Autoscaler, s Snapshot, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		a.HandleSnapshot(s)
@@ -175,7 +174,7 @@
 	})
 }
 
-// A launch request without an answer may have been carried out: it is repeated under its own name.
+// A launch request without a response may have succeeded, so that it is retried under the same name.
 func TestUnansweredLaunchIsRepeatedUnderItsName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{launchErr: cloud.ErrUnknownOutcome}
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -16,11 +16,12 @@
 	"sagevale/internal/storage"
 )
 
-// newTestReviewer returns a reviewer of an empty fleet.
+// newTestReviewer returns a reviewer of an empty fleet with the default settings.
 func newTestReviewer() (*Reviewer, *clustertest.Fleet) {
 	return newTestReviewerOf(clustertest.Settings())
 }
 
+// newTestReviewerOf returns a reviewer of an empty fleet.
 func newTestReviewerOf(settings config.Settings) (*Reviewer, *clustertest.Fleet) {
 	fleet := clustertest.NewFleet(settings)
 	log := slog.New(slog.DiscardHandler)
@@ -174,7 +175,7 @@
 	})
 }
 
-// Opportunistic work that could be saved kept the expensive machines on which it had found a place.
+// Opportunistic work with checkpoints once kept the expensive machines on which it ran.
 func TestOpportunisticWorkKeepsNoExpensiveMachine(t *testing.T) {
 	for name, spot := range map[string]bool{"on-demand": false, "spot": true} {
 		t.Run(name, func(t *testing.T) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// Work that ends waits for its places rather than for a new machine; a gang that lacks one place would wait for
-// ever.
+// Tasks that end may wait for resources to be released rather than for a new machine; a gang that lacks resources for one task
+// would wait for ever.
 func TestGangGetsMachinesForAllItsTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -222,20 +223,21 @@
 	})
 }
 
+// gang returns the specification of a gang whose tasks must be in one zone.
 func gang(id string, tasks int) storage.Spec {
 	s := clustertest.Array(id, tasks)
 	s.Class, s.Gang, s.SameZone, s.CheckpointS, s.SaveS = "gang", true, true, 10, 3
 	return s
 }
 
-// limited is a job of the team whose limit is two GPUs.
+// limited assigns a job of one GPU per task to the team whose limit is two GPUs.
 func limited(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
 }
 
-// A machine that never comes is replaced and terminated at its time beside others that boot as they should, and
-// an offering that doesn't deliver is avoided for a while.
+// A machine that doesn't boot in time, while others do, is replaced and terminated, and an offering that doesn't deliver is avoided
+// for a while.
 func TestMachinesThatNeverComeAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
--- a/internal/cluster/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/storage"
 )
 
-// Whatever happens to jobs, the table holds those that aren't removed, counts the tasks of the open ones, and lists the
-// finished ones in order, each of them within one round.
+// After any sequence of changes the table holds the jobs that haven't been removed, counts the tasks of the open ones, and lists
+// each finished one in order within one round.
 func TestJobTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewJobTable()
@@ -20,7 +20,7 @@
 		finished := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("%06d", rapid.IntRange(0, 20).Draw(t, "id"))
-			rank, _ := archive.ParseJobNumber(id)
+			number, _ := archive.ParseJobNumber(id) // the IDs are valid
 			j := table.Get(id)
 			switch step := rapid.IntRange(0, 3).Draw(t, "step"); {
 			case j == nil:
@@ -34,9 +34,9 @@
 				table.TrackFinished(j)
 				finished[id] = true
 			case step == 2:
-				removed := table.RemoveFinished(rank)
+				removed := table.RemoveFinished(number)
 				if (removed != nil) != finished[id] || removed != nil && removed != j {
-					t.Fatalf("%s is removed as %v", id, removed)
+					t.Fatalf("RemoveFinished(%s) = %v, want the job if it is finished: %v", id, removed, finished[id])
 				}
 				delete(finished, id)
 			}
@@ -46,13 +46,14 @@
 			open += n
 		}
 		if table.OpenTasks != open || len(table.Open) != len(tasks) || table.Count() != len(tasks)+len(finished) || table.Finished() != len(finished) {
-			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished", table.OpenTasks, len(table.Open), table.Count(), table.Finished())
+			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished; want %d, %d, %d, %d", table.OpenTasks, len(table.Open), table.Count(), table.Finished(),
+				open, len(tasks), len(tasks)+len(finished), len(finished))
 		}
 		checkRound(t, table, finished)
 	})
 }
 
-// checkRound lists finished jobs, a few at a time, until each has been listed.
+// checkRound checks that one round of listing, a few jobs at a time, lists every finished job.
 func checkRound(t *rapid.T, table *JobTable, finished map[string]bool) {
 	most := rapid.IntRange(1, 7).Draw(t, "most")
 	listed := make(map[string]bool)
@@ -68,6 +69,6 @@
 		}
 	}
 	if len(listed) != len(finished) {
-		t.Fatalf("%d of %d are listed", len(listed), len(finished))
+		t.Fatalf("%d finished jobs are listed, want %d", len(listed), len(finished))
 	}
 }
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -16,7 +16,7 @@
 	{Name: "gpu", Resources: storage.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}, CacheGB: 400, BootS: 60, Zones: []string{"a"}},
 }
 
-// newTestState is a state with machine types and so many machines of the first type.
+// newTestState returns a state with machine types and the given number of machines of the first type.
 func newTestState(machines int, now time.Time) *State {
 	s := NewState(fencing.TermTokens(2))
 	s.SetTypes(testTypes)
@@ -27,12 +27,13 @@
 	return s
 }
 
+// testSpec returns the specification of a job array of small tasks.
 func testSpec(id string, tasks int) storage.Spec {
 	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
 		Resources: storage.Resources{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
-// addAttempt enters an attempt of a job's task on a machine.
+// addAttempt adds an attempt of a job's task on a machine.
 func addAttempt(s *State, j *Job, task, machine int, number uint64) *Attempt {
 	a := &Attempt{Job: j, Task: task, Number: number, Machine: s.Machines.Get(machine), Incarnation: 1, ThisTerm: true}
 	s.AddAttempt(a)
@@ -57,12 +58,12 @@
 	s.MarkStopping(first, 5)
 	s.MarkStopping(first, 9) // a longer grace period doesn't replace a shorter one
 	if first.GraceSeconds != 5 || m.StoppingUsage != j.Spec.Resources || m.RunningUsage[storage.Normal] != j.Spec.Resources {
-		t.Errorf("grace %v, stopping %+v, running %+v", first.GraceSeconds, m.StoppingUsage, m.RunningUsage[storage.Normal])
+		t.Errorf("grace %v, stopping %+v, running %+v; want 5 and %+v each", first.GraceSeconds, m.StoppingUsage, m.RunningUsage[storage.Normal], j.Spec.Resources)
 	}
 
 	idle := now.Add(time.Minute)
 	if !s.RemoveAttempt(first, now) || s.RemoveAttempt(first, now) || !s.RemoveAttempt(second, idle) {
-		t.Error("an attempt is removed other than once")
+		t.Error("RemoveAttempt() doesn't report true exactly once for each attempt")
 	}
 	if *m.Reserved != (storage.Resources{}) || m.StoppingUsage != (storage.Resources{}) || m.RunningUsage[storage.Normal] != (storage.Resources{}) {
 		t.Errorf("%+v reserved, %+v stopping, %+v running after all attempts are gone", *m.Reserved, m.StoppingUsage, m.RunningUsage[storage.Normal])
@@ -72,7 +73,7 @@
 	}
 }
 
-// A worker must remember an attempt whose start was sent directly: the command may be repeated late.
+// A worker must retain an attempt whose start command was sent directly, because the command may be delivered again late.
 func TestRemovedAttemptStaysFenced(t *testing.T) {
 	now := time.Now()
 	s := newTestState(1, now)
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -18,14 +18,14 @@
 	"sagevale/internal/upgrade"
 )
 
-// scriptedPeers are peers that always tell the same status.
+// scriptedPeers are peers that always report the same status.
 type scriptedPeers map[string]peer.Status
 
 func (s scriptedPeers) Ping(_ context.Context, name string) (peer.Status, error) { return s[name], nil }
 
 func (s scriptedPeers) KnownLeader() (string, uint64) { return "", 0 }
 
-// testSettings are those of a controller with two peers.
+// testSettings returns the settings of a controller with two peers.
 func testSettings() *config.Settings {
 	s := &config.Settings{
 		NodeName:          "n0",
@@ -40,7 +40,7 @@
 	return s
 }
 
-// newTestElection makes an election of a registered process.
+// newTestElection returns the election of a registered process.
 func newTestElection(store storage.KeyValueStore, peers Peers) *Election {
 	return New(Config{
 		Store: store, Settings: testSettings(), Peers: peers, Process: "p",
@@ -48,7 +48,7 @@
 	})
 }
 
-// newTestStore is a key-value store and a client of it.
+// newTestStore returns a client of a new key-value store.
 func newTestStore(t *testing.T) *storagetest.Client {
 	t.Helper()
 	service := storagetest.NewService()
@@ -56,8 +56,8 @@
 	return &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
 }
 
-// Peers confirm only what they know for their whole life: one that has had an answer of the key-value
-// store after our lease may have expired, or started after that, doesn't.
+// A peer confirms that there is no leader only if it has run without contact to the key-value store since before our lease may have
+// expired: otherwise it may have led and resigned.
 func TestPeersConfirmNoLeader(t *testing.T) {
 	const sinceExpiry = 10 * time.Second
 	for _, c := range []struct {
@@ -87,8 +87,8 @@
 	}
 }
 
-// A term whose number leaves no room for another one's tokens and attempts is damaged.
-func TestNoTermAfterTheLast(t *testing.T) {
+// A term record is damaged if its number leaves no tokens and attempt numbers for another term.
+func TestAcquireFailsAfterLastTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
 		last := fmt.Appendf(nil, "%d", uint64(fencing.LastTerm))
@@ -145,7 +145,7 @@
 		roles := runElection(t, e)
 		first := await(t, roles, leading)
 		if first.Term == 0 || first.Guard.Key != LeaderKey || first.Guard.Version == 0 {
-			t.Errorf("first role %+v has no term or guard", first)
+			t.Errorf("first role %+v, want a term and a guard of %s", first, LeaderKey)
 		}
 		time.Sleep(10 * e.settings.Tuning.LeaderLease)
 		var last Role
@@ -174,18 +174,18 @@
 				await(t, roles, notLeading)
 				next := await(t, roles, leading)
 				if next.Term <= term {
-					t.Errorf("term %d follows term %d", next.Term, term)
+					t.Errorf("next term is %d, want one after %d", next.Term, term)
 				}
 				pause := standDownLeases * e.settings.Tuning.LeaderLease
 				if waited := time.Since(resigned); (waited >= pause) != standDown {
-					t.Errorf("leads again after %v, stand down %v", waited, standDown)
+					t.Errorf("leads again after %v, want at least %v: %v", waited, pause, standDown)
 				}
 			})
 		})
 	}
 }
 
-func TestElectionRevokesTheLeaseOfAnEarlierProcess(t *testing.T) {
+func TestElectionRevokesLeaseOfEarlierProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
 		lease, err := client.Grant(t.Context(), time.Hour)
@@ -205,7 +205,7 @@
 	})
 }
 
-// Without the key-value store a leader goes on only for as long as workers' leases may be renewed.
+// Without the key-value store a leader stays until workers' leases may no longer be renewed.
 func TestLeaderWithoutStoreStopsAfterRenewalGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
@@ -215,7 +215,7 @@
 		client.Cut.Store(true)
 		await(t, roles, notLeading)
 		if ended := time.Now(); ended.Before(role.RenewUntil) {
-			t.Errorf("ended %v before the end of the renewal grace", role.RenewUntil.Sub(ended))
+			t.Errorf("leadership ended %v before the end of the renewal grace, want after it", role.RenewUntil.Sub(ended))
 		}
 		client.Cut.Store(false)
 		await(t, roles, leading)
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -15,19 +15,19 @@
 	"sagevale/internal/storage"
 )
 
-// newTestPlanner returns a planner of an empty fleet.
+// newTestPlanner returns a planner of an empty fleet, which carries out its decisions.
 func newTestPlanner() (*Planner, *clustertest.Fleet) {
 	fleet := clustertest.NewFleet(clustertest.Settings())
 	random := rand.New(rand.NewPCG(7, 7))
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setPerGPU fixes what is left beside a GPU.
+// setPerGPU sets the most that open jobs take with a GPU.
 func (p *Planner) setPerGPU(r storage.Resources) {
 	p.perGPU, p.perGPUUpdatedAt = r, time.Now()
 }
 
-// What a shape has searched in vain isn't searched again, but for candidates that were added since.
+// A search for a shape that found no candidate isn't repeated, except over candidates added since.
 func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -49,8 +49,8 @@
 	})
 }
 
-// A shortlist that is kept up to date from task to task is what a search for each task finds: the same
-// candidates in the same order, so that every choice is the same.
+// A shortlist that is updated from task to task has the same candidates in the same order as a search for each task, so that every
+// choice is the same.
 func TestShortlistMatchesFreshSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, fleet := newTestPlanner()
@@ -90,7 +90,7 @@
 	})
 }
 
-// Opportunistic work used to fill the headroom that is kept for services, and the processors beside GPUs.
+// Opportunistic work once filled the headroom that is kept for services, and the CPUs that tasks with GPUs need.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,8 +22,8 @@
 	"sagevale/internal/worker"
 )
 
-// Controllers of other versions relay beside this one: each reads what the others write. Every folder of testdata
-// holds what one of them really wrote.
+// Controllers of different versions relay requests through one store, so that each reads what the others write. Every folder of
+// testdata holds what one of them really wrote.
 func TestBatchesOfEarlierVersionsAreRead(t *testing.T) {
 	for _, version := range []string{"production", "769a0b2"} {
 		t.Run(version, func(t *testing.T) {
@@ -33,19 +33,20 @@
 			}
 			if len(requests) != 3 || requests[0].User.Spec.Tasks != 2 || requests[1].User.Op != api.OpCancel ||
 				requests[2].Report.Tasks[0].Cause != worker.CausePeers || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
-				t.Errorf("requests %+v", requests)
+				t.Errorf("requests %+v, want those of freeze_test.go", requests)
 			}
 			responses, err := decodeResponses(frozenFragments(t, version, "replies.json"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(responses) != 3 || responses[0].User.ValidFor != time.Second || responses[1].User.State != api.StateCancelled || responses[2].Heartbeat.Commands[0].GraceSeconds != 2.5 {
-				t.Errorf("responses %+v", responses)
+				t.Errorf("responses %+v, want those of freeze_test.go", responses)
 			}
 		})
 	}
 }
 
+// frozenFragments reads a batch that an earlier version wrote.
 func frozenFragments(t *testing.T, version, name string) []fragment {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", version, name))
@@ -59,9 +60,8 @@
 	return fragments
 }
 
-// A batch that is carried out late comes among newer ones of its sender: the newer must not be lost, and nobody
-// waits for the older.
-func TestLateBatchNeitherHidesNorFollowsNewerOne(t *testing.T) {
+// A delayed batch arrives among newer ones of its sender: the newer must not be lost, and nobody waits for the older.
+func TestDelayedBatchIsOrderedBySerial(t *testing.T) {
 	change := func(process, serial uint64, count, i int) storage.Item {
 		data, err := json.Marshal(fragment{Process: process, Serial: serial, Count: count})
 		if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// fakeHandler answers everything and remembers what it was asked.
+// fakeHandler answers every request and records the jobs of users' requests.
 type fakeHandler struct {
 	mu   sync.Mutex
 	jobs []string
@@ -105,19 +105,21 @@
 	return responses
 }
 
-func (h *fakeHandler) asked() []string {
+// requested returns the jobs of the requests so far.
+func (h *fakeHandler) requested() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.jobs)
 }
 
-// site is a key-value store with a leader that answers relayed requests.
+// site is a key-value store with the server of a leader.
 type site struct {
 	settings config.Settings
 	client   *storagetest.Client
 	handler  fakeHandler
 }
 
+// newSite runs a server until the test ends.
 func newSite(t *testing.T) *site {
 	t.Helper()
 	service := storagetest.NewService()
@@ -158,9 +160,9 @@
 	})
 }
 
-// A batch that is carried out late, behind a newer one of its sender, is not acted on: its sender has given up on
-// it, and its reports may be old.
-func TestLateBatchIsNotActedOn(t *testing.T) {
+// A batch that is delayed behind a newer one of its sender isn't executed: its sender no longer waits for it, and its heartbeats may
+// be old.
+func TestDelayedBatchIsNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
 		send := func(serial uint64, job string) {
@@ -175,12 +177,12 @@
 			time.Sleep(10 * time.Second)
 		}
 		send(8, "000001")
-		if got := s.handler.asked(); !slices.Equal(got, []string{"000001"}) {
-			t.Fatalf("asked about %v, want 000001", got)
+		if got := s.handler.requested(); !slices.Equal(got, []string{"000001"}) {
+			t.Fatalf("requests for jobs %v, want 000001", got)
 		}
 		send(7, "000002")
-		if got := s.handler.asked(); !slices.Equal(got, []string{"000001"}) {
-			t.Errorf("asked about %v: an older batch is acted on", got)
+		if got := s.handler.requested(); !slices.Equal(got, []string{"000001"}) {
+			t.Errorf("requests for jobs %v, want 000001 alone: an older batch is executed", got)
 		}
 	})
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -21,20 +21,21 @@
 	"sagevale/internal/worker"
 )
 
-// newTestScheduler makes a dispatcher without the actors around it, for what a snapshot or a
-// round decides. Its clock stands still unless the test moves it.
+// newTestScheduler returns the scheduler of a leader of term 2 that doesn't run: tests call its handlers directly.
 func newTestScheduler(tb testing.TB, s config.Settings) *scheduler {
 	tb.Helper()
-	svc := storagetest.NewService()
-	tb.Cleanup(svc.Close)
-	client := &storagetest.Client{Service: svc, Cut: new(atomic.Bool)}
+	service := storagetest.NewService()
+	tb.Cleanup(service.Close)
+	client := &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
 	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(s.State), storage.Guard{Key: leadership.LeaderKey})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := time.Now()
 	role := leadership.Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
-	d, err := newScheduler(&s, Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}, role, journal, func(leadership.Resignation) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	deps := Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	d, err := newScheduler(&s, deps, role, journal, func(leadership.Resignation) {}, log)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -43,20 +44,21 @@
 	return d
 }
 
-// commitPending has all that is marked become durable, or fail.
+// commitPending completes the commit of all pending records, with an error or without.
 func (d *scheduler) commitPending(err error) {
 	d.queue.BeginCommit(math.MaxInt, func(key string, err error) { panic(key) })
 	d.handleCommitted(err)
 }
 
-// addReadyMachine makes a machine that has just reported under the present token.
-func (d *scheduler) addReadyMachine(id int, kind, zone string, spot bool) *cluster.Machine {
+// addReadyMachine adds a machine that has just sent a heartbeat under the present token.
+func (d *scheduler) addReadyMachine(id int, typeName, zone string, spot bool) *cluster.Machine {
 	m := d.state.EnsureMachine(id, time.Now())
-	d.applyReport(m, &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: kind, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, true, time.Now())
+	r := &worker.Report{Machine: id, Addr: fmt.Sprint(id), Type: typeName, Zone: zone, Spot: spot, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}
+	d.applyReport(m, r, true, time.Now())
 	return m
 }
 
-// addAcceptedJob enters a job as if its acceptance were durable.
+// addAcceptedJob adds a job as if its acceptance were durable.
 func (d *scheduler) addAcceptedJob(spec storage.Spec) *cluster.Job {
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
@@ -73,10 +75,10 @@
 	})
 }
 
-// discardPending forgets what is to become durable, with those who wait for it.
+// discardPending drops all pending records and those who wait for their commit.
 func (d *scheduler) discardPending() { d.queue = groupcommit.New() }
 
-// silentWorkers never get a direct order.
+// silentWorkers are workers to which no command is sent directly.
 type silentWorkers struct{}
 
 func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []worker.Command, time.Time) (worker.Outcome, *worker.Report) {
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -19,7 +19,7 @@
 // releaseAfter is how long a gate has to be unused in these tests.
 const releaseAfter = 20 * time.Second
 
-// gangJobsInUse is a cluster record under which a process of version 1 must not lead.
+// gangJobsInUse returns a cluster record under which a process of version 1 must not lead.
 func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
@@ -106,7 +106,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		if c.tentative == nil || users.usableAgain() {
-			t.Errorf("published: %+v", users.published)
+			t.Errorf("tentative record %v, published %+v; want gang jobs not usable again", c.tentative, users.published)
 		}
 	})
 }
@@ -117,7 +117,7 @@
 		users := &scriptedUsers{gangs: func(count int) int { return max(0, count-2) }}
 		c, client := newReleasingController(t, users)
 		defer client.Close()
-		for range 2 { // the gates that are missing are opened first
+		for range 2 { // the first step opens the missing gates
 			if err := c.advance(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -125,7 +125,7 @@
 		}
 		last := users.published[len(users.published)-1]
 		if users.counts < 3 || !c.cluster.Record.Gate(upgrade.GangJobs).Used || !last.Gate(upgrade.GangJobs).Usable() {
-			t.Errorf("%d counts, stored %+v, published %+v", users.counts, c.cluster.Record, last)
+			t.Errorf("%d counts, stored %+v, published %+v; want at least 3 and gang jobs in use", users.counts, c.cluster.Record, last)
 		}
 	})
 }
