--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -200,19 +201,21 @@
 // the use is durable.
 func TestFirstServiceAtZeroWaitsForGate(t *testing.T) {
 	for phase, wantAccepted := range map[upgrade.GatePhase]bool{"": true, upgrade.GateOpen: false, upgrade.GateWithdrawing: true} {
-		synctest.Test(t, func(t *testing.T) {
-			s := clustertest.Settings()
-			s.Tuning.Activation.Classes = []string{coldClass}
-			d := newTestScheduler(t, s)
-			d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
-			d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: make(chan api.Response, 1)})
-			j := d.state.Jobs.Get(coldModel)
-			if accepted := j != nil; accepted != wantAccepted || accepted && j.ScalesToZero() {
-				t.Errorf("gate %q: job %+v, want accepted %v and never at zero", phase, j, wantAccepted)
-			}
-			if phase == upgrade.GateOpen && len(d.gateWaiters) != 1 {
-				t.Errorf("%d submissions wait for the gate, want 1", len(d.gateWaiters))
-			}
+		t.Run(fmt.Sprintf("phase %q", phase), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s := clustertest.Settings()
+				s.Tuning.Activation.Classes = []string{coldClass}
+				d := newTestScheduler(t, s)
+				d.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
+				d.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: coldModel, Spec: modelSpec(coldModel)}, reply: make(chan api.Response, 1)})
+				j := d.state.Jobs.Get(coldModel)
+				if accepted := j != nil; accepted != wantAccepted || accepted && j.ScalesToZero() {
+					t.Errorf("gate %q: job %+v, want accepted %v and never at zero", phase, j, wantAccepted)
+				}
+				if phase == upgrade.GateOpen && len(d.gateWaiters) != 1 {
+					t.Errorf("%d submissions wait for the gate, want 1", len(d.gateWaiters))
+				}
+			})
 		})
 	}
 }
--- a/internal/scheduler/archiving_guards_test.go
+++ b/internal/scheduler/archiving_guards_test.go
@@ -50,7 +50,7 @@
 		}
 		uses := func() int {
 			go func() { (<-d.mailbox).handle(d) }()
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			go func() { _ = d.journal.Run(ctx) }()
 			usage, err := termGates{d, d.journal}.CountGateUses(ctx, d.gates)
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -170,19 +171,21 @@
 // On a spot notice a gang that can't save in time keeps running, because it may reach another checkpoint before.
 func TestSpotNoticeStopsOnlyGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
-		synctest.Test(t, func(t *testing.T) {
-			d := newTestScheduler(t, clustertest.Settings())
-			first, _, elsewhere := addCompetingGangs(d, time.Now())
-			first.Spec.EstimateS = 1000
-			if !reachable {
-				elsewhere.InFlight = maxInFlightCommands
-			}
-			m := d.state.Machines.Get(1)
-			m.PreemptionAt = time.Now().Add(10 * time.Second)
-			d.drain(m, "spot notice")
-			if n, saving := countStopping(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
-				t.Errorf("reachable %v: %d tasks are stopped, %d with time to save; want all 3 if reachable, else none", reachable, n, saving)
-			}
+		t.Run(fmt.Sprintf("reachable=%v", reachable), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				d := newTestScheduler(t, clustertest.Settings())
+				first, _, elsewhere := addCompetingGangs(d, time.Now())
+				first.Spec.EstimateS = 1000
+				if !reachable {
+					elsewhere.InFlight = maxInFlightCommands
+				}
+				m := d.state.Machines.Get(1)
+				m.PreemptionAt = time.Now().Add(10 * time.Second)
+				d.drain(m, "spot notice")
+				if n, saving := countStopping(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
+					t.Errorf("%d tasks are stopped, %d with time to save; want all 3 if reachable, else none", n, saving)
+				}
+			})
 		})
 	}
 }
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -219,12 +219,11 @@
 func TestInfeasibleGangIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000009", 1)) // so that the machine types are known
-		for id, s := range map[string]storage.Spec{"000001": withLimitedTeam(gangSpec("000001", 3)), "000002": gangSpec("000002", 2)} {
-			if id == "000002" {
-				s.Resources.CPUs = 1000
-			}
-			if a := sim.request(api.OpSubmit, id, s); a.Code != api.CodeInfeasible {
-				t.Errorf("submission of job %s is answered %+v, want code %v", id, a, api.CodeInfeasible)
+		beyondLimit, beyondMachine := withLimitedTeam(gangSpec("000001", 3)), gangSpec("000002", 2)
+		beyondMachine.Resources.CPUs = 1000
+		for _, s := range []storage.Spec{beyondLimit, beyondMachine} {
+			if a := sim.request(api.OpSubmit, s.ID, s); a.Code != api.CodeInfeasible {
+				t.Errorf("submission of job %s is answered %+v, want code %v", s.ID, a, api.CodeInfeasible)
 			}
 		}
 		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -45,7 +45,6 @@
 	})
 }
 
-// restartAllWithVersion restarts all nodes with a version.
 // follower returns a node that doesn't lead.
 func (sim *simulation) follower() *fakeNode {
 	sim.t.Helper()
@@ -84,6 +83,7 @@
 	}
 }
 
+// restartAllWithVersion restarts all nodes with a version.
 func (sim *simulation) restartAllWithVersion(version upgrade.Version) {
 	for _, n := range sim.nodes {
 		n.restartWithVersion(version)
