--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -17,9 +17,7 @@
 // runColdStartFaults wakes the model once, with faults at one moment of the wake.
 func (sim *simulation) runColdStartFaults(m coldStartMoment, faults ...coldStartFault) {
 	sim.t.Helper()
-	for _, wk := range sim.allWorkers() {
-		wk.stuckPulling.Store(true)
-	}
+	sim.setStuckPulling(true)
 	time.AfterFunc(8*time.Second, func() { sim.completePulls() })
 	for _, f := range faults {
 		sim.requestsMayFail.Store(sim.requestsMayFail.Load() || f.mayRestart)
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -17,6 +17,13 @@
 	return n
 }
 
+// setStuckPulling makes image pulls on all workers get stuck, or complete at once.
+func (sim *simulation) setStuckPulling(stuck bool) {
+	for _, wk := range sim.allWorkers() {
+		wk.stuckPulling.Store(stuck)
+	}
+}
+
 // attemptNumbers counts a job's live tasks by their attempt number.
 func (sim *simulation) attemptNumbers(id string) map[uint64]int {
 	sim.mu.Lock()
@@ -53,9 +60,7 @@
 	{"gathering tasks count neither as running nor as done", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
+		sim.setStuckPulling(true)
 		sim.submit(gangSpec("000002", 3))
 		sim.eventually("the gang is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
@@ -88,9 +93,7 @@
 	{"task lost before the start is replaced, one lost later aborts the attempt", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.awaitRunning("000001", 8)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
+		sim.setStuckPulling(true)
 		sim.submit(gangSpec("000002", 4))
 		sim.eventually("the gang is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 4 })
 		sim.machinesOf("000002")[0].dead.Store(true)
@@ -143,18 +146,14 @@
 	{"cancelled while gathering, and requested again", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(true)
-		}
+		sim.setStuckPulling(true)
 		sim.submit(gangSpec("000002", 3))
 		sim.eventually("the gang is placed", 2*time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
 		sim.cancel("000002")
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.requestFromAll("000002")
 		sim.awaitStopped("000002")
-		for _, wk := range sim.allWorkers() {
-			wk.stuckPulling.Store(false)
-		}
+		sim.setStuckPulling(false)
 		sim.requestFromAll("000002")
 		if sim.gangStartCount("000002") != 0 {
 			sim.t.Error("a cancelled gang started")
