--- /dev/null
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -0,0 +1,182 @@
+package scheduler
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sagevale/internal/api"
+	"sagevale/internal/archive"
+	"sagevale/internal/cluster"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/config"
+	"sagevale/internal/leadership"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/upgrade"
+)
+
+// One controller is rolled back: the leaders, which are restarted meanwhile, restore the archive into the journal in steps. Then
+// the older version leads and knows all jobs, and the fleet is upgraded again.
+func TestRollbackRestoresArchive(t *testing.T) {
+	for kills := range 3 {
+		t.Run(fmt.Sprintf("%d leader restarts", kills), func(t *testing.T) {
+			runArchiveSimulation(t, 0, func(sim *simulation) {
+				sim.awaitActive(upgrade.Current, time.Minute)
+				sim.seedArchive(2000)
+				sim.runToCompletion("000001")
+				sim.submit(clustertest.Service("000002", 2))
+				sim.cancel("000002")
+				sim.awaitArchived(2002)
+				back := sim.follower()
+				back.restartWithVersion(upgrade.Version3)
+				for range kills {
+					time.Sleep(900 * time.Millisecond)
+					if leader := sim.leader(); leader != nil {
+						if leader == back {
+							t.Error("the older version leads while jobs are archived")
+						}
+						leader.restart()
+					}
+					sim.awaitLeader()
+				}
+				sim.awaitActive(upgrade.Version3, 5*time.Minute)
+				if status := sim.archiveStatus(); status.Stored.Pages != 0 || status.Backlog != 2002 {
+					t.Errorf("status %+v, want no pages and a backlog of 2002 jobs", status)
+				}
+				sim.restartAllWithVersion(upgrade.Version3)
+				sim.awaitLeader()
+				sim.checkFinalState("000001", api.StateDone)
+				sim.checkFinalState("000002", api.StateCancelled)
+				sim.checkFinalState(archivedJobID(1234), api.StateDone)
+				if a := sim.poll(archivedJobID(1234)); a.Done != 1234%50 {
+					t.Errorf("poll returns %+v, want %d tasks done", a, 1234%50)
+				}
+				sim.restartAllWithVersion(upgrade.Current)
+				sim.awaitActive(upgrade.Current, time.Minute)
+				sim.awaitArchived(2002)
+				sim.checkFinalState("000001", api.StateDone)
+			})
+		})
+	}
+}
+
+// A withdrawal is cancelled halfway: jobs are in the journal, in the archive, or in both, and keep their final states.
+func TestHaltedArchiveWithdrawal(t *testing.T) {
+	runArchiveSimulation(t, 0, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.seedArchive(3000)
+		back := sim.follower()
+		back.restartWithVersion(upgrade.Version3)
+		sim.eventually("some jobs are restored", time.Minute, func() bool { s := sim.archiveStatus(); return s.Backlog > 0 && s.Stored.Jobs > 0 })
+		back.restartWithVersion(upgrade.Current)
+		for i := range 5 {
+			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
+		}
+		sim.awaitLeader().restart()
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.awaitArchived(3000)
+		for i := range 5 {
+			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
+		}
+	})
+}
+
+// An archive that doesn't fit into the leader's memory isn't restored, and the status says why.
+func TestArchiveTooLargeToRestore(t *testing.T) {
+	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
+		back := sim.follower()
+		back.restartWithVersion(upgrade.Version3)
+		sim.eventually("the status says why", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
+		if s := sim.archiveStatus(); s.Backlog > 0 || !strings.Contains(s.Waiting, "gate job-archive can't be withdrawn for node "+back.name) {
+			t.Errorf("status %+v, want no backlog and %s named", s, back.name)
+		}
+		sim.checkFinalState(archivedJobID(77), api.StateDone)
+	})
+}
+
+// While jobs are archived, neither 3661d31 nor af96c21 becomes leader, even if no other controller runs.
+func TestUnregisteredVersionsCannotLeadWithArchive(t *testing.T) {
+	for _, version := range []int{0, 2} {
+		t.Run(fmt.Sprintf("peer version %d", version), func(t *testing.T) {
+			runArchiveSimulation(t, 0, func(sim *simulation) {
+				sim.awaitActive(upgrade.Current, time.Minute)
+				sim.runToCompletion("000001")
+				sim.awaitArchived(1)
+				back := sim.follower()
+				older := back.startUnregistered(version)
+				sim.killAllBut(back)
+				time.Sleep(time.Minute)
+				if n := older.terms.Load(); n > 0 {
+					t.Errorf("it became leader %d times, want never", n)
+				}
+				back.kill()
+				sim.startAll()
+				sim.awaitLeader()
+				sim.checkFinalState("000001", api.StateDone)
+			})
+		})
+	}
+}
+
+// Earlier versions read the record of a restored job as that of a final one.
+func TestRestoredJobRecord(t *testing.T) {
+	number := jobNumber(t, "000412")
+	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
+		data, err := json.Marshal(cluster.RestoredJob(archive.Entry{Number: number, FinalState: final}).Record())
+		if err != nil {
+			t.Fatal(err)
+		}
+		var r storage.JobRecord
+		if err := json.Unmarshal(data, &r); err != nil || r.Phase != final.Phase() || r.DoneTasks != final.Done || r.Spec != nil {
+			t.Errorf("%s is read as %+v, %v; want %+v", data, r, err, final)
+		}
+	}
+}
+
+// A page is removed only once its jobs are durable in the journal.
+func TestArchivePageRemovedAfterJobsAreRestored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		d := newTestScheduler(t, clustertest.Settings())
+		service := storagetest.NewService()
+		defer service.Close()
+		ops, err := archive.Build([]archive.Entry{{Number: jobNumber(t, "000001"), FinalState: archive.FinalState{Done: 1}}}, &d.settings.State)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ops = append(ops, storage.Op{Key: leadership.LeaderKey, Data: json.RawMessage(`{}`)})
+		version, err := service.Apply(nil, ops)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.archive = newArchive(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
+		go d.archive.Run(ctx)
+		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadership.LeaderKey, Version: version}})
+		time.Sleep(time.Minute)
+		result := make(chan error, 1) // of the journal's commit
+		go func() {
+			for m := range d.mailbox {
+				m.(restoreMessage).reply <- <-result
+			}
+		}()
+		defer close(d.mailbox)
+		for _, c := range []struct {
+			commitErr error
+			wantPages int
+		}{{errArchivingInProgress, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
+			result <- c.commitErr
+			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.commitErr) || len(service.Keys(archivePrefix)) != c.wantPages {
+				t.Errorf("restoreFirst() = %v with %d pages left, want %v with %d", err, len(service.Keys(archivePrefix)), c.commitErr, c.wantPages)
+			}
+		}
+	})
+}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -11,8 +11,7 @@
 	"sagevale/internal/worker"
 )
 
-// The hot paths at fleet size, 2,000 machines and 12,000 attempts, to be
-// compared with earlier versions of our own.
+// The benchmarks measure the hot paths with a fleet of 2,000 machines and 12,000 attempts.
 
 const (
 	benchMachines = 2000
@@ -20,8 +19,8 @@
 	benchArrays   = 600  // of twelve tasks
 )
 
-// newBenchDispatcher is a dispatcher with a fleet that carries services and arrays.
-func newBenchDispatcher(b *testing.B) *scheduler {
+// newBenchScheduler returns a scheduler whose fleet runs services and arrays.
+func newBenchScheduler(b *testing.B) *scheduler {
 	b.Helper()
 	d := newTestScheduler(b, clustertest.Settings())
 	for i := range benchMachines {
@@ -52,6 +51,7 @@
 	return d
 }
 
+// benchArray returns the specification of an array of GPU tasks with a deadline.
 func benchArray(id, tasks int) storage.Spec {
 	s := clustertest.Array(fmt.Sprintf("%06d", id), tasks)
 	s.Resources, s.Spot, s.DeadlineS = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
@@ -59,9 +59,9 @@
 	return s
 }
 
-// BenchmarkHeartbeat is a report of an ordinary machine and its answer.
+// BenchmarkHeartbeat measures the handling of a machine's heartbeat, with the response.
 func BenchmarkHeartbeat(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	m := d.state.Machines.InOrder()[1]
 	r := &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Token: d.term}
 	for _, a := range m.SortedAttempts() {
@@ -74,9 +74,9 @@
 	}
 }
 
-// BenchmarkRoundInVain is a round in which 200 jobs wait and none finds room.
+// BenchmarkRoundInVain measures a round in which 200 jobs wait and none fits.
 func BenchmarkRoundInVain(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		s := clustertest.Spread(fmt.Sprintf("%06d", 200000+i), 6)
 		s.Resources = storage.Resources{CPUs: 65}
@@ -87,10 +87,9 @@
 	}
 }
 
-// BenchmarkRoundOfOne is a round that places a service of one task while 200
-// arrays wait for accelerators.
+// BenchmarkRoundOfOne measures a round that places a service of one task while 200 arrays wait for GPUs.
 func BenchmarkRoundOfOne(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
@@ -104,17 +103,17 @@
 	}
 }
 
-// BenchmarkFleetSnapshot is a snapshot of the fleet at a quiet time.
+// BenchmarkFleetSnapshot measures a snapshot of the fleet while no job waits.
 func BenchmarkFleetSnapshot(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for b.Loop() {
 		d.snapshotFleet(time.Now())
 	}
 }
 
-// BenchmarkFleetSnapshotBacklog is a snapshot while 200 arrays of 40 tasks wait.
+// BenchmarkFleetSnapshotBacklog measures a snapshot while 200 arrays of 40 tasks wait.
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	for i := range 200 {
 		d.addAcceptedJob(benchArray(200000+i, 40))
 	}
@@ -123,9 +122,9 @@
 	}
 }
 
-// BenchmarkTick is the clock's work besides snapshots and rounds.
+// BenchmarkTick measures a tick without a snapshot or a round.
 func BenchmarkTick(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	d.nextSnapshot = time.Now().Add(time.Hour)
 	for b.Loop() {
 		d.tick()
@@ -133,9 +132,9 @@
 	}
 }
 
-// BenchmarkLoad rebuilds the state of the whole fleet from its records.
+// BenchmarkLoad measures loading the records of the whole fleet.
 func BenchmarkLoad(b *testing.B) {
-	d := newBenchDispatcher(b)
+	d := newBenchScheduler(b)
 	var records []storage.Record
 	add := func(key string, data any) {
 		r, err := storage.NewRecord(key, data)
@@ -158,8 +157,7 @@
 	}
 }
 
-// BenchmarkIdleServices is one tick of a leader's activation controller beside so many services at
-// zero: they cost memory alone.
+// BenchmarkIdleServices measures a tick of the activation controller with services at zero, which cost memory alone.
 func BenchmarkIdleServices(b *testing.B) {
 	for _, services := range []int{0, 1000, 100_000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
@@ -167,7 +165,7 @@
 			s.Tuning.Activation.Classes = []string{coldClass}
 			d := newTestScheduler(b, s)
 			for i := range services {
-				j := cluster.NewJob(model(fmt.Sprintf("%06d", i)), time.Now())
+				j := cluster.NewJob(modelSpec(fmt.Sprintf("%06d", i)), time.Now())
 				d.state.Jobs.AddOpen(j)
 				d.activation.track(j, time.Now())
 			}
--- /dev/null
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -0,0 +1,225 @@
+package scheduler
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sagevale/internal/activation"
+	"sagevale/internal/activator"
+	"sagevale/internal/cluster/clustertest"
+	"sagevale/internal/config"
+	"sagevale/internal/storage"
+	"sagevale/internal/storage/storagetest"
+	"sagevale/internal/upgrade"
+	"sagevale/internal/worker"
+)
+
+const (
+	coldModel = "000002"         // the job that cold starts are about
+	coldClass = "model"          // its class, which scales to zero
+	coldIdle  = 15 * time.Second // time without requests before it scales to zero
+	coldHold  = 10 * time.Second // time for which a request waits for it
+)
+
+// noteWakeRequest records a wake request that a controller has sent to another.
+func (sim *simulation) noteWakeRequest(req activation.WakeRequest) {
+	sim.withLock(func() { sim.wakeRequests = append(sim.wakeRequests, req) })
+}
+
+// noteUsage records a usage report that a controller has sent to another.
+func (sim *simulation) noteUsage(report activation.UsageReport) {
+	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
+}
+
+// replayPeerMessages delivers every recorded wake request and usage report to all nodes again.
+func (sim *simulation) replayPeerMessages() {
+	var wakes []activation.WakeRequest
+	var usages []activation.UsageReport
+	sim.withLock(func() { wakes, usages = append(wakes, sim.wakeRequests...), append(usages, sim.usageReports...) })
+	for _, n := range sim.nodes {
+		live := n.live.Load()
+		if live == nil {
+			continue
+		}
+		for _, req := range wakes {
+			req.Wait = 0
+			live.HandleForwardedWake(sim.t.Context(), req)
+		}
+		for _, report := range usages {
+			live.HandleForwardedUsage(sim.t.Context(), report)
+		}
+	}
+}
+
+// startsOf returns a job's starts by the workers' record.
+func (sim *simulation) startsOf(id string) (starts []startRecord) {
+	sim.withLock(func() { starts = append(starts, sim.startsByJob[id]...) })
+	return starts
+}
+
+// modelSpec returns the specification of a service that is at zero until there is demand.
+func modelSpec(id string) storage.Spec {
+	s := clustertest.Service(id, 1)
+	s.Class = coldClass
+	return s
+}
+
+// runColdStart runs a scenario with a model at zero beside a running service.
+func runColdStart(t *testing.T, scenario func(sim *simulation)) {
+	t.Helper()
+	runColdStartInZones(t, threeControllers, scenario)
+}
+
+// runColdStartInZones is runColdStart with one controller in each of the given zones.
+func runColdStartInZones(t *testing.T, zones []string, scenario func(sim *simulation)) {
+	t.Helper()
+	tune := func(tuning *config.Tuning) {
+		tuning.Activation.Classes = []string{coldClass}
+		tuning.Activation.Policy.IdleWindow = coldIdle
+		tuning.Activation.Hold = coldHold
+	}
+	runSimulationInZones(t, zones, func(*config.Settings) {}, tune, func(sim *simulation) {
+		sim.awaitActive(upgrade.Current, time.Minute)
+		sim.submit(clustertest.Service("000001", 2))
+		sim.awaitRunning("000001", 2)
+		sim.submit(modelSpec(coldModel))
+		time.Sleep(2 * sim.settings.HeartbeatInterval)
+		if n := len(sim.startsOf(coldModel)); n != 0 {
+			t.Errorf("the model started %d times without demand, want never", n)
+		}
+		scenario(sim)
+	})
+}
+
+// modelClient requests the model at one node again and again.
+type modelClient struct {
+	id             int
+	node           *fakeNode
+	ready          atomic.Bool // whether the latest request was granted
+	paused         atomic.Bool // whether it sends no requests
+	lastGeneration uint64      // the latest generation in a response
+}
+
+// startClients starts a client at every node, all within a millisecond; they run until the simulation ends.
+func (sim *simulation) startClients() []*modelClient {
+	var clients []*modelClient
+	for i, n := range sim.nodes {
+		c := &modelClient{id: i, node: n}
+		clients = append(clients, c)
+		go func() {
+			time.Sleep(time.Duration(i) * 300 * time.Microsecond)
+			for !sim.ended.Load() {
+				if !c.paused.Load() {
+					c.acquire(sim)
+				}
+				time.Sleep(100 * time.Millisecond)
+			}
+		}()
+	}
+	return clients
+}
+
+// clientTimeout is how long a client waits for a response.
+const clientTimeout = 20 * time.Second
+
+// acquire sends one request, and checks that generations never go back.
+func (c *modelClient) acquire(sim *simulation) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
+	defer cancel()
+	tracker := c.node.tracker.Load()
+	called := time.Now()
+	decision := tracker.Acquire(ctx, coldModel)
+	c.ready.Store(decision.Outcome == activator.Granted)
+	if decision.Outcome == activator.Granted {
+		sim.serveRequest(c.node, decision.Response.Machine)
+		sim.noteServed(c.id, called, decision.Response.Generation)
+		tracker.Release(coldModel)
+	}
+	if decision.Response.Verdict != activation.Known || decision.Response.Reason == runsAlways {
+		return
+	}
+	if decision.Response.Generation < c.lastGeneration {
+		sim.t.Errorf("%s reports generation %d after %d", c.node.name, decision.Response.Generation, c.lastGeneration)
+	}
+	c.lastGeneration = decision.Response.Generation
+}
+
+// serveRequest forwards a request to the model, which takes 60 ms. The replica must run on that machine throughout, unless the
+// scenario's faults concern machines or the model.
+func (sim *simulation) serveRequest(n *fakeNode, machine string) {
+	for range 3 {
+		served := false
+		for _, wk := range sim.runningTasks(coldModel) {
+			served = served || fmt.Sprint(wk.id) == machine
+		}
+		if !served && !sim.requestsMayFail.Load() && !sim.ended.Load() {
+			sim.t.Errorf("%s forwards a request to machine %s, where the model doesn't run", n.name, machine)
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// awaitReady waits until all clients' requests are granted and exactly one replica runs.
+func (sim *simulation) awaitReady(clients []*modelClient) {
+	sim.t.Helper()
+	sim.eventually("all nodes forward requests", 5*time.Minute, func() bool {
+		for _, c := range clients {
+			if !c.ready.Load() {
+				return false
+			}
+		}
+		return len(sim.runningTasks(coldModel)) == 1
+	})
+}
+
+// followers returns all nodes but the leader.
+func (sim *simulation) followers(leader *fakeNode) []*fakeNode {
+	var followers []*fakeNode
+	for _, n := range sim.nodes {
+		if n != leader {
+			followers = append(followers, n)
+		}
+	}
+	return followers
+}
+
+// completePulls completes all image pulls, and makes later ones immediate.
+func (sim *simulation) completePulls() {
+	sim.withLock(func() {
+		for _, wk := range sim.workers {
+			wk.stuckPulling.Store(false)
+			for _, t := range wk.tasks {
+				if t.state == worker.Pulling {
+					t.state = worker.Running
+				}
+			}
+		}
+	})
+}
+
+// setPaused pauses or resumes clients; none counts as ready until its next request is granted.
+func setPaused(clients []*modelClient, paused bool) {
+	for _, c := range clients {
+		c.paused.Store(paused)
+		c.ready.Store(false)
+	}
+}
+
+// awaitZero waits until no replica of the model runs.
+func (sim *simulation) awaitZero() {
+	sim.t.Helper()
+	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.runningTasks(coldModel)) == 0 })
+}
+
+// modelStatus returns the model's activation status as operators read it.
+func (sim *simulation) modelStatus() ServiceStatus {
+	sim.t.Helper()
+	status, err := ReadActivationStatus(sim.t.Context(), &storagetest.Client{Service: sim.state}, &sim.settings)
+	if err != nil || !status.Gate.Used || len(status.Services) != 1 || status.Services[0].ID != coldModel {
+		sim.t.Fatalf("ReadActivationStatus() = %+v, %v, want %s alone", status, err, coldModel)
+	}
+	return status.Services[0]
+}
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -151,7 +151,7 @@
 func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
 	if o, ok := n.reachablePeer(name); ok && req.Op == api.OpPing {
 		if old := o.unregistered.Load(); old != nil {
-			return api.Response{Peer: peer.Status{Version: old.told}}, nil
+			return api.Response{Peer: peer.Status{Version: old.version}}, nil
 		}
 	}
 	var response api.Response
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("first gang job: got a response after %v, want at most 100ms", duration)
 		}
 		sim.awaitDone("000001")
-		sim.state.Update(func(s *storagetest.Service) { s.Drop = touchesCluster })
+		sim.state.Update(func(s *storagetest.Service) { s.Drop = writesClusterRecord })
 		for _, n := range sim.nodes {
 			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
 			n.restart()
