--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -43,7 +43,7 @@
 		name   string
 		faults func(s *storagetest.Service)
 	}{
-		{"answers lost", func(s *storagetest.Service) { s.LoseAnswers = 3 }},
+		{"answers lost", func(s *storagetest.Service) { s.LoseResponses = 3 }},
 		{"late", func(s *storagetest.Service) { s.Delay = lateOnce(2 * time.Second) }},
 		{"very late", func(s *storagetest.Service) { s.Delay = lateOnce(time.Minute) }},
 	} {
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -127,7 +127,7 @@
 	m.store.Update(func(s *storagetest.Service) {
 		switch fault {
 		case 0:
-			s.LoseAnswers = 1
+			s.LoseResponses = 1
 		case 1:
 			s.Delay = lateOnce(late)
 		default:
--- a/internal/archive/withdrawal_test.go
+++ b/internal/archive/withdrawal_test.go
@@ -42,7 +42,7 @@
 			if err := leader.DropFirstPage(context.Background(), page.Upper-1); err != nil || len(f.pages()) == 0 {
 				t.Errorf("DropFirstPage of another page: got %v, %d pages; want no effect", err, len(f.pages()))
 			}
-			f.store.Update(func(s *storagetest.Service) { s.LoseAnswers = step % 2 })
+			f.store.Update(func(s *storagetest.Service) { s.LoseResponses = step % 2 })
 			_ = leader.DropFirstPage(context.Background(), page.Upper) // fails without an answer
 			time.Sleep(5 * time.Second)
 		}
--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -63,8 +63,8 @@
 	afterJobCommit(j *cluster.Job, then func(error))
 	// stopAttempt has an attempt stopped.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
-	// commandJobStops sends the workers of a job's stopped attempts their stops directly.
-	commandJobStops(j *cluster.Job)
+	// sendJobStops sends the workers of a job's stopped attempts their stops directly.
+	sendJobStops(j *cluster.Job)
 	// placeSoon requests a round of placement.
 	placeSoon()
 	// mayUse reports whether something new may depend on a gate, and requests its use.
@@ -92,7 +92,7 @@
 	log      *slog.Logger
 	gate     upgrade.GateState
 	services map[string]*managedService // by job
-	awake    map[string]*managedService // those of them whose state changes with time
+	active   map[string]*managedService // those of them whose state changes with time
 	usage    *activation.Usage
 	starts   activation.StartTimes
 	// postponed are services that are to scale to zero and have no record, because they were accepted while the gate was
@@ -105,14 +105,14 @@
 func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
 	return &activationController{
 		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, host: host, log: log,
-		services: make(map[string]*managedService), postponed: make(map[string]*cluster.Job), awake: make(map[string]*managedService),
+		services: make(map[string]*managedService), postponed: make(map[string]*cluster.Job), active: make(map[string]*managedService),
 		usage: activation.NewUsage(settings.ControllerNames(), usageIntervals*settings.UsageInterval()),
 	}
 }
 
-// applies reports whether a job is a service that is to scale to zero while there is no demand. Services of several tasks
+// scalesToZero reports whether a job is a service that is to scale to zero while there is no demand. Services of several tasks
 // always run.
-func (c *activationController) applies(spec *storage.Spec) bool {
+func (c *activationController) scalesToZero(spec *storage.Spec) bool {
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
 
@@ -121,12 +121,12 @@
 
 // track adds a service that was just submitted. It begins idle, which is stored with the job's record.
 func (c *activationController) track(j *cluster.Job, now time.Time) {
-	c.hold(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
+	c.add(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
 // postpone adds a service that is to scale to zero once the gate is in use. Until then it runs.
 func (c *activationController) postpone(j *cluster.Job) {
-	if c.applies(&j.Spec) {
+	if c.scalesToZero(&j.Spec) {
 		c.postponed[j.Spec.ID] = j
 	}
 }
@@ -149,7 +149,7 @@
 			}
 		}
 		s := &managedService{job: j, routedUntil: now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))}
-		c.hold(s)
+		c.add(s)
 		c.set(s, next, "its class is listed")
 	}
 }
@@ -160,8 +160,8 @@
 	return s
 }
 
-// hold adds a service.
-func (c *activationController) hold(s *managedService) {
+// add adds a service.
+func (c *activationController) add(s *managedService) {
 	s.job.Lifecycle = s
 	delete(c.postponed, s.job.Spec.ID)
 	c.services[s.job.Spec.ID] = s
@@ -172,14 +172,14 @@
 	record, err := activation.Decode(storage.JobKey(j.Spec.ID), raw)
 	if err != nil {
 		c.log.Error("lifecycle record damaged", "job", j.Spec.ID, "error", err)
-		c.hold(&managedService{job: j, damaged: raw})
+		c.add(&managedService{job: j, damaged: raw})
 		return
 	}
-	c.hold(&managedService{job: j, record: record})
+	c.add(&managedService{job: j, record: record})
 }
 
-// loaded reconciles the records with the attempts at the start of a term.
-func (c *activationController) loaded(now time.Time) {
+// reconcile reconciles the records with the attempts at the start of a term.
+func (c *activationController) reconcile(now time.Time) {
 	for _, s := range c.services {
 		if s.damaged != nil {
 			continue
@@ -192,7 +192,7 @@
 		s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
 		c.set(s, next, "another leader")
 	}
-	c.bringUpUnlisted()
+	c.runUnlisted()
 }
 
 // resume acts on the records once the actors of a term run.
@@ -208,20 +208,20 @@
 // setGate updates the gate. Unless it is open, every service is started and runs always.
 func (c *activationController) setGate(gate upgrade.GateState) {
 	c.gate = gate
-	c.bringUpUnlisted()
+	c.runUnlisted()
 }
 
-// bringUpUnlisted makes the services that are no longer to scale to zero run always.
-func (c *activationController) bringUpUnlisted() {
+// runUnlisted makes the services that are no longer to scale to zero run always.
+func (c *activationController) runUnlisted() {
 	for _, s := range c.services {
-		if c.gate.Phase != upgrade.GateOpen || !c.applies(&s.job.Spec) {
-			c.bringUp(s)
+		if c.gate.Phase != upgrade.GateOpen || !c.scalesToZero(&s.job.Spec) {
+			c.runAlways(s)
 		}
 	}
 }
 
-// bringUp removes a service's lifecycle record, so that it runs like any other service.
-func (c *activationController) bringUp(s *managedService) {
+// runAlways removes a service's lifecycle record, so that it runs like any other service.
+func (c *activationController) runAlways(s *managedService) {
 	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
 	c.release(s.job)
 	c.postpone(s.job)
@@ -238,7 +238,7 @@
 func (c *activationController) release(j *cluster.Job) {
 	delete(c.services, j.Spec.ID)
 	delete(c.postponed, j.Spec.ID)
-	delete(c.awake, j.Spec.ID)
+	delete(c.active, j.Spec.ID)
 	if s := c.service(j); s != nil {
 		for _, w := range s.watchers {
 			w.reply <- undecided("it runs always, or no longer")
@@ -268,7 +268,7 @@
 func (c *activationController) set(s *managedService, next activation.Record, cause string) (writes bool) {
 	before := s.record
 	s.record = next
-	c.noteAwake(s)
+	c.updateActive(s)
 	if next.SameStored(before) {
 		return false
 	}
@@ -286,13 +286,13 @@
 	return true
 }
 
-// noteAwake updates the set of services whose state changes with time.
-func (c *activationController) noteAwake(s *managedService) {
+// updateActive updates the set of services whose state changes with time.
+func (c *activationController) updateActive(s *managedService) {
 	if s.record.State == activation.Idle || s.record.State == activation.Failed {
-		delete(c.awake, s.job.Spec.ID)
+		delete(c.active, s.job.Spec.ID)
 		return
 	}
-	c.awake[s.job.Spec.ID] = s
+	c.active[s.job.Spec.ID] = s
 }
 
 // act does what the record requires, if it is durable. Replicas are started like any other task, once placement has
@@ -307,7 +307,7 @@
 	case activation.Stop:
 		if a := s.replica(); a != nil && !a.Stopping {
 			c.host.stopAttempt(a, 0)
-			c.host.commandJobStops(s.job)
+			c.host.sendJobStops(s.job)
 		}
 	case activation.Nothing, activation.Start, activation.Drain:
 	}
@@ -344,7 +344,7 @@
 // tick does the periodic work. Idle services cost nothing.
 func (c *activationController) tick(now time.Time) {
 	c.adoptPostponed(now)
-	for _, s := range c.awake {
+	for _, s := range c.active {
 		var reservedFor time.Duration
 		if a := s.replica(); a != nil {
 			reservedFor = now.Sub(a.ReservedAt)
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -54,7 +54,7 @@
 	if node == "" {
 		node = a.pick(r.Machine, func(name string) bool { return a.canForward(name, leader) })
 	}
-	if node == "" || node == self || !a.hearsWorkers(node, now) {
+	if node == "" || node == self || !a.receivesHeartbeats(node, now) {
 		return ""
 	}
 	return node
@@ -83,8 +83,8 @@
 	return ok && w.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
-// hearsWorkers reports whether a controller receives heartbeats, or is to be probed with a worker now.
-func (a *affinity) hearsWorkers(name string, now time.Time) bool {
+// receivesHeartbeats reports whether a controller receives heartbeats, or is to be probed with a worker now.
+func (a *affinity) receivesHeartbeats(name string, now time.Time) bool {
 	if w, ok := a.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < a.node.settings.HeartbeatInterval {
 		return true
 	}
--- a/internal/scheduler/archive_withdrawal.go
+++ b/internal/scheduler/archive_withdrawal.go
@@ -18,14 +18,14 @@
 	if limit := t.scheduler.settings.MaxRestoredJobs(); count > limit {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: fmt.Sprintf("%d jobs are archived, and only %d fit in memory", count, limit)}
 	}
-	if err := t.restoreFirst(ctx); err != nil {
+	if err := t.restoreFirstPage(ctx); err != nil {
 		return count, &upgrade.BlockedError{Gate: upgrade.JobArchive, Reason: err.Error()}
 	}
 	return t.scheduler.archive.Count(ctx)
 }
 
-// restoreFirst moves the jobs of the first page back: into the journal, and then out of the archive.
-func (t termGates) restoreFirst(ctx context.Context) error {
+// restoreFirstPage moves the jobs of the first page back: into the journal, and then out of the archive.
+func (t termGates) restoreFirstPage(ctx context.Context) error {
 	page, err := t.scheduler.archive.FirstPage(ctx)
 	if err != nil || page.Upper == 0 {
 		return err
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -174,7 +174,7 @@
 			wantPages int
 		}{{errArchivingInProgress, 1}, {storage.ErrLeadershipLost, 1}, {nil, 0}} {
 			result <- c.commitErr
-			if err := (termGates{d, d.journal}).restoreFirst(ctx); !errors.Is(err, c.commitErr) || len(service.Keys(archivePrefix)) != c.wantPages {
+			if err := (termGates{d, d.journal}).restoreFirstPage(ctx); !errors.Is(err, c.commitErr) || len(service.Keys(archivePrefix)) != c.wantPages {
 				t.Errorf("restoreFirst() = %v with %d pages left, want %v with %d", err, len(service.Keys(archivePrefix)), c.commitErr, c.wantPages)
 			}
 		}
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -46,8 +46,8 @@
 	}
 )
 
-// archivedAnswer is the response to a request for an archived job.
-func archivedAnswer(id string, final archive.FinalState) api.Response {
+// archivedResponse is the response to a request for an archived job.
+func archivedResponse(id string, final archive.FinalState) api.Response {
 	state := api.StateDone
 	if final.Cancelled {
 		state = api.StateCancelled
@@ -63,23 +63,23 @@
 		return api.Response{}, false
 	}
 	r := n.archive.Index.Lookup(number)
-	return archivedAnswer(req.ID, r.Final), r.Knowledge == archive.Found
+	return archivedResponse(req.ID, r.Final), r.Knowledge == archive.Found
 }
 
-// answerArchived handles a request for a job that isn't in memory. It reports whether it has answered it, or will do
+// answerFromArchive handles a request for a job that isn't in memory. It reports whether it has answered it, or will do
 // so once the job's page has been read. It returns false if the job is known not to be archived, or if this leader may
 // not answer anyway.
-func (s *scheduler) answerArchived(m userMessage, now time.Time) bool {
+func (s *scheduler) answerFromArchive(m userMessage, now time.Time) bool {
 	number, ok := archive.ParseJobNumber(m.req.ID)
-	if !s.archiveUsed || !ok {
+	if !s.archiveInUse || !ok {
 		return false
 	}
 	r := s.archive.Index.Lookup(number)
 	switch {
 	case r.Knowledge == archive.Found:
-		m.reply <- archivedAnswer(m.req.ID, r.Final)
+		m.reply <- archivedResponse(m.req.ID, r.Final)
 		return true
-	case m.absent, r.Knowledge == archive.Absent && r.Term == s.term, !s.leaseValid(now):
+	case m.notArchived, r.Knowledge == archive.Absent && r.Term == s.term, !s.leaseValid(now):
 		return false
 	}
 	s.readArchive(m, number)
@@ -102,9 +102,9 @@
 	case m.err != nil:
 		m.user.reply <- api.Unavailable(id, m.err.Error())
 	case m.result.Knowledge == archive.Found:
-		m.user.reply <- archivedAnswer(id, m.result.Final)
+		m.user.reply <- archivedResponse(id, m.result.Final)
 	case m.result.Knowledge == archive.Absent && m.result.Term == s.term:
-		m.user.absent = true
+		m.user.notArchived = true
 		s.handleUser(m.user)
 	case m.result.Knowledge == archive.Damaged:
 		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
@@ -116,7 +116,7 @@
 // finalizeArchived makes a job final that is open in memory although it is archived: the final record wins.
 func (s *scheduler) finalizeArchived(j *cluster.Job) {
 	number, ok := archive.ParseJobNumber(j.Spec.ID)
-	if !s.archiveUsed || !ok || j.Phase != storage.Open {
+	if !s.archiveInUse || !ok || j.Phase != storage.Open {
 		return
 	}
 	r := s.archive.Index.Lookup(number)
@@ -129,13 +129,13 @@
 	s.state.Jobs.TrackCancelling(j)
 	s.markJob(j)
 	s.stopJob(j)
-	s.commandJobStops(j)
+	s.sendJobStops(j)
 	s.retire(j)
 }
 
 // compareArchive finalizes open jobs that are archived, once a term when all pages have been read.
 func (s *scheduler) compareArchive() {
-	if !s.archiveUsed || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
+	if !s.archiveInUse || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
 	}
 	s.archiveCompared = true
@@ -147,7 +147,7 @@
 // useArchive records that jobs may be archived from now on, or were in an earlier term. That holds for the rest of the
 // term, also if the gate is closed again.
 func (s *scheduler) useArchive() {
-	s.archiveUsed = s.archiveUsed || s.gates.Gate(upgrade.JobArchive).Used
+	s.archiveInUse = s.archiveInUse || s.gates.Gate(upgrade.JobArchive).Used
 }
 
 // archiveFinished archives finished jobs, if there are more than the journal is to keep.
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -45,7 +45,7 @@
 			s.Before = callOnce(isJournalRemoval("000001"), func() { go sim.leader().kill() })
 		},
 		"archive write response lost": func(_ *simulation, s *storagetest.Service) {
-			s.Lose = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) }
+			s.Lose = isArchiveWrite
 		},
 		"removal response lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isJournalRemoval("000001") },
 		"archive write delayed": func(_ *simulation, s *storagetest.Service) { s.Late = delayFirst(isArchiveWrite, 9*time.Second) },
@@ -235,6 +235,7 @@
 						unknown.Add(1)
 					case api.CodeUnavailable:
 						busy.Add(1)
+					default: // an unknown job has no other state
 					}
 				}
 			})
@@ -287,7 +288,7 @@
 		case 5:
 			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
 		case 6:
-			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 + random.IntN(3) })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 1 + random.IntN(3) })
 		case 7:
 			sim.delayCommits(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
 		case 8:
@@ -304,7 +305,7 @@
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 	}
-	sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers, s.Delay = 0, nil })
+	sim.state.Update(func(s *storagetest.Service) { s.LoseResponses, s.Delay = 0, nil })
 	time.Sleep(time.Minute)
 	sim.awaitLeader()
 	for i := range next - 1 {
--- a/internal/scheduler/archiving_guards_test.go
+++ b/internal/scheduler/archiving_guards_test.go
@@ -80,14 +80,14 @@
 func TestArchiveStaysInUseUntilTermEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestScheduler(t, clustertest.Settings())
-		if d.archiveUsed {
+		if d.archiveInUse {
 			t.Error("the archive is in use before the gate is")
 		}
 		used := upgrade.Initial()
 		used.Gates = map[upgrade.GateName]upgrade.GateState{upgrade.JobArchive: {Since: upgrade.Version4, Phase: upgrade.GateOpen, Used: true}}
 		d.setGates(used)
 		d.setGates(upgrade.Initial())
-		if !d.archiveUsed {
+		if !d.archiveInUse {
 			t.Error("the archive is out of use within the term")
 		}
 	})
--- a/internal/scheduler/cold_start_faults_test.go
+++ b/internal/scheduler/cold_start_faults_test.go
@@ -48,7 +48,7 @@
 var coldStartFaults = []coldStartFault{
 	{"leader crash", func(sim *simulation, leader *fakeNode) { sim.restartAfter(4*time.Second, leader) }, false},
 	{"leader restart", func(sim *simulation, leader *fakeNode) { sim.restartAfter(time.Millisecond, leader) }, false},
-	{"leader paused beyond its lease", func(sim *simulation, leader *fakeNode) { leader.pause(coldFaultDuration) }, false},
+	{"leader paused beyond its lease", func(_ *simulation, leader *fakeNode) { leader.pause(coldFaultDuration) }, false},
 	{"leader and follower crash", func(sim *simulation, leader *fakeNode) {
 		sim.restartAfter(4*time.Second, leader, sim.followers(leader)[0])
 	}, false},
@@ -67,7 +67,7 @@
 	}, false},
 	{"store outage", func(sim *simulation, _ *fakeNode) { sim.outage(coldFaultDuration) }, false},
 	{"store responses lost", func(sim *simulation, _ *fakeNode) {
-		sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
+		sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
 	}, false},
 	{"transactions delayed", func(sim *simulation, _ *fakeNode) {
 		sim.duringFault(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -138,7 +138,7 @@
 		sim.noteServed(c.id, called, decision.Response.Generation)
 		tracker.Release(coldModel)
 	}
-	if decision.Response.Verdict != activation.Known || decision.Response.Reason == runsAlways {
+	if decision.Response.Verdict != activation.Known || decision.Response.Reason == alwaysRunningReason {
 		return
 	}
 	if decision.Response.Generation < c.lastGeneration {
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -32,7 +32,7 @@
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000002", 2)
 		for range 4 {
-			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 3 })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
 			sim.submit(clustertest.Service("000003", 1))
 			sim.cancel("000002")
 			sim.requestFromAll("000003")
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -70,8 +70,8 @@
 	return !m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) && s.leaseValid(now) && s.pageDurable(t.ID)
 }
 
-// commandJobStops sends the workers of a job's stopped attempts their stops directly.
-func (s *scheduler) commandJobStops(j *cluster.Job) {
+// sendJobStops sends the workers of a job's stopped attempts their stops directly.
+func (s *scheduler) sendJobStops(j *cluster.Job) {
 	commands := make(map[*cluster.Machine][]worker.Command)
 	for _, a := range j.Attempts {
 		if a.Stopping && a.Incarnation == a.Machine.Incarnation {
@@ -179,7 +179,7 @@
 	}
 	s.applyReport(m, r, false, now)
 	// Attempts to be stopped that are first reported here needn't wait for a heartbeat.
-	s.commandStops(m)
+	s.sendStops(m)
 }
 
 // dropUnsent removes attempts that were stopped while their starts were in flight, if these turned out not to have been
@@ -192,8 +192,8 @@
 	}
 }
 
-// commandStops sends a worker the stops of its attempts directly.
-func (s *scheduler) commandStops(m *cluster.Machine) {
+// sendStops sends a worker the stops of its attempts directly.
+func (s *scheduler) sendStops(m *cluster.Machine) {
 	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
 		if a.Stopping && a.Reported && a.State != worker.Saving && !a.StopCommanded {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -28,8 +28,8 @@
 	return admission.NewLimiter(maxSubmissionWait, throughput, len(s.Teams))
 }
 
-// admit reports whether a team's submission may wait for a commit.
-func (s *scheduler) admit(team string) bool {
+// admitSubmission reports whether a team's submission may wait for a commit.
+func (s *scheduler) admitSubmission(team string) bool {
 	return s.admission.Admit(team, s.journal.SpareBytes()/acceptanceBytes)
 }
 
@@ -138,17 +138,17 @@
 		return
 	}
 	saved, burst, _ := s.journal.Budget()
-	allowed := s.bulkPace.Allow(now, saved, burst) * s.journal.ChangeBytes()
+	allowed := s.bulkPacer.Allow(now, saved, burst) * s.journal.ChangeBytes()
 	s.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
 
-// bulkHeld reports whether records wait only because the bulk lane is throttled, and after what time to try again.
-func (s *scheduler) bulkHeld(now time.Time) (retryAfter time.Duration, held bool) {
+// bulkThrottled reports whether records wait only because the bulk lane is throttled, and after what time to try again.
+func (s *scheduler) bulkThrottled(now time.Time) (retryAfter time.Duration, held bool) {
 	if !s.queue.Idle() || s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
 	saved, burst, rate := s.journal.Budget()
-	return s.bulkPace.Due(now, saved, burst, rate), true
+	return s.bulkPacer.Due(now, saved, burst, rate), true
 }
 
 // handleCommitted ends the commit in flight. Ending it calls what waited for it, which counts acceptances.
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -33,54 +33,54 @@
 
 // refreshDelegation adopts the latest delegation in the statuses of the peers. It stays valid when the peer that granted
 // it has ended or restarted.
-func (c *forwarder) refreshDelegation() {
-	for _, p := range c.settings.Peers {
-		w, ok := c.node.deps.Peers.Status(p.Name)
-		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < c.delegation.tokens.First {
+func (f *forwarder) refreshDelegation() {
+	for _, p := range f.settings.Peers {
+		w, ok := f.node.deps.Peers.Status(p.Name)
+		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < f.delegation.tokens.First {
 			continue
 		}
 		until := w.Sent.Add(clock.Scale(w.DelegatesFor, 1/clock.DriftBound))
-		if w.DelegationTerm > c.delegation.tokens.First || until.After(c.delegation.until) {
-			c.delegation = delegation{w.DelegationTokens(), until, w.Excluded}
+		if w.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
+			f.delegation = delegation{w.DelegationTokens(), until, w.Excluded}
 		}
 	}
 }
 
 // answerDelegated answers a heartbeat that no leader has answered.
-func (c *forwarder) answerDelegated(p pendingReport, now time.Time) {
-	p.reply <- c.decideDelegated(p, now)
+func (f *forwarder) answerDelegated(p pendingReport, now time.Time) {
+	p.reply <- f.decideDelegated(p, now)
 }
 
 // decideDelegated renews the lease of a worker if the delegation allows that.
-func (c *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
-	c.refreshDelegation()
-	r, known, grant := p.report, c.workers[p.report.Machine], &c.delegation
+func (f *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
+	f.refreshDelegation()
+	r, known, grant := p.report, f.workers[p.report.Machine], &f.delegation
 	switch {
-	case known == nil || known.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != c.settings.Zone,
-		slices.Contains(grant.excluded, r.Machine), c.isolated():
+	case known == nil || known.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != f.settings.Zone,
+		slices.Contains(grant.excluded, r.Machine), f.isolated():
 		return worker.HeartbeatResponse{Busy: true}
-	case p.digest != known.digest && c.mayRedirect(known, now):
+	case p.digest != known.digest && f.mayRedirect(known, now):
 		// Its state has changed, which only a leader can act on. Another controller may reach one.
 		return worker.HeartbeatResponse{Busy: true}
 	}
 	// Marked before the worker is answered: no leader may learn of this later than the worker.
-	c.lastDelegated.Mark(now)
+	f.lastDelegated.Mark(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
 // isolated reports whether this controller alone seems to be cut off: it reaches neither the key-value store nor a peer,
 // but the load balancer still probes it. Then its workers should go to the other controllers.
-func (c *forwarder) isolated() bool {
-	if len(c.settings.Peers) == 0 || c.node.storeReachable() {
+func (f *forwarder) isolated() bool {
+	if len(f.settings.Peers) == 0 || f.node.storeReachable() {
 		return false
 	}
-	for _, p := range c.settings.Peers {
-		if c.node.deps.Peers.UnreachableFor(p.Name) == 0 {
+	for _, p := range f.settings.Peers {
+		if f.node.deps.Peers.UnreachableFor(p.Name) == 0 {
 			return false
 		}
 	}
-	return c.lastProbe.Since(math.MaxInt64) < probeMissed
+	return f.lastProbe.Since(math.MaxInt64) < probeMissed
 }
 
 // probeMissed is how long after the load balancer's last probe this controller still counts as in its reach. It probes
@@ -88,9 +88,9 @@
 const probeMissed = 5 * time.Second / 2
 
 // mayRedirect reports whether a worker can try all other controllers without success and be back here within its lease.
-func (c *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
-	round := time.Duration(len(c.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
-	return len(c.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+c.settings.HeartbeatInterval < c.settings.WorkerLease
+func (f *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
+	round := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
+	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
 // delegationTerms are what delegations depend on. They are immutable, and published by the scheduler.
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -85,7 +85,7 @@
 		start := time.Now()
 		sim.submit(clustertest.Service("000001", 1))
 		duration := time.Since(start)
-		sim.state.Update(func(s *storagetest.Service) {
+		sim.state.Update(func(*storagetest.Service) {
 			if duration > 2*time.Second || transactions < 2 {
 				t.Errorf("accepted after %v with %d transactions, want at most 2s and at least 2", duration, transactions)
 			}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -38,7 +38,7 @@
 			s.stopAttempt(a, 0)
 		}
 	}
-	s.commandStops(m)
+	s.sendStops(m)
 	s.placementDue = true
 }
 
@@ -69,7 +69,7 @@
 		s.updateListed(listed, now)
 	}
 	for _, m := range slices.Clone(s.state.Machines.InOrder()) {
-		if !seen[m.ID] && s.unlistedForGood(m, now) {
+		if !seen[m.ID] && s.vanished(m, now) {
 			s.removeMachine(m.ID, "no longer listed")
 		}
 	}
@@ -96,9 +96,9 @@
 	m.Failed = listed.State == cloud.Failed
 }
 
-// unlistedForGood reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
+// vanished reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
 // than the list lags, and its worker lease has provably expired.
-func (s *scheduler) unlistedForGood(m *cluster.Machine, now time.Time) bool {
+func (s *scheduler) vanished(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
 	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.provenEmptyAt(m))
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -30,7 +30,7 @@
 type forwarder struct {
 	node          *Node
 	settings      *config.Settings
-	in            chan pendingReport
+	incoming      chan pendingReport
 	decided       chan decidedBatch
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
@@ -72,17 +72,17 @@
 
 func newForwarder(n *Node) *forwarder {
 	return &forwarder{
-		node: n, settings: n.settings, in: make(chan pendingReport, n.settings.QueueSize()), decided: make(chan decidedBatch, n.settings.QueueSize()),
+		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), decided: make(chan decidedBatch, n.settings.QueueSize()),
 		workers: make(map[int]*knownWorker), seed: maphash.MakeSeed(), affinity: newAffinity(n),
 	}
 }
 
 // heartbeat returns the response to a worker's heartbeat. It may be called from any goroutine. A full queue is answered at
 // once.
-func (c *forwarder) heartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
+func (f *forwarder) heartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
 	p := pendingReport{report: r, reply: make(chan worker.HeartbeatResponse, 1)}
 	select {
-	case c.in <- p:
+	case f.incoming <- p:
 	default:
 		return worker.HeartbeatResponse{Busy: true}
 	}
@@ -95,91 +95,91 @@
 }
 
 // run forwards heartbeats until ctx ends.
-func (c *forwarder) run(ctx context.Context) {
-	sweep := time.NewTicker(c.settings.WorkerLease)
+func (f *forwarder) run(ctx context.Context) {
+	sweep := time.NewTicker(f.settings.WorkerLease)
 	defer sweep.Stop()
-	refresh := time.NewTicker(c.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
+	refresh := time.NewTicker(f.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
-	defer c.requests.Wait() // ctx ends them
+	defer f.requests.Wait() // ctx ends them
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-c.in:
-			c.accept(ctx, p)
-		case d := <-c.decided:
-			c.handleDecided(d)
-		case <-c.flush:
-			c.send(ctx)
+		case p := <-f.incoming:
+			f.accept(ctx, p)
+		case d := <-f.decided:
+			f.handleDecided(d)
+		case <-f.flush:
+			f.send(ctx)
 		case <-refresh.C:
-			c.refreshDelegation()
+			f.refreshDelegation()
 		case <-sweep.C:
-			c.sweep(time.Now())
+			f.sweep(time.Now())
 		}
 	}
 }
 
 // sweep forgets the workers whose heartbeats no longer arrive here.
-func (c *forwarder) sweep(now time.Time) {
-	for id, known := range c.workers {
-		if now.Sub(known.lastSeen) > workerMemoryLeases*c.settings.WorkerLease {
-			delete(c.workers, id)
+func (f *forwarder) sweep(now time.Time) {
+	for id, known := range f.workers {
+		if now.Sub(known.lastSeen) > workerMemoryLeases*f.settings.WorkerLease {
+			delete(f.workers, id)
 		}
 	}
 }
 
 // accept redirects a worker, or passes its heartbeat on towards the leader.
-func (c *forwarder) accept(ctx context.Context, p pendingReport) {
+func (f *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
-	c.lastHeartbeat.Mark(now)
-	p.digest = c.digest(p.report)
-	known := c.workers[p.report.Machine]
+	f.lastHeartbeat.Mark(now)
+	p.digest = f.digest(p.report)
+	known := f.workers[p.report.Machine]
 	if known == nil {
 		known = &knownWorker{}
-		c.workers[p.report.Machine] = known
+		f.workers[p.report.Machine] = known
 	}
 	known.lastSeen = now
-	if node := c.affinity.nodeFor(p.report, known, now); node != "" {
+	if node := f.affinity.nodeFor(p.report, known, now); node != "" {
 		known.redirected = now
 		p.reply <- worker.HeartbeatResponse{Leader: node}
 		return
 	}
-	v := c.node.view.Load()
-	leader := c.node.leader(v)
+	v := f.node.view.Load()
+	leader := f.node.leader(v)
 	switch {
 	case v.scheduler != nil:
-		c.startDecide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
-	case leader == "" || leader == c.settings.NodeName:
-		c.answerDelegated(p, now)
-	case c.node.deps.Peers.UnreachableFor(leader) > 0:
+		f.startDecide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
+	case leader == "" || leader == f.settings.NodeName:
+		f.answerDelegated(p, now)
+	case f.node.deps.Peers.UnreachableFor(leader) > 0:
 		// Redirecting the worker to an unreachable leader would cost it seconds of its lease.
-		c.startDecide(ctx, []pendingReport{p}, c.node.relay.HandleHeartbeats)
+		f.startDecide(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
 	default:
-		c.enqueue(ctx, p, leader)
+		f.enqueue(ctx, p, leader)
 	}
 }
 
 // enqueue adds a heartbeat to the batch for the leader.
-func (c *forwarder) enqueue(ctx context.Context, p pendingReport, leader string) {
-	if c.leader != leader {
-		c.send(ctx)
-		c.leader = leader
+func (f *forwarder) enqueue(ctx context.Context, p pendingReport, leader string) {
+	if f.leader != leader {
+		f.send(ctx)
+		f.leader = leader
 	}
-	c.pending = append(c.pending, p)
-	if len(c.pending) >= maxBatchReports {
-		c.send(ctx)
-	} else if c.flush == nil {
-		c.flush = time.After(c.settings.BatchWindow())
+	f.pending = append(f.pending, p)
+	if len(f.pending) >= maxBatchReports {
+		f.send(ctx)
+	} else if f.flush == nil {
+		f.flush = time.After(f.settings.BatchWindow())
 	}
 }
 
 // send sends the batch to the leader.
-func (c *forwarder) send(ctx context.Context) {
-	batch, leader := c.pending, c.leader
-	c.pending, c.flush = nil, nil
+func (f *forwarder) send(ctx context.Context) {
+	batch, leader := f.pending, f.leader
+	f.pending, f.flush = nil, nil
 	if len(batch) > 0 {
-		c.startDecide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
-			responses, err := c.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
+		f.startDecide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+			responses, err := f.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
 				return nil // no leader decided on them
 			}
@@ -189,16 +189,16 @@
 }
 
 // startDecide runs decide in a goroutine of its own.
-func (c *forwarder) startDecide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
-	c.requests.Add(1)
+func (f *forwarder) startDecide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
+	f.requests.Add(1)
 	go func() { //nolint:modernize // requests.Go would allocate for each heartbeat
-		defer c.requests.Done()
-		c.decide(ctx, batch, request)
+		defer f.requests.Done()
+		f.decide(ctx, batch, request)
 	}()
 }
 
 // decide requests the responses to a batch and returns them to the actor.
-func (c *forwarder) decide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
+func (f *forwarder) decide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
@@ -206,21 +206,21 @@
 		reports = append(reports, p.report)
 	}
 	select {
-	case c.decided <- decidedBatch{batch, request(requestCtx, reports)}:
+	case f.decided <- decidedBatch{batch, request(requestCtx, reports)}:
 	case <-ctx.Done():
 	}
 }
 
 // handleDecided passes the leader's responses on to the workers. Heartbeats that no leader decided on may be answered under
 // a delegation.
-func (c *forwarder) handleDecided(d decidedBatch) {
+func (f *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
 	for i, p := range d.reports {
 		if i >= len(d.responses) || d.responses[i].Undecided {
-			c.answerDelegated(p, now)
+			f.answerDelegated(p, now)
 			continue
 		}
-		known := c.workers[p.report.Machine]
+		known := f.workers[p.report.Machine]
 		if a := d.responses[i]; a.Accepted && known != nil && !known.stale(p.report) {
 			known.incarnation, known.seq, known.digest, known.lastAcknowledged = p.report.Incarnation, p.report.Seq, p.digest, now
 		}
@@ -234,9 +234,9 @@
 }
 
 // digest is a hash of the state in a heartbeat, without its number.
-func (c *forwarder) digest(r *worker.Report) uint64 {
+func (f *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
-	h.SetSeed(c.seed)
+	h.SetSeed(f.seed)
 	maphash.WriteComparable(&h, r.Incarnation)
 	maphash.WriteComparable(&h, r.NoticeSeconds != nil)
 	for i := range r.Tasks {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -48,7 +48,7 @@
 			s.stopAttempt(a, 0)
 		}
 	}
-	s.commandStopsOf(j)
+	s.sendGangStops(j)
 }
 
 // stopGang stops all tasks of a gang so that it saves a checkpoint. That takes all of them to be told within
@@ -59,16 +59,16 @@
 			s.stopAttempt(a, j.Spec.SaveS)
 		}
 	}
-	s.commandStopsOf(j)
+	s.sendGangStops(j)
 }
 
-// commandStopsOf sends the workers of a gang's tasks their stops directly.
-func (s *scheduler) commandStopsOf(j *cluster.Job) {
+// sendGangStops sends the workers of a gang's tasks their stops directly.
+func (s *scheduler) sendGangStops(j *cluster.Job) {
 	commanded := make(map[*cluster.Machine]bool)
 	for _, a := range j.GangAttempts() {
 		if !commanded[a.Machine] {
 			commanded[a.Machine] = true
-			s.commandStops(a.Machine)
+			s.sendStops(a.Machine)
 		}
 	}
 }
@@ -119,6 +119,6 @@
 				s.stopAttempt(a, 0)
 			}
 		}
-		s.commandJobStops(j)
+		s.sendJobStops(j)
 	}
 }
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -17,7 +17,7 @@
 func (s *scheduler) mayUse(name upgrade.GateName) bool {
 	gate := s.gates.Gate(name)
 	if gate.Phase == upgrade.GateOpen && !gate.Used {
-		s.requestGate(name)
+		s.requestGateUse(name)
 	}
 	return gate.Usable()
 }
@@ -153,7 +153,7 @@
 	s.setGates(m.record)
 	m.reply <- gateUses{
 		openGangs:  s.state.Jobs.OpenGangs(),
-		archive:    s.archiveUsed,
+		archive:    s.archiveInUse,
 		archiving:  s.archiving,
 		lifecycles: s.activation.uses(),
 	}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -28,15 +28,15 @@
 	if len(s.commandsFailing) < min(unreachableMachines, max(1, s.state.Machines.Count())) {
 		return
 	}
-	if s.sinceHeartbeat() > s.settings.HeartbeatInterval && s.peerHearsWorkers() {
+	if s.sinceHeartbeat() > s.settings.HeartbeatInterval && s.peerReceivesHeartbeats() {
 		s.log.Info("leadership handover", "unreachable_machines", len(s.commandsFailing))
 		clear(s.commandsFailing)
 		s.resignOnce("workers unreachable", true)
 	}
 }
 
-// peerHearsWorkers reports whether a peer in reach receives heartbeats itself.
-func (s *scheduler) peerHearsWorkers() bool {
+// peerReceivesHeartbeats reports whether a peer in reach receives heartbeats itself.
+func (s *scheduler) peerReceivesHeartbeats() bool {
 	for _, p := range s.settings.Peers {
 		if w, ok := s.deps.Peers.Status(p.Name); ok && s.deps.Peers.UnreachableFor(p.Name) == 0 && w.SinceHeartbeat < s.settings.HeartbeatInterval {
 			return true
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -260,7 +260,7 @@
 		}
 		a.Reported = true
 		sched.stopAttempt(a, 0)
-		sched.commandStops(m)
+		sched.sendStops(m)
 		if sendBy := <-sent; !sendBy.IsZero() {
 			t.Errorf("stop command: got send deadline %v, want none", sendBy)
 		}
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -17,7 +17,7 @@
 	for j, record := range loaded.Lifecycles {
 		s.activation.load(j, record)
 	}
-	if s.archiveUsed {
+	if s.archiveInUse {
 		for _, key := range loaded.OrphanPages {
 			s.markRecord(key, removed) // its job was archived, and the page's removal was interrupted
 		}
@@ -25,7 +25,7 @@
 	for _, j := range s.state.Jobs.InOrder() {
 		s.resumeJob(j)
 	}
-	s.activation.loaded(time.Now())
+	s.activation.reconcile(time.Now())
 	return nil
 }
 
--- a/internal/scheduler/bounds.go
+++ b/internal/scheduler/mailbox_limits.go
@@ -15,8 +15,8 @@
 	requestShare    = 7.0 / 8
 )
 
-// admits reports whether a user's request may be sent to the scheduler's mailbox.
-func (s *scheduler) admits(op api.Op) bool {
+// acceptsRequest reports whether a user's request may be sent to the scheduler's mailbox.
+func (s *scheduler) acceptsRequest(op api.Op) bool {
 	share := requestShare
 	if op == api.OpSubmit {
 		share = submissionShare
@@ -28,9 +28,9 @@
 // with the next response.
 const maxCommands = 512
 
-// busySpread is the range in seconds of the retry times of users who found the mailbox full. It is empty again after a
+// maxBusyRetrySeconds is the range in seconds of the retry times of users who found the mailbox full. It is empty again after a
 // round, and they shouldn't return together.
-const busySpread = 3
+const maxBusyRetrySeconds = 3
 
-// busyRetryS returns after how many seconds a user who found the mailbox full should retry.
-func busyRetryS() int { return 1 + rand.IntN(busySpread) }
+// busyRetrySeconds returns after how many seconds a user who found the mailbox full should retry.
+func busyRetrySeconds() int { return 1 + rand.IntN(maxBusyRetrySeconds) }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -196,7 +196,7 @@
 	upgrades := upgradecontrol.New(upgradecontrol.Config{
 		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, Users: termGates{s, s.journal}, Log: log,
 	})
-	s.requestGate = upgrades.RequestUse
+	s.requestGateUse = upgrades.RequestUse
 	s.journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	s.autoscaler = autoscaling.New(autoscaling.Config{
 		Settings: n.settings, Cloud: n.deps.Cloud, Journal: s.journal, Scheduler: s, Term: role.Term,
@@ -234,7 +234,7 @@
 // beginArchive has the archive's pages read for a term, if there may be any.
 func (n *Node) beginArchive(ctx context.Context, s *scheduler, role leadership.Role) {
 	s.archive = n.archive
-	if s.archiveUsed || n.settings.Tuning.Archive.Enabled {
+	if s.archiveInUse || n.settings.Tuning.Archive.Enabled {
 		n.archive.BeginTerm(ctx, archive.Leadership{Term: role.Term, Guard: role.Guard})
 	}
 }
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -32,7 +32,7 @@
 			}
 			synctest.Wait()
 		}
-		busy := func(op api.Op) bool { return !sched.admits(op) }
+		busy := func(op api.Op) bool { return !sched.acceptsRequest(op) }
 		if report(largeFleet*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("a request is rejected while a quarter of the mailbox is free")
 		}
@@ -43,8 +43,8 @@
 			t.Error("beyond seven eighths: want polls and cancellations rejected")
 		}
 		got := sched.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"})
-		if got.Code != api.CodeBusy || got.RetrySeconds < 1 || got.RetrySeconds > busySpread {
-			t.Errorf("poll: got %+v, want code %v with a retry interval of 1 to %d s", got, api.CodeBusy, busySpread)
+		if got.Code != api.CodeBusy || got.RetrySeconds < 1 || got.RetrySeconds > maxBusyRetrySeconds {
+			t.Errorf("poll: got %+v, want code %v with a retry interval of 1 to %d s", got, api.CodeBusy, maxBusyRetrySeconds)
 		}
 		if report(largeFleet/8 - 1); len(sched.mailbox) != largeFleet {
 			t.Errorf("got %d waiting heartbeats, want %d", len(sched.mailbox), largeFleet)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -21,7 +21,7 @@
 // placeRound reserves resources for waiting tasks, and starts them once the reservations are durable.
 func (s *scheduler) placeRound(now time.Time) {
 	s.placementDue = false
-	if !s.leaseValid(now) || s.stalled(now) {
+	if !s.leaseValid(now) || s.commitStalled(now) {
 		return
 	}
 	reserved, unfinished := s.planner.Round(now)
@@ -59,7 +59,7 @@
 func (s *scheduler) AbortGang(j *cluster.Job) { s.abortGang(j) }
 
 // CommandStops is part of placement.Actions.
-func (s *scheduler) CommandStops(m *cluster.Machine) { s.commandStops(m) }
+func (s *scheduler) CommandStops(m *cluster.Machine) { s.sendStops(m) }
 
 // Preempt is part of placement.Actions. A gang that has run is stopped in order, so that it saves a checkpoint, or
 // at once where it can't save all the same.
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -39,7 +39,7 @@
 		s.applyTaskReport(m, r, t, now)
 	}
 	if first {
-		s.recallFailures(m, r)
+		s.learnEarlierFailures(m, r)
 	}
 	if heartbeat {
 		s.checkResponsive(m, r, now)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -83,16 +83,16 @@
 
 // gateState is which feature gates are in force.
 type gateState struct {
-	gates       upgrade.Record
-	requestGate func(upgrade.GateName) // asks for a gate to be marked as used
-	gateWaiters []gateWaiter           // submissions that wait for it
+	gates          upgrade.Record
+	requestGateUse func(upgrade.GateName) // asks for a gate to be marked as used
+	gateWaiters    []gateWaiter           // submissions that wait for it
 }
 
 // commitState is what is to be committed, and who waits for it.
 type commitState struct {
 	journal          *storage.Journal
 	queue            *groupcommit.Queue
-	bulkPace         *groupcommit.BulkPacer
+	bulkPacer        *groupcommit.BulkPacer
 	admission        *admission.Limiter
 	commitStarted    time.Time // of the commit in flight; zero: none is
 	acceptedInCommit int       // submissions that it commits
@@ -102,7 +102,7 @@
 // archiveState is this term's view of the archive.
 type archiveState struct {
 	archive         *archive.Archiver
-	archiveUsed     bool // jobs may be archived
+	archiveInUse    bool // jobs may be archived
 	archiveCompared bool // the open jobs have been compared with it
 	archiving       bool // a batch of finished jobs is being archived
 }
@@ -139,49 +139,52 @@
 
 // newScheduler rebuilds the cluster state from the journal at the start of a term. It fails if a record can't be
 // decoded.
-func newScheduler(s *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal, resign func(leadership.Resignation), log *slog.Logger) (*scheduler, error) {
+func newScheduler(
+	settings *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal,
+	resign func(leadership.Resignation), log *slog.Logger,
+) (*scheduler, error) {
 	random := rand.New(rand.NewPCG(deps.Rand.Uint64(), role.Term))
 	tokens := fencing.TermTokens(role.Term)
-	d := &scheduler{
-		settings: s,
+	s := &scheduler{
+		settings: settings,
 		deps:     deps,
 		log:      log,
-		mailbox:  make(chan message, s.QueueSize()),
+		mailbox:  make(chan message, settings.QueueSize()),
 		closed:   make(chan struct{}),
 		state:    cluster.NewState(tokens),
 		termState: termState{
 			term: role.Term, tokens: tokens, termStarted: time.Now(),
 			lastAttempt: role.Term * attemptStride, resign: resign,
 		},
-		gateState: gateState{gates: role.Cluster.Record, requestGate: func(upgrade.GateName) {}},
+		gateState: gateState{gates: role.Cluster.Record, requestGateUse: func(upgrade.GateName) {}},
 		commitState: commitState{
 			journal: journal, queue: groupcommit.New(),
-			bulkPace:  groupcommit.NewBulkPacer(clock.Scale(s.HeartbeatInterval, config.CommitPerHeartbeat)),
-			admission: newAdmission(s),
+			bulkPacer: groupcommit.NewBulkPacer(clock.Scale(settings.HeartbeatInterval, config.CommitPerHeartbeat)),
+			admission: newAdmission(settings),
 		},
 		fleetState: fleetState{terminated: make(map[int]bool)},
 		commandState: commandState{
 			commandsFailing: make(map[int]bool),
 			sinceHeartbeat:  func() time.Duration { return 0 },
 		},
-		delegationState: delegationState{delegator: newDelegator(s)},
+		delegationState: delegationState{delegator: newDelegator(settings)},
 		pacing:          pacing{placementDue: true},
 	}
-	d.background, _ = backgroundCalls(context.Background())
-	d.planner = placement.New(s, d.state, d, random, log)
-	d.reviewer = autoscaling.NewReviewer(s, d.state, d.planner, log)
-	d.setRole(role)
-	d.activation = newActivationController(s, d.gates.Gate(upgrade.Activation), d, log)
-	d.useArchive()
-	return d, d.load(journal.Records())
+	s.background, _ = backgroundCalls(context.Background())
+	s.planner = placement.New(settings, s.state, s, random, log)
+	s.reviewer = autoscaling.NewReviewer(settings, s.state, s.planner, log)
+	s.setRole(role)
+	s.activation = newActivationController(settings, s.gates.Gate(upgrade.Activation), s, log)
+	s.useArchive()
+	return s, s.load(journal.Records())
 }
 
 // HandleUserRequest answers a user's request. It may be called from any goroutine. If too many requests wait it responds
 // at once that the user has to retry.
 func (s *scheduler) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	asked := time.Now()
-	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetryS()}
-	if !s.admits(req.Op) {
+	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetrySeconds()}
+	if !s.acceptsRequest(req.Op) {
 		return busy
 	}
 	reply := make(chan api.Response, 1)
@@ -258,7 +261,7 @@
 			s.placeIfDue(placementTimer)
 		}
 		s.flush(ctx)
-		if retryAfter, held := s.bulkHeld(time.Now()); held {
+		if retryAfter, held := s.bulkThrottled(time.Now()); held {
 			bulk.Reset(retryAfter)
 		}
 	}
@@ -292,7 +295,7 @@
 // tick does the periodic work.
 func (s *scheduler) tick() {
 	now := time.Now()
-	if s.stalled(now) || !s.leaseValid(now) {
+	if s.commitStalled(now) || !s.leaseValid(now) {
 		s.failWaiters(api.Unavailable("", "state service slow or out of reach"))
 	}
 	s.failGateWaiters(now)
@@ -302,11 +305,11 @@
 	s.expireLeases(now)
 	s.replaceStalledGangTasks(now)
 	s.activation.tick(now)
-	s.resignToForget(now)
+	s.resignIfFencesFull(now)
 	s.placementDue = true
 	if !now.Before(s.nextSnapshot) {
 		snapshot := s.snapshotFleet(now)
-		s.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, s.abandonUnconfirmed(now)))
+		s.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, s.lostSinceFailover(now)))
 		s.autoscaler.HandleSnapshot(snapshot)
 		s.nextSnapshot = now.Add(max(clock.Scale(s.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -34,7 +34,7 @@
 	now := time.Now()
 	role := leadership.Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
 	deps := Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	log := slog.New(slog.NewTextHandler(io.Discard, nil)) //nolint:sloglint // benchmarks include the cost of formatting
 	d, err := newScheduler(&s, deps, role, journal, func(leadership.Resignation) {}, log)
 	if err != nil {
 		tb.Fatal(err)
@@ -46,7 +46,7 @@
 
 // commitPending completes the commit of all pending records, with an error or without.
 func (d *scheduler) commitPending(err error) {
-	d.queue.BeginCommit(math.MaxInt, func(key string, err error) { panic(key) })
+	d.queue.BeginCommit(math.MaxInt, func(key string, _ error) { panic(key) })
 	d.handleCommitted(err)
 }
 
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -175,6 +175,7 @@
 		startsByJob:     make(map[string][]startRecord),
 		failAfter:       make(map[string]time.Duration),
 	}
+	//nolint:sloglint // the handler formats every record, as the programs do
 	sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
 	sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int), launchCalls: make(map[string]int), terminated: make(map[int]bool)}
 	for i, zone := range zones {
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -12,10 +12,10 @@
 // waiting beside free resources.
 const maxQuarantineLeases = 2
 
-// recordFailure attributes a task's failure to its job or its machine. A job that fails on every machine is retried one
+// recordTaskFailure attributes a task's failure to its job or its machine. A job that fails on every machine is retried one
 // task at a time with a growing backoff, and its failures no longer count against the machines. A machine on which
 // several jobs fail is quarantined for a while.
-func (s *scheduler) recordFailure(j *cluster.Job, m *cluster.Machine, reservedAt, now time.Time) {
+func (s *scheduler) recordTaskFailure(j *cluster.Job, m *cluster.Machine, reservedAt, now time.Time) {
 	j.Failures.RecordFailure(m.ID, reservedAt, now)
 	m.Failures.RecordFailure(j.Spec.ID)
 	if j.Failures.AtFault() {
@@ -41,9 +41,9 @@
 	}
 }
 
-// recallFailures learns from a worker's first report of this term of failures under earlier leaders, so that a job that
+// learnEarlierFailures learns from a worker's first report of this term of failures under earlier leaders, so that a job that
 // fails on every machine isn't started everywhere again.
-func (s *scheduler) recallFailures(m *cluster.Machine, r *worker.Report) {
+func (s *scheduler) learnEarlierFailures(m *cluster.Machine, r *worker.Report) {
 	for _, t := range r.Tasks {
 		j := s.state.Jobs.Get(t.ID.Job)
 		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.Done > 0 {
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -91,9 +91,9 @@
 				other, j := d.addAcceptedJob(clustertest.Array("000001", 1)), d.addAcceptedJob(clustertest.Array("000002", 8))
 				reservedAt := time.Now()
 				time.Sleep(time.Second)
-				d.recordFailure(other, d.state.Machines.Get(1), reservedAt, time.Now())
+				d.recordTaskFailure(other, d.state.Machines.Get(1), reservedAt, time.Now())
 				for _, id := range c.machines {
-					d.recordFailure(j, d.state.Machines.Get(id), reservedAt, time.Now())
+					d.recordTaskFailure(j, d.state.Machines.Get(id), reservedAt, time.Now())
 				}
 				faulty := 0
 				for _, m := range d.state.Machines.InOrder() {
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -108,7 +108,7 @@
 		if j.Gang.Failed {
 			m.Failures.RecordFailure(j.Spec.ID) // the job's failure was counted with the first of the gang
 		} else {
-			s.recordFailure(j, m, a.ReservedAt, now)
+			s.recordTaskFailure(j, m, a.ReservedAt, now)
 		}
 		j.Gang.Failed = j.Gang.Failed || j.Gang.Started
 	case worker.CauseFull, worker.CauseBusy:
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -16,11 +16,11 @@
 	unconfirmedShare = 0.25
 )
 
-// abandonUnconfirmed returns the machines to terminate because they have been silent since the failover, while nearly all
+// lostSinceFailover returns the machines to terminate because they have been silent since the failover, while nearly all
 // others have reported. Their lease bound has to cover the renewals of an earlier leader and so is long; the confirmation
 // of a deletion proves them empty sooner. Only machines are returned whose work fits elsewhere: a machine that comes back
 // still has its images.
-func (s *scheduler) abandonUnconfirmed(now time.Time) []int {
+func (s *scheduler) lostSinceFailover(now time.Time) []int {
 	if !s.leaseValid(now) || now.Sub(s.termStarted) < max(clock.Scale(s.settings.WorkerLease, unconfirmedLease), s.settings.ReportFreshness()) {
 		return nil
 	}
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -335,7 +335,7 @@
 			sim.state.Outage(true)
 			time.AfterFunc(4*time.Second, func() { sim.state.Outage(false) })
 		case 6:
-			sim.state.Update(func(s *storagetest.Service) { s.LoseAnswers = 2 })
+			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 2 })
 		}
 		id := fmt.Sprintf("%06d", 10+i)
 		job := clustertest.Array(id, 1+random.IntN(4))
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -72,7 +72,7 @@
 // draining returns the models whose draining is durable.
 func (c *activationController) draining() []activation.DrainOrder {
 	var orders []activation.DrainOrder
-	for id, s := range c.awake {
+	for id, s := range c.active {
 		if s.record.State == activation.Draining && s.unwritten == 0 {
 			orders = append(orders, activation.DrainOrder{Model: id, Drain: s.record.Drain})
 		}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -50,8 +50,8 @@
 	s.waiters = s.waiters[:0]
 }
 
-// stalled reports whether the commit in flight takes too long to let more users wait behind it.
-func (s *scheduler) stalled(now time.Time) bool {
+// commitStalled reports whether the commit in flight takes too long to let more users wait behind it.
+func (s *scheduler) commitStalled(now time.Time) bool {
 	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
@@ -66,7 +66,7 @@
 		m.reply <- responseOf(j)
 		return
 	}
-	if j == nil && s.answerArchived(m, now) {
+	if j == nil && s.answerFromArchive(m, now) {
 		return
 	}
 	// A successor may already have changed anything that isn't final.
@@ -105,7 +105,7 @@
 		m.reply <- responseOf(j)
 		return
 	}
-	if s.stalled(now) {
+	if s.commitStalled(now) {
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	}
@@ -114,7 +114,7 @@
 			m.reply <- api.Unavailable(m.req.ID, "machine types not yet known")
 			return
 		}
-		if reason := s.infeasible(&m.req.Spec); reason != "" {
+		if reason := s.infeasibleReason(&m.req.Spec); reason != "" {
 			m.reply <- api.Response{Code: api.CodeInfeasible, ID: m.req.Spec.ID, Reason: reason}
 			return
 		}
@@ -145,7 +145,7 @@
 	if spec.Gang && !s.mayUse(upgrade.GangJobs) {
 		return upgrade.GangJobs, true
 	}
-	if s.activation.applies(spec) && s.gates.Gate(upgrade.Activation).Phase == upgrade.GateOpen && !s.mayUse(upgrade.Activation) {
+	if s.activation.scalesToZero(spec) && s.gates.Gate(upgrade.Activation).Phase == upgrade.GateOpen && !s.mayUse(upgrade.Activation) {
 		return upgrade.Activation, true
 	}
 	return "", false
@@ -158,7 +158,7 @@
 			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
 		}
 	}
-	if !s.admit(spec.Team) {
+	if !s.admitSubmission(spec.Team) {
 		return &api.Response{
 			Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
 		}
@@ -170,7 +170,7 @@
 func (s *scheduler) acceptJob(spec storage.Spec, now time.Time) *cluster.Job {
 	j := cluster.NewJob(spec, now)
 	s.state.Jobs.AddOpen(j)
-	if s.activation.applies(&spec) && s.mayUse(upgrade.Activation) {
+	if s.activation.scalesToZero(&spec) && s.mayUse(upgrade.Activation) {
 		s.activation.track(j, now)
 	}
 	if !j.ScalesToZero() {
@@ -188,8 +188,8 @@
 	return j
 }
 
-// infeasible returns the reason why a job can never run, or "".
-func (s *scheduler) infeasible(spec *storage.Spec) string {
+// infeasibleReason returns the reason why a job can never run, or "".
+func (s *scheduler) infeasibleReason(spec *storage.Spec) string {
 	team := s.settings.Team(spec.Team)
 	if team == nil {
 		return fmt.Sprintf("unknown team %q", spec.Team)
@@ -213,7 +213,7 @@
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
 		return
-	case !j.Acknowledged, s.stalled(now):
+	case !j.Acknowledged, s.commitStalled(now):
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
 	case j.Phase == storage.Open:
@@ -229,7 +229,7 @@
 			}
 			j.FinalDurable = true
 			s.stopJob(j)
-			s.commandJobStops(j)
+			s.sendJobStops(j)
 			s.retire(j)
 		})
 	}
@@ -301,9 +301,9 @@
 
 // userMessage is a request of a user.
 type userMessage struct {
-	req    api.Request
-	reply  chan api.Response
-	absent bool // the job is known not to be archived
+	req         api.Request
+	reply       chan api.Response
+	notArchived bool // the job is known not to be archived
 }
 
 func (m userMessage) handle(s *scheduler) { s.handleUser(m) }
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -103,7 +103,7 @@
 		m.reply <- undecided("acceptance not yet recorded")
 	case j.Phase != storage.Open || !j.Spec.Service:
 		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
-	case s.stalled(now):
+	case s.commitStalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
 		s.activation.demand(j, m, now)
@@ -114,7 +114,7 @@
 func (c *activationController) demand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
-		m.reply <- c.alwaysUp(j)
+		m.reply <- c.alwaysRunningResponse(j)
 		return
 	}
 	generation := s.record.Generation
@@ -160,12 +160,12 @@
 	})
 }
 
-// runsAlways is the reason in responses about services that have no lifecycle.
-const runsAlways = "runs always"
+// alwaysRunningReason is the reason in responses about services that have no lifecycle.
+const alwaysRunningReason = "runs always"
 
-// alwaysUp is the response about a service that runs without regard to demand.
-func (c *activationController) alwaysUp(j *cluster.Job) activation.WakeResponse {
-	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: runsAlways}
+// alwaysRunningResponse is the response about a service that runs without regard to demand.
+func (c *activationController) alwaysRunningResponse(j *cluster.Job) activation.WakeResponse {
+	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: alwaysRunningReason}
 	for _, a := range j.Attempts {
 		if a.Serving() {
 			response.State, response.Machine, response.Holds = activation.Ready, a.Machine.Addr, c.settings.RoutingLease()
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -50,9 +50,9 @@
 	s.resignLeadership("higher fencing token reported")
 }
 
-// resignToForget resigns once some worker has to remember too many attempts and its token can't be raised: under the next
+// resignIfFencesFull resigns once some worker has to remember too many attempts and its token can't be raised: under the next
 // term's token all earlier direct starts are void.
-func (s *scheduler) resignToForget(now time.Time) {
+func (s *scheduler) resignIfFencesFull(now time.Time) {
 	if s.fencingInForce() || !s.leaseValid(now) || now.Sub(s.termStarted) < s.settings.WorkerLease {
 		return
 	}
--- a/internal/storage/journal_limits_test.go
+++ b/internal/storage/journal_limits_test.go
@@ -131,7 +131,7 @@
 		f := newFixture(t)
 		j := f.openWith(t.Context(), trackerTo(lowest))
 		j.write(map[string]any{"a": 1})
-		f.Update(func(s *storagetest.Service) { s.LoseAnswers = 1 })
+		f.Update(func(s *storagetest.Service) { s.LoseResponses = 1 })
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowest) })
 		if err := j.append(map[string]any{"b": text(1, 3000), "c": text(2, 3000)}); err == nil || errors.Is(err, storage.ErrMalformed) {
 			t.Errorf("append: got %v, want the loss of leadership", err)
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -15,7 +15,7 @@
 		j := f.open()
 		const commits = 5
 		for i := range commits {
-			f.LoseAnswers = i % 2
+			f.LoseResponses = i % 2
 			j.write(map[string]any{"ja": i})
 		}
 		if got, want := len(f.Keys(chunkPrefix)), commits+1; got != want { // the first chunk is empty
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -54,7 +54,7 @@
 	failures := []func(s *storagetest.Service){
 		func(*storagetest.Service) {},
 		func(s *storagetest.Service) { s.Drop = func(storagetest.Txn) bool { return true } },
-		func(s *storagetest.Service) { s.LoseAnswers = 1 },
+		func(s *storagetest.Service) { s.LoseResponses = 1 },
 	}
 	for steps := range 12 {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
@@ -71,7 +71,7 @@
 	const records = 30
 	f := newFixture(t)
 	stopMigration(t, f, records, steps, fail)
-	f.Update(func(s *storagetest.Service) { s.Drop, s.LoseAnswers = nil, 0 })
+	f.Update(func(s *storagetest.Service) { s.Drop, s.LoseResponses = nil, 0 })
 
 	next := f.openLowered(t.Context())
 	next.SetEncoding(storage.PlainWherePossible)
--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -17,8 +17,8 @@
 	Sent []Txn // every transaction that arrived
 	// ForgetSent keeps Sent empty: the transactions of a long test would fill the memory.
 	ForgetSent bool
-	// LoseAnswers is how many of the next transactions are applied without an answer.
-	LoseAnswers int
+	// LoseResponses is how many of the next transactions are applied without an answer.
+	LoseResponses int
 	// Lose, if set, selects transactions that are applied without an answer.
 	Lose func(Txn) bool
 	// Drop, if set, selects transactions that are never applied, without an answer.
@@ -76,9 +76,9 @@
 	}
 	f := txnFaults{before: s.Before}
 	f.drop = s.Drop != nil && s.Drop(txn)
-	if s.LoseAnswers > 0 {
+	if s.LoseResponses > 0 {
 		f.loseAnswer = true
-		s.LoseAnswers--
+		s.LoseResponses--
 	}
 	f.loseAnswer = f.loseAnswer || s.Lose != nil && s.Lose(txn)
 	if s.Delay != nil {
