--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -1,12 +1,13 @@
 package fencing
 
-// MaxRetained is how many ended attempts a worker may have to retain. At that number no attempt is
-// started by a direct command, so that the worker's heartbeat stays well under the 64 KiB of a
-// request.
+// MaxRetained is the maximum number of ended attempts that a worker may have to retain. At that number
+// no attempt is started by a direct command, so that the worker's heartbeat stays well below the limit
+// of 64 KiB on a request.
 const MaxRetained = 256
 
-// forcedRaiseWindows is after how many windows of retained attempts the token is raised even while
-// direct commands are unanswered. The worker rejects those that arrive after the raise.
+// forcedRaiseWindows is the number of windows of retained attempts at which the token is raised even
+// while direct commands are unanswered. The worker rejects those commands if they arrive after it has
+// seen the raised token.
 const forcedRaiseWindows = 2
 
 // Fence is a leader's view of one worker's fencing token and of the ended attempts, each identified
@@ -18,17 +19,17 @@
 	retained map[K]uint64 // ended attempts, with the token of the last command that may start each
 }
 
-// New returns the fence of a worker of which nothing is known yet in the term that owns the tokens.
+// New returns the fence of a worker at the start of the term that owns the tokens.
 func New[K comparable](tokens Tokens) *Fence[K] {
 	return &Fence[K]{tokens: tokens, token: tokens.First, retained: make(map[K]uint64)}
 }
 
-// Token returns the token of commands to the worker.
+// Token returns the fencing token that commands to the worker must carry.
 func (f *Fence[K]) Token() uint64 { return f.token }
 
 // ObserveToken records the token in a heartbeat, which must be newer than all heartbeats before it.
-// Commands with lower tokens can't be carried out any more, so attempts that only they could start
-// need not be retained.
+// The worker no longer carries out commands with lower tokens, so attempts that only those could start
+// need not be retained any more.
 func (f *Fence[K]) ObserveToken(token uint64) {
 	if token <= f.observed {
 		return
@@ -37,18 +38,18 @@
 	if f.tokens.Contains(token) {
 		f.token = max(f.token, token)
 	}
-	for attempt, started := range f.retained {
-		if started < token {
+	for attempt, startToken := range f.retained {
+		if startToken < token {
 			delete(f.retained, attempt)
 		}
 	}
 }
 
 // Retain makes the worker retain an ended attempt for as long as the direct command that started it
-// could be carried out again. started is the token of that command.
-func (f *Fence[K]) Retain(attempt K, started uint64) {
-	if started >= f.observed {
-		f.retained[attempt] = started
+// can be carried out again. startToken is the token of that command.
+func (f *Fence[K]) Retain(attempt K, startToken uint64) {
+	if startToken >= f.observed {
+		f.retained[attempt] = startToken
 	}
 }
 
@@ -61,19 +62,19 @@
 // Retained returns how many ended attempts the worker must retain.
 func (f *Fence[K]) Retained() int { return len(f.retained) }
 
-// Full reports whether so many attempts are retained that none may be started directly.
+// Full reports whether so many attempts are retained that none may be started by a direct command.
 func (f *Fence[K]) Full() bool { return len(f.retained) >= MaxRetained }
 
-// IncarnationEnded drops all retained attempts: the worker has begun a later incarnation, which
-// rejects commands to the earlier ones.
+// IncarnationEnded drops all retained attempts. It must be called when the worker has begun a later
+// incarnation, in which it rejects commands for earlier ones.
 func (f *Fence[K]) IncarnationEnded() { clear(f.retained) }
 
 // Exhausted reports whether the term has no higher token for the worker.
 func (f *Fence[K]) Exhausted() bool { return f.token == f.tokens.Last }
 
-// RaiseIfDue raises the token and reports whether it did. A raise is due once the worker must retain
-// at least window attempts; while direct commands are unanswered, it is put off until that is true
-// of two windows. The token is raised only after a heartbeat has shown the present one.
+// RaiseIfDue raises the token if a raise is due, and reports whether it did. A raise is due once the
+// worker must retain at least window attempts, or forcedRaiseWindows times as many while direct commands
+// are unanswered. The token is raised only after a heartbeat has shown the current one.
 func (f *Fence[K]) RaiseIfDue(window int, commandsUnanswered bool) bool {
 	due := len(f.retained) >= window && (!commandsUnanswered || len(f.retained) >= forcedRaiseWindows*window)
 	if !due || f.observed < f.token || f.Exhausted() {
--- a/internal/fencing/fence_test.go
+++ b/internal/fencing/fence_test.go
@@ -15,15 +15,15 @@
 				w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
 			},
 			"": func(t *rapid.T) {
-				if len(w.faults) > 0 {
-					t.Fatal(w.faults[0])
+				if len(w.violations) > 0 {
+					t.Fatal(w.violations[0])
 				}
 			},
 		})
 	})
 }
 
-// runHistory runs the model for a long random history.
+// runHistory runs the model for a history of 3000 random steps.
 func runHistory(seed uint64, newFence newFence) *world {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(2, 3, newFence)
@@ -39,23 +39,23 @@
 func TestModelDetectsFenceThatReleasesEarly(t *testing.T) {
 	releasesEarly := func(tokens Tokens) *Fence[attempt] {
 		f := New[attempt](tokens)
-		f.observed = tokens.Last // no command counts as outstanding
+		f.observed = tokens.Last // treats every command as if it could no longer be carried out
 		return f
 	}
-	faults := 0
+	violations := 0
 	for seed := range uint64(historySeeds) {
-		faults += len(runHistory(seed, releasesEarly).faults)
+		violations += len(runHistory(seed, releasesEarly).violations)
 	}
-	if faults == 0 {
-		t.Errorf("got no faults in %d histories, want some", historySeeds)
+	if violations == 0 {
+		t.Errorf("got no violations in %d histories, want some", historySeeds)
 	}
 }
 
 func TestFenceKeepsRetainedAttemptsFew(t *testing.T) {
 	for seed := range uint64(historySeeds) {
 		w := runHistory(seed, New[attempt])
-		if len(w.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, w.faults[0])
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, w.violations[0])
 		}
 		if w.maxRetained > MaxRetained/2 {
 			t.Errorf("seed %d: got %d attempts retained, want at most %d", seed, w.maxRetained, MaxRetained/2)
@@ -96,7 +96,7 @@
 func TestFenceWithLastTokenRaisesNoMore(t *testing.T) {
 	f := New[int](Tokens{First: 10, Last: 12})
 	f.Retain(-1, f.Token())
-	f.ObserveToken(12) // from a faulty worker: it was never given this token
+	f.ObserveToken(12) // from a faulty worker: no command has carried this token
 	if f.Retained() != 0 {
 		t.Errorf("after token 12 is observed: got %d started under token 10 retained, want 0", f.Retained())
 	}
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// The model consists of leaders, a network and workers. Tasks are started on workers again and again,
+// The model consists of leaders, a network and workers. Leaders start tasks on workers repeatedly,
 // mostly by direct commands, which may be delayed without bound and repeated. Heartbeats and their
-// responses may be lost, and copies of heartbeats may arrive late. Leaders act by the fence under
-// test.
+// responses may be lost, and copies of heartbeats may arrive late. The fence under test decides on the
+// tokens of commands and on the attempts that workers retain.
 
 type attempt struct {
 	task   int
@@ -25,14 +25,14 @@
 	live, ended             []attempt
 }
 
-// worker follows the workers' protocol.
+// worker models a worker that follows the workers' protocol.
 type worker struct {
 	token, incarnation, seq uint64
-	running                 map[attempt]bool // false: ended, and retained until the leader forgets it
+	running                 map[attempt]bool // false: the attempt has ended, and the worker retains it
 	forgotten               map[attempt]bool
 }
 
-// workerView is what the leader knows of one worker.
+// workerView is the leader's state of one worker.
 type workerView struct {
 	fence            *Fence[attempt]
 	incarnation, seq uint64
@@ -40,20 +40,21 @@
 	reserved         map[attempt]uint64 // attempts with the token of their direct command; 0: none
 }
 
-// newFence makes the fence of a worker. Tests of the model make faulty ones.
+// newFence returns a new fence for a worker. Tests of the model itself return faulty fences.
 type newFence func(Tokens) *Fence[attempt]
 
+// world is the state of the model.
 type world struct {
 	workers     []*worker
 	views       []*workerView
-	term        uint64 // the last token of the present term
+	term        uint64 // the last token of the current term
 	attempts    int
-	active      map[int]bool // tasks that the leader has on a worker
+	active      map[int]bool // tasks for which the leader has a reserved attempt
 	commands    []command    // every command ever sent
-	heartbeats  []heartbeat  // every heartbeat ever made
+	heartbeats  []heartbeat  // every heartbeat ever sent
 	window      int
 	maxRetained int // the most attempts that a worker had to retain
-	faults      []string
+	violations  []string
 	newFence    newFence
 }
 
@@ -66,12 +67,13 @@
 	return w
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+// addViolation records a violated invariant.
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// changeLeader begins a term. Attempts of the term before are lost: in this model a new leader starts
-// from proof that all of them are gone, which new incarnations give.
+// changeLeader begins a term. The attempts of the previous term are lost: in this model every worker
+// begins a new incarnation, which proves to the new leader that none of them runs any more.
 func (w *world) changeLeader() {
 	tokens := TermTokens(w.term + 1)
 	w.term = tokens.Last
@@ -89,10 +91,10 @@
 	clear(worker.running)
 }
 
-// start reserves an attempt of a task on a worker. It is started by a direct command, or else by the
-// response to a heartbeat.
-func (w *world) start(task, on int, direct bool) {
-	view := w.views[on]
+// start reserves an attempt of a task on a worker. If direct is set and the fence isn't full, a direct
+// command starts the attempt. Otherwise the response to a heartbeat starts it.
+func (w *world) start(task, workerIndex int, direct bool) {
+	view := w.views[workerIndex]
 	if w.active[task] || !view.tokenShown {
 		return
 	}
@@ -104,10 +106,10 @@
 		return
 	}
 	view.reserved[a] = view.fence.Token()
-	w.commands = append(w.commands, command{on, view.fence.Token(), view.incarnation, a})
+	w.commands = append(w.commands, command{workerIndex, view.fence.Token(), view.incarnation, a})
 }
 
-// deliver has the worker receive a direct command, however old it is.
+// deliver delivers a direct command of any age to its worker.
 func (w *world) deliver(c command) {
 	worker := w.workers[c.worker]
 	if c.token < worker.token || c.incarnation != worker.incarnation {
@@ -117,36 +119,36 @@
 	w.begin(worker, c.attempt)
 }
 
-// begin runs an attempt on a worker, unless the worker knows it already, and checks the invariants.
-func (w *world) begin(on *worker, a attempt) {
-	if _, known := on.running[a]; known {
+// begin starts an attempt on a worker, unless the worker has it already, and checks the invariants.
+func (w *world) begin(target *worker, a attempt) {
+	if _, known := target.running[a]; known {
 		return
 	}
-	if on.forgotten[a] {
-		w.fault("attempt %v runs after it was forgotten", a)
+	if target.forgotten[a] {
+		w.addViolation("attempt %v runs after it was forgotten", a)
 	}
 	for _, other := range w.workers {
 		for b, runs := range other.running {
 			if runs && b.task == a.task {
-				w.fault("task %d is on two machines", a.task)
+				w.addViolation("task %d is on two machines", a.task)
 			}
 		}
 	}
-	on.running[a] = true
+	target.running[a] = true
 }
 
 // finish ends all attempts on a worker.
-func (w *world) finish(on int) {
-	for a := range w.workers[on].running {
-		w.workers[on].running[a] = false
+func (w *world) finish(workerIndex int) {
+	for a := range w.workers[workerIndex].running {
+		w.workers[workerIndex].running[a] = false
 	}
 }
 
-// heartbeat makes a worker's next heartbeat.
-func (w *world) heartbeat(on int) heartbeat {
-	worker := w.workers[on]
+// heartbeat returns a worker's next heartbeat.
+func (w *world) heartbeat(workerIndex int) heartbeat {
+	worker := w.workers[workerIndex]
 	worker.seq++
-	h := heartbeat{worker: on, incarnation: worker.incarnation, seq: worker.seq, token: worker.token}
+	h := heartbeat{worker: workerIndex, incarnation: worker.incarnation, seq: worker.seq, token: worker.token}
 	for a, runs := range worker.running {
 		if runs {
 			h.live = append(h.live, a)
@@ -158,7 +160,7 @@
 	return h
 }
 
-// receive has the leader process a heartbeat. answered: its response reaches the worker.
+// receive has the leader process a heartbeat. answered reports whether the response reaches the worker.
 func (w *world) receive(h heartbeat, answered bool) {
 	view, worker := w.views[h.worker], w.workers[h.worker]
 	if h.incarnation < view.incarnation || h.incarnation == view.incarnation && h.seq <= view.seq {
@@ -174,9 +176,9 @@
 	view.fence.ObserveToken(h.token)
 	view.tokenShown = view.tokenShown || view.fence.tokens.Contains(h.token)
 	for _, a := range h.ended {
-		if started, reserved := view.reserved[a]; reserved {
-			if started != 0 {
-				view.fence.Retain(a, started)
+		if startToken, reserved := view.reserved[a]; reserved {
+			if startToken != 0 {
+				view.fence.Retain(a, startToken)
 			}
 			w.release(view, a)
 		}
@@ -189,8 +191,8 @@
 	}
 }
 
-// respond has the worker carry out the response to a heartbeat: it starts the reserved attempts and
-// forgets ended ones that it need not retain.
+// respond has the worker carry out the response to a heartbeat: the worker starts the reserved attempts
+// and forgets ended ones that it need not retain.
 func (w *world) respond(view *workerView, worker *worker, h heartbeat) {
 	for a := range view.reserved {
 		w.begin(worker, a)
@@ -211,10 +213,10 @@
 
 // step takes one random step. choose returns a number from 0 to n-1.
 func (w *world) step(choose func(n int) int) {
-	on := choose(len(w.workers))
+	workerIndex := choose(len(w.workers))
 	switch choose(12) {
 	case 0, 1, 2:
-		w.start(choose(4), on, choose(4) > 0)
+		w.start(choose(4), workerIndex, choose(4) > 0)
 	case 3, 4:
 		if len(w.commands) > 0 { // any command, delivered for the first time or again
 			w.deliver(w.commands[choose(len(w.commands))])
@@ -224,9 +226,9 @@
 			w.deliver(w.commands[n-1])
 		}
 	case 6:
-		w.finish(on)
+		w.finish(workerIndex)
 	case 7, 8, 9:
-		w.receive(w.heartbeat(on), choose(4) > 0)
+		w.receive(w.heartbeat(workerIndex), choose(4) > 0)
 	case 10:
 		if len(w.heartbeats) > 0 {
 			w.receive(w.heartbeats[choose(len(w.heartbeats))], false)
@@ -234,7 +236,7 @@
 	case 11:
 		switch choose(12) {
 		case 0:
-			w.workers[on].restart()
+			w.workers[workerIndex].restart()
 		case 1:
 			w.changeLeader()
 		}
--- a/internal/leadership/cluster_record.go
+++ b/internal/leadership/cluster_record.go
@@ -9,22 +9,22 @@
 	"sagevale/internal/upgrade"
 )
 
-// The keys of upgrades in the key-value store. Each controller writes its registration and session; the
-// leader's upgrade controller writes the cluster record.
+// The keys of upgrades in the key-value store. Each controller writes its own registration and session.
+// The leader's upgrade controller writes the cluster record.
 const (
 	UpgradePrefix      = "upgrade/"
-	ClusterKey         = UpgradePrefix + "cluster"  // the cluster record: what is in force
+	ClusterKey         = UpgradePrefix + "cluster"  // the cluster record: active version and gates
 	RegistrationPrefix = UpgradePrefix + "node/"    // each controller's registration
-	SessionPrefix      = UpgradePrefix + "session/" // under a lease: that its process lives
+	SessionPrefix      = UpgradePrefix + "session/" // per controller; attached to a lease that its process renews
 )
 
-// ClusterRecord is the cluster record as it is stored. Version 0: none is stored.
+// ClusterRecord is the cluster record with the version of its key. Version 0 means that none is stored.
 type ClusterRecord struct {
 	Record  upgrade.Record
 	Version uint64
 }
 
-// ReadClusterRecord reads the cluster record.
+// ReadClusterRecord reads the cluster record. If none is stored, it returns upgrade.Initial with version 0.
 func ReadClusterRecord(ctx context.Context, store storage.KeyValueStore) (ClusterRecord, error) {
 	item, err := store.Get(ctx, ClusterKey)
 	if errors.Is(err, storage.ErrNotFound) {
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -1,11 +1,12 @@
-// Package leadership elects one leader among the controllers. Leadership is a key under a lease in the
-// key-value store; whoever creates the key leads a new term until the lease expires, is revoked, or a
-// later term is seen. Each term has a number and a range of fencing tokens above those of all earlier
-// terms, reserved by the transaction that creates the key.
+// Package leadership elects one leader among the controllers. Leadership is a key in the key-value store
+// that is attached to a lease. The controller that creates the key leads a new term until the lease
+// expires, the lease is revoked, or the controller observes a later term. Each term has a number and a
+// range of fencing tokens above those of all earlier terms. The transaction that creates the key also
+// reserves that range.
 //
 // The package owns the keys LeaderKey and TermKey, which Election writes, and the registrations of
-// processes, which Registrar writes. It reads the cluster record to tell whether this process may lead,
-// and hands out roles as values; it knows nothing of jobs or machines.
+// processes, which Registrar writes. It reads the cluster record to decide whether this process may
+// lead, and publishes roles as values. It doesn't depend on jobs or machines.
 package leadership
 
 import (
@@ -27,23 +28,26 @@
 
 // The keys of leadership in the key-value store.
 const (
-	// LeaderKey holds a LeaderRecord, under the leader's lease.
+	// LeaderKey holds a LeaderRecord and is attached to the leader's lease.
 	LeaderKey = "lead"
 	// TermKey holds an upgrade.Term: the last fencing token of the latest term.
 	TermKey = "term"
 )
 
 const (
-	// RenewalsPerLease is how often a leader renews its lease within its time to live.
+	// RenewalsPerLease is the number of times that a leader renews its lease within the lease's time to
+	// live.
 	RenewalsPerLease = 5
-	// retriesPerLease is how often a follower looks again for a leader within that time.
+	// retriesPerLease is the number of times that a follower checks again for a leader within that time.
 	retriesPerLease = 4 * RenewalsPerLease
-	// watchLeases is how long one watch of the leader's key lasts, in times to live of a lease.
+	// watchLeases is the duration of one watch of the leader's key, as a multiple of the lease's time to
+	// live.
 	watchLeases = 4
-	// standDownLeases is how long a leader that stands down leaves leadership to others, in times to
-	// live of a lease.
+	// standDownLeases is how long a leader that stands down doesn't compete again, as a multiple of the
+	// lease's time to live.
 	standDownLeases = 4
-	// resignationQueue holds the resignations of a term: of its actors, and of its end.
+	// resignationQueue is the capacity of the resignation channel. It has room for the resignations of
+	// one term, which come from the term's actors and from the end of the term.
 	resignationQueue = 4
 )
 
@@ -54,15 +58,16 @@
 	Term    uint64 `json:"t"`
 }
 
-// Peers are the links to the other controllers, as far as an election needs them.
+// Peers is the part of the links to the other controllers that an election needs.
 type Peers interface {
-	// Ping asks the named controller for its status. An error means that no answer came.
+	// Ping requests the named controller's status. An error means that no answer came.
 	Ping(ctx context.Context, name string) (peer.Status, error)
-	// KnownLeader is the latest leader that peers in reach have told of, and its term; 0: none.
+	// KnownLeader returns the leader with the latest term that any reachable peer has reported, and
+	// that term. Term 0 means that no peer has reported a leader.
 	KnownLeader() (leader string, term uint64)
 }
 
-// Config is what an Election is made of.
+// Config holds the dependencies and settings of an Election.
 type Config struct {
 	Store      storage.KeyValueStore
 	Settings   *config.Settings
@@ -72,7 +77,7 @@
 	Log        *slog.Logger
 }
 
-// Election is the actor that competes for leadership, and keeps it.
+// Election is the actor that competes for leadership and renews the lease while it leads.
 type Election struct {
 	store        storage.KeyValueStore
 	settings     *config.Settings
@@ -84,12 +89,12 @@
 	log          *slog.Logger
 
 	started        time.Time
-	standDownUntil time.Time    // leadership is left to others until then
-	lastContact    atomic.Int64 // when the key-value store last answered, in ns after started
+	standDownUntil time.Time    // this process doesn't compete for leadership before then
+	lastContact    atomic.Int64 // when the key-value store last answered, in nanoseconds since started
 	lastLogged     string       // the last error that was logged at level error
 }
 
-// New makes an election; Run starts it.
+// New returns an election. Run starts it.
 func New(c Config) *Election {
 	return &Election{
 		store:        c.Store,
@@ -104,17 +109,17 @@
 	}
 }
 
-// Process identifies this process among all processes of its controller.
+// Process returns the identifier of this process among all processes of its controller.
 func (e *Election) Process() string { return e.process }
 
-// Status is the part of a controller's status that its election knows.
+// Status returns the fields of the controller's status that the election maintains.
 func (e *Election) Status() peer.Status {
 	uptime := time.Since(e.started)
 	return peer.Status{Uptime: uptime, SinceStoreContact: uptime - time.Duration(e.lastContact.Load())}
 }
 
-// Resign asks for the end of a term. It never blocks: a term that is ending anyway needs no more
-// resignations. It may be called from any goroutine.
+// Resign requests the end of a term. It never blocks: if the queue is full, the term is ending already
+// and further resignations may be dropped. It may be called from any goroutine.
 func (e *Election) Resign(r Resignation) {
 	select {
 	case e.resignations <- r:
@@ -122,8 +127,9 @@
 	}
 }
 
-// Run competes and leads until ctx ends, and publishes each change of role; publish must not block
-// for long. It returns an error if this process must not serve beside what is in force.
+// Run competes for leadership and leads until ctx ends. It calls publish with each change of the role;
+// publish must not block for long. Run returns an error if the cluster record refuses this process: see
+// upgrade.Admit.
 func (e *Election) Run(ctx context.Context, publish func(Role)) error {
 	e.publish = publish
 	for ctx.Err() == nil {
@@ -135,33 +141,34 @@
 			}
 		case err != nil:
 			e.publish(Role{})
-			e.pause(ctx)
+			e.pauseBeforeRetry(ctx)
 		default:
-			e.follow(ctx, item)
+			e.followLeader(ctx, item)
 		}
 	}
 	return nil
 }
 
-// compete tries to lead while nobody does. It returns an error only if this process must not serve.
+// compete tries to acquire leadership while there is no leader. It returns an error only if the cluster
+// record refuses this process.
 func (e *Election) compete(ctx context.Context) error {
 	if time.Now().Before(e.standDownUntil) {
-		e.pause(ctx)
+		e.pauseBeforeRetry(ctx)
 		return nil
 	}
-	err := e.acquire(ctx)
+	err := e.acquireLeadership(ctx)
 	if upgrade.IsRefusal(err) {
 		return err
 	}
 	if err != nil {
 		e.logNotAcquired(err)
-		e.pause(ctx)
+		e.pauseBeforeRetry(ctx)
 	}
 	return nil
 }
 
-// logNotAcquired logs why leadership was not acquired. Stored data that operators must repair is logged
-// at level error, once.
+// logNotAcquired logs why leadership was not acquired. A problem that operators must solve, damaged
+// stored data or a gate that this process can't read, is logged at level error, and only once in a row.
 func (e *Election) logNotAcquired(err error) {
 	var damaged *upgrade.DamagedError
 	var unreadable *upgrade.UnreadableGateError
@@ -175,7 +182,7 @@
 	}
 }
 
-// leaderItem reads the leader's key.
+// leaderItem reads LeaderKey.
 func (e *Election) leaderItem(ctx context.Context) (storage.Item, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
 	defer cancel()
@@ -186,43 +193,44 @@
 	return item, err
 }
 
-// markContact notes an answer of the key-value store.
+// markContact records that the key-value store has answered now.
 func (e *Election) markContact() { e.lastContact.Store(int64(time.Since(e.started))) }
 
-func (e *Election) pause(ctx context.Context) {
+func (e *Election) pauseBeforeRetry(ctx context.Context) {
 	clock.Sleep(ctx, e.settings.Tuning.LeaderLease/retriesPerLease)
 }
 
-// follow waits for the end of another controller's leadership. A record of an earlier process of this
-// very controller proves that process dead, so its lease is revoked at once. A record of our own is
-// a failover whose answer was lost.
-func (e *Election) follow(ctx context.Context, item storage.Item) {
+// followLeader waits for the end of another controller's leadership. If the leader record names this
+// controller, its lease is revoked at once. The record then belongs to an earlier process, which must
+// have ended because this one runs in its place, or to this process, if the answer to the transaction
+// that acquired leadership was lost.
+func (e *Election) followLeader(ctx context.Context, item storage.Item) {
 	var record LeaderRecord
 	if err := json.Unmarshal(item.Data, &record); err != nil {
 		e.log.Error("leader record decoding failed", "error", err)
-		e.pause(ctx)
+		e.pauseBeforeRetry(ctx)
 		return
 	}
 	if record.Node == e.settings.NodeName {
 		e.log.Info("revoking the lease of an earlier process", "term", record.Term)
-		if err := e.revoke(ctx, item.Lease); err != nil {
-			e.pause(ctx)
+		if err := e.revokeLease(ctx, item.Lease); err != nil {
+			e.pauseBeforeRetry(ctx)
 		}
 		return
 	}
 	e.publish(Role{Leader: record.Node, Term: record.Term})
-	e.awaitChange(ctx, item.Version)
+	e.awaitLeaderChange(ctx, item.Version)
 }
 
-// awaitChange waits until the leader's key has changed after a version.
-func (e *Election) awaitChange(ctx context.Context, version uint64) {
+// awaitLeaderChange waits until LeaderKey has changed after a version. It returns early if the watch fails.
+func (e *Election) awaitLeaderChange(ctx context.Context, version uint64) {
 	hold := watchLeases * e.settings.Tuning.LeaderLease
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithTimeout(ctx, hold+e.settings.Tuning.LeaderLease)
 		changes, revision, err := e.store.Watch(watchCtx, LeaderKey, version, hold)
 		cancel()
 		if err != nil {
-			e.pause(ctx)
+			e.pauseBeforeRetry(ctx)
 			return
 		}
 		if len(changes) > 0 {
@@ -232,8 +240,8 @@
 	}
 }
 
-// revoke ends a lease. One that has ended already is no error.
-func (e *Election) revoke(ctx context.Context, lease uint64) error {
+// revokeLease ends a lease. It is not an error if the lease has ended already.
+func (e *Election) revokeLease(ctx context.Context, lease uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
 	defer cancel()
 	err := e.store.Revoke(ctx, lease)
@@ -243,10 +251,10 @@
 	return err
 }
 
-// errNotRegistered says that this process may not lead yet.
-var errNotRegistered = errors.New("not registered yet")
+// errNotRegistered reports that this process may not lead yet, because it isn't registered.
+var errNotRegistered = errors.New("this process has not registered its versions yet")
 
-// checkEligibility reads the cluster record and returns an error if this process may not lead beside it.
+// checkEligibility reads the cluster record and returns an error if this process may not lead under it.
 func (e *Election) checkEligibility(ctx context.Context) (ClusterRecord, error) {
 	if !e.registered() {
 		return ClusterRecord{}, errNotRegistered
@@ -257,16 +265,17 @@
 	if err != nil {
 		return ClusterRecord{}, err
 	}
-	// That the operators' target has been passed refuses a process that starts, and ends none that serves.
-	own := &e.settings.Tuning.Upgrade
-	if err := upgrade.Admit(cluster.Record, own.Versions, upgrade.Policy{}); err != nil {
+	// The zero policy leaves out the operators' target version. An active version above the target
+	// refuses a process at startup, but must not end a process that already serves.
+	upgradeSettings := &e.settings.Tuning.Upgrade
+	if err := upgrade.Admit(cluster.Record, upgradeSettings.Versions, upgrade.Policy{}); err != nil {
 		return ClusterRecord{}, err
 	}
-	return cluster, upgrade.MayLead(cluster.Record, own.Versions, own.Known)
+	return cluster, upgrade.MayLead(cluster.Record, upgradeSettings.Versions, upgradeSettings.Known)
 }
 
-// acquire tries to become the leader and, if it succeeds, leads until the term ends.
-func (e *Election) acquire(ctx context.Context) error {
+// acquireLeadership tries to become the leader and, if it succeeds, leads until the term ends.
+func (e *Election) acquireLeadership(ctx context.Context) error {
 	cluster, err := e.checkEligibility(ctx)
 	if err != nil {
 		return err
@@ -276,7 +285,7 @@
 	held := heldLease{cluster: cluster, renewedAt: time.Now()}
 	held.id, err = e.store.Grant(callCtx, e.settings.Tuning.LeaderLease)
 	if err != nil {
-		return fmt.Errorf("grant: %w", err)
+		return fmt.Errorf("grant leadership lease: %w", err)
 	}
 	e.markContact()
 	term, termVersion, err := e.readTerm(callCtx)
@@ -288,22 +297,24 @@
 	term.Number, term.Fence = tokens.Last, cluster.Record.Fence
 	version, err := e.writeLeader(callCtx, &held, term, termVersion)
 	if err != nil {
-		// A transaction whose answer was lost, or that is carried out late, must not stand: without
-		// its lease the key is removed, or the transaction fails.
-		if revokeErr := e.revoke(ctx, held.id); revokeErr != nil {
+		// The transaction may have been committed if its answer was lost, or may still be committed
+		// late. Revoking the lease deletes the key in the first case and makes the transaction fail in
+		// the second.
+		if revokeErr := e.revokeLease(ctx, held.id); revokeErr != nil {
 			e.log.Debug("lease revocation failed", "error", revokeErr)
 		}
 		return fmt.Errorf("acquire leadership: %w", err)
 	}
 	held.guard = storage.Guard{Key: LeaderKey, Version: version}
-	// From here on peers are told that this process may have led, whatever becomes of the term.
+	// This contact shows peers that this process may have led, even if the term ends at once: see
+	// PeersConfirmNoLeader.
 	e.markContact()
 	e.log.Info("leadership acquired", "term", held.term)
-	e.keep(ctx, held)
+	e.holdLeadership(ctx, held)
 	return nil
 }
 
-// readTerm reads the latest term and the version of its key.
+// readTerm reads the latest term and the version of TermKey.
 func (e *Election) readTerm(ctx context.Context) (term upgrade.Term, version uint64, err error) {
 	item, err := e.store.Get(ctx, TermKey)
 	switch {
@@ -316,13 +327,14 @@
 		return upgrade.Term{}, 0, err
 	}
 	if term.Number >= fencing.LastTerm {
-		return upgrade.Term{}, 0, &upgrade.DamagedError{Key: TermKey, Reason: "its number leaves no room for another term"}
+		return upgrade.Term{}, 0, &upgrade.DamagedError{Key: TermKey, Reason: "its number leaves no tokens and attempt numbers for another term"}
 	}
 	return term, item.Version, nil
 }
 
-// writeLeader creates the leader's key and reserves the term, unless the term or the cluster record has
-// changed since they were read. It returns the version of the leader's key.
+// writeLeader creates LeaderKey and reserves the term in one transaction. The transaction fails if there
+// is a leader, or if the term or the cluster record has changed since it was read. writeLeader returns
+// the version of LeaderKey.
 func (e *Election) writeLeader(ctx context.Context, held *heldLease, term upgrade.Term, termVersion uint64) (uint64, error) {
 	record, err := json.Marshal(LeaderRecord{Node: e.settings.NodeName, Process: e.process, Term: held.term})
 	if err != nil {
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -56,8 +56,8 @@
 	return &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
 }
 
-// A peer confirms that there is no leader only if it has run without contact to the key-value store since before our lease may have
-// expired: otherwise it may have led and resigned.
+// A peer confirms that there is no leader only if it has run without contact to the key-value store since before the
+// lease may have expired. Otherwise it may have led and resigned.
 func TestPeersConfirmNoLeader(t *testing.T) {
 	const sinceExpiry = 10 * time.Second
 	for _, c := range []struct {
@@ -66,12 +66,12 @@
 		term          uint64
 		want          bool
 	}{
-		{"up and without the store since before", 20 * time.Second, 15 * time.Second, 2, true},
+		{"running and without the store since before", 20 * time.Second, 15 * time.Second, 2, true},
 		{"answered by the store since: may have led and resigned", 20 * time.Second, 5 * time.Second, 0, false},
 		{"restarted since", 5 * time.Second, 5 * time.Second, 0, false},
 		{"restarted since, though it reports no contact for longer", 5 * time.Second, 15 * time.Second, 0, false},
 		{"answered by the store at the moment of expiry", 20 * time.Second, 10 * time.Second, 0, false},
-		{"knows a later term", 20 * time.Second, 15 * time.Second, 3, false},
+		{"has observed a later term", 20 * time.Second, 15 * time.Second, 3, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A term record is damaged if its number leaves no tokens and attempt numbers for another term.
+// A term record counts as damaged if its number leaves no tokens and attempt numbers for another term.
 func TestAcquireFailsAfterLastTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
@@ -97,8 +97,8 @@
 		}
 		e := newTestElection(client, scriptedPeers{})
 		var damaged *upgrade.DamagedError
-		if err := e.acquire(t.Context()); !errors.As(err, &damaged) || damaged.Key != TermKey {
-			t.Errorf("acquire() = %v, want a DamagedError of %s", err, TermKey)
+		if err := e.acquireLeadership(t.Context()); !errors.As(err, &damaged) || damaged.Key != TermKey {
+			t.Errorf("acquireLeadership() = %v, want a DamagedError of %s", err, TermKey)
 		}
 	})
 }
@@ -119,7 +119,7 @@
 	return roles
 }
 
-// await returns the first role that matches, within a minute.
+// await returns the first role that matches. It fails the test after a minute without one.
 func await(t *testing.T, roles <-chan Role, matches func(Role) bool) Role {
 	t.Helper()
 	timeout := time.After(time.Minute)
@@ -130,7 +130,7 @@
 				return r
 			}
 		case <-timeout:
-			t.Fatal("no such role within a minute")
+			t.Fatal("no matching role was published within a minute")
 		}
 	}
 }
@@ -168,7 +168,7 @@
 				e := newTestElection(newTestStore(t), scriptedPeers{})
 				roles := runElection(t, e)
 				term := await(t, roles, leading).Term
-				e.Resign(Resignation{Term: term - 1}) // of an earlier term: without effect
+				e.Resign(Resignation{Term: term - 1}) // from an earlier term: has no effect
 				e.Resign(Resignation{Term: term, StandDown: standDown})
 				resigned := time.Now()
 				await(t, roles, notLeading)
@@ -178,7 +178,7 @@
 				}
 				pause := standDownLeases * e.settings.Tuning.LeaderLease
 				if waited := time.Since(resigned); (waited >= pause) != standDown {
-					t.Errorf("leads again after %v, want at least %v: %v", waited, pause, standDown)
+					t.Errorf("leads again after %v; want that to be at least %v: %v", waited, pause, standDown)
 				}
 			})
 		})
@@ -205,7 +205,7 @@
 	})
 }
 
-// Without the key-value store a leader stays until workers' leases may no longer be renewed.
+// If the key-value store is unreachable, a leader keeps its role until it may no longer renew workers' leases.
 func TestLeaderWithoutStoreStopsAfterRenewalGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// sessionLeases is the time to live of a session, in workers' leases. It only tells operators that
-	// the process lives, so it is long and costs next to nothing.
+	// sessionLeases is the time to live of a session, as a multiple of a worker's lease. A session only
+	// shows operators that the process is alive, so a long time to live suffices and its renewals cost
+	// next to nothing.
 	sessionLeases = 8
-	// renewalsPerSession is how often a session is renewed within its time to live.
+	// renewalsPerSession is the number of times that a session is renewed within its time to live.
 	renewalsPerSession = 3
-	// registrationCalls is how many calls a registration takes, one after the other.
+	// registrationCalls is the number of consecutive calls to the key-value store in a registration.
 	registrationCalls = 4
 )
 
 // Registrar is the actor that registers this process with the versions that it reads and writes. The
-// registration outlasts the process: until another one of the same controller replaces it, the fleet
-// counts this controller by it.
+// registration outlives the process: it stands for the controller's versions until another process of
+// the same controller replaces it.
 type Registrar struct {
 	store    storage.KeyValueStore
 	settings *config.Settings
@@ -35,13 +36,13 @@
 	log      *slog.Logger
 
 	registered atomic.Bool
-	version    uint64 // of our registration in the key-value store
-	session    uint64 // the lease of our session
+	version    uint64 // of this controller's registration key
+	session    uint64 // the lease of the session; 0: none is granted
 	lastLogged string
 }
 
-// NewRegistrar makes a registrar; Run starts it. process identifies this process among all processes of
-// its controller.
+// NewRegistrar returns a registrar. Run starts it. process identifies this process among all processes
+// of its controller.
 func NewRegistrar(store storage.KeyValueStore, settings *config.Settings, process string, log *slog.Logger) *Registrar {
 	return &Registrar{store: store, settings: settings, process: process, log: log}
 }
@@ -49,8 +50,8 @@
 // Registered reports whether this process has registered. It may be called from any goroutine.
 func (r *Registrar) Registered() bool { return r.registered.Load() }
 
-// Run registers the process, then keeps its session until ctx ends. It returns an error if this process
-// must not serve beside what is in force.
+// Run registers the process and then renews its session until ctx ends. It returns an error if the
+// cluster record refuses this process: see upgrade.Admit.
 func (r *Registrar) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !r.registered.Load() {
 		err := r.register(ctx)
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// logFailure logs a failed registration, the same error only once.
+// logFailure logs a failed registration. The same error is logged only once in a row.
 func (r *Registrar) logFailure(err error) {
 	level := slog.LevelDebug
 	if _, ok := errors.AsType[*upgrade.DamagedError](err); ok {
@@ -78,9 +79,10 @@
 	}
 }
 
-// register stores which versions this process supports, unless what is in force refuses it. The cluster
-// record is guarded: an activation that rests on the earlier registration and this one can't both
-// succeed unseen by each other.
+// register stores which versions this process supports, unless the cluster record refuses the process.
+// The transaction is guarded by the version of the cluster record, and an activation is guarded by the
+// registrations that it relies on. So this registration and an activation that relies on the earlier
+// one can't both succeed: the later of the two fails and reads the keys again.
 func (r *Registrar) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registrationCalls*r.settings.CallTimeout())
 	defer cancel()
@@ -88,8 +90,8 @@
 	if err != nil {
 		return err
 	}
-	own := &r.settings.Tuning.Upgrade
-	if err := upgrade.Admit(cluster.Record, own.Versions, own.Policy); err != nil {
+	upgradeSettings := &r.settings.Tuning.Upgrade
+	if err := upgrade.Admit(cluster.Record, upgradeSettings.Versions, upgradeSettings.Policy); err != nil {
 		return err
 	}
 	earlier, err := r.store.Get(ctx, r.registrationKey())
@@ -101,8 +103,8 @@
 			return fmt.Errorf("grant session: %w", err)
 		}
 	}
-	registration := upgrade.NewRegistration(r.settings.NodeName, r.process, own.Versions)
-	version, err := r.write(ctx, []storage.Guard{
+	registration := upgrade.NewRegistration(r.settings.NodeName, r.process, upgradeSettings.Versions)
+	version, err := r.writeSession(ctx, []storage.Guard{
 		{Key: ClusterKey, Version: cluster.Version},
 		{Key: r.registrationKey(), Version: earlier.Version},
 	}, &registration)
@@ -114,12 +116,12 @@
 	}
 	r.version = version
 	r.registered.Store(true)
-	r.log.Info("controller registered", "versions", own.Versions.String(), "active", cluster.Record.Active)
+	r.log.Info("controller registered", "versions", upgradeSettings.Versions.String(), "active", cluster.Record.Active)
 	return nil
 }
 
-// write sets our session, and our registration if there is one to be set.
-func (r *Registrar) write(ctx context.Context, guards []storage.Guard, registration *upgrade.Registration) (uint64, error) {
+// writeSession stores the session and, unless it is nil, the registration. It returns the new revision.
+func (r *Registrar) writeSession(ctx context.Context, guards []storage.Guard, registration *upgrade.Registration) (uint64, error) {
 	session, err := json.Marshal(r.process)
 	if err != nil {
 		return 0, fmt.Errorf("encode session: %w", err)
@@ -139,8 +141,8 @@
 
 func (r *Registrar) sessionTimeToLive() time.Duration { return sessionLeases * r.settings.WorkerLease }
 
-// keepSession renews the session, and starts it anew where it has expired, until another process of
-// this controller has registered.
+// keepSession renews the session until ctx ends. A session that has expired is created again, unless
+// another process of this controller has registered.
 func (r *Registrar) keepSession(ctx context.Context) {
 	for clock.Sleep(ctx, r.sessionTimeToLive()/renewalsPerSession) {
 		if err := r.renewSession(ctx); err != nil {
@@ -149,6 +151,8 @@
 	}
 }
 
+// renewSession renews the session's lease. If the lease has expired, it writes the session under a new
+// lease; the guard on the registration fails if another process of this controller has registered.
 func (r *Registrar) renewSession(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout())
 	defer cancel()
@@ -161,6 +165,6 @@
 		return err
 	}
 	r.session = session
-	_, err = r.write(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.version}}, nil)
+	_, err = r.writeSession(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.version}}, nil)
 	return err
 }
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -9,18 +9,19 @@
 	"sagevale/internal/storage"
 )
 
-// The reasons for which a term ends, as they are logged.
+// The reasons why a term ends, as they are logged.
 const (
 	reasonStopped     = "stopped"
 	reasonResigned    = "resigned"
 	reasonExpired     = "lease expired"
-	reasonLaterLeader = "a peer knows a later leader"
+	reasonLaterLeader = "a peer reports a leader of a later term"
 	reasonNoContact   = "key-value store unreachable for too long"
 )
 
-// keep renews the lease until it has expired, this leader resigns, or the key-value store has been out of
-// reach for longer than workers' leases may be renewed without it.
-func (e *Election) keep(ctx context.Context, held heldLease) {
+// holdLeadership renews the leadership lease until the term ends: the lease has expired, this leader
+// resigns, a peer reports a later term, or the key-value store has been unreachable for longer than
+// workers' leases may be renewed without it.
+func (e *Election) holdLeadership(ctx context.Context, held heldLease) {
 	e.publish(e.roleOf(&held))
 	reason := reasonStopped
 	for ctx.Err() == nil {
@@ -37,12 +38,13 @@
 	return held.role(e.settings.NodeName, e.settings.Tuning.LeaderLease, e.settings.RenewalGrace())
 }
 
-// renewOnce waits for the next renewal, or a resignation, and returns why the term ends, or "".
+// renewOnce waits until the next renewal is due and renews the lease, or handles a resignation. It returns
+// why the term ends, or "" if it goes on.
 func (e *Election) renewOnce(ctx context.Context, held *heldLease) (reason string) {
 	select {
 	case r := <-e.resignations:
 		if r.Term != held.term {
-			return "" // of an earlier term
+			return "" // the resignation is from an earlier term
 		}
 		e.handleResignation(ctx, held, r)
 		return reasonResigned
@@ -62,18 +64,19 @@
 	return ""
 }
 
-// handleResignation gives up the lease, so that another controller can lead at once.
+// handleResignation revokes the lease, so that another controller can lead at once.
 func (e *Election) handleResignation(ctx context.Context, held *heldLease, r Resignation) {
 	if r.StandDown {
 		e.standDownUntil = time.Now().Add(standDownLeases * e.settings.Tuning.LeaderLease)
 	}
-	if err := e.revoke(ctx, held.id); err != nil {
+	if err := e.revokeLease(ctx, held.id); err != nil {
 		e.log.Debug("lease revocation failed", "error", err)
 	}
 }
 
-// handleFailedRenewal returns why the term ends after a renewal that failed, or "" if it may go on. In an
-// outage of the key-value store it goes on for as long as all peers confirm that nobody can lead.
+// handleFailedRenewal returns why the term ends after a failed renewal, or "" if it may go on. During an
+// outage of the key-value store the term goes on for as long as all peers confirm that no other
+// controller can have led.
 func (e *Election) handleFailedRenewal(ctx context.Context, held *heldLease, err error) (reason string) {
 	if errors.Is(err, storage.ErrNotFound) {
 		return reasonExpired
@@ -92,10 +95,11 @@
 	return ""
 }
 
-// PeersConfirmNoLeader reports whether all peers confirm that they can't have led since expiry, when our
-// lease may first have expired: each has been up since before it, and has had no answer of the
-// key-value store after it. A peer that has restarted can't know what it did before, so it can't
-// confirm, whatever else it says.
+// PeersConfirmNoLeader reports whether all peers confirm that they can't have led since expiry, the
+// earliest time at which this controller's lease may have expired. A peer confirms this if its process
+// has run since before expiry, if the key-value store hasn't answered it since then, and if it reports
+// no later term than term. A peer that has restarted since doesn't have the state of its earlier
+// process, so it can't confirm, whatever else it reports.
 func (e *Election) PeersConfirmNoLeader(ctx context.Context, term uint64, expiry time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
 	defer cancel()
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -7,26 +7,27 @@
 	"sagevale/internal/storage"
 )
 
-// Role is what a controller knows of who leads. The zero Role knows of no leader.
+// Role is a controller's view of the leadership. The zero Role means that no leader is known.
 type Role struct {
 	Leading bool
 	Leader  string // name of the leader, if known
 	Term    uint64
-	// Guard must stand among the conditions of every transaction of this leader: a deposed leader's
-	// transactions fail by it.
+	// Guard must be among the guards of every transaction of this leader, so that the transactions of a
+	// deposed leader fail.
 	Guard storage.Guard
-	// LeaseValidUntil is when this controller's own lease may first expire, on a clock that drifts.
+	// LeaseValidUntil is the earliest time at which this leader's own lease may expire, given the drift
+	// of the clocks.
 	LeaseValidUntil time.Time
-	// RenewUntil is until when this leader may renew workers' leases.
+	// RenewUntil is the time until which this leader may renew workers' leases.
 	RenewUntil time.Time
-	// Cluster is the cluster record that the failover was guarded by.
+	// Cluster is the cluster record whose version guarded the transaction that acquired leadership.
 	Cluster ClusterRecord
 }
 
-// Resignation ends a term. With StandDown another controller is to lead next.
+// Resignation is a request to end a term.
 type Resignation struct {
 	Term      uint64
-	StandDown bool
+	StandDown bool // wait before competing again, so that another controller leads next
 }
 
 // heldLease is the leadership lease that this controller holds.
@@ -35,18 +36,18 @@
 	term      uint64
 	guard     storage.Guard
 	cluster   ClusterRecord
-	renewedAt time.Time // when the last renewal that was answered had been sent
-	// confirmedAt is when all peers last confirmed that nobody can have led since the lease may have
-	// expired; zero: never.
+	renewedAt time.Time // when the last successful renewal, or else the grant, was sent
+	// confirmedAt is when the peers were last asked, and all of them confirmed that they can't have led
+	// since the lease may have expired; zero: never.
 	confirmedAt time.Time
 }
 
-// validUntil is when the lease may first expire.
+// validUntil returns the earliest time at which the lease may expire, given the drift of the clocks.
 func (h *heldLease) validUntil(timeToLive time.Duration) time.Time {
 	return h.renewedAt.Add(clock.Scale(timeToLive, 1/clock.DriftBound))
 }
 
-// role is the role of the lease's holder.
+// role returns the role of the controller that holds the lease.
 func (h *heldLease) role(node string, timeToLive, renewalGrace time.Duration) Role {
 	validUntil := h.validUntil(timeToLive)
 	noLeaderBefore := validUntil
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -1,4 +1,4 @@
-// Package peer holds what controllers tell each other of themselves.
+// Package peer holds the status that controllers report to each other.
 package peer
 
 import (
@@ -7,35 +7,37 @@
 	"sagevale/internal/fencing"
 )
 
-// The numbers by which processes of different versions tell each other what they support. Commit af96c21
-// told 2, and 3661d31 none. Which versions a process reads and writes stands in the key-value store.
+// The values of Status.Version, by which processes of different versions show their peers what they support.
+// Processes of commit af96c21 report 2, and those of commit 3661d31 report none. The versions of stored data
+// that a process reads and writes are in its registration in the key-value store instead.
 const (
-	// VersionRegistering is the least that a process tells which registers its versions in the
-	// key-value store.
+	// VersionRegistering is the lowest version whose processes register the versions that they read and
+	// write in the key-value store.
 	VersionRegistering = 3
-	// VersionTokenRanges is the least that a process tells whose terms have a range of tokens each.
+	// VersionTokenRanges is the lowest version whose terms have a range of fencing tokens each.
 	VersionTokenRanges = 4
-	// VersionActivation is the least that a process tells which answers wake requests.
+	// VersionActivation is the lowest version whose processes answer wake requests.
 	VersionActivation = 5
-	// Version is what this program tells.
+	// Version is the version that this program reports.
 	Version = VersionActivation
 )
 
-// Status is what a controller tells another of itself.
+// Status is the status that a controller reports to a peer.
 type Status struct {
-	Uptime                time.Duration // since its process began
-	SinceStoreContact     time.Duration // since its leadership last got an answer of the key-value store
-	Leader                string        // who leads, as it knows first-hand; "": nobody it knows of
+	Uptime                time.Duration // since the controller's process started
+	SinceStoreContact     time.Duration // since the key-value store last answered the controller's election
+	Leader                string        // the leader, if the controller has read that from the store itself; "": none
 	Term                  uint64
-	SinceHeartbeat        time.Duration // since a worker last reported to it; Uptime if none has
-	SinceDelegatedRenewal time.Duration // since it last renewed a lease by delegation; Uptime if it never has
-	DelegatesFor          time.Duration // of a leader: how long the asker may renew leases by delegation
+	SinceHeartbeat        time.Duration // since the controller last received a worker's heartbeat; Uptime if never
+	SinceDelegatedRenewal time.Duration // since the controller last renewed a worker's lease by delegation; Uptime if never
+	DelegatesFor          time.Duration // if the controller leads: how long the peer may renew workers' leases by delegation
 	DelegationTerm        uint64        // the term of that delegation
-	Excluded              []int         // machines whose leases the delegation doesn't cover
-	Version               int           // see Version
+	Excluded              []int         // machines whose leases must not be renewed by delegation
+	Version               int           // one of the Version constants
 }
 
-// DelegationTokens are the fencing tokens under which a leader delegates. Earlier versions have one a term.
+// DelegationTokens returns the fencing tokens of the term in which the delegation was granted. Versions before
+// VersionTokenRanges have one token per term, which is the term's number.
 func (s *Status) DelegationTokens() fencing.Tokens {
 	if s.Version < VersionTokenRanges {
 		return fencing.Tokens{First: s.DelegationTerm, Last: s.DelegationTerm}
@@ -43,8 +45,8 @@
 	return fencing.TermTokens(s.DelegationTerm)
 }
 
-// ObservedStatus is the status that a peer has told, and when it was asked.
+// ObservedStatus is a status that a peer has reported, with the times of the request and the response.
 type ObservedStatus struct {
 	Status
-	Sent, Received time.Time // by our clock, before and after what it tells of
+	Sent, Received time.Time // on this controller's clock: before and after the peer took its status
 }
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -1,10 +1,10 @@
-// Package relay carries requests between controllers through the key-value store. A follower that is cut off from
-// a living leader, but not from the store, hands on users' requests and workers' heartbeats: one key prefix
-// holds its latest batch of requests, another the leader's responses.
+// Package relay carries requests between controllers through the key-value store. A follower that can't reach a
+// running leader, but can reach the store, relays users' requests and workers' heartbeats this way: it writes its
+// latest batch of requests under one key prefix, and the leader writes the responses under another.
 //
-// To the leader this is but a slower way for requests to arrive, so all its rules hold: heartbeats may be late, and
-// leases count from when they are answered. Responses are written under the leader's guard, so a deposed leader
-// answers nobody.
+// For the leader a relay is only a slower path for requests, so the same rules hold as for others: heartbeats may
+// arrive late, and a worker's lease counts from the time at which its heartbeat is answered. Responses are written
+// under the guard of the leader's key, so a deposed leader can't store any.
 package relay
 
 import (
@@ -23,60 +23,63 @@
 	wire "sagevale/internal/wire/coordination"
 )
 
-// The prefixes of the keys in the key-value store. Below each stands the follower's name, and below that the number
-// of a fragment.
+// The prefixes of the relay's keys in the key-value store. The follower's name and the number of a fragment follow,
+// separated by a slash.
 const (
 	requestPrefix  = "mail/ask/"
 	responsePrefix = "mail/answer/"
 )
 
 const (
-	// Timeout is how long the responses to a batch may take.
+	// Timeout bounds the delivery of a batch, from the encoding of its requests to the arrival of its responses.
 	Timeout = 2 * time.Second
-	// budgetShare of the key-value store's changes is for each writer of a relay.
-	budgetShare = 0.1
-	// maxBatchSize bounds the requests of a batch, maxFragments its values.
-	maxBatchSize = 192
+	// writeBudgetShare is the share of the key-value store's permitted changes per second that each writer of a
+	// relay may use.
+	writeBudgetShare = 0.1
+	// maxBatchRequests is the maximum number of requests in a batch.
+	maxBatchRequests = 192
+	// maxFragments is the maximum number of values that a batch is split into.
 	maxFragments = 4
-	// maxRequestBytes is the most that one request of a batch takes: the body of a user's request.
+	// maxRequestBytes bounds the size of one request in a batch. The largest is the body of a user's request.
 	maxRequestBytes = 64 << 10
-	// fragmentOverhead is what a value holds beside the data of its fragment, in bytes.
+	// fragmentOverhead is the size of a value without the data of its fragment, in bytes.
 	fragmentOverhead = 64
 )
 
-// newLimiter keeps a writer within its share of the changes.
+// newLimiter returns a limiter that keeps a writer within its share of the store's changes.
 func newLimiter(s *config.Settings) *rate.Limiter {
-	changes := s.State.ChangesPerS * budgetShare
+	changes := s.State.ChangesPerS * writeBudgetShare
 	return rate.NewLimiter(rate.Limit(changes), max(1, int(changes)))
 }
 
-// fragment is one value of a batch that is split over several keys.
+// fragment is the value of one key of a batch. A batch is split over several keys if it exceeds one value.
 type fragment struct {
-	Process uint64 `json:"r"` // the sender's process
+	Process uint64 `json:"r"` // the process that sent the requests
 	Serial  uint64 `json:"s"`
-	Count   int    `json:"n"` // of the batch's fragments
+	Count   int    `json:"n"` // the number of fragments in the batch
 	Data    []byte `json:"d"`
 }
 
-// batchID tells the batches of one sender apart: a transaction that is carried out late brings an old batch among
-// newer ones.
+// batchID identifies a batch. It distinguishes the batches of one sender, because a transaction that is committed
+// late stores an old batch among newer ones.
 type batchID struct {
 	sender  string
 	process uint64
 	serial  uint64
 }
 
-// encodeRequests compresses a batch of requests into values: see encodeBatch.
+// encodeRequests encodes a batch of requests as values: see encodeBatch.
 func encodeRequests(requests []wire.RelayRequest, process, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	return encodeBatch(func(w io.Writer) error { return wire.EncodeRelayRequests(w, requests) }, process, serial, limits)
 }
 
-// encodeResponses compresses the responses to a batch into values: see encodeBatch.
+// encodeResponses encodes the responses to a batch as values: see encodeBatch.
 func encodeResponses(responses []wire.RelayResponse, process, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	return encodeBatch(func(w io.Writer) error { return wire.EncodeRelayResponses(w, responses) }, process, serial, limits)
 }
 
-// encodeBatch compresses what encode writes into values under the limit. It returns nil if that takes too many.
+// encodeBatch compresses the output of encode and splits it into values within the store's limits. It returns nil
+// values and no error if that takes too many values.
 func encodeBatch(encode func(io.Writer) error, process, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	var buf bytes.Buffer
 	compressor, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -90,14 +93,14 @@
 		return nil, fmt.Errorf("compress relay batch: %w", err)
 	}
 	data := buf.Bytes()
-	size := limits.ValueBytes*2/3 - fragmentOverhead // base64 takes a third more
-	count := (len(data) + size - 1) / size
+	fragmentBytes := limits.ValueBytes*2/3 - fragmentOverhead // base64 grows the data by a third
+	count := (len(data) + fragmentBytes - 1) / fragmentBytes
 	if count > min(maxFragments, limits.TxnOps) {
 		return nil, nil
 	}
 	var values []json.RawMessage
 	for i := range count {
-		part := data[i*size : min(len(data), (i+1)*size)]
+		part := data[i*fragmentBytes : min(len(data), (i+1)*fragmentBytes)]
 		value, err := json.Marshal(fragment{Process: process, Serial: serial, Count: count, Data: part})
 		if err != nil {
 			return nil, fmt.Errorf("encode relay fragment: %w", err)
@@ -107,7 +110,7 @@
 	return values, nil
 }
 
-// decodeRequests reads a batch of requests whose fragments are all there, in order.
+// decodeRequests decodes a batch of requests from all its fragments, in order.
 func decodeRequests(fragments []fragment) (requests []wire.RelayRequest, err error) {
 	err = decodeBatch(fragments, func(r io.Reader) error {
 		requests, err = wire.DecodeRelayRequests(r)
@@ -116,7 +119,7 @@
 	return requests, err
 }
 
-// decodeResponses reads the responses to a batch whose fragments are all there, in order.
+// decodeResponses decodes the responses to a batch from all their fragments, in order.
 func decodeResponses(fragments []fragment) (responses []wire.RelayResponse, err error) {
 	err = decodeBatch(fragments, func(r io.Reader) error {
 		responses, err = wire.DecodeRelayResponses(r)
@@ -125,7 +128,7 @@
 	return responses, err
 }
 
-// decodeBatch has decode read what the fragments, in order, hold.
+// decodeBatch decompresses the data of the fragments, which must be in order, and passes it to decode.
 func decodeBatch(fragments []fragment, decode func(io.Reader) error) error {
 	var data []byte
 	for _, f := range fragments {
@@ -133,13 +136,13 @@
 	}
 	decompressor := flate.NewReader(bytes.NewReader(data))
 	defer decompressor.Close()
-	if err := decode(io.LimitReader(decompressor, maxBatchSize*maxRequestBytes)); err != nil {
+	if err := decode(io.LimitReader(decompressor, maxBatchRequests*maxRequestBytes)); err != nil {
 		return fmt.Errorf("decode relay batch: %w", err)
 	}
 	return nil
 }
 
-// collectBatches sorts changed keys into batches, and leaves out those that aren't whole.
+// collectBatches groups the fragments in changed keys by batch. It omits batches with missing fragments.
 func collectBatches(changes []storage.Item, prefix string) map[batchID][]fragment {
 	batches := make(map[batchID][]fragment)
 	for _, item := range changes {
@@ -159,7 +162,7 @@
 	return batches
 }
 
-// batchOps are the changes that write a batch.
+// batchOps returns the operations that write a batch.
 func batchOps(prefix, sender string, values []json.RawMessage) []storage.Op {
 	var ops []storage.Op
 	for i, v := range values {
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// queueSize bounds what waits for the next batch: what a few batches carry before those who wait give
-	// up. What is rejected is answered by delegation at once, or elsewhere.
+	// queueSize is the maximum number of requests that wait for the next batch. It is about what a few batches
+	// can carry before the waiting callers time out. A request that finds the queue full isn't relayed: a
+	// heartbeat can then be answered by delegation at once, and others can be sent to another controller.
 	queueSize = 512
-	// gatherPerHeartbeat is how long a batch of heartbeats gathers, in heartbeat intervals.
+	// gatherPerHeartbeat is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
 	gatherPerHeartbeat = 0.1
 )
 
-// Client is the actor of a follower's relay. Its methods may be called from any goroutine.
+// Client is the actor that relays a follower's requests to the leader. Its methods may be called from any goroutine.
 type Client struct {
 	settings     *config.Settings
 	store        storage.KeyValueStore
@@ -33,7 +34,7 @@
 	limiter      *rate.Limiter
 	log          *slog.Logger
 	queue        chan queuedRequest
-	process      uint64 // marks this process's batches
+	process      uint64 // identifies this process in its batches
 	serial       uint64
 	lastAccepted clock.AtomicTime
 }
@@ -41,11 +42,12 @@
 // queuedRequest is a request that waits for a batch.
 type queuedRequest struct {
 	wire.RelayRequest
-	ctx   context.Context //nolint:containedctx // ends when the caller no longer waits: such a request isn't sent
+	ctx   context.Context //nolint:containedctx // a request isn't sent once its caller no longer waits
 	reply chan<- wire.RelayResponse
 }
 
-// NewClient makes a client; Run starts it. process marks its batches, unlike those of any other process.
+// NewClient returns a client. Run starts it. process identifies this process in the client's batches and must differ
+// from that of any other process.
 func NewClient(settings *config.Settings, store storage.KeyValueStore, limits *storage.LimitTracker, process uint64, log *slog.Logger) *Client {
 	return &Client{
 		settings: settings, store: store, limits: limits, limiter: newLimiter(settings), log: log,
@@ -53,19 +55,20 @@
 	}
 }
 
-// HandleUserRequest relays a user's request to the leader.
+// HandleUserRequest relays a user's request to the leader and returns the leader's response.
 func (c *Client) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
-	if r := c.send(ctx, wire.RelayRequest{User: &req}); r.Answered && r.User != nil {
+	if r := c.sendRequest(ctx, wire.RelayRequest{User: &req}); r.Answered && r.User != nil {
 		return *r.User
 	}
 	return api.Unavailable(req.ID, "leader out of reach")
 }
 
-// HandleHeartbeats relays workers' heartbeats to the leader; nil means that nobody has decided on them.
+// HandleHeartbeats relays workers' heartbeats to the leader and returns the responses. It returns nil if any of the
+// heartbeats got no response.
 func (c *Client) HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	var responses []worker.HeartbeatResponse
 	for _, report := range reports {
-		r := c.send(ctx, wire.RelayRequest{Report: report})
+		r := c.sendRequest(ctx, wire.RelayRequest{Report: report})
 		if !r.Answered || r.Heartbeat == nil {
 			return nil
 		}
@@ -74,10 +77,11 @@
 	return responses
 }
 
-// SinceAccepted is how long ago the key-value store last accepted a batch, or never if it has accepted none.
+// SinceAccepted returns the time since the key-value store last accepted a batch, or never if it has accepted none.
 func (c *Client) SinceAccepted(never time.Duration) time.Duration { return c.lastAccepted.Since(never) }
 
-func (c *Client) send(ctx context.Context, request wire.RelayRequest) wire.RelayResponse {
+// sendRequest queues a request and waits for its response. The response is zero if the queue is full or ctx ends.
+func (c *Client) sendRequest(ctx context.Context, request wire.RelayRequest) wire.RelayResponse {
 	reply := make(chan wire.RelayResponse, 1)
 	select {
 	case c.queue <- queuedRequest{RelayRequest: request, ctx: ctx, reply: reply}:
@@ -92,23 +96,23 @@
 	}
 }
 
-// Run sends batch after batch, each once the one before it is over, until ctx ends.
+// Run sends batches until ctx ends. It sends each batch after the one before it was answered or has timed out.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		batch := c.gather(ctx)
+		batch := c.gatherBatch(ctx)
 		batch = slices.DeleteFunc(batch, func(q queuedRequest) bool { return q.ctx.Err() != nil })
 		for len(batch) > 0 && ctx.Err() == nil {
-			batch = c.deliver(ctx, batch)
+			batch = c.deliverBatch(ctx, batch)
 		}
 	}
 }
 
-// gather takes the first request and those that come soon after. Users wait for their responses, so a user's
-// request ends the gathering.
-func (c *Client) gather(ctx context.Context) []queuedRequest {
+// gatherBatch waits for a request and adds the requests that arrive soon after it. A user waits for the response, so
+// a user's request ends the wait at once.
+func (c *Client) gatherBatch(ctx context.Context) []queuedRequest {
 	var batch []queuedRequest
-	var soon <-chan time.Time
-	for len(batch) < maxBatchSize {
+	var gatherTimeout <-chan time.Time
+	for len(batch) < maxBatchRequests {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -118,18 +122,18 @@
 				return c.takeQueued(batch)
 			}
 			if len(batch) == 1 {
-				soon = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherPerHeartbeat))
+				gatherTimeout = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherPerHeartbeat))
 			}
-		case <-soon:
+		case <-gatherTimeout:
 			return c.takeQueued(batch)
 		}
 	}
 	return batch
 }
 
-// takeQueued adds what waits already.
+// takeQueued adds the requests that are in the queue already, up to the maximum size of a batch.
 func (c *Client) takeQueued(batch []queuedRequest) []queuedRequest {
-	for len(batch) < maxBatchSize {
+	for len(batch) < maxBatchRequests {
 		select {
 		case q := <-c.queue:
 			batch = append(batch, q)
@@ -140,21 +144,21 @@
 	return batch
 }
 
-// deliver sends a batch, or as much of it as fits, and returns the rest.
-func (c *Client) deliver(ctx context.Context, batch []queuedRequest) []queuedRequest {
+// deliverBatch sends as much of a batch as fits, passes the responses to the callers, and returns the rest of the batch.
+func (c *Client) deliverBatch(ctx context.Context, batch []queuedRequest) []queuedRequest {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	c.serial++
-	n, values := c.encode(batch)
+	n, values := c.encodeFittingPart(batch)
 	responses := make([]wire.RelayResponse, len(batch))
 	if n > 0 {
-		got, err := c.exchange(ctx, values)
+		got, err := c.exchangeBatch(ctx, values)
 		if err != nil {
 			c.log.Debug("relay batch unanswered", "count", n, "error", err)
 		}
 		copy(responses, got)
 	} else {
-		n = 1 // a single request that doesn't fit
+		n = 1 // the first request doesn't fit even alone and gets no response
 	}
 	for i, q := range batch[:n] {
 		q.reply <- responses[i]
@@ -162,9 +166,9 @@
 	return batch[n:]
 }
 
-// encode encodes a batch, or the largest half, quarter and so on of it that fits; n is 0 if not even one request
-// does.
-func (c *Client) encode(batch []queuedRequest) (n int, values []json.RawMessage) {
+// encodeFittingPart encodes the first n requests of a batch. It tries the whole batch, then half of it, a quarter and
+// so on, until the encoding fits. n is 0 if not even one request fits.
+func (c *Client) encodeFittingPart(batch []queuedRequest) (n int, values []json.RawMessage) {
 	for n = len(batch); n > 0; n /= 2 {
 		requests := make([]wire.RelayRequest, 0, n)
 		for _, q := range batch[:n] {
@@ -181,8 +185,8 @@
 	return 0, nil
 }
 
-// exchange writes a batch and waits for the responses to it.
-func (c *Client) exchange(ctx context.Context, values []json.RawMessage) ([]wire.RelayResponse, error) {
+// exchangeBatch writes a batch to the key-value store and waits for the responses to it.
+func (c *Client) exchangeBatch(ctx context.Context, values []json.RawMessage) ([]wire.RelayResponse, error) {
 	if err := c.limiter.WaitN(ctx, min(len(values), c.limiter.Burst())); err != nil {
 		return nil, err
 	}
--- a/internal/relay/freeze_test.go
+++ b/internal/relay/freeze_test.go
@@ -16,8 +16,8 @@
 	"sagevale/internal/worker"
 )
 
-// TestFreeze writes a batch of requests and the responses to it to the folder that FREEZE names: see the README.md
-// of each folder in testdata.
+// TestFreeze writes a batch of requests and the responses to it to the directory named by the environment variable
+// FREEZE. The README.md of each directory in testdata describes its use.
 func TestFreeze(t *testing.T) {
 	write := func(name string, values []json.RawMessage, err error) {
 		t.Helper()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,8 +22,8 @@
 	"sagevale/internal/worker"
 )
 
-// Controllers of different versions relay requests through one store, so that each reads what the others write. Every folder of
-// testdata holds what one of them really wrote.
+// Controllers of different versions relay requests through one store, so each must decode the batches of the others. Each
+// directory of testdata holds batches that a build of one version wrote.
 func TestBatchesOfEarlierVersionsAreRead(t *testing.T) {
 	for _, version := range []string{"production", "769a0b2"} {
 		t.Run(version, func(t *testing.T) {
@@ -60,7 +60,8 @@
 	return fragments
 }
 
-// A delayed batch arrives among newer ones of its sender: the newer must not be lost, and nobody waits for the older.
+// A delayed batch may arrive among newer ones of its sender. The newer batches must not be lost, and the delayed one must be
+// skipped because its sender no longer waits for it.
 func TestDelayedBatchIsOrderedBySerial(t *testing.T) {
 	change := func(process, serial uint64, count, i int) storage.Item {
 		data, err := json.Marshal(fragment{Process: process, Serial: serial, Count: count})
@@ -78,8 +79,8 @@
 		process, serial uint64
 		want            bool
 	}{{1, 8, true}, {1, 7, false}, {1, 8, false}, {1, 9, true}, {2, 1, true}} {
-		if got := s.isLatest(batchID{"n1", c.process, c.serial}); got != c.want {
-			t.Errorf("isLatest(batch %d of process %d) = %v, want %v", c.serial, c.process, got, c.want)
+		if got := s.recordIfLatest(batchID{"n1", c.process, c.serial}); got != c.want {
+			t.Errorf("recordIfLatest(batch %d of process %d) = %v, want %v", c.serial, c.process, got, c.want)
 		}
 	}
 }
@@ -105,26 +106,26 @@
 	return responses
 }
 
-// requested returns the jobs of the requests so far.
+// requested returns the jobs of the users' requests so far.
 func (h *fakeHandler) requested() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.jobs)
 }
 
-// site is a key-value store with the server of a leader.
-type site struct {
+// leaderFixture is a key-value store and the relay server of a leader.
+type leaderFixture struct {
 	settings config.Settings
 	client   *storagetest.Client
 	handler  fakeHandler
 }
 
-// newSite runs a server until the test ends.
-func newSite(t *testing.T) *site {
+// newLeaderFixture starts a relay server that runs until the test ends.
+func newLeaderFixture(t *testing.T) *leaderFixture {
 	t.Helper()
 	service := storagetest.NewService()
 	t.Cleanup(service.Close)
-	s := &site{settings: clustertest.Settings(), client: &storagetest.Client{Service: service, Cut: new(atomic.Bool)}}
+	s := &leaderFixture{settings: clustertest.Settings(), client: &storagetest.Client{Service: service, Cut: new(atomic.Bool)}}
 	s.settings.NodeName = "n1"
 	revision, err := s.client.Txn(t.Context(), nil, []storage.Op{{Key: "lead", Data: json.RawMessage(`{}`)}})
 	if err != nil {
@@ -137,8 +138,8 @@
 	return s
 }
 
-// newClient runs a follower's client.
-func (s *site) newClient(t *testing.T) *Client {
+// newClient starts a follower's relay client that runs until the test ends.
+func (s *leaderFixture) newClient(t *testing.T) *Client {
 	t.Helper()
 	c := NewClient(&s.settings, s.client, storage.NewLimitTracker(s.settings.State), 1, slog.New(slog.DiscardHandler))
 	runUntilEnd(t, c.Run)
@@ -160,11 +161,11 @@
 	})
 }
 
-// A batch that is delayed behind a newer one of its sender isn't executed: its sender no longer waits for it, and its heartbeats may
-// be old.
+// A batch that arrives after a newer one of its sender must not be executed: its sender no longer waits for it, and its
+// heartbeats may be old.
 func TestDelayedBatchIsNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
+		s := newLeaderFixture(t)
 		send := func(serial uint64, job string) {
 			request := wire.RelayRequest{User: &api.Request{Op: api.OpSubmit, ID: job, Spec: clustertest.Service(job, 1)}}
 			values, err := encodeRequests([]wire.RelayRequest{request}, 1, serial, s.settings.State)
@@ -182,14 +183,14 @@
 		}
 		send(7, "000002")
 		if got := s.handler.requested(); !slices.Equal(got, []string{"000001"}) {
-			t.Errorf("requests for jobs %v, want 000001 alone: an older batch is executed", got)
+			t.Errorf("requests for jobs %v, want 000001 alone: an older batch was executed", got)
 		}
 	})
 }
 
 func TestRequestsAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newSite(t).newClient(t)
+		c := newLeaderFixture(t).newClient(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		if r := c.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); r.Code != api.CodeOK || r.State != api.StateRunning {
@@ -200,14 +201,14 @@
 			t.Errorf("HandleHeartbeats() = %+v, want the leader's response", responses)
 		}
 		if since := c.SinceAccepted(time.Hour); since == time.Hour {
-			t.Error("no batch counts as accepted")
+			t.Error("SinceAccepted() returned its default, want the time since the store accepted a batch")
 		}
 	})
 }
 
 func TestUnansweredRequestsAreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
+		s := newLeaderFixture(t)
 		c := s.newClient(t)
 		s.client.Cut.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -216,7 +217,7 @@
 			t.Errorf("HandleUserRequest() = %+v, want unavailable", r)
 		}
 		if responses := c.HandleHeartbeats(ctx, []*worker.Report{{Machine: 7}}); responses != nil {
-			t.Errorf("HandleHeartbeats() = %+v, want nil: nobody has decided", responses)
+			t.Errorf("HandleHeartbeats() = %+v, want nil: no leader has decided", responses)
 		}
 	})
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -15,10 +15,11 @@
 	"sagevale/internal/worker"
 )
 
-// Handler decides on relayed requests.
+// Handler executes relayed requests.
 type Handler interface {
+	// HandleUserRequest executes a user's request and returns the response.
 	HandleUserRequest(ctx context.Context, req api.Request) api.Response
-	// HandleHeartbeats returns a response for each report; nil means that it doesn't decide on them.
+	// HandleHeartbeats returns a response for each report, or nil if it doesn't decide on them.
 	HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
 }
 
@@ -31,10 +32,10 @@
 	leader   storage.Guard
 	handler  Handler
 	log      *slog.Logger
-	latest   map[string]batchID // by sender
+	latest   map[string]batchID // the latest batch of each sender
 }
 
-// NewServer makes a server for a term; Run starts it. leader guards the responses.
+// NewServer returns a server for a term. Run starts it. leader guards the transactions that write responses.
 func NewServer(settings *config.Settings, store storage.KeyValueStore, limits *storage.LimitTracker, leader storage.Guard, handler Handler, log *slog.Logger) *Server {
 	return &Server{
 		settings: settings, store: store, limits: limits, limiter: newLimiter(settings),
@@ -51,7 +52,7 @@
 		changes, next, err := s.store.Watch(watchCtx, requestPrefix, revision, hold)
 		cancel()
 		if err != nil {
-			revision = s.latestRevision(ctx, revision) // what was asked meanwhile is asked again
+			revision = s.latestRevision(ctx, revision) // the senders of skipped requests time out and retry
 			clock.Sleep(ctx, s.settings.Tuning.LeaderLease/leadership.RenewalsPerLease)
 			continue
 		}
@@ -62,7 +63,7 @@
 	}
 }
 
-// latestRevision returns the store's present revision, or the known one if it doesn't answer.
+// latestRevision returns the store's current revision, or known if the store doesn't answer.
 func (s *Server) latestRevision(ctx context.Context, known uint64) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
@@ -73,8 +74,9 @@
 	return latest
 }
 
+// handleBatch answers a batch if it is its sender's latest.
 func (s *Server) handleBatch(ctx context.Context, id batchID, fragments []fragment) {
-	if !s.isLatest(id) {
+	if !s.recordIfLatest(id) {
 		return
 	}
 	requests, err := decodeRequests(fragments)
@@ -82,12 +84,12 @@
 		s.log.Error("relay batch decoding failed", "controller", id.sender, "error", err)
 		return
 	}
-	s.answer(ctx, id, requests)
+	s.answerBatch(ctx, id, requests)
 }
 
-// isLatest notes a batch and reports whether it is the sender's latest. Who sent an earlier one has given up on
-// it, and its reports may be old.
-func (s *Server) isLatest(id batchID) bool {
+// recordIfLatest reports whether a batch is its sender's latest, and records it if so. An earlier batch must not be
+// executed: its sender no longer waits for the responses, and its reports may be old.
+func (s *Server) recordIfLatest(id batchID) bool {
 	if last, ok := s.latest[id.sender]; ok && last.process == id.process && id.serial <= last.serial {
 		return false
 	}
@@ -95,11 +97,11 @@
 	return true
 }
 
-// answer has the handler decide on a batch and writes the responses.
-func (s *Server) answer(ctx context.Context, id batchID, requests []wire.RelayRequest) {
-	decideCtx, cancel := context.WithTimeout(ctx, Timeout/2)
+// answerBatch passes the requests of a batch to the handler and writes the responses.
+func (s *Server) answerBatch(ctx context.Context, id batchID, requests []wire.RelayRequest) {
+	handleCtx, cancel := context.WithTimeout(ctx, Timeout/2)
 	defer cancel()
-	responses := s.decide(decideCtx, requests)
+	responses := s.handleRequests(handleCtx, requests)
 	values, err := encodeResponses(responses, id.process, id.serial, s.limits.Limits())
 	if err != nil || values == nil {
 		s.log.Error("relay response failed", "controller", id.sender, "count", len(requests), "error", err)
@@ -108,7 +110,7 @@
 	if err := s.limiter.WaitN(ctx, min(len(values), s.limiter.Burst())); err != nil {
 		return // the term ends
 	}
-	if _, err := s.store.Txn(decideCtx, []storage.Guard{s.leader}, batchOps(responsePrefix, id.sender, values)); err != nil {
+	if _, err := s.store.Txn(handleCtx, []storage.Guard{s.leader}, batchOps(responsePrefix, id.sender, values)); err != nil {
 		s.limits.Observe(err)
 		s.log.Debug("relay response failed", "controller", id.sender, "count", len(requests), "error", err)
 		return
@@ -116,15 +118,15 @@
 	s.log.Debug("relay batch answered", "controller", id.sender, "count", len(requests))
 }
 
-// decide has the handler decide on all requests at once.
-func (s *Server) decide(ctx context.Context, requests []wire.RelayRequest) []wire.RelayResponse {
-	type decided struct {
+// handleRequests passes all requests to the handler concurrently and returns the responses in the order of the requests.
+func (s *Server) handleRequests(ctx context.Context, requests []wire.RelayRequest) []wire.RelayResponse {
+	type indexedResponse struct {
 		index    int
 		response wire.RelayResponse
 	}
-	answers := make(chan decided, len(requests))
+	answers := make(chan indexedResponse, len(requests))
 	for i, r := range requests {
-		go func() { answers <- decided{i, s.decideOne(ctx, r)} }()
+		go func() { answers <- indexedResponse{i, s.handleRequest(ctx, r)} }()
 	}
 	responses := make([]wire.RelayResponse, len(requests))
 	for range requests {
@@ -134,7 +136,8 @@
 	return responses
 }
 
-func (s *Server) decideOne(ctx context.Context, r wire.RelayRequest) wire.RelayResponse {
+// handleRequest passes one request to the handler and returns the response.
+func (s *Server) handleRequest(ctx context.Context, r wire.RelayRequest) wire.RelayResponse {
 	response := wire.RelayResponse{Answered: true}
 	switch {
 	case r.User != nil:
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -1,7 +1,8 @@
-// Package upgradecontrol moves the cluster record: it carries out the steps of package upgrade, which decides them
-// purely. Its Controller is the leader's actor that alone writes the cluster record, guarded by the leader's key,
-// the record's own version and the registrations that a step rests on. The other actors of the leader learn what
-// is in force from it, and count what depends on gates for it, through GateUsers.
+// Package upgradecontrol carries out rolling upgrades. Package upgrade decides on each step without input or output,
+// and this package stores the step in the cluster record. Its Controller is an actor of the leader and the only
+// writer of the cluster record. Each write is guarded by the leader's key, the record's version and the registrations
+// that the step relies on. Through GateUsers the Controller publishes the record in force to the leader's other
+// actors, which also count what depends on each gate.
 package upgradecontrol
 
 import (
@@ -23,138 +24,138 @@
 )
 
 const (
-	// looksPerLease is how often a leader looks at an upgrade under way, within the time to live of its
-	// lease; one that is settled is looked at once a heartbeat interval.
-	looksPerLease = leadership.RenewalsPerLease
-	// countsPerRelease is how often uses are counted within the time after which an unused gate is
-	// released.
+	// checksPerLease is the number of times that a leader checks an upgrade in progress within the time to live
+	// of its lease. If no upgrade is in progress, it checks once per heartbeat interval.
+	checksPerLease = leadership.RenewalsPerLease
+	// countsPerRelease is the number of times that the uses of gates are counted within the time after which an
+	// unused gate is released.
 	countsPerRelease = 20
 )
 
-// Peers are the links to the other controllers, as far as upgrades need them.
+// Peers is the part of the links to the other controllers that upgrades need.
 type Peers interface {
-	// Status is the named controller's latest status; ok is false if there is none.
+	// Status returns the named controller's latest status. ok is false if there is none.
 	Status(name string) (status peer.ObservedStatus, ok bool)
 }
 
-// GateUsers are the leader's other actors, which make new things that depend on gates.
+// GateUsers represents the leader's other actors, which create jobs and records that depend on gates.
 type GateUsers interface {
-	// PublishGates tells them what is in force, and returns once they go by it.
+	// PublishGates sends the actors the record in force, and returns once all of them obey it.
 	PublishGates(ctx context.Context, record upgrade.Record) error
-	// CountGateUses does the same, and then counts what depends on each gate.
+	// CountGateUses does the same and then counts what depends on each gate.
 	CountGateUses(ctx context.Context, record upgrade.Record) (upgrade.Usage, error)
 }
 
-// Config is what a Controller is made of.
+// Config holds the dependencies and settings of a Controller.
 type Config struct {
 	Store    storage.KeyValueStore
 	Settings *config.Settings
 	Peers    Peers
-	Role     leadership.Role // of the leader, with the cluster record that the failover was guarded by
+	Role     leadership.Role // the leader's role at the start of the term, with the cluster record
 	Users    GateUsers
 	Log      *slog.Logger
 }
 
-// Controller is the leader's actor that moves the cluster record.
+// Controller is the leader's actor that advances the cluster record.
 type Controller struct {
-	store    storage.KeyValueStore
-	settings *config.Settings
-	peers    Peers
-	log      *slog.Logger
-	leader   storage.Guard
-	term     uint64
-	users    GateUsers
+	store     storage.KeyValueStore
+	settings  *config.Settings
+	peers     Peers
+	log       *slog.Logger
+	leader    storage.Guard // guards every write of the term
+	term      uint64
+	gateUsers GateUsers
 
 	cluster       leadership.ClusterRecord
 	registrations map[string]registration
-	outdated      bool                           // the registrations, or the record, have to be read again
-	nextCount     time.Time                      // when uses of gates are counted next
-	unusedSince   map[upgrade.GateName]time.Time // since when nothing has depended on a gate
-	// tentative is in force for the other actors instead of the record, while the release of a gate is on
-	// its way and may yet be carried out; nil: the record itself is.
-	tentative *upgrade.Record
-	waiting   string // what operators were last told that the upgrade waits for
+	outdated      bool                           // the registrations or the record must be read again
+	nextCount     time.Time                      // when the uses of gates are next counted
+	unusedSince   map[upgrade.GateName]time.Time // since when a gate has had no uses
+	// tentative, unless nil, is the record that the other actors obey instead of the stored one. It is set before
+	// the release of a gate is written, and kept while that write may still be committed.
+	tentative        *upgrade.Record
+	publishedWaiting string // the reason for waiting that was last stored for operators
 
-	uses    chan upgrade.GateName
-	changed chan struct{} // a registration may have changed
+	useRequests         chan upgrade.GateName // gates to be marked as used
+	registrationChanged chan struct{}         // a registration may have changed
 }
 
-// New makes the controller of a term; Run starts it.
+// New returns the controller of a term. Run starts it.
 func New(c Config) *Controller {
 	return &Controller{
-		store:       c.Store,
-		settings:    c.Settings,
-		peers:       c.Peers,
-		log:         c.Log,
-		leader:      c.Role.Guard,
-		term:        c.Role.Term,
-		users:       c.Users,
-		cluster:     c.Role.Cluster,
-		outdated:    true,
-		unusedSince: make(map[upgrade.GateName]time.Time),
-		uses:        make(chan upgrade.GateName, len(c.Settings.Tuning.Upgrade.Known)+1),
-		changed:     make(chan struct{}, 1),
+		store:               c.Store,
+		settings:            c.Settings,
+		peers:               c.Peers,
+		log:                 c.Log,
+		leader:              c.Role.Guard,
+		term:                c.Role.Term,
+		gateUsers:           c.Users,
+		cluster:             c.Role.Cluster,
+		outdated:            true,
+		unusedSince:         make(map[upgrade.GateName]time.Time),
+		useRequests:         make(chan upgrade.GateName, len(c.Settings.Tuning.Upgrade.Known)+1),
+		registrationChanged: make(chan struct{}, 1),
 	}
 }
 
-// Run moves the record until the term ends.
+// Run advances the record until ctx ends or an error ends the term: see retryUnlessFatal.
 func (c *Controller) Run(ctx context.Context) error {
-	timer := time.NewTimer(c.firstLook())
+	timer := time.NewTimer(c.firstCheckDelay())
 	defer timer.Stop()
 	var watcher sync.WaitGroup
 	defer watcher.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // before the watcher is waited for
+	defer cancel() // runs before watcher.Wait, so that the watcher stops
 	watch := sync.OnceFunc(func() { watcher.Go(func() { c.watchRegistrations(ctx) }) })
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case gate := <-c.uses:
-			err = c.use(ctx, gate)
-		case <-c.changed:
+		case gate := <-c.useRequests:
+			err = c.markGateUsed(ctx, gate)
+		case <-c.registrationChanged:
 			c.outdated = true
-			err = c.advance(ctx)
+			err = c.advanceUpgrade(ctx)
 		case <-timer.C:
 			watch()
-			err = c.advance(ctx)
+			err = c.advanceUpgrade(ctx)
 		}
 		if err != nil {
 			return err
 		}
-		timer.Reset(c.pause())
+		timer.Reset(c.nextCheckDelay())
 	}
 }
 
-// firstLook is when a term first looks at an upgrade: where all is in force that this version has, not in the
-// moments in which a failover needs the processor.
-func (c *Controller) firstLook() time.Duration {
+// firstCheckDelay returns the delay of a term's first check of the upgrade. If this program's latest version is active
+// and no withdrawal is in progress, the check is put off by a heartbeat interval, because a failover needs the CPU.
+func (c *Controller) firstCheckDelay() time.Duration {
 	if c.cluster.Record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.Record.Phase == upgrade.Withdrawing {
 		return 0
 	}
 	return c.settings.HeartbeatInterval
 }
 
-// pause is how long nothing needs to be looked at.
-func (c *Controller) pause() time.Duration {
+// nextCheckDelay returns the delay until the next check of the upgrade.
+func (c *Controller) nextCheckDelay() time.Duration {
 	if c.outdated || c.cluster.Record.Phase == upgrade.Withdrawing {
-		return c.settings.Tuning.LeaderLease / looksPerLease
+		return c.settings.Tuning.LeaderLease / checksPerLease
 	}
 	return c.settings.HeartbeatInterval
 }
 
-// advance takes the steps that can be taken now. An error ends the term.
-func (c *Controller) advance(ctx context.Context) error {
+// advanceUpgrade takes all steps that can be taken now. An error ends the term.
+func (c *Controller) advanceUpgrade(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if c.outdated {
-			if err := c.read(ctx); err != nil {
-				return c.tolerate("read upgrade keys", err)
+			if err := c.readUpgradeKeys(ctx); err != nil {
+				return c.retryUnlessFatal("read upgrade keys", err)
 			}
 		}
-		situation, err := c.situation(ctx)
+		situation, err := c.buildSituation(ctx)
 		if err != nil {
-			return c.tolerate("count gate uses", err)
+			return c.retryUnlessFatal("count gate uses", err)
 		}
 		step := upgrade.Next(situation)
 		if !step.Changed {
@@ -162,22 +163,22 @@
 			return nil
 		}
 		if step.Releases != "" {
-			unused, err := c.barUses(ctx, step)
+			unused, err := c.preventNewUses(ctx, step)
 			if err != nil || !unused {
-				return c.tolerate("release gate", err)
+				return c.retryUnlessFatal("release gate", err)
 			}
 		}
-		if err := c.write(ctx, step.Record, situation.Members); err != nil {
-			return c.tolerate("write step", err)
+		if err := c.writeStep(ctx, step.Record, situation.Members); err != nil {
+			return c.retryUnlessFatal("write step", err)
 		}
 		c.log.Info("upgrade step", "step", step.Description, "active", step.Record.Active, "phase", step.Record.Phase)
 	}
 	return nil
 }
 
-// tolerate returns errors that end the term; after others the records are read again, and what was tried is
-// tried again.
-func (c *Controller) tolerate(action string, err error) error {
+// retryUnlessFatal returns err if it ends the term. It logs other errors and marks the record and the registrations
+// as outdated, so that the next check reads them again and retries the action.
+func (c *Controller) retryUnlessFatal(action string, err error) error {
 	var damaged *upgrade.DamagedError
 	if err == nil || errors.Is(err, storage.ErrLeadershipLost) || errors.As(err, &damaged) {
 		return err
@@ -187,9 +188,9 @@
 	return nil
 }
 
-// read reads the record and the registrations. The record is nobody else's to write, but an answer may have been
-// lost.
-func (c *Controller) read(ctx context.Context) error {
+// readUpgradeKeys reads the cluster record and the registrations. No other actor writes the record in this term, but
+// its version may be unknown because the answer to a write was lost.
+func (c *Controller) readUpgradeKeys(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	items, _, _, err := c.store.List(ctx, leadership.UpgradePrefix, "", maxUpgradeKeys)
@@ -202,7 +203,7 @@
 	}
 	if cluster.Version != c.cluster.Version {
 		c.cluster, c.tentative = cluster, nil
-		if err := c.publish(ctx); err != nil {
+		if err := c.publishRecordInForce(ctx); err != nil {
 			return err
 		}
 	}
@@ -210,28 +211,30 @@
 	return nil
 }
 
-// situation gathers what the next step rests on.
-func (c *Controller) situation(ctx context.Context) (upgrade.Situation, error) {
-	own := &c.settings.Tuning.Upgrade
+// buildSituation returns the input for the decision on the next step. It counts the uses of gates if a count is due or
+// a withdrawal is in progress.
+func (c *Controller) buildSituation(ctx context.Context) (upgrade.Situation, error) {
+	upgradeSettings := &c.settings.Tuning.Upgrade
 	s := upgrade.Situation{
-		Record: c.cluster.Record, Members: c.members(), Versions: own.Versions, Known: own.Known,
-		Policy: own.Policy, Now: time.Now(), Term: c.term,
+		Record: c.cluster.Record, Members: c.members(), Versions: upgradeSettings.Versions, Known: upgradeSettings.Known,
+		Policy: upgradeSettings.Policy, Now: time.Now(), Term: c.term,
 	}
 	if s.Now.Before(c.nextCount) && s.Record.Phase != upgrade.Withdrawing {
 		return s, nil
 	}
-	usage, err := c.users.CountGateUses(ctx, c.inForce())
+	usage, err := c.gateUsers.CountGateUses(ctx, c.recordInForce())
 	if err != nil && !errors.As(err, &s.Blocked) {
 		return s, err
 	}
-	c.nextCount = s.Now.Add(own.Policy.ReleaseAfter / countsPerRelease)
-	s.Usage, s.Unused = usage, c.noteUsage(usage, s.Now)
+	c.nextCount = s.Now.Add(upgradeSettings.Policy.ReleaseAfter / countsPerRelease)
+	s.Usage, s.Unused = usage, c.recordUsage(usage, s.Now)
 	return s, nil
 }
 
-// write writes a step in one transaction. It is guarded by the leader's key, the record and every registration that
-// the step rests on: an older process that has registered meanwhile bars it, as does a later leader.
-func (c *Controller) write(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
+// writeStep writes a step in one transaction, which is guarded by the leader's key, the record and every registration
+// that the step relies on. The transaction fails if an older process has registered meanwhile, or if there is a later
+// leader.
+func (c *Controller) writeStep(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
 	guards := []storage.Guard{c.leader, {Key: leadership.ClusterKey, Version: c.cluster.Version}}
 	for _, m := range members {
 		guards = append(guards, storage.Guard{Key: leadership.RegistrationPrefix + m.Node, Version: c.registrations[m.Node].version})
@@ -251,10 +254,10 @@
 		return err
 	}
 	c.cluster, c.tentative = leadership.ClusterRecord{Record: next, Version: version}, nil
-	return c.publish(ctx)
+	return c.publishRecordInForce(ctx)
 }
 
-// stepOps are the changes that write a record, and the term's fence where that changes.
+// stepOps returns the operations that write a record and, if the fence changes, the term record.
 func (c *Controller) stepOps(next upgrade.Record) ([]storage.Op, error) {
 	record, err := json.Marshal(next)
 	if err != nil {
@@ -271,7 +274,7 @@
 	return append(ops, storage.Op{Key: leadership.TermKey, Data: term}), nil
 }
 
-// waitingKey tells operators what the leader waits for.
+// waitingKey holds what the upgrade waits for, for operators.
 const waitingKey = leadership.UpgradePrefix + "waiting"
 
 // waitingRecord is the value of waitingKey.
@@ -280,9 +283,9 @@
 	Waiting string `json:"waiting"`
 }
 
-// publishWaiting notes what the upgrade waits for, where it has changed.
+// publishWaiting stores and logs what the upgrade waits for, if that has changed.
 func (c *Controller) publishWaiting(ctx context.Context, waiting string) {
-	if waiting == c.waiting {
+	if waiting == c.publishedWaiting {
 		return
 	}
 	data, err := json.Marshal(waitingRecord{Term: c.term, Waiting: waiting})
@@ -293,9 +296,9 @@
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
 	if _, err := c.store.Txn(ctx, []storage.Guard{c.leader}, []storage.Op{{Key: waitingKey, Data: data}}); err != nil {
-		c.log.Debug("upgrade step failed", "action", "write what is waited for", "error", err)
+		c.log.Debug("upgrade step failed", "action", "write waiting reason", "error", err)
 		return
 	}
-	c.waiting = waiting
+	c.publishedWaiting = waiting
 	c.log.Info("upgrade waiting", "reason", waiting, "active", c.cluster.Record.Active, "phase", c.cluster.Record.Phase)
 }
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -16,10 +16,10 @@
 	"sagevale/internal/upgrade"
 )
 
-// releaseAfter is how long a gate has to be unused in these tests.
+// releaseAfter is how long a gate must be unused in these tests before it is released.
 const releaseAfter = 20 * time.Second
 
-// gangJobsInUse returns a cluster record under which a process of version 1 must not lead.
+// gangJobsInUse returns a cluster record with the gate for gang jobs in use. Under it a process of version 1 must not lead.
 func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
@@ -27,39 +27,39 @@
 	return record
 }
 
-// scriptedUsers is a fake of the leader's other actors: it records what was published and
-// counts uses of gang jobs by a script.
-type scriptedUsers struct {
-	published []upgrade.Record
-	gangs     func(count int) int
-	counts    int
+// fakeGateUsers is a fake of the leader's other actors. It records the published records and takes the number of gang jobs
+// from a function.
+type fakeGateUsers struct {
+	published     []upgrade.Record
+	countGangJobs func(count int) int // returns the result of a count; the first count is 1
+	counts        int
 }
 
-func (u *scriptedUsers) PublishGates(_ context.Context, record upgrade.Record) error {
+func (u *fakeGateUsers) PublishGates(_ context.Context, record upgrade.Record) error {
 	u.published = append(u.published, record)
 	return nil
 }
 
-func (u *scriptedUsers) CountGateUses(_ context.Context, record upgrade.Record) (upgrade.Usage, error) {
+func (u *fakeGateUsers) CountGateUses(_ context.Context, record upgrade.Record) (upgrade.Usage, error) {
 	u.published = append(u.published, record)
 	u.counts++
-	return upgrade.Usage{upgrade.GangJobs: u.gangs(u.counts), upgrade.CompressedChunks: 0}, nil
+	return upgrade.Usage{upgrade.GangJobs: u.countGangJobs(u.counts), upgrade.CompressedChunks: 0}, nil
 }
 
-// usableAgain reports whether gang jobs were published as usable after a record without them.
-func (u *scriptedUsers) usableAgain() bool {
-	barred := false
+// usableAgain reports whether gang jobs were published as usable after they had been published as not usable.
+func (u *fakeGateUsers) usableAgain() bool {
+	unusable := false
 	for _, record := range u.published {
-		barred = barred || !record.Gate(upgrade.GangJobs).Usable()
-		if barred && record.Gate(upgrade.GangJobs).Usable() {
+		unusable = unusable || !record.Gate(upgrade.GangJobs).Usable()
+		if unusable && record.Gate(upgrade.GangJobs).Usable() {
 			return true
 		}
 	}
 	return false
 }
 
-// newReleasingController returns a controller whose gate for gang jobs has long been unused,
-// on a store of its own. It is the only controller of its fleet.
+// newReleasingController returns a controller whose gate for gang jobs has been unused for longer than releaseAfter, and its
+// key-value store. It is the only controller of its fleet.
 func newReleasingController(t *testing.T, users GateUsers) (*Controller, *storagetest.Client) {
 	t.Helper()
 	client := &storagetest.Client{Service: storagetest.NewService()}
@@ -87,10 +87,11 @@
 	return c, client
 }
 
-// While a release may still be committed, the other actors must not use the gate.
+// The store applies the transaction that releases a gate an hour late and without an answer. While the release may still be
+// committed, the other actors must not use the gate.
 func TestGateIsNotUsableWhileReleaseIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		users := &scriptedUsers{gangs: func(int) int { return 0 }}
+		users := &fakeGateUsers{countGangJobs: func(int) int { return 0 }}
 		c, client := newReleasingController(t, users)
 		defer client.Close()
 		client.Late = func(tx storagetest.Txn) time.Duration {
@@ -100,7 +101,7 @@
 			return time.Hour
 		}
 		for range 5 {
-			if err := c.advance(t.Context()); err != nil {
+			if err := c.advanceUpgrade(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
@@ -111,14 +112,15 @@
 	})
 }
 
-// A use that comes after the count and before the release keeps the gate.
+// Something comes to depend on a gate after the count that starts its release and before the release is written. The gate
+// must stay in use.
 func TestUseAfterCountPreventsRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		users := &scriptedUsers{gangs: func(count int) int { return max(0, count-2) }}
+		users := &fakeGateUsers{countGangJobs: func(count int) int { return max(0, count-2) }}
 		c, client := newReleasingController(t, users)
 		defer client.Close()
 		for range 2 { // the first step opens the missing gates
-			if err := c.advance(t.Context()); err != nil {
+			if err := c.advanceUpgrade(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
--- a/internal/upgradecontrol/gate_uses.go
+++ b/internal/upgradecontrol/gate_uses.go
@@ -8,35 +8,36 @@
 	"sagevale/internal/upgrade"
 )
 
-// RequestUse asks for a gate to be marked as used. It may be called from any goroutine and never blocks: who needs
-// the gate asks again.
+// RequestUse requests that a gate be marked as used. It may be called from any goroutine and never blocks. A request
+// may be dropped, so a caller that still needs the gate must request it again.
 func (c *Controller) RequestUse(gate upgrade.GateName) {
 	select {
-	case c.uses <- gate:
+	case c.useRequests <- gate:
 	default:
 	}
 }
 
-// use marks a gate as used, for what is about to depend on it.
-func (c *Controller) use(ctx context.Context, gate upgrade.GateName) error {
+// markGateUsed marks a gate as used before anything depends on it. If the gate is in use already, the record in force is
+// published again.
+func (c *Controller) markGateUsed(ctx context.Context, gate upgrade.GateName) error {
 	delete(c.unusedSince, gate)
-	if c.inForce().Gate(gate).Usable() {
-		return c.tolerate("publish gates", c.publish(ctx))
+	if c.recordInForce().Gate(gate).Usable() {
+		return c.retryUnlessFatal("publish gates", c.publishRecordInForce(ctx))
 	}
 	next, err := upgrade.MarkGateUsed(c.cluster.Record, gate, c.term)
 	if err != nil {
 		c.log.Debug("gate use rejected", "gate", gate, "error", err)
 		return nil
 	}
-	if err := c.write(ctx, next, nil); err != nil {
-		return c.tolerate("write gate use", err)
+	if err := c.writeStep(ctx, next, nil); err != nil {
+		return c.retryUnlessFatal("write gate use", err)
 	}
 	c.log.Info("upgrade step", "step", fmt.Sprintf("gate %s is in use", gate), "active", next.Active, "phase", next.Phase)
 	return nil
 }
 
-// noteUsage notes a count, and returns for how long each gate has been unused.
-func (c *Controller) noteUsage(usage upgrade.Usage, now time.Time) map[upgrade.GateName]time.Duration {
+// recordUsage records a count of the uses of gates, and returns how long each gate has been unused.
+func (c *Controller) recordUsage(usage upgrade.Usage, now time.Time) map[upgrade.GateName]time.Duration {
 	unused := make(map[upgrade.GateName]time.Duration)
 	for name, uses := range usage {
 		since, noted := c.unusedSince[name]
@@ -52,19 +53,20 @@
 	return unused
 }
 
-// inForce is what the other actors go by.
-func (c *Controller) inForce() upgrade.Record {
+// recordInForce returns the record that the other actors must obey.
+func (c *Controller) recordInForce() upgrade.Record {
 	if c.tentative != nil {
 		return *c.tentative
 	}
 	return c.cluster.Record
 }
 
-// barUses has the other actors take a gate for unused before that is stored, and reports whether nothing depends
-// on it then. From here on a use has to be stored anew, for the release may be carried out late.
-func (c *Controller) barUses(ctx context.Context, step upgrade.Step) (unused bool, err error) {
+// preventNewUses publishes the record of a step that releases a gate before the step is stored, so that the other
+// actors make no new use of the gate. It reports whether nothing depends on the gate after that. From then on a new
+// use must be stored first, because the release may be committed late.
+func (c *Controller) preventNewUses(ctx context.Context, step upgrade.Step) (unused bool, err error) {
 	c.tentative = &step.Record
-	usage, err := c.users.CountGateUses(ctx, step.Record)
+	usage, err := c.gateUsers.CountGateUses(ctx, step.Record)
 	if err != nil {
 		return false, err
 	}
@@ -73,10 +75,10 @@
 	}
 	c.tentative = nil
 	delete(c.unusedSince, step.Releases)
-	return false, c.publish(ctx)
+	return false, c.publishRecordInForce(ctx)
 }
 
-// publish tells the leader's other actors what is in force.
-func (c *Controller) publish(ctx context.Context) error {
-	return c.users.PublishGates(ctx, c.inForce())
+// publishRecordInForce publishes the record in force to the leader's other actors.
+func (c *Controller) publishRecordInForce(ctx context.Context) error {
+	return c.gateUsers.PublishGates(ctx, c.recordInForce())
 }
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -12,18 +12,18 @@
 	"sagevale/internal/upgrade"
 )
 
-// maxUpgradeKeys is more keys than upgrades ever have.
+// maxUpgradeKeys is the limit of a read of all upgrade keys, which are fewer.
 const maxUpgradeKeys = 1000
 
-// registration is a controller's registration as it is stored.
+// registration is a controller's registration with the version of its key.
 type registration struct {
-	value   *upgrade.Registration // nil: none, or damaged
+	value   *upgrade.Registration // nil if there is none or it is damaged
 	damaged bool
 	version uint64
 }
 
-// parseKeys reads the keys of upgrades. A damaged registration is no error, for only the controller that it names
-// is unknown then.
+// parseKeys decodes the cluster record and the registrations. A damaged registration is not an error, because only
+// the versions of that one controller are unknown then.
 func parseKeys(items []storage.Item) (leadership.ClusterRecord, map[string]registration, error) {
 	cluster := leadership.ClusterRecord{Record: upgrade.Initial()}
 	registrations := make(map[string]registration)
@@ -42,6 +42,7 @@
 	return cluster, registrations, nil
 }
 
+// parseRegistration decodes the registration of the named controller.
 func parseRegistration(name string, item storage.Item) registration {
 	value, err := upgrade.DecodeRegistration(item.Key, name, item.Data)
 	if err != nil {
@@ -50,7 +51,7 @@
 	return registration{value: &value, version: item.Version}
 }
 
-// members returns all controllers with what is known of their versions.
+// members returns all controllers of the settings with what is known of their versions.
 func (c *Controller) members() []upgrade.Member {
 	members := []upgrade.Member{c.member(c.settings.NodeName)}
 	for _, p := range c.settings.Peers {
@@ -63,18 +64,19 @@
 	return members
 }
 
+// member returns a controller with its registration.
 func (c *Controller) member(name string) upgrade.Member {
 	r := c.registrations[name]
 	return upgrade.Member{Node: name, Registration: r.value, Damaged: r.damaged}
 }
 
-// unregisteredVersion is the version of a process that doesn't register, by what it tells its peers; 0: it
-// registers.
-func unregisteredVersion(told int) upgrade.Version {
+// unregisteredVersion returns the version of a process that doesn't register, derived from the version that it
+// reports to its peers. It returns 0 if the process registers.
+func unregisteredVersion(reported int) upgrade.Version {
 	switch {
-	case told >= peer.VersionRegistering:
+	case reported >= peer.VersionRegistering:
 		return 0
-	case told == int(upgrade.Version2):
+	case reported == int(upgrade.Version2):
 		return upgrade.Version2
 	}
 	return upgrade.Version1
@@ -101,14 +103,14 @@
 			revision = next
 		}
 		select {
-		case c.changed <- struct{}{}:
-		default: // it will look anyway
+		case c.registrationChanged <- struct{}{}:
+		default: // a check is pending already
 		}
 	}
 }
 
-// latestRevision returns the store's present revision, or 0 if it doesn't answer: then all changes that are still
-// kept are seen again.
+// latestRevision returns the store's current revision, or 0 if the store doesn't answer. A watch after revision 0
+// returns all changes or fails with storage.ErrCompacted, and then the revision is read again.
 func (c *Controller) latestRevision(ctx context.Context) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
--- a/internal/upgradecontrol/status.go
+++ b/internal/upgradecontrol/status.go
@@ -18,25 +18,25 @@
 type Status struct {
 	Record      upgrade.Record
 	Controllers []ControllerVersions
-	Leader      string // "": nobody leads
+	Leader      string // "" if there is no leader
 	Term        uint64
-	Waiting     string // what the latest leader to say so waits for; "": nothing
+	Waiting     string // what the upgrade waits for, as the leader last stored it; "" if it waits for nothing
 }
 
 // ControllerVersions is the latest registration of one controller.
 type ControllerVersions struct {
 	Name     string
-	Versions upgrade.Range // zero: it never registered
+	Versions upgrade.Range // zero if it never registered or Damaged is set
 	Session  string        // the process that registered
-	Alive    bool          // that process still keeps its session
-	Damaged  bool          // its registration can't be decoded
+	Alive    bool          // a process of the controller still renews its session
+	Damaged  bool          // the registration can't be decoded
 }
 
-// ReadStatus reads where an upgrade stands. It writes nothing.
+// ReadStatus reads the stored state of a rolling upgrade. It writes nothing.
 func ReadStatus(ctx context.Context, store storage.KeyValueStore, s *config.Settings) (Status, error) {
 	items, _, _, err := store.List(ctx, leadership.UpgradePrefix, "", maxUpgradeKeys)
 	if err != nil {
-		return Status{}, fmt.Errorf("state service: %w", err)
+		return Status{}, fmt.Errorf("list upgrade keys in the state service: %w", err)
 	}
 	cluster, registrations, err := parseKeys(items)
 	if err != nil {
@@ -52,13 +52,14 @@
 	return status, status.readLeader(ctx, store)
 }
 
+// readLeader sets the leader and its term, if there is a leader.
 func (s *Status) readLeader(ctx context.Context, store storage.KeyValueStore) error {
 	item, err := store.Get(ctx, leadership.LeaderKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("state service: %w", err)
+		return fmt.Errorf("read leader key in the state service: %w", err)
 	}
 	var leader leadership.LeaderRecord
 	if err := json.Unmarshal(item.Data, &leader); err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// controllerVersions returns the controllers of the settings, and any other that has registered, by name.
+// controllerVersions returns the controllers of the settings and all others that have registered, sorted by name.
 func controllerVersions(s *config.Settings, registrations map[string]registration, items []storage.Item) []ControllerVersions {
 	names := s.ControllerNames()
 	for name := range registrations {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,9 +1,9 @@
-// Package worker holds what controllers and workers tell each other: reports with the state of a
-// machine's tasks, commands, and the answers to heartbeats. The types follow the protocol's interface to
-// workers; package protocol maps them to its JSON, and package wire to the messages between controllers.
+// Package worker holds the types of the messages between controllers and workers: reports with the state
+// of a machine's tasks, commands, and responses to heartbeats. The types follow the workers' protocol.
+// Package protocol maps them to its JSON, and package wire/coordination to the messages between controllers.
 package worker
 
-// TaskID names a task of a job. The job is named without its prefix.
+// TaskID identifies a task of a job. The job's name is without its prefix.
 type TaskID struct {
 	Job  string
 	Task int
@@ -17,23 +17,23 @@
 	Pulling   TaskState = iota // waits for its image
 	Gathering                  // waits for the other tasks of its gang
 	Running
-	Saving // was told to stop, and saves a checkpoint
+	Saving // received a stop command and saves a checkpoint
 	Exited
 )
 
-// ExitCause tells why a task has exited.
+// ExitCause is the reason why a task has exited.
 type ExitCause int
 
-// The causes of an exit.
+// The reasons why a task exits.
 const (
 	CauseNone    ExitCause = iota
-	CauseDone              // completed
-	CauseStopped           // stopped by command
-	CauseError             // failed
+	CauseDone              // the task completed
+	CauseStopped           // stopped by a command
+	CauseError             // the task failed
 	CauseFull              // start rejected: not enough free resources
-	CauseBusy              // start rejected: the task is here under another attempt number
-	CauseUnknown           // start rejected: the worker finds no such job
-	CausePeers             // other tasks of its gang went missing
+	CauseBusy              // start rejected: the worker has the task under another attempt number
+	CauseUnknown           // start rejected: the worker can't find the job
+	CausePeers             // other tasks of its gang are missing
 )
 
 // TaskReport is the state of one task in a report.
@@ -41,31 +41,32 @@
 	ID      TaskID
 	Attempt uint64 // number of the attempt
 	State   TaskState
-	Cause   ExitCause // of an exited task
+	Cause   ExitCause // set if the task has exited
 	Saved   bool      // a stopped task has saved its progress
 }
 
-// Report is what a worker reports of itself: with a heartbeat, or as the answer to commands. Of two
-// reports the one with the larger incarnation, or in the same one the larger sequence number, is newer.
+// Report is a worker's report on itself, sent as a heartbeat or as the response to commands. Of two
+// reports the one with the higher incarnation is newer, or with equal incarnations the one with the
+// higher sequence number.
 type Report struct {
 	Machine       int
 	Addr          string // host and port for commands
 	Type          string
 	Zone          string
 	Spot          bool
-	Incarnation   uint64 // incarnation: starts at 1 and grows each time the worker's lease expires
-	Seq           uint64
+	Incarnation   uint64   // starts at 1 and increases each time the worker's lease expires
+	Seq           uint64   // sequence number of the report within the incarnation
 	Token         uint64   // highest fencing token that the worker has seen
-	NoticeSeconds *float64 // seconds until the cloud takes the machine; nil: no notice
+	NoticeSeconds *float64 // seconds until the cloud reclaims the machine; nil: no notice
 	Tasks         []TaskReport
 }
 
-// Verb is what a command tells a worker to do.
+// Verb is the kind of a command.
 type Verb int
 
 // The verbs of the protocol.
 const (
-	Start  Verb = iota // start an attempt; without effect if the worker knows it
+	Start  Verb = iota // start an attempt; no effect if the worker already has the attempt
 	Stop               // stop an attempt, with a grace period for its checkpoint
 	Forget             // remove an exited attempt from the reports
 )
@@ -78,25 +79,25 @@
 	GraceSeconds float64 // time for a checkpoint before the stop, in seconds
 }
 
-// HeartbeatResponse is the answer to a heartbeat.
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
-	Accepted bool // the worker's lease is renewed
-	Token    uint64
+	Accepted bool   // the worker's lease is renewed
+	Token    uint64 // fencing token of the commands
 	Commands []Command
-	Leader   string // if not accepted: the controller to report to, if known
+	Leader   string // if not accepted: the controller to send heartbeats to, if known
 	Busy     bool   // neither accepted nor redirected: the worker tries the next controller
-	// Undecided tells that no leader has decided on the heartbeat. The controller that the worker
-	// reached may answer by delegation.
+	// Undecided reports that no leader has decided on the heartbeat. The controller that received the
+	// heartbeat may then answer it by delegation.
 	Undecided bool
 }
 
-// Outcome is what became of commands that were sent straight to a worker.
+// Outcome is the outcome of commands that were sent directly to a worker, not in a response to a heartbeat.
 type Outcome int
 
-// The outcomes.
+// The outcomes of direct commands.
 const (
-	NotSent    Outcome = iota // certainly not executed: no connection
-	Executed                  // executed; the worker's report follows
-	Rejected                  // nothing executed: a lower token, or another incarnation
-	Unresolved                // no answer: may have been executed, or may be later
+	NotSent    Outcome = iota // certainly not executed: the commands were not sent
+	Executed                  // executed; the worker has responded with a report
+	Rejected                  // nothing executed: the token is too low, or the incarnation is another
+	Unresolved                // no response: the commands may have been executed, or may still be executed later
 )
