--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -13,8 +13,8 @@
 	s.activation.attemptReserved(a, time.Now())
 }
 
-// removeAttempt removes an attempt that is proved absent from its machine, or whose start was never sent, and releases
-// its resources.
+// removeAttempt removes an attempt and releases its resources. The attempt must be proved absent from its machine, or its
+// start command must never have been sent.
 func (s *scheduler) removeAttempt(a *cluster.Attempt, reason string) {
 	now := time.Now()
 	if !s.state.RemoveAttempt(a, now) {
@@ -26,7 +26,7 @@
 		s.gangTaskLost(a)
 	}
 	if m.DrainReason != "" && len(m.Attempts) == 0 {
-		s.nextSnapshot = time.Time{} // the machine can be terminated, and the next drain waits for that
+		s.nextSnapshot = time.Time{} // the machine can be terminated, and the next drain waits until it is
 	}
 	s.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
 	s.activation.attemptRemoved(a, now)
@@ -34,8 +34,8 @@
 	s.placementDue = true
 }
 
-// stopAttempt has an attempt stopped, with a grace period in which it may save a checkpoint. An attempt whose start was
-// never sent is removed at once.
+// stopAttempt marks an attempt to be stopped, with a grace period in which it may save a checkpoint. An attempt whose start
+// command was never sent is removed instead.
 func (s *scheduler) stopAttempt(a *cluster.Attempt, graceSeconds float64) {
 	if !a.MaybeDelivered() {
 		s.removeAttempt(a, "stopped before its start")
--- a/internal/scheduler/background.go
+++ b/internal/scheduler/background.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// backgroundCalls returns a function that runs a call in a goroutine of its own, for a limited time and no longer than
-// ctx, and a function that waits for all such calls.
-func backgroundCalls(ctx context.Context) (start func(limit time.Duration, f func(context.Context)), wait func()) {
+// backgroundCalls returns two functions. start calls f in a new goroutine with a context that ends after the timeout, or
+// when ctx ends. wait waits for all goroutines that start has started.
+func backgroundCalls(ctx context.Context) (start func(timeout time.Duration, f func(context.Context)), wait func()) {
 	var calls sync.WaitGroup
-	start = func(limit time.Duration, f func(context.Context)) {
+	start = func(timeout time.Duration, f func(context.Context)) {
 		calls.Go(func() {
-			callCtx, cancel := context.WithTimeout(ctx, limit)
+			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			f(callCtx)
 		})
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -10,7 +10,7 @@
 	"sagevale/internal/worker"
 )
 
-// commandsFor returns the commands in the response to a heartbeat.
+// commandsFor returns the commands for the response to a heartbeat, at most maxCommands.
 func (s *scheduler) commandsFor(m *cluster.Machine, r *worker.Report, now time.Time) []worker.Command {
 	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
@@ -30,8 +30,8 @@
 	return commands[:min(len(commands), maxCommands)]
 }
 
-// appendAttemptCommands appends the commands for an attempt of the worker that sent the heartbeat. An attempt that is to
-// be stopped and provably wasn't started is removed instead.
+// appendAttemptCommands appends the commands for an attempt on the worker that sent the heartbeat. If the attempt is to
+// be stopped and was certainly never started, appendAttemptCommands removes it instead.
 func (s *scheduler) appendAttemptCommands(commands []worker.Command, a *cluster.Attempt, r *worker.Report, now time.Time) []worker.Command {
 	start := worker.Command{Verb: worker.Start, ID: a.ID(), Attempt: a.Number}
 	stop := worker.Command{Verb: worker.Stop, ID: a.ID(), Attempt: a.Number}
@@ -44,8 +44,8 @@
 	case a.Stopping && !a.MaybeDelivered():
 		s.removeAttempt(a, "stopped before its start")
 	case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
-		// The direct start may still arrive, minutes late. Starting and stopping the attempt now makes the worker know
-		// it, and so ignore the late start.
+		// The direct start command may still arrive, minutes late. Starting and stopping the attempt now makes the
+		// worker record it. A worker ignores the start of an attempt that it has recorded.
 		if s.leaseValid(now) {
 			a.NoteCommanded(r)
 			commands = append(commands, start)
@@ -61,8 +61,9 @@
 	return commands
 }
 
-// mayForget reports whether a worker may forget an exited attempt: it is no longer known here, its result is durable, and
-// no direct start of it can arrive late. Such a start is harmless only while the worker still knows the attempt.
+// mayForget reports whether a worker may drop an exited attempt from its reports: the scheduler has removed the attempt,
+// the task's page is durable, and no direct start command of the attempt can still arrive. A late start command would run
+// the attempt again if the worker had already dropped it.
 func (s *scheduler) mayForget(m *cluster.Machine, t worker.TaskReport, now time.Time) bool {
 	if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
 		return false
@@ -70,7 +71,7 @@
 	return !m.Fence.MustRetain(cluster.AttemptKey{ID: t.ID, Number: t.Attempt}) && s.leaseValid(now) && s.pageDurable(t.ID)
 }
 
-// sendJobStops sends the workers of a job's stopped attempts their stops directly.
+// sendJobStops sends stop commands directly to the workers, for all attempts of a job that are to be stopped.
 func (s *scheduler) sendJobStops(j *cluster.Job) {
 	commands := make(map[*cluster.Machine][]worker.Command)
 	for _, a := range j.Attempts {
@@ -83,12 +84,12 @@
 	}
 }
 
-// maxInFlightCommands is how many direct requests to a worker may be in flight. A worker that doesn't answer them gets
-// further commands in the responses to its heartbeats, and the sockets are left for others.
+// maxInFlightCommands is how many direct requests to one worker may be in flight. While a worker doesn't answer them, it
+// gets further commands in the responses to its heartbeats, and the sockets remain available for other workers.
 const maxInFlightCommands = 3
 
-// sendCommands sends commands to a worker directly. It is unknown whether the starts among them are executed until the
-// worker responds.
+// sendCommands sends commands directly to a worker. starts are the attempts that the commands start. Until the worker
+// responds it is unknown whether the worker has executed the commands.
 func (s *scheduler) sendCommands(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt) {
 	if m.Addr == "" || m.Incarnation == 0 || m.InFlight >= maxInFlightCommands {
 		return
@@ -96,43 +97,45 @@
 	for _, a := range starts {
 		a.Delivery, a.DeliveryToken = cluster.DeliveryInFlight, m.Fence.Token()
 	}
-	s.deliver(m, commands, starts, s.settings.HeartbeatInterval)
+	s.sendInBackground(m, commands, starts, s.settings.HeartbeatInterval)
 }
 
-// deliver makes a direct request to a worker in the background, and posts its outcome to the scheduler.
-func (s *scheduler) deliver(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt, limit time.Duration) {
+// sendInBackground sends a direct request to a worker in the background, and posts its outcome to the scheduler. A
+// request without commands announces the fencing token.
+func (s *scheduler) sendInBackground(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt, timeout time.Duration) {
 	addr, token, incarnation, id := m.Addr, m.Fence.Token(), m.Incarnation, m.ID
 	m.InFlight++
 	var sendBy time.Time
 	if len(starts) > 0 {
-		sendBy = s.role.LeaseValidUntil // a paused process may send it late
+		sendBy = s.role.LeaseValidUntil // the process may be paused before it sends the request
 	}
-	s.background(limit, func(ctx context.Context) {
+	s.background(timeout, func(ctx context.Context) {
 		outcome, report := s.deps.Workers.SendCommands(ctx, addr, token, incarnation, commands, sendBy)
 		s.post(deliveredMessage{machine: id, announcement: len(commands) == 0, starts: starts, outcome: outcome, report: report})
 	})
 }
 
-// announceToken sends this term's fencing token to a worker. It returns false if as many announcements are in flight as
-// the sockets allow; the worker then gets the token in the response to its next heartbeat.
+// announceToken sends this term's fencing token to a worker, unless the worker has it or can't be reached. It returns
+// false, and sends nothing, if MaxTokenAnnouncements are in flight already. The worker then gets the token in the response
+// to its next heartbeat.
 func (s *scheduler) announceToken(m *cluster.Machine) bool {
 	if s.announcements >= s.settings.MaxTokenAnnouncements() {
 		return false
 	}
 	if m.Token >= s.tokens.First || m.Terminating || m.Addr == "" || m.Incarnation == 0 {
-		return true // it knows the token, or can't be reached
+		return true // the worker has a token of this term, or can't be reached
 	}
 	s.announcements++
-	s.deliver(m, nil, nil, clock.Scale(s.settings.HeartbeatInterval, announcePerHeartbeat))
+	s.sendInBackground(m, nil, nil, clock.Scale(s.settings.HeartbeatInterval, announcePerHeartbeat))
 	return true
 }
 
-// announcePerHeartbeat is the timeout of a token announcement, in heartbeat intervals. It is short because unreachable
-// workers only hold sockets.
+// announcePerHeartbeat is the timeout of a token announcement, in heartbeat intervals. It is short so that announcements
+// to unreachable workers don't hold sockets for long.
 const announcePerHeartbeat = 0.25
 
-// announceTokens sends this term's fencing token to all workers that are known at its start, a limited number at a time,
-// so that they reject late commands of the earlier leader.
+// announceTokens sends this term's fencing token to the workers that were known at the start of the term, a limited
+// number at a time. Workers that have the token reject late commands of the earlier leader.
 func (s *scheduler) announceTokens() {
 	for len(s.tokenPending) > 0 {
 		m := s.tokenPending[0]
@@ -143,7 +146,7 @@
 	}
 }
 
-// handleDelivered handles the outcome of direct commands.
+// handleDelivered handles the outcome of a direct request to a worker.
 func (s *scheduler) handleDelivered(msg deliveredMessage) {
 	now := time.Now()
 	m := s.state.Machines.Get(msg.machine)
@@ -155,7 +158,7 @@
 		s.announcements--
 		s.announceTokens()
 	}
-	defer s.dropUnsent(msg.starts)
+	defer s.removeUnstarted(msg.starts)
 	for _, a := range msg.starts {
 		switch msg.outcome {
 		case worker.Executed:
@@ -178,13 +181,14 @@
 		return
 	}
 	s.applyReport(m, r, false, now)
-	// Attempts to be stopped that are first reported here needn't wait for a heartbeat.
+	// The report may show attempts for the first time that are to be stopped. Their stop commands needn't wait for the
+	// next heartbeat.
 	s.sendStops(m)
 }
 
-// dropUnsent removes attempts that were stopped while their starts were in flight, if these turned out not to have been
-// executed.
-func (s *scheduler) dropUnsent(starts []*cluster.Attempt) {
+// removeUnstarted removes attempts that were marked to be stopped while their start commands were in flight, if the
+// outcome shows that the start commands were not executed.
+func (s *scheduler) removeUnstarted(starts []*cluster.Attempt) {
 	for _, a := range starts {
 		if a.Stopping && !a.MaybeDelivered() {
 			s.removeAttempt(a, "stopped before its start")
@@ -192,7 +196,8 @@
 	}
 }
 
-// sendStops sends a worker the stops of its attempts directly.
+// sendStops sends stop commands directly to a worker, for its reported attempts that are to be stopped and that no
+// earlier call has sent a stop command for.
 func (s *scheduler) sendStops(m *cluster.Machine) {
 	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
@@ -206,10 +211,10 @@
 	}
 }
 
-// deliveredMessage is the outcome of commands that were sent directly.
+// deliveredMessage carries the outcome of a direct request to a worker.
 type deliveredMessage struct {
 	machine      int
-	announcement bool // of a fencing token, without commands
+	announcement bool // the request announced a fencing token and carried no commands
 	starts       []*cluster.Attempt
 	outcome      worker.Outcome
 	report       *worker.Report
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -14,38 +14,38 @@
 	"sagevale/internal/worker"
 )
 
-// acceptanceBytes is the typical size of an accepted job's record, in bytes. It gives the expected throughput of
-// submissions until that is measured.
-const acceptanceBytes = 250
+// acceptedJobBytes is the typical size of an accepted job's record, in bytes. The expected throughput of submissions is
+// derived from it until the throughput has been measured.
+const acceptedJobBytes = 250
 
-// maxSubmissionWait is how long a submission may wait for its commit. By the protocol users time out after 5 s, and
-// the response needs time to arrive.
+// maxSubmissionWait is how long a submission may wait for its commit. The protocol lets users time out after 5 s, and the
+// response needs time to arrive.
 const maxSubmissionWait = 3 * time.Second
 
-// newAdmission returns the limiter that admits submissions that are expected to be committed while their users wait.
+// newAdmission returns a limiter that admits submissions as long as their commits are expected within maxSubmissionWait.
 func newAdmission(s *config.Settings) *admission.Limiter {
-	throughput := float64(s.State.BytesWithin(time.Second)) / acceptanceBytes
+	throughput := float64(s.State.BytesWithin(time.Second)) / acceptedJobBytes
 	return admission.NewLimiter(maxSubmissionWait, throughput, len(s.Teams))
 }
 
-// admitSubmission reports whether a team's submission may wait for a commit.
+// admitSubmission reports whether a team's submission is admitted to wait for a commit.
 func (s *scheduler) admitSubmission(team string) bool {
-	return s.admission.Admit(team, s.journal.SpareBytes()/acceptanceBytes)
+	return s.admission.Admit(team, s.journal.SpareBytes()/acceptedJobBytes)
 }
 
-// markRecord has an entity's record written in the bulk lane. data returns its value at the time of the write, or nil
-// to remove the entity.
+// markRecord marks an entity's record to be written in the bulk lane. data is called when the commit begins. It returns
+// the record's value, or nil to remove the record.
 func (s *scheduler) markRecord(key string, data func() any) {
 	s.queue.Mark(groupcommit.Bulk, key, data)
 }
 
-// markJob has a job's own record written. Users wait for that.
+// markJob marks a job's own record to be written. The job's user may be waiting for it.
 func (s *scheduler) markJob(j *cluster.Job) {
 	s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), func() any { return j.Record() })
 }
 
-// jobLane is the lane of a job's own record. A cancellation doesn't wait behind submissions, because it frees
-// resources.
+// jobLane returns the lane of a job's own record. A cancellation uses the urgent lane, so that it doesn't wait behind
+// submissions, because it frees resources.
 func jobLane(j *cluster.Job) groupcommit.Lane {
 	if j.Urgent() || j.Phase == storage.Cancelled {
 		return groupcommit.Urgent
@@ -53,7 +53,8 @@
 	return groupcommit.Interactive
 }
 
-// pageLane is the lane of a job's pages, in which its tasks' starts become durable.
+// pageLane returns the lane of a job's page records, which hold the reservations that must be durable before its tasks
+// start.
 func pageLane(j *cluster.Job) groupcommit.Lane {
 	if j.Urgent() {
 		return groupcommit.Urgent
@@ -61,7 +62,7 @@
 	return groupcommit.Bulk
 }
 
-// markPage has the page of a job's task written.
+// markPage marks the page record that contains a job's task to be written.
 func (s *scheduler) markPage(j *cluster.Job, task int) {
 	p := task / storage.PageTasks
 	s.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), func() any {
@@ -72,25 +73,25 @@
 	})
 }
 
-// markMachine has a machine's record written.
+// markMachine marks a machine's record to be written.
 func (s *scheduler) markMachine(m *cluster.Machine) {
 	m.Recorded = true
 	s.markRecord(storage.MachineKey(m.ID), func() any { return m.Record() })
 }
 
-// pageDurable reports whether the present value of a task's page is durable.
+// pageDurable reports whether the current value of a task's page record is durable.
 func (s *scheduler) pageDurable(id worker.TaskID) bool {
 	return s.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
 }
 
-// onCommit calls f once everything that is marked now is durable, or with the error of its commit.
+// onCommit calls f once all records that are marked now are durable, or with the error of a commit that failed.
 func (s *scheduler) onCommit(f func(error)) { s.queue.OnAllDurable(f) }
 
-// onJobCommit calls f once the present value of a job's own record is durable, or with the error of its commit.
+// onJobCommit calls f once the current value of a job's own record is durable, or with the error of a commit that failed.
 func (s *scheduler) onJobCommit(j *cluster.Job, f func(error)) { s.queue.OnDurable(f, jobLane(j)) }
 
-// startWhenDurable starts reserved attempts once their jobs and pages are durable. Urgent work doesn't wait for the
-// rest.
+// startWhenDurable starts reserved attempts once the records of their jobs and pages are durable. Attempts of urgent jobs
+// wait only for the urgent lane.
 func (s *scheduler) startWhenDurable(reserved []*cluster.Attempt) {
 	var urgent, others []*cluster.Attempt
 	for _, a := range reserved {
@@ -115,8 +116,8 @@
 	}
 }
 
-// flush starts a commit of what is marked, as much as one commit holds, unless one is in flight. It takes only as much
-// of the bulk lane as leaves changes for the other lanes.
+// flush starts a commit of the marked records, up to the size limit of one commit, unless a commit is in flight. The
+// bulk lane is limited so that journal changes are left for the other lanes.
 func (s *scheduler) flush(ctx context.Context) {
 	if !s.queue.Idle() {
 		return
@@ -132,7 +133,7 @@
 	s.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { s.post(committedMessage{err}) }})
 }
 
-// limitBulk lets the bulk lane use the changes that the journal has saved beyond a reserve.
+// limitBulk limits the bulk lane to the changes that the journal has saved up beyond the reserve for the other lanes.
 func (s *scheduler) limitBulk(now time.Time) {
 	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
@@ -142,8 +143,9 @@
 	s.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
 
-// bulkThrottled reports whether records wait only because the bulk lane is throttled, and after what time to try again.
-func (s *scheduler) bulkThrottled(now time.Time) (retryAfter time.Duration, held bool) {
+// bulkThrottled reports whether records wait only because the bulk lane is throttled, which is so if no commit is in
+// flight. It also returns after what time the lane may be written again.
+func (s *scheduler) bulkThrottled(now time.Time) (retryAfter time.Duration, throttled bool) {
 	if !s.queue.Idle() || s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
@@ -151,7 +153,8 @@
 	return s.bulkPacer.Due(now, saved, burst, rate), true
 }
 
-// handleCommitted ends the commit in flight. Ending it calls what waited for it, which counts acceptances.
+// handleCommitted ends the commit in flight. EndCommit calls the callbacks that waited for it, and those of accepted jobs
+// increment acceptedInCommit.
 func (s *scheduler) handleCommitted(err error) {
 	duration := time.Since(s.commitStarted)
 	s.commitStarted = time.Time{}
@@ -162,10 +165,10 @@
 	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool { return w.answered })
 }
 
-// removed is the value of an entity whose record is to be removed.
+// removed is the data function for a record that is to be removed.
 func removed() any { return nil }
 
-// committedMessage is the result of the commit in flight.
+// committedMessage carries the result of the commit in flight.
 type committedMessage struct{ err error }
 
 func (m committedMessage) handle(s *scheduler) { s.handleCommitted(m.err) }
--- a/internal/scheduler/fleet_messages.go
+++ b/internal/scheduler/fleet_messages.go
@@ -8,7 +8,7 @@
 	"sagevale/internal/storage"
 )
 
-// The messages of the autoscaler.
+// The messages that the autoscaler sends to the scheduler.
 type (
 	machineTypesMessage struct{ types []storage.MachineType }
 	machineListMessage  struct{ machines []cloud.Machine }
@@ -21,26 +21,26 @@
 	surplusMessage    struct{ surplus autoscaling.SurplusMachine }
 )
 
-// HandleMachineTypes is part of autoscaling.Scheduler.
+// HandleMachineTypes implements autoscaling.Scheduler.
 func (s *scheduler) HandleMachineTypes(types []storage.MachineType) {
 	s.post(machineTypesMessage{types})
 }
 
-// HandleMachineList is part of autoscaling.Scheduler.
+// HandleMachineList implements autoscaling.Scheduler.
 func (s *scheduler) HandleMachineList(machines []cloud.Machine) { s.post(machineListMessage{machines}) }
 
-// HandleLaunched is part of autoscaling.Scheduler.
+// HandleLaunched implements autoscaling.Scheduler.
 func (s *scheduler) HandleLaunched(launch storage.LaunchRecord, machines []int) {
 	s.post(launchedMessage{launch, machines})
 }
 
-// HandleRejected is part of autoscaling.Scheduler.
+// HandleRejected implements autoscaling.Scheduler.
 func (s *scheduler) HandleRejected(o cloud.Offering) { s.post(rejectedMessage{o}) }
 
-// HandleTerminated is part of autoscaling.Scheduler.
+// HandleTerminated implements autoscaling.Scheduler.
 func (s *scheduler) HandleTerminated(machines []int) { s.post(terminatedMessage{machines}) }
 
-// HandleSurplus is part of autoscaling.Scheduler.
+// HandleSurplus implements autoscaling.Scheduler.
 func (s *scheduler) HandleSurplus(m autoscaling.SurplusMachine) { s.post(surplusMessage{m}) }
 
 func (m machineTypesMessage) handle(s *scheduler) {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -7,15 +7,15 @@
 	"sagevale/internal/leadership"
 )
 
-// A leader that has lost the workers, but neither its peers nor the key-value store, still gets heartbeats forwarded by
-// its peers. Its direct commands fail, so starts wait for heartbeats. It hands leadership over to a controller that
-// receives heartbeats itself.
+// Leadership handover: a leader may lose its connections to the workers and keep those to its peers and the key-value store.
+// Its peers still forward the workers' heartbeats, but its direct commands fail, so tasks start only with the responses to
+// heartbeats. Such a leader hands leadership over to a controller that receives heartbeats itself.
 
-// unreachableMachines is how many machines whose heartbeats arrive must be out of reach of direct commands, with none
-// reached in between, before leadership is handed over.
-const unreachableMachines = 8
+// handoverThreshold is the number of machines that must be out of reach of direct commands, although their reports arrive,
+// before leadership is handed over. The count starts again whenever a direct command reaches a machine.
+const handoverThreshold = 8
 
-// noteReachable records whether a direct command reached a machine, and hands leadership over if none does.
+// noteReachable records whether a direct command reached a machine, and hands leadership over if no machine can be reached.
 func (s *scheduler) noteReachable(m *cluster.Machine, reached bool, now time.Time) {
 	if reached {
 		clear(s.commandsFailing)
@@ -25,7 +25,7 @@
 		return
 	}
 	s.commandsFailing[m.ID] = true
-	if len(s.commandsFailing) < min(unreachableMachines, max(1, s.state.Machines.Count())) {
+	if len(s.commandsFailing) < min(handoverThreshold, max(1, s.state.Machines.Count())) {
 		return
 	}
 	if s.sinceHeartbeat() > s.settings.HeartbeatInterval && s.peerReceivesHeartbeats() {
@@ -35,24 +35,24 @@
 	}
 }
 
-// peerReceivesHeartbeats reports whether a peer in reach receives heartbeats itself.
+// peerReceivesHeartbeats reports whether some reachable peer receives heartbeats directly from workers.
 func (s *scheduler) peerReceivesHeartbeats() bool {
 	for _, p := range s.settings.Peers {
-		if w, ok := s.deps.Peers.Status(p.Name); ok && s.deps.Peers.UnreachableFor(p.Name) == 0 && w.SinceHeartbeat < s.settings.HeartbeatInterval {
+		if status, ok := s.deps.Peers.Status(p.Name); ok && s.deps.Peers.UnreachableFor(p.Name) == 0 && status.SinceHeartbeat < s.settings.HeartbeatInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// resignLeadership gives up leadership; this controller may be elected again at once.
+// resignLeadership gives up leadership. This controller may be elected again immediately.
 func (s *scheduler) resignLeadership(reason string) { s.resignOnce(reason, false) }
 
-// resignOnce gives up leadership, once. Nothing is delegated from here on. With standDown this controller leaves the
-// next election to others.
+// resignOnce gives up leadership unless it has done so before. From then on this controller delegates no lease renewals. If
+// standDown is set, another controller is to lead next.
 func (s *scheduler) resignOnce(reason string, standDown bool) {
 	if s.resigned {
-		return // messages that queued up while this process was paused may lead here several times
+		return // messages that queued up while the process was paused may cause several calls
 	}
 	s.log.Info("leadership resigned", "reason", reason)
 	s.resigned = true
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -6,7 +6,7 @@
 	"sagevale/internal/worker"
 )
 
-// handleHeartbeat returns the response to a worker's heartbeat. An accepted heartbeat renews the worker's lease.
+// handleHeartbeat handles a worker's heartbeat and returns the response. Accepting a heartbeat renews the worker's lease.
 func (s *scheduler) handleHeartbeat(r *worker.Report) worker.HeartbeatResponse {
 	now := time.Now()
 	if r.Token > s.tokens.Last {
@@ -14,7 +14,8 @@
 		return worker.HeartbeatResponse{Busy: true}
 	}
 	if now.After(s.role.RenewUntil) {
-		// A successor may have answered a cancellation, relying on the workers' leases to expire.
+		// A new leader may have confirmed a cancellation, and it relies on the expiry of the workers' leases to end the
+		// job's tasks.
 		return worker.HeartbeatResponse{Busy: true}
 	}
 	if s.terminated[r.Machine] {
@@ -22,22 +23,22 @@
 	}
 	m := s.state.EnsureMachine(r.Machine, now)
 	if m.Stale(r) {
-		// A late copy neither tells the present state nor renews the lease.
+		// A report that arrives again or out of order doesn't show the current state, and must not renew the lease.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	first := m.Token < s.tokens.First
+	lacksToken := m.Token < s.tokens.First
 	s.applyReport(m, r, true, now)
 	m.LastAcknowledged = now
-	if first && r.Token < s.tokens.First {
-		// A worker's reports prove nothing until it has seen our token. Announcing that directly saves a heartbeat
-		// interval.
+	if lacksToken && r.Token < s.tokens.First {
+		// A worker's reports don't prove that attempts are absent until the worker has a token of this term. Announcing
+		// the token directly saves one heartbeat interval.
 		s.announceToken(m)
 	}
 	s.raiseToken(m)
 	return worker.HeartbeatResponse{Accepted: true, Token: m.Fence.Token(), Commands: s.commandsFor(m, r, now)}
 }
 
-// heartbeatsMessage is a batch of workers' heartbeats.
+// heartbeatsMessage carries a batch of workers' heartbeats to the scheduler.
 type heartbeatsMessage struct {
 	reports []*worker.Report
 	reply   chan []worker.HeartbeatResponse
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -24,13 +24,14 @@
 	}
 }
 
-// provenEmptyAt is the time by which the lease of a machine that stays silent has expired for certain. Until the machine
-// has reported our token, an earlier leader, or a peer under that one's delegation, may have renewed it.
+// provenEmptyAt returns the time by which the lease of a machine has certainly expired if the machine stays silent. Until
+// the machine has reported a token of this term, an earlier leader may have renewed the lease, or a peer by delegation of
+// that leader.
 func (s *scheduler) provenEmptyAt(m *cluster.Machine) time.Time {
 	bound := s.delegatedLeaseBound(m)
 	if !m.Confirmed {
-		if b := s.termStarted.Add(s.settings.UnconfirmedLeaseBound()); b.After(bound) {
-			return b
+		if unconfirmedBound := s.termStarted.Add(s.settings.UnconfirmedLeaseBound()); unconfirmedBound.After(bound) {
+			return unconfirmedBound
 		}
 	}
 	return bound
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/storage"
 )
 
-// load rebuilds the state from the journal's records, and resumes what earlier leaders left unfinished.
+// load rebuilds the cluster state from the journal's records, and resumes the work that earlier leaders left unfinished.
 func (s *scheduler) load(records []storage.Record) error {
 	loaded, err := s.state.Load(records, s.termStarted)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	if s.archiveInUse {
 		for _, key := range loaded.OrphanPages {
-			s.markRecord(key, removed) // its job was archived, and the page's removal was interrupted
+			s.markRecord(key, removed) // the page's job was archived, and the removal of the page was interrupted
 		}
 	}
 	for _, j := range s.state.Jobs.InOrder() {
@@ -39,9 +39,9 @@
 	}
 	if j.Phase == storage.Open || len(j.Attempts) > 0 {
 		s.state.Jobs.TrackOpen(j)
-		// Its pages may have become durable and its own record not.
+		// An earlier leader may have committed the job's pages but not yet its own record.
 		if j.Spec.Gang && j.Done > 0 {
-			s.completeGang(j) // an earlier version recorded its tasks one by one
+			s.completeGang(j) // an earlier version recorded the tasks of a gang one by one
 		}
 		s.finish(j)
 	} else {
--- a/internal/scheduler/mailbox_limits.go
+++ b/internal/scheduler/mailbox_limits.go
@@ -6,31 +6,32 @@
 	"sagevale/internal/api"
 )
 
-// The bounds of queues. docs/limits.md lists each with what happens when it is reached.
+// This file holds the limits of the scheduler's queues. docs/limits.md lists each limit with the effect of reaching it.
 
-// Shares of the scheduler's mailbox that may be filled when a submission comes, or a poll or cancellation. The rest is
-// left for the workers' heartbeats, without which leases expire.
+// A submission is accepted only while the scheduler's mailbox is filled to less than maxFillForSubmission of its capacity, a
+// poll or cancellation to less than maxFillForRequest. The rest is reserved for workers' heartbeats: if those were
+// rejected, worker leases would expire.
 const (
-	submissionShare = 3.0 / 4
-	requestShare    = 7.0 / 8
+	maxFillForSubmission = 3.0 / 4
+	maxFillForRequest    = 7.0 / 8
 )
 
-// acceptsRequest reports whether a user's request may be sent to the scheduler's mailbox.
+// acceptsRequest reports whether a user's request may be added to the scheduler's mailbox.
 func (s *scheduler) acceptsRequest(op api.Op) bool {
-	share := requestShare
+	maxFill := maxFillForRequest
 	if op == api.OpSubmit {
-		share = submissionShare
+		maxFill = maxFillForSubmission
 	}
-	return float64(len(s.mailbox)) < share*float64(cap(s.mailbox))
+	return float64(len(s.mailbox)) < maxFill*float64(cap(s.mailbox))
 }
 
-// maxCommands is how many commands the response to a heartbeat carries, so that it fits a line of 64 KiB. The rest goes
-// with the next response.
+// maxCommands is how many commands the response to a heartbeat may carry, so that the response fits a line of 64 KiB. The
+// remaining commands are sent with later responses.
 const maxCommands = 512
 
-// maxBusyRetrySeconds is the range in seconds of the retry times of users who found the mailbox full. It is empty again after a
-// round, and they shouldn't return together.
+// maxBusyRetrySeconds is the longest retry delay, in seconds, for users whose requests found the mailbox full. The delay is
+// short because one iteration of the main loop empties the mailbox, and random so that users don't all retry together.
 const maxBusyRetrySeconds = 3
 
-// busyRetrySeconds returns after how many seconds a user who found the mailbox full should retry.
+// busyRetrySeconds returns a random delay in seconds after which a user whose request found the mailbox full should retry.
 func busyRetrySeconds() int { return 1 + rand.IntN(maxBusyRetrySeconds) }
--- a/internal/scheduler/messages.go
+++ b/internal/scheduler/messages.go
@@ -7,43 +7,43 @@
 	"sagevale/internal/leadership"
 )
 
-// message is a message to the scheduler. Its handler runs in the scheduler's goroutine.
+// message is a message to the scheduler. Its handle method runs in the scheduler's goroutine.
 type message interface {
 	handle(s *scheduler)
 }
 
-// Errors of calling the scheduler.
+// The errors that call returns.
 var (
-	// errMailboxFull: too many messages wait, and this one was not sent.
-	errMailboxFull = errors.New("too much asked at once")
-	// errSteppingDown: the term has ended; the message may have been handled.
+	// errMailboxFull means that the mailbox is full and the message was not sent.
+	errMailboxFull = errors.New("too many requests are waiting")
+	// errSteppingDown means that the term has ended. The scheduler may have handled the message.
 	errSteppingDown = errors.New("leader is stepping down")
-	// errDeadline: the caller's deadline has passed; the message may still be handled.
-	errDeadline = errors.New("not decided in time")
+	// errDeadline means that the caller's context has ended. The scheduler may still handle the message.
+	errDeadline = errors.New("not decided before the deadline")
 )
 
-// call sends the scheduler a message and waits for the reply to it. A full mailbox fails at once.
+// call sends a message to the scheduler and waits for the reply. If the mailbox is full it returns errMailboxFull at once.
 func call[Reply any](ctx context.Context, s *scheduler, m message, reply <-chan Reply) (Reply, error) {
-	var none Reply
+	var zero Reply
 	select {
 	case s.mailbox <- m:
 	case <-s.closed:
-		return none, errSteppingDown
+		return zero, errSteppingDown
 	default:
-		return none, errMailboxFull
+		return zero, errMailboxFull
 	}
 	select {
 	case r := <-reply:
 		return r, nil
 	case <-s.closed:
-		return none, errSteppingDown
+		return zero, errSteppingDown
 	case <-ctx.Done():
-		return none, errDeadline
+		return zero, errDeadline
 	}
 }
 
-// post sends a message that must not be lost, and blocks while the mailbox is full. Messages to a scheduler that has
-// ended are dropped.
+// post sends a message that must not be lost, and blocks while the mailbox is full. After the end of the term it drops the
+// message.
 func (s *scheduler) post(m message) {
 	select {
 	case s.mailbox <- m:
@@ -51,13 +51,14 @@
 	}
 }
 
-// close ends the waiting of all who call the scheduler.
+// close marks the term as ended, so that all waiting callers of call and post return.
 func (s *scheduler) close() { close(s.closed) }
 
-// roleMessage is a change of this controller's role.
+// roleMessage carries a change of this controller's role.
 type roleMessage struct{ role leadership.Role }
 
-// handle ignores a renewal that was in flight when leadership was resigned: the lease may be revoked at any moment.
+// handle updates the role. After a resignation it ignores the message, which may report a renewal that was in flight: the
+// lease may be revoked at any moment.
 func (m roleMessage) handle(s *scheduler) {
 	if !s.resigned {
 		s.setRole(m.role)
--- a/internal/scheduler/peer_pinger.go
+++ b/internal/scheduler/peer_pinger.go
@@ -7,10 +7,10 @@
 	"sagevale/internal/peer"
 )
 
-// peerPinger is the election's view of the links to the other controllers.
+// peerPinger implements leadership.Peers with a PeerLink.
 type peerPinger struct{ PeerLink }
 
-// Ping asks the named controller for its status.
+// Ping requests the status of the named controller.
 func (p peerPinger) Ping(ctx context.Context, name string) (peer.Status, error) {
 	response, err := p.Forward(ctx, name, api.Request{Op: api.OpPing})
 	return response.Peer, err
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// roundPause is how long placement pauses after a round, in durations of that round: what comes
-	// meanwhile widens the next.
-	roundPause = 8
-	// reachableReports is up to which age of a machine's last report direct commands are likely to reach it, in
-	// heartbeat intervals.
-	reachableReports = 1.5
+	// placementPauseFactor is how long placement pauses after a round, as a multiple of the duration of that round. The
+	// next round handles all changes that arrive during the pause.
+	placementPauseFactor = 8
+	// reachableReportAge is the highest age of a machine's last report at which direct commands are likely to reach the
+	// machine, in heartbeat intervals.
+	reachableReportAge = 1.5
 )
 
 // placeRound reserves resources for waiting tasks, and starts them once the reservations are durable.
@@ -31,7 +31,8 @@
 	s.startWhenDurable(reserved)
 }
 
-// Reserve is part of placement.Actions.
+// Reserve implements placement.Actions. The attempt of a gang's task gets the number of the gang's attempt, any other
+// attempt a new number.
 func (s *scheduler) Reserve(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Attempt {
 	number := s.nextAttempt()
 	if j.Spec.Gang {
@@ -46,23 +47,23 @@
 	return a
 }
 
-// nextAttempt returns a number that no attempt has had.
+// nextAttempt returns an attempt number that has never been used.
 func (s *scheduler) nextAttempt() uint64 {
 	s.lastAttempt++
 	return s.lastAttempt
 }
 
-// BeginGang is part of placement.Actions.
+// BeginGang implements placement.Actions.
 func (s *scheduler) BeginGang(j *cluster.Job) { j.Gang = cluster.Gang{Number: s.nextAttempt()} }
 
-// AbortGang is part of placement.Actions.
+// AbortGang implements placement.Actions.
 func (s *scheduler) AbortGang(j *cluster.Job) { s.abortGang(j) }
 
-// CommandStops is part of placement.Actions.
+// CommandStops implements placement.Actions.
 func (s *scheduler) CommandStops(m *cluster.Machine) { s.sendStops(m) }
 
-// Preempt is part of placement.Actions. A gang that has run is stopped in order, so that it saves a checkpoint, or
-// at once where it can't save all the same.
+// Preempt implements placement.Actions. A gang whose tasks have run is stopped with a grace period, so that it saves a
+// checkpoint. If not all of its machines can be reached the checkpoint would fail, so the gang is stopped at once.
 func (s *scheduler) Preempt(a *cluster.Attempt, now time.Time) {
 	switch {
 	case !a.Job.Spec.Gang || !a.Job.Gang.Started:
@@ -74,8 +75,8 @@
 	}
 }
 
-// GangReachable is part of placement.Actions. Where one task of a gang can't be told to stop within the gang's
-// window, the others exit without it and the checkpoint fails.
+// GangReachable implements placement.Actions. If one task of a gang doesn't receive its stop command within gang_peer_s
+// of the others, the other tasks exit without it and the checkpoint fails.
 func (s *scheduler) GangReachable(j *cluster.Job, now time.Time) bool {
 	for _, a := range j.Attempts {
 		if !s.reachable(a.Machine, now) {
@@ -85,13 +86,14 @@
 	return true
 }
 
-// reachable reports whether a direct command is likely to reach a machine at once.
+// reachable reports whether a direct command is likely to reach a machine without delay.
 func (s *scheduler) reachable(m *cluster.Machine, now time.Time) bool {
 	return m.Addr != "" && m.InFlight < maxInFlightCommands && !m.Unresponsive && !s.commandsFailing[m.ID] &&
-		now.Sub(m.LastContact) <= clock.Scale(s.settings.HeartbeatInterval, reachableReports)
+		now.Sub(m.LastContact) <= clock.Scale(s.settings.HeartbeatInterval, reachableReportAge)
 }
 
-// startReserved sends the starts of attempts that have become durable to their workers.
+// startReserved marks reserved attempts as durable and sends their start commands directly to the workers, where that is
+// allowed.
 func (s *scheduler) startReserved(reserved []*cluster.Attempt) {
 	leaseValid := s.leaseValid(time.Now())
 	starts := make(map[*cluster.Machine][]*cluster.Attempt)
@@ -113,12 +115,13 @@
 	}
 }
 
-// mayStart reports whether a durable attempt may be started directly. Its job's cancellation may be on its way to
-// being durable, and the command would arrive after the user was told.
+// mayStart reports whether a durable attempt may be started by a direct command. If the job has been cancelled it may
+// not, even before the cancellation is durable: the command could arrive after the user got the response to the
+// cancellation.
 func (s *scheduler) mayStart(a *cluster.Attempt) bool {
 	m := a.Machine
 	if a.Job.Phase != storage.Open || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.MaybeDelivered() {
 		return false
 	}
-	return s.mayStartDirectly(m, a.Job) // else with the answer to a heartbeat
+	return s.directStartsAllowed(m, a.Job) // otherwise the response to a heartbeat carries the start
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -8,8 +8,8 @@
 	"sagevale/internal/worker"
 )
 
-// applyReport reconciles a machine's attempts with a worker's report. heartbeat is false for the report in a response to
-// direct commands.
+// applyReport reconciles a machine and its attempts with a worker's report. heartbeat is false if the report is the
+// response to a direct request.
 func (s *scheduler) applyReport(m *cluster.Machine, r *worker.Report, heartbeat bool, now time.Time) {
 	if m.Stale(r) {
 		return
@@ -20,8 +20,8 @@
 	m.Incarnation, m.Seq, m.Token = r.Incarnation, r.Seq, max(m.Token, r.Token)
 	m.Fence.ObserveToken(r.Token)
 	s.updateMachine(m, r)
-	first := s.tokens.Contains(r.Token) && !m.Confirmed && r.Incarnation > m.ExpiredIncarnation
-	if first {
+	firstConfirmed := s.tokens.Contains(r.Token) && !m.Confirmed && r.Incarnation > m.ExpiredIncarnation
+	if firstConfirmed {
 		s.confirmMachine(m, now)
 	}
 	m.LastContact = now
@@ -32,26 +32,27 @@
 		m.PreemptionAt = now.Add(clock.Seconds(*r.NoticeSeconds))
 		s.drain(m, "spot notice")
 	}
-	listed := make(map[cluster.AttemptKey]bool, len(r.Tasks))
+	reported := make(map[cluster.AttemptKey]bool, len(r.Tasks))
 	m.Exited = m.Exited[:0]
 	for _, t := range r.Tasks {
-		listed[cluster.AttemptKey{ID: t.ID, Number: t.Attempt}] = true
+		reported[cluster.AttemptKey{ID: t.ID, Number: t.Attempt}] = true
 		s.applyTaskReport(m, r, t, now)
 	}
-	if first {
-		s.learnEarlierFailures(m, r)
+	if firstConfirmed {
+		s.recordEarlierFailures(m, r)
 	}
 	if heartbeat {
 		s.checkResponsive(m, r, now)
 	}
 	for _, a := range m.SortedAttempts() {
-		if !listed[a.Key()] && s.provedAbsent(a, r, heartbeat) {
+		if !reported[a.Key()] && s.provesAbsence(a, r, heartbeat) {
 			s.removeAttempt(a, "absent from a newer report")
 		}
 	}
 }
 
-// updateMachine updates what a machine's record holds, and has it written if it has changed.
+// updateMachine updates the fields of a machine that its record holds, and marks the record to be written if it isn't up
+// to date.
 func (s *scheduler) updateMachine(m *cluster.Machine, r *worker.Report) {
 	if m.TypeName != r.Type || m.Addr != r.Addr || m.Zone != r.Zone {
 		m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = r.Addr, r.Type, r.Zone, r.Spot, s.state.Types.Get(r.Type)
@@ -62,8 +63,8 @@
 	}
 }
 
-// confirmMachine handles the first report of a machine under this term's token. From here on only this leader's own
-// responses renew its lease.
+// confirmMachine handles the first report of a machine under a token of this term. From now on no earlier leader can renew
+// the machine's lease, because the worker rejects earlier tokens.
 func (s *scheduler) confirmMachine(m *cluster.Machine, now time.Time) {
 	m.Confirmed, m.LastAcknowledged = true, now
 	s.reviewer.NoteProvisioned(m, now)
@@ -74,27 +75,28 @@
 	s.placementDue = true
 }
 
-// incarnationEnded removes the attempts of a worker's earlier incarnations, which its lost lease has ended.
+// incarnationEnded handles the first report of a worker's new incarnation, which begins when the worker's lease expires. It
+// removes the attempts of the earlier incarnations.
 func (s *scheduler) incarnationEnded(m *cluster.Machine, r *worker.Report, now time.Time) {
 	if m.Confirmed && now.Sub(m.LastContact) <= s.settings.ReportFreshness() {
-		// Its heartbeats arrived, so the responses were lost.
+		// The leader received reports until shortly before, so the lease expired because the responses were lost.
 		m.LostIncarnations++
 		m.QuarantinedUntil = now.Add(clock.Scale(s.settings.WorkerLease, float64(min(m.LostIncarnations, maxQuarantineLeases))))
 		s.log.Info("worker lease lost", "machine", m.ID, "incarnation", r.Incarnation, "lost_incarnations", m.LostIncarnations)
 	}
 	for _, a := range m.SortedAttempts() {
 		if a.Incarnation < r.Incarnation {
-			s.removeAttempt(a, "later incarnation")
+			s.removeAttempt(a, "worker began a later incarnation")
 		}
 	}
 	m.Fence.IncarnationEnded()
 	m.Recorded = false
-	// The new incarnation's lease began before now. Counting on from the responses to the one before would declare
-	// its tasks lost while they run.
+	// The lease of the new incarnation began before now. If the lease were still counted from the last heartbeat of the
+	// earlier incarnation, tasks of the new one would be declared lost while they run.
 	m.LastAcknowledged = now
 }
 
-// checkResponsive cordons a machine for a while whose heartbeats arrive but which doesn't carry out commands.
+// checkResponsive quarantines a machine for a limited time if its heartbeats arrive but it doesn't execute commands.
 func (s *scheduler) checkResponsive(m *cluster.Machine, r *worker.Report, now time.Time) {
 	m.Unresponsive = false
 	for _, a := range m.Attempts {
@@ -107,21 +109,22 @@
 	}
 }
 
-// provedAbsent reports whether a newer report that doesn't list the attempt proves that it is not on the machine and
-// can't be started there any more.
-func (s *scheduler) provedAbsent(a *cluster.Attempt, r *worker.Report, heartbeat bool) bool {
+// provesAbsence reports whether a newer report that doesn't list an attempt proves that the attempt isn't on the machine
+// and can't be started there any more.
+func (s *scheduler) provesAbsence(a *cluster.Attempt, r *worker.Report, heartbeat bool) bool {
 	switch {
 	case !s.tokens.Contains(r.Token) || r.Incarnation != a.Incarnation:
 		return false
 	case !a.ThisTerm:
-		// Workers that know our token reject an earlier leader's commands.
+		// The worker has a token of this term, so it rejects the commands of earlier leaders.
 		return true
 	case !a.MaybeDelivered() || a.StartUnresolved():
 		return false
 	case !heartbeat:
-		// A response that carries the start may still be in flight.
+		// The response to a heartbeat may carry the start command and still be in flight.
 		return false
 	}
-	// An attempt that was never reported hasn't been started. It is commanded again, under the same number.
+	// An attempt that was never reported hasn't been started yet. It is kept, and its start command is sent again under
+	// the same number.
 	return a.Reported
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,7 @@
-// Package scheduler decides what runs where. Its scheduler is the actor that owns the cluster state during a term of
-// leadership: it answers users and workers, places tasks, and has decisions written before they take effect. Its Node
-// is one controller: it follows or leads, and passes on what only the leader may answer.
+// Package scheduler places the tasks of jobs on the machines of the fleet. The scheduler type is the actor that owns the
+// cluster state during one term of leadership: it answers users and workers, places tasks, and commits each decision
+// before the decision takes effect. The Node type is one controller, which is either the leader or a follower. A
+// follower forwards the requests that only the leader may answer.
 package scheduler
 
 import (
@@ -29,29 +30,31 @@
 )
 
 const (
-	// tickPerHeartbeat is the scheduler's tick, in heartbeat intervals.
+	// tickPerHeartbeat is the interval of the scheduler's periodic work, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// snapshotPerHeartbeat is the pause between two reviews of the fleet, in heartbeat intervals.
+	// snapshotPerHeartbeat is the pause between two fleet snapshots, in heartbeat intervals.
 	snapshotPerHeartbeat = 0.25
-	// snapshotPause is the least pause between two reviews of the fleet, in durations of one.
-	snapshotPause = 10
-	// stallPerHeartbeat is how long a commit may take, in heartbeat intervals, before users who wait for it are told
-	// to retry.
+	// snapshotPauseFactor is the minimum pause between two fleet snapshots, as a multiple of the time that the tick
+	// with the last snapshot took.
+	snapshotPauseFactor = 10
+	// stallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
+	// for a stalled commit get a response that asks them to retry.
 	stallPerHeartbeat = 0.35
-	// attemptStride is how many attempts are numbered by each token of a term.
+	// attemptStride is the number of attempt numbers for each fencing token. The attempt numbers of a term follow the
+	// term's number times attemptStride.
 	attemptStride = 1 << 24
 )
 
-// scheduler is the actor that owns the cluster state during one term of leadership. All its fields are its own,
-// but for those that say otherwise; others send it messages.
+// scheduler is the actor that owns the cluster state during one term of leadership. Only its own goroutine may access the
+// fields, unless a field's comment says otherwise. Other goroutines send it messages.
 type scheduler struct {
 	settings *config.Settings
 	deps     Dependencies
 	log      *slog.Logger
 
 	mailbox    chan message
-	closed     chan struct{}                                          // closed after the term
-	background func(limit time.Duration, f func(ctx context.Context)) // runs calls to others, see backgroundCalls
+	closed     chan struct{}                                            // closed when the term has ended
+	background func(timeout time.Duration, f func(ctx context.Context)) // runs calls to other systems, see backgroundCalls
 
 	state      *cluster.State
 	planner    *placement.Planner
@@ -69,76 +72,76 @@
 	pacing
 }
 
-// termState is the term and this controller's role in it.
+// termState holds the term of leadership and this controller's role in it.
 type termState struct {
 	term            uint64
-	tokens          fencing.Tokens // under which workers are commanded in this term
+	tokens          fencing.Tokens // the fencing tokens of this term
 	termStarted     time.Time
-	lastAttempt     uint64 // the highest attempt number that is in use
+	lastAttempt     uint64 // the attempt number that was assigned last
 	role            leadership.Role
 	resign          func(leadership.Resignation)
 	resigned        bool
-	leaseValidUntil atomic.Pointer[time.Time] // of the role; read by any goroutine that passes responses on
+	leaseValidUntil atomic.Pointer[time.Time] // copy of role.LeaseValidUntil; any goroutine may read it
 }
 
-// gateState is which feature gates are in force.
+// gateState holds the feature gates in force.
 type gateState struct {
 	gates          upgrade.Record
-	requestGateUse func(upgrade.GateName) // asks for a gate to be marked as used
-	gateWaiters    []gateWaiter           // submissions that wait for it
+	requestGateUse func(upgrade.GateName) // requests that a gate be marked as used
+	gateWaiters    []gateWaiter           // submissions that wait until a gate is marked as used
 }
 
-// commitState is what is to be committed, and who waits for it.
+// commitState holds the records to be committed and the users who wait for commits.
 type commitState struct {
 	journal          *storage.Journal
 	queue            *groupcommit.Queue
 	bulkPacer        *groupcommit.BulkPacer
 	admission        *admission.Limiter
-	commitStarted    time.Time // of the commit in flight; zero: none is
-	acceptedInCommit int       // submissions that it commits
+	commitStarted    time.Time // start of the commit in flight; zero: no commit is in flight
+	acceptedInCommit int       // number of accepted jobs in the commit that has just ended
 	waiters          []*waiter
 }
 
-// archiveState is this term's view of the archive.
+// archiveState holds this term's state of the job archive.
 type archiveState struct {
 	archive         *archive.Archiver
-	archiveInUse    bool // jobs may be archived
-	archiveCompared bool // the open jobs have been compared with it
+	archiveInUse    bool // the archive may contain jobs
+	archiveCompared bool // the open jobs have been compared with the archive in this term
 	archiving       bool // a batch of finished jobs is being archived
 }
 
-// fleetState is what is known of the fleet beside its machines.
+// fleetState holds the state of the fleet that isn't part of the machine table.
 type fleetState struct {
-	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms without an answer
-	desired         int                             // the desired size that is recorded
+	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms that have no response yet
+	desired         int                             // the recorded desired size of the fleet, in machines
 	machinesListed  bool                            // the cloud's machine list has been read in this term
 	terminated      map[int]bool                    // machines whose termination the cloud has confirmed
-	drainsRequested int
+	drainsRequested int                             // drains of surplus machines that the autoscaler has requested
 }
 
-// commandState is what is in flight to the workers.
+// commandState holds the state of the direct commands to workers.
 type commandState struct {
-	tokenPending    []*cluster.Machine   // known at the failover, to be sent this term's fencing token
+	tokenPending    []*cluster.Machine   // machines known at the failover to which this term's token hasn't been announced
 	announcements   int                  // token announcements in flight
-	commandsFailing map[int]bool         // machines that send heartbeats but execute no direct commands, since one last did
-	sinceHeartbeat  func() time.Duration // since this controller last received a heartbeat
+	commandsFailing map[int]bool         // machines out of reach of direct commands; cleared when one reaches any machine
+	sinceHeartbeat  func() time.Duration // returns the time since this controller last received a heartbeat
 }
 
-// delegationState is the renewal of workers' leases by peers.
+// delegationState holds the delegation of lease renewals to peers.
 type delegationState struct {
 	delegator    *delegator
 	peerRenewals []peerRenewals
 }
 
-// pacing limits how often the scheduler does expensive work.
+// pacing holds when the scheduler does expensive work next.
 type pacing struct {
-	placementDue         bool // something has changed that may let a task be placed
+	placementDue         bool // the state has changed in a way that may allow tasks to be placed
 	placementPausedUntil time.Time
-	nextSnapshot         time.Time // of the fleet
+	nextSnapshot         time.Time // when the next fleet snapshot is due
 }
 
-// newScheduler rebuilds the cluster state from the journal at the start of a term. It fails if a record can't be
-// decoded.
+// newScheduler returns the scheduler of a new term, with the cluster state that it rebuilds from the journal. It returns
+// an error if a record can't be decoded.
 func newScheduler(
 	settings *config.Settings, deps Dependencies, role leadership.Role, journal *storage.Journal,
 	resign func(leadership.Resignation), log *slog.Logger,
@@ -179,37 +182,38 @@
 	return s, s.load(journal.Records())
 }
 
-// HandleUserRequest answers a user's request. It may be called from any goroutine. If too many requests wait it responds
-// at once that the user has to retry.
+// HandleUserRequest returns the response to a user's request. It may be called from any goroutine. If too many requests
+// are waiting it returns at once, with a response that asks the user to retry.
 func (s *scheduler) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
-	asked := time.Now()
+	requestedAt := time.Now()
 	busy := api.Response{Code: api.CodeBusy, ID: req.ID, Reason: errMailboxFull.Error(), RetrySeconds: busyRetrySeconds()}
 	if !s.acceptsRequest(req.Op) {
 		return busy
 	}
 	reply := make(chan api.Response, 1)
-	a, err := call(ctx, s, userMessage{req: req, reply: reply}, reply)
+	response, err := call(ctx, s, userMessage{req: req, reply: reply}, reply)
 	switch {
 	case errors.Is(err, errMailboxFull):
 		return busy
 	case err != nil:
 		return api.Unavailable(req.ID, err.Error())
 	}
-	return s.withValidity(a, asked)
+	return s.withValidity(response, requestedAt)
 }
 
-// withValidity limits for how long a response that isn't final may be passed on. This process may have been paused since
-// it was decided.
-func (s *scheduler) withValidity(a api.Response, asked time.Time) api.Response {
-	if a.Final() || !a.Decided() {
-		return a
+// withValidity sets how long a response that isn't final may be forwarded to the user, counted from requestedAt. If the
+// leadership lease may have expired it returns a response that asks the user to retry. That can happen because the process
+// may have been paused since the scheduler decided on the response.
+func (s *scheduler) withValidity(response api.Response, requestedAt time.Time) api.Response {
+	if response.Final() || !response.Decided() {
+		return response
 	}
-	certain := s.leaseValidUntil.Load()
-	if certain == nil || !time.Now().Before(*certain) {
-		return api.Unavailable(a.ID, "leadership not certain")
+	validUntil := s.leaseValidUntil.Load()
+	if validUntil == nil || !time.Now().Before(*validUntil) {
+		return api.Unavailable(response.ID, "leadership not certain")
 	}
-	a.ValidFor = certain.Sub(asked)
-	return a
+	response.ValidFor = validUntil.Sub(requestedAt)
+	return response
 }
 
 // setRole updates this controller's role.
@@ -218,8 +222,8 @@
 	s.leaseValidUntil.Store(&r.LeaseValidUntil)
 }
 
-// HandleHeartbeats answers workers' heartbeats. It may be called from any goroutine, and returns nil if nothing was
-// decided.
+// HandleHeartbeats returns the responses to workers' heartbeats, or nil if the scheduler didn't handle them. It may be
+// called from any goroutine.
 func (s *scheduler) HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 	reply := make(chan []worker.HeartbeatResponse, 1)
 	responses, err := call(ctx, s, heartbeatsMessage{reports, reply}, reply)
@@ -229,18 +233,19 @@
 	return responses
 }
 
-// run works in rounds until ctx ends: it handles all messages that have arrived, decides once for all of them, and
-// commits the results as a group. Under load the rounds get larger, not more.
+// run is the scheduler's main loop, which runs until ctx ends. Each iteration handles all messages that are waiting, does
+// at most one round of placement for all of them, and commits the resulting changes as a group. Higher load therefore
+// makes iterations handle more messages instead of adding placement rounds and commits.
 func (s *scheduler) run(ctx context.Context) error {
 	s.tokenPending = slices.Clone(s.state.Machines.InOrder())
 	s.announceTokens()
 	s.activation.resume(time.Now())
 	tick := time.NewTicker(clock.Scale(s.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
-	placementTimer := time.NewTimer(0) // ends the pause of placement
+	placementTimer := time.NewTimer(0) // fires when placement is no longer paused
 	defer placementTimer.Stop()
-	bulk := time.NewTimer(0) // ends the throttling of the bulk lane
-	defer bulk.Stop()
+	bulkTimer := time.NewTimer(0) // fires when the bulk lane may be written again
+	defer bulkTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -254,20 +259,21 @@
 		case <-tick.C:
 			s.tick()
 		case <-placementTimer.C:
-		case <-bulk.C:
+		case <-bulkTimer.C:
 		}
 		s.publishDelegation(time.Now())
 		if s.placementDue {
 			s.placeIfDue(placementTimer)
 		}
 		s.flush(ctx)
-		if retryAfter, held := s.bulkThrottled(time.Now()); held {
-			bulk.Reset(retryAfter)
+		if retryAfter, throttled := s.bulkThrottled(time.Now()); throttled {
+			bulkTimer.Reset(retryAfter)
 		}
 	}
 }
 
-// placeIfDue runs a round of placement, unless placement pauses after an expensive round. Then the timer ends the pause.
+// placeIfDue runs a round of placement. While placement is paused after an earlier round it only sets the timer to the
+// end of the pause.
 func (s *scheduler) placeIfDue(timer *time.Timer) {
 	now := time.Now()
 	if now.Before(s.placementPausedUntil) {
@@ -276,23 +282,23 @@
 	}
 	s.placeRound(now)
 	end := time.Now()
-	s.placementPausedUntil = end.Add(roundPause * end.Sub(now))
+	s.placementPausedUntil = end.Add(placementPauseFactor * end.Sub(now))
 	if s.placementDue {
 		timer.Reset(s.placementPausedUntil.Sub(end))
 	}
 }
 
-// leaseValid reports whether this controller certainly is the leader now.
+// leaseValid reports whether this controller's leadership lease is certainly valid now.
 func (s *scheduler) leaseValid(now time.Time) bool { return now.Before(s.role.LeaseValidUntil) }
 
-// snapshotFleet reviews the fleet for the autoscaler.
+// snapshotFleet returns a snapshot of the fleet for the autoscaler.
 func (s *scheduler) snapshotFleet(now time.Time) autoscaling.Snapshot {
 	return s.reviewer.Snapshot(now, autoscaling.Conditions{
 		LeaseValid: s.leaseValid(now), MachinesListed: s.machinesListed, DrainsRequested: s.drainsRequested,
 	})
 }
 
-// tick does the periodic work.
+// tick does the scheduler's periodic work, such as timeouts, archiving, lease expiry and fleet snapshots.
 func (s *scheduler) tick() {
 	now := time.Now()
 	if s.commitStalled(now) || !s.leaseValid(now) {
@@ -311,6 +317,6 @@
 		snapshot := s.snapshotFleet(now)
 		s.terminateMachines(slices.Concat(snapshot.Emptied, snapshot.Lost, s.lostSinceFailover(now)))
 		s.autoscaler.HandleSnapshot(snapshot)
-		s.nextSnapshot = now.Add(max(clock.Scale(s.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPause*time.Since(now)))
+		s.nextSnapshot = now.Add(max(clock.Scale(s.settings.HeartbeatInterval, snapshotPerHeartbeat), snapshotPauseFactor*time.Since(now)))
 	}
 }
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -8,18 +8,18 @@
 	"sagevale/internal/worker"
 )
 
-// maxQuarantineLeases is the longest that a failing machine is quarantined, in worker leases. More would keep work
-// waiting beside free resources.
+// maxQuarantineLeases is the longest quarantine of a machine that fails tasks or loses its lease, in worker leases. A longer
+// one would keep work waiting while resources are free.
 const maxQuarantineLeases = 2
 
-// recordTaskFailure attributes a task's failure to its job or its machine. A job that fails on every machine is retried one
-// task at a time with a growing backoff, and its failures no longer count against the machines. A machine on which
-// several jobs fail is quarantined for a while.
+// recordTaskFailure records a task's failure and attributes it to the job or the machine. A job that fails on every machine
+// is retried one task at a time with an increasing backoff, and its failures no longer count against the machines. A
+// machine on which several jobs fail is quarantined for a limited time.
 func (s *scheduler) recordTaskFailure(j *cluster.Job, m *cluster.Machine, reservedAt, now time.Time) {
 	j.Failures.RecordFailure(m.ID, reservedAt, now)
 	m.Failures.RecordFailure(j.Spec.ID)
 	if j.Failures.AtFault() {
-		s.clearMachines(j)
+		s.clearMachineFailures(j)
 		m.ClearFailures(j)
 		j.RetryAfter = now.Add(j.Failures.Backoff(s.settings.HeartbeatInterval))
 		s.log.Info("job failing on every machine", "job", j.Spec.ID, "backoff", j.RetryAfter.Sub(now))
@@ -32,8 +32,8 @@
 	}
 }
 
-// clearMachines removes the failures of a job at fault from the machines that it has failed on.
-func (s *scheduler) clearMachines(j *cluster.Job) {
+// clearMachineFailures removes the failures of a job at fault from the machines on which the job has failed.
+func (s *scheduler) clearMachineFailures(j *cluster.Job) {
 	for _, id := range j.Failures.Machines() {
 		if m := s.state.Machines.Get(id); m != nil {
 			m.ClearFailures(j)
@@ -41,16 +41,16 @@
 	}
 }
 
-// learnEarlierFailures learns from a worker's first report of this term of failures under earlier leaders, so that a job that
-// fails on every machine isn't started everywhere again.
-func (s *scheduler) learnEarlierFailures(m *cluster.Machine, r *worker.Report) {
+// recordEarlierFailures records the task failures under earlier leaders that a worker's first report of this term shows.
+// Without them, a job that fails on every machine would be started on every machine again.
+func (s *scheduler) recordEarlierFailures(m *cluster.Machine, r *worker.Report) {
 	for _, t := range r.Tasks {
 		j := s.state.Jobs.Get(t.ID.Job)
 		if t.State != worker.Exited || t.Cause != worker.CauseError || j == nil || j.Done > 0 {
 			continue
 		}
 		if j.Failures.RecordEarlierFailure(m.ID, t.ID.Task); j.Failures.AtFault() {
-			s.clearMachines(j)
+			s.clearMachineFailures(j)
 		}
 	}
 }
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -8,14 +8,14 @@
 	"sagevale/internal/worker"
 )
 
-// applyTaskReport reconciles one task of a worker's report.
+// applyTaskReport reconciles the attempts with the entry of one task in a worker's report.
 func (s *scheduler) applyTaskReport(m *cluster.Machine, r *worker.Report, t worker.TaskReport, now time.Time) {
 	a := m.Attempts[t.ID]
 	switch {
 	case a != nil && a.Number == t.Attempt && a.Incarnation == r.Incarnation:
 		s.updateAttempt(a, t, now)
 	case t.State == worker.Exited:
-		s.applyUnknownExit(t)
+		s.applyUntrackedExit(t)
 		m.Exited = append(m.Exited, t)
 	case a == nil && s.taskWaiting(t.ID):
 		s.adoptAttempt(m, r, t, now)
@@ -24,13 +24,13 @@
 	}
 }
 
-// taskWaiting reports whether a task is known and has neither an attempt nor a result.
+// taskWaiting reports whether a task exists, has no attempt and isn't done.
 func (s *scheduler) taskWaiting(id worker.TaskID) bool {
 	j := s.state.Jobs.Get(id.Job)
 	return j != nil && id.Task < len(j.Tasks) && j.Tasks[id.Task] == cluster.TaskWaiting
 }
 
-// updateAttempt updates an attempt from its worker's report.
+// updateAttempt updates an attempt from its entry in a worker's report.
 func (s *scheduler) updateAttempt(a *cluster.Attempt, t worker.TaskReport, now time.Time) {
 	m, spec := a.Machine, &a.Job.Spec
 	wasRunning := a.Reported && a.State == worker.Running
@@ -54,7 +54,7 @@
 	}
 }
 
-// attemptRunning records that an attempt has begun to run.
+// attemptRunning handles the first report that shows an attempt running.
 func (s *scheduler) attemptRunning(a *cluster.Attempt, now time.Time) {
 	a.Started = now
 	s.log.Debug("task running", "job", a.Job.Spec.ID, "class", a.Job.Spec.Class, "task", a.Task, "machine", a.Machine.ID,
@@ -62,8 +62,9 @@
 	s.activation.attemptRunning(a, now)
 }
 
-// applyUnknownExit handles the exit of an attempt that isn't known here. If it completed its task, the task is done.
-func (s *scheduler) applyUnknownExit(t worker.TaskReport) {
+// applyUntrackedExit handles the exit of an attempt that the scheduler doesn't track. If the attempt completed a task that
+// still waits, the task is done.
+func (s *scheduler) applyUntrackedExit(t worker.TaskReport) {
 	if t.Cause != worker.CauseDone || !s.taskWaiting(t.ID) {
 		return
 	}
@@ -76,7 +77,8 @@
 	s.finish(j)
 }
 
-// adoptAttempt takes over a live task that has no reservation: an earlier command that was executed late.
+// adoptAttempt adds an attempt for a live task that has no reservation, because a worker executed an earlier start command
+// late.
 func (s *scheduler) adoptAttempt(m *cluster.Machine, r *worker.Report, t worker.TaskReport, now time.Time) {
 	j := s.state.Jobs.Get(t.ID.Job)
 	s.log.Info("unreserved task adopted", "job", t.ID.Job, "task", t.ID.Task, "machine", m.ID, "attempt", t.Attempt)
@@ -89,7 +91,7 @@
 	s.markPage(j, a.Task)
 }
 
-// attemptExited handles the reported exit of an attempt by its cause.
+// attemptExited handles the reported exit of an attempt, depending on its cause.
 func (s *scheduler) attemptExited(a *cluster.Attempt, t worker.TaskReport, now time.Time) {
 	j, m := a.Job, a.Machine
 	switch t.Cause {
@@ -102,11 +104,11 @@
 		}
 		j.SetTask(a.Task, cluster.TaskDone)
 	case worker.CausePeers:
-		j.Gang.Failed = true // the gang's failure, not the machine's
+		j.Gang.Failed = true // attributed to the gang, not to the machine
 	case worker.CauseError:
 		a.Failed = true
 		if j.Gang.Failed {
-			m.Failures.RecordFailure(j.Spec.ID) // the job's failure was counted with the first of the gang
+			m.Failures.RecordFailure(j.Spec.ID) // the job's failure was counted with the first failed task of the gang
 		} else {
 			s.recordTaskFailure(j, m, a.ReservedAt, now)
 		}
@@ -115,7 +117,7 @@
 		m.QuarantinedUntil = now.Add(s.settings.HeartbeatInterval)
 	case worker.CauseUnknown:
 		j.RetryAfter = now.Add(s.settings.HeartbeatInterval)
-	case worker.CauseStopped, worker.CauseNone: // nothing is at fault
+	case worker.CauseStopped, worker.CauseNone: // neither the job nor the machine is at fault
 	}
 	s.log.Debug("attempt exited", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
 	s.removeAttempt(a, "exited")
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// unconfirmedLease is for how long after a failover a machine may stay silent before it counts as lost, in worker
+	// unconfirmedTimeoutLeases is how long after a failover a machine may stay silent before it counts as lost, in worker
 	// leases.
-	unconfirmedLease = 0.5
-	// unconfirmedShare is the share of the machines that may be lost at a time. If more are silent, the cause is this
-	// controller's network or a zone.
-	unconfirmedShare = 0.25
+	unconfirmedTimeoutLeases = 0.5
+	// maxUnconfirmedShare is the largest share of the machines with attempts that may count as lost. If more of them are
+	// silent, the cause is this controller's network or the failure of a zone.
+	maxUnconfirmedShare = 0.25
 )
 
 // lostSinceFailover returns the machines to terminate because they have been silent since the failover, while nearly all
-// others have reported. Their lease bound has to cover the renewals of an earlier leader and so is long; the confirmation
-// of a deletion proves them empty sooner. Only machines are returned whose work fits elsewhere: a machine that comes back
-// still has its images.
+// others have reported. Waiting for their leases to expire takes long, because the earlier leader may have renewed them;
+// the cloud's confirmation of the deletion proves sooner that no task runs there. Machines whose services don't fit
+// elsewhere are left out, because a machine that becomes reachable again still has its cached images.
 func (s *scheduler) lostSinceFailover(now time.Time) []int {
-	if !s.leaseValid(now) || now.Sub(s.termStarted) < max(clock.Scale(s.settings.WorkerLease, unconfirmedLease), s.settings.ReportFreshness()) {
+	if !s.leaseValid(now) || now.Sub(s.termStarted) < max(clock.Scale(s.settings.WorkerLease, unconfirmedTimeoutLeases), s.settings.ReportFreshness()) {
 		return nil
 	}
 	var silent []*cluster.Machine
@@ -35,7 +35,7 @@
 			silent = append(silent, m)
 		}
 	}
-	if float64(len(silent)) > max(1, unconfirmedShare*float64(occupied)) {
+	if float64(len(silent)) > max(1, maxUnconfirmedShare*float64(occupied)) {
 		return nil
 	}
 	var lost []int
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -11,51 +11,52 @@
 	"sagevale/internal/upgrade"
 )
 
-// waiter is a user whose response waits for a commit.
+// waiter is a user's request whose response waits for a commit.
 type waiter struct {
 	id       string
 	reply    chan api.Response
 	answered bool
 }
 
-// answer sends the first response, and drops later ones.
-func (w *waiter) answer(a api.Response) {
+// answer sends the response to the user, unless an earlier call has sent one.
+func (w *waiter) answer(response api.Response) {
 	if !w.answered {
 		w.answered = true
-		w.reply <- a
+		w.reply <- response
 	}
 }
 
-// answerWhenDurable answers a user once the present value of a job's record is durable. A user whose commit takes too long
-// is told to retry: see failWaiters.
+// answerWhenDurable sends a user the response once the current value of a job's record is durable. If the commit takes
+// too long, failWaiters sends a response that asks the user to retry.
 func (s *scheduler) answerWhenDurable(j *cluster.Job, reply chan api.Response, response func() api.Response) {
 	id := j.Spec.ID
 	w := &waiter{id: id, reply: reply}
 	s.waiters = append(s.waiters, w)
 	s.onJobCommit(j, func(err error) {
 		if err != nil {
-			w.answer(api.Unavailable(id, "not recorded"))
+			w.answer(api.Unavailable(id, "the job's record was not committed"))
 			return
 		}
 		w.answer(response())
 	})
 }
 
-// failWaiters answers all users who wait for a commit, without waiting further.
-func (s *scheduler) failWaiters(a api.Response) {
+// failWaiters sends a response to all users who wait for a commit, without waiting for the commit any longer.
+func (s *scheduler) failWaiters(response api.Response) {
 	for _, w := range s.waiters {
-		a.ID = w.id
-		w.answer(a)
+		response.ID = w.id
+		w.answer(response)
 	}
 	s.waiters = s.waiters[:0]
 }
 
-// commitStalled reports whether the commit in flight takes too long to let more users wait behind it.
+// commitStalled reports whether the commit in flight takes so long that users should retry instead of waiting for it.
 func (s *scheduler) commitStalled(now time.Time) bool {
 	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
 }
 
-// handleUser answers a user's request, or has it answered once what it rests on is known or durable.
+// handleUser handles a user's request. It sends the response at once, or arranges that it is sent later: after a read of
+// the archive, or after the commit of the change that the response reports.
 func (s *scheduler) handleUser(m userMessage) {
 	now := time.Now()
 	j := s.state.Jobs.Get(m.req.ID)
@@ -69,16 +70,16 @@
 	if j == nil && s.answerFromArchive(m, now) {
 		return
 	}
-	// A successor may already have changed anything that isn't final.
+	// If the lease may have expired, a new leader may already have changed any state that isn't final.
 	if !s.leaseValid(now) {
 		m.reply <- api.Unavailable(m.req.ID, "leadership not certain")
 		return
 	}
 	switch m.req.Op {
 	case api.OpSubmit:
-		s.submit(m, j, now)
+		s.handleSubmit(m, j, now)
 	case api.OpPoll:
-		s.poll(m, j)
+		s.handlePoll(m, j)
 	case api.OpCancel:
 		s.cancel(m, j, now)
 	default:
@@ -86,8 +87,8 @@
 	}
 }
 
-// poll answers a poll for a job.
-func (s *scheduler) poll(m userMessage, j *cluster.Job) {
+// handlePoll responds to a poll with the job's state. j is nil if the job doesn't exist.
+func (s *scheduler) handlePoll(m userMessage, j *cluster.Job) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
@@ -98,9 +99,10 @@
 	}
 }
 
-// submit handles a submission. It is idempotent: a repeated submission of a job gets the job's state, and one whose first
-// copy isn't durable yet waits for the same commit.
-func (s *scheduler) submit(m userMessage, j *cluster.Job, now time.Time) {
+// handleSubmit handles a submission. Submissions are idempotent: the response to a repeated submission is the job's
+// state, and if the job's record isn't durable yet the repeated submission waits until it is. j is nil if the job doesn't
+// exist.
+func (s *scheduler) handleSubmit(m userMessage, j *cluster.Job, now time.Time) {
 	if j != nil && j.Acknowledged {
 		m.reply <- responseOf(j)
 		return
@@ -118,12 +120,12 @@
 			m.reply <- api.Response{Code: api.CodeInfeasible, ID: m.req.Spec.ID, Reason: reason}
 			return
 		}
-		if gate, closed := s.missingGate(&m.req.Spec); closed {
+		if gate, missing := s.missingGate(&m.req.Spec); missing {
 			s.awaitGate(m, gate, now)
 			return
 		}
-		if overload := s.overload(&m.req.Spec, now); overload != nil {
-			m.reply <- *overload
+		if busy := s.overloadResponse(&m.req.Spec, now); busy != nil {
+			m.reply <- *busy
 			return
 		}
 		j = s.acceptJob(m.req.Spec, now)
@@ -132,7 +134,7 @@
 		j.Acknowledged = true
 		return api.Response{Code: api.CodeCreated, ID: j.Spec.ID, State: api.StatePending}
 	})
-	// The job becomes known with its commit, even if its first user was told to retry meanwhile.
+	// The job is acknowledged once its record is durable, even if the user has been asked to retry in the meantime.
 	s.onJobCommit(j, func(err error) {
 		if err == nil {
 			j.Acknowledged = true
@@ -140,7 +142,8 @@
 	})
 }
 
-// missingGate returns the gate that a job depends on and that isn't durably in use yet, if any. It requests the use.
+// missingGate returns a feature gate that the job depends on and that may not be used yet, if there is one. If that gate
+// is open, missingGate requests that it be marked as used.
 func (s *scheduler) missingGate(spec *storage.Spec) (gate upgrade.GateName, missing bool) {
 	if spec.Gang && !s.mayUse(upgrade.GangJobs) {
 		return upgrade.GangJobs, true
@@ -151,22 +154,23 @@
 	return "", false
 }
 
-// overload returns the response to a job for which there is no capacity to queue or record it, or nil.
-func (s *scheduler) overload(spec *storage.Spec, now time.Time) *api.Response {
+// overloadResponse returns the response that rejects a job because too many tasks are open or submissions can't be
+// recorded fast enough. It returns nil if the job can be accepted.
+func (s *scheduler) overloadResponse(spec *storage.Spec, now time.Time) *api.Response {
 	if s.state.Jobs.OpenTasks+spec.Tasks > s.settings.MaxOpenTasks() {
 		return &api.Response{
-			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
+			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are open", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
 		}
 	}
 	if !s.admitSubmission(spec.Team) {
 		return &api.Response{
-			Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
+			Code: api.CodeBusy, ID: spec.ID, Reason: "more jobs are submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
 		}
 	}
 	return nil
 }
 
-// acceptJob adds a job and has its record written.
+// acceptJob adds a job and marks its record to be written.
 func (s *scheduler) acceptJob(spec storage.Spec, now time.Time) *cluster.Job {
 	j := cluster.NewJob(spec, now)
 	s.state.Jobs.AddOpen(j)
@@ -188,7 +192,7 @@
 	return j
 }
 
-// infeasibleReason returns the reason why a job can never run, or "".
+// infeasibleReason returns the reason why a job can never run, or "" if it can.
 func (s *scheduler) infeasibleReason(spec *storage.Spec) string {
 	team := s.settings.Team(spec.Team)
 	if team == nil {
@@ -207,7 +211,8 @@
 	return ""
 }
 
-// cancel handles a cancellation. The job's tasks are stopped once the cancellation is durable.
+// cancel handles a cancellation. The job's tasks are stopped once the cancellation is durable. j is nil if the job
+// doesn't exist.
 func (s *scheduler) cancel(m userMessage, j *cluster.Job, now time.Time) {
 	switch {
 	case j == nil:
@@ -236,7 +241,7 @@
 	s.answerWhenDurable(j, m.reply, func() api.Response { return responseOf(j) })
 }
 
-// finish marks a job as done if all of its tasks are.
+// finish marks a job as done if all of its tasks are done. Services are never done.
 func (s *scheduler) finish(j *cluster.Job) {
 	if j.Phase != storage.Open || j.Done < j.Spec.Tasks || j.Spec.Service {
 		return
@@ -253,7 +258,8 @@
 	})
 }
 
-// retire releases the memory and the stored pages of a final job's tasks, once no attempt of it can exist.
+// retire frees the memory of a final job's tasks and removes their pages from the journal. After that the job may be
+// archived. retire does nothing while the final state isn't durable or attempts of the job remain.
 func (s *scheduler) retire(j *cluster.Job) {
 	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
@@ -270,14 +276,14 @@
 	})
 }
 
-// stopJob has every attempt of a job stopped at once.
+// stopJob marks all attempts of a job to be stopped, without a grace period.
 func (s *scheduler) stopJob(j *cluster.Job) {
 	for _, a := range j.Attempts {
 		s.stopAttempt(a, 0)
 	}
 }
 
-// stateOf is the state that users see. A final state counts only once it is durable.
+// stateOf returns the state of a job as users see it. A final state is shown only once it is durable.
 func stateOf(j *cluster.Job) api.JobState {
 	switch {
 	case j.FinalDurable && j.Phase == storage.Done:
@@ -290,7 +296,7 @@
 	return api.StatePending
 }
 
-// responseOf is the response with a job's state.
+// responseOf returns the response with a job's state.
 func responseOf(j *cluster.Job) api.Response {
 	response := api.Response{Code: api.CodeOK, ID: j.Spec.ID, State: stateOf(j), Done: j.Done}
 	if !response.Final() {
@@ -299,11 +305,11 @@
 	return response
 }
 
-// userMessage is a request of a user.
+// userMessage carries a user's request to the scheduler.
 type userMessage struct {
 	req         api.Request
 	reply       chan api.Response
-	notArchived bool // the job is known not to be archived
+	notArchived bool // a read of the archive in this term has shown that the job isn't archived
 }
 
 func (m userMessage) handle(s *scheduler) { s.handleUser(m) }
