--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -14,38 +14,38 @@
 	"sagevale/internal/upgrade"
 )
 
-// managedService is a service that scales to zero, with the leader's copy of its lifecycle record.
+// managedService is a service that scales to zero, together with the leader's copy of its lifecycle record.
 type managedService struct {
 	job       *cluster.Job
 	record    activation.Record
-	damaged   json.RawMessage // what is stored, if it can't be decoded
-	unwritten int             // changes of the record that aren't durable yet
-	wokenAt   time.Time       // when the service was last woken, if that was in this term
-	watchers  []wakeWatcher   // controllers that wait for it to start
-	// routedUntil is until when a controller may route requests to the replica by a response of this term or the one
-	// before.
+	damaged   json.RawMessage // the stored record if it can't be decoded, else nil
+	unwritten int             // number of changes to the record that aren't durable yet
+	wokenAt   time.Time       // when demand last started the service; zero if that wasn't in this term
+	watchers  []wakeWatcher   // controllers whose wake requests wait until the service has started
+	// routedUntil is the latest time at which any controller may still route requests to the replica, based on a
+	// response that it received in this term or the previous one.
 	routedUntil time.Time
 }
 
-// Stored returns the lifecycle record as it is stored within the job's record.
+// Stored returns the lifecycle record in the encoding in which the job's record contains it.
 func (s *managedService) Stored() json.RawMessage {
 	if s.damaged != nil {
 		return s.damaged
 	}
 	raw, err := json.Marshal(s.record)
 	if err != nil {
-		return nil // no value of the type fails
+		return nil // encoding a Record never fails
 	}
 	return raw
 }
 
-// MayPlace reports whether the service's replica may be placed: its wake is durable, and nothing else has to be waited
-// for.
+// MayPlace reports whether a replica of the service may be placed now: the wake that requires it is durable, and the
+// record doesn't require another action first.
 func (s *managedService) MayPlace(now time.Time) bool {
 	return s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
 }
 
-// replica returns the attempt that the record names, or nil.
+// replica returns the attempt whose number the record contains, or nil if there is none.
 func (s *managedService) replica() *cluster.Attempt {
 	for _, a := range s.job.Attempts {
 		if a.Number == s.record.Replica {
@@ -55,51 +55,53 @@
 	return nil
 }
 
-// activationHost is what the activation controller needs of the scheduler.
+// activationHost contains the operations of the scheduler that the activation controller uses.
 type activationHost interface {
-	// recordJob has a job's record written, and calls then once its present value is durable.
+	// recordJob schedules a write of a job's record, and calls then once the record's present value is durable, or with
+	// the error of its commit.
 	recordJob(j *cluster.Job, then func(error))
-	// afterJobCommit calls then once the marked value of a job's record is durable.
+	// afterJobCommit calls then once all scheduled writes of a job's record are durable, or with the error of their
+	// commit.
 	afterJobCommit(j *cluster.Job, then func(error))
-	// stopAttempt has an attempt stopped.
+	// stopAttempt stops an attempt, with a grace period in which it may save a checkpoint.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
-	// sendJobStops sends the workers of a job's stopped attempts their stops directly.
+	// sendJobStops sends stop commands for a job's stopping attempts directly to their workers.
 	sendJobStops(j *cluster.Job)
-	// placeSoon requests a round of placement.
+	// placeSoon requests a round of placement at the end of the scheduler's present round.
 	placeSoon()
-	// mayUse reports whether something new may depend on a gate, and requests its use.
+	// mayUse reports whether something new may depend on a gate. It requests that an open gate be marked as used.
 	mayUse(name upgrade.GateName) bool
 }
 
-// recordJob is part of activationHost.
+// recordJob implements activationHost.
 func (s *scheduler) recordJob(j *cluster.Job, then func(error)) {
 	s.markJob(j)
 	s.onJobCommit(j, then)
 }
 
-// afterJobCommit is part of activationHost.
+// afterJobCommit implements activationHost.
 func (s *scheduler) afterJobCommit(j *cluster.Job, then func(error)) { s.onJobCommit(j, then) }
 
-// placeSoon is part of activationHost.
+// placeSoon implements activationHost.
 func (s *scheduler) placeSoon() { s.placementDue = true }
 
-// activationController drives the lifecycles of the services that scale to zero. Each change is durable before anything is
-// done because of it. It belongs to the scheduler's goroutine.
+// activationController drives the lifecycles of the services that scale to zero. It acts on a change of a lifecycle record
+// only after the change is durable. Its methods may be called only from the scheduler's goroutine.
 type activationController struct {
 	tuning   *config.Activation
 	settings *config.Settings
 	host     activationHost
 	log      *slog.Logger
 	gate     upgrade.GateState
-	services map[string]*managedService // by job
-	active   map[string]*managedService // those of them whose state changes with time
+	services map[string]*managedService // by job ID
+	active   map[string]*managedService // the services whose state may change as time passes
 	usage    *activation.Usage
 	starts   activation.StartTimes
-	// postponed are services that are to scale to zero and have no record, because they were accepted while the gate was
-	// closed. They run.
+	// postponed holds the services that should scale to zero but have no lifecycle record, because they were accepted
+	// while the gate was closed. They run all the time until the gate is in use.
 	postponed map[string]*cluster.Job
-	removing  int  // records whose removal isn't durable yet
-	resumed   bool // the term's actors run; earlier attempts are handled by loaded
+	removing  int  // number of lifecycle records whose removal isn't durable yet
+	resumed   bool // the term's actors run; reconcile handles the attempts of earlier terms
 }
 
 func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
@@ -110,29 +112,29 @@
 	}
 }
 
-// scalesToZero reports whether a job is a service that is to scale to zero while there is no demand. Services of several tasks
-// always run.
+// scalesToZero reports whether a job is a service that should scale to zero while there is no demand. Services with several
+// tasks always run.
 func (c *activationController) scalesToZero(spec *storage.Spec) bool {
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
 
-// uses counts what depends on the gate.
+// uses returns the number of lifecycle records that depend on the gate.
 func (c *activationController) uses() int { return len(c.services) + c.removing }
 
-// track adds a service that was just submitted. It begins idle, which is stored with the job's record.
+// track adds a service that was just submitted. The service starts in the idle state, which is stored with the job's record.
 func (c *activationController) track(j *cluster.Job, now time.Time) {
 	c.add(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
-// postpone adds a service that is to scale to zero once the gate is in use. Until then it runs.
+// postpone adds a job to the postponed services if it should scale to zero. It runs until the gate is in use.
 func (c *activationController) postpone(j *cluster.Job) {
 	if c.scalesToZero(&j.Spec) {
 		c.postponed[j.Spec.ID] = j
 	}
 }
 
-// adoptPostponed creates records for postponed services once the gate is in use. From then on they scale to zero like any
-// other.
+// adoptPostponed creates lifecycle records for the postponed services once the gate is in use. From then on they scale to
+// zero like all other managed services.
 func (c *activationController) adoptPostponed(now time.Time) {
 	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.host.mayUse(upgrade.Activation) {
 		return
@@ -150,24 +152,24 @@
 		}
 		s := &managedService{job: j, routedUntil: now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))}
 		c.add(s)
-		c.set(s, next, "its class is listed")
+		c.set(s, next, "scale-to-zero enabled")
 	}
 }
 
-// service returns the lifecycle of a job, or nil if it has none.
+// service returns the managed service of a job, or nil if the job has no lifecycle record.
 func (c *activationController) service(j *cluster.Job) *managedService {
 	s, _ := j.Lifecycle.(*managedService)
 	return s
 }
 
-// add adds a service.
+// add adds a service to the managed services, and removes it from the postponed ones.
 func (c *activationController) add(s *managedService) {
 	s.job.Lifecycle = s
 	delete(c.postponed, s.job.Spec.ID)
 	c.services[s.job.Spec.ID] = s
 }
 
-// load decodes a service's stored record. A record that can't be decoded is kept unchanged.
+// load adds a service with its stored lifecycle record. A record that can't be decoded is kept unchanged.
 func (c *activationController) load(j *cluster.Job, raw json.RawMessage) {
 	record, err := activation.Decode(storage.JobKey(j.Spec.ID), raw)
 	if err != nil {
@@ -178,7 +180,7 @@
 	c.add(&managedService{job: j, record: record})
 }
 
-// reconcile reconciles the records with the attempts at the start of a term.
+// reconcile reconciles the lifecycle records with the stored attempts at the start of a term.
 func (c *activationController) reconcile(now time.Time) {
 	for _, s := range c.services {
 		if s.damaged != nil {
@@ -190,12 +192,12 @@
 		}
 		next, _ := s.record.Restore(replica, &c.tuning.Policy, now)
 		s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
-		c.set(s, next, "another leader")
+		c.set(s, next, "leader change")
 	}
 	c.runUnlisted()
 }
 
-// resume acts on the records once the actors of a term run.
+// resume performs the outstanding actions of all lifecycle records. It is called once the term's actors run.
 func (c *activationController) resume(now time.Time) {
 	c.resumed = true
 	for _, s := range c.services {
@@ -205,13 +207,13 @@
 	}
 }
 
-// setGate updates the gate. Unless it is open, every service is started and runs always.
+// setGate updates the gate's state. Unless the gate is open, every service is started and then runs all the time.
 func (c *activationController) setGate(gate upgrade.GateState) {
 	c.gate = gate
 	c.runUnlisted()
 }
 
-// runUnlisted makes the services that are no longer to scale to zero run always.
+// runUnlisted removes the lifecycle records of the services that should no longer scale to zero, so that they always run.
 func (c *activationController) runUnlisted() {
 	for _, s := range c.services {
 		if c.gate.Phase != upgrade.GateOpen || !c.scalesToZero(&s.job.Spec) {
@@ -220,7 +222,7 @@
 	}
 }
 
-// runAlways removes a service's lifecycle record, so that it runs like any other service.
+// runAlways removes a service's lifecycle record, so that it runs all the time like any other service.
 func (c *activationController) runAlways(s *managedService) {
 	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
 	c.release(s.job)
@@ -234,20 +236,20 @@
 	c.host.placeSoon()
 }
 
-// release removes a service that is cancelled or runs always from now on.
+// release stops managing a service that was cancelled or that always runs from now on. It answers the waiting wake requests.
 func (c *activationController) release(j *cluster.Job) {
 	delete(c.services, j.Spec.ID)
 	delete(c.postponed, j.Spec.ID)
 	delete(c.active, j.Spec.ID)
 	if s := c.service(j); s != nil {
 		for _, w := range s.watchers {
-			w.reply <- undecided("it runs always, or no longer")
+			w.reply <- undecided("the service was cancelled or no longer scales to zero")
 		}
 	}
 	j.Lifecycle = nil
 }
 
-// apply changes a service's record by an event.
+// apply applies an event to a service's lifecycle record.
 func (c *activationController) apply(s *managedService, e activation.Event, now time.Time) {
 	if s.damaged != nil {
 		return
@@ -256,15 +258,15 @@
 	c.move(s, next, activation.Cause(e), now)
 }
 
-// move sets a service's record, and acts on it once it is durable.
+// move sets a service's lifecycle record, and performs its outstanding action once the record is durable.
 func (c *activationController) move(s *managedService, next activation.Record, cause string, now time.Time) {
 	if !c.set(s, next, cause) {
 		c.act(s, now)
 	}
 }
 
-// set sets a service's record, and has it written if it differs from what is stored. It reports whether it does; then the
-// controller acts on it once it is durable.
+// set sets a service's lifecycle record. If its stored fields have changed, set schedules a write and returns true; the
+// controller then performs the record's outstanding action once the write is durable.
 func (c *activationController) set(s *managedService, next activation.Record, cause string) (writes bool) {
 	before := s.record
 	s.record = next
@@ -286,7 +288,7 @@
 	return true
 }
 
-// updateActive updates the set of services whose state changes with time.
+// updateActive adds a service to the active services, or removes it if its state doesn't change as time passes.
 func (c *activationController) updateActive(s *managedService) {
 	if s.record.State == activation.Idle || s.record.State == activation.Failed {
 		delete(c.active, s.job.Spec.ID)
@@ -295,8 +297,8 @@
 	c.active[s.job.Spec.ID] = s
 }
 
-// act does what the record requires, if it is durable. Replicas are started like any other task, once placement has
-// reserved resources for them.
+// act performs the outstanding action of a service's lifecycle record if the record is durable. Replicas are started like
+// any other task, once placement has reserved resources for them.
 func (c *activationController) act(s *managedService, now time.Time) {
 	if s.unwritten > 0 {
 		return
@@ -313,14 +315,14 @@
 	}
 }
 
-// attemptReserved handles a new attempt: a reservation, or a task found on a machine.
+// attemptReserved handles a new attempt, which was either reserved by placement or reported by a worker.
 func (c *activationController) attemptReserved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil && !a.Stopping && c.resumed {
 		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.Number}, now)
 	}
 }
 
-// attemptRunning handles that an attempt runs, so its model answers.
+// attemptRunning handles an attempt that has started to run: its model answers requests from then on.
 func (c *activationController) attemptRunning(a *cluster.Attempt, now time.Time) {
 	s := c.service(a.Job)
 	if s == nil {
@@ -334,14 +336,14 @@
 	}
 }
 
-// attemptRemoved handles that an attempt is proved to be gone.
+// attemptRemoved handles an attempt that has been proved to be absent from its machine.
 func (c *activationController) attemptRemoved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil {
 		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
 	}
 }
 
-// tick does the periodic work. Idle services cost nothing.
+// tick adopts postponed services and updates the active ones. Idle and failed services need no periodic work.
 func (c *activationController) tick(now time.Time) {
 	c.adoptPostponed(now)
 	for _, s := range c.active {
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -14,26 +14,26 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ServiceStatus is the stored state of an open service that scales to zero, or of one whose class is listed to do so, for
-// operators.
+// ServiceStatus is the stored state, for operators, of an open service that scales to zero or whose class is configured to
+// scale to zero.
 type ServiceStatus struct {
 	ID      string
 	Class   string
-	Record  activation.Record // its Replica is the attempt that may exist on a machine
-	Machine int               // of the replica
-	Managed bool              // it has a lifecycle record; else it always runs
-	Damaged string            // what is wrong with its record; "": nothing
-	Why     string            // why it isn't idle, or not ready; "": it is idle
+	Record  activation.Record // Replica is the attempt that may exist on a machine
+	Machine int               // ID of the replica's machine
+	Managed bool              // the service has a lifecycle record; otherwise it always runs
+	Damaged string            // why its record can't be decoded; "" if it can
+	Why     string            // the reason for its present state; "" if demand could start it at once
 }
 
-// ActivationStatus is the stored state of all such services.
+// ActivationStatus is the stored state of the activation gate and of all services that a ServiceStatus describes.
 type ActivationStatus struct {
 	Gate     upgrade.GateState // the zero state is closed
-	Waiting  string            // what the latest leader to say so waits for; "": nothing
-	Services []ServiceStatus   // by id
+	Waiting  string            // what the upgrade waits for, as a leader last recorded it; "" if nothing
+	Services []ServiceStatus   // sorted by ID
 }
 
-// ReadActivationStatus reads the journal. It writes nothing.
+// ReadActivationStatus reads the status from the upgrade records and the journal. It writes nothing.
 func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ActivationStatus, error) {
 	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return status, nil
 }
 
-// serviceStatus decodes a job's record, and returns nil unless it is such a service's.
+// serviceStatus returns the status of the service in a job's record, without its replica and reason. It returns nil if the
+// job isn't an open service that scales to zero or whose class is configured to.
 func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
 	var job storage.JobRecord
 	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.Open || job.Spec == nil || !job.Spec.Service {
@@ -88,7 +89,7 @@
 	return service
 }
 
-// notePlace reads the attempt and machine of a service's replica from a page.
+// notePlace sets a service's replica and its machine from the attempts in a page of the service's tasks.
 func notePlace(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
@@ -101,24 +102,24 @@
 	}
 }
 
-// explain sets Why.
+// explain sets Why, the reason for the service's present state.
 func (s *ServiceStatus) explain(now time.Time) {
 	switch {
 	case s.Damaged != "":
 		s.Why = s.Damaged
 	case !s.Managed:
-		s.Why = "runs always: it has several tasks, or was accepted before this was in force"
+		s.Why = "always runs: it has several tasks, or was accepted before scale-to-zero was enabled"
 	case s.Record.BackoffRemaining(now) > 0:
-		s.Why = "rests for " + s.Record.BackoffRemaining(now).Round(time.Second).String() + " after starts that failed"
+		s.Why = "backoff: no start for another " + s.Record.BackoffRemaining(now).Round(time.Second).String() + " after failed starts"
 	case s.Record.State == activation.Starting && s.Record.Replica == activation.NoReplica:
-		s.Why = "there was demand; waits for room on a machine"
+		s.Why = "demand arrived; waiting for free resources on a machine"
 	case s.Record.State == activation.Starting:
-		s.Why = "there was demand; its replica doesn't answer yet"
+		s.Why = "demand arrived; its replica does not answer requests yet"
 	case s.Record.State == activation.Ready:
-		s.Why = "requests within the idle window, or a controller is silent"
+		s.Why = "requests within the idle window, or a controller has not reported its usage"
 	case s.Record.State == activation.Draining:
-		s.Why = "waits until no controller passes requests on"
+		s.Why = "draining: waiting until no controller forwards requests to it"
 	case s.Record.State == activation.Stopping:
-		s.Why = "waits for the proof that its replica is gone"
+		s.Why = "stopping: waiting for proof that its replica is gone"
 	}
 }
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -7,22 +7,23 @@
 	"sagevale/internal/worker"
 )
 
-// Workers send their heartbeats to a controller of their own zone, so that they keep it when zones are partitioned. The
-// controllers of a zone share its workers, because the sockets of one don't suffice for all. A worker that comes to
-// another controller is redirected once. If it returns soon it couldn't reach the other one, and stays.
+// Workers send their heartbeats to a controller in their own zone, so that they keep their controller when zones are
+// partitioned from each other. The workers of a zone are distributed over its controllers, because one controller doesn't
+// have enough sockets for all of them. A worker that reports to a different controller is redirected once. If it soon
+// returns it couldn't reach the other controller, and isn't redirected again.
 
 const (
-	// affinityLeases is for how long a worker isn't redirected again, in worker leases.
+	// affinityLeases is the time after a redirection in which a worker isn't redirected again, in worker leases.
 	affinityLeases = 2
-	// affinityProbePause is how often a worker is redirected to a controller that receives no heartbeats: it may have
-	// just started, or be partitioned from the workers.
+	// affinityProbePause is the least time between two redirections to a controller that receives no heartbeats. Such a
+	// controller may have just started, or may be partitioned from the workers, so one worker at a time probes it.
 	affinityProbePause = time.Second
 )
 
-// affinity chooses the controllers for workers. It belongs to the forwarder's goroutine.
+// affinity chooses the controller to which a worker sends its heartbeats. It may be used only by the forwarder's goroutine.
 type affinity struct {
 	node   *Node
-	names  []string             // all controllers
+	names  []string             // all controllers, sorted
 	zones  map[string]string    // by controller
 	probed map[string]time.Time // when a worker was last redirected to a controller without heartbeats
 }
@@ -40,7 +41,7 @@
 	return a
 }
 
-// nodeFor returns the controller to which a worker should send its heartbeats, or "" if it may stay here.
+// nodeFor returns the controller to which a worker is to be redirected, or "" if it should stay with this controller.
 func (a *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
 	self := a.node.settings.NodeName
 	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*a.node.settings.WorkerLease {
@@ -60,7 +61,8 @@
 	return node
 }
 
-// pick returns one of the suitable controllers, the same one for a machine each time.
+// pick returns one of the suitable controllers, or "" if there is none. For a given machine and set of suitable controllers
+// it always returns the same one.
 func (a *affinity) pick(machine int, suits func(string) bool) string {
 	var names []string
 	for _, n := range a.names {
@@ -74,7 +76,7 @@
 	return names[machine%len(names)]
 }
 
-// canForward reports whether a controller can forward heartbeats to the leader.
+// canForward reports whether a controller can forward heartbeats to the leader: it is reachable and follows that leader.
 func (a *affinity) canForward(name, leader string) bool {
 	if name == a.node.settings.NodeName {
 		return true
@@ -83,7 +85,7 @@
 	return ok && w.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
-// receivesHeartbeats reports whether a controller receives heartbeats, or is to be probed with a worker now.
+// receivesHeartbeats reports whether a controller receives heartbeats, or is to be probed by redirecting a worker to it now.
 func (a *affinity) receivesHeartbeats(name string, now time.Time) bool {
 	if w, ok := a.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < a.node.settings.HeartbeatInterval {
 		return true
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -10,16 +10,16 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ArchiveStatus is the stored state of the archive of finished jobs, for operators.
+// ArchiveStatus is the stored state of the archive of finished jobs and of the journal's jobs, for operators.
 type ArchiveStatus struct {
 	Gate    upgrade.GateState // the zero state is closed
-	Waiting string            // what the latest leader to say so waits for; "": nothing
+	Waiting string            // what the upgrade waits for, as a leader last recorded it; "" if nothing
 	Stored  archive.Stored
-	Backlog int // finished jobs that are in the journal
-	Open    int // jobs that aren't finished
+	Backlog int // finished jobs whose records are in the journal
+	Open    int // jobs in the journal that aren't finished
 }
 
-// ReadArchiveStatus reads all pages and the journal. It writes nothing.
+// ReadArchiveStatus reads the status from the upgrade records, the archive's pages and the journal. It writes nothing.
 func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ArchiveStatus, error) {
 	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return status, status.countJournal(ctx, svc, s)
 }
 
-// countJournal counts the jobs whose records are in the journal.
+// countJournal sets Backlog and Open from the jobs' records in the journal.
 func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) error {
 	journal, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// ArchiveGauges returns figures of this process's view of the archive as keys and values of a log line, or nil if it
-// holds no pages.
+// ArchiveGauges returns statistics of this process's in-memory index of the archive, as keys and values for a log line, or
+// nil if the index holds no pages.
 func (n *Node) ArchiveGauges() []any {
 	stats := n.archive.Index.Stats()
 	if stats.Pages == 0 {
--- a/internal/scheduler/archive_withdrawal.go
+++ b/internal/scheduler/archive_withdrawal.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// countArchived counts the archived jobs. While the archive is being withdrawn it first moves those of its first page back
-// to the journal. If this leader ends in between, the next one continues.
+// countArchived returns the number of archived jobs. While the archive's gate is being withdrawn it first moves the jobs of
+// the archive's first page back to the journal. If this leader ends before all pages are moved, the next leader continues.
 func (t termGates) countArchived(ctx context.Context, record upgrade.Record) (int, error) {
 	gate := record.Gate(upgrade.JobArchive)
 	count, err := t.scheduler.archive.Count(ctx)
@@ -24,7 +24,8 @@
 	return t.scheduler.archive.Count(ctx)
 }
 
-// restoreFirstPage moves the jobs of the first page back: into the journal, and then out of the archive.
+// restoreFirstPage moves the jobs of the archive's first page back to the journal. It removes the page only after the jobs
+// are durable in the journal.
 func (t termGates) restoreFirstPage(ctx context.Context) error {
 	page, err := t.scheduler.archive.FirstPage(ctx)
 	if err != nil || page.Upper == 0 {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -14,11 +14,11 @@
 	"sagevale/internal/upgrade"
 )
 
-// Finished jobs move from the leader's memory and the journal to the archive: the archive's page is durable first, then
-// the job's record is removed. If the leader ends in between, the job is in both places, and the next leader archives it
-// again.
+// Finished jobs move from the leader's memory and the journal to the archive. A job's record is removed from the journal
+// only after the archive's page with the job is durable. If the leader ends between the two steps, the job is in both
+// places, and the next leader archives it again.
 
-// maxArchiveBatch is how many finished jobs are passed to the archive at a time.
+// maxArchiveBatch is the largest number of finished jobs that are passed to the archive at a time.
 const maxArchiveBatch = 4096
 
 // newArchive returns the controller's archiver.
@@ -29,24 +29,27 @@
 	}, deps.Log)
 }
 
-// The messages of the archive.
+// Messages to the scheduler about the archive.
 type (
+	// archiveReadMessage is the result of reading a job's page for a user's request.
 	archiveReadMessage struct {
 		user   userMessage
 		result archive.Result
 		err    error
 	}
+	// archivedMessage is the result of archiving a batch: jobs are those that are durable in the archive.
 	archivedMessage struct {
 		jobs []archive.JobNumber
 		err  error
 	}
+	// restoreMessage requests that archived jobs be moved back to the journal.
 	restoreMessage struct {
 		entries []archive.Entry
 		reply   chan error
 	}
 )
 
-// archivedResponse is the response to a request for an archived job.
+// archivedResponse returns the response to a request for an archived job.
 func archivedResponse(id string, final archive.FinalState) api.Response {
 	state := api.StateDone
 	if final.Cancelled {
@@ -55,8 +58,8 @@
 	return api.Response{Code: api.CodeOK, ID: id, State: state, Done: final.Done}
 }
 
-// archived answers a request from the archive's pages in memory, if they hold the job. Followers may do so too,
-// because archived states are final.
+// archived returns the response to a request for a job that the archive's pages in memory contain; otherwise ok is
+// false. Followers may send this response too, because archived states are final.
 func (n *Node) archived(req api.Request) (a api.Response, ok bool) {
 	number, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
@@ -66,9 +69,9 @@
 	return archivedResponse(req.ID, r.Final), r.Knowledge == archive.Found
 }
 
-// answerFromArchive handles a request for a job that isn't in memory. It reports whether it has answered it, or will do
-// so once the job's page has been read. It returns false if the job is known not to be archived, or if this leader may
-// not answer anyway.
+// answerFromArchive handles a request for a job that isn't in memory. It returns true if it has answered the request, or
+// will answer it once the job's page has been read. It returns false if the job is known not to be archived, or if this
+// controller isn't certain to be the leader.
 func (s *scheduler) answerFromArchive(m userMessage, now time.Time) bool {
 	number, ok := archive.ParseJobNumber(m.req.ID)
 	if !s.archiveInUse || !ok {
@@ -86,7 +89,7 @@
 	return true
 }
 
-// readArchive reads a job's page in the background, and posts the result to the scheduler.
+// readArchive reads a job's page in the background, and sends the result to the scheduler.
 func (s *scheduler) readArchive(m userMessage, number archive.JobNumber) {
 	s.background(s.settings.CallTimeout(), func(ctx context.Context) {
 		result, err := s.archive.Read(ctx, number)
@@ -94,8 +97,8 @@
 	})
 }
 
-// handleArchiveRead continues a request whose job's page was read. Only a page that was read in this term proves that a
-// job isn't archived.
+// handleArchiveRead continues a request after the page of its job has been read. Only a page that was read in this term
+// proves that a job isn't archived.
 func (s *scheduler) handleArchiveRead(m archiveReadMessage) {
 	id := m.user.req.ID
 	switch {
@@ -109,11 +112,12 @@
 	case m.result.Knowledge == archive.Damaged:
 		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
 	default:
-		m.user.reply <- api.Unavailable(id, "the archive isn't read yet")
+		m.user.reply <- api.Unavailable(id, "the archive has not been read yet")
 	}
 }
 
-// finalizeArchived makes a job final that is open in memory although it is archived: the final record wins.
+// finalizeArchived sets a job that is open in memory but also archived to its archived state, which is final and takes
+// precedence.
 func (s *scheduler) finalizeArchived(j *cluster.Job) {
 	number, ok := archive.ParseJobNumber(j.Spec.ID)
 	if !s.archiveInUse || !ok || j.Phase != storage.Open {
@@ -133,7 +137,7 @@
 	s.retire(j)
 }
 
-// compareArchive finalizes open jobs that are archived, once a term when all pages have been read.
+// compareArchive finalizes the open jobs that are archived. It does so once per term, after all pages have been read.
 func (s *scheduler) compareArchive() {
 	if !s.archiveInUse || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
@@ -144,13 +148,13 @@
 	}
 }
 
-// useArchive records that jobs may be archived from now on, or were in an earlier term. That holds for the rest of the
-// term, also if the gate is closed again.
+// useArchive sets archiveInUse once the archive's gate is marked as used: jobs may be archived from now on, or were archived
+// in an earlier term. It remains set for the rest of the term, even if the gate is closed again.
 func (s *scheduler) useArchive() {
 	s.archiveInUse = s.archiveInUse || s.gates.Gate(upgrade.JobArchive).Used
 }
 
-// archiveFinished archives finished jobs, if there are more than the journal is to keep.
+// archiveFinished archives a batch of finished jobs if the journal has more of them than it should keep.
 func (s *scheduler) archiveFinished(now time.Time) {
 	tuning := &s.settings.Tuning.Archive
 	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.Finished() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
@@ -160,10 +164,11 @@
 	s.writeToArchive(s.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
-// archiveCalls is how many calls to the key-value store archiving a batch may take, queued behind others.
+// archiveCalls is the time limit for archiving a batch, in timeouts of one call to the key-value store. It includes the
+// time for which the calls are queued behind others.
 const archiveCalls = 4
 
-// writeToArchive archives finished jobs in the background, and posts to the scheduler which of them are durable there.
+// writeToArchive archives finished jobs in the background, and sends the scheduler the jobs that are durable in the archive.
 func (s *scheduler) writeToArchive(entries []archive.Entry) {
 	s.background(archiveCalls*s.settings.CallTimeout(), func(ctx context.Context) {
 		jobs, err := s.archive.Archive(ctx, entries)
@@ -171,7 +176,7 @@
 	})
 }
 
-// handleArchived removes jobs that are archived from memory and from the journal.
+// handleArchived removes the archived jobs from memory and from the journal.
 func (s *scheduler) handleArchived(m archivedMessage) {
 	s.archiving = false
 	if m.err != nil {
@@ -193,11 +198,11 @@
 	}
 }
 
-// errArchivingInProgress: a batch of jobs is being archived.
+// errArchivingInProgress reports that jobs can't be restored because a batch of jobs is being archived.
 var errArchivingInProgress = errors.New("jobs are being archived")
 
-// restoreArchived moves archived jobs back into the journal. That has to wait while a batch is being archived: its
-// completion could remove a job from the journal whose page is dropped next.
+// restoreArchived moves archived jobs back to the journal. It fails while a batch is being archived, because the completion
+// of the batch could remove a restored job from the journal just before its page is removed from the archive.
 func (s *scheduler) restoreArchived(m restoreMessage) {
 	if s.archiving {
 		m.reply <- errArchivingInProgress
@@ -205,7 +210,7 @@
 	}
 	for _, e := range m.entries {
 		if s.state.Jobs.Get(e.Number.ID()) != nil {
-			continue // its record was never removed
+			continue // the job's record was never removed from the journal
 		}
 		j := cluster.RestoredJob(e)
 		s.state.Jobs.Add(j)
@@ -215,7 +220,7 @@
 	s.onCommit(func(err error) { m.reply <- err })
 }
 
-// trackFinished adds a job to those that may be archived.
+// trackFinished adds a job to the finished jobs that may be archived, if archiving is enabled.
 func (s *scheduler) trackFinished(j *cluster.Job) {
 	if s.settings.Tuning.Archive.Enabled {
 		s.state.Jobs.TrackFinished(j)
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -14,25 +14,26 @@
 )
 
 // Delegation of lease renewals. The leader delegates to its peers the right to renew the leases of the workers in their
-// zones while they can't reach it: while their zone is partitioned, or in the seconds between two leaders.
+// zones. A peer uses this right while it can't reach a leader: while its zone is partitioned, or in the seconds between
+// two leaders.
 //
 // A delegation lasts as long as the leader itself may renew leases without the key-value store, for the same reason: a
-// successor may confirm the cancellation of a job without reaching its workers. The job's tasks must be gone within
-// cancel_s, so the last renewal must come no later than cancel_s - lease_s, less a margin, after the last contact with
-// the leader. Workers that still have to stop tasks of a cancelled job are excluded, and a delegated renewal carries no
-// commands.
+// successor may confirm the cancellation of a job without reaching the job's workers. The job's tasks must be gone within
+// cancel_s, so the last renewal must happen at most cancel_s - lease_s, less a margin, after the last contact with the
+// leader. Workers that still have to stop tasks of a cancelled job are excluded from the delegation, and a delegated
+// renewal carries no commands.
 //
-// The leader takes what it has delegated into account before it declares a machine empty: see delegatedLeaseBound.
+// The leader takes its delegations into account before it declares a machine empty: see delegatedLeaseBound.
 
-// delegation is the right to renew leases for a limited time.
+// delegation is a leader's permission for this controller to renew workers' leases for a limited time.
 type delegation struct {
-	tokens   fencing.Tokens // of the leader that granted it
+	tokens   fencing.Tokens // the fencing tokens of the leader that granted it
 	until    time.Time
-	excluded []int
+	excluded []int // machines whose leases may not be renewed
 }
 
-// refreshDelegation adopts the latest delegation in the statuses of the peers. It stays valid when the peer that granted
-// it has ended or restarted.
+// refreshDelegation adopts the latest delegation in the peers' statuses. A delegation remains valid after the process that
+// granted it has ended or restarted.
 func (f *forwarder) refreshDelegation() {
 	for _, p := range f.settings.Peers {
 		w, ok := f.node.deps.Peers.Status(p.Name)
@@ -46,12 +47,12 @@
 	}
 }
 
-// answerDelegated answers a heartbeat that no leader has answered.
+// answerDelegated answers a heartbeat on which no leader has decided.
 func (f *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- f.decideDelegated(p, now)
 }
 
-// decideDelegated renews the lease of a worker if the delegation allows that.
+// decideDelegated renews a worker's lease if the delegation allows it. Otherwise it returns a busy response.
 func (f *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
 	f.refreshDelegation()
 	r, known, grant := p.report, f.workers[p.report.Machine], &f.delegation
@@ -60,17 +61,18 @@
 		slices.Contains(grant.excluded, r.Machine), f.isolated():
 		return worker.HeartbeatResponse{Busy: true}
 	case p.digest != known.digest && f.mayRedirect(known, now):
-		// Its state has changed, which only a leader can act on. Another controller may reach one.
+		// The worker's state has changed, and only a leader can act on the change. Another controller may reach a leader.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	// Marked before the worker is answered: no leader may learn of this later than the worker.
+	// The renewal is recorded before the worker is answered, so that the status sent to a leader never omits a renewal
+	// that the worker has already received.
 	f.lastDelegated.Mark(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
-// isolated reports whether this controller alone seems to be cut off: it reaches neither the key-value store nor a peer,
-// but the load balancer still probes it. Then its workers should go to the other controllers.
+// isolated reports whether only this controller seems to be cut off: it reaches neither the key-value store nor a peer, but
+// the load balancer still probes it. In that case its workers should try the other controllers.
 func (f *forwarder) isolated() bool {
 	if len(f.settings.Peers) == 0 || f.node.storeReachable() {
 		return false
@@ -83,29 +85,30 @@
 	return f.lastProbe.Since(math.MaxInt64) < probeMissed
 }
 
-// probeMissed is how long after the load balancer's last probe this controller still counts as in its reach. It probes
-// once a second.
+// probeMissed is the time after the load balancer's last probe for which the load balancer still counts as connected to
+// this controller. It probes once a second.
 const probeMissed = 5 * time.Second / 2
 
-// mayRedirect reports whether a worker can try all other controllers without success and be back here within its lease.
+// mayRedirect reports whether a worker has enough of its lease left to try all other controllers without success and then
+// return to this one.
 func (f *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
 	round := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
 	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
-// delegationTerms are what delegations depend on. They are immutable, and published by the scheduler.
+// delegationTerms are the conditions of the leader's delegations. They are immutable, and the scheduler publishes them.
 type delegationTerms struct {
-	at         time.Time // as of when excluded is complete
-	renewUntil time.Time
-	excluded   map[string][]int // by zone
+	at         time.Time // the time for which excluded is complete
+	renewUntil time.Time // the time until which the leader may renew leases
+	excluded   map[string][]int // machines with tasks of cancelled jobs, by zone
 }
 
 // delegator grants the leader's delegations. Its methods may be called from any goroutine.
 type delegator struct {
 	renewalGrace time.Duration
 	terms        atomic.Pointer[delegationTerms]
-	until        map[string]*atomic.Int64 // the latest end of any delegation to each peer, in ns after began
-	zones        map[string]string
+	until        map[string]*atomic.Int64 // by peer: the latest end of any delegation to it, in ns after began
+	zones        map[string]string // by peer
 	began        time.Time
 }
 
@@ -117,7 +120,8 @@
 	return l
 }
 
-// delegate returns for how long a peer may renew leases itself, counted from its request, and the excluded machines.
+// delegate returns for how long a peer may renew leases itself, counted from when it sent its request, and the machines
+// whose leases it may not renew.
 func (l *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
 	p, until := l.terms.Load(), l.until[peer]
@@ -131,8 +135,8 @@
 	if !now.Before(end) {
 		return 0, nil
 	}
-	// Recorded before it is sent. Each peer sends one request at a time, but a repeated one may come late: the latest
-	// end counts.
+	// The end of the delegation is recorded before the response is sent. Each peer sends one request at a time, but a
+	// repeated request may arrive late, so the latest end is kept.
 	for sinceBegan := int64(end.Sub(l.began)); ; {
 		old := until.Load()
 		if old >= sinceBegan || until.CompareAndSwap(old, sinceBegan) {
@@ -142,7 +146,7 @@
 	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
 }
 
-// delegatedUntil is the latest time at which a peer may renew leases; zero: nothing was delegated to it.
+// delegatedUntil returns the latest time at which a peer may renew leases, or zero if it was granted no delegation.
 func (l *delegator) delegatedUntil(peer string) time.Time {
 	if v := l.until[peer].Load(); v != 0 {
 		return l.began.Add(time.Duration(v))
@@ -150,11 +154,12 @@
 	return time.Time{}
 }
 
-// delegationPerHeartbeat is the age limit of published delegation terms, in heartbeat intervals. Delegations count from
-// the time of the terms.
+// delegationPerHeartbeat is the age from which the published delegation terms are replaced, in heartbeat intervals. The
+// duration of a delegation counts from the time of its terms, so old terms shorten it.
 const delegationPerHeartbeat = 0.02
 
-// publishDelegation renews the delegation terms.
+// publishDelegation replaces the published delegation terms unless they are recent or leadership was resigned. The terms
+// exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
 	if old := s.delegator.terms.Load(); s.resigned || old != nil && now.Sub(old.at) < clock.Scale(s.settings.HeartbeatInterval, delegationPerHeartbeat) {
 		return
@@ -173,8 +178,8 @@
 	s.delegator.terms.Store(p)
 }
 
-// delegatedLeaseBound is the time by which a machine's lease has expired that this leader renewed last at
-// m.LastAcknowledged, considering that peers may have renewed it since under a delegation.
+// delegatedLeaseBound returns the time by which a machine's lease has expired for certain. This leader last renewed the
+// lease at m.LastAcknowledged, but peers may have renewed it since then under a delegation.
 func (s *scheduler) delegatedLeaseBound(m *cluster.Machine) time.Time {
 	end := m.LastAcknowledged.Add(s.settings.LeaseBound())
 	for i := range s.peerRenewals {
@@ -182,7 +187,8 @@
 		if !renewals.covers(m) {
 			continue
 		}
-		// The latest renewal that is known. The second pass adds those that the peer may have made since its status.
+		// This pass considers the renewals that the peers' statuses report. The second pass adds the renewals that a peer
+		// may have made after its latest status.
 		if b := renewals.last.Add(s.settings.LeaseBound()); !renewals.last.IsZero() && b.After(end) {
 			end = b
 		}
@@ -198,20 +204,21 @@
 	return end
 }
 
-// peerRenewals is what is known of a peer's renewals under this leader's delegations.
+// peerRenewals bounds the times at which a peer has renewed leases, or may renew them, under this leader's delegations.
 type peerRenewals struct {
 	zone  string
-	until time.Time // latest time at which it may renew
-	last  time.Time // latest time of its last renewal before asked; zero: unknown
-	asked time.Time // when its latest status was requested
+	until time.Time // latest time at which the peer may renew leases
+	last  time.Time // latest possible time of the peer's last renewal before asked; zero if unknown
+	asked time.Time // when the peer's latest status was requested
 }
 
-// covers reports whether the peer may renew the machine's lease at all.
+// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone, and an
+// unknown zone may be any zone.
 func (s *peerRenewals) covers(m *cluster.Machine) bool {
 	return s.zone == m.Zone || s.zone == "" || m.Zone == ""
 }
 
-// updatePeerRenewals updates the renewals from the statuses of the peers, once a tick.
+// updatePeerRenewals rebuilds the peers' renewals from their latest statuses. It is called once per tick.
 func (s *scheduler) updatePeerRenewals() {
 	s.peerRenewals = s.peerRenewals[:0]
 	for _, p := range s.settings.Peers {
@@ -220,7 +227,7 @@
 			continue
 		}
 		if w, ok := s.deps.Peers.Status(p.Name); ok && w.Sent.After(s.termStarted) {
-			// A restarted process may have renewed leases until its restart.
+			// A process before the peer's last restart may have renewed leases until that restart.
 			renewals.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
 			renewals.asked = w.Sent
 		}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -12,11 +12,11 @@
 	"sagevale/internal/worker"
 )
 
-// maxListLags is after how many of the cloud's list lags a machine that isn't listed counts as gone.
+// maxListLags is the number of list lags of the cloud for which a machine must be unlisted before it counts as gone.
 const maxListLags = 4
 
-// drain cordons a machine and evicts its tasks: services and tasks that save checkpoints restart
-// elsewhere. Others may finish, unless the machine is preempted before that.
+// drain cordons a machine and evicts its tasks. Services and tasks that save checkpoints are restarted
+// elsewhere. Other tasks may finish, unless the machine will be preempted before they can.
 func (s *scheduler) drain(m *cluster.Machine, reason string) {
 	if m.DrainReason != "" || m.Terminating {
 		return
@@ -42,8 +42,8 @@
 	s.placementDue = true
 }
 
-// drainSurplus drains a machine that the autoscaler found to be surplus, unless it has got more work since. An
-// empty machine is terminated at once.
+// drainSurplus drains a machine that the autoscaler has found to be surplus, unless the machine has received more
+// attempts since then. An empty machine is terminated at once.
 func (s *scheduler) drainSurplus(surplus autoscaling.SurplusMachine) {
 	s.drainsRequested++
 	m := s.state.Machines.Get(surplus.Machine)
@@ -58,8 +58,8 @@
 	}
 }
 
-// handleList reconciles the machines with the cloud's list. Absence from the list alone proves nothing, because
-// the list lags: a machine is removed only once its worker lease has provably expired too.
+// handleList reconciles the machines with the cloud's list. The list lags, so absence from it doesn't prove that a
+// machine is gone: an unlisted machine is removed only once its worker lease has provably expired too.
 func (s *scheduler) handleList(machines []cloud.Machine) {
 	now := time.Now()
 	s.machinesListed = true
@@ -75,7 +75,8 @@
 	}
 }
 
-// updateListed updates a machine from its entry in the cloud's list. Terminated machines are still listed for a while.
+// updateListed updates a machine from its entry in the cloud's list. It ignores terminated machines, which remain in
+// the list for a while.
 func (s *scheduler) updateListed(listed cloud.Machine, now time.Time) {
 	m := s.state.Machines.Get(listed.ID)
 	if m == nil {
@@ -104,7 +105,7 @@
 	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.provenEmptyAt(m))
 }
 
-// removeMachine forgets a machine that no longer exists, with the attempts on it.
+// removeMachine removes a machine that no longer exists, and the attempts on it.
 func (s *scheduler) removeMachine(id int, reason string) {
 	m := s.state.Machines.Get(id)
 	if m == nil {
@@ -119,7 +120,7 @@
 	s.placementDue = true
 }
 
-// handleLaunched adds the machines of a completed launch, which may not be listed for a while yet.
+// handleLaunched adds the machines of a completed launch, which may not appear in the cloud's list yet.
 func (s *scheduler) handleLaunched(msg launchedMessage) {
 	now := time.Now()
 	for _, id := range msg.machines {
@@ -138,8 +139,8 @@
 	s.placementDue = true
 }
 
-// terminateMachines has the cloud delete machines, once that decision is durable. It can't be revoked, because
-// the cloud may carry out a deletion late.
+// terminateMachines requests that the cloud delete machines, once that decision is durable. The decision can't be
+// revoked, because the cloud may carry out a deletion late.
 func (s *scheduler) terminateMachines(ids []int) {
 	if len(ids) == 0 {
 		return
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -13,20 +13,20 @@
 	"sagevale/internal/worker"
 )
 
-// Every worker's heartbeat passes the forwarder of the controller that it reaches. The forwarder passes it to the leader:
-// to the scheduler of its own controller, in batches over the peer link, or through the relay if only the key-value store
-// reaches the leader. The worker always gets the leader's own response under the leader's token, so leases count from the
-// leader's responses. Only while no leader can be reached the forwarder responds itself, within the last leader's
-// delegation: see delegation.go.
+// The forwarder of a controller receives the workers' heartbeats that arrive at the controller, and forwards each to the
+// leader. If its own controller leads it calls the scheduler. Otherwise it sends batches over the peer link, or uses the
+// relay if the leader can be reached only through the key-value store. The worker gets the leader's own response under the
+// leader's fencing token, so leases count from the leader's responses. Only while no leader can be reached does the
+// forwarder renew leases itself, within the limits of the last leader's delegation: see delegation.go.
 
 const (
-	// maxBatchReports is how many heartbeats one batch for the leader holds.
+	// maxBatchReports is the largest number of heartbeats in one batch for the leader.
 	maxBatchReports = 128
-	// workerMemoryLeases is how long a silent worker is remembered, in worker leases.
+	// workerMemoryLeases is the number of worker leases after which the record of a silent worker is deleted.
 	workerMemoryLeases = 2
 )
 
-// forwarder is the actor that receives the heartbeats that reach this controller.
+// forwarder is the actor that receives the heartbeats sent to this controller and forwards them to the leader.
 type forwarder struct {
 	node          *Node
 	settings      *config.Settings
@@ -34,24 +34,24 @@
 	decided       chan decidedBatch
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
-	pending       []pendingReport // the next batch
-	leader        string          // to which the next batch goes
-	flush         <-chan time.Time
+	pending       []pendingReport // the batch that is being filled for the leader
+	leader        string          // the controller to which the pending batch will be sent
+	flush         <-chan time.Time // fires when the pending batch has to be sent; nil while there is none
 	affinity      affinity
 	delegation    delegation
-	lastHeartbeat clock.AtomicTime // when the last heartbeat arrived here
+	lastHeartbeat clock.AtomicTime // when a heartbeat last arrived at this controller
 	lastDelegated clock.AtomicTime // when this controller last renewed a lease under a delegation
-	lastProbe     clock.AtomicTime // when the load balancer last probed
-	requests      sync.WaitGroup   // goroutines of decide, which run awaits
+	lastProbe     clock.AtomicTime // when the load balancer last probed this controller
+	requests      sync.WaitGroup   // the goroutines that run decide; run waits for them
 }
 
-// knownWorker is what is remembered of a worker that sends its heartbeats here.
+// knownWorker is the forwarder's record of a worker that sends its heartbeats to this controller.
 type knownWorker struct {
 	incarnation, seq uint64
-	digest           uint64    // of the last heartbeat that the leader accepted
-	lastAcknowledged time.Time // when its lease was last renewed
+	digest           uint64    // digest of the last heartbeat that the leader accepted
+	lastAcknowledged time.Time // when the worker's lease was last renewed through this controller
 	lastSeen         time.Time
-	redirected       time.Time // when it was last sent to another controller
+	redirected       time.Time // when the worker was last redirected to another controller
 }
 
 // pendingReport is a heartbeat that waits for its response.
@@ -61,10 +61,10 @@
 	reply  chan worker.HeartbeatResponse
 }
 
-// heartbeatRequest has a leader answer heartbeats; without responses it decided on none.
+// heartbeatRequest requests a leader's responses to heartbeats. It returns nil if no leader decided on them.
 type heartbeatRequest func(context.Context, []*worker.Report) []worker.HeartbeatResponse
 
-// decidedBatch is a batch with the responses of the leader; without responses no leader decided on it.
+// decidedBatch is a batch with the leader's responses. There are no responses if no leader decided on the batch.
 type decidedBatch struct {
 	reports   []pendingReport
 	responses []worker.HeartbeatResponse
@@ -77,8 +77,8 @@
 	}
 }
 
-// heartbeat returns the response to a worker's heartbeat. It may be called from any goroutine. A full queue is answered at
-// once.
+// heartbeat returns the response to a worker's heartbeat. It may be called from any goroutine. If the forwarder's queue is
+// full it returns a busy response at once.
 func (f *forwarder) heartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse {
 	p := pendingReport{report: r, reply: make(chan worker.HeartbeatResponse, 1)}
 	select {
@@ -100,7 +100,7 @@
 	defer sweep.Stop()
 	refresh := time.NewTicker(f.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
-	defer f.requests.Wait() // ctx ends them
+	defer f.requests.Wait() // they end when ctx does
 	for {
 		select {
 		case <-ctx.Done():
@@ -119,7 +119,7 @@
 	}
 }
 
-// sweep forgets the workers whose heartbeats no longer arrive here.
+// sweep deletes the records of workers whose heartbeats no longer arrive at this controller.
 func (f *forwarder) sweep(now time.Time) {
 	for id, known := range f.workers {
 		if now.Sub(known.lastSeen) > workerMemoryLeases*f.settings.WorkerLease {
@@ -128,7 +128,7 @@
 	}
 }
 
-// accept redirects a worker, or passes its heartbeat on towards the leader.
+// accept redirects a worker to another controller, or forwards its heartbeat to the leader.
 func (f *forwarder) accept(ctx context.Context, p pendingReport) {
 	now := time.Now()
 	f.lastHeartbeat.Mark(now)
@@ -152,7 +152,7 @@
 	case leader == "" || leader == f.settings.NodeName:
 		f.answerDelegated(p, now)
 	case f.node.deps.Peers.UnreachableFor(leader) > 0:
-		// Redirecting the worker to an unreachable leader would cost it seconds of its lease.
+		// The relay is used because a redirection to an unreachable leader would cost the worker seconds of its lease.
 		f.startDecide(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
 	default:
 		f.enqueue(ctx, p, leader)
@@ -173,7 +173,7 @@
 	}
 }
 
-// send sends the batch to the leader.
+// send sends the pending batch to the leader.
 func (f *forwarder) send(ctx context.Context) {
 	batch, leader := f.pending, f.leader
 	f.pending, f.flush = nil, nil
@@ -188,7 +188,7 @@
 	}
 }
 
-// startDecide runs decide in a goroutine of its own.
+// startDecide runs decide in a new goroutine.
 func (f *forwarder) startDecide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	f.requests.Add(1)
 	go func() { //nolint:modernize // requests.Go would allocate for each heartbeat
@@ -197,7 +197,7 @@
 	}()
 }
 
-// decide requests the responses to a batch and returns them to the actor.
+// decide requests the leader's responses to a batch, and sends them to the forwarder's goroutine.
 func (f *forwarder) decide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
@@ -211,7 +211,7 @@
 	}
 }
 
-// handleDecided passes the leader's responses on to the workers. Heartbeats that no leader decided on may be answered under
+// handleDecided answers the workers with the leader's responses. Heartbeats that no leader decided on may be answered under
 // a delegation.
 func (f *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
@@ -228,12 +228,12 @@
 	}
 }
 
-// stale reports whether a heartbeat is a late copy of one that was answered already.
+// stale reports whether a heartbeat is no newer than the last one that was accepted, as late copies are.
 func (known *knownWorker) stale(r *worker.Report) bool {
 	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
 
-// digest is a hash of the state in a heartbeat, without its number.
+// digest returns a hash of the worker's state in a heartbeat. It excludes the sequence number.
 func (f *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
 	h.SetSeed(f.seed)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,17 +9,17 @@
 	"sagevale/internal/worker"
 )
 
-// Gang scheduling: a gang's tasks run at the same time or not at all. The workers find each other by the number of the
-// attempt, so all tasks of one attempt share it. Resources of all of them are durably reserved before any is started.
-// Until the gang runs, a task that is lost is replaced under the same number. After that a loss ends the attempt, and
-// the next one begins once every task of it is proved to be gone.
+// Gang scheduling: the tasks of a gang run at the same time or not at all. The workers find each other by the attempt
+// number, so all tasks of one attempt of the gang share it. Resources for all tasks are durably reserved before any task
+// is started. Until the gang runs, a lost task is replaced under the same attempt number. After that a loss ends the
+// attempt, and the next attempt begins once every task of the ended one is proved to be gone.
 
-// gatherPatience is the part of the settings' GangWait for which the others wait for a task before it is started
-// elsewhere. The replacement has the rest of it to come.
+// gatherPatience is the share of GangWait for which the other tasks of a gang wait for a stalled task before it is
+// restarted on another machine. The replacement has the rest of GangWait to start.
 const gatherPatience = 0.4
 
-// gangTaskLost handles the loss of a gang's task. The other tasks of an attempt that ran are stopped at once, because
-// its progress since the last checkpoint is lost.
+// gangTaskLost handles the loss of a gang's task. If the attempt has run, its other tasks are stopped at once, because the
+// attempt's progress since the last checkpoint is lost.
 func (s *scheduler) gangTaskLost(a *cluster.Attempt) {
 	j := a.Job
 	if len(j.Attempts) == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// abortGang ends what is left of a gang's attempt.
+// abortGang stops the remaining tasks of a gang's attempt without a grace period.
 func (s *scheduler) abortGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && (!a.Stopping || a.GraceSeconds > 0) {
@@ -51,8 +51,9 @@
 	s.sendGangStops(j)
 }
 
-// stopGang stops all tasks of a gang so that it saves a checkpoint. That takes all of them to be told within
-// gang_peer_s of the first: by direct commands, repeated in the responses to heartbeats.
+// stopGang stops all tasks of a gang with time to save a checkpoint. The checkpoint succeeds only if all tasks receive
+// their stop within gang_peer_s of the first one, so the stops are sent as direct commands and are repeated in the
+// responses to heartbeats.
 func (s *scheduler) stopGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && !a.Stopping {
@@ -62,7 +63,7 @@
 	s.sendGangStops(j)
 }
 
-// sendGangStops sends the workers of a gang's tasks their stops directly.
+// sendGangStops sends stop commands directly to the workers that run a gang's tasks.
 func (s *scheduler) sendGangStops(j *cluster.Job) {
 	commanded := make(map[*cluster.Machine]bool)
 	for _, a := range j.GangAttempts() {
@@ -73,7 +74,7 @@
 	}
 }
 
-// completeGang marks all tasks of a gang as done because one of them is: they complete together.
+// completeGang marks all tasks of a gang as done when one of them is done, because they complete together.
 func (s *scheduler) completeGang(j *cluster.Job) {
 	for i := range j.Tasks {
 		j.SetTask(i, cluster.TaskDone)
@@ -83,9 +84,10 @@
 	}
 }
 
-// drainGang handles a gang's task on a draining machine. It may finish, unless the machine is preempted before that:
-// then it is replaced if its gang hasn't run yet, and else the gang saves a checkpoint if there is time for that.
-// Without the time it runs on, because it may still reach its next checkpoint.
+// drainGang handles a gang's task on a draining machine. If the machine won't be preempted, the task may finish. Otherwise
+// a task whose gang hasn't run yet is stopped and replaced. A gang that has run and can't finish before the preemption is
+// stopped to save a checkpoint, if there is time for that and all its workers are reachable. If not, it continues to run,
+// because it may still reach its next checkpoint.
 func (s *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if m.PreemptionAt.IsZero() {
@@ -105,8 +107,8 @@
 	}
 }
 
-// replaceStalledGangTasks restarts elsewhere the tasks that keep the others of their gang waiting, on machines that
-// hang or pull an image for too long.
+// replaceStalledGangTasks stops gang tasks that have kept the other tasks of their gang waiting for too long, because
+// their machine hangs or is slow to pull an image. They are restarted on other machines.
 func (s *scheduler) replaceStalledGangTasks(now time.Time) {
 	patience := clock.Scale(s.settings.GangWait, gatherPatience)
 	for _, j := range s.state.Jobs.Open {
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// mayUse reports whether something new may depend on a gate. An open gate is marked as used before anything depends on it,
-// so that no version without the feature can lead from then on.
+// mayUse reports whether something new may depend on a gate. If the gate is open but not yet marked as used, mayUse requests
+// the mark. The mark precedes any use, so that a version without the feature can no longer become the leader.
 func (s *scheduler) mayUse(name upgrade.GateName) bool {
 	gate := s.gates.Gate(name)
 	if gate.Phase == upgrade.GateOpen && !gate.Used {
@@ -22,23 +22,23 @@
 	return gate.Usable()
 }
 
-// gateWaiter is a submission that waits for the use of a gate to be durable.
+// gateWaiter is a submission that waits until a gate is durably marked as used.
 type gateWaiter struct {
 	msg   userMessage
 	since time.Time
 }
 
-// awaitGate has a submission wait until the use of an open gate is durable, as it would wait for a commit. If the gate is
-// closed its user is told at once to retry.
+// awaitGate adds a submission to those that wait until an open gate is durably marked as used, as submissions wait for a
+// commit. If the gate isn't open it responds at once that the user has to retry.
 func (s *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
 	if s.gates.Gate(name).Phase != upgrade.GateOpen {
-		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
+		m.reply <- api.Unavailable(m.req.ID, "not all controllers are known to support a feature that the job needs")
 		return
 	}
 	s.gateWaiters = append(s.gateWaiters, gateWaiter{m, now})
 }
 
-// setGates updates the gates in force, and handles the submissions that waited for them.
+// setGates updates the gates in force, and handles the submissions that wait for gates again.
 func (s *scheduler) setGates(record upgrade.Record) {
 	s.gates = record
 	s.useArchive()
@@ -49,13 +49,13 @@
 		kept := len(s.gateWaiters)
 		s.handleUser(w.msg)
 		if len(s.gateWaiters) > kept {
-			s.gateWaiters[kept].since = w.since // it keeps waiting
+			s.gateWaiters[kept].since = w.since // the submission waits again: its time limit isn't extended
 		}
 	}
 }
 
-// failGateWaiters tells users to retry who have waited for a gate for too long, or all of them if this controller isn't
-// certainly the leader.
+// failGateWaiters responds to the submissions that have waited too long for a gate that their users have to retry. It
+// responds so to all waiting submissions if this controller isn't certain to be the leader.
 func (s *scheduler) failGateWaiters(now time.Time) {
 	s.gateWaiters = slices.DeleteFunc(s.gateWaiters, func(w gateWaiter) bool {
 		late := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
@@ -66,7 +66,7 @@
 	})
 }
 
-// encodingOf is the encoding that the journal may write under a cluster record.
+// encodingOf returns the encoding that the journal may write under a cluster record.
 func encodingOf(record upgrade.Record) storage.Encoding {
 	gate := record.Gate(upgrade.CompressedChunks)
 	switch {
@@ -78,23 +78,24 @@
 	return storage.PlainOnly
 }
 
-// errTermEnded: the leader's actors have stopped.
+// errTermEnded reports that the actors of the leader's term have stopped.
 var errTermEnded = errors.New("the term has ended")
 
-// termGates publishes the gates in force to one term's actors. Each confirms them before uses are counted, so that no use
-// is missed. It implements upgradecontrol.GateUsers.
+// termGates publishes the gates in force to the actors of one term. Each actor applies them before the uses of gates are
+// counted, so that no use is missed. termGates implements upgradecontrol.GateUsers.
 type termGates struct {
 	scheduler *scheduler
 	journal   *storage.Journal
 }
 
-// PublishGates has the term's actors go by a cluster record.
+// PublishGates sends a cluster record to the term's actors, and returns once they apply its gates.
 func (t termGates) PublishGates(ctx context.Context, record upgrade.Record) error {
 	_, err := t.publish(ctx, record)
 	return err
 }
 
-// publish returns what the scheduler knows to depend on gates, once it goes by the record.
+// publish sends a cluster record to the journal and the scheduler. It returns the scheduler's uses of gates as of when the
+// scheduler applied the record.
 func (t termGates) publish(ctx context.Context, record upgrade.Record) (gateUses, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
@@ -109,7 +110,7 @@
 	}
 }
 
-// CountGateUses publishes a cluster record and then counts what depends on each gate.
+// CountGateUses publishes a cluster record, and then counts the uses of each gate.
 func (t termGates) CountGateUses(ctx context.Context, record upgrade.Record) (upgrade.Usage, error) {
 	uses, err := t.publish(ctx, record)
 	if err != nil {
@@ -129,24 +130,24 @@
 	if uses.archive {
 		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
 	}
-	if uses.archiving { // the batch may not be counted yet
+	if uses.archiving { // the count may not include the batch yet
 		usage[upgrade.JobArchive]++
 	}
 	return usage, err
 }
 
-// gatesMessage is a change of the gates in force.
+// gatesMessage is a change of the gates in force. The scheduler replies with its uses of gates after the change.
 type gatesMessage struct {
 	record upgrade.Record
 	reply  chan gateUses
 }
 
-// gateUses is what the scheduler knows to depend on gates.
+// gateUses contains the uses of gates by the scheduler's state.
 type gateUses struct {
-	openGangs  int
+	openGangs  int  // gang jobs that are open or still have attempts
 	archive    bool // jobs may be archived, so the archive has to be counted
 	archiving  bool // a batch of jobs is being archived
-	lifecycles int  // records of services that scale to zero
+	lifecycles int  // lifecycle records of services that scale to zero
 }
 
 func (m gatesMessage) handle(s *scheduler) {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -27,14 +27,14 @@
 	"sagevale/internal/worker"
 )
 
-// writeShare is the journal's request timeout as a share of the leader's lease. Responses usually come within a tenth of
-// that, and retries are idempotent.
+// writeShare is the journal's request timeout as a share of the leader's lease. Responses usually arrive within a tenth of
+// this timeout, and retries are idempotent.
 const writeShare = 0.2
 
-// roleQueue is how many changes of the role may wait to be followed.
+// roleQueue is the number of role changes that may wait to be handled by follow.
 const roleQueue = 16
 
-// Dependencies are the external systems that a node speaks to, and its sources of log and chance.
+// Dependencies are the external systems that a node communicates with, its logger and its random number generator.
 type Dependencies struct {
 	State   storage.KeyValueStore
 	Cloud   autoscaling.Cloud
@@ -44,8 +44,8 @@
 	Rand    *rand.Rand
 }
 
-// Node is one controller: it follows or leads, and answers users and workers. Its methods may be called from any
-// goroutine.
+// Node is one controller: it is the leader or a follower, and answers users and workers. Its methods may be called from
+// any goroutine.
 type Node struct {
 	settings     *config.Settings
 	deps         Dependencies
@@ -56,16 +56,16 @@
 	limitTracker *storage.LimitTracker
 	archive      *archive.Archiver
 	roles        chan leadership.Role
-	view         atomic.Pointer[view] // published by the node's own goroutine
+	view         atomic.Pointer[view] // replaced only by the goroutine of follow
 }
 
-// view is what request handlers need to know. It is immutable and replaced as a whole.
+// view contains the state that request handlers use. It is immutable and replaced as a whole.
 type view struct {
 	role      leadership.Role
-	scheduler *scheduler // only while leading with the state loaded
+	scheduler *scheduler // nil unless this controller leads and the state is loaded
 }
 
-// NewNode returns a controller; Run starts it.
+// NewNode returns a controller, which Run starts.
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
@@ -101,7 +101,8 @@
 	return g.Wait()
 }
 
-// follow begins a term when this controller becomes the leader, and ends it when it no longer is.
+// follow handles the changes of this controller's role: it begins a term when the controller becomes the leader, and ends
+// the term when the controller is no longer the leader.
 func (n *Node) follow(ctx context.Context) {
 	var terms sync.WaitGroup
 	var end context.CancelFunc
@@ -123,7 +124,7 @@
 		case d := <-loaded:
 			cur := n.view.Load()
 			if end == nil || !cur.role.Leading || cur.role.Term != d.term {
-				continue // it belongs to a term that is over
+				continue // the scheduler belongs to a term that has ended
 			}
 			leading, role = d, cur.role
 		case role = <-n.roles:
@@ -141,7 +142,7 @@
 	}
 }
 
-// publish replaces the view of the request handlers, and tells the scheduler its role.
+// publish replaces the view of the request handlers, and sends the role to the term's scheduler if there is one.
 func (n *Node) publish(role leadership.Role, leading *scheduler) {
 	if leading != nil && leading.term != role.Term {
 		leading = nil
@@ -152,8 +153,8 @@
 	}
 }
 
-// term is a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
-// term's scheduler to loaded once it may be used.
+// term runs a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
+// term's scheduler to loaded once the scheduler may be used.
 func (n *Node) term(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
 	log := n.deps.Log.With("term", role.Term)
 	s, err := n.loadState(ctx, role, log)
@@ -167,7 +168,7 @@
 	n.runTerm(ctx, role, s, loaded, log)
 }
 
-// loadState reads the journal under a new leader's guard, and returns a scheduler with the cluster state.
+// loadState reads the journal under the new leader's guard, and returns a scheduler with the cluster state.
 func (n *Node) loadState(ctx context.Context, role leadership.Role, log *slog.Logger) (*scheduler, error) {
 	started := time.Now()
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
@@ -186,10 +187,10 @@
 	return s, nil
 }
 
-// runTerm runs the actors of a term until one fails or ctx ends.
+// runTerm runs the actors of a term until one fails or ctx ends. It sends the term's scheduler to loaded once they run.
 func (n *Node) runTerm(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
 	g, gctx := errgroup.WithContext(ctx)
-	// All of the scheduler's links to other actors are set before any of them runs.
+	// All references from the scheduler to other actors are set before any actor runs.
 	background, waitForCalls := backgroundCalls(gctx)
 	defer waitForCalls()
 	s.background = background
@@ -218,20 +219,20 @@
 	n.endTerm(role.Term, err, log)
 }
 
-// endTerm gives up the leadership of a term whose actors ended with an error.
+// endTerm resigns the leadership of a term whose actors have ended with an error, unless they were cancelled.
 func (n *Node) endTerm(term uint64, err error, log *slog.Logger) {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
 		return
 	case errors.Is(err, storage.ErrLeadershipLost):
-		log.Info("term ended", "error", err) // expected: there is a successor, or will be one
+		log.Info("term ended", "error", err) // expected: another controller leads or will lead
 	default:
 		log.Error("term ended", "error", err)
 	}
 	n.resign(term)
 }
 
-// beginArchive has the archive's pages read for a term, if there may be any.
+// beginArchive starts to read the archive's pages for a term, if the archive is enabled or may contain pages.
 func (n *Node) beginArchive(ctx context.Context, s *scheduler, role leadership.Role) {
 	s.archive = n.archive
 	if s.archiveInUse || n.settings.Tuning.Archive.Enabled {
@@ -239,12 +240,12 @@
 	}
 }
 
-// resign has the election give up the leadership of a term, if it still holds it.
+// resign makes the election give up the leadership of a term, if this controller still holds it.
 func (n *Node) resign(term uint64) {
 	n.election.Resign(leadership.Resignation{Term: term})
 }
 
-// Role describes what this controller does at present, for operators.
+// Role returns this controller's present role, for operators.
 func (n *Node) Role() string {
 	v := n.view.Load()
 	switch {
@@ -258,9 +259,11 @@
 	return "without a leader"
 }
 
-// Ready reports whether the load balancer should send users here: not if there is a leader that this controller can't
-// reach, and not if it is neither certainly the leader nor reaches any other controller. While nobody leads, all
-// controllers that reach each other are as good. Each call also shows that this controller isn't cut off from users.
+// Ready reports whether the load balancer should send users to this controller. It returns true if this controller is
+// certain to be the leader. If another controller is the leader, Ready returns false once that one has been unreachable for
+// longer than a leader lease. While no other leader is known, Ready returns true if this controller reaches any peer, or
+// has none: all controllers that reach each other then serve users equally well. Each call also records that the load
+// balancer reaches this controller.
 func (n *Node) Ready() bool {
 	n.forwarder.lastProbe.Mark(time.Now())
 	v := n.view.Load()
@@ -279,8 +282,9 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader returns the leader that this controller knows of, or that its peers tell of if that has a later term: this
-// controller alone may have lost the key-value store.
+// leader returns the name of the leader, or "" if none is known. If the peers' statuses name another controller as the
+// leader of a later term than this controller's role, it returns that one: perhaps only this controller has lost contact
+// with the key-value store.
 func (n *Node) leader(v *view) string {
 	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > v.role.Term && peersLeader != n.settings.NodeName {
 		return peersLeader
@@ -288,7 +292,8 @@
 	return v.role.Leader
 }
 
-// HandleUserRequest answers a user's request: itself as the leader, else from the archive or through the leader.
+// HandleUserRequest answers a user's request. The leader answers it by its scheduler. Other controllers answer it from the
+// archive's pages in memory, or forward it to the leader.
 func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
@@ -304,13 +309,14 @@
 	return n.forwardUserRequest(ctx, leader, req)
 }
 
-// forwardUserRequest has the leader answer a user's request, and drops its response if that isn't valid any more.
+// forwardUserRequest forwards a user's request to the leader. If the leader's response arrives too late to be valid, it
+// returns a response by which the user has to retry.
 func (n *Node) forwardUserRequest(ctx context.Context, leader string, req api.Request) api.Response {
 	sent := time.Now()
 	var response api.Response
 	if n.useRelay(leader) {
-		// The leader's key guarded the transaction that carried its response, so only a job's state, which polls ask
-		// for, can be outdated.
+		// The transaction with the leader's response was guarded by the leader's key, so only a job's state, which only
+		// polls request, can be outdated.
 		if response = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
 			return response
 		}
@@ -321,20 +327,20 @@
 		}
 	}
 	if response.ValidFor > 0 && !response.Final() && time.Since(sent) > clock.Scale(response.ValidFor, 1/clock.DriftBound) {
-		return api.Unavailable(req.ID, "the leader's answer came late")
+		return api.Unavailable(req.ID, "the leader's response arrived after it had expired")
 	}
 	return response
 }
 
-// storeReachable reports whether the key-value store has answered this controller lately: its election, or its relay
-// while that is in use.
+// storeReachable reports whether the key-value store has recently answered this controller's election, or its relay while
+// the relay is in use.
 func (n *Node) storeReachable() bool {
 	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
 	return since < relay.Timeout+n.settings.Tuning.LeaderLease
 }
 
-// useRelay reports whether the leader has to be reached through the key-value store: it has been unreachable for longer
-// than its lease lasts, and still holds its key.
+// useRelay reports whether requests to the leader have to be relayed through the key-value store: the leader has been
+// unreachable for longer than its lease lasts, but it still holds its key, because it is still known as the leader.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
@@ -350,7 +356,7 @@
 	return api.Unavailable(req.ID, "not the leader")
 }
 
-// status returns the status of this controller that it sends to a peer, with what it delegates to it.
+// status returns the status that this controller sends to a peer. A leader's status includes its delegation to the peer.
 func (n *Node) status(peerName string) peer.Status {
 	v := n.view.Load()
 	st := n.election.Status()
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/activation"
 )
 
-// usageIntervals is after how many usage intervals without a report a controller counts as silent.
+// usageIntervals is the number of usage intervals without a report after which a controller counts as silent.
 const usageIntervals = 2
 
 // usageMessage is a controller's usage report.
@@ -16,12 +16,12 @@
 	reply  chan activation.UsageResponse
 }
 
-// usageUndecided is the response of a controller that isn't certainly the leader.
+// usageUndecided returns the response of a controller that isn't certain to be the leader.
 func usageUndecided(reason string) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.Undecided, Reason: reason}
 }
 
-// ReportUsage tells the leader how models are used at this controller.
+// ReportUsage sends this controller's usage of the models to the leader, and returns the leader's response.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	report.Node, report.Session = n.settings.NodeName, n.election.Process()
 	v := n.view.Load()
@@ -39,7 +39,7 @@
 	return response
 }
 
-// HandleForwardedUsage answers a usage report that another controller sent.
+// HandleForwardedUsage answers a usage report that another controller has forwarded to the leader.
 func (n *Node) HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.reportUsage(ctx, report)
@@ -47,7 +47,7 @@
 	return usageUndecided("not the leader")
 }
 
-// reportUsage has the scheduler answer a usage report.
+// reportUsage sends a usage report to the scheduler and waits for its response.
 func (s *scheduler) reportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	reply := make(chan activation.UsageResponse, 1)
 	response, err := call(ctx, s, usageMessage{report, reply}, reply)
@@ -57,7 +57,7 @@
 	return response
 }
 
-// handleUsage records a controller's usage, and responds with the models that it has to drain.
+// handleUsage records a controller's usage report, and responds with the models to which the controller must stop routing.
 func (s *scheduler) handleUsage(m usageMessage) {
 	now := time.Now()
 	if !s.leaseValid(now) {
@@ -69,7 +69,7 @@
 	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.draining()}
 }
 
-// draining returns the models whose draining is durable.
+// draining returns drain orders for the models whose draining state is durable.
 func (c *activationController) draining() []activation.DrainOrder {
 	var orders []activation.DrainOrder
 	for id, s := range c.active {
@@ -80,7 +80,7 @@
 	return orders
 }
 
-// checkUsage drains a service that nobody uses, and stops one that has drained.
+// checkUsage starts to drain a service without recent requests, and stops one that has been drained.
 func (c *activationController) checkUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.unwritten > 0 {
 		return
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -12,18 +12,18 @@
 	"sagevale/internal/storage"
 )
 
-// wakeMessage is demand for a model at some controller.
+// wakeMessage is a wake request: it reports that a controller has requests for a model.
 type wakeMessage struct {
 	req   activation.WakeRequest
 	reply chan activation.WakeResponse
 }
 
-// undecided is the response of a controller that doesn't know the state of a model.
+// undecided returns the response of a controller that can't determine the state of a model.
 func undecided(reason string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.Undecided, Reason: reason}
 }
 
-// Wake tells the leader of demand for a model, and returns the state of the model.
+// Wake reports demand for a model to the leader, and returns the leader's response with the model's state.
 func (n *Node) Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	v := n.view.Load()
 	if v.scheduler != nil {
@@ -39,25 +39,25 @@
 		return undecided("leader out of reach")
 	}
 	if response.Verdict != activation.Undecided && time.Since(asked) > response.Holds+req.Wait {
-		return undecided("the leader's answer came late")
+		return undecided("the leader's response arrived after it had expired")
 	}
 	return response
 }
 
-// activationLeader returns the leader, if it is another controller that supports wake requests and usage reports, or the
-// reason why there is none. Earlier versions would misinterpret these messages.
+// activationLeader returns the name of the leader if it is another controller that supports wake requests and usage
+// reports. Otherwise it returns the reason why there is no such leader. Earlier versions would misinterpret these messages.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
 		return "", "no leader yet"
 	}
 	if status, ok := n.deps.Peers.Status(leader); !ok || status.Version < peer.VersionActivation {
-		return "", "the leader isn't known to take demand"
+		return "", "the leader is not known to support wake requests"
 	}
 	return leader, ""
 }
 
-// HandleForwardedWake answers a wake request that another controller sent.
+// HandleForwardedWake answers a wake request that another controller has forwarded to the leader.
 func (n *Node) HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.wake(ctx, req)
@@ -65,7 +65,8 @@
 	return undecided("not the leader")
 }
 
-// wake has the scheduler answer a wake request. A full mailbox is answered at once.
+// wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full it returns an
+// undecided response at once.
 func (s *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	asked := time.Now()
@@ -76,8 +77,8 @@
 	return s.withLeaseBound(response, asked)
 }
 
-// withLeaseBound limits the validity of a response to the end of the leader's lease. This process may have been paused since
-// it was decided.
+// withLeaseBound limits the validity of a response to the end of the leader's lease. The lease may already have expired,
+// because this process may have been paused since the scheduler decided the response.
 func (s *scheduler) withLeaseBound(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
 	if response.Verdict == activation.Undecided {
 		return response
@@ -90,7 +91,7 @@
 	return response
 }
 
-// handleWake handles demand for a model. It responds once the change of the service is durable.
+// handleWake handles a wake request. It responds only after the resulting change of the service's record is durable.
 func (s *scheduler) handleWake(m wakeMessage) {
 	now := time.Now()
 	j := s.state.Jobs.Get(m.req.Model)
@@ -102,7 +103,7 @@
 	case !j.Acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
 	case j.Phase != storage.Open || !j.Spec.Service:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
+		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "not a service, or the service has ended", Holds: s.settings.WakeInterval()}
 	case s.commitStalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
@@ -110,7 +111,8 @@
 	}
 }
 
-// demand applies a wake request to a service, and answers it.
+// demand applies the demand of a wake request to a service, and answers the request. If the request allows a delay, the
+// response to it is delayed while the service starts.
 func (c *activationController) demand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
@@ -132,20 +134,20 @@
 	}
 	c.host.afterJobCommit(j, func(err error) {
 		if err != nil || c.service(j) != s {
-			m.reply <- undecided("not recorded")
+			m.reply <- undecided("the demand could not be recorded")
 			return
 		}
 		m.reply <- c.response(s, time.Now())
 	})
 }
 
-// wakeWatcher is a controller that waits for a model to start.
+// wakeWatcher is a wake request whose response is delayed while the model starts.
 type wakeWatcher struct {
 	reply chan activation.WakeResponse
 	until time.Time
 }
 
-// answerWatchers answers the watchers whose time is over, and all of them once the model no longer is starting.
+// answerWatchers answers the delayed wake requests whose wait has ended, or all of them if the model is no longer starting.
 func (c *activationController) answerWatchers(s *managedService, now time.Time) {
 	if s.unwritten > 0 {
 		return
@@ -160,10 +162,10 @@
 	})
 }
 
-// alwaysRunningReason is the reason in responses about services that have no lifecycle.
+// alwaysRunningReason is the reason in responses about services that have no lifecycle record.
 const alwaysRunningReason = "runs always"
 
-// alwaysRunningResponse is the response about a service that runs without regard to demand.
+// alwaysRunningResponse returns the response about a service that runs regardless of demand.
 func (c *activationController) alwaysRunningResponse(j *cluster.Job) activation.WakeResponse {
 	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: alwaysRunningReason}
 	for _, a := range j.Attempts {
@@ -174,10 +176,10 @@
 	return response
 }
 
-// response is the response about a service with a lifecycle.
+// response returns the response about a service that has a lifecycle record.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
 	if s.damaged != nil {
-		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "its record is damaged", Holds: c.settings.WakeInterval()}
+		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "the lifecycle record of the service is damaged", Holds: c.settings.WakeInterval()}
 	}
 	response := activation.WakeResponse{
 		Verdict: activation.Known, State: s.record.State, Generation: s.record.Generation, Holds: c.settings.WakeInterval(),
