--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -16,12 +16,12 @@
 
 // managedService is a service that scales to zero, together with the leader's copy of its lifecycle record.
 type managedService struct {
-	job       *cluster.Job
-	record    activation.Record
-	damaged   json.RawMessage // the stored record if it can't be decoded, else nil
-	unwritten int             // number of changes to the record that aren't durable yet
-	wokenAt   time.Time       // when demand last started the service; zero if that wasn't in this term
-	watchers  []wakeWatcher   // controllers whose wake requests wait until the service has started
+	job           *cluster.Job
+	record        activation.Record
+	damaged       json.RawMessage // the stored record if it can't be decoded, else nil
+	pendingWrites int             // number of changes to the record that aren't durable yet
+	wokenAt       time.Time       // when demand woke the service; zero if not in this term, or once it is ready
+	waiters       []wakeWaiter    // controllers whose wake requests wait until the service has started
 	// routedUntil is the latest time at which any controller may still route requests to the replica, based on a
 	// response that it received in this term or the previous one.
 	routedUntil time.Time
@@ -42,7 +42,7 @@
 // MayPlace reports whether a replica of the service may be placed now: the wake that requires it is durable, and the
 // record doesn't require another action first.
 func (s *managedService) MayPlace(now time.Time) bool {
-	return s.damaged == nil && s.unwritten == 0 && s.record.Pending(now) == activation.Reserve
+	return s.damaged == nil && s.pendingWrites == 0 && s.record.Pending(now) == activation.Reserve
 }
 
 // replica returns the attempt whose number the record contains, or nil if there is none.
@@ -55,58 +55,58 @@
 	return nil
 }
 
-// activationHost contains the operations of the scheduler that the activation controller uses.
-type activationHost interface {
-	// recordJob schedules a write of a job's record, and calls then once the record's present value is durable, or with
+// activationScheduler contains the operations of the scheduler that the activation controller uses.
+type activationScheduler interface {
+	// recordJob schedules a write of a job's record, and calls done once the record's present value is durable, or with
 	// the error of its commit.
-	recordJob(j *cluster.Job, then func(error))
-	// afterJobCommit calls then once all scheduled writes of a job's record are durable, or with the error of their
+	recordJob(j *cluster.Job, done func(error))
+	// afterJobCommit calls done once all scheduled writes of a job's record are durable, or with the error of their
 	// commit.
-	afterJobCommit(j *cluster.Job, then func(error))
+	afterJobCommit(j *cluster.Job, done func(error))
 	// stopAttempt stops an attempt, with a grace period in which it may save a checkpoint.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
 	// sendJobStops sends stop commands for a job's stopping attempts directly to their workers.
 	sendJobStops(j *cluster.Job)
-	// placeSoon requests a round of placement at the end of the scheduler's present round.
-	placeSoon()
+	// requestPlacement requests a round of placement at the end of the scheduler's present round.
+	requestPlacement()
 	// mayUse reports whether something new may depend on a gate. It requests that an open gate be marked as used.
 	mayUse(name upgrade.GateName) bool
 }
 
-// recordJob implements activationHost.
-func (s *scheduler) recordJob(j *cluster.Job, then func(error)) {
+// recordJob implements activationScheduler.
+func (s *scheduler) recordJob(j *cluster.Job, done func(error)) {
 	s.markJob(j)
-	s.onJobCommit(j, then)
+	s.onJobCommit(j, done)
 }
 
-// afterJobCommit implements activationHost.
-func (s *scheduler) afterJobCommit(j *cluster.Job, then func(error)) { s.onJobCommit(j, then) }
+// afterJobCommit implements activationScheduler.
+func (s *scheduler) afterJobCommit(j *cluster.Job, done func(error)) { s.onJobCommit(j, done) }
 
-// placeSoon implements activationHost.
-func (s *scheduler) placeSoon() { s.placementDue = true }
+// requestPlacement implements activationScheduler.
+func (s *scheduler) requestPlacement() { s.placementDue = true }
 
 // activationController drives the lifecycles of the services that scale to zero. It acts on a change of a lifecycle record
 // only after the change is durable. Its methods may be called only from the scheduler's goroutine.
 type activationController struct {
-	tuning   *config.Activation
-	settings *config.Settings
-	host     activationHost
-	log      *slog.Logger
-	gate     upgrade.GateState
-	services map[string]*managedService // by job ID
-	active   map[string]*managedService // the services whose state may change as time passes
-	usage    *activation.Usage
-	starts   activation.StartTimes
+	tuning     *config.Activation
+	settings   *config.Settings
+	scheduler  activationScheduler
+	log        *slog.Logger
+	gate       upgrade.GateState
+	services   map[string]*managedService // by job ID
+	active     map[string]*managedService // the services whose state may change as time passes
+	usage      *activation.Usage
+	startTimes activation.StartTimes
 	// postponed holds the services that should scale to zero but have no lifecycle record, because they were accepted
 	// while the gate was closed. They run all the time until the gate is in use.
-	postponed map[string]*cluster.Job
-	removing  int  // number of lifecycle records whose removal isn't durable yet
-	resumed   bool // the term's actors run; reconcile handles the attempts of earlier terms
+	postponed       map[string]*cluster.Job
+	pendingRemovals int  // number of lifecycle records whose removal isn't durable yet
+	resumed         bool // the term's actors run; reconcile handles the attempts of earlier terms
 }
 
-func newActivationController(settings *config.Settings, gate upgrade.GateState, host activationHost, log *slog.Logger) *activationController {
+func newActivationController(settings *config.Settings, gate upgrade.GateState, sched activationScheduler, log *slog.Logger) *activationController {
 	return &activationController{
-		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, host: host, log: log,
+		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, scheduler: sched, log: log,
 		services: make(map[string]*managedService), postponed: make(map[string]*cluster.Job), active: make(map[string]*managedService),
 		usage: activation.NewUsage(settings.ControllerNames(), usageIntervals*settings.UsageInterval()),
 	}
@@ -118,12 +118,12 @@
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
 
-// uses returns the number of lifecycle records that depend on the gate.
-func (c *activationController) uses() int { return len(c.services) + c.removing }
+// uses returns the number of lifecycle records that depend on the gate, including those whose removal isn't durable yet.
+func (c *activationController) uses() int { return len(c.services) + c.pendingRemovals }
 
 // track adds a service that was just submitted. The service starts in the idle state, which is stored with the job's record.
 func (c *activationController) track(j *cluster.Job, now time.Time) {
-	c.add(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
+	c.addService(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
 // postpone adds a job to the postponed services if it should scale to zero. It runs until the gate is in use.
@@ -136,7 +136,7 @@
 // adoptPostponed creates lifecycle records for the postponed services once the gate is in use. From then on they scale to
 // zero like all other managed services.
 func (c *activationController) adoptPostponed(now time.Time) {
-	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.host.mayUse(upgrade.Activation) {
+	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.scheduler.mayUse(upgrade.Activation) {
 		return
 	}
 	for _, j := range c.postponed {
@@ -151,8 +151,8 @@
 			}
 		}
 		s := &managedService{job: j, routedUntil: now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))}
-		c.add(s)
-		c.set(s, next, "scale-to-zero enabled")
+		c.addService(s)
+		c.setRecord(s, next, "scale-to-zero enabled")
 	}
 }
 
@@ -162,8 +162,8 @@
 	return s
 }
 
-// add adds a service to the managed services, and removes it from the postponed ones.
-func (c *activationController) add(s *managedService) {
+// addService adds a service to the managed services, and removes it from the postponed ones.
+func (c *activationController) addService(s *managedService) {
 	s.job.Lifecycle = s
 	delete(c.postponed, s.job.Spec.ID)
 	c.services[s.job.Spec.ID] = s
@@ -174,10 +174,10 @@
 	record, err := activation.Decode(storage.JobKey(j.Spec.ID), raw)
 	if err != nil {
 		c.log.Error("lifecycle record damaged", "job", j.Spec.ID, "error", err)
-		c.add(&managedService{job: j, damaged: raw})
+		c.addService(&managedService{job: j, damaged: raw})
 		return
 	}
-	c.add(&managedService{job: j, record: record})
+	c.addService(&managedService{job: j, record: record})
 }
 
 // reconcile reconciles the lifecycle records with the stored attempts at the start of a term.
@@ -192,9 +192,9 @@
 		}
 		next, _ := s.record.Restore(replica, &c.tuning.Policy, now)
 		s.routedUntil = now.Add(clock.Scale(c.settings.RoutingLease(), clock.DriftBound))
-		c.set(s, next, "leader change")
+		c.setRecord(s, next, "leader change")
 	}
-	c.runUnlisted()
+	c.removeIneligibleLifecycles()
 }
 
 // resume performs the outstanding actions of all lifecycle records. It is called once the term's actors run.
@@ -202,7 +202,7 @@
 	c.resumed = true
 	for _, s := range c.services {
 		if s.damaged == nil {
-			c.act(s, now)
+			c.performPendingAction(s, now)
 		}
 	}
 }
@@ -210,30 +210,31 @@
 // setGate updates the gate's state. Unless the gate is open, every service is started and then runs all the time.
 func (c *activationController) setGate(gate upgrade.GateState) {
 	c.gate = gate
-	c.runUnlisted()
+	c.removeIneligibleLifecycles()
 }
 
-// runUnlisted removes the lifecycle records of the services that should no longer scale to zero, so that they always run.
-func (c *activationController) runUnlisted() {
+// removeIneligibleLifecycles removes the lifecycle records of the services that should no longer scale to zero, so that they
+// always run.
+func (c *activationController) removeIneligibleLifecycles() {
 	for _, s := range c.services {
 		if c.gate.Phase != upgrade.GateOpen || !c.scalesToZero(&s.job.Spec) {
-			c.runAlways(s)
+			c.removeLifecycle(s)
 		}
 	}
 }
 
-// runAlways removes a service's lifecycle record, so that it runs all the time like any other service.
-func (c *activationController) runAlways(s *managedService) {
+// removeLifecycle removes a service's lifecycle record, so that it runs all the time like any other service.
+func (c *activationController) removeLifecycle(s *managedService) {
 	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
 	c.release(s.job)
 	c.postpone(s.job)
-	c.removing++
-	c.host.recordJob(s.job, func(err error) {
+	c.pendingRemovals++
+	c.scheduler.recordJob(s.job, func(err error) {
 		if err == nil {
-			c.removing--
+			c.pendingRemovals--
 		}
 	})
-	c.host.placeSoon()
+	c.scheduler.requestPlacement()
 }
 
 // release stops managing a service that was cancelled or that always runs from now on. It answers the waiting wake requests.
@@ -242,32 +243,32 @@
 	delete(c.postponed, j.Spec.ID)
 	delete(c.active, j.Spec.ID)
 	if s := c.service(j); s != nil {
-		for _, w := range s.watchers {
+		for _, w := range s.waiters {
 			w.reply <- undecided("the service was cancelled or no longer scales to zero")
 		}
 	}
 	j.Lifecycle = nil
 }
 
-// apply applies an event to a service's lifecycle record.
-func (c *activationController) apply(s *managedService, e activation.Event, now time.Time) {
+// applyEvent applies an event to a service's lifecycle record.
+func (c *activationController) applyEvent(s *managedService, e activation.Event, now time.Time) {
 	if s.damaged != nil {
 		return
 	}
 	next, _ := s.record.Apply(e, &c.tuning.Policy, now)
-	c.move(s, next, activation.Cause(e), now)
+	c.setAndAct(s, next, activation.Cause(e), now)
 }
 
-// move sets a service's lifecycle record, and performs its outstanding action once the record is durable.
-func (c *activationController) move(s *managedService, next activation.Record, cause string, now time.Time) {
-	if !c.set(s, next, cause) {
-		c.act(s, now)
+// setAndAct sets a service's lifecycle record, and performs its outstanding action once the record is durable.
+func (c *activationController) setAndAct(s *managedService, next activation.Record, cause string, now time.Time) {
+	if !c.setRecord(s, next, cause) {
+		c.performPendingAction(s, now)
 	}
 }
 
-// set sets a service's lifecycle record. If its stored fields have changed, set schedules a write and returns true; the
-// controller then performs the record's outstanding action once the write is durable.
-func (c *activationController) set(s *managedService, next activation.Record, cause string) (writes bool) {
+// setRecord sets a service's lifecycle record. If its stored fields have changed, setRecord schedules a write and returns
+// true; the controller then performs the record's outstanding action once the write is durable.
+func (c *activationController) setRecord(s *managedService, next activation.Record, cause string) (writes bool) {
 	before := s.record
 	s.record = next
 	c.updateActive(s)
@@ -276,13 +277,13 @@
 	}
 	c.log.Info("service lifecycle changed", "job", s.job.Spec.ID, "class", s.job.Spec.Class, "previous_state", before.State,
 		"state", next.State, "cause", cause, "generation", next.Generation, "failures", next.Failures)
-	s.unwritten++
-	c.host.recordJob(s.job, func(err error) {
-		s.unwritten--
+	s.pendingWrites++
+	c.scheduler.recordJob(s.job, func(err error) {
+		s.pendingWrites--
 		if err == nil && c.service(s.job) == s {
 			now := time.Now()
-			c.act(s, now)
-			c.answerWatchers(s, now)
+			c.performPendingAction(s, now)
+			c.answerWaiters(s, now)
 		}
 	})
 	return true
@@ -297,19 +298,19 @@
 	c.active[s.job.Spec.ID] = s
 }
 
-// act performs the outstanding action of a service's lifecycle record if the record is durable. Replicas are started like
-// any other task, once placement has reserved resources for them.
-func (c *activationController) act(s *managedService, now time.Time) {
-	if s.unwritten > 0 {
+// performPendingAction performs the outstanding action of a service's lifecycle record if the record is durable. Replicas
+// are started like any other task, once placement has reserved resources for them.
+func (c *activationController) performPendingAction(s *managedService, now time.Time) {
+	if s.pendingWrites > 0 {
 		return
 	}
 	switch s.record.Pending(now) {
 	case activation.Reserve:
-		c.host.placeSoon()
+		c.scheduler.requestPlacement()
 	case activation.Stop:
 		if a := s.replica(); a != nil && !a.Stopping {
-			c.host.stopAttempt(a, 0)
-			c.host.sendJobStops(s.job)
+			c.scheduler.stopAttempt(a, 0)
+			c.scheduler.sendJobStops(s.job)
 		}
 	case activation.Nothing, activation.Start, activation.Drain:
 	}
@@ -318,7 +319,7 @@
 // attemptReserved handles a new attempt, which was either reserved by placement or reported by a worker.
 func (c *activationController) attemptReserved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil && !a.Stopping && c.resumed {
-		c.apply(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.Number}, now)
+		c.applyEvent(s, activation.Reserved{Generation: s.record.Generation, Attempt: a.Number}, now)
 	}
 }
 
@@ -329,9 +330,9 @@
 		return
 	}
 	starting := s.record.State == activation.Starting
-	c.apply(s, activation.Serving{Generation: s.record.Generation, Attempt: a.Number}, now)
+	c.applyEvent(s, activation.Serving{Generation: s.record.Generation, Attempt: a.Number}, now)
 	if starting && s.record.State == activation.Ready && !s.wokenAt.IsZero() {
-		c.starts.Record(s.job.Spec.Class, now.Sub(s.wokenAt))
+		c.startTimes.Record(s.job.Spec.Class, now.Sub(s.wokenAt))
 		s.wokenAt = time.Time{}
 	}
 }
@@ -339,7 +340,7 @@
 // attemptRemoved handles an attempt that has been proved to be absent from its machine.
 func (c *activationController) attemptRemoved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil {
-		c.apply(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
+		c.applyEvent(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
 	}
 }
 
@@ -351,8 +352,8 @@
 		if a := s.replica(); a != nil {
 			reservedFor = now.Sub(a.ReservedAt)
 		}
-		c.apply(s, activation.Tick{ReservedFor: reservedFor}, now)
+		c.applyEvent(s, activation.Tick{ReservedFor: reservedFor}, now)
 		c.checkUsage(s, now)
-		c.answerWatchers(s, now)
+		c.answerWaiters(s, now)
 	}
 }
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -34,13 +34,13 @@
 }
 
 // ReadActivationStatus reads the status from the upgrade records and the journal. It writes nothing.
-func ReadActivationStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ActivationStatus, error) {
-	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
+func ReadActivationStatus(ctx context.Context, store storage.KeyValueStore, s *config.Settings) (ActivationStatus, error) {
+	upgradeStatus, err := upgradecontrol.ReadStatus(ctx, store, s)
 	if err != nil {
 		return ActivationStatus{}, err
 	}
-	status := ActivationStatus{Gate: upgrading.Record.Gate(upgrade.Activation), Waiting: upgrading.Waiting}
-	journal, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(s.State), storage.Guard{})
+	status := ActivationStatus{Gate: upgradeStatus.Record.Gate(upgrade.Activation), Waiting: upgradeStatus.Waiting}
+	journal, err := storage.OpenJournal(ctx, store, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
 		return ActivationStatus{}, err
 	}
@@ -56,11 +56,11 @@
 	}
 	for _, r := range records {
 		if r.Key[0] == storage.KindPage {
-			notePlace(services, r)
+			setReplica(services, r)
 		}
 	}
 	for _, service := range services {
-		service.explain(time.Now())
+		service.setWhy(time.Now())
 		status.Services = append(status.Services, *service)
 	}
 	slices.SortFunc(status.Services, func(a, b ServiceStatus) int { return strings.Compare(a.ID, b.ID) })
@@ -89,8 +89,8 @@
 	return service
 }
 
-// notePlace sets a service's replica and its machine from the attempts in a page of the service's tasks.
-func notePlace(services map[string]*ServiceStatus, r storage.Record) {
+// setReplica sets a service's replica and its machine from the attempts in a page of the service's tasks.
+func setReplica(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
 	var page storage.PageRecord
@@ -102,8 +102,8 @@
 	}
 }
 
-// explain sets Why, the reason for the service's present state.
-func (s *ServiceStatus) explain(now time.Time) {
+// setWhy sets Why, the reason for the service's present state.
+func (s *ServiceStatus) setWhy(now time.Time) {
 	switch {
 	case s.Damaged != "":
 		s.Why = s.Damaged
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -15,23 +15,23 @@
 const (
 	// affinityLeases is the time after a redirection in which a worker isn't redirected again, in worker leases.
 	affinityLeases = 2
-	// affinityProbePause is the least time between two redirections to a controller that receives no heartbeats. Such a
+	// affinityProbeInterval is the least time between two redirections to a controller that receives no heartbeats. Such a
 	// controller may have just started, or may be partitioned from the workers, so one worker at a time probes it.
-	affinityProbePause = time.Second
+	affinityProbeInterval = time.Second
 )
 
 // affinity chooses the controller to which a worker sends its heartbeats. It may be used only by the forwarder's goroutine.
 type affinity struct {
-	node   *Node
-	names  []string             // all controllers, sorted
-	zones  map[string]string    // by controller
-	probed map[string]time.Time // when a worker was last redirected to a controller without heartbeats
+	node       *Node
+	names      []string             // all controllers, sorted
+	zones      map[string]string    // by controller
+	lastProbed map[string]time.Time // when a worker was last redirected to a controller without heartbeats
 }
 
 func newAffinity(n *Node) affinity {
 	a := affinity{
 		node: n, names: []string{n.settings.NodeName}, zones: map[string]string{n.settings.NodeName: n.settings.Zone},
-		probed: make(map[string]time.Time),
+		lastProbed: make(map[string]time.Time),
 	}
 	for _, p := range n.settings.Peers {
 		a.names = append(a.names, p.Name)
@@ -51,9 +51,9 @@
 	if leader == "" {
 		return ""
 	}
-	node := a.pick(r.Machine, func(name string) bool { return a.zones[name] == r.Zone && a.canForward(name, leader) })
+	node := a.pickNode(r.Machine, func(name string) bool { return a.zones[name] == r.Zone && a.canForward(name, leader) })
 	if node == "" {
-		node = a.pick(r.Machine, func(name string) bool { return a.canForward(name, leader) })
+		node = a.pickNode(r.Machine, func(name string) bool { return a.canForward(name, leader) })
 	}
 	if node == "" || node == self || !a.receivesHeartbeats(node, now) {
 		return ""
@@ -61,12 +61,12 @@
 	return node
 }
 
-// pick returns one of the suitable controllers, or "" if there is none. For a given machine and set of suitable controllers
-// it always returns the same one.
-func (a *affinity) pick(machine int, suits func(string) bool) string {
+// pickNode returns one of the eligible controllers, or "" if there is none. For a given machine and set of eligible
+// controllers it always returns the same one.
+func (a *affinity) pickNode(machine int, eligible func(string) bool) string {
 	var names []string
 	for _, n := range a.names {
-		if suits(n) {
+		if eligible(n) {
 			names = append(names, n)
 		}
 	}
@@ -81,18 +81,18 @@
 	if name == a.node.settings.NodeName {
 		return true
 	}
-	w, ok := a.node.deps.Peers.Status(name)
-	return ok && w.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
+	status, ok := a.node.deps.Peers.Status(name)
+	return ok && status.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
 // receivesHeartbeats reports whether a controller receives heartbeats, or is to be probed by redirecting a worker to it now.
 func (a *affinity) receivesHeartbeats(name string, now time.Time) bool {
-	if w, ok := a.node.deps.Peers.Status(name); ok && w.SinceHeartbeat+now.Sub(w.Received) < a.node.settings.HeartbeatInterval {
+	if status, ok := a.node.deps.Peers.Status(name); ok && status.SinceHeartbeat+now.Sub(status.Received) < a.node.settings.HeartbeatInterval {
 		return true
 	}
-	if now.Sub(a.probed[name]) < affinityProbePause {
+	if now.Sub(a.lastProbed[name]) < affinityProbeInterval {
 		return false
 	}
-	a.probed[name] = now
+	a.lastProbed[name] = now
 	return true
 }
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -20,21 +20,21 @@
 }
 
 // ReadArchiveStatus reads the status from the upgrade records, the archive's pages and the journal. It writes nothing.
-func ReadArchiveStatus(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) (ArchiveStatus, error) {
-	upgrading, err := upgradecontrol.ReadStatus(ctx, svc, s)
+func ReadArchiveStatus(ctx context.Context, store storage.KeyValueStore, s *config.Settings) (ArchiveStatus, error) {
+	upgradeStatus, err := upgradecontrol.ReadStatus(ctx, store, s)
 	if err != nil {
 		return ArchiveStatus{}, err
 	}
-	status := ArchiveStatus{Gate: upgrading.Record.Gate(upgrade.JobArchive), Waiting: upgrading.Waiting}
-	if status.Stored, err = archive.ReadStored(ctx, svc); err != nil {
+	status := ArchiveStatus{Gate: upgradeStatus.Record.Gate(upgrade.JobArchive), Waiting: upgradeStatus.Waiting}
+	if status.Stored, err = archive.ReadStored(ctx, store); err != nil {
 		return ArchiveStatus{}, err
 	}
-	return status, status.countJournal(ctx, svc, s)
+	return status, status.countJournal(ctx, store, s)
 }
 
 // countJournal sets Backlog and Open from the jobs' records in the journal.
-func (a *ArchiveStatus) countJournal(ctx context.Context, svc storage.KeyValueStore, s *config.Settings) error {
-	journal, err := storage.OpenJournal(ctx, svc, storage.NewLimitTracker(s.State), storage.Guard{})
+func (a *ArchiveStatus) countJournal(ctx context.Context, store storage.KeyValueStore, s *config.Settings) error {
+	journal, err := storage.OpenJournal(ctx, store, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -58,9 +58,9 @@
 	return api.Response{Code: api.CodeOK, ID: id, State: state, Done: final.Done}
 }
 
-// archived returns the response to a request for a job that the archive's pages in memory contain; otherwise ok is
+// lookupArchived returns the response to a request for a job that the archive's pages in memory contain; otherwise ok is
 // false. Followers may send this response too, because archived states are final.
-func (n *Node) archived(req api.Request) (a api.Response, ok bool) {
+func (n *Node) lookupArchived(req api.Request) (a api.Response, ok bool) {
 	number, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
 		return api.Response{}, false
@@ -164,13 +164,13 @@
 	s.writeToArchive(s.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
-// archiveCalls is the time limit for archiving a batch, in timeouts of one call to the key-value store. It includes the
+// archiveBatchCalls is the time limit for archiving a batch, in timeouts of one call to the key-value store. It includes the
 // time for which the calls are queued behind others.
-const archiveCalls = 4
+const archiveBatchCalls = 4
 
 // writeToArchive archives finished jobs in the background, and sends the scheduler the jobs that are durable in the archive.
 func (s *scheduler) writeToArchive(entries []archive.Entry) {
-	s.background(archiveCalls*s.settings.CallTimeout(), func(ctx context.Context) {
+	s.background(archiveBatchCalls*s.settings.CallTimeout(), func(ctx context.Context) {
 		jobs, err := s.archive.Archive(ctx, entries)
 		s.post(archivedMessage{jobs, err})
 	})
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -36,13 +36,13 @@
 // granted it has ended or restarted.
 func (f *forwarder) refreshDelegation() {
 	for _, p := range f.settings.Peers {
-		w, ok := f.node.deps.Peers.Status(p.Name)
-		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < f.delegation.tokens.First {
+		status, ok := f.node.deps.Peers.Status(p.Name)
+		if !ok || status.DelegatesFor <= 0 || status.DelegationTerm < f.delegation.tokens.First {
 			continue
 		}
-		until := w.Sent.Add(clock.Scale(w.DelegatesFor, 1/clock.DriftBound))
-		if w.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
-			f.delegation = delegation{w.DelegationTokens(), until, w.Excluded}
+		until := status.Sent.Add(clock.Scale(status.DelegatesFor, 1/clock.DriftBound))
+		if status.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
+			f.delegation = delegation{status.DelegationTokens(), until, status.Excluded}
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	case known == nil || known.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != f.settings.Zone,
 		slices.Contains(grant.excluded, r.Machine), f.isolated():
 		return worker.HeartbeatResponse{Busy: true}
-	case p.digest != known.digest && f.mayRedirect(known, now):
+	case p.digest != known.digest && f.canTryOthers(known, now):
 		// The worker's state has changed, and only a leader can act on the change. Another controller may reach a leader.
 		return worker.HeartbeatResponse{Busy: true}
 	}
@@ -82,24 +82,24 @@
 			return false
 		}
 	}
-	return f.lastProbe.Since(math.MaxInt64) < probeMissed
+	return f.lastProbe.Since(math.MaxInt64) < probeTimeout
 }
 
-// probeMissed is the time after the load balancer's last probe for which the load balancer still counts as connected to
+// probeTimeout is the time after the load balancer's last probe for which the load balancer still counts as connected to
 // this controller. It probes once a second.
-const probeMissed = 5 * time.Second / 2
+const probeTimeout = 5 * time.Second / 2
 
-// mayRedirect reports whether a worker has enough of its lease left to try all other controllers without success and then
+// canTryOthers reports whether a worker has enough of its lease left to try all other controllers without success and then
 // return to this one.
-func (f *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
-	round := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
-	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+f.settings.HeartbeatInterval < f.settings.WorkerLease
+func (f *forwarder) canTryOthers(known *knownWorker, now time.Time) bool {
+	retryTime := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
+	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+retryTime+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
 // delegationTerms are the conditions of the leader's delegations. They are immutable, and the scheduler publishes them.
 type delegationTerms struct {
-	at         time.Time // the time for which excluded is complete
-	renewUntil time.Time // the time until which the leader may renew leases
+	at         time.Time        // the time for which excluded is complete
+	renewUntil time.Time        // the time until which the leader may renew leases
 	excluded   map[string][]int // machines with tasks of cancelled jobs, by zone
 }
 
@@ -107,75 +107,75 @@
 type delegator struct {
 	renewalGrace time.Duration
 	terms        atomic.Pointer[delegationTerms]
-	until        map[string]*atomic.Int64 // by peer: the latest end of any delegation to it, in ns after began
-	zones        map[string]string // by peer
-	began        time.Time
+	until        map[string]*atomic.Int64 // by peer: the latest end of any delegation to it, in ns after startedAt
+	zones        map[string]string        // by peer
+	startedAt    time.Time
 }
 
 func newDelegator(s *config.Settings) *delegator {
-	l := &delegator{renewalGrace: s.RenewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
+	d := &delegator{renewalGrace: s.RenewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), startedAt: time.Now()}
 	for _, p := range s.Peers {
-		l.until[p.Name], l.zones[p.Name] = new(atomic.Int64), p.Zone
+		d.until[p.Name], d.zones[p.Name] = new(atomic.Int64), p.Zone
 	}
-	return l
+	return d
 }
 
 // delegate returns for how long a peer may renew leases itself, counted from when it sent its request, and the machines
 // whose leases it may not renew.
-func (l *delegator) delegate(peer string) (time.Duration, []int) {
+func (d *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
-	p, until := l.terms.Load(), l.until[peer]
-	if p == nil || until == nil || l.zones[peer] == "" {
+	terms, until := d.terms.Load(), d.until[peer]
+	if terms == nil || until == nil || d.zones[peer] == "" {
 		return 0, nil
 	}
-	end := p.at.Add(l.renewalGrace)
-	if p.renewUntil.Before(end) {
-		end = p.renewUntil
+	end := terms.at.Add(d.renewalGrace)
+	if terms.renewUntil.Before(end) {
+		end = terms.renewUntil
 	}
 	if !now.Before(end) {
 		return 0, nil
 	}
 	// The end of the delegation is recorded before the response is sent. Each peer sends one request at a time, but a
 	// repeated request may arrive late, so the latest end is kept.
-	for sinceBegan := int64(end.Sub(l.began)); ; {
+	for endOffset := int64(end.Sub(d.startedAt)); ; {
 		old := until.Load()
-		if old >= sinceBegan || until.CompareAndSwap(old, sinceBegan) {
+		if old >= endOffset || until.CompareAndSwap(old, endOffset) {
 			break
 		}
 	}
-	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
+	return end.Sub(now), slices.Concat(terms.excluded[""], terms.excluded[d.zones[peer]])
 }
 
 // delegatedUntil returns the latest time at which a peer may renew leases, or zero if it was granted no delegation.
-func (l *delegator) delegatedUntil(peer string) time.Time {
-	if v := l.until[peer].Load(); v != 0 {
-		return l.began.Add(time.Duration(v))
+func (d *delegator) delegatedUntil(peer string) time.Time {
+	if offset := d.until[peer].Load(); offset != 0 {
+		return d.startedAt.Add(time.Duration(offset))
 	}
 	return time.Time{}
 }
 
-// delegationPerHeartbeat is the age from which the published delegation terms are replaced, in heartbeat intervals. The
+// termsAgePerHeartbeat is the age from which the published delegation terms are replaced, in heartbeat intervals. The
 // duration of a delegation counts from the time of its terms, so old terms shorten it.
-const delegationPerHeartbeat = 0.02
+const termsAgePerHeartbeat = 0.02
 
 // publishDelegation replaces the published delegation terms unless they are recent or leadership was resigned. The terms
 // exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
-	if old := s.delegator.terms.Load(); s.resigned || old != nil && now.Sub(old.at) < clock.Scale(s.settings.HeartbeatInterval, delegationPerHeartbeat) {
+	if previous := s.delegator.terms.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, termsAgePerHeartbeat) {
 		return
 	}
-	p := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
+	terms := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
 	for id, j := range s.state.Jobs.Cancelling {
 		if len(j.Attempts) == 0 {
 			delete(s.state.Jobs.Cancelling, id)
 		}
 		for _, a := range j.Attempts {
-			if z := a.Machine.Zone; !slices.Contains(p.excluded[z], a.Machine.ID) {
-				p.excluded[z] = append(p.excluded[z], a.Machine.ID)
+			if z := a.Machine.Zone; !slices.Contains(terms.excluded[z], a.Machine.ID) {
+				terms.excluded[z] = append(terms.excluded[z], a.Machine.ID)
 			}
 		}
 	}
-	s.delegator.terms.Store(p)
+	s.delegator.terms.Store(terms)
 }
 
 // delegatedLeaseBound returns the time by which a machine's lease has expired for certain. This leader last renewed the
@@ -195,7 +195,7 @@
 	}
 	for i := range s.peerRenewals {
 		renewals := &s.peerRenewals[i]
-		if renewals.covers(m) && renewals.asked.Before(end) {
+		if renewals.covers(m) && renewals.requestedAt.Before(end) {
 			if b := renewals.until.Add(s.settings.LeaseBound()); b.After(end) {
 				end = b
 			}
@@ -206,16 +206,16 @@
 
 // peerRenewals bounds the times at which a peer has renewed leases, or may renew them, under this leader's delegations.
 type peerRenewals struct {
-	zone  string
-	until time.Time // latest time at which the peer may renew leases
-	last  time.Time // latest possible time of the peer's last renewal before asked; zero if unknown
-	asked time.Time // when the peer's latest status was requested
+	zone        string
+	until       time.Time // latest time at which the peer may renew leases
+	last        time.Time // latest possible time of the peer's last renewal before requestedAt; zero if unknown
+	requestedAt time.Time // when the peer's latest status was requested
 }
 
 // covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone, and an
 // unknown zone may be any zone.
-func (s *peerRenewals) covers(m *cluster.Machine) bool {
-	return s.zone == m.Zone || s.zone == "" || m.Zone == ""
+func (r *peerRenewals) covers(m *cluster.Machine) bool {
+	return r.zone == m.Zone || r.zone == "" || m.Zone == ""
 }
 
 // updatePeerRenewals rebuilds the peers' renewals from their latest statuses. It is called once per tick.
@@ -226,10 +226,10 @@
 		if renewals.until.IsZero() {
 			continue
 		}
-		if w, ok := s.deps.Peers.Status(p.Name); ok && w.Sent.After(s.termStarted) {
+		if status, ok := s.deps.Peers.Status(p.Name); ok && status.Sent.After(s.termStarted) {
 			// A process before the peer's last restart may have renewed leases until that restart.
-			renewals.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
-			renewals.asked = w.Sent
+			renewals.last = status.Received.Add(-clock.Scale(min(status.SinceDelegatedRenewal, status.Uptime), 1/clock.DriftBound))
+			renewals.requestedAt = status.Sent
 		}
 		s.peerRenewals = append(s.peerRenewals, renewals)
 	}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -69,7 +69,7 @@
 		s.updateListed(listed, now)
 	}
 	for _, m := range slices.Clone(s.state.Machines.InOrder()) {
-		if !seen[m.ID] && s.vanished(m, now) {
+		if !seen[m.ID] && s.provenGone(m, now) {
 			s.removeMachine(m.ID, "no longer listed")
 		}
 	}
@@ -97,9 +97,9 @@
 	m.Failed = listed.State == cloud.Failed
 }
 
-// vanished reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
+// provenGone reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
 // than the list lags, and its worker lease has provably expired.
-func (s *scheduler) vanished(m *cluster.Machine, now time.Time) bool {
+func (s *scheduler) provenGone(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
 	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.provenEmptyAt(m))
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -31,18 +31,18 @@
 	node          *Node
 	settings      *config.Settings
 	incoming      chan pendingReport
-	decided       chan decidedBatch
+	decisions     chan decidedBatch
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
-	pending       []pendingReport // the batch that is being filled for the leader
-	leader        string          // the controller to which the pending batch will be sent
-	flush         <-chan time.Time // fires when the pending batch has to be sent; nil while there is none
+	pending       []pendingReport  // the batch that is being filled for the leader
+	batchLeader   string           // the controller to which the pending batch will be sent
+	flushTimer    <-chan time.Time // fires when the pending batch has to be sent; nil while there is none
 	affinity      affinity
 	delegation    delegation
 	lastHeartbeat clock.AtomicTime // when a heartbeat last arrived at this controller
 	lastDelegated clock.AtomicTime // when this controller last renewed a lease under a delegation
 	lastProbe     clock.AtomicTime // when the load balancer last probed this controller
-	requests      sync.WaitGroup   // the goroutines that run decide; run waits for them
+	requests      sync.WaitGroup   // the goroutines that run requestResponses; run waits for them
 }
 
 // knownWorker is the forwarder's record of a worker that sends its heartbeats to this controller.
@@ -72,7 +72,7 @@
 
 func newForwarder(n *Node) *forwarder {
 	return &forwarder{
-		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), decided: make(chan decidedBatch, n.settings.QueueSize()),
+		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), decisions: make(chan decidedBatch, n.settings.QueueSize()),
 		workers: make(map[int]*knownWorker), seed: maphash.MakeSeed(), affinity: newAffinity(n),
 	}
 }
@@ -106,21 +106,21 @@
 		case <-ctx.Done():
 			return
 		case p := <-f.incoming:
-			f.accept(ctx, p)
-		case d := <-f.decided:
+			f.handleReport(ctx, p)
+		case d := <-f.decisions:
 			f.handleDecided(d)
-		case <-f.flush:
-			f.send(ctx)
+		case <-f.flushTimer:
+			f.sendBatch(ctx)
 		case <-refresh.C:
 			f.refreshDelegation()
 		case <-sweep.C:
-			f.sweep(time.Now())
+			f.deleteSilentWorkers(time.Now())
 		}
 	}
 }
 
-// sweep deletes the records of workers whose heartbeats no longer arrive at this controller.
-func (f *forwarder) sweep(now time.Time) {
+// deleteSilentWorkers deletes the records of workers whose heartbeats no longer arrive at this controller.
+func (f *forwarder) deleteSilentWorkers(now time.Time) {
 	for id, known := range f.workers {
 		if now.Sub(known.lastSeen) > workerMemoryLeases*f.settings.WorkerLease {
 			delete(f.workers, id)
@@ -128,8 +128,8 @@
 	}
 }
 
-// accept redirects a worker to another controller, or forwards its heartbeat to the leader.
-func (f *forwarder) accept(ctx context.Context, p pendingReport) {
+// handleReport redirects a worker to another controller, or forwards its heartbeat to the leader.
+func (f *forwarder) handleReport(ctx context.Context, p pendingReport) {
 	now := time.Now()
 	f.lastHeartbeat.Mark(now)
 	p.digest = f.digest(p.report)
@@ -148,12 +148,12 @@
 	leader := f.node.leader(v)
 	switch {
 	case v.scheduler != nil:
-		f.startDecide(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
+		f.startRequest(ctx, []pendingReport{p}, v.scheduler.HandleHeartbeats)
 	case leader == "" || leader == f.settings.NodeName:
 		f.answerDelegated(p, now)
 	case f.node.deps.Peers.UnreachableFor(leader) > 0:
 		// The relay is used because a redirection to an unreachable leader would cost the worker seconds of its lease.
-		f.startDecide(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
+		f.startRequest(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
 	default:
 		f.enqueue(ctx, p, leader)
 	}
@@ -161,24 +161,24 @@
 
 // enqueue adds a heartbeat to the batch for the leader.
 func (f *forwarder) enqueue(ctx context.Context, p pendingReport, leader string) {
-	if f.leader != leader {
-		f.send(ctx)
-		f.leader = leader
+	if f.batchLeader != leader {
+		f.sendBatch(ctx)
+		f.batchLeader = leader
 	}
 	f.pending = append(f.pending, p)
 	if len(f.pending) >= maxBatchReports {
-		f.send(ctx)
-	} else if f.flush == nil {
-		f.flush = time.After(f.settings.BatchWindow())
+		f.sendBatch(ctx)
+	} else if f.flushTimer == nil {
+		f.flushTimer = time.After(f.settings.BatchWindow())
 	}
 }
 
-// send sends the pending batch to the leader.
-func (f *forwarder) send(ctx context.Context) {
-	batch, leader := f.pending, f.leader
-	f.pending, f.flush = nil, nil
+// sendBatch sends the pending batch to the leader.
+func (f *forwarder) sendBatch(ctx context.Context) {
+	batch, leader := f.pending, f.batchLeader
+	f.pending, f.flushTimer = nil, nil
 	if len(batch) > 0 {
-		f.startDecide(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
+		f.startRequest(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 			responses, err := f.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
 				return nil // no leader decided on them
@@ -188,17 +188,17 @@
 	}
 }
 
-// startDecide runs decide in a new goroutine.
-func (f *forwarder) startDecide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
+// startRequest runs requestResponses in a new goroutine.
+func (f *forwarder) startRequest(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	f.requests.Add(1)
 	go func() { //nolint:modernize // requests.Go would allocate for each heartbeat
 		defer f.requests.Done()
-		f.decide(ctx, batch, request)
+		f.requestResponses(ctx, batch, request)
 	}()
 }
 
-// decide requests the leader's responses to a batch, and sends them to the forwarder's goroutine.
-func (f *forwarder) decide(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
+// requestResponses requests the leader's responses to a batch, and sends them to the forwarder's goroutine.
+func (f *forwarder) requestResponses(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
 	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
@@ -206,7 +206,7 @@
 		reports = append(reports, p.report)
 	}
 	select {
-	case f.decided <- decidedBatch{batch, request(requestCtx, reports)}:
+	case f.decisions <- decidedBatch{batch, request(requestCtx, reports)}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -14,9 +14,9 @@
 // is started. Until the gang runs, a lost task is replaced under the same attempt number. After that a loss ends the
 // attempt, and the next attempt begins once every task of the ended one is proved to be gone.
 
-// gatherPatience is the share of GangWait for which the other tasks of a gang wait for a stalled task before it is
+// stalledGangWaitShare is the share of GangWait for which the other tasks of a gang wait for a stalled task before it is
 // restarted on another machine. The replacement has the rest of GangWait to start.
-const gatherPatience = 0.4
+const stalledGangWaitShare = 0.4
 
 // gangTaskLost handles the loss of a gang's task. If the attempt has run, its other tasks are stopped at once, because the
 // attempt's progress since the last checkpoint is lost.
@@ -100,9 +100,9 @@
 	if j.Spec.CheckpointS <= 0 {
 		return
 	}
-	left := m.PreemptionAt.Sub(now)
-	ends := clock.Seconds(s.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
-	if ends > left && clock.Seconds(j.Spec.SaveS)+s.settings.HeartbeatInterval/2 < left && s.GangReachable(j, now) {
+	remaining := m.PreemptionAt.Sub(now)
+	runTimeLeft := clock.Seconds(s.state.Classes.RunSeconds(j)) - now.Sub(a.Started)
+	if runTimeLeft > remaining && clock.Seconds(j.Spec.SaveS)+s.settings.HeartbeatInterval/2 < remaining && s.GangReachable(j, now) {
 		s.stopGang(j)
 	}
 }
@@ -110,13 +110,13 @@
 // replaceStalledGangTasks stops gang tasks that have kept the other tasks of their gang waiting for too long, because
 // their machine hangs or is slow to pull an image. They are restarted on other machines.
 func (s *scheduler) replaceStalledGangTasks(now time.Time) {
-	patience := clock.Scale(s.settings.GangWait, gatherPatience)
+	waitLimit := clock.Scale(s.settings.GangWait, stalledGangWaitShare)
 	for _, j := range s.state.Jobs.Open {
-		if !j.Spec.Gang || j.Phase != storage.Open || patience <= 0 || !j.GangCompletable() || j.GatherTime(now) < patience {
+		if !j.Spec.Gang || j.Phase != storage.Open || waitLimit <= 0 || !j.GangCompletable() || j.GatherTime(now) < waitLimit {
 			continue
 		}
 		for _, a := range j.GangAttempts() {
-			if j.Attempts[a.Task] == a && a.State != worker.Gathering && now.Sub(a.ReservedAt) > patience {
+			if j.Attempts[a.Task] == a && a.State != worker.Gathering && now.Sub(a.ReservedAt) > waitLimit {
 				s.log.Info("gang task stalled", "job", j.Spec.ID, "task", a.Task, "machine", a.Machine.ID)
 				s.stopAttempt(a, 0)
 			}
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -38,7 +38,7 @@
 	s.gateWaiters = append(s.gateWaiters, gateWaiter{m, now})
 }
 
-// setGates updates the gates in force, and handles the submissions that wait for gates again.
+// setGates updates the gates in force, and then retries the submissions that wait for a gate.
 func (s *scheduler) setGates(record upgrade.Record) {
 	s.gates = record
 	s.useArchive()
@@ -54,15 +54,15 @@
 	}
 }
 
-// failGateWaiters responds to the submissions that have waited too long for a gate that their users have to retry. It
-// responds so to all waiting submissions if this controller isn't certain to be the leader.
+// failGateWaiters answers the submissions that have waited too long for a gate with a response to retry later. If this
+// controller isn't certain to be the leader, it answers all waiting submissions in this way.
 func (s *scheduler) failGateWaiters(now time.Time) {
 	s.gateWaiters = slices.DeleteFunc(s.gateWaiters, func(w gateWaiter) bool {
-		late := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
-		if late {
+		expired := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
+		if expired {
 			w.msg.reply <- api.Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
-		return late
+		return expired
 	})
 }
 
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -27,12 +27,12 @@
 	"sagevale/internal/worker"
 )
 
-// writeShare is the journal's request timeout as a share of the leader's lease. Responses usually arrive within a tenth of
-// this timeout, and retries are idempotent.
-const writeShare = 0.2
+// journalTimeoutShare is the journal's request timeout as a share of the leader's lease. Responses usually arrive within a
+// tenth of this timeout, and retries are idempotent.
+const journalTimeoutShare = 0.2
 
-// roleQueue is the number of role changes that may wait to be handled by follow.
-const roleQueue = 16
+// roleQueueSize is the number of role changes that may wait to be handled by runTerms.
+const roleQueueSize = 16
 
 // Dependencies are the external systems that a node communicates with, its logger and its random number generator.
 type Dependencies struct {
@@ -56,7 +56,7 @@
 	limitTracker *storage.LimitTracker
 	archive      *archive.Archiver
 	roles        chan leadership.Role
-	view         atomic.Pointer[view] // replaced only by the goroutine of follow
+	view         atomic.Pointer[view] // replaced only by the goroutine of runTerms
 }
 
 // view contains the state that request handlers use. It is immutable and replaced as a whole.
@@ -68,8 +68,8 @@
 // NewNode returns a controller, which Run starts.
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
-	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
-	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, roleQueue)}
+	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, journalTimeoutShare)
+	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, roleQueueSize)}
 	process := fmt.Sprintf("%016x", deps.Rand.Uint64())
 	n.registrar = leadership.NewRegistrar(deps.State, s, process, deps.Log)
 	n.election = leadership.New(leadership.Config{
@@ -94,24 +94,24 @@
 	}
 	g.Go(func() error { return n.registrar.Run(ctx) })
 	g.Go(func() error { return n.election.Run(ctx, publish) })
-	g.Go(func() error { n.follow(ctx); return nil })
+	g.Go(func() error { n.runTerms(ctx); return nil })
 	g.Go(func() error { n.relay.Run(ctx); return nil })
 	g.Go(func() error { n.archive.Run(ctx); return nil })
 	g.Go(func() error { n.forwarder.run(ctx); return nil })
 	return g.Wait()
 }
 
-// follow handles the changes of this controller's role: it begins a term when the controller becomes the leader, and ends
+// runTerms handles the changes of this controller's role: it begins a term when the controller becomes the leader, and ends
 // the term when the controller is no longer the leader.
-func (n *Node) follow(ctx context.Context) {
+func (n *Node) runTerms(ctx context.Context) {
 	var terms sync.WaitGroup
-	var end context.CancelFunc
-	var leading *scheduler
+	var cancelTerm context.CancelFunc
+	var termScheduler *scheduler
 	loaded := make(chan *scheduler, 1)
 	stop := func() {
-		if end != nil {
-			end()
-			end, leading = nil, nil
+		if cancelTerm != nil {
+			cancelTerm()
+			cancelTerm, termScheduler = nil, nil
 		}
 	}
 	defer terms.Wait()
@@ -121,41 +121,41 @@
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-loaded:
-			cur := n.view.Load()
-			if end == nil || !cur.role.Leading || cur.role.Term != d.term {
+		case s := <-loaded:
+			current := n.view.Load()
+			if cancelTerm == nil || !current.role.Leading || current.role.Term != s.term {
 				continue // the scheduler belongs to a term that has ended
 			}
-			leading, role = d, cur.role
+			termScheduler, role = s, current.role
 		case role = <-n.roles:
 		}
-		cur := n.view.Load()
-		if end != nil && (!role.Leading || role.Term != cur.role.Term) {
+		current := n.view.Load()
+		if cancelTerm != nil && (!role.Leading || role.Term != current.role.Term) {
 			stop()
 		}
-		n.publish(role, leading)
-		if role.Leading && end == nil {
+		n.publishView(role, termScheduler)
+		if role.Leading && cancelTerm == nil {
 			termCtx, cancel := context.WithCancel(ctx)
-			end = cancel
-			terms.Go(func() { n.term(termCtx, role, loaded) })
+			cancelTerm = cancel
+			terms.Go(func() { n.runTerm(termCtx, role, loaded) })
 		}
 	}
 }
 
-// publish replaces the view of the request handlers, and sends the role to the term's scheduler if there is one.
-func (n *Node) publish(role leadership.Role, leading *scheduler) {
-	if leading != nil && leading.term != role.Term {
-		leading = nil
+// publishView replaces the view of the request handlers, and sends the role to the term's scheduler if there is one.
+func (n *Node) publishView(role leadership.Role, termScheduler *scheduler) {
+	if termScheduler != nil && termScheduler.term != role.Term {
+		termScheduler = nil
 	}
-	n.view.Store(&view{role: role, scheduler: leading})
-	if leading != nil {
-		leading.post(roleMessage{role})
+	n.view.Store(&view{role: role, scheduler: termScheduler})
+	if termScheduler != nil {
+		termScheduler.post(roleMessage{role})
 	}
 }
 
-// term runs a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
+// runTerm runs a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
 // term's scheduler to loaded once the scheduler may be used.
-func (n *Node) term(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
+func (n *Node) runTerm(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
 	log := n.deps.Log.With("term", role.Term)
 	s, err := n.loadState(ctx, role, log)
 	if err != nil {
@@ -165,7 +165,7 @@
 		}
 		return
 	}
-	n.runTerm(ctx, role, s, loaded, log)
+	n.runActors(ctx, role, s, loaded, log)
 }
 
 // loadState reads the journal under the new leader's guard, and returns a scheduler with the cluster state.
@@ -187,11 +187,11 @@
 	return s, nil
 }
 
-// runTerm runs the actors of a term until one fails or ctx ends. It sends the term's scheduler to loaded once they run.
-func (n *Node) runTerm(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
-	g, gctx := errgroup.WithContext(ctx)
+// runActors runs the actors of a term until one fails or ctx ends. It sends the term's scheduler to loaded once they run.
+func (n *Node) runActors(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
+	g, groupCtx := errgroup.WithContext(ctx)
 	// All references from the scheduler to other actors are set before any actor runs.
-	background, waitForCalls := backgroundCalls(gctx)
+	background, waitForCalls := backgroundCalls(groupCtx)
 	defer waitForCalls()
 	s.background = background
 	upgrades := upgradecontrol.New(upgradecontrol.Config{
@@ -201,14 +201,14 @@
 	s.journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	s.autoscaler = autoscaling.New(autoscaling.Config{
 		Settings: n.settings, Cloud: n.deps.Cloud, Journal: s.journal, Scheduler: s, Term: role.Term,
-		Desired: s.desired, Launches: s.openLaunches, Done: gctx.Done(), Log: log,
+		Desired: s.desired, Launches: s.openLaunches, Done: groupCtx.Done(), Log: log,
 	})
 	relayServer := relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, s, n.deps.Log)
-	g.Go(func() error { return s.journal.Run(gctx) })
-	g.Go(func() error { return s.run(gctx) })
-	g.Go(func() error { return s.autoscaler.Run(gctx) })
-	g.Go(func() error { return upgrades.Run(gctx) })
-	g.Go(func() error { relayServer.Run(gctx); return nil })
+	g.Go(func() error { return s.journal.Run(groupCtx) })
+	g.Go(func() error { return s.run(groupCtx) })
+	g.Go(func() error { return s.autoscaler.Run(groupCtx) })
+	g.Go(func() error { return upgrades.Run(groupCtx) })
+	g.Go(func() error { relayServer.Run(groupCtx); return nil })
 	select {
 	case loaded <- s:
 	case <-ctx.Done():
@@ -299,7 +299,7 @@
 	if v.scheduler != nil {
 		return v.scheduler.HandleUserRequest(ctx, req)
 	}
-	if a, ok := n.archived(req); ok {
+	if a, ok := n.lookupArchived(req); ok {
 		return a
 	}
 	leader := n.leader(v)
@@ -310,7 +310,7 @@
 }
 
 // forwardUserRequest forwards a user's request to the leader. If the leader's response arrives too late to be valid, it
-// returns a response by which the user has to retry.
+// returns a response to retry later instead.
 func (n *Node) forwardUserRequest(ctx context.Context, leader string, req api.Request) api.Response {
 	sent := time.Now()
 	var response api.Response
@@ -348,7 +348,7 @@
 // HandleForwardedRequest answers a request that another controller forwarded.
 func (n *Node) HandleForwardedRequest(ctx context.Context, req api.Request) api.Response {
 	if req.Op == api.OpPing {
-		return api.Response{Peer: n.status(req.ID)}
+		return api.Response{Peer: n.peerStatus(req.ID)}
 	}
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.HandleUserRequest(ctx, req)
@@ -356,20 +356,20 @@
 	return api.Unavailable(req.ID, "not the leader")
 }
 
-// status returns the status that this controller sends to a peer. A leader's status includes its delegation to the peer.
-func (n *Node) status(peerName string) peer.Status {
+// peerStatus returns the status that this controller sends to a peer. A leader's status includes its delegation to the peer.
+func (n *Node) peerStatus(peerName string) peer.Status {
 	v := n.view.Load()
-	st := n.election.Status()
-	st.Version = peer.Version
+	status := n.election.Status()
+	status.Version = peer.Version
 	if r := v.role; !r.Leading || time.Now().Before(r.LeaseValidUntil) {
-		st.Leader, st.Term = r.Leader, r.Term
+		status.Leader, status.Term = r.Leader, r.Term
 	}
-	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(st.Uptime), n.forwarder.lastDelegated.Since(st.Uptime)
+	status.SinceHeartbeat, status.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(status.Uptime), n.forwarder.lastDelegated.Since(status.Uptime)
 	if v.scheduler != nil {
-		st.DelegationTerm = v.scheduler.term
-		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(peerName)
+		status.DelegationTerm = v.scheduler.term
+		status.DelegatesFor, status.Excluded = v.scheduler.delegator.delegate(peerName)
 	}
-	return st
+	return status
 }
 
 // HandleHeartbeat answers a worker's heartbeat.
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -66,14 +66,14 @@
 	}
 	c := s.activation
 	c.usage.RecordReport(m.report, now)
-	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.draining()}
+	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.drainOrders()}
 }
 
-// draining returns drain orders for the models whose draining state is durable.
-func (c *activationController) draining() []activation.DrainOrder {
+// drainOrders returns drain orders for the models whose draining state is durable.
+func (c *activationController) drainOrders() []activation.DrainOrder {
 	var orders []activation.DrainOrder
 	for id, s := range c.active {
-		if s.record.State == activation.Draining && s.unwritten == 0 {
+		if s.record.State == activation.Draining && s.pendingWrites == 0 {
 			orders = append(orders, activation.DrainOrder{Model: id, Drain: s.record.Drain})
 		}
 	}
@@ -82,17 +82,17 @@
 
 // checkUsage starts to drain a service without recent requests, and stops one that has been drained.
 func (c *activationController) checkUsage(s *managedService, now time.Time) {
-	if s.damaged != nil || s.unwritten > 0 {
+	if s.damaged != nil || s.pendingWrites > 0 {
 		return
 	}
 	switch s.record.State {
 	case activation.Ready:
 		if since, known := c.usage.QuietSince(s.job.Spec.ID, now); known && c.tuning.Policy.IdleWindow > 0 {
-			c.apply(s, activation.Quiet{Generation: s.record.Generation, Since: since}, now)
+			c.applyEvent(s, activation.Quiet{Generation: s.record.Generation, Since: since}, now)
 		}
 	case activation.Draining:
 		if c.usage.Drained(s.job.Spec.ID, s.record.Drain, s.routedUntil, now) {
-			c.apply(s, activation.Drained{Drain: s.record.Drain}, now)
+			c.applyEvent(s, activation.Drained{Drain: s.record.Drain}, now)
 		}
 	case activation.Idle, activation.Starting, activation.Stopping, activation.Failed:
 	}
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -33,12 +33,12 @@
 	if leader == "" {
 		return undecided(reason)
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	response, err := n.deps.Peers.Wake(ctx, leader, req)
 	if err != nil {
 		return undecided("leader out of reach")
 	}
-	if response.Verdict != activation.Undecided && time.Since(asked) > response.Holds+req.Wait {
+	if response.Verdict != activation.Undecided && time.Since(sentAt) > response.Holds+req.Wait {
 		return undecided("the leader's response arrived after it had expired")
 	}
 	return response
@@ -69,25 +69,25 @@
 // undecided response at once.
 func (s *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
-	asked := time.Now()
+	requestedAt := time.Now()
 	response, err := call(ctx, s, wakeMessage{req, reply}, reply)
 	if err != nil {
 		return undecided(err.Error())
 	}
-	return s.withLeaseBound(response, asked)
+	return s.withLeaseBound(response, requestedAt)
 }
 
 // withLeaseBound limits the validity of a response to the end of the leader's lease. The lease may already have expired,
 // because this process may have been paused since the scheduler decided the response.
-func (s *scheduler) withLeaseBound(response activation.WakeResponse, asked time.Time) activation.WakeResponse {
+func (s *scheduler) withLeaseBound(response activation.WakeResponse, requestedAt time.Time) activation.WakeResponse {
 	if response.Verdict == activation.Undecided {
 		return response
 	}
-	certain := s.leaseValidUntil.Load()
-	if certain == nil || !time.Now().Before(*certain) {
+	validUntil := s.leaseValidUntil.Load()
+	if validUntil == nil || !time.Now().Before(*validUntil) {
 		return undecided("leadership not certain")
 	}
-	response.Holds = min(response.Holds, clock.Scale(certain.Sub(asked), 1/clock.DriftBound))
+	response.Holds = min(response.Holds, clock.Scale(validUntil.Sub(requestedAt), 1/clock.DriftBound))
 	return response
 }
 
@@ -120,19 +120,19 @@
 		return
 	}
 	generation := s.record.Generation
-	c.apply(s, activation.Demand{Generation: m.req.Generation}, now)
+	c.applyEvent(s, activation.Demand{Generation: m.req.Generation}, now)
 	if s.record.Generation != generation {
 		s.wokenAt = now
 	}
 	if m.req.Wait > 0 && s.damaged == nil && s.record.State == activation.Starting {
-		s.watchers = append(s.watchers, wakeWatcher{m.reply, now.Add(m.req.Wait)})
+		s.waiters = append(s.waiters, wakeWaiter{m.reply, now.Add(m.req.Wait)})
 		return
 	}
-	if s.unwritten == 0 {
+	if s.pendingWrites == 0 {
 		m.reply <- c.response(s, now)
 		return
 	}
-	c.host.afterJobCommit(j, func(err error) {
+	c.scheduler.afterJobCommit(j, func(err error) {
 		if err != nil || c.service(j) != s {
 			m.reply <- undecided("the demand could not be recorded")
 			return
@@ -141,19 +141,19 @@
 	})
 }
 
-// wakeWatcher is a wake request whose response is delayed while the model starts.
-type wakeWatcher struct {
+// wakeWaiter is a wake request whose response is delayed while the model starts.
+type wakeWaiter struct {
 	reply chan activation.WakeResponse
 	until time.Time
 }
 
-// answerWatchers answers the delayed wake requests whose wait has ended, or all of them if the model is no longer starting.
-func (c *activationController) answerWatchers(s *managedService, now time.Time) {
-	if s.unwritten > 0 {
+// answerWaiters answers the delayed wake requests whose wait has ended, or all of them if the model is no longer starting.
+func (c *activationController) answerWaiters(s *managedService, now time.Time) {
+	if s.pendingWrites > 0 {
 		return
 	}
 	starting := s.record.State == activation.Starting
-	s.watchers = slices.DeleteFunc(s.watchers, func(w wakeWatcher) bool {
+	s.waiters = slices.DeleteFunc(s.waiters, func(w wakeWaiter) bool {
 		due := !starting || !now.Before(w.until)
 		if due {
 			w.reply <- c.response(s, now)
@@ -192,7 +192,7 @@
 		}
 	case activation.Starting:
 		if !s.wokenAt.IsZero() {
-			response.Expected = c.starts.Expected(s.job.Spec.Class, now.Sub(s.wokenAt))
+			response.Expected = c.startTimes.Expected(s.job.Spec.Class, now.Sub(s.wokenAt))
 		}
 	case activation.Failed:
 		response.Expected = s.record.BackoffRemaining(now)
