--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -14,44 +14,45 @@
 )
 
 // Delegation of lease renewals. The leader delegates to its peers the right to renew the leases of the workers in their
-// zones while they can't reach it: while their zone is partitioned, or in the seconds between two leaders.
+// zones. A peer uses this right while it can't reach a leader: while its zone is partitioned, or in the seconds between
+// two leaders.
 //
 // A delegation lasts as long as the leader itself may renew leases without the key-value store, for the same reason: a
-// successor may confirm the cancellation of a job without reaching its workers. The job's tasks must be gone within
-// cancel_s, so the last renewal must come no later than cancel_s - lease_s, less a margin, after the last contact with
-// the leader. Workers that still have to stop tasks of a cancelled job are excluded, and a delegated renewal carries no
-// commands.
+// successor may confirm the cancellation of a job without reaching the job's workers. The job's tasks must be gone within
+// cancel_s, so the last renewal must happen at most cancel_s - lease_s, less a margin, after the last contact with the
+// leader. Workers that still have to stop tasks of a cancelled job are excluded from the delegation, and a delegated
+// renewal carries no commands.
 //
-// The leader takes what it has delegated into account before it declares a machine empty: see delegatedLeaseBound.
+// The leader takes its delegations into account before it declares a machine empty: see delegatedLeaseBound.
 
-// delegation is the right to renew leases for a limited time.
+// delegation is a leader's permission for this controller to renew workers' leases for a limited time.
 type delegation struct {
-	tokens   fencing.Tokens // of the leader that granted it
+	tokens   fencing.Tokens // the fencing tokens of the leader that granted it
 	until    time.Time
-	excluded []int
+	excluded []int // machines whose leases may not be renewed
 }
 
-// refreshDelegation adopts the latest delegation in the statuses of the peers. It stays valid when the peer that granted
-// it has ended or restarted.
+// refreshDelegation adopts the latest delegation in the peers' statuses. A delegation remains valid after the process that
+// granted it has ended or restarted.
 func (f *forwarder) refreshDelegation() {
 	for _, p := range f.settings.Peers {
-		w, ok := f.node.deps.Peers.Status(p.Name)
-		if !ok || w.DelegatesFor <= 0 || w.DelegationTerm < f.delegation.tokens.First {
+		status, ok := f.node.deps.Peers.Status(p.Name)
+		if !ok || status.DelegatesFor <= 0 || status.DelegationTerm < f.delegation.tokens.First {
 			continue
 		}
-		until := w.Sent.Add(clock.Scale(w.DelegatesFor, 1/clock.DriftBound))
-		if w.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
-			f.delegation = delegation{w.DelegationTokens(), until, w.Excluded}
+		until := status.Sent.Add(clock.Scale(status.DelegatesFor, 1/clock.DriftBound))
+		if status.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
+			f.delegation = delegation{status.DelegationTokens(), until, status.Excluded}
 		}
 	}
 }
 
-// answerDelegated answers a heartbeat that no leader has answered.
+// answerDelegated answers a heartbeat on which no leader has decided.
 func (f *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- f.decideDelegated(p, now)
 }
 
-// decideDelegated renews the lease of a worker if the delegation allows that.
+// decideDelegated renews a worker's lease if the delegation allows it. Otherwise it returns a busy response.
 func (f *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
 	f.refreshDelegation()
 	r, known, grant := p.report, f.workers[p.report.Machine], &f.delegation
@@ -59,18 +60,19 @@
 	case known == nil || known.stale(r), !now.Before(grant.until), r.Token > grant.tokens.Last, r.Zone != f.settings.Zone,
 		slices.Contains(grant.excluded, r.Machine), f.isolated():
 		return worker.HeartbeatResponse{Busy: true}
-	case p.digest != known.digest && f.mayRedirect(known, now):
-		// Its state has changed, which only a leader can act on. Another controller may reach one.
+	case p.digest != known.digest && f.canTryOthers(known, now):
+		// The worker's state has changed, and only a leader can act on the change. Another controller may reach a leader.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	// Marked before the worker is answered: no leader may learn of this later than the worker.
+	// The renewal is recorded before the worker is answered, so that the status sent to a leader never omits a renewal
+	// that the worker has already received.
 	f.lastDelegated.Mark(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
-// isolated reports whether this controller alone seems to be cut off: it reaches neither the key-value store nor a peer,
-// but the load balancer still probes it. Then its workers should go to the other controllers.
+// isolated reports whether only this controller seems to be cut off: it reaches neither the key-value store nor a peer, but
+// the load balancer still probes it. In that case its workers should try the other controllers.
 func (f *forwarder) isolated() bool {
 	if len(f.settings.Peers) == 0 || f.node.storeReachable() {
 		return false
@@ -80,101 +82,104 @@
 			return false
 		}
 	}
-	return f.lastProbe.Since(math.MaxInt64) < probeMissed
+	return f.lastProbe.Since(math.MaxInt64) < probeTimeout
 }
 
-// probeMissed is how long after the load balancer's last probe this controller still counts as in its reach. It probes
-// once a second.
-const probeMissed = 5 * time.Second / 2
+// probeTimeout is the time after the load balancer's last probe for which the load balancer still counts as connected to
+// this controller. It probes once a second.
+const probeTimeout = 5 * time.Second / 2
 
-// mayRedirect reports whether a worker can try all other controllers without success and be back here within its lease.
-func (f *forwarder) mayRedirect(known *knownWorker, now time.Time) bool {
-	round := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
-	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+round+f.settings.HeartbeatInterval < f.settings.WorkerLease
+// canTryOthers reports whether a worker has enough of its lease left to try all other controllers without success and then
+// return to this one.
+func (f *forwarder) canTryOthers(known *knownWorker, now time.Time) bool {
+	retryTime := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
+	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+retryTime+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
-// delegationTerms are what delegations depend on. They are immutable, and published by the scheduler.
+// delegationTerms are the conditions of the leader's delegations. They are immutable, and the scheduler publishes them.
 type delegationTerms struct {
-	at         time.Time // as of when excluded is complete
-	renewUntil time.Time
-	excluded   map[string][]int // by zone
+	at         time.Time        // the time for which excluded is complete
+	renewUntil time.Time        // the time until which the leader may renew leases
+	excluded   map[string][]int // machines with tasks of cancelled jobs, by zone
 }
 
 // delegator grants the leader's delegations. Its methods may be called from any goroutine.
 type delegator struct {
 	renewalGrace time.Duration
 	terms        atomic.Pointer[delegationTerms]
-	until        map[string]*atomic.Int64 // the latest end of any delegation to each peer, in ns after began
-	zones        map[string]string
-	began        time.Time
+	until        map[string]*atomic.Int64 // by peer: the latest end of any delegation to it, in ns after startedAt
+	zones        map[string]string        // by peer
+	startedAt    time.Time
 }
 
 func newDelegator(s *config.Settings) *delegator {
-	l := &delegator{renewalGrace: s.RenewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), began: time.Now()}
+	d := &delegator{renewalGrace: s.RenewalGrace(), until: make(map[string]*atomic.Int64), zones: make(map[string]string), startedAt: time.Now()}
 	for _, p := range s.Peers {
-		l.until[p.Name], l.zones[p.Name] = new(atomic.Int64), p.Zone
+		d.until[p.Name], d.zones[p.Name] = new(atomic.Int64), p.Zone
 	}
-	return l
+	return d
 }
 
-// delegate returns for how long a peer may renew leases itself, counted from its request, and the excluded machines.
-func (l *delegator) delegate(peer string) (time.Duration, []int) {
+// delegate returns for how long a peer may renew leases itself, counted from when it sent its request, and the machines
+// whose leases it may not renew.
+func (d *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
-	p, until := l.terms.Load(), l.until[peer]
-	if p == nil || until == nil || l.zones[peer] == "" {
+	terms, until := d.terms.Load(), d.until[peer]
+	if terms == nil || until == nil || d.zones[peer] == "" {
 		return 0, nil
 	}
-	end := p.at.Add(l.renewalGrace)
-	if p.renewUntil.Before(end) {
-		end = p.renewUntil
+	end := terms.at.Add(d.renewalGrace)
+	if terms.renewUntil.Before(end) {
+		end = terms.renewUntil
 	}
 	if !now.Before(end) {
 		return 0, nil
 	}
-	// Recorded before it is sent. Each peer sends one request at a time, but a repeated one may come late: the latest
-	// end counts.
-	for sinceBegan := int64(end.Sub(l.began)); ; {
+	// The end of the delegation is recorded before the response is sent. Each peer sends one request at a time, but a
+	// repeated request may arrive late, so the latest end is kept.
+	for endOffset := int64(end.Sub(d.startedAt)); ; {
 		old := until.Load()
-		if old >= sinceBegan || until.CompareAndSwap(old, sinceBegan) {
+		if old >= endOffset || until.CompareAndSwap(old, endOffset) {
 			break
 		}
 	}
-	return end.Sub(now), slices.Concat(p.excluded[""], p.excluded[l.zones[peer]])
+	return end.Sub(now), slices.Concat(terms.excluded[""], terms.excluded[d.zones[peer]])
 }
 
-// delegatedUntil is the latest time at which a peer may renew leases; zero: nothing was delegated to it.
-func (l *delegator) delegatedUntil(peer string) time.Time {
-	if v := l.until[peer].Load(); v != 0 {
-		return l.began.Add(time.Duration(v))
+// delegatedUntil returns the latest time at which a peer may renew leases, or zero if it was granted no delegation.
+func (d *delegator) delegatedUntil(peer string) time.Time {
+	if offset := d.until[peer].Load(); offset != 0 {
+		return d.startedAt.Add(time.Duration(offset))
 	}
 	return time.Time{}
 }
 
-// delegationPerHeartbeat is the age limit of published delegation terms, in heartbeat intervals. Delegations count from
-// the time of the terms.
-const delegationPerHeartbeat = 0.02
+// termsAgePerHeartbeat is the age from which the published delegation terms are replaced, in heartbeat intervals. The
+// duration of a delegation counts from the time of its terms, so old terms shorten it.
+const termsAgePerHeartbeat = 0.02
 
-// publishDelegation renews the delegation terms.
+// publishDelegation replaces the published delegation terms unless they are recent or leadership was resigned. The terms
+// exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
-	if old := s.delegator.terms.Load(); s.resigned || old != nil && now.Sub(old.at) < clock.Scale(s.settings.HeartbeatInterval, delegationPerHeartbeat) {
+	if previous := s.delegator.terms.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, termsAgePerHeartbeat) {
 		return
 	}
-	p := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
+	terms := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
 	for id, j := range s.state.Jobs.Cancelling {
 		if len(j.Attempts) == 0 {
 			delete(s.state.Jobs.Cancelling, id)
 		}
 		for _, a := range j.Attempts {
-			if z := a.Machine.Zone; !slices.Contains(p.excluded[z], a.Machine.ID) {
-				p.excluded[z] = append(p.excluded[z], a.Machine.ID)
+			if z := a.Machine.Zone; !slices.Contains(terms.excluded[z], a.Machine.ID) {
+				terms.excluded[z] = append(terms.excluded[z], a.Machine.ID)
 			}
 		}
 	}
-	s.delegator.terms.Store(p)
+	s.delegator.terms.Store(terms)
 }
 
-// delegatedLeaseBound is the time by which a machine's lease has expired that this leader renewed last at
-// m.LastAcknowledged, considering that peers may have renewed it since under a delegation.
+// delegatedLeaseBound returns the time by which a machine's lease has expired for certain. This leader last renewed the
+// lease at m.LastAcknowledged, but peers may have renewed it since then under a delegation.
 func (s *scheduler) delegatedLeaseBound(m *cluster.Machine) time.Time {
 	end := m.LastAcknowledged.Add(s.settings.LeaseBound())
 	for i := range s.peerRenewals {
@@ -182,14 +187,15 @@
 		if !renewals.covers(m) {
 			continue
 		}
-		// The latest renewal that is known. The second pass adds those that the peer may have made since its status.
+		// This pass considers the renewals that the peers' statuses report. The second pass adds the renewals that a peer
+		// may have made after its latest status.
 		if b := renewals.last.Add(s.settings.LeaseBound()); !renewals.last.IsZero() && b.After(end) {
 			end = b
 		}
 	}
 	for i := range s.peerRenewals {
 		renewals := &s.peerRenewals[i]
-		if renewals.covers(m) && renewals.asked.Before(end) {
+		if renewals.covers(m) && renewals.requestedAt.Before(end) {
 			if b := renewals.until.Add(s.settings.LeaseBound()); b.After(end) {
 				end = b
 			}
@@ -198,20 +204,21 @@
 	return end
 }
 
-// peerRenewals is what is known of a peer's renewals under this leader's delegations.
+// peerRenewals bounds the times at which a peer has renewed leases, or may renew them, under this leader's delegations.
 type peerRenewals struct {
-	zone  string
-	until time.Time // latest time at which it may renew
-	last  time.Time // latest time of its last renewal before asked; zero: unknown
-	asked time.Time // when its latest status was requested
+	zone        string
+	until       time.Time // latest time at which the peer may renew leases
+	last        time.Time // latest possible time of the peer's last renewal before requestedAt; zero if unknown
+	requestedAt time.Time // when the peer's latest status was requested
 }
 
-// covers reports whether the peer may renew the machine's lease at all.
-func (s *peerRenewals) covers(m *cluster.Machine) bool {
-	return s.zone == m.Zone || s.zone == "" || m.Zone == ""
+// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone, and an
+// unknown zone may be any zone.
+func (r *peerRenewals) covers(m *cluster.Machine) bool {
+	return r.zone == m.Zone || r.zone == "" || m.Zone == ""
 }
 
-// updatePeerRenewals updates the renewals from the statuses of the peers, once a tick.
+// updatePeerRenewals rebuilds the peers' renewals from their latest statuses. It is called once per tick.
 func (s *scheduler) updatePeerRenewals() {
 	s.peerRenewals = s.peerRenewals[:0]
 	for _, p := range s.settings.Peers {
@@ -219,10 +226,10 @@
 		if renewals.until.IsZero() {
 			continue
 		}
-		if w, ok := s.deps.Peers.Status(p.Name); ok && w.Sent.After(s.termStarted) {
-			// A restarted process may have renewed leases until its restart.
-			renewals.last = w.Received.Add(-clock.Scale(min(w.SinceDelegatedRenewal, w.Uptime), 1/clock.DriftBound))
-			renewals.asked = w.Sent
+		if status, ok := s.deps.Peers.Status(p.Name); ok && status.Sent.After(s.termStarted) {
+			// A process before the peer's last restart may have renewed leases until that restart.
+			renewals.last = status.Received.Add(-clock.Scale(min(status.SinceDelegatedRenewal, status.Uptime), 1/clock.DriftBound))
+			renewals.requestedAt = status.Sent
 		}
 		s.peerRenewals = append(s.peerRenewals, renewals)
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -27,14 +27,14 @@
 	"sagevale/internal/worker"
 )
 
-// writeShare is the journal's request timeout as a share of the leader's lease. Responses usually come within a tenth of
-// that, and retries are idempotent.
-const writeShare = 0.2
+// journalTimeoutShare is the journal's request timeout as a share of the leader's lease. Responses usually arrive within a
+// tenth of this timeout, and retries are idempotent.
+const journalTimeoutShare = 0.2
 
-// roleQueue is how many changes of the role may wait to be followed.
-const roleQueue = 16
+// roleQueueSize is the number of role changes that may wait to be handled by runTerms.
+const roleQueueSize = 16
 
-// Dependencies are the external systems that a node speaks to, and its sources of log and chance.
+// Dependencies are the external systems that a node communicates with, its logger and its random number generator.
 type Dependencies struct {
 	State   storage.KeyValueStore
 	Cloud   autoscaling.Cloud
@@ -44,8 +44,8 @@
 	Rand    *rand.Rand
 }
 
-// Node is one controller: it follows or leads, and answers users and workers. Its methods may be called from any
-// goroutine.
+// Node is one controller: it is the leader or a follower, and answers users and workers. Its methods may be called from
+// any goroutine.
 type Node struct {
 	settings     *config.Settings
 	deps         Dependencies
@@ -56,20 +56,20 @@
 	limitTracker *storage.LimitTracker
 	archive      *archive.Archiver
 	roles        chan leadership.Role
-	view         atomic.Pointer[view] // published by the node's own goroutine
+	view         atomic.Pointer[view] // replaced only by the goroutine of runTerms
 }
 
-// view is what request handlers need to know. It is immutable and replaced as a whole.
+// view contains the state that request handlers use. It is immutable and replaced as a whole.
 type view struct {
 	role      leadership.Role
-	scheduler *scheduler // only while leading with the state loaded
+	scheduler *scheduler // nil unless this controller leads and the state is loaded
 }
 
-// NewNode returns a controller; Run starts it.
+// NewNode returns a controller, which Run starts.
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
-	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, writeShare)
-	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, roleQueue)}
+	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, journalTimeoutShare)
+	n := &Node{settings: s, deps: deps, limitTracker: storage.NewLimitTracker(limits), roles: make(chan leadership.Role, roleQueueSize)}
 	process := fmt.Sprintf("%016x", deps.Rand.Uint64())
 	n.registrar = leadership.NewRegistrar(deps.State, s, process, deps.Log)
 	n.election = leadership.New(leadership.Config{
@@ -94,23 +94,24 @@
 	}
 	g.Go(func() error { return n.registrar.Run(ctx) })
 	g.Go(func() error { return n.election.Run(ctx, publish) })
-	g.Go(func() error { n.follow(ctx); return nil })
+	g.Go(func() error { n.runTerms(ctx); return nil })
 	g.Go(func() error { n.relay.Run(ctx); return nil })
 	g.Go(func() error { n.archive.Run(ctx); return nil })
 	g.Go(func() error { n.forwarder.run(ctx); return nil })
 	return g.Wait()
 }
 
-// follow begins a term when this controller becomes the leader, and ends it when it no longer is.
-func (n *Node) follow(ctx context.Context) {
+// runTerms handles the changes of this controller's role: it begins a term when the controller becomes the leader, and ends
+// the term when the controller is no longer the leader.
+func (n *Node) runTerms(ctx context.Context) {
 	var terms sync.WaitGroup
-	var end context.CancelFunc
-	var leading *scheduler
+	var cancelTerm context.CancelFunc
+	var termScheduler *scheduler
 	loaded := make(chan *scheduler, 1)
 	stop := func() {
-		if end != nil {
-			end()
-			end, leading = nil, nil
+		if cancelTerm != nil {
+			cancelTerm()
+			cancelTerm, termScheduler = nil, nil
 		}
 	}
 	defer terms.Wait()
@@ -120,41 +121,41 @@
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-loaded:
-			cur := n.view.Load()
-			if end == nil || !cur.role.Leading || cur.role.Term != d.term {
-				continue // it belongs to a term that is over
+		case s := <-loaded:
+			current := n.view.Load()
+			if cancelTerm == nil || !current.role.Leading || current.role.Term != s.term {
+				continue // the scheduler belongs to a term that has ended
 			}
-			leading, role = d, cur.role
+			termScheduler, role = s, current.role
 		case role = <-n.roles:
 		}
-		cur := n.view.Load()
-		if end != nil && (!role.Leading || role.Term != cur.role.Term) {
+		current := n.view.Load()
+		if cancelTerm != nil && (!role.Leading || role.Term != current.role.Term) {
 			stop()
 		}
-		n.publish(role, leading)
-		if role.Leading && end == nil {
+		n.publishView(role, termScheduler)
+		if role.Leading && cancelTerm == nil {
 			termCtx, cancel := context.WithCancel(ctx)
-			end = cancel
-			terms.Go(func() { n.term(termCtx, role, loaded) })
+			cancelTerm = cancel
+			terms.Go(func() { n.runTerm(termCtx, role, loaded) })
 		}
 	}
 }
 
-// publish replaces the view of the request handlers, and tells the scheduler its role.
-func (n *Node) publish(role leadership.Role, leading *scheduler) {
-	if leading != nil && leading.term != role.Term {
-		leading = nil
+// publishView replaces the view of the request handlers, and sends the role to the term's scheduler if there is one.
+func (n *Node) publishView(role leadership.Role, termScheduler *scheduler) {
+	if termScheduler != nil && termScheduler.term != role.Term {
+		termScheduler = nil
 	}
-	n.view.Store(&view{role: role, scheduler: leading})
-	if leading != nil {
-		leading.post(roleMessage{role})
+	n.view.Store(&view{role: role, scheduler: termScheduler})
+	if termScheduler != nil {
+		termScheduler.post(roleMessage{role})
 	}
 }
 
-// term is a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
-// term's scheduler to loaded once it may be used.
-func (n *Node) term(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
+// runTerm runs a term of leadership: it loads the state, and runs the term's actors until one fails or ctx ends. It sends the
+// term's scheduler to loaded once the scheduler may be used.
+func (n *Node) runTerm(ctx context.Context, role leadership.Role, loaded chan<- *scheduler) {
 	log := n.deps.Log.With("term", role.Term)
 	s, err := n.loadState(ctx, role, log)
 	if err != nil {
@@ -164,10 +165,10 @@
 		}
 		return
 	}
-	n.runTerm(ctx, role, s, loaded, log)
+	n.runActors(ctx, role, s, loaded, log)
 }
 
-// loadState reads the journal under a new leader's guard, and returns a scheduler with the cluster state.
+// loadState reads the journal under the new leader's guard, and returns a scheduler with the cluster state.
 func (n *Node) loadState(ctx context.Context, role leadership.Role, log *slog.Logger) (*scheduler, error) {
 	started := time.Now()
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
@@ -186,11 +187,11 @@
 	return s, nil
 }
 
-// runTerm runs the actors of a term until one fails or ctx ends.
-func (n *Node) runTerm(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
-	g, gctx := errgroup.WithContext(ctx)
-	// All of the scheduler's links to other actors are set before any of them runs.
-	background, waitForCalls := backgroundCalls(gctx)
+// runActors runs the actors of a term until one fails or ctx ends. It sends the term's scheduler to loaded once they run.
+func (n *Node) runActors(ctx context.Context, role leadership.Role, s *scheduler, loaded chan<- *scheduler, log *slog.Logger) {
+	g, groupCtx := errgroup.WithContext(ctx)
+	// All references from the scheduler to other actors are set before any actor runs.
+	background, waitForCalls := backgroundCalls(groupCtx)
 	defer waitForCalls()
 	s.background = background
 	upgrades := upgradecontrol.New(upgradecontrol.Config{
@@ -200,14 +201,14 @@
 	s.journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
 	s.autoscaler = autoscaling.New(autoscaling.Config{
 		Settings: n.settings, Cloud: n.deps.Cloud, Journal: s.journal, Scheduler: s, Term: role.Term,
-		Desired: s.desired, Launches: s.openLaunches, Done: gctx.Done(), Log: log,
+		Desired: s.desired, Launches: s.openLaunches, Done: groupCtx.Done(), Log: log,
 	})
 	relayServer := relay.NewServer(n.settings, n.deps.State, n.limitTracker, role.Guard, s, n.deps.Log)
-	g.Go(func() error { return s.journal.Run(gctx) })
-	g.Go(func() error { return s.run(gctx) })
-	g.Go(func() error { return s.autoscaler.Run(gctx) })
-	g.Go(func() error { return upgrades.Run(gctx) })
-	g.Go(func() error { relayServer.Run(gctx); return nil })
+	g.Go(func() error { return s.journal.Run(groupCtx) })
+	g.Go(func() error { return s.run(groupCtx) })
+	g.Go(func() error { return s.autoscaler.Run(groupCtx) })
+	g.Go(func() error { return upgrades.Run(groupCtx) })
+	g.Go(func() error { relayServer.Run(groupCtx); return nil })
 	select {
 	case loaded <- s:
 	case <-ctx.Done():
@@ -218,20 +219,20 @@
 	n.endTerm(role.Term, err, log)
 }
 
-// endTerm gives up the leadership of a term whose actors ended with an error.
+// endTerm resigns the leadership of a term whose actors have ended with an error, unless they were cancelled.
 func (n *Node) endTerm(term uint64, err error, log *slog.Logger) {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
 		return
 	case errors.Is(err, storage.ErrLeadershipLost):
-		log.Info("term ended", "error", err) // expected: there is a successor, or will be one
+		log.Info("term ended", "error", err) // expected: another controller leads or will lead
 	default:
 		log.Error("term ended", "error", err)
 	}
 	n.resign(term)
 }
 
-// beginArchive has the archive's pages read for a term, if there may be any.
+// beginArchive starts to read the archive's pages for a term, if the archive is enabled or may contain pages.
 func (n *Node) beginArchive(ctx context.Context, s *scheduler, role leadership.Role) {
 	s.archive = n.archive
 	if s.archiveInUse || n.settings.Tuning.Archive.Enabled {
@@ -239,12 +240,12 @@
 	}
 }
 
-// resign has the election give up the leadership of a term, if it still holds it.
+// resign makes the election give up the leadership of a term, if this controller still holds it.
 func (n *Node) resign(term uint64) {
 	n.election.Resign(leadership.Resignation{Term: term})
 }
 
-// Role describes what this controller does at present, for operators.
+// Role returns this controller's present role, for operators.
 func (n *Node) Role() string {
 	v := n.view.Load()
 	switch {
@@ -258,9 +259,11 @@
 	return "without a leader"
 }
 
-// Ready reports whether the load balancer should send users here: not if there is a leader that this controller can't
-// reach, and not if it is neither certainly the leader nor reaches any other controller. While nobody leads, all
-// controllers that reach each other are as good. Each call also shows that this controller isn't cut off from users.
+// Ready reports whether the load balancer should send users to this controller. It returns true if this controller is
+// certain to be the leader. If another controller is the leader, Ready returns false once that one has been unreachable for
+// longer than a leader lease. While no other leader is known, Ready returns true if this controller reaches any peer, or
+// has none: all controllers that reach each other then serve users equally well. Each call also records that the load
+// balancer reaches this controller.
 func (n *Node) Ready() bool {
 	n.forwarder.lastProbe.Mark(time.Now())
 	v := n.view.Load()
@@ -279,8 +282,9 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader returns the leader that this controller knows of, or that its peers tell of if that has a later term: this
-// controller alone may have lost the key-value store.
+// leader returns the name of the leader, or "" if none is known. If the peers' statuses name another controller as the
+// leader of a later term than this controller's role, it returns that one: perhaps only this controller has lost contact
+// with the key-value store.
 func (n *Node) leader(v *view) string {
 	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > v.role.Term && peersLeader != n.settings.NodeName {
 		return peersLeader
@@ -288,13 +292,14 @@
 	return v.role.Leader
 }
 
-// HandleUserRequest answers a user's request: itself as the leader, else from the archive or through the leader.
+// HandleUserRequest answers a user's request. The leader answers it by its scheduler. Other controllers answer it from the
+// archive's pages in memory, or forward it to the leader.
 func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
 		return v.scheduler.HandleUserRequest(ctx, req)
 	}
-	if a, ok := n.archived(req); ok {
+	if a, ok := n.lookupArchived(req); ok {
 		return a
 	}
 	leader := n.leader(v)
@@ -304,13 +309,14 @@
 	return n.forwardUserRequest(ctx, leader, req)
 }
 
-// forwardUserRequest has the leader answer a user's request, and drops its response if that isn't valid any more.
+// forwardUserRequest forwards a user's request to the leader. If the leader's response arrives too late to be valid, it
+// returns a response to retry later instead.
 func (n *Node) forwardUserRequest(ctx context.Context, leader string, req api.Request) api.Response {
 	sent := time.Now()
 	var response api.Response
 	if n.useRelay(leader) {
-		// The leader's key guarded the transaction that carried its response, so only a job's state, which polls ask
-		// for, can be outdated.
+		// The transaction with the leader's response was guarded by the leader's key, so only a job's state, which only
+		// polls request, can be outdated.
 		if response = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
 			return response
 		}
@@ -321,20 +327,20 @@
 		}
 	}
 	if response.ValidFor > 0 && !response.Final() && time.Since(sent) > clock.Scale(response.ValidFor, 1/clock.DriftBound) {
-		return api.Unavailable(req.ID, "the leader's answer came late")
+		return api.Unavailable(req.ID, "the leader's response arrived after it had expired")
 	}
 	return response
 }
 
-// storeReachable reports whether the key-value store has answered this controller lately: its election, or its relay
-// while that is in use.
+// storeReachable reports whether the key-value store has recently answered this controller's election, or its relay while
+// the relay is in use.
 func (n *Node) storeReachable() bool {
 	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
 	return since < relay.Timeout+n.settings.Tuning.LeaderLease
 }
 
-// useRelay reports whether the leader has to be reached through the key-value store: it has been unreachable for longer
-// than its lease lasts, and still holds its key.
+// useRelay reports whether requests to the leader have to be relayed through the key-value store: the leader has been
+// unreachable for longer than its lease lasts, but it still holds its key, because it is still known as the leader.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
@@ -342,7 +348,7 @@
 // HandleForwardedRequest answers a request that another controller forwarded.
 func (n *Node) HandleForwardedRequest(ctx context.Context, req api.Request) api.Response {
 	if req.Op == api.OpPing {
-		return api.Response{Peer: n.status(req.ID)}
+		return api.Response{Peer: n.peerStatus(req.ID)}
 	}
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.HandleUserRequest(ctx, req)
@@ -350,20 +356,20 @@
 	return api.Unavailable(req.ID, "not the leader")
 }
 
-// status returns the status of this controller that it sends to a peer, with what it delegates to it.
-func (n *Node) status(peerName string) peer.Status {
+// peerStatus returns the status that this controller sends to a peer. A leader's status includes its delegation to the peer.
+func (n *Node) peerStatus(peerName string) peer.Status {
 	v := n.view.Load()
-	st := n.election.Status()
-	st.Version = peer.Version
+	status := n.election.Status()
+	status.Version = peer.Version
 	if r := v.role; !r.Leading || time.Now().Before(r.LeaseValidUntil) {
-		st.Leader, st.Term = r.Leader, r.Term
+		status.Leader, status.Term = r.Leader, r.Term
 	}
-	st.SinceHeartbeat, st.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(st.Uptime), n.forwarder.lastDelegated.Since(st.Uptime)
+	status.SinceHeartbeat, status.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(status.Uptime), n.forwarder.lastDelegated.Since(status.Uptime)
 	if v.scheduler != nil {
-		st.DelegationTerm = v.scheduler.term
-		st.DelegatesFor, st.Excluded = v.scheduler.delegator.delegate(peerName)
+		status.DelegationTerm = v.scheduler.term
+		status.DelegatesFor, status.Excluded = v.scheduler.delegator.delegate(peerName)
 	}
-	return st
+	return status
 }
 
 // HandleHeartbeat answers a worker's heartbeat.
