--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -118,8 +118,8 @@
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
 
-// uses returns the number of lifecycle records that depend on the gate, including those whose removal isn't durable yet.
-func (c *activationController) uses() int { return len(c.services) + c.pendingRemovals }
+// gateUseCount returns the number of lifecycle records that depend on the gate, including those whose removal isn't durable yet.
+func (c *activationController) gateUseCount() int { return len(c.services) + c.pendingRemovals }
 
 // track adds a service that was just submitted. The service starts in the idle state, which is stored with the job's record.
 func (c *activationController) track(j *cluster.Job, now time.Time) {
@@ -226,7 +226,7 @@
 // removeLifecycle removes a service's lifecycle record, so that it runs all the time like any other service.
 func (c *activationController) removeLifecycle(s *managedService) {
 	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
-	c.release(s.job)
+	c.untrack(s.job)
 	c.postpone(s.job)
 	c.pendingRemovals++
 	c.scheduler.recordJob(s.job, func(err error) {
@@ -237,8 +237,8 @@
 	c.scheduler.requestPlacement()
 }
 
-// release stops managing a service that was cancelled or that always runs from now on. It answers the waiting wake requests.
-func (c *activationController) release(j *cluster.Job) {
+// untrack stops managing a service that was cancelled or that always runs from now on. It answers the waiting wake requests.
+func (c *activationController) untrack(j *cluster.Job) {
 	delete(c.services, j.Spec.ID)
 	delete(c.postponed, j.Spec.ID)
 	delete(c.active, j.Spec.ID)
--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -144,13 +144,13 @@
 			if d.state.Classes.Get(coldClass) != nil || d.state.Jobs.CurrentTasks(coldClass) != 0 || len(d.planner.WaitingByUrgency(time.Now())) > 0 || len(d.snapshotFleet(time.Now()).Desired) > 0 {
 				t.Error("an idle service counts as an arrival, a task, demand or desired machines")
 			}
-			if d.activation.uses() != 1 {
-				t.Errorf("%d uses of the gate, want 1", d.activation.uses())
+			if d.activation.gateUseCount() != 1 {
+				t.Errorf("%d uses of the gate, want 1", d.activation.gateUseCount())
 			}
-			d.cancel(userMessage{reply: make(chan api.Response, 1)}, j, time.Now())
+			d.handleCancel(userMessage{reply: make(chan api.Response, 1)}, j, time.Now())
 			d.commitPending(nil)
-			if d.activation.uses() != 0 || j.Record().Activation != nil {
-				t.Errorf("%d uses of the gate and record %s after the cancellation, want none", d.activation.uses(), j.Record().Activation)
+			if d.activation.gateUseCount() != 0 || j.Record().Activation != nil {
+				t.Errorf("%d uses of the gate and record %s after the cancellation, want none", d.activation.gateUseCount(), j.Record().Activation)
 			}
 		},
 	} {
@@ -172,7 +172,7 @@
 		d := newTestScheduler(t, s)
 		d.activation.gate = openActivation.Gate(upgrade.Activation)
 		spec := modelSpec(coldModel)
-		if err := d.load([]storage.Record{
+		if err := d.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey(coldModel), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
 			newRecord(t, storage.PageKey(coldModel, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -13,8 +13,8 @@
 // returns it couldn't reach the other controller, and isn't redirected again.
 
 const (
-	// affinityLeases is the time after a redirection in which a worker isn't redirected again, in worker leases.
-	affinityLeases = 2
+	// redirectPauseLeases is the time after a redirection in which a worker isn't redirected again, in worker leases.
+	redirectPauseLeases = 2
 	// affinityProbeInterval is the least time between two redirections to a controller that receives no heartbeats. Such a
 	// controller may have just started, or may be partitioned from the workers, so one worker at a time probes it.
 	affinityProbeInterval = time.Second
@@ -44,7 +44,7 @@
 // nodeFor returns the controller to which a worker is to be redirected, or "" if it should stay with this controller.
 func (a *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
 	self := a.node.settings.NodeName
-	if !known.redirected.IsZero() && now.Sub(known.redirected) < affinityLeases*a.node.settings.WorkerLease {
+	if !known.redirected.IsZero() && now.Sub(known.redirected) < redirectPauseLeases*a.node.settings.WorkerLease {
 		return ""
 	}
 	leader := a.node.leader(a.node.view.Load())
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -158,7 +158,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.archive = newArchive(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
+		d.archive = newArchiver(d.settings, Dependencies{State: &storagetest.Client{Service: service}, Log: d.log}, storage.NewLimitTracker(d.settings.State))
 		go d.archive.Run(ctx)
 		d.archive.BeginTerm(ctx, archive.Leadership{Term: d.term, Guard: storage.Guard{Key: leadership.LeaderKey, Version: version}})
 		time.Sleep(time.Minute)
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -21,8 +21,8 @@
 // maxArchiveBatch is the largest number of finished jobs that are passed to the archive at a time.
 const maxArchiveBatch = 4096
 
-// newArchive returns the controller's archiver.
-func newArchive(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
+// newArchiver returns the controller's archiver.
+func newArchiver(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
 		RefreshInterval: s.WorkerLease, RequestTimeout: s.CallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
@@ -129,16 +129,16 @@
 	}
 	s.log.Error("open job found in archive", "job", j.Spec.ID, "phase", r.Final.Phase())
 	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = r.Final.Phase(), r.Final.Done, true, true
-	s.activation.release(j)
+	s.activation.untrack(j)
 	s.state.Jobs.TrackCancelling(j)
 	s.markJob(j)
 	s.stopJob(j)
 	s.sendJobStops(j)
-	s.retire(j)
+	s.releaseFinalJob(j)
 }
 
-// compareArchive finalizes the open jobs that are archived. It does so once per term, after all pages have been read.
-func (s *scheduler) compareArchive() {
+// finalizeArchivedJobs finalizes the open jobs that are archived. It does so once per term, after all pages have been read.
+func (s *scheduler) finalizeArchivedJobs() {
 	if !s.archiveInUse || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
 	}
@@ -148,9 +148,9 @@
 	}
 }
 
-// useArchive sets archiveInUse once the archive's gate is marked as used: jobs may be archived from now on, or were archived
+// updateArchiveInUse sets archiveInUse once the archive's gate is marked as used: jobs may be archived from now on, or were archived
 // in an earlier term. It remains set for the rest of the term, even if the gate is closed again.
-func (s *scheduler) useArchive() {
+func (s *scheduler) updateArchiveInUse() {
 	s.archiveInUse = s.archiveInUse || s.gates.Gate(upgrade.JobArchive).Used
 }
 
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -44,7 +44,7 @@
 		d := newTestScheduler(b, clustertest.Settings())
 		before := liveHeap()
 		began := time.Now()
-		if err := d.load(records); err != nil {
+		if err := d.loadRecords(records); err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(time.Since(began).Nanoseconds())/finishedJobs, "ns/job")
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -30,7 +30,7 @@
 	}
 	s.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
 	s.activation.attemptRemoved(a, now)
-	s.retire(j)
+	s.releaseFinalJob(j)
 	s.placementDue = true
 }
 
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -151,7 +151,7 @@
 		add(storage.PageKey(id, 0), j.PageRecord(0))
 	}
 	for b.Loop() {
-		if err := newTestScheduler(b, clustertest.Settings()).load(records); err != nil {
+		if err := newTestScheduler(b, clustertest.Settings()).loadRecords(records); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -255,7 +255,7 @@
 		s.Tuning.Activation.Classes = []string{coldClass}
 		d := newTestScheduler(t, s)
 		d.activation.gate = upgrade.GateState{Phase: upgrade.GateOpen, Used: true}
-		err := d.load([]storage.Record{
+		err := d.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey(spec.ID), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"asleep","generation":3}`)}),
 			newRecord(t, storage.JobKey(other.ID), storage.JobRecord{Tasks: 1, Spec: &other, Activation: []byte(`{"state":"starting","generation":3}`)}),
 		})
@@ -271,7 +271,7 @@
 			t.Errorf("the damaged record is rewritten as %s", damaged.Record().Activation)
 		}
 		reply := make(chan activation.WakeResponse, 1)
-		d.activation.demand(damaged, wakeMessage{activation.WakeRequest{Model: spec.ID, Generation: 3}, reply}, now)
+		d.activation.handleDemand(damaged, wakeMessage{activation.WakeRequest{Model: spec.ID, Generation: 3}, reply}, now)
 		if response := <-reply; response.Verdict != activation.Damaged {
 			t.Errorf("wake response %+v, want verdict damaged", response)
 		}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -111,7 +111,7 @@
 	}
 	s.background(timeout, func(ctx context.Context) {
 		outcome, report := s.deps.Workers.SendCommands(ctx, addr, token, incarnation, commands, sendBy)
-		s.post(deliveredMessage{machine: id, announcement: len(commands) == 0, starts: starts, outcome: outcome, report: report})
+		s.post(commandOutcomeMessage{machine: id, announcement: len(commands) == 0, starts: starts, outcome: outcome, report: report})
 	})
 }
 
@@ -146,8 +146,8 @@
 	}
 }
 
-// handleDelivered handles the outcome of a direct request to a worker.
-func (s *scheduler) handleDelivered(msg deliveredMessage) {
+// handleCommandOutcome handles the outcome of a direct request to a worker.
+func (s *scheduler) handleCommandOutcome(msg commandOutcomeMessage) {
 	now := time.Now()
 	m := s.state.Machines.Get(msg.machine)
 	if m != nil {
@@ -211,8 +211,8 @@
 	}
 }
 
-// deliveredMessage carries the outcome of a direct request to a worker.
-type deliveredMessage struct {
+// commandOutcomeMessage carries the outcome of a direct request to a worker.
+type commandOutcomeMessage struct {
 	machine      int
 	announcement bool // the request announced a fencing token and carried no commands
 	starts       []*cluster.Attempt
@@ -220,4 +220,4 @@
 	report       *worker.Report
 }
 
-func (m deliveredMessage) handle(s *scheduler) { s.handleDelivered(m) }
+func (m commandOutcomeMessage) handle(s *scheduler) { s.handleCommandOutcome(m) }
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -96,25 +96,25 @@
 		own := m.LastAcknowledged.Add(settings.LeaseBound())
 		sched.publishDelegation(time.Now())
 		sched.updatePeerRenewals()
-		if got := sched.provenEmptyAt(m); !got.Equal(own) {
+		if got := sched.leaseExpiredBy(m); !got.Equal(own) {
 			t.Errorf("without a delegation: got lease bound %v, want the leader's own %v", got, own)
 		}
 		span, _ := sched.delegator.delegate("n1")
 		until := time.Now().Add(span)
 		sched.updatePeerRenewals()
-		if got, want := sched.provenEmptyAt(m), until.Add(settings.LeaseBound()); !got.Equal(want) {
+		if got, want := sched.leaseExpiredBy(m), until.Add(settings.LeaseBound()); !got.Equal(want) {
 			t.Errorf("under a delegation: got lease bound %v, want %v", got, want)
 		}
 		time.Sleep(settings.LeaseBound() + time.Second)
 		now := time.Now()
 		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
-		if got := sched.provenEmptyAt(m); !got.Equal(own) {
+		if got := sched.leaseExpiredBy(m); !got.Equal(own) {
 			t.Errorf("after a delegation without renewals: got lease bound %v, want the leader's own %v", got, own)
 		}
 		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
-		if got := sched.provenEmptyAt(m); !got.After(now) {
+		if got := sched.leaseExpiredBy(m); !got.After(now) {
 			t.Errorf("after a delegated renewal ten seconds ago: got lease bound %v, want it after %v", got, now)
 		}
 	})
@@ -213,7 +213,7 @@
 		if got := report(remote); !got.Accepted {
 			t.Errorf("second report to a remote node: got %+v, want it accepted", got)
 		}
-		time.Sleep(affinityLeases * sim.settings.WorkerLease)
+		time.Sleep(redirectPauseLeases * sim.settings.WorkerLease)
 		if got := report(remote); got.Leader != local.name {
 			t.Errorf("later report to a remote node: got %+v, want a redirect to %s", got, local.name)
 		}
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -46,7 +46,7 @@
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}}),
 		}
 		sched := newTestScheduler(t, clustertest.Settings())
-		if err := sched.load(records); err != nil {
+		if err := sched.loadRecords(records); err != nil {
 			t.Fatal(err)
 		}
 		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done {
@@ -162,7 +162,7 @@
 		}
 		j := sched.state.Jobs.Get(b.ID)
 		j.SetTask(0, cluster.TaskDone)
-		sched.finish(j)
+		sched.finishIfDone(j)
 		if got, _ := request(api.OpPoll, b); got.Final() {
 			t.Errorf("poll before the completion's commit: got %+v, want an open state", got)
 		}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -102,7 +102,7 @@
 func (s *scheduler) provenGone(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
-	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.provenEmptyAt(m))
+	return !m.Terminating && silent && now.Sub(m.ListedAt) > lag && now.After(s.leaseExpiredBy(m))
 }
 
 // removeMachine removes a machine that no longer exists, and the attempts on it.
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		spec := gangSpec("000001", 3)
 		d := newTestScheduler(t, clustertest.Settings())
-		if err := d.load([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+		if err := d.loadRecords([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -41,7 +41,7 @@
 // setGates updates the gates in force, and then retries the submissions that wait for a gate.
 func (s *scheduler) setGates(record upgrade.Record) {
 	s.gates = record
-	s.useArchive()
+	s.updateArchiveInUse()
 	s.activation.setGate(record.Gate(upgrade.Activation))
 	waiting := s.gateWaiters
 	s.gateWaiters = nil
@@ -58,7 +58,7 @@
 // controller isn't certain to be the leader, it answers all waiting submissions in this way.
 func (s *scheduler) failGateWaiters(now time.Time) {
 	s.gateWaiters = slices.DeleteFunc(s.gateWaiters, func(w gateWaiter) bool {
-		expired := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
+		expired := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, commitStallPerHeartbeat)
 		if expired {
 			w.msg.reply <- api.Unavailable(w.msg.req.ID, "state service slow or out of reach")
 		}
@@ -156,6 +156,6 @@
 		openGangs:  s.state.Jobs.OpenGangs(),
 		archive:    s.archiveInUse,
 		archiving:  s.archiving,
-		lifecycles: s.activation.uses(),
+		lifecycles: s.activation.gateUseCount(),
 	}
 }
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -184,7 +184,7 @@
 		time.Sleep(settings.WorkerLease)
 		received := time.Now()
 		sched.applyReport(m, &worker.Report{Machine: 7, Addr: "7", Type: "cpu", Zone: "a", Incarnation: 2, Seq: 1, Token: sched.term}, false, received)
-		if emptyAt := sched.provenEmptyAt(m); emptyAt.Before(received.Add(settings.WorkerLease)) {
+		if emptyAt := sched.leaseExpiredBy(m); emptyAt.Before(received.Add(settings.WorkerLease)) {
 			t.Errorf("got the lease bound %v after the incarnation's first report, want at least %v", emptyAt.Sub(received), settings.WorkerLease)
 		}
 	})
@@ -197,7 +197,7 @@
 		settings := clustertest.Settings()
 		sched := newTestScheduler(t, settings)
 		spec := clustertest.Service("000001", 1)
-		if err := sched.load([]storage.Record{
+		if err := sched.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
@@ -232,7 +232,7 @@
 				if got := sched.handleHeartbeat(later); got.Accepted {
 					t.Errorf("heartbeat with a later token: got %+v, want it rejected", got)
 				}
-				sched.handleDelivered(deliveredMessage{machine: 7, outcome: worker.Rejected, report: later})
+				sched.handleCommandOutcome(commandOutcomeMessage{machine: 7, outcome: worker.Rejected, report: later})
 				if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
 					t.Errorf("got leading %v after %d resignations, want leading %v", leading, resignations, leaseValid)
 				}
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -12,7 +12,7 @@
 		if !m.Confirmed && len(m.Attempts) == 0 {
 			continue
 		}
-		if now.Before(s.provenEmptyAt(m)) {
+		if now.Before(s.leaseExpiredBy(m)) {
 			continue
 		}
 		s.log.Info("worker lease expired", "machine", m.ID, "attempts", len(m.Attempts))
@@ -24,10 +24,10 @@
 	}
 }
 
-// provenEmptyAt returns the time by which the lease of a machine has certainly expired if the machine stays silent. Until
+// leaseExpiredBy returns the time by which the lease of a machine has certainly expired if the machine stays silent. Until
 // the machine has reported a token of this term, an earlier leader may have renewed the lease, or a peer by delegation of
 // that leader.
-func (s *scheduler) provenEmptyAt(m *cluster.Machine) time.Time {
+func (s *scheduler) leaseExpiredBy(m *cluster.Machine) time.Time {
 	bound := s.delegatedLeaseBound(m)
 	if !m.Confirmed {
 		if unconfirmedBound := s.termStarted.Add(s.settings.UnconfirmedLeaseBound()); unconfirmedBound.After(bound) {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/storage"
 )
 
-// load rebuilds the cluster state from the journal's records, and resumes the work that earlier leaders left unfinished.
-func (s *scheduler) load(records []storage.Record) error {
+// loadRecords rebuilds the cluster state from the journal's records, and resumes the work that earlier leaders left unfinished.
+func (s *scheduler) loadRecords(records []storage.Record) error {
 	loaded, err := s.state.Load(records, s.termStarted)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		if j.Spec.Gang && j.Done > 0 {
 			s.completeGang(j) // an earlier version recorded the tasks of a gang one by one
 		}
-		s.finish(j)
+		s.finishIfDone(j)
 	} else {
 		j.Tasks, j.Waiting = nil, 0
 		s.trackFinished(j)
--- a/internal/scheduler/machine_readiness_test.go
+++ b/internal/scheduler/machine_readiness_test.go
@@ -42,7 +42,7 @@
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		for i := range 12 {
 			sched.recordTaskFailure(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i+1), 1)), m, time.Now(), time.Now())
-			sched.incarnationEnded(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
+			sched.handleNewIncarnation(m, &worker.Report{Machine: 7, Incarnation: uint64(i + 2)}, time.Now())
 			if pause := time.Until(m.QuarantinedUntil); pause > 2*settings.WorkerLease {
 				t.Fatalf("got a quarantine of %v, want at most %v", pause, 2*settings.WorkerLease)
 			}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -76,7 +76,7 @@
 		Store: deps.State, Settings: s, Peers: peerPinger{deps.Peers}, Process: process,
 		Registered: n.registrar.Registered, Log: deps.Log,
 	})
-	n.archive = newArchive(s, deps, n.limitTracker)
+	n.archive = newArchiver(s, deps, n.limitTracker)
 	n.relay = relay.NewClient(s, deps.State, n.limitTracker, deps.Rand.Uint64(), deps.Log)
 	n.forwarder = newForwarder(n)
 	n.view.Store(&view{})
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 1)
 		sched := newTestScheduler(t, clustertest.Settings())
-		if err := sched.load([]storage.Record{
+		if err := sched.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
 		}); err != nil {
@@ -54,7 +54,7 @@
 		if got := sched.handleHeartbeat(report(1, sched.term-1)); len(got.Commands) != 1 || got.Commands[0].Verb != worker.Start {
 			t.Fatalf("first heartbeat: got %+v, want one start command", got)
 		}
-		sched.handleDelivered(deliveredMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
+		sched.handleCommandOutcome(commandOutcomeMessage{machine: 1, announcement: true, outcome: worker.Executed, report: report(2, sched.term)})
 		if j.Attempts[0] != a {
 			t.Errorf("attempt while its start is in flight: got %+v, want it unchanged", j.Attempts[0])
 		}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if r.Incarnation > m.Incarnation {
-		s.incarnationEnded(m, r, now)
+		s.handleNewIncarnation(m, r, now)
 	}
 	m.Incarnation, m.Seq, m.Token = r.Incarnation, r.Seq, max(m.Token, r.Token)
 	m.Fence.ObserveToken(r.Token)
@@ -75,9 +75,9 @@
 	s.placementDue = true
 }
 
-// incarnationEnded handles the first report of a worker's new incarnation, which begins when the worker's lease expires. It
+// handleNewIncarnation handles the first report of a worker's new incarnation, which begins when the worker's lease expires. It
 // removes the attempts of the earlier incarnations.
-func (s *scheduler) incarnationEnded(m *cluster.Machine, r *worker.Report, now time.Time) {
+func (s *scheduler) handleNewIncarnation(m *cluster.Machine, r *worker.Report, now time.Time) {
 	if m.Confirmed && now.Sub(m.LastContact) <= s.settings.ReportFreshness() {
 		// The leader received reports until shortly before, so the lease expired because the responses were lost.
 		m.LostIncarnations++
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -37,12 +37,12 @@
 	// snapshotPauseFactor is the minimum pause between two fleet snapshots, as a multiple of the time that the tick
 	// with the last snapshot took.
 	snapshotPauseFactor = 10
-	// stallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
+	// commitStallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
 	// for a stalled commit get a response that asks them to retry.
-	stallPerHeartbeat = 0.35
-	// attemptStride is the number of attempt numbers for each fencing token. The attempt numbers of a term follow the
-	// term's number times attemptStride.
-	attemptStride = 1 << 24
+	commitStallPerHeartbeat = 0.35
+	// attemptNumbersPerToken is the number of attempt numbers for each fencing token. The attempt numbers of a term follow the
+	// term's number times attemptNumbersPerToken.
+	attemptNumbersPerToken = 1 << 24
 )
 
 // scheduler is the actor that owns the cluster state during one term of leadership. Only its own goroutine may access the
@@ -157,7 +157,7 @@
 		state:    cluster.NewState(tokens),
 		termState: termState{
 			term: role.Term, tokens: tokens, termStarted: time.Now(),
-			lastAttempt: role.Term * attemptStride, resign: resign,
+			lastAttempt: role.Term * attemptNumbersPerToken, resign: resign,
 		},
 		gateState: gateState{gates: role.Cluster.Record, requestGateUse: func(upgrade.GateName) {}},
 		commitState: commitState{
@@ -178,8 +178,8 @@
 	s.reviewer = autoscaling.NewReviewer(settings, s.state, s.planner, log)
 	s.setRole(role)
 	s.activation = newActivationController(settings, s.gates.Gate(upgrade.Activation), s, log)
-	s.useArchive()
-	return s, s.load(journal.Records())
+	s.updateArchiveInUse()
+	return s, s.loadRecords(journal.Records())
 }
 
 // HandleUserRequest returns the response to a user's request. It may be called from any goroutine. If too many requests
@@ -305,7 +305,7 @@
 		s.failWaiters(api.Unavailable("", "state service slow or out of reach"))
 	}
 	s.failGateWaiters(now)
-	s.compareArchive()
+	s.finalizeArchivedJobs()
 	s.archiveFinished(now)
 	s.updatePeerRenewals()
 	s.expireLeases(now)
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -74,7 +74,7 @@
 	}
 	j.SetTask(t.ID.Task, cluster.TaskDone)
 	s.markPage(j, t.ID.Task)
-	s.finish(j)
+	s.finishIfDone(j)
 }
 
 // adoptAttempt adds an attempt for a live task that has no reservation, because a worker executed an earlier start command
@@ -121,5 +121,5 @@
 	}
 	s.log.Debug("attempt exited", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
 	s.removeAttempt(a, "exited")
-	s.finish(j)
+	s.finishIfDone(j)
 }
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -52,7 +52,7 @@
 
 // commitStalled reports whether the commit in flight takes so long that users should retry instead of waiting for it.
 func (s *scheduler) commitStalled(now time.Time) bool {
-	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, stallPerHeartbeat)
+	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, commitStallPerHeartbeat)
 }
 
 // handleUser handles a user's request. It sends the response at once, or arranges that it is sent later: after a read of
@@ -81,7 +81,7 @@
 	case api.OpPoll:
 		s.handlePoll(m, j)
 	case api.OpCancel:
-		s.cancel(m, j, now)
+		s.handleCancel(m, j, now)
 	default:
 		m.reply <- api.Unavailable(m.req.ID, "unknown request")
 	}
@@ -211,9 +211,9 @@
 	return ""
 }
 
-// cancel handles a cancellation. The job's tasks are stopped once the cancellation is durable. j is nil if the job
+// handleCancel handles a cancellation. The job's tasks are stopped once the cancellation is durable. j is nil if the job
 // doesn't exist.
-func (s *scheduler) cancel(m userMessage, j *cluster.Job, now time.Time) {
+func (s *scheduler) handleCancel(m userMessage, j *cluster.Job, now time.Time) {
 	switch {
 	case j == nil:
 		m.reply <- api.Response{Code: api.CodeNotFound, ID: m.req.ID, Reason: "no such job"}
@@ -225,7 +225,7 @@
 		j.Phase = storage.Cancelled
 		s.state.Jobs.TrackCancelling(j)
 		s.state.Classes.NoteDeparture(j, now)
-		s.activation.release(j)
+		s.activation.untrack(j)
 		s.log.Debug("job cancelled", "job", j.Spec.ID, "attempts", len(j.Attempts))
 		s.markJob(j)
 		s.onJobCommit(j, func(err error) {
@@ -235,14 +235,14 @@
 			j.FinalDurable = true
 			s.stopJob(j)
 			s.sendJobStops(j)
-			s.retire(j)
+			s.releaseFinalJob(j)
 		})
 	}
 	s.answerWhenDurable(j, m.reply, func() api.Response { return responseOf(j) })
 }
 
-// finish marks a job as done if all of its tasks are done. Services are never done.
-func (s *scheduler) finish(j *cluster.Job) {
+// finishIfDone marks a job as done if all of its tasks are done. Services are never done.
+func (s *scheduler) finishIfDone(j *cluster.Job) {
 	if j.Phase != storage.Open || j.Done < j.Spec.Tasks || j.Spec.Service {
 		return
 	}
@@ -253,14 +253,14 @@
 	s.onJobCommit(j, func(err error) {
 		if err == nil {
 			j.FinalDurable = true
-			s.retire(j)
+			s.releaseFinalJob(j)
 		}
 	})
 }
 
-// retire frees the memory of a final job's tasks and removes their pages from the journal. After that the job may be
-// archived. retire does nothing while the final state isn't durable or attempts of the job remain.
-func (s *scheduler) retire(j *cluster.Job) {
+// releaseFinalJob frees the memory of a final job's tasks and removes their pages from the journal. After that the job may be
+// archived. releaseFinalJob does nothing while the final state isn't durable or attempts of the job remain.
+func (s *scheduler) releaseFinalJob(j *cluster.Job) {
 	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
 	}
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -107,13 +107,13 @@
 	case s.commitStalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
-		s.activation.demand(j, m, now)
+		s.activation.handleDemand(j, m, now)
 	}
 }
 
-// demand applies the demand of a wake request to a service, and answers the request. If the request allows a delay, the
+// handleDemand applies the demand of a wake request to a service, and answers the request. If the request allows a delay, the
 // response to it is delayed while the service starts.
-func (c *activationController) demand(j *cluster.Job, m wakeMessage, now time.Time) {
+func (c *activationController) handleDemand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
 		m.reply <- c.alwaysRunningResponse(j)
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -219,8 +219,8 @@
 		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.TokensPerTerm {
 			t.Errorf("tokens %+v and then %+v, want ranges of %d in ascending order", first.tokens, next.tokens, fencing.TokensPerTerm)
 		}
-		if numbers := next.lastAttempt - first.lastAttempt; numbers < fencing.TokensPerTerm*attemptStride {
-			t.Errorf("%d attempt numbers in a term, want at least %d", numbers, fencing.TokensPerTerm*attemptStride)
+		if numbers := next.lastAttempt - first.lastAttempt; numbers < fencing.TokensPerTerm*attemptNumbersPerToken {
+			t.Errorf("%d attempt numbers in a term, want at least %d", numbers, fencing.TokensPerTerm*attemptNumbersPerToken)
 		}
 	})
 }
