--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -10,31 +10,31 @@
 	"sagevale/internal/storage"
 )
 
-// Candidate is a machine that tasks may be placed on, with its free resources, in a round of placement or in
-// a trial packing. Its owner makes it once; what is reserved is taken from it.
+// Candidate is a machine that tasks may be placed on in one placement round or one trial packing. It is created
+// once per round or packing, and its free resources shrink as tasks are placed on it.
 type Candidate struct {
 	cloud.Offering
 	Type       *storage.MachineType
-	Machine    *cluster.Machine // nil: not yet launched
+	Machine    *cluster.Machine // nil if the machine isn't launched yet
 	Free       storage.Resources
-	Releasing  storage.Resources // held by attempts that are being stopped
-	Booting    bool              // it isn't up yet
-	ForCPUOnly bool              // it is to be launched for tasks without GPUs
-	Packed     []*PackedTask     // what a trial packing has put here
-	Moved      int               // tasks that the search for surplus machines has moved here
+	Releasing  storage.Resources // resources of attempts that are being stopped
+	Booting    bool              // the machine hasn't come up yet
+	ForCPUOnly bool              // the machine would be launched for tasks without GPUs
+	Packed     []*PackedTask     // tasks that a trial packing has placed here
+	Moved      int               // number of tasks that the search for surplus machines has moved here
 }
 
-// PackedTask stands for the tasks of one demand that a trial packing puts on candidates.
+// PackedTask describes a task that a trial packing places on a candidate. All tasks of one demand share it.
 type PackedTask struct {
 	Job           *cluster.Job
 	Opportunistic bool
 }
 
-// ReadyCandidates returns the candidates of the ready machines, in their order.
+// ReadyCandidates returns a candidate for each machine that tasks may be placed on, ordered by machine ID.
 func (p *Planner) ReadyCandidates(now time.Time) []*Candidate {
 	machines := p.state.Machines.InOrder()
 	candidates := make([]*Candidate, 0, len(machines))
-	values := make([]Candidate, len(machines)) // in one allocation
+	values := make([]Candidate, len(machines)) // one allocation for all candidates
 	fresh := p.settings.ReportFreshness()
 	for i, m := range machines {
 		if m.Ready(now, fresh) {
@@ -45,7 +45,7 @@
 	return candidates
 }
 
-// CandidateOf returns the candidate of a machine whose type is known.
+// CandidateOf returns a candidate for a machine, whose type must be known.
 func CandidateOf(m *cluster.Machine) Candidate {
 	return Candidate{
 		Offering:  m.Offering(),
@@ -57,7 +57,7 @@
 	}
 }
 
-// ZonesOf returns the zones of the candidates.
+// ZonesOf returns the distinct zones of the candidates.
 func ZonesOf(candidates []*Candidate) []string {
 	var zones []string
 	for _, c := range candidates {
@@ -68,12 +68,13 @@
 	return zones
 }
 
-// Admits reports whether a task of the job may run on a machine of that offering.
+// Admits reports whether the job accepts the candidate's machine type, zone and spot status. It doesn't look at
+// free resources.
 func (c *Candidate) Admits(j *cluster.Job, zones *ZoneCheck) bool {
 	return (!c.Spot || j.Spec.Spot) && c.Zone != "" && allows(j.Spec.Types, c.Offering.Type) && zones.Allows(c.Zone)
 }
 
-// Capacity is how many tasks of the job fit into what is free and what is being released.
+// Capacity returns how many tasks of the job fit into the free resources together with those being released.
 func (c *Candidate) Capacity(j *cluster.Job) int {
 	if free := c.Free.Add(c.Releasing); j.Spec.Resources.Fits(free) {
 		return FitCount(free, j.Spec.Resources)
@@ -81,7 +82,8 @@
 	return 0
 }
 
-// takeReleasing takes resources from what is free and what is being released.
+// takeReleasing takes resources for a task that is placed once the releasing resources are free. It uses the
+// releasing resources first.
 func (c *Candidate) takeReleasing(r storage.Resources) {
 	left := c.Free.Add(c.Releasing).Sub(r)
 	c.Free = storage.Resources{
@@ -92,7 +94,8 @@
 	c.Releasing = left.Sub(c.Free)
 }
 
-// freeShare is the free share of the resource that matters most to the job.
+// freeShare returns the fraction of the machine's GPUs that is free if the job needs GPUs and the machine has
+// them, and the fraction of its CPUs otherwise.
 func (c *Candidate) freeShare(j *cluster.Job) float64 {
 	if j.Spec.Resources.GPUs > 0 && c.Type.Resources.GPUs > 0 {
 		return c.Free.GPUs / c.Type.Resources.GPUs
@@ -101,13 +104,14 @@
 }
 
 const (
-	// unboundedFit stands for the count of tasks that take no resources.
+	// unboundedFit is the result of FitCount for tasks that need no resources.
 	unboundedFit = 1 << 20
-	// fitSlack forgives the rounding of quotients.
+	// fitSlack is added to a quotient of resources, so that a rounding error doesn't reduce the number of tasks.
 	fitSlack = 1e-6
 )
 
-// FitCount is how many tasks of that size a machine holds, at least one.
+// FitCount returns how many tasks of the given size fit into a machine's resources. The result is at least one:
+// callers check first that one task fits.
 func FitCount(machine, task storage.Resources) int {
 	n := math.Inf(1)
 	if task.CPUs > 0 {
@@ -125,12 +129,13 @@
 	return max(1, int(n+fitSlack))
 }
 
-// onDemandPenalty ranks on-demand machines behind all spot machines for a job that may use those.
+// onDemandPenalty is added to the free measure of on-demand machines, so that a job that may use spot machines
+// prefers these.
 const onDemandPenalty = 100
 
-// Fullest returns the candidate with the least free that takes a task of the job, among those that suit, or
-// nil. A task without GPUs must leave enough beside free GPUs, but on a machine that is launched for such
-// tasks.
+// Fullest returns the candidate with the least free resources on which a task of the job fits and for which suits
+// returns true, or nil. A task without GPUs must leave enough CPUs and memory for the machine's free GPUs, except
+// on a machine that would be launched for tasks without GPUs.
 func (p *Planner) Fullest(candidates []*Candidate, j *cluster.Job, zones *ZoneCheck, suits func(*Candidate, *cluster.Job) bool) *Candidate {
 	need := j.Spec.Resources
 	var best *Candidate
@@ -150,11 +155,11 @@
 	return best
 }
 
-// AnyCandidate suits any candidate.
+// AnyCandidate is a filter for Fullest that accepts every candidate.
 func AnyCandidate(*Candidate, *cluster.Job) bool { return true }
 
-// strandsGPUs reports whether a task without GPUs would leave too little beside the machine's free GPUs for
-// the tasks that need them.
+// strandsGPUs reports whether placing a task without GPUs would leave the machine too few CPUs or too little
+// memory for its free GPUs to be used.
 func (p *Planner) strandsGPUs(j *cluster.Job, c *Candidate) bool {
 	if j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0 {
 		return false
--- a/internal/placement/deadline_admission.go
+++ b/internal/placement/deadline_admission.go
@@ -8,24 +8,26 @@
 	"sagevale/internal/cluster"
 )
 
-// deadlineAdmission ranks jobs with deadlines into the places that become free. When more waits than can be
-// in time, the most jobs are if the largest of those that stand in the others' way are passed over: each
-// rank admits its jobs by when they must start, as long as places become free fast enough, and passes
-// over the largest so far where they don't.
+// deadlineAdmission decides which jobs with deadlines can start in time, given the rate at which running tasks
+// complete and free their resources. As in the Moore-Hodgson algorithm, each rank admits jobs in the order of the
+// times by which they must start, and drops the largest admitted job whenever one would start late. That keeps
+// the number of jobs in time as large as possible when not all of them can be.
 type deadlineAdmission struct {
-	pace      float64 // places a second; 0: not known
-	ahead     int     // tasks admitted so far
-	now       time.Time
-	urgencies map[*cluster.Job]urgency
+	completionRate float64 // tasks per second that complete and free their resources; 0 if unknown
+	admittedTasks  int     // tasks admitted so far
+	now            time.Time
+	urgencies      map[*cluster.Job]urgency
 }
 
-// admissionCandidate is a job with the times by which it must start, the next one first.
+// admissionCandidate is a job with the times by which it must start, earliest first. If the job can't start by
+// the first one, admission tries the next.
 type admissionCandidate struct {
 	job     *cluster.Job
 	startBy []time.Time
 }
 
-// admit ranks the jobs that can be in time and returns the others.
+// admit assigns the rank to the jobs that can start in time and returns the other jobs. startTimes returns the
+// times by which a job must start for this rank.
 func (d *deadlineAdmission) admit(jobs []*cluster.Job, rank int, bounds func(*cluster.Job) []time.Time) (left []*cluster.Job) {
 	var waiting earliestFirst
 	for _, j := range jobs {
@@ -48,7 +50,7 @@
 		passed := heap.Pop(&admitted).(admissionCandidate)
 		d.ahead -= passed.job.Startable()
 		if passed.startBy = passed.startBy[1:]; len(passed.startBy) > 0 {
-			heap.Push(&waiting, passed) // it has a later chance
+			heap.Push(&waiting, passed) // the job may still start by its next time
 			continue
 		}
 		d.rank(passed.job, rankHopeless, passed.job.Deadline())
@@ -57,7 +59,7 @@
 	return left
 }
 
-// inTime reports whether all that is admitted has a place by then.
+// inTime reports whether all admitted tasks can start by the given time.
 func (d *deadlineAdmission) inTime(startBy time.Time) bool {
 	return d.pace == 0 || !d.now.Add(clock.Seconds(float64(d.ahead)/d.pace)).After(startBy)
 }
@@ -66,7 +68,7 @@
 	d.urgencies[j] = urgency{rank: rank, withinQuota: d.urgencies[j].withinQuota, startBy: startBy}
 }
 
-// upcoming leaves out the times that have passed.
+// upcoming returns the times that haven't passed yet.
 func (d *deadlineAdmission) upcoming(startBy []time.Time) []time.Time {
 	for len(startBy) > 0 && !startBy[0].After(d.now) {
 		startBy = startBy[1:]
@@ -74,7 +76,7 @@
 	return startBy
 }
 
-// earliestFirst is a heap of candidates, the one that must start first on top.
+// earliestFirst is a min-heap of candidates by the time by which they must start.
 type earliestFirst []admissionCandidate
 
 func (h earliestFirst) Len() int { return len(h) }
@@ -88,7 +90,7 @@
 func (h *earliestFirst) Push(x any)   { *h = append(*h, x.(admissionCandidate)) }
 func (h *earliestFirst) Pop() any     { return popLast((*[]admissionCandidate)(h)) }
 
-// largestFirst is a heap of candidates, the one with the most tasks on top.
+// largestFirst is a max-heap of candidates by their number of startable tasks.
 type largestFirst []admissionCandidate
 
 func (h largestFirst) Len() int           { return len(h) }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -4,14 +4,14 @@
 	"sagevale/internal/cluster"
 )
 
-// placeGang reserves resources for all waiting tasks of a gang in one decision, or for none: they are all of
-// its tasks, or what is to be replaced of an attempt that hasn't run.
+// placeGang reserves resources for all waiting tasks of a gang at once, or for none. The waiting tasks are
+// either all tasks of the gang, or the lost tasks of an attempt that hasn't run yet.
 func (p *Planner) placeGang(j *cluster.Job, r *round) {
 	if len(j.Attempts) > 0 && !j.GangCompletable() {
 		if j.Gang.Failed {
 			p.actions.AbortGang(j)
 		}
-		return // the earlier attempt isn't proved gone everywhere
+		return // tasks of the previous attempt may still exist on some machines
 	}
 	if !p.withinLimit(j, j.Waiting) {
 		return
@@ -35,8 +35,9 @@
 	}
 }
 
-// planGang finds a candidate for each waiting task of a gang and takes the resources there, or returns nil.
-// Among several zones that would do it takes the one where the tasks start soonest.
+// planGang chooses a candidate for each waiting task of a gang and takes the resources from them, or returns nil
+// if not all tasks fit. If the tasks must share a zone and fit in several, it chooses the zone with the smallest
+// sum of tiers, where the tasks start soonest.
 func (p *Planner) planGang(j *cluster.Job, r *round) []*Candidate {
 	var best []*Candidate
 	bestTiers := 0
@@ -52,7 +53,8 @@
 	return best
 }
 
-// gangCandidates returns the candidates that a gang may use, by zone if all its tasks must be in one.
+// gangCandidates returns the candidates that a gang may use: one group per zone if all its tasks must run in the
+// same zone, and a single group otherwise.
 func (p *Planner) gangCandidates(j *cluster.Job, r *round) [][]*Candidate {
 	zones := NewZoneCheck(j)
 	var groups [][]*Candidate
@@ -74,8 +76,9 @@
 	return groups
 }
 
-// planGangAmong finds candidates for all waiting tasks of a gang, each the better of two samples of the best
-// tier, or returns nil. It leaves their resources as they were. tiers is the sum of their tiers.
+// planGangAmong chooses a candidate of the group for each waiting task of a gang, or returns nil if not all tasks
+// fit. Each one is the fuller of two random candidates of the best tier. The candidates' free resources are
+// unchanged on return. tiers is the sum of the chosen candidates' tiers.
 func (p *Planner) planGangAmong(j *cluster.Job, group []*Candidate) (plan []*Candidate, tiers int) {
 	capacity := 0
 	for _, c := range group {
@@ -108,7 +111,8 @@
 	return plan, tiers
 }
 
-// bestTier returns the candidates of the best tier that take one more task of the job.
+// bestTier returns the candidates of the group that fit one more task of the job and have the best tier among
+// those, and that tier.
 func (p *Planner) bestTier(j *cluster.Job, group []*Candidate, zones *ZoneCheck) (best []*Candidate, tier int) {
 	for _, c := range group {
 		if !j.Spec.Resources.Fits(c.Free) || !zones.Allows(c.Zone) {
@@ -124,8 +128,9 @@
 	return best, tier
 }
 
-// holdForGang keeps what there is for a gang that finds too little, from work that is less urgent. Only one
-// gang in a round does, so that two never hold parts of what each lacks.
+// holdForGang withholds resources from less urgent jobs for the rest of the round, so that they accumulate for a
+// gang that doesn't fit yet. Only one gang per round holds resources; otherwise two gangs could each hold
+// resources that the other one needs.
 func (p *Planner) holdForGang(j *cluster.Job, r *round) {
 	if r.gangHolds || r.now.Sub(j.Submitted) < p.settings.HeartbeatInterval {
 		return
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -10,19 +10,19 @@
 	"sagevale/internal/worker"
 )
 
-// gangPreemption is a candidate that a gang may use once some of its attempts are stopped.
+// gangPreemption describes which attempts must be stopped on a candidate so that tasks of a gang fit there.
 type gangPreemption struct {
 	candidate *Candidate
-	tasks     int // of the gang
+	tasks     int // tasks of the gang that then fit on the candidate
 	victims   []*cluster.Attempt
-	cost      float64
+	cost      float64 // preemption cost of the victims, in CPU seconds
 }
 
-// costPerTask is the cost for each task of the gang.
+// costPerTask returns the preemption cost divided by the number of the gang's tasks that it makes room for.
 func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
 
-// preemptForGang makes way for all waiting tasks of a gang by stopping work of lower priority, the least
-// costly first, or stops nothing. It reports whether it did.
+// preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
+// they would not all fit, it preempts nothing and returns false.
 func (p *Planner) preemptForGang(j *cluster.Job, r *round) bool {
 	if j.Spec.Priority <= storage.BestEffort || j.Spec.Spread {
 		return false
@@ -42,8 +42,8 @@
 	return best != nil
 }
 
-// planGangPreemption finds candidates for all waiting tasks of a gang, with what must be stopped there, or
-// returns nil.
+// planGangPreemption chooses candidates of the group for all waiting tasks of a gang, with the attempts to stop on
+// each, or returns nil if not all tasks would fit. cost is the total preemption cost.
 func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
 	by := preemptor{priority: j.Spec.Priority}
 	options, capacity := p.gangPreemptionOptions(j, group, by, now)
@@ -63,8 +63,8 @@
 	return plan, cost
 }
 
-// gangPreemptionOptions returns what each candidate could take of a gang's waiting tasks, and how many they
-// could take together.
+// gangPreemptionOptions returns, for each candidate that preemption can make room on, how many of a gang's waiting
+// tasks would fit there and which attempts must be stopped. capacity is the sum of these tasks.
 func (p *Planner) gangPreemptionOptions(j *cluster.Job, group []*Candidate, by preemptor, now time.Time) (options []gangPreemption, capacity int) {
 	for _, c := range group {
 		most := preemptibleBelow(c, by.priority)
@@ -83,7 +83,8 @@
 	return options, capacity
 }
 
-// waitsToRun reports whether a reported attempt hasn't begun to run.
+// waitsToRun reports whether a reported attempt hasn't started running: it pulls its image or waits for the other
+// tasks of its gang.
 func waitsToRun(a *cluster.Attempt) bool {
 	return a.State == worker.Pulling || a.State == worker.Gathering
 }
--- a/internal/placement/opportunistic.go
+++ b/internal/placement/opportunistic.go
@@ -2,16 +2,16 @@
 
 import "sagevale/internal/cluster"
 
-// Opportunistic work is best-effort work for which nobody has stated when it should be done, of a team
-// without a guarantee. It runs on idle resources: it takes neither the headroom that is kept for others nor
-// what belongs to GPUs, and makes way for guaranteed work. Its jobs share what there is evenly, so that
-// the largest ones begin too.
+// Opportunistic work is best-effort work of a team without a guarantee, for which neither a deadline nor another
+// objective is set. It runs on idle resources: it uses neither the headroom that is reserved for other work nor
+// the CPUs and memory that free GPUs need, and guaranteed work preempts it. Opportunistic jobs share the idle
+// resources evenly, so that large jobs start too.
 
-// opportunisticShare is how many tasks of one opportunistic job a round places at the most, with so many
-// such jobs waiting.
+// opportunisticShare returns the maximum number of tasks that a round places of each opportunistic job, when the
+// given number of such jobs wait.
 func opportunisticShare(jobs int) int { return max(1, MaxPlacementsPerRound/max(1, jobs)) }
 
-// countOpportunistic counts the opportunistic jobs among those that wait.
+// countOpportunistic returns the number of opportunistic jobs among the waiting jobs.
 func (p *Planner) countOpportunistic(waiting []*cluster.Job) int {
 	n := 0
 	for _, j := range waiting {
@@ -22,7 +22,8 @@
 	return n
 }
 
-// placeOpportunistic places a job's share of what is idle.
+// placeOpportunistic places up to the round's share of an opportunistic job's tasks. Before the first such job of
+// a round it reserves the headroom.
 func (p *Planner) placeOpportunistic(j *cluster.Job, r *round) {
 	if !r.headroomReserved {
 		r.headroomReserved = true
@@ -31,11 +32,11 @@
 	before := len(r.reserved)
 	p.placeTasks(j, min(r.tasksPerJob, j.Startable()), r)
 	if j.Waiting > 0 && len(r.reserved)-before == r.tasksPerJob {
-		r.unfinished = true // more may be idle
+		r.unfinished = true // there may be more idle resources
 	}
 }
 
-// reserveHeadroom takes the headroom out of a round's candidates.
+// reserveHeadroom subtracts the headroom from the free resources of the round's candidates.
 func (p *Planner) reserveHeadroom(r *round) {
 	for _, kept := range p.headroom {
 		zones := NewZoneCheck(kept.Job)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -1,9 +1,10 @@
-// Package placement decides which waiting tasks go on which machines: the order of the jobs, the choice
-// among the candidates, the plans of gangs, and what is preempted.
+// Package placement decides which waiting tasks run on which machines: it orders the jobs by urgency, chooses
+// among candidate machines, plans gangs as a whole, and selects attempts to preempt.
 //
-// A Planner reads the cluster state and takes its decisions through Actions, one after the other, since each
-// changes what the next may count on. It owns nothing but what it learns within a round and the resources
-// that are kept free for others. It sends no messages, knows no clock and does no input or output.
+// A Planner reads the cluster state and carries out its decisions through Actions, one at a time, because each
+// decision changes the resources available to the next. Its only state is the current round, the headroom to keep
+// free, and the resources that jobs request per GPU. It sends no messages, reads no clock and does no input or
+// output.
 package placement
 
 import (
@@ -17,29 +18,31 @@
 	"sagevale/internal/storage"
 )
 
-// MaxPlacementsPerRound bounds the tasks placed in one round, so that a flood of tasks doesn't hold up the
-// answers to workers. It bounds no rate: placement pauses in proportion to a round, and a larger one would
-// only make urgent work wait longer for the next.
+// MaxPlacementsPerRound limits the tasks placed in one round, so that a burst of tasks doesn't delay the responses
+// to workers. It doesn't limit the placement rate: the pause between rounds is proportional to a round's
+// duration, and longer rounds would only make urgent work wait longer for the next one.
 const MaxPlacementsPerRound = 512
 
-// Actions carries out the planner's decisions. Each takes effect on the cluster state at once.
+// Actions carries out the planner's decisions. Each action changes the cluster state before it returns.
 type Actions interface {
-	// Reserve reserves a machine's resources for a waiting task, under a new number or, for a task of
-	// a gang, that of the gang's attempt. The task is started once the reservation is durable.
+	// Reserve reserves a machine's resources for a waiting task and returns the new attempt. A task of a gang
+	// gets the number of the gang's attempt, any other task a new number. The task is started once the
+	// reservation is durable.
 	Reserve(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Attempt
-	// BeginGang numbers a new attempt of a gang.
+	// BeginGang begins a new attempt of a gang, under a new number.
 	BeginGang(j *cluster.Job)
-	// AbortGang stops what is left of a gang's attempt at once.
+	// AbortGang stops the remaining tasks of a gang's attempt immediately.
 	AbortGang(j *cluster.Job)
-	// Preempt stops an attempt in favour of another job's task; of a gang, all its tasks.
+	// Preempt stops an attempt in favor of another job's task. If its job is a gang, all tasks are stopped.
 	Preempt(a *cluster.Attempt, now time.Time)
-	// CommandStops tells a machine directly what is to be stopped there.
+	// CommandStops sends the stop commands for a machine's attempts directly to its worker.
 	CommandStops(m *cluster.Machine)
-	// GangReachable reports whether all tasks of a gang can be told to stop at the same time.
+	// GangReachable reports whether direct stop commands are likely to reach all tasks of a gang at the same
+	// time.
 	GangReachable(j *cluster.Job, now time.Time) bool
 }
 
-// Headroom is resources that are kept free: for so many tasks like those of a job.
+// Headroom describes resources to keep free: enough for the given number of tasks like those of a job.
 type Headroom struct {
 	Job   *cluster.Job
 	Tasks int
@@ -54,32 +57,32 @@
 	log      *slog.Logger
 
 	headroom []Headroom
-	// perGPU is the most CPUs and memory that open jobs take with a GPU.
+	// perGPU holds the largest amounts of CPUs and memory that a task of an open job requests per GPU.
 	perGPU          storage.Resources
 	perGPUUpdatedAt time.Time
 }
 
-// New returns a planner of a cluster's tasks.
+// New returns a planner that places the waiting tasks of the state.
 func New(settings *config.Settings, state *cluster.State, actions Actions, random *rand.Rand, log *slog.Logger) *Planner {
 	return &Planner{settings: settings, state: state, actions: actions, random: random, log: log}
 }
 
-// SetHeadroom replaces the resources that opportunistic work must leave free.
+// SetHeadroom replaces the headroom that opportunistic work must leave free.
 func (p *Planner) SetHeadroom(headroom []Headroom) { p.headroom = headroom }
 
-// round is what one round of placement has learnt.
+// round is the state of one placement round.
 type round struct {
 	now              time.Time
 	candidates       []*Candidate
-	zones            []string
-	exhausted        ExhaustedShapes // shapes that find no free resources
-	unpreemptable    ExhaustedShapes // shapes for which nothing can be preempted either
+	zones            []string        // zones of the candidates
+	exhausted        ExhaustedShapes // shapes for which no candidate has enough free resources
+	unpreemptable    ExhaustedShapes // shapes for which preemption can't make room either
 	reserved         []*cluster.Attempt
-	gangHolds        bool                  // resources are held for a gang that found too little
-	tasksPerJob      int                   // how many tasks of one opportunistic job are placed
-	headroomReserved bool                  // the headroom is taken out of the candidates
-	guaranteed       map[*cluster.Job]bool // the jobs within their team's guarantee; nil: not yet computed
-	unfinished       bool                  // another round may place more
+	gangHolds        bool                  // resources are withheld for a gang that doesn't fit yet
+	tasksPerJob      int                   // maximum number of tasks to place of each opportunistic job
+	headroomReserved bool                  // the headroom has been subtracted from the candidates
+	guaranteed       map[*cluster.Job]bool // jobs within their team's guarantee; nil until first needed
+	unfinished       bool                  // another round may place more tasks right away
 }
 
 func (p *Planner) newRound(now time.Time) *round {
@@ -93,12 +96,12 @@
 	return r
 }
 
-// full reports whether the round has placed as many tasks as it may.
+// full reports whether the round has placed the maximum number of tasks.
 func (r *round) full() bool { return len(r.reserved) >= MaxPlacementsPerRound }
 
-// Round reserves resources for waiting tasks, the most urgent first, and preempts others for them. It returns
-// the attempts, which may be started once their reservations are durable, and whether another round may
-// place more at once.
+// Round runs one placement round: it reserves resources for waiting tasks, most urgent first, and preempts other
+// work for them. It returns the new attempts, which may be started once their reservations are durable.
+// unfinished is true if another round may place more tasks right away.
 func (p *Planner) Round(now time.Time) (reserved []*cluster.Attempt, unfinished bool) {
 	waiting := p.WaitingByUrgency(now)
 	if len(waiting) == 0 {
@@ -124,7 +127,7 @@
 	return r.reserved, r.unfinished
 }
 
-// WaitingByUrgency returns the jobs with tasks to place, the most urgent first.
+// WaitingByUrgency returns the jobs that have waiting tasks which may be placed now, most urgent first.
 func (p *Planner) WaitingByUrgency(now time.Time) []*cluster.Job {
 	var waiting []*cluster.Job
 	for _, j := range p.state.Jobs.Open {
@@ -138,7 +141,8 @@
 	return waiting
 }
 
-// placeTasks places up to so many of a job's tasks, or preempts others for them.
+// placeTasks places up to the given number of a job's waiting tasks. For a task that doesn't fit it tries to
+// preempt other work, so that the task can be placed in a later round.
 func (p *Planner) placeTasks(j *cluster.Job, tasks int, r *round) {
 	zones := NewZoneCheck(j)
 	list := shortlist{job: j, round: r, zones: &zones}
@@ -157,11 +161,12 @@
 		if !ok {
 			return
 		}
-		zones.Add(zone, 1) // its resources are being released there
+		zones.Add(zone, 1) // counts the task where resources are being released for it
 	}
 }
 
-// withinLimit reports whether so many more tasks of a job stay within its team's limit.
+// withinLimit reports whether the job's team stays within its limit if the given number of the job's tasks is
+// added.
 func (p *Planner) withinLimit(j *cluster.Job, tasks int) bool {
 	team := p.settings.Team(j.Spec.Team)
 	if team == nil {
@@ -171,14 +176,14 @@
 	return storage.WithinLimit(used, team.Limit)
 }
 
-// reserveOn reserves a candidate's resources for a task.
+// reserveOn reserves a candidate's resources for a task and adds the new attempt to the round.
 func (p *Planner) reserveOn(c *Candidate, j *cluster.Job, task int, r *round) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
 	r.reserved = append(r.reserved, p.actions.Reserve(j, task, c.Machine, r.now))
 }
 
-// UpdatePerGPU computes, once a heartbeat interval, the most CPUs and memory that open jobs take with a GPU.
-// Rounds begin with it, and so does whoever uses Fullest.
+// UpdatePerGPU computes the largest amounts of CPUs and memory that open jobs request per GPU. It does so at most
+// once per heartbeat interval. Round calls it; other callers of Fullest must call it first.
 func (p *Planner) UpdatePerGPU(now time.Time) {
 	if !p.perGPUUpdatedAt.IsZero() && now.Sub(p.perGPUUpdatedAt) <= p.settings.HeartbeatInterval {
 		return
@@ -193,5 +198,5 @@
 	}
 }
 
-// allows reports whether a list of names allows one; an empty list allows all.
+// allows reports whether the list contains the name. An empty list allows every name.
 func allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -15,19 +15,19 @@
 	"sagevale/internal/storage"
 )
 
-// newTestPlanner returns a planner of an empty fleet, which carries out its decisions.
+// newTestPlanner returns a planner and an empty fleet that carries out its decisions.
 func newTestPlanner() (*Planner, *clustertest.Fleet) {
 	fleet := clustertest.NewFleet(clustertest.Settings())
 	random := rand.New(rand.NewPCG(7, 7))
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setPerGPU sets the most that open jobs take with a GPU.
+// setPerGPU sets the resources that open jobs request per GPU, as if UpdatePerGPU had just computed them.
 func (p *Planner) setPerGPU(r storage.Resources) {
 	p.perGPU, p.perGPUUpdatedAt = r, time.Now()
 }
 
-// A search for a shape that found no candidate isn't repeated, except over candidates added since.
+// After a search for a shape found no candidate, later searches for it look only at candidates added since.
 func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -49,8 +49,8 @@
 	})
 }
 
-// A shortlist that is updated from task to task has the same candidates in the same order as a search for each task, so that every
-// choice is the same.
+// A shortlist that is updated after each task has the same candidates in the same order as one from a new search, so
+// that both lead to the same choices.
 func TestShortlistMatchesFreshSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, fleet := newTestPlanner()
@@ -90,11 +90,12 @@
 	})
 }
 
-// Opportunistic work once filled the headroom that is kept for services, and the CPUs that tasks with GPUs need.
+// Guards against opportunistic tasks filling the headroom that is kept free for services, or the CPUs that tasks
+// with GPUs need.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
-		fleet.Up(1, "cpu", "a", false) // four of the service's tasks, or two opportunistic ones
+		fleet.Up(1, "cpu", "a", false) // fits four tasks of the service or two opportunistic tasks
 		fleet.Up(2, "cpu", "a", false)
 		gpu := fleet.Up(3, "gpu", "a", false)
 		training := clustertest.Service("000001", 1)
@@ -108,10 +109,10 @@
 			p.Round(time.Now())
 		}
 		if on := len(gpu.Attempts); on != 1 {
-			t.Errorf("%d opportunistic tasks beside GPUs that need the processors, want none", on-1)
+			t.Errorf("%d opportunistic tasks on the CPUs that free GPUs need, want none", on-1)
 		}
 		if idle.Allocated() != 3 {
-			t.Errorf("%d opportunistic tasks on two machines of two places each, one of which is kept; want 3", idle.Allocated())
+			t.Errorf("%d opportunistic tasks on two machines that fit two each, less headroom for one; want 3", idle.Allocated())
 		}
 	})
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -7,9 +7,10 @@
 	"sagevale/internal/storage"
 )
 
-// preempt finds a machine for a task that finds no free resources: one where enough is being released already,
-// or else the one where stopping work of lower priority costs least. The task is placed once that is gone;
-// until the round ends nobody else counts on those resources. It returns the machine's zone.
+// preempt makes room for one task of a job that fits on no candidate. It uses a candidate where enough resources
+// are being released already, or else the one where preemption costs least. The task is placed in a later round,
+// once the resources are free; for the rest of this round no other task can use them. It returns the zone of the
+// candidate.
 func (p *Planner) preempt(j *cluster.Job, r *round, zones *ZoneCheck) (zone string, ok bool) {
 	by := p.preemptorOf(j, r)
 	shape := p.ShapeOf(j)
@@ -30,8 +31,8 @@
 	return best.Zone, true
 }
 
-// cheapestPreemption returns the candidate where making way for a task costs least, with what must be stopped
-// there; nil if there is none.
+// cheapestPreemption returns the candidate on which making room for a task costs least, with the attempts that
+// must be stopped there. It returns nil if preemption can't make room on any candidate.
 func (p *Planner) cheapestPreemption(j *cluster.Job, by preemptor, r *round, zones *ZoneCheck) (best *Candidate, victims []*cluster.Attempt) {
 	bestCost := 0.0
 	for _, c := range r.candidates {
@@ -49,7 +50,7 @@
 	return best, victims
 }
 
-// stopVictims preempts attempts on a candidate in favour of a job.
+// stopVictims preempts attempts on a candidate in favor of a job, and counts their resources as releasing.
 func (p *Planner) stopVictims(c *Candidate, victims []*cluster.Attempt, preemptor *cluster.Job, now time.Time) {
 	for _, v := range victims {
 		p.log.Debug("task preempted", "job", v.Job.Spec.ID, "task", v.Task, "machine", v.Machine.ID, "preemptor", preemptor.Spec.ID)
@@ -58,17 +59,17 @@
 	}
 }
 
-// preemptor is what makes others give way: work of a priority, which may also stop opportunistic work of the
-// same priority if it lies within its team's guarantee.
+// preemptor describes which attempts a job may preempt: those of lower priority and, if the job is within its
+// team's guarantee, opportunistic ones of the same priority.
 type preemptor struct {
 	priority   storage.Priority
 	guaranteed bool
 }
 
-// preemptorOf is a job as a preemptor.
+// preemptorOf returns which attempts a job may preempt.
 func (p *Planner) preemptorOf(j *cluster.Job, r *round) preemptor {
 	if j.Spec.Priority > storage.BestEffort {
-		return preemptor{priority: j.Spec.Priority} // all opportunistic work has less
+		return preemptor{priority: j.Spec.Priority} // all opportunistic work has a lower priority
 	}
 	if r.guaranteed == nil {
 		r.guaranteed = p.jobsWithinGuarantee()
@@ -76,7 +77,7 @@
 	return preemptor{priority: j.Spec.Priority, guaranteed: r.guaranteed[j]}
 }
 
-// priorityBound is the lowest priority none of whose work may be preempted.
+// priorityBound returns the lowest priority from which on nothing may be preempted.
 func (by preemptor) priorityBound() storage.Priority {
 	if by.guaranteed {
 		return by.priority + 1
@@ -84,14 +85,14 @@
 	return by.priority
 }
 
-// mayPreempt reports whether a preemptor may stop an attempt.
+// mayPreempt reports whether the preemptor may preempt an attempt.
 func (p *Planner) mayPreempt(by preemptor, a *cluster.Attempt) bool {
 	return a.Job.Spec.Priority < by.priority || by.guaranteed && p.settings.IsOpportunistic(&a.Job.Spec)
 }
 
-// victims chooses attempts on the candidate that the preemptor may stop and whose end frees as much as is
-// needed, the cheapest to lose first. What is being released already counts: then nothing is stopped.
-// ok is false if not enough can be freed.
+// victims selects attempts on the candidate to preempt, cheapest first, until the needed resources would be free.
+// Resources that are being released already count as free, so the selection may be empty. ok is false if
+// preemption can't free enough.
 func (p *Planner) victims(c *Candidate, needed storage.Resources, by preemptor, now time.Time) (victims []*cluster.Attempt, cost float64, ok bool) {
 	free := c.Free.Add(c.Releasing)
 	if needed.Fits(free) {
@@ -117,7 +118,8 @@
 	return victims, cost, needed.Fits(free)
 }
 
-// preemptibleBelow is what would be free on the candidate without the work below a priority.
+// preemptibleBelow returns the resources that would be free on the candidate if all work below the priority were
+// stopped.
 func preemptibleBelow(c *Candidate, priority storage.Priority) storage.Resources {
 	most := c.Free.Add(c.Releasing)
 	for _, usage := range c.Machine.RunningUsage[:priority] {
@@ -126,7 +128,7 @@
 	return most
 }
 
-// cheapest returns the index of the attempt that costs least to lose.
+// cheapest returns the index of the attempt with the lowest preemption cost.
 func (p *Planner) cheapest(attempts []*cluster.Attempt, now time.Time) int {
 	cheapest := 0
 	for i := range attempts {
@@ -137,23 +139,25 @@
 	return cheapest
 }
 
-// gpuWeight is what a GPU counts in the cost of a preemption, in CPUs.
+// gpuWeight is the number of CPUs that one GPU counts as in the preemption cost.
 const gpuWeight = 16
 
-// preemptionCost is the work lost if an attempt is stopped, in CPU seconds.
+// preemptionCost returns the work that is lost if an attempt is stopped, in CPU seconds. An attempt that isn't
+// running yet counts as one second.
 func (p *Planner) preemptionCost(a *cluster.Attempt, now time.Time) float64 {
 	size := max(a.Job.Spec.Resources.CPUs, 1) + gpuWeight*a.Job.Spec.Resources.GPUs
 	if !a.Reported || waitsToRun(a) {
 		return size
 	}
 	if a.Job.Spec.Gang {
-		size *= float64(len(a.Job.Attempts)) // all are stopped with it
+		size *= float64(len(a.Job.Attempts)) // preempting one task stops the whole gang
 	}
 	return size * (1 + p.lostWorkSeconds(a, now))
 }
 
-// lostWorkSeconds is for how long a task has run in vain if it is stopped: since its last checkpoint, at the
-// most, where its progress can't be saved, and otherwise the time that saving takes.
+// lostWorkSeconds returns how many seconds of running an attempt loses if it is stopped. Without checkpoints that
+// is its whole run time. A gang that can't be stopped at the same time everywhere saves no checkpoint, and loses
+// up to one checkpoint interval. All others lose the time that saving a checkpoint takes.
 func (p *Planner) lostWorkSeconds(a *cluster.Attempt, now time.Time) float64 {
 	ran := now.Sub(a.Started).Seconds()
 	switch spec := &a.Job.Spec; {
--- a/internal/placement/shape.go
+++ b/internal/placement/shape.go
@@ -8,19 +8,19 @@
 	"sagevale/internal/storage"
 )
 
-// Shape is what decides which machines may take a task, but for its job's zones. Rounds remember which
-// shapes have found nothing, so that a thousand like tasks cost one search.
+// Shape holds the properties of a job, except for its zones, that determine which machines its tasks may run on.
+// Rounds record the shapes for which no machine was found, so that a thousand similar tasks cost one search.
 type Shape struct {
 	resources     storage.Resources
 	types         string
 	spot          bool
 	service       bool
 	priority      storage.Priority
-	opportunistic bool // strands no GPUs
-	guaranteed    bool // may preempt opportunistic work
+	opportunistic bool // may not strand GPUs
+	guaranteed    bool // may preempt opportunistic work of its own priority
 }
 
-// ShapeOf returns a job's shape.
+// ShapeOf returns the shape of a job's tasks.
 func (p *Planner) ShapeOf(j *cluster.Job) Shape {
 	return Shape{
 		resources:     j.Spec.Resources,
@@ -32,17 +32,18 @@
 	}
 }
 
-// ExhaustedShapes remembers, by shape and zone, up to which candidate none takes a task. Within a round
-// resources only shrink, so that holds to its end; candidates that are added come after.
+// ExhaustedShapes records, for each shape and zone, how many candidates at the head of the list are known not to
+// fit a task. Within a round the free resources of a candidate only shrink, so the record stays true until the
+// round ends. New candidates are appended to the list.
 type ExhaustedShapes map[Shape][]exhaustedZone
 
 type exhaustedZone struct {
 	zone string
-	upTo int // candidates
+	upTo int // index of the first candidate that hasn't been searched
 }
 
-// From returns the index of the first candidate worth looking at, of those in the zones that the check
-// allows.
+// From returns the index of the first candidate that may fit a task of the shape in one of the zones that the
+// check allows. It returns math.MaxInt if the check allows none of the zones.
 func (e ExhaustedShapes) From(s Shape, check *ZoneCheck, zones []string) int {
 	from := math.MaxInt
 	for _, zone := range zones {
@@ -62,7 +63,8 @@
 	return 0
 }
 
-// Note marks the zones that the check allows as exhausted for a shape up to a candidate.
+// Note records for the shape that none of the first upTo candidates fits a task in the zones that the check
+// allows.
 func (e ExhaustedShapes) Note(s Shape, check *ZoneCheck, zones []string, upTo int) {
 	for _, zone := range zones {
 		if !check.Allows(zone) {
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -6,22 +6,22 @@
 	"sagevale/internal/cluster"
 )
 
-// samples is the number of candidates that a placement chooses between: the power of two choices.
+// samples is the number of random candidates that a placement chooses between ("power of two choices").
 const samples = 2
 
-// shortlist is the candidates of the best tier for the tasks of one job, in one round. It is searched for once
-// and kept up to date as tasks are placed: a search costs as much as there are machines.
+// shortlist holds the candidates of the best tier for the tasks of one job in one round. It is computed by one
+// search and then updated as tasks are placed, because a search looks at every machine.
 type shortlist struct {
 	job        *cluster.Job
 	round      *round
 	zones      *ZoneCheck
 	tier       int
-	candidates []*Candidate // in the order of the round's; empty: to be searched for
+	candidates []*Candidate // in the order of round.candidates; a search is needed if empty
 }
 
-// choose returns the better of two random candidates of the best tier, or nil if there is none.
+// choose returns the fuller of two random candidates of the best tier, or nil if no candidate fits.
 func (p *Planner) choose(list *shortlist) *Candidate {
-	if list.zones.counts != nil { // a task placed in one zone may close it to the next
+	if list.zones.counts != nil { // placing a task may have changed which zones are allowed for the next one
 		list.candidates = slices.DeleteFunc(list.candidates, func(c *Candidate) bool { return !list.zones.Allows(c.Zone) })
 	}
 	if len(list.candidates) == 0 {
@@ -33,7 +33,7 @@
 	return p.sample(list.job, list.candidates)
 }
 
-// sample returns the fuller of two random candidates: tasks are packed.
+// sample returns the fuller of two random candidates, so that tasks are packed onto few machines.
 func (p *Planner) sample(j *cluster.Job, candidates []*Candidate) *Candidate {
 	pick := candidates[p.random.IntN(len(candidates))]
 	for i := 1; i < samples; i++ {
@@ -44,7 +44,8 @@
 	return pick
 }
 
-// search looks through the round's candidates for those of the best tier.
+// search fills the list with the round's candidates of the best tier. If there are none, it records the job's
+// shape as exhausted.
 func (p *Planner) search(list *shortlist) {
 	j, r := list.job, list.round
 	shape := p.ShapeOf(j)
@@ -69,8 +70,8 @@
 	}
 }
 
-// noteReserved updates the list after a task was placed on a candidate, which may have become too full, or of
-// another tier.
+// noteReserved updates the list after a task was placed on a candidate, which may now be too full or in another
+// tier.
 func (p *Planner) noteReserved(list *shortlist, c *Candidate) {
 	j := list.job
 	fits := j.Spec.Resources.Fits(c.Free) && (!p.settings.IsOpportunistic(&j.Spec) || !p.strandsGPUs(j, c))
@@ -83,16 +84,16 @@
 	}
 }
 
-// The tiers of candidates: what speaks against one, each weighing more than all before it.
+// These flags are the drawbacks of a candidate, and its tier is their sum. Each flag outweighs all flags before it.
 const (
-	tierCPUOnly         = 1 << iota // a task without GPUs keeps a small machine busy that could be terminated
-	tierOnDemandForSpot             // a job that may use spot machines on an on-demand one
-	tierImageMissing                // the image must be fetched
-	tierStrandsGPUs                 // leaves GPUs that nobody can use
-	tierSuspected                   // tasks have failed there lately
+	tierCPUOnly         = 1 << iota // a task without GPUs would keep a machine without GPUs from being terminated
+	tierOnDemandForSpot             // the job may use spot machines, and the candidate is an on-demand machine
+	tierImageMissing                // the machine must pull the image first
+	tierStrandsGPUs                 // the task would leave GPUs that no other task can use
+	tierSuspected                   // tasks have recently failed on the machine, or it has lost leases
 )
 
-// tierOf returns the tier of a candidate for a job; a smaller one is better.
+// tierOf returns the tier of a candidate for a job. A smaller tier is better.
 func (p *Planner) tierOf(j *cluster.Job, c *Candidate) int {
 	tier := 0
 	if j.Spec.Resources.GPUs == 0 && c.Type.Resources.GPUs == 0 {
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -9,33 +9,33 @@
 	"sagevale/internal/storage"
 )
 
-// The ranks of waiting work of one priority, first to last.
+// The ranks of waiting jobs of one priority, most urgent first.
 const (
-	rankStartAtRisk   = iota // the objective of its class for the time until a start is nearly missed
-	rankOnTime               // it can start as promptly as its team's guarantee has it, or be done by its deadline
-	rankLate                 // it can be done within lateFactor of its deadline
-	rankHopeless             // a lost deadline isn't made better by losing others
-	rankOpportunistic        // nobody has stated when it should be done
+	rankStartAtRisk   = iota // the job is close to missing the start objective of its class
+	rankOnTime               // the job can meet its deadline or the start objective for guaranteed work
+	rankLate                 // the job can complete within lateFactor times its deadline
+	rankHopeless             // the job can't meet its deadline any more and must not make others miss theirs
+	rankOpportunistic        // opportunistic work has no deadline and no objective
 )
 
 const (
-	// lateFactor is up to what multiple of its deadline late work is still worth hurrying.
+	// lateFactor is the multiple of its deadline up to which a late job still goes before rankHopeless.
 	lateFactor = 1.5
-	// startAtRiskShare is how much of its class's bound on waiting a job has left when it goes before
-	// all others.
+	// startAtRiskShare is the fraction of its class's start objective below which the remaining time gives a job
+	// rankStartAtRisk.
 	startAtRiskShare = 1.0 / 8
 )
 
-// urgency is a waiting job's place among those of its priority.
+// urgency determines the order of the waiting jobs of one priority.
 type urgency struct {
 	rank        int
-	withinQuota bool      // its team's guarantee covers it
-	startBy     time.Time // when it must start for what its rank is about
-	allocated   int       // tasks that have or had a machine, of opportunistic work: jobs with few come first
+	withinQuota bool      // the job is within its team's guarantee
+	startBy     time.Time // time by which the job must start to achieve what its rank stands for
+	allocated   int       // running and completed tasks of an opportunistic job; jobs with fewer go first
 }
 
-// sortByUrgency sorts waiting jobs: by priority, then by what can still be in time for something, then the work
-// within its team's guarantee, then by when it must start.
+// sortByUrgency sorts waiting jobs by priority, then by rank, then jobs within their team's guarantee first, then
+// opportunistic jobs with the fewest allocated tasks first, then by the time by which they must start.
 func (p *Planner) sortByUrgency(jobs []*cluster.Job, now time.Time) {
 	urgencies := p.urgencies(jobs, now)
 	sort.SliceStable(jobs, func(x, y int) bool {
@@ -57,8 +57,8 @@
 	})
 }
 
-// urgencies ranks the jobs. Jobs with a deadline are ranked by deadlineAdmission, each priority after the
-// next higher one.
+// urgencies returns the urgency of each job. Jobs with a deadline are ranked by deadlineAdmission, one priority
+// after the other from the highest.
 func (p *Planner) urgencies(jobs []*cluster.Job, now time.Time) map[*cluster.Job]urgency {
 	urgencies := make(map[*cluster.Job]urgency, len(jobs))
 	withinQuota := p.jobsWithinGuarantee()
@@ -86,8 +86,8 @@
 	return urgencies
 }
 
-// startBounds returns by when a job must start to be in time for what a rank is about, its chances in order;
-// none if the rank doesn't concern it.
+// startBounds returns the times by which a job must start to get a rank, earliest first. For rankOnTime there may
+// be two: starting by either one suffices. It returns none if the rank doesn't apply to the job.
 func (p *Planner) startBounds(j *cluster.Job, rank int, withinQuota bool, now time.Time) []time.Time {
 	run := clock.Seconds(p.state.Classes.RunSeconds(j))
 	switch rank {
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// batchPace is how many machines' places the running work that ends frees in a second; 0: not known.
+// batchPace returns the rate, in tasks per second, at which the running tasks of batch jobs are expected to
+// complete. Opportunistic jobs don't count. It returns 0 if the rate is unknown.
 func (p *Planner) batchPace() float64 {
 	places, runSeconds := 0, 0.0
 	for _, j := range p.state.Jobs.Open {
@@ -126,8 +127,8 @@
 	return float64(places) * float64(places) / runSeconds
 }
 
-// jobsWithinGuarantee returns the open jobs that lie within their team's guarantee: they fit into it together
-// with the team's earlier unfinished jobs.
+// jobsWithinGuarantee returns the open jobs that are within their team's guarantee: their unfinished tasks fit into
+// it together with those of the team's open jobs that were submitted earlier.
 func (p *Planner) jobsWithinGuarantee() map[*cluster.Job]bool {
 	byTeam := make(map[string][]*cluster.Job)
 	for _, j := range p.state.Jobs.Open {
--- a/internal/placement/zone_check.go
+++ b/internal/placement/zone_check.go
@@ -2,19 +2,21 @@
 
 import "sagevale/internal/cluster"
 
-// ZoneCheck answers in which zones one more task of a job may start. It asks the job once for each zone.
+// ZoneCheck determines in which zones one more task of a job may start. It caches the result for each zone until
+// the job's tasks per zone change.
 type ZoneCheck struct {
 	job      *cluster.Job
-	counts   map[string]int // nil: the job may be anywhere
+	counts   map[string]int // tasks per zone; nil if the job's zones are unrestricted
 	verdicts []zoneVerdict
 }
 
+// zoneVerdict is the cached result for one zone.
 type zoneVerdict struct {
 	zone    string
 	allowed bool
 }
 
-// NewZoneCheck returns the check of a job with its present attempts.
+// NewZoneCheck returns a check that starts from the zones of the job's current attempts.
 func NewZoneCheck(j *cluster.Job) ZoneCheck {
 	z := ZoneCheck{job: j}
 	if j.Spec.Zone != "" || j.Spec.SameZone || j.Spec.Spread {
@@ -38,7 +40,7 @@
 	return allowed
 }
 
-// Add counts so many more tasks in a zone; a negative n takes tasks out.
+// Add counts n more tasks in a zone. A negative n removes tasks.
 func (z *ZoneCheck) Add(zone string, n int) {
 	if z.counts != nil {
 		z.counts[zone] += n
