--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -6,42 +6,43 @@
 	"sagevale/internal/worker"
 )
 
-// Attempt is one attempt to run a task on a machine. It exists from the reservation of its resources until
-// it is proved absent from the machine.
+// Attempt is one attempt to run a task on a machine. It exists from the time its resources are reserved until it
+// is certain that it isn't on the machine and can't be started there any more.
 type Attempt struct {
 	Job         *Job
-	Task        int
-	Number      uint64 // never used again for another attempt; the tasks of a gang share one
+	Task        int    // index of the task in its job
+	Number      uint64 // number of the attempt, which is never reused; the tasks of a gang share one number
 	Machine     *Machine
-	Incarnation uint64 // of the worker, when the resources were reserved
-	ThisTerm    bool   // reserved, or commanded to start, in this term
-	Durable     bool   // its page record is durable, so it may be started
+	Incarnation uint64 // the worker's incarnation when the resources were reserved
+	ThisTerm    bool   // the attempt was reserved or commanded to start in this term
+	Durable     bool   // the page record with the attempt is durable, so the attempt may be started
 	ReservedAt  time.Time
 
-	Reported       bool             // a report of this term shows it
-	Failed         bool             // it has exited with an error
-	State          worker.TaskState // as last reported
-	Started        time.Time        // when it was first reported running; zero: not yet
-	GatheringSince time.Time        // since when it waits for the other tasks of its gang
+	Reported       bool             // a report of this term has listed the attempt
+	Failed         bool             // the attempt has exited with an error
+	State          worker.TaskState // last reported state
+	Started        time.Time        // when the attempt was first reported running; zero if it hasn't been
+	GatheringSince time.Time        // when the attempt began to wait for the other tasks of its gang
 
-	Stopping      bool    // it is to be stopped
-	StopCommanded bool    // the worker has been told so directly
-	GraceSeconds  float64 // in which it may save a checkpoint
+	Stopping      bool    // the attempt is to be stopped
+	StopCommanded bool    // the stop command has been sent directly to the worker
+	GraceSeconds  float64 // time that a stopped attempt has for saving a checkpoint
 
-	CommandedSeq  uint64 // of the report whose answer last carried its start; 0: none
+	CommandedSeq  uint64 // sequence number of the report whose response last contained the start command; 0 if none
 	Delivery      Delivery
-	DeliveryToken uint64 // fencing token under which its start was sent straight to the worker
+	DeliveryToken uint64 // fencing token of the start command that was sent directly to the worker
 }
 
-// Delivery is what is known of a start that was sent straight to the worker.
+// Delivery is the state of a start command that was sent directly to the worker, instead of in the response to a
+// report.
 type Delivery uint8
 
-// The states of a delivery.
+// The states of a direct start command.
 const (
-	DeliveryNone       Delivery = iota
-	DeliveryInFlight            // no answer yet
-	DeliveryUnresolved          // no answer came: it may be executed minutes late
-	DeliverySettled             // answered
+	DeliveryNone       Delivery = iota // no direct start command was sent, or the worker rejected it
+	DeliveryInFlight                   // the worker hasn't responded yet
+	DeliveryUnresolved                 // no response arrived; the worker may still execute the command minutes later
+	DeliverySettled                    // the worker has responded that it executed the command
 )
 
 // AttemptKey identifies an attempt among all attempts of all jobs.
@@ -50,26 +51,26 @@
 	Number uint64
 }
 
-// ID names the attempt's task.
+// ID returns the ID of the attempt's task.
 func (a *Attempt) ID() worker.TaskID { return worker.TaskID{Job: a.Job.Spec.ID, Task: a.Task} }
 
-// Key identifies the attempt.
+// Key returns the key that identifies the attempt.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{ID: a.ID(), Number: a.Number} }
 
-// MaybeDelivered reports whether a start may have reached the worker.
+// MaybeDelivered reports whether a start command may have reached the worker.
 func (a *Attempt) MaybeDelivered() bool {
 	return !a.ThisTerm || a.Reported || a.CommandedSeq != 0 || a.Delivery != DeliveryNone
 }
 
-// NoteCommanded notes that the answer to a report carries the start. An attempt that an earlier leader
-// reserved belongs to this term from here on: a report that the worker makes before that answer
-// arrives proves nothing of it, even under our token.
+// NoteCommanded records that the response to a report contains the start command. An attempt that an earlier
+// leader reserved counts as one of this term from then on: if a report doesn't list the attempt, that no longer
+// proves that it can't start, even under this term's token, because the report may precede the response.
 func (a *Attempt) NoteCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
 
-// StartUnresolved reports whether a direct start may still be executed.
+// StartUnresolved reports whether the worker may still execute a direct start command that it hasn't responded to.
 func (a *Attempt) StartUnresolved() bool {
 	return a.Delivery == DeliveryInFlight || a.Delivery == DeliveryUnresolved
 }
 
-// Serving reports whether the attempt runs and isn't to be stopped.
+// Serving reports whether the attempt is running and isn't to be stopped.
 func (a *Attempt) Serving() bool { return a.Reported && a.State == worker.Running && !a.Stopping }
--- a/internal/cluster/class_table.go
+++ b/internal/cluster/class_table.go
@@ -7,34 +7,35 @@
 	"sagevale/internal/clock"
 )
 
-// rateLeases is the window of the arrival rate, in workers' leases.
+// rateLeases is the window over which arrival rates are measured, in worker leases.
 const rateLeases = 8.0
 
-// Class is what is known of a class of jobs.
+// Class holds the statistics of a class of jobs and its latest job.
 type Class struct {
 	classstats.Class
-	Latest *Job // the latest job of the class
+	Latest *Job // the job of the class that arrived last
 }
 
-// TypicalRunSeconds is how long a task of the class typically runs, in seconds.
+// TypicalRunSeconds returns the average run time of the class's tasks, in seconds. Before any task has completed,
+// it returns the estimate of the latest job's owner.
 func (c *Class) TypicalRunSeconds() float64 { return c.MeanRunSeconds(c.Latest.Spec.EstimateS) }
 
 // ClassTable keeps the statistics of the classes of jobs.
 type ClassTable struct {
 	byName       map[string]*Class
-	FirstArrival time.Time // when the first job ever came
+	FirstArrival time.Time // when the first job of any class arrived
 }
 
 func newClassTable() *ClassTable { return &ClassTable{byName: make(map[string]*Class)} }
 
-// Get returns a class, or nil.
+// Get returns the class with the given name, or nil.
 func (t *ClassTable) Get(name string) *Class { return t.byName[name] }
 
-// All returns the classes by name. The map changes with the table.
+// All returns all classes by name. The caller must not modify the map, which changes with the table.
 func (t *ClassTable) All() map[string]*Class { return t.byName }
 
-// NoteArrival counts a job to its class. Services that scale to zero aren't counted: their tasks come
-// with demand.
+// NoteArrival records the arrival of a job in the statistics of its class. Services that scale to zero aren't
+// counted, because their tasks start on demand.
 func (t *ClassTable) NoteArrival(j *Job) {
 	if j.ScalesToZero() {
 		return
@@ -51,21 +52,21 @@
 	c.RecordArrival(j.Submitted, j.Spec.Tasks)
 }
 
-// NoteDeparture counts the cancellation of a job to its class.
+// NoteDeparture records the cancellation of a job in the statistics of its class.
 func (t *ClassTable) NoteDeparture(j *Job, now time.Time) {
 	if c := t.byName[j.Spec.Class]; c != nil && !j.ScalesToZero() {
 		c.RecordDeparture(now, j.Spec.Tasks)
 	}
 }
 
-// NoteRunTime counts the run time of a completed task to its class.
+// NoteRunTime records the run time of a completed task in the statistics of its class.
 func (t *ClassTable) NoteRunTime(a *Attempt, now time.Time) {
 	if c := t.byName[a.Job.Spec.Class]; c != nil && !a.Started.IsZero() {
 		c.RecordRun(now.Sub(a.Started).Seconds(), a.Job.Spec.EstimateS)
 	}
 }
 
-// RunSeconds is how long a task of the job is expected to run, in seconds.
+// RunSeconds returns how long a task of the job is expected to run, in seconds.
 func (t *ClassTable) RunSeconds(j *Job) float64 {
 	if c := t.byName[j.Spec.Class]; c != nil {
 		return c.EstimateRunSeconds(j.Spec.EstimateS)
@@ -73,8 +74,9 @@
 	return j.Spec.EstimateS
 }
 
-// ArrivalRate is the rate of a class's arrivals within the window. What comes within a lease of the first
-// job ever is the start of the fleet, not a rate.
+// ArrivalRate returns the rate at which tasks of a class have arrived within the last rateLeases leases. Arrivals
+// in the first lease after the first job of any class are left out, because they are the initial load of the
+// fleet. Until one more lease has passed, the result is the zero Rate.
 func (t *ClassTable) ArrivalRate(c *Class, lease time.Duration, now time.Time) classstats.Rate {
 	since := now.Add(-clock.Scale(lease, rateLeases))
 	if start := t.FirstArrival.Add(lease); start.After(since) {
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -8,18 +8,18 @@
 	"sagevale/internal/worker"
 )
 
-// Gang is what is known of the present attempt of a gang: the tasks of a job that run at the same time or
-// not at all. Workers find the other tasks by the attempt's number, which all tasks share. Until they
-// run, a lost task is replaced under the same number; from then on a loss ends the attempt.
+// Gang is the state of the current attempt of a gang job, whose tasks run at the same time or not at all. Workers
+// find the other tasks by the number of the attempt, which all tasks share. A task that is lost before the gang
+// runs is replaced under the same number. After that, the loss of a task ends the attempt.
 type Gang struct {
-	Number   uint64       // of the attempt; 0: there is none
-	Started  bool         // its tasks have run
-	Failed   bool         // it can't be completed any more
-	ExitedOn map[int]bool // machines on which a task of it has exited: it can't start there again
+	Number   uint64       // number of the attempt; 0 if there is none
+	Started  bool         // the tasks have run
+	Failed   bool         // the attempt can't be completed any more
+	ExitedOn map[int]bool // IDs of machines on which a task of the attempt has exited and can't start again
 }
 
-// GangCompletable reports whether the present attempt may still be completed by replacing tasks: nothing of
-// it has run, and nothing may have run that isn't known.
+// GangCompletable reports whether the current attempt can still be completed by replacing lost tasks. That requires
+// that it hasn't failed, and that no task has run or may have run unnoticed.
 func (j *Job) GangCompletable() bool {
 	if j.Gang.Failed || j.Gang.Started {
 		return false
@@ -32,7 +32,7 @@
 	return true
 }
 
-// waitsInGang reports whether an attempt surely waits to run with the others of the gang's attempt.
+// waitsInGang reports whether a task's attempt belongs to the gang's current attempt and certainly hasn't run yet.
 func (j *Job) waitsInGang(a *Attempt) bool {
 	switch {
 	case a.Stopping || a.Number != j.Gang.Number:
@@ -43,20 +43,20 @@
 	return a.State == worker.Pulling || a.State == worker.Gathering
 }
 
-// recordGangAttempt notes that an attempt of one of the gang's tasks was entered.
+// recordGangAttempt updates the gang's state when an attempt of one of its tasks is added.
 func (j *Job) recordGangAttempt(a *Attempt) {
 	if j.Gang.Number != 0 && j.Gang.Number != a.Number {
-		j.Gang.Failed = true // records of two attempts: a leader ended between its commits
+		j.Gang.Failed = true // the records are of two attempts because an earlier leader ended between two commits
 	}
 	j.Gang.Number = max(j.Gang.Number, a.Number)
 }
 
-// GangAttempts returns the job's attempts in the order of their tasks.
+// GangAttempts returns the job's attempts, ordered by task.
 func (j *Job) GangAttempts() []*Attempt {
 	return slices.SortedFunc(maps.Values(j.Attempts), func(a, b *Attempt) int { return a.Task - b.Task })
 }
 
-// GatherTime is for how long the first of the gang's tasks has waited for the others.
+// GatherTime returns how long the longest waiting task of the gang has waited for the others.
 func (j *Job) GatherTime(now time.Time) time.Duration {
 	var longest time.Duration
 	for _, a := range j.Attempts {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -15,38 +15,38 @@
 
 // The states of a task.
 const (
-	TaskWaiting TaskState = iota // for a machine
-	TaskActive                   // there is an attempt
-	TaskDone
+	TaskWaiting TaskState = iota // waits to be placed on a machine
+	TaskActive                   // has an attempt
+	TaskDone                     // has completed
 )
 
-// Job is a job with its tasks.
+// Job holds a job's specification and the state of its tasks and attempts.
 type Job struct {
 	Spec         storage.Spec
 	Phase        storage.Phase
 	Submitted    time.Time
-	Acknowledged bool // its acceptance is durable
-	FinalDurable bool // its final phase is durable
+	Acknowledged bool // the record of the job's acceptance is durable
+	FinalDurable bool // the record of the job's final phase is durable
 
-	Tasks    []TaskState // nil once the job is final and no attempt is left
-	Waiting  int         // tasks that wait
-	Done     int         // tasks that are done
-	Attempts map[int]*Attempt
-	cursor   int // no task before it waits
+	Tasks    []TaskState      // nil once the job is final and has no attempts left
+	Waiting  int              // number of tasks in TaskWaiting
+	Done     int              // number of tasks in TaskDone
+	Attempts map[int]*Attempt // current attempts by task
+	cursor   int              // index before which no task waits
 
-	FeasibleTypes []string // machine types that a task may run on; nil: not yet known, see State.FeasibleTypes
-	AllowedTypes  string   // the machine types that the user allows, in one string
+	FeasibleTypes []string // cache of State.FeasibleTypes; nil if not computed yet
+	AllowedTypes  string   // machine types that the specification allows, separated by commas
 
 	StoredPages []string // keys of the page records that a final job had when the term began
 
-	Gang      Gang // of a job whose tasks run together
-	Lifecycle Lifecycle
+	Gang      Gang      // state of the current gang attempt if Spec.Gang is set
+	Lifecycle Lifecycle // nil unless the job is a service that scales to zero
 
 	Failures   failures.Job
-	RetryAfter time.Time // no task is placed before
+	RetryAfter time.Time // no task may be placed before this time
 }
 
-// NewJob returns a job whose tasks all wait.
+// NewJob returns a job whose tasks all wait to be placed.
 func NewJob(spec storage.Spec, submitted time.Time) *Job {
 	return &Job{
 		Spec:         spec,
@@ -58,7 +58,7 @@
 	}
 }
 
-// NextWaiting returns the first task that waits; ok is false if there is none.
+// NextWaiting returns the index of the first waiting task. ok is false if no task waits.
 func (j *Job) NextWaiting() (task int, ok bool) {
 	for i := j.cursor; i < len(j.Tasks); i++ {
 		if j.Tasks[i] == TaskWaiting {
@@ -69,8 +69,8 @@
 	return 0, false
 }
 
-// Startable is how many of the waiting tasks may be started now: one at a time if the job seems to fail
-// on every machine.
+// Startable returns how many of the waiting tasks may be started now. A job that fails on every machine may have
+// only one attempt at a time.
 func (j *Job) Startable() int {
 	if !j.Failures.AtFault() {
 		return j.Waiting
@@ -78,8 +78,7 @@
 	return max(0, min(j.Waiting, 1-len(j.Attempts)))
 }
 
-// SetTask moves a task to another state. A task that is done stays done, and tasks that the job doesn't
-// have are ignored.
+// SetTask changes the state of a task. A task that is done stays done. Task indexes outside of the job are ignored.
 func (j *Job) SetTask(task int, state TaskState) {
 	if task < 0 || task >= len(j.Tasks) || j.Tasks[task] == state || j.Tasks[task] == TaskDone {
 		return
@@ -98,7 +97,7 @@
 	}
 }
 
-// RunningTasks is how many tasks run, by the reports of this term.
+// RunningTasks returns the number of tasks that are running or saving a checkpoint, as reported in this term.
 func (j *Job) RunningTasks() int {
 	running := 0
 	for _, a := range j.Attempts {
@@ -109,11 +108,11 @@
 	return running
 }
 
-// Allocated is how many of the job's tasks have or had a machine.
+// Allocated returns how many of the job's tasks have an attempt or are done.
 func (j *Job) Allocated() int { return len(j.Attempts) + j.Done }
 
-// Deadline is when the job should be complete. A job without a deadline ranks as if that had been its
-// submission.
+// Deadline returns the time by which the job should be complete. Without a deadline in its specification, that is
+// the time of its submission.
 func (j *Job) Deadline() time.Time {
 	if j.Spec.DeadlineS > 0 {
 		return j.Submitted.Add(clock.Seconds(j.Spec.DeadlineS))
@@ -121,10 +120,11 @@
 	return j.Submitted
 }
 
-// Urgent reports whether the job's records must not wait behind those of others.
+// Urgent reports whether the job's records must not wait behind the records of less urgent jobs.
 func (j *Job) Urgent() bool { return j.Spec.Priority >= storage.High }
 
-// ZoneCounts returns how many of the job's tasks may be in each zone.
+// ZoneCounts returns the number of the job's attempts in each zone. Attempts whose zone is unknown are counted
+// under the empty name.
 func (j *Job) ZoneCounts() map[string]int {
 	counts := make(map[string]int, 2)
 	for _, a := range j.Attempts {
@@ -133,8 +133,8 @@
 	return counts
 }
 
-// ZoneAllows reports whether one more task may start in a zone, with the others where counts says. A task
-// whose zone isn't known excludes every choice that it could contradict.
+// ZoneAllows reports whether one more task may start in a zone, given the number of the job's tasks in each zone. A
+// task in an unknown zone counts as if it were in whichever zone would forbid the start.
 func (j *Job) ZoneAllows(zone string, counts map[string]int) bool {
 	spec := &j.Spec
 	if spec.Zone != "" && spec.Zone != zone {
@@ -150,7 +150,7 @@
 	return !spec.Spread || counts[zone]+counts[""]+1 <= (spec.Tasks+1)/2
 }
 
-// Record returns the job's own record. A final job without attempts keeps no specification.
+// Record returns the job's record. The specification is left out once the job is final and has no attempts.
 func (j *Job) Record() *storage.JobRecord {
 	record := &storage.JobRecord{Phase: j.Phase, Tasks: j.Spec.Tasks, SubmittedMS: j.Submitted.UnixMilli()}
 	if j.Phase == storage.Open || len(j.Attempts) > 0 {
@@ -165,7 +165,8 @@
 	return record
 }
 
-// PageRecord returns the record of one page of the job's tasks, or nil if there is nothing to record.
+// PageRecord returns the record of one page of the job's tasks, or nil if the page has neither done tasks nor
+// attempts.
 func (j *Job) PageRecord(page int) *storage.PageRecord {
 	record := &storage.PageRecord{}
 	first, end := page*storage.PageTasks, min((page+1)*storage.PageTasks, len(j.Tasks))
@@ -187,7 +188,8 @@
 	return record
 }
 
-// appendToRanges adds a number to ascending ranges, given by their first and last numbers.
+// appendToRanges adds a number to a list of ranges, each stored as its first and its last number. The number must be
+// greater than all numbers in the ranges.
 func appendToRanges(ranges []int, n int) []int {
 	if last := len(ranges) - 1; last >= 0 && ranges[last] == n-1 {
 		ranges[last] = n
--- a/internal/cluster/job_table.go
+++ b/internal/cluster/job_table.go
@@ -11,25 +11,25 @@
 	"sagevale/internal/storage"
 )
 
-// JobTable is the jobs that the leader holds: the open ones, and the final ones that aren't archived.
+// JobTable holds all jobs that the leader keeps in memory: the open ones, and the final ones that aren't archived.
 type JobTable struct {
 	byID       map[string]*Job
-	Open       map[string]*Job // open jobs, and final ones with attempts left
-	Cancelling map[string]*Job // cancelled jobs with attempts left
-	OpenTasks  int             // tasks of the jobs in Open
-	// finished are the final jobs that are durable and have no attempt left, in the order of the
-	// archive.
+	Open       map[string]*Job // open jobs, and final jobs that still have attempts, by ID
+	Cancelling map[string]*Job // cancelled jobs that still have attempts, by ID
+	OpenTasks  int             // number of tasks of the jobs in Open
+	// finished holds the final jobs whose final record is durable and that have no attempts left, ordered by
+	// job number as in the archive.
 	finished      *btree.BTreeG[finishedJob]
-	archiveCursor archive.JobNumber // where NextFinished goes on
+	archiveCursor archive.JobNumber // job number from which the next call of NextFinished lists jobs
 }
 
-// finishedJob is a job that may be archived.
+// finishedJob is a job in JobTable.finished, which may be archived.
 type finishedJob struct {
 	number archive.JobNumber
 	job    *Job
 }
 
-// finishedDegree is the degree of the tree: a node holds up to twice as many jobs.
+// finishedDegree is the degree of the B-tree of finished jobs. A node holds up to twice as many jobs.
 const finishedDegree = 32
 
 // NewJobTable returns an empty table.
@@ -42,43 +42,44 @@
 	}
 }
 
-// Get returns a job, or nil.
+// Get returns the job with the given ID, or nil.
 func (t *JobTable) Get(id string) *Job { return t.byID[id] }
 
-// Count is how many jobs there are.
+// Count returns the number of jobs in the table.
 func (t *JobTable) Count() int { return len(t.byID) }
 
-// InOrder returns all jobs in the order of their submission.
+// InOrder returns all jobs, ordered by the time of their submission.
 func (t *JobTable) InOrder() []*Job {
 	return slices.SortedFunc(maps.Values(t.byID), func(a, b *Job) int { return a.Submitted.Compare(b.Submitted) })
 }
 
-// Add enters a job without tracking it as open.
+// Add adds a job without tracking it as open.
 func (t *JobTable) Add(j *Job) { t.byID[j.Spec.ID] = j }
 
-// AddOpen enters a job and tracks it as open.
+// AddOpen adds a job and tracks it as open.
 func (t *JobTable) AddOpen(j *Job) {
 	t.Add(j)
 	t.TrackOpen(j)
 }
 
-// TrackOpen counts a job among those that are open or have attempts left.
+// TrackOpen adds a job of the table, which is open or still has attempts, to Open.
 func (t *JobTable) TrackOpen(j *Job) {
 	t.Open[j.Spec.ID] = j
 	t.OpenTasks += len(j.Tasks)
 }
 
-// ReleaseTasks frees the tasks of a final job that has no attempt left.
+// ReleaseTasks drops the task states of a final job that has no attempts left, and removes the job from Open.
 func (t *JobTable) ReleaseTasks(j *Job) {
 	t.OpenTasks -= len(j.Tasks)
 	j.Tasks, j.Waiting = nil, 0
 	delete(t.Open, j.Spec.ID)
 }
 
-// TrackCancelling counts a job among the cancelled ones with attempts left.
+// TrackCancelling adds a cancelled job that still has attempts to Cancelling.
 func (t *JobTable) TrackCancelling(j *Job) { t.Cancelling[j.Spec.ID] = j }
 
-// CurrentTasks is how many tasks of open jobs of a class run or wait, but for services that scale to zero.
+// CurrentTasks returns the number of tasks of a class's open jobs that have attempts or wait. Services that scale to
+// zero aren't counted.
 func (t *JobTable) CurrentTasks(class string) int {
 	tasks := 0
 	for _, j := range t.Open {
@@ -89,7 +90,7 @@
 	return tasks
 }
 
-// OpenGangs is how many gang jobs are open or have attempts left.
+// OpenGangs returns the number of gang jobs that are open or still have attempts.
 func (t *JobTable) OpenGangs() int {
 	gangs := 0
 	for _, j := range t.Open {
@@ -100,17 +101,18 @@
 	return gangs
 }
 
-// TrackFinished counts a job among those that may be archived.
+// TrackFinished adds a job to those that may be archived. A job whose ID isn't a job number is ignored.
 func (t *JobTable) TrackFinished(j *Job) {
 	if number, ok := archive.ParseJobNumber(j.Spec.ID); ok {
 		t.finished.ReplaceOrInsert(finishedJob{number: number, job: j})
 	}
 }
 
-// Finished is how many jobs may be archived.
+// Finished returns the number of jobs that may be archived.
 func (t *JobTable) Finished() int { return t.finished.Len() }
 
-// RemoveFinished removes a job that has been archived and returns it, or nil if it isn't here.
+// RemoveFinished removes a job that has been archived from the table and returns it. It returns nil if the job
+// isn't among those that may be archived.
 func (t *JobTable) RemoveFinished(number archive.JobNumber) *Job {
 	f, found := t.finished.Delete(finishedJob{number: number})
 	if !found {
@@ -120,8 +122,8 @@
 	return f.job
 }
 
-// NextFinished returns up to limit jobs that may be archived, in order, from where the last call ended;
-// after the last one it begins anew.
+// NextFinished returns up to limit jobs that may be archived, ordered by job number. Each call continues after the
+// last job of the previous call, and starts over once that call has reached the end.
 func (t *JobTable) NextFinished(limit int) []archive.Entry {
 	entries := make([]archive.Entry, 0, min(limit, t.finished.Len()))
 	t.finished.AscendGreaterOrEqual(finishedJob{number: t.archiveCursor}, func(f finishedJob) bool {
@@ -135,7 +137,8 @@
 	return entries
 }
 
-// RestoredJob returns a final job for an archived one. The archive doesn't tell when it was submitted.
+// RestoredJob returns a final job with the state that the archive has stored. Its submission time is the Unix epoch,
+// because the archive doesn't store the time.
 func RestoredJob(e archive.Entry) *Job {
 	j := NewJob(storage.Spec{ID: e.Number.ID()}, time.UnixMilli(0))
 	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = e.Phase(), e.Done, true, true
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -10,22 +10,22 @@
 	"sagevale/internal/storage"
 )
 
-// Loaded is what the records tell beside the state.
+// Loaded holds the contents of the records that aren't part of State.
 type Loaded struct {
-	Desired      int                             // the desired size of the fleet
-	OpenLaunches map[string]storage.LaunchRecord // launch requests without an answer
-	Lifecycles   map[*Job]json.RawMessage        // of open services that scale to zero
-	OrphanPages  []string                        // keys of page records without a job
+	Desired      int                             // desired number of machines
+	OpenLaunches map[string]storage.LaunchRecord // launch requests that the cloud hasn't answered, by request ID
+	Lifecycles   map[*Job]json.RawMessage        // stored lifecycle states of open services that scale to zero
+	OrphanPages  []string                        // keys of page records whose job has no record
 }
 
-// loadOrder is the order in which kinds of records are loaded: single ones first, then launches, machines
-// and jobs, then the pages that refer to both.
+// loadOrder lists the kinds of records in the order in which Load applies them. Kinds with a single record come
+// first, then launches, machines and jobs. Pages come last because they refer to machines and jobs.
 var loadOrder = string([]byte{
 	storage.KindMachineTypes, storage.KindFleet, storage.KindLaunch,
 	storage.KindMachine, storage.KindJob, storage.KindPage,
 })
 
-// Load rebuilds the state from the journal's records. Machines count as known since now.
+// Load rebuilds the state from the journal's records. now becomes the time at which the machines were first seen.
 func (s *State) Load(records []storage.Record, now time.Time) (Loaded, error) {
 	result := Loaded{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
 	slices.SortStableFunc(records, func(a, b storage.Record) int {
@@ -39,6 +39,7 @@
 	return result, nil
 }
 
+// loadRecord applies one record to the state or to result. The first byte of its key is the kind of the record.
 func (s *State) loadRecord(r storage.Record, now time.Time, result *Loaded) error {
 	name := r.Key[1:]
 	switch r.Key[0] {
@@ -83,11 +84,13 @@
 	return nil
 }
 
+// decode parses the JSON data of a record.
 func decode[T any](r storage.Record) (v T, err error) {
 	err = json.Unmarshal(r.Data, &v)
 	return v, err
 }
 
+// loadMachine adds a machine from its record. name is the machine's ID in decimal.
 func (s *State) loadMachine(name string, record *storage.MachineRecord, now time.Time) error {
 	var id int
 	if _, err := fmt.Sscan(name, &id); err != nil {
@@ -104,6 +107,7 @@
 	return nil
 }
 
+// loadJob adds a job from its record. The states of its tasks come from its pages, see loadPage.
 func (s *State) loadJob(id string, record *storage.JobRecord, result *Loaded) {
 	spec := storage.Spec{Tasks: record.Tasks}
 	if record.Spec != nil {
@@ -124,6 +128,8 @@
 	s.Jobs.Add(j)
 }
 
+// loadPage applies the done tasks and the attempts of one page to its job. A page without a job is added to
+// result.OrphanPages.
 func (s *State) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *Loaded) {
 	j := s.Jobs.Get(id)
 	switch {
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -13,56 +13,57 @@
 	"sagevale/internal/worker"
 )
 
-// Machine is a machine of the fleet, as far as this term knows it.
+// Machine holds what the leader has learned during this term about a machine of the fleet.
 type Machine struct {
 	ID       int
-	Addr     string // of its worker, for commands
+	Addr     string // address of the worker for direct commands
 	TypeName string
 	Zone     string
 	Spot     bool
-	Type     *storage.MachineType // nil: the type isn't known
-
-	// What the worker's newest report tells.
-	Incarnation, Seq, Token uint64
-	LastContact             time.Time           // of the last newer report, with a heartbeat or as the answer to commands
-	LastHeartbeat           time.Time           // of the last newer heartbeat; until there is one, when it was first known
-	LastAcknowledged        time.Time           // of the last heartbeat that was accepted: its lease counts from there
-	Confirmed               bool                // it has reported under a token of this term
+	Type     *storage.MachineType // nil if the type is unknown
+
+	// The following fields come from the worker's reports.
+	Incarnation, Seq, Token uint64              // incarnation, sequence number and fencing token of the newest report
+	LastContact             time.Time           // last new report, in a heartbeat or in the response to direct commands
+	LastHeartbeat           time.Time           // last new heartbeat; before the first one, when the machine was first seen
+	LastAcknowledged        time.Time           // last accepted heartbeat, from which the worker's lease counts
+	Confirmed               bool                // the worker has reported with a fencing token of this term
 	ExpiredIncarnation      uint64              // an incarnation whose lease is proved to have expired
 	Exited                  []worker.TaskReport // exited tasks in the last report
-	Orphans                 []worker.TaskReport // live tasks without an attempt
-	PreemptionAt            time.Time           // when the cloud takes it, by its notice; zero: no notice
+	Orphans                 []worker.TaskReport // live tasks that were reported but have no attempt here
+	PreemptionAt            time.Time           // when the cloud reclaims the spot machine; zero without a spot notice
 
-	// What the cloud and the autoscaler tell.
-	FirstSeen            time.Time // when it was launched, if that was seen
-	ProvisioningObserved bool      // its launch was seen, and it has neither come up nor been abandoned
-	ListedAt             time.Time // when the cloud last listed it
-	Failed               bool      // the cloud lists it as failed
-	DrainReason          string    // why nothing more is placed here; "": not draining
-	Terminating          bool      // the cloud has been, or will be, told to terminate it
+	// The following fields come from the cloud and the autoscaler.
+	FirstSeen            time.Time // when the machine was launched or, if the launch wasn't seen, first known
+	ProvisioningObserved bool      // the launch was seen, and the machine has neither come up nor been abandoned yet
+	ListedAt             time.Time // when the cloud last listed the machine
+	Failed               bool      // the cloud lists the machine as failed
+	DrainReason          string    // why no more tasks are placed here; empty if the machine isn't draining
+	Terminating          bool      // the machine's termination has been or will be requested from the cloud
 
 	Attempts      map[worker.TaskID]*Attempt
-	Reserved      *storage.Resources                        // by all attempts
-	RunningUsage  [storage.Production + 1]storage.Resources // by attempts of each priority that aren't being stopped
-	StoppingUsage storage.Resources                         // by attempts that are being stopped
-	IdleSince     time.Time                                 // since when it has no attempts
-	Fence         *fencing.Fence[AttemptKey]                // its fencing token, and the exited attempts that it must remember
-	Images        map[string]Image
-	Recorded      bool // its record is durable or on its way
-
-	InFlight         int // commands that were sent directly and not yet answered
+	Reserved      *storage.Resources                        // resources of all attempts
+	RunningUsage  [storage.Production + 1]storage.Resources // by priority, resources of attempts that aren't being stopped
+	StoppingUsage storage.Resources                         // resources of attempts that are being stopped
+	IdleSince     time.Time                                 // when the last attempt was removed, if there are no attempts
+	Fence         *fencing.Fence[AttemptKey]                // fencing token, and the ended attempts that the worker must retain
+	Images        map[string]Image                          // cached images by name
+	Recorded      bool                                      // the machine's record is durable or being written
+
+	InFlight         int // number of direct requests that the worker hasn't answered yet
 	Failures         failures.Machine
-	Unresponsive     bool // its heartbeats come, but it doesn't execute commands
-	LostIncarnations int  // leases that expired while its heartbeats came
+	Unresponsive     bool // heartbeats arrive, but the worker doesn't execute commands
+	LostIncarnations int  // number of leases that expired although heartbeats arrived
 	QuarantinedUntil time.Time
 }
 
-// Image is a cached image, by what ran on the machine.
+// Image describes an image that is assumed to be cached on a machine, because a task with it ran there.
 type Image struct {
 	SizeGB   float64
 	LastUsed time.Time
 }
 
+// newMachine returns a machine that was first seen now and has no attempts.
 func newMachine(id int, tokens fencing.Tokens, now time.Time) *Machine {
 	return &Machine{
 		ID:            id,
@@ -75,40 +76,42 @@
 	}
 }
 
-// Offering is what the machine was launched as.
+// Offering returns the combination of type, zone and spot status that the machine was launched with.
 func (m *Machine) Offering() cloud.Offering {
 	return cloud.Offering{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// Stale reports whether a report is a late copy of one already seen.
+// Stale reports whether a report isn't newer than the newest one from this machine.
 func (m *Machine) Stale(r *worker.Report) bool {
 	return r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Seq <= m.Seq
 }
 
-// Ready reports whether tasks may be placed on the machine; reports count for the time fresh. Answers to
-// direct commands alone don't make it ready: where no heartbeat comes through, the lease expires,
-// however well the machine can be reached.
+// Ready reports whether tasks may be placed on the machine. Its last report and its last heartbeat must not be older
+// than fresh. Responses to direct commands aren't enough, because without heartbeats the worker's lease expires
+// even if the worker can be reached.
 func (m *Machine) Ready(now time.Time, fresh time.Duration) bool {
 	return m.Confirmed && m.Type != nil && m.DrainReason == "" && !m.Terminating && !m.Failed &&
 		now.Sub(m.LastContact) <= fresh && now.Sub(m.LastHeartbeat) <= fresh && !now.Before(m.QuarantinedUntil)
 }
 
-// Quarantined reports whether the machine is set aside because it fails tasks, loses its leases or doesn't
-// execute commands: its free resources then help nobody.
+// Quarantined reports whether no tasks are placed on the machine for a while because it fails tasks, loses its
+// leases or doesn't execute commands. Its free resources can't be used during that time.
 func (m *Machine) Quarantined(now time.Time) bool {
 	return now.Before(m.QuarantinedUntil) && (m.LostIncarnations > 0 || m.Failures.Suspected() || m.Unresponsive)
 }
 
-// IdlePerBoot is for how long a machine counts as briefly idle, in nominal boot times: one that is needed
-// again boots, and is paid for, that long.
+// IdlePerBoot is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. The
+// boot time is what replacing the machine would cost if it were needed again: a new one is paid for while it
+// boots.
 const IdlePerBoot = 0.25
 
-// BrieflyIdle reports whether the machine has had no attempts for a short time only.
+// BrieflyIdle reports whether the machine has no attempts, but hasn't been idle for longer than IdlePerBoot allows.
 func (m *Machine) BrieflyIdle(now time.Time) bool {
 	return len(m.Attempts) == 0 && now.Sub(m.IdleSince) < clock.Seconds(IdlePerBoot*m.Type.BootS)
 }
 
-// ClearFailures clears the machine of a job's failures, and ends the quarantine if it was for them.
+// ClearFailures drops a job's failures from the machine's record of failures, and ends the machine's quarantine if
+// these failures were its only reason.
 func (m *Machine) ClearFailures(j *Job) {
 	wasAtFault := m.Failures.AtFault()
 	m.Failures.Clear(j.Spec.ID)
@@ -117,8 +120,8 @@
 	}
 }
 
-// UseImage notes that an image is in use, and evicts the least recently used ones beyond the cache. An
-// image that is new here changes the machine's record.
+// UseImage records that an image is in use. It evicts the least recently used other images while all together
+// exceed the machine's image cache. An image that is new on the machine makes its record due to be written again.
 func (m *Machine) UseImage(name string, sizeGB float64, now time.Time) {
 	if name == "" {
 		return
@@ -141,7 +144,7 @@
 	}
 }
 
-// leastRecentlyUsed returns the image that was used least recently, other than one.
+// leastRecentlyUsed returns the name of the least recently used image, except for the one named other.
 func (m *Machine) leastRecentlyUsed(other string) string {
 	oldest := ""
 	for name, image := range m.Images {
@@ -152,7 +155,7 @@
 	return oldest
 }
 
-// addUsage adds an attempt's resources to the machine's usage (sign 1), or takes them out (-1).
+// addUsage adds an attempt's resources to the machine's usage if sign is 1, and subtracts them if it is -1.
 func (m *Machine) addUsage(a *Attempt, sign int) {
 	usage := &m.StoppingUsage
 	if !a.Stopping {
@@ -161,7 +164,7 @@
 	*usage = usage.Add(a.Job.Spec.Resources.Mul(sign))
 }
 
-// SortedAttempts returns the attempts by number, and by task within a number.
+// SortedAttempts returns the machine's attempts, ordered by number and then by task.
 func (m *Machine) SortedAttempts() []*Attempt {
 	attempts := make([]*Attempt, 0, len(m.Attempts))
 	for _, a := range m.Attempts {
@@ -173,7 +176,7 @@
 	return attempts
 }
 
-// Record returns the machine's record.
+// Record returns the record of the machine that is to be stored.
 func (m *Machine) Record() *storage.MachineRecord {
 	record := &storage.MachineRecord{
 		Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Spot: m.Spot,
--- a/internal/cluster/machine_types.go
+++ b/internal/cluster/machine_types.go
@@ -6,19 +6,19 @@
 	"sagevale/internal/storage"
 )
 
-// MachineTypes are the types of machines that the cloud offers.
+// MachineTypes holds the machine types that the cloud offers.
 type MachineTypes struct {
 	byName map[string]*storage.MachineType
-	names  []string // in the cloud's order
+	names  []string // in the order in which the cloud lists them
 }
 
-// Get returns a type, or nil.
+// Get returns the type with the given name, or nil.
 func (t *MachineTypes) Get(name string) *storage.MachineType { return t.byName[name] }
 
-// All returns the names of all types, in the cloud's order.
+// All returns the names of all types, in the order in which the cloud lists them.
 func (t *MachineTypes) All() []string { return t.names }
 
-// Count returns how many types there are; 0: they aren't known yet.
+// Count returns the number of types. It is 0 until the types are known.
 func (t *MachineTypes) Count() int { return len(t.names) }
 
 // set replaces the types.
@@ -44,5 +44,5 @@
 	return names
 }
 
-// Allows reports whether a list allows a name; an empty list allows all.
+// Allows reports whether the list contains the name. An empty list allows every name.
 func Allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,10 +1,11 @@
-// Package cluster is the leader's view of the cluster during one term: jobs with their tasks and attempts,
-// machines, machine types and classes of jobs, and the transitions that keep them consistent with each
-// other. It is rebuilt from the journal's records, and gives the records that are to be written.
+// Package cluster holds the leader's view of the cluster during one term: jobs with their tasks and attempts,
+// machines, machine types and classes of jobs. The state is rebuilt from the journal's records when a term begins,
+// and its types return the records to write.
 //
-// It knows no clock, sends no messages and calls nobody: its owner, the scheduler's goroutine, passes the
-// time, decides, and makes the changes durable. Reports and decisions set the exported fields; what more
-// than one table depends on goes through the methods of State.
+// The package reads no clock, sends no messages and makes no decisions. The scheduler's goroutine owns the state:
+// it passes the current time, applies reports and decisions, and makes the changes durable. It sets exported fields
+// directly, but makes changes that affect more than one table through the methods of State, which keep the tables
+// consistent with each other.
 package cluster
 
 import (
@@ -14,17 +15,17 @@
 	"sagevale/internal/storage"
 )
 
-// State is what the leader knows of jobs, attempts, machines and classes during one term.
+// State is the leader's view of jobs, attempts, machines and classes during one term.
 type State struct {
 	Jobs         *JobTable
 	Machines     *MachineTable
 	Types        *MachineTypes
 	Classes      *ClassTable
 	Reservations *storage.Reservations
-	tokens       fencing.Tokens // that workers are commanded under in this term
+	tokens       fencing.Tokens // fencing tokens of the commands to workers in this term
 }
 
-// NewState returns an empty state of a term with these fencing tokens.
+// NewState returns an empty state for the term that owns the fencing tokens.
 func NewState(tokens fencing.Tokens) *State {
 	return &State{
 		Jobs:         NewJobTable(),
@@ -36,7 +37,7 @@
 	}
 }
 
-// EnsureMachine returns the machine of that number, and enters it if it isn't known.
+// EnsureMachine returns the machine with the given ID. If it is unknown, it is added as first seen now.
 func (s *State) EnsureMachine(id int, now time.Time) *Machine {
 	m := s.Machines.Get(id)
 	if m == nil {
@@ -47,7 +48,7 @@
 	return m
 }
 
-// SetTypes replaces the machine types.
+// SetTypes replaces the machine types, and updates the machines and jobs that refer to them.
 func (s *State) SetTypes(types []storage.MachineType) {
 	s.Types.set(types)
 	for _, m := range s.Machines.InOrder() {
@@ -58,7 +59,8 @@
 	}
 }
 
-// FeasibleTypes returns the names of the machine types that a task of the job may run on.
+// FeasibleTypes returns the names of the machine types that a task of the job may run on. The result is cached in
+// the job until the types are replaced.
 func (s *State) FeasibleTypes(j *Job) []string {
 	if j.FeasibleTypes == nil {
 		j.FeasibleTypes = s.Types.Feasible(&j.Spec)
@@ -66,7 +68,8 @@
 	return j.FeasibleTypes
 }
 
-// MinBootSeconds is the shortest nominal boot time of the machine types that a task of the job may run on.
+// MinBootSeconds returns the shortest nominal boot time, in seconds, of the machine types that a task of the job may
+// run on. It returns 0 if there are none.
 func (s *State) MinBootSeconds(j *Job) float64 {
 	shortest := 0.0
 	for _, name := range s.FeasibleTypes(j) {
@@ -77,7 +80,7 @@
 	return shortest
 }
 
-// AddAttempt enters an attempt and reserves its resources.
+// AddAttempt adds an attempt to its job and machine, and reserves its resources.
 func (s *State) AddAttempt(a *Attempt) {
 	if a.Job.Phase == storage.Cancelled {
 		s.Jobs.TrackCancelling(a.Job)
@@ -92,8 +95,8 @@
 	}
 }
 
-// RemoveAttempt takes out an attempt and releases its resources; its task waits again. It reports whether
-// the attempt was there.
+// RemoveAttempt removes an attempt from its job and machine, and releases its resources. Its task waits again unless
+// it is done. It reports whether the attempt was present.
 func (s *State) RemoveAttempt(a *Attempt, now time.Time) bool {
 	j, m := a.Job, a.Machine
 	if j.Attempts[a.Task] != a {
@@ -113,7 +116,8 @@
 	return true
 }
 
-// MarkStopping notes that an attempt is to be stopped. A shorter grace period replaces a longer one.
+// MarkStopping records that an attempt is to be stopped within the grace period, in seconds. If the attempt is
+// already to be stopped, a shorter grace period replaces a longer one.
 func (s *State) MarkStopping(a *Attempt, graceSeconds float64) {
 	if a.Stopping && graceSeconds >= a.GraceSeconds {
 		return
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// Guards against opportunistic tasks filling the headroom that is kept free for services, or the CPUs that tasks
-// with GPUs need.
+// Opportunistic tasks must leave the headroom of services and the CPUs that tasks with GPUs need. They once filled
+// both.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -112,7 +112,7 @@
 			t.Errorf("%d opportunistic tasks on the CPUs that free GPUs need, want none", on-1)
 		}
 		if idle.Allocated() != 3 {
-			t.Errorf("%d opportunistic tasks on two machines that fit two each, less headroom for one; want 3", idle.Allocated())
+			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", idle.Allocated())
 		}
 	})
 }
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// lateFactor is the multiple of its deadline up to which a late job still goes before rankHopeless.
+	// lateFactor is the multiple of its deadline within which a late job must complete to get rankLate.
 	lateFactor = 1.5
 	// startAtRiskShare is the fraction of its class's start objective below which the remaining time gives a job
 	// rankStartAtRisk.
@@ -31,7 +31,7 @@
 	rank        int
 	withinQuota bool      // the job is within its team's guarantee
 	startBy     time.Time // time by which the job must start to achieve what its rank stands for
-	allocated   int       // running and completed tasks of an opportunistic job; jobs with fewer go first
+	allocated   int       // tasks of an opportunistic job that have or had a machine; jobs with fewer go first
 }
 
 // sortByUrgency sorts waiting jobs by priority, then by rank, then jobs within their team's guarantee first, then
