--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -1,7 +1,7 @@
-// Package classstats keeps statistics on the arrivals, departures and run times of a class of jobs,
-// and estimates from them how much the class is going to need.
+// Package classstats keeps statistics on the arrivals, departures and run times of a class of jobs, and estimates
+// the future demand of the class from them.
 //
-// The package does no input or output: its caller records each event with the event's time.
+// The package does no input or output. Its caller records each event with the time at which it happened.
 package classstats
 
 import (
@@ -10,23 +10,22 @@
 )
 
 const (
-	// maxEvents bounds the arrivals, and the departures, that are kept of a class. If more occur
-	// within a window, the window is shortened.
+	// maxEvents is the maximum number of arrivals, and of departures, kept per class. If a window contains more
+	// arrivals, RateSince shortens the window.
 	maxEvents = 512
-	// runWeight is the weight of the latest run time in the moving averages.
+	// runWeight is the weight of the latest run time in the exponential moving averages.
 	runWeight = 0.05
 )
 
-// Class holds the statistics of one class of jobs. The zero value has none. It is not safe for
-// concurrent use.
+// Class holds the statistics of one class of jobs. The zero value has no events. It is not safe for concurrent use.
 type Class struct {
 	arrivals      []event
-	departures    []event // of services that were cancelled
-	meanRunS      float64 // average run time of tasks in seconds; 0: no task has run
+	departures    []event // cancellations of jobs
+	meanRunS      float64 // average run time of tasks in seconds; 0 if none has finished
 	meanExpectedS float64 // average run time that the owners of the same tasks expected, in seconds
 }
 
-// event is one job's arrival or departure.
+// event is the arrival or departure of one job.
 type event struct {
 	at    time.Time
 	tasks int
@@ -70,8 +69,8 @@
 	return largest
 }
 
-// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone
-// of their job if its jobs are spread over zones: half of each job, rounded down.
+// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone of their job if
+// jobs are spread over zones. That is half of the tasks of each job, rounded down.
 func (c *Class) SecondZoneShare() float64 {
 	all, outside := 0, 0
 	for _, e := range c.arrivals {
@@ -81,14 +80,15 @@
 	return float64(outside) / float64(max(all, 1))
 }
 
-// Rate is the arrivals within a window of time.
+// Rate holds the number of arrivals within a window of time.
 type Rate struct {
 	Tasks   float64 // number of tasks that arrived
 	Squares float64 // sum over the jobs of the square of their number of tasks
-	WindowS float64 // length of the window in seconds; 0: there is no rate yet
+	WindowS float64 // length of the window in seconds; 0 if the rate is unknown
 }
 
-// RateSince returns the arrivals after since. The window is shortened to the arrivals that are kept.
+// RateSince returns the rate of the arrivals after since. If earlier arrivals in the window have been dropped, the
+// window begins at the oldest arrival that is kept.
 func (c *Class) RateSince(since, now time.Time) Rate {
 	if len(c.arrivals) == maxEvents && c.arrivals[0].at.After(since) {
 		since = c.arrivals[0].at
@@ -103,16 +103,15 @@
 	return r
 }
 
-// Expected returns the number of tasks that are expected to arrive within so many seconds, plus a
-// margin in standard deviations. Arrivals of jobs are taken to be a Poisson process; each brings all
-// tasks of the job.
+// Expected returns the number of tasks that are expected to arrive within withinS seconds, plus a safety margin of the
+// given number of standard deviations. It models the arrivals of jobs as a Poisson process in which each arrival adds
+// all tasks of the job.
 func (r Rate) Expected(withinS, deviations float64) float64 {
 	windows := withinS / r.WindowS
 	return r.Tasks*windows + deviations*math.Sqrt(r.Squares*windows)
 }
 
-// RecordRun records the run time of a finished task and the run time that its owner expected, both in
-// seconds.
+// RecordRun records the run time of a completed task and the run time that its owner expected, both in seconds.
 func (c *Class) RecordRun(runS, expectedS float64) {
 	if c.meanRunS == 0 {
 		c.meanRunS, c.meanExpectedS = runS, expectedS
@@ -121,7 +120,7 @@
 	c.meanExpectedS += runWeight * (expectedS - c.meanExpectedS)
 }
 
-// MeanRunSeconds returns the average run time of the class's tasks in seconds, or fallback if none has run.
+// MeanRunSeconds returns the average run time of the class's tasks in seconds, or fallback if no task has completed.
 func (c *Class) MeanRunSeconds(fallback float64) float64 {
 	if c.meanRunS > 0 {
 		return c.meanRunS
@@ -129,9 +128,9 @@
 	return fallback
 }
 
-// EstimateRunSeconds estimates in seconds how long a task runs whose owner expects expectedS seconds. The class's
-// average is scaled by the square root of how much this owner differs from the others, because
-// owners are often wrong by half.
+// EstimateRunSeconds returns the estimated run time in seconds of a task whose owner expects expectedS seconds. It is
+// the class's average, scaled by the ratio of this expectation to the average one. Only the square root of the ratio
+// is used, because owners' expectations are often wrong by half.
 func (c *Class) EstimateRunSeconds(expectedS float64) float64 {
 	switch {
 	case c.meanRunS <= 0:
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -9,8 +9,7 @@
 
 var start = time.UnixMilli(1e12)
 
-// recordArrivals records arrivals of jobs at even intervals, perS a second, and returns the time of
-// the last one.
+// recordArrivals records arrivals of jobs at regular intervals, perS per second, and returns the time of the last one.
 func recordArrivals(c *Class, jobs, tasks int, perS float64) time.Time {
 	at := start
 	for range jobs {
@@ -20,7 +19,7 @@
 	return at
 }
 
-// The rate is right also where the window holds more arrivals than are kept.
+// The rate must be right even if more jobs arrive within the window than maxEvents.
 func TestRateSinceIsNotBoundedByEventsKept(t *testing.T) {
 	const jobTasks = 3
 	for _, jobsPerS := range []float64{0.5, 3, 20, 500} {
@@ -98,13 +97,13 @@
 		t.Errorf("mean: got %v s, want 100", got)
 	}
 	if got := c.EstimateRunSeconds(100); math.Abs(got-200) > 0.5 {
-		t.Errorf("estimate for an owner who expects four times the usual: got %v s, want 200", got)
+		t.Errorf("estimate for an owner who expects four times the average: got %v s, want 200", got)
 	}
 	if got := c.EstimateRunSeconds(0); math.Abs(got-100) > 0.1 {
 		t.Errorf("estimate without the owner's expectation: got %v s, want 100", got)
 	}
 	c.RecordRun(200, 25)
 	if got := c.MeanRunSeconds(0); math.Abs(got-105) > 0.1 {
-		t.Errorf("mean after a run of 200 s, with a weight of a twentieth: got %v s, want 105", got)
+		t.Errorf("mean after a run of 200 s, with a weight of 1/20: got %v s, want 105", got)
 	}
 }
--- a/internal/cluster/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -11,12 +11,12 @@
 	"sagevale/internal/storage"
 )
 
-// After any sequence of changes the table holds the jobs that haven't been removed, counts the tasks of the open ones, and lists
-// each finished one in order within one round.
+// After any sequence of changes, the table holds exactly the jobs that haven't been removed, OpenTasks counts the tasks
+// of the open jobs, and repeated calls of NextFinished list every finished job in order.
 func TestJobTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewJobTable()
-		tasks := make(map[string]int) // of jobs that are open
+		tasks := make(map[string]int) // number of tasks of each open job
 		finished := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("%06d", rapid.IntRange(0, 20).Draw(t, "id"))
@@ -53,7 +53,7 @@
 	})
 }
 
-// checkRound checks that one round of listing, a few jobs at a time, lists every finished job.
+// checkRound checks that calls of NextFinished with a small limit list every finished job once they reach the end.
 func checkRound(t *rapid.T, table *JobTable, finished map[string]bool) {
 	most := rapid.IntRange(1, 7).Draw(t, "most")
 	listed := make(map[string]bool)
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -45,7 +45,7 @@
 	Reserved      *storage.Resources                        // resources of all attempts
 	RunningUsage  [storage.Production + 1]storage.Resources // by priority, resources of attempts that aren't being stopped
 	StoppingUsage storage.Resources                         // resources of attempts that are being stopped
-	IdleSince     time.Time                                 // when the last attempt was removed, if there are no attempts
+	IdleSince     time.Time                                 // time since which the machine has had no attempts
 	Fence         *fencing.Fence[AttemptKey]                // fencing token, and the ended attempts that the worker must retain
 	Images        map[string]Image                          // cached images by name
 	Recorded      bool                                      // the machine's record is durable or being written
@@ -100,9 +100,9 @@
 	return now.Before(m.QuarantinedUntil) && (m.LostIncarnations > 0 || m.Failures.Suspected() || m.Unresponsive)
 }
 
-// IdlePerBoot is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. The
-// boot time is what replacing the machine would cost if it were needed again: a new one is paid for while it
-// boots.
+// IdlePerBoot is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. It is
+// relative to the boot time because, if the machine is terminated and needed again, its replacement takes that long
+// to boot and is paid for meanwhile.
 const IdlePerBoot = 0.25
 
 // BrieflyIdle reports whether the machine has no attempts, but hasn't been idle for longer than IdlePerBoot allows.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -116,8 +116,8 @@
 	return true
 }
 
-// MarkStopping records that an attempt is to be stopped within the grace period, in seconds. If the attempt is
-// already to be stopped, a shorter grace period replaces a longer one.
+// MarkStopping records that an attempt is to be stopped, with a grace period in seconds for saving a checkpoint. If
+// the attempt is already to be stopped, a shorter grace period replaces a longer one.
 func (s *State) MarkStopping(a *Attempt, graceSeconds float64) {
 	if a.Stopping && graceSeconds >= a.GraceSeconds {
 		return
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -16,7 +16,7 @@
 	{Name: "gpu", Resources: storage.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}, CacheGB: 400, BootS: 60, Zones: []string{"a"}},
 }
 
-// newTestState returns a state with machine types and the given number of machines of the first type.
+// newTestState returns a state with testTypes and the given number of machines of type cpu in zone a.
 func newTestState(machines int, now time.Time) *State {
 	s := NewState(fencing.TermTokens(2))
 	s.SetTypes(testTypes)
@@ -27,13 +27,13 @@
 	return s
 }
 
-// testSpec returns the specification of a job array of small tasks.
+// testSpec returns the specification of a job array whose tasks need 2 CPUs and 4 GB of memory each.
 func testSpec(id string, tasks int) storage.Spec {
 	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
 		Resources: storage.Resources{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
-// addAttempt adds an attempt of a job's task on a machine.
+// addAttempt adds an attempt of this term to run a job's task on a machine.
 func addAttempt(s *State, j *Job, task, machine int, number uint64) *Attempt {
 	a := &Attempt{Job: j, Task: task, Number: number, Machine: s.Machines.Get(machine), Incarnation: 1, ThisTerm: true}
 	s.AddAttempt(a)
@@ -73,7 +73,8 @@
 	}
 }
 
-// A worker must retain an attempt whose start command was sent directly, because the command may be delivered again late.
+// A worker must retain a removed attempt whose start command was sent directly, because a late copy of the command may
+// still arrive.
 func TestRemovedAttemptStaysFenced(t *testing.T) {
 	now := time.Now()
 	s := newTestState(1, now)
@@ -89,7 +90,7 @@
 	}
 }
 
-// recordsOf returns all records of a state.
+// recordsOf returns the records of a state's machines, jobs and pages, and of testTypes.
 func recordsOf(t *testing.T, s *State) []storage.Record {
 	t.Helper()
 	var records []storage.Record
@@ -183,7 +184,7 @@
 func TestUseImageEvictsTheLeastRecentlyUsed(t *testing.T) {
 	now := time.Now()
 	s := newTestState(1, now)
-	m := s.Machines.Get(0) // its cache holds 10 GB
+	m := s.Machines.Get(0) // its image cache holds 10 GB
 	for i, name := range []string{"old", "middle", "new"} {
 		m.UseImage(name, 4, now.Add(time.Duration(i)*time.Second))
 	}
@@ -192,7 +193,7 @@
 	}
 	m.Recorded = true
 	if m.UseImage("new", 4, now); !m.Recorded {
-		t.Error("a known image changes the record")
+		t.Error("an image that was already cached makes the machine's record due to be written")
 	}
 }
 
@@ -207,9 +208,9 @@
 		{"one of an earlier term is not yet reported", func(_ *Gang, a *Attempt) { a.Reported, a.ThisTerm = false, false }, false},
 		{"one is being stopped", func(_ *Gang, a *Attempt) { a.Stopping = true }, false},
 		{"one runs", func(_ *Gang, a *Attempt) { a.State = worker.Running }, false},
-		{"one has another number", func(_ *Gang, a *Attempt) { a.Number++ }, false},
-		{"it has run", func(g *Gang, _ *Attempt) { g.Started = true }, false},
-		{"it has failed", func(g *Gang, _ *Attempt) { g.Failed = true }, false},
+		{"one has a different attempt number", func(_ *Gang, a *Attempt) { a.Number++ }, false},
+		{"the gang has run", func(g *Gang, _ *Attempt) { g.Started = true }, false},
+		{"the gang has failed", func(g *Gang, _ *Attempt) { g.Failed = true }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Now()
@@ -243,10 +244,10 @@
 		{"not the job's zone", storage.Spec{Tasks: 3, Zone: "a"}, nil, "b", false},
 		{"same zone", storage.Spec{Tasks: 3, SameZone: true}, map[string]int{"a": 1}, "a", true},
 		{"another zone", storage.Spec{Tasks: 3, SameZone: true}, map[string]int{"a": 1}, "b", false},
-		{"another zone that is empty again", storage.Spec{Tasks: 3, SameZone: true}, map[string]int{"a": 0}, "b", true},
+		{"another zone has had tasks but none are left", storage.Spec{Tasks: 3, SameZone: true}, map[string]int{"a": 0}, "b", true},
 		{"half of five, rounded up", storage.Spec{Tasks: 5, Spread: true}, map[string]int{"a": 2}, "a", true},
 		{"more than half", storage.Spec{Tasks: 5, Spread: true}, map[string]int{"a": 3}, "a", false},
-		{"an unknown zone counts to each", storage.Spec{Tasks: 5, Spread: true}, map[string]int{"a": 2, "": 1}, "a", false},
+		{"a task in an unknown zone counts in each zone", storage.Spec{Tasks: 5, Spread: true}, map[string]int{"a": 2, "": 1}, "a", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := NewJob(c.spec, time.Now())
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -1,6 +1,6 @@
-// Package failures attributes failures of tasks to jobs or machines. A job at fault fails wherever it
-// runs; on a machine at fault several jobs fail. Until one of them is found to be at fault both are
-// suspected. Once a job is, the machines that it failed on are cleared of its failures.
+// Package failures attributes task failures to jobs or machines. A job is at fault if it fails on several machines
+// or again and again. A machine is at fault if several jobs fail on it. Until either is found to be at fault, a
+// failure counts against both. Once a job is at fault, its failures no longer count against machines.
 //
 // The package does no input or output, and its types are not safe for concurrent use.
 package failures
@@ -11,26 +11,26 @@
 )
 
 const (
-	// jobFaultThreshold is the number of machines on which a job fails, or of its consecutive
-	// failures, from which the job is at fault.
+	// jobFaultThreshold is the number of machines with failures of a job, or of consecutive failures of a job, at
+	// which the job is at fault.
 	jobFaultThreshold = 3
-	// maxBackoffDoublings bounds how often the backoff between retries doubles.
+	// maxBackoffDoublings is how often the backoff between retries doubles at most.
 	maxBackoffDoublings = 4
-	// maxRemembered bounds the jobs remembered of a machine, and the tasks remembered of a job.
+	// maxRemembered is the maximum number of failed jobs remembered per machine, and of failed tasks per job.
 	maxRemembered = 8
 )
 
-// Job is the failures of a job's tasks since one of them last succeeded. The zero value has none.
+// Job records the failures of a job's tasks since one of them last succeeded. The zero value has no failures.
 type Job struct {
-	machines      []int // machines on which tasks failed, at most jobFaultThreshold
-	consecutive   int   // failures one after the other
-	lastCounted   time.Time
-	earlierByTask map[int]int // failures known from before this leader, of at most maxRemembered tasks
+	machines      []int       // IDs of machines on which tasks failed, at most jobFaultThreshold
+	consecutive   int         // number of consecutive failures
+	lastCounted   time.Time   // when the last consecutive failure was counted
+	earlierByTask map[int]int // failures under earlier leaders by task, for at most maxRemembered tasks
 }
 
-// RecordFailure records that a task failed on a machine now. Tasks that ran at the same time are taken to
-// fail for one reason: only a task that was started after the last failure counted is a consecutive
-// one.
+// RecordFailure records that a task failed on a machine now. started is when the task was started. Failures of tasks
+// that ran at the same time are assumed to have one cause, so a failure counts as another consecutive one only if the
+// task was started after the last counted failure.
 func (j *Job) RecordFailure(machine int, started, now time.Time) {
 	j.addMachine(machine)
 	if j.consecutive == 0 || started.After(j.lastCounted) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// RecordEarlierFailure records that a task, given by its number, failed on a machine at an unknown earlier time.
-// Several failures of the same task are consecutive, because it was retried after each.
+// RecordEarlierFailure records that a task failed on a machine at an unknown time under an earlier leader. Several
+// failures of the same task are consecutive, because the task was retried after each.
 func (j *Job) RecordEarlierFailure(machine, task int) {
 	j.addMachine(machine)
 	if j.earlierByTask == nil {
@@ -52,27 +52,27 @@
 	j.consecutive = max(j.consecutive, min(jobFaultThreshold, j.earlierByTask[task]))
 }
 
-// addMachine remembers a machine on which a task failed.
+// addMachine adds a machine on which a task failed, unless enough machines are recorded.
 func (j *Job) addMachine(machine int) {
 	if len(j.machines) < jobFaultThreshold && !slices.Contains(j.machines, machine) {
 		j.machines = append(j.machines, machine)
 	}
 }
 
-// RecordSuccess records that a task succeeded, so that the job isn't at fault.
+// RecordSuccess records that a task succeeded. It drops all failures, so that the job is no longer at fault.
 func (j *Job) RecordSuccess() { *j = Job{} }
 
-// AtFault reports whether the job is taken to fail wherever it runs.
+// AtFault reports whether the job is assumed to fail on every machine.
 func (j *Job) AtFault() bool {
 	return len(j.machines) >= jobFaultThreshold || j.consecutive >= jobFaultThreshold
 }
 
-// Machines lists the first machines on which the job failed, at most three. The caller must not
-// change the list.
+// Machines returns the IDs of the first machines on which the job failed, at most jobFaultThreshold of them. The
+// caller must not modify the slice.
 func (j *Job) Machines() []int { return j.machines }
 
-// Backoff returns how long to wait before the next retry of a job at fault: the unit, doubled with
-// each consecutive failure after the first, up to sixteen units.
+// Backoff returns how long to wait before the next retry of a job at fault. It is one unit, doubled for each
+// consecutive failure after the first, up to 16 units.
 func (j *Job) Backoff(unit time.Duration) time.Duration {
 	return unit << min(max(0, j.consecutive-1), maxBackoffDoublings)
 }
--- a/internal/failures/job_test.go
+++ b/internal/failures/job_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// at returns the time so many seconds into the test.
+// at returns the time s seconds after the start of the test.
 func at(s int) time.Time {
 	return time.Date(2026, 12, 2, 0, 0, s, 0, time.UTC)
 }
@@ -18,12 +18,12 @@
 		wantBackoff time.Duration
 	}{
 		"none":                             {nil, false, time.Second},
-		"one machine fails many at once":   {[]failure{{1, 0, 9}, {1, 1, 9}, {1, 2, 10}, {1, 3, 10}}, false, time.Second},
+		"many tasks fail at once on one machine": {[]failure{{1, 0, 9}, {1, 1, 9}, {1, 2, 10}, {1, 3, 10}}, false, time.Second},
 		"two machines":                     {[]failure{{1, 0, 9}, {2, 0, 9}, {1, 1, 9}}, false, time.Second},
 		"three machines at once":           {[]failure{{1, 0, 9}, {2, 0, 9}, {3, 0, 9}}, true, time.Second},
-		"one machine again and again":      {[]failure{{1, 0, 9}, {1, 10, 19}, {1, 20, 29}}, true, 4 * time.Second},
+		"repeatedly on one machine":        {[]failure{{1, 0, 9}, {1, 10, 19}, {1, 20, 29}}, true, 4 * time.Second},
 		"many machines one after another":  {[]failure{{1, 0, 1}, {2, 2, 3}, {3, 4, 5}, {4, 6, 7}, {5, 8, 9}, {6, 10, 11}}, true, 16 * time.Second},
-		"a failure of a task from earlier": {[]failure{{1, 0, 9}, {1, 10, 19}, {2, 5, 20}}, false, 2 * time.Second},
+		"a task started before the last failure counted": {[]failure{{1, 0, 9}, {1, 10, 19}, {2, 5, 20}}, false, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var j Job
@@ -51,7 +51,7 @@
 	}{
 		"different tasks on two machines":   {[]failure{{1, 0}, {1, 1}, {2, 2}, {2, 3}}, false},
 		"different tasks on three machines": {[]failure{{1, 0}, {2, 1}, {3, 2}}, true},
-		"one task again and again":          {[]failure{{1, 0}, {2, 0}, {1, 0}}, true},
+		"repeated failures of one task":     {[]failure{{1, 0}, {2, 0}, {1, 0}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var j Job
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -2,14 +2,12 @@
 
 import "slices"
 
-// machineFaultThreshold is the number of jobs that fail on a machine from which the machine is at
-// fault.
+// machineFaultThreshold is the number of jobs with failures on a machine at which the machine is at fault.
 const machineFaultThreshold = 2
 
-// Machine is the jobs that failed on a machine since a task last succeeded there. The zero value has
-// none.
+// Machine records which jobs failed on a machine since a task last succeeded there. The zero value has no failures.
 type Machine struct {
-	jobs []string // at most maxRemembered
+	jobs []string // job IDs, at most maxRemembered
 }
 
 // RecordFailure records that a task of the job failed on the machine.
@@ -19,19 +17,19 @@
 	}
 }
 
-// Clear drops the failures of a job that is at fault itself.
+// Clear drops the failures of a job because the job itself is at fault.
 func (m *Machine) Clear(job string) {
 	m.jobs = slices.DeleteFunc(m.jobs, func(other string) bool { return other == job })
 }
 
-// RecordSuccess records that a task succeeded on the machine.
+// RecordSuccess records that a task succeeded on the machine. It drops all failures.
 func (m *Machine) RecordSuccess() { m.jobs = nil }
 
-// Suspected reports whether a job failed on the machine that isn't known to be at fault itself.
+// Suspected reports whether any job has failed on the machine that isn't known to be at fault itself.
 func (m *Machine) Suspected() bool { return len(m.jobs) > 0 }
 
-// AtFault reports whether the machine is taken to fail whatever runs on it.
+// AtFault reports whether the machine is assumed to make every job fail.
 func (m *Machine) AtFault() bool { return len(m.jobs) >= machineFaultThreshold }
 
-// Excess returns how many more jobs failed on the machine than are needed for it to be at fault.
+// Excess returns by how many jobs the failures on the machine exceed machineFaultThreshold.
 func (m *Machine) Excess() int { return max(0, len(m.jobs)-machineFaultThreshold) }
--- a/internal/placement/deadline_admission.go
+++ b/internal/placement/deadline_admission.go
@@ -41,14 +41,14 @@
 	var admitted largestFirst
 	for len(waiting) > 0 {
 		next := heap.Pop(&waiting).(admissionCandidate)
-		d.ahead += next.job.Startable()
+		d.admittedTasks += next.job.Startable()
 		heap.Push(&admitted, next)
 		d.rank(next.job, rank, next.startBy[0])
 		if d.inTime(next.startBy[0]) {
 			continue
 		}
 		passed := heap.Pop(&admitted).(admissionCandidate)
-		d.ahead -= passed.job.Startable()
+		d.admittedTasks -= passed.job.Startable()
 		if passed.startBy = passed.startBy[1:]; len(passed.startBy) > 0 {
 			heap.Push(&waiting, passed) // the job may still start by its next time
 			continue
@@ -61,9 +61,10 @@
 
 // inTime reports whether all admitted tasks can start by the given time.
 func (d *deadlineAdmission) inTime(startBy time.Time) bool {
-	return d.pace == 0 || !d.now.Add(clock.Seconds(float64(d.ahead)/d.pace)).After(startBy)
+	return d.completionRate == 0 || !d.now.Add(clock.Seconds(float64(d.admittedTasks)/d.completionRate)).After(startBy)
 }
 
+// rank sets a job's rank and the time by which it must start.
 func (d *deadlineAdmission) rank(j *cluster.Job, rank int, startBy time.Time) {
 	d.urgencies[j] = urgency{rank: rank, withinQuota: d.urgencies[j].withinQuota, startBy: startBy}
 }
@@ -99,6 +100,7 @@
 func (h *largestFirst) Push(x any)        { *h = append(*h, x.(admissionCandidate)) }
 func (h *largestFirst) Pop() any          { return popLast((*[]admissionCandidate)(h)) }
 
+// popLast removes and returns the last element of a list.
 func popLast(list *[]admissionCandidate) admissionCandidate {
 	last := len(*list) - 1
 	c := (*list)[last]
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -85,6 +85,7 @@
 	unfinished       bool                  // another round may place more tasks right away
 }
 
+// newRound returns a round with the candidates that are ready now.
 func (p *Planner) newRound(now time.Time) *round {
 	r := &round{
 		now:           now,
--- a/internal/placement/shape.go
+++ b/internal/placement/shape.go
@@ -37,6 +37,7 @@
 // round ends. New candidates are appended to the list.
 type ExhaustedShapes map[Shape][]exhaustedZone
 
+// exhaustedZone is the record of a shape in one zone.
 type exhaustedZone struct {
 	zone string
 	upTo int // index of the first candidate that hasn't been searched
@@ -54,6 +55,7 @@
 	return from
 }
 
+// upTo returns the index of the first candidate in a zone that hasn't been searched for the shape.
 func (e ExhaustedShapes) upTo(s Shape, zone string) int {
 	for _, exhausted := range e[s] {
 		if exhausted.zone == zone {
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -74,10 +74,10 @@
 			withDeadline[j.Spec.Priority] = append(withDeadline[j.Spec.Priority], j)
 		}
 	}
-	admission := &deadlineAdmission{pace: p.batchPace(), now: now, urgencies: urgencies}
+	admission := &deadlineAdmission{completionRate: p.batchPace(), now: now, urgencies: urgencies}
 	for priority := storage.Production; priority >= storage.BestEffort; priority-- {
 		left := withDeadline[priority]
-		for rank := rankStartAtRisk; rank < rankHopeless; rank++ { //nolint:modernize // the first rank is named, whatever its value
+		for rank := rankStartAtRisk; rank < rankHopeless; rank++ { //nolint:modernize // a range over an int would assume that the first rank is 0
 			left = admission.admit(left, rank, func(j *cluster.Job) []time.Time {
 				return p.startBounds(j, rank, urgencies[j].withinQuota, now)
 			})
--- a/internal/provisioning/history.go
+++ b/internal/provisioning/history.go
@@ -1,6 +1,6 @@
-// Package provisioning learns how long machines take to provision, as a ratio to the nominal boot time of
-// their type. An overdue machine may never come up, or all machines of its type may boot slowly.
-// Only in the first case does a replacement help.
+// Package provisioning keeps statistics on how long machines take to come up, as a ratio to the nominal boot time of
+// their type. They help to decide whether an overdue machine will never come up, in which case a replacement helps,
+// or whether all machines of its type currently boot slowly, in which case it doesn't.
 //
 // The package does no input or output.
 package provisioning
@@ -11,19 +11,18 @@
 )
 
 const (
-	// maxSamples bounds the samples of one history.
+	// maxSamples is the maximum number of samples in a history.
 	maxSamples = 32
 	// retention is the age beyond which a sample is dropped, in nominal boot times.
 	retention = 20
-	// slowThreshold is the median ratio from which boots count as slow. In ordinary operation no
-	// boot takes longer than 1.5 nominal boot times.
+	// slowThreshold is the median ratio from which on boots count as slow. In ordinary operation no boot takes
+	// longer than 1.5 nominal boot times.
 	slowThreshold = 1.5
-	// minSamples is how many samples are needed to call boots slow: one or two may be late by
-	// chance.
+	// minSamples is the number of samples needed to consider boots slow, because one or two may be late by chance.
 	minSamples = 4
-	// maxSlowness bounds the slowness reported.
+	// maxSlowness is the upper bound of Slowness.
 	maxSlowness = 4.0
-	// minAbandoned is how many machines must have been abandoned for a history to be failing.
+	// minAbandoned is the number of abandoned machines from which on a history may be failing.
 	minAbandoned = 2
 )
 
@@ -31,11 +30,11 @@
 type sample struct {
 	at    time.Time
 	ratio float64 // time to the outcome, in nominal boot times
-	up    bool    // whether the machine came up; otherwise it was abandoned
+	up    bool    // true if the machine came up, false if it was abandoned
 }
 
-// History is the recent provisioning outcomes of one kind of machine, such as those of one type or
-// one offering. The zero value is empty. It is not safe for concurrent use.
+// History holds the recent provisioning outcomes of one kind of machine, such as one machine type or one offering.
+// The zero value is empty. It is not safe for concurrent use.
 type History struct{ samples []sample }
 
 // RecordProvisioned records that a machine came up after ratio nominal boot times.
@@ -61,9 +60,10 @@
 	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retention*nominal })
 }
 
-// Slowness returns the factor by which boots are slower than usual, from 1: the median ratio of the
-// recent samples and of the machines that are overdue now. overdue holds the ratios of the latter so
-// far, which are lower bounds. nominal is the nominal boot time.
+// Slowness returns the factor by which machines boot slower than nominal: the median ratio of the recent samples and
+// the currently overdue machines, at most maxSlowness. It returns 1 if boots aren't slow or if there are too few
+// samples. overdue holds the ratios that the overdue machines have reached so far, which are lower bounds of their
+// final ratios. nominal is the nominal boot time.
 func (h *History) Slowness(now time.Time, nominal time.Duration, overdue []float64) float64 {
 	h.expire(now, nominal)
 	ratios := slices.Clone(overdue)
@@ -81,8 +81,8 @@
 	return min(maxSlowness, median)
 }
 
-// Failing reports whether recently more machines were abandoned than came up, and at least two were.
-// nominal is the nominal boot time.
+// Failing reports whether at least minAbandoned machines were abandoned recently, and more than came up. nominal is
+// the nominal boot time.
 func (h *History) Failing(now time.Time, nominal time.Duration) bool {
 	h.expire(now, nominal)
 	up := 0
