--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -13,8 +13,8 @@
 	// maxEvents is the maximum number of arrivals, and of departures, kept per class. If a window contains more
 	// arrivals, RateSince shortens the window.
 	maxEvents = 512
-	// runWeight is the weight of the latest run time in the exponential moving averages.
-	runWeight = 0.05
+	// latestRunWeight is the weight of the latest run time in the exponential moving averages.
+	latestRunWeight = 0.05
 )
 
 // Class holds the statistics of one class of jobs. The zero value has no events. It is not safe for concurrent use.
@@ -82,9 +82,9 @@
 
 // Rate holds the number of arrivals within a window of time.
 type Rate struct {
-	Tasks   float64 // number of tasks that arrived
-	Squares float64 // sum over the jobs of the square of their number of tasks
-	WindowS float64 // length of the window in seconds; 0 if the rate is unknown
+	Tasks     float64 // number of tasks that arrived
+	SquareSum float64 // sum over the jobs of the square of their number of tasks
+	WindowS   float64 // length of the window in seconds; 0 if the rate is unknown
 }
 
 // RateSince returns the rate of the arrivals after since. If earlier arrivals in the window have been dropped, the
@@ -97,7 +97,7 @@
 	for _, e := range c.arrivals {
 		if e.at.After(since) {
 			r.Tasks += float64(e.tasks)
-			r.Squares += float64(e.tasks * e.tasks)
+			r.SquareSum += float64(e.tasks * e.tasks)
 		}
 	}
 	return r
@@ -108,7 +108,7 @@
 // all tasks of the job.
 func (r Rate) Expected(withinS, deviations float64) float64 {
 	windows := withinS / r.WindowS
-	return r.Tasks*windows + deviations*math.Sqrt(r.Squares*windows)
+	return r.Tasks*windows + deviations*math.Sqrt(r.SquareSum*windows)
 }
 
 // RecordRun records the run time of a completed task and the run time that its owner expected, both in seconds.
@@ -116,8 +116,8 @@
 	if c.meanRunS == 0 {
 		c.meanRunS, c.meanExpectedS = runS, expectedS
 	}
-	c.meanRunS += runWeight * (runS - c.meanRunS)
-	c.meanExpectedS += runWeight * (expectedS - c.meanExpectedS)
+	c.meanRunS += latestRunWeight * (runS - c.meanRunS)
+	c.meanExpectedS += latestRunWeight * (expectedS - c.meanExpectedS)
 }
 
 // MeanRunSeconds returns the average run time of the class's tasks in seconds, or fallback if no task has completed.
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -31,8 +31,8 @@
 			if got := r.Tasks / r.WindowS; math.Abs(got-want) > 0.1*want {
 				t.Errorf("tasks a second: got %.1f, want %.1f", got, want)
 			}
-			if r.Squares != jobTasks*r.Tasks {
-				t.Errorf("squares of %.0f tasks in jobs of %d: got %.0f, want %.0f", r.Tasks, jobTasks, r.Squares, jobTasks*r.Tasks)
+			if r.SquareSum != jobTasks*r.Tasks {
+				t.Errorf("squares of %.0f tasks in jobs of %d: got %.0f, want %.0f", r.Tasks, jobTasks, r.SquareSum, jobTasks*r.Tasks)
 			}
 			if later := c.RateSince(now, now.Add(time.Minute)); later.Tasks != 0 || later.WindowS != 60 {
 				t.Errorf("after the last arrival: got %+v, want no tasks in 60 s", later)
@@ -42,7 +42,7 @@
 }
 
 func TestRateExpected(t *testing.T) {
-	r := Rate{Tasks: 100, Squares: 400, WindowS: 50}
+	r := Rate{Tasks: 100, SquareSum: 400, WindowS: 50}
 	for _, c := range []struct{ withinS, deviations, want float64 }{
 		{25, 0, 50},
 		{12.5, 2, 25 + 2*10},
--- a/internal/cluster/class_table.go
+++ b/internal/cluster/class_table.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/clock"
 )
 
-// rateLeases is the window over which arrival rates are measured, in worker leases.
-const rateLeases = 8.0
+// arrivalRateLeases is the window over which arrival rates are measured, in worker leases.
+const arrivalRateLeases = 8.0
 
 // Class holds the statistics of a class of jobs and its latest job.
 type Class struct {
@@ -74,11 +74,11 @@
 	return j.Spec.EstimateS
 }
 
-// ArrivalRate returns the rate at which tasks of a class have arrived within the last rateLeases leases. Arrivals
-// in the first lease after the first job of any class are left out, because they are the initial load of the
+// ArrivalRate returns the rate at which tasks of a class have arrived within the last arrivalRateLeases leases.
+// Arrivals in the first lease after the first job of any class are left out, because they are the initial load of the
 // fleet. Until one more lease has passed, the result is the zero Rate.
 func (t *ClassTable) ArrivalRate(c *Class, lease time.Duration, now time.Time) classstats.Rate {
-	since := now.Add(-clock.Scale(lease, rateLeases))
+	since := now.Add(-clock.Scale(lease, arrivalRateLeases))
 	if start := t.FirstArrival.Add(lease); start.After(since) {
 		since = start
 	}
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -10,8 +10,8 @@
 	"sagevale/internal/storage"
 )
 
-// Loaded holds the contents of the records that aren't part of State.
-type Loaded struct {
+// LoadResult holds the contents of the records that aren't part of State.
+type LoadResult struct {
 	Desired      int                             // desired number of machines
 	OpenLaunches map[string]storage.LaunchRecord // launch requests that the cloud hasn't answered, by request ID
 	Lifecycles   map[*Job]json.RawMessage        // stored lifecycle states of open services that scale to zero
@@ -26,21 +26,21 @@
 })
 
 // Load rebuilds the state from the journal's records. now becomes the time at which the machines were first seen.
-func (s *State) Load(records []storage.Record, now time.Time) (Loaded, error) {
-	result := Loaded{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
+func (s *State) Load(records []storage.Record, now time.Time) (LoadResult, error) {
+	result := LoadResult{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
 	slices.SortStableFunc(records, func(a, b storage.Record) int {
 		return strings.IndexByte(loadOrder, a.Key[0]) - strings.IndexByte(loadOrder, b.Key[0])
 	})
 	for _, r := range records {
 		if err := s.loadRecord(r, now, &result); err != nil {
-			return Loaded{}, fmt.Errorf("record %s: %w", r.Key, err)
+			return LoadResult{}, fmt.Errorf("record %s: %w", r.Key, err)
 		}
 	}
 	return result, nil
 }
 
 // loadRecord applies one record to the state or to result. The first byte of its key is the kind of the record.
-func (s *State) loadRecord(r storage.Record, now time.Time, result *Loaded) error {
+func (s *State) loadRecord(r storage.Record, now time.Time, result *LoadResult) error {
 	name := r.Key[1:]
 	switch r.Key[0] {
 	case storage.KindMachineTypes:
@@ -108,7 +108,7 @@
 }
 
 // loadJob adds a job from its record. The states of its tasks come from its pages, see loadPage.
-func (s *State) loadJob(id string, record *storage.JobRecord, result *Loaded) {
+func (s *State) loadJob(id string, record *storage.JobRecord, result *LoadResult) {
 	spec := storage.Spec{Tasks: record.Tasks}
 	if record.Spec != nil {
 		spec = *record.Spec
@@ -130,7 +130,7 @@
 
 // loadPage applies the done tasks and the attempts of one page to its job. A page without a job is added to
 // result.OrphanPages.
-func (s *State) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *Loaded) {
+func (s *State) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *LoadResult) {
 	j := s.Jobs.Get(id)
 	switch {
 	case j == nil:
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -24,7 +24,7 @@
 type Job struct {
 	machines      []int       // IDs of machines on which tasks failed, at most jobFaultThreshold
 	consecutive   int         // number of consecutive failures
-	lastCounted   time.Time   // when the last consecutive failure was counted
+	lastCountedAt time.Time   // when the last consecutive failure was counted
 	earlierByTask map[int]int // failures under earlier leaders by task, for at most maxRemembered tasks
 }
 
@@ -33,9 +33,9 @@
 // task was started after the last counted failure.
 func (j *Job) RecordFailure(machine int, started, now time.Time) {
 	j.addMachine(machine)
-	if j.consecutive == 0 || started.After(j.lastCounted) {
+	if j.consecutive == 0 || started.After(j.lastCountedAt) {
 		j.consecutive++
-		j.lastCounted = now
+		j.lastCountedAt = now
 	}
 }
 
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -106,12 +106,12 @@
 const (
 	// unboundedFit is the result of FitCount for tasks that need no resources.
 	unboundedFit = 1 << 20
-	// fitSlack is added to a quotient of resources, so that a rounding error doesn't reduce the number of tasks.
-	fitSlack = 1e-6
+	// fitTolerance is added to a quotient of resources, so that a rounding error doesn't reduce the number of tasks.
+	fitTolerance = 1e-6
 )
 
-// FitCount returns how many tasks of the given size fit into a machine's resources. The result is at least one:
-// callers check first that one task fits.
+// FitCount returns how many tasks of the given size fit into a machine's resources. The result is at least one, even
+// if the task is too large.
 func FitCount(machine, task storage.Resources) int {
 	n := math.Inf(1)
 	if task.CPUs > 0 {
@@ -126,7 +126,7 @@
 	if math.IsInf(n, 1) {
 		return unboundedFit
 	}
-	return max(1, int(n+fitSlack))
+	return max(1, int(n+fitTolerance))
 }
 
 // onDemandPenalty is added to the free measure of on-demand machines, so that a job that may use spot machines
@@ -165,5 +165,5 @@
 		return false
 	}
 	left := c.Free.Sub(j.Spec.Resources)
-	return left.CPUs < p.perGPU.CPUs*c.Free.GPUs || left.MemoryGB < p.perGPU.MemoryGB*c.Free.GPUs
+	return left.CPUs < p.maxPerGPU.CPUs*c.Free.GPUs || left.MemoryGB < p.maxPerGPU.MemoryGB*c.Free.GPUs
 }
--- a/internal/placement/deadline_admission.go
+++ b/internal/placement/deadline_admission.go
@@ -28,13 +28,13 @@
 
 // admit assigns the rank to the jobs that can start in time and returns the other jobs. startTimes returns the
 // times by which a job must start for this rank.
-func (d *deadlineAdmission) admit(jobs []*cluster.Job, rank int, bounds func(*cluster.Job) []time.Time) (left []*cluster.Job) {
+func (d *deadlineAdmission) admit(jobs []*cluster.Job, rank int, startTimes func(*cluster.Job) []time.Time) (rejected []*cluster.Job) {
 	var waiting earliestFirst
 	for _, j := range jobs {
-		if c := (admissionCandidate{j, d.upcoming(bounds(j))}); len(c.startBy) > 0 {
+		if c := (admissionCandidate{j, d.upcoming(startTimes(j))}); len(c.startBy) > 0 {
 			waiting = append(waiting, c)
 		} else {
-			left = append(left, j)
+			rejected = append(rejected, j)
 		}
 	}
 	heap.Init(&waiting)
@@ -43,20 +43,20 @@
 		next := heap.Pop(&waiting).(admissionCandidate)
 		d.admittedTasks += next.job.Startable()
 		heap.Push(&admitted, next)
-		d.rank(next.job, rank, next.startBy[0])
+		d.setRank(next.job, rank, next.startBy[0])
 		if d.inTime(next.startBy[0]) {
 			continue
 		}
-		passed := heap.Pop(&admitted).(admissionCandidate)
-		d.admittedTasks -= passed.job.Startable()
-		if passed.startBy = passed.startBy[1:]; len(passed.startBy) > 0 {
-			heap.Push(&waiting, passed) // the job may still start by its next time
+		dropped := heap.Pop(&admitted).(admissionCandidate)
+		d.admittedTasks -= dropped.job.Startable()
+		if dropped.startBy = dropped.startBy[1:]; len(dropped.startBy) > 0 {
+			heap.Push(&waiting, dropped) // the job may still start by its next time
 			continue
 		}
-		d.rank(passed.job, rankHopeless, passed.job.Deadline())
-		left = append(left, passed.job)
+		d.setRank(dropped.job, rankCannotMeetDeadline, dropped.job.Deadline())
+		rejected = append(rejected, dropped.job)
 	}
-	return left
+	return rejected
 }
 
 // inTime reports whether all admitted tasks can start by the given time.
@@ -64,9 +64,9 @@
 	return d.completionRate == 0 || !d.now.Add(clock.Seconds(float64(d.admittedTasks)/d.completionRate)).After(startBy)
 }
 
-// rank sets a job's rank and the time by which it must start.
-func (d *deadlineAdmission) rank(j *cluster.Job, rank int, startBy time.Time) {
-	d.urgencies[j] = urgency{rank: rank, withinQuota: d.urgencies[j].withinQuota, startBy: startBy}
+// setRank sets a job's rank and the time by which it must start.
+func (d *deadlineAdmission) setRank(j *cluster.Job, rank int, startBy time.Time) {
+	d.urgencies[j] = urgency{rank: rank, withinGuarantee: d.urgencies[j].withinGuarantee, startBy: startBy}
 }
 
 // upcoming returns the times that haven't passed yet.
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -103,7 +103,7 @@
 		if len(best) == 0 {
 			return plan, tiers
 		}
-		pick := p.sample(j, best)
+		pick := p.sampleCandidate(j, best)
 		pick.Free = pick.Free.Sub(j.Spec.Resources)
 		zones.Add(pick.Zone, 1)
 		plan, tiers = append(plan, pick), tiers+tier
@@ -132,21 +132,21 @@
 // gang that doesn't fit yet. Only one gang per round holds resources; otherwise two gangs could each hold
 // resources that the other one needs.
 func (p *Planner) holdForGang(j *cluster.Job, r *round) {
-	if r.gangHolds || r.now.Sub(j.Submitted) < p.settings.HeartbeatInterval {
+	if r.heldForGang || r.now.Sub(j.Submitted) < p.settings.HeartbeatInterval {
 		return
 	}
 	var best []*Candidate
-	most := 0
+	largest := 0
 	for _, group := range p.gangCandidates(j, r) {
 		capacity := 0
 		for _, c := range group {
 			capacity += c.Capacity(j)
 		}
-		if capacity > most {
-			best, most = group, capacity
+		if capacity > largest {
+			best, largest = group, capacity
 		}
 	}
-	r.gangHolds = most > 0
+	r.heldForGang = largest > 0
 	left := j.Waiting
 	for _, c := range best {
 		n := min(left, c.Capacity(j))
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -45,8 +45,8 @@
 // planGangPreemption chooses candidates of the group for all waiting tasks of a gang, with the attempts to stop on
 // each, or returns nil if not all tasks would fit. cost is the total preemption cost.
 func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
-	by := preemptor{priority: j.Spec.Priority}
-	options, capacity := p.gangPreemptionOptions(j, group, by, now)
+	rights := preemptionRights{priority: j.Spec.Priority}
+	options, capacity := p.gangPreemptionOptions(j, group, rights, now)
 	if capacity < j.Waiting {
 		return nil, 0
 	}
@@ -56,7 +56,7 @@
 		options = options[1:]
 		if option.tasks > left {
 			option.tasks = left
-			option.victims, option.cost, _ = p.victims(option.candidate, j.Spec.Resources.Mul(left), by, now)
+			option.victims, option.cost, _ = p.selectVictims(option.candidate, j.Spec.Resources.Mul(left), rights, now)
 		}
 		plan, left, cost = append(plan, option), left-option.tasks, cost+option.cost
 	}
@@ -65,14 +65,14 @@
 
 // gangPreemptionOptions returns, for each candidate that preemption can make room on, how many of a gang's waiting
 // tasks would fit there and which attempts must be stopped. capacity is the sum of these tasks.
-func (p *Planner) gangPreemptionOptions(j *cluster.Job, group []*Candidate, by preemptor, now time.Time) (options []gangPreemption, capacity int) {
+func (p *Planner) gangPreemptionOptions(j *cluster.Job, group []*Candidate, rights preemptionRights, now time.Time) (options []gangPreemption, capacity int) {
 	for _, c := range group {
-		most := preemptibleBelow(c, by.priority)
-		if !j.Spec.Resources.Fits(most) {
+		available := preemptibleBelow(c, rights.priority)
+		if !j.Spec.Resources.Fits(available) {
 			continue
 		}
-		option := gangPreemption{candidate: c, tasks: min(j.Waiting, FitCount(most, j.Spec.Resources))}
-		victims, cost, ok := p.victims(c, j.Spec.Resources.Mul(option.tasks), by, now)
+		option := gangPreemption{candidate: c, tasks: min(j.Waiting, FitCount(available, j.Spec.Resources))}
+		victims, cost, ok := p.selectVictims(c, j.Spec.Resources.Mul(option.tasks), rights, now)
 		if !ok {
 			continue
 		}
--- a/internal/placement/opportunistic.go
+++ b/internal/placement/opportunistic.go
@@ -30,22 +30,22 @@
 		p.reserveHeadroom(r)
 	}
 	before := len(r.reserved)
-	p.placeTasks(j, min(r.tasksPerJob, j.Startable()), r)
-	if j.Waiting > 0 && len(r.reserved)-before == r.tasksPerJob {
+	p.placeTasks(j, min(r.opportunisticShare, j.Startable()), r)
+	if j.Waiting > 0 && len(r.reserved)-before == r.opportunisticShare {
 		r.unfinished = true // there may be more idle resources
 	}
 }
 
 // reserveHeadroom subtracts the headroom from the free resources of the round's candidates.
 func (p *Planner) reserveHeadroom(r *round) {
-	for _, kept := range p.headroom {
-		zones := NewZoneCheck(kept.Job)
-		for n := kept.Tasks; n > 0; n-- {
-			c := p.Fullest(r.candidates, kept.Job, &zones, AnyCandidate)
+	for _, headroom := range p.headroom {
+		zones := NewZoneCheck(headroom.Job)
+		for n := headroom.Tasks; n > 0; n-- {
+			c := p.Fullest(r.candidates, headroom.Job, &zones, AnyCandidate)
 			if c == nil {
 				break
 			}
-			c.Free = c.Free.Sub(kept.Job.Spec.Resources)
+			c.Free = c.Free.Sub(headroom.Job.Spec.Resources)
 			zones.Add(c.Zone, 1)
 		}
 	}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -57,9 +57,9 @@
 	log      *slog.Logger
 
 	headroom []Headroom
-	// perGPU holds the largest amounts of CPUs and memory that a task of an open job requests per GPU.
-	perGPU          storage.Resources
-	perGPUUpdatedAt time.Time
+	// maxPerGPU holds the largest amounts of CPUs and memory that a task of an open job requests per GPU.
+	maxPerGPU          storage.Resources
+	maxPerGPUUpdatedAt time.Time
 }
 
 // New returns a planner that places the waiting tasks of the state.
@@ -72,17 +72,17 @@
 
 // round is the state of one placement round.
 type round struct {
-	now              time.Time
-	candidates       []*Candidate
-	zones            []string        // zones of the candidates
-	exhausted        ExhaustedShapes // shapes for which no candidate has enough free resources
-	unpreemptable    ExhaustedShapes // shapes for which preemption can't make room either
-	reserved         []*cluster.Attempt
-	gangHolds        bool                  // resources are withheld for a gang that doesn't fit yet
-	tasksPerJob      int                   // maximum number of tasks to place of each opportunistic job
-	headroomReserved bool                  // the headroom has been subtracted from the candidates
-	guaranteed       map[*cluster.Job]bool // jobs within their team's guarantee; nil until first needed
-	unfinished       bool                  // another round may place more tasks right away
+	now                time.Time
+	candidates         []*Candidate
+	zones              []string        // zones of the candidates
+	exhausted          ExhaustedShapes // shapes for which no candidate has enough free resources
+	unpreemptable      ExhaustedShapes // shapes for which preemption can't make room either
+	reserved           []*cluster.Attempt
+	heldForGang        bool                  // resources are withheld for a gang that doesn't fit yet
+	opportunisticShare int                   // maximum number of tasks to place of each opportunistic job
+	headroomReserved   bool                  // the headroom has been subtracted from the candidates
+	withinGuarantee    map[*cluster.Job]bool // jobs within their team's guarantee; nil until first needed
+	unfinished         bool                  // another round may place more tasks right away
 }
 
 // newRound returns a round with the candidates that are ready now.
@@ -110,7 +110,7 @@
 	}
 	p.UpdatePerGPU(now)
 	r := p.newRound(now)
-	r.tasksPerJob = opportunisticShare(p.countOpportunistic(waiting))
+	r.opportunisticShare = opportunisticShare(p.countOpportunistic(waiting))
 	for _, j := range waiting {
 		if r.full() {
 			r.unfinished = true
@@ -152,10 +152,10 @@
 		if !ok || !p.withinLimit(j, 1) {
 			return
 		}
-		if c := p.choose(&list); c != nil {
+		if c := p.chooseCandidate(&list); c != nil {
 			p.reserveOn(c, j, task, r)
 			zones.Add(c.Zone, 1)
-			p.noteReserved(&list, c)
+			p.updateShortlist(&list, c)
 			continue
 		}
 		zone, ok := p.preempt(j, r, &zones)
@@ -186,15 +186,15 @@
 // UpdatePerGPU computes the largest amounts of CPUs and memory that open jobs request per GPU. It does so at most
 // once per heartbeat interval. Round calls it; other callers of Fullest must call it first.
 func (p *Planner) UpdatePerGPU(now time.Time) {
-	if !p.perGPUUpdatedAt.IsZero() && now.Sub(p.perGPUUpdatedAt) <= p.settings.HeartbeatInterval {
+	if !p.maxPerGPUUpdatedAt.IsZero() && now.Sub(p.maxPerGPUUpdatedAt) <= p.settings.HeartbeatInterval {
 		return
 	}
-	p.perGPUUpdatedAt = now
-	p.perGPU = storage.Resources{}
+	p.maxPerGPUUpdatedAt = now
+	p.maxPerGPU = storage.Resources{}
 	for _, j := range p.state.Jobs.Open {
 		if gpus := j.Spec.Resources.GPUs; gpus > 0 {
-			p.perGPU.CPUs = max(p.perGPU.CPUs, j.Spec.Resources.CPUs/gpus)
-			p.perGPU.MemoryGB = max(p.perGPU.MemoryGB, j.Spec.Resources.MemoryGB/gpus)
+			p.maxPerGPU.CPUs = max(p.maxPerGPU.CPUs, j.Spec.Resources.CPUs/gpus)
+			p.maxPerGPU.MemoryGB = max(p.maxPerGPU.MemoryGB, j.Spec.Resources.MemoryGB/gpus)
 		}
 	}
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -22,9 +22,9 @@
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setPerGPU sets the resources that open jobs request per GPU, as if UpdatePerGPU had just computed them.
-func (p *Planner) setPerGPU(r storage.Resources) {
-	p.perGPU, p.perGPUUpdatedAt = r, time.Now()
+// setMaxPerGPU sets the resources that open jobs request per GPU, as if UpdatePerGPU had just computed them.
+func (p *Planner) setMaxPerGPU(r storage.Resources) {
+	p.maxPerGPU, p.maxPerGPUUpdatedAt = r, time.Now()
 }
 
 // After a search for a shape found no candidate, later searches for it look only at candidates added since.
@@ -43,8 +43,8 @@
 		}
 		added := CandidateOf(fleet.Up(200, "cpu", "a", false))
 		r.candidates = append(r.candidates, &added)
-		if c := p.choose(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
-			t.Errorf("choose() = %+v, want the candidate that was added", c)
+		if c := p.chooseCandidate(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
+			t.Errorf("chooseCandidate() = %+v, want the candidate that was added", c)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 				m.Failures.RecordFailure("000009")
 			}
 		}
-		p.setPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
+		p.setMaxPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
 		spec := clustertest.Service("000001", rapid.IntRange(1, 60).Draw(t, "tasks"))
 		spec.Spread, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "may use spot")
 		spec.SameZone = !spec.Spread && rapid.Bool().Draw(t, "same zone")
@@ -75,8 +75,8 @@
 		kept := shortlist{job: j, round: r, zones: &zones}
 		for task := range spec.Tasks {
 			fresh := shortlist{job: j, round: &round{now: r.now, candidates: r.candidates, zones: r.zones, exhausted: make(ExhaustedShapes)}, zones: &zones}
-			p.search(&fresh)
-			c := p.choose(&kept)
+			p.searchShortlist(&fresh)
+			c := p.chooseCandidate(&kept)
 			if (c == nil) != (len(fresh.candidates) == 0) || c != nil && (kept.tier != fresh.tier || !slices.Equal(kept.candidates, fresh.candidates)) {
 				t.Fatalf("task %d: %d candidates of tier %d, a search finds %d of tier %d", task, len(kept.candidates), kept.tier, len(fresh.candidates), fresh.tier)
 			}
@@ -85,7 +85,7 @@
 			}
 			p.reserveOn(c, j, task, r)
 			zones.Add(c.Zone, 1)
-			p.noteReserved(&kept, c)
+			p.updateShortlist(&kept, c)
 		}
 	})
 }
@@ -101,18 +101,18 @@
 		training := clustertest.Service("000001", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
 		fleet.Reserve(fleet.Accept(training), 0, gpu, time.Now())
-		p.setPerGPU(storage.Resources{CPUs: 8})
-		kept := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
-		p.SetHeadroom([]Headroom{{Job: kept, Tasks: 2}})
-		idle := fleet.Accept(clustertest.Opportunistic("000003", 100))
+		p.setMaxPerGPU(storage.Resources{CPUs: 8})
+		headroomJob := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
+		p.SetHeadroom([]Headroom{{Job: headroomJob, Tasks: 2}})
+		opportunistic := fleet.Accept(clustertest.Opportunistic("000003", 100))
 		for range 3 {
 			p.Round(time.Now())
 		}
 		if on := len(gpu.Attempts); on != 1 {
 			t.Errorf("%d opportunistic tasks on the CPUs that free GPUs need, want none", on-1)
 		}
-		if idle.Allocated() != 3 {
-			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", idle.Allocated())
+		if opportunistic.Allocated() != 3 {
+			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", opportunistic.Allocated())
 		}
 	})
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -12,13 +12,13 @@
 // once the resources are free; for the rest of this round no other task can use them. It returns the zone of the
 // candidate.
 func (p *Planner) preempt(j *cluster.Job, r *round, zones *ZoneCheck) (zone string, ok bool) {
-	by := p.preemptorOf(j, r)
+	rights := p.preemptionRightsOf(j, r)
 	shape := p.ShapeOf(j)
-	shape.guaranteed = by.guaranteed
-	if by.priorityBound() <= storage.BestEffort || r.unpreemptable.From(shape, zones, r.zones) >= len(r.candidates) {
+	shape.guaranteed = rights.guaranteed
+	if rights.priorityBound() <= storage.BestEffort || r.unpreemptable.From(shape, zones, r.zones) >= len(r.candidates) {
 		return "", false
 	}
-	best, victims := p.cheapestPreemption(j, by, r, zones)
+	best, victims := p.cheapestPreemption(j, rights, r, zones)
 	if best == nil {
 		r.unpreemptable.Note(shape, zones, r.zones, len(r.candidates))
 		return "", false
@@ -33,13 +33,13 @@
 
 // cheapestPreemption returns the candidate on which making room for a task costs least, with the attempts that
 // must be stopped there. It returns nil if preemption can't make room on any candidate.
-func (p *Planner) cheapestPreemption(j *cluster.Job, by preemptor, r *round, zones *ZoneCheck) (best *Candidate, victims []*cluster.Attempt) {
+func (p *Planner) cheapestPreemption(j *cluster.Job, rights preemptionRights, r *round, zones *ZoneCheck) (best *Candidate, victims []*cluster.Attempt) {
 	bestCost := 0.0
 	for _, c := range r.candidates {
 		if !j.Spec.Resources.Fits(c.Type.Resources) || !c.Admits(j, zones) {
 			continue
 		}
-		v, cost, ok := p.victims(c, j.Spec.Resources, by, r.now)
+		v, cost, ok := p.selectVictims(c, j.Spec.Resources, rights, r.now)
 		if ok && (best == nil || cost < bestCost) {
 			best, victims, bestCost = c, v, cost
 		}
@@ -59,58 +59,58 @@
 	}
 }
 
-// preemptor describes which attempts a job may preempt: those of lower priority and, if the job is within its
+// preemptionRights describes which attempts a job may preempt: those of lower priority and, if the job is within its
 // team's guarantee, opportunistic ones of the same priority.
-type preemptor struct {
+type preemptionRights struct {
 	priority   storage.Priority
 	guaranteed bool
 }
 
-// preemptorOf returns which attempts a job may preempt.
-func (p *Planner) preemptorOf(j *cluster.Job, r *round) preemptor {
+// preemptionRightsOf returns which attempts a job may preempt.
+func (p *Planner) preemptionRightsOf(j *cluster.Job, r *round) preemptionRights {
 	if j.Spec.Priority > storage.BestEffort {
-		return preemptor{priority: j.Spec.Priority} // all opportunistic work has a lower priority
+		return preemptionRights{priority: j.Spec.Priority} // all opportunistic work has a lower priority
 	}
-	if r.guaranteed == nil {
-		r.guaranteed = p.jobsWithinGuarantee()
+	if r.withinGuarantee == nil {
+		r.withinGuarantee = p.jobsWithinGuarantee()
 	}
-	return preemptor{priority: j.Spec.Priority, guaranteed: r.guaranteed[j]}
+	return preemptionRights{priority: j.Spec.Priority, guaranteed: r.withinGuarantee[j]}
 }
 
 // priorityBound returns the lowest priority from which on nothing may be preempted.
-func (by preemptor) priorityBound() storage.Priority {
-	if by.guaranteed {
-		return by.priority + 1
+func (r preemptionRights) priorityBound() storage.Priority {
+	if r.guaranteed {
+		return r.priority + 1
 	}
-	return by.priority
+	return r.priority
 }
 
-// mayPreempt reports whether the preemptor may preempt an attempt.
-func (p *Planner) mayPreempt(by preemptor, a *cluster.Attempt) bool {
-	return a.Job.Spec.Priority < by.priority || by.guaranteed && p.settings.IsOpportunistic(&a.Job.Spec)
+// mayPreempt reports whether a job with these rights may preempt an attempt.
+func (p *Planner) mayPreempt(rights preemptionRights, a *cluster.Attempt) bool {
+	return a.Job.Spec.Priority < rights.priority || rights.guaranteed && p.settings.IsOpportunistic(&a.Job.Spec)
 }
 
-// victims selects attempts on the candidate to preempt, cheapest first, until the needed resources would be free.
+// selectVictims selects attempts on the candidate to preempt, cheapest first, until the needed resources would be free.
 // Resources that are being released already count as free, so the selection may be empty. ok is false if
 // preemption can't free enough.
-func (p *Planner) victims(c *Candidate, needed storage.Resources, by preemptor, now time.Time) (victims []*cluster.Attempt, cost float64, ok bool) {
+func (p *Planner) selectVictims(c *Candidate, needed storage.Resources, rights preemptionRights, now time.Time) (victims []*cluster.Attempt, cost float64, ok bool) {
 	free := c.Free.Add(c.Releasing)
 	if needed.Fits(free) {
 		return nil, 0, true
 	}
-	if !needed.Fits(preemptibleBelow(c, by.priorityBound())) {
+	if !needed.Fits(preemptibleBelow(c, rights.priorityBound())) {
 		return nil, 0, false
 	}
-	var lower []*cluster.Attempt
+	var preemptible []*cluster.Attempt
 	for _, a := range c.Machine.SortedAttempts() {
-		if !a.Stopping && p.mayPreempt(by, a) {
-			lower = append(lower, a)
+		if !a.Stopping && p.mayPreempt(rights, a) {
+			preemptible = append(preemptible, a)
 		}
 	}
-	for len(lower) > 0 && !needed.Fits(free) {
-		i := p.cheapest(lower, now)
-		a := lower[i]
-		lower = append(lower[:i], lower[i+1:]...)
+	for len(preemptible) > 0 && !needed.Fits(free) {
+		i := p.cheapestToPreempt(preemptible, now)
+		a := preemptible[i]
+		preemptible = append(preemptible[:i], preemptible[i+1:]...)
 		victims = append(victims, a)
 		cost += p.preemptionCost(a, now)
 		free = free.Add(a.Job.Spec.Resources)
@@ -121,15 +121,15 @@
 // preemptibleBelow returns the resources that would be free on the candidate if all work below the priority were
 // stopped.
 func preemptibleBelow(c *Candidate, priority storage.Priority) storage.Resources {
-	most := c.Free.Add(c.Releasing)
+	available := c.Free.Add(c.Releasing)
 	for _, usage := range c.Machine.RunningUsage[:priority] {
-		most = most.Add(usage)
+		available = available.Add(usage)
 	}
-	return most
+	return available
 }
 
-// cheapest returns the index of the attempt with the lowest preemption cost.
-func (p *Planner) cheapest(attempts []*cluster.Attempt, now time.Time) int {
+// cheapestToPreempt returns the index of the attempt with the lowest preemption cost.
+func (p *Planner) cheapestToPreempt(attempts []*cluster.Attempt, now time.Time) int {
 	cheapest := 0
 	for i := range attempts {
 		if p.preemptionCost(attempts[i], now) < p.preemptionCost(attempts[cheapest], now) {
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -6,8 +6,8 @@
 	"sagevale/internal/cluster"
 )
 
-// samples is the number of random candidates that a placement chooses between ("power of two choices").
-const samples = 2
+// samplesPerChoice is the number of random candidates that a placement chooses between ("power of two choices").
+const samplesPerChoice = 2
 
 // shortlist holds the candidates of the best tier for the tasks of one job in one round. It is computed by one
 // search and then updated as tasks are placed, because a search looks at every machine.
@@ -19,24 +19,24 @@
 	candidates []*Candidate // in the order of round.candidates; a search is needed if empty
 }
 
-// choose returns the fuller of two random candidates of the best tier, or nil if no candidate fits.
-func (p *Planner) choose(list *shortlist) *Candidate {
+// chooseCandidate returns the fuller of two random candidates of the best tier, or nil if no candidate fits.
+func (p *Planner) chooseCandidate(list *shortlist) *Candidate {
 	if list.zones.counts != nil { // placing a task may have changed which zones are allowed for the next one
 		list.candidates = slices.DeleteFunc(list.candidates, func(c *Candidate) bool { return !list.zones.Allows(c.Zone) })
 	}
 	if len(list.candidates) == 0 {
-		p.search(list)
+		p.searchShortlist(list)
 	}
 	if len(list.candidates) == 0 {
 		return nil
 	}
-	return p.sample(list.job, list.candidates)
+	return p.sampleCandidate(list.job, list.candidates)
 }
 
-// sample returns the fuller of two random candidates, so that tasks are packed onto few machines.
-func (p *Planner) sample(j *cluster.Job, candidates []*Candidate) *Candidate {
+// sampleCandidate returns the fuller of two random candidates, so that tasks are packed onto few machines.
+func (p *Planner) sampleCandidate(j *cluster.Job, candidates []*Candidate) *Candidate {
 	pick := candidates[p.random.IntN(len(candidates))]
-	for i := 1; i < samples; i++ {
+	for i := 1; i < samplesPerChoice; i++ {
 		if other := candidates[p.random.IntN(len(candidates))]; other.freeShare(j) < pick.freeShare(j) {
 			pick = other
 		}
@@ -44,9 +44,9 @@
 	return pick
 }
 
-// search fills the list with the round's candidates of the best tier. If there are none, it records the job's
+// searchShortlist fills the list with the round's candidates of the best tier. If there are none, it records the job's
 // shape as exhausted.
-func (p *Planner) search(list *shortlist) {
+func (p *Planner) searchShortlist(list *shortlist) {
 	j, r := list.job, list.round
 	shape := p.ShapeOf(j)
 	from := r.exhausted.From(shape, list.zones, r.zones)
@@ -70,9 +70,9 @@
 	}
 }
 
-// noteReserved updates the list after a task was placed on a candidate, which may now be too full or in another
+// updateShortlist updates the list after a task was placed on a candidate, which may now be too full or in another
 // tier.
-func (p *Planner) noteReserved(list *shortlist, c *Candidate) {
+func (p *Planner) updateShortlist(list *shortlist, c *Candidate) {
 	j := list.job
 	fits := j.Spec.Resources.Fits(c.Free) && (!p.settings.IsOpportunistic(&j.Spec) || !p.strandsGPUs(j, c))
 	switch tier := p.tierOf(j, c); {
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -11,11 +11,11 @@
 
 // The ranks of waiting jobs of one priority, most urgent first.
 const (
-	rankStartAtRisk   = iota // the job is close to missing the start objective of its class
-	rankOnTime               // the job can meet its deadline or the start objective for guaranteed work
-	rankLate                 // the job can complete within lateFactor times its deadline
-	rankHopeless             // the job can't meet its deadline any more and must not make others miss theirs
-	rankOpportunistic        // opportunistic work has no deadline and no objective
+	rankStartAtRisk        = iota // the job is close to missing the start objective of its class
+	rankOnTime                    // the job can meet its deadline or the start objective for guaranteed work
+	rankLate                      // the job can complete within lateFactor times its deadline
+	rankCannotMeetDeadline        // the job can't meet its deadline any more and must not make others miss theirs
+	rankOpportunistic             // opportunistic work has no deadline and no objective
 )
 
 const (
@@ -28,10 +28,10 @@
 
 // urgency determines the order of the waiting jobs of one priority.
 type urgency struct {
-	rank        int
-	withinQuota bool      // the job is within its team's guarantee
-	startBy     time.Time // time by which the job must start to achieve what its rank stands for
-	allocated   int       // tasks of an opportunistic job that have or had a machine; jobs with fewer go first
+	rank            int
+	withinGuarantee bool      // the job is within its team's guarantee
+	startBy         time.Time // time by which the job must start to achieve what its rank stands for
+	allocated       int       // tasks of an opportunistic job that have or had a machine; jobs with fewer go first
 }
 
 // sortByUrgency sorts waiting jobs by priority, then by rank, then jobs within their team's guarantee first, then
@@ -46,8 +46,8 @@
 			return a.Spec.Priority > b.Spec.Priority
 		case ua.rank != ub.rank:
 			return ua.rank < ub.rank
-		case ua.withinQuota != ub.withinQuota:
-			return ua.withinQuota
+		case ua.withinGuarantee != ub.withinGuarantee:
+			return ua.withinGuarantee
 		case ua.allocated != ub.allocated:
 			return ua.allocated < ub.allocated
 		case !ua.startBy.Equal(ub.startBy):
@@ -61,35 +61,35 @@
 // after the other from the highest.
 func (p *Planner) urgencies(jobs []*cluster.Job, now time.Time) map[*cluster.Job]urgency {
 	urgencies := make(map[*cluster.Job]urgency, len(jobs))
-	withinQuota := p.jobsWithinGuarantee()
+	withinGuarantee := p.jobsWithinGuarantee()
 	withDeadline := make(map[storage.Priority][]*cluster.Job)
 	for _, j := range jobs {
 		switch {
 		case p.settings.IsOpportunistic(&j.Spec):
 			urgencies[j] = urgency{rank: rankOpportunistic, startBy: j.Deadline(), allocated: j.Allocated()}
 		case j.Spec.Service || j.Spec.DeadlineS <= 0:
-			urgencies[j] = urgency{rank: rankOnTime, withinQuota: withinQuota[j], startBy: j.Deadline()}
+			urgencies[j] = urgency{rank: rankOnTime, withinGuarantee: withinGuarantee[j], startBy: j.Deadline()}
 		default:
-			urgencies[j] = urgency{rank: rankHopeless, withinQuota: withinQuota[j], startBy: j.Deadline()}
+			urgencies[j] = urgency{rank: rankCannotMeetDeadline, withinGuarantee: withinGuarantee[j], startBy: j.Deadline()}
 			withDeadline[j.Spec.Priority] = append(withDeadline[j.Spec.Priority], j)
 		}
 	}
-	admission := &deadlineAdmission{completionRate: p.batchPace(), now: now, urgencies: urgencies}
+	admission := &deadlineAdmission{completionRate: p.batchCompletionRate(), now: now, urgencies: urgencies}
 	for priority := storage.Production; priority >= storage.BestEffort; priority-- {
-		left := withDeadline[priority]
-		for rank := rankStartAtRisk; rank < rankHopeless; rank++ { //nolint:modernize // a range over an int would assume that the first rank is 0
-			left = admission.admit(left, rank, func(j *cluster.Job) []time.Time {
-				return p.startBounds(j, rank, urgencies[j].withinQuota, now)
+		remaining := withDeadline[priority]
+		for rank := rankStartAtRisk; rank < rankCannotMeetDeadline; rank++ { //nolint:modernize // the first rank need not be 0
+			remaining = admission.admit(remaining, rank, func(j *cluster.Job) []time.Time {
+				return p.startTimes(j, rank, urgencies[j].withinGuarantee, now)
 			})
 		}
 	}
 	return urgencies
 }
 
-// startBounds returns the times by which a job must start to get a rank, earliest first. For rankOnTime there may
+// startTimes returns the times by which a job must start to get a rank, earliest first. For rankOnTime there may
 // be two: starting by either one suffices. It returns none if the rank doesn't apply to the job.
-func (p *Planner) startBounds(j *cluster.Job, rank int, withinQuota bool, now time.Time) []time.Time {
-	run := clock.Seconds(p.state.Classes.RunSeconds(j))
+func (p *Planner) startTimes(j *cluster.Job, rank int, withinGuarantee bool, now time.Time) []time.Time {
+	runTime := clock.Seconds(p.state.Classes.RunSeconds(j))
 	switch rank {
 	case rankStartAtRisk:
 		objective := p.settings.StartObjective(j.Spec.Class)
@@ -97,34 +97,34 @@
 			return []time.Time{startBy}
 		}
 	case rankOnTime:
-		byDeadline, prompt := j.Deadline().Add(-run), j.Submitted.Add(p.settings.GuaranteedStartObjective())
+		forDeadline, forObjective := j.Deadline().Add(-runTime), j.Submitted.Add(p.settings.GuaranteedStartObjective())
 		switch {
-		case !withinQuota:
-			return []time.Time{byDeadline}
-		case prompt.Before(byDeadline):
-			return []time.Time{prompt, byDeadline}
+		case !withinGuarantee:
+			return []time.Time{forDeadline}
+		case forObjective.Before(forDeadline):
+			return []time.Time{forObjective, forDeadline}
 		}
-		return []time.Time{byDeadline, prompt}
+		return []time.Time{forDeadline, forObjective}
 	case rankLate:
-		return []time.Time{j.Submitted.Add(clock.Seconds(j.Spec.DeadlineS * lateFactor)).Add(-run)}
+		return []time.Time{j.Submitted.Add(clock.Seconds(j.Spec.DeadlineS * lateFactor)).Add(-runTime)}
 	}
 	return nil
 }
 
-// batchPace returns the rate, in tasks per second, at which the running tasks of batch jobs are expected to
+// batchCompletionRate returns the rate, in tasks per second, at which the running tasks of batch jobs are expected to
 // complete. Opportunistic jobs don't count. It returns 0 if the rate is unknown.
-func (p *Planner) batchPace() float64 {
-	places, runSeconds := 0, 0.0
+func (p *Planner) batchCompletionRate() float64 {
+	tasks, runSeconds := 0, 0.0
 	for _, j := range p.state.Jobs.Open {
 		if n := len(j.Attempts); !j.Spec.Service && n > 0 && !p.settings.IsOpportunistic(&j.Spec) {
-			places += n
+			tasks += n
 			runSeconds += float64(n) * p.state.Classes.RunSeconds(j)
 		}
 	}
 	if runSeconds <= 0 {
 		return 0
 	}
-	return float64(places) * float64(places) / runSeconds
+	return float64(tasks) * float64(tasks) / runSeconds
 }
 
 // jobsWithinGuarantee returns the open jobs that are within their team's guarantee: their unfinished tasks fit into
--- a/internal/placement/zone_check.go
+++ b/internal/placement/zone_check.go
@@ -5,13 +5,13 @@
 // ZoneCheck determines in which zones one more task of a job may start. It caches the result for each zone until
 // the job's tasks per zone change.
 type ZoneCheck struct {
-	job      *cluster.Job
-	counts   map[string]int // tasks per zone; nil if the job's zones are unrestricted
-	verdicts []zoneVerdict
+	job     *cluster.Job
+	counts  map[string]int // tasks per zone; nil if the job's zones are unrestricted
+	results []zoneResult
 }
 
-// zoneVerdict is the cached result for one zone.
-type zoneVerdict struct {
+// zoneResult is the cached result for one zone.
+type zoneResult struct {
 	zone    string
 	allowed bool
 }
@@ -30,13 +30,13 @@
 	if z.counts == nil {
 		return true
 	}
-	for _, v := range z.verdicts {
+	for _, v := range z.results {
 		if v.zone == zone {
 			return v.allowed
 		}
 	}
 	allowed := z.job.ZoneAllows(zone, z.counts)
-	z.verdicts = append(z.verdicts, zoneVerdict{zone, allowed})
+	z.results = append(z.results, zoneResult{zone, allowed})
 	return allowed
 }
 
@@ -44,6 +44,6 @@
 func (z *ZoneCheck) Add(zone string, n int) {
 	if z.counts != nil {
 		z.counts[zone] += n
-		z.verdicts = z.verdicts[:0]
+		z.results = z.results[:0]
 	}
 }
--- a/internal/provisioning/history.go
+++ b/internal/provisioning/history.go
@@ -13,8 +13,8 @@
 const (
 	// maxSamples is the maximum number of samples in a history.
 	maxSamples = 32
-	// retention is the age beyond which a sample is dropped, in nominal boot times.
-	retention = 20
+	// retentionBootTimes is the age beyond which a sample is dropped, in nominal boot times.
+	retentionBootTimes = 20
 	// slowThreshold is the median ratio from which on boots count as slow. In ordinary operation no boot takes
 	// longer than 1.5 nominal boot times.
 	slowThreshold = 1.5
@@ -28,9 +28,9 @@
 
 // sample is the outcome of provisioning one machine.
 type sample struct {
-	at    time.Time
-	ratio float64 // time to the outcome, in nominal boot times
-	up    bool    // true if the machine came up, false if it was abandoned
+	at     time.Time
+	ratio  float64 // time to the outcome, in nominal boot times
+	cameUp bool    // true if the machine came up, false if it was abandoned
 }
 
 // History holds the recent provisioning outcomes of one kind of machine, such as one machine type or one offering.
@@ -39,12 +39,12 @@
 
 // RecordProvisioned records that a machine came up after ratio nominal boot times.
 func (h *History) RecordProvisioned(now time.Time, ratio float64) {
-	h.add(sample{at: now, ratio: ratio, up: true})
+	h.add(sample{at: now, ratio: ratio, cameUp: true})
 }
 
 // RecordAbandoned records that a machine was abandoned after ratio nominal boot times.
 func (h *History) RecordAbandoned(now time.Time, ratio float64) {
-	h.add(sample{at: now, ratio: ratio, up: false})
+	h.add(sample{at: now, ratio: ratio, cameUp: false})
 }
 
 // add appends a sample, in place of the oldest one if the history is full.
@@ -57,7 +57,7 @@
 
 // expire drops samples older than the retention.
 func (h *History) expire(now time.Time, nominal time.Duration) {
-	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retention*nominal })
+	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retentionBootTimes*nominal })
 }
 
 // Slowness returns the factor by which machines boot slower than nominal: the median ratio of the recent samples and
@@ -87,7 +87,7 @@
 	h.expire(now, nominal)
 	up := 0
 	for _, s := range h.samples {
-		if s.up {
+		if s.cameUp {
 			up++
 		}
 	}
--- a/internal/provisioning/history_test.go
+++ b/internal/provisioning/history_test.go
@@ -40,7 +40,7 @@
 			if got := h.Failing(now, nominalBoot); got != c.wantFailing {
 				t.Errorf("failing: got %v, want %v", got, c.wantFailing)
 			}
-			expired := now.Add(retention*nominalBoot + time.Second)
+			expired := now.Add(retentionBootTimes*nominalBoot + time.Second)
 			if got := h.Slowness(expired, nominalBoot, nil); got != 1 {
 				t.Errorf("slowness after the retention: got %v, want 1", got)
 			}
