--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -23,14 +23,14 @@
 	Type     *storage.MachineType // nil if the type is unknown
 
 	// The following fields come from the worker's reports.
-	Incarnation, Seq, Token uint64              // incarnation, sequence number and fencing token of the newest report
+	Incarnation, Seq, Token uint64              // incarnation and sequence number of the newest report; highest reported token
 	LastContact             time.Time           // last new report, in a heartbeat or in the response to direct commands
 	LastHeartbeat           time.Time           // last new heartbeat; before the first one, when the machine was first seen
 	LastAcknowledged        time.Time           // last accepted heartbeat, from which the worker's lease counts
 	Confirmed               bool                // the worker has reported with a fencing token of this term
 	ExpiredIncarnation      uint64              // an incarnation whose lease is proved to have expired
 	Exited                  []worker.TaskReport // exited tasks in the last report
-	Orphans                 []worker.TaskReport // live tasks that were reported but have no attempt here
+	Orphans                 []worker.TaskReport // reported live tasks that match no attempt here
 	PreemptionAt            time.Time           // when the cloud reclaims the spot machine; zero without a spot notice
 
 	// The following fields come from the cloud and the autoscaler.
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -7,10 +7,10 @@
 	"sagevale/internal/storage"
 )
 
-// preempt makes room for one task of a job that fits on no candidate. It uses a candidate where enough resources
-// are being released already, or else the one where preemption costs least. The task is placed in a later round,
-// once the resources are free; for the rest of this round no other task can use them. It returns the zone of the
-// candidate.
+// preempt makes room for one more task of a job that fits on no candidate. It chooses a candidate where enough
+// resources are being released already, or else the one where preemption costs least. The task is placed in a later
+// round, once the resources are free; for the rest of this round no other task can use them. zone is the zone of the
+// chosen candidate. ok is false if no room can be made.
 func (p *Planner) preempt(j *cluster.Job, r *round, zones *ZoneCheck) (zone string, ok bool) {
 	rights := p.preemptionRightsOf(j, r)
 	shape := p.ShapeOf(j)
@@ -63,7 +63,7 @@
 // team's guarantee, opportunistic ones of the same priority.
 type preemptionRights struct {
 	priority   storage.Priority
-	guaranteed bool
+	guaranteed bool // the job is within its team's guarantee
 }
 
 // preemptionRightsOf returns which attempts a job may preempt.
@@ -77,7 +77,7 @@
 	return preemptionRights{priority: j.Spec.Priority, guaranteed: r.withinGuarantee[j]}
 }
 
-// priorityBound returns the lowest priority from which on nothing may be preempted.
+// priorityBound returns the lowest priority whose work may not be preempted.
 func (r preemptionRights) priorityBound() storage.Priority {
 	if r.guaranteed {
 		return r.priority + 1
--- a/internal/placement/shape.go
+++ b/internal/placement/shape.go
@@ -34,7 +34,7 @@
 
 // ExhaustedShapes records, for each shape and zone, how many candidates at the head of the list are known not to
 // fit a task. Within a round the free resources of a candidate only shrink, so the record stays true until the
-// round ends. New candidates are appended to the list.
+// round ends. New candidates are appended to the list, so the record doesn't cover them.
 type ExhaustedShapes map[Shape][]exhaustedZone
 
 // exhaustedZone is the record of a shape in one zone.
