--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -15,19 +15,19 @@
 	"sagevale/internal/storage"
 )
 
-// newTestPlanner returns a planner of an empty fleet, which carries out its decisions.
+// newTestPlanner returns a planner and an empty fleet that carries out its decisions.
 func newTestPlanner() (*Planner, *clustertest.Fleet) {
 	fleet := clustertest.NewFleet(clustertest.Settings())
 	random := rand.New(rand.NewPCG(7, 7))
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setPerGPU sets the most that open jobs take with a GPU.
-func (p *Planner) setPerGPU(r storage.Resources) {
-	p.perGPU, p.perGPUUpdatedAt = r, time.Now()
+// setMaxPerGPU sets the resources that open jobs request per GPU, as if UpdatePerGPU had just computed them.
+func (p *Planner) setMaxPerGPU(r storage.Resources) {
+	p.maxPerGPU, p.maxPerGPUUpdatedAt = r, time.Now()
 }
 
-// A search for a shape that found no candidate isn't repeated, except over candidates added since.
+// After a search for a shape found no candidate, later searches for it look only at candidates added since.
 func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -43,14 +43,14 @@
 		}
 		added := CandidateOf(fleet.Up(200, "cpu", "a", false))
 		r.candidates = append(r.candidates, &added)
-		if c := p.choose(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
-			t.Errorf("choose() = %+v, want the candidate that was added", c)
+		if c := p.chooseCandidate(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
+			t.Errorf("chooseCandidate() = %+v, want the candidate that was added", c)
 		}
 	})
 }
 
-// A shortlist that is updated from task to task has the same candidates in the same order as a search for each task, so that every
-// choice is the same.
+// A shortlist that is updated after each task has the same candidates in the same order as one from a new search, so
+// that both lead to the same choices.
 func TestShortlistMatchesFreshSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, fleet := newTestPlanner()
@@ -64,7 +64,7 @@
 				m.Failures.RecordFailure("000009")
 			}
 		}
-		p.setPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
+		p.setMaxPerGPU(storage.Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "per gpu"))})
 		spec := clustertest.Service("000001", rapid.IntRange(1, 60).Draw(t, "tasks"))
 		spec.Spread, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "may use spot")
 		spec.SameZone = !spec.Spread && rapid.Bool().Draw(t, "same zone")
@@ -75,8 +75,8 @@
 		kept := shortlist{job: j, round: r, zones: &zones}
 		for task := range spec.Tasks {
 			fresh := shortlist{job: j, round: &round{now: r.now, candidates: r.candidates, zones: r.zones, exhausted: make(ExhaustedShapes)}, zones: &zones}
-			p.search(&fresh)
-			c := p.choose(&kept)
+			p.searchShortlist(&fresh)
+			c := p.chooseCandidate(&kept)
 			if (c == nil) != (len(fresh.candidates) == 0) || c != nil && (kept.tier != fresh.tier || !slices.Equal(kept.candidates, fresh.candidates)) {
 				t.Fatalf("task %d: %d candidates of tier %d, a search finds %d of tier %d", task, len(kept.candidates), kept.tier, len(fresh.candidates), fresh.tier)
 			}
@@ -85,33 +85,34 @@
 			}
 			p.reserveOn(c, j, task, r)
 			zones.Add(c.Zone, 1)
-			p.noteReserved(&kept, c)
+			p.updateShortlist(&kept, c)
 		}
 	})
 }
 
-// Opportunistic work once filled the headroom that is kept for services, and the CPUs that tasks with GPUs need.
+// Opportunistic tasks must leave the headroom of services and the CPUs that tasks with GPUs need. They once filled
+// both.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
-		fleet.Up(1, "cpu", "a", false) // four of the service's tasks, or two opportunistic ones
+		fleet.Up(1, "cpu", "a", false) // fits four tasks of the service or two opportunistic tasks
 		fleet.Up(2, "cpu", "a", false)
 		gpu := fleet.Up(3, "gpu", "a", false)
 		training := clustertest.Service("000001", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
 		fleet.Reserve(fleet.Accept(training), 0, gpu, time.Now())
-		p.setPerGPU(storage.Resources{CPUs: 8})
-		kept := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
-		p.SetHeadroom([]Headroom{{Job: kept, Tasks: 2}})
-		idle := fleet.Accept(clustertest.Opportunistic("000003", 100))
+		p.setMaxPerGPU(storage.Resources{CPUs: 8})
+		headroomJob := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
+		p.SetHeadroom([]Headroom{{Job: headroomJob, Tasks: 2}})
+		opportunistic := fleet.Accept(clustertest.Opportunistic("000003", 100))
 		for range 3 {
 			p.Round(time.Now())
 		}
 		if on := len(gpu.Attempts); on != 1 {
-			t.Errorf("%d opportunistic tasks beside GPUs that need the processors, want none", on-1)
+			t.Errorf("%d opportunistic tasks on the CPUs that free GPUs need, want none", on-1)
 		}
-		if idle.Allocated() != 3 {
-			t.Errorf("%d opportunistic tasks on two machines of two places each, one of which is kept; want 3", idle.Allocated())
+		if opportunistic.Allocated() != 3 {
+			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", opportunistic.Allocated())
 		}
 	})
 }
