--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,7 @@
-// Package admission limits how many submissions may wait to be recorded. A submission that can't
-// be recorded soon is rejected at once, fairly between teams, with the time after which to retry.
-// Retries are spaced at the measured throughput, so that rejected submissions don't return
-// together and each is likely to be admitted when it does.
+// Package admission limits how many submissions may wait to be recorded durably. A submission that
+// can't be recorded soon is rejected at once, with the time after which to retry. When the capacity is
+// contended, each team may use its fair share. Retries are spaced at the measured throughput, so that
+// rejected submissions don't all return at the same time and each is likely to be admitted then.
 //
 // The package does no input or output.
 package admission
@@ -14,42 +14,41 @@
 const (
 	// throughputWeight is the weight of one measurement in the moving average of the throughput.
 	throughputWeight = 0.3
-	// contendedShare is the share of the capacity that is open to every team. Beyond it a team is
-	// admitted only up to its fair share of the whole capacity.
+	// contendedShare is the used share of the capacity from which it counts as contended. From there
+	// on each team is admitted only up to its fair share of the whole capacity.
 	contendedShare = 0.5
-	// minCapacity is how many submissions may wait at least, however low the throughput: it can
-	// be measured only while some are recorded.
+	// minCapacity is the least number of submissions that may wait, however low the throughput is,
+	// because the throughput can be measured only while submissions are recorded.
 	minCapacity = 32
-	// maxRetrySeconds bounds the time after which a submission is told to retry. By the protocol
-	// users wait no longer.
+	// maxRetrySeconds bounds the time to retry in the response. By the protocol users wait no longer.
 	maxRetrySeconds = 30
 )
 
-// Limiter decides on the admission of submissions. It is not safe for concurrent use.
+// Limiter decides which submissions are admitted. It is not safe for concurrent use.
 type Limiter struct {
 	maxWait    time.Duration  // how long a submission may wait to be recorded
-	throughput float64        // submissions recorded a second while others wait
-	waiting    map[string]int // admitted submissions that aren't recorded yet, by team
+	throughput float64        // moving average of the submissions recorded per second at saturation
+	waiting    map[string]int // admitted submissions that aren't recorded yet, by team; no entry is zero
 	total      int            // the sum of waiting
-	teams      int            // number of teams that are configured
-	nextRetry  time.Time      // when the submission that was rejected last is to retry
+	teams      int            // number of configured teams
+	nextRetry  time.Time      // time reserved for the retry of the last rejected submission
 }
 
-// NewLimiter returns a limiter that admits what is expected to be recorded within maxWait.
-// throughput is the number of submissions recorded a second that is assumed until it is measured;
-// teams is the number of teams.
+// NewLimiter returns a limiter that admits submissions expected to be recorded within maxWait.
+// throughput is the number of submissions recorded per second that is assumed until it is measured,
+// and teams is the number of configured teams.
 func NewLimiter(maxWait time.Duration, throughput float64, teams int) *Limiter {
 	return &Limiter{maxWait: maxWait, throughput: throughput, waiting: make(map[string]int), teams: teams}
 }
 
-// capacity returns how many submissions may wait if atOnce of them can be recorded immediately.
+// capacity returns how many submissions may wait, if atOnce of them can be recorded immediately.
 func (l *Limiter) capacity(atOnce int) int {
 	return max(minCapacity, atOnce+int(l.throughput*l.maxWait.Seconds()))
 }
 
-// Admit reports whether a submission of the team may wait to be recorded. If so the submission
-// counts as waiting until Recorded is called. atOnce is the number of submissions that can be
-// recorded immediately, whatever the throughput.
+// Admit reports whether a submission of the team may wait to be recorded. An admitted submission
+// counts as waiting until Recorded is called for it. atOnce is the number of submissions that can be
+// recorded immediately, independent of the throughput.
 func (l *Limiter) Admit(team string, atOnce int) bool {
 	capacity := l.capacity(atOnce)
 	switch {
@@ -63,9 +62,9 @@
 	return true
 }
 
-// fairShare returns the part of the capacity that one team may use: an even share among the team and
-// the others with waiting submissions. If there are several teams, at least two are counted, so that
-// a single one leaves capacity to the next.
+// fairShare returns the part of the capacity that a team may use when the capacity is contended: an even
+// share among the team and the others with waiting submissions. If several teams are configured, at least
+// two are counted, so that a single active team leaves capacity for another.
 func (l *Limiter) fairShare(team string, capacity int) int {
 	active := len(l.waiting)
 	if l.waiting[team] == 0 {
@@ -74,8 +73,8 @@
 	return max(1, capacity/max(active, min(2, l.teams)))
 }
 
-// Recorded ends the wait of an admitted submission of the team. It must be called once for each
-// admitted submission.
+// Recorded marks an admitted submission of the team as no longer waiting. It must be called exactly once
+// for each admitted submission.
 func (l *Limiter) Recorded(team string) {
 	l.total--
 	if l.waiting[team]--; l.waiting[team] <= 0 {
@@ -84,7 +83,8 @@
 }
 
 // RecordThroughput updates the throughput with one measurement: the number of submissions recorded within
-// the duration took. Only measurements at saturation count, that is with submissions left waiting.
+// the duration took. Callers must pass only measurements at saturation, that is while further submissions
+// were left waiting. Measurements without submissions or duration are ignored.
 func (l *Limiter) RecordThroughput(recorded int, took time.Duration) {
 	if recorded <= 0 || took <= 0 {
 		return
@@ -93,7 +93,7 @@
 }
 
 // RetryAfterSeconds reserves a time to retry for a submission that is rejected now. It returns the time until
-// then in whole seconds, from 1 to 30.
+// then in whole seconds, from 1 to maxRetrySeconds.
 func (l *Limiter) RetryAfterSeconds(now time.Time) int {
 	if l.nextRetry.Before(now) {
 		l.nextRetry = now
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -13,7 +13,7 @@
 	testTeams   = 5
 )
 
-// newTestLimiter returns a limiter that records throughput submissions a second.
+// newTestLimiter returns a limiter that assumes a throughput in submissions per second.
 func newTestLimiter(throughput float64) *Limiter {
 	return NewLimiter(testMaxWait, throughput, testTeams)
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// Rejected submissions are told to retry one after the other, at the throughput: at no moment do
-// more return than can be admitted.
+// The retry times of rejected submissions must be spaced at the throughput, so that never more submissions
+// return at a time than can be admitted.
 func TestLimiterSpacesRetriesAtThroughput(t *testing.T) {
 	const throughput = 10
 	l, now := newTestLimiter(throughput), time.Now()
@@ -111,8 +111,8 @@
 	}
 }
 
-// In any sequence of admissions, records and measurements no more submissions wait than the
-// capacity allows, and none is left waiting after all have been recorded.
+// In any sequence of admissions, records and measurements no submission is admitted beyond the
+// capacity, and none counts as waiting after all have been recorded.
 func TestLimiterNeverExceedsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newTestLimiter(rapid.Float64Range(0.1, 1000).Draw(t, "throughput"))
--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -1,10 +1,11 @@
-// Package autoscaling sizes the fleet. A Reviewer finds, by trial packings of the cluster state, which machines
-// the fleet lacks and which it can do without; it belongs to the scheduler's goroutine. An Autoscaler is the
-// actor that owns the fleet's desired size and alone speaks to the cloud: it scales out after sustained
-// demand in bounded steps, and scales in one machine at a time.
+// Package autoscaling sizes the fleet. A Reviewer runs trial packings of the cluster state to compute which
+// machines the fleet needs and which are surplus; it runs in the scheduler's goroutine. An Autoscaler is an
+// actor that owns the fleet's desired size and is the only caller of the cloud's interface. After sustained
+// demand it scales out in bounded steps, and it scales in one machine at a time.
 //
-// Every step is durable before it is carried out: the desired size with the term and the names of the launch
-// requests in one guarded commit, so that a repeated or late request launches nothing twice.
+// Every step is recorded durably before it is carried out. One guarded commit holds the desired size, the
+// leader's term and the names of the launch requests, so that a repeated or delayed request can't launch
+// machines twice.
 package autoscaling
 
 import (
@@ -25,53 +26,54 @@
 )
 
 const (
-	// mailboxSize bounds the messages that wait for the autoscaler.
+	// mailboxSize is the maximum number of messages queued for the autoscaler.
 	mailboxSize = 256
-	// tickPerHeartbeat is the autoscaler's clock, in heartbeat intervals.
+	// tickPerHeartbeat is the interval between two ticks of the autoscaler, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// cloudShare of the cloud's request budget is used.
+	// cloudShare is the share of the cloud's request rate limit that the autoscaler uses.
 	cloudShare = 0.8
 )
 
-// Cloud is the interface to the cloud.
+// Cloud is the cloud provider's interface for listing, launching and terminating machines.
 type Cloud interface {
-	// MachineTypes returns the machine types with their present prices.
+	// MachineTypes returns the machine types with their current prices.
 	MachineTypes(ctx context.Context) ([]storage.MachineType, error)
-	// Launch launches machines under a request's name, and returns the numbers of those that were
-	// launched. A repeated request launches nothing more.
+	// Launch launches machines and returns the numbers of those that were launched. The request is
+	// idempotent by its name: repeating it launches no further machines.
 	Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error)
-	// Terminate terminates machines; when it returns without an error, they are gone with all on them.
+	// Terminate terminates machines. Once it returns without an error, they and their tasks no longer run.
 	Terminate(ctx context.Context, machines []int) error
-	// List returns a page of the machines after one of that number, or with NoMachine from the first.
+	// List returns one page of at most limit machines, those after the machine with number after. With
+	// NoMachine it starts at the first machine. more reports whether further pages follow.
 	List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error)
 }
 
-// Journal makes records durable. *storage.Journal is one.
+// Journal writes records to durable storage. *storage.Journal implements it.
 type Journal interface {
 	Append(ctx context.Context, b storage.Batch)
 }
 
-// Scheduler is told what the cloud has answered. Its methods don't wait for what follows from it.
+// Scheduler receives the cloud's responses. Its methods queue a message and return without waiting for its effects.
 type Scheduler interface {
 	HandleMachineTypes(types []storage.MachineType)
 	HandleMachineList(machines []cloud.Machine)
 	HandleLaunched(launch storage.LaunchRecord, machines []int)
 	HandleRejected(o cloud.Offering)
 	HandleTerminated(machines []int)
-	// HandleSurplus asks for a machine to be drained; DrainCompleted is called once that is over.
+	// HandleSurplus requests that a machine be drained. The scheduler calls DrainCompleted when that drain is over.
 	HandleSurplus(m SurplusMachine)
 }
 
-// Config is what an Autoscaler is made of.
+// Config holds the dependencies and the recorded state of a new Autoscaler.
 type Config struct {
 	Settings  *config.Settings
 	Cloud     Cloud
 	Journal   Journal
 	Scheduler Scheduler
 	Term      uint64
-	Desired   int                             // the desired size that is recorded
-	Launches  map[string]storage.LaunchRecord // launch requests that are recorded and not yet answered
-	Done      <-chan struct{}                 // closed when the term ends
+	Desired   int                             // the recorded desired size
+	Launches  map[string]storage.LaunchRecord // recorded launch requests without a response, by name
+	Done      <-chan struct{}                 // closed at the end of the term
 	Log       *slog.Logger
 }
 
@@ -86,46 +88,46 @@
 	mailbox   chan message
 	done      <-chan struct{}
 	limiter   *rate.Limiter
-	calls     sync.WaitGroup // calls of the cloud in flight, which Run awaits
+	calls     sync.WaitGroup // calls of the cloud in flight; Run waits for them before it returns
 	started   time.Time
 
-	// The desired size and the steps towards it.
+	// The desired size and the launch requests that work towards it.
 	desired    int
-	launches   map[string]*launch // requests that aren't answered yet
-	lastLaunch int
-	recording  bool // a step is being recorded
+	launches   map[string]*launch // requests without a response, by name
+	lastLaunch int  // number of the last launch request in this term
+	recording  bool // the commit of a step is in flight
 
-	// What steps wait for.
-	demandSince   time.Time
-	healthySince  time.Time
-	cooldownUntil time.Time
-	backOffUntil  time.Time
+	// The conditions for a step.
+	demandSince   time.Time // zero: there is no demand
+	healthySince  time.Time // zero: some machine isn't healthy, or scaling is frozen
+	cooldownUntil time.Time // no machine is drained before then
+	backOffUntil  time.Time // scaling is frozen until then
 
 	// Scaling in.
-	surplus         []SurplusMachine // to be drained one after the other, as of the last snapshot
-	drainCompleted  bool             // the last drain is over
+	surplus         []SurplusMachine // machines left to drain one after the other, from the last snapshot
+	drainCompleted  bool             // the last requested drain is over
 	drainsRequested int
-	size            int // of the fleet, as of the last snapshot, less what was drained since
-	toTerminate     []int
-	terminating     bool // a termination request is under way
+	size            int // fleet size in the last snapshot, minus the drains requested since
+	toTerminate     []int // machines not yet in a termination request
+	terminating     bool  // a termination request is in flight
 
 	// Polling the cloud.
-	listing      bool
+	listing      bool // a read of the machine list is in flight
 	lastList     time.Time
-	listPages    int // that the last list took
-	readingTypes bool
+	listPages    int  // pages of the last list
+	readingTypes bool // a read of the machine types is in flight
 	lastTypes    time.Time
 }
 
-// launch is a launch request.
+// launch is a launch request without a final response from the cloud.
 type launch struct {
 	storage.LaunchRecord
-	durable bool
-	sending bool
+	durable bool // its record is committed; it must not be sent before
+	sending bool // a call for it is in flight
 	retryAt time.Time
 }
 
-// New makes an autoscaler for a term; Run starts it.
+// New returns an autoscaler for one term of leadership. Run starts it.
 func New(c Config) *Autoscaler {
 	a := &Autoscaler{
 		settings:  c.Settings,
@@ -149,12 +151,12 @@
 	return a
 }
 
-// message is what the autoscaler is told. Each has one handler.
+// message is a message to the autoscaler. Run calls its handler.
 type message interface {
 	handle(ctx context.Context, a *Autoscaler, now time.Time)
 }
 
-// post sends a message, unless the term ends.
+// post queues a message for Run. It blocks while the mailbox is full, and drops the message at the end of the term.
 func (a *Autoscaler) post(m message) {
 	select {
 	case a.mailbox <- m:
@@ -162,23 +164,23 @@
 	}
 }
 
-// HandleSnapshot hands the autoscaler a snapshot of the fleet. It may be called from any goroutine, like the
-// other methods that tell it something.
+// HandleSnapshot passes a snapshot of the fleet to the autoscaler. Like Terminate and DrainCompleted it may be
+// called from any goroutine.
 func (a *Autoscaler) HandleSnapshot(s Snapshot) { a.post(snapshotMessage{s}) }
 
-// Terminate has machines terminated, which must be recorded as terminating.
+// Terminate requests the termination of machines. Their records must already be durably marked as terminating.
 func (a *Autoscaler) Terminate(machines []int) { a.post(terminateMessage{machines}) }
 
-// DrainCompleted tells that the last drain asked for is over.
+// DrainCompleted reports that the last requested drain is over.
 func (a *Autoscaler) DrainCompleted() { a.post(drainCompletedMessage{}) }
 
-// Run serves until ctx ends.
+// Run handles messages and polls the cloud until ctx ends.
 func (a *Autoscaler) Run(ctx context.Context) error {
 	tick := time.NewTicker(clock.Scale(a.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
-	cooldown := time.NewTimer(0) // ends the pause after a drain
+	cooldown := time.NewTimer(0) // fires at the end of the cooldown after a drain
 	defer cooldown.Stop()
-	defer a.calls.Wait() // ctx ends them
+	defer a.calls.Wait() // the calls end with ctx
 	for {
 		select {
 		case <-ctx.Done():
@@ -200,16 +202,16 @@
 
 type snapshotMessage struct{ snapshot Snapshot }
 
-// handle scales out after sustained demand in bounded steps, and scales in one drained machine at a time after a
-// healthy window and a cooldown.
+// handle scales out in bounded steps after sustained demand. After a window in which all machines were healthy it
+// queues the surplus machines for scaling in, which drains them one at a time.
 func (m snapshotMessage) handle(ctx context.Context, a *Autoscaler, now time.Time) {
 	s := m.snapshot
-	// The machines must first report to a new leader; the very first leader has none to wait for.
+	// After a failover the machines must first report to the new leader. In term 1 there are none to wait for.
 	starting := a.term > 1 && now.Sub(a.started) < a.settings.HeartbeatInterval
 	frozen := now.Before(a.backOffUntil) || starting || !s.MachinesListed
 	a.updateWindows(&s, frozen, now)
 	a.surplus, a.size = nil, s.Size
-	if s.DrainsRequested == a.drainsRequested { // an older snapshot doesn't know of the last drain
+	if s.DrainsRequested == a.drainsRequested { // a snapshot from before the last drain request doesn't show that drain
 		a.drainCompleted = !s.Draining
 	}
 	sustained := len(s.Desired) > 0 && now.Sub(a.demandSince) >= a.settings.Tuning.ScaleOutWindow
@@ -226,8 +228,9 @@
 	}
 }
 
-// updateWindows notes since when there has been demand, and since when all machines have been healthy. Demand bars
-// scaling in while it lasts, and for a cooldown after a step, unless it is of opportunistic work alone.
+// updateWindows records since when there has been demand, and since when all machines have been healthy. Demand
+// other than that of opportunistic work prevents scaling in while it lasts, because the snapshot then lists no
+// surplus, and for a cooldown after each scale-out step.
 func (a *Autoscaler) updateWindows(s *Snapshot, frozen bool, now time.Time) {
 	switch {
 	case len(s.Desired) == 0:
@@ -243,11 +246,11 @@
 	}
 }
 
-// scaleOut records the new size with the term and the launch requests in one guarded commit; the requests are
-// sent after that.
+// scaleOut records the new size, the term and the launch requests in one guarded commit. The requests are sent
+// after the commit.
 func (a *Autoscaler) scaleOut(ctx context.Context, s Snapshot, now time.Time) {
 	n := min(len(s.Desired), a.settings.Tuning.MaxScaleOut(s.Size))
-	// What boots longest is needed first.
+	// Machines that take longest to boot are launched first.
 	slices.SortStableFunc(s.Desired, func(x, y cloud.Offering) int {
 		return cmp.Compare(s.BootSeconds[y.Type], s.BootSeconds[x.Type])
 	})
@@ -267,12 +270,12 @@
 		records = append(records, record)
 		a.log.Info("scale-out requested", "launch", name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "desired", a.desired)
 	}
-	a.demandSince = now // what is still missing must last for another window
+	a.demandSince = now // the remaining demand must last for another window
 	a.record(ctx, records, recordedMessage{launches: names})
 }
 
-// launchesFor gathers the desired machines into launch requests, in the order of their first mention, none larger
-// than the cloud takes.
+// launchesFor groups the desired machines into launch requests, in the order in which the offerings first appear.
+// A request for more machines than the cloud accepts is split.
 func launchesFor(desired []cloud.Offering) []storage.LaunchRecord {
 	var launches []storage.LaunchRecord
 	last := make(map[cloud.Offering]int)
@@ -288,8 +291,8 @@
 	return launches
 }
 
-// scaleIn has the next surplus machine drained, once the one before it is. Each step is one machine and one
-// guarded commit of size and term.
+// scaleIn requests the drain of the next surplus machine once the previous drain is over and the cooldown has
+// passed. Each step drains one machine and records the size and the term in one guarded commit.
 func (a *Autoscaler) scaleIn(ctx context.Context, now time.Time) {
 	if len(a.surplus) == 0 || !a.drainCompleted || a.recording || now.Before(a.cooldownUntil) {
 		return
@@ -304,7 +307,7 @@
 	a.record(ctx, a.fleetRecords(), recordedMessage{drain: &next})
 }
 
-// fleetRecords is the record of the desired size.
+// fleetRecords returns the record of the desired size and the term.
 func (a *Autoscaler) fleetRecords() []storage.Record {
 	record, err := storage.NewRecord(storage.FleetKey, storage.FleetRecord{Desired: a.desired, Term: a.term})
 	if err != nil {
@@ -313,7 +316,7 @@
 	return []storage.Record{record}
 }
 
-// record makes a step durable, and then brings a message back.
+// record commits the records of a step, and then posts the result to the autoscaler.
 func (a *Autoscaler) record(ctx context.Context, records []storage.Record, then recordedMessage) {
 	a.recording = true
 	a.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) {
@@ -322,10 +325,10 @@
 	}})
 }
 
-// recordedMessage tells that a step is durable, or that its commit failed.
+// recordedMessage is the result of the commit of a step.
 type recordedMessage struct {
-	launches []string
-	drain    *SurplusMachine
+	launches []string        // names of the launch requests in the commit
+	drain    *SurplusMachine // machine to drain after the commit; nil: none
 	err      error
 }
 
--- a/internal/autoscaling/autoscaler_test.go
+++ b/internal/autoscaling/autoscaler_test.go
@@ -16,7 +16,8 @@
 	"sagevale/internal/storage"
 )
 
-// The cloud rejects a launch request for more than fifty machines as malformed, which once was taken for missing capacity.
+// Guards against launch requests for more than 50 machines. The cloud rejects them as malformed, and the autoscaler
+// once treated that as missing capacity.
 func TestLaunchesStayWithinTheCloudsLimit(t *testing.T) {
 	var desired []cloud.Offering
 	for i := range 173 {
@@ -34,10 +35,10 @@
 	}
 }
 
-// manyMachines takes many pages to list.
+// manyMachines is a number of machines whose list has many pages.
 const manyMachines = 6000
 
-// slowCloud lists many machines, each page after a second.
+// slowCloud takes a second to return each page of the machine list.
 type slowCloud struct{ machines int }
 
 func (c slowCloud) MachineTypes(context.Context) ([]storage.MachineType, error) { return nil, nil }
@@ -60,7 +61,8 @@
 	return page, after+1+len(page) < c.machines, nil
 }
 
-// A list of many pages takes longer than the timeout of one call, and must leave most of the cloud's request rate to other calls.
+// A list of many pages takes longer than the timeout of one call. It must still be read whole, and leave the other
+// calls their share of the cloud's request rate.
 func TestLongMachineListIsReadWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -80,7 +82,7 @@
 	})
 }
 
-// fakeJournal makes everything durable at once, or fails.
+// fakeJournal acknowledges every batch at once, with err.
 type fakeJournal struct{ err error }
 
 func (j *fakeJournal) Append(_ context.Context, b storage.Batch) {
@@ -89,7 +91,7 @@
 	}
 }
 
-// fakeScheduler records the autoscaler's notifications.
+// fakeScheduler records the calls of the autoscaler.
 type fakeScheduler struct {
 	launched   []storage.LaunchRecord
 	rejected   []cloud.Offering
@@ -108,11 +110,11 @@
 }
 func (f *fakeScheduler) HandleSurplus(m SurplusMachine) { f.surplus = append(f.surplus, m) }
 
-// fakeCloud launches machines, or fails with launchErr.
+// fakeCloud launches one machine per request, or fails with launchErr.
 type fakeCloud struct {
 	slowCloud
 	launchErr error
-	requests  map[string]int // calls of Launch by name
+	requests  map[string]int // number of calls of Launch by request name
 }
 
 func (c *fakeCloud) Launch(_ context.Context, name string, _ storage.LaunchRecord) ([]int, error) {
@@ -120,7 +122,8 @@
 	return []int{1}, c.launchErr
 }
 
-// runAutoscaler runs an autoscaler of term 2 until the test ends, and returns after the time in which it waits for heartbeats.
+// runAutoscaler runs an autoscaler of term 2 until the test ends. It returns once the autoscaler no longer waits for
+// the machines to report to a new leader.
 func runAutoscaler(t *testing.T, c *fakeCloud, journal Journal) (*Autoscaler, *fakeScheduler) {
 	t.Helper()
 	settings := clustertest.Settings()
@@ -143,7 +146,7 @@
 	return a, scheduler
 }
 
-// missing returns a snapshot in which one machine is desired.
+// missing returns a snapshot in which one machine of the offering is desired.
 func missing(o cloud.Offering) Snapshot {
 	return Snapshot{Healthy: true, MachinesListed: true, Desired: []cloud.Offering{o}, NonOpportunistic: 1, Size: 1}
 }
@@ -174,7 +177,8 @@
 	})
 }
 
-// A launch request without a response may have succeeded, so that it is retried under the same name.
+// A launch request without a response may have been executed. Retrying it under another name could launch the
+// machines twice.
 func TestUnansweredLaunchIsRepeatedUnderItsName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{launchErr: cloud.ErrUnknownOutcome}
@@ -223,7 +227,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		a.HandleSnapshot(idle)
-		time.Sleep(time.Minute) // the first drain isn't over
+		time.Sleep(time.Minute) // the first drain isn't over yet, so no second one may begin
 		synctest.Wait()
 		if len(scheduler.surplus) != 1 || scheduler.surplus[0].Machine != 1 {
 			t.Fatalf("drained %+v, want machine 1 alone", scheduler.surplus)
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// callPerLease is how long one call of the cloud may take, in workers' leases.
+	// callPerLease is the timeout of one call of the cloud, in worker leases.
 	callPerLease = 0.5
-	// listsPerLag is how often the machine list is read within its lag, as far as listShare of the
-	// requests allows.
+	// listsPerLag is how many times the machine list is read per ListLag. It is read less often if the
+	// reads would use more than listShare of the requests.
 	listsPerLag = 2
 	listShare   = 0.5
-	// listPage is the cloud's largest page.
+	// listPage is the number of machines requested per page, the most that the cloud returns.
 	listPage = 500
-	// typesLeases is how often the machine types are read again, in workers' leases.
+	// typesLeases is the interval between two reads of the machine types, in worker leases.
 	typesLeases = 5
-	// maxTerminate is how many machines one termination request may name, by the protocol.
+	// maxTerminate is the protocol's limit on the number of machines in one termination request.
 	maxTerminate = 100
 )
 
-// NoMachine stands for none: the cloud numbers its machines from 0.
+// NoMachine is the number that stands for no machine. The cloud numbers its machines from 0.
 const NoMachine = -1
 
-// The names of calls, as failures are logged.
+// Names of the cloud calls in log messages about failures.
 const (
 	callLaunch    = "launch"
 	callTerminate = "terminate"
@@ -37,18 +37,19 @@
 	callTypes     = "machine types"
 )
 
-// backOff freezes scaling for a while after a call that failed.
+// backOff freezes scaling for a heartbeat interval after a failed call.
 func (a *Autoscaler) backOff(call string, err error, now time.Time) {
 	a.backOffUntil = now.Add(a.settings.HeartbeatInterval)
 	a.healthySince = time.Time{}
 	a.log.Info("cloud call failed", "call", call, "error", err)
 }
 
-// call makes one call of the cloud within its request budget, in a goroutine that ends with ctx.
+// call runs f, which makes one call of the cloud, in a goroutine that ends with ctx. It waits for the rate limiter
+// before the call.
 func (a *Autoscaler) call(ctx context.Context, f func(ctx context.Context)) {
 	a.calls.Go(func() {
 		if err := a.limiter.Wait(ctx); err != nil {
-			return // the term ends
+			return // ctx has ended
 		}
 		callCtx, cancel := a.callContext(ctx)
 		defer cancel()
@@ -56,15 +57,16 @@
 	})
 }
 
+// callContext returns a context with the timeout of one call of the cloud.
 func (a *Autoscaler) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, clock.Scale(a.settings.WorkerLease, callPerLease))
 }
 
-// pollCloud reads the machine list and the machine types when they are due.
+// pollCloud starts reads of the machine list and of the machine types when they are due.
 func (a *Autoscaler) pollCloud(ctx context.Context, now time.Time) {
 	if !a.listing && now.Sub(a.lastList) >= a.listInterval() {
 		a.listing, a.lastList = true, now
-		a.call(ctx, func(context.Context) { // each page has its own time
+		a.call(ctx, func(context.Context) { // listAll gives each page its own timeout
 			machines, pages, err := a.listAll(ctx)
 			a.post(listAnswer{machines, pages, err})
 		})
@@ -78,14 +80,15 @@
 	}
 }
 
-// listInterval is how long after one reading of the machine list the next one begins: a long list must leave
-// requests for launches and terminations.
+// listInterval returns the least time between the starts of two reads of the machine list. It grows with the number
+// of pages, so that enough of the request rate is left for launches and terminations.
 func (a *Autoscaler) listInterval() time.Duration {
 	atShare := time.Duration(float64(a.listPages) / (float64(a.limiter.Limit()) * listShare) * float64(time.Second))
 	return max(a.settings.ListLag/listsPerLag, atShare)
 }
 
-// listAll reads the whole machine list. Each page is a call of its own, so that the list may be of any length.
+// listAll reads the whole machine list. Each page is a separate call with its own timeout, so that the length of the
+// list isn't limited by the timeout.
 func (a *Autoscaler) listAll(ctx context.Context) (all []cloud.Machine, pages int, err error) {
 	after := NoMachine
 	for {
@@ -105,12 +108,14 @@
 	}
 }
 
+// listOne reads the page of the machine list that follows the machine with number after.
 func (a *Autoscaler) listOne(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
 	ctx, cancel := a.callContext(ctx)
 	defer cancel()
 	return a.cloud.List(ctx, after, listPage)
 }
 
+// listAnswer is the result of a read of the machine list.
 type listAnswer struct {
 	machines []cloud.Machine
 	pages    int
@@ -126,6 +131,7 @@
 	a.scheduler.HandleMachineList(m.machines)
 }
 
+// typesAnswer is the result of a read of the machine types.
 type typesAnswer struct {
 	types []storage.MachineType
 	err   error
@@ -141,8 +147,8 @@
 	a.scheduler.HandleMachineTypes(m.types)
 }
 
-// sendLaunches sends the recorded launch requests. One without an answer is repeated under its own name, so that
-// it launches once.
+// sendLaunches sends the recorded launch requests. A request whose outcome is unknown is repeated under the same
+// name, so that the cloud executes it only once.
 func (a *Autoscaler) sendLaunches(ctx context.Context, now time.Time) {
 	for name, l := range a.launches {
 		if !l.durable || l.sending || now.Before(l.retryAt) {
@@ -157,6 +163,7 @@
 	}
 }
 
+// launchAnswer is the result of one call for a launch request.
 type launchAnswer struct {
 	name     string
 	machines []int
@@ -190,6 +197,7 @@
 	a.journal.Append(ctx, storage.Batch{Records: []storage.Record{done}})
 }
 
+// terminateMessage requests the termination of machines.
 type terminateMessage struct{ machines []int }
 
 func (m terminateMessage) handle(ctx context.Context, a *Autoscaler, _ time.Time) {
@@ -201,7 +209,8 @@
 	a.sendTerminations(ctx)
 }
 
-// sendTerminations asks the cloud to terminate machines, all that have gathered at once.
+// sendTerminations sends one request to terminate the waiting machines, at most maxTerminate of them, unless a
+// request is in flight.
 func (a *Autoscaler) sendTerminations(ctx context.Context) {
 	if a.terminating || len(a.toTerminate) == 0 {
 		return
@@ -215,6 +224,7 @@
 	})
 }
 
+// terminateAnswer is the result of a termination request.
 type terminateAnswer struct {
 	machines []int
 	err      error
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -12,27 +12,27 @@
 	"sagevale/internal/storage"
 )
 
-// demand is a group of like tasks in a trial packing.
+// demand is a group of identical tasks to pack in a trial packing: waiting tasks of a job, or headroom.
 type demand struct {
 	job           *cluster.Job
 	zones         placement.ZoneCheck
-	tasks         int     // left to pack
-	headroom      bool    // resources to keep free, not tasks
-	opportunistic bool    // only machines that are affordable for it are launched
-	runSeconds    float64 // run time of a task of work that ends; 0 for services and opportunistic work
+	tasks         int     // tasks left to pack
+	headroom      bool    // the tasks stand for resources to keep free
+	opportunistic bool    // opportunistic work, for which only affordable machines are launched
+	runSeconds    float64 // expected run time of a batch task; 0 for services, headroom and opportunistic work
 	packed        placement.PackedTask
 }
 
-// packedTask is what stands for the demand's tasks on the candidates that they are packed on.
+// packedTask returns the entry that represents the demand's tasks in Candidate.Packed.
 func (d *demand) packedTask() *placement.PackedTask {
 	d.packed = placement.PackedTask{Job: d.job, Opportunistic: d.opportunistic}
 	return &d.packed
 }
 
-// demands returns the waiting tasks, most urgent first, then the headroom, and opportunistic work last.
+// demands returns the waiting tasks in order of urgency, then the headroom, and then opportunistic work.
 func (r *Reviewer) demands(now time.Time) []*demand {
 	var demands, opportunistic []*demand
-	planned := make(map[string]storage.Resources) // by team
+	planned := make(map[string]storage.Resources) // resources of the tasks planned in this snapshot, by team
 	for _, j := range r.planner.WaitingByUrgency(now) {
 		team := r.settings.Team(j.Spec.Team)
 		if team == nil {
@@ -59,8 +59,8 @@
 	return append(demands, opportunistic...)
 }
 
-// demandedTasks is how many of a job's waiting tasks its team's limit lets run, beside what is planned for the
-// team already, which it adds to: all of a gang, or none.
+// demandedTasks returns how many of a job's waiting tasks fit within its team's limit, in addition to what the team
+// has reserved and planned. It adds their resources to planned. Of a gang either all waiting tasks count or none.
 func (r *Reviewer) demandedTasks(j *cluster.Job, team *config.Team, planned map[string]storage.Resources) int {
 	reserved := r.state.Reservations.Team(j.Spec.Team)
 	if j.Spec.Gang {
@@ -82,7 +82,7 @@
 	return tasks
 }
 
-// headroomOf is the headroom that demands stand for.
+// headroomOf converts headroom demands to the planner's form.
 func headroomOf(demands []*demand) []placement.Headroom {
 	headroom := make([]placement.Headroom, 0, len(demands))
 	for _, d := range demands {
@@ -91,7 +91,7 @@
 	return headroom
 }
 
-// headroomDemands returns the resources to keep free, class by class.
+// headroomDemands returns the resources to keep free as demands, sorted by class name.
 func (r *Reviewer) headroomDemands(now time.Time) []*demand {
 	classes := r.state.Classes.All()
 	names := make([]string, 0, len(classes))
@@ -110,8 +110,8 @@
 	return demands
 }
 
-// headroomFor demands resources for so many tasks like those of a class. What spread jobs must have in another
-// zone, half of each rounded down, is kept in every zone.
+// headroomFor returns headroom demands for a number of tasks of a class. A spread job must run half of its tasks,
+// rounded down, outside its first zone. For such classes that share of the headroom is kept in every feasible zone.
 func (r *Reviewer) headroomFor(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
@@ -133,20 +133,21 @@
 	return demands
 }
 
-// headroomDemand is a demand for headroom, for so many tasks like those of a job.
+// headroomDemand returns a headroom demand for a number of tasks with the requirements of a job's tasks.
 func headroomDemand(j *cluster.Job, tasks int) *demand {
 	template := templateOf(j)
 	return &demand{job: template, zones: placement.NewZoneCheck(template), tasks: tasks, headroom: true}
 }
 
-// templateOf returns a job like j whose tasks may be in any of its zones.
+// templateOf returns a job with the specification of j but without its attempts and without the Spread constraint.
+// SameZone is kept only for gangs.
 func templateOf(j *cluster.Job) *cluster.Job {
 	template := &cluster.Job{Spec: j.Spec, AllowedTypes: j.AllowedTypes, FeasibleTypes: j.FeasibleTypes}
 	template.Spec.Spread, template.Spec.SameZone = false, j.Spec.SameZone && j.Spec.Gang
 	return template
 }
 
-// feasibleZones returns the zones with a machine type that a task of the job may run on.
+// feasibleZones returns the zones that offer a machine type on which a task of the job may run.
 func (r *Reviewer) feasibleZones(j *cluster.Job) []string {
 	var zones []string
 	for _, name := range r.state.FeasibleTypes(j) {
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -9,9 +9,12 @@
 	"sagevale/internal/storage"
 )
 
-// headroom is how many tasks of a class to keep resources free for. Of services: those expected to arrive while
-// a machine boots beyond those that leave, and some deviations. Of other work of some priority that may use
-// spot machines: what the expected number of running tasks, and some deviations, exceeds the present one by.
+// headroom returns for how many tasks of a class to keep resources free. Classes of high priority or above have
+// headroom, and so does batch work that may use spot machines and has at least normal priority or a deadline.
+//
+// For services it is the number of tasks expected to arrive while a machine boots, net of departures, plus a margin
+// of HeadroomDeviations standard deviations. For batch work it is the expected number of running tasks, plus the
+// same margin, minus the current number.
 func (r *Reviewer) headroom(c *cluster.Class, now time.Time) int {
 	spec := &c.Latest.Spec
 	if spec.Gang {
@@ -24,7 +27,7 @@
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
 	current := r.state.Jobs.CurrentTasks(spec.Class)
 	if rate.WindowS == 0 || current == 0 {
-		return 0 // no rate yet, or no more jobs of the class
+		return 0 // there is no rate yet, or the class has no open jobs
 	}
 	deviations := r.settings.Tuning.HeadroomDeviations
 	if batch {
@@ -35,12 +38,12 @@
 	return int(math.Ceil(rate.Expected(r.state.MinBootSeconds(c.Latest), deviations) - 0.5))
 }
 
-// promptGangBoots is within how many boot times gangs are to start for which headroom is kept; others may wait
-// for machines.
+// promptGangBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with more
+// time can wait for machines to boot.
 const promptGangBoots = 2
 
-// gangHeadroom is how many tasks of a class of gangs to keep resources free for: what their expected number
-// exceeds the present one by, and at the least the largest gang of late.
+// gangHeadroom returns for how many tasks of a class of gangs to keep resources free: the expected number of running
+// tasks, plus the margin, minus the current number, but at least the size of the largest recent gang.
 func (r *Reviewer) gangHeadroom(c *cluster.Class, now time.Time) int {
 	objective := r.settings.StartObjective(c.Latest.Spec.Class)
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
@@ -52,8 +55,8 @@
 	return max(c.LargestJob(), int(expected)-r.state.Jobs.CurrentTasks(c.Latest.Spec.Class))
 }
 
-// servicesOnFullestMachine counts by class the services on the machine whose loss would cost the most GPUs:
-// there should be resources for them elsewhere.
+// servicesOnFullestMachine counts, by class, the service tasks with GPUs on the machine whose services use the most
+// GPUs. Headroom for them lets them restart elsewhere if that machine is lost.
 func (r *Reviewer) servicesOnFullestMachine() map[string]int {
 	var fullest *cluster.Machine
 	most := 0.0
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// desiredSteps is for how many scale-out steps a snapshot finds desired machines: those that boot
-	// longest are launched first.
+	// desiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one
+	// because a step launches those of the desired machines first that boot longest.
 	desiredSteps = 4
-	// hedgeShare of the machines that waiting services count on is launched once more, for some come late
-	// and some never; of many, chance evens out, and their square root is enough.
+	// hedgeShare is the share of the booting machines that waiting services count on for which extra
+	// machines are launched, because some boot late and some never come up. With many machines chance
+	// evens out, and the square root of their number is enough.
 	hedgeShare = 0.5
-	// minBacklogShare is the share of its machines that a backlog of work that ends gets at the least.
+	// minBacklogShare is the least share of the batch slots that is assumed to be available to the backlog.
 	minBacklogShare = 0.2
-	// zoneBalanceWeight is by how much an offering is dearer in a zone that has all machines than in one
-	// that has none.
+	// zoneBalanceWeight is the relative surcharge on the cost of an offering in a zone that has all
+	// machines of the fleet, compared to a zone that has none.
 	zoneBalanceWeight = 0.02
 )
 
@@ -31,16 +32,16 @@
 	candidates    []*placement.Candidate
 	zones         []string
 	exhausted     placement.ExhaustedShapes
-	desired       []cloud.Offering // machines that would hold what finds no candidate
+	desired       []cloud.Offering // machines to launch for tasks that fit on no candidate
 	maxDesired    int
-	opportunistic int            // how many of the desired ones are for opportunistic work; they come last
-	zoneSizes     map[string]int // machines in each zone
+	opportunistic int            // number of desired machines for opportunistic work; they are last in desired
+	zoneSizes     map[string]int // number of machines, with the desired ones, by zone
 }
 
-// nonOpportunistic is how many desired machines are for other than opportunistic work.
+// nonOpportunistic returns how many desired machines are for other than opportunistic work.
 func (p *packing) nonOpportunistic() int { return len(p.desired) - p.opportunistic }
 
-// launch adds a desired machine to the candidates.
+// launch adds a machine for a demand to the desired machines and to the candidates.
 func (p *packing) launch(o cloud.Offering, t *storage.MachineType, d *demand) {
 	p.desired = append(p.desired, o)
 	if d.opportunistic {
@@ -55,14 +56,14 @@
 	}
 }
 
-// batchBacklog is what a packing knows of work that ends.
+// batchBacklog holds the totals of batch work in a packing. A slot is room for one task.
 type batchBacklog struct {
-	places   int     // machines' places that it has or has been given
-	expected float64 // places that it typically takes
-	behind   int     // tasks left over so far
+	places   int     // slots that batch tasks occupy or were packed into
+	expected float64 // slots that batch work typically occupies
+	behind   int     // tasks left unpacked so far
 }
 
-// put packs one task of a demand on a candidate, and returns 1 if the candidate isn't up yet, else 0.
+// put packs one task of a demand on a candidate. It returns the number of tasks packed on a booting machine, 1 or 0.
 func put(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
 	c.Packed = append(c.Packed, d.packedTask())
@@ -77,9 +78,9 @@
 	return 0
 }
 
-// packAll packs the demands into the candidates and finds the offerings that would hold what is left, the
-// cheapest for each first. Work that ends gets no machine of its own when the places that it has will take
-// it before a new machine were up.
+// packAll packs the demands into the candidates. For tasks that don't fit it adds desired machines, each of the
+// cheapest offering. No machine is added for batch work that existing slots can start before a new machine would be
+// up.
 func (r *Reviewer) packAll(p *packing, demands []*demand, size int, now time.Time) {
 	p.zones = placement.ZonesOf(p.candidates)
 	p.maxDesired = desiredSteps * r.settings.Tuning.MaxScaleOut(size)
@@ -106,10 +107,12 @@
 	}
 }
 
-// provisioningHedge computes, class by class, for how many tasks to launch machines once more.
+// provisioningHedge computes for one class for how many tasks to launch extra machines. booting counts the tasks
+// that rely on booting machines, and hedged those for which extra machines were requested.
 type provisioningHedge struct{ booting, hedged float64 }
 
-// extra is for how many more tasks to launch machines, when so many more count on booting ones.
+// extra counts another number of tasks that rely on booting machines, and returns for how many more tasks to launch
+// extra machines.
 func (h *provisioningHedge) extra(booting int, tasksPerMachine float64) int {
 	h.booting += float64(booting)
 	machines := h.booting / tasksPerMachine
@@ -118,7 +121,7 @@
 	return max(0, extra)
 }
 
-// tasksPerMachine is how many tasks of the job the type holds that holds the most.
+// tasksPerMachine returns how many tasks of the job fit on a machine of the feasible type that holds the most.
 func (r *Reviewer) tasksPerMachine(j *cluster.Job) float64 {
 	most := 1
 	for _, name := range r.state.FeasibleTypes(j) {
@@ -127,12 +130,12 @@
 	return float64(most)
 }
 
-// pack puts a demand's tasks on candidates, and on new ones where it must. It returns how many count on
-// machines that aren't up yet.
+// pack packs a demand's tasks on candidates, and adds desired machines as needed. It returns how many of the tasks
+// are packed on machines that aren't up yet.
 func (r *Reviewer) pack(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
 	if spec := &d.job.Spec; spec.Gang && spec.SameZone && len(d.job.Attempts) == 0 {
 		if zone := roomiestZone(p.candidates, d); zone != "" {
-			d.zones.Add(zone, 1) // all of it there
+			d.zones.Add(zone, 1) // the whole gang goes there
 		}
 	}
 	for d.tasks > 0 {
@@ -152,7 +155,7 @@
 		}
 		t := r.state.Types.Get(o.Type)
 		if d.job.Spec.Resources.GPUs == 0 && t.Resources.GPUs > 0 {
-			// Only expensive machines are left: first count on those that boot anyway.
+			// Only GPU machines are on offer for this CPU-only task. Prefer one that is already booting.
 			if c := r.planner.Fullest(p.candidates, d.job, &d.zones, placement.AnyCandidate); c != nil {
 				booting += put(c, d, backlog)
 				continue
@@ -166,8 +169,8 @@
 	return booting
 }
 
-// backlogSuffices reports whether the places that work which ends has will take the rest of a demand before a
-// new machine were up. What typically comes takes its places before the backlog does.
+// backlogSuffices reports whether the slots of batch work can start the rest of a demand before a new machine would
+// be up. The slots that batch work typically occupies aren't available to the backlog.
 func (r *Reviewer) backlogSuffices(d *demand, backlog *batchBacklog) bool {
 	if d.runSeconds <= 0 || backlog.places == 0 || d.job.Spec.Gang {
 		return false
@@ -176,11 +179,12 @@
 	return float64(backlog.behind+d.tasks)*d.runSeconds/places < r.state.MinBootSeconds(d.job)
 }
 
-// mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. One that isn't
-// affordable is launched for a job's first task only, and then for that alone.
+// mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. An unaffordable machine
+// is launched only for a job that has waited too long for its first task's machine. The demand is then reduced to
+// that task.
 func (r *Reviewer) mayLaunchOpportunistic(p *packing, o cloud.Offering, d *demand, now time.Time) bool {
 	if p.opportunistic == config.MaxLaunchMachines {
-		return false // more at a time would hold up what others need
+		return false // more at a time would delay launches for other work
 	}
 	if r.affordable(o, d.job) {
 		return true
@@ -192,8 +196,8 @@
 	return true
 }
 
-// expectedBatchTasks is how many places work that ends typically takes. While that can't be told yet, more may
-// come than there are places.
+// expectedBatchTasks returns how many slots batch work typically occupies. While the arrival rate of any class isn't
+// known yet it returns infinity, because more tasks may arrive than there are slots.
 func (r *Reviewer) expectedBatchTasks(now time.Time) float64 {
 	tasks := 0.0
 	for _, c := range r.state.Classes.All() {
@@ -209,7 +213,7 @@
 	return tasks
 }
 
-// batchPlaces is how many places work that ends has now.
+// batchPlaces returns how many slots batch work occupies now.
 func (r *Reviewer) batchPlaces() int {
 	places := 0
 	for _, j := range r.state.Jobs.Open {
@@ -220,7 +224,7 @@
 	return places
 }
 
-// bestCandidate returns the fullest candidate that takes one more task of the demand, or nil.
+// bestCandidate returns the fullest candidate with room for one more task of the demand, or nil.
 func (r *Reviewer) bestCandidate(p *packing, d *demand) *placement.Candidate {
 	shape := r.planner.ShapeOf(d.job)
 	from := p.exhausted.From(shape, &d.zones, p.zones)
@@ -234,13 +238,14 @@
 	return best
 }
 
-// mayCountOn reports whether a task may count on a candidate. Services without GPUs don't wait for machines
-// with some: smaller ones boot sooner and cost little.
+// mayCountOn reports whether a task may be packed on a candidate. Services without GPUs aren't packed on booting GPU
+// machines, because smaller machines boot sooner and cost little.
 func mayCountOn(c *placement.Candidate, j *cluster.Job) bool {
 	return !c.Booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0
 }
 
-// roomiestZone is the zone where most tasks of a gang fit that must all be in one.
+// roomiestZone returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits anywhere. Of
+// equal zones the first by name is taken.
 func roomiestZone(candidates []*placement.Candidate, d *demand) string {
 	capacity := make(map[string]int)
 	best := ""
@@ -256,9 +261,8 @@
 	return best
 }
 
-// bestOffering returns the offering that holds what is left of a demand at the least price a task, among those
-// that the cloud hasn't rejected lately. Offerings whose machines mostly didn't come up are taken if there
-// are no others.
+// bestOffering returns the offering with the least cost per task for the rest of a demand, among those that the cloud
+// hasn't rejected recently. Offerings whose machines mostly didn't come up are used only if there are no others.
 func (r *Reviewer) bestOffering(p *packing, d *demand, now time.Time) (cloud.Offering, bool) {
 	best, ok := r.cheapestOffering(p, d, now, func(o cloud.Offering) bool { return !r.failsToProvision(o, now) })
 	if !ok {
@@ -267,7 +271,8 @@
 	return best, ok
 }
 
-// cheapestOffering returns the cheapest of the offerings that suit.
+// cheapestOffering returns the offering with the least cost per task among those that suits accepts. The cost has a
+// surcharge for zones with many machines.
 func (r *Reviewer) cheapestOffering(p *packing, d *demand, now time.Time, suits func(cloud.Offering) bool) (best cloud.Offering, ok bool) {
 	spec := &d.job.Spec
 	bestCost := math.Inf(1)
@@ -294,8 +299,8 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// mayUseMarket reports whether a demand may use spot machines of a type, or on-demand ones: headroom for work
-// that may use spot machines is kept on those only.
+// mayUseMarket reports whether a demand may use spot machines of a type or, if spot is false, on-demand machines.
+// Headroom for work that may use spot machines is launched only on spot machines.
 func mayUseMarket(t *storage.MachineType, d *demand, spot bool) bool {
 	if spot {
 		return d.job.Spec.Spot && t.SpotPrice > 0
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// overdueRatio is after how many nominal boot times a machine that isn't up no longer counts as coming:
-	// some take several times as long, some never come.
+	// overdueRatio is the number of nominal boot times after which a machine that isn't up is overdue and
+	// no longer counted on: some machines take several times as long, and some never come up.
 	overdueRatio = 1.6
-	// abandonRatio is after how many nominal boot times it is terminated: another comes sooner.
+	// abandonRatio is the number of nominal boot times after which it is terminated, because a replacement
+	// comes up sooner.
 	abandonRatio = 2.0
-	// firstReportGrace is what a machine has beyond that until its first report.
+	// firstReportGrace is the additional time that a booted machine has until its first report.
 	firstReportGrace = 5 * time.Second
 )
 
-// provisioningHistory is what is known of the provisioning of machines in this term: by type, how slow it is,
-// and by offering, whether machines come at all.
+// provisioningHistory holds the outcomes of provisioning in this term. Those by machine type show how slow it is,
+// and those by offering show whether machines come up at all.
 type provisioningHistory struct {
 	types     map[string]*provisioning.History
 	offerings map[cloud.Offering]*provisioning.History
-	slowness  map[string]float64 // by type, as of the last snapshot
+	slowness  map[string]float64 // factor by type, as of the last snapshot; 1: not slow
 }
 
 func newProvisioningHistory() *provisioningHistory {
@@ -36,6 +37,7 @@
 	}
 }
 
+// ofType returns the history of a machine type, which is created if there is none.
 func (h *provisioningHistory) ofType(name string) *provisioning.History {
 	if h.types[name] == nil {
 		h.types[name] = &provisioning.History{}
@@ -43,6 +45,7 @@
 	return h.types[name]
 }
 
+// ofOffering returns the history of an offering, which is created if there is none.
 func (h *provisioningHistory) ofOffering(o cloud.Offering) *provisioning.History {
 	if h.offerings[o] == nil {
 		h.offerings[o] = &provisioning.History{}
@@ -50,22 +53,22 @@
 	return h.offerings[o]
 }
 
-// provisioningRatio is for how many nominal boot times a machine has been provisioned.
+// provisioningRatio returns the time since a machine's launch, in nominal boot times of its type.
 func provisioningRatio(m *cluster.Machine, now time.Time) float64 {
 	return now.Sub(m.FirstSeen).Seconds() / m.Type.BootS
 }
 
-// NoteProvisioned notes that a machine has come up whose launch was seen.
+// NoteProvisioned records that a machine has come up, if its launch was observed in this term.
 func (r *Reviewer) NoteProvisioned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || m.Type == nil || m.Type.BootS <= 0 {
 		return
 	}
-	m.ProvisioningObserved = false // once
+	m.ProvisioningObserved = false // each machine is recorded once
 	r.provisioning.ofType(m.TypeName).RecordProvisioned(now, provisioningRatio(m, now))
 	r.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
-// noteAbandoned notes that a machine is terminated because it hasn't come up.
+// noteAbandoned records that a machine is terminated because it hasn't come up.
 func (r *Reviewer) noteAbandoned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
@@ -75,7 +78,7 @@
 	r.provisioning.ofOffering(m.Offering()).RecordAbandoned(now, provisioningRatio(m, now))
 }
 
-// updateSlowness computes, type by type, how slow provisioning is.
+// updateSlowness computes for each machine type the factor by which provisioning is slower than usual.
 func (r *Reviewer) updateSlowness(now time.Time) {
 	late := make(map[string][]float64)
 	for _, m := range r.state.Machines.InOrder() {
@@ -93,32 +96,33 @@
 	}
 }
 
-// provisioningExceeds reports whether a machine has had more than so many nominal boot times.
+// provisioningExceeds reports whether a machine was launched more than ratio nominal boot times and firstReportGrace
+// ago.
 func provisioningExceeds(m *cluster.Machine, now time.Time, ratio float64) bool {
 	return m.Type != nil && now.Sub(m.FirstSeen) > clock.Seconds(m.Type.BootS*ratio)+firstReportGrace
 }
 
-// Overdue reports whether a machine that isn't up no longer counts as coming. Where all machines of its type
-// are slow another would come no sooner; but they may be such as never come, so it counts for longer by the
-// root of how slow they are.
+// Overdue reports whether a machine that isn't up is no longer counted on. If all machines of its type boot slowly,
+// a replacement would come up no sooner. The slow ones may also be machines that never come up, so the limit is
+// extended only by the square root of the slowness.
 func (r *Reviewer) Overdue(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, overdueRatio*math.Sqrt(max(1, r.provisioning.slowness[m.TypeName])))
 }
 
-// provisioningFailed reports whether a machine that isn't up is terminated.
+// provisioningFailed reports whether a machine that isn't up has taken so long that it is terminated.
 func (r *Reviewer) provisioningFailed(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, abandonRatio*max(1, r.provisioning.slowness[m.TypeName]))
 }
 
-// failsToProvision reports whether machines of an offering were launched of late and mostly didn't come up.
+// failsToProvision reports whether the recently launched machines of an offering mostly didn't come up.
 func (r *Reviewer) failsToProvision(o cloud.Offering, now time.Time) bool {
 	history := r.provisioning.offerings[o]
 	return history != nil && history.Failing(now, clock.Seconds(r.state.Types.Get(o.Type).BootS))
 }
 
-// abandoned reports whether a machine without a confirmed report is terminated: one that was up once it has been
-// silent for a lease and as long as another takes to boot, for behind a network partition it may be back
-// sooner than that; one that never was up when its provisioning has failed.
+// abandoned reports whether a machine that hasn't reported in this term is to be terminated. A machine that never
+// reported is terminated when its provisioning has failed. One that did is terminated once it has been silent for a
+// worker lease plus the boot time of a replacement: if it is behind a network partition it may return before that.
 func (r *Reviewer) abandoned(m *cluster.Machine, now time.Time) bool {
 	if m.LastContact.IsZero() {
 		return r.provisioningFailed(m, now)
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/storage"
 )
 
-// Reviewer finds out what the fleet lacks and what it could do without. It belongs to the goroutine that owns
-// the cluster state.
+// Reviewer computes which machines the fleet needs and which are surplus. It must be used only in the goroutine
+// that owns the cluster state.
 type Reviewer struct {
 	settings *config.Settings
 	state    *cluster.State
@@ -20,11 +20,11 @@
 	log      *slog.Logger
 
 	provisioning  *provisioningHistory
-	rejected      map[cloud.Offering]time.Time // when the cloud last had no capacity
-	surplusCursor int                          // where the search for surplus machines goes on
+	rejected      map[cloud.Offering]time.Time // when the cloud last rejected each offering
+	surplusCursor int                          // number of machines with tasks that the next search for surplus machines skips
 }
 
-// NewReviewer returns a reviewer of a cluster's fleet. The planner must be of the same cluster.
+// NewReviewer returns a reviewer of a cluster's fleet. The planner must use the same cluster state.
 func NewReviewer(settings *config.Settings, state *cluster.State, planner *placement.Planner, log *slog.Logger) *Reviewer {
 	return &Reviewer{
 		settings: settings, state: state, planner: planner, log: log,
@@ -32,43 +32,46 @@
 	}
 }
 
-// NoteRejected notes that the cloud has no capacity for an offering: it isn't asked again for a while.
+// NoteRejected records that the cloud rejected a launch of an offering or had too little capacity for it. The
+// offering isn't desired again for a worker lease.
 func (r *Reviewer) NoteRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
 
-// rejectedLately reports whether the cloud had no capacity for an offering within a worker's lease.
+// rejectedLately reports whether the cloud rejected an offering within the last worker lease.
 func (r *Reviewer) rejectedLately(o cloud.Offering, now time.Time) bool {
 	at, ok := r.rejected[o]
 	return ok && now.Sub(at) < r.settings.WorkerLease
 }
 
 const (
-	// opportunisticPrice is up to what multiple of the least price of a task's place a machine is
-	// launched, or kept, for opportunistic work.
+	// opportunisticPrice is the highest price per task at which a machine is launched or kept for
+	// opportunistic work, as a multiple of the least price per task.
 	opportunisticPrice = 2.0
-	// minimumAllocationLeases is how long an opportunistic job waits for a cheap machine, in workers'
-	// leases, before one of any price is launched for its first task.
+	// minimumAllocationLeases is how long an opportunistic job waits for an affordable machine, in worker
+	// leases, before a machine of any price is launched for its first task.
 	minimumAllocationLeases = 2
 )
 
-// minimumAllocationDue reports whether an opportunistic job has waited so long for its first task's machine
-// that one of any price is launched.
+// minimumAllocationDue reports whether an opportunistic job has waited long enough for its first task's machine
+// for one of any price to be launched.
 func (r *Reviewer) minimumAllocationDue(j *cluster.Job, now time.Time) bool {
 	return j.Allocated() == 0 && now.Sub(j.Submitted) > minimumAllocationLeases*r.settings.WorkerLease
 }
 
-// affordable reports whether machines of an offering are cheap enough to be launched, or kept, for an
-// opportunistic job.
+// affordable reports whether machines of an offering are cheap enough to be launched or kept for an opportunistic
+// job.
 func (r *Reviewer) affordable(o cloud.Offering, j *cluster.Job) bool {
 	return r.pricePerTask(o, j.Spec.Resources) <= opportunisticPrice*r.leastPricePerTask(j)
 }
 
-// pricePerTask is what a machine of an offering costs an hour for each task of that size that it holds.
+// pricePerTask returns the hourly price of a machine of an offering, divided by the number of tasks of a size that
+// it holds.
 func (r *Reviewer) pricePerTask(o cloud.Offering, task storage.Resources) float64 {
 	t := r.state.Types.Get(o.Type)
 	return priceOf(t, o.Spot) / float64(placement.FitCount(t.Resources, task))
 }
 
-// leastPricePerTask is the least price per task of the machines that a job may use.
+// leastPricePerTask returns the least price per task among the machine types that a job may use, with the spot price
+// for jobs that may use spot machines.
 func (r *Reviewer) leastPricePerTask(j *cluster.Job) float64 {
 	least := 0.0
 	for _, name := range r.state.FeasibleTypes(j) {
@@ -81,7 +84,7 @@
 	return least
 }
 
-// priceOf is a machine type's price an hour.
+// priceOf returns the hourly spot or on-demand price of a machine type.
 func priceOf(t *storage.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -29,7 +29,7 @@
 	return NewReviewer(&fleet.Settings, fleet.State, planner, log), fleet
 }
 
-// trialPacking makes one trial packing of all that waits and of the headroom.
+// trialPacking packs the waiting tasks and the headroom into the ready machines.
 func (r *Reviewer) trialPacking() *packing {
 	now := time.Now()
 	p := &packing{exhausted: make(placement.ExhaustedShapes), candidates: r.planner.ReadyCandidates(now)}
@@ -37,20 +37,22 @@
 	return p
 }
 
-// snapshot reviews the fleet as a leader does.
+// snapshot returns the snapshot of a leader whose lease is valid.
 func (r *Reviewer) snapshot() Snapshot {
 	return r.Snapshot(time.Now(), Conditions{LeaseValid: true, MachinesListed: true})
 }
 
-// Half of a spread job must be in another zone: headroom in one zone alone let every job wait for the other.
+// Half of a spread job must run outside its first zone. With headroom in one zone only, every job had to wait for
+// machines in the other zone.
 func TestHeadroomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
 		r.state.Classes.FirstArrival = time.Now().Add(-3 * fleet.Settings.WorkerLease)
 		for i := range 4 {
-			fleet.Up(i+1, "cpu", "a", false) // ample resources, all in one zone
+			fleet.Up(i+1, "cpu", "a", false) // ample free resources, all in one zone
 		}
-		// What runs leaves nothing to spare beside the GPUs of the other zone.
+		// This service takes so many CPUs per GPU that tasks without GPUs find no spare CPUs beside the free GPUs
+		// of the other zone.
 		training := clustertest.Service("000009", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1}
 		fleet.Reserve(fleet.Accept(training), 0, fleet.Up(20, "gpu", "b", false), time.Now())
@@ -71,8 +73,8 @@
 	})
 }
 
-// With only GPU machines on offer, tasks without GPUs fill those that are launched for them; once each task
-// wanted a machine of its own.
+// With only GPU machines on offer, tasks without GPUs must fill the machines launched for them. A fault launched a
+// machine for each task.
 func TestCPUOnlyTasksFillTheMachineLaunchedForThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -80,13 +82,13 @@
 		spec.Types = []string{"gpu"}
 		fleet.Accept(spec)
 		if got := len(r.trialPacking().desired); got != 2 {
-			t.Errorf("%d machines of 32 places for 40 tasks, want 2", got)
+			t.Errorf("%d machines with room for 32 tasks each are desired for 40 tasks, want 2", got)
 		}
 	})
 }
 
-// Saving and fetching elsewhere must not cost a task the deadline that it would meet where it is; what is late
-// anyway, or has time, may move.
+// The time to save a checkpoint and to fetch the image must not make a moved task miss a deadline that it would
+// otherwise meet. Tasks that are late anyway or have ample time may move.
 func TestMoveMustNotCostADeadline(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -111,7 +113,7 @@
 	}
 }
 
-// Thousands of opportunistic tasks had machines of any price launched, up to those with GPUs.
+// Guards against launching machines of any price, even GPU machines, for thousands of opportunistic tasks.
 func TestOpportunisticWorkLaunchesOnlyAffordableMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -145,20 +147,20 @@
 		}
 		m := fleet.Up(1, "cpu", "a", false)
 		fleet.Reserve(j, 0, m, time.Now())
-		m.Type = nil // its free resources aren't of interest here
+		m.Type = nil // excludes its free resources from the packing
 		if affordable, expensive := desired(); affordable+expensive != 0 {
-			t.Errorf("%d machines for a job that has begun, want none", affordable+expensive)
+			t.Errorf("%d machines for a job that has its first machine, want none", affordable+expensive)
 		}
 	})
 }
 
-// The demand of opportunistic work had the fleet keep expensive machines, and launches for it held up those of
-// services.
+// Guards against two faults: demand of opportunistic work made the fleet keep expensive machines, and launches for
+// it delayed launches for services.
 func TestOpportunisticDemandNeitherKeepsMachinesNorDelaysOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
 		fleet.Accept(clustertest.Opportunistic("000001", 4000))
-		m := fleet.Up(1, "gpu", "a", false) // with nothing to do
+		m := fleet.Up(1, "gpu", "a", false) // idle
 		time.Sleep(clock.Seconds(cluster.IdlePerBoot*m.Type.BootS) + time.Second)
 		fleet.Up(1, "gpu", "a", false)
 		s := r.snapshot()
@@ -175,7 +177,7 @@
 	})
 }
 
-// Opportunistic work with checkpoints once kept the expensive machines on which it ran.
+// Guards against keeping expensive machines because opportunistic work with checkpoints runs on them.
 func TestOpportunisticWorkKeepsNoExpensiveMachine(t *testing.T) {
 	for name, spot := range map[string]bool{"on-demand": false, "spot": true} {
 		t.Run(name, func(t *testing.T) {
@@ -194,8 +196,8 @@
 	}
 }
 
-// Tasks that end may wait for resources to be released rather than for a new machine; a gang that lacks resources for one task
-// would wait for ever.
+// Batch tasks may wait for slots to become free instead of a new machine. A gang that lacks resources for one task
+// would wait forever that way, so a machine must be launched for it.
 func TestGangGetsMachinesForAllItsTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -236,8 +238,8 @@
 	return spec
 }
 
-// A machine that doesn't boot in time, while others do, is replaced and terminated, and an offering that doesn't deliver is avoided
-// for a while.
+// A machine that doesn't come up in time while others do is replaced and terminated. An offering whose machines mostly
+// don't come up is avoided for a while.
 func TestMachinesThatNeverComeAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -264,7 +266,7 @@
 			t.Errorf("%v are terminated, want two", s.Lost)
 		}
 		if r.failsToProvision(offering, time.Now()) {
-			t.Error("an offering that mostly delivers is avoided")
+			t.Error("an offering whose machines mostly come up is avoided")
 		}
 		for _, id := range []int{1, 2} {
 			fleet.State.Machines.Get(id).Terminating = true
@@ -274,17 +276,17 @@
 		r.snapshot()
 		fleet.Accept(clustertest.Service("000001", 400))
 		if !r.failsToProvision(offering, time.Now()) {
-			t.Error("an offering that doesn't deliver isn't avoided")
+			t.Error("an offering whose machines mostly don't come up isn't avoided")
 		}
 		for _, o := range r.trialPacking().desired {
 			if o.Zone == "a" {
-				t.Errorf("%+v is desired though it doesn't deliver", o)
+				t.Errorf("%+v is desired though its machines mostly don't come up", o)
 				break
 			}
 		}
 		time.Sleep(6 * time.Minute)
 		if r.failsToProvision(offering, time.Now()) {
-			t.Error("an offering is avoided for ever")
+			t.Error("an offering is still avoided after its failures have expired")
 		}
 	})
 }
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -8,36 +8,37 @@
 	"sagevale/internal/placement"
 )
 
-// Snapshot is what the autoscaler goes by.
+// Snapshot is the state of the fleet and of the demand from which the autoscaler decides.
 type Snapshot struct {
-	Desired          []cloud.Offering   // machines that would cover the demand, in order
-	NonOpportunistic int                // how many of them are for other than opportunistic work; they come first
-	Healthy          bool               // every machine's reports are fresh
-	Surplus          []SurplusMachine   // machines that could be terminated, one after the other
+	Desired          []cloud.Offering   // machines to launch for the demand, in order of urgency
+	NonOpportunistic int                // number of desired machines for other than opportunistic work; they come first
+	Healthy          bool               // the last report of every confirmed machine is fresh
+	Surplus          []SurplusMachine   // machines that may be drained and terminated, one after the other
 	Emptied          []int              // drained machines without tasks, to be terminated
-	Lost             []int              // failed, silent or never provisioned machines, to be terminated
-	DrainsRequested  int                // as known when the snapshot was taken
-	Draining         bool               // a drain is not yet complete
-	Size             int                // machines that are or may be ours
-	MachinesListed   bool               // the cloud's machine list has been read in this term
-	BootSeconds      map[string]float64 // nominal boot times of the machine types
+	Lost             []int              // failed, silent or never provisioned machines, and those already terminating, to be terminated
+	DrainsRequested  int                // drain requests that the scheduler had received
+	Draining         bool               // a draining machine still has tasks
+	Size             int                // number of machines that are neither terminating nor failed
+	MachinesListed   bool               // the cloud's machine list was read in this term
+	BootSeconds      map[string]float64 // nominal boot time by machine type
 }
 
-// SurplusMachine is a machine that the fleet can do without, and how many attempts it had when that was found.
+// SurplusMachine is a machine that the fleet doesn't need. Attempts is its number of attempts in the snapshot, so
+// that the scheduler can skip a machine that has got more since.
 type SurplusMachine struct {
 	Machine  int
 	Attempts int
 }
 
-// Conditions are what a snapshot must know of the scheduler.
+// Conditions holds the scheduler's state that a snapshot depends on.
 type Conditions struct {
-	LeaseValid      bool // the leadership lease is valid, so demand and surplus are computed
+	LeaseValid      bool // the leadership lease is valid; demand and surplus are computed only then
 	MachinesListed  bool
 	DrainsRequested int
 }
 
-// Snapshot reviews the fleet: the demand is found by a trial packing of what waits, and of what is to be kept
-// free, into the free resources of ready and booting machines.
+// Snapshot reviews the fleet. It computes the demand by a trial packing of the waiting tasks and of the headroom into
+// the free resources of the ready and booting machines.
 func (r *Reviewer) Snapshot(now time.Time, c Conditions) Snapshot {
 	s := Snapshot{Healthy: true, MachinesListed: c.MachinesListed, DrainsRequested: c.DrainsRequested}
 	p := &packing{exhausted: make(placement.ExhaustedShapes)}
@@ -60,7 +61,7 @@
 	return s
 }
 
-// review enters a machine into the snapshot, and returns its candidate if tasks may count on it.
+// review adds a machine to the snapshot, and returns its candidate if tasks may be packed on it.
 func (r *Reviewer) review(m *cluster.Machine, s *Snapshot, now time.Time) (candidate *placement.Candidate, ok bool) {
 	switch {
 	case m.Terminating, m.Failed:
@@ -91,6 +92,7 @@
 	return &c, true
 }
 
+// bootSeconds returns the nominal boot time of each machine type.
 func (r *Reviewer) bootSeconds() map[string]float64 {
 	seconds := make(map[string]float64, r.state.Types.Count())
 	for _, name := range r.state.Types.All() {
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// maxSurplusAttempts bounds how many machines with tasks one snapshot tries to do without; the next
-	// snapshot goes on where it stopped.
+	// maxSurplusAttempts bounds for how many machines with tasks one snapshot tests whether they are surplus.
+	// The next snapshot continues with the machine at which this one stopped.
 	maxSurplusAttempts = 8
-	// surplusShare of the fleet may be found surplus in one snapshot.
+	// surplusShare is the largest share of the candidates that one snapshot may report as surplus, but at
+	// least one machine may be reported.
 	surplusShare = 1.0 / 32
-	// moveCostFactor is how many times what a move costs a task must have left, for its run time is but an
-	// estimate.
+	// moveCostFactor is the least slack before its deadline that a task needs in order to be moved, as a
+	// multiple of the time that the move costs. It is above 1 because the run time is only an estimate.
 	moveCostFactor = 2
 )
 
-// findSurplus finds machines without which all that waits, all headroom and what runs would still fit, trying
-// first those that waste the most money. The packing has just shown what fits with them. They are drained
-// and terminated one after the other.
+// findSurplus returns machines without which the waiting tasks, the headroom and the running tasks would still fit.
+// It starts from the result of the trial packing, and tests the machines that waste the most money first. The
+// machines are drained and terminated one after the other.
 func (r *Reviewer) findSurplus(p *packing, now time.Time) []SurplusMachine {
 	most := max(1, int(surplusShare*float64(len(p.candidates))))
 	var surplus []SurplusMachine
-	busy, skip := 0, r.surplusCursor // machines with tasks seen, and those tried at the last snapshot
+	busy, skip := 0, r.surplusCursor // machines with tasks seen so far, and those to skip because earlier snapshots tested them
 	r.surplusCursor = 0
 	for _, c := range r.byWaste(p, now) {
 		if len(surplus) == most {
 			break
 		}
 		if c.Moved > 0 {
-			continue // takes what leaves another
+			continue // tasks of another surplus machine move here
 		}
 		if len(c.Machine.Attempts) > 0 || len(c.Packed) > 0 {
 			if busy++; busy <= skip {
@@ -45,14 +46,15 @@
 			}
 		}
 		if r.canRemove(p, c, now) {
-			c.Free = storage.Resources{CPUs: -1} // nothing more moves here
+			c.Free = storage.Resources{CPUs: -1} // no task fits here any more
 			surplus = append(surplus, SurplusMachine{Machine: c.Machine.ID, Attempts: len(c.Machine.Attempts)})
 		}
 	}
 	return surplus
 }
 
-// byWaste returns the candidates of the ready machines, those that waste the most money first.
+// byWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest first.
+// Fully reserved and briefly idle machines are left out.
 func (r *Reviewer) byWaste(p *packing, now time.Time) []*placement.Candidate {
 	waste := make(map[*placement.Candidate]float64)
 	var wasteful []*placement.Candidate
@@ -75,7 +77,7 @@
 	return wasteful
 }
 
-// reservedShare is the reserved share of the machine's scarcest resource.
+// reservedShare returns the reserved share of the machine's CPUs or of its GPUs, whichever is larger.
 func reservedShare(m *cluster.Machine) float64 {
 	used, all := m.Reserved, m.Type.Resources
 	share := used.CPUs / all.CPUs
@@ -85,8 +87,9 @@
 	return share
 }
 
-// canRemove tries to move what runs on a candidate, and what the packing has put there, to what the packing has
-// left free elsewhere. Replicas must find their images where they go.
+// canRemove tries to move a candidate's running tasks, and the tasks that the packing has put there, to ready
+// candidates with enough resources left free by the packing. Running services move only to machines that have cached
+// their image.
 func (r *Reviewer) canRemove(p *packing, c *placement.Candidate, now time.Time) bool {
 	ready := func(o *placement.Candidate, _ *cluster.Job) bool { return o != c && o.Machine != nil && !o.Booting }
 	readyWithImage := func(o *placement.Candidate, j *cluster.Job) bool {
@@ -103,7 +106,7 @@
 	}
 	for _, task := range c.Packed {
 		if task.Opportunistic && !r.affordable(c.Offering, task.Job) {
-			continue // it waits for cheaper machines
+			continue // the task waits for cheaper machines instead
 		}
 		zones := placement.NewZoneCheck(task.Job)
 		target := r.planner.Fullest(p.candidates, task.Job, &zones, ready)
@@ -116,8 +119,8 @@
 	return true
 }
 
-// move takes a candidate's resources for a task; the returned function gives them back, and undoes what was
-// moved before.
+// move takes a candidate's resources for a task. The returned function gives them back and then calls undoEarlier,
+// which undoes the earlier moves.
 func move(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
 	c.Moved++
@@ -128,8 +131,8 @@
 	}
 }
 
-// CanRehome reports whether the services of a machine that may be lost fit on candidates. If they do, their
-// resources are taken there.
+// CanRehome reports whether the services of a machine that may be lost fit on the candidates. If they do, it takes
+// their resources from the candidates.
 func (r *Reviewer) CanRehome(m *cluster.Machine, candidates []*placement.Candidate, now time.Time) bool {
 	undo, ok := r.tryMove(m, candidates, false, now, placement.AnyCandidate)
 	if !ok {
@@ -138,8 +141,9 @@
 	return ok
 }
 
-// tryMove tries to pack a machine's services into the candidates, and with saving also what would be stopped
-// because it can save its progress. The rest may finish, or waits. undo gives the resources back.
+// tryMove tries to pack a machine's services into the candidates. With saving it also packs the tasks that save
+// checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait. undo gives the
+// resources back; the caller must call it if ok is false.
 func (r *Reviewer) tryMove(m *cluster.Machine, candidates []*placement.Candidate, saving bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.SortedAttempts() {
@@ -148,7 +152,7 @@
 			continue
 		}
 		if saving && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
-			continue // it waits for cheaper machines
+			continue // the task waits for cheaper machines instead
 		}
 		if saving && r.lateByMove(a, now) {
 			return undo, false
@@ -164,8 +168,8 @@
 	return undo, true
 }
 
-// lateByMove reports whether saving a task and fetching its image elsewhere may cost it a deadline that it would
-// meet where it is.
+// lateByMove reports whether a move may make a batch task miss a deadline that it would meet on its present machine,
+// because of the time to save a checkpoint and to fetch its image on the other machine.
 func (r *Reviewer) lateByMove(a *cluster.Attempt, now time.Time) bool {
 	spec := &a.Job.Spec
 	if spec.Service || spec.DeadlineS <= 0 || a.Started.IsZero() {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock holds arithmetic with durations under the drift of steady clocks, and small helpers
-// for waiting and for publishing points in time between goroutines.
+// Package clock holds the bound on the drift between monotonic clocks, arithmetic with durations, and
+// helpers to wait and to publish points in time between goroutines.
 package clock
 
 import (
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// DriftBound is the factor by which two steady clocks, a worker's and ours, may differ at the most
-// over the same interval. Multiply a duration by it for the latest, divide by it for the earliest end.
+// DriftBound is the largest factor by which two monotonic clocks, such as a worker's and a controller's, may
+// differ over the same interval. A duration measured by another clock ends at the latest after the duration
+// times DriftBound, and at the earliest after the duration divided by it.
 const DriftBound = 1.002
 
-// Scale returns d multiplied by a factor.
+// Scale returns d multiplied by factor.
 func Scale(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
 }
 
-// Seconds returns a duration of so many seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Sleep waits for d or until ctx ends. It reports whether d has passed.
+// Sleep waits until d has passed or ctx has ended. It reports whether d has passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -34,13 +35,13 @@
 	}
 }
 
-// AtomicTime is a point in time that one goroutine publishes for others. The zero value holds none.
+// AtomicTime is a point in time that one goroutine publishes to others. The zero value holds none.
 type AtomicTime struct{ at atomic.Pointer[time.Time] }
 
-// Mark publishes a point in time.
+// Mark publishes now as the point in time.
 func (t *AtomicTime) Mark(now time.Time) { t.at.Store(&now) }
 
-// Since returns the time that has passed since the published point, or never if there is none.
+// Since returns the time elapsed since the published point in time, or never if there is none.
 func (t *AtomicTime) Since(never time.Duration) time.Duration {
 	if at := t.at.Load(); at != nil {
 		return time.Since(*at)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,19 +1,19 @@
-// Package cloud holds what the cloud's interface tells of machines, and its errors.
+// Package cloud holds the types and errors of the cloud provider's interface.
 package cloud
 
 import "errors"
 
-// State is the state of a machine in the cloud's list.
+// State is the state of a machine in the cloud's machine list.
 type State int
 
-// The states of the cloud's list.
+// The states of a listed machine.
 const (
 	Booting State = iota
 	Running
-	Failed // has stopped on its own, and is listed until it is deleted
+	Failed // has stopped without a termination request, and is listed until it is deleted
 )
 
-// Machine is a machine in the cloud's list.
+// Machine is an entry of the cloud's machine list.
 type Machine struct {
 	ID         int
 	Addr       string
@@ -21,17 +21,18 @@
 	Zone       string
 	Spot       bool
 	State      State
-	AgeSeconds float64 // since the launch was requested, as of the time that the list describes
+	AgeSeconds float64 // time since the launch request, at the time that the list shows
 }
 
-// Errors of the cloud.
+// Errors of cloud calls.
 var (
-	// ErrNoCapacity: none available; the same request may be sent again.
+	// ErrNoCapacity means that the cloud has no such machines available. The same request may be sent again.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnknownOutcome: no usable answer; the request may have been executed, or may be later.
-	ErrUnknownOutcome = errors.New("cloud in trouble")
-	// ErrRejected: certainly not executed.
-	ErrRejected = errors.New("cloud refused for now")
-	// ErrMalformed: the cloud calls the request malformed.
-	ErrMalformed = errors.New("cloud calls the request malformed")
+	// ErrUnknownOutcome means that there was no usable response. The request may have been executed, or may
+	// still be executed later.
+	ErrUnknownOutcome = errors.New("outcome of the cloud request is unknown")
+	// ErrRejected means that the request was certainly not executed.
+	ErrRejected = errors.New("cloud did not execute the request")
+	// ErrMalformed means that the cloud rejected the request as malformed.
+	ErrMalformed = errors.New("cloud rejected the request as malformed")
 )
--- a/internal/cloud/offering.go
+++ b/internal/cloud/offering.go
@@ -1,6 +1,6 @@
 package cloud
 
-// Offering is a kind of machine that the cloud may launch.
+// Offering is a combination of machine type, zone and market (spot or on-demand) in which machines are launched.
 type Offering struct {
 	Type string
 	Zone string
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -7,19 +7,19 @@
 	"sagevale/internal/clock"
 )
 
-// Activation is the operators' part of services that scale to zero.
+// Activation holds the operators' settings for services that scale to zero.
 type Activation struct {
-	Classes    []string // whose services of one task run only while there is demand
+	Classes    []string // job classes whose single-task services run only while there is demand
 	Policy     activation.Policy
-	Listen     string        // address where requests for the models are taken; "": nowhere
-	Target     string        // template of a model server's address, see package activator; "": its default
-	Body       int64         // largest request that is passed on, in bytes
-	Hold       time.Duration // longest that a request waits for a model that starts; 0: none waits
-	Held       int           // how many requests may wait at a time
-	Concurrent int           // how many requests are passed on to one model at a time
+	Listen     string        // address that accepts requests for models; "": none
+	Target     string        // template of a model server's address, see package activator; "": the default
+	Body       int64         // size limit of a request body that is forwarded, in bytes
+	Hold       time.Duration // longest time that a request waits for a starting model; 0: requests don't wait
+	Held       int           // limit on the number of requests that wait at a time
+	Concurrent int           // limit on the number of requests in flight to one model
 }
 
-// Ratios of the defaults to the workers' lease.
+// Ratios of the default settings to the worker lease.
 const (
 	startPerLease    = 10.0
 	stablePerLease   = 1.0
@@ -36,37 +36,39 @@
 )
 
 const (
-	// heldBytes is about what a held request takes at its peak: its connection's buffers, its
-	// goroutines' stacks, and garbage (measured on the loopback, docs/cold-starts.md).
+	// heldBytes is the approximate peak memory of a held request: the buffers of its connection, the
+	// stacks of its goroutines, and garbage. See docs/cold-starts.md.
 	heldBytes = 64 << 10
-	// heldMemoryShare of the memory quota may go to held requests.
+	// heldMemoryShare is the share of the memory quota for held requests.
 	heldMemoryShare = 1.0 / 16
-	// modelSocketShare of the sockets go to requests for models, each of which takes two: its
-	// client's connection, and the one to the model.
+	// modelSocketShare is the share of the sockets for requests to models. Each request takes two: the
+	// client's connection and the connection to the model.
 	modelSocketShare = 1.0 / 4
-	// heldShare of the connections may be held; the others are passed on, or rejected at once.
+	// heldShare is the share of the clients' connections whose requests may be held. The requests of the
+	// others are forwarded or rejected at once.
 	heldShare = 3.0 / 4
-	// wakeIntervals is how many times within a heartbeat interval a controller asks again for a model
-	// that doesn't answer yet.
+	// wakeIntervals is how many times per heartbeat interval a controller asks the leader again about a
+	// model that isn't ready yet.
 	wakeIntervals = 8
 )
 
-// ModelConnections is how many connections of clients of models a controller takes at a time.
+// ModelConnections returns how many connections from clients of models a controller accepts at a time.
 func (s *Settings) ModelConnections() int {
 	return max(2, int(float64(s.Sockets)*modelSocketShare/2))
 }
 
-// MaxHeldRequests is how many requests for models its connections allow a controller to hold.
+// MaxHeldRequests returns how many requests for models a controller can hold within ModelConnections.
 func (s *Settings) MaxHeldRequests() int {
 	return max(1, int(float64(s.ModelConnections())*heldShare))
 }
 
-// defaultHeld is how many requests may be held at a time.
+// defaultHeld returns the default limit on requests held at a time, bounded by memory and connections.
 func (s *Settings) defaultHeld() int {
 	byMemory := int(s.memoryBytes() * heldMemoryShare / heldBytes)
 	return max(1, min(byMemory, s.MaxHeldRequests()))
 }
 
+// defaultActivation derives the defaults from the worker lease, the memory quota and the sockets.
 func (s *Settings) defaultActivation() Activation {
 	return Activation{
 		Policy: activation.Policy{
@@ -84,11 +86,12 @@
 	}
 }
 
-// RoutingLease is the longest that a controller may pass requests on by one answer of the leader.
+// RoutingLease returns the longest time for which a controller may forward requests based on one response of the
+// leader.
 func (s *Settings) RoutingLease() time.Duration { return s.HeartbeatInterval }
 
-// WakeInterval is for how long a controller goes by an answer that a model isn't ready.
+// WakeInterval returns how long a controller uses a response that a model isn't ready before it asks again.
 func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakeIntervals }
 
-// UsageInterval is how often a controller tells the leader how models are used.
+// UsageInterval returns the interval at which a controller reports the use of models to the leader.
 func (s *Settings) UsageInterval() time.Duration { return s.HeartbeatInterval }
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -1,24 +1,25 @@
 package config
 
-// Archive is the operators' part of the archive of finished jobs.
+// Archive holds the operators' settings for the archive of finished jobs.
 type Archive struct {
 	Enabled       bool // finished jobs are archived
-	KeepInJournal int  // how many of them stay in the journal
-	MemoryBytes   int  // for the archive's pages that are held in memory
+	KeepInJournal int  // number of finished jobs that stay in the journal
+	MemoryBytes   int  // limit on the memory for cached pages of the archive
 }
 
 const (
-	// finishedJobBytes is what a finished job takes of the leader's memory.
+	// finishedJobBytes is the memory that a finished job takes in the leader.
 	finishedJobBytes = 560
-	// finishedMemoryShare of the memory quota may go to finished jobs that aren't archived: the more
-	// there are, the more of them go into one write of a page.
+	// finishedMemoryShare is the share of the memory quota for finished jobs that aren't archived yet. The
+	// more there are, the more of them are written with one write of a page.
 	finishedMemoryShare = 0.01
-	// pageMemoryShare of the memory quota may go to the archive's pages.
+	// pageMemoryShare is the share of the memory quota for cached pages of the archive.
 	pageMemoryShare = 1.0 / 16
-	// restoreMemoryShare of the memory quota may go to jobs that are restored from the archive.
+	// restoreMemoryShare is the share of the memory quota for jobs restored from the archive.
 	restoreMemoryShare = 0.25
 )
 
+// defaultArchive derives the defaults from the memory quota. The archive is off by default.
 func (s *Settings) defaultArchive() Archive {
 	return Archive{
 		KeepInJournal: int(s.memoryBytes() * finishedMemoryShare / finishedJobBytes),
@@ -26,7 +27,7 @@
 	}
 }
 
-// MaxRestoredJobs is how many archived jobs may be restored into the journal.
+// MaxRestoredJobs returns how many archived jobs may be restored into the journal.
 func (s *Settings) MaxRestoredJobs() int {
 	return int(s.memoryBytes() * restoreMemoryShare / finishedJobBytes)
 }
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -7,64 +7,66 @@
 )
 
 const (
-	// WorkerResponseTimeout is how long a worker waits for the answer to a heartbeat, by the protocol.
+	// WorkerResponseTimeout is how long a worker waits for the response to a heartbeat, by the protocol.
 	WorkerResponseTimeout = 4 * time.Second
 	// WorkerRetryPause is how long a worker waits before it tries the next controller, by the protocol.
 	WorkerRetryPause = time.Second
-	// MaxLaunchMachines is how many machines one launch request may ask for, by the protocol.
+	// MaxLaunchMachines is the protocol's limit on the number of machines in one launch request.
 	MaxLaunchMachines = 50
 )
 
 const (
-	// callShare of the leadership lease is the longest that one call to the key-value store may take.
+	// callShare is the timeout of one call to the key-value store, as a share of the leadership lease.
 	callShare = 0.4
-	// renewalMargin is what RenewalGrace leaves of cancel_s - lease_s, in heartbeat intervals, beside
-	// the drift of the clocks: a worker takes a moment to end its tasks.
+	// renewalMargin is the part of cancel_s - lease_s that RenewalGrace leaves unused besides the clock
+	// drift, in heartbeat intervals, because a worker needs some time to end its tasks.
 	renewalMargin = 1.0 / 8
-	// leaseMarginDivisor gives what LeaseBound adds to a worker's lease: that part of a heartbeat
-	// interval.
+	// leaseMarginDivisor defines the margin that LeaseBound adds to a worker's lease: a heartbeat
+	// interval divided by it.
 	leaseMarginDivisor = 10
-	// FreshIntervals is for how many heartbeat intervals a machine's last report counts.
+	// FreshIntervals is the number of heartbeat intervals for which a machine's last report counts as fresh.
 	FreshIntervals = 3
 )
 
-// CallTimeout is the longest that one call of the leadership to the key-value store may take.
+// CallTimeout returns the timeout of one call to the key-value store by the leadership, the registration of
+// nodes, the upgrade gates and the archive.
 func (s *Settings) CallTimeout() time.Duration { return clock.Scale(s.Tuning.LeaderLease, callShare) }
 
-// RenewalGrace is how long after the expiry of its own lease a leader may still renew the leases of
-// workers. A successor may acknowledge a cancellation the moment that lease ends, and the tasks
-// must be gone within the cancel timeout, even where the workers hear only the old leader.
+// RenewalGrace returns how long after the expiry of its own lease a leader may still renew the leases of
+// workers. A successor may acknowledge a cancellation as soon as the old leader's lease has expired. The
+// tasks must then be gone within the cancel timeout, even if their workers reach only the old leader.
 func (s *Settings) RenewalGrace() time.Duration {
 	drift := clock.Scale(s.CancelTimeout, clock.DriftBound-1)
 	margin := clock.Scale(s.HeartbeatInterval, renewalMargin)
 	return max(0, s.CancelTimeout-s.WorkerLease-drift-margin)
 }
 
-// LeaseBound is how long after an answered heartbeat the tasks of a silent worker may still run.
+// LeaseBound returns how long the tasks of a silent worker may still run after its last acknowledged heartbeat.
 func (s *Settings) LeaseBound() time.Duration {
 	return clock.Scale(s.WorkerLease, clock.DriftBound) + s.HeartbeatInterval/leaseMarginDivisor
 }
 
-// UnconfirmedLeaseBound is the same for a worker that has not reported in this term, counted from
-// the failover: an earlier leader may have renewed its lease until the end of its renewal grace.
+// UnconfirmedLeaseBound returns how long after the failover the tasks of a worker may still run that hasn't
+// reported in this term. The earlier leader may have renewed the worker's lease until the end of its own
+// renewal grace.
 func (s *Settings) UnconfirmedLeaseBound() time.Duration {
 	return clock.Scale(s.RenewalGrace(), clock.DriftBound) + s.LeaseBound()
 }
 
-// ReportFreshness is for how long a machine's last report counts.
+// ReportFreshness returns how long a machine's last report counts as fresh.
 func (s *Settings) ReportFreshness() time.Duration { return FreshIntervals * s.HeartbeatInterval }
 
 const (
-	// minBatchWindow and maxBatchWindow bound the time that reports gather for the leader, in
-	// heartbeat intervals.
+	// minBatchWindow and maxBatchWindow bound the time for which a follower batches reports for the
+	// leader, in heartbeat intervals.
 	minBatchWindow = 1.0 / 128
 	maxBatchWindow = 1.0 / 16
-	// ampleCPUShare is the share of a core that affords the shortest window. Each batch wakes two
-	// processes, so the window widens as the share falls.
+	// ampleCPUShare is the share of a core from which the window is shortest. Each batch wakes two
+	// processes, so the window grows as the share falls below that.
 	ampleCPUShare = 0.25
 )
 
-// BatchWindow is how long a follower gathers reports, and polls, for the leader.
+// BatchWindow returns how long a follower batches reports and polls before it sends them to the leader.
 func (s *Settings) BatchWindow() time.Duration {
 	window := minBatchWindow
 	if s.CPUShare > 0 {
@@ -75,13 +77,13 @@
 }
 
 const (
-	// minLinkTestInterval is how often the links between controllers are tested with an ample share
-	// of a core, maxLinkTestInterval with little.
+	// minLinkTestInterval is the interval between tests of a link between controllers with an ample share
+	// of a core, and maxLinkTestInterval the interval with a small share.
 	minLinkTestInterval = 250 * time.Millisecond
 	maxLinkTestInterval = 2 * minLinkTestInterval
 )
 
-// LinkTestInterval is how often the links between controllers are tested.
+// LinkTestInterval returns the interval between tests of a link between controllers.
 func (s *Settings) LinkTestInterval() time.Duration {
 	if s.CPUShare <= 0 {
 		return minLinkTestInterval
@@ -90,41 +92,41 @@
 }
 
 const (
-	// minQueueSize is the least that the queues of a controller's actors hold.
+	// minQueueSize is the least capacity of the queues of a controller's actors, in requests.
 	minQueueSize = 2048
-	// announcementSocketShare of the sockets may be taken by announcing a fencing token.
+	// announcementSocketShare is the share of the sockets for announcements of a fencing token.
 	announcementSocketShare = 1.0 / 16
-	// CommitPerHeartbeat is how long one commit may take at the journal's pace, in heartbeat
-	// intervals: what waits behind it waits as long.
+	// CommitPerHeartbeat is how long one commit may take at the journal's rate of changes, in heartbeat
+	// intervals. Records for the next commit have to wait for as long.
 	CommitPerHeartbeat = 0.07
 )
 
-// QueueSize is how many requests the queues of a controller's actors hold. Every accepted connection
-// brings one request at a time, and so does every exchange with a worker or a peer, each of which
-// has a socket: a queue of as many can't overflow by them.
+// QueueSize returns how many requests the queues of a controller's actors hold. Every accepted connection, and
+// every exchange with a worker or a peer, takes a socket and brings one request at a time. A queue with a place
+// for each socket therefore can't overflow because of them.
 func (s *Settings) QueueSize() int { return max(minQueueSize, s.Sockets) }
 
-// MaxTokenAnnouncements is how many workers may be told the fencing token at a time.
+// MaxTokenAnnouncements returns to how many workers the fencing token may be announced at a time.
 func (s *Settings) MaxTokenAnnouncements() int {
 	return max(1, int(float64(s.Sockets)*announcementSocketShare))
 }
 
-// CommitBytes is how many bytes of records one commit holds.
+// CommitBytes returns how many bytes of records one commit holds.
 func (s *Settings) CommitBytes() int {
 	return s.State.BytesWithin(clock.Scale(s.HeartbeatInterval, CommitPerHeartbeat))
 }
 
 const (
-	// taskBytes is what a waiting task may cost in memory, with its share of records.
+	// taskBytes is the memory that a waiting task may take, including its share of records.
 	taskBytes = 256
-	// taskMemoryShare of the memory quota may go to waiting tasks.
+	// taskMemoryShare is the share of the memory quota for waiting tasks.
 	taskMemoryShare = 0.5
 )
 
-// MaxOpenTasks is how many tasks of unfinished jobs are accepted.
+// MaxOpenTasks returns how many tasks of unfinished jobs are accepted.
 func (s *Settings) MaxOpenTasks() int {
 	return int(s.memoryBytes() * taskMemoryShare / taskBytes)
 }
 
-// memoryBytes is the memory quota.
+// memoryBytes returns the memory quota in bytes.
 func (s *Settings) memoryBytes() float64 { return s.MemoryMB * (1 << 20) }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
-// Package config holds the checked settings of a controller: what the platform hands over, what the
-// operators tune, and the bounds that are derived from both. Package protocol reads the files; all
-// others only read the values, which never change while the process runs.
+// Package config holds the validated settings of a controller: the platform's settings, the operators'
+// tuning, and the bounds derived from both. Package protocol reads the files. All other packages only
+// read the values, which never change while the process runs.
 package config
 
 import (
@@ -16,14 +16,14 @@
 	Addr string
 }
 
-// Team is a team's guaranteed quota and its limit. A zero amount means none.
+// Team is a team with its guaranteed quota and its resource limit. A zero amount means none.
 type Team struct {
 	Name      string
 	Guarantee storage.Resources
 	Limit     storage.Resources
 }
 
-// The kinds of objectives that scheduling goes by.
+// The kinds of objectives that affect scheduling.
 const (
 	// ObjectiveWait is a bound on the time until the tasks of a class start.
 	ObjectiveWait = "wait"
@@ -40,33 +40,33 @@
 	Times  float64
 }
 
-// Settings are the checked settings of one controller.
+// Settings holds the validated settings of one controller.
 type Settings struct {
 	NodeName, Zone     string // this controller
 	Listen, PeerListen string // addresses for users and workers, and for other controllers
 	Peers              []Peer
 	CloudAddr          string
-	StateAddr          string // of the key-value store
+	StateAddr          string // address of the key-value store
 	Zones              []string
-	ClockError         time.Duration // bound on the error of the time of day
+	ClockError         time.Duration // bound on the error of the wall clock
 	Teams              []Team
 	Objectives         []Objective
 	HeartbeatInterval  time.Duration // between two heartbeats of a worker
-	WorkerLease        time.Duration // after which a worker without an answer ends its tasks
-	GangWait           time.Duration // for which the tasks of a gang wait for each other; 0: not stated
-	GangStopWindow     time.Duration // within which all tasks of a gang must be told to stop, to save together
-	CancelTimeout      time.Duration // within which the tasks of a cancelled job must be gone
+	WorkerLease        time.Duration // time after which a worker without a response ends its tasks
+	GangWait           time.Duration // how long the tasks of a gang wait for each other; 0: not stated
+	GangStopWindow     time.Duration // time within which all tasks of a gang must receive the stop command, to save together
+	CancelTimeout      time.Duration // time within which the tasks of a cancelled job must be gone
 	State              storage.Limits
-	CloudRPS           float64       // requests a second that the cloud accepts
-	ListLag            time.Duration // by which the cloud's machine list is late
-	CPUShare           float64       // of one core
-	MemoryMB           float64
-	Sockets            int
+	CloudRPS           float64       // requests per second that the cloud accepts
+	ListLag            time.Duration // how far the cloud's machine list lags behind
+	CPUShare           float64       // quota, as a share of one core
+	MemoryMB           float64       // quota
+	Sockets            int           // quota
 	Tuning             Tuning
-	Warnings           []string // of deprecated settings, for operators
+	Warnings           []string // warnings about deprecated settings, for operators
 }
 
-// Team returns the team of that name, or nil.
+// Team returns the team with the given name, or nil.
 func (s *Settings) Team(name string) *Team {
 	for i := range s.Teams {
 		if s.Teams[i].Name == name {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// StartObjective returns within what time the tasks of a class are to start, or 0 if that is not
-// stated.
+// StartObjective returns the time within which the tasks of a class should start, or 0 if no objective
+// states one.
 func (s *Settings) StartObjective(class string) time.Duration {
 	for _, o := range s.Objectives {
 		if o.Kind == ObjectiveWait && o.Class == class {
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// GuaranteedStartObjective returns within what time work within its team's guarantee is to start,
-// or 0 if that is not stated.
+// GuaranteedStartObjective returns the time within which work within its team's guarantee should start,
+// or 0 if no objective states one.
 func (s *Settings) GuaranteedStartObjective() time.Duration {
 	for _, o := range s.Objectives {
 		if o.Kind == ObjectiveGuarantee {
@@ -98,7 +98,7 @@
 	return 0
 }
 
-// ControllerNames lists all controllers, this one first.
+// ControllerNames returns the names of all controllers, this one first.
 func (s *Settings) ControllerNames() []string {
 	names := []string{s.NodeName}
 	for _, p := range s.Peers {
@@ -107,8 +107,8 @@
 	return names
 }
 
-// IsOpportunistic reports whether a job is opportunistic work: best-effort work of a team without a
-// guarantee that no objective is stated for.
+// IsOpportunistic reports whether a job is opportunistic work: best-effort batch work, without a deadline and
+// not in a gang, of a team without a guarantee and of a class without an objective.
 func (s *Settings) IsOpportunistic(spec *storage.Spec) bool {
 	if spec.Priority > storage.BestEffort || spec.DeadlineS > 0 || spec.Service || spec.Gang {
 		return false
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,11 +7,11 @@
 	"sagevale/internal/storage"
 )
 
-// Each batch of reports wakes a follower and the leader: the smaller the share of a
-// processor, the fewer there may be.
+// Each batch of reports wakes a follower and the leader, so a controller with a smaller share of a core must send
+// fewer batches.
 func TestBatchWindowWidensAsCPUShareFalls(t *testing.T) {
 	if got := (&Settings{HeartbeatInterval: time.Minute, CPUShare: 0.001}).BatchWindow(); got > WorkerResponseTimeout/8 {
-		t.Errorf("reports gather for %v, and a worker waits for %v", got, WorkerResponseTimeout)
+		t.Errorf("the batch window is %v, want at most an eighth of the %v that a worker waits", got, WorkerResponseTimeout)
 	}
 	for _, c := range []struct {
 		share float64
@@ -22,17 +22,16 @@
 	} {
 		s := Settings{HeartbeatInterval: 4 * time.Second, CPUShare: c.share}
 		if got := s.BatchWindow(); got != c.want {
-			t.Errorf("at a share of %v reports gather for %v", c.share, got)
+			t.Errorf("at a CPU share of %v the batch window is %v", c.share, got)
 		}
 	}
 }
 
-// Links are tested as often as ever with an ample share of a processor, half as often
-// with little.
+// Links are tested at the shortest interval with an ample share of a core, and half as often with a small share.
 func TestLinkTestIntervalFollowsCPUShare(t *testing.T) {
 	for share, want := range map[float64]time.Duration{0: minLinkTestInterval, 1: minLinkTestInterval, 0.25: minLinkTestInterval, 0.2: 5 * minLinkTestInterval / 4, 0.036: maxLinkTestInterval} {
 		if got := (&Settings{CPUShare: share}).LinkTestInterval(); got != want {
-			t.Errorf("at a share of %v every %v", share, got)
+			t.Errorf("at a CPU share of %v links are tested every %v", share, got)
 		}
 	}
 }
@@ -46,7 +45,7 @@
 	}
 }
 
-// Machines are terminated one at a time, but a large fleet must not take hours.
+// Machines are terminated one at a time, but scaling in a large fleet must not take hours.
 func TestCooldownShrinksWithFleetSize(t *testing.T) {
 	s := Settings{WorkerLease: 22 * time.Second}
 	s.Tuning = s.DefaultTuning()
@@ -56,7 +55,7 @@
 	}
 }
 
-// opportunisticSpec is a job of opportunistic work.
+// opportunisticSpec returns the specification of an opportunistic job.
 func opportunisticSpec() storage.Spec {
 	return storage.Spec{ID: "000001", Class: "idle", Team: "team", Tasks: 1, Priority: storage.BestEffort, Spot: true}
 }
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -7,31 +7,31 @@
 	"sagevale/internal/upgrade"
 )
 
-// Tuning holds the operators' own settings.
+// Tuning holds the operators' settings.
 type Tuning struct {
-	ScaleOutWindow     time.Duration // for which demand must exceed the fleet before it scales out
-	ScaleInWindow      time.Duration // for which all machines must be healthy before the fleet scales in
-	Cooldown           time.Duration // pause after a machine was drained
-	ScaleOutStep       int           // machines per step of a small fleet
+	ScaleOutWindow     time.Duration // how long demand must exceed the fleet before it scales out
+	ScaleInWindow      time.Duration // how long all machines must be healthy before the fleet scales in
+	Cooldown           time.Duration // pause after a drain request or a scale-out step before the next drain
+	ScaleOutStep       int           // most machines per scale-out step of a small fleet, see MaxScaleOut
 	LeaderLease        time.Duration // time to live of the leadership lease
-	HeadroomDeviations float64       // standard deviations of arrivals that resources are kept for
+	HeadroomDeviations float64       // margin of the headroom, in standard deviations of the arrivals
 	Upgrade            upgrade.Settings
 	Archive            Archive
 	Fencing            Fencing
 	Activation         Activation
 }
 
-// Fencing is how workers' fencing tokens are raised within a term.
+// Fencing holds the operators' settings for raising workers' fencing tokens within a term.
 type Fencing struct {
 	Enabled bool
-	// Window is how many exited attempts a worker remembers before its token is raised. A worker
-	// with more live tasks than that remembers as many.
+	// Window is how many exited attempts a worker remembers before its token is raised. For a worker with
+	// more live tasks than that, it is the number of its live tasks.
 	Window int
 }
 
-// Ratios of the defaults to the platform's figures.
+// Ratios of the default settings to the platform's settings.
 const (
-	scaleOutWindowPerHeartbeat = 0.3 // DESIGN starts at 10 s
+	scaleOutWindowPerHeartbeat = 0.3 // DESIGN gives 10 s as the initial value
 	scaleInWindowPerLease      = 1.0
 	scaleInCooldownPerLease    = 0.25
 	leaderLeasePerLease        = 0.08
@@ -40,26 +40,27 @@
 )
 
 const (
-	defaultScaleOutStep       = 4 * MaxLaunchMachines // DESIGN starts at 4
+	defaultScaleOutStep       = 4 * MaxLaunchMachines // DESIGN gives 4 as the initial value
 	defaultHeadroomDeviations = 1.0
 	defaultFencingWindow      = 16
 )
 
-// MaxScaleOut is the most machines that one step may launch for a fleet of that size: the operators'
-// figure, or as many as the fleet has, so that a fleet of any size at most doubles.
+// MaxScaleOut returns the most machines that one scale-out step may launch for a fleet of the given size:
+// ScaleOutStep or the size of the fleet, whichever is larger. A fleet larger than ScaleOutStep thus at most
+// doubles in one step.
 func (t *Tuning) MaxScaleOut(size int) int { return max(t.ScaleOutStep, size) }
 
-// CooldownFleetSize is the size of the fleet that the cooldown is meant for. A larger one scales in
-// faster in proportion, still one machine at a time, so that a whole fleet of any size above takes
-// as long.
+// CooldownFleetSize is the largest fleet size to which the full cooldown applies. A larger fleet has a
+// proportionally shorter cooldown, still with one machine at a time, so that scaling in a given share of the
+// fleet takes equally long at any larger size.
 const CooldownFleetSize = 16
 
-// CooldownFor is the pause after a machine of a fleet of that size was drained.
+// CooldownFor returns the cooldown after a drain request in a fleet of the given size.
 func (t *Tuning) CooldownFor(size int) time.Duration {
 	return clock.Scale(t.Cooldown, min(1, CooldownFleetSize/float64(max(size, 1))))
 }
 
-// DefaultTuning derives the operators' defaults from the platform's figures.
+// DefaultTuning derives the defaults of the operators' settings from the platform's settings.
 func (s *Settings) DefaultTuning() Tuning {
 	return Tuning{
 		ScaleOutWindow:     clock.Scale(s.HeartbeatInterval, scaleOutWindowPerHeartbeat),
@@ -75,7 +76,7 @@
 	}
 }
 
-// defaultUpgrade is the policy that finalizes nothing by itself.
+// defaultUpgrade returns upgrade settings that finalize no version automatically.
 func (s *Settings) defaultUpgrade() upgrade.Settings {
 	settings := upgrade.DefaultSettings()
 	settings.Policy.Soak = clock.Scale(s.WorkerLease, soakPerLease)
--- a/internal/groupcommit/bulk_pacer.go
+++ b/internal/groupcommit/bulk_pacer.go
@@ -6,30 +6,33 @@
 )
 
 const (
-	// reservedShare of the changes that can be saved up is reserved for the other lanes.
+	// reservedShare is the share of the burst that is reserved for the other lanes.
 	reservedShare = 0.5
-	// minShare of those changes is the least that a commit of bulk is worth: each commit has
-	// the same cost however little it holds.
+	// minShare is the least share of the burst for which a commit of bulk is made, because each
+	// commit has the same fixed cost however little it holds.
 	minShare = 1.0 / 8
-	// minDelay is the least time after which bulk that is held back is considered again: a
-	// shorter one would have the queue's owner spin.
+	// minDelay is the least time until bulk that is held back is checked again. With a shorter
+	// one the queue's owner would spin.
 	minDelay = time.Millisecond
 )
 
-// BulkPacer keeps the bulk lane from using up the changes that the journal has saved up. Without
-// it, every commit beside a backlog of bulk waits for the journal's rate, and whoever needs a
-// commit waits for the one in flight and for the next. With it, bulk is written at the
-// journal's rate, and the other lanes find saved changes. It is not safe for concurrent use.
+// BulkPacer limits how much of the journal's saved changes the bulk lane may use. The journal
+// limits its changes by a token bucket; saved changes are the tokens in it, and burst is its size.
+//
+// Without a pacer a backlog of bulk empties the bucket. Every commit then waits for the journal's
+// rate, and a caller that needs a commit waits for the one in flight and for the next. With it,
+// bulk is written at the journal's rate, and the other lanes find saved changes. It is not safe for
+// concurrent use.
 type BulkPacer struct {
-	maxWait   time.Duration // the longest that bulk is held back
-	heldSince time.Time     // zero: bulk isn't held back
+	maxWait   time.Duration // longest time for which bulk is held back
+	heldSince time.Time     // time since when bulk is held back; zero: it isn't
 }
 
-// NewBulkPacer returns a pacer that holds bulk back for at most maxWait at a time.
+// NewBulkPacer returns a pacer that holds bulk back for at most maxWait without a break.
 func NewBulkPacer(maxWait time.Duration) *BulkPacer { return &BulkPacer{maxWait: maxWait} }
 
-// Allow returns how many changes the bulk lane may use when so many are saved, of at most burst.
-// 0 holds it back. Once it has been held back for too long it may use any number, once.
+// Allow returns how many changes the bulk lane may use now, given the saved changes and their maximum,
+// burst. 0 holds the lane back. Once the lane has been held back for maxWait, one call returns infinity.
 func (p *BulkPacer) Allow(now time.Time, saved, burst float64) float64 {
 	spare := saved - reservedShare*burst
 	if spare >= minShare*burst {
@@ -46,8 +49,8 @@
 	return 0
 }
 
-// Due returns after what time bulk that is held back may be allowed, at a rate of changes a
-// second.
+// Due returns the time after which to call Allow again while bulk is held back. rate is the number of
+// changes per second that the journal saves.
 func (p *BulkPacer) Due(now time.Time, saved, burst, rate float64) time.Duration {
 	due := p.maxWait - now.Sub(p.heldSince)
 	if missing := (reservedShare+minShare)*burst - saved; rate > 0 {
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -12,8 +12,8 @@
 	testMaxWait = 300 * time.Millisecond
 )
 
-// Without the pacer each commit beside a backlog waited for the journal's rate, and a
-// submission for two of them.
+// Guards against a backlog of bulk using up the saved changes: without the pacer each commit waited for the
+// journal's rate, and a submission waited for two commits.
 func TestBulkPacerReservesSavedChanges(t *testing.T) {
 	now := time.Now()
 	p := NewBulkPacer(testMaxWait)
@@ -30,7 +30,7 @@
 	}
 }
 
-// Other lanes that use up all changes don't hold bulk back forever.
+// Bulk must be written eventually, even if the other lanes use up all saved changes.
 func TestBulkPacerAllowsBulkAfterMaxWait(t *testing.T) {
 	const saved = 1
 	began := time.Now()
--- a/internal/groupcommit/lane.go
+++ b/internal/groupcommit/lane.go
@@ -1,12 +1,12 @@
 package groupcommit
 
-// lane holds the entities of one lane. Each has the number of its first mark since it was last
-// taken into a commit.
+// lane is a queue of the entities of one lane that wait for a commit. Marks are numbered. An entity
+// has the number of its first mark since it was last taken into a commit.
 type lane struct {
-	waiting map[string]entity
-	order   []entity // the oldest mark first; some have moved to another lane since
-	marked  uint64   // the number of the last mark
-	taken   uint64   // marks up to this one are in a commit
+	waiting map[string]entity // by key
+	order   []entity // oldest mark first; includes entities that have moved to another lane since
+	marked  uint64   // number of the last mark
+	taken   uint64   // marks up to this one were taken into a commit
 	durable uint64   // marks up to this one are durable
 }
 
@@ -14,10 +14,10 @@
 type entity struct {
 	key  string
 	mark uint64
-	data func() any // returns its value
+	data func() any // returns the value to write, or nil to remove the entity
 }
 
-// add adds an entity that doesn't wait in the lane yet, and returns its mark.
+// add adds an entity that isn't waiting in the lane yet, and returns its mark.
 func (l *lane) add(key string, data func() any) (mark uint64) {
 	l.marked++
 	e := entity{key: key, mark: l.marked, data: data}
@@ -26,17 +26,17 @@
 	return e.mark
 }
 
-// oldest returns the oldest entity, which must wait in the lane, with the data that it was marked
-// with last.
+// oldest returns the oldest entity with the data of its last mark. The entity must still be waiting in the
+// lane: skipMoved ensures that.
 func (l *lane) oldest() entity { return l.waiting[l.order[0].key] }
 
-// takeOldest removes the oldest entity.
+// takeOldest removes the oldest entity from the lane, as taken into a commit.
 func (l *lane) takeOldest() {
 	delete(l.waiting, l.order[0].key)
 	l.skipOldest()
 }
 
-// skipMoved skips the oldest entities if they have moved to another lane.
+// skipMoved drops the oldest entries of order as long as their entities have moved to another lane.
 func (l *lane) skipMoved() {
 	for len(l.order) > 0 {
 		oldest := l.order[0]
@@ -47,6 +47,7 @@
 	}
 }
 
+// skipOldest drops the oldest entry of order and counts its mark as taken.
 func (l *lane) skipOldest() {
 	l.taken = l.order[0].mark
 	l.order = l.order[1:]
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -1,13 +1,13 @@
-// Package groupcommit owns what is to become durable, and groups it into commits of a bounded
-// size. Entities are written in the order in which they were marked, each in its lane. The lanes
-// share a commit evenly, and what one doesn't need the others get: a flood in one lane delays
-// the others little.
+// Package groupcommit queues changed entities and groups their records into commits of bounded size.
+// Within a lane, entities are written in the order in which they were marked. The lanes share a
+// commit evenly, and the part that one lane doesn't need goes to the others. A flood of changes in
+// one lane therefore delays the others little.
 //
-// A Queue does no input or output and is not safe for concurrent use: its owner hands each
-// commit to the journal and reports the result to the queue. The invariants:
+// A Queue does no input or output and is not safe for concurrent use. Its owner passes each commit
+// to the journal and reports the result to the queue. The invariants are:
 //
 //   - At most one commit is in flight.
-//   - An entity waits in at most one lane, and is written as it is when its commit begins.
+//   - An entity waits in at most one lane. The value written is that at the beginning of its commit.
 //   - A callback is called exactly once: when everything that it waits for is durable, or when a
 //     commit fails.
 package groupcommit
@@ -18,14 +18,14 @@
 	"sagevale/internal/storage"
 )
 
-// Lane is a class of entities by who waits for them.
+// Lane is a class of entities with a share of each commit of its own.
 type Lane int
 
 // The lanes.
 const (
 	// Urgent is for urgent jobs and the starts of their tasks.
 	Urgent Lane = iota
-	// Interactive is for what the users of other jobs wait for: submissions, cancellations and
+	// Interactive is for records that users of other jobs wait for: submissions, cancellations and
 	// final states.
 	Interactive
 	// Bulk is for everything else.
@@ -33,17 +33,17 @@
 	laneCount
 )
 
-// Queue holds the entities that wait for a commit, and those of the commit in flight.
+// Queue holds the entities that wait for a commit and the keys of those in the commit in flight.
 type Queue struct {
 	lanes      [laneCount]lane
 	waiters    []waiter
-	bulkBytes  int             // how many bytes of the bulk lane a commit may hold
+	bulkBytes  int             // limit on the bytes of the bulk lane in a commit; 0: the lane is held back
 	inFlight   bool            // a commit is in flight
-	committing map[string]bool // its entities
-	full       bool            // it left entities of the interactive lane behind
+	committing map[string]bool // keys of the entities in the commit in flight
+	full       bool            // the last commit left entities of the interactive lane behind
 }
 
-// New returns an empty queue without a limit for bulk.
+// New returns an empty queue without a limit for the bulk lane.
 func New() *Queue {
 	q := &Queue{bulkBytes: math.MaxInt}
 	for i := range q.lanes {
@@ -52,9 +52,9 @@
 	return q
 }
 
-// Mark notes that an entity has changed. data is called for its value when its commit begins,
-// and returns nil if the entity is removed. An entity that waits in another lane moves to this
-// one: it is written once, as it was marked last.
+// Mark queues a changed entity in a lane. data is called when the entity's commit begins, and returns its
+// value, or nil if the entity is removed. An entity that waits in another lane moves to this one. It is
+// written once, with the data of its last mark.
 func (q *Queue) Mark(in Lane, key string, data func() any) {
 	l := &q.lanes[in]
 	if old, waits := l.waiting[key]; waits {
@@ -70,8 +70,8 @@
 	}
 }
 
-// remove removes an entity from a lane if it waits there. Callbacks that wait for it there wait
-// for its mark in the other lane instead.
+// remove removes an entity from a lane if it waits there. Callbacks that wait for it in that lane then
+// wait for its mark in the other lane.
 func (q *Queue) remove(from Lane, key string, to Lane, mark uint64) {
 	old, waits := q.lanes[from].waiting[key]
 	if !waits {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Durable reports whether the latest mark of an entity is durable.
+// Durable reports whether the entity's last marked change is durable.
 func (q *Queue) Durable(key string) bool {
 	for i := range q.lanes {
 		if _, waits := q.lanes[i].waiting[key]; waits {
@@ -95,19 +95,20 @@
 	return !q.committing[key]
 }
 
-// Waiting returns how many entities of a lane are in no commit yet.
+// Waiting returns the number of entities in a lane that aren't in a commit yet.
 func (q *Queue) Waiting(in Lane) int { return len(q.lanes[in].waiting) }
 
-// LimitBulk limits how many bytes of the bulk lane a commit may hold. 0 holds the lane back; any
-// other limit allows at least one record.
+// LimitBulk limits the bytes of the bulk lane in the next commits. 0 holds the lane back. Any other limit
+// allows at least one record.
 func (q *Queue) LimitBulk(bytes int) { q.bulkBytes = bytes }
 
 // Idle reports whether no commit is in flight.
 func (q *Queue) Idle() bool { return !q.inFlight }
 
-// BeginCommit begins a commit of at most so many bytes, but of at least one record if any waits. It
-// returns false while a commit is in flight, and if nothing waits. Entities that can't be
-// encoded are passed to failed and left out.
+// BeginCommit begins a commit and returns its records. It returns false if a commit is in flight, or if no
+// entity may be written and no callback is due. The commit takes entities until it has reached the limit in
+// bytes, and at least one if any waits, so that its last record of a lane may exceed the limit. Entities
+// that can't be encoded are passed to failed and left out.
 func (q *Queue) BeginCommit(bytes int, failed func(key string, err error)) ([]storage.Record, bool) {
 	waiting := q.lanesWaiting()
 	if q.inFlight || waiting == 0 && !q.callbackDue() {
@@ -119,12 +120,12 @@
 	}
 	c := commit{bytesLeft: bytes, bulkLeft: q.bulkBytes, failed: failed}
 	q.fill(&c, bytes/max(1, waiting))
-	q.fill(&c, bytes) // with what some lanes have left of their shares
+	q.fill(&c, bytes) // what some lanes left of their shares goes to the others
 	q.full = q.Waiting(Interactive) > 0
 	return c.records, true
 }
 
-// commit is a commit that is put together.
+// commit is a commit that is being filled.
 type commit struct {
 	records   []storage.Record
 	bytesLeft int
@@ -132,7 +133,7 @@
 	failed    func(key string, err error)
 }
 
-// fill adds up to share bytes of each lane to a commit.
+// fill adds about share bytes of each lane to a commit.
 func (q *Queue) fill(c *commit, share int) {
 	for i := range laneCount {
 		most := min(share, c.bytesLeft)
@@ -150,8 +151,8 @@
 	}
 }
 
-// take adds the oldest entities of a lane to a commit, the first however large it is, and
-// returns how many bytes they take.
+// take adds the oldest entities of a lane to a commit until they take up the given bytes, and returns their
+// size. It adds at least one record, however large.
 func (q *Queue) take(from Lane, c *commit, bytes int) (used int) {
 	l := &q.lanes[from]
 	for len(l.order) > 0 && (used == 0 || used < bytes) {
@@ -170,7 +171,7 @@
 	return used
 }
 
-// lanesWaiting returns how many lanes have entities that the next commit may hold.
+// lanesWaiting returns the number of lanes with entities that the next commit may contain.
 func (q *Queue) lanesWaiting() (n int) {
 	for i := range laneCount {
 		if q.Waiting(i) > 0 && (i != Bulk || q.bulkBytes > 0) {
@@ -180,9 +181,9 @@
 	return n
 }
 
-// EndCommit ends the commit in flight with its result, and calls the callbacks that waited for
-// it. After an error these are all callbacks. It reports whether the commit was full, so that
-// entities of the interactive lane had to be left to the next one.
+// EndCommit ends the commit in flight with its result, and calls the callbacks that are due. If the commit
+// failed these are all callbacks. It reports whether the commit was full, which means that entities of the
+// interactive lane were left for the next one.
 func (q *Queue) EndCommit(err error) (full bool) {
 	for i := range q.lanes {
 		q.lanes[i].durable = q.lanes[i].taken
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -13,11 +13,13 @@
 	"sagevale/internal/storage"
 )
 
+// unencodable is the failed callback of tests in which every entity can be encoded.
 func unencodable(key string, err error) { panic(fmt.Sprint(key, err)) }
 
-// value returns the data of an entity of about that many bytes.
+// value returns a data function for an entity of about the given size.
 func value(bytes int) func() any { return func() any { return strings.Repeat("x", bytes) } }
 
+// keys returns the keys of the records, in order.
 func keys(records []storage.Record) (out []string) {
 	for _, r := range records {
 		out = append(out, r.Key)
@@ -25,14 +27,15 @@
 	return out
 }
 
-// model is a queue beside a model of it: values that count up, and which of them are durable.
+// model runs a queue and a reference model of it side by side. The value of an entity counts its marks, and the
+// model records which values are durable.
 type model struct {
 	queue        *Queue
-	values       map[string]int  // the entities' latest values
-	lanes        map[string]Lane // where they were marked last
-	committing   map[string]int  // the values in the commit in flight; nil: none is
+	values       map[string]int  // the latest value of each entity
+	lanes        map[string]Lane // the lane of each entity's last mark
+	committing   map[string]int  // the values in the commit in flight; nil: there is none
 	durable      map[string]int
-	callbacks    map[int]map[string]int // the values that each callback waits for
+	callbacks    map[int]map[string]int // the values that each open callback waits for
 	nextCallback int
 	failed       bool // the last commit failed
 }
@@ -44,13 +47,14 @@
 	}
 }
 
+// mark changes an entity's value and marks it in a lane.
 func (m *model) mark(in Lane, key string) {
 	m.values[key]++
 	m.lanes[key] = in
 	m.queue.Mark(in, key, func() any { return m.values[key] })
 }
 
-// await adds a callback that checks that everything it waits for is durable.
+// await registers a callback that checks, when called, that everything it waits for is durable.
 func (m *model) await(t *rapid.T, in ...Lane) {
 	waits := make(map[string]int)
 	for key, v := range m.values {
@@ -82,6 +86,7 @@
 	}
 }
 
+// begin begins a commit and records the values in it.
 func (m *model) begin(bytes int) bool {
 	records, ok := m.queue.BeginCommit(bytes, unencodable)
 	if !ok {
@@ -94,6 +99,7 @@
 	return true
 }
 
+// end ends the commit in flight with a result.
 func (m *model) end(err error) {
 	m.failed = err != nil
 	if err == nil {
@@ -103,8 +109,8 @@
 	m.queue.EndCommit(err)
 }
 
-// Whatever is marked, awaited and committed in any order, callbacks are called once, as soon as
-// everything that they wait for is durable, and nothing is left in the queue.
+// In any sequence of marks, callbacks and commits, each callback must be called exactly once and not before
+// everything that it waits for is durable. Nothing may be left in the queue in the end.
 func TestCallbacksWaitUntilDurable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -152,7 +158,7 @@
 	})
 }
 
-// A flood in one lane delays the others by at most one commit.
+// A flood of changes in one lane must not keep the entities of the other lanes out of the next commit.
 func TestLanesShareCommits(t *testing.T) {
 	for flood := range laneCount {
 		q := New()
--- a/internal/groupcommit/waiter.go
+++ b/internal/groupcommit/waiter.go
@@ -1,13 +1,13 @@
 package groupcommit
 
-// waiter is a callback that waits until marks of each lane are durable.
+// waiter is a callback with the mark of each lane up to which it waits for durability; 0: none.
 type waiter struct {
 	marks    [laneCount]uint64
 	callback func(error)
 }
 
-// OnDurable calls back once everything that is marked now in some lanes is durable, or with the
-// error of a commit that failed. The callback comes from Committed.
+// OnDurable registers a callback for when all entities that are marked now in the given lanes are durable.
+// If a commit fails before, the callback gets its error. EndCommit makes the call.
 func (q *Queue) OnDurable(callback func(error), in ...Lane) {
 	w := waiter{callback: callback}
 	for _, lane := range in {
@@ -16,10 +16,10 @@
 	q.waiters = append(q.waiters, w)
 }
 
-// OnAllDurable is OnDurable for all lanes.
+// OnAllDurable registers a callback like OnDurable for all lanes.
 func (q *Queue) OnAllDurable(callback func(error)) { q.OnDurable(callback, Urgent, Interactive, Bulk) }
 
-// callbackDue reports whether some callback waits only for what is durable.
+// callbackDue reports whether everything that some callback waits for is durable already.
 func (q *Queue) callbackDue() bool {
 	for i := range q.waiters {
 		if q.isDue(&q.waiters[i]) {
@@ -29,7 +29,7 @@
 	return false
 }
 
-// isDue reports whether everything that a callback waits for is durable.
+// isDue reports whether everything that a waiter waits for is durable.
 func (q *Queue) isDue(w *waiter) bool {
 	for i := range q.lanes {
 		if q.lanes[i].durable < w.marks[i] {
@@ -39,7 +39,7 @@
 	return true
 }
 
-// removeDue removes the callbacks that are due after a commit; after one that failed all are.
+// removeDue removes and returns the waiters that are due after a commit. After a failed commit all are due.
 func (q *Queue) removeDue(err error) (due []waiter) {
 	waiters := q.waiters
 	q.waiters = nil // callbacks may add others
