--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// desiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one
-	// because a step launches those of the desired machines first that boot longest.
+	// desiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one so
+	// that each step can choose the desired machines that boot longest and launch them first.
 	desiredSteps = 4
 	// hedgeShare is the share of the booting machines that waiting services count on for which extra
 	// machines are launched, because some boot late and some never come up. With many machines chance
@@ -34,7 +34,7 @@
 	exhausted     placement.ExhaustedShapes
 	desired       []cloud.Offering // machines to launch for tasks that fit on no candidate
 	maxDesired    int
-	opportunistic int            // number of desired machines for opportunistic work; they are last in desired
+	opportunistic int            // number of desired machines for opportunistic work
 	zoneSizes     map[string]int // number of machines, with the desired ones, by zone
 }
 
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -58,7 +58,7 @@
 	return now.Sub(m.FirstSeen).Seconds() / m.Type.BootS
 }
 
-// NoteProvisioned records that a machine has come up, if its launch was observed in this term.
+// NoteProvisioned records that a machine has come up, if its launch was observed.
 func (r *Reviewer) NoteProvisioned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || m.Type == nil || m.Type.BootS <= 0 {
 		return
@@ -68,7 +68,7 @@
 	r.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
-// noteAbandoned records that a machine is terminated because it hasn't come up.
+// noteAbandoned records that a machine is terminated that never came up, if its launch was observed.
 func (r *Reviewer) noteAbandoned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -10,12 +10,12 @@
 
 // Snapshot is the state of the fleet and of the demand from which the autoscaler decides.
 type Snapshot struct {
-	Desired          []cloud.Offering   // machines to launch for the demand, in order of urgency
-	NonOpportunistic int                // number of desired machines for other than opportunistic work; they come first
+	Desired          []cloud.Offering   // machines to launch for the demand, in the order of packing
+	NonOpportunistic int                // number of desired machines for other than opportunistic work
 	Healthy          bool               // the last report of every confirmed machine is fresh
 	Surplus          []SurplusMachine   // machines that may be drained and terminated, one after the other
-	Emptied          []int              // drained machines without tasks, to be terminated
-	Lost             []int              // failed, silent or never provisioned machines, and those already terminating, to be terminated
+	Emptied          []int              // machines to terminate: drained and without tasks
+	Lost             []int              // machines to terminate: failed, silent, never provisioned or already terminating
 	DrainsRequested  int                // drain requests that the scheduler had received
 	Draining         bool               // a draining machine still has tasks
 	Size             int                // number of machines that are neither terminating nor failed
