--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -18,7 +18,7 @@
 	"sagevale/internal/storage"
 )
 
-// Lane is a class of entities with a share of each commit of its own.
+// Lane is a class of entities, by who waits for them to become durable. Each lane has its share of a commit.
 type Lane int
 
 // The lanes.
@@ -106,9 +106,9 @@
 func (q *Queue) Idle() bool { return !q.inFlight }
 
 // BeginCommit begins a commit and returns its records. It returns false if a commit is in flight, or if no
-// entity may be written and no callback is due. The commit takes entities until it has reached the limit in
-// bytes, and at least one if any waits, so that its last record of a lane may exceed the limit. Entities
-// that can't be encoded are passed to failed and left out.
+// entity may be written and no callback is due. It takes entities until the records reach the limit in bytes,
+// and takes at least one if any may be written. The last record may therefore exceed the limit. Entities that
+// can't be encoded are passed to failed and left out.
 func (q *Queue) BeginCommit(bytes int, failed func(key string, err error)) ([]storage.Record, bool) {
 	waiting := q.lanesWaiting()
 	if q.inFlight || waiting == 0 && !q.callbackDue() {
