--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -30,8 +30,8 @@
 	mailboxSize = 256
 	// tickPerHeartbeat is the interval between two ticks of the autoscaler, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// cloudShare is the share of the cloud's request rate limit that the autoscaler uses.
-	cloudShare = 0.8
+	// cloudRequestShare is the share of the cloud's request rate limit that the autoscaler uses.
+	cloudRequestShare = 0.8
 )
 
 // Cloud is the cloud provider's interface for listing, launching and terminating machines.
@@ -79,23 +79,23 @@
 
 // Autoscaler is the actor that owns the fleet's desired size.
 type Autoscaler struct {
-	settings  *config.Settings
-	cloud     Cloud
-	journal   Journal
-	scheduler Scheduler
-	term      uint64
-	log       *slog.Logger
-	mailbox   chan message
-	done      <-chan struct{}
-	limiter   *rate.Limiter
-	calls     sync.WaitGroup // calls of the cloud in flight; Run waits for them before it returns
-	started   time.Time
+	settings   *config.Settings
+	cloud      Cloud
+	journal    Journal
+	scheduler  Scheduler
+	term       uint64
+	log        *slog.Logger
+	mailbox    chan message
+	done       <-chan struct{}
+	limiter    *rate.Limiter
+	cloudCalls sync.WaitGroup // calls of the cloud in flight; Run waits for them before it returns
+	started    time.Time
 
 	// The desired size and the launch requests that work towards it.
-	desired    int
-	launches   map[string]*launch // requests without a response, by name
-	lastLaunch int  // number of the last launch request in this term
-	recording  bool // the commit of a step is in flight
+	desired          int
+	launches         map[string]*pendingLaunch // requests without a response, by name
+	lastLaunchNumber int                       // number of the last launch request in this term
+	commitInFlight   bool                      // the commit of a step is in flight
 
 	// The conditions for a step.
 	demandSince   time.Time // zero: there is no demand
@@ -104,23 +104,23 @@
 	backOffUntil  time.Time // scaling is frozen until then
 
 	// Scaling in.
-	surplus         []SurplusMachine // machines left to drain one after the other, from the last snapshot
-	drainCompleted  bool             // the last requested drain is over
-	drainsRequested int
-	size            int // fleet size in the last snapshot, minus the drains requested since
-	toTerminate     []int // machines not yet in a termination request
-	terminating     bool  // a termination request is in flight
+	surplus             []SurplusMachine // machines left to drain one after the other, from the last snapshot
+	drainCompleted      bool             // the last requested drain is over
+	drainsRequested     int
+	size                int   // fleet size in the last snapshot, minus the drains requested since
+	toTerminate         []int // machines not yet in a termination request
+	terminationInFlight bool  // a termination request is in flight
 
 	// Polling the cloud.
-	listing      bool // a read of the machine list is in flight
-	lastList     time.Time
-	listPages    int  // pages of the last list
-	readingTypes bool // a read of the machine types is in flight
-	lastTypes    time.Time
+	listInFlight  bool // a read of the machine list is in flight
+	lastListAt    time.Time
+	lastListPages int  // pages of the last list
+	typesInFlight bool // a read of the machine types is in flight
+	lastTypesAt   time.Time
 }
 
-// launch is a launch request without a final response from the cloud.
-type launch struct {
+// pendingLaunch is a launch request without a final response from the cloud.
+type pendingLaunch struct {
 	storage.LaunchRecord
 	durable bool // its record is committed; it must not be sent before
 	sending bool // a call for it is in flight
@@ -138,15 +138,15 @@
 		log:       c.Log,
 		mailbox:   make(chan message, mailboxSize),
 		done:      c.Done,
-		limiter:   rate.NewLimiter(rate.Limit(c.Settings.CloudRPS*cloudShare), max(1, int(c.Settings.CloudRPS*cloudShare))),
+		limiter:   rate.NewLimiter(rate.Limit(c.Settings.CloudRPS*cloudRequestShare), max(1, int(c.Settings.CloudRPS*cloudRequestShare))),
 		started:   time.Now(),
 
 		desired:        c.Desired,
-		launches:       make(map[string]*launch),
+		launches:       make(map[string]*pendingLaunch),
 		drainCompleted: true,
 	}
 	for name, record := range c.Launches {
-		a.launches[name] = &launch{LaunchRecord: record, durable: true}
+		a.launches[name] = &pendingLaunch{LaunchRecord: record, durable: true}
 	}
 	return a
 }
@@ -180,7 +180,7 @@
 	defer tick.Stop()
 	cooldown := time.NewTimer(0) // fires at the end of the cooldown after a drain
 	defer cooldown.Stop()
-	defer a.calls.Wait() // the calls end with ctx
+	defer a.cloudCalls.Wait() // the calls end with ctx
 	for {
 		select {
 		case <-ctx.Done():
@@ -217,7 +217,7 @@
 	sustained := len(s.Desired) > 0 && now.Sub(a.demandSince) >= a.settings.Tuning.ScaleOutWindow
 	healthy := !s.Draining && !a.healthySince.IsZero() && now.Sub(a.healthySince) >= a.settings.Tuning.ScaleInWindow
 	switch {
-	case frozen || a.recording || len(a.launches) > 0:
+	case frozen || a.commitInFlight || len(a.launches) > 0:
 	case sustained && s.NonOpportunistic > 0:
 		a.scaleOut(ctx, s, now)
 		a.cooldownUntil = now.Add(a.settings.Tuning.Cooldown)
@@ -258,20 +258,20 @@
 	var names []string
 	records := a.fleetRecords()
 	for _, request := range launchesFor(s.Desired[:n]) {
-		a.lastLaunch++
-		name := fmt.Sprintf("r-%d-%d", a.term, a.lastLaunch)
+		a.lastLaunchNumber++
+		name := fmt.Sprintf("r-%d-%d", a.term, a.lastLaunchNumber)
 		record, err := storage.NewRecord(storage.LaunchKey(name), request)
 		if err != nil {
 			a.log.Error("record encoding failed", "key", storage.LaunchKey(name), "error", err)
 			continue
 		}
-		a.launches[name] = &launch{LaunchRecord: request}
+		a.launches[name] = &pendingLaunch{LaunchRecord: request}
 		names = append(names, name)
 		records = append(records, record)
 		a.log.Info("scale-out requested", "launch", name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "desired", a.desired)
 	}
 	a.demandSince = now // the remaining demand must last for another window
-	a.record(ctx, records, recordedMessage{launches: names})
+	a.commitStep(ctx, records, stepResult{launches: names})
 }
 
 // launchesFor groups the desired machines into launch requests, in the order in which the offerings first appear.
@@ -294,7 +294,7 @@
 // scaleIn requests the drain of the next surplus machine once the previous drain is over and the cooldown has
 // passed. Each step drains one machine and records the size and the term in one guarded commit.
 func (a *Autoscaler) scaleIn(ctx context.Context, now time.Time) {
-	if len(a.surplus) == 0 || !a.drainCompleted || a.recording || now.Before(a.cooldownUntil) {
+	if len(a.surplus) == 0 || !a.drainCompleted || a.commitInFlight || now.Before(a.cooldownUntil) {
 		return
 	}
 	next := a.surplus[0]
@@ -304,7 +304,7 @@
 	a.size--
 	a.desired = a.size
 	a.log.Info("scale-in requested", "machine", next.Machine, "desired", a.desired)
-	a.record(ctx, a.fleetRecords(), recordedMessage{drain: &next})
+	a.commitStep(ctx, a.fleetRecords(), stepResult{drain: &next})
 }
 
 // fleetRecords returns the record of the desired size and the term.
@@ -316,24 +316,24 @@
 	return []storage.Record{record}
 }
 
-// record commits the records of a step, and then posts the result to the autoscaler.
-func (a *Autoscaler) record(ctx context.Context, records []storage.Record, then recordedMessage) {
-	a.recording = true
+// commitStep commits the records of a step, and then posts the result to the autoscaler.
+func (a *Autoscaler) commitStep(ctx context.Context, records []storage.Record, result stepResult) {
+	a.commitInFlight = true
 	a.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) {
-		then.err = err
-		a.post(then)
+		result.err = err
+		a.post(result)
 	}})
 }
 
-// recordedMessage is the result of the commit of a step.
-type recordedMessage struct {
+// stepResult is the result of the commit of a step.
+type stepResult struct {
 	launches []string        // names of the launch requests in the commit
 	drain    *SurplusMachine // machine to drain after the commit; nil: none
 	err      error
 }
 
-func (m recordedMessage) handle(_ context.Context, a *Autoscaler, _ time.Time) {
-	a.recording = false
+func (m stepResult) handle(_ context.Context, a *Autoscaler, _ time.Time) {
+	a.commitInFlight = false
 	if m.err != nil {
 		a.drainCompleted = true
 		return
--- a/internal/autoscaling/autoscaler_test.go
+++ b/internal/autoscaling/autoscaler_test.go
@@ -67,16 +67,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.WorkerLease, s.CloudRPS = 12*time.Second, 3
-		a := &Autoscaler{settings: &s, cloud: slowCloud{manyMachines}, limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), 1)}
-		machines, pages, err := a.listAll(t.Context())
-		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPage {
+		a := &Autoscaler{settings: &s, cloud: slowCloud{manyMachines}, limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudRequestShare), 1)}
+		machines, pages, err := a.listMachines(t.Context())
+		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPageSize {
 			t.Fatalf("%d machines on %d pages: %v", len(machines), pages, err)
 		}
-		a.listPages = pages
-		if share := float64(pages) / a.listInterval().Seconds() / s.CloudRPS; share > listShare*cloudShare+0.01 {
-			t.Errorf("lists take %.2f of the requests, want at most %.2f", share, listShare*cloudShare)
+		a.lastListPages = pages
+		if share := float64(pages) / a.listInterval().Seconds() / s.CloudRPS; share > listRequestShare*cloudRequestShare+0.01 {
+			t.Errorf("lists take %.2f of the requests, want at most %.2f", share, listRequestShare*cloudRequestShare)
 		}
-		if a.listPages = 1; a.listInterval() != s.ListLag/listsPerLag {
+		if a.lastListPages = 1; a.listInterval() != s.ListLag/listsPerLag {
 			t.Errorf("a short list is read every %v, want %v", a.listInterval(), s.ListLag/listsPerLag)
 		}
 	})
@@ -146,15 +146,15 @@
 	return a, scheduler
 }
 
-// missing returns a snapshot in which one machine of the offering is desired.
-func missing(o cloud.Offering) Snapshot {
+// snapshotDesiring returns a snapshot in which one machine of the offering is desired.
+func snapshotDesiring(o cloud.Offering) Snapshot {
 	return Snapshot{Healthy: true, MachinesListed: true, Desired: []cloud.Offering{o}, NonOpportunistic: 1, Size: 1}
 }
 
 var testOffering = cloud.Offering{Type: "cpu", Zone: "a", Spot: true}
 
-// sustain sends the autoscaler a snapshot every half second for the given time.
-func sustain(a *Autoscaler, s Snapshot, d time.Duration) {
+// sendSnapshots sends the autoscaler a snapshot every half second for the given time.
+func sendSnapshots(a *Autoscaler, s Snapshot, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		a.HandleSnapshot(s)
 	}
@@ -164,12 +164,12 @@
 func TestScaleOutAfterSustainedDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, scheduler := runAutoscaler(t, &fakeCloud{}, &fakeJournal{})
-		a.HandleSnapshot(missing(testOffering))
+		a.HandleSnapshot(snapshotDesiring(testOffering))
 		synctest.Wait()
 		if len(scheduler.launched) != 0 {
 			t.Error("scales out before demand has lasted for the window")
 		}
-		sustain(a, missing(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
+		sendSnapshots(a, snapshotDesiring(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
 		want := storage.LaunchRecord{Type: "cpu", Zone: "a", Spot: true, Count: 1}
 		if len(scheduler.launched) != 1 || scheduler.launched[0] != want {
 			t.Errorf("launched %+v, want one of %+v", scheduler.launched, want)
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{launchErr: cloud.ErrUnknownOutcome}
 		a, scheduler := runAutoscaler(t, c, &fakeJournal{})
-		sustain(a, missing(testOffering), time.Minute)
+		sendSnapshots(a, snapshotDesiring(testOffering), time.Minute)
 		if len(c.requests) != 1 || len(scheduler.launched) != 0 {
 			t.Errorf("requests %v, %d launched; want one name and none", c.requests, len(scheduler.launched))
 		}
@@ -198,7 +198,7 @@
 func TestRejectedLaunchIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, scheduler := runAutoscaler(t, &fakeCloud{launchErr: cloud.ErrNoCapacity}, &fakeJournal{})
-		sustain(a, missing(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
+		sendSnapshots(a, snapshotDesiring(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
 		if len(scheduler.rejected) == 0 || scheduler.rejected[0] != testOffering {
 			t.Errorf("rejected %+v, want %+v", scheduler.rejected, testOffering)
 		}
@@ -209,7 +209,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{}
 		a, _ := runAutoscaler(t, c, &fakeJournal{err: storage.ErrLeadershipLost})
-		sustain(a, missing(testOffering), time.Minute)
+		sendSnapshots(a, snapshotDesiring(testOffering), time.Minute)
 		if len(c.requests) != 0 {
 			t.Errorf("requests %v though nothing was recorded", c.requests)
 		}
@@ -221,7 +221,7 @@
 		a, scheduler := runAutoscaler(t, &fakeCloud{}, &fakeJournal{})
 		surplus := []SurplusMachine{{Machine: 1}, {Machine: 2}}
 		idle := Snapshot{Healthy: true, MachinesListed: true, Surplus: surplus, Size: 3}
-		sustain(a, idle, a.settings.Tuning.ScaleInWindow-time.Second)
+		sendSnapshots(a, idle, a.settings.Tuning.ScaleInWindow-time.Second)
 		if len(scheduler.surplus) != 0 {
 			t.Error("scales in before all machines have been healthy for the window")
 		}
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// callPerLease is the timeout of one call of the cloud, in worker leases.
-	callPerLease = 0.5
+	// callTimeoutPerLease is the timeout of one call of the cloud, in worker leases.
+	callTimeoutPerLease = 0.5
 	// listsPerLag is how many times the machine list is read per ListLag. It is read less often if the
-	// reads would use more than listShare of the requests.
-	listsPerLag = 2
-	listShare   = 0.5
-	// listPage is the number of machines requested per page, the most that the cloud returns.
-	listPage = 500
-	// typesLeases is the interval between two reads of the machine types, in worker leases.
-	typesLeases = 5
-	// maxTerminate is the protocol's limit on the number of machines in one termination request.
-	maxTerminate = 100
+	// reads would use more than listRequestShare of the autoscaler's requests.
+	listsPerLag      = 2
+	listRequestShare = 0.5
+	// listPageSize is the number of machines requested per page, the most that the cloud returns.
+	listPageSize = 500
+	// typesRefreshLeases is the interval between two reads of the machine types, in worker leases.
+	typesRefreshLeases = 5
+	// maxTerminationBatch is the protocol's limit on the number of machines in one termination request.
+	maxTerminationBatch = 100
 )
 
 // NoMachine is the number that stands for no machine. The cloud numbers its machines from 0.
@@ -44,10 +44,10 @@
 	a.log.Info("cloud call failed", "call", call, "error", err)
 }
 
-// call runs f, which makes one call of the cloud, in a goroutine that ends with ctx. It waits for the rate limiter
+// callCloud runs f, which makes one call of the cloud, in a goroutine that ends with ctx. It waits for the rate limiter
 // before the call.
-func (a *Autoscaler) call(ctx context.Context, f func(ctx context.Context)) {
-	a.calls.Go(func() {
+func (a *Autoscaler) callCloud(ctx context.Context, f func(ctx context.Context)) {
+	a.cloudCalls.Go(func() {
 		if err := a.limiter.Wait(ctx); err != nil {
 			return // ctx has ended
 		}
@@ -59,23 +59,23 @@
 
 // callContext returns a context with the timeout of one call of the cloud.
 func (a *Autoscaler) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, clock.Scale(a.settings.WorkerLease, callPerLease))
+	return context.WithTimeout(ctx, clock.Scale(a.settings.WorkerLease, callTimeoutPerLease))
 }
 
 // pollCloud starts reads of the machine list and of the machine types when they are due.
 func (a *Autoscaler) pollCloud(ctx context.Context, now time.Time) {
-	if !a.listing && now.Sub(a.lastList) >= a.listInterval() {
-		a.listing, a.lastList = true, now
-		a.call(ctx, func(context.Context) { // listAll gives each page its own timeout
-			machines, pages, err := a.listAll(ctx)
-			a.post(listAnswer{machines, pages, err})
+	if !a.listInFlight && now.Sub(a.lastListAt) >= a.listInterval() {
+		a.listInFlight, a.lastListAt = true, now
+		a.callCloud(ctx, func(context.Context) { // listMachines gives each page its own timeout
+			machines, pages, err := a.listMachines(ctx)
+			a.post(listResult{machines, pages, err})
 		})
 	}
-	if !a.readingTypes && now.Sub(a.lastTypes) >= typesLeases*a.settings.WorkerLease {
-		a.readingTypes, a.lastTypes = true, now
-		a.call(ctx, func(ctx context.Context) {
+	if !a.typesInFlight && now.Sub(a.lastTypesAt) >= typesRefreshLeases*a.settings.WorkerLease {
+		a.typesInFlight, a.lastTypesAt = true, now
+		a.callCloud(ctx, func(ctx context.Context) {
 			types, err := a.cloud.MachineTypes(ctx)
-			a.post(typesAnswer{types, err})
+			a.post(typesResult{types, err})
 		})
 	}
 }
@@ -83,23 +83,23 @@
 // listInterval returns the least time between the starts of two reads of the machine list. It grows with the number
 // of pages, so that enough of the request rate is left for launches and terminations.
 func (a *Autoscaler) listInterval() time.Duration {
-	atShare := time.Duration(float64(a.listPages) / (float64(a.limiter.Limit()) * listShare) * float64(time.Second))
+	atShare := time.Duration(float64(a.lastListPages) / (float64(a.limiter.Limit()) * listRequestShare) * float64(time.Second))
 	return max(a.settings.ListLag/listsPerLag, atShare)
 }
 
-// listAll reads the whole machine list. Each page is a separate call with its own timeout, so that the length of the
+// listMachines reads the whole machine list. Each page is a separate call with its own timeout, so that the length of the
 // list isn't limited by the timeout.
-func (a *Autoscaler) listAll(ctx context.Context) (all []cloud.Machine, pages int, err error) {
+func (a *Autoscaler) listMachines(ctx context.Context) (machines []cloud.Machine, pages int, err error) {
 	after := NoMachine
 	for {
-		page, more, err := a.listOne(ctx, after)
+		page, more, err := a.listMachinesPage(ctx, after)
 		if err != nil {
 			return nil, pages, err
 		}
 		pages++
-		all = append(all, page...)
+		machines = append(machines, page...)
 		if !more || len(page) == 0 {
-			return all, pages, nil
+			return machines, pages, nil
 		}
 		after = page[len(page)-1].ID
 		if err := a.limiter.Wait(ctx); err != nil {
@@ -108,22 +108,22 @@
 	}
 }
 
-// listOne reads the page of the machine list that follows the machine with number after.
-func (a *Autoscaler) listOne(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
+// listMachinesPage reads the page of the machine list that follows the machine with number after.
+func (a *Autoscaler) listMachinesPage(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
 	ctx, cancel := a.callContext(ctx)
 	defer cancel()
-	return a.cloud.List(ctx, after, listPage)
+	return a.cloud.List(ctx, after, listPageSize)
 }
 
-// listAnswer is the result of a read of the machine list.
-type listAnswer struct {
+// listResult is the result of a read of the machine list.
+type listResult struct {
 	machines []cloud.Machine
 	pages    int
 	err      error
 }
 
-func (m listAnswer) handle(_ context.Context, a *Autoscaler, now time.Time) {
-	a.listing, a.listPages = false, m.pages
+func (m listResult) handle(_ context.Context, a *Autoscaler, now time.Time) {
+	a.listInFlight, a.lastListPages = false, m.pages
 	if m.err != nil {
 		a.backOff(callList, m.err, now)
 		return
@@ -131,17 +131,17 @@
 	a.scheduler.HandleMachineList(m.machines)
 }
 
-// typesAnswer is the result of a read of the machine types.
-type typesAnswer struct {
+// typesResult is the result of a read of the machine types.
+type typesResult struct {
 	types []storage.MachineType
 	err   error
 }
 
-func (m typesAnswer) handle(_ context.Context, a *Autoscaler, now time.Time) {
-	a.readingTypes = false
+func (m typesResult) handle(_ context.Context, a *Autoscaler, now time.Time) {
+	a.typesInFlight = false
 	if m.err != nil {
 		a.backOff(callTypes, m.err, now)
-		a.lastTypes = now.Add(-typesLeases*a.settings.WorkerLease + a.settings.HeartbeatInterval)
+		a.lastTypesAt = now.Add(-typesRefreshLeases*a.settings.WorkerLease + a.settings.HeartbeatInterval)
 		return
 	}
 	a.scheduler.HandleMachineTypes(m.types)
@@ -156,21 +156,21 @@
 		}
 		l.sending = true
 		record := l.LaunchRecord
-		a.call(ctx, func(ctx context.Context) {
+		a.callCloud(ctx, func(ctx context.Context) {
 			machines, err := a.cloud.Launch(ctx, name, record)
-			a.post(launchAnswer{name, machines, err})
+			a.post(launchResult{name, machines, err})
 		})
 	}
 }
 
-// launchAnswer is the result of one call for a launch request.
-type launchAnswer struct {
+// launchResult is the result of one call for a launch request.
+type launchResult struct {
 	name     string
 	machines []int
 	err      error
 }
 
-func (m launchAnswer) handle(ctx context.Context, a *Autoscaler, now time.Time) {
+func (m launchResult) handle(ctx context.Context, a *Autoscaler, now time.Time) {
 	l := a.launches[m.name]
 	if l == nil {
 		return
@@ -209,29 +209,29 @@
 	a.sendTerminations(ctx)
 }
 
-// sendTerminations sends one request to terminate the waiting machines, at most maxTerminate of them, unless a
+// sendTerminations sends one request to terminate the waiting machines, at most maxTerminationBatch of them, unless a
 // request is in flight.
 func (a *Autoscaler) sendTerminations(ctx context.Context) {
-	if a.terminating || len(a.toTerminate) == 0 {
+	if a.terminationInFlight || len(a.toTerminate) == 0 {
 		return
 	}
-	a.terminating = true
-	n := min(len(a.toTerminate), maxTerminate)
+	a.terminationInFlight = true
+	n := min(len(a.toTerminate), maxTerminationBatch)
 	batch := a.toTerminate[:n:n]
 	a.toTerminate = a.toTerminate[n:]
-	a.call(ctx, func(ctx context.Context) {
-		a.post(terminateAnswer{batch, a.cloud.Terminate(ctx, batch)})
+	a.callCloud(ctx, func(ctx context.Context) {
+		a.post(terminateResult{batch, a.cloud.Terminate(ctx, batch)})
 	})
 }
 
-// terminateAnswer is the result of a termination request.
-type terminateAnswer struct {
+// terminateResult is the result of a termination request.
+type terminateResult struct {
 	machines []int
 	err      error
 }
 
-func (m terminateAnswer) handle(ctx context.Context, a *Autoscaler, now time.Time) {
-	a.terminating = false
+func (m terminateResult) handle(ctx context.Context, a *Autoscaler, now time.Time) {
+	a.terminationInFlight = false
 	if m.err != nil {
 		a.backOff(callTerminate, m.err, now)
 		return
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -54,7 +54,7 @@
 		demands = append(demands, d)
 	}
 	headroom := r.headroomDemands(now)
-	r.planner.SetHeadroom(headroomOf(headroom))
+	r.planner.SetHeadroom(plannerHeadroom(headroom))
 	demands = append(demands, headroom...)
 	return append(demands, opportunistic...)
 }
@@ -82,8 +82,8 @@
 	return tasks
 }
 
-// headroomOf converts headroom demands to the planner's form.
-func headroomOf(demands []*demand) []placement.Headroom {
+// plannerHeadroom converts headroom demands to the planner's form.
+func plannerHeadroom(demands []*demand) []placement.Headroom {
 	headroom := make([]placement.Headroom, 0, len(demands))
 	for _, d := range demands {
 		headroom = append(headroom, placement.Headroom{Job: d.job, Tasks: d.tasks})
@@ -103,16 +103,16 @@
 	var demands []*demand
 	for _, name := range names {
 		c := classes[name]
-		if tasks := max(r.headroom(c, now), onFullest[name]); tasks > 0 {
-			demands = append(demands, r.headroomFor(c, tasks)...)
+		if tasks := max(r.headroomTasks(c, now), onFullest[name]); tasks > 0 {
+			demands = append(demands, r.classHeadroomDemands(c, tasks)...)
 		}
 	}
 	return demands
 }
 
-// headroomFor returns headroom demands for a number of tasks of a class. A spread job must run half of its tasks,
+// classHeadroomDemands returns headroom demands for a number of tasks of a class. A spread job must run half of its tasks,
 // rounded down, outside its first zone. For such classes that share of the headroom is kept in every feasible zone.
-func (r *Reviewer) headroomFor(c *cluster.Class, tasks int) []*demand {
+func (r *Reviewer) classHeadroomDemands(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
 		each := int(math.Round(c.SecondZoneShare() * float64(tasks)))
@@ -120,7 +120,7 @@
 			if each == 0 {
 				break
 			}
-			d := headroomDemand(c.Latest, each)
+			d := newHeadroomDemand(c.Latest, each)
 			d.job.Spec.Zone = zone
 			d.zones = placement.NewZoneCheck(d.job)
 			demands = append(demands, d)
@@ -128,13 +128,13 @@
 		tasks -= each * len(zones)
 	}
 	if tasks > 0 {
-		demands = append(demands, headroomDemand(c.Latest, tasks))
+		demands = append(demands, newHeadroomDemand(c.Latest, tasks))
 	}
 	return demands
 }
 
-// headroomDemand returns a headroom demand for a number of tasks with the requirements of a job's tasks.
-func headroomDemand(j *cluster.Job, tasks int) *demand {
+// newHeadroomDemand returns a headroom demand for a number of tasks with the requirements of a job's tasks.
+func newHeadroomDemand(j *cluster.Job, tasks int) *demand {
 	template := templateOf(j)
 	return &demand{job: template, zones: placement.NewZoneCheck(template), tasks: tasks, headroom: true}
 }
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -9,16 +9,16 @@
 	"sagevale/internal/storage"
 )
 
-// headroom returns for how many tasks of a class to keep resources free. Classes of high priority or above have
+// headroomTasks returns for how many tasks of a class to keep resources free. Classes of high priority or above have
 // headroom, and so does batch work that may use spot machines and has at least normal priority or a deadline.
 //
 // For services it is the number of tasks expected to arrive while a machine boots, net of departures, plus a margin
 // of HeadroomDeviations standard deviations. For batch work it is the expected number of running tasks, plus the
 // same margin, minus the current number.
-func (r *Reviewer) headroom(c *cluster.Class, now time.Time) int {
+func (r *Reviewer) headroomTasks(c *cluster.Class, now time.Time) int {
 	spec := &c.Latest.Spec
 	if spec.Gang {
-		return r.gangHeadroom(c, now)
+		return r.gangHeadroomTasks(c, now)
 	}
 	batch := !spec.Service
 	if spec.Priority < storage.High && !(batch && spec.Spot && (spec.Priority >= storage.Normal || spec.DeadlineS > 0)) {
@@ -38,16 +38,16 @@
 	return int(math.Ceil(rate.Expected(r.state.MinBootSeconds(c.Latest), deviations) - 0.5))
 }
 
-// promptGangBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with more
+// maxPromptStartBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with more
 // time can wait for machines to boot.
-const promptGangBoots = 2
+const maxPromptStartBoots = 2
 
-// gangHeadroom returns for how many tasks of a class of gangs to keep resources free: the expected number of running
+// gangHeadroomTasks returns for how many tasks of a class of gangs to keep resources free: the expected number of running
 // tasks, plus the margin, minus the current number, but at least the size of the largest recent gang.
-func (r *Reviewer) gangHeadroom(c *cluster.Class, now time.Time) int {
+func (r *Reviewer) gangHeadroomTasks(c *cluster.Class, now time.Time) int {
 	objective := r.settings.StartObjective(c.Latest.Spec.Class)
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
-	prompt := objective > 0 && objective.Seconds() < promptGangBoots*r.state.MinBootSeconds(c.Latest)
+	prompt := objective > 0 && objective.Seconds() < maxPromptStartBoots*r.state.MinBootSeconds(c.Latest)
 	if !prompt || rate.WindowS == 0 || rate.Tasks == 0 {
 		return 0
 	}
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// desiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one so
+	// maxDesiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one so
 	// that each step can choose the desired machines that boot longest and launch them first.
-	desiredSteps = 4
+	maxDesiredSteps = 4
 	// hedgeShare is the share of the booting machines that waiting services count on for which extra
 	// machines are launched, because some boot late and some never come up. With many machines chance
 	// evens out, and the square root of their number is enough.
@@ -41,8 +41,8 @@
 // nonOpportunistic returns how many desired machines are for other than opportunistic work.
 func (p *packing) nonOpportunistic() int { return len(p.desired) - p.opportunistic }
 
-// launch adds a machine for a demand to the desired machines and to the candidates.
-func (p *packing) launch(o cloud.Offering, t *storage.MachineType, d *demand) {
+// addDesired adds a machine for a demand to the desired machines and to the candidates.
+func (p *packing) addDesired(o cloud.Offering, t *storage.MachineType, d *demand) {
 	p.desired = append(p.desired, o)
 	if d.opportunistic {
 		p.opportunistic++
@@ -58,19 +58,19 @@
 
 // batchBacklog holds the totals of batch work in a packing. A slot is room for one task.
 type batchBacklog struct {
-	places   int     // slots that batch tasks occupy or were packed into
-	expected float64 // slots that batch work typically occupies
-	behind   int     // tasks left unpacked so far
+	slots         int     // slots that batch tasks occupy or were packed into
+	expectedSlots float64 // slots that batch work typically occupies
+	unpackedTasks int     // tasks left unpacked so far
 }
 
-// put packs one task of a demand on a candidate. It returns the number of tasks packed on a booting machine, 1 or 0.
-func put(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
+// packTask packs one task of a demand on a candidate. It returns the number of tasks packed on a booting machine, 1 or 0.
+func packTask(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
 	c.Packed = append(c.Packed, d.packedTask())
 	d.zones.Add(c.Zone, 1)
 	d.tasks--
 	if d.runSeconds > 0 {
-		backlog.places++
+		backlog.slots++
 	}
 	if c.Booting {
 		return 1
@@ -78,21 +78,21 @@
 	return 0
 }
 
-// packAll packs the demands into the candidates. For tasks that don't fit it adds desired machines, each of the
+// packDemands packs the demands into the candidates. For tasks that don't fit it adds desired machines, each of the
 // cheapest offering. No machine is added for batch work that existing slots can start before a new machine would be
 // up.
-func (r *Reviewer) packAll(p *packing, demands []*demand, size int, now time.Time) {
+func (r *Reviewer) packDemands(p *packing, demands []*demand, size int, now time.Time) {
 	p.zones = placement.ZonesOf(p.candidates)
-	p.maxDesired = desiredSteps * r.settings.Tuning.MaxScaleOut(size)
+	p.maxDesired = maxDesiredSteps * r.settings.Tuning.MaxScaleOut(size)
 	p.zoneSizes = make(map[string]int)
 	for _, m := range r.state.Machines.InOrder() {
 		p.zoneSizes[m.Zone]++
 	}
-	backlog := &batchBacklog{places: r.batchPlaces(), expected: r.expectedBatchTasks(now)}
+	backlog := &batchBacklog{slots: r.occupiedBatchSlots(), expectedSlots: r.expectedBatchSlots(now)}
 	hedges := make(map[string]*provisioningHedge) // by class
 	for i := 0; i < len(demands); i++ {
 		d := demands[i]
-		booting := r.pack(p, d, backlog, now)
+		booting := r.packDemand(p, d, backlog, now)
 		if !d.job.Spec.Service || d.headroom || booting == 0 {
 			continue
 		}
@@ -101,23 +101,23 @@
 			hedge = &provisioningHedge{}
 			hedges[d.job.Spec.Class] = hedge
 		}
-		if extra := hedge.extra(booting, r.tasksPerMachine(d.job)); extra > 0 {
-			demands = append(demands, headroomDemand(d.job, extra))
+		if extra := hedge.extraTasks(booting, r.tasksPerMachine(d.job)); extra > 0 {
+			demands = append(demands, newHeadroomDemand(d.job, extra))
 		}
 	}
 }
 
-// provisioningHedge computes for one class for how many tasks to launch extra machines. booting counts the tasks
-// that rely on booting machines, and hedged those for which extra machines were requested.
-type provisioningHedge struct{ booting, hedged float64 }
+// provisioningHedge computes for one class for how many tasks to launch extra machines. bootingTasks counts the
+// tasks that rely on booting machines, and hedgedTasks those for which extra machines were requested.
+type provisioningHedge struct{ bootingTasks, hedgedTasks float64 }
 
-// extra counts another number of tasks that rely on booting machines, and returns for how many more tasks to launch
+// extraTasks counts another number of tasks that rely on booting machines, and returns for how many more tasks to launch
 // extra machines.
-func (h *provisioningHedge) extra(booting int, tasksPerMachine float64) int {
-	h.booting += float64(booting)
-	machines := h.booting / tasksPerMachine
-	extra := int(tasksPerMachine*min(hedgeShare*machines, math.Sqrt(machines)) - h.hedged)
-	h.hedged += float64(max(0, extra))
+func (h *provisioningHedge) extraTasks(booting int, tasksPerMachine float64) int {
+	h.bootingTasks += float64(booting)
+	machines := h.bootingTasks / tasksPerMachine
+	extra := int(tasksPerMachine*min(hedgeShare*machines, math.Sqrt(machines)) - h.hedgedTasks)
+	h.hedgedTasks += float64(max(0, extra))
 	return max(0, extra)
 }
 
@@ -130,20 +130,20 @@
 	return float64(most)
 }
 
-// pack packs a demand's tasks on candidates, and adds desired machines as needed. It returns how many of the tasks
+// packDemand packs a demand's tasks on candidates, and adds desired machines as needed. It returns how many of the tasks
 // are packed on machines that aren't up yet.
-func (r *Reviewer) pack(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
+func (r *Reviewer) packDemand(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
 	if spec := &d.job.Spec; spec.Gang && spec.SameZone && len(d.job.Attempts) == 0 {
-		if zone := roomiestZone(p.candidates, d); zone != "" {
+		if zone := zoneWithMostCapacity(p.candidates, d); zone != "" {
 			d.zones.Add(zone, 1) // the whole gang goes there
 		}
 	}
 	for d.tasks > 0 {
 		if c := r.bestCandidate(p, d); c != nil {
-			booting += put(c, d, backlog)
+			booting += packTask(c, d, backlog)
 			continue
 		}
-		if r.backlogSuffices(d, backlog) {
+		if r.batchSlotsSuffice(d, backlog) {
 			break
 		}
 		o, ok := r.bestOffering(p, d, now)
@@ -157,26 +157,26 @@
 		if d.job.Spec.Resources.GPUs == 0 && t.Resources.GPUs > 0 {
 			// Only GPU machines are on offer for this CPU-only task. Prefer one that is already booting.
 			if c := r.planner.Fullest(p.candidates, d.job, &d.zones, placement.AnyCandidate); c != nil {
-				booting += put(c, d, backlog)
+				booting += packTask(c, d, backlog)
 				continue
 			}
 		}
-		p.launch(o, t, d)
+		p.addDesired(o, t, d)
 	}
 	if d.runSeconds > 0 {
-		backlog.behind += d.tasks
+		backlog.unpackedTasks += d.tasks
 	}
 	return booting
 }
 
-// backlogSuffices reports whether the slots of batch work can start the rest of a demand before a new machine would
+// batchSlotsSuffice reports whether the slots of batch work can start the rest of a demand before a new machine would
 // be up. The slots that batch work typically occupies aren't available to the backlog.
-func (r *Reviewer) backlogSuffices(d *demand, backlog *batchBacklog) bool {
-	if d.runSeconds <= 0 || backlog.places == 0 || d.job.Spec.Gang {
+func (r *Reviewer) batchSlotsSuffice(d *demand, backlog *batchBacklog) bool {
+	if d.runSeconds <= 0 || backlog.slots == 0 || d.job.Spec.Gang {
 		return false
 	}
-	places := max(float64(backlog.places)-backlog.expected, minBacklogShare*float64(backlog.places))
-	return float64(backlog.behind+d.tasks)*d.runSeconds/places < r.state.MinBootSeconds(d.job)
+	availableSlots := max(float64(backlog.slots)-backlog.expectedSlots, minBacklogShare*float64(backlog.slots))
+	return float64(backlog.unpackedTasks+d.tasks)*d.runSeconds/availableSlots < r.state.MinBootSeconds(d.job)
 }
 
 // mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. An unaffordable machine
@@ -196,10 +196,10 @@
 	return true
 }
 
-// expectedBatchTasks returns how many slots batch work typically occupies. While the arrival rate of any class isn't
+// expectedBatchSlots returns how many slots batch work typically occupies. While the arrival rate of any class isn't
 // known yet it returns infinity, because more tasks may arrive than there are slots.
-func (r *Reviewer) expectedBatchTasks(now time.Time) float64 {
-	tasks := 0.0
+func (r *Reviewer) expectedBatchSlots(now time.Time) float64 {
+	slots := 0.0
 	for _, c := range r.state.Classes.All() {
 		if c.Latest.Spec.Service || r.settings.IsOpportunistic(&c.Latest.Spec) {
 			continue
@@ -208,20 +208,20 @@
 		if rate.WindowS == 0 {
 			return math.Inf(1)
 		}
-		tasks += rate.Expected(c.TypicalRunSeconds(), 0)
+		slots += rate.Expected(c.TypicalRunSeconds(), 0)
 	}
-	return tasks
+	return slots
 }
 
-// batchPlaces returns how many slots batch work occupies now.
-func (r *Reviewer) batchPlaces() int {
-	places := 0
+// occupiedBatchSlots returns how many slots batch work occupies now.
+func (r *Reviewer) occupiedBatchSlots() int {
+	slots := 0
 	for _, j := range r.state.Jobs.Open {
 		if !j.Spec.Service && !r.settings.IsOpportunistic(&j.Spec) {
-			places += len(j.Attempts)
+			slots += len(j.Attempts)
 		}
 	}
-	return places
+	return slots
 }
 
 // bestCandidate returns the fullest candidate with room for one more task of the demand, or nil.
@@ -231,22 +231,22 @@
 	if from >= len(p.candidates) {
 		return nil
 	}
-	best := r.planner.Fullest(p.candidates[from:], d.job, &d.zones, mayCountOn)
+	best := r.planner.Fullest(p.candidates[from:], d.job, &d.zones, mayPackOn)
 	if best == nil {
 		p.exhausted.Note(shape, &d.zones, p.zones, len(p.candidates))
 	}
 	return best
 }
 
-// mayCountOn reports whether a task may be packed on a candidate. Services without GPUs aren't packed on booting GPU
+// mayPackOn reports whether a task may be packed on a candidate. Services without GPUs aren't packed on booting GPU
 // machines, because smaller machines boot sooner and cost little.
-func mayCountOn(c *placement.Candidate, j *cluster.Job) bool {
+func mayPackOn(c *placement.Candidate, j *cluster.Job) bool {
 	return !c.Booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0
 }
 
-// roomiestZone returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits anywhere. Of
+// zoneWithMostCapacity returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits anywhere. Of
 // equal zones the first by name is taken.
-func roomiestZone(candidates []*placement.Candidate, d *demand) string {
+func zoneWithMostCapacity(candidates []*placement.Candidate, d *demand) string {
 	capacity := make(map[string]int)
 	best := ""
 	for _, c := range candidates {
@@ -285,10 +285,10 @@
 			}
 			for _, spot := range []bool{true, false} {
 				o := cloud.Offering{Type: name, Zone: zone, Spot: spot}
-				if !mayUseMarket(t, d, spot) || r.rejectedLately(o, now) || !suits(o) {
+				if !mayUseMarket(t, d, spot) || r.recentlyRejected(o, now) || !suits(o) {
 					continue
 				}
-				cost := priceOf(t, spot) / float64(min(fit, d.tasks))
+				cost := hourlyPrice(t, spot) / float64(min(fit, d.tasks))
 				cost *= 1 + zoneBalanceWeight*float64(p.zoneSizes[zone])/float64(1+r.state.Machines.Count())
 				if cost < bestCost {
 					best, bestCost = o, cost
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -24,33 +24,33 @@
 // provisioningHistory holds the outcomes of provisioning in this term. Those by machine type show how slow it is,
 // and those by offering show whether machines come up at all.
 type provisioningHistory struct {
-	types     map[string]*provisioning.History
-	offerings map[cloud.Offering]*provisioning.History
-	slowness  map[string]float64 // factor by type, as of the last snapshot; 1: not slow
+	byType     map[string]*provisioning.History
+	byOffering map[cloud.Offering]*provisioning.History
+	slowness   map[string]float64 // factor by type, as of the last snapshot; 1: not slow
 }
 
 func newProvisioningHistory() *provisioningHistory {
 	return &provisioningHistory{
-		types:     make(map[string]*provisioning.History),
-		offerings: make(map[cloud.Offering]*provisioning.History),
-		slowness:  make(map[string]float64),
+		byType:     make(map[string]*provisioning.History),
+		byOffering: make(map[cloud.Offering]*provisioning.History),
+		slowness:   make(map[string]float64),
 	}
 }
 
 // ofType returns the history of a machine type, which is created if there is none.
 func (h *provisioningHistory) ofType(name string) *provisioning.History {
-	if h.types[name] == nil {
-		h.types[name] = &provisioning.History{}
+	if h.byType[name] == nil {
+		h.byType[name] = &provisioning.History{}
 	}
-	return h.types[name]
+	return h.byType[name]
 }
 
 // ofOffering returns the history of an offering, which is created if there is none.
 func (h *provisioningHistory) ofOffering(o cloud.Offering) *provisioning.History {
-	if h.offerings[o] == nil {
-		h.offerings[o] = &provisioning.History{}
+	if h.byOffering[o] == nil {
+		h.byOffering[o] = &provisioning.History{}
 	}
-	return h.offerings[o]
+	return h.byOffering[o]
 }
 
 // provisioningRatio returns the time since a machine's launch, in nominal boot times of its type.
@@ -80,15 +80,15 @@
 
 // updateSlowness computes for each machine type the factor by which provisioning is slower than usual.
 func (r *Reviewer) updateSlowness(now time.Time) {
-	late := make(map[string][]float64)
+	overdueRatios := make(map[string][]float64)
 	for _, m := range r.state.Machines.InOrder() {
 		if m.ProvisioningObserved && m.LastContact.IsZero() && m.Type != nil && m.Type.BootS > 0 && !m.Terminating && provisioningRatio(m, now) > 1 {
-			late[m.TypeName] = append(late[m.TypeName], provisioningRatio(m, now))
+			overdueRatios[m.TypeName] = append(overdueRatios[m.TypeName], provisioningRatio(m, now))
 		}
 	}
 	for _, name := range r.state.Types.All() {
 		nominal := clock.Seconds(r.state.Types.Get(name).BootS)
-		slowness := r.provisioning.ofType(name).Slowness(now, nominal, late[name])
+		slowness := r.provisioning.ofType(name).Slowness(now, nominal, overdueRatios[name])
 		if slowness > 1 && r.provisioning.slowness[name] <= 1 {
 			r.log.Info("slow provisioning", "type", name, "factor", slowness)
 		}
@@ -116,14 +116,14 @@
 
 // failsToProvision reports whether the recently launched machines of an offering mostly didn't come up.
 func (r *Reviewer) failsToProvision(o cloud.Offering, now time.Time) bool {
-	history := r.provisioning.offerings[o]
+	history := r.provisioning.byOffering[o]
 	return history != nil && history.Failing(now, clock.Seconds(r.state.Types.Get(o.Type).BootS))
 }
 
-// abandoned reports whether a machine that hasn't reported in this term is to be terminated. A machine that never
+// shouldAbandon reports whether a machine that hasn't reported in this term is to be terminated. A machine that never
 // reported is terminated when its provisioning has failed. One that did is terminated once it has been silent for a
 // worker lease plus the boot time of a replacement: if it is behind a network partition it may return before that.
-func (r *Reviewer) abandoned(m *cluster.Machine, now time.Time) bool {
+func (r *Reviewer) shouldAbandon(m *cluster.Machine, now time.Time) bool {
 	if m.LastContact.IsZero() {
 		return r.provisioningFailed(m, now)
 	}
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -36,16 +36,16 @@
 // offering isn't desired again for a worker lease.
 func (r *Reviewer) NoteRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
 
-// rejectedLately reports whether the cloud rejected an offering within the last worker lease.
-func (r *Reviewer) rejectedLately(o cloud.Offering, now time.Time) bool {
+// recentlyRejected reports whether the cloud rejected an offering within the last worker lease.
+func (r *Reviewer) recentlyRejected(o cloud.Offering, now time.Time) bool {
 	at, ok := r.rejected[o]
 	return ok && now.Sub(at) < r.settings.WorkerLease
 }
 
 const (
-	// opportunisticPrice is the highest price per task at which a machine is launched or kept for
+	// maxOpportunisticPriceRatio is the highest price per task at which a machine is launched or kept for
 	// opportunistic work, as a multiple of the least price per task.
-	opportunisticPrice = 2.0
+	maxOpportunisticPriceRatio = 2.0
 	// minimumAllocationLeases is how long an opportunistic job waits for an affordable machine, in worker
 	// leases, before a machine of any price is launched for its first task.
 	minimumAllocationLeases = 2
@@ -60,14 +60,14 @@
 // affordable reports whether machines of an offering are cheap enough to be launched or kept for an opportunistic
 // job.
 func (r *Reviewer) affordable(o cloud.Offering, j *cluster.Job) bool {
-	return r.pricePerTask(o, j.Spec.Resources) <= opportunisticPrice*r.leastPricePerTask(j)
+	return r.pricePerTask(o, j.Spec.Resources) <= maxOpportunisticPriceRatio*r.leastPricePerTask(j)
 }
 
 // pricePerTask returns the hourly price of a machine of an offering, divided by the number of tasks of a size that
 // it holds.
 func (r *Reviewer) pricePerTask(o cloud.Offering, task storage.Resources) float64 {
 	t := r.state.Types.Get(o.Type)
-	return priceOf(t, o.Spot) / float64(placement.FitCount(t.Resources, task))
+	return hourlyPrice(t, o.Spot) / float64(placement.FitCount(t.Resources, task))
 }
 
 // leastPricePerTask returns the least price per task among the machine types that a job may use, with the spot price
@@ -84,8 +84,8 @@
 	return least
 }
 
-// priceOf returns the hourly spot or on-demand price of a machine type.
-func priceOf(t *storage.MachineType, spot bool) float64 {
+// hourlyPrice returns the hourly spot or on-demand price of a machine type.
+func hourlyPrice(t *storage.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -33,7 +33,7 @@
 func (r *Reviewer) trialPacking() *packing {
 	now := time.Now()
 	p := &packing{exhausted: make(placement.ExhaustedShapes), candidates: r.planner.ReadyCandidates(now)}
-	r.packAll(p, r.demands(now), r.state.Machines.Count(), now)
+	r.packDemands(p, r.demands(now), r.state.Machines.Count(), now)
 	return p
 }
 
@@ -105,8 +105,8 @@
 				spec := clustertest.Array("000001", 1)
 				spec.EstimateS, spec.DeadlineS, spec.CheckpointS, spec.SaveS, spec.ImageGB = 60, c.deadlineS, 10, 4, 5
 				a := &cluster.Attempt{Job: cluster.NewJob(spec, time.Now()), Machine: fleet.Up(1, "cpu", "a", false), Reported: true, Started: time.Now()}
-				if got := r.lateByMove(a, time.Now()); got != c.want {
-					t.Errorf("lateByMove() = %v, want %v", got, c.want)
+				if got := r.moveMissesDeadline(a, time.Now()); got != c.want {
+					t.Errorf("moveMissesDeadline() = %v, want %v", got, c.want)
 				}
 			})
 		})
@@ -216,7 +216,7 @@
 		settings := clustertest.Settings()
 		settings.Teams = append(settings.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
 		r, fleet := newTestReviewerOf(settings)
-		other, waiting := limited(gang("000001", 1)), limited(gang("000002", 2))
+		other, waiting := withTeamLimit(gang("000001", 1)), withTeamLimit(gang("000002", 2))
 		fleet.Run(fleet.Accept(other), 0, fleet.Up(1, "gpu", "a", false))
 		j := fleet.Accept(waiting)
 		if got := r.demandedTasks(j, fleet.Settings.Team("small"), make(map[string]storage.Resources)); got != 0 {
@@ -232,8 +232,8 @@
 	return s
 }
 
-// limited assigns a job of one GPU per task to the team whose limit is two GPUs.
-func limited(spec storage.Spec) storage.Spec {
+// withTeamLimit assigns a job of one GPU per task to the team whose limit is two GPUs.
+func withTeamLimit(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
 }
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -44,7 +44,7 @@
 	p := &packing{exhausted: make(placement.ExhaustedShapes)}
 	r.updateSlowness(now)
 	for _, m := range r.state.Machines.InOrder() {
-		if candidate, ok := r.review(m, &s, now); ok {
+		if candidate, ok := r.reviewMachine(m, &s, now); ok {
 			p.candidates = append(p.candidates, candidate)
 		}
 	}
@@ -52,7 +52,7 @@
 		return s
 	}
 	r.planner.UpdatePerGPU(now)
-	r.packAll(p, r.demands(now), s.Size, now)
+	r.packDemands(p, r.demands(now), s.Size, now)
 	s.Desired, s.NonOpportunistic = p.desired, p.nonOpportunistic()
 	s.BootSeconds = r.bootSeconds()
 	if s.NonOpportunistic == 0 && s.Healthy && !s.Draining {
@@ -61,13 +61,13 @@
 	return s
 }
 
-// review adds a machine to the snapshot, and returns its candidate if tasks may be packed on it.
-func (r *Reviewer) review(m *cluster.Machine, s *Snapshot, now time.Time) (candidate *placement.Candidate, ok bool) {
+// reviewMachine adds a machine to the snapshot, and returns its candidate if tasks may be packed on it.
+func (r *Reviewer) reviewMachine(m *cluster.Machine, s *Snapshot, now time.Time) (candidate *placement.Candidate, ok bool) {
 	switch {
 	case m.Terminating, m.Failed:
 		s.Lost = append(s.Lost, m.ID)
 		return nil, false
-	case !m.Confirmed && len(m.Attempts) == 0 && m.Type != nil && r.abandoned(m, now):
+	case !m.Confirmed && len(m.Attempts) == 0 && m.Type != nil && r.shouldAbandon(m, now):
 		r.noteAbandoned(m, now)
 		s.Lost = append(s.Lost, m.ID)
 		s.Size++
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxSurplusAttempts bounds for how many machines with tasks one snapshot tests whether they are surplus.
+	// maxRemovalTrials bounds for how many machines with tasks one snapshot tests whether they are surplus.
 	// The next snapshot continues with the machine at which this one stopped.
-	maxSurplusAttempts = 8
-	// surplusShare is the largest share of the candidates that one snapshot may report as surplus, but at
+	maxRemovalTrials = 8
+	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus, but at
 	// least one machine may be reported.
-	surplusShare = 1.0 / 32
+	maxSurplusShare = 1.0 / 32
 	// moveCostFactor is the least slack before its deadline that a task needs in order to be moved, as a
 	// multiple of the time that the move costs. It is above 1 because the run time is only an estimate.
 	moveCostFactor = 2
@@ -25,23 +25,23 @@
 // It starts from the result of the trial packing, and tests the machines that waste the most money first. The
 // machines are drained and terminated one after the other.
 func (r *Reviewer) findSurplus(p *packing, now time.Time) []SurplusMachine {
-	most := max(1, int(surplusShare*float64(len(p.candidates))))
+	maxSurplus := max(1, int(maxSurplusShare*float64(len(p.candidates))))
 	var surplus []SurplusMachine
-	busy, skip := 0, r.surplusCursor // machines with tasks seen so far, and those to skip because earlier snapshots tested them
+	busySeen, busySkipped := 0, r.surplusCursor // machines with tasks seen so far, and those to skip because earlier snapshots tested them
 	r.surplusCursor = 0
-	for _, c := range r.byWaste(p, now) {
-		if len(surplus) == most {
+	for _, c := range r.sortedByWaste(p, now) {
+		if len(surplus) == maxSurplus {
 			break
 		}
 		if c.Moved > 0 {
 			continue // tasks of another surplus machine move here
 		}
 		if len(c.Machine.Attempts) > 0 || len(c.Packed) > 0 {
-			if busy++; busy <= skip {
+			if busySeen++; busySeen <= busySkipped {
 				continue
 			}
-			if busy > skip+maxSurplusAttempts {
-				r.surplusCursor = busy - 1
+			if busySeen > busySkipped+maxRemovalTrials {
+				r.surplusCursor = busySeen - 1
 				break
 			}
 		}
@@ -53,9 +53,9 @@
 	return surplus
 }
 
-// byWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest first.
+// sortedByWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest first.
 // Fully reserved and briefly idle machines are left out.
-func (r *Reviewer) byWaste(p *packing, now time.Time) []*placement.Candidate {
+func (r *Reviewer) sortedByWaste(p *packing, now time.Time) []*placement.Candidate {
 	waste := make(map[*placement.Candidate]float64)
 	var wasteful []*placement.Candidate
 	fresh := r.settings.ReportFreshness()
@@ -63,7 +63,7 @@
 		if c.Machine == nil || !c.Machine.Ready(now, fresh) || c.Machine.BrieflyIdle(now) {
 			continue
 		}
-		if w := priceOf(c.Type, c.Spot) * (1 - reservedShare(c.Machine)); w > 0 {
+		if w := hourlyPrice(c.Type, c.Spot) * (1 - reservedShare(c.Machine)); w > 0 {
 			waste[c] = w
 			wasteful = append(wasteful, c)
 		}
@@ -99,7 +99,7 @@
 		_, cached := o.Machine.Images[j.Spec.Image]
 		return cached || !j.Spec.Service
 	}
-	undo, ok := r.tryMove(c.Machine, p.candidates, true, now, readyWithImage)
+	undo, ok := r.tryMoveAttempts(c.Machine, p.candidates, true, now, readyWithImage)
 	if !ok {
 		undo()
 		return false
@@ -114,14 +114,14 @@
 			undo()
 			return false
 		}
-		undo = move(target, task.Job, undo)
+		undo = moveTask(target, task.Job, undo)
 	}
 	return true
 }
 
-// move takes a candidate's resources for a task. The returned function gives them back and then calls undoEarlier,
+// moveTask takes a candidate's resources for a task. The returned function gives them back and then calls undoEarlier,
 // which undoes the earlier moves.
-func move(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
+func moveTask(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
 	c.Moved++
 	return func() {
@@ -134,27 +134,27 @@
 // CanRehome reports whether the services of a machine that may be lost fit on the candidates. If they do, it takes
 // their resources from the candidates.
 func (r *Reviewer) CanRehome(m *cluster.Machine, candidates []*placement.Candidate, now time.Time) bool {
-	undo, ok := r.tryMove(m, candidates, false, now, placement.AnyCandidate)
+	undo, ok := r.tryMoveAttempts(m, candidates, false, now, placement.AnyCandidate)
 	if !ok {
 		undo()
 	}
 	return ok
 }
 
-// tryMove tries to pack a machine's services into the candidates. With saving it also packs the tasks that save
-// checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait. undo gives the
+// tryMoveAttempts tries to pack a machine's services into the candidates. With moveCheckpointed it also packs the
+// tasks that save checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait. undo gives the
 // resources back; the caller must call it if ok is false.
-func (r *Reviewer) tryMove(m *cluster.Machine, candidates []*placement.Candidate, saving bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
+func (r *Reviewer) tryMoveAttempts(m *cluster.Machine, candidates []*placement.Candidate, moveCheckpointed bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.SortedAttempts() {
 		spec := &a.Job.Spec
-		if !spec.Service && !(saving && spec.CheckpointS > 0 && !spec.Gang) {
+		if !spec.Service && !(moveCheckpointed && spec.CheckpointS > 0 && !spec.Gang) {
 			continue
 		}
-		if saving && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
+		if moveCheckpointed && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
 			continue // the task waits for cheaper machines instead
 		}
-		if saving && r.lateByMove(a, now) {
+		if moveCheckpointed && r.moveMissesDeadline(a, now) {
 			return undo, false
 		}
 		zones := placement.NewZoneCheck(a.Job)
@@ -163,14 +163,14 @@
 		if target == nil {
 			return undo, false
 		}
-		undo = move(target, a.Job, undo)
+		undo = moveTask(target, a.Job, undo)
 	}
 	return undo, true
 }
 
-// lateByMove reports whether a move may make a batch task miss a deadline that it would meet on its present machine,
+// moveMissesDeadline reports whether a move may make a batch task miss a deadline that it would meet on its present machine,
 // because of the time to save a checkpoint and to fetch its image on the other machine.
-func (r *Reviewer) lateByMove(a *cluster.Attempt, now time.Time) bool {
+func (r *Reviewer) moveMissesDeadline(a *cluster.Attempt, now time.Time) bool {
 	spec := &a.Job.Spec
 	if spec.Service || spec.DeadlineS <= 0 || a.Started.IsZero() {
 		return false
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -31,25 +31,25 @@
 
 const (
 	defaultStartAttempts = 5
-	defaultBody          = 4 << 20
+	defaultBodyBytes     = 4 << 20
 	defaultConcurrent    = 64
 )
 
 const (
-	// heldBytes is the approximate peak memory of a held request: the buffers of its connection, the
+	// heldRequestBytes is the approximate peak memory of a held request: the buffers of its connection, the
 	// stacks of its goroutines, and garbage. See docs/cold-starts.md.
-	heldBytes = 64 << 10
+	heldRequestBytes = 64 << 10
 	// heldMemoryShare is the share of the memory quota for held requests.
 	heldMemoryShare = 1.0 / 16
 	// modelSocketShare is the share of the sockets for requests to models. Each request takes two: the
 	// client's connection and the connection to the model.
 	modelSocketShare = 1.0 / 4
-	// heldShare is the share of the clients' connections whose requests may be held. The requests of the
+	// heldConnectionShare is the share of the clients' connections whose requests may be held. The requests of the
 	// others are forwarded or rejected at once.
-	heldShare = 3.0 / 4
-	// wakeIntervals is how many times per heartbeat interval a controller asks the leader again about a
+	heldConnectionShare = 3.0 / 4
+	// wakesPerHeartbeat is how many times per heartbeat interval a controller asks the leader again about a
 	// model that isn't ready yet.
-	wakeIntervals = 8
+	wakesPerHeartbeat = 8
 )
 
 // ModelConnections returns how many connections from clients of models a controller accepts at a time.
@@ -59,12 +59,12 @@
 
 // MaxHeldRequests returns how many requests for models a controller can hold within ModelConnections.
 func (s *Settings) MaxHeldRequests() int {
-	return max(1, int(float64(s.ModelConnections())*heldShare))
+	return max(1, int(float64(s.ModelConnections())*heldConnectionShare))
 }
 
-// defaultHeld returns the default limit on requests held at a time, bounded by memory and connections.
-func (s *Settings) defaultHeld() int {
-	byMemory := int(s.memoryBytes() * heldMemoryShare / heldBytes)
+// defaultHeldRequests returns the default limit on requests held at a time, bounded by memory and connections.
+func (s *Settings) defaultHeldRequests() int {
+	byMemory := int(s.memoryBytes() * heldMemoryShare / heldRequestBytes)
 	return max(1, min(byMemory, s.MaxHeldRequests()))
 }
 
@@ -80,8 +80,8 @@
 			Backoff:      clock.Scale(s.WorkerLease, backoffPerLease),
 			Cooldown:     clock.Scale(s.WorkerLease, cooldownPerLease),
 		},
-		Body:       defaultBody,
-		Held:       s.defaultHeld(),
+		Body:       defaultBodyBytes,
+		Held:       s.defaultHeldRequests(),
 		Concurrent: defaultConcurrent,
 	}
 }
@@ -91,7 +91,7 @@
 func (s *Settings) RoutingLease() time.Duration { return s.HeartbeatInterval }
 
 // WakeInterval returns how long a controller uses a response that a model isn't ready before it asks again.
-func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakeIntervals }
+func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakesPerHeartbeat }
 
 // UsageInterval returns the interval at which a controller reports the use of models to the leader.
 func (s *Settings) UsageInterval() time.Duration { return s.HeartbeatInterval }
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// callShare is the timeout of one call to the key-value store, as a share of the leadership lease.
-	callShare = 0.4
+	// storeCallShare is the timeout of one call to the key-value store, as a share of the leadership lease.
+	storeCallShare = 0.4
 	// renewalMargin is the part of cancel_s - lease_s that RenewalGrace leaves unused besides the clock
 	// drift, in heartbeat intervals, because a worker needs some time to end its tasks.
 	renewalMargin = 1.0 / 8
@@ -30,7 +30,9 @@
 
 // CallTimeout returns the timeout of one call to the key-value store by the leadership, the registration of
 // nodes, the upgrade gates and the archive.
-func (s *Settings) CallTimeout() time.Duration { return clock.Scale(s.Tuning.LeaderLease, callShare) }
+func (s *Settings) CallTimeout() time.Duration {
+	return clock.Scale(s.Tuning.LeaderLease, storeCallShare)
+}
 
 // RenewalGrace returns how long after the expiry of its own lease a leader may still renew the leases of
 // workers. A successor may acknowledge a cancellation as soon as the old leader's lease has expired. The
@@ -117,15 +119,15 @@
 }
 
 const (
-	// taskBytes is the memory that a waiting task may take, including its share of records.
-	taskBytes = 256
+	// waitingTaskBytes is the memory that a waiting task may take, including its share of records.
+	waitingTaskBytes = 256
 	// taskMemoryShare is the share of the memory quota for waiting tasks.
 	taskMemoryShare = 0.5
 )
 
 // MaxOpenTasks returns how many tasks of unfinished jobs are accepted.
 func (s *Settings) MaxOpenTasks() int {
-	return int(s.memoryBytes() * taskMemoryShare / taskBytes)
+	return int(s.memoryBytes() * taskMemoryShare / waitingTaskBytes)
 }
 
 // memoryBytes returns the memory quota in bytes.
--- a/internal/groupcommit/bulk_pacer.go
+++ b/internal/groupcommit/bulk_pacer.go
@@ -8,12 +8,12 @@
 const (
 	// reservedShare is the share of the burst that is reserved for the other lanes.
 	reservedShare = 0.5
-	// minShare is the least share of the burst for which a commit of bulk is made, because each
+	// minBulkShare is the least share of the burst for which a commit of bulk is made, because each
 	// commit has the same fixed cost however little it holds.
-	minShare = 1.0 / 8
-	// minDelay is the least time until bulk that is held back is checked again. With a shorter
+	minBulkShare = 1.0 / 8
+	// minRetryDelay is the least time until bulk that is held back is checked again. With a shorter
 	// one the queue's owner would spin.
-	minDelay = time.Millisecond
+	minRetryDelay = time.Millisecond
 )
 
 // BulkPacer limits how much of the journal's saved changes the bulk lane may use. The journal
@@ -35,7 +35,7 @@
 // burst. 0 holds the lane back. Once the lane has been held back for maxWait, one call returns infinity.
 func (p *BulkPacer) Allow(now time.Time, saved, burst float64) float64 {
 	spare := saved - reservedShare*burst
-	if spare >= minShare*burst {
+	if spare >= minBulkShare*burst {
 		p.heldSince = time.Time{}
 		return spare
 	}
@@ -53,8 +53,8 @@
 // changes per second that the journal saves.
 func (p *BulkPacer) Due(now time.Time, saved, burst, rate float64) time.Duration {
 	due := p.maxWait - now.Sub(p.heldSince)
-	if missing := (reservedShare+minShare)*burst - saved; rate > 0 {
+	if missing := (reservedShare+minBulkShare)*burst - saved; rate > 0 {
 		due = min(due, time.Duration(missing/rate*float64(time.Second)))
 	}
-	return max(minDelay, due)
+	return max(minRetryDelay, due)
 }
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -25,8 +25,8 @@
 	if due := p.Due(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
 		t.Errorf("Due with four changes missing: got %v, want at most 150ms", due)
 	}
-	if due := p.Due(now, 20, testBurst, testRate); due < minDelay {
-		t.Errorf("Due without missing changes: got %v, want at least %v", due, minDelay)
+	if due := p.Due(now, 20, testBurst, testRate); due < minRetryDelay {
+		t.Errorf("Due without missing changes: got %v, want at least %v", due, minRetryDelay)
 	}
 }
 
--- a/internal/groupcommit/lane.go
+++ b/internal/groupcommit/lane.go
@@ -3,11 +3,11 @@
 // lane is a queue of the entities of one lane that wait for a commit. Marks are numbered. An entity
 // has the number of its first mark since it was last taken into a commit.
 type lane struct {
-	waiting map[string]entity // by key
-	order   []entity // oldest mark first; includes entities that have moved to another lane since
-	marked  uint64   // number of the last mark
-	taken   uint64   // marks up to this one were taken into a commit
-	durable uint64   // marks up to this one are durable
+	waiting     map[string]entity // by key
+	order       []entity          // oldest mark first; includes entities that have moved to another lane since
+	lastMark    uint64            // number of the last mark
+	lastTaken   uint64            // marks up to this one were taken into a commit
+	lastDurable uint64            // marks up to this one are durable
 }
 
 // entity is an entity that waits for a commit.
@@ -19,8 +19,8 @@
 
 // add adds an entity that isn't waiting in the lane yet, and returns its mark.
 func (l *lane) add(key string, data func() any) (mark uint64) {
-	l.marked++
-	e := entity{key: key, mark: l.marked, data: data}
+	l.lastMark++
+	e := entity{key: key, mark: l.lastMark, data: data}
 	l.waiting[key] = e
 	l.order = append(l.order, e)
 	return e.mark
@@ -49,6 +49,6 @@
 
 // skipOldest drops the oldest entry of order and counts its mark as taken.
 func (l *lane) skipOldest() {
-	l.taken = l.order[0].mark
+	l.lastTaken = l.order[0].mark
 	l.order = l.order[1:]
 }
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -65,14 +65,14 @@
 	mark := l.add(key, data)
 	for from := range laneCount {
 		if from != in {
-			q.remove(from, key, in, mark)
+			q.removeFromLane(from, key, in, mark)
 		}
 	}
 }
 
-// remove removes an entity from a lane if it waits there. Callbacks that wait for it in that lane then
+// removeFromLane removes an entity from a lane if it waits there. Callbacks that wait for it in that lane then
 // wait for its mark in the other lane.
-func (q *Queue) remove(from Lane, key string, to Lane, mark uint64) {
+func (q *Queue) removeFromLane(from Lane, key string, to Lane, mark uint64) {
 	old, waits := q.lanes[from].waiting[key]
 	if !waits {
 		return
@@ -136,14 +136,14 @@
 // fill adds about share bytes of each lane to a commit.
 func (q *Queue) fill(c *commit, share int) {
 	for i := range laneCount {
-		most := min(share, c.bytesLeft)
+		limit := min(share, c.bytesLeft)
 		if i == Bulk {
-			most = min(most, c.bulkLeft)
+			limit = min(limit, c.bulkLeft)
 		}
-		if q.Waiting(i) == 0 || most <= 0 {
+		if q.Waiting(i) == 0 || limit <= 0 {
 			continue
 		}
-		used := q.take(i, c, most)
+		used := q.takeFromLane(i, c, limit)
 		c.bytesLeft -= used
 		if i == Bulk {
 			c.bulkLeft -= used
@@ -151,9 +151,9 @@
 	}
 }
 
-// take adds the oldest entities of a lane to a commit until they take up the given bytes, and returns their
+// takeFromLane adds the oldest entities of a lane to a commit until they take up the given bytes, and returns their
 // size. It adds at least one record, however large.
-func (q *Queue) take(from Lane, c *commit, bytes int) (used int) {
+func (q *Queue) takeFromLane(from Lane, c *commit, bytes int) (used int) {
 	l := &q.lanes[from]
 	for len(l.order) > 0 && (used == 0 || used < bytes) {
 		e := l.oldest()
@@ -186,7 +186,7 @@
 // interactive lane were left for the next one.
 func (q *Queue) EndCommit(err error) (full bool) {
 	for i := range q.lanes {
-		q.lanes[i].durable = q.lanes[i].taken
+		q.lanes[i].lastDurable = q.lanes[i].lastTaken
 	}
 	q.inFlight, q.committing = false, nil
 	for _, w := range q.removeDue(err) {
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -13,14 +13,14 @@
 	"sagevale/internal/storage"
 )
 
-// unencodable is the failed callback of tests in which every entity can be encoded.
-func unencodable(key string, err error) { panic(fmt.Sprint(key, err)) }
+// failOnUnencodable is the failed callback of tests in which every entity can be encoded.
+func failOnUnencodable(key string, err error) { panic(fmt.Sprint(key, err)) }
 
-// value returns a data function for an entity of about the given size.
-func value(bytes int) func() any { return func() any { return strings.Repeat("x", bytes) } }
+// dataOfSize returns a data function for an entity of about the given size.
+func dataOfSize(bytes int) func() any { return func() any { return strings.Repeat("x", bytes) } }
 
-// keys returns the keys of the records, in order.
-func keys(records []storage.Record) (out []string) {
+// recordKeys returns the keys of the records, in order.
+func recordKeys(records []storage.Record) (out []string) {
 	for _, r := range records {
 		out = append(out, r.Key)
 	}
@@ -88,7 +88,7 @@
 
 // begin begins a commit and records the values in it.
 func (m *model) begin(bytes int) bool {
-	records, ok := m.queue.BeginCommit(bytes, unencodable)
+	records, ok := m.queue.BeginCommit(bytes, failOnUnencodable)
 	if !ok {
 		return false
 	}
@@ -123,7 +123,7 @@
 			"awaitInteractive": func(t *rapid.T) { m.await(t, Interactive) },
 			"begin": func(t *rapid.T) {
 				if m.committing != nil {
-					if _, ok := m.queue.BeginCommit(100, unencodable); ok {
+					if _, ok := m.queue.BeginCommit(100, failOnUnencodable); ok {
 						t.Fatal("got a second commit while one is in flight")
 					}
 					return
@@ -163,16 +163,16 @@
 	for flood := range laneCount {
 		q := New()
 		for i := range 1000 {
-			q.Mark(flood, fmt.Sprintf("flood%d", i), value(100))
+			q.Mark(flood, fmt.Sprintf("flood%d", i), dataOfSize(100))
 		}
 		for other := range laneCount {
 			if other != flood {
-				q.Mark(other, fmt.Sprintf("other%d", other), value(100))
+				q.Mark(other, fmt.Sprintf("other%d", other), dataOfSize(100))
 			}
 		}
-		records, _ := q.BeginCommit(2000, unencodable)
-		if n := strings.Count(strings.Join(keys(records), " "), "other"); n != 2 {
-			t.Errorf("flood in lane %d: got %d records of the other lanes, want 2: %v", flood, n, keys(records))
+		records, _ := q.BeginCommit(2000, failOnUnencodable)
+		if n := strings.Count(strings.Join(recordKeys(records), " "), "other"); n != 2 {
+			t.Errorf("flood in lane %d: got %d records of the other lanes, want 2: %v", flood, n, recordKeys(records))
 		}
 		if n := len(records); n < 15 || n > 25 {
 			t.Errorf("flood in lane %d: got %d records of 100 bytes, want 15 to 25 in 2000 bytes", flood, n)
@@ -186,15 +186,15 @@
 func TestOldestMarksAreCommittedFirst(t *testing.T) {
 	q := New()
 	for _, key := range []string{"c", "a", "b", "c"} {
-		q.Mark(Bulk, key, value(100))
+		q.Mark(Bulk, key, dataOfSize(100))
 	}
 	var order []string
 	for {
-		records, ok := q.BeginCommit(1, unencodable)
+		records, ok := q.BeginCommit(1, failOnUnencodable)
 		if !ok {
 			break
 		}
-		order = append(order, keys(records)...)
+		order = append(order, recordKeys(records)...)
 		q.EndCommit(nil)
 	}
 	if got, want := strings.Join(order, ""), "cab"; got != want {
@@ -205,18 +205,18 @@
 func TestUnencodableEntityIsLeftOut(t *testing.T) {
 	q := New()
 	q.Mark(Interactive, "bad", func() any { return func() {} })
-	q.Mark(Interactive, "good", value(1))
+	q.Mark(Interactive, "good", dataOfSize(1))
 	var failed string
 	records, ok := q.BeginCommit(1000, func(key string, _ error) { failed = key })
-	if !ok || failed != "bad" || !slices.Equal(keys(records), []string{"good"}) {
-		t.Errorf("got failed %q, records %v; want bad and good", failed, keys(records))
+	if !ok || failed != "bad" || !slices.Equal(recordKeys(records), []string{"good"}) {
+		t.Errorf("got failed %q, records %v; want bad and good", failed, recordKeys(records))
 	}
 }
 
 func TestFailedCommitCallsAllCallbacks(t *testing.T) {
 	q := New()
-	q.Mark(Interactive, "job", value(1))
-	if _, ok := q.BeginCommit(1000, unencodable); !ok {
+	q.Mark(Interactive, "job", dataOfSize(1))
+	if _, ok := q.BeginCommit(1000, failOnUnencodable); !ok {
 		t.Fatal("no commit begins")
 	}
 	want := errors.New("leadership lost")
@@ -232,14 +232,14 @@
 	q := New()
 	q.LimitBulk(0)
 	calls := 0
-	q.Mark(Bulk, "page", value(100))
+	q.Mark(Bulk, "page", dataOfSize(100))
 	q.OnAllDurable(func(error) { calls++ })
-	if _, ok := q.BeginCommit(1000, unencodable); ok {
+	if _, ok := q.BeginCommit(1000, failOnUnencodable); ok {
 		t.Error("bulk is committed while it is held back")
 	}
-	q.Mark(Interactive, "job", value(100))
-	records, _ := q.BeginCommit(1000, unencodable)
-	if got := keys(records); !slices.Equal(got, []string{"job"}) {
+	q.Mark(Interactive, "job", dataOfSize(100))
+	records, _ := q.BeginCommit(1000, failOnUnencodable)
+	if got := recordKeys(records); !slices.Equal(got, []string{"job"}) {
 		t.Errorf("got records %v, want only the job", got)
 	}
 	q.EndCommit(nil)
@@ -247,14 +247,14 @@
 		t.Error("the callback was called before bulk is durable")
 	}
 	q.LimitBulk(1)
-	records, _ = q.BeginCommit(1000, unencodable)
+	records, _ = q.BeginCommit(1000, failOnUnencodable)
 	q.EndCommit(nil)
-	if got := keys(records); !slices.Equal(got, []string{"page"}) || calls != 1 {
+	if got := recordKeys(records); !slices.Equal(got, []string{"page"}) || calls != 1 {
 		t.Errorf("got records %v and %d calls, want only the page and one call", got, calls)
 	}
 	q.LimitBulk(0)
 	q.OnAllDurable(func(error) { calls++ })
-	if _, ok := q.BeginCommit(1000, unencodable); !ok {
+	if _, ok := q.BeginCommit(1000, failOnUnencodable); !ok {
 		t.Error("no commit begins for a callback that waits for nothing")
 	}
 }
--- a/internal/groupcommit/waiter.go
+++ b/internal/groupcommit/waiter.go
@@ -11,7 +11,7 @@
 func (q *Queue) OnDurable(callback func(error), in ...Lane) {
 	w := waiter{callback: callback}
 	for _, lane := range in {
-		w.marks[lane] = q.lanes[lane].marked
+		w.marks[lane] = q.lanes[lane].lastMark
 	}
 	q.waiters = append(q.waiters, w)
 }
@@ -32,7 +32,7 @@
 // isDue reports whether everything that a waiter waits for is durable.
 func (q *Queue) isDue(w *waiter) bool {
 	for i := range q.lanes {
-		if q.lanes[i].durable < w.marks[i] {
+		if q.lanes[i].lastDurable < w.marks[i] {
 			return false
 		}
 	}
