--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -44,8 +44,8 @@
 	a.log.Info("cloud call failed", "call", call, "error", err)
 }
 
-// callCloud runs f, which makes one call of the cloud, in a goroutine that ends with ctx. It waits for the rate limiter
-// before the call.
+// callCloud runs f, which makes one call of the cloud, in a goroutine that ends with ctx. The goroutine first waits
+// for the rate limiter.
 func (a *Autoscaler) callCloud(ctx context.Context, f func(ctx context.Context)) {
 	a.cloudCalls.Go(func() {
 		if err := a.limiter.Wait(ctx); err != nil {
@@ -87,8 +87,8 @@
 	return max(a.settings.ListLag/listsPerLag, atShare)
 }
 
-// listMachines reads the whole machine list. Each page is a separate call with its own timeout, so that the length of the
-// list isn't limited by the timeout.
+// listMachines reads the whole machine list. Each page is a separate call with its own timeout, so that the timeout
+// doesn't limit the length of the list.
 func (a *Autoscaler) listMachines(ctx context.Context) (machines []cloud.Machine, pages int, err error) {
 	after := NoMachine
 	for {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -110,8 +110,9 @@
 	return demands
 }
 
-// classHeadroomDemands returns headroom demands for a number of tasks of a class. A spread job must run half of its tasks,
-// rounded down, outside its first zone. For such classes that share of the headroom is kept in every feasible zone.
+// classHeadroomDemands returns headroom demands for a number of tasks of a class. A spread job must run half of its
+// tasks, rounded down, outside its first zone. For such classes that share of the headroom is kept in every feasible
+// zone.
 func (r *Reviewer) classHeadroomDemands(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -9,7 +9,7 @@
 	"sagevale/internal/storage"
 )
 
-// headroomTasks returns for how many tasks of a class to keep resources free. Classes of high priority or above have
+// headroomTasks returns the number of tasks of a class to keep resources free for. Classes of high priority or above have
 // headroom, and so does batch work that may use spot machines and has at least normal priority or a deadline.
 //
 // For services it is the number of tasks expected to arrive while a machine boots, net of departures, plus a margin
@@ -38,12 +38,13 @@
 	return int(math.Ceil(rate.Expected(r.state.MinBootSeconds(c.Latest), deviations) - 0.5))
 }
 
-// maxPromptStartBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with more
-// time can wait for machines to boot.
+// maxPromptStartBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with
+// more time can wait for machines to boot.
 const maxPromptStartBoots = 2
 
-// gangHeadroomTasks returns for how many tasks of a class of gangs to keep resources free: the expected number of running
-// tasks, plus the margin, minus the current number, but at least the size of the largest recent gang.
+// gangHeadroomTasks returns the number of tasks of a class of gangs to keep resources free for. It is the expected
+// number of running tasks, plus the margin, minus the current number, but at least the size of the largest recent
+// gang.
 func (r *Reviewer) gangHeadroomTasks(c *cluster.Class, now time.Time) int {
 	objective := r.settings.StartObjective(c.Latest.Spec.Class)
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -63,7 +63,7 @@
 	unpackedTasks int     // tasks left unpacked so far
 }
 
-// packTask packs one task of a demand on a candidate. It returns the number of tasks packed on a booting machine, 1 or 0.
+// packTask packs one task of a demand on a candidate. It returns 1 if the candidate is a booting machine, and else 0.
 func packTask(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
 	c.Packed = append(c.Packed, d.packedTask())
@@ -107,12 +107,12 @@
 	}
 }
 
-// provisioningHedge computes for one class for how many tasks to launch extra machines. bootingTasks counts the
+// provisioningHedge computes the number of tasks of one class to launch extra machines for. bootingTasks counts the
 // tasks that rely on booting machines, and hedgedTasks those for which extra machines were requested.
 type provisioningHedge struct{ bootingTasks, hedgedTasks float64 }
 
-// extraTasks counts another number of tasks that rely on booting machines, and returns for how many more tasks to launch
-// extra machines.
+// extraTasks adds tasks that rely on booting machines to the count, and returns the number of further tasks to launch
+// extra machines for.
 func (h *provisioningHedge) extraTasks(booting int, tasksPerMachine float64) int {
 	h.bootingTasks += float64(booting)
 	machines := h.bootingTasks / tasksPerMachine
@@ -130,8 +130,8 @@
 	return float64(most)
 }
 
-// packDemand packs a demand's tasks on candidates, and adds desired machines as needed. It returns how many of the tasks
-// are packed on machines that aren't up yet.
+// packDemand packs a demand's tasks on candidates, and adds desired machines as needed. It returns the number of
+// tasks packed on machines that aren't up yet.
 func (r *Reviewer) packDemand(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
 	if spec := &d.job.Spec; spec.Gang && spec.SameZone && len(d.job.Attempts) == 0 {
 		if zone := zoneWithMostCapacity(p.candidates, d); zone != "" {
@@ -244,8 +244,8 @@
 	return !c.Booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0
 }
 
-// zoneWithMostCapacity returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits anywhere. Of
-// equal zones the first by name is taken.
+// zoneWithMostCapacity returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits
+// anywhere. Of equal zones it returns the first by name.
 func zoneWithMostCapacity(candidates []*placement.Candidate, d *demand) string {
 	capacity := make(map[string]int)
 	best := ""
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -21,7 +21,7 @@
 
 	provisioning  *provisioningHistory
 	rejected      map[cloud.Offering]time.Time // when the cloud last rejected each offering
-	surplusCursor int                          // number of machines with tasks that the next search for surplus machines skips
+	surplusCursor int                          // number of machines with tasks that the next findSurplus skips
 }
 
 // NewReviewer returns a reviewer of a cluster's fleet. The planner must use the same cluster state.
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxRemovalTrials bounds for how many machines with tasks one snapshot tests whether they are surplus.
-	// The next snapshot continues with the machine at which this one stopped.
+	// maxRemovalTrials is the number of machines with tasks that one snapshot tests for being surplus. The
+	// next snapshot continues with the machine at which this one stopped.
 	maxRemovalTrials = 8
 	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus, but at
 	// least one machine may be reported.
@@ -27,7 +27,7 @@
 func (r *Reviewer) findSurplus(p *packing, now time.Time) []SurplusMachine {
 	maxSurplus := max(1, int(maxSurplusShare*float64(len(p.candidates))))
 	var surplus []SurplusMachine
-	busySeen, busySkipped := 0, r.surplusCursor // machines with tasks seen so far, and those to skip because earlier snapshots tested them
+	busySeen, busySkipped := 0, r.surplusCursor // machines with tasks: seen so far, and tested by earlier snapshots
 	r.surplusCursor = 0
 	for _, c := range r.sortedByWaste(p, now) {
 		if len(surplus) == maxSurplus {
@@ -53,8 +53,8 @@
 	return surplus
 }
 
-// sortedByWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest first.
-// Fully reserved and briefly idle machines are left out.
+// sortedByWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest
+// first. Fully reserved and briefly idle machines are left out.
 func (r *Reviewer) sortedByWaste(p *packing, now time.Time) []*placement.Candidate {
 	waste := make(map[*placement.Candidate]float64)
 	var wasteful []*placement.Candidate
@@ -142,8 +142,8 @@
 }
 
 // tryMoveAttempts tries to pack a machine's services into the candidates. With moveCheckpointed it also packs the
-// tasks that save checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait. undo gives the
-// resources back; the caller must call it if ok is false.
+// tasks that save checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait.
+// undo gives the resources back. The caller must call it if ok is false.
 func (r *Reviewer) tryMoveAttempts(m *cluster.Machine, candidates []*placement.Candidate, moveCheckpointed bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.SortedAttempts() {
@@ -168,8 +168,8 @@
 	return undo, true
 }
 
-// moveMissesDeadline reports whether a move may make a batch task miss a deadline that it would meet on its present machine,
-// because of the time to save a checkpoint and to fetch its image on the other machine.
+// moveMissesDeadline reports whether a move may make a batch task miss a deadline that it would meet on its present
+// machine, because of the time to save a checkpoint and to fetch its image on the other machine.
 func (r *Reviewer) moveMissesDeadline(a *cluster.Attempt, now time.Time) bool {
 	spec := &a.Job.Spec
 	if spec.Service || spec.DeadlineS <= 0 || a.Started.IsZero() {
