--- a/internal/autoscaling/autoscaler_test.go
+++ b/internal/autoscaling/autoscaler_test.go
@@ -16,7 +16,8 @@
 	"sagevale/internal/storage"
 )
 
-// The cloud rejects a launch request for more than fifty machines as malformed, which once was taken for missing capacity.
+// Guards against launch requests for more than 50 machines. The cloud rejects them as malformed, and the autoscaler
+// once treated that as missing capacity.
 func TestLaunchesStayWithinTheCloudsLimit(t *testing.T) {
 	var desired []cloud.Offering
 	for i := range 173 {
@@ -34,10 +35,10 @@
 	}
 }
 
-// manyMachines takes many pages to list.
+// manyMachines is a number of machines whose list has many pages.
 const manyMachines = 6000
 
-// slowCloud lists many machines, each page after a second.
+// slowCloud takes a second to return each page of the machine list.
 type slowCloud struct{ machines int }
 
 func (c slowCloud) MachineTypes(context.Context) ([]storage.MachineType, error) { return nil, nil }
@@ -60,27 +61,28 @@
 	return page, after+1+len(page) < c.machines, nil
 }
 
-// A list of many pages takes longer than the timeout of one call, and must leave most of the cloud's request rate to other calls.
+// A list of many pages takes longer than the timeout of one call. It must still be read whole, and leave the other
+// calls their share of the cloud's request rate.
 func TestLongMachineListIsReadWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.WorkerLease, s.CloudRPS = 12*time.Second, 3
-		a := &Autoscaler{settings: &s, cloud: slowCloud{manyMachines}, limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudShare), 1)}
-		machines, pages, err := a.listAll(t.Context())
-		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPage {
+		a := &Autoscaler{settings: &s, cloud: slowCloud{manyMachines}, limiter: rate.NewLimiter(rate.Limit(s.CloudRPS*cloudRequestShare), 1)}
+		machines, pages, err := a.listMachines(t.Context())
+		if err != nil || len(machines) != manyMachines || pages != manyMachines/listPageSize {
 			t.Fatalf("%d machines on %d pages: %v", len(machines), pages, err)
 		}
-		a.listPages = pages
-		if share := float64(pages) / a.listInterval().Seconds() / s.CloudRPS; share > listShare*cloudShare+0.01 {
-			t.Errorf("lists take %.2f of the requests, want at most %.2f", share, listShare*cloudShare)
+		a.lastListPages = pages
+		if share := float64(pages) / a.listInterval().Seconds() / s.CloudRPS; share > listRequestShare*cloudRequestShare+0.01 {
+			t.Errorf("lists take %.2f of the requests, want at most %.2f", share, listRequestShare*cloudRequestShare)
 		}
-		if a.listPages = 1; a.listInterval() != s.ListLag/listsPerLag {
+		if a.lastListPages = 1; a.listInterval() != s.ListLag/listsPerLag {
 			t.Errorf("a short list is read every %v, want %v", a.listInterval(), s.ListLag/listsPerLag)
 		}
 	})
 }
 
-// fakeJournal makes everything durable at once, or fails.
+// fakeJournal acknowledges every batch at once, with err.
 type fakeJournal struct{ err error }
 
 func (j *fakeJournal) Append(_ context.Context, b storage.Batch) {
@@ -89,7 +91,7 @@
 	}
 }
 
-// fakeScheduler records the autoscaler's notifications.
+// fakeScheduler records the calls of the autoscaler.
 type fakeScheduler struct {
 	launched   []storage.LaunchRecord
 	rejected   []cloud.Offering
@@ -108,11 +110,11 @@
 }
 func (f *fakeScheduler) HandleSurplus(m SurplusMachine) { f.surplus = append(f.surplus, m) }
 
-// fakeCloud launches machines, or fails with launchErr.
+// fakeCloud launches one machine per request, or fails with launchErr.
 type fakeCloud struct {
 	slowCloud
 	launchErr error
-	requests  map[string]int // calls of Launch by name
+	requests  map[string]int // number of calls of Launch by request name
 }
 
 func (c *fakeCloud) Launch(_ context.Context, name string, _ storage.LaunchRecord) ([]int, error) {
@@ -120,7 +122,8 @@
 	return []int{1}, c.launchErr
 }
 
-// runAutoscaler runs an autoscaler of term 2 until the test ends, and returns after the time in which it waits for heartbeats.
+// runAutoscaler runs an autoscaler of term 2 until the test ends. It returns once the autoscaler no longer waits for
+// the machines to report to a new leader.
 func runAutoscaler(t *testing.T, c *fakeCloud, journal Journal) (*Autoscaler, *fakeScheduler) {
 	t.Helper()
 	settings := clustertest.Settings()
@@ -143,15 +146,15 @@
 	return a, scheduler
 }
 
-// missing returns a snapshot in which one machine is desired.
-func missing(o cloud.Offering) Snapshot {
+// snapshotDesiring returns a snapshot in which one machine of the offering is desired.
+func snapshotDesiring(o cloud.Offering) Snapshot {
 	return Snapshot{Healthy: true, MachinesListed: true, Desired: []cloud.Offering{o}, NonOpportunistic: 1, Size: 1}
 }
 
 var testOffering = cloud.Offering{Type: "cpu", Zone: "a", Spot: true}
 
-// sustain sends the autoscaler a snapshot every half second for the given time.
-func sustain(a *Autoscaler, s Snapshot, d time.Duration) {
+// sendSnapshots sends the autoscaler a snapshot every half second for the given time.
+func sendSnapshots(a *Autoscaler, s Snapshot, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		a.HandleSnapshot(s)
 	}
@@ -161,12 +164,12 @@
 func TestScaleOutAfterSustainedDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, scheduler := runAutoscaler(t, &fakeCloud{}, &fakeJournal{})
-		a.HandleSnapshot(missing(testOffering))
+		a.HandleSnapshot(snapshotDesiring(testOffering))
 		synctest.Wait()
 		if len(scheduler.launched) != 0 {
 			t.Error("scales out before demand has lasted for the window")
 		}
-		sustain(a, missing(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
+		sendSnapshots(a, snapshotDesiring(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
 		want := storage.LaunchRecord{Type: "cpu", Zone: "a", Spot: true, Count: 1}
 		if len(scheduler.launched) != 1 || scheduler.launched[0] != want {
 			t.Errorf("launched %+v, want one of %+v", scheduler.launched, want)
@@ -174,12 +177,13 @@
 	})
 }
 
-// A launch request without a response may have succeeded, so that it is retried under the same name.
+// A launch request without a response may have been executed. Retrying it under another name could launch the
+// machines twice.
 func TestUnansweredLaunchIsRepeatedUnderItsName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{launchErr: cloud.ErrUnknownOutcome}
 		a, scheduler := runAutoscaler(t, c, &fakeJournal{})
-		sustain(a, missing(testOffering), time.Minute)
+		sendSnapshots(a, snapshotDesiring(testOffering), time.Minute)
 		if len(c.requests) != 1 || len(scheduler.launched) != 0 {
 			t.Errorf("requests %v, %d launched; want one name and none", c.requests, len(scheduler.launched))
 		}
@@ -194,7 +198,7 @@
 func TestRejectedLaunchIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, scheduler := runAutoscaler(t, &fakeCloud{launchErr: cloud.ErrNoCapacity}, &fakeJournal{})
-		sustain(a, missing(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
+		sendSnapshots(a, snapshotDesiring(testOffering), a.settings.Tuning.ScaleOutWindow+time.Second)
 		if len(scheduler.rejected) == 0 || scheduler.rejected[0] != testOffering {
 			t.Errorf("rejected %+v, want %+v", scheduler.rejected, testOffering)
 		}
@@ -205,7 +209,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeCloud{}
 		a, _ := runAutoscaler(t, c, &fakeJournal{err: storage.ErrLeadershipLost})
-		sustain(a, missing(testOffering), time.Minute)
+		sendSnapshots(a, snapshotDesiring(testOffering), time.Minute)
 		if len(c.requests) != 0 {
 			t.Errorf("requests %v though nothing was recorded", c.requests)
 		}
@@ -217,13 +221,13 @@
 		a, scheduler := runAutoscaler(t, &fakeCloud{}, &fakeJournal{})
 		surplus := []SurplusMachine{{Machine: 1}, {Machine: 2}}
 		idle := Snapshot{Healthy: true, MachinesListed: true, Surplus: surplus, Size: 3}
-		sustain(a, idle, a.settings.Tuning.ScaleInWindow-time.Second)
+		sendSnapshots(a, idle, a.settings.Tuning.ScaleInWindow-time.Second)
 		if len(scheduler.surplus) != 0 {
 			t.Error("scales in before all machines have been healthy for the window")
 		}
 		time.Sleep(2 * time.Second)
 		a.HandleSnapshot(idle)
-		time.Sleep(time.Minute) // the first drain isn't over
+		time.Sleep(time.Minute) // the first drain isn't over yet, so no second one may begin
 		synctest.Wait()
 		if len(scheduler.surplus) != 1 || scheduler.surplus[0].Machine != 1 {
 			t.Fatalf("drained %+v, want machine 1 alone", scheduler.surplus)
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// callPerLease is how long one call of the cloud may take, in workers' leases.
-	callPerLease = 0.5
-	// listsPerLag is how often the machine list is read within its lag, as far as listShare of the
-	// requests allows.
-	listsPerLag = 2
-	listShare   = 0.5
-	// listPage is the cloud's largest page.
-	listPage = 500
-	// typesLeases is how often the machine types are read again, in workers' leases.
-	typesLeases = 5
-	// maxTerminate is how many machines one termination request may name, by the protocol.
-	maxTerminate = 100
+	// callTimeoutPerLease is the timeout of one call of the cloud, in worker leases.
+	callTimeoutPerLease = 0.5
+	// listsPerLag is how many times the machine list is read per ListLag. It is read less often if the
+	// reads would use more than listRequestShare of the autoscaler's requests.
+	listsPerLag      = 2
+	listRequestShare = 0.5
+	// listPageSize is the number of machines requested per page, the most that the cloud returns.
+	listPageSize = 500
+	// typesRefreshLeases is the interval between two reads of the machine types, in worker leases.
+	typesRefreshLeases = 5
+	// maxTerminationBatch is the protocol's limit on the number of machines in one termination request.
+	maxTerminationBatch = 100
 )
 
-// NoMachine stands for none: the cloud numbers its machines from 0.
+// NoMachine is the number that stands for no machine. The cloud numbers its machines from 0.
 const NoMachine = -1
 
-// The names of calls, as failures are logged.
+// Names of the cloud calls in log messages about failures.
 const (
 	callLaunch    = "launch"
 	callTerminate = "terminate"
@@ -37,18 +37,19 @@
 	callTypes     = "machine types"
 )
 
-// backOff freezes scaling for a while after a call that failed.
+// backOff freezes scaling for a heartbeat interval after a failed call.
 func (a *Autoscaler) backOff(call string, err error, now time.Time) {
 	a.backOffUntil = now.Add(a.settings.HeartbeatInterval)
 	a.healthySince = time.Time{}
 	a.log.Info("cloud call failed", "call", call, "error", err)
 }
 
-// call makes one call of the cloud within its request budget, in a goroutine that ends with ctx.
-func (a *Autoscaler) call(ctx context.Context, f func(ctx context.Context)) {
-	a.calls.Go(func() {
+// callCloud runs f, which makes one call of the cloud, in a goroutine that ends with ctx. The goroutine first waits
+// for the rate limiter.
+func (a *Autoscaler) callCloud(ctx context.Context, f func(ctx context.Context)) {
+	a.cloudCalls.Go(func() {
 		if err := a.limiter.Wait(ctx); err != nil {
-			return // the term ends
+			return // ctx has ended
 		}
 		callCtx, cancel := a.callContext(ctx)
 		defer cancel()
@@ -56,47 +57,49 @@
 	})
 }
 
+// callContext returns a context with the timeout of one call of the cloud.
 func (a *Autoscaler) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, clock.Scale(a.settings.WorkerLease, callPerLease))
+	return context.WithTimeout(ctx, clock.Scale(a.settings.WorkerLease, callTimeoutPerLease))
 }
 
-// pollCloud reads the machine list and the machine types when they are due.
+// pollCloud starts reads of the machine list and of the machine types when they are due.
 func (a *Autoscaler) pollCloud(ctx context.Context, now time.Time) {
-	if !a.listing && now.Sub(a.lastList) >= a.listInterval() {
-		a.listing, a.lastList = true, now
-		a.call(ctx, func(context.Context) { // each page has its own time
-			machines, pages, err := a.listAll(ctx)
-			a.post(listAnswer{machines, pages, err})
+	if !a.listInFlight && now.Sub(a.lastListAt) >= a.listInterval() {
+		a.listInFlight, a.lastListAt = true, now
+		a.callCloud(ctx, func(context.Context) { // listMachines gives each page its own timeout
+			machines, pages, err := a.listMachines(ctx)
+			a.post(listResult{machines, pages, err})
 		})
 	}
-	if !a.readingTypes && now.Sub(a.lastTypes) >= typesLeases*a.settings.WorkerLease {
-		a.readingTypes, a.lastTypes = true, now
-		a.call(ctx, func(ctx context.Context) {
+	if !a.typesInFlight && now.Sub(a.lastTypesAt) >= typesRefreshLeases*a.settings.WorkerLease {
+		a.typesInFlight, a.lastTypesAt = true, now
+		a.callCloud(ctx, func(ctx context.Context) {
 			types, err := a.cloud.MachineTypes(ctx)
-			a.post(typesAnswer{types, err})
+			a.post(typesResult{types, err})
 		})
 	}
 }
 
-// listInterval is how long after one reading of the machine list the next one begins: a long list must leave
-// requests for launches and terminations.
+// listInterval returns the least time between the starts of two reads of the machine list. It grows with the number
+// of pages, so that enough of the request rate is left for launches and terminations.
 func (a *Autoscaler) listInterval() time.Duration {
-	atShare := time.Duration(float64(a.listPages) / (float64(a.limiter.Limit()) * listShare) * float64(time.Second))
+	atShare := time.Duration(float64(a.lastListPages) / (float64(a.limiter.Limit()) * listRequestShare) * float64(time.Second))
 	return max(a.settings.ListLag/listsPerLag, atShare)
 }
 
-// listAll reads the whole machine list. Each page is a call of its own, so that the list may be of any length.
-func (a *Autoscaler) listAll(ctx context.Context) (all []cloud.Machine, pages int, err error) {
+// listMachines reads the whole machine list. Each page is a separate call with its own timeout, so that the timeout
+// doesn't limit the length of the list.
+func (a *Autoscaler) listMachines(ctx context.Context) (machines []cloud.Machine, pages int, err error) {
 	after := NoMachine
 	for {
-		page, more, err := a.listOne(ctx, after)
+		page, more, err := a.listMachinesPage(ctx, after)
 		if err != nil {
 			return nil, pages, err
 		}
 		pages++
-		all = append(all, page...)
+		machines = append(machines, page...)
 		if !more || len(page) == 0 {
-			return all, pages, nil
+			return machines, pages, nil
 		}
 		after = page[len(page)-1].ID
 		if err := a.limiter.Wait(ctx); err != nil {
@@ -105,20 +108,22 @@
 	}
 }
 
-func (a *Autoscaler) listOne(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
+// listMachinesPage reads the page of the machine list that follows the machine with number after.
+func (a *Autoscaler) listMachinesPage(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
 	ctx, cancel := a.callContext(ctx)
 	defer cancel()
-	return a.cloud.List(ctx, after, listPage)
+	return a.cloud.List(ctx, after, listPageSize)
 }
 
-type listAnswer struct {
+// listResult is the result of a read of the machine list.
+type listResult struct {
 	machines []cloud.Machine
 	pages    int
 	err      error
 }
 
-func (m listAnswer) handle(_ context.Context, a *Autoscaler, now time.Time) {
-	a.listing, a.listPages = false, m.pages
+func (m listResult) handle(_ context.Context, a *Autoscaler, now time.Time) {
+	a.listInFlight, a.lastListPages = false, m.pages
 	if m.err != nil {
 		a.backOff(callList, m.err, now)
 		return
@@ -126,23 +131,24 @@
 	a.scheduler.HandleMachineList(m.machines)
 }
 
-type typesAnswer struct {
+// typesResult is the result of a read of the machine types.
+type typesResult struct {
 	types []storage.MachineType
 	err   error
 }
 
-func (m typesAnswer) handle(_ context.Context, a *Autoscaler, now time.Time) {
-	a.readingTypes = false
+func (m typesResult) handle(_ context.Context, a *Autoscaler, now time.Time) {
+	a.typesInFlight = false
 	if m.err != nil {
 		a.backOff(callTypes, m.err, now)
-		a.lastTypes = now.Add(-typesLeases*a.settings.WorkerLease + a.settings.HeartbeatInterval)
+		a.lastTypesAt = now.Add(-typesRefreshLeases*a.settings.WorkerLease + a.settings.HeartbeatInterval)
 		return
 	}
 	a.scheduler.HandleMachineTypes(m.types)
 }
 
-// sendLaunches sends the recorded launch requests. One without an answer is repeated under its own name, so that
-// it launches once.
+// sendLaunches sends the recorded launch requests. A request whose outcome is unknown is repeated under the same
+// name, so that the cloud executes it only once.
 func (a *Autoscaler) sendLaunches(ctx context.Context, now time.Time) {
 	for name, l := range a.launches {
 		if !l.durable || l.sending || now.Before(l.retryAt) {
@@ -150,20 +156,21 @@
 		}
 		l.sending = true
 		record := l.LaunchRecord
-		a.call(ctx, func(ctx context.Context) {
+		a.callCloud(ctx, func(ctx context.Context) {
 			machines, err := a.cloud.Launch(ctx, name, record)
-			a.post(launchAnswer{name, machines, err})
+			a.post(launchResult{name, machines, err})
 		})
 	}
 }
 
-type launchAnswer struct {
+// launchResult is the result of one call for a launch request.
+type launchResult struct {
 	name     string
 	machines []int
 	err      error
 }
 
-func (m launchAnswer) handle(ctx context.Context, a *Autoscaler, now time.Time) {
+func (m launchResult) handle(ctx context.Context, a *Autoscaler, now time.Time) {
 	l := a.launches[m.name]
 	if l == nil {
 		return
@@ -190,6 +197,7 @@
 	a.journal.Append(ctx, storage.Batch{Records: []storage.Record{done}})
 }
 
+// terminateMessage requests the termination of machines.
 type terminateMessage struct{ machines []int }
 
 func (m terminateMessage) handle(ctx context.Context, a *Autoscaler, _ time.Time) {
@@ -201,27 +209,29 @@
 	a.sendTerminations(ctx)
 }
 
-// sendTerminations asks the cloud to terminate machines, all that have gathered at once.
+// sendTerminations sends one request to terminate the waiting machines, at most maxTerminationBatch of them, unless a
+// request is in flight.
 func (a *Autoscaler) sendTerminations(ctx context.Context) {
-	if a.terminating || len(a.toTerminate) == 0 {
+	if a.terminationInFlight || len(a.toTerminate) == 0 {
 		return
 	}
-	a.terminating = true
-	n := min(len(a.toTerminate), maxTerminate)
+	a.terminationInFlight = true
+	n := min(len(a.toTerminate), maxTerminationBatch)
 	batch := a.toTerminate[:n:n]
 	a.toTerminate = a.toTerminate[n:]
-	a.call(ctx, func(ctx context.Context) {
-		a.post(terminateAnswer{batch, a.cloud.Terminate(ctx, batch)})
+	a.callCloud(ctx, func(ctx context.Context) {
+		a.post(terminateResult{batch, a.cloud.Terminate(ctx, batch)})
 	})
 }
 
-type terminateAnswer struct {
+// terminateResult is the result of a termination request.
+type terminateResult struct {
 	machines []int
 	err      error
 }
 
-func (m terminateAnswer) handle(ctx context.Context, a *Autoscaler, now time.Time) {
-	a.terminating = false
+func (m terminateResult) handle(ctx context.Context, a *Autoscaler, now time.Time) {
+	a.terminationInFlight = false
 	if m.err != nil {
 		a.backOff(callTerminate, m.err, now)
 		return
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -11,61 +11,64 @@
 )
 
 const (
-	// overdueRatio is after how many nominal boot times a machine that isn't up no longer counts as coming:
-	// some take several times as long, some never come.
+	// overdueRatio is the number of nominal boot times after which a machine that isn't up is overdue and
+	// no longer counted on: some machines take several times as long, and some never come up.
 	overdueRatio = 1.6
-	// abandonRatio is after how many nominal boot times it is terminated: another comes sooner.
+	// abandonRatio is the number of nominal boot times after which it is terminated, because a replacement
+	// comes up sooner.
 	abandonRatio = 2.0
-	// firstReportGrace is what a machine has beyond that until its first report.
+	// firstReportGrace is the additional time that a booted machine has until its first report.
 	firstReportGrace = 5 * time.Second
 )
 
-// provisioningHistory is what is known of the provisioning of machines in this term: by type, how slow it is,
-// and by offering, whether machines come at all.
+// provisioningHistory holds the outcomes of provisioning in this term. Those by machine type show how slow it is,
+// and those by offering show whether machines come up at all.
 type provisioningHistory struct {
-	types     map[string]*provisioning.History
-	offerings map[cloud.Offering]*provisioning.History
-	slowness  map[string]float64 // by type, as of the last snapshot
+	byType     map[string]*provisioning.History
+	byOffering map[cloud.Offering]*provisioning.History
+	slowness   map[string]float64 // factor by type, as of the last snapshot; 1: not slow
 }
 
 func newProvisioningHistory() *provisioningHistory {
 	return &provisioningHistory{
-		types:     make(map[string]*provisioning.History),
-		offerings: make(map[cloud.Offering]*provisioning.History),
-		slowness:  make(map[string]float64),
+		byType:     make(map[string]*provisioning.History),
+		byOffering: make(map[cloud.Offering]*provisioning.History),
+		slowness:   make(map[string]float64),
 	}
 }
 
+// ofType returns the history of a machine type, which is created if there is none.
 func (h *provisioningHistory) ofType(name string) *provisioning.History {
-	if h.types[name] == nil {
-		h.types[name] = &provisioning.History{}
+	if h.byType[name] == nil {
+		h.byType[name] = &provisioning.History{}
 	}
-	return h.types[name]
+	return h.byType[name]
 }
 
+// ofOffering returns the history of an offering, which is created if there is none.
 func (h *provisioningHistory) ofOffering(o cloud.Offering) *provisioning.History {
-	if h.offerings[o] == nil {
-		h.offerings[o] = &provisioning.History{}
+	if h.byOffering[o] == nil {
+		h.byOffering[o] = &provisioning.History{}
 	}
-	return h.offerings[o]
+	return h.byOffering[o]
 }
 
-// provisioningRatio is for how many nominal boot times a machine has been provisioned.
+// provisioningRatio returns the time since a machine's launch, in nominal boot times of its type.
 func provisioningRatio(m *cluster.Machine, now time.Time) float64 {
 	return now.Sub(m.FirstSeen).Seconds() / m.Type.BootS
 }
 
-// NoteProvisioned notes that a machine has come up whose launch was seen.
+// NoteProvisioned records that a machine has come up, if its launch was observed.
 func (r *Reviewer) NoteProvisioned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || m.Type == nil || m.Type.BootS <= 0 {
 		return
 	}
-	m.ProvisioningObserved = false // once
+	m.ProvisioningObserved = false // each machine is recorded once
 	r.provisioning.ofType(m.TypeName).RecordProvisioned(now, provisioningRatio(m, now))
 	r.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
-// noteAbandoned notes that a machine is terminated because it hasn't come up.
+// noteAbandoned records that a machine is terminated that never came up, if its launch was observed.
 func (r *Reviewer) noteAbandoned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
@@ -75,17 +78,17 @@
 	r.provisioning.ofOffering(m.Offering()).RecordAbandoned(now, provisioningRatio(m, now))
 }
 
-// updateSlowness computes, type by type, how slow provisioning is.
+// updateSlowness computes for each machine type the factor by which provisioning is slower than usual.
 func (r *Reviewer) updateSlowness(now time.Time) {
-	late := make(map[string][]float64)
+	overdueRatios := make(map[string][]float64)
 	for _, m := range r.state.Machines.InOrder() {
 		if m.ProvisioningObserved && m.LastContact.IsZero() && m.Type != nil && m.Type.BootS > 0 && !m.Terminating && provisioningRatio(m, now) > 1 {
-			late[m.TypeName] = append(late[m.TypeName], provisioningRatio(m, now))
+			overdueRatios[m.TypeName] = append(overdueRatios[m.TypeName], provisioningRatio(m, now))
 		}
 	}
 	for _, name := range r.state.Types.All() {
 		nominal := clock.Seconds(r.state.Types.Get(name).BootS)
-		slowness := r.provisioning.ofType(name).Slowness(now, nominal, late[name])
+		slowness := r.provisioning.ofType(name).Slowness(now, nominal, overdueRatios[name])
 		if slowness > 1 && r.provisioning.slowness[name] <= 1 {
 			r.log.Info("slow provisioning", "type", name, "factor", slowness)
 		}
@@ -93,33 +96,34 @@
 	}
 }
 
-// provisioningExceeds reports whether a machine has had more than so many nominal boot times.
+// provisioningExceeds reports whether a machine was launched more than ratio nominal boot times and firstReportGrace
+// ago.
 func provisioningExceeds(m *cluster.Machine, now time.Time, ratio float64) bool {
 	return m.Type != nil && now.Sub(m.FirstSeen) > clock.Seconds(m.Type.BootS*ratio)+firstReportGrace
 }
 
-// Overdue reports whether a machine that isn't up no longer counts as coming. Where all machines of its type
-// are slow another would come no sooner; but they may be such as never come, so it counts for longer by the
-// root of how slow they are.
+// Overdue reports whether a machine that isn't up is no longer counted on. If all machines of its type boot slowly,
+// a replacement would come up no sooner. The slow ones may also be machines that never come up, so the limit is
+// extended only by the square root of the slowness.
 func (r *Reviewer) Overdue(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, overdueRatio*math.Sqrt(max(1, r.provisioning.slowness[m.TypeName])))
 }
 
-// provisioningFailed reports whether a machine that isn't up is terminated.
+// provisioningFailed reports whether a machine that isn't up has taken so long that it is terminated.
 func (r *Reviewer) provisioningFailed(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, abandonRatio*max(1, r.provisioning.slowness[m.TypeName]))
 }
 
-// failsToProvision reports whether machines of an offering were launched of late and mostly didn't come up.
+// failsToProvision reports whether the recently launched machines of an offering mostly didn't come up.
 func (r *Reviewer) failsToProvision(o cloud.Offering, now time.Time) bool {
-	history := r.provisioning.offerings[o]
+	history := r.provisioning.byOffering[o]
 	return history != nil && history.Failing(now, clock.Seconds(r.state.Types.Get(o.Type).BootS))
 }
 
-// abandoned reports whether a machine without a confirmed report is terminated: one that was up once it has been
-// silent for a lease and as long as another takes to boot, for behind a network partition it may be back
-// sooner than that; one that never was up when its provisioning has failed.
-func (r *Reviewer) abandoned(m *cluster.Machine, now time.Time) bool {
+// shouldAbandon reports whether a machine that hasn't reported in this term is to be terminated. A machine that never
+// reported is terminated when its provisioning has failed. One that did is terminated once it has been silent for a
+// worker lease plus the boot time of a replacement: if it is behind a network partition it may return before that.
+func (r *Reviewer) shouldAbandon(m *cluster.Machine, now time.Time) bool {
 	if m.LastContact.IsZero() {
 		return r.provisioningFailed(m, now)
 	}
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -12,8 +12,8 @@
 	testMaxWait = 300 * time.Millisecond
 )
 
-// Without the pacer each commit beside a backlog waited for the journal's rate, and a
-// submission for two of them.
+// Guards against a backlog of bulk using up the saved changes: without the pacer each commit waited for the
+// journal's rate, and a submission waited for two commits.
 func TestBulkPacerReservesSavedChanges(t *testing.T) {
 	now := time.Now()
 	p := NewBulkPacer(testMaxWait)
@@ -25,12 +25,12 @@
 	if due := p.Due(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
 		t.Errorf("Due with four changes missing: got %v, want at most 150ms", due)
 	}
-	if due := p.Due(now, 20, testBurst, testRate); due < minDelay {
-		t.Errorf("Due without missing changes: got %v, want at least %v", due, minDelay)
+	if due := p.Due(now, 20, testBurst, testRate); due < minRetryDelay {
+		t.Errorf("Due without missing changes: got %v, want at least %v", due, minRetryDelay)
 	}
 }
 
-// Other lanes that use up all changes don't hold bulk back forever.
+// Bulk must be written eventually, even if the other lanes use up all saved changes.
 func TestBulkPacerAllowsBulkAfterMaxWait(t *testing.T) {
 	const saved = 1
 	began := time.Now()
