--- a/cmd/sagevale/model_gateway.go
+++ b/cmd/sagevale/model_gateway.go
@@ -39,9 +39,9 @@
 		Retry: s.WakeInterval(), Timeout: s.UsageInterval(), Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * tuning.Policy.IdleWindow,
 	}
-	limits := activator.Limits{HoldTimeout: tuning.Hold, MaxHeld: tuning.Held, MaxConcurrent: tuning.Concurrent}
+	limits := activator.Limits{HoldTimeout: tuning.HoldTimeout, MaxHeld: tuning.MaxHeldRequests, MaxConcurrent: tuning.MaxConcurrentRequests}
 	tracker := activator.NewTracker(node, pace, limits, newRand())
-	handlerConfig := activator.Config{Target: tuning.Target, MaxBodyBytes: tuning.Body, ModelOf: protocol.JobID}
+	handlerConfig := activator.Config{Target: tuning.Target, MaxBodyBytes: tuning.MaxBodyBytes, ModelOf: protocol.JobID}
 	return &modelGateway{
 		listener: listener, connections: s.ModelConnections(),
 		tracker: tracker, handler: activator.NewHandler(tracker, handlerConfig, log), log: log,
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -156,7 +156,7 @@
 		t := r.state.Types.Get(o.Type)
 		if d.job.Spec.Resources.GPUs == 0 && t.Resources.GPUs > 0 {
 			// Only GPU machines are on offer for this CPU-only task. Prefer one that is already booting.
-			if c := r.planner.Fullest(p.candidates, d.job, &d.zones, placement.AnyCandidate); c != nil {
+			if c := r.planner.BestFit(p.candidates, d.job, &d.zones, placement.AcceptAny); c != nil {
 				booting += packTask(c, d, backlog)
 				continue
 			}
@@ -227,13 +227,13 @@
 // bestCandidate returns the fullest candidate with room for one more task of the demand, or nil.
 func (r *Reviewer) bestCandidate(p *packing, d *demand) *placement.Candidate {
 	shape := r.planner.ShapeOf(d.job)
-	from := p.exhausted.From(shape, &d.zones, p.zones)
+	from := p.exhausted.FirstUnsearched(shape, &d.zones, p.zones)
 	if from >= len(p.candidates) {
 		return nil
 	}
-	best := r.planner.Fullest(p.candidates[from:], d.job, &d.zones, mayPackOn)
+	best := r.planner.BestFit(p.candidates[from:], d.job, &d.zones, mayPackOn)
 	if best == nil {
-		p.exhausted.Note(shape, &d.zones, p.zones, len(p.candidates))
+		p.exhausted.MarkExhausted(shape, &d.zones, p.zones, len(p.candidates))
 	}
 	return best
 }
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -49,17 +49,17 @@
 		r, fleet := newTestReviewer()
 		r.state.Classes.FirstArrival = time.Now().Add(-3 * fleet.Settings.WorkerLease)
 		for i := range 4 {
-			fleet.Up(i+1, "cpu", "a", false) // ample free resources, all in one zone
+			fleet.ReportMachine(i+1, "cpu", "a", false) // ample free resources, all in one zone
 		}
 		// This service takes so many CPUs per GPU that tasks without GPUs find no spare CPUs beside the free GPUs
 		// of the other zone.
 		training := clustertest.Service("000009", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1}
-		fleet.Reserve(fleet.Accept(training), 0, fleet.Up(20, "gpu", "b", false), time.Now())
-		r.planner.UpdatePerGPU(time.Now())
-		j := fleet.Accept(clustertest.Spread("000001", 4))
+		fleet.Reserve(fleet.AddJob(training), 0, fleet.ReportMachine(20, "gpu", "b", false), time.Now())
+		r.planner.UpdateMaxPerGPU(time.Now())
+		j := fleet.AddJob(clustertest.Spread("000001", 4))
 		for task := range 4 {
-			fleet.Reserve(j, task, fleet.Up(10+task, "gpu", "b", false), time.Now())
+			fleet.Reserve(j, task, fleet.ReportMachine(10+task, "gpu", "b", false), time.Now())
 		}
 		inB := 0
 		for _, o := range r.trialPacking().desired {
@@ -80,7 +80,7 @@
 		r, fleet := newTestReviewer()
 		spec := clustertest.Service("000001", 40)
 		spec.Types = []string{"gpu"}
-		fleet.Accept(spec)
+		fleet.AddJob(spec)
 		if got := len(r.trialPacking().desired); got != 2 {
 			t.Errorf("%d machines with room for 32 tasks each are desired for 40 tasks, want 2", got)
 		}
@@ -104,7 +104,7 @@
 				r, fleet := newTestReviewer()
 				spec := clustertest.Array("000001", 1)
 				spec.EstimateS, spec.DeadlineS, spec.CheckpointS, spec.SaveS, spec.ImageGB = 60, c.deadlineS, 10, 4, 5
-				a := &cluster.Attempt{Job: cluster.NewJob(spec, time.Now()), Machine: fleet.Up(1, "cpu", "a", false), Reported: true, Started: time.Now()}
+				a := &cluster.Attempt{Job: cluster.NewJob(spec, time.Now()), Machine: fleet.ReportMachine(1, "cpu", "a", false), Reported: true, Started: time.Now()}
 				if got := r.moveMissesDeadline(a, time.Now()); got != c.want {
 					t.Errorf("moveMissesDeadline() = %v, want %v", got, c.want)
 				}
@@ -117,7 +117,7 @@
 func TestOpportunisticWorkLaunchesOnlyAffordableMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
-		j := fleet.Accept(clustertest.Opportunistic("000001", 40))
+		j := fleet.AddJob(clustertest.Opportunistic("000001", 40))
 		desired := func() (affordable, expensive int) {
 			for _, o := range r.trialPacking().desired {
 				if o.Type == "cpu" && o.Spot {
@@ -145,7 +145,7 @@
 		if affordable, expensive := desired(); affordable != 0 || expensive != 1 {
 			t.Errorf("%d affordable and %d expensive machines for a job that waits for its first, want 0 and 1", affordable, expensive)
 		}
-		m := fleet.Up(1, "cpu", "a", false)
+		m := fleet.ReportMachine(1, "cpu", "a", false)
 		fleet.Reserve(j, 0, m, time.Now())
 		m.Type = nil // excludes its free resources from the packing
 		if affordable, expensive := desired(); affordable+expensive != 0 {
@@ -159,10 +159,10 @@
 func TestOpportunisticDemandNeitherKeepsMachinesNorDelaysOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
-		fleet.Accept(clustertest.Opportunistic("000001", 4000))
-		m := fleet.Up(1, "gpu", "a", false) // idle
-		time.Sleep(clock.Seconds(cluster.IdlePerBoot*m.Type.BootS) + time.Second)
-		fleet.Up(1, "gpu", "a", false)
+		fleet.AddJob(clustertest.Opportunistic("000001", 4000))
+		m := fleet.ReportMachine(1, "gpu", "a", false) // idle
+		time.Sleep(clock.Seconds(cluster.BrieflyIdleBootTimes*m.Type.BootS) + time.Second)
+		fleet.ReportMachine(1, "gpu", "a", false)
 		s := r.snapshot()
 		if len(s.Desired) != config.MaxLaunchMachines || s.NonOpportunistic != 0 {
 			t.Errorf("%d machines desired, %d for other work; want %d and none", len(s.Desired), s.NonOpportunistic, config.MaxLaunchMachines)
@@ -170,7 +170,7 @@
 		if len(s.Surplus) != 1 {
 			t.Errorf("%d surplus machines beside demand for affordable ones, want 1", len(s.Surplus))
 		}
-		fleet.Accept(clustertest.Service("000002", 40))
+		fleet.AddJob(clustertest.Service("000002", 40))
 		if s := r.snapshot(); s.NonOpportunistic != len(s.Desired)-config.MaxLaunchMachines || s.NonOpportunistic == 0 || len(s.Surplus) != 0 {
 			t.Errorf("%d of %d desired machines are for other work, %d surplus", s.NonOpportunistic, len(s.Desired), len(s.Surplus))
 		}
@@ -183,10 +183,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, fleet := newTestReviewer()
-				m := fleet.Up(1, "cpu", "a", spot)
+				m := fleet.ReportMachine(1, "cpu", "a", spot)
 				spec := clustertest.Opportunistic("000001", 1)
 				spec.CheckpointS, spec.SaveS = 30, 3
-				fleet.Run(fleet.Accept(spec), 0, m)
+				fleet.AddRunningAttempt(fleet.AddJob(spec), 0, m)
 				p := r.trialPacking()
 				if got, want := len(r.findSurplus(p, time.Now())) > 0, !spot; got != want {
 					t.Errorf("surplus %v, want %v", got, want)
@@ -202,9 +202,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
 		for i, zone := range []string{"a", "a", "b"} {
-			fleet.Up(i, "cpu", zone, false)
+			fleet.ReportMachine(i, "cpu", zone, false)
 		}
-		fleet.Accept(gang("000001", 9)) // eight fit in zone a, four in b
+		fleet.AddJob(gang("000001", 9)) // eight fit in zone a, four in b
 		if desired := r.trialPacking().desired; len(desired) != 1 || desired[0].Zone != "a" {
 			t.Errorf("desired %+v, want one machine in zone a", desired)
 		}
@@ -217,8 +217,8 @@
 		settings.Teams = append(settings.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
 		r, fleet := newTestReviewerOf(settings)
 		other, waiting := withTeamLimit(gang("000001", 1)), withTeamLimit(gang("000002", 2))
-		fleet.Run(fleet.Accept(other), 0, fleet.Up(1, "gpu", "a", false))
-		j := fleet.Accept(waiting)
+		fleet.AddRunningAttempt(fleet.AddJob(other), 0, fleet.ReportMachine(1, "gpu", "a", false))
+		j := fleet.AddJob(waiting)
 		if got := r.demandedTasks(j, fleet.Settings.Team("small"), make(map[string]storage.Resources)); got != 0 {
 			t.Errorf("demandedTasks() = %d beyond the limit, want none", got)
 		}
@@ -254,7 +254,7 @@
 		launch(1, 2, 3, 4, 5, 6)
 		time.Sleep(15 * time.Second)
 		for id := range 4 {
-			r.NoteProvisioned(fleet.Up(id+3, "cpu", "a", false), time.Now())
+			r.NoteProvisioned(fleet.ReportMachine(id+3, "cpu", "a", false), time.Now())
 		}
 		time.Sleep(15 * time.Second)
 		s := r.snapshot()
@@ -274,7 +274,7 @@
 		launch(7, 8, 9)
 		time.Sleep(2 * time.Minute)
 		r.snapshot()
-		fleet.Accept(clustertest.Service("000001", 400))
+		fleet.AddJob(clustertest.Service("000001", 400))
 		if !r.failsToProvision(offering, time.Now()) {
 			t.Error("an offering whose machines mostly don't come up isn't avoided")
 		}
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -51,7 +51,7 @@
 	if !c.LeaseValid {
 		return s
 	}
-	r.planner.UpdatePerGPU(now)
+	r.planner.UpdateMaxPerGPU(now)
 	r.packDemands(p, r.demands(now), s.Size, now)
 	s.Desired, s.NonOpportunistic = p.desired, p.nonOpportunistic()
 	s.BootSeconds = r.bootSeconds()
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -33,7 +33,7 @@
 		if len(surplus) == maxSurplus {
 			break
 		}
-		if c.Moved > 0 {
+		if c.MovedTasks > 0 {
 			continue // tasks of another surplus machine move here
 		}
 		if len(c.Machine.Attempts) > 0 || len(c.Packed) > 0 {
@@ -109,7 +109,7 @@
 			continue // the task waits for cheaper machines instead
 		}
 		zones := placement.NewZoneCheck(task.Job)
-		target := r.planner.Fullest(p.candidates, task.Job, &zones, ready)
+		target := r.planner.BestFit(p.candidates, task.Job, &zones, ready)
 		if target == nil {
 			undo()
 			return false
@@ -123,18 +123,18 @@
 // which undoes the earlier moves.
 func moveTask(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
-	c.Moved++
+	c.MovedTasks++
 	return func() {
 		c.Free = c.Free.Add(j.Spec.Resources)
-		c.Moved--
+		c.MovedTasks--
 		undoEarlier()
 	}
 }
 
-// CanRehome reports whether the services of a machine that may be lost fit on the candidates. If they do, it takes
+// CanRelocateServices reports whether the services of a machine that may be lost fit on the candidates. If they do, it takes
 // their resources from the candidates.
-func (r *Reviewer) CanRehome(m *cluster.Machine, candidates []*placement.Candidate, now time.Time) bool {
-	undo, ok := r.tryMoveAttempts(m, candidates, false, now, placement.AnyCandidate)
+func (r *Reviewer) CanRelocateServices(m *cluster.Machine, candidates []*placement.Candidate, now time.Time) bool {
+	undo, ok := r.tryMoveAttempts(m, candidates, false, now, placement.AcceptAny)
 	if !ok {
 		undo()
 	}
@@ -159,7 +159,7 @@
 		}
 		zones := placement.NewZoneCheck(a.Job)
 		zones.Add(m.Zone, -1)
-		target := r.planner.Fullest(candidates, a.Job, &zones, suits)
+		target := r.planner.BestFit(candidates, a.Job, &zones, suits)
 		if target == nil {
 			return undo, false
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -38,8 +38,8 @@
 // AtomicTime is a point in time that one goroutine publishes to others. The zero value holds none.
 type AtomicTime struct{ at atomic.Pointer[time.Time] }
 
-// Mark publishes now as the point in time.
-func (t *AtomicTime) Mark(now time.Time) { t.at.Store(&now) }
+// Set publishes now as the point in time.
+func (t *AtomicTime) Set(now time.Time) { t.at.Store(&now) }
 
 // Since returns the time elapsed since the published point in time, or never if there is none.
 func (t *AtomicTime) Since(never time.Duration) time.Duration {
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -57,15 +57,15 @@
 // Key returns the key that identifies the attempt.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{ID: a.ID(), Number: a.Number} }
 
-// MaybeDelivered reports whether a start command may have reached the worker.
-func (a *Attempt) MaybeDelivered() bool {
+// StartMayBeDelivered reports whether a start command may have reached the worker.
+func (a *Attempt) StartMayBeDelivered() bool {
 	return !a.ThisTerm || a.Reported || a.CommandedSeq != 0 || a.Delivery != DeliveryNone
 }
 
-// NoteCommanded records that the response to a report contains the start command. An attempt that an earlier
+// RecordStartCommanded records that the response to a report contains the start command. An attempt that an earlier
 // leader reserved counts as one of this term from then on: if a report doesn't list the attempt, that no longer
 // proves that it can't start, even under this term's token, because the report may precede the response.
-func (a *Attempt) NoteCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
+func (a *Attempt) RecordStartCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
 
 // StartUnresolved reports whether the worker may still execute a direct start command that it hasn't responded to.
 func (a *Attempt) StartUnresolved() bool {
--- a/internal/cluster/class_table.go
+++ b/internal/cluster/class_table.go
@@ -34,9 +34,9 @@
 // All returns all classes by name. The caller must not modify the map, which changes with the table.
 func (t *ClassTable) All() map[string]*Class { return t.byName }
 
-// NoteArrival records the arrival of a job in the statistics of its class. Services that scale to zero aren't
+// RecordArrival records the arrival of a job in the statistics of its class. Services that scale to zero aren't
 // counted, because their tasks start on demand.
-func (t *ClassTable) NoteArrival(j *Job) {
+func (t *ClassTable) RecordArrival(j *Job) {
 	if j.ScalesToZero() {
 		return
 	}
@@ -52,15 +52,15 @@
 	c.RecordArrival(j.Submitted, j.Spec.Tasks)
 }
 
-// NoteDeparture records the cancellation of a job in the statistics of its class.
-func (t *ClassTable) NoteDeparture(j *Job, now time.Time) {
+// RecordDeparture records the cancellation of a job in the statistics of its class.
+func (t *ClassTable) RecordDeparture(j *Job, now time.Time) {
 	if c := t.byName[j.Spec.Class]; c != nil && !j.ScalesToZero() {
 		c.RecordDeparture(now, j.Spec.Tasks)
 	}
 }
 
-// NoteRunTime records the run time of a completed task in the statistics of its class.
-func (t *ClassTable) NoteRunTime(a *Attempt, now time.Time) {
+// RecordRunTime records the run time of a completed task in the statistics of its class.
+func (t *ClassTable) RecordRunTime(a *Attempt, now time.Time) {
 	if c := t.byName[a.Job.Spec.Class]; c != nil && !a.Started.IsZero() {
 		c.RecordRun(now.Sub(a.Started).Seconds(), a.Job.Spec.EstimateS)
 	}
--- a/internal/cluster/clustertest/clustertest.go
+++ b/internal/cluster/clustertest/clustertest.go
@@ -73,8 +73,8 @@
 	return f
 }
 
-// Up adds a machine whose worker has just sent a heartbeat. If the machine exists, its worker sends another one.
-func (f *Fleet) Up(id int, typeName, zone string, spot bool) *cluster.Machine {
+// ReportMachine adds a machine whose worker has just sent a heartbeat. If the machine exists, its worker sends another one.
+func (f *Fleet) ReportMachine(id int, typeName, zone string, spot bool) *cluster.Machine {
 	now := time.Now()
 	m := f.State.EnsureMachine(id, now)
 	m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = fmt.Sprint(id), typeName, zone, spot, f.State.Types.Get(typeName)
@@ -84,17 +84,17 @@
 	return m
 }
 
-// Accept adds a job whose acceptance is durable.
-func (f *Fleet) Accept(spec storage.Spec) *cluster.Job {
+// AddJob adds a job whose acceptance is durable.
+func (f *Fleet) AddJob(spec storage.Spec) *cluster.Job {
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
 	f.State.Jobs.AddOpen(j)
-	f.State.Classes.NoteArrival(j)
+	f.State.Classes.RecordArrival(j)
 	return j
 }
 
-// Run adds an attempt that is running on a machine.
-func (f *Fleet) Run(j *cluster.Job, task int, m *cluster.Machine) *cluster.Attempt {
+// AddRunningAttempt adds an attempt that is running on a machine.
+func (f *Fleet) AddRunningAttempt(j *cluster.Job, task int, m *cluster.Machine) *cluster.Attempt {
 	a := f.Reserve(j, task, m, time.Now())
 	a.Reported, a.State, a.Started = true, worker.Running, time.Now()
 	return a
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -100,14 +100,14 @@
 	return now.Before(m.QuarantinedUntil) && (m.LostIncarnations > 0 || m.Failures.Suspected() || m.Unresponsive)
 }
 
-// IdlePerBoot is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. It is
+// BrieflyIdleBootTimes is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. It is
 // relative to the boot time because, if the machine is terminated and needed again, its replacement takes that long
 // to boot and is paid for meanwhile.
-const IdlePerBoot = 0.25
+const BrieflyIdleBootTimes = 0.25
 
-// BrieflyIdle reports whether the machine has no attempts, but hasn't been idle for longer than IdlePerBoot allows.
+// BrieflyIdle reports whether the machine has no attempts, but hasn't been idle for longer than BrieflyIdleBootTimes allows.
 func (m *Machine) BrieflyIdle(now time.Time) bool {
-	return len(m.Attempts) == 0 && now.Sub(m.IdleSince) < clock.Seconds(IdlePerBoot*m.Type.BootS)
+	return len(m.Attempts) == 0 && now.Sub(m.IdleSince) < clock.Seconds(BrieflyIdleBootTimes*m.Type.BootS)
 }
 
 // ClearFailures drops a job's failures from the machine's record of failures, and ends the machine's quarantine if
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -9,14 +9,14 @@
 
 // Activation holds the operators' settings for services that scale to zero.
 type Activation struct {
-	Classes    []string // job classes whose single-task services run only while there is demand
-	Policy     activation.Policy
-	Listen     string        // address that accepts requests for models; "": none
-	Target     string        // template of a model server's address, see package activator; "": the default
-	Body       int64         // size limit of a request body that is forwarded, in bytes
-	Hold       time.Duration // longest time that a request waits for a starting model; 0: requests don't wait
-	Held       int           // limit on the number of requests that wait at a time
-	Concurrent int           // limit on the number of requests in flight to one model
+	Classes               []string // job classes whose single-task services run only while there is demand
+	Policy                activation.Policy
+	Listen                string        // address that accepts requests for models; "": none
+	Target                string        // template of a model server's address, see package activator; "": the default
+	MaxBodyBytes          int64         // size limit of a request body that is forwarded, in bytes
+	HoldTimeout           time.Duration // longest time that a request waits for a starting model; 0: requests don't wait
+	MaxHeldRequests       int           // limit on the number of requests that wait at a time
+	MaxConcurrentRequests int           // limit on the number of requests in flight to one model
 }
 
 // Ratios of the default settings to the worker lease.
@@ -80,9 +80,9 @@
 			Backoff:      clock.Scale(s.WorkerLease, backoffPerLease),
 			Cooldown:     clock.Scale(s.WorkerLease, cooldownPerLease),
 		},
-		Body:       defaultBodyBytes,
-		Held:       s.defaultHeldRequests(),
-		Concurrent: defaultConcurrent,
+		MaxBodyBytes:          defaultBodyBytes,
+		MaxHeldRequests:       s.defaultHeldRequests(),
+		MaxConcurrentRequests: defaultConcurrent,
 	}
 }
 
--- a/internal/groupcommit/bulk_pacer.go
+++ b/internal/groupcommit/bulk_pacer.go
@@ -49,9 +49,9 @@
 	return 0
 }
 
-// Due returns the time after which to call Allow again while bulk is held back. rate is the number of
+// RetryAfter returns the time after which to call Allow again while bulk is held back. rate is the number of
 // changes per second that the journal saves.
-func (p *BulkPacer) Due(now time.Time, saved, burst, rate float64) time.Duration {
+func (p *BulkPacer) RetryAfter(now time.Time, saved, burst, rate float64) time.Duration {
 	due := p.maxWait - now.Sub(p.heldSince)
 	if missing := (reservedShare+minBulkShare)*burst - saved; rate > 0 {
 		due = min(due, time.Duration(missing/rate*float64(time.Second)))
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -22,10 +22,10 @@
 			t.Errorf("Allow with %v saved changes: got %v, want %v", c.saved, got, c.want)
 		}
 	}
-	if due := p.Due(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
+	if due := p.RetryAfter(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
 		t.Errorf("Due with four changes missing: got %v, want at most 150ms", due)
 	}
-	if due := p.Due(now, 20, testBurst, testRate); due < minRetryDelay {
+	if due := p.RetryAfter(now, 20, testBurst, testRate); due < minRetryDelay {
 		t.Errorf("Due without missing changes: got %v, want at least %v", due, minRetryDelay)
 	}
 }
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -155,7 +155,7 @@
 		if !last.Leading || last.Term != first.Term || !last.LeaseValidUntil.After(time.Now()) {
 			t.Errorf("role after ten leases: %+v, want a valid lease of term %d", last, first.Term)
 		}
-		if grace := last.RenewUntil.Sub(last.LeaseValidUntil); grace != e.settings.RenewalGrace() {
+		if grace := last.RenewWorkersUntil.Sub(last.LeaseValidUntil); grace != e.settings.RenewalGrace() {
 			t.Errorf("workers' leases are renewed for %v after the lease, want %v", grace, e.settings.RenewalGrace())
 		}
 	})
@@ -214,8 +214,8 @@
 		role := await(t, roles, leading)
 		client.Cut.Store(true)
 		await(t, roles, notLeading)
-		if ended := time.Now(); ended.Before(role.RenewUntil) {
-			t.Errorf("leadership ended %v before the end of the renewal grace, want after it", role.RenewUntil.Sub(ended))
+		if ended := time.Now(); ended.Before(role.RenewWorkersUntil) {
+			t.Errorf("leadership ended %v before the end of the renewal grace, want after it", role.RenewWorkersUntil.Sub(ended))
 		}
 		client.Cut.Store(false)
 		await(t, roles, leading)
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -89,7 +89,7 @@
 		held.confirmedAt = asked
 		e.publish(e.roleOf(held))
 	}
-	if time.Now().After(e.roleOf(held).RenewUntil) {
+	if time.Now().After(e.roleOf(held).RenewWorkersUntil) {
 		return reasonNoContact
 	}
 	return ""
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -18,8 +18,8 @@
 	// LeaseValidUntil is the earliest time at which this leader's own lease may expire, given the drift
 	// of the clocks.
 	LeaseValidUntil time.Time
-	// RenewUntil is the time until which this leader may renew workers' leases.
-	RenewUntil time.Time
+	// RenewWorkersUntil is the time until which this leader may renew workers' leases.
+	RenewWorkersUntil time.Time
 	// Cluster is the cluster record whose version guarded the transaction that acquired leadership.
 	Cluster ClusterRecord
 }
@@ -55,12 +55,12 @@
 		noLeaderBefore = h.confirmedAt
 	}
 	return Role{
-		Leading:         true,
-		Leader:          node,
-		Term:            h.term,
-		Guard:           h.guard,
-		LeaseValidUntil: validUntil,
-		RenewUntil:      noLeaderBefore.Add(renewalGrace),
-		Cluster:         h.cluster,
+		Leading:           true,
+		Leader:            node,
+		Term:              h.term,
+		Guard:             h.guard,
+		LeaseValidUntil:   validUntil,
+		RenewWorkersUntil: noLeaderBefore.Add(renewalGrace),
+		Cluster:           h.cluster,
 	}
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -30,9 +30,9 @@
 	Term                  uint64
 	SinceHeartbeat        time.Duration // since the controller last received a worker's heartbeat; Uptime if never
 	SinceDelegatedRenewal time.Duration // since the controller last renewed a worker's lease by delegation; Uptime if never
-	DelegatesFor          time.Duration // if the controller leads: how long the peer may renew workers' leases by delegation
+	DelegationPeriod      time.Duration // if the controller leads: how long the peer may renew workers' leases by delegation
 	DelegationTerm        uint64        // the term of that delegation
-	Excluded              []int         // machines whose leases must not be renewed by delegation
+	ExcludedMachines      []int         // machines whose leases must not be renewed by delegation
 	Version               int           // one of the Version constants
 }
 
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -21,7 +21,7 @@
 	Booting    bool              // the machine hasn't come up yet
 	ForCPUOnly bool              // the machine would be launched for tasks without GPUs
 	Packed     []*PackedTask     // tasks that a trial packing has placed here
-	Moved      int               // number of tasks that the search for surplus machines has moved here
+	MovedTasks int               // number of tasks that the search for surplus machines has moved here
 }
 
 // PackedTask describes a task that a trial packing places on a candidate. All tasks of one demand share it.
@@ -133,10 +133,10 @@
 // prefers these.
 const onDemandPenalty = 100
 
-// Fullest returns the candidate with the least free resources on which a task of the job fits and for which suits
+// BestFit returns the candidate with the least free resources on which a task of the job fits and for which suits
 // returns true, or nil. A task without GPUs must leave enough CPUs and memory for the machine's free GPUs, except
 // on a machine that would be launched for tasks without GPUs.
-func (p *Planner) Fullest(candidates []*Candidate, j *cluster.Job, zones *ZoneCheck, suits func(*Candidate, *cluster.Job) bool) *Candidate {
+func (p *Planner) BestFit(candidates []*Candidate, j *cluster.Job, zones *ZoneCheck, suits func(*Candidate, *cluster.Job) bool) *Candidate {
 	need := j.Spec.Resources
 	var best *Candidate
 	leastFree := 0.0
@@ -155,8 +155,8 @@
 	return best
 }
 
-// AnyCandidate is a filter for Fullest that accepts every candidate.
-func AnyCandidate(*Candidate, *cluster.Job) bool { return true }
+// AcceptAny is a filter for BestFit that accepts every candidate.
+func AcceptAny(*Candidate, *cluster.Job) bool { return true }
 
 // strandsGPUs reports whether placing a task without GPUs would leave the machine too few CPUs or too little
 // memory for its free GPUs to be used.
--- a/internal/placement/opportunistic.go
+++ b/internal/placement/opportunistic.go
@@ -41,7 +41,7 @@
 	for _, headroom := range p.headroom {
 		zones := NewZoneCheck(headroom.Job)
 		for n := headroom.Tasks; n > 0; n-- {
-			c := p.Fullest(r.candidates, headroom.Job, &zones, AnyCandidate)
+			c := p.BestFit(r.candidates, headroom.Job, &zones, AcceptAny)
 			if c == nil {
 				break
 			}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -108,7 +108,7 @@
 	if len(waiting) == 0 {
 		return nil, false
 	}
-	p.UpdatePerGPU(now)
+	p.UpdateMaxPerGPU(now)
 	r := p.newRound(now)
 	r.opportunisticShare = opportunisticShare(p.countOpportunistic(waiting))
 	for _, j := range waiting {
@@ -183,9 +183,9 @@
 	r.reserved = append(r.reserved, p.actions.Reserve(j, task, c.Machine, r.now))
 }
 
-// UpdatePerGPU computes the largest amounts of CPUs and memory that open jobs request per GPU. It does so at most
-// once per heartbeat interval. Round calls it; other callers of Fullest must call it first.
-func (p *Planner) UpdatePerGPU(now time.Time) {
+// UpdateMaxPerGPU computes the largest amounts of CPUs and memory that open jobs request per GPU. It does so at most
+// once per heartbeat interval. Round calls it; other callers of BestFit must call it first.
+func (p *Planner) UpdateMaxPerGPU(now time.Time) {
 	if !p.maxPerGPUUpdatedAt.IsZero() && now.Sub(p.maxPerGPUUpdatedAt) <= p.settings.HeartbeatInterval {
 		return
 	}
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -22,7 +22,7 @@
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setMaxPerGPU sets the resources that open jobs request per GPU, as if UpdatePerGPU had just computed them.
+// setMaxPerGPU sets the resources that open jobs request per GPU, as if UpdateMaxPerGPU had just computed them.
 func (p *Planner) setMaxPerGPU(r storage.Resources) {
 	p.maxPerGPU, p.maxPerGPUUpdatedAt = r, time.Now()
 }
@@ -32,16 +32,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
 		for i := range 100 {
-			fleet.Up(i+1, "cpu", "a", false)
+			fleet.ReportMachine(i+1, "cpu", "a", false)
 		}
-		j := fleet.Accept(clustertest.Service("000001", 1000))
+		j := fleet.AddJob(clustertest.Service("000001", 1000))
 		r := p.newRound(time.Now())
 		p.placeTasks(j, j.Startable(), r)
 		zones := NewZoneCheck(j)
-		if from := r.exhausted.From(p.ShapeOf(j), &zones, r.zones); len(r.reserved) != 400 || from != len(r.candidates) {
+		if from := r.exhausted.FirstUnsearched(p.ShapeOf(j), &zones, r.zones); len(r.reserved) != 400 || from != len(r.candidates) {
 			t.Fatalf("%d reserved and searched up to %d, want 400 and %d", len(r.reserved), from, len(r.candidates))
 		}
-		added := CandidateOf(fleet.Up(200, "cpu", "a", false))
+		added := CandidateOf(fleet.ReportMachine(200, "cpu", "a", false))
 		r.candidates = append(r.candidates, &added)
 		if c := p.chooseCandidate(&shortlist{job: j, round: r, zones: &zones}); c == nil || c.Machine.ID != 200 {
 			t.Errorf("chooseCandidate() = %+v, want the candidate that was added", c)
@@ -56,7 +56,7 @@
 		p, fleet := newTestPlanner()
 		for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
 			typeName := rapid.SampledFrom([]string{"cpu", "gpu"}).Draw(t, "type")
-			m := fleet.Up(i+1, typeName, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			m := fleet.ReportMachine(i+1, typeName, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
 			if rapid.Bool().Draw(t, "image") {
 				m.Images["img"] = cluster.Image{SizeGB: 1, LastUsed: time.Now()}
 			}
@@ -69,7 +69,7 @@
 		spec.Spread, spec.Spot = rapid.Bool().Draw(t, "spread"), rapid.Bool().Draw(t, "may use spot")
 		spec.SameZone = !spec.Spread && rapid.Bool().Draw(t, "same zone")
 		spec.Resources.GPUs = float64(rapid.IntRange(0, 1).Draw(t, "gpus"))
-		j := fleet.Accept(spec)
+		j := fleet.AddJob(spec)
 		r := p.newRound(time.Now())
 		zones := NewZoneCheck(j)
 		kept := shortlist{job: j, round: r, zones: &zones}
@@ -95,16 +95,16 @@
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
-		fleet.Up(1, "cpu", "a", false) // fits four tasks of the service or two opportunistic tasks
-		fleet.Up(2, "cpu", "a", false)
-		gpu := fleet.Up(3, "gpu", "a", false)
+		fleet.ReportMachine(1, "cpu", "a", false) // fits four tasks of the service or two opportunistic tasks
+		fleet.ReportMachine(2, "cpu", "a", false)
+		gpu := fleet.ReportMachine(3, "gpu", "a", false)
 		training := clustertest.Service("000001", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 8}
-		fleet.Reserve(fleet.Accept(training), 0, gpu, time.Now())
+		fleet.Reserve(fleet.AddJob(training), 0, gpu, time.Now())
 		p.setMaxPerGPU(storage.Resources{CPUs: 8})
 		headroomJob := cluster.NewJob(clustertest.Service("000002", 1), time.Now())
 		p.SetHeadroom([]Headroom{{Job: headroomJob, Tasks: 2}})
-		opportunistic := fleet.Accept(clustertest.Opportunistic("000003", 100))
+		opportunistic := fleet.AddJob(clustertest.Opportunistic("000003", 100))
 		for range 3 {
 			p.Round(time.Now())
 		}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -15,12 +15,12 @@
 	rights := p.preemptionRightsOf(j, r)
 	shape := p.ShapeOf(j)
 	shape.guaranteed = rights.guaranteed
-	if rights.priorityBound() <= storage.BestEffort || r.unpreemptable.From(shape, zones, r.zones) >= len(r.candidates) {
+	if rights.priorityBound() <= storage.BestEffort || r.unpreemptable.FirstUnsearched(shape, zones, r.zones) >= len(r.candidates) {
 		return "", false
 	}
 	best, victims := p.cheapestPreemption(j, rights, r, zones)
 	if best == nil {
-		r.unpreemptable.Note(shape, zones, r.zones, len(r.candidates))
+		r.unpreemptable.MarkExhausted(shape, zones, r.zones, len(r.candidates))
 		return "", false
 	}
 	p.stopVictims(best, victims, j, r.now)
--- a/internal/placement/shape.go
+++ b/internal/placement/shape.go
@@ -43,9 +43,9 @@
 	upTo int // index of the first candidate that hasn't been searched
 }
 
-// From returns the index of the first candidate that may fit a task of the shape in one of the zones that the
+// FirstUnsearched returns the index of the first candidate that may fit a task of the shape in one of the zones that the
 // check allows. It returns math.MaxInt if the check allows none of the zones.
-func (e ExhaustedShapes) From(s Shape, check *ZoneCheck, zones []string) int {
+func (e ExhaustedShapes) FirstUnsearched(s Shape, check *ZoneCheck, zones []string) int {
 	from := math.MaxInt
 	for _, zone := range zones {
 		if check.Allows(zone) {
@@ -65,9 +65,9 @@
 	return 0
 }
 
-// Note records for the shape that none of the first upTo candidates fits a task in the zones that the check
+// MarkExhausted records for the shape that none of the first upTo candidates fits a task in the zones that the check
 // allows.
-func (e ExhaustedShapes) Note(s Shape, check *ZoneCheck, zones []string, upTo int) {
+func (e ExhaustedShapes) MarkExhausted(s Shape, check *ZoneCheck, zones []string, upTo int) {
 	for _, zone := range zones {
 		if !check.Allows(zone) {
 			continue
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -49,7 +49,7 @@
 func (p *Planner) searchShortlist(list *shortlist) {
 	j, r := list.job, list.round
 	shape := p.ShapeOf(j)
-	from := r.exhausted.From(shape, list.zones, r.zones)
+	from := r.exhausted.FirstUnsearched(shape, list.zones, r.zones)
 	if from >= len(r.candidates) {
 		return
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(list.candidates) == 0 {
-		r.exhausted.Note(shape, list.zones, r.zones, len(r.candidates))
+		r.exhausted.MarkExhausted(shape, list.zones, r.zones, len(r.candidates))
 	}
 }
 
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -46,18 +46,18 @@
 		activationStableProperty:   &policy.StableAfter,
 		activationBackoffProperty:  &policy.Backoff,
 		activationCooldownProperty: &policy.Cooldown,
-		activationHoldProperty:     &tuning.Hold,
+		activationHoldProperty:     &tuning.HoldTimeout,
 	})
 	p[activationClassesProperty] = func(key, value string) { tuning.Classes = v.parseNames(key, value) }
 	p[activationListenProperty] = func(key, value string) { tuning.Listen = v.parseListenAddress(key, value, s.Listen) }
 	p[activationTargetProperty] = func(key, value string) { tuning.Target = parseModelTarget(v, key, value) }
 	p[activationAttemptsProperty] = func(key, value string) { policy.MaxAttempts = v.parseCount(key, value, 1, maxStartAttempts) }
-	p[activationHeldProperty] = func(key, value string) { tuning.Held = v.parseCount(key, value, 1, maxHeldRequests) }
+	p[activationHeldProperty] = func(key, value string) { tuning.MaxHeldRequests = v.parseCount(key, value, 1, maxHeldRequests) }
 	p[activationConcurrencyProperty] = func(key, value string) {
-		tuning.Concurrent = v.parseCount(key, value, 1, maxConcurrentRequests)
+		tuning.MaxConcurrentRequests = v.parseCount(key, value, 1, maxConcurrentRequests)
 	}
 	p[activationBodyProperty] = func(key, value string) {
-		tuning.Body = int64(v.parseCount(key, value, 1, maxModelBodyBytes))
+		tuning.MaxBodyBytes = int64(v.parseCount(key, value, 1, maxModelBodyBytes))
 	}
 }
 
@@ -82,7 +82,7 @@
 		v.fail(activationCooldownProperty, fmt.Sprintf("must be longer than a controller may go by an earlier answer, %v", s.RoutingLease()))
 	case policy.StartTimeout < policy.Backoff:
 		v.fail(activationStartProperty, "must not be shorter than "+activationBackoffProperty)
-	case tuning.Held > s.MaxHeldRequests():
+	case tuning.MaxHeldRequests > s.MaxHeldRequests():
 		v.fail(activationHeldProperty, fmt.Sprintf("must not be above %d, three quarters of the connections that sockets allows for models", s.MaxHeldRequests()))
 	case tuning.Listen != "" && len(tuning.Classes) == 0:
 		v.fail(activationListenProperty, "needs "+activationClassesProperty)
--- a/internal/protocol/activation_properties_test.go
+++ b/internal/protocol/activation_properties_test.go
@@ -44,7 +44,7 @@
 				checkFieldError(t, err, wantError)
 				return
 			}
-			if err != nil || tuning.Listen != "10.0.0.1:8082" || tuning.Hold != 10*time.Second || tuning.Policy.IdleWindow != 5*time.Minute {
+			if err != nil || tuning.Listen != "10.0.0.1:8082" || tuning.HoldTimeout != 10*time.Second || tuning.Policy.IdleWindow != 5*time.Minute {
 				t.Errorf("tuning is %+v, %v", tuning, err)
 			}
 		})
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -70,8 +70,8 @@
 
 var exitCauses = map[string]worker.ExitCause{
 	"done": worker.CauseDone, "stopped": worker.CauseStopped, "error": worker.CauseError,
-	"full": worker.CauseFull, "busy": worker.CauseBusy, "unknown": worker.CauseUnknown,
-	"peers": worker.CausePeers, "alone": worker.CausePeers,
+	"full": worker.CauseFull, "busy": worker.CauseBusy, "unknown": worker.CauseUnknownJob,
+	"peers": worker.CauseGangMissing, "alone": worker.CauseGangMissing,
 }
 
 // minNoticeSeconds replaces a notice period of zero, which gob would not send between controllers.
--- a/internal/protocol/workers_test.go
+++ b/internal/protocol/workers_test.go
@@ -35,8 +35,8 @@
 func TestParseReportTaskStates(t *testing.T) {
 	for fields, want := range map[string]worker.TaskReport{
 		`"Standing":"gathering"`:              {State: worker.Gathering},
-		`"Standing":"ended","Cause":"peers"`:  {State: worker.Exited, Cause: worker.CausePeers},
-		`"Standing":"ended","Cause":"alone"`:  {State: worker.Exited, Cause: worker.CausePeers},
+		`"Standing":"ended","Cause":"peers"`:  {State: worker.Exited, Cause: worker.CauseGangMissing},
+		`"Standing":"ended","Cause":"alone"`:  {State: worker.Exited, Cause: worker.CauseGangMissing},
 		`"Standing":"running","Cause":"else"`: {State: worker.Running},
 	} {
 		got, err := ParseReport([]byte(strings.Replace(validReport, `"Standing":"running"`, fields, 1)))
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	// Timeout bounds the delivery of a batch, from the encoding of its requests to the arrival of its responses.
-	Timeout = 2 * time.Second
+	// BatchTimeout bounds the delivery of a batch, from the encoding of its requests to the arrival of its responses.
+	BatchTimeout = 2 * time.Second
 	// writeBudgetShare is the share of the key-value store's permitted changes per second that each writer of a
 	// relay may use.
 	writeBudgetShare = 0.1
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -146,7 +146,7 @@
 
 // deliverBatch sends as much of a batch as fits, passes the responses to the callers, and returns the rest of the batch.
 func (c *Client) deliverBatch(ctx context.Context, batch []queuedRequest) []queuedRequest {
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
+	ctx, cancel := context.WithTimeout(ctx, BatchTimeout)
 	defer cancel()
 	c.serial++
 	n, values := c.encodeFittingPart(batch)
@@ -195,10 +195,10 @@
 		c.limits.Observe(err)
 		return nil, err
 	}
-	c.lastAccepted.Mark(time.Now())
+	c.lastAccepted.Set(time.Now())
 	prefix := responsePrefix + c.settings.NodeName + "/"
 	for {
-		changes, next, err := c.store.Watch(ctx, prefix, revision, Timeout)
+		changes, next, err := c.store.Watch(ctx, prefix, revision, BatchTimeout)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/relay/freeze_test.go
+++ b/internal/relay/freeze_test.go
@@ -40,7 +40,7 @@
 		{Report: &worker.Report{
 			Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
 			Tasks: []worker.TaskReport{
-				{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true},
+				{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CauseGangMissing, Saved: true},
 				{ID: worker.TaskID{Job: "000001", Task: 2}, Attempt: 6, State: worker.Gathering},
 			},
 		}},
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if len(requests) != 3 || requests[0].User.Spec.Tasks != 2 || requests[1].User.Op != api.OpCancel ||
-				requests[2].Report.Tasks[0].Cause != worker.CausePeers || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
+				requests[2].Report.Tasks[0].Cause != worker.CauseGangMissing || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
 				t.Errorf("requests %+v, want those of freeze_test.go", requests)
 			}
 			responses, err := decodeResponses(frozenFragments(t, version, "replies.json"))
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -65,7 +65,7 @@
 
 // latestRevision returns the store's current revision, or known if the store doesn't answer.
 func (s *Server) latestRevision(ctx context.Context, known uint64) uint64 {
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
+	ctx, cancel := context.WithTimeout(ctx, BatchTimeout)
 	defer cancel()
 	_, _, latest, err := s.store.List(ctx, requestPrefix, "", 1)
 	if err != nil {
@@ -99,7 +99,7 @@
 
 // answerBatch passes the requests of a batch to the handler and writes the responses.
 func (s *Server) answerBatch(ctx context.Context, id batchID, requests []wire.RelayRequest) {
-	handleCtx, cancel := context.WithTimeout(ctx, Timeout/2)
+	handleCtx, cancel := context.WithTimeout(ctx, BatchTimeout/2)
 	defer cancel()
 	responses := s.handleRequests(handleCtx, requests)
 	values, err := encodeResponses(responses, id.process, id.serial, s.limits.Limits())
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -37,7 +37,7 @@
 // stopAttempt marks an attempt to be stopped, with a grace period in which it may save a checkpoint. An attempt whose start
 // command was never sent is removed instead.
 func (s *scheduler) stopAttempt(a *cluster.Attempt, graceSeconds float64) {
-	if !a.MaybeDelivered() {
+	if !a.StartMayBeDelivered() {
 		s.removeAttempt(a, "stopped before its start")
 		return
 	}
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -79,7 +79,7 @@
 	tune := func(tuning *config.Tuning) {
 		tuning.Activation.Classes = []string{coldClass}
 		tuning.Activation.Policy.IdleWindow = coldIdle
-		tuning.Activation.Hold = coldHold
+		tuning.Activation.HoldTimeout = coldHold
 	}
 	runSimulationInZones(t, zones, func(*config.Settings) {}, tune, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -41,13 +41,13 @@
 			stop.GraceSeconds = a.GraceSeconds
 			return append(commands, stop)
 		}
-	case a.Stopping && !a.MaybeDelivered():
+	case a.Stopping && !a.StartMayBeDelivered():
 		s.removeAttempt(a, "stopped before its start")
 	case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
 		// The direct start command may still arrive, minutes late. Starting and stopping the attempt now makes the
 		// worker record it. A worker ignores the start of an attempt that it has recorded.
 		if s.leaseValid(now) {
-			a.NoteCommanded(r)
+			a.RecordStartCommanded(r)
 			commands = append(commands, start)
 		}
 		return append(commands, stop)
@@ -55,7 +55,7 @@
 		s.removeAttempt(a, "its start was not executed")
 	case a.Stopping:
 	case !a.Reported && a.Durable && a.Job.Phase == storage.Open && s.leaseValid(now) && !a.Machine.Terminating:
-		a.NoteCommanded(r)
+		a.RecordStartCommanded(r)
 		return append(commands, start)
 	}
 	return commands
@@ -190,7 +190,7 @@
 // outcome shows that the start commands were not executed.
 func (s *scheduler) removeUnstarted(starts []*cluster.Attempt) {
 	for _, a := range starts {
-		if a.Stopping && !a.MaybeDelivered() {
+		if a.Stopping && !a.StartMayBeDelivered() {
 			s.removeAttempt(a, "stopped before its start")
 		}
 	}
@@ -216,7 +216,7 @@
 	machine      int
 	announcement bool // the request announced a fencing token and carried no commands
 	starts       []*cluster.Attempt
-	outcome      worker.Outcome
+	outcome      worker.CommandOutcome
 	report       *worker.Report
 }
 
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -150,7 +150,7 @@
 		return 0, false
 	}
 	saved, burst, rate := s.journal.Budget()
-	return s.bulkPacer.Due(now, saved, burst, rate), true
+	return s.bulkPacer.RetryAfter(now, saved, burst, rate), true
 }
 
 // handleCommitted ends the commit in flight. EndCommit calls the callbacks that waited for it, and those of accepted jobs
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -37,12 +37,12 @@
 func (f *forwarder) refreshDelegation() {
 	for _, p := range f.settings.Peers {
 		status, ok := f.node.deps.Peers.Status(p.Name)
-		if !ok || status.DelegatesFor <= 0 || status.DelegationTerm < f.delegation.tokens.First {
+		if !ok || status.DelegationPeriod <= 0 || status.DelegationTerm < f.delegation.tokens.First {
 			continue
 		}
-		until := status.Sent.Add(clock.Scale(status.DelegatesFor, 1/clock.DriftBound))
+		until := status.Sent.Add(clock.Scale(status.DelegationPeriod, 1/clock.DriftBound))
 		if status.DelegationTerm > f.delegation.tokens.First || until.After(f.delegation.until) {
-			f.delegation = delegation{status.DelegationTokens(), until, status.Excluded}
+			f.delegation = delegation{status.DelegationTokens(), until, status.ExcludedMachines}
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	// The renewal is recorded before the worker is answered, so that the status sent to a leader never omits a renewal
 	// that the worker has already received.
-	f.lastDelegated.Mark(now)
+	f.lastDelegated.Set(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
@@ -164,7 +164,7 @@
 	if previous := s.delegator.terms.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, termsAgePerHeartbeat) {
 		return
 	}
-	terms := &delegationTerms{at: now, renewUntil: s.role.RenewUntil, excluded: make(map[string][]int)}
+	terms := &delegationTerms{at: now, renewUntil: s.role.RenewWorkersUntil, excluded: make(map[string][]int)}
 	for id, j := range s.state.Jobs.Cancelling {
 		if len(j.Attempts) == 0 {
 			delete(s.state.Jobs.Cancelling, id)
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -90,7 +90,7 @@
 func (n *fakeNode) runTracker(ctx context.Context, node *Node, s *config.Settings) {
 	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
 		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
-	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: s.Tuning.Activation.Hold}
+	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: s.Tuning.Activation.HoldTimeout}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
 	go tracker.Run(ctx)
@@ -263,7 +263,7 @@
 }
 
 // SendCommands sends commands to a worker directly, not in a heartbeat response.
-func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return worker.NotSent, nil
 	}
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -239,7 +239,7 @@
 	sim := wk.sim
 	spec, ok := sim.specs[k.ID.Job]
 	if !ok {
-		return &workerTask{state: worker.Exited, cause: worker.CauseUnknown}
+		return &workerTask{state: worker.Exited, cause: worker.CauseUnknownJob}
 	}
 	sim.starts++
 	if wk.forgotten[k] {
@@ -320,7 +320,7 @@
 }
 
 // executeDirect executes commands that were sent directly under a fencing token.
-func (wk *fakeWorker) executeDirect(token, incarnation uint64, commands []worker.Command) (worker.Outcome, *worker.Report) {
+func (wk *fakeWorker) executeDirect(token, incarnation uint64, commands []worker.Command) (worker.CommandOutcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	wk.advance()
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -131,7 +131,7 @@
 // handleReport redirects a worker to another controller, or forwards its heartbeat to the leader.
 func (f *forwarder) handleReport(ctx context.Context, p pendingReport) {
 	now := time.Now()
-	f.lastHeartbeat.Mark(now)
+	f.lastHeartbeat.Set(now)
 	p.digest = f.digest(p.report)
 	known := f.workers[p.report.Machine]
 	if known == nil {
@@ -199,7 +199,7 @@
 
 // requestResponses requests the leader's responses to a batch, and sends them to the forwarder's goroutine.
 func (f *forwarder) requestResponses(ctx context.Context, batch []pendingReport, request heartbeatRequest) {
-	requestCtx, cancel := context.WithTimeout(ctx, relay.Timeout)
+	requestCtx, cancel := context.WithTimeout(ctx, relay.BatchTimeout)
 	defer cancel()
 	reports := make([]*worker.Report, 0, len(batch))
 	for _, p := range batch {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -163,7 +163,7 @@
 		d := newTestScheduler(t, clustertest.Settings())
 		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
 		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
-		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CausePeers}, time.Now())
+		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseGangMissing}, time.Now())
 		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
 			t.Errorf("failures of the machine %+v and of the job %+v, want none", one.Failures, j.Failures)
 		}
@@ -250,7 +250,7 @@
 		j := d.addGang(gangSpec("000001", 2), worker.Running, m, m)
 		for _, r := range []worker.TaskReport{
 			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
-			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CausePeers},
+			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CauseGangMissing},
 			{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Gathering},
 			{ID: worker.TaskID{Job: "999999", Task: 0}, Attempt: 9, State: worker.Running},
 		} {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -57,7 +57,7 @@
 	s.log.Info("leadership resigned", "reason", reason)
 	s.resigned = true
 	r := s.role
-	r.LeaseValidUntil, r.RenewUntil = time.Time{}, time.Time{}
+	r.LeaseValidUntil, r.RenewWorkersUntil = time.Time{}, time.Time{}
 	s.setRole(r)
 	s.delegator.terms.Store(nil)
 	s.resign(leadership.Resignation{Term: s.term, StandDown: standDown})
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -13,7 +13,7 @@
 		s.handleHigherToken(r, now)
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	if now.After(s.role.RenewUntil) {
+	if now.After(s.role.RenewWorkersUntil) {
 		// A new leader may have confirmed a cancellation, and it relies on the expiry of the workers' leases to end the
 		// job's tasks.
 		return worker.HeartbeatResponse{Busy: true}
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -114,7 +114,7 @@
 	t.Helper()
 	sched := newTestScheduler(t, settings)
 	leaseExpiry = time.Now()
-	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(settings.RenewalGrace())})
+	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewWorkersUntil: leaseExpiry.Add(settings.RenewalGrace())})
 	for seq := uint64(1); time.Since(leaseExpiry) < 2*settings.CancelTimeout; seq++ {
 		if sched.handleHeartbeat(cpuReport(7, seq, 2)).Accepted {
 			renewed = time.Now()
@@ -130,7 +130,7 @@
 	t.Helper()
 	sched := newTestScheduler(t, settings)
 	leaseExpiry = time.Now()
-	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewUntil: leaseExpiry.Add(settings.RenewalGrace())})
+	sched.setRole(leadership.Role{Leading: true, Term: 2, LeaseValidUntil: leaseExpiry, RenewWorkersUntil: leaseExpiry.Add(settings.RenewalGrace())})
 	forwarder := newForwarder(&Node{settings: &settings})
 	peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 	forwarder.node.deps.Peers = peers
@@ -138,7 +138,7 @@
 		sched.publishDelegation(time.Now())
 		span, excluded := sched.delegator.delegate("n1")
 		peers.statuses["n1"] = peer.ObservedStatus{
-			Status:   peer.Status{DelegatesFor: span, DelegationTerm: 2, Excluded: excluded},
+			Status:   peer.Status{DelegationPeriod: span, DelegationTerm: 2, ExcludedMachines: excluded},
 			Sent:     time.Now(),
 			Received: time.Now(),
 		}
@@ -270,7 +270,7 @@
 // sendDeadlineRecorder records the send deadline of each message of commands, and sends none.
 type sendDeadlineRecorder struct{ sent chan<- time.Time }
 
-func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	r.sent <- sendBy
 	return worker.NotSent, nil
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -32,7 +32,7 @@
 // resumeJob resumes a job of an earlier term.
 func (s *scheduler) resumeJob(j *cluster.Job) {
 	if j.Tasks != nil {
-		s.state.Classes.NoteArrival(j)
+		s.state.Classes.RecordArrival(j)
 	}
 	if j.Phase == storage.Open && !j.ScalesToZero() {
 		s.activation.postpone(j)
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -195,7 +195,7 @@
 	defer waitForCalls()
 	s.background = background
 	upgrades := upgradecontrol.New(upgradecontrol.Config{
-		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, Users: termGates{s, s.journal}, Log: log,
+		Store: n.deps.State, Settings: n.settings, Peers: n.deps.Peers, Role: role, GateUsers: termGates{s, s.journal}, Log: log,
 	})
 	s.requestGateUse = upgrades.RequestUse
 	s.journal.OnEncodingNeeded(func() { upgrades.RequestUse(upgrade.CompressedChunks) })
@@ -265,7 +265,7 @@
 // has none: all controllers that reach each other then serve users equally well. Each call also records that the load
 // balancer reaches this controller.
 func (n *Node) Ready() bool {
-	n.forwarder.lastProbe.Mark(time.Now())
+	n.forwarder.lastProbe.Set(time.Now())
 	v := n.view.Load()
 	if v.role.Leading && time.Now().Before(v.role.LeaseValidUntil) {
 		return true
@@ -336,7 +336,7 @@
 // the relay is in use.
 func (n *Node) storeReachable() bool {
 	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
-	return since < relay.Timeout+n.settings.Tuning.LeaderLease
+	return since < relay.BatchTimeout+n.settings.Tuning.LeaderLease
 }
 
 // useRelay reports whether requests to the leader have to be relayed through the key-value store: the leader has been
@@ -367,7 +367,7 @@
 	status.SinceHeartbeat, status.SinceDelegatedRenewal = n.forwarder.lastHeartbeat.Since(status.Uptime), n.forwarder.lastDelegated.Since(status.Uptime)
 	if v.scheduler != nil {
 		status.DelegationTerm = v.scheduler.term
-		status.DelegatesFor, status.Excluded = v.scheduler.delegator.delegate(peerName)
+		status.DelegationPeriod, status.ExcludedMachines = v.scheduler.delegator.delegate(peerName)
 	}
 	return status
 }
--- a/internal/scheduler/node_test.go
+++ b/internal/scheduler/node_test.go
@@ -63,7 +63,7 @@
 		role := d.role
 		d.resignLeadership("test")
 		roleMessage{role}.handle(d)
-		if d.leaseValid(time.Now()) || time.Now().Before(d.role.RenewUntil) {
+		if d.leaseValid(time.Now()) || time.Now().Before(d.role.RenewWorkersUntil) {
 			t.Error("the lease is valid or renewable after a resignation")
 		}
 	})
--- a/internal/scheduler/ports.go
+++ b/internal/scheduler/ports.go
@@ -15,7 +15,7 @@
 	// SendCommands sends commands to the worker at addr. The worker rejects them if it has seen a higher fencing token or
 	// is in another incarnation. SendCommands sends nothing after sendBy, because the sender may have lost leadership by
 	// then; a zero sendBy is no limit. The returned report is the worker's response, or nil if there was none.
-	SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report)
+	SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report)
 }
 
 // PeerLink sends requests to the other controllers and observes their statuses.
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -118,7 +118,7 @@
 	case !a.ThisTerm:
 		// The worker has a token of this term, so it rejects the commands of earlier leaders.
 		return true
-	case !a.MaybeDelivered() || a.StartUnresolved():
+	case !a.StartMayBeDelivered() || a.StartUnresolved():
 		return false
 	case !heartbeat:
 		// The response to a heartbeat may carry the start command and still be in flight.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -32,7 +32,7 @@
 		tb.Fatal(err)
 	}
 	now := time.Now()
-	role := leadership.Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewUntil: now.Add(time.Hour)}
+	role := leadership.Role{Leading: true, Term: 2, LeaseValidUntil: now.Add(time.Hour), RenewWorkersUntil: now.Add(time.Hour)}
 	deps := Dependencies{Workers: silentWorkers{}, Rand: rand.New(rand.NewPCG(7, 7))}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil)) //nolint:sloglint // benchmarks include the cost of formatting
 	d, err := newScheduler(&s, deps, role, journal, func(leadership.Resignation) {}, log)
@@ -63,7 +63,7 @@
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
 	d.state.Jobs.AddOpen(j)
-	d.state.Classes.NoteArrival(j)
+	d.state.Classes.RecordArrival(j)
 	return j
 }
 
@@ -81,6 +81,6 @@
 // silentWorkers are workers to which no command is sent directly.
 type silentWorkers struct{}
 
-func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []worker.Command, time.Time) (worker.Outcome, *worker.Report) {
+func (silentWorkers) SendCommands(context.Context, string, uint64, uint64, []worker.Command, time.Time) (worker.CommandOutcome, *worker.Report) {
 	return worker.NotSent, nil
 }
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -390,13 +390,13 @@
 		case gathering == spec.Tasks:
 			task.state, task.since, task.ends = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
 		case task.state == worker.Gathering && now.Sub(task.since) > sim.settings.GangWait:
-			task.state, task.cause = worker.Exited, worker.CausePeers
+			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		case task.state != worker.Running || running+done == spec.Tasks:
 		case task.since.After(now.Add(-sim.settings.GangStopWindow)) && task.ends.IsZero():
 		case !task.ends.IsZero() && running+done < spec.Tasks:
 			task.ends, task.since = time.Time{}, now // it exits after the stop window
 		case task.ends.IsZero():
-			task.state, task.cause = worker.Exited, worker.CausePeers
+			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		}
 	}
 	return gathering == spec.Tasks
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -98,12 +98,12 @@
 	case worker.CauseDone:
 		j.Failures.RecordSuccess()
 		m.Failures.RecordSuccess()
-		s.state.Classes.NoteRunTime(a, now)
+		s.state.Classes.RecordRunTime(a, now)
 		if j.Spec.Gang {
 			s.completeGang(j)
 		}
 		j.SetTask(a.Task, cluster.TaskDone)
-	case worker.CausePeers:
+	case worker.CauseGangMissing:
 		j.Gang.Failed = true // attributed to the gang, not to the machine
 	case worker.CauseError:
 		a.Failed = true
@@ -115,7 +115,7 @@
 		j.Gang.Failed = j.Gang.Failed || j.Gang.Started
 	case worker.CauseFull, worker.CauseBusy:
 		m.QuarantinedUntil = now.Add(s.settings.HeartbeatInterval)
-	case worker.CauseUnknown:
+	case worker.CauseUnknownJob:
 		j.RetryAfter = now.Add(s.settings.HeartbeatInterval)
 	case worker.CauseStopped, worker.CauseNone: // neither the job nor the machine is at fault
 	}
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -40,9 +40,9 @@
 	}
 	var lost []int
 	candidates := s.planner.ReadyCandidates(now)
-	s.planner.UpdatePerGPU(now)
+	s.planner.UpdateMaxPerGPU(now)
 	for _, m := range silent {
-		if s.reviewer.CanRehome(m, candidates, now) {
+		if s.reviewer.CanRelocateServices(m, candidates, now) {
 			s.log.Info("machine unconfirmed since failover", "machine", m.ID, "attempts", len(m.Attempts))
 			lost = append(lost, m.ID)
 		}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -180,7 +180,7 @@
 	if !j.ScalesToZero() {
 		s.activation.postpone(j)
 	}
-	s.state.Classes.NoteArrival(j)
+	s.state.Classes.RecordArrival(j)
 	s.markJob(j)
 	s.onJobCommit(j, func(error) {
 		s.admission.Recorded(spec.Team)
@@ -224,7 +224,7 @@
 	case j.Phase == storage.Open:
 		j.Phase = storage.Cancelled
 		s.state.Jobs.TrackCancelling(j)
-		s.state.Classes.NoteDeparture(j, now)
+		s.state.Classes.RecordDeparture(j, now)
 		s.activation.untrack(j)
 		s.log.Debug("job cancelled", "job", j.Spec.ID, "attempts", len(j.Attempts))
 		s.markJob(j)
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -40,7 +40,7 @@
 		peerAsk{Serial: 1, Req: wire.UserRequest{Op: api.OpPing, ID: "n1"}},
 		peerAsk{Serial: 2, Req: wire.FromRequest(&api.Request{Op: api.OpSubmit, ID: "000007", Spec: spec})},
 		peerAsk{Serial: 3, Reports: wire.FromReports([]*worker.Report{{Machine: 7, Addr: "10.0.0.7:9000", Type: "cpu", Zone: "a", Spot: true, Incarnation: 3, Seq: 9, Token: 4, NoticeSeconds: &notice,
-			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CausePeers, Saved: true}}}})})
+			Tasks: []worker.TaskReport{{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 5, State: worker.Exited, Cause: worker.CauseGangMissing, Saved: true}}}})})
 	write("answers.gob", answersOfVersion(version769a0b2)...)
 	write("answers-registering.gob", answersOfVersion(versionRegistering)...)
 	write("answers-token-ranges.gob", answersOfVersion(versionTokenRanges)...)
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -47,7 +47,7 @@
 	if s := submission.Req.Request().Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
 		t.Errorf("submission is read as %+v", submission)
 	}
-	if r := wire.Reports(heartbeats.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CausePeers {
+	if r := wire.Reports(heartbeats.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CauseGangMissing {
 		t.Errorf("report is read as %+v", r)
 	}
 }
@@ -59,7 +59,7 @@
 	if err := errors.Join(messages.Decode(&ping), messages.Decode(&user), messages.Decode(&heartbeats)); err != nil {
 		t.Fatal(err)
 	}
-	if p := ping.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegatesFor != 20*time.Second || len(p.Excluded) != 2 || p.Version != version {
+	if p := ping.Answer.Peer.Status(); p.Leader != "n2" || p.Term != 4 || p.DelegationPeriod != 20*time.Second || len(p.ExcludedMachines) != 2 || p.Version != version {
 		t.Errorf("status is read as %+v, want version %d", p, version)
 	}
 	if r := user.Answer.Response(); r.State != api.StateRunning || r.ValidFor != time.Second || r.Running != 2 {
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -40,7 +40,7 @@
 // SendCommands sends commands to the worker at addr, under a fencing token and to one incarnation. They are not
 // sent if no connection is free before sendBy, unless that is zero. The report is the worker's after the commands;
 // nil if there is none.
-func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
+func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -62,7 +62,7 @@
 }
 
 // outcome returns what a worker's response means for the commands.
-func (c *WorkerClient) outcome(addr string, resp httpResponse) (worker.Outcome, *worker.Report) {
+func (c *WorkerClient) outcome(addr string, resp httpResponse) (worker.CommandOutcome, *worker.Report) {
 	report, err := protocol.ParseReport(resp.body)
 	switch resp.status {
 	case http.StatusOK:
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -26,7 +26,7 @@
 	for _, tc := range []struct {
 		name    string
 		handler http.HandlerFunc
-		want    worker.Outcome
+		want    worker.CommandOutcome
 	}{
 		{"executed", respond(200, idleReport), worker.Executed},
 		{"rejected", respond(409, idleReport), worker.Rejected},
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -48,12 +48,12 @@
 
 // Config holds the dependencies and settings of a Controller.
 type Config struct {
-	Store    storage.KeyValueStore
-	Settings *config.Settings
-	Peers    Peers
-	Role     leadership.Role // the leader's role at the start of the term, with the cluster record
-	Users    GateUsers
-	Log      *slog.Logger
+	Store     storage.KeyValueStore
+	Settings  *config.Settings
+	Peers     Peers
+	Role      leadership.Role // the leader's role at the start of the term, with the cluster record
+	GateUsers GateUsers
+	Log       *slog.Logger
 }
 
 // Controller is the leader's actor that advances the cluster record.
@@ -89,7 +89,7 @@
 		log:                 c.Log,
 		leader:              c.Role.Guard,
 		term:                c.Role.Term,
-		gateUsers:           c.Users,
+		gateUsers:           c.GateUsers,
 		cluster:             c.Role.Cluster,
 		outdated:            true,
 		unusedSince:         make(map[upgrade.GateName]time.Time),
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	role := leadership.Role{Term: 1, Guard: storage.Guard{Key: leadership.LeaderKey, Version: revision}, Cluster: leadership.ClusterRecord{Record: record, Version: revision}}
-	c := New(Config{Store: client, Settings: &settings, Role: role, Users: users, Log: slog.New(slog.DiscardHandler)})
+	c := New(Config{Store: client, Settings: &settings, Role: role, GateUsers: users, Log: slog.New(slog.DiscardHandler)})
 	c.unusedSince[upgrade.GangJobs] = time.Now().Add(-2 * releaseAfter)
 	return c, client
 }
--- a/internal/wire/coordination/messages.go
+++ b/internal/wire/coordination/messages.go
@@ -74,7 +74,7 @@
 	Term       uint64
 	Hears      time.Duration // SinceHeartbeat
 	Alone      time.Duration // SinceDelegatedRenewal
-	Lends      time.Duration // DelegatesFor
+	Lends      time.Duration // DelegationPeriod
 	LendTerm   uint64        // DelegationTerm
 	Barred     []int         // Excluded
 	Version    int
@@ -145,7 +145,7 @@
 	return PeerState{
 		Up: s.Uptime, SinceState: s.SinceStoreContact, Leader: s.Leader, Term: s.Term,
 		Hears: s.SinceHeartbeat, Alone: s.SinceDelegatedRenewal,
-		Lends: s.DelegatesFor, LendTerm: s.DelegationTerm, Barred: s.Excluded, Version: s.Version,
+		Lends: s.DelegationPeriod, LendTerm: s.DelegationTerm, Barred: s.ExcludedMachines, Version: s.Version,
 	}
 }
 
@@ -154,6 +154,6 @@
 	return peer.Status{
 		Uptime: p.Up, SinceStoreContact: p.SinceState, Leader: p.Leader, Term: p.Term,
 		SinceHeartbeat: p.Hears, SinceDelegatedRenewal: p.Alone,
-		DelegatesFor: p.Lends, DelegationTerm: p.LendTerm, Excluded: p.Barred, Version: p.Version,
+		DelegationPeriod: p.Lends, DelegationTerm: p.LendTerm, ExcludedMachines: p.Barred, Version: p.Version,
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -26,14 +26,14 @@
 
 // The reasons why a task exits.
 const (
-	CauseNone    ExitCause = iota
-	CauseDone              // the task completed
-	CauseStopped           // stopped by a command
-	CauseError             // the task failed
-	CauseFull              // start rejected: not enough free resources
-	CauseBusy              // start rejected: the worker has the task under another attempt number
-	CauseUnknown           // start rejected: the worker can't find the job
-	CausePeers             // other tasks of its gang are missing
+	CauseNone        ExitCause = iota
+	CauseDone                  // the task completed
+	CauseStopped               // stopped by a command
+	CauseError                 // the task failed
+	CauseFull                  // start rejected: not enough free resources
+	CauseBusy                  // start rejected: the worker has the task under another attempt number
+	CauseUnknownJob            // start rejected: the worker can't find the job
+	CauseGangMissing           // other tasks of its gang are missing
 )
 
 // TaskReport is the state of one task in a report.
@@ -91,13 +91,13 @@
 	Undecided bool
 }
 
-// Outcome is the outcome of commands that were sent directly to a worker, not in a response to a heartbeat.
-type Outcome int
+// CommandOutcome is the outcome of commands that were sent directly to a worker, not in a response to a heartbeat.
+type CommandOutcome int
 
 // The outcomes of direct commands.
 const (
-	NotSent    Outcome = iota // certainly not executed: the commands were not sent
-	Executed                  // executed; the worker has responded with a report
-	Rejected                  // nothing executed: the token is too low, or the incarnation is another
-	Unresolved                // no response: the commands may have been executed, or may still be executed later
+	NotSent    CommandOutcome = iota // certainly not executed: the commands were not sent
+	Executed                         // executed; the worker has responded with a report
+	Rejected                         // nothing executed: the token is too low, or the incarnation is another
+	Unresolved                       // no response: the commands may have been executed, or may still be executed later
 )
