--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry logs the resource usage of the process: processor time, memory,
-// garbage collection and timer lag.
+// Package telemetry logs the resource usage of the process: CPU time, memory, garbage
+// collection and timer lag.
 package telemetry
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// lagProbes is the number of timers per interval whose lag is measured.
-const lagProbes = 20
+// lagProbesPerInterval is how many times per interval the lag of a timer is measured.
+const lagProbesPerInterval = 20
 
-// Reporter logs one line of resource usage per interval at level debug. At higher
-// levels it measures nothing.
+// Reporter logs one line of resource usage per interval at level debug. If the logger's
+// level is higher, it measures nothing.
 type Reporter struct {
 	Log      *slog.Logger
 	Interval time.Duration // between two lines
-	CPUShare float64       // the processors that the process may use, such as 0.5
-	// Gauges returns further key-value pairs for the line, as slog takes them.
+	CPUShare float64       // number of CPU cores that the process may use, such as 0.5
+	// Gauges returns further key-value pairs for the line, as arguments for slog.
 	Gauges func() []any
 }
 
-// Run logs usage until ctx ends. It returns at once if debug is not logged.
+// Run logs usage until ctx ends. It returns at once if the logger drops messages of level debug.
 func (r *Reporter) Run(ctx context.Context) {
 	if !r.Log.Enabled(ctx, slog.LevelDebug) {
 		return
 	}
-	probeInterval := r.Interval / lagProbes
+	probeInterval := r.Interval / lagProbesPerInterval
 	previous := readSample(time.Now())
 	var lag time.Duration
 	for {
@@ -49,32 +49,32 @@
 	}
 }
 
-// Names of the runtime metrics that are logged.
+// Names of the Go runtime metrics from which the logged values are computed.
 const (
-	gcCycles     = "/gc/cycles/total:gc-cycles"
-	gcCPU        = "/cpu/classes/gc/total:cpu-seconds"
-	allocBytes   = "/gc/heap/allocs:bytes"
-	allocObjects = "/gc/heap/allocs:objects"
-	heapLive     = "/gc/heap/live:bytes"
-	heapGoal     = "/gc/heap/goal:bytes"
-	stackBytes   = "/memory/classes/heap/stacks:bytes"
-	totalBytes   = "/memory/classes/total:bytes"
-	freedBytes   = "/memory/classes/heap/released:bytes"
-	goroutines   = "/sched/goroutines:goroutines"
+	gcCycles      = "/gc/cycles/total:gc-cycles"
+	gcCPU         = "/cpu/classes/gc/total:cpu-seconds"
+	allocBytes    = "/gc/heap/allocs:bytes"
+	allocObjects  = "/gc/heap/allocs:objects"
+	heapLive      = "/gc/heap/live:bytes"
+	heapGoal      = "/gc/heap/goal:bytes"
+	stackBytes    = "/memory/classes/heap/stacks:bytes"
+	totalBytes    = "/memory/classes/total:bytes"
+	releasedBytes = "/memory/classes/heap/released:bytes"
+	goroutines    = "/sched/goroutines:goroutines"
 )
 
 var metricNames = []string{
-	gcCycles, gcCPU, allocBytes, allocObjects, heapLive, heapGoal, stackBytes, totalBytes, freedBytes, goroutines,
+	gcCycles, gcCPU, allocBytes, allocObjects, heapLive, heapGoal, stackBytes, totalBytes, releasedBytes, goroutines,
 }
 
-// sample is the cumulative usage of the process at one time.
+// sample is the resource usage of the process at one time.
 type sample struct {
 	at     time.Time
-	cpu    time.Duration      // user and system time
+	cpu    time.Duration      // user and system CPU time since the process started
 	values map[string]float64 // by name of the runtime metric
 }
 
-// readSample reads the current usage. The processor time is 0 if the system does not report it.
+// readSample reads the current usage. The CPU time is 0 if the operating system does not report it.
 func readSample(now time.Time) sample {
 	s := sample{at: now, values: make(map[string]float64, len(metricNames))}
 	var usage syscall.Rusage
@@ -99,7 +99,7 @@
 }
 
 // usageSince returns the usage since an earlier sample as key-value pairs for slog.
-// cpuShare is the number of processors that the process may use.
+// cpuShare is the number of CPU cores that the process may use.
 func (s sample) usageSince(earlier sample, cpuShare float64) []any {
 	const mb = 1 << 20
 	delta := func(name string) float64 { return s.values[name] - earlier.values[name] }
@@ -114,7 +114,7 @@
 		"heap_live_mb", s.values[heapLive] / mb,
 		"heap_goal_mb", s.values[heapGoal] / mb,
 		"stacks_mb", s.values[stackBytes] / mb,
-		"held_mb", (s.values[totalBytes] - s.values[freedBytes]) / mb,
+		"held_mb", (s.values[totalBytes] - s.values[releasedBytes]) / mb,
 		"goroutines", s.values[goroutines],
 	}
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// runReporter returns what a reporter logs at a level within a duration of simulated time.
+// runReporter returns the log output of a reporter that runs for a duration of simulated time at a log level.
 func runReporter(t *testing.T, level slog.Level, duration time.Duration) string {
 	t.Helper()
 	var out bytes.Buffer
-	runtime.GC() // the live heap is known from the first collection on
+	runtime.GC() // the runtime reports a live heap of 0 before the first collection
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		r := &Reporter{
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -15,7 +15,8 @@
 	"sagevale/internal/worker"
 )
 
-// The cost of one request, without the controller's decision.
+// The benchmarks of this file measure the cost of one request or connection. A fake controller handles the requests, so
+// its decisions cost nothing.
 
 // roundTrip sends one request on an open connection and reads the response into buf.
 func roundTrip(b *testing.B, conn net.Conn, req, buf []byte) {
@@ -37,7 +38,7 @@
 	}
 }
 
-// BenchmarkHeartbeatRequest sends a heartbeat of a worker with eight tasks on its open connection.
+// BenchmarkHeartbeatRequest sends a heartbeat of a worker with eight tasks on an open connection.
 func BenchmarkHeartbeatRequest(b *testing.B) { benchmarkRequest(b, heartbeatRequest(8)) }
 
 // BenchmarkPollRequest sends a user's poll on an open connection.
@@ -68,10 +69,10 @@
 	}
 }
 
-// BenchmarkSendCommands sends a start to a worker that responds at once.
+// BenchmarkSendCommands sends a start command to a worker that responds at once.
 func BenchmarkSendCommands(b *testing.B) {
 	l := listen(b)
-	body := wireReport(8)
+	body := reportJSON(8)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = w.Write(body)
@@ -82,14 +83,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, cancel := context.WithTimeout(b.Context(), time.Second)
-		if outcome, _ := client.SendCommands(ctx, l.Addr().String(), 41, 1, command, time.Time{}); outcome != worker.Executed {
+		if outcome, _ := client.SendCommands(ctx, l.Addr().String(), 41, 1, startCommands, time.Time{}); outcome != worker.Executed {
 			b.Fatalf("outcome %v, want Executed", outcome)
 		}
 		cancel()
 	}
 }
 
-// BenchmarkIdleConnection reports the memory that a worker's connection holds between two heartbeats.
+// BenchmarkIdleConnection reports the memory that a worker connection occupies between two heartbeats.
 func BenchmarkIdleConnection(b *testing.B) {
 	const conns = 400
 	req := heartbeatRequest(8)
@@ -120,7 +121,7 @@
 	}
 }
 
-// liveMemory returns the bytes of the live heap and of the stacks.
+// liveMemory returns the size of the live heap and of the stacks in bytes.
 func liveMemory() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/transport/body_limiter.go
+++ b/internal/transport/body_limiter.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// smallBodyBytes is the largest request body that is part of its connection's memory (connectionBytes).
-	smallBodyBytes = 4 << 10
-	// unknownLengthBytes is the memory for a body of unknown length: its buffer grows by doubling.
-	unknownLengthBytes = 2 * protocol.MaxBodyBytes
+	// maxSmallBodyBytes is the largest request body that connectionBytes already accounts for.
+	maxSmallBodyBytes = 4 << 10
+	// unknownLengthBodyBytes is the memory that is reserved for a body of unknown length. Its buffer grows by
+	// doubling, so it may become twice as large as the largest body.
+	unknownLengthBodyBytes = 2 * protocol.MaxBodyBytes
 )
 
-// bodyLimiter bounds the memory that large request bodies take while they are read.
+// bodyLimiter bounds the memory that large request bodies occupy while the server reads and parses them.
 type bodyLimiter struct{ memory *semaphore.Weighted }
 
 func newBodyLimiter(limits Limits) bodyLimiter {
 	return bodyLimiter{semaphore.NewWeighted(limits.bodyMemory())}
 }
 
-// acquire reserves memory for a body of length bytes, or of any length up to the protocol's limit if length is
-// negative. It never waits: ok is false if there is no memory left, and otherwise release must be called once.
+// acquire reserves memory for a body of length bytes. If length is negative, the body's length is unknown, and acquire
+// reserves enough for the largest body that the protocol allows. It never waits: if too little memory is left, ok is
+// false. Otherwise the caller must call release once.
 func (l bodyLimiter) acquire(length int64) (release func(), ok bool) {
 	bytes := length
 	switch {
 	case length < 0:
-		bytes = unknownLengthBytes
-	case length <= smallBodyBytes:
+		bytes = unknownLengthBodyBytes
+	case length <= maxSmallBodyBytes:
 		return func() {}, true
 	}
 	if !l.memory.TryAcquire(bytes) {
--- a/internal/transport/body_limiter_test.go
+++ b/internal/transport/body_limiter_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBodyLimiterBoundsMemory(t *testing.T) {
-	l := newBodyLimiter(Limits{MemoryMB: 16}) // 1 MB for bodies
+	l := newBodyLimiter(Limits{MemoryMB: 16}) // of which 1 MB is for bodies
 	var releases []func()
 	for len(releases) < 100 {
 		release, ok := l.acquire(protocol.MaxBodyBytes)
@@ -26,7 +26,7 @@
 	if _, ok := l.acquire(-1); ok {
 		t.Error("a body of unknown length is admitted without memory for it")
 	}
-	if _, ok := l.acquire(smallBodyBytes); !ok {
+	if _, ok := l.acquire(maxSmallBodyBytes); !ok {
 		t.Error("a small body isn't admitted")
 	}
 	for _, release := range releases {
@@ -37,7 +37,7 @@
 	}
 }
 
-// startSlowRequests sends the headers of n submissions and no bodies. The channel receives their responses.
+// startSlowRequests sends the headers of n submissions without their bodies. The channel receives the responses.
 func startSlowRequests(t *testing.T, addr string, n int, header string) <-chan string {
 	t.Helper()
 	responses := make(chan string, n)
@@ -48,15 +48,15 @@
 		}
 		go func() {
 			buf := make([]byte, 512)
-			n, _ := conn.Read(buf) // an error leaves the response empty
+			n, _ := conn.Read(buf) // after an error the response is empty
 			responses <- string(buf[:n])
 		}()
 	}
 	return responses
 }
 
-// Bodies that are sent slowly, or never end, hold no more memory than there is for bodies: those beyond it are
-// rejected at once, and small requests are still served.
+// Large bodies that clients send slowly, or never finish, must not occupy more than the memory for bodies. The server
+// rejects further large bodies at once and still serves small requests.
 func TestServerRejectsSlowLargeBodies(t *testing.T) {
 	const (
 		requests   = 60
@@ -92,7 +92,7 @@
 	}
 }
 
-// A body whose length is over the limit is rejected before it is sent.
+// The server rejects a request whose Content-Length exceeds the limit before the client sends the body.
 func TestServerRejectsLargeContentLengthUnread(t *testing.T) {
 	addr := startServer(t, Limits{Sockets: 100, MemoryMB: 16})
 	response := <-startSlowRequests(t, addr, 1, "Content-Length: 100000000")
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -13,8 +13,8 @@
 	"sagevale/internal/storage"
 )
 
-// CloudClient is the client of the cloud's interface. Its errors are those of package cloud, wrapped. Its methods
-// may be called from several goroutines.
+// CloudClient is a client of the cloud's HTTP API. Its methods return errors of package cloud, possibly wrapped, and may
+// be called from several goroutines.
 type CloudClient struct {
 	baseURL string
 	client  *jsonClient
@@ -22,16 +22,16 @@
 
 var _ autoscaling.Cloud = (*CloudClient)(nil)
 
-// NewCloudClient returns a client of the cloud at addr, an IP address with a port.
+// NewCloudClient returns a client of the cloud at addr, which is an IP address with a port.
 func NewCloudClient(addr string) *CloudClient {
 	return &CloudClient{"http://" + addr, newServerClient()}
 }
 
-// noCapacity is the cloud's error text for a launch that it has no machines for.
+// noCapacity is the error text in the cloud's response to a launch for which it has no machines.
 const noCapacity = "no capacity"
 
-// send sends one request, decodes a successful response into out unless that is nil, and maps every other
-// outcome to an error of package cloud.
+// send sends one request and decodes a successful response into out, unless out is nil. It maps every other outcome
+// to an error of package cloud.
 func (c *CloudClient) send(ctx context.Context, method, path string, in, out any) error {
 	resp, sent, err := c.client.do(ctx, method, c.baseURL+path, in)
 	switch {
@@ -60,20 +60,21 @@
 	return fmt.Errorf("%w: status %d", cloud.ErrUnknownOutcome, resp.status)
 }
 
-// MachineTypes returns the instance types of the cloud's catalogue, at least one.
+// MachineTypes returns the instance types in the cloud's catalog. An empty catalog is an error.
 func (c *CloudClient) MachineTypes(ctx context.Context) ([]storage.MachineType, error) {
-	var catalogue protocol.Catalogue
-	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &catalogue); err != nil {
+	var catalog protocol.Catalogue
+	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
 		return nil, err
 	}
-	types := catalogue.MachineTypes()
+	types := catalog.MachineTypes()
 	if len(types) == 0 {
-		return nil, fmt.Errorf("%w: empty catalogue", cloud.ErrUnknownOutcome)
+		return nil, fmt.Errorf("%w: empty catalog", cloud.ErrUnknownOutcome)
 	}
 	return types, nil
 }
 
-// Launch launches machines and returns their ids. The request is idempotent by its name.
+// Launch launches machines and returns their IDs. The name makes the request idempotent: a repeated request with the
+// same name launches no further machines.
 func (c *CloudClient) Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	var names protocol.MachineNames
 	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewLaunchRequest(name, launch), &names); err != nil {
@@ -86,13 +87,13 @@
 	return ids, nil
 }
 
-// Terminate terminates machines; once it succeeds, they are gone.
+// Terminate terminates machines. When it returns without an error, the machines no longer exist.
 func (c *CloudClient) Terminate(ctx context.Context, machines []int) error {
 	return c.send(ctx, http.MethodPost, "/rentals/delete", protocol.NewMachineNames(machines), nil)
 }
 
-// List returns a page of at most limit machines, those after an id unless after is negative, and whether there are
-// more.
+// List returns a page of at most limit machines and whether more machines follow. The page starts behind the machine
+// with the ID after, or at the first machine if after is negative.
 func (c *CloudClient) List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error) {
 	query := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -9,40 +9,41 @@
 	"sagevale/internal/protocol"
 )
 
-// shedShare of the accepted connections is closed at a time, at most, to accept others.
-const shedShare = 1.0 / 8
+// maxShedShare is the largest share of the maximum number of connections that is closed at a time to accept others.
+const maxShedShare = 1.0 / 8
 
-// connLimiter is a listener that bounds its open connections. At the limit it closes idle connections of
-// workers, or waits until a connection is closed. Accept must not be called by two goroutines at once.
+// connLimiter is a listener that limits the number of its open connections. At the limit, Accept closes idle worker
+// connections or, if there are none, waits until a connection is closed. Accept must not be called by two goroutines
+// at once.
 type connLimiter struct {
 	net.Listener
-	maxOpen, maxWorkers int64
-	open, workers       atomic.Int64   // connections now
-	conns               []*limitedConn // in the order of Accept, which owns it; some may be closed
-	connClosed          chan struct{}  // wakes an Accept that waits
-	closed              chan struct{}
-	closeOnce           sync.Once
+	maxOpenConns, maxWorkerConns int64
+	openConns, workerConns       atomic.Int64   // current numbers of connections
+	conns                        []*limitedConn // in the order of acceptance, some of them closed; used by Accept only
+	connClosed                   chan struct{}  // wakes up a waiting Accept
+	listenerClosed               chan struct{}
+	closeOnce                    sync.Once
 }
 
 func newConnLimiter(l net.Listener, limits Limits) *connLimiter {
 	return &connLimiter{
-		Listener: l, maxOpen: int64(limits.connections()), maxWorkers: int64(limits.workerConnections()),
-		connClosed: make(chan struct{}, 1), closed: make(chan struct{}),
+		Listener: l, maxOpenConns: int64(limits.connections()), maxWorkerConns: int64(limits.workerConnections()),
+		connClosed: make(chan struct{}, 1), listenerClosed: make(chan struct{}),
 	}
 }
 
-// Close closes the listener; a waiting Accept returns.
+// Close closes the listener. An Accept that is waiting returns net.ErrClosed.
 func (l *connLimiter) Close() error {
-	l.closeOnce.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.listenerClosed) })
 	return l.Listener.Close()
 }
 
-// Accept returns the next connection, once fewer than the maximum are open.
+// Accept waits until fewer than the maximum number of connections are open and returns the next connection.
 func (l *connLimiter) Accept() (net.Conn, error) {
-	for l.open.Load() >= l.maxOpen && !l.shedWorkers() {
+	for l.openConns.Load() >= l.maxOpenConns && !l.shedWorkers() {
 		select {
 		case <-l.connClosed:
-		case <-l.closed:
+		case <-l.listenerClosed:
 			return nil, net.ErrClosed
 		}
 	}
@@ -51,9 +52,9 @@
 		return nil, err
 	}
 	c := &limitedConn{Conn: accepted, limiter: l}
-	l.open.Add(1)
+	l.openConns.Add(1)
 	l.conns = append(l.conns, c)
-	if int64(len(l.conns)) > 2*l.open.Load() {
+	if int64(len(l.conns)) > 2*l.openConns.Load() {
 		l.removeClosed()
 	}
 	return c, nil
@@ -71,43 +72,43 @@
 	l.conns = open
 }
 
-// shedWorkers closes some of the workers' connections that wait for the next heartbeat, the oldest first. It
+// shedWorkers closes some of the worker connections on which no heartbeat is being handled, the oldest first. It
 // reports whether it has closed any.
 func (l *connLimiter) shedWorkers() bool {
 	l.removeClosed()
-	limit := max(1, int(shedShare*float64(l.maxOpen)))
+	maxShed := max(1, int(maxShedShare*float64(l.maxOpenConns)))
 	shed := 0
 	for _, c := range l.conns {
-		if shed == limit {
+		if shed == maxShed {
 			break
 		}
-		if c.worker.Load() && !c.busy.Load() {
-			_ = c.Close() // it is closed to free its slot, and nothing is lost with it
+		if c.isWorker.Load() && !c.busy.Load() {
+			_ = c.Close() // an error loses nothing: the connection is closed only to free its slot
 			shed++
 		}
 	}
 	return shed > 0
 }
 
-// limitedConn is a connection that a connLimiter has accepted.
+// limitedConn is a connection accepted by a connLimiter.
 type limitedConn struct {
 	net.Conn
-	limiter    *connLimiter
-	heartbeats protocol.ReportReader // used by the one request that the connection serves at a time
-	worker     atomic.Bool           // the client is a worker
-	busy       atomic.Bool           // a worker's heartbeat is being handled
-	closed     atomic.Bool
+	limiter      *connLimiter
+	reportReader protocol.ReportReader // used by one request at a time, as a connection serves only one
+	isWorker     atomic.Bool           // the client is a worker
+	busy         atomic.Bool           // a worker's heartbeat is being handled
+	closed       atomic.Bool
 }
 
-// Close closes the connection; a second call returns net.ErrClosed.
+// Close closes the connection. Further calls return net.ErrClosed.
 func (c *limitedConn) Close() error {
 	if c.closed.Swap(true) {
 		return net.ErrClosed
 	}
-	if c.worker.Load() {
-		c.limiter.workers.Add(-1)
+	if c.isWorker.Load() {
+		c.limiter.workerConns.Add(-1)
 	}
-	c.limiter.open.Add(-1)
+	c.limiter.openConns.Add(-1)
 	select {
 	case c.limiter.connClosed <- struct{}{}:
 	default:
@@ -115,19 +116,19 @@
 	return c.Conn.Close()
 }
 
-// markWorker marks the client as a worker and reports whether the connection may stay open after the
-// response.
-func (c *limitedConn) markWorker() (stays bool) {
-	if !c.worker.Swap(true) {
-		c.limiter.workers.Add(1)
+// markWorker records that the client is a worker. It reports whether the connection may stay open after the response,
+// which it may not if there are more worker connections than maxWorkerConns.
+func (c *limitedConn) markWorker() (mayStayOpen bool) {
+	if !c.isWorker.Swap(true) {
+		c.limiter.workerConns.Add(1)
 	}
-	return c.limiter.workers.Load() <= c.limiter.maxWorkers
+	return c.limiter.workerConns.Load() <= c.limiter.maxWorkerConns
 }
 
 // limitedConnKey is the context key of a request's *limitedConn.
 type limitedConnKey struct{}
 
-// withLimitedConn is an http.Server's ConnContext that makes the connection available to its requests.
+// withLimitedConn is the ConnContext function of an http.Server. It adds the connection to the context of its requests.
 func withLimitedConn(ctx context.Context, conn net.Conn) context.Context {
 	if c, ok := conn.(*limitedConn); ok {
 		return context.WithValue(ctx, limitedConnKey{}, c)
@@ -135,7 +136,7 @@
 	return ctx
 }
 
-// limitedConnFrom returns the connection of a request; nil if no connLimiter has accepted it.
+// limitedConnFrom returns the connection of the request with the context ctx, or nil if no connLimiter accepted it.
 func limitedConnFrom(ctx context.Context) *limitedConn {
 	c, _ := ctx.Value(limitedConnKey{}).(*limitedConn)
 	return c
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pipeListener is a listener whose connections are pipes in memory.
+// pipeListener is a listener whose connections are in-memory pipes.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -43,10 +43,10 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// exchange sends one request and returns the start of the response, and whether the connection stays open. If it
-// doesn't, exchange returns after it is closed: on a busy machine the limiter would otherwise still count it for a
-// while, and shed others.
-func exchange(t *testing.T, conn net.Conn, req []byte) (response string, stays bool) {
+// exchange sends one request and returns the start of the response and whether the connection stays open. If the
+// connection doesn't stay open, exchange waits until the server has closed it. Otherwise, on a busy machine, the limiter
+// might still count the connection for a while and close others.
+func exchange(t *testing.T, conn net.Conn, req []byte) (response string, staysOpen bool) {
 	t.Helper()
 	if _, err := conn.Write(req); err != nil {
 		return err.Error(), false
@@ -66,8 +66,9 @@
 	return response, false
 }
 
-// With more workers than sockets, the connections beyond the workers' share are closed after the response, and the
-// others never prevent users and health checks from connecting: a load balancer once took a full node for a failed one.
+// With more workers than sockets, the server must close the worker connections beyond the workers' share after the
+// response, and users and health checks must still be able to connect. Without this, a load balancer once treated a node
+// as failed when all its connections were in use.
 func TestServerReservesConnectionsForOthers(t *testing.T) {
 	const sockets = 60
 	l := newPipeListener()
@@ -76,27 +77,27 @@
 	var open []net.Conn
 	for i := range 2 * sockets {
 		conn := l.dial()
-		response, stays := exchange(t, conn, heartbeat)
+		response, staysOpen := exchange(t, conn, heartbeat)
 		if !strings.HasPrefix(response, "HTTP/1.1 200") {
 			t.Fatalf("heartbeat %d: response %.40q, want status 200", i, response)
 		}
-		if stays {
+		if staysOpen {
 			open = append(open, conn)
 		}
 	}
 	if got, want := len(open), socketShare(sockets, workerSocketShare); got != want {
 		t.Errorf("%d connections of workers stay open, want %d", got, want)
 	}
-	// Health checks take the other connections, then those of workers.
+	// Health checks first use the remaining connections and then replace worker connections.
 	for i := range sockets / 2 {
-		response, stays := exchange(t, l.dial(), []byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
-		if !stays || !strings.HasPrefix(response, "HTTP/1.1 200") {
-			t.Fatalf("health check %d: response %.40q, connection stays: %v; want status 200 and true", i, response, stays)
+		response, staysOpen := exchange(t, l.dial(), []byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
+		if !staysOpen || !strings.HasPrefix(response, "HTTP/1.1 200") {
+			t.Fatalf("health check %d: response %.40q, connection stays: %v; want status 200 and true", i, response, staysOpen)
 		}
 	}
 	closed := 0
 	for _, conn := range open {
-		if _, stays := exchange(t, conn, heartbeat); !stays {
+		if _, staysOpen := exchange(t, conn, heartbeat); !staysOpen {
 			closed++
 		}
 	}
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,3 +1,3 @@
-// Package transport carries the protocols: the HTTP server for users and workers, the HTTP clients of the
-// key-value store, the cloud and the workers, and the gob connections between controllers.
+// Package transport implements the network protocols of a controller: the HTTP server for users and workers, the HTTP
+// clients of the key-value store, the cloud and the workers, and the gob connections between controllers.
 package transport
--- a/internal/transport/fakes_test.go
+++ b/internal/transport/fakes_test.go
@@ -16,7 +16,7 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// fakeController gives the same response to every request, and the same to every heartbeat.
+// fakeController returns one fixed response to all user requests and another to all heartbeats.
 type fakeController struct {
 	response          api.Response
 	heartbeatResponse worker.HeartbeatResponse
@@ -40,7 +40,7 @@
 	}
 }
 
-// fakePeerHandler responds to other controllers; it accepts heartbeats of machine 1 only.
+// fakePeerHandler handles the requests of other controllers. It accepts only the heartbeats of machine 1.
 type fakePeerHandler struct{}
 
 func (fakePeerHandler) HandleForwardedRequest(_ context.Context, req api.Request) api.Response {
@@ -77,7 +77,7 @@
 	return l
 }
 
-// dial opens a connection until the test ends.
+// dial opens a connection that is closed when the test ends.
 func dial(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -88,7 +88,8 @@
 	return conn
 }
 
-// startServer starts a server of an accepting controller until the test ends, and returns its address.
+// startServer starts a server with an accepting controller and returns its address. The server is stopped when the test
+// ends.
 func startServer(tb testing.TB, limits Limits) string {
 	tb.Helper()
 	l := listen(tb)
@@ -96,8 +97,8 @@
 	return l.Addr().String()
 }
 
-// serve serves an accepting controller on l. The server is stopped by the function that serve returns, or when the
-// test ends; either waits for it.
+// serve starts a server with an accepting controller on l. The function that it returns stops the server and waits until
+// it has stopped. The same happens when the test ends.
 func serve(tb testing.TB, l net.Listener, limits Limits) (stop func()) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -116,11 +117,11 @@
 	return stop
 }
 
-// command is a start of one task.
-var command = []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000412", Task: 3}, Attempt: 2}}
+// startCommands holds a single command, which starts a task.
+var startCommands = []worker.Command{{Verb: worker.Start, ID: worker.TaskID{Job: "000412", Task: 3}, Attempt: 2}}
 
-// wireReport returns a worker's report with running tasks, as it is sent.
-func wireReport(tasks int) []byte {
+// reportJSON returns the JSON of a worker's report with the given number of running tasks.
+func reportJSON(tasks int) []byte {
 	var w bytes.Buffer
 	w.WriteString(`{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":88,"Baton":41,"WarningS":null,"Chores":[`)
 	for i := range tasks {
@@ -133,8 +134,8 @@
 	return w.Bytes()
 }
 
-// heartbeatRequest returns an HTTP request with a heartbeat of a worker with running tasks.
+// heartbeatRequest returns the HTTP request with a heartbeat of a worker with the given number of running tasks.
 func heartbeatRequest(tasks int) []byte {
-	body := wireReport(tasks)
+	body := reportJSON(tasks)
 	return fmt.Appendf(nil, "POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -17,8 +17,8 @@
 	"sagevale/internal/worker"
 )
 
-// TestFreeze writes the messages that controllers of this version exchange to the directory that the
-// environment variable FREEZE names: see the README.md of each directory in testdata.
+// TestFreeze writes the messages that controllers of this version exchange to files in the directory that the
+// environment variable FREEZE names. The README.md of each directory in testdata describes its files.
 func TestFreeze(t *testing.T) {
 	write := func(name string, messages ...any) {
 		var buf bytes.Buffer
@@ -54,14 +54,15 @@
 		usageAnswer{Serial: 5, Usage: &activation.UsageResponse{Verdict: activation.Known, Draining: []activation.DrainOrder{{Model: "000007", Drain: 4}}, Reason: "none"}})
 }
 
-// The version numbers that earlier versions send. This version sends another, in the same message.
+// Version numbers that earlier versions send in their status. This version sends another number in the same message.
 const (
 	version769a0b2     = 2
 	versionRegistering = 3
 	versionTokenRanges = 4
 )
 
-// answersOfVersion returns the responses of a controller of a version to each kind of request.
+// answersOfVersion returns a controller's responses to a ping, a user request and a batch of heartbeats. The response to
+// the ping contains the version number.
 func answersOfVersion(version int) []any {
 	return []any{
 		peerAnswer{Serial: 1, Answer: wire.Answer{Peer: wire.PeerState{Up: time.Minute, SinceState: time.Second, Leader: "n2", Term: 4,
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -11,15 +11,15 @@
 	"sagevale/internal/protocol"
 )
 
-// maxPooledBuffer is the largest buffer, in bytes, that is kept for further requests.
-const maxPooledBuffer = 4 * smallBodyBytes
+// maxPooledBufferBytes is the largest buffer that is kept for further requests.
+const maxPooledBufferBytes = 4 * maxSmallBodyBytes
 
-// bodyBuffers are buffers for request bodies; none is used after its request.
+// bodyBuffers holds reusable buffers for request bodies. readBody returns a buffer to the pool when it returns.
 var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// readBody reads a request's body and passes it to use, which must not retain it. If the body is too large,
-// can't be read, or finds no memory, readBody writes an error and doesn't call use.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, use func(body []byte)) {
+// readBody reads a request's body and passes it to handleBody, which must not retain it. If the body is too large or
+// can't be read, or if there is no memory for it, readBody writes an error response and doesn't call handleBody.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, handleBody func(body []byte)) {
 	if r.ContentLength > protocol.MaxBodyBytes {
 		writeBodyTooLarge(w)
 		return
@@ -27,19 +27,19 @@
 	release, ok := s.bodies.acquire(r.ContentLength)
 	if !ok {
 		closeAfterResponse(w)
-		writeError(w, http.StatusServiceUnavailable, "too many large requests at once", unavailableRetryS)
+		writeError(w, http.StatusServiceUnavailable, "too many large requests at once", unavailableRetrySeconds)
 		return
 	}
 	defer release()
 	buf := bodyBuffers.Get().(*bytes.Buffer)
 	defer func() {
-		if buf.Cap() <= maxPooledBuffer {
+		if buf.Cap() <= maxPooledBufferBytes {
 			bodyBuffers.Put(buf)
 		}
 	}()
 	buf.Reset()
 	if r.ContentLength > 0 {
-		buf.Grow(int(r.ContentLength) + bytes.MinRead) // ReadFrom then doesn't grow it
+		buf.Grow(int(r.ContentLength) + bytes.MinRead) // so that ReadFrom doesn't grow the buffer
 	}
 	if _, err := buf.ReadFrom(io.LimitReader(r.Body, protocol.MaxBodyBytes+1)); err != nil {
 		writeError(w, http.StatusBadRequest, "body not readable", 0)
@@ -49,10 +49,11 @@
 		writeBodyTooLarge(w)
 		return
 	}
-	use(buf.Bytes())
+	handleBody(buf.Bytes())
 }
 
-// allowMethod reports whether a request has the method, or HEAD in place of GET. If not, it writes an error.
+// allowMethod reports whether a request has the given method. HEAD is allowed where GET is. For any other method it
+// writes an error response.
 func allowMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method || method == http.MethodGet && r.Method == http.MethodHead {
 		return true
@@ -62,17 +63,19 @@
 	return false
 }
 
-// closeAfterResponse has the connection closed after the response. It must be called before that is written.
+// closeAfterResponse has the server close the connection after the response. It must be called before the response is
+// written.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// writeBodyTooLarge rejects a body over the protocol's limit, of which some may be left to read.
+// writeBodyTooLarge rejects a body that exceeds the protocol's limit. The connection is closed after the response,
+// because a part of the body may still be unread.
 func writeBodyTooLarge(w http.ResponseWriter) {
 	closeAfterResponse(w)
 	writeError(w, http.StatusBadRequest, "body over 64 KiB", 0)
 }
 
-// writeError writes an error response. If its status is one after which clients retry, they are to do so after
-// retrySeconds, at least one.
+// writeError writes an error response. For the statuses after which clients retry (429 and 503), it sets Retry-After to
+// retrySeconds, or to 1 if that is less.
 func writeError(w http.ResponseWriter, status int, reason string, retrySeconds int) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retrySeconds)))
@@ -80,17 +83,17 @@
 	writeJSON(w, status, protocol.ErrorResponse{Error: reason})
 }
 
-// writeJSON writes a response.
+// writeJSON writes a response whose body is the JSON of body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		// The bodies of this package can all be encoded.
+		// This can't happen: all body types of this package can be encoded.
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
-	// A client that has disconnected needs no response.
+	// A write error means that the client has disconnected: it needs no response.
 	_, _ = w.Write(raw)
 }
--- a/internal/transport/json_client.go
+++ b/internal/transport/json_client.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// maxResponseBytes bounds the part of a response body that is read.
+	// maxResponseBytes is the most that is read of a response body.
 	maxResponseBytes = 16 << 20
-	// connectTimeout is the longest that a connection may take.
+	// connectTimeout is the longest that opening a connection may take.
 	connectTimeout = 2 * time.Second
-	// The idle connections of a newServerClient, and for how long they are kept.
+	// Limits on the idle connections of a client that newServerClient returns.
 	idleConnsPerServer = 4
 	maxIdleConns       = 8
 	idleConnTimeout    = time.Minute
 )
 
-// jsonClient sends HTTP requests with JSON bodies. It never repeats or redirects a request.
+// jsonClient sends HTTP requests with JSON bodies. It never retries a request and never follows a redirect.
 type jsonClient struct {
 	http *http.Client
 }
 
-// newJSONClient returns a client that keeps idle connections for idleTimeout: perHost to each server, and total
-// to all.
+// newJSONClient returns a client that keeps idle connections for idleTimeout: at most perHost to each server, and at
+// most total to all servers.
 func newJSONClient(perHost, total int, idleTimeout time.Duration) *jsonClient {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	return &jsonClient{http: &http.Client{
@@ -46,18 +46,18 @@
 	}}
 }
 
-// newServerClient returns a client for concurrent requests to one server.
+// newServerClient returns a client that is meant for concurrent requests to a single server.
 func newServerClient() *jsonClient {
 	return newJSONClient(idleConnsPerServer, maxIdleConns, idleConnTimeout)
 }
 
-// httpResponse is a server's response.
+// httpResponse is the status code and body of a server's response.
 type httpResponse struct {
 	status int
 	body   []byte
 }
 
-// do sends one request with the JSON of in as its body, or without a body if in is nil. With an error, sent
+// do sends one request with the JSON of in as its body, or without a body if in is nil. If it returns an error, sent
 // reports whether the server may have received the request.
 func (c *jsonClient) do(ctx context.Context, method, url string, in any) (_ httpResponse, sent bool, err error) {
 	var body io.Reader
@@ -86,18 +86,18 @@
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return httpResponse{}, true, fmt.Errorf("%s %s: read answer: %w", method, req.URL.Path, err)
+		return httpResponse{}, true, fmt.Errorf("%s %s: read response: %w", method, req.URL.Path, err)
 	}
 	return httpResponse{resp.StatusCode, raw}, true, nil
 }
 
-// decode decodes the response's body into out, which may be nil.
+// decode decodes the response's JSON body into out. It does nothing if out is nil.
 func (r httpResponse) decode(out any) error {
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(r.body, out); err != nil {
-		return fmt.Errorf("decode answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/storage"
 )
 
-// KeyValueClient is the client of the key-value store. Its errors are those of package storage, wrapped. Its
-// methods may be called from several goroutines.
+// KeyValueClient is a client of the key-value store's HTTP API. Except for a conflict response that can't be decoded,
+// its methods return errors of package storage, possibly wrapped. They may be called from several goroutines.
 type KeyValueClient struct {
 	baseURL string
 	client  *jsonClient
@@ -21,13 +21,13 @@
 
 var _ storage.KeyValueStore = (*KeyValueClient)(nil)
 
-// NewKeyValueClient returns a client of the key-value store at addr, an IP address with a port.
+// NewKeyValueClient returns a client of the key-value store at addr, which is an IP address with a port.
 func NewKeyValueClient(addr string) *KeyValueClient {
 	return &KeyValueClient{"http://" + addr, newServerClient()}
 }
 
-// send sends one request, decodes a successful response into out unless that is nil, and maps every other
-// outcome to an error of package storage.
+// send sends one request and decodes a successful response into out, unless out is nil. It maps other outcomes to
+// errors of package storage.
 func (c *KeyValueClient) send(ctx context.Context, method, path string, in, out any) error {
 	resp, sent, err := c.client.do(ctx, method, c.baseURL+path, in)
 	switch {
@@ -71,8 +71,8 @@
 	return item.Item(), nil
 }
 
-// List reads a page of at most limit keys with the prefix, those after a key unless after is empty. It returns
-// whether there are more, and the store's revision.
+// List reads a page of at most limit keys with the prefix. The page starts behind the key after, or at the first key
+// if after is empty. It also returns whether more keys follow, and the store's revision.
 func (c *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) (items []storage.Item, more bool, revision uint64, err error) {
 	query := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -89,7 +89,7 @@
 	return items, page.More, page.Revision, nil
 }
 
-// Txn executes a guarded transaction and returns the store's revision after it.
+// Txn executes a transaction on condition that all guards hold, and returns the store's revision after it.
 func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
 	var result protocol.TxnResponse
 	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
@@ -98,7 +98,8 @@
 	return result.Revision, nil
 }
 
-// Grant creates a lease that lasts for life, in whole milliseconds, and returns its id.
+// Grant creates a lease and returns its ID. The lease expires after life, truncated to whole milliseconds, unless it is
+// renewed.
 func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
 	var lease protocol.GrantResponse
 	if err := c.send(ctx, http.MethodPost, "/grants", protocol.GrantRequest{LifeMS: life.Milliseconds()}, &lease); err != nil {
@@ -117,8 +118,8 @@
 	return c.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch returns the changes under prefix after a revision, and the revision up to which they are complete. It
-// waits for a change for hold at most.
+// Watch returns the changes of keys with the prefix after a revision, and the revision up to which these changes are
+// complete. It waits at most hold for a change.
 func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
 	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	var changes protocol.Changes
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -2,31 +2,32 @@
 
 import "math"
 
-// Limits bound the resources that a server uses for its clients.
+// Limits are the process limits from which a server derives how many connections and how much memory it uses for its
+// clients.
 type Limits struct {
-	Sockets  int     // of the process, for all purposes
-	MemoryMB float64 // of the process, in MB (2^20 bytes); 0: not limited
+	Sockets  int     // of the process, for accepted and outgoing connections
+	MemoryMB float64 // of the process, in MB of 2^20 bytes; 0: connections aren't limited by memory
 }
 
-// Shares of the sockets. The workers of a fleet keep their connections open, and may be more than there are
-// sockets: their connections must leave room for users, health checks and outgoing connections.
+// Shares of the sockets. Workers keep their connections open, and a fleet may have more workers than a process has
+// sockets. The shares leave sockets for users, health checks and outgoing connections.
 const (
-	// workerSocketShare bounds the workers' connections that stay open between two heartbeats; a worker's
-	// connection beyond it is closed after the response.
+	// workerSocketShare limits the worker connections that stay open between two heartbeats. Any further worker
+	// connection is closed after the response.
 	workerSocketShare = 1.0 / 2
-	// acceptedSocketShare bounds all accepted connections; at that number idle connections of workers are
-	// closed to accept others.
+	// acceptedSocketShare limits all accepted connections. At the limit, idle worker connections are closed to accept
+	// others.
 	acceptedSocketShare = 2.0 / 3
-	// commandSocketShare bounds the connections that send commands to workers, and idleCommandSocketShare those
-	// that are kept for the next commands.
+	// commandSocketShare limits the connections on which commands are being sent to workers, and
+	// idleCommandSocketShare the idle ones that are kept for later commands.
 	commandSocketShare     = 1.0 / 6
 	idleCommandSocketShare = 1.0 / 12
 )
 
-// Shares of the memory.
+// Shares of the process's memory.
 const (
-	// connectionMemoryShare is for accepted connections, each of which takes connectionBytes: its buffers,
-	// its goroutines' stacks, its latest heartbeat.
+	// connectionMemoryShare is for accepted connections. Each takes connectionBytes for its buffers, the stacks of its
+	// goroutines and its latest heartbeat.
 	connectionMemoryShare = 1.0 / 3
 	connectionBytes       = 24 << 10
 	// bodyMemoryShare is for large request bodies while they are read.
@@ -35,10 +36,10 @@
 
 const bytesPerMB = 1 << 20
 
-// socketShare returns a share of the sockets, at least one.
+// socketShare returns the number of sockets in a share of all sockets, at least one.
 func socketShare(sockets int, share float64) int { return max(1, int(float64(sockets)*share)) }
 
-// connections returns how many accepted connections may be open.
+// connections returns how many accepted connections may be open at once.
 func (l Limits) connections() int {
 	bySockets := socketShare(l.Sockets, acceptedSocketShare)
 	if l.MemoryMB <= 0 {
@@ -47,13 +48,14 @@
 	return min(bySockets, max(1, int(l.MemoryMB*bytesPerMB*connectionMemoryShare/connectionBytes)))
 }
 
-// workerConnections returns how many connections of workers may stay open between two heartbeats.
+// workerConnections returns how many worker connections may stay open between two heartbeats.
 func (l Limits) workerConnections() int {
 	shareOfAccepted := math.Round(float64(l.connections()) * workerSocketShare / acceptedSocketShare)
 	return min(socketShare(l.Sockets, workerSocketShare), max(1, int(shareOfAccepted)))
 }
 
-// bodyMemory returns how many bytes large request bodies may take together. Any one body fits.
+// bodyMemory returns how many bytes all large request bodies together may occupy. It is always enough for one body of
+// any allowed size.
 func (l Limits) bodyMemory() int64 {
-	return max(unknownLengthBytes, int64(l.MemoryMB*bytesPerMB*bodyMemoryShare))
+	return max(unknownLengthBodyBytes, int64(l.MemoryMB*bytesPerMB*bodyMemoryShare))
 }
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -5,15 +5,15 @@
 	wire "sagevale/internal/wire/coordination"
 )
 
-// The messages between controllers, in encoding/gob.
+// Controllers exchange the messages of this file in encoding/gob.
 //
-// The names of the types that are sent, and of their fields, never change, whatever the rest of the package
-// calls the same things: gob sends them before the first message of a type, controllers of other versions
-// match fields by name, and CI compares the encoded bytes with those of earlier versions. For the same reason
-// a new kind of message is a type of its own rather than another field of an existing one: the bytes of the
-// other kinds stay as they were. The receiver decodes all kinds into one type that has the fields of all.
+// The names of the types that are sent, and of their fields, must never change, even where the rest of the package uses
+// other names. gob sends these names before the first message of a type, controllers of other versions match fields by
+// name, and CI compares the encoded bytes with those of earlier versions. A new kind of message must get a type of its
+// own rather than a field in an existing type, so that the encoded bytes of the other kinds don't change. The receiver
+// decodes all kinds into one type that has the fields of all of them.
 
-// peerAsk is a request: a forwarded user request, a ping, or a batch of forwarded heartbeats.
+// peerAsk is a forwarded user request, a ping, or a batch of forwarded heartbeats.
 type peerAsk struct {
 	Serial  uint64
 	Req     wire.UserRequest
@@ -51,7 +51,7 @@
 	Usage  *activation.UsageResponse
 }
 
-// receivedRequest decodes a peerAsk, a wakeAsk or a usageAsk. It is never sent.
+// receivedRequest is the type into which a received peerAsk, wakeAsk or usageAsk is decoded. It is never sent.
 type receivedRequest struct {
 	Serial  uint64
 	Req     wire.UserRequest
@@ -60,7 +60,8 @@
 	Usage   *activation.UsageReport
 }
 
-// receivedResponse decodes a peerAnswer, a wakeAnswer or a usageAnswer. It is never sent.
+// receivedResponse is the type into which a received peerAnswer, wakeAnswer or usageAnswer is decoded. It is never
+// sent.
 type receivedResponse struct {
 	Serial uint64
 	Answer wire.Answer
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -17,13 +17,13 @@
 	"sagevale/internal/worker"
 )
 
-// Controllers of several versions serve side by side during an upgrade. Every directory in testdata holds messages
-// that controllers of one version have sent.
+// During an upgrade, controllers of several versions exchange messages. Each directory in testdata holds messages that
+// controllers of one version have sent.
 
 func TestMessagesOfEarlierVersions(t *testing.T) {
 	for _, tc := range []struct {
 		directory string
-		version   int // the number that it sends
+		version   int // version number in the status that this version sends
 	}{
 		{"production", 0}, {"769a0b2", 2}, {"registering", 3}, {"token-ranges", 4}, {"activation", peer.Version},
 	} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkRequests checks the requests that one version has sent.
+// checkRequests checks that the requests that one version has sent are decoded correctly.
 func checkRequests(t *testing.T, messages *gob.Decoder) {
 	t.Helper()
 	var ping, submission, heartbeats peerAsk
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkResponses checks the responses that one version has sent.
+// checkResponses checks that the responses that one version has sent are decoded correctly.
 func checkResponses(t *testing.T, messages *gob.Decoder, version int) {
 	t.Helper()
 	var ping, user, heartbeats peerAnswer
@@ -70,8 +70,8 @@
 	}
 }
 
-// Wake requests and usage reports are read as the first version with them sent them, on a connection with messages of
-// the other kinds.
+// Wake requests, usage reports and their responses must be decoded as the first version that has them sent them. All
+// four messages come from one gob stream, as on a connection.
 func TestActivationMessages(t *testing.T) {
 	messages := openMessages(t, "activation", "wakes.gob")
 	var wakeRequest, usageRequest receivedRequest
@@ -97,7 +97,7 @@
 	}
 }
 
-// openMessages returns a decoder of the messages in a file of testdata.
+// openMessages returns a decoder for the messages in a file of a directory in testdata.
 func openMessages(t *testing.T, directory, name string) *gob.Decoder {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", directory, name))
@@ -107,7 +107,7 @@
 	return gob.NewDecoder(bytes.NewReader(raw))
 }
 
-// The messages of production, as far as it reads them.
+// The types into which the version in production decodes messages, with the fields that it reads.
 type (
 	productionPeerState struct {
 		Up, SinceState time.Duration
@@ -132,14 +132,14 @@
 		Answer productionAnswer
 		Beats  []wire.BeatAnswer
 	}
-	// laterAnswer is a response that a later version may send.
-	laterAnswer struct {
+	// laterPeerAnswer is a response that a later version might send. It has fields that this version doesn't have.
+	laterPeerAnswer struct {
 		Serial uint64
 		Answer struct {
-			ID     string
-			Code   int
-			Peer   struct{ Version, Else int }
-			Unsaid map[string]string
+			ID      string
+			Code    int
+			Peer    struct{ Version, Unknown int }
+			Unknown map[string]string
 		}
 		More []string
 	}
@@ -161,11 +161,11 @@
 	}
 }
 
-// Of a later version's message, the fields that this version knows are read.
+// This version must decode the fields that it has from a later version's message, and ignore the others.
 func TestMessagesOfLaterVersions(t *testing.T) {
-	var sent laterAnswer
+	var sent laterPeerAnswer
 	sent.Serial, sent.Answer.ID, sent.Answer.Peer.Version, sent.More = 9, "000007", 99, []string{"x"}
-	sent.Answer.Unsaid = map[string]string{"a": "b"}
+	sent.Answer.Unknown = map[string]string{"a": "b"}
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(sent); err != nil {
 		t.Fatal(err)
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -17,22 +17,22 @@
 	wire "sagevale/internal/wire/coordination"
 )
 
-// peerRequest is a request to one peer.
+// peerRequest is a request to one peer. At most one of wake and usage is set; if neither is, the request is message.
 type peerRequest struct {
 	message peerAsk
-	wake    *activation.WakeRequest // if not nil, the request is this and not message
-	usage   *activation.UsageReport // likewise
-	result  chan<- peerResult       // receives the one result; has room for it
+	wake    *activation.WakeRequest // if not nil, sent instead of message
+	usage   *activation.UsageReport // if not nil, sent instead of message
+	result  chan<- peerResult       // receives exactly one result; must be buffered
 }
 
-// peerResult is the outcome of a peerRequest.
+// peerResult is the outcome of a peerRequest: a response or an error.
 type peerResult struct {
 	response receivedResponse
 	err      error
 }
 
-// encoded returns the message that is sent for the request.
-func (r *peerRequest) encoded(serial uint64) any {
+// gobMessage returns the message that is encoded and sent for the request.
+func (r *peerRequest) gobMessage(serial uint64) any {
 	switch {
 	case r.wake != nil:
 		return wakeAsk{serial, r.wake}
@@ -43,32 +43,33 @@
 	return r.message
 }
 
-// isUserRequest reports whether this is a user request or a ping.
+// isUserRequest reports whether the request is a user request or a ping.
 func (r *peerRequest) isUserRequest() bool {
 	return r.wake == nil && r.usage == nil && r.message.Reports == nil
 }
 
-// isPing reports whether the request is for the peer's status.
+// isPing reports whether the request is a ping, which asks for the peer's status.
 func (r *peerRequest) isPing() bool {
 	return r.isUserRequest() && r.message.Req.Op == api.OpPing
 }
 
-// mayBatch reports whether the request may be gathered with others: polls are many and not urgent, and each
-// message sent alone would wake the peer.
+// mayBatch reports whether the request may be delayed and sent in a batch. Only polls are batched: they are frequent
+// and not urgent, and each message that is sent alone would wake up the peer.
 func (r *peerRequest) mayBatch() bool {
 	return r.isUserRequest() && r.message.Req.Op == api.OpPoll
 }
 
-// pendingRequest is a request that has no response yet.
+// pendingRequest is a request that is waiting for its response.
 type pendingRequest struct {
 	peerRequest
 	sentAt time.Time
 }
 
-// peerEvent is what a connection's reader passes to the peerClient: a receivedResponse or a disconnected.
+// peerEvent is an event that the reader of a connection passes to the peerClient. Its types are receivedResponse and
+// disconnected.
 type peerEvent interface{ isPeerEvent() }
 
-// disconnected is the last event of a connection.
+// disconnected is the last event of a connection and holds the error that ended it.
 type disconnected struct {
 	conn net.Conn
 	err  error
@@ -77,26 +78,26 @@
 func (receivedResponse) isPeerEvent() {}
 func (disconnected) isPeerEvent()     {}
 
-// peerClient sends requests to one peer over one connection, which it opens when a request needs it. It is an
-// actor: run owns all fields below log except for those that are published atomically.
+// peerClient sends requests to one peer over one connection, which it opens when there is a request to send. It is an
+// actor: only the goroutine that executes run accesses the fields below log, except for the atomic ones.
 type peerClient struct {
 	self        string // this controller's name
 	addr        string
 	created     time.Time
-	batchWindow time.Duration // for how long requests that aren't urgent are gathered
+	batchWindow time.Duration // how long polls may be delayed to be sent in a batch
 	requests    chan peerRequest
-	pings       chan struct{} // each value requests a ping
+	pings       chan struct{} // each value triggers a ping
 	events      chan peerEvent
 	log         *slog.Logger
 
 	conn       net.Conn // nil: not connected
 	writer     *bufio.Writer
 	encoder    *gob.Encoder
-	flushTimer <-chan time.Time // nil: nothing is gathered
+	flushTimer <-chan time.Time // nil: no batch is waiting to be sent
 	pending    map[uint64]pendingRequest
 	serial     uint64         // of the latest request
-	retryAt    time.Time      // no connection is attempted before
-	readers    sync.WaitGroup // of the connections
+	retryAt    time.Time      // no connection is attempted before this time
+	readers    sync.WaitGroup // the goroutines that read the connections
 
 	lastContact atomic.Value // time.Time of the latest response
 	status      atomic.Value // peer.ObservedStatus of the latest response to a ping
@@ -128,7 +129,7 @@
 		case req := <-c.requests:
 			c.send(ctx, req)
 		case event := <-c.events:
-			c.handle(event)
+			c.handleEvent(event)
 		case <-c.flushTimer:
 			c.flush()
 		case <-c.pings:
@@ -138,7 +139,7 @@
 	}
 }
 
-func (c *peerClient) handle(event peerEvent) {
+func (c *peerClient) handleEvent(event peerEvent) {
 	switch event := event.(type) {
 	case receivedResponse:
 		c.handleResponse(event)
@@ -162,7 +163,7 @@
 	pending.result <- peerResult{response: response}
 }
 
-// ping requests the peer's status. The response to it is taken by handleResponse.
+// ping requests the peer's status. handleResponse stores the status from the response.
 func (c *peerClient) ping(ctx context.Context) {
 	c.send(ctx, peerRequest{
 		message: peerAsk{Req: wire.UserRequest{Op: api.OpPing, ID: c.self}},
@@ -170,7 +171,8 @@
 	})
 }
 
-// send sends a request at once, or gathers it with others for the batch window.
+// send sends a request at once together with the current batch, or adds it to the batch, which is sent with the next
+// urgent request or when the batch window ends.
 func (c *peerClient) send(ctx context.Context, req peerRequest) {
 	if c.conn == nil && !c.connect(ctx) {
 		req.result <- peerResult{err: errPeerUnreachable}
@@ -180,7 +182,7 @@
 	c.pending[c.serial] = pendingRequest{req, time.Now()}
 	err := c.conn.SetWriteDeadline(time.Now().Add(peerTimeout + c.batchWindow))
 	if err == nil {
-		err = c.encoder.Encode(req.encoded(c.serial))
+		err = c.encoder.Encode(req.gobMessage(c.serial))
 	}
 	switch {
 	case err != nil:
@@ -192,7 +194,7 @@
 	}
 }
 
-// connect opens a connection unless the last attempt is too recent, and reports whether there is one.
+// connect opens a connection, unless the time for the next attempt hasn't come. It reports whether it has opened one.
 func (c *peerClient) connect(ctx context.Context) bool {
 	if time.Now().Before(c.retryAt) {
 		return false
@@ -209,13 +211,13 @@
 	return true
 }
 
-// useConnection makes conn the connection that requests are sent over.
+// useConnection makes conn the connection on which requests are sent.
 func (c *peerClient) useConnection(conn net.Conn) {
 	c.conn, c.writer = conn, bufio.NewWriter(conn)
 	c.encoder = gob.NewEncoder(c.writer)
 }
 
-// flush sends the requests that are gathered.
+// flush sends the requests that are buffered.
 func (c *peerClient) flush() {
 	c.flushTimer = nil
 	if c.conn == nil {
@@ -226,8 +228,9 @@
 	}
 }
 
-// readResponses passes on the responses on a connection, and finally a disconnected, until the connection
-// fails or ctx ends. The end of ctx closes the connection, which also ends a write that is under way.
+// readResponses reads responses from a connection and sends them to events until the connection fails or ctx ends. If
+// the connection fails, it sends a disconnected last. The end of ctx closes the connection, which also aborts a write
+// that is in progress.
 func readResponses(ctx context.Context, conn net.Conn, events chan<- peerEvent) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -252,8 +255,8 @@
 	}
 }
 
-// checkTimeouts closes a connection on which a request has no response for too long: during a network
-// partition it would only hang.
+// checkTimeouts closes the connection if any request on it has waited too long for its response. During a network
+// partition, the connection would otherwise hang.
 func (c *peerClient) checkTimeouts(now time.Time) {
 	for _, pending := range c.pending {
 		if now.Sub(pending.sentAt) > 2*peerTimeout {
@@ -263,7 +266,7 @@
 	}
 }
 
-// disconnect closes the connection, if there is one, and fails all pending requests.
+// disconnect closes the connection, if there is one, and completes all pending requests with an error.
 func (c *peerClient) disconnect(err error) {
 	if c.conn != nil {
 		c.log.Debug("peer connection closed", "error", err)
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -16,13 +16,13 @@
 	"sagevale/internal/worker"
 )
 
-// PeerHandler handles the requests of other controllers. Its methods are called from several goroutines, and
-// return soon after ctx has ended.
+// PeerHandler handles the requests of other controllers. Its methods are called from several goroutines and must return
+// soon after ctx ends.
 type PeerHandler interface {
-	// HandleForwardedRequest handles a user request, or a ping, that another controller has sent.
+	// HandleForwardedRequest handles a user request or a ping that another controller has sent.
 	HandleForwardedRequest(ctx context.Context, req api.Request) api.Response
-	// HandleForwardedHeartbeats handles workers' heartbeats. It returns a response to each in the same order, or nil if
-	// none is decided here.
+	// HandleForwardedHeartbeats handles workers' heartbeats. It returns one response to each, in the same order, or nil
+	// if this controller decides on none of them.
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
 	// HandleForwardedWake handles a wake request.
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
@@ -53,7 +53,7 @@
 	}
 }
 
-// servePeer serves the requests on one connection until it fails or ctx ends, and closes it.
+// servePeer serves the requests on one connection until the connection fails or ctx ends, and then closes it.
 func servePeer(ctx context.Context, conn net.Conn, handler PeerHandler, log *slog.Logger) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -75,7 +75,7 @@
 			return
 		}
 		goroutines.Add(1)
-		go func() { //nolint:modernize // goroutines.Go would allocate for each request
+		go func() { //nolint:modernize // goroutines.Go would allocate memory for each request
 			defer goroutines.Done()
 			handlerCtx, cancelHandler := context.WithTimeout(ctx, peerTimeout)
 			defer cancelHandler()
@@ -87,8 +87,8 @@
 	}
 }
 
-// writeResponses sends responses until the connection fails or ctx ends. Responses that are ready together are
-// sent together.
+// writeResponses sends responses until the connection fails or ctx ends. It flushes its buffer only when no further
+// response is ready, so that responses that are ready at the same time are sent together.
 func writeResponses(ctx context.Context, conn net.Conn, responses <-chan any) {
 	writer := bufio.NewWriter(conn)
 	encoder := gob.NewEncoder(writer)
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 			return
 		case response := <-responses:
-			// An error ends the connection, which servePeer reports.
+			// An error isn't logged here: it ends the connection, and servePeer logs that.
 			if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
 				return
 			}
@@ -114,7 +114,7 @@
 	}
 }
 
-// handlePeerRequest has a request handled and returns the message that is sent in response.
+// handlePeerRequest passes a request to its handler and returns the message to send in response.
 func handlePeerRequest(ctx context.Context, req *receivedRequest, handler PeerHandler) any {
 	switch {
 	case req.Wake != nil:
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -18,38 +18,39 @@
 )
 
 const (
-	// peerTimeout is the longest that another controller may take to respond.
+	// peerTimeout is the longest that a controller waits for another controller's response.
 	peerTimeout = time.Second
-	// peerRetryDelay is the pause after a failed connection before the next attempt.
+	// peerRetryDelay is the delay before the next attempt to connect to a peer, or to accept a connection from one,
+	// after a failure.
 	peerRetryDelay = 250 * time.Millisecond
-	// peerQueueLength is how many responses of a peer, or to a peer, are buffered. A sender that finds the
-	// buffer full waits.
+	// peerQueueLength is how many responses from a peer, or to a peer, are buffered. When the buffer is full, the
+	// goroutine that adds a response waits.
 	peerQueueLength = 256
-	// unreachableAfter is the time without a response after which a peer counts as unreachable, and
-	// firstContactTimeout the same for one that has never responded.
+	// unreachableAfter is the time since a peer's latest response after which it counts as unreachable. For a peer that
+	// has never responded, firstContactTimeout applies, counted from the creation of its client.
 	unreachableAfter    = 3 * peerTimeout / 2
 	firstContactTimeout = peerTimeout / 2
 )
 
-// errPeerUnreachable is returned, wrapped, for every request that has no response.
-var errPeerUnreachable = errors.New("peer out of reach")
+// errPeerUnreachable is the error, possibly wrapped, of every request that gets no usable response.
+var errPeerUnreachable = errors.New("peer unreachable")
 
 // Peers sends requests to the other controllers. Its methods may be called from several goroutines.
 type Peers struct {
 	clients      map[string]*peerClient
-	pingInterval time.Duration // all peers are pinged at the same moments, so that the process wakes once
+	pingInterval time.Duration // all peers are pinged at the same time, so that the process wakes up once per interval
 }
 
 var _ scheduler.PeerLink = (*Peers)(nil)
 
-// PeerPacing bounds how often the connections to peers use the processor, and how much may queue for them.
+// PeerPacing limits how often the connections to peers use the CPU, and how many requests may wait for them.
 type PeerPacing struct {
-	BatchWindow  time.Duration // for how long requests that aren't urgent are gathered before they are sent
-	PingInterval time.Duration // between two pings of a peer
-	QueueLength  int           // requests that may wait for one peer
+	BatchWindow  time.Duration // how long polls may be delayed to be sent in a batch
+	PingInterval time.Duration // time between two pings of a peer
+	QueueLength  int           // how many requests may wait for one peer
 }
 
-// NewPeers returns the clients of the other controllers. No request is sent before Run is called.
+// NewPeers returns the clients of the other controllers. They send nothing before Run is called.
 func NewPeers(self string, peers []config.Peer, pacing PeerPacing, log *slog.Logger) *Peers {
 	p := &Peers{clients: make(map[string]*peerClient, len(peers)), pingInterval: pacing.PingInterval}
 	for _, node := range peers {
@@ -68,7 +69,7 @@
 	p.triggerPings(ctx)
 }
 
-// triggerPings has all peers pinged at the same moments, until ctx ends.
+// triggerPings makes all clients ping their peers at the same time, once per ping interval, until ctx ends.
 func (p *Peers) triggerPings(ctx context.Context) {
 	ticker := time.NewTicker(p.pingInterval)
 	defer ticker.Stop()
@@ -81,7 +82,7 @@
 		for _, c := range p.clients {
 			select {
 			case c.pings <- struct{}{}:
-			default: // the last ping is still to be sent
+			default: // the client has not sent the previous ping yet
 			}
 		}
 	}
@@ -93,12 +94,12 @@
 	return r.Answer.Response(), err
 }
 
-// ForwardHeartbeats sends workers' heartbeats to the named controller and returns its responses in the same
-// order.
+// ForwardHeartbeats sends workers' heartbeats to the named controller and returns its responses in the same order. It
+// returns an error if the controller doesn't decide on the heartbeats.
 func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{message: peerAsk{Reports: wire.FromReports(reports)}})
 	if err == nil && len(r.Beats) != len(reports) {
-		err = fmt.Errorf("%w: it decides on no reports", errPeerUnreachable)
+		err = fmt.Errorf("%w: its response has no decisions on the heartbeats", errPeerUnreachable)
 	}
 	return wire.HeartbeatResponses(r.Beats), err
 }
@@ -107,7 +108,7 @@
 func (p *Peers) Wake(ctx context.Context, node string, req activation.WakeRequest) (activation.WakeResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{wake: &req})
 	if err == nil && r.Wake == nil {
-		err = fmt.Errorf("%w: it takes no demand", errPeerUnreachable)
+		err = fmt.Errorf("%w: its response is not a wake response", errPeerUnreachable)
 	}
 	if err != nil {
 		return activation.WakeResponse{}, err
@@ -119,7 +120,7 @@
 func (p *Peers) ReportUsage(ctx context.Context, node string, report activation.UsageReport) (activation.UsageResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{usage: &report})
 	if err == nil && r.Usage == nil {
-		err = fmt.Errorf("%w: it takes no usage", errPeerUnreachable)
+		err = fmt.Errorf("%w: its response is not a usage response", errPeerUnreachable)
 	}
 	if err != nil {
 		return activation.UsageResponse{}, err
@@ -127,7 +128,7 @@
 	return *r.Usage, nil
 }
 
-// send queues a request for the named controller and waits for its response, for peerTimeout at most.
+// send queues a request for the named controller and waits at most peerTimeout for the response.
 func (p *Peers) send(ctx context.Context, node string, req peerRequest) (receivedResponse, error) {
 	c := p.clients[node]
 	if c == nil {
@@ -141,21 +142,21 @@
 	select {
 	case c.requests <- req:
 	default:
-		return receivedResponse{}, fmt.Errorf("%w: too many requests wait for it", errPeerUnreachable)
+		return receivedResponse{}, fmt.Errorf("%w: too many requests are queued", errPeerUnreachable)
 	}
 	select {
 	case r := <-result:
 		if r.err == nil && time.Since(start) > peerTimeout {
-			// This process was paused: what the response says may be outdated.
-			return receivedResponse{}, fmt.Errorf("%w: answered too late", errPeerUnreachable)
+			// This process was paused, so the content of the response may be outdated.
+			return receivedResponse{}, fmt.Errorf("%w: response too late", errPeerUnreachable)
 		}
 		return r.response, r.err
 	case <-ctx.Done():
-		return receivedResponse{}, fmt.Errorf("%w: no answer", errPeerUnreachable)
+		return receivedResponse{}, fmt.Errorf("%w: no response in time", errPeerUnreachable)
 	}
 }
 
-// Status returns the latest status of the named controller; ok is false if none was received.
+// Status returns the latest status that the named controller has sent. ok is false if it has sent none.
 func (p *Peers) Status(node string) (status peer.ObservedStatus, ok bool) {
 	c := p.clients[node]
 	if c == nil {
@@ -165,7 +166,7 @@
 	return status, ok
 }
 
-// UnreachableFor returns for how long the named controller has been unreachable; 0 if it is reachable.
+// UnreachableFor returns how long the named controller has been unreachable, or 0 if it is reachable.
 func (p *Peers) UnreachableFor(node string) time.Duration {
 	c := p.clients[node]
 	if c == nil {
@@ -173,7 +174,7 @@
 	}
 	lastContact, ok := c.lastContact.Load().(time.Time)
 	if !ok {
-		// No contact ever, possibly because a network partition is older than this process.
+		// The peer has never responded, possibly because of a network partition that began before this process.
 		if d := time.Since(c.created); d > firstContactTimeout {
 			return d
 		}
@@ -185,7 +186,8 @@
 	return 0
 }
 
-// KnownLeader returns the leader of the highest term that a reachable peer's status names.
+// KnownLeader returns the leader with the highest term among the statuses of all reachable peers, and that term. It
+// returns "" and 0 if none of them names a leader.
 func (p *Peers) KnownLeader() (leader string, term uint64) {
 	for name, c := range p.clients {
 		if status, ok := c.status.Load().(peer.ObservedStatus); ok && status.Leader != "" && status.Term > term && p.UnreachableFor(name) == 0 {
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -17,7 +17,8 @@
 
 var testPacing = PeerPacing{BatchWindow: time.Millisecond, PingInterval: peerTimeout / 4}
 
-// startPeerServer serves other controllers on a free port. The function that it returns stops it and waits for it.
+// startPeerServer starts a server for other controllers on a free port and returns its address. stop stops the server
+// and waits until it has stopped.
 func startPeerServer(t *testing.T) (addr string, stop func()) {
 	t.Helper()
 	l := listen(t)
@@ -55,7 +56,7 @@
 		t.Errorf("ForwardHeartbeats returned %+v, %v; want two responses in order", responses, err)
 	}
 	if _, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 2}}); !errors.Is(err, errPeerUnreachable) {
-		t.Errorf("ForwardHeartbeats of heartbeats that aren't decided returned %v, want errPeerUnreachable", err)
+		t.Errorf("ForwardHeartbeats to a peer that doesn't decide on them returned %v, want errPeerUnreachable", err)
 	}
 	if status, ok := p.Status("n1"); !ok || status.Leader != "n0" || status.Received.Before(status.Sent) {
 		t.Errorf("Status returned %+v, %v", status, ok)
@@ -72,11 +73,12 @@
 	}
 }
 
-// The server closes a connection that it stops reading: a peer would wait for responses on it in vain.
+// The server must close a connection after a message that it can't decode. Otherwise the peer would keep waiting for
+// responses on a connection that the server no longer reads.
 func TestServePeersClosesUnreadableConnection(t *testing.T) {
 	addr, _ := startPeerServer(t)
 	conn := dial(t, addr)
-	const invalidLength = "\x80" // of a gob message
+	const invalidLength = "\x80" // of a gob message, which starts with its length
 	if _, err := io.WriteString(conn, invalidLength); err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +95,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// All peers are pinged at the same moments, so that the process wakes once for them.
+// All peers must be pinged at the same time, so that the process wakes up only once per interval. A client that doesn't
+// take its ping must not delay the others.
 func TestPeersPingTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
@@ -132,7 +135,7 @@
 	})
 }
 
-// countingConn counts the writes to it, or fails them.
+// countingConn counts the writes to it, or fails them if it is broken.
 type countingConn struct {
 	net.Conn
 	writes int
@@ -157,7 +160,7 @@
 	return c, conn
 }
 
-// sendRequest sends a request and returns where its result is delivered.
+// sendRequest sends a request and returns the channel that receives its result.
 func sendRequest(t *testing.T, c *peerClient, op api.Op, reports ...*worker.Report) <-chan peerResult {
 	t.Helper()
 	result := make(chan peerResult, 1)
@@ -168,7 +171,8 @@
 	return result
 }
 
-// Each message sent alone wakes the peer: polls are gathered, and sent with the first urgent request.
+// Each message that is sent alone wakes up the peer. Polls must therefore be sent in a batch, either with the next
+// urgent request or when the batch window ends.
 func TestPeerClientBatchesPolls(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -17,8 +17,8 @@
 	"sagevale/internal/worker"
 )
 
-// How long clients wait for a response, by the protocol. A request is handled within handlerTimeoutShare of
-// that.
+// The protocol defines how long clients wait for a response. The controller has handlerTimeoutShare of that time to
+// handle a request.
 const (
 	submitTimeout       = 5 * time.Second
 	pollTimeout         = 2 * time.Second
@@ -26,7 +26,7 @@
 	handlerTimeoutShare = 0.6
 )
 
-// Limits of the HTTP server for one request and one idle connection.
+// Limits of the HTTP server on a single request and on an idle connection.
 const (
 	headerReadTimeout  = submitTimeout
 	requestReadTimeout = 2 * submitTimeout
@@ -34,7 +34,7 @@
 	maxHeaderBytes     = 16 << 10
 )
 
-// Paths of the interfaces for workers, health checks and users.
+// URL paths for workers, health checks and users.
 const (
 	heartbeatPath = "/agent/beat"
 	healthPath    = "/up"
@@ -43,14 +43,14 @@
 	cancelSuffix  = "/cancel"
 )
 
-// unavailableRetryS is the Retry-After of responses that the server itself gives, in seconds.
-const unavailableRetryS = 1
+// unavailableRetrySeconds is the Retry-After value of the error responses that don't come from the controller.
+const unavailableRetrySeconds = 1
 
 // Controller handles the requests of users and workers. Its methods are called from several goroutines.
 type Controller interface {
-	// HandleUserRequest handles a user's request, for as long as ctx lasts.
+	// HandleUserRequest handles a user's request. It must return soon after ctx ends.
 	HandleUserRequest(ctx context.Context, req api.Request) api.Response
-	// HandleHeartbeat handles a worker's heartbeat, for as long as ctx lasts.
+	// HandleHeartbeat handles a worker's heartbeat. It must return soon after ctx ends.
 	HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse
 	// Ready reports whether health checks succeed.
 	Ready() bool
@@ -66,7 +66,7 @@
 	http       *http.Server
 }
 
-// NewServer returns a server that uses no more resources than limits allow.
+// NewServer returns a server that stays within limits.
 func NewServer(controller Controller, limits Limits, log *slog.Logger) *Server {
 	s := &Server{controller: controller, limits: limits, bodies: newBodyLimiter(limits), log: log}
 	s.http = &http.Server{
@@ -81,7 +81,8 @@
 	return s
 }
 
-// Serve serves requests on l until ctx ends; it then closes all connections and returns nil. It may be called once.
+// Serve serves requests on l until ctx ends. It then closes all connections and returns nil. It must be called only
+// once.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
@@ -93,16 +94,17 @@
 	return nil
 }
 
-// Connections returns how many accepted connections are open.
+// Connections returns the number of accepted connections that are open.
 func (s *Server) Connections() int64 {
 	limiter := s.limiter.Load()
 	if limiter == nil {
 		return 0
 	}
-	return limiter.open.Load()
+	return limiter.openConns.Load()
 }
 
-// ServeHTTP implements http.Handler. Paths are matched as they are sent: http.ServeMux would redirect some.
+// ServeHTTP implements http.Handler. It matches paths exactly as clients send them. http.ServeMux isn't used because it
+// would redirect requests for some paths.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.recoverPanic(w, r)
 	switch path := r.URL.Path; {
@@ -119,27 +121,27 @@
 	}
 }
 
-// recoverPanic, when deferred, responds to a request whose handler panics.
+// recoverPanic writes an error response if the handler of the request has panicked. It must be deferred.
 func (s *Server) recoverPanic(w http.ResponseWriter, r *http.Request) {
 	if p := recover(); p != nil {
 		s.log.Error("request panicked", "path", r.URL.Path, "panic", p)
-		writeError(w, http.StatusServiceUnavailable, "internal trouble", unavailableRetryS)
+		writeError(w, http.StatusServiceUnavailable, "internal trouble", unavailableRetrySeconds)
 	}
 }
 
-// serveHealth serves a load balancer's health check.
+// serveHealth responds to a load balancer's health check.
 func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request) {
 	if !allowMethod(w, r, http.MethodGet) {
 		return
 	}
 	if !s.controller.Ready() {
-		writeError(w, http.StatusServiceUnavailable, "not able to take requests", unavailableRetryS)
+		writeError(w, http.StatusServiceUnavailable, "not able to take requests", unavailableRetrySeconds)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// serveSubmission serves a user's submission of a job.
+// serveSubmission handles a user's submission of a job.
 func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
 	if !allowMethod(w, r, http.MethodPost) {
 		return
@@ -160,7 +162,7 @@
 	s.handleUserRequest(w, r, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}, submitTimeout)
 }
 
-// serveJob serves a user's poll or cancellation; name is the path after the prefix.
+// serveJob handles a user's poll or cancellation of a job. name is the part of the path after jobPathPrefix.
 func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, name string) {
 	method, op, timeout := http.MethodGet, api.OpPoll, pollTimeout
 	if job, ok := strings.CutSuffix(name, cancelSuffix); ok {
@@ -178,7 +180,8 @@
 	s.handleUserRequest(w, r, api.Request{Op: op, ID: id}, timeout)
 }
 
-// handleUserRequest has a request handled by the controller and writes its response.
+// handleUserRequest passes a request to the controller and writes the controller's response. timeout is how long the
+// client waits for it.
 func (s *Server) handleUserRequest(w http.ResponseWriter, r *http.Request, req api.Request, timeout time.Duration) {
 	ctx, cancel := handlerContext(r, timeout)
 	defer cancel()
@@ -199,8 +202,8 @@
 	}
 }
 
-// serveHeartbeat serves a worker's heartbeat. The connection is closed afterwards if too many workers' connections
-// are open, or if the worker is to report to another controller.
+// serveHeartbeat handles a worker's heartbeat. The connection is closed after the response if too many worker
+// connections are open, or if the heartbeat isn't accepted: the worker then turns to another controller.
 func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	if !allowMethod(w, r, http.MethodPost) {
 		return
@@ -227,18 +230,18 @@
 	case response.Accepted:
 		writeJSON(w, http.StatusOK, protocol.NewHeartbeatResponse(response))
 	case response.Busy:
-		writeError(w, http.StatusServiceUnavailable, "not able to take reports now", unavailableRetryS)
+		writeError(w, http.StatusServiceUnavailable, "not able to take reports now", unavailableRetrySeconds)
 	default:
 		writeJSON(w, http.StatusMisdirectedRequest, protocol.Redirect{Leader: response.Leader, Error: "not the leader"})
 	}
 }
 
-// readReport reads the report of a heartbeat, by the connection's reader if conn is not nil. It returns nil
-// after it has written an error.
+// readReport reads the report in the body of a heartbeat. If conn is not nil, it uses the connection's ReportReader,
+// which caches the previous report. If it can't read the report, it writes an error response and returns nil.
 func (s *Server) readReport(w http.ResponseWriter, r *http.Request, conn *limitedConn) (report *worker.Report) {
 	parse := protocol.ParseReport
 	if conn != nil {
-		parse = conn.heartbeats.Read
+		parse = conn.reportReader.Read
 	}
 	s.readBody(w, r, func(body []byte) {
 		var err error
@@ -250,8 +253,8 @@
 	return report
 }
 
-// handlerContext returns the context within which the controller handles a request whose client waits for
-// timeout.
+// handlerContext returns the context for the controller's handling of a request whose client waits for timeout. It ends
+// after handlerTimeoutShare of timeout.
 func handlerContext(r *http.Request, timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), time.Duration(float64(timeout)*handlerTimeoutShare))
 }
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// idleWorkerConnTimeout is how long an idle connection to a worker is kept.
+	// idleWorkerConnTimeout is how long an idle connection to a worker is kept open.
 	idleWorkerConnTimeout = 10 * time.Second
-	// idleConnsPerWorker is how many idle connections to one worker are kept.
+	// idleConnsPerWorker is how many idle connections to one worker are kept open.
 	idleConnsPerWorker = 1
 )
 
 // WorkerClient sends commands to workers. Its methods may be called from several goroutines.
 type WorkerClient struct {
 	client *jsonClient
-	slots  chan struct{} // holds one value for each request in flight
+	slots  chan struct{} // limits the requests in flight; holds one value for each
 	log    *slog.Logger
 }
 
 var _ scheduler.WorkerLink = (*WorkerClient)(nil)
 
-// NewWorkerClient returns a client that uses its share of a process's sockets.
+// NewWorkerClient returns a client. sockets is the number of sockets of the process, of which the client uses no more
+// than the shares for commands.
 func NewWorkerClient(sockets int, log *slog.Logger) *WorkerClient {
 	maxIdle := socketShare(sockets, idleCommandSocketShare)
 	return &WorkerClient{
@@ -37,9 +38,10 @@
 	}
 }
 
-// SendCommands sends commands to the worker at addr, under a fencing token and to one incarnation. They are not
-// sent if no connection is free before sendBy, unless that is zero. The report is the worker's after the commands;
-// nil if there is none.
+// SendCommands sends commands to the worker at addr. The request carries a fencing token and the incarnation of the
+// worker for which the commands are meant. If too many requests are in flight for it to be sent before sendBy, nothing
+// is sent; a zero sendBy sets no limit. SendCommands returns the outcome and the report in the worker's response, or nil
+// if there is no report.
 func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.Outcome, *worker.Report) {
 	select {
 	case c.slots <- struct{}{}:
@@ -61,13 +63,13 @@
 	return c.outcome(addr, resp)
 }
 
-// outcome returns what a worker's response means for the commands.
+// outcome returns the outcome of the commands, as determined by the worker's response, and the report in it.
 func (c *WorkerClient) outcome(addr string, resp httpResponse) (worker.Outcome, *worker.Report) {
 	report, err := protocol.ParseReport(resp.body)
 	switch resp.status {
 	case http.StatusOK:
 		if err != nil {
-			// The commands were executed, but the state of the tasks is unknown.
+			// The worker executed the commands, but the resulting state of its tasks is unknown.
 			c.log.Error("worker response decoding failed", "address", addr, "error", err)
 			return worker.Unresolved, nil
 		}
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -12,15 +12,16 @@
 	"sagevale/internal/worker"
 )
 
-// respond returns a worker's handler that gives one response.
-func respond(status int, body string) http.HandlerFunc {
+// fixedResponse returns a handler that sends the same response to every request, in place of a worker.
+func fixedResponse(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-// A command that was certainly not sent may be sent to another worker at once; one that may have been sent can't.
+// A command that was certainly not sent may be sent to another worker at once. A command that may have been sent must
+// not, so the outcomes have to distinguish the two.
 func TestWorkerClientOutcomes(t *testing.T) {
 	client := NewWorkerClient(100, discardLogger)
 	for _, tc := range []struct {
@@ -28,10 +29,10 @@
 		handler http.HandlerFunc
 		want    worker.Outcome
 	}{
-		{"executed", respond(200, idleReport), worker.Executed},
-		{"rejected", respond(409, idleReport), worker.Rejected},
-		{"malformed report", respond(200, "{}"), worker.Unresolved},
-		{"server error", respond(500, ""), worker.Unresolved},
+		{"executed", fixedResponse(200, idleReport), worker.Executed},
+		{"rejected", fixedResponse(409, idleReport), worker.Rejected},
+		{"malformed report", fixedResponse(200, "{}"), worker.Unresolved},
+		{"server error", fixedResponse(500, ""), worker.Unresolved},
 		{"no response", func(http.ResponseWriter, *http.Request) { time.Sleep(300 * time.Millisecond) }, worker.Unresolved},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,7 +40,7 @@
 			defer server.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			if got, _ := client.SendCommands(ctx, server.Listener.Addr().String(), 1, 1, command, time.Time{}); got != tc.want {
+			if got, _ := client.SendCommands(ctx, server.Listener.Addr().String(), 1, 1, startCommands, time.Time{}); got != tc.want {
 				t.Errorf("outcome %v, want %v", got, tc.want)
 			}
 		})
@@ -47,19 +48,19 @@
 	t.Run("connection refused", func(t *testing.T) {
 		l := listen(t)
 		l.Close()
-		if got, _ := client.SendCommands(t.Context(), l.Addr().String(), 1, 1, command, time.Time{}); got != worker.NotSent {
+		if got, _ := client.SendCommands(t.Context(), l.Addr().String(), 1, 1, startCommands, time.Time{}); got != worker.NotSent {
 			t.Errorf("outcome %v, want NotSent", got)
 		}
 	})
 }
 
-// Commands that have waited for a free connection until sendBy are not sent.
+// Commands must not be sent once sendBy has passed.
 func TestWorkerClientDropsLateCommands(t *testing.T) {
 	received := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received <- struct{}{} }))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
-	if got, _ := NewWorkerClient(100, discardLogger).SendCommands(t.Context(), addr, 1, 1, command, time.Now()); got != worker.NotSent {
+	if got, _ := NewWorkerClient(100, discardLogger).SendCommands(t.Context(), addr, 1, 1, startCommands, time.Now()); got != worker.NotSent {
 		t.Errorf("outcome %v, want NotSent", got)
 	}
 	select {
--- a/internal/wire/coordination/heartbeats.go
+++ b/internal/wire/coordination/heartbeats.go
@@ -2,13 +2,13 @@
 
 import "sagevale/internal/worker"
 
-// FromReports returns workers' reports as they are sent; nil stays nil.
+// FromReports converts workers' reports to their wire form. It returns nil for nil.
 func FromReports(reports []*worker.Report) []*Report {
 	if reports == nil {
 		return nil
 	}
 	sent := make([]*Report, len(reports))
-	values := make([]Report, len(reports)) // in one allocation
+	values := make([]Report, len(reports)) // allocated together rather than one by one
 	for i, r := range reports {
 		values[i] = fromReport(r)
 		sent[i] = &values[i]
@@ -16,7 +16,7 @@
 	return sent
 }
 
-// Reports returns the reports that were sent; nil stays nil.
+// Reports converts received reports from their wire form. It returns nil for nil.
 func Reports(sent []*Report) []*worker.Report {
 	if sent == nil {
 		return nil
@@ -60,7 +60,7 @@
 	}
 }
 
-// FromHeartbeatResponses returns the answers to heartbeats as they are sent; nil stays nil.
+// FromHeartbeatResponses converts the responses to heartbeats to their wire form. It returns nil for nil.
 func FromHeartbeatResponses(responses []worker.HeartbeatResponse) []BeatAnswer {
 	if responses == nil {
 		return nil
@@ -72,7 +72,7 @@
 	return sent
 }
 
-// HeartbeatResponses returns the answers that were sent; nil stays nil.
+// HeartbeatResponses converts received responses to heartbeats from their wire form. It returns nil for nil.
 func HeartbeatResponses(sent []BeatAnswer) []worker.HeartbeatResponse {
 	if sent == nil {
 		return nil
--- a/internal/wire/coordination/messages.go
+++ b/internal/wire/coordination/messages.go
@@ -1,10 +1,11 @@
-// Package coordination holds the messages that controllers exchange in encoding/gob, over the links
-// between them and through the key-value store, and maps them to the types of the domain.
+// Package coordination defines the messages that controllers exchange in encoding/gob, over the connections between
+// them and through the key-value store, and converts them from and to the domain types.
 //
-// Controllers of other versions read and write these messages. gob sends the names of types and fields,
-// and of unnamed types (such as []*coordination.Report) also the name of their package. So the names in
-// this package, and its own, never change, whatever the domain calls the same things; fields are only
-// added. No other package may depend on them. Import it under the name wire.
+// Controllers of other versions read and write these messages. gob sends the names of types and fields. For unnamed
+// types (such as []*coordination.Report) it also sends the package name. Therefore the name of this package and the names
+// of its message types and their fields must never change, even if the domain types are renamed. Fields may only be
+// added. A comment behind a field gives the name of the domain field where it differs. Only code that sends or receives
+// messages may use these names. Import this package under the name wire.
 package coordination
 
 import (
@@ -16,14 +17,14 @@
 	"sagevale/internal/worker"
 )
 
-// Room is an amount of resources as it is sent: storage.Resources.
+// Room is the wire form of storage.Resources.
 type Room struct {
 	CPUs     float64
 	GPUs     float64
 	MemoryGB float64
 }
 
-// Spec is a job's specification as it is sent: storage.Spec.
+// Spec is the wire form of storage.Spec, a job's specification.
 type Spec struct {
 	ID          string
 	Class       string
@@ -46,14 +47,14 @@
 	DeadlineS   float64
 }
 
-// UserRequest is a user's request as it is sent: api.Request.
+// UserRequest is the wire form of api.Request.
 type UserRequest struct {
 	Op   api.Op
 	ID   string
 	Spec Spec
 }
 
-// Answer is the answer to a user as it is sent: api.Response.
+// Answer is the wire form of api.Response.
 type Answer struct {
 	Code    api.Code
 	ID      string
@@ -66,7 +67,7 @@
 	Holds   time.Duration // ValidFor
 }
 
-// PeerState is a controller's status as it is sent: peer.Status.
+// PeerState is the wire form of peer.Status.
 type PeerState struct {
 	Up         time.Duration // Uptime
 	SinceState time.Duration // SinceStoreContact
@@ -80,13 +81,13 @@
 	Version    int
 }
 
-// TaskID names a task as it is sent: worker.TaskID.
+// TaskID is the wire form of worker.TaskID.
 type TaskID struct {
 	Job  string
 	Task int
 }
 
-// TaskReport is the state of a task as it is sent: worker.TaskReport.
+// TaskReport is the wire form of worker.TaskReport.
 type TaskReport struct {
 	ID    TaskID
 	Try   uint64 // Attempt
@@ -95,7 +96,7 @@
 	Saved bool
 }
 
-// Report is a worker's report as it is sent: worker.Report.
+// Report is the wire form of worker.Report.
 type Report struct {
 	Machine int
 	Addr    string
@@ -109,7 +110,7 @@
 	Tasks   []TaskReport
 }
 
-// Order is a command as it is sent: worker.Command.
+// Order is the wire form of worker.Command.
 type Order struct {
 	Verb   worker.Verb
 	ID     TaskID
@@ -117,7 +118,7 @@
 	GraceS float64 // GraceSeconds
 }
 
-// BeatAnswer is the answer to a heartbeat as it is sent: worker.HeartbeatResponse.
+// BeatAnswer is the wire form of worker.HeartbeatResponse.
 type BeatAnswer struct {
 	Accepted  bool
 	Token     uint64
@@ -127,20 +128,20 @@
 	Undecided bool
 }
 
-// letter is one request of a relayed batch.
+// letter is the wire form of RelayRequest.
 type letter struct {
 	User   *UserRequest
 	Report *Report
 }
 
-// mailReply is the answer to a letter; Done tells that there is one.
+// mailReply is the wire form of RelayResponse.
 type mailReply struct {
-	Done bool
+	Done bool // Answered
 	User *Answer
-	Beat *BeatAnswer
+	Beat *BeatAnswer // Heartbeat
 }
 
-// FromStatus returns a status as it is sent.
+// FromStatus converts a controller's status to its wire form.
 func FromStatus(s peer.Status) PeerState {
 	return PeerState{
 		Up: s.Uptime, SinceState: s.SinceStoreContact, Leader: s.Leader, Term: s.Term,
@@ -149,7 +150,7 @@
 	}
 }
 
-// Status returns the status that was sent.
+// Status converts a received status from its wire form.
 func (p *PeerState) Status() peer.Status {
 	return peer.Status{
 		Uptime: p.Up, SinceStoreContact: p.SinceState, Leader: p.Leader, Term: p.Term,
--- a/internal/wire/coordination/messages_test.go
+++ b/internal/wire/coordination/messages_test.go
@@ -11,35 +11,36 @@
 	"sagevale/internal/worker"
 )
 
-// A domain field that isn't mapped would be lost between controllers without any error.
+// Every field of a domain type must be converted in both directions. A missing field would be lost between controllers
+// without any error.
 func TestEveryDomainFieldIsMapped(t *testing.T) {
 	t.Run("request", func(t *testing.T) {
-		want := filled[api.Request](t)
+		want := nonZero[api.Request](t)
 		sent := FromRequest(&want)
-		mustEqual(t, sent.Request(), want)
+		checkEqual(t, sent.Request(), want)
 	})
 	t.Run("response", func(t *testing.T) {
-		want := filled[api.Response](t)
+		want := nonZero[api.Response](t)
 		sent := FromResponse(&want)
-		mustEqual(t, sent.Response(), want)
+		checkEqual(t, sent.Response(), want)
 	})
 	t.Run("status", func(t *testing.T) {
-		want := filled[peer.Status](t)
+		want := nonZero[peer.Status](t)
 		sent := FromStatus(want)
-		mustEqual(t, sent.Status(), want)
+		checkEqual(t, sent.Status(), want)
 	})
 	t.Run("report", func(t *testing.T) {
-		want := filled[worker.Report](t)
-		mustEqual(t, *Reports(FromReports([]*worker.Report{&want}))[0], want)
+		want := nonZero[worker.Report](t)
+		checkEqual(t, *Reports(FromReports([]*worker.Report{&want}))[0], want)
 	})
 	t.Run("heartbeat response", func(t *testing.T) {
-		want := filled[worker.HeartbeatResponse](t)
-		mustEqual(t, HeartbeatResponses(FromHeartbeatResponses([]worker.HeartbeatResponse{want}))[0], want)
+		want := nonZero[worker.HeartbeatResponse](t)
+		checkEqual(t, HeartbeatResponses(FromHeartbeatResponses([]worker.HeartbeatResponse{want}))[0], want)
 	})
 }
 
-func TestRelayBatchesSurviveTheWire(t *testing.T) {
-	user, report := filled[api.Request](t), filled[worker.Report](t)
+func TestRelayBatchesRoundTrip(t *testing.T) {
+	user, report := nonZero[api.Request](t), nonZero[worker.Report](t)
 	requests := []RelayRequest{{User: &user}, {Report: &report}}
 	var buf bytes.Buffer
 	if err := EncodeRelayRequests(&buf, requests); err != nil {
@@ -49,9 +50,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustEqual(t, gotRequests, requests)
+	checkEqual(t, gotRequests, requests)
 
-	response, heartbeat := filled[api.Response](t), filled[worker.HeartbeatResponse](t)
+	response, heartbeat := nonZero[api.Response](t), nonZero[worker.HeartbeatResponse](t)
 	responses := []RelayResponse{{Answered: true, User: &response}, {Answered: true, Heartbeat: &heartbeat}, {}}
 	buf.Reset()
 	if err := EncodeRelayResponses(&buf, responses); err != nil {
@@ -61,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustEqual(t, gotResponses, responses)
+	checkEqual(t, gotResponses, responses)
 }
 
 func TestNilStaysNil(t *testing.T) {
@@ -73,23 +74,23 @@
 	}
 }
 
-func mustEqual[T any](t *testing.T, got, want T) {
+func checkEqual[T any](t *testing.T, got, want T) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// filled returns a value no field of which is zero.
-func filled[T any](t *testing.T) T {
+// nonZero returns a value in which no field is zero.
+func nonZero[T any](t *testing.T) T {
 	t.Helper()
 	var v T
 	next := 0
-	fill(t, reflect.ValueOf(&v).Elem(), &next)
+	setNonZero(t, reflect.ValueOf(&v).Elem(), &next)
 	return v
 }
 
-func fill(t *testing.T, v reflect.Value, next *int) {
+func setNonZero(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
@@ -105,15 +106,15 @@
 		v.SetString(time.Duration(*next).String())
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		setNonZero(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			setNonZero(t, v.Index(i), next)
 		}
 	case reflect.Struct:
 		for _, field := range v.Fields() {
-			fill(t, field, next)
+			setNonZero(t, field, next)
 		}
 	default:
 		t.Fatalf("no value for %v", v.Type())
--- a/internal/wire/coordination/relay.go
+++ b/internal/wire/coordination/relay.go
@@ -8,57 +8,58 @@
 	"sagevale/internal/worker"
 )
 
-// RelayRequest is one request of a relayed batch: either a user's, or a worker's heartbeat.
+// RelayRequest is one request in a batch that a controller sends to the leader through the key-value store. It is
+// either a user's request or the report of a worker's heartbeat; the other field is nil.
 type RelayRequest struct {
 	User   *api.Request
 	Report *worker.Report
 }
 
-// RelayResponse is the answer to a RelayRequest. Answered tells whether there is one; then the field
-// that corresponds to the request is set.
+// RelayResponse is the response to a RelayRequest. If Answered is set, so is the field that corresponds to the
+// request. Otherwise the request has no response.
 type RelayResponse struct {
 	Answered  bool
 	User      *api.Response
 	Heartbeat *worker.HeartbeatResponse
 }
 
-// EncodeRelayRequests writes a batch of requests.
+// EncodeRelayRequests writes a batch of requests to w in their wire form.
 func EncodeRelayRequests(w io.Writer, requests []RelayRequest) error {
-	letters := make([]letter, len(requests))
+	messages := make([]letter, len(requests))
 	for i, r := range requests {
 		if r.User != nil {
 			user := FromRequest(r.User)
-			letters[i].User = &user
+			messages[i].User = &user
 		}
 		if r.Report != nil {
 			report := fromReport(r.Report)
-			letters[i].Report = &report
+			messages[i].Report = &report
 		}
 	}
-	return gob.NewEncoder(w).Encode(letters)
+	return gob.NewEncoder(w).Encode(messages)
 }
 
-// DecodeRelayRequests reads a batch of requests.
+// DecodeRelayRequests reads a batch of requests from r.
 func DecodeRelayRequests(r io.Reader) ([]RelayRequest, error) {
-	var letters []letter
-	if err := gob.NewDecoder(r).Decode(&letters); err != nil {
+	var messages []letter
+	if err := gob.NewDecoder(r).Decode(&messages); err != nil {
 		return nil, err
 	}
-	requests := make([]RelayRequest, len(letters))
-	for i, l := range letters {
-		if l.User != nil {
-			user := l.User.Request()
+	requests := make([]RelayRequest, len(messages))
+	for i, message := range messages {
+		if message.User != nil {
+			user := message.User.Request()
 			requests[i].User = &user
 		}
-		if l.Report != nil {
-			report := l.Report.report()
+		if message.Report != nil {
+			report := message.Report.report()
 			requests[i].Report = &report
 		}
 	}
 	return requests, nil
 }
 
-// EncodeRelayResponses writes the answers to a batch.
+// EncodeRelayResponses writes the responses to a batch to w in their wire form.
 func EncodeRelayResponses(w io.Writer, responses []RelayResponse) error {
 	replies := make([]mailReply, len(responses))
 	for i, r := range responses {
@@ -75,7 +76,7 @@
 	return gob.NewEncoder(w).Encode(replies)
 }
 
-// DecodeRelayResponses reads the answers to a batch.
+// DecodeRelayResponses reads the responses to a batch from r.
 func DecodeRelayResponses(r io.Reader) ([]RelayResponse, error) {
 	var replies []mailReply
 	if err := gob.NewDecoder(r).Decode(&replies); err != nil {
--- a/internal/wire/coordination/users.go
+++ b/internal/wire/coordination/users.go
@@ -5,17 +5,17 @@
 	"sagevale/internal/storage"
 )
 
-// FromRequest returns a user's request as it is sent.
+// FromRequest converts a user's request to its wire form.
 func FromRequest(r *api.Request) UserRequest {
 	return UserRequest{Op: r.Op, ID: r.ID, Spec: fromSpec(&r.Spec)}
 }
 
-// Request returns the request that was sent.
+// Request converts a received request from its wire form.
 func (r *UserRequest) Request() api.Request {
 	return api.Request{Op: r.Op, ID: r.ID, Spec: r.Spec.spec()}
 }
 
-// FromResponse returns the answer to a user as it is sent.
+// FromResponse converts the response to a user's request to its wire form.
 func FromResponse(r *api.Response) Answer {
 	return Answer{
 		Code: r.Code, ID: r.ID, State: r.State, Done: r.Done, Running: r.Running,
@@ -23,7 +23,7 @@
 	}
 }
 
-// Response returns the answer that was sent.
+// Response converts a received response from its wire form.
 func (a *Answer) Response() api.Response {
 	return api.Response{
 		Code: a.Code, ID: a.ID, State: a.State, Done: a.Done, Running: a.Running,
