--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -244,7 +244,7 @@
 	delete(c.active, j.Spec.ID)
 	if s := c.service(j); s != nil {
 		for _, w := range s.waiters {
-			w.reply <- undecided("the service was cancelled or no longer scales to zero")
+			w.reply <- undecided("it runs always, or no longer")
 		}
 	}
 	j.Lifecycle = nil
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -112,7 +112,7 @@
 	case m.result.Knowledge == archive.Damaged:
 		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
 	default:
-		m.user.reply <- api.Unavailable(id, "the archive has not been read yet")
+		m.user.reply <- api.Unavailable(id, "the archive isn't read yet")
 	}
 }
 
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -32,7 +32,7 @@
 // commit. If the gate isn't open it responds at once that the user has to retry.
 func (s *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
 	if s.gates.Gate(name).Phase != upgrade.GateOpen {
-		m.reply <- api.Unavailable(m.req.ID, "not all controllers are known to support a feature that the job needs")
+		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
 		return
 	}
 	s.gateWaiters = append(s.gateWaiters, gateWaiter{m, now})
--- a/internal/scheduler/messages.go
+++ b/internal/scheduler/messages.go
@@ -15,11 +15,11 @@
 // The errors that call returns.
 var (
 	// errMailboxFull means that the mailbox is full and the message was not sent.
-	errMailboxFull = errors.New("too many requests are waiting")
+	errMailboxFull = errors.New("too much asked at once")
 	// errSteppingDown means that the term has ended. The scheduler may have handled the message.
 	errSteppingDown = errors.New("leader is stepping down")
 	// errDeadline means that the caller's context has ended. The scheduler may still handle the message.
-	errDeadline = errors.New("not decided before the deadline")
+	errDeadline = errors.New("not decided in time")
 )
 
 // call sends a message to the scheduler and waits for the reply. If the mailbox is full it returns errMailboxFull at once.
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -327,7 +327,7 @@
 		}
 	}
 	if response.ValidFor > 0 && !response.Final() && time.Since(sent) > clock.Scale(response.ValidFor, 1/clock.DriftBound) {
-		return api.Unavailable(req.ID, "the leader's response arrived after it had expired")
+		return api.Unavailable(req.ID, "the leader's answer came late")
 	}
 	return response
 }
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -34,7 +34,7 @@
 	s.waiters = append(s.waiters, w)
 	s.onJobCommit(j, func(err error) {
 		if err != nil {
-			w.answer(api.Unavailable(id, "the job's record was not committed"))
+			w.answer(api.Unavailable(id, "not recorded"))
 			return
 		}
 		w.answer(response())
@@ -159,12 +159,12 @@
 func (s *scheduler) overloadResponse(spec *storage.Spec, now time.Time) *api.Response {
 	if s.state.Jobs.OpenTasks+spec.Tasks > s.settings.MaxOpenTasks() {
 		return &api.Response{
-			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are open", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
+			Code: api.CodeBusy, ID: spec.ID, Reason: "too many tasks are waiting", RetrySeconds: int(s.settings.WorkerLease.Seconds()),
 		}
 	}
 	if !s.admitSubmission(spec.Team) {
 		return &api.Response{
-			Code: api.CodeBusy, ID: spec.ID, Reason: "more jobs are submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
+			Code: api.CodeBusy, ID: spec.ID, Reason: "more is submitted than can be recorded", RetrySeconds: s.admission.RetryAfterSeconds(now),
 		}
 	}
 	return nil
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -39,7 +39,7 @@
 		return undecided("leader out of reach")
 	}
 	if response.Verdict != activation.Undecided && time.Since(sentAt) > response.Holds+req.Wait {
-		return undecided("the leader's response arrived after it had expired")
+		return undecided("the leader's answer came late")
 	}
 	return response
 }
@@ -52,7 +52,7 @@
 		return "", "no leader yet"
 	}
 	if status, ok := n.deps.Peers.Status(leader); !ok || status.Version < peer.VersionActivation {
-		return "", "the leader is not known to support wake requests"
+		return "", "the leader isn't known to take demand"
 	}
 	return leader, ""
 }
@@ -103,7 +103,7 @@
 	case !j.Acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
 	case j.Phase != storage.Open || !j.Spec.Service:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "not a service, or the service has ended", Holds: s.settings.WakeInterval()}
+		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
 	case s.commitStalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
@@ -134,7 +134,7 @@
 	}
 	c.scheduler.afterJobCommit(j, func(err error) {
 		if err != nil || c.service(j) != s {
-			m.reply <- undecided("the demand could not be recorded")
+			m.reply <- undecided("not recorded")
 			return
 		}
 		m.reply <- c.response(s, time.Now())
@@ -179,7 +179,7 @@
 // response returns the response about a service that has a lifecycle record.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
 	if s.damaged != nil {
-		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "the lifecycle record of the service is damaged", Holds: c.settings.WakeInterval()}
+		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "its record is damaged", Holds: c.settings.WakeInterval()}
 	}
 	response := activation.WakeResponse{
 		Verdict: activation.Known, State: s.record.State, Generation: s.record.Generation, Holds: c.settings.WakeInterval(),
