--- a/internal/upgrade/activation.go
+++ b/internal/upgrade/activation.go
@@ -1,32 +1,32 @@
 package upgrade
 
-// activateNext activates the version after the active one, once every controller supports it and the
-// operators' policy allows it.
+// activateNext activates the version that follows the active one, once every controller supports it
+// and the operators' policy allows it.
 func activateNext(s *Situation) Step {
 	next := s.Record.Active + 1
 	switch {
 	case next > s.Versions.Max:
 		return Step{}
 	case s.Policy.Hold:
-		return wait("version %d is held back by upgrade.target", next)
+		return waitingStep("version %d is held back by upgrade.target", next)
 	case s.Policy.Target != 0 && next > s.Policy.Target:
-		return wait("version %d is beyond upgrade.target %d", next, s.Policy.Target)
+		return waitingStep("version %d is beyond upgrade.target %d", next, s.Policy.Target)
 	}
-	if node := undeterminedMember(s.Members); node != "" {
-		return wait("version %d: the versions of node %s are not known", next, node)
+	if node := nodeWithUnknownVersions(s.Members); node != "" {
+		return waitingStep("version %d: the versions of node %s are not known", next, node)
 	}
 	if node, commonVersion := s.commonVersion(); commonVersion < next {
-		return wait("version %d: node %s is of version %d", next, node, commonVersion)
+		return waitingStep("version %d: node %s is of version %d", next, node, commonVersion)
 	}
 	for i := range s.Members {
 		if versions, _ := s.Members[i].Versions(); !versions.Contains(next) {
-			return wait("version %d: node %s reads versions %s only", next, s.Members[i].Node, versions)
+			return waitingStep("version %d: node %s reads versions %s only", next, s.Members[i].Node, versions)
 		}
 	}
 	record := s.Record.clone()
 	record.Active, record.Phase, record.ActivatedMS = next, Soaking, s.Now.UnixMilli()
 	s.openEligibleGates(&record)
-	return s.change(record, "version %d active", next)
+	return s.transitionTo(record, "version %d active", next)
 }
 
 // openGates opens the gates of the active version that became eligible after its activation.
@@ -36,13 +36,13 @@
 	if len(opened) == 0 {
 		return Step{}
 	}
-	return s.change(record, "gates %v open", opened)
+	return s.transitionTo(record, "gates %v open", opened)
 }
 
-// openEligibleGates opens the closed gates of a record that are eligible, and returns them. It opens
-// none while the versions of a member aren't known.
+// openEligibleGates opens the closed gates that are eligible in the record, and returns their names.
+// It opens none while the versions of any member are unknown.
 func (s *Situation) openEligibleGates(record *Record) (opened []GateName) {
-	if undeterminedMember(s.Members) != "" {
+	if nodeWithUnknownVersions(s.Members) != "" {
 		return nil
 	}
 	for _, gate := range s.Known {
@@ -56,9 +56,9 @@
 	return opened
 }
 
-// eligible reports whether a gate of a record may be opened: it is closed, the active version and
-// every controller have it, and the gates that it depends on are open. The gate of the fence also
-// requires that every controller obeys the record.
+// eligible reports whether a gate may be opened in the record: it is closed, the active version and
+// every controller support it, and the gates that it depends on are open. FencedTerm also requires
+// that every controller follows the cluster record.
 func (s *Situation) eligible(record *Record, gate Gate) bool {
 	if _, present := record.Gates[gate.Name]; present {
 		return false
@@ -67,7 +67,7 @@
 	if gate.Since > min(record.Active, commonVersion) || !dependenciesOpen(record, gate) {
 		return false
 	}
-	return gate.Name != FencedTerm || allObeyRecord(s.Members)
+	return gate.Name != FencedTerm || allFollowRecord(s.Members)
 }
 
 // dependenciesOpen reports whether the gates that a gate depends on are open.
--- a/internal/upgrade/admission.go
+++ b/internal/upgrade/admission.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// TooOldError reports that this program is older than the finalized version.
+// TooOldError reports that this program is too old to support the finalized version.
 type TooOldError struct{ Has, Needs Version }
 
 func (e *TooOldError) Error() string {
 	return fmt.Sprintf("this program is of version %d, but version %d is finalized: version %d or later is needed", e.Has, e.Needs, e.Needs)
 }
 
-// TooNewError reports that this program can no longer read the active version.
+// TooNewError reports that this program is too new to support the active version.
 type TooNewError struct {
 	Supports Range
 	Active   Version
@@ -22,27 +22,27 @@
 	return fmt.Sprintf("this program reads versions %s, but version %d is active: upgrade to version %d first", e.Supports, e.Active, e.Supports.Min)
 }
 
-// TargetError reports that the operators' target is below the active version.
+// TargetError reports that the target version that the operators set is below the active version.
 type TargetError struct{ Target, Active Version }
 
 func (e *TargetError) Error() string {
 	return fmt.Sprintf("upgrade.target: version %d is below version %d, which is active", e.Target, e.Active)
 }
 
-// UnreadableGateError reports that this program must not lead, because something may depend on a gate
-// that it doesn't know.
+// UnreadableGateError reports that this program must not lead, because stored data may depend on a
+// gate that it doesn't support.
 type UnreadableGateError struct {
 	Gate  GateName
 	Since Version
 }
 
 func (e *UnreadableGateError) Error() string {
-	return fmt.Sprintf("gate %s is in use: a controller of version %d or later must lead, or withdraw it", e.Gate, e.Since)
+	return fmt.Sprintf("gate %s is in use: a controller of version %d or later must lead, or withdraw the gate", e.Gate, e.Since)
 }
 
-// Admit checks whether a process with this compatibility range and policy may take part in the fleet.
-// It returns a *TooOldError, a *TooNewError or a *TargetError if not. The process must then end with
-// that error: see IsRefusal.
+// Admit checks whether a process with this compatibility range and policy may join the fleet. If not,
+// it returns a *TooOldError, a *TooNewError or a *TargetError, and the process must exit with that
+// error: see IsRefusal.
 func Admit(r Record, versions Range, policy Policy) error {
 	switch {
 	case versions.Max < r.Minimum:
@@ -55,9 +55,10 @@
 	return nil
 }
 
-// MayLead checks whether a process may lead, which it may if it can read everything that may have been
-// written under the gates. A gate that isn't in use is no obstacle, because nothing depends on it.
-// MayLead returns an *UnreadableGateError if the process must not lead.
+// MayLead checks whether a process may become the leader. It may if it supports every gate that is in
+// use, because it can then read all data that depends on these gates. Nothing depends on a gate that
+// isn't in use, so such a gate need not be supported. MayLead returns an *UnreadableGateError if the
+// process must not lead.
 func MayLead(r Record, versions Range, known GateList) error {
 	for _, name := range r.GateNames() {
 		g := r.Gates[name]
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// IsRefusal reports whether err is, or wraps, an error of Admit, upon which the process must end.
+// IsRefusal reports whether err is, or wraps, an error that Admit returns. The process must then exit.
 func IsRefusal(err error) bool {
 	var tooOld *TooOldError
 	var tooNew *TooNewError
--- a/internal/upgrade/admission_test.go
+++ b/internal/upgrade/admission_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A process that must not serve is refused with one line that says what is needed.
+// A process that must not join the fleet is refused with a one-line error that states the cause or the
+// version to install.
 func TestAdmit(t *testing.T) {
 	const later = Current + 1
 	finalized := Record{Schema: 1, Active: later, Minimum: later, Phase: Finalized}
--- a/internal/upgrade/decode_test.go
+++ b/internal/upgrade/decode_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Values that no version wrote are reported as damaged, with their key.
+// Values that no version can have written are reported as a DamagedError with their key.
 func TestDecodeReportsDamagedValues(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -75,8 +75,8 @@
 	}
 }
 
-// testdata/version3.json holds values that version 3 stored. They are decoded and encoded again to
-// the same bytes.
+// testdata/version3.json holds values that version 3 stored. Decoding and encoding them must give the
+// same bytes.
 func TestVersion3ValuesAreReencodedUnchanged(t *testing.T) {
 	raw, err := os.ReadFile("testdata/version3.json")
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// encode returns the JSON of a value.
+// encode returns a value encoded as JSON.
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -114,8 +114,9 @@
 	return raw
 }
 
-// FuzzDecodeRecord checks that a decoded record is encoded and decoded again unchanged, including
-// unknown gates and fields, and that every decision based on it is free of panics.
+// FuzzDecodeRecord checks that a decoded record stays the same when it is encoded and decoded again,
+// including unknown gates and fields, that MayLead, Admit and Next don't panic on it, and that the step
+// of Next leads to a consistent record.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"schema":1,"active":3,"minimum":2,"phase":"finalized","gates":{"gang-jobs":{"since":2,"phase":"open","used":true}},"fence":2,"term":9,"activated_ms":5}`))
 	f.Add([]byte(`{"schema":1,"active":2,"phase":"withdrawing","gates":{"x":{"since":2,"phase":"withdrawing","y":1}},"z":[{}]}`))
@@ -139,13 +140,14 @@
 		step := Next(Situation{Record: record, Members: []Member{{Node: "n0", Registration: &registration}}, Versions: Supported, Known: Gates, Usage: Usage{}})
 		if step.Changed {
 			if reason := step.Record.inconsistency(); reason != "" {
-				t.Fatalf("%s: step %q leads to a record that contradicts itself: %s", data, step.Description, reason)
+				t.Fatalf("%s: step %q leads to an inconsistent record: %s", data, step.Description, reason)
 			}
 		}
 	})
 }
 
-// FuzzDecodeRegistration checks that a decoded registration is encoded and decoded again unchanged.
+// FuzzDecodeRegistration checks that a decoded registration stays the same when it is encoded and decoded
+// again.
 func FuzzDecodeRegistration(f *testing.F) {
 	f.Add("n0", []byte(`{"schema":1,"node":"n0","session":"00ff","min":1,"max":3}`))
 	f.Add("n0", []byte(`{"schema":1,"node":"n0","min":1,"max":4294967296}`))
@@ -160,8 +162,8 @@
 	})
 }
 
-// FuzzDecodeTerm checks that a decoded term is encoded and decoded again unchanged, and that only a term
-// without fence can be decoded as a bare number.
+// FuzzDecodeTerm checks that a decoded term stays the same when it is encoded and decoded again, and that
+// only a term without a fence can be decoded as a bare number.
 func FuzzDecodeTerm(f *testing.F) {
 	f.Add([]byte(`7`))
 	f.Add([]byte(`{"t":7,"fence":2}`))
--- a/internal/upgrade/fence.go
+++ b/internal/upgrade/fence.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// requiredFence returns the lowest version that can read everything that may depend on a gate, and that
-// isn't refused.
+// requiredFence returns the lowest version that isn't refused and that can read all data that may
+// depend on a gate.
 func (r *Record) requiredFence() Version {
 	required := max(r.Minimum, Baseline)
 	for _, gate := range r.Gates {
@@ -12,8 +12,8 @@
 	return required
 }
 
-// raiseFence raises the fence to the required one, if its gate is open and there are versions that must
-// not lead. It marks the gate as used then.
+// raiseFence raises the fence to requiredFence and marks FencedTerm as used. It does nothing if
+// FencedTerm is closed or if every version may lead.
 func (r *Record) raiseFence() {
 	gate, open := r.Gates[FencedTerm]
 	required := r.requiredFence()
@@ -25,7 +25,8 @@
 	r.Gates[FencedTerm] = gate
 }
 
-// recomputeFence lowers the fence to the required one, if its gate is open.
+// recomputeFence lowers the fence to requiredFence, or removes the fence if every version may lead. It
+// does nothing if FencedTerm is closed.
 func (r *Record) recomputeFence() {
 	gate, open := r.Gates[FencedTerm]
 	if !open {
@@ -37,8 +38,9 @@
 	r.raiseFence()
 }
 
-// removeFence closes the fence's gate while a controller that doesn't register can read everything
-// that may depend on a gate, so that the controller may lead. A finalized version keeps its fence.
+// removeFence closes FencedTerm and removes the fence if a controller that doesn't register can read
+// all data that may depend on a gate, so that this controller may lead. The fence stays once a version
+// is finalized.
 func removeFence(s *Situation) Step {
 	if _, open := s.Record.Gates[FencedTerm]; !open || s.Record.Minimum != 0 {
 		return Step{}
@@ -51,7 +53,7 @@
 		next := s.Record.clone()
 		delete(next.Gates, FencedTerm)
 		next.Fence = 0
-		return s.change(next, "term not fenced: node %s doesn't register", s.Members[i].Node)
+		return s.transitionTo(next, "fence removed: node %s doesn't register", s.Members[i].Node)
 	}
 	return Step{}
 }
--- a/internal/upgrade/finalization.go
+++ b/internal/upgrade/finalization.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// finalize makes the active version the minimum, so that older controllers are refused, once the soak
-// is over and the operators' policy allows it.
+// finalize sets the minimum version to the active one, so that older controllers are refused, once the
+// soak time has passed and the operators' policy allows it.
 func finalize(s *Situation) Step {
 	active := s.Record.Active
 	if s.Record.Phase != Soaking || active <= s.Record.Minimum {
 		return Step{}
 	}
 	if !s.Policy.AutoFinalize || s.Policy.Hold {
-		return wait("finalization of version %d is held back by upgrade.finalize", active)
+		return waitingStep("finalization of version %d is held back by upgrade.finalize", active)
 	}
 	if _, known := s.Known.find(FencedTerm); known && s.Record.Gate(FencedTerm).Phase != GateOpen {
-		return wait("finalization of version %d: gate %s must be open first", active, FencedTerm)
+		return waitingStep("finalization of version %d: gate %s must be open first", active, FencedTerm)
 	}
-	if node := undeterminedMember(s.Members); node != "" {
-		return wait("finalization of version %d: the versions of node %s are not known", active, node)
+	if node := nodeWithUnknownVersions(s.Members); node != "" {
+		return waitingStep("finalization of version %d: the versions of node %s are not known", active, node)
 	}
 	soaked := s.Now.Sub(time.UnixMilli(s.Record.ActivatedMS))
 	if left := s.Policy.Soak - soaked; left > 0 {
-		return wait("finalization of version %d: it soaks until %s", active, s.Now.Add(left).UTC().Format(time.RFC3339))
+		return waitingStep("finalization of version %d: it soaks until %s", active, s.Now.Add(left).UTC().Format(time.RFC3339))
 	}
 	record := s.Record.clone()
 	record.Minimum, record.Phase = active, Finalized
 	record.raiseFence()
-	return s.change(record, "version %d finalized", active)
+	return s.transitionTo(record, "version %d finalized", active)
 }
--- a/internal/upgrade/gate.go
+++ b/internal/upgrade/gate.go
@@ -10,38 +10,38 @@
 
 // The gates of this program.
 const (
-	// GangJobs allows jobs whose tasks run all at the same time to be accepted.
+	// GangJobs allows the leader to accept gang jobs, whose tasks all run at the same time.
 	GangJobs GateName = "gang-jobs"
-	// CompressedChunks allows journal chunks to be compressed, and records to be written in
+	// CompressedChunks allows journal chunks to be compressed, and records to be split into
 	// fragments.
 	CompressedChunks GateName = "compressed-chunks"
-	// JobArchive allows finished jobs to be moved from the journal to the archive. To a version
-	// that can't read the archive such jobs were never submitted.
+	// JobArchive allows finished jobs to be moved from the journal to the archive. A version that
+	// can't read the archive treats such jobs as never submitted.
 	JobArchive GateName = "job-archive"
-	// WorkerTokens allows a worker's fencing token to be raised within a term. Versions without it
-	// don't know the range of tokens of a term, and don't renew the leases of such workers under a
-	// delegation.
+	// WorkerTokens allows a worker's fencing token to be raised within a term. A version without
+	// this gate doesn't support the range of tokens of a term, and doesn't renew the leases of such
+	// workers under a delegation.
 	WorkerTokens GateName = "worker-tokens"
-	// Activation allows services to scale to zero. A version that doesn't know their lifecycles
-	// would start them without demand.
+	// Activation allows services to scale to zero. A version that doesn't support service lifecycles
+	// would start these services without demand.
 	Activation GateName = "activation"
-	// FencedTerm allows the term record to be written in a form that keeps processes that don't
-	// register from leading. It is open only while every controller registers.
+	// FencedTerm allows the term record to be written in a format that prevents processes that don't
+	// register from leading. The gate is open only while every controller registers.
 	FencedTerm GateName = "fenced-term"
 )
 
-// Gate is a feature that stays off until every controller of the fleet supports it.
+// Gate is a feature gate: its feature stays off until every controller of the fleet supports it.
 type Gate struct {
 	Name      GateName
 	Since     Version    // the version that adds the feature
-	DependsOn []GateName // gates that must be open before it
+	DependsOn []GateName // gates that must be open before this one may be opened
 }
 
-// GateList is the gates that a program knows, each after those that it depends on.
+// GateList lists the gates that a program supports, each after the gates that it depends on.
 type GateList []Gate
 
-// Gates is the list of this program's gates. FencedTerm belongs to the baseline, because every version
-// that registers supports it.
+// Gates lists the gates of this program. FencedTerm belongs to the baseline version, because every
+// version that registers supports it.
 var Gates = GateList{
 	{Name: FencedTerm, Since: Baseline},
 	{Name: CompressedChunks, Since: Version2},
@@ -51,7 +51,7 @@
 	{Name: Activation, Since: Version6, DependsOn: []GateName{FencedTerm}},
 }
 
-// find returns the gate of that name, and whether the list has it.
+// find returns the gate with the given name, and whether the list contains it.
 func (l GateList) find(name GateName) (Gate, bool) {
 	for _, g := range l {
 		if g.Name == name {
@@ -61,7 +61,8 @@
 	return Gate{}, false
 }
 
-// UpTo returns the gates of the versions up to v, which are those that a program of version v knows.
+// UpTo returns the gates that were added up to version v, which are those that a program of version v
+// supports.
 func (l GateList) UpTo(v Version) GateList {
 	var known GateList
 	for _, g := range l {
@@ -72,36 +73,36 @@
 	return known
 }
 
-// GatePhase is the phase of a gate in the cluster record. A gate that isn't in the record is closed.
+// GatePhase is the phase of a gate in the cluster record. A gate that the record doesn't list is closed.
 type GatePhase string
 
 // The phases of a gate.
 const (
 	GateOpen        GatePhase = "open"
-	GateWithdrawing GatePhase = "withdrawing" // no new uses; closed once the existing ones have ended
+	GateWithdrawing GatePhase = "withdrawing" // no new uses; the gate is closed once the existing uses have ended
 )
 
-// GateState is a gate in the cluster record. The zero state is a closed gate.
+// GateState is the state of a gate in the cluster record. The zero value is a closed gate.
 type GateState struct {
 	Since Version   `json:"since"`
 	Phase GatePhase `json:"phase"`
-	// Used reports whether something may depend on the gate. While it is false even a version
-	// that doesn't know the gate may lead, and withdraw it.
+	// Used reports whether stored data may depend on the gate. While it is false, a version that
+	// doesn't support the gate may lead, and may withdraw the gate.
 	Used bool `json:"used,omitempty"`
 
 	unknownFields UnknownFields
 }
 
-// gateFields are the JSON names of the fields of a GateState that this program knows.
+// gateFields lists the JSON names of the GateState fields that this program defines.
 var gateFields = FieldNames(GateState{})
 
-// Usable reports whether something new may come to depend on the gate.
+// Usable reports whether new data may depend on the gate.
 func (g GateState) Usable() bool { return g.Phase == GateOpen && g.Used }
 
-// plainGateState is GateState without its methods, for encoding/json.
+// plainGateState is GateState without its methods, so that encoding/json uses the default encoding.
 type plainGateState GateState
 
-// MarshalJSON encodes the state together with the unknown fields that it was decoded with.
+// MarshalJSON encodes the state together with the unknown fields that were found when it was decoded.
 func (g GateState) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(plainGateState(g))
 	if err != nil {
@@ -110,7 +111,7 @@
 	return g.unknownFields.AddTo(known)
 }
 
-// UnmarshalJSON decodes a state and keeps the fields that this program doesn't know.
+// UnmarshalJSON decodes a state and keeps the fields that this program doesn't define.
 func (g *GateState) UnmarshalJSON(data []byte) error {
 	var plain plainGateState
 	if err := json.Unmarshal(data, &plain); err != nil {
@@ -125,12 +126,12 @@
 	return nil
 }
 
-// GateClosedError reports that a gate may not be used.
+// GateClosedError reports that a gate can't be used because it isn't open.
 type GateClosedError struct{ Gate GateName }
 
 func (e *GateClosedError) Error() string { return fmt.Sprintf("gate %s is not open", e.Gate) }
 
-// BlockedError reports why the uses of a gate can't be ended at present.
+// BlockedError reports why the existing uses of a gate currently can't be ended.
 type BlockedError struct {
 	Gate   GateName
 	Reason string
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -1,8 +1,8 @@
 package upgrade
 
-// MarkGateUsed returns the record with the gate marked as used and the fence raised accordingly. The
-// result must be stored before anything depends on the gate. term is the leader's. MarkGateUsed
-// returns a *GateClosedError if the gate isn't open.
+// MarkGateUsed returns a copy of the record in which the gate is marked as used and the fence is
+// raised accordingly. The caller must store this record before any data depends on the gate. term is
+// the leader's term. MarkGateUsed returns a *GateClosedError if the gate isn't open.
 func MarkGateUsed(r Record, name GateName, term uint64) (Record, error) {
 	gate := r.Gate(name)
 	if gate.Phase != GateOpen {
@@ -16,9 +16,10 @@
 	return next, nil
 }
 
-// adoptGate marks a gate as used that has dependants already. They were made by versions that don't
-// register, which use their features without a gate.
-func adoptGate(s *Situation) Step {
+// markGateWithDependents marks the first gate as used that already has dependents but isn't marked.
+// Such dependents were created by versions that don't register, which use their features without
+// checking a gate.
+func markGateWithDependents(s *Situation) Step {
 	for _, gate := range s.Known {
 		state, present := s.Record.Gates[gate.Name]
 		if !present || state.Used || s.Usage[gate.Name] <= 0 {
@@ -28,13 +29,14 @@
 		if err != nil {
 			continue // the gate is being withdrawn
 		}
-		return s.change(record, "gate %s is in use", gate.Name)
+		return s.transitionTo(record, "gate %s is in use", gate.Name)
 	}
 	return Step{}
 }
 
-// releaseGate marks a gate as unused that has had no dependants for long, so that versions without it
-// may lead again. The delay avoids writes: the next use has to be stored first.
+// releaseGate marks a gate as unused after it has had no dependents for Policy.ReleaseAfter, so that
+// versions without the gate may lead again. The delay saves writes, because the record must be stored
+// again before the next use of the gate.
 func releaseGate(s *Situation) Step {
 	if s.Policy.ReleaseAfter == 0 || s.Usage == nil {
 		return Step{}
@@ -48,16 +50,16 @@
 		gate.Used = false
 		next.Gates[name] = gate
 		next.recomputeFence()
-		step := s.change(next, "gate %s is unused again", name)
+		step := s.transitionTo(next, "gate %s is unused again", name)
 		step.Releases = name
 		return step
 	}
 	return Step{}
 }
 
-// releasable reports whether a gate has been without dependants for long enough to count as unused.
-// It never is for the fence's own gate, which follows the other gates, and for gates of finalized
-// versions, which every version that isn't refused has.
+// releasable reports whether a gate has had no dependents for long enough to be marked as unused. It
+// returns false for FencedTerm, whose use is derived from the other gates, and for gates of finalized
+// versions, because every version that isn't refused supports them.
 func (s *Situation) releasable(name GateName) bool {
 	gate := s.Record.Gates[name]
 	if name == FencedTerm || !gate.Usable() || gate.Since <= s.Record.Minimum {
--- a/internal/upgrade/gate_use_test.go
+++ b/internal/upgrade/gate_use_test.go
@@ -15,8 +15,8 @@
 	}{
 		{"unused for long enough", Usage{}, releaseAfter, GangJobs},
 		{"unused too recently", Usage{}, releaseAfter - 1, ""},
-		{"with dependants", Usage{GangJobs: 1}, releaseAfter, ""},
-		{"dependants not counted", nil, releaseAfter, ""},
+		{"with dependents", Usage{GangJobs: 1}, releaseAfter, ""},
+		{"dependents not counted", nil, releaseAfter, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := singleMember(Record{
--- a/internal/upgrade/history_test.go
+++ b/internal/upgrade/history_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// processKinds are the processes that a history may start: versions that register, a later version
-// that can't read the first ones, and versions that don't register.
+// processKinds lists the kinds of processes that a history may start: versions that register, among them
+// a later version that can't read the first two versions, and a version that doesn't register.
 var processKinds = []process{
 	{versions: Range{1, 1}, registers: true},
 	{versions: Range{1, 2}, registers: true},
@@ -19,13 +19,13 @@
 	{versions: Range{1, 1}},
 }
 
-// TestInvariantsHoldInRandomHistories runs random histories of upgrades, rollbacks, stopped processes and lost or delayed
-// transactions with three to five controllers.
+// TestInvariantsHoldInRandomHistories runs random histories of upgrades, rollbacks, stopped processes, lost
+// responses and delayed transactions with three to five controllers.
 func TestInvariantsHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runHistory(t, processKinds) })
 }
 
-// TestInvariantsHoldWithUnregisteredVersion2 adds processes that use features without their gates.
+// TestInvariantsHoldWithUnregisteredVersion2 adds processes that use features without checking their gates.
 func TestInvariantsHoldWithUnregisteredVersion2(t *testing.T) {
 	kinds := append([]process{{versions: Range{1, 2}}}, processKinds...)
 	rapid.Check(t, func(t *rapid.T) { runHistory(t, kinds) })
@@ -34,58 +34,59 @@
 // runHistory runs one random history whose processes are of the given kinds.
 func runHistory(t *rapid.T, kinds []process) {
 	policy := drawPolicy(t)
-	w := newWorld(rapid.IntRange(3, 5).Draw(t, "nodes"), policy)
-	// The history begins with a fleet of one version.
+	sim := newSimulation(rapid.IntRange(3, 5).Draw(t, "nodes"), policy)
+	// At the start all controllers have the same version.
 	first := rapid.SampledFrom(kinds).Draw(t, "first")
 	if first.versions.Min > Baseline {
 		first.versions = Supported
 	}
-	for _, node := range w.nodes {
-		w.restart(node, first.versions, first.registers)
-		w.register(node)
+	for _, node := range sim.nodes {
+		sim.restart(node, first.versions, first.registers)
+		sim.register(node)
 	}
 	check := func(t *rapid.T) {
-		w.checkState()
-		for _, fault := range w.faults {
+		sim.checkState()
+		for _, fault := range sim.violations {
 			t.Fatal(fault)
 		}
 	}
 
-	node := rapid.SampledFrom(w.nodes)
+	node := rapid.SampledFrom(sim.nodes)
 	result := rapid.SampledFrom([]outcome{answered, answered, answered, responseLost, delayed})
 	gate := rapid.SampledFrom([]GateName{GangJobs, CompressedChunks, "test-three", "test-four"})
-	acquireLeadership := func(t *rapid.T) { w.acquireLeadership(node.Draw(t, "node")) }
-	step := func(t *rapid.T) { w.step(result.Draw(t, "outcome")) }
+	acquireLeadership := func(t *rapid.T) { sim.acquireLeadership(node.Draw(t, "node")) }
+	step := func(t *rapid.T) { sim.step(result.Draw(t, "outcome")) }
 	t.Repeat(map[string]func(*rapid.T){
 		"": check,
 		"restart": func(t *rapid.T) {
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
-			w.restart(node.Draw(t, "node"), kind.versions, kind.registers)
+			sim.restart(node.Draw(t, "node"), kind.versions, kind.registers)
 		},
-		"stop":     func(t *rapid.T) { w.stop(node.Draw(t, "node")) },
-		"register": func(t *rapid.T) { w.register(node.Draw(t, "node")) },
-		// Two actions each have the leader act twice as often.
+		"stop":     func(t *rapid.T) { sim.stop(node.Draw(t, "node")) },
+		"register": func(t *rapid.T) { sim.register(node.Draw(t, "node")) },
+		// Acquiring leadership and stepping have two entries each, so that they are chosen twice as often.
 		"acquire leadership":       acquireLeadership,
 		"acquire leadership again": acquireLeadership,
 		"step":                     step,
 		"step again":               step,
-		"end leadership":           func(*rapid.T) { w.endLeadership() },
-		"refresh":                  func(*rapid.T) { w.refresh() },
-		"exchange versions":        func(t *rapid.T) { w.exchangeVersions(node.Draw(t, "node")) },
-		"add dependant":            func(t *rapid.T) { w.addDependant(gate.Draw(t, "gate"), result.Draw(t, "outcome")) },
-		"remove dependants":        func(t *rapid.T) { w.dependants[gate.Draw(t, "gate")] = 0 },
-		"soak":                     func(*rapid.T) { w.now = w.now.Add(policy.Soak / 2) },
-		"gates unused":             func(*rapid.T) { w.unusedFor = time.Minute },
+		"end leadership":           func(*rapid.T) { sim.endLeadership() },
+		"refresh":                  func(*rapid.T) { sim.refresh() },
+		"exchange versions":        func(t *rapid.T) { sim.exchangeVersions(node.Draw(t, "node")) },
+		"add dependent":            func(t *rapid.T) { sim.addDependent(gate.Draw(t, "gate"), result.Draw(t, "outcome")) },
+		"remove dependents":        func(t *rapid.T) { sim.dependents[gate.Draw(t, "gate")] = 0 },
+		"soak":                     func(*rapid.T) { sim.now = sim.now.Add(policy.Soak / 2) },
+		"gates unused":             func(*rapid.T) { sim.unusedFor = time.Minute },
 		"delayed transaction": func(t *rapid.T) {
-			if len(w.delayed) > 0 {
-				w.apply(w.delayed[rapid.IntRange(0, len(w.delayed)-1).Draw(t, "which")])
+			if len(sim.delayed) > 0 {
+				sim.apply(sim.delayed[rapid.IntRange(0, len(sim.delayed)-1).Draw(t, "which")])
 			}
 		},
 	})
-	w.settle()
+	sim.settle()
 	check(t)
 }
 
+// drawPolicy returns a random policy.
 func drawPolicy(t *rapid.T) Policy {
 	return Policy{
 		Hold:         rapid.IntRange(0, 9).Draw(t, "hold") == 0,
--- a/internal/upgrade/member.go
+++ b/internal/upgrade/member.go
@@ -1,21 +1,21 @@
 package upgrade
 
-// Member is what the leader knows of one controller of the fleet.
+// Member is the leader's information about one controller of the fleet.
 type Member struct {
 	Node string
-	// Registered is the controller's latest registration, whose process may have ended. nil: none is
-	// known.
+	// Registration is the controller's latest registration, or nil if none is known. The process
+	// that stored it may have ended.
 	Registration *Registration
 	// Damaged reports that the stored registration can't be decoded.
 	Damaged bool
-	// Unregistered is the version of a process that doesn't register, as it has reported to its
-	// peers. 0: no such process is known. Such a process can't replace the registration, so the
-	// older of the two versions counts.
+	// UnregisteredVersion is the version that a process that doesn't register has reported to its
+	// peers. 0: no such process is known. Such a process can't replace a registration that an
+	// earlier process stored, so Versions uses the older of the two versions.
 	UnregisteredVersion Version
 }
 
-// Versions returns the compatibility range that counts for the member, and whether it is known. It
-// doesn't depend on whether the member is reachable: its latest registration or report counts.
+// Versions returns the effective compatibility range of the member, and whether it is known. The range
+// follows from the latest registration or report, whether or not the member is reachable.
 func (m *Member) Versions() (versions Range, ok bool) {
 	switch {
 	case m.UnregisteredVersion != 0 && m.hasRegistration():
@@ -31,22 +31,22 @@
 // hasRegistration reports whether there is a registration that can be decoded.
 func (m *Member) hasRegistration() bool { return m.Registration != nil && !m.Damaged }
 
-// obeysRecord reports whether the member is of a version that obeys the cluster record, which every
-// version that registers does.
-func (m *Member) obeysRecord() bool { return m.UnregisteredVersion == 0 && m.hasRegistration() }
+// followsRecord reports whether the member's version uses only the gates that the cluster record
+// permits. Every version that registers does.
+func (m *Member) followsRecord() bool { return m.UnregisteredVersion == 0 && m.hasRegistration() }
 
-// allObeyRecord reports whether every member obeys the cluster record.
-func allObeyRecord(members []Member) bool {
+// allFollowRecord reports whether every member follows the cluster record.
+func allFollowRecord(members []Member) bool {
 	for i := range members {
-		if !members[i].obeysRecord() {
+		if !members[i].followsRecord() {
 			return false
 		}
 	}
 	return true
 }
 
-// oldestMember returns the member with the lowest maximum version. ok is false if no member's
-// versions are known.
+// oldestMember returns the node with the lowest maximum version, and that version. ok is false if the
+// versions of all members are unknown.
 func oldestMember(members []Member) (node string, version Version, ok bool) {
 	for i := range members {
 		versions, known := members[i].Versions()
@@ -57,8 +57,8 @@
 	return node, version, ok
 }
 
-// undeterminedMember returns the first member whose versions aren't known. "": there is none.
-func undeterminedMember(members []Member) (node string) {
+// nodeWithUnknownVersions returns the first node whose versions are unknown, or "" if there is none.
+func nodeWithUnknownVersions(members []Member) (node string) {
 	for i := range members {
 		if _, ok := members[i].Versions(); !ok {
 			return members[i].Node
--- a/internal/upgrade/member_test.go
+++ b/internal/upgrade/member_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Found by TestInvariantsHoldInRandomHistories: a node with an older registration counted by the version
-// that its process reported, which doesn't register.
+// Found by TestInvariantsHoldInRandomHistories: for a node with a registration of an older version, the
+// version that a process without registration reported was used instead of the older one.
 func TestMemberCountsByOlderOfRegistrationAndReport(t *testing.T) {
 	registration := NewRegistration("n0", "1", Range{1, 1})
 	m := Member{Node: "n0", Registration: &registration, UnregisteredVersion: Version2}
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -9,47 +9,47 @@
 type leader struct {
 	process        *process
 	term           uint64
-	leadership     int // the revision of its leadership key
+	leadership     int // the revision of the leadership key that this leader created
 	record         Record
 	recordRevision int
 	registrations  map[string]item    // by node
-	unregistered   map[string]Version // of processes that don't register, as they report to their peers
-	releasePending bool               // a release may yet be carried out: a use of a gate must be stored again
+	unregistered   map[string]Version // by node: versions of processes that don't register, as reported to peers
+	releasePending bool               // a release of a gate may still be committed, so that its next use must be stored again
 }
 
-// refresh has the leader read the record and the registrations.
-func (w *world) refresh() {
-	l := w.leader
+// refresh makes the leader read the record and the registrations from the store.
+func (sim *simulation) refresh() {
+	l := sim.leader
 	if l == nil {
 		return
 	}
-	revision := w.store[clusterKey].revision
+	revision := sim.store[clusterKey].revision
 	l.releasePending = l.releasePending && l.recordRevision == revision
-	l.record, l.recordRevision = w.record(), revision
+	l.record, l.recordRevision = sim.record(), revision
 	l.registrations = make(map[string]item)
-	for _, node := range w.nodes {
-		l.registrations[node] = w.store[registrationPrefix+node]
+	for _, node := range sim.nodes {
+		l.registrations[node] = sim.store[registrationPrefix+node]
 	}
 }
 
-// exchangeVersions has a node's process report its version to the leader.
-func (w *world) exchangeVersions(node string) {
-	p := w.aliveProcess(node)
-	if w.leader == nil || p == nil {
+// exchangeVersions makes a node's process report its version to the leader.
+func (sim *simulation) exchangeVersions(node string) {
+	p := sim.aliveProcess(node)
+	if sim.leader == nil || p == nil {
 		return
 	}
-	delete(w.leader.unregistered, node)
+	delete(sim.leader.unregistered, node)
 	if !p.registers {
-		w.leader.unregistered[node] = p.versions.Max
+		sim.leader.unregistered[node] = p.versions.Max
 	}
 }
 
-// members returns what the leader knows of the fleet.
-func (w *world) members() []Member {
+// members returns the leader's information about the controllers of the fleet.
+func (sim *simulation) members() []Member {
 	var members []Member
-	for _, node := range w.nodes {
-		m := Member{Node: node, UnregisteredVersion: w.leader.unregistered[node]}
-		if stored := w.leader.registrations[node]; stored.revision != 0 {
+	for _, node := range sim.nodes {
+		m := Member{Node: node, UnregisteredVersion: sim.leader.unregistered[node]}
+		if stored := sim.leader.registrations[node]; stored.revision != 0 {
 			registration, err := DecodeRegistration("", node, stored.data)
 			m.Damaged = err != nil
 			if err == nil {
@@ -61,108 +61,108 @@
 	return members
 }
 
-// next returns the leader's next step.
-func (w *world) next() Step {
-	p := w.leader.process
+// nextStep returns the leader's next step.
+func (sim *simulation) nextStep() Step {
+	p := sim.leader.process
 	unused := make(map[GateName]time.Duration)
 	for _, gate := range modelGates {
-		unused[gate.Name] = w.unusedFor
+		unused[gate.Name] = sim.unusedFor
 	}
 	return Next(Situation{
-		Record: w.leader.record, Members: w.members(), Versions: p.versions, Known: p.known(),
-		Usage: maps.Clone(w.dependants), Unused: unused, Policy: w.policy, Now: w.now, Term: w.leader.term,
+		Record: sim.leader.record, Members: sim.members(), Versions: p.versions, Known: p.knownGates(),
+		Usage: maps.Clone(sim.dependents), Unused: unused, Policy: sim.policy, Now: sim.now, Term: sim.leader.term,
 	})
 }
 
-// recordTransaction returns the leader's transaction that stores a record, and the term if the fence
-// changes. guardMembers: it fails if a registration has changed.
-func (w *world) recordTransaction(record Record, guardMembers bool) transaction {
-	l := w.leader
+// recordTransaction returns the leader's transaction that stores a record, and also the term if the fence
+// changes. If guardMembers is set, the transaction fails if a registration has changed.
+func (sim *simulation) recordTransaction(record Record, guardMembers bool) transaction {
+	l := sim.leader
 	tx := transaction{
 		leadership: l.leadership,
 		guards:     map[string]int{clusterKey: l.recordRevision},
-		sets:       map[string][]byte{clusterKey: w.encode(record)},
+		sets:       map[string][]byte{clusterKey: sim.encode(record)},
 	}
 	if guardMembers {
-		for _, node := range w.nodes {
+		for _, node := range sim.nodes {
 			tx.guards[registrationPrefix+node] = l.registrations[node].revision
 		}
 	}
 	if record.Fence != l.record.Fence {
-		tx.guards[termKey] = w.store[termKey].revision
-		tx.sets[termKey] = w.encode(Term{Number: l.term, Fence: record.Fence})
+		tx.guards[termKey] = sim.store[termKey].revision
+		tx.sets[termKey] = sim.encode(Term{Number: l.term, Fence: record.Fence})
 	}
 	return tx
 }
 
-// outcome is what becomes of a transaction that the leader sends.
+// outcome is the result of a transaction that the leader sends.
 type outcome int
 
 const (
-	answered     outcome = iota // it is carried out or rejected, and the leader learns which
-	responseLost                // it is carried out or rejected, and the leader doesn't learn which
-	delayed                     // it may be carried out later, and the leader learns nothing
+	answered     outcome = iota // the transaction is committed or rejected, and the leader receives the response
+	responseLost                // the transaction is committed or rejected, and the response is lost
+	delayed                     // the transaction may be committed later, and the leader receives no response
 )
 
-// commit has the leader store a record, and reports whether it knows that it is stored. Otherwise the
-// leader reads the store again.
-func (w *world) commit(record Record, guardMembers bool, result outcome) bool {
-	tx := w.recordTransaction(record, guardMembers)
+// commit makes the leader store a record, and reports whether the leader has received a response that
+// confirms it. Otherwise the leader reads the store again.
+func (sim *simulation) commit(record Record, guardMembers bool, result outcome) bool {
+	tx := sim.recordTransaction(record, guardMembers)
 	if result == delayed {
-		w.delayed = append(w.delayed, tx)
-		w.refresh()
+		sim.delayed = append(sim.delayed, tx)
+		sim.refresh()
 		return false
 	}
-	stored := w.apply(tx)
+	stored := sim.apply(tx)
 	if !stored || result == responseLost {
-		w.refresh()
+		sim.refresh()
 		return false
 	}
-	w.leader.record, w.leader.recordRevision, w.leader.releasePending = record, w.revision, false
+	sim.leader.record, sim.leader.recordRevision, sim.leader.releasePending = record, sim.revision, false
 	return true
 }
 
-// step has the leader take its next step, if there is a leader and a step to take. It returns the step
-// and whether the leader knows that it is stored.
-func (w *world) step(result outcome) (Step, bool) {
-	if w.leader == nil {
+// step makes the leader take its next step, if there is a leader and a step to take. It returns the step
+// and whether the leader has received a response that confirms that the step is stored.
+func (sim *simulation) step(result outcome) (Step, bool) {
+	if sim.leader == nil {
 		return Step{}, false
 	}
-	step := w.next()
+	step := sim.nextStep()
 	if !step.Changed {
 		return step, false
 	}
-	w.leader.releasePending = w.leader.releasePending || step.Releases != ""
-	return step, w.commit(step.Record, true, result)
+	sim.leader.releasePending = sim.leader.releasePending || step.Releases != ""
+	return step, sim.commit(step.Record, true, result)
 }
 
-// addDependant has the leader store something that depends on a gate, if it may. The first time it
-// marks the gate as used instead, as a transaction with that outcome.
-func (w *world) addDependant(name GateName, result outcome) {
-	if w.usesWithoutGate(name) {
-		w.dependants[name]++
+// addDependent makes the leader store a dependent of a gate, if it may. If the gate isn't marked as used,
+// or its release is pending, the leader marks it as used instead, by a transaction with the given outcome.
+func (sim *simulation) addDependent(name GateName, result outcome) {
+	if sim.usesWithoutGate(name) {
+		sim.dependents[name]++
 		return
 	}
-	if w.leader == nil {
+	if sim.leader == nil {
 		return
 	}
-	if _, known := w.leader.process.known().find(name); !known {
+	if _, known := sim.leader.process.knownGates().find(name); !known {
 		return
 	}
-	if w.leader.record.Gate(name).Usable() && !w.leader.releasePending {
-		if w.leadership == w.leader.leadership {
-			w.dependants[name]++
+	if sim.leader.record.Gate(name).Usable() && !sim.leader.releasePending {
+		if sim.leadership == sim.leader.leadership {
+			sim.dependents[name]++
 		}
 		return
 	}
-	if record, err := MarkGateUsed(w.leader.record, name, w.leader.term); err == nil {
-		w.commit(record, false, result)
+	if record, err := MarkGateUsed(sim.leader.record, name, sim.leader.term); err == nil {
+		sim.commit(record, false, result)
 	}
 }
 
 // usesWithoutGate reports whether the leader is a version 2 that doesn't register, which uses its
 // features without gates.
-func (w *world) usesWithoutGate(name GateName) bool {
-	p := w.unregisteredLeader
+func (sim *simulation) usesWithoutGate(name GateName) bool {
+	p := sim.unregisteredLeader
 	return p != nil && p.versions.Max >= Version2 && (name == GangJobs || name == CompressedChunks)
 }
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The model is a fleet of controllers with a store of guarded transactions. Its processes use this
-// package as the scheduler does: they register, acquire leadership, and store the steps of Next. A
-// process can't use a gate that its version doesn't know. Restarts, lost and delayed transactions and
-// changes of leadership occur at any moment. The invariants are in invariants_test.go.
+// This file simulates a fleet of controllers and a store with guarded transactions. The simulated processes
+// use this package as the scheduler does: they register, acquire leadership, and store the steps of Next. A
+// process can't use a gate that its version doesn't support. Restarts, lost responses, delayed transactions
+// and changes of leadership may occur at any time. The invariants are in invariants_test.go.
 
-// modelGates are this program's gates and some of later versions.
+// modelGates lists this program's gates and gates that exist only in the simulation.
 var modelGates = append(append(GateList{}, Gates...),
 	Gate{Name: "test-three", Since: 3},
 	Gate{Name: "test-four", Since: 4, DependsOn: []GateName{"test-three"}},
@@ -25,16 +25,17 @@
 	registrationPrefix = "node/" // followed by the node's name
 )
 
-// item is a stored value with the revision of its latest change; revision 0: the key doesn't exist.
+// item is a stored value with the revision of its latest change. Revision 0 means that the key doesn't
+// exist.
 type item struct {
 	data     []byte
 	revision int
 }
 
-// transaction is a guarded write of a leader, which may be carried out late.
+// transaction is a guarded write of a leader, which may be committed late.
 type transaction struct {
-	leadership int            // the revision of the leadership key that it is guarded by
-	guards     map[string]int // the revisions of other keys
+	leadership int            // the required revision of the leadership key
+	guards     map[string]int // the required revisions of other keys
 	sets       map[string][]byte
 }
 
@@ -43,20 +44,20 @@
 	node      string
 	session   string
 	versions  Range
-	registers bool // false: it is of a version that knows nothing of registrations
+	registers bool // false: its version doesn't support registrations
 	alive     bool
 }
 
-// known returns the gates that the process knows.
-func (p *process) known() GateList {
+// knownGates returns the gates that the process supports.
+func (p *process) knownGates() GateList {
 	if !p.registers {
 		return nil
 	}
 	return modelGates.UpTo(p.versions.Max)
 }
 
-// world is the state of the model.
-type world struct {
+// simulation is the state of the simulated fleet and store.
+type simulation struct {
 	nodes     []string
 	processes map[string]*process // by node
 	sessions  int
@@ -65,194 +66,195 @@
 
 	store      map[string]item
 	revision   int           // of the latest change of the store
-	leadership int           // the revision of the leadership key; 0: nobody leads
-	delayed    []transaction // sent, and to be carried out later or never
+	leadership int           // the revision of the leadership key; 0: there is no leader
+	delayed    []transaction // sent transactions that may be committed later or never
 
-	leader             *leader  // nil: nobody leads, or a process that doesn't register does
-	unregisteredLeader *process // a leader that doesn't register
-	// unregisteredVersion2 reports that a version 2 that doesn't register has been in the fleet.
-	// It uses its gates without the leader's permission, and doesn't keep version 1 from
-	// leading: see docs/rolling-upgrade.md.
+	leader             *leader  // nil: there is no leader, or the leader doesn't register
+	unregisteredLeader *process // the leader, if it doesn't register
+	// unregisteredVersion2 reports that a process of version 2 that doesn't register has been in the
+	// fleet. Such a process uses the features of version 2 without checking gates, and doesn't prevent
+	// version 1 from leading: see docs/rolling-upgrade.md.
 	unregisteredVersion2 bool
 
-	dependants map[GateName]int // what is stored that depends on each gate
-	unusedFor  time.Duration    // how long gates without dependants have had none
+	dependents map[GateName]int // the number of stored dependents of each gate
+	unusedFor  time.Duration    // how long each gate has had no dependents, as reported to Next
 
 	previousRecord Record // the record before the latest transaction
-	faults         []string
+	violations     []string
 }
 
-func newWorld(nodes int, policy Policy) *world {
-	w := &world{
+func newSimulation(nodes int, policy Policy) *simulation {
+	sim := &simulation{
 		processes:  make(map[string]*process),
 		policy:     policy,
 		now:        time.UnixMilli(1e12),
 		store:      make(map[string]item),
-		dependants: make(map[GateName]int),
+		dependents: make(map[GateName]int),
 	}
 	for i := range nodes {
-		w.nodes = append(w.nodes, fmt.Sprintf("n%d", i))
+		sim.nodes = append(sim.nodes, fmt.Sprintf("n%d", i))
 	}
-	w.previousRecord = w.record()
-	return w
+	sim.previousRecord = sim.record()
+	return sim
 }
 
 // fault records a violated invariant.
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (sim *simulation) addViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
 // encode encodes a value for the store.
-func (w *world) encode(value any) []byte {
+func (sim *simulation) encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		w.fault("%T not encoded: %v", value, err)
+		sim.addViolation("%T not encoded: %v", value, err)
 	}
 	return data
 }
 
-// put stores a value without guards.
-func (w *world) put(key string, data []byte) {
-	w.revision++
-	w.store[key] = item{data, w.revision}
+// put stores a value unconditionally.
+func (sim *simulation) put(key string, data []byte) {
+	sim.revision++
+	sim.store[key] = item{data, sim.revision}
 }
 
 // record returns the stored cluster record.
-func (w *world) record() Record {
-	stored := w.store[clusterKey]
+func (sim *simulation) record() Record {
+	stored := sim.store[clusterKey]
 	if stored.revision == 0 {
 		return Initial()
 	}
 	record, err := DecodeRecord(clusterKey, stored.data)
 	if err != nil {
-		w.fault("the stored record can't be decoded: %v", err)
+		sim.addViolation("the stored record can't be decoded: %v", err)
 	}
 	return record
 }
 
-// apply carries a transaction out, and reports whether its guards held.
-func (w *world) apply(tx transaction) bool {
-	if tx.leadership != w.leadership {
+// apply commits a transaction if its guards hold, and reports whether they did.
+func (sim *simulation) apply(tx transaction) bool {
+	if tx.leadership != sim.leadership {
 		return false
 	}
 	for key, revision := range tx.guards {
-		if w.store[key].revision != revision {
+		if sim.store[key].revision != revision {
 			return false
 		}
 	}
-	w.previousRecord = w.record()
-	w.revision++
+	sim.previousRecord = sim.record()
+	sim.revision++
 	for key, data := range tx.sets {
-		w.store[key] = item{data, w.revision}
+		sim.store[key] = item{data, sim.revision}
 	}
-	w.checkTransition()
+	sim.checkTransition()
 	return true
 }
 
-// restart replaces a node's process.
-func (w *world) restart(node string, versions Range, registers bool) {
-	w.stop(node)
-	w.sessions++
-	w.processes[node] = &process{node: node, session: fmt.Sprint(w.sessions), versions: versions, registers: registers, alive: true}
+// restart replaces a node's process by a new one.
+func (sim *simulation) restart(node string, versions Range, registers bool) {
+	sim.stop(node)
+	sim.sessions++
+	sim.processes[node] = &process{node: node, session: fmt.Sprint(sim.sessions), versions: versions,
+		registers: registers, alive: true}
 	if !registers && versions.Max == Version2 {
-		w.unregisteredVersion2 = true
+		sim.unregisteredVersion2 = true
 	}
 }
 
 // stop ends a node's process, if it has one.
-func (w *world) stop(node string) {
-	p := w.processes[node]
+func (sim *simulation) stop(node string) {
+	p := sim.processes[node]
 	if p == nil {
 		return
 	}
 	p.alive = false
-	if w.leader != nil && w.leader.process == p || w.unregisteredLeader == p {
-		w.endLeadership()
+	if sim.leader != nil && sim.leader.process == p || sim.unregisteredLeader == p {
+		sim.endLeadership()
 	}
 }
 
-// aliveProcess returns a node's process, or nil if it has none that is alive.
-func (w *world) aliveProcess(node string) *process {
-	p := w.processes[node]
+// aliveProcess returns a node's live process, or nil if it has none.
+func (sim *simulation) aliveProcess(node string) *process {
+	p := sim.processes[node]
 	if p == nil || !p.alive {
 		return nil
 	}
 	return p
 }
 
-// registered reports whether the stored registration is the process's.
-func (w *world) registered(p *process) bool {
-	stored := w.store[registrationPrefix+p.node]
+// registered reports whether the stored registration of the node was written by this process.
+func (sim *simulation) registered(p *process) bool {
+	stored := sim.store[registrationPrefix+p.node]
 	registration, err := DecodeRegistration("", p.node, stored.data)
 	return stored.revision != 0 && err == nil && registration.Session == p.session
 }
 
-// register has a node's process store its registration, or end if it isn't admitted.
-func (w *world) register(node string) {
-	p := w.aliveProcess(node)
-	if p == nil || !p.registers || w.registered(p) {
+// register makes a node's process store its registration, or exit if it isn't admitted.
+func (sim *simulation) register(node string) {
+	p := sim.aliveProcess(node)
+	if p == nil || !p.registers || sim.registered(p) {
 		return
 	}
-	if Admit(w.record(), p.versions, w.policy) != nil {
-		w.stop(node)
+	if Admit(sim.record(), p.versions, sim.policy) != nil {
+		sim.stop(node)
 		return
 	}
-	w.put(registrationPrefix+node, w.encode(NewRegistration(node, p.session, p.versions)))
+	sim.put(registrationPrefix+node, sim.encode(NewRegistration(node, p.session, p.versions)))
 }
 
-// acquireLeadership has a node's process become the leader, if there is none and it may lead.
-func (w *world) acquireLeadership(node string) {
-	p := w.aliveProcess(node)
+// acquireLeadership makes a node's process the leader, if there is no leader and the process may lead.
+func (sim *simulation) acquireLeadership(node string) {
+	p := sim.aliveProcess(node)
 	switch {
-	case p == nil || w.leadership != 0:
+	case p == nil || sim.leadership != 0:
 	case !p.registers:
-		w.acquireLeadershipUnregistered(p)
-	case w.registered(p):
-		w.acquireLeadershipRegistered(p)
+		sim.acquireLeadershipUnregistered(p)
+	case sim.registered(p):
+		sim.acquireLeadershipRegistered(p)
 	}
 }
 
-func (w *world) acquireLeadershipRegistered(p *process) {
-	record := w.record()
+func (sim *simulation) acquireLeadershipRegistered(p *process) {
+	record := sim.record()
 	if Admit(record, p.versions, Policy{}) != nil {
-		w.stop(p.node)
+		sim.stop(p.node)
 		return
 	}
-	if MayLead(record, p.versions, p.known()) != nil {
+	if MayLead(record, p.versions, p.knownGates()) != nil {
 		return
 	}
 	term := Term{Fence: record.Fence}
-	if stored := w.store[termKey]; stored.revision != 0 {
+	if stored := sim.store[termKey]; stored.revision != 0 {
 		earlier, err := DecodeTerm(termKey, stored.data)
 		if err != nil {
-			w.fault("the term can't be decoded: %v", err)
+			sim.addViolation("the term can't be decoded: %v", err)
 		}
 		term.Number = earlier.Number
 	}
 	term.Number++
-	w.put(termKey, w.encode(term))
-	w.leadership = w.revision
-	w.leader = &leader{
-		process: p, term: term.Number, leadership: w.leadership,
-		record: record, recordRevision: w.store[clusterKey].revision, unregistered: make(map[string]Version),
+	sim.put(termKey, sim.encode(term))
+	sim.leadership = sim.revision
+	sim.leader = &leader{
+		process: p, term: term.Number, leadership: sim.leadership,
+		record: record, recordRevision: sim.store[clusterKey].revision, unregistered: make(map[string]Version),
 	}
-	w.refresh()
+	sim.refresh()
 }
 
-// acquireLeadershipUnregistered does what commits 3661d31 and af96c21 do: they don't lead unless the
-// term is a bare number.
-func (w *world) acquireLeadershipUnregistered(p *process) {
+// acquireLeadershipUnregistered does the same as commits 3661d31 and af96c21, which don't lead unless the
+// stored term is a bare number.
+func (sim *simulation) acquireLeadershipUnregistered(p *process) {
 	var term uint64
-	if stored := w.store[termKey]; stored.revision != 0 && json.Unmarshal(stored.data, &term) != nil {
+	if stored := sim.store[termKey]; stored.revision != 0 && json.Unmarshal(stored.data, &term) != nil {
 		return
 	}
-	w.put(termKey, w.encode(Term{Number: term + 1}))
-	w.leadership = w.revision
-	w.unregisteredLeader = p
+	sim.put(termKey, sim.encode(Term{Number: term + 1}))
+	sim.leadership = sim.revision
+	sim.unregisteredLeader = p
 }
 
-// endLeadership removes the leadership key.
-func (w *world) endLeadership() {
-	w.leader, w.unregisteredLeader, w.leadership = nil, nil, 0
-	w.revision++
+// endLeadership ends the current leadership by removing the leadership key.
+func (sim *simulation) endLeadership() {
+	sim.leader, sim.unregisteredLeader, sim.leadership = nil, nil, 0
+	sim.revision++
 }
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// recordSchema is the schema of the cluster record and of registrations. Fields may be added within
-// a schema; a value of a higher schema can't be decoded.
+// recordSchema is the schema number of the cluster record and of registrations. New fields may be
+// added without a new schema number. A value with another schema number can't be decoded.
 const recordSchema = 1
 
 // Phase is the phase of an upgrade.
@@ -16,8 +16,8 @@
 
 // The phases of the cluster record.
 const (
-	Stable      Phase = "stable"      // the baseline is active: no version was activated yet
-	Soaking     Phase = "soaking"     // a version is active, and may still be rolled back
+	Stable      Phase = "stable"      // the baseline version is active
+	Soaking     Phase = "soaking"     // a later version is active, and may still be rolled back
 	Withdrawing Phase = "withdrawing" // gates are being withdrawn because a controller was rolled back
 	Finalized   Phase = "finalized"   // versions below the active one are refused
 )
@@ -27,33 +27,34 @@
 type Record struct {
 	Schema int     `json:"schema"`
 	Active Version `json:"active"`
-	// Minimum is the finalized version, below which controllers are refused. 0: none is finalized.
+	// Minimum is the finalized version. Controllers of lower versions are refused. 0: none is finalized.
 	Minimum Version                `json:"minimum,omitempty"`
 	Phase   Phase                  `json:"phase"`
 	Gates   map[GateName]GateState `json:"gates,omitempty"`
 	// Fence is the version below which a controller that doesn't register must not lead. 0: there
-	// is no such limit.
+	// is no such limit. While it isn't 0, the term record is stored in a format that prevents all
+	// controllers that don't register from leading.
 	Fence Version `json:"fence,omitempty"`
 	Term  uint64  `json:"term"` // term of the leader that wrote the record
-	// ActivatedMS is the time of the latest activation, in Unix milliseconds. The soak starts then.
+	// ActivatedMS is the time of the latest activation, in Unix milliseconds. The soak time starts then.
 	ActivatedMS int64 `json:"activated_ms,omitempty"`
 
 	unknownFields UnknownFields
 }
 
-// recordFields are the JSON names of the fields of a Record that this program knows.
+// recordFields lists the JSON names of the Record fields that this program defines.
 var recordFields = FieldNames(Record{})
 
-// Initial returns the record that applies where none is stored.
+// Initial returns the record that applies while none is stored.
 func Initial() Record { return Record{Schema: recordSchema, Active: Baseline, Phase: Stable} }
 
-// Gate returns the state of a gate, which is the zero state if the gate is closed.
+// Gate returns the state of a gate, or the zero value if the gate is closed.
 func (r Record) Gate(name GateName) GateState { return r.Gates[name] }
 
 // GateNames returns the names of the record's gates, sorted.
 func (r *Record) GateNames() []GateName { return slices.Sorted(maps.Keys(r.Gates)) }
 
-// clone returns a copy whose gates may be changed.
+// clone returns a copy whose Gates map is not nil and may be modified.
 func (r *Record) clone() Record {
 	out := *r
 	out.Gates = maps.Clone(r.Gates)
@@ -63,8 +64,8 @@
 	return out
 }
 
-// settledPhase returns the phase of the record once no withdrawal is under way.
-func (r *Record) settledPhase() Phase {
+// phaseAfterWithdrawal returns the phase that the record has when no withdrawal is in progress.
+func (r *Record) phaseAfterWithdrawal() Phase {
 	switch r.Active {
 	case r.Minimum:
 		return Finalized
@@ -75,10 +76,10 @@
 	}
 }
 
-// plainRecord is Record without its methods, for encoding/json.
+// plainRecord is Record without its methods, so that encoding/json uses the default encoding.
 type plainRecord Record
 
-// MarshalJSON encodes the record together with the unknown fields that it was decoded with.
+// MarshalJSON encodes the record together with the unknown fields that were found when it was decoded.
 func (r Record) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(plainRecord(r))
 	if err != nil {
@@ -87,7 +88,7 @@
 	return r.unknownFields.AddTo(known)
 }
 
-// DamagedError reports that a stored value can't be decoded. No part of such a value is used.
+// DamagedError reports that the value stored under a key can't be decoded. No part of the value is used.
 type DamagedError struct {
 	Key    string
 	Reason string
@@ -95,8 +96,8 @@
 
 func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
 
-// DecodeRecord decodes the cluster record, stored under key. It returns a *DamagedError if the value
-// is no valid record. Fields that this program doesn't know are kept.
+// DecodeRecord decodes the cluster record that was stored under key. It returns a *DamagedError if the
+// value is not a valid record. It keeps the fields that this program doesn't define.
 func DecodeRecord(key string, data []byte) (Record, error) {
 	damaged := func(format string, args ...any) (Record, error) {
 		return Record{}, &DamagedError{Key: key, Reason: fmt.Sprintf(format, args...)}
@@ -120,7 +121,7 @@
 	return r, nil
 }
 
-// inconsistency describes a contradiction within the record. "": there is none.
+// inconsistency describes the first contradiction within the record, or returns "" if there is none.
 func (r *Record) inconsistency() string {
 	switch {
 	case r.Active < Baseline:
@@ -138,7 +139,7 @@
 		case g.Phase != GateOpen && g.Phase != GateWithdrawing:
 			return fmt.Sprintf("phase %q of gate %s is not known", g.Phase, name)
 		case g.Since < Baseline || g.Since > r.Active:
-			return fmt.Sprintf("gate %s of version %d stands beside the active version %d", name, g.Since, r.Active)
+			return fmt.Sprintf("gate %s belongs to version %d, but the active version is %d", name, g.Since, r.Active)
 		}
 	}
 	return ""
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Settings is what a process contributes to an upgrade: what its program supports, and its operators'
-// policy.
+// Settings holds a process's parameters for upgrades: the versions and gates that its program
+// supports, and the operators' policy.
 type Settings struct {
 	Versions Range    // the compatibility range
-	Known    GateList // the gates that the program knows
+	Known    GateList // the gates that the program supports
 	Policy   Policy
 }
 
-// DefaultSettings returns this program's settings, under which no version is finalized.
+// DefaultSettings returns this program's settings with a policy that finalizes no version.
 func DefaultSettings() Settings { return Settings{Versions: Supported, Known: Gates} }
 
-// CappedAt returns the settings of an earlier program of that version that registers.
+// CappedAt returns the settings limited to a maximum version, as if an earlier program of that version
+// were running that registers.
 func (s Settings) CappedAt(version Version) Settings {
 	s.Versions.Max = min(s.Versions.Max, version)
 	s.Known = s.Known.UpTo(version)
 	return s
 }
 
-// Policy is what the operators allow in an upgrade.
+// Policy holds the operators' settings for upgrades.
 type Policy struct {
 	Hold         bool          // activate no further version
-	Target       Version       // activate no version beyond this one; 0: no limit
-	AutoFinalize bool          // finalize the active version after the soak
+	Target       Version       // the highest version to activate; 0: no limit
+	AutoFinalize bool          // finalize the active version after the soak time
 	Soak         time.Duration // how long a version must be active before it is finalized
-	// ReleaseAfter is how long nothing must have depended on a gate before it counts as unused
-	// again. 0: it never does.
+	// ReleaseAfter is how long a gate must have had no dependents before it is marked as unused.
+	// 0: it is never marked as unused.
 	ReleaseAfter time.Duration
 }
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 )
 
-// Term is the value of the term record. Versions that don't register can read only a bare number, and
-// don't lead when they find anything else. A term with a fence is therefore stored as an object,
-// which keeps them from leading whatever they know of the cluster record.
+// Term is the value of the term record. Versions that don't register can decode only a bare number, and
+// don't lead if the record contains anything else. A term with a fence is therefore stored as an
+// object, which prevents them from leading even though they don't read the cluster record.
 type Term struct {
 	Number uint64  `json:"t"`
 	Fence  Version `json:"fence"` // 0: the term is stored as a bare number
@@ -22,13 +22,13 @@
 	return json.Marshal(fencedTerm(t))
 }
 
-// DecodeTerm decodes either form of the term, stored under key. It returns a *DamagedError if the
-// value is neither.
+// DecodeTerm decodes a term that was stored under key in either format. It returns a *DamagedError if
+// the value has neither format.
 func DecodeTerm(key string, data []byte) (Term, error) {
 	if trimmed := bytes.TrimSpace(data); len(trimmed) == 0 || trimmed[0] != '{' {
 		var number *uint64
 		if err := json.Unmarshal(data, &number); err != nil || number == nil {
-			return Term{}, &DamagedError{Key: key, Reason: "it is neither a number nor a fenced term"}
+			return Term{}, &DamagedError{Key: key, Reason: "the value is neither a number nor a term with a fence"}
 		}
 		return Term{Number: *number}, nil
 	}
@@ -37,7 +37,7 @@
 		Fence  Version `json:"fence"`
 	}
 	if err := json.Unmarshal(data, &fenced); err != nil || fenced.Number == nil || fenced.Fence == 0 {
-		return Term{}, &DamagedError{Key: key, Reason: "it is no fenced term"}
+		return Term{}, &DamagedError{Key: key, Reason: "the value is not a valid term with a fence"}
 	}
 	return Term{Number: *fenced.Number, Fence: fenced.Fence}, nil
 }
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Usage is the number of dependants of each gate in the leader's state. A nil Usage means that they
-// haven't been counted, and no gate in use can be closed then.
+// Usage holds the number of dependents of each gate in the leader's state. A nil Usage means that the
+// dependents haven't been counted; no gate in use can be closed then.
 type Usage map[GateName]int
 
-// Situation is the input of a decision.
+// Situation is the input from which Next chooses a transition.
 type Situation struct {
 	Record   Record
 	Members  []Member // every controller of the fleet, including the leader
 	Versions Range    // the leader's compatibility range
-	Known    GateList // the gates that the leader knows
+	Known    GateList // the gates that the leader supports
 	Usage    Usage
-	Unused   map[GateName]time.Duration // how long each gate has had no dependants
-	Blocked  *BlockedError              // why the uses of a gate can't be ended; nil: they can
+	Unused   map[GateName]time.Duration // how long each gate has had no dependents
+	Blocked  *BlockedError              // why the uses of a gate can't be ended; nil: they can be ended
 	Policy   Policy
 	Now      time.Time
 	Term     uint64 // the leader's term
@@ -28,30 +28,31 @@
 	Changed     bool
 	Record      Record // the next record, if Changed
 	Description string // what the step does, for operators
-	// Releases is the gate that no longer counts as used after the step, or "". Before the step is
-	// stored, the caller must prevent new dependants of that gate.
+	// Releases is the gate that the step marks as unused, or "". The caller must prevent new
+	// dependents of that gate before it stores the step.
 	Releases GateName
-	Waiting  string // if not Changed: what the next step waits for, for operators; "": nothing is left to do
+	Waiting  string // if not Changed: what blocks the next step, for operators; "": no step is left
 }
 
-// rules are the transitions in order of precedence. Each returns the step that it allows in a
-// situation, what it waits for, or the zero Step if it doesn't apply.
-var rules = []func(*Situation) Step{
+// transitionRules lists the transition rules in order of precedence. Each rule returns a step with the
+// changed record, a step that only says what the rule waits for, or the zero Step if the rule doesn't
+// apply.
+var transitionRules = []func(*Situation) Step{
 	rollBack,
 	removeFence,
 	cancelRollback,
 	openGates,
-	adoptGate,
+	markGateWithDependents,
 	releaseGate,
 	activateNext,
 	finalize,
 }
 
-// Next returns the next transition. It depends on the situation only, so that a later leader continues
-// where an earlier one stopped.
+// Next returns the next transition. The result depends only on the situation, so that a new leader
+// continues where the previous one stopped.
 func Next(s Situation) Step {
 	var waiting Step
-	for _, rule := range rules {
+	for _, rule := range transitionRules {
 		step := rule(&s)
 		if step.Changed {
 			return step
@@ -63,20 +64,20 @@
 	return waiting
 }
 
-// change returns the step to a record.
-func (s *Situation) change(r Record, format string, args ...any) Step {
+// transitionTo returns a step that changes the cluster record to r, written in the leader's term. The
+// arguments format its description.
+func (s *Situation) transitionTo(r Record, format string, args ...any) Step {
 	r.Term = s.Term
 	return Step{Changed: true, Record: r, Description: fmt.Sprintf(format, args...)}
 }
 
-// wait returns the step that waits for something.
-func wait(format string, args ...any) Step {
+// waitingStep returns a step without a change whose Waiting text is formatted from the arguments.
+func waitingStep(format string, args ...any) Step {
 	return Step{Waiting: fmt.Sprintf(format, args...)}
 }
 
-// commonVersion returns the highest version that every member whose versions are known supports, and
-// the member that limits it. Members below the finalized version don't count, because they are
-// refused.
+// commonVersion returns the highest version that all members with known versions support, and the node
+// that limits it. It returns at least the finalized version, because controllers below it are refused.
 func (s *Situation) commonVersion() (node string, version Version) {
 	node, version, ok := oldestMember(s.Members)
 	if !ok {
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -7,66 +7,66 @@
 	"time"
 )
 
-// startRegistered replaces a node's process by one that registers.
-func (w *world) startRegistered(node string, versions Range) {
-	w.restart(node, versions, true)
-	w.register(node)
+// startRegistered replaces a node's process by one that registers, and registers it.
+func (sim *simulation) startRegistered(node string, versions Range) {
+	sim.restart(node, versions, true)
+	sim.register(node)
 }
 
-// newRegisteredWorld returns a fleet of three controllers that all register, led by n0.
-func newRegisteredWorld(versions Range, policy Policy) *world {
-	w := newWorld(3, policy)
-	for _, node := range w.nodes {
-		w.startRegistered(node, versions)
+// newRegisteredSimulation returns a fleet of three registered controllers, led by n0.
+func newRegisteredSimulation(versions Range, policy Policy) *simulation {
+	sim := newSimulation(3, policy)
+	for _, node := range sim.nodes {
+		sim.startRegistered(node, versions)
 	}
-	w.acquireLeadership("n0")
-	return w
+	sim.acquireLeadership("n0")
+	return sim
 }
 
-// newUpgradedWorld returns a fleet of this program's controllers, led by n0, with the current version
-// active and its gates open.
-func newUpgradedWorld(t *testing.T, policy Policy) *world {
+// newUpgradedSimulation returns a fleet of this program's controllers, led by n0, with the current
+// version active and its gates open.
+func newUpgradedSimulation(t *testing.T, policy Policy) *simulation {
 	t.Helper()
-	w := newRegisteredWorld(Supported, policy)
-	w.runSteps(t)
-	if r := w.record(); r.Active != Current || r.Gate(GangJobs).Phase != GateOpen || r.Gate(FencedTerm).Phase != GateOpen {
+	sim := newRegisteredSimulation(Supported, policy)
+	sim.runSteps(t)
+	if r := sim.record(); r.Active != Current || r.Gate(GangJobs).Phase != GateOpen || r.Gate(FencedTerm).Phase != GateOpen {
 		t.Fatalf("the current version isn't active with open gates: %+v", r)
 	}
-	return w
+	return sim
 }
 
-// runSteps has the leader take steps until it waits, and returns what it waits for.
-func (w *world) runSteps(t *testing.T) (waiting string) {
+// runSteps makes the leader take steps until it waits, and returns what it waits for.
+func (sim *simulation) runSteps(t *testing.T) (waiting string) {
 	t.Helper()
 	for range maxSettleSteps {
-		w.refresh()
-		step, _ := w.step(answered)
-		w.checkState()
-		for _, fault := range w.faults {
+		sim.refresh()
+		step, _ := sim.step(answered)
+		sim.checkState()
+		for _, fault := range sim.violations {
 			t.Fatal(fault)
 		}
 		if !step.Changed {
 			return step.Waiting
 		}
 	}
-	t.Fatalf("not settled after %d steps: %+v", maxSettleSteps, w.record())
+	t.Fatalf("not settled after %d steps: %+v", maxSettleSteps, sim.record())
 	return ""
 }
 
-// changeLeader ends the present leader's term, and begins one of a node's process if it may lead.
-func (w *world) changeLeader(node string) {
-	w.endLeadership()
-	w.acquireLeadership(node)
+// changeLeader ends the current leadership, and makes a node's process the leader if it may lead.
+func (sim *simulation) changeLeader(node string) {
+	sim.endLeadership()
+	sim.acquireLeadership(node)
 }
 
-// addFirstDependant marks a gate as used and adds a dependant of it.
-func (w *world) addFirstDependant(name GateName) {
-	w.addDependant(name, answered)
-	w.addDependant(name, answered)
+// addFirstDependent marks a gate as used and adds a dependent of it.
+func (sim *simulation) addFirstDependent(name GateName) {
+	sim.addDependent(name, answered)
+	sim.addDependent(name, answered)
 }
 
-// singleMember returns a situation with one controller, which supports the given versions, and a leader
-// of this program.
+// singleMember returns a situation with a leader of this program and one registered controller, n0, which
+// supports the given versions.
 func singleMember(record Record, versions Range) Situation {
 	registration := NewRegistration("n0", "1", versions)
 	return Situation{
@@ -77,24 +77,24 @@
 	}
 }
 
-// A controller without a registration that can be decoded holds an activation up. One that has stopped
-// counts by its latest registration.
+// A controller whose registration is missing or damaged blocks an activation. For a stopped controller its
+// latest registration is used.
 func TestActivationWaitsForRegistrations(t *testing.T) {
-	w := newWorld(3, Policy{})
-	w.startRegistered("n0", Supported)
-	w.startRegistered("n1", Supported)
-	w.acquireLeadership("n0")
-	if waiting := w.runSteps(t); w.record().Active != Baseline || !strings.Contains(waiting, "n2") {
-		t.Errorf("n2 not registered: got version %d active, waiting for %q, want %d, waiting for n2", w.record().Active, waiting, Baseline)
+	sim := newSimulation(3, Policy{})
+	sim.startRegistered("n0", Supported)
+	sim.startRegistered("n1", Supported)
+	sim.acquireLeadership("n0")
+	if waiting := sim.runSteps(t); sim.record().Active != Baseline || !strings.Contains(waiting, "n2") {
+		t.Errorf("n2 not registered: got version %d active, waiting for %q, want %d, waiting for n2", sim.record().Active, waiting, Baseline)
 	}
-	w.put(registrationPrefix+"n2", []byte(`{"schema":9}`))
-	if waiting := w.runSteps(t); w.record().Active != Baseline || !strings.Contains(waiting, "n2") {
-		t.Errorf("registration of n2 damaged: got version %d active, waiting for %q, want %d, waiting for n2", w.record().Active, waiting, Baseline)
+	sim.put(registrationPrefix+"n2", []byte(`{"schema":9}`))
+	if waiting := sim.runSteps(t); sim.record().Active != Baseline || !strings.Contains(waiting, "n2") {
+		t.Errorf("registration of n2 damaged: got version %d active, waiting for %q, want %d, waiting for n2", sim.record().Active, waiting, Baseline)
 	}
-	w.startRegistered("n2", Supported)
-	w.stop("n2")
-	if w.runSteps(t); w.record().Active != Current {
-		t.Errorf("n2 registered and stopped: got version %d active, want %d", w.record().Active, Current)
+	sim.startRegistered("n2", Supported)
+	sim.stop("n2")
+	if sim.runSteps(t); sim.record().Active != Current {
+		t.Errorf("n2 registered and stopped: got version %d active, want %d", sim.record().Active, Current)
 	}
 }
 
@@ -113,9 +113,9 @@
 		{"soaked", Policy{AutoFinalize: true}, Current, Current, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newRegisteredWorld(Supported, c.policy)
-			waiting := w.runSteps(t)
-			if r := w.record(); r.Active != c.wantActive || r.Minimum != c.wantMinimum {
+			sim := newRegisteredSimulation(Supported, c.policy)
+			waiting := sim.runSteps(t)
+			if r := sim.record(); r.Active != c.wantActive || r.Minimum != c.wantMinimum {
 				t.Errorf("got version %d active, %d finalized, want %d, %d", r.Active, r.Minimum, c.wantActive, c.wantMinimum)
 			}
 			if !strings.Contains(waiting, c.wantWaiting) {
@@ -125,87 +125,87 @@
 	}
 }
 
-// Leaders with different targets don't undo each other's activations.
+// Leaders with different policies must not undo each other's activations.
 func TestLowerTargetDoesNotRollBack(t *testing.T) {
-	w := newUpgradedWorld(t, Policy{})
-	w.policy = Policy{Hold: true}
-	w.changeLeader("n1")
-	if w.runSteps(t); w.record().Active != Current {
-		t.Errorf("after a leader that holds: got version %d active, want %d", w.record().Active, Current)
+	sim := newUpgradedSimulation(t, Policy{})
+	sim.policy = Policy{Hold: true}
+	sim.changeLeader("n1")
+	if sim.runSteps(t); sim.record().Active != Current {
+		t.Errorf("after a leader that holds: got version %d active, want %d", sim.record().Active, Current)
 	}
 }
 
-// Found by TestInvariantsHoldInRandomHistories: a withdrawal that waited for the gate's uses was
-// cancelled at once and started again, without end.
+// Found by TestInvariantsHoldInRandomHistories: a withdrawal that waited for the uses of its gate to end was
+// canceled immediately and started again, in an endless loop.
 func TestWaitingWithdrawalIsNotCancelled(t *testing.T) {
-	w := newUpgradedWorld(t, Policy{})
-	w.addFirstDependant(CompressedChunks)
-	w.startRegistered("n1", Range{1, 1})
-	waiting := w.runSteps(t)
-	if r := w.record(); r.Phase != Withdrawing || r.Gate(CompressedChunks).Phase != GateWithdrawing || !strings.Contains(waiting, "1 uses") {
+	sim := newUpgradedSimulation(t, Policy{})
+	sim.addFirstDependent(CompressedChunks)
+	sim.startRegistered("n1", Range{1, 1})
+	waiting := sim.runSteps(t)
+	if r := sim.record(); r.Phase != Withdrawing || r.Gate(CompressedChunks).Phase != GateWithdrawing || !strings.Contains(waiting, "1 uses") {
 		t.Errorf("with one use left: got %+v, waiting for %q, want a withdrawal waiting for 1 uses", r, waiting)
 	}
-	w.dependants[CompressedChunks] = 0
-	if w.runSteps(t); w.record().Active != Version1 || w.record().Phase != Stable {
-		t.Errorf("with no use left: got %+v, want version %d stable", w.record(), Version1)
+	sim.dependents[CompressedChunks] = 0
+	if sim.runSteps(t); sim.record().Active != Version1 || sim.record().Phase != Stable {
+		t.Errorf("with no use left: got %+v, want version %d stable", sim.record(), Version1)
 	}
 }
 
-// Found by TestInvariantsHoldInRandomHistories: a process of version 2 that doesn't register had the
-// fence of a finalized version removed, and then an unregistered version 1 led.
+// Found by TestInvariantsHoldInRandomHistories: a process of version 2 that doesn't register caused the
+// fence of a finalized version to be removed. A process of version 1 that doesn't register could then lead.
 func TestFinalizedVersionKeepsFence(t *testing.T) {
-	w := newRegisteredWorld(Range{1, 2}, Policy{AutoFinalize: true})
-	w.runSteps(t)
-	if w.record().Minimum != Version2 {
-		t.Fatalf("not finalized: %+v", w.record())
+	sim := newRegisteredSimulation(Range{1, 2}, Policy{AutoFinalize: true})
+	sim.runSteps(t)
+	if sim.record().Minimum != Version2 {
+		t.Fatalf("not finalized: %+v", sim.record())
 	}
-	w.restart("n1", Range{1, 2}, false)
-	w.exchangeVersions("n1")
-	w.runSteps(t)
-	w.restart("n1", Range{1, 1}, false)
-	w.changeLeader("n1")
-	if w.unregisteredLeader != nil {
+	sim.restart("n1", Range{1, 2}, false)
+	sim.exchangeVersions("n1")
+	sim.runSteps(t)
+	sim.restart("n1", Range{1, 1}, false)
+	sim.changeLeader("n1")
+	if sim.unregisteredLeader != nil {
 		t.Error("a process that doesn't register leads below the finalized version")
 	}
-	w.acquireLeadership("n0")
-	w.exchangeVersions("n1")
-	if w.runSteps(t); w.record().Active != Version2 || w.record().Gate(GangJobs).Phase != GateOpen {
-		t.Errorf("rolled back for a process that is refused: %+v", w.record())
+	sim.acquireLeadership("n0")
+	sim.exchangeVersions("n1")
+	if sim.runSteps(t); sim.record().Active != Version2 || sim.record().Gate(GangJobs).Phase != GateOpen {
+		t.Errorf("rolled back for a process that is refused: %+v", sim.record())
 	}
 }
 
-// A process that doesn't register is started while a gate is in use. It can't lead until the gate's
-// uses have ended, the gate is withdrawn and the version is rolled back.
+// A process that doesn't register is started while a gate is in use. It can't lead until the uses of the
+// gate have ended, the gate is withdrawn and the active version is rolled back.
 func TestFenceBarsUnregisteredProcessUntilRollbackEnds(t *testing.T) {
-	w := newUpgradedWorld(t, Policy{})
-	w.addFirstDependant(GangJobs)
-	w.restart("n1", Range{1, 1}, false)
-	w.changeLeader("n1")
-	if w.unregisteredLeader != nil {
-		t.Fatal("it leads while there is a gang job, which it can't read")
+	sim := newUpgradedSimulation(t, Policy{})
+	sim.addFirstDependent(GangJobs)
+	sim.restart("n1", Range{1, 1}, false)
+	sim.changeLeader("n1")
+	if sim.unregisteredLeader != nil {
+		t.Fatal("n1 leads while there is a gang job, which it can't read")
 	}
-	w.acquireLeadership("n2")
-	w.exchangeVersions("n1")
-	if waiting := w.runSteps(t); !strings.Contains(waiting, "gang-jobs") {
+	sim.acquireLeadership("n2")
+	sim.exchangeVersions("n1")
+	if waiting := sim.runSteps(t); !strings.Contains(waiting, "gang-jobs") {
 		t.Errorf("waiting: got %q, want it to contain gang-jobs", waiting)
 	}
-	w.changeLeader("n1")
-	if w.unregisteredLeader != nil {
-		t.Fatal("it leads during the withdrawal")
+	sim.changeLeader("n1")
+	if sim.unregisteredLeader != nil {
+		t.Fatal("n1 leads during the withdrawal")
 	}
-	w.acquireLeadership("n2")
-	w.exchangeVersions("n1")
-	if w.leader.record.Gate(GangJobs).Usable() {
+	sim.acquireLeadership("n2")
+	sim.exchangeVersions("n1")
+	if sim.leader.record.Gate(GangJobs).Usable() {
 		t.Error("new gang jobs are accepted during the withdrawal")
 	}
-	w.dependants[GangJobs] = 0
-	w.runSteps(t)
-	if r := w.record(); r.Active != Version1 || r.Fence != 0 || len(r.Gates) != 0 {
+	sim.dependents[GangJobs] = 0
+	sim.runSteps(t)
+	if r := sim.record(); r.Active != Version1 || r.Fence != 0 || len(r.Gates) != 0 {
 		t.Errorf("after the last gang job: got %+v, want version %d without fence and gates", r, Version1)
 	}
-	w.changeLeader("n1")
-	if w.unregisteredLeader == nil {
-		t.Error("it can't lead after the rollback")
+	sim.changeLeader("n1")
+	if sim.unregisteredLeader == nil {
+		t.Error("n1 can't lead after the rollback")
 	}
 }
 
@@ -224,7 +224,7 @@
 
 func TestGateOpensAfterItsDependencies(t *testing.T) {
 	s := singleMember(Record{Schema: 1, Active: 2, Phase: Soaking}, Supported)
-	s.Known = GateList{{Name: "dependant", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
+	s.Known = GateList{{Name: "dependent", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
 	registeredMembers := s.Members
 	s.Members = append(slices.Clone(registeredMembers), Member{Node: "n1", UnregisteredVersion: Version2})
 	if step := Next(s); step.Changed {
@@ -232,15 +232,15 @@
 	}
 	s.Members = registeredMembers
 	s.Record = Next(s).Record
-	if s.Record.Gate(FencedTerm).Phase != GateOpen || s.Record.Gate("dependant").Phase != "" {
+	if s.Record.Gate(FencedTerm).Phase != GateOpen || s.Record.Gate("dependent").Phase != "" {
 		t.Errorf("after the first step: got %+v, want gate %s open only", s.Record, FencedTerm)
 	}
-	if s.Record = Next(s).Record; s.Record.Gate("dependant").Phase != GateOpen {
-		t.Errorf("after the second step: got %+v, want the dependant gate open", s.Record)
+	if s.Record = Next(s).Record; s.Record.Gate("dependent").Phase != GateOpen {
+		t.Errorf("after the second step: got %+v, want the dependent gate open", s.Record)
 	}
 }
 
-// Without the fence a process that doesn't register could lead and misread archived jobs.
+// Without the fence, a process that doesn't register could lead and misread archived jobs.
 func TestArchiveGateRequiresFence(t *testing.T) {
 	withoutFence := slices.DeleteFunc(slices.Clone(Gates), func(g Gate) bool { return g.Name == FencedTerm })
 	for _, c := range []struct {
--- a/internal/upgrade/unknown_fields.go
+++ b/internal/upgrade/unknown_fields.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// UnknownFields are the fields of a JSON object that this program doesn't know, because a later
+// UnknownFields holds the fields of a JSON object that this program doesn't define, because a later
 // version wrote them. They must be kept when the object is rewritten.
 type UnknownFields map[string]json.RawMessage
 
-var errNotAnObject = errors.New("it is no JSON object")
+var errNotAnObject = errors.New("the value is not a JSON object")
 
-// FieldNames returns the names in the json tags of a struct's fields.
+// FieldNames returns the names that the json tags of a struct give to its fields.
 func FieldNames(structValue any) []string {
 	var names []string
 	t := reflect.TypeOf(structValue)
@@ -29,9 +29,9 @@
 	return names
 }
 
-// FindUnknown returns the fields of an encoded object that aren't among the known ones, or nil if there
-// are none. It returns an error if the value is no object, or if a field differs from a known one in
-// case only, because encoding/json would decode either into the same field.
+// FindUnknown returns the fields of an encoded JSON object whose names aren't in known, or nil if there
+// are none. It returns an error if the value is not an object, or if the name of a field differs from a
+// known name only in case, because encoding/json would decode both into the same struct field.
 func FindUnknown(object []byte, known []string) (UnknownFields, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(object, &fields); err != nil || fields == nil {
@@ -45,13 +45,13 @@
 	}
 	for name := range fields {
 		if slices.ContainsFunc(known, func(k string) bool { return strings.EqualFold(k, name) }) {
-			return nil, fmt.Errorf("field %q stands for a known one", name)
+			return nil, fmt.Errorf("field %q differs from a known field only in case", name)
 		}
 	}
 	return fields, nil
 }
 
-// AddTo adds the fields to an encoded object that doesn't contain them.
+// AddTo adds the unknown fields to an encoded JSON object that doesn't contain them.
 func (u UnknownFields) AddTo(object []byte) ([]byte, error) {
 	if len(u) == 0 {
 		return object, nil
--- a/internal/upgrade/version.go
+++ b/internal/upgrade/version.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Version numbers what a controller reads, writes and does.
+// Version identifies the data formats and the behavior of a controller. A higher version is later.
 type Version uint32
 
-// The versions so far.
+// The versions that have been defined so far.
 const (
-	// Version1 is commit 3661d31: job arrays and services, uncompressed journal chunks. It doesn't
-	// register.
+	// Version1 is commit 3661d31. It runs job arrays and services, writes uncompressed journal
+	// chunks, and doesn't register.
 	Version1 Version = 1
-	// Version2 adds gang jobs and compressed chunks. Commit af96c21 is the last one of this version
-	// that doesn't register.
+	// Version2 adds gang jobs and compressed chunks. Commit af96c21 is the last commit of this
+	// version that doesn't register.
 	Version2 Version = 2
-	// Version3 registers and obeys the cluster record.
+	// Version3 registers and follows the cluster record.
 	Version3 Version = 3
 	// Version4 adds the archive of finished jobs.
 	Version4 Version = 4
-	// Version5 adds fencing tokens of workers that are raised within a term.
+	// Version5 allows the fencing token of a worker to be raised within a term.
 	Version5 Version = 5
 	// Version6 adds services that scale to zero.
 	Version6 Version = 6
 
-	// Baseline is the active version where no cluster record exists.
+	// Baseline is the active version while no cluster record exists.
 	Baseline = Version1
 	// Current is this program's version.
 	Current = Version6
@@ -44,5 +44,5 @@
 // String formats the range for operators.
 func (r Range) String() string { return fmt.Sprintf("%d to %d", r.Min, r.Max) }
 
-// valid reports whether the range is one that a controller can have.
+// valid reports whether the range is a possible range of a controller: not empty, and without version 0.
 func (r Range) valid() bool { return r.Min >= 1 && r.Min <= r.Max }
