--- a/internal/activation/lifecycle_test.go
+++ b/internal/activation/lifecycle_test.go
@@ -8,81 +8,82 @@
 	"pgregory.net/rapid"
 )
 
-// In any sequence of events, with any writes lost, there is at most one replica at a time, generations
-// increase by one, no request is passed on to a replica that is being stopped, every record is decoded
-// as it was encoded, and the model settles.
+// In any sequence of events with lost, unanswered and delayed writes, there is at most one replica at a
+// time, generations increase by one, no request is forwarded to a replica that is being stopped, every
+// record stays the same when it is encoded and decoded, and the service ends up idle or failed.
 func TestAtMostOneReplicaInAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		sim := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
 			"step": func(t *rapid.T) {
-				w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
+				sim.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
 			},
 			"": func(t *rapid.T) {
-				if len(w.faults) > 0 {
-					t.Fatal(w.faults[0])
+				if len(sim.violations) > 0 {
+					t.Fatal(sim.violations[0])
 				}
 			},
 		})
-		if w.settle(); len(w.faults) > 0 {
-			t.Fatal(w.faults[0])
+		if sim.settle(); len(sim.violations) > 0 {
+			t.Fatal(sim.violations[0])
 		}
 	})
 }
 
 const historySeeds = 60
 
-// runHistory runs the model, varied by vary, for a long random history or until a fault.
-func runHistory(seed uint64, vary func(w *world)) *world {
+// runHistory runs a long random history in a simulation that configure has changed, until the first violated
+// invariant at the latest.
+func runHistory(seed uint64, configure func(sim *simulation)) *simulation {
 	random := rand.New(rand.NewPCG(seed, 2))
-	w := newWorld()
-	vary(w)
+	sim := newSimulation()
+	configure(sim)
 	for range 4000 {
-		if w.step(random.IntN); len(w.faults) > 0 {
+		if sim.step(random.IntN); len(sim.violations) > 0 {
 			break
 		}
 	}
-	return w
+	return sim
 }
 
 func TestLongHistoriesKeepInvariants(t *testing.T) {
-	const minWakes = 200 // fewer prove too little
+	const minWakes = 200 // histories with fewer wakes would hardly exercise the lifecycle
 	wakes := uint64(0)
 	for seed := range uint64(historySeeds) {
-		w := runHistory(seed, func(w *world) { w.maxStrideMS = []int{4000, 500}[seed%2] })
-		if len(w.faults) > 0 {
-			t.Errorf("seed %d: %s", seed, w.faults[0])
+		sim := runHistory(seed, func(sim *simulation) { sim.maxStepIntervalMS = []int{4000, 500}[seed%2] })
+		if len(sim.violations) > 0 {
+			t.Errorf("seed %d: %s", seed, sim.violations[0])
 		}
-		wakes += w.record.Generation
+		wakes += sim.record.Generation
 	}
 	if wakes < minWakes {
 		t.Errorf("got %d wakes in %d histories, want at least %d", wakes, historySeeds, minWakes)
 	}
 }
 
-// The model is strict enough to detect lifecycles that lack a guard.
-func TestModelDetectsMissingGuards(t *testing.T) {
-	faulty := func(apply transition) func(*world) {
-		return func(w *world) { w.transition = apply }
+// The simulation is strict enough to detect lifecycles that lack a guard.
+func TestSimulationDetectsMissingGuards(t *testing.T) {
+	faulty := func(apply transition) func(*simulation) {
+		return func(sim *simulation) { sim.transition = apply }
 	}
-	for name, vary := range map[string]func(*world){
+	for name, configure := range map[string]func(*simulation){
 		"another replica is reserved before the old one is proved gone": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if next, action := r.Apply(e, p, now); !next.Abandoned {
 				return next, action
 			}
 			r.Replica = NoReplica
-			return r.enter(Starting, now), Reserve
+			return r.enterState(Starting, now), Reserve
 		}),
 		"demand for an earlier generation wakes": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if _, demand := e.(Demand); demand && r.State == Stopping {
 				r.Replica = NoReplica
-				return r.wake(now)
+				return r.startNextGeneration(now)
 			}
 			return r.Apply(e, p, now)
 		}),
 		"the acknowledgement of an earlier drain counts": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if _, drained := e.(Drained); drained && r.State == Draining {
-				return r.enter(Stopping, now), Stop
+				return r.enterState(Stopping, now), Stop
 			}
 			return r.Apply(e, p, now)
 		}),
@@ -90,7 +91,7 @@
 			if next, action := r.Apply(e, p, now); next.State != Draining {
 				return next, action
 			}
-			return r.enter(Stopping, now), Stop
+			return r.enterState(Stopping, now), Stop
 		}),
 		"the end of an earlier replica counts": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if gone, ok := e.(ReplicaGone); ok && r.Replica != NoReplica {
@@ -99,17 +100,17 @@
 			}
 			return r.Apply(e, p, now)
 		}),
-		"a new leader ignores views of the term before": func(w *world) {
-			w.unknownLease, w.maxStrideMS = 0, 500
+		"a new leader ignores views of the previous term": func(sim *simulation) {
+			sim.assumedViewLease, sim.maxStepIntervalMS = 0, 500
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			faults := 0
+			violations := 0
 			for seed := range uint64(historySeeds) {
-				faults += len(runHistory(seed, vary).faults)
+				violations += len(runHistory(seed, configure).violations)
 			}
-			if faults == 0 {
-				t.Errorf("got no faults in %d histories, want some", historySeeds)
+			if violations == 0 {
+				t.Errorf("got no violated invariants in %d histories, want some", historySeeds)
 			}
 		})
 	}
--- a/internal/activation/message.go
+++ b/internal/activation/message.go
@@ -2,81 +2,83 @@
 
 import "time"
 
-// The messages of this file are exchanged between controllers of different versions. Fields may only
-// be added.
+// Controllers of different versions exchange the messages of this file. Fields may be added, but not
+// changed or removed.
 
-// WakeRequest informs the leader that a controller holds requests for a model. A controller has one
-// WakeRequest at a time for each model in flight, however many requests it holds.
+// WakeRequest reports to the leader that a controller holds requests for a model. A controller has at
+// most one WakeRequest in flight for each model, however many requests it holds.
 type WakeRequest struct {
 	Model string // job ID of the service
-	// Generation is the latest generation that the sender knows. Only demand that names the present
-	// generation starts the next one.
+	// Generation is the latest generation that the sender has learned of. Demand starts the next
+	// generation only if it names the current one.
 	Generation uint64
 	// Wait is how long the response may be delayed while the model starts.
 	Wait time.Duration
 }
 
-// Verdict is what a leader knows of a model.
+// Verdict classifies the response to a WakeRequest or a UsageReport.
 type Verdict int
 
 // The verdicts.
 const (
-	Undecided Verdict = iota // no leader can answer now: the request is to be retried
-	Known                    // State and Generation are set
+	Undecided Verdict = iota // no leader can answer now; the sender should retry the request
+	Known                    // the response is valid; a WakeResponse then has State and Generation set
 	Unknown                  // there is no such service
-	Damaged                  // the lifecycle record can't be decoded: the model is neither started nor stopped
+	Damaged                  // the lifecycle record can't be decoded; the model is neither started nor stopped
 )
 
-// WakeResponse is the state of a model.
+// WakeResponse is the leader's response to a WakeRequest: the state of the model.
 type WakeResponse struct {
 	Verdict    Verdict
 	State      State
 	Generation uint64
 	Machine    string // address of the machine with a ready replica
-	// Expected is how much longer the present start or cooldown is expected to take. 0: not known.
+	// Expected is how much longer the current start or cooldown is expected to take. 0: not known.
 	Expected time.Duration
-	// Holds is how long after the request was sent the response is valid.
+	// Holds is how long the response is valid, counted from the time at which the request was sent.
 	Holds  time.Duration
-	Reason string // for people
+	Reason string // for users and operators
 }
 
-// Ready reports whether requests may be passed on to the model.
+// Ready reports whether requests may be forwarded to the model.
 func (r *WakeResponse) Ready() bool {
 	return r.Verdict == Known && r.State == Ready && r.Machine != ""
 }
 
-// Asleep reports whether demand that names the response's generation could start the next one.
+// Asleep reports whether demand that names the response's generation could start the next generation.
 func (r *WakeResponse) Asleep() bool {
 	return r.Verdict == Known && (r.State == Idle || r.State == Failed && r.Expected <= 0)
 }
 
-// UsageReport informs the leader of the models for which a controller has had requests.
+// UsageReport reports to the leader the models for which a controller has had requests.
 type UsageReport struct {
 	Node    string
-	Session string        // unique to the process
+	Session string        // unique to each process of the controller
 	Serial  uint64        // increases with each report of the session
-	Uptime  time.Duration // of the process; requests to an earlier process ended with it
-	Models  []ModelUsage  // those with requests within the idle window, or being drained
+	Uptime  time.Duration // of the process; the requests of an earlier process ended with that process
+	Models  []ModelUsage  // the models with requests within the idle window, and those being drained
 }
 
 // ModelUsage is a controller's usage of a model.
 type ModelUsage struct {
 	Model    string
-	InFlight int           // requests passed on, or held, that aren't answered yet
+	InFlight int           // requests that are held or forwarded and not answered yet
 	QuietFor time.Duration // time since the last request arrived or was answered
-	// Drained is the latest drain after which the controller passes no request on by an earlier
-	// response. Requests passed on before are counted by InFlight. 0: none.
+	// Drained is the latest drain that the controller has acknowledged: it forwards no further
+	// requests on the basis of earlier responses. Requests that it forwarded before the
+	// acknowledgment are counted by InFlight. 0: none.
 	Drained uint64
 }
 
-// UsageResponse informs a controller of the models that are being drained.
+// UsageResponse is the leader's response to a UsageReport: the models that are being drained.
 type UsageResponse struct {
 	Verdict  Verdict // Known or Undecided
 	Draining []DrainOrder
-	Reason   string // for people
+	Reason   string // for operators
 }
 
-// DrainOrder orders a controller to pass no more requests on to a model by earlier responses.
+// DrainOrder orders a controller to stop forwarding requests to a model on the basis of earlier
+// responses.
 type DrainOrder struct {
 	Model string
 	Drain uint64
--- a/internal/activation/record_test.go
+++ b/internal/activation/record_test.go
@@ -11,14 +11,14 @@
 func TestDecodeReportsDamagedRecords(t *testing.T) {
 	const key = "models/a"
 	for value, wantReason := range map[string]string{
-		`7`:                                 "no lifecycle record",
-		`{"state":1}`:                       "no lifecycle record",
-		`{"state":"stopping"}`:              "no generation",
-		`{"state":"starting"}`:              "no generation",
+		`7`:                                 "not a lifecycle record",
+		`{"state":1}`:                       "not a lifecycle record",
+		`{"state":"stopping"}`:              "the generation is missing",
+		`{"state":"starting"}`:              "the generation is missing",
 		`{"state":"asleep","generation":1}`: `unknown state "asleep"`,
-		`{"state":"starting","generation":1,"failures":-1}`:                   "counts failures wrongly",
-		`{"state":"ready","generation":1,"abandoned":true}`:                   "without starting one",
-		`{"state":"ready","generation":1,"wake_wanted":true,"unknown":[1,2]}`: "nothing is being stopped",
+		`{"state":"starting","generation":1,"failures":-1}`:                   "the number of failures is negative",
+		`{"state":"ready","generation":1,"abandoned":true}`:                   "the model is not being started",
+		`{"state":"ready","generation":1,"wake_wanted":true,"unknown":[1,2]}`: "the model is not being stopped",
 	} {
 		t.Run(value, func(t *testing.T) {
 			_, err := Decode(key, []byte(value))
--- a/internal/activation/start_times.go
+++ b/internal/activation/start_times.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// maxStartTime and startTimeDigits are the range of the measured start times and their precision
-	// in significant decimal digits.
+	// maxStartTime is the longest start time that the histograms record, and startTimeDigits is their
+	// precision in significant decimal digits.
 	maxStartTime    = time.Hour
 	startTimeDigits = 2
-	// expectedPercentile is the percentile of the start times that users are told to expect.
+	// expectedPercentile is the percentile of the recorded start times that Expected uses as the
+	// duration of a start.
 	expectedPercentile = 90
 )
 
-// StartTimes holds the distribution of cold-start times for each class of services. The zero value has
-// none. It is not safe for concurrent use.
+// StartTimes holds a histogram of cold-start times for each class of services. The zero value is empty.
+// It is not safe for concurrent use.
 type StartTimes struct {
 	byClass map[string]*hdrhistogram.Histogram
 }
 
-// Record records how long a wake took until its model was ready. Longer times than an hour count as an
-// hour.
+// Record records how long a wake took until its model was ready. Times longer than an hour are recorded
+// as an hour.
 func (t *StartTimes) Record(class string, took time.Duration) {
 	if t.byClass == nil {
 		t.byClass = make(map[string]*hdrhistogram.Histogram)
@@ -32,12 +33,12 @@
 		h = hdrhistogram.New(1, maxStartTime.Milliseconds(), startTimeDigits)
 		t.byClass[class] = h
 	}
-	// It fails only for values above the range, which the bound excludes.
+	// RecordValue fails only for values above the range, which min excludes.
 	_ = h.RecordValue(min(took, maxStartTime).Milliseconds())
 }
 
-// Expected returns how much longer a start is expected to take that has taken elapsed so far. 0: not
-// known, or overdue.
+// Expected returns the expected remaining time of a start that began elapsed ago. It returns 0 if no
+// start time is recorded for the class, or if the start is overdue.
 func (t *StartTimes) Expected(class string, elapsed time.Duration) time.Duration {
 	h := t.byClass[class]
 	if h == nil {
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Action is what the leader has to do once a changed record is durable. Actions may be repeated. They
-// follow from the record, so a new leader obtains the outstanding one from Record.Pending.
+// Action is what the leader must do once a changed record is durable. The same action may be returned
+// repeatedly. Actions follow from the record, so a new leader gets the outstanding one from
+// Record.Pending.
 type Action int
 
 // The actions.
 const (
 	Nothing Action = iota
-	Reserve        // reserve resources for the next replica, which ends with Reserved
-	Start          // start the reserved replica, like any task, which ends with Serving or ReplicaGone
-	Stop           // stop the replica, which ends with ReplicaGone
-	Drain          // order every controller to pass no more requests on, which ends with Drained
+	Reserve        // reserve resources for the next replica; completed by the event Reserved
+	Start          // start the reserved replica like any task; completed by Serving or ReplicaGone
+	Stop           // stop the replica; completed by ReplicaGone
+	Drain          // order every controller to stop forwarding requests; completed by Drained
 )
 
 // Apply returns the record after an event, and the action to take. A record that is returned unchanged
-// need not be stored. Events that are late, repeated, or of another generation, attempt or drain have
-// no effect.
+// need not be stored. Late and repeated events, and events of another generation, attempt or drain,
+// have no effect.
 func (r Record) Apply(e Event, p *Policy, now time.Time) (Record, Action) { return e.apply(r, p, now) }
 
 // Pending returns the outstanding action of a record.
@@ -38,38 +39,39 @@
 		return Stop
 	case Idle, Failed:
 		if r.Replica != NoReplica {
-			return Stop // the record was stored before the end of the attempt
+			return Stop // the record was stored, but the end of the attempt was not
 		}
 	case Ready:
 	}
 	return Nothing
 }
 
-// lostReplica stands for an attempt whose record is gone already.
-const lostReplica uint64 = 1
+// placeholderAttempt is the attempt number that Restore uses for an attempt that is no longer stored.
+const placeholderAttempt uint64 = 1
 
-// Restore returns the record as a new leader finds it, and the outstanding action. replica is the
+// Restore returns the record that a new leader starts from, and the outstanding action. replica is the
 // attempt that may be on a machine according to the stored attempts, or NoReplica. The record and the
-// attempts are stored independently, so either may be ahead of the other. If the record still has a
-// replica and the attempts don't, Restore applies the ReplicaGone that wasn't stored.
+// attempts are stored independently, so either may be ahead of the other. If the record's state
+// requires a replica but no attempt is stored, Restore applies the ReplicaGone event whose effect on the
+// record wasn't stored.
 func (r Record) Restore(replica uint64, p *Policy, now time.Time) (Record, Action) {
 	r.Replica = replica
 	hasReplica := r.State == Ready || r.State == Stopping || r.Abandoned
 	if replica != NoReplica || !hasReplica {
 		return r, r.Pending(now)
 	}
-	r.Replica = lostReplica
-	return r.Apply(ReplicaGone{Generation: r.Generation, Attempt: lostReplica}, p, now)
+	r.Replica = placeholderAttempt
+	return r.Apply(ReplicaGone{Generation: r.Generation, Attempt: placeholderAttempt}, p, now)
 }
 
 func (e Demand) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if e.Generation != r.Generation {
-		return r, Nothing // the controller learns the present generation, and repeats its demand if need be
+		return r, Nothing // the response carries the current generation; the controller repeats its demand if necessary
 	}
 	switch r.State {
 	case "", Idle, Failed:
 		if r.BackoffRemaining(now) == 0 && r.Replica == NoReplica {
-			return r.wake(now)
+			return r.startNextGeneration(now)
 		}
 	case Draining:
 		return r.cancelDrain(now)
@@ -89,14 +91,14 @@
 }
 
 func (e Serving) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
-	if r.State != Starting || r.Abandoned || !r.isReplica(e.Generation, e.Attempt) {
+	if r.State != Starting || r.Abandoned || !r.isCurrentReplica(e.Generation, e.Attempt) {
 		return r, Nothing
 	}
-	return r.enter(Ready, now), Nothing
+	return r.enterState(Ready, now), Nothing
 }
 
 func (e ReplicaGone) apply(r Record, p *Policy, now time.Time) (Record, Action) {
-	if !r.isReplica(e.Generation, e.Attempt) {
+	if !r.isCurrentReplica(e.Generation, e.Attempt) {
 		return r, Nothing
 	}
 	failed := e.Failed || r.Abandoned
@@ -104,19 +106,19 @@
 	switch r.State {
 	case Stopping:
 		if r.WakeWanted {
-			return r.wake(now)
+			return r.startNextGeneration(now)
 		}
-		return r.enter(Idle, now), Nothing
+		return r.enterState(Idle, now), Nothing
 	case Draining:
-		return r, Nothing // controllers may still pass requests on to it
+		return r, Nothing // controllers may still forward requests to the model
 	case Starting:
-		return r.restart(failed, p, now)
+		return r.replaceReplica(failed, p, now)
 	case Ready:
-		stable := r.age(now) >= p.StableAfter
+		stable := r.timeInState(now) >= p.StableAfter
 		if stable {
 			r.Failures = 0
 		}
-		return r.restart(failed && !stable, p, now)
+		return r.replaceReplica(failed && !stable, p, now)
 	case Idle, Failed:
 	}
 	return r, Nothing
@@ -131,7 +133,7 @@
 		return r, Nothing
 	}
 	r.Drain++
-	return r.enter(Draining, now), Drain
+	return r.enterState(Draining, now), Drain
 }
 
 func (e Drained) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
@@ -139,9 +141,9 @@
 		return r, Nothing
 	}
 	if r.Replica == NoReplica {
-		return r.enter(Idle, now), Nothing
+		return r.enterState(Idle, now), Nothing
 	}
-	return r.enter(Stopping, now), Stop
+	return r.enterState(Stopping, now), Stop
 }
 
 func (e Tick) apply(r Record, p *Policy, now time.Time) (Record, Action) {
@@ -151,38 +153,40 @@
 	case r.State == Starting && r.Replica != NoReplica && e.ReservedFor > p.StartTimeout:
 		r.Abandoned = true
 		return r, Stop
-	case r.State == Draining && r.age(now) > p.DrainTimeout:
+	case r.State == Draining && r.timeInState(now) > p.DrainTimeout:
 		return r.cancelDrain(now) // the model is still in use
 	}
 	return r, Nothing
 }
 
-// isReplica reports whether an event is about the present replica.
-func (r *Record) isReplica(generation, attempt uint64) bool {
+// isCurrentReplica reports whether an event of this generation and attempt is about the current replica.
+func (r *Record) isCurrentReplica(generation, attempt uint64) bool {
 	return generation == r.Generation && r.Replica != NoReplica && r.Replica == attempt
 }
 
-// wake begins the next generation.
-func (r Record) wake(now time.Time) (Record, Action) {
-	next := r.enter(Starting, now)
+// startNextGeneration wakes the model: it begins the next generation.
+func (r Record) startNextGeneration(now time.Time) (Record, Action) {
+	next := r.enterState(Starting, now)
 	next.Generation++
 	next.Failures, next.Abandoned, next.WakeWanted, next.NotBeforeMS = 0, false, false, 0
 	return next, Reserve
 }
 
-// cancelDrain makes the model ready again, or starts it again if its replica was lost in the drain.
+// cancelDrain makes the model ready again, or starts another replica if the current one was lost during
+// the drain.
 func (r Record) cancelDrain(now time.Time) (Record, Action) {
 	if r.Replica == NoReplica {
-		return r.enter(Starting, now), Reserve
+		return r.enterState(Starting, now), Reserve
 	}
-	return r.enter(Ready, now), Nothing
+	return r.enterState(Ready, now), Nothing
 }
 
-// restart starts another replica of the same generation after one that is gone without having been
-// scaled to zero. After a failure it does so with a growing backoff, and at most as many times as the
-// policy allows; otherwise at once.
-func (r Record) restart(failed bool, p *Policy, now time.Time) (Record, Action) {
-	next := r.enter(Starting, now)
+// replaceReplica starts another replica of the same generation after the previous one is gone although
+// the model wasn't being scaled to zero. If failed is false, the next replica is reserved immediately.
+// Otherwise the loss counts as a failed start: the next start waits for a growing backoff, and after
+// Policy.MaxAttempts consecutive failures the wake fails.
+func (r Record) replaceReplica(failed bool, p *Policy, now time.Time) (Record, Action) {
+	next := r.enterState(Starting, now)
 	if !failed {
 		return next, Reserve
 	}
--- a/internal/activation/transition_test.go
+++ b/internal/activation/transition_test.go
@@ -17,7 +17,7 @@
 	DrainTimeout: 20 * time.Second,
 }
 
-// step is an event at a time in seconds, with the record and the action that are expected to follow.
+// step is an event at a time in seconds, with the expected record and action after it.
 type step struct {
 	atS        int
 	event      Event
@@ -36,14 +36,14 @@
 	}
 	afterReady := func(steps ...step) []step { return append(slices.Clone(untilReady), steps...) }
 	for name, steps := range map[string][]step{
-		"demand of all controllers at once wakes once": {
+		"simultaneous demand from all controllers wakes the model once": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, demand(0), "starting, generation 1", Nothing},
 			{0, demand(0), "starting, generation 1", Nothing},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Nothing},
 		},
-		"failed starts are retried within the same wake, then it cools down": {
+		"failed starts are retried within the same wake, and the cooldown follows": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, failed(1), "starting, generation 1", Nothing},
@@ -59,7 +59,7 @@
 			{108, demand(1), "failed, generation 1", Nothing},
 			{109, demand(1), "starting, generation 2", Reserve},
 		},
-		"a start that takes too long is stopped, and the next one waits for proof that it is gone": {
+		"a start that takes too long is stopped, and the next one waits for the proof that its replica is gone": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{40, Tick{30 * time.Second}, "starting, generation 1, attempt 1", Nothing},
@@ -70,12 +70,12 @@
 			{44, Tick{}, "starting, generation 1", Nothing},
 			{45, Tick{}, "starting, generation 1", Reserve},
 		},
-		"a lost replica is replaced at once": afterReady(
+		"a lost replica is replaced immediately": afterReady(
 			step{20, ReplicaGone{1, 1, false}, "starting, generation 1", Reserve},
 			step{20, reserved(1, 2), "starting, generation 1, attempt 2", Start},
 			step{21, Serving{1, 1}, "starting, generation 1, attempt 2", Nothing},
 		),
-		"a machine lost during the start is no failure of the model": {
+		"a machine lost during the start doesn't count as a failed start": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, ReplicaGone{1, 1, false}, "starting, generation 1", Reserve},
@@ -92,7 +92,7 @@
 			{14, reserved(1, 4), "starting, generation 1, attempt 4", Start},
 			{15, failed(4), "starting, generation 1", Nothing},
 		},
-		"a replica that fails soon after it was ready, each time": {
+		"replicas that fail soon after they became ready count as failed starts": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{1, Serving{1, 1}, "ready, generation 1, attempt 1", Nothing},
@@ -116,7 +116,7 @@
 			step{74, demand(0), "idle, generation 1", Nothing},
 			step{74, demand(1), "starting, generation 2", Reserve},
 		),
-		"demand cancels a drain, whose acknowledgements don't count for the next": afterReady(
+		"demand cancels a drain, whose acknowledgments don't count for the next drain": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, demand(1), "ready, generation 1, attempt 1", Nothing},
 			step{72, Drained{1}, "ready, generation 1, attempt 1", Nothing},
@@ -131,12 +131,12 @@
 			step{73, demand(1), "stopping, generation 1, attempt 1", Nothing},
 			step{74, ReplicaGone{1, 1, false}, "starting, generation 2", Reserve},
 		),
-		"a replica lost in a drain": afterReady(
+		"a replica lost during a drain": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, ReplicaGone{1, 1, false}, "draining, generation 1", Nothing},
 			step{72, Drained{1}, "idle, generation 1", Nothing},
 		),
-		"a replica lost in a drain, with demand": afterReady(
+		"a replica lost during a drain, with demand": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, ReplicaGone{1, 1, false}, "draining, generation 1", Nothing},
 			step{72, demand(1), "starting, generation 1", Reserve},
--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Usage is the leader's view of the controllers' usage of models, from their latest reports. It is not
-// safe for concurrent use.
+// Usage is the leader's view of the controllers' usage of models, based on their latest reports. It is
+// not safe for concurrent use.
 type Usage struct {
 	controllers   []string
-	silentAfter   time.Duration // age of the latest report from which a controller counts as silent
+	silentAfter   time.Duration // a controller whose latest report is older than this counts as silent
 	latest        map[string]*controllerUsage
 	endedSessions map[string]bool
 }
@@ -16,12 +16,12 @@
 	session    string
 	serial     uint64
 	receivedAt time.Time
-	startedAt  time.Time // the latest time at which the process can have started
+	startedAt  time.Time // the latest possible start time of the process
 	models     map[string]ModelUsage
 }
 
-// NewUsage returns the usage of the named controllers before any report. A controller counts as silent
-// if its latest report is older than silentAfter.
+// NewUsage returns a Usage of the named controllers without any reports. A controller counts as silent
+// if it has sent no report or if its latest report is older than silentAfter.
 func NewUsage(controllers []string, silentAfter time.Duration) *Usage {
 	return &Usage{
 		controllers: controllers, silentAfter: silentAfter,
@@ -29,8 +29,8 @@
 	}
 }
 
-// RecordReport records a controller's report. It ignores late copies: reports that are older than the latest
-// one, or from a process that has ended.
+// RecordReport records a controller's report. It ignores late and repeated copies: reports that aren't
+// newer than the latest one of the same process, and reports of a process that has been replaced.
 func (u *Usage) RecordReport(report UsageReport, now time.Time) {
 	last := u.latest[report.Node]
 	switch {
@@ -51,8 +51,8 @@
 	u.latest[report.Node] = next
 }
 
-// fresh returns the latest report of a controller, or nil if the controller is silent.
-func (u *Usage) fresh(controller string, now time.Time) *controllerUsage {
+// freshReport returns the latest report of a controller, or nil if the controller is silent.
+func (u *Usage) freshReport(controller string, now time.Time) *controllerUsage {
 	latest := u.latest[controller]
 	if latest == nil || now.Sub(latest.receivedAt) > u.silentAfter {
 		return nil
@@ -61,14 +61,14 @@
 }
 
 // QuietSince returns the time since which no controller has had a request for a model. known is false
-// if a controller is silent or has a request in flight.
+// if any controller is silent or has a request in flight.
 func (u *Usage) QuietSince(model string, now time.Time) (since time.Time, known bool) {
 	for _, controller := range u.controllers {
-		latest := u.fresh(controller, now)
+		latest := u.freshReport(controller, now)
 		if latest == nil {
 			return time.Time{}, false
 		}
-		quiet := latest.startedAt // an earlier process may have had requests until then
+		quiet := latest.startedAt // an earlier process of the controller may have had requests until then
 		if usage, used := latest.models[model]; used {
 			if usage.InFlight > 0 {
 				return time.Time{}, false
@@ -84,12 +84,13 @@
 	return since, true
 }
 
-// Drained reports whether no controller passes requests on to a model any more. A controller doesn't if
-// it has acknowledged this drain and has no requests in flight, or if it is silent and the leader's
-// responses that it may act by have expired, which they have by routedUntil.
+// Drained reports whether all controllers have stopped forwarding requests to a model. A controller has
+// stopped if it has acknowledged this drain and has no requests in flight. A silent controller has
+// stopped once routedUntil is reached, because the leader's responses that allowed it to forward
+// requests have expired by then.
 func (u *Usage) Drained(model string, drain uint64, routedUntil, now time.Time) bool {
 	for _, controller := range u.controllers {
-		latest := u.fresh(controller, now)
+		latest := u.freshReport(controller, now)
 		if latest == nil {
 			if now.Before(routedUntil) {
 				return false
--- a/internal/activation/usage_test.go
+++ b/internal/activation/usage_test.go
@@ -13,6 +13,7 @@
 	usage           ModelUsage // InFlight below 0: the model isn't in the report
 }
 
+// message returns the report as a UsageReport about the given model.
 func (r testReport) message(model string) UsageReport {
 	message := UsageReport{Node: r.node, Session: r.session, Serial: uint64(r.serial), Uptime: time.Duration(r.uptimeS) * time.Second}
 	if r.usage.InFlight >= 0 {
@@ -23,8 +24,8 @@
 	return message
 }
 
-// Controllers a and b have been quiet for long. What controller c reports decides whether the model is
-// quiet, and whether it is drained.
+// Controllers a and b have had no requests for a long time. The reports of controller c decide whether the
+// model is quiet, and whether it is drained.
 func TestUsage(t *testing.T) {
 	const (
 		model        = "m"
--- a/internal/upgrade/invariants_test.go
+++ b/internal/upgrade/invariants_test.go
@@ -59,7 +59,7 @@
 	if sim.unregisteredVersion2 {
 		return
 	}
-	gate, _ := modelGates.find(name)
+	gate, _ := simulatedGates.find(name)
 	if l := sim.leader; l != nil && l.process.versions.Max < gate.Since {
 		sim.addViolation("node %s of version %d leads and can't read the dependents of gate %s",
 			l.process.node, l.process.versions.Max, name)
--- a/internal/upgrade/member_test.go
+++ b/internal/upgrade/member_test.go
@@ -4,7 +4,7 @@
 
 // Found by TestInvariantsHoldInRandomHistories: for a node with a registration of an older version, the
 // version that a process without registration reported was used instead of the older one.
-func TestMemberCountsByOlderOfRegistrationAndReport(t *testing.T) {
+func TestMemberVersionIsOlderOfRegistrationAndReport(t *testing.T) {
 	registration := NewRegistration("n0", "1", Range{1, 1})
 	m := Member{Node: "n0", Registration: &registration, UnregisteredVersion: Version2}
 	if versions, ok := m.Versions(); !ok || versions.Max != Version1 {
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -65,7 +65,7 @@
 func (sim *simulation) nextStep() Step {
 	p := sim.leader.process
 	unused := make(map[GateName]time.Duration)
-	for _, gate := range modelGates {
+	for _, gate := range simulatedGates {
 		unused[gate.Name] = sim.unusedFor
 	}
 	return Next(Situation{
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -11,8 +11,8 @@
 // process can't use a gate that its version doesn't support. Restarts, lost responses, delayed transactions
 // and changes of leadership may occur at any time. The invariants are in invariants_test.go.
 
-// modelGates lists this program's gates and gates that exist only in the simulation.
-var modelGates = append(append(GateList{}, Gates...),
+// simulatedGates lists this program's gates and gates that exist only in the simulation.
+var simulatedGates = append(append(GateList{}, Gates...),
 	Gate{Name: "test-three", Since: 3},
 	Gate{Name: "test-four", Since: 4, DependsOn: []GateName{"test-three"}},
 	Gate{Name: "test-five", Since: 5, DependsOn: []GateName{"test-four"}},
@@ -53,7 +53,7 @@
 	if !p.registers {
 		return nil
 	}
-	return modelGates.UpTo(p.versions.Max)
+	return simulatedGates.UpTo(p.versions.Max)
 }
 
 // simulation is the state of the simulated fleet and store.
