--- a/internal/storage/compaction_test.go
+++ b/internal/storage/compaction_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		for i := range 80 {
-			write(map[string]any{numberedKey("j", i): textOf(2*i+1, 300+10*i)})
+			write(map[string]any{numberedKey("j", i): text(2*i+1, 300+10*i)})
 		}
 		f.setLimits(lowestLimits)
 		for i := range 300 {
@@ -70,7 +70,7 @@
 func TestPlainOnlyCompactionWritesNoFragments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.open().write(map[string]any{"plarge": textOf(1, 2200)})
+		f.open().write(map[string]any{"plarge": text(1, 2200)})
 		j := f.openUnderLoweredLimits(t.Context())
 		j.SetEncoding(storage.PlainOnly)
 		for i := range 300 {
--- a/internal/storage/fixture_test.go
+++ b/internal/storage/fixture_test.go
@@ -176,7 +176,7 @@
 func (j *testJournal) writeGrowingRecords(records int) {
 	j.t.Helper()
 	for i := range records {
-		j.write(map[string]any{numberedKey("p", i): textOf(i, minRecordBytes(i))})
+		j.write(map[string]any{numberedKey("p", i): text(i, minRecordBytes(i))})
 	}
 }
 
@@ -205,9 +205,9 @@
 
 func numberedKey(prefix string, i int) string { return fmt.Sprintf("%s%d", prefix, i) }
 
-// textOf returns a text that begins with the number i, followed by about the given number
+// text returns a string that begins with the number i, followed by about the given number
 // of bytes in JSON. Texts with odd numbers can't be compressed.
-func textOf(i, bytes int) string {
+func text(i, bytes int) string {
 	if i%2 == 0 {
 		return fmt.Sprintf("%d:%s", i, strings.Repeat(`"`, bytes/2)) // a quote takes two bytes in JSON
 	}
--- a/internal/storage/fragment_test.go
+++ b/internal/storage/fragment_test.go
@@ -20,13 +20,13 @@
 		tracker.Observe(storage.ErrMalformed)
 		firstTerm, endFirstTerm := context.WithCancel(t.Context())
 		first := f.openWith(firstTerm, tracker)
-		first.write(map[string]any{"p1": textOf(1, 6000)})
+		first.write(map[string]any{"p1": text(1, 6000)})
 
 		transactions := 0
 		f.Update(func(s *storagetest.Service) {
 			s.Drop = func(storagetest.Txn) bool { transactions++; return transactions > 2 }
 		})
-		go func() { _ = first.append(map[string]any{"p1": textOf(5, 7000)}) }() // returns when the term ends
+		go func() { _ = first.append(map[string]any{"p1": text(5, 7000)}) }() // returns when the term ends
 		synctest.Wait()
 		time.Sleep(20 * time.Second)
 		endFirstTerm()
@@ -34,12 +34,12 @@
 		if transactions < 3 {
 			t.Fatalf("%d transactions were sent, want 3", transactions)
 		}
-		if got, want := f.records()["p1"], marshal(t, textOf(1, 6000)); got != want {
+		if got, want := f.records()["p1"], marshal(t, text(1, 6000)); got != want {
 			t.Errorf("the next leader reads %.20s, want %.20s", got, want)
 		}
 
-		f.openWith(t.Context(), tracker).write(map[string]any{"p1": textOf(3, 5000)})
-		if got, want := f.records()["p1"], marshal(t, textOf(3, 5000)); got != want {
+		f.openWith(t.Context(), tracker).write(map[string]any{"p1": text(3, 5000)})
+		if got, want := f.records()["p1"], marshal(t, text(3, 5000)); got != want {
 			t.Errorf("the next leader reads %.20s, want %.20s", got, want)
 		}
 	})
--- a/internal/storage/journal_limits_test.go
+++ b/internal/storage/journal_limits_test.go
@@ -22,7 +22,7 @@
 		f := newFixture(t)
 		tracker := trackerWithNext(lowestLimits)
 		j := f.openWith(t.Context(), tracker)
-		data := func(i int) string { return textOf(i, 100*(i%8)*(i%8)) }
+		data := func(i int) string { return text(i, 100*(i%8)*(i%8)) }
 		for i := range records {
 			j.write(map[string]any{numberedKey("p", i): data(i)})
 		}
@@ -135,7 +135,7 @@
 		j.write(map[string]any{"a": 1})
 		f.Update(func(s *storagetest.Service) { s.LoseResponses = 1 })
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowestLimits) })
-		if err := j.append(map[string]any{"b": textOf(1, 3000), "c": textOf(2, 3000)}); err == nil || errors.Is(err, storage.ErrMalformed) {
+		if err := j.append(map[string]any{"b": text(1, 3000), "c": text(2, 3000)}); err == nil || errors.Is(err, storage.ErrMalformed) {
 			t.Errorf("append: got %v, want the loss of leadership", err)
 		}
 		if got := f.records(); len(got) != 3 {
@@ -156,7 +156,7 @@
 			s.Drop = func(storagetest.Txn) bool { return len(s.Sent) == first+1 }
 		})
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowestLimits) })
-		j.write(map[string]any{"b": textOf(1, 3000), "c": textOf(2, 3000)})
+		j.write(map[string]any{"b": text(1, 3000), "c": text(2, 3000)})
 		f.setLimits(initialLimits) // the first request was sent before the limits were lowered
 		if _, err := f.Txn(t.Context(), f.Sent[first].Guards, f.Sent[first].Ops); err == nil {
 			t.Error("the first request was applied late")
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -21,10 +21,10 @@
 		needed := make(chan struct{}, 1000)
 		j.OnEncodingNeeded(func() { needed <- struct{}{} })
 		for i := range 20 {
-			j.write(map[string]any{numberedKey("p", i): textOf(i, 900)})
+			j.write(map[string]any{numberedKey("p", i): text(i, 900)})
 		}
 		written := make(chan error, 1)
-		go func() { written <- j.append(map[string]any{"plarge": textOf(1, 4000)}) }()
+		go func() { written <- j.append(map[string]any{"plarge": text(1, 4000)}) }()
 		time.Sleep(10 * time.Second)
 		if keys := f.encodedChunkKeys(); len(keys) > 0 {
 			t.Errorf("encoded chunks were written: %v", keys)
@@ -120,7 +120,7 @@
 		f := newFixture(t)
 		j := f.openUnderLoweredLimits(t.Context())
 		j.writeGrowingRecords(10)
-		j.write(map[string]any{"plarge": textOf(1, 4000)})
+		j.write(map[string]any{"plarge": text(1, 4000)})
 		j.SetEncoding(storage.PlainWherePossible)
 		before := len(f.Sent)
 		if left := j.migrateToPlain(); left == 0 {
@@ -129,7 +129,7 @@
 		if sent := len(f.Sent) - before; sent > 0 {
 			t.Errorf("%d transactions were sent without effect", sent)
 		}
-		j.write(map[string]any{"plarge": textOf(2, 5000)})
+		j.write(map[string]any{"plarge": text(2, 5000)})
 		j.write(map[string]any{"plarge": nil})
 		if left := j.migrateToPlain(); left != 0 {
 			t.Errorf("%d encoded chunks are left, want none", left)
