--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -15,7 +15,7 @@
 // Faults holds the faults that a test injects into the requests of all clients, and the
 // transactions that clients have sent.
 type Faults struct {
-	Sent []Txn // every transaction that the store has received
+	Sent []Txn // every received transaction that was within the limits
 	// ForgetSent keeps Sent empty, because the transactions of a long test would exhaust memory.
 	ForgetSent bool
 	// LoseResponses is the number of next transactions that are applied without a response.
@@ -29,7 +29,7 @@
 	Delay func() time.Duration
 	// Late, if set, is like Delay but receives the transaction. The longer delay applies.
 	Late func(Txn) time.Duration
-	// Before, if set, is called before each transaction is applied.
+	// Before, if set, is called for each received transaction, before it is applied or dropped.
 	Before func(Txn)
 	// Slow is added to the latency of each request.
 	Slow time.Duration
