--- a/internal/archive/append.go
+++ b/internal/archive/append.go
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// minAppendChanges is how many changes have to be available for an append: a page that is full
-// becomes two.
+// minAppendChanges is the change budget that an append requires: a full page is split into two pages.
 const minAppendChanges = 2
 
-// Archive archives some of the jobs, which must be in order: those of the page that most of them
-// belong to. It returns which of them are durably archived now. If the budget allows no changes yet
-// it returns none. It fails with ErrBusy, ErrIncomplete or ErrLeadershipLost, or with the error of
-// the write; then the same jobs may be passed again.
+// Archive archives some of the entries, which must be sorted by number: those that belong to the page
+// with the most of them. It returns the numbers of the jobs that are now durably archived, and none
+// while the change budget is too small. It fails with ErrBusy, ErrIncomplete or ErrLeadershipLost, or
+// with the error of the write; the caller may then pass the same entries again.
 func (a *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	replies := make(chan reply[[]JobNumber], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
-		replies <- replyOf(a.archiveGroup(serving, entries))
+		replies <- newReply(a.archiveLargestGroup(serving, entries))
 	})
 }
 
-// archiveGroup archives the jobs of one page.
-func (a *Archiver) archiveGroup(ctx context.Context, entries []Entry) ([]JobNumber, error) {
-	if !a.exact() {
+// archiveLargestGroup archives the entries that belong to the page with the most of them.
+func (a *Archiver) archiveLargestGroup(ctx context.Context, entries []Entry) ([]JobNumber, error) {
+	if !a.indexIsExact() {
 		return nil, ErrIncomplete
 	}
 	limits := a.applyLimits()
-	changes := min(int(a.writes.Tokens()), a.writes.Burst())
+	changes := min(int(a.writeLimiter.Tokens()), a.writeLimiter.Burst())
 	if changes < minAppendChanges {
 		return nil, nil
 	}
@@ -36,24 +35,27 @@
 	if len(group) == 0 {
 		return nil, nil
 	}
-	page, err := a.pageOf(ctx, old)
+	page, err := a.pageWithEntries(ctx, old)
 	if err != nil {
 		return nil, err
 	}
-	pages, rest := add(&page, group, maxPageBytes(&limits), maxParts(&limits, changes))
+	pages, rest := addEntries(&page, group, maxPageBytes(&limits), maxParts(&limits, changes))
 	added := group[:len(group)-len(rest)]
 	if len(added) == 0 {
-		a.report(fmt.Errorf("page %s is larger than may be written now; the jobs of its range stay in the journal", pageKey(page.Upper)))
+		a.logError(fmt.Errorf("page %s is too large for the current limits and change budget; jobs in its range stay in the journal",
+			pageKey(page.Upper)))
 		return nil, nil
 	}
-	// Written even if the page has all of them already: that bars late writes of its present version.
-	a.writes.AllowN(time.Now(), len(pages))
-	if err := a.replace(ctx, replacement{old: old, pages: pages}); err != nil {
+	// The page is written even if it already has all of the entries: the new version makes late writes
+	// that are guarded by the current version fail.
+	a.writeLimiter.AllowN(time.Now(), len(pages))
+	if err := a.replacePages(ctx, replacement{old: old, pages: pages}); err != nil {
 		return nil, err
 	}
 	return numbersOf(added), nil
 }
 
+// numbersOf returns the job numbers of entries.
 func numbersOf(entries []Entry) []JobNumber {
 	numbers := make([]JobNumber, 0, len(entries))
 	for i := range entries {
@@ -63,7 +65,7 @@
 }
 
 // largestGroup returns the page that most of the entries belong to, and these entries. The page is
-// nil if there are no pages yet. Damaged pages get no entries.
+// nil if there are no pages yet. Damaged pages are skipped.
 func (a *Archiver) largestGroup(entries []Entry) (page *cachedPage, group []Entry) {
 	pages := a.Index.current.Load().pages
 	if len(pages) == 0 {
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestArchivedJobsAreFoundByEveryController(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader, follower := f.startIdle(), f.startFollower()
 		f.beginTerm(leader)
 		entries := newEntries(600)
 		f.archive(leader, entries)
-		if pages := f.pages(); len(pages) < 5 {
+		if pages := f.storedPageKeys(); len(pages) < 5 {
 			t.Errorf("got %d pages, want at least 5", len(pages))
 		}
 		time.Sleep(30 * time.Second)
@@ -37,18 +37,19 @@
 	})
 }
 
-// The writes of the first leader arrive late, or their answers are lost.
+// The next leader archives jobs again that the first leader has archived, while the first leader's writes
+// arrive late or their responses are lost.
 func TestNextLeaderArchivesSameJobs(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults func(s *storagetest.Service)
 	}{
 		{"answers lost", func(s *storagetest.Service) { s.LoseResponses = 3 }},
-		{"late", func(s *storagetest.Service) { s.Delay = lateOnce(2 * time.Second) }},
-		{"very late", func(s *storagetest.Service) { s.Delay = lateOnce(time.Minute) }},
+		{"late", func(s *storagetest.Service) { s.Delay = delayOnce(2 * time.Second) }},
+		{"very late", func(s *storagetest.Service) { s.Delay = delayOnce(time.Minute) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inFixture(t, func(t *testing.T, f *fixture) { archiveWithTwoLeaders(t, f, c.faults) })
+			runWithFixture(t, func(t *testing.T, f *fixture) { archiveWithTwoLeaders(t, f, c.faults) })
 		})
 	}
 }
@@ -76,9 +77,9 @@
 	}
 }
 
-// Writes that are applied again after later ones of the same page have no effect.
+// A write that is applied again after later writes of the same page has no effect.
 func TestRepeatedWriteHasNoEffect(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader := f.startLeader()
 		entries := newEntries(400)
 		for group := range slices.Chunk(entries, 40) {
@@ -107,7 +108,7 @@
 }
 
 func TestArchivedFinalStateIsNotReplaced(t *testing.T) {
-	inFixture(t, func(_ *testing.T, f *fixture) {
+	runWithFixture(t, func(_ *testing.T, f *fixture) {
 		leader := f.startLeader()
 		e := newEntries(5)[4]
 		f.archive(leader, []Entry{e})
@@ -116,15 +117,15 @@
 	})
 }
 
-// Stored pages may be larger than the limits that have fallen: they are split if that is possible,
-// and read in any case.
+// When the store's limits fall below the size of stored pages, such pages are split if the lower limits
+// allow that, and remain readable in any case.
 func TestLimitsFallBelowPageSize(t *testing.T) {
 	for _, c := range []struct {
 		valueBytes, txnOps int
 		canSplit           bool
 	}{{512, 12, true}, {256, 3, false}} {
 		t.Run(fmt.Sprint(c.valueBytes), func(t *testing.T) {
-			inFixture(t, func(t *testing.T, f *fixture) {
+			runWithFixture(t, func(t *testing.T, f *fixture) {
 				limits := testLimits
 				limits.Next = &storage.Limits{ValueBytes: c.valueBytes, TxnOps: c.txnOps}
 				f.limits = storage.NewLimitTracker(limits)
--- a/internal/archive/cached_page.go
+++ b/internal/archive/cached_page.go
@@ -8,42 +8,42 @@
 	"sagevale/internal/storage"
 )
 
-// cachedPage is a stored page as it is held in memory.
+// cachedPage is the copy in memory of a stored page.
 type cachedPage struct {
 	packedPage
 	key          string
 	version      uint64
-	damaged      bool        // can't be decoded; its lower end isn't known
-	evicted      bool        // its entries aren't held
-	term         uint64      // of the leader that has read or written it; 0: of none
-	recentlyUsed atomic.Bool // since the last search for a page to evict
+	damaged      bool        // can't be decoded; lower and the entries are unknown
+	evicted      bool        // the entries were dropped from memory
+	term         uint64      // term of the leader that read this page alone or wrote it; 0: read by a refresh
+	recentlyUsed atomic.Bool // looked up since the eviction scan last visited the page
 }
 
-// newCachedPage returns the page of a stored item. If it can't be decoded, the error says why, and
-// the page is marked as damaged, or nil if the key is no page's.
+// newCachedPage decodes a stored item. If that fails, it returns the error and a page that is marked as
+// damaged, or a nil page if the key isn't a page key.
 func newCachedPage(item storage.Item, term uint64) (*cachedPage, error) {
 	packed, err := decode(item.Key, item.Data)
 	if err == nil {
 		return &cachedPage{packedPage: packed, key: item.Key, version: item.Version, term: term}, nil
 	}
-	upper, keyErr := upperOf(item.Key)
+	upper, keyErr := parsePageKey(item.Key)
 	if keyErr != nil {
-		return nil, keyErr // it covers no numbers
+		return nil, keyErr // the item covers no range of numbers
 	}
 	return &cachedPage{packedPage: packedPage{upper: upper}, key: item.Key, version: item.Version, damaged: true, term: term}, err
 }
 
-// lookup returns what a page says of a job in its range. index is the term of the leader for which
-// the whole index is exact.
-func (p *cachedPage) lookup(number JobNumber, index uint64) Result {
+// lookup looks up a job in the page's range. indexTerm is the term for which the whole index is exact,
+// or 0.
+func (p *cachedPage) lookup(number JobNumber, indexTerm uint64) Result {
 	p.recentlyUsed.Store(true)
 	if final, found := p.find(number); found {
 		return Result{Knowledge: Found, Final: final}
 	}
-	return Result{Knowledge: Absent, Term: max(index, p.term)}
+	return Result{Knowledge: Absent, Term: max(indexTerm, p.term)}
 }
 
-// withoutEntries returns the page as it is held once its entries are evicted.
+// withoutEntries returns a copy of the page that is marked as evicted and has no entries.
 func (p *cachedPage) withoutEntries() *cachedPage {
 	return &cachedPage{
 		packedPage: packedPage{lower: p.lower, upper: p.upper, count: p.count},
@@ -51,8 +51,8 @@
 	}
 }
 
-// findPage returns the position of the first page whose range doesn't end before a number, and
-// whether its range ends with it.
+// findPage returns the position of the first page whose upper end isn't below a number, and whether
+// its upper end equals the number. If there is none, the position is len(pages).
 func findPage(pages []*cachedPage, number JobNumber) (position int, exact bool) {
 	return slices.BinarySearchFunc(pages, number, func(p *cachedPage, n JobNumber) int { return cmp.Compare(p.upper, n) })
 }
--- a/internal/archive/damage_test.go
+++ b/internal/archive/damage_test.go
@@ -10,18 +10,18 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The jobs of a damaged page are reported as damaged, those of all others are found, and nothing is
+// Jobs in the range of a damaged page are reported as damaged, jobs in other pages are found, and no job is
 // added to the damaged page.
 func TestDamagedPageAffectsOnlyItsRange(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		_, entries := f.startLeaderWith(600)
-		pages := f.pages()
+		pages := f.storedPageKeys()
 		middle := len(pages) / 2
 		f.put(pages[middle], `"AAAA"`)
-		f.put(prefix+"stray", `{}`)
+		f.put(pagePrefix+"stray", `{}`)
 		damaged := damagedRange{key: pages[middle]}
-		damaged.upper, _ = upperOf(pages[middle])
-		damaged.lower, _ = upperOf(pages[middle-1])
+		damaged.upper, _ = parsePageKey(pages[middle])
+		damaged.lower, _ = parsePageKey(pages[middle-1])
 		for _, c := range []struct {
 			name string
 			wait time.Duration
@@ -43,7 +43,7 @@
 	lower, upper JobNumber
 }
 
-// check checks what a leader reads of all jobs, and that it adds none to the damaged page.
+// check checks a leader's reads of all jobs, and that it adds no job to the damaged page.
 func (d *damagedRange) check(t *testing.T, f *fixture, leader *Archiver, entries []Entry, name string) {
 	t.Helper()
 	inRange := 0
@@ -70,11 +70,11 @@
 	}
 }
 
-// A missing page is not a range without jobs.
+// A missing page must not be mistaken for a range without jobs.
 func TestMissingPageDoesNotProveAbsence(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		_, entries := f.startLeaderWith(600)
-		pages := f.pages()
+		pages := f.storedPageKeys()
 		for _, missing := range []string{pages[2], pages[len(pages)-1]} {
 			f.apply(storage.Op{Key: missing, Delete: true})
 		}
--- a/internal/archive/fixture_test.go
+++ b/internal/archive/fixture_test.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	// leadershipKey is the leadership key of these tests.
+	// leadershipKey is the key whose version guards the leader's writes.
 	leadershipKey = "lead"
-	// testTimeout bounds one call of an Archiver, and shortTimeout one that may hang.
+	// testTimeout is the timeout of one call of an Archiver, and shortTimeout that of a call that may get
+	// no response.
 	testTimeout  = 5 * time.Second
 	shortTimeout = 3 * time.Second
-	// loadTime is more than an Archiver takes to load all pages.
+	// loadTime is longer than an Archiver takes to load all pages.
 	loadTime = time.Minute
 )
 
 var testLimits = storage.Limits{RequestsPerS: 400, ChangesPerS: 400, ValueBytes: 1024, TxnOps: 12}
 
-// reporter fails a test or one of its random histories.
-type reporter interface {
+// testReporter fails a test or one of its random histories: a *testing.T or a *rapid.T.
+type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 	Errorf(format string, args ...any)
 }
 
-// fixture is a key-value store with the archivers of several controllers, in simulated time.
+// fixture is a key-value store with the Archivers of several controllers, in simulated time.
 type fixture struct {
-	t           reporter
-	store       *storagetest.Service
-	limits      *storage.LimitTracker
-	memoryBytes int         // of the archivers that are started next
-	cut         atomic.Bool // cuts all archivers off from the store
-	term        uint64
-	stops       []context.CancelFunc
-	running     sync.WaitGroup
+	t            testReporter
+	store        *storagetest.Service
+	limits       *storage.LimitTracker
+	memoryBytes  int         // memory limit of the Archivers that are started next
+	disconnected atomic.Bool // disconnects all Archivers from the store
+	term         uint64
+	cancels      []context.CancelFunc
+	running      sync.WaitGroup
 }
 
-func newFixture(t reporter) *fixture {
+func newFixture(t testReporter) *fixture {
 	f := &fixture{t: t, store: storagetest.NewService(), limits: storage.NewLimitTracker(testLimits), memoryBytes: 1 << 20}
 	f.store.ValueBytes, f.store.TxnOps = testLimits.ValueBytes, testLimits.TxnOps
 	return f
 }
 
-// inFixture runs a test in a fixture of its own.
-func inFixture(t *testing.T, test func(t *testing.T, f *fixture)) {
+// runWithFixture runs a test with a new fixture in simulated time.
+func runWithFixture(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -62,9 +63,9 @@
 	})
 }
 
-// close stops all archivers, and waits for the writes that arrive late.
+// close stops all Archivers, and waits for delayed writes.
 func (f *fixture) close() {
-	for _, stop := range f.stops {
+	for _, stop := range f.cancels {
 		stop()
 	}
 	f.running.Wait()
@@ -78,15 +79,16 @@
 	return NewArchiver(store, f.limits, settings, slog.New(slog.DiscardHandler))
 }
 
+// start starts an Archiver. follow is its Settings.Follow.
 func (f *fixture) start(follow bool) *Archiver {
-	a := f.newArchiver(&storagetest.Client{Service: f.store, Cut: &f.cut}, follow)
+	a := f.newArchiver(&storagetest.Client{Service: f.store, Cut: &f.disconnected}, follow)
 	ctx, stop := context.WithCancel(context.Background())
-	f.stops = append(f.stops, stop)
+	f.cancels = append(f.cancels, stop)
 	f.running.Go(func() { a.Run(ctx) })
 	return a
 }
 
-// startIdle starts an Archiver that holds no pages unless its controller leads.
+// startIdle starts an Archiver that holds no pages unless its controller is the leader.
 func (f *fixture) startIdle() *Archiver { return f.start(false) }
 
 // startFollower starts an Archiver that always holds pages.
@@ -100,7 +102,7 @@
 	return a
 }
 
-// startLeaderWith starts the Archiver of a leader and has it archive so many jobs.
+// startLeaderWith starts the Archiver of a leader and archives the given number of jobs.
 func (f *fixture) startLeaderWith(jobs int) (*Archiver, []Entry) {
 	f.t.Helper()
 	a, entries := f.startLeader(), newEntries(jobs)
@@ -108,7 +110,8 @@
 	return a, entries
 }
 
-// beginTerm makes an Archiver the leader's: the writes of all others fail from now on.
+// beginTerm makes an Archiver's controller the leader. From then on the writes of all other Archivers
+// fail.
 func (f *fixture) beginTerm(a *Archiver) Leadership {
 	f.t.Helper()
 	f.term++
@@ -134,15 +137,15 @@
 	return revision
 }
 
-// pages returns the keys of all stored pages.
-func (f *fixture) pages() []string { return f.store.Keys(prefix) }
+// storedPageKeys returns the keys of all stored pages, in order.
+func (f *fixture) storedPageKeys() []string { return f.store.Keys(pagePrefix) }
 
 // archive passes jobs to an Archiver until all of them are archived.
 func (f *fixture) archive(a *Archiver, entries []Entry) {
 	f.t.Helper()
 	entries = slices.Clone(entries)
 	for range 2000 {
-		archived, _ := archiveOnce(a, entries, testTimeout) // retried
+		archived, _ := archiveOnce(a, entries, testTimeout) // errors are retried
 		entries = slices.DeleteFunc(entries, func(e Entry) bool { return slices.Contains(archived, e.Number) })
 		if len(entries) == 0 {
 			return
@@ -152,21 +155,21 @@
 	f.t.Fatalf("%d jobs aren't archived", len(entries))
 }
 
-// archiveOnce passes jobs to an Archiver once.
+// archiveOnce passes jobs to an Archiver once, with a timeout.
 func archiveOnce(a *Archiver, entries []Entry, timeout time.Duration) ([]JobNumber, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return a.Archive(ctx, entries)
 }
 
-// read reads a job once.
+// read reads a job once, with testTimeout.
 func read(a *Archiver, number JobNumber) (Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return a.Read(ctx, number)
 }
 
-// readUntilAnswered reads a job until its page can be read.
+// readUntilAnswered reads a job repeatedly until a read succeeds.
 func (f *fixture) readUntilAnswered(a *Archiver, number JobNumber) Result {
 	f.t.Helper()
 	var err error
@@ -181,7 +184,7 @@
 	return Result{}
 }
 
-// checkFound reads a job, which must be archived.
+// checkFound reads a job and requires that it is archived.
 func (f *fixture) checkFound(a *Archiver, want Entry) {
 	f.t.Helper()
 	if r := f.readUntilAnswered(a, want.Number); r.Knowledge != Found || r.Final != want.FinalState {
@@ -189,7 +192,7 @@
 	}
 }
 
-// checkAbsent reads a job, which must not be archived.
+// checkAbsent reads a job and requires that it isn't archived.
 func (f *fixture) checkAbsent(a *Archiver, number JobNumber) {
 	f.t.Helper()
 	if r := f.readUntilAnswered(a, number); r.Knowledge != Absent {
@@ -197,7 +200,7 @@
 	}
 }
 
-// checkHeld looks a job up without reading its page. It must be found.
+// checkHeld looks up a job in the index and requires that it is found without reading its page.
 func checkHeld(t *testing.T, a *Archiver, want Entry) {
 	t.Helper()
 	if r := a.Index.Lookup(want.Number); r.Knowledge != Found || r.Final != want.FinalState {
@@ -205,7 +208,7 @@
 	}
 }
 
-// newEntries returns so many finished jobs whose ids lie far apart.
+// newEntries returns n finished jobs whose IDs are far apart.
 func newEntries(n int) []Entry {
 	var entries []Entry
 	for i := range n {
@@ -215,8 +218,9 @@
 	return entries
 }
 
-// lateOnce has the next transaction be applied so much later, without an answer.
-func lateOnce(by time.Duration) func() time.Duration {
+// delayOnce returns a fault that delays the next transaction. The store applies it late and sends no
+// response.
+func delayOnce(by time.Duration) func() time.Duration {
 	used := false
 	return func() time.Duration {
 		if used {
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -5,49 +5,49 @@
 	"sync/atomic"
 )
 
-// Knowledge is what is known of a job.
-type Knowledge int
+// LookupStatus is the outcome of looking up whether a job is archived.
+type LookupStatus int
 
-// What may be known.
+// The lookup statuses.
 const (
-	Unknown Knowledge = iota // its page isn't held or can't be decoded, and has to be read
-	Found                    // it is archived; that never changes
-	Absent                   // it wasn't in its page when that was read
-	Damaged                  // its page can't be decoded
+	Unknown LookupStatus = iota // the job's page isn't in memory, or is known to be damaged, and has to be read
+	Found                       // the job is archived; its final state never changes
+	Absent                      // the job wasn't in its page when the page was read
+	Damaged                     // the job's page can't be decoded
 )
 
 // Result is the result of looking up a job.
 type Result struct {
-	Knowledge Knowledge
-	Final     FinalState // if found
-	Term      uint64     // if absent: the term of the leader for which that is exact; 0: none
-	Key       string     // if damaged: of the page
+	Knowledge LookupStatus
+	Final     FinalState // if Found
+	Term      uint64     // if Absent: the leader's term for which that is exact; 0: none
+	Key       string     // if Damaged: key of the page
 }
 
-// Index holds pages in memory, as many as its size allows. It may be read from any goroutine, and
-// is changed only by its Archiver.
+// Index holds the pages in memory, and evicts the entries of some when they exceed its size limit. It
+// may be read from any goroutine; only its Archiver changes it.
 type Index struct {
 	current   atomic.Pointer[snapshot]
 	maxBytes  int
 	bytes     int
-	clockHand int // position of the last page that was considered for eviction
+	clockHand int // position of the page that the eviction scan visited last
 }
 
-// snapshot is what readers of the index see. It is replaced as a whole.
+// snapshot is an immutable state of the index. Each update replaces it as a whole.
 type snapshot struct {
-	pages    []*cachedPage // by the ends of their ranges
-	complete bool          // holds all pages that existed at some revision
-	term     uint64        // the term of the leader for which the whole is exact; 0: none
+	pages    []*cachedPage // sorted by upper end
+	complete bool          // includes all pages that existed at some revision of the store
+	term     uint64        // leader's term for which the whole snapshot is exact; 0: none
 }
 
-// NewIndex returns an empty index that holds at most so many bytes of packed pages.
+// NewIndex returns an empty index that holds at most maxBytes bytes of packed pages.
 func NewIndex(maxBytes int) *Index {
 	x := &Index{maxBytes: maxBytes}
 	x.current.Store(&snapshot{})
 	return x
 }
 
-// Lookup returns what is known of a job without reading its page.
+// Lookup looks up a job in the pages in memory.
 func (x *Index) Lookup(number JobNumber) Result { return x.current.Load().lookup(number) }
 
 func (s *snapshot) lookup(number JobNumber) Result {
@@ -56,18 +56,19 @@
 	case len(s.pages) == 0 && s.complete:
 		return Result{Knowledge: Absent, Term: s.term}
 	case i == len(s.pages):
-		return Result{} // the last page is missing, even if the index is complete
+		return Result{} // the last page is missing; the index may still be complete
 	case s.pages[i].damaged, s.pages[i].evicted, number <= s.pages[i].lower:
 		return Result{}
 	}
 	return s.pages[i].lookup(number, s.term)
 }
 
-// ExactFor reports whether the whole index is exact for the leader of a term.
+// ExactFor reports whether the whole index is exact for a leader's term.
 func (x *Index) ExactFor(term uint64) bool { return x.current.Load().term == term }
 
-// edit publishes a changed copy of the snapshot.
-func (x *Index) edit(f func(s *snapshot)) {
+// update applies f to a copy of the snapshot, evicts entries beyond the size limit, and publishes the
+// copy.
+func (x *Index) update(f func(s *snapshot)) {
 	next := *x.current.Load()
 	next.pages = slices.Clone(next.pages)
 	f(&next)
@@ -79,9 +80,9 @@
 	x.current.Store(&next)
 }
 
-// put adds pages, unless a later version of one is held.
+// put adds or replaces pages, except those of which the index has a later version.
 func (x *Index) put(pages []*cachedPage) {
-	x.edit(func(s *snapshot) {
+	x.update(func(s *snapshot) {
 		for _, p := range pages {
 			i, found := findPage(s.pages, p.upper)
 			switch {
@@ -94,15 +95,16 @@
 	})
 }
 
-// remove removes a page that was deleted at a revision, unless a later version of it is held.
+// remove removes a page that was deleted from the store at a revision, unless the index has a version
+// of the page that isn't older than that.
 func (x *Index) remove(upper JobNumber, revision uint64) {
-	x.edit(func(s *snapshot) {
+	x.update(func(s *snapshot) {
 		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return p.upper == upper && p.version < revision })
 	})
 }
 
-// evict drops the entries of pages that weren't used recently until the rest fits: the pages are
-// considered in turn, and one that was used since its last turn is kept (the CLOCK algorithm).
+// evict drops the entries of pages that weren't used recently until the rest fits the size limit. It
+// uses the CLOCK algorithm: it visits the pages in turn and keeps those used since its last visit.
 func (x *Index) evict(s *snapshot) {
 	for steps := 2 * len(s.pages); x.bytes > x.maxBytes && steps > 0; steps-- {
 		x.clockHand = (x.clockHand + 1) % len(s.pages)
@@ -115,13 +117,13 @@
 	}
 }
 
-// Stats are figures of an index.
+// Stats are statistics of an index.
 type Stats struct {
-	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs without those of damaged pages
-	Complete                             bool // all pages that existed at some revision are counted
+	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs excludes those in damaged pages
+	Complete                             bool // includes all pages that existed at some revision of the store
 }
 
-// Stats counts what the index knows.
+// Stats returns the index's current statistics.
 func (x *Index) Stats() Stats { return x.current.Load().stats() }
 
 func (s *snapshot) stats() Stats {
--- a/internal/archive/index_test.go
+++ b/internal/archive/index_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newTestPage returns a page as it is held in memory.
+// newTestPage returns the copy in memory of a page.
 func newTestPage(p Page, version uint64) *cachedPage {
 	return &cachedPage{packedPage: packedPage{p.Lower, p.Upper, len(p.Entries), pack(&p)}, key: pageKey(p.Upper), version: version}
 }
@@ -27,7 +27,7 @@
 
 func TestIndexEvictsPagesNotUsedRecently(t *testing.T) {
 	const pages, jobs, maxBytes = 10, 400, 3000
-	const used = JobNumber(1) // is looked up all the time
+	const lookedUp = JobNumber(1) // a job in the first page, looked up after each page is added
 	x := NewIndex(maxBytes)
 	for i := range JobNumber(pages) {
 		p := Page{i * 1000, (i + 1) * 1000, nil}
@@ -35,13 +35,13 @@
 			p.Entries = append(p.Entries, Entry{number, FinalState{Done: 1}})
 		}
 		x.put([]*cachedPage{newTestPage(p, 1)})
-		x.Lookup(used)
+		x.Lookup(lookedUp)
 	}
 	stats := x.Stats()
 	if stats.Bytes > maxBytes || stats.Jobs != pages*jobs || stats.Pages != pages || stats.Evicted < 5 || stats.Evicted > 8 {
 		t.Errorf("got %+v, want %d jobs in %d pages, at most %d bytes, and 5 to 8 pages evicted", stats, pages*jobs, pages, maxBytes)
 	}
-	if r := x.Lookup(used); r.Knowledge != Found {
+	if r := x.Lookup(lookedUp); r.Knowledge != Found {
 		t.Errorf("lookup in the page that is used: got %+v, want found", r)
 	}
 	unknown := 0
--- a/internal/archive/job_number.go
+++ b/internal/archive/job_number.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// JobNumber stands for a job's id: ids with fewer digits come first, then smaller ones. The first
-// number is 1.
+// JobNumber is the position of a job ID among all valid IDs, starting at 1. Shorter IDs come before
+// longer ones, and IDs of the same length are in numerical order.
 type JobNumber uint64
 
-// The numbers of digits that a job's id may have, by the protocol.
+// The protocol's limits of the number of digits in a job ID.
 const (
 	minDigits = 6
 	maxDigits = 18
 )
 
-// LastJobNumber is the number of the last id.
+// LastJobNumber is the number of the last valid ID.
 var LastJobNumber = firstNumber(maxDigits+1) - 1
 
-// firstNumber returns the number of the first id with so many digits.
+// firstNumber returns the number of the first ID that has the given number of digits.
 func firstNumber(digits int) JobNumber {
 	first, count := JobNumber(1), JobNumber(1)
 	for d := range digits {
@@ -30,7 +30,8 @@
 	return first
 }
 
-// ParseJobNumber returns the number of a job's id without its prefix; ok is false if it is no id.
+// ParseJobNumber returns the number of a job ID, which is given without its prefix. ok is false if the
+// ID is invalid.
 func ParseJobNumber(id string) (number JobNumber, ok bool) {
 	if len(id) < minDigits || len(id) > maxDigits {
 		return 0, false
@@ -45,7 +46,7 @@
 	return firstNumber(len(id)) + value, true
 }
 
-// ID returns the id of a number, without its prefix.
+// ID returns the job ID of a number, without its prefix.
 func (n JobNumber) ID() string {
 	digits := minDigits
 	for digits < maxDigits && n >= firstNumber(digits+1) {
--- a/internal/archive/job_number_test.go
+++ b/internal/archive/job_number_test.go
@@ -6,9 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// edgeIDs are ids at the ends of the range, and where the number of digits changes.
+// edgeIDs are the first and last IDs, and IDs at which the number of digits changes.
 var edgeIDs = []string{"000000", "000001", "999999", "0000000", "9999999", "000000000000000000", "999999999999999999"}
 
+// drawID draws a valid ID, which is one of edgeIDs in a tenth of the cases.
 func drawID(t *rapid.T, name string) string {
 	if rapid.IntRange(0, 9).Draw(t, name+" edge") == 0 {
 		return rapid.SampledFrom(edgeIDs).Draw(t, name)
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -13,28 +13,28 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// model is a random history of leaders that archive jobs, beside a model of what is final.
-type model struct {
+// historyModel runs a random history of leaders that archive jobs, and records the expected state of each
+// job.
+type historyModel struct {
 	*fixture
-	t          *rapid.T
-	final      map[JobNumber]FinalState // of all jobs that ever finished
-	journal    map[JobNumber]FinalState // of the jobs that the journal holds
-	leader     *Archiver
-	leadership Leadership
-	follower   *Archiver
+	t           *rapid.T
+	finalStates map[JobNumber]FinalState // of all jobs that have finished
+	journal     map[JobNumber]FinalState // of the jobs that are still in the journal
+	leader      *Archiver
+	leadership  Leadership
+	follower    *Archiver
 }
 
-// Random histories of finished jobs, archiving, failovers, and writes that are dropped, late,
-// repeated or without an answer: every answer agrees with the model, and at the end every job is
-// found.
+// In random histories of finished jobs, archiving, failovers, and writes that are late, repeated or lose
+// their response, every answer agrees with the model. At the end every archived job is found.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inSimulatedTime(t, func() { runHistory(rt) })
 	})
 }
 
-// inSimulatedTime runs a property in simulated time of its own. rapid ends properties by a panic,
-// which is passed on to its goroutine.
+// inSimulatedTime runs a property in simulated time. rapid ends properties with a panic, which is
+// re-raised in the goroutine that called inSimulatedTime.
 func inSimulatedTime(t *testing.T, property func()) {
 	var panicked any
 	synctest.Test(t, func(*testing.T) {
@@ -47,7 +47,8 @@
 }
 
 func runHistory(t *rapid.T) {
-	m := &model{fixture: newFixture(t), t: t, final: make(map[JobNumber]FinalState), journal: make(map[JobNumber]FinalState)}
+	m := &historyModel{fixture: newFixture(t), t: t,
+		finalStates: make(map[JobNumber]FinalState), journal: make(map[JobNumber]FinalState)}
 	defer m.close()
 	m.follower = m.startFollower()
 	m.memoryBytes = rapid.SampledFrom([]int{1 << 20, 300}).Draw(t, "memory")
@@ -69,15 +70,15 @@
 	}
 	time.Sleep(loadTime)
 	m.failOver()
-	for number, final := range m.final {
+	for number, final := range m.finalStates {
 		if _, inJournal := m.journal[number]; !inJournal {
 			m.checkFound(m.leader, Entry{number, final})
 		}
 	}
 }
 
-// numbers generates few numbers, so that they repeat. Some lie far apart.
-func (m *model) numbers() *rapid.Generator[JobNumber] {
+// jobNumbers generates job numbers from small ranges, so that they repeat. Some are far apart.
+func (m *historyModel) jobNumbers() *rapid.Generator[JobNumber] {
 	return rapid.Custom(func(t *rapid.T) JobNumber {
 		number, _ := ParseJobNumber(fmt.Sprintf("%06d", rapid.IntRange(0, 400).Draw(t, "id")))
 		if rapid.Bool().Draw(t, "far") {
@@ -87,18 +88,19 @@
 	})
 }
 
-func (m *model) finishJobs() {
-	for _, number := range rapid.SliceOfN(m.numbers(), 1, 60).Draw(m.t, "finished") {
-		if _, finished := m.final[number]; !finished {
-			m.final[number] = FinalState{Cancelled: rapid.Bool().Draw(m.t, "cancelled"), Done: rapid.IntRange(0, 1000).Draw(m.t, "done")}
-			m.journal[number] = m.final[number]
+func (m *historyModel) finishJobs() {
+	for _, number := range rapid.SliceOfN(m.jobNumbers(), 1, 60).Draw(m.t, "finished") {
+		if _, finished := m.finalStates[number]; !finished {
+			m.finalStates[number] = FinalState{
+				Cancelled: rapid.Bool().Draw(m.t, "cancelled"), Done: rapid.IntRange(0, 1000).Draw(m.t, "done")}
+			m.journal[number] = m.finalStates[number]
 		}
 	}
 }
 
-// archiveJobs archives what the journal holds. The removal from the journal may be lost with the
-// leader.
-func (m *model) archiveJobs() {
+// archiveJobs archives the jobs in the journal. Some archived jobs stay in the journal, as if the leader
+// had failed before it removed them.
+func (m *historyModel) archiveJobs() {
 	var entries []Entry
 	for number, final := range m.journal {
 		entries = append(entries, Entry{number, final})
@@ -115,13 +117,13 @@
 	}
 }
 
-func (m *model) failOver() {
+func (m *historyModel) failOver() {
 	m.leader = m.start(rapid.Bool().Draw(m.t, "follows"))
 	m.leadership = m.beginTerm(m.leader)
 }
 
-// injectFault loses an answer, delays a write, or repeats an earlier one.
-func (m *model) injectFault() {
+// injectFault drops the response to a write, delays a write, or repeats an earlier one.
+func (m *historyModel) injectFault() {
 	fault := rapid.IntRange(0, 2).Draw(m.t, "fault")
 	late := time.Duration(rapid.IntRange(1, 20_000).Draw(m.t, "late")) * time.Millisecond
 	m.store.Update(func(s *storagetest.Service) {
@@ -129,7 +131,7 @@
 		case 0:
 			s.LoseResponses = 1
 		case 1:
-			s.Delay = lateOnce(late)
+			s.Delay = delayOnce(late)
 		default:
 			if n := len(s.Sent); n > 0 {
 				repeated := s.Sent[rapid.IntRange(0, n-1).Draw(m.t, "repeated")]
@@ -139,10 +141,10 @@
 	})
 }
 
-// lookUp looks a job up at the leader and a follower. Every answer must agree with the model.
-func (m *model) lookUp() {
-	number := m.numbers().Draw(m.t, "looked up")
-	want, finished := m.final[number]
+// lookUp looks up a job at the leader and at a follower. Every answer must agree with the model.
+func (m *historyModel) lookUp() {
+	number := m.jobNumbers().Draw(m.t, "looked up")
+	want, finished := m.finalStates[number]
 	if r := m.follower.Index.Lookup(number); r.Knowledge == Found && (!finished || r.Final != want) {
 		m.t.Fatalf("a follower finds %s as %+v, want %+v (finished: %v)", number.ID(), r.Final, want, finished)
 	}
--- a/internal/archive/packed_page.go
+++ b/internal/archive/packed_page.go
@@ -9,27 +9,30 @@
 	"slices"
 )
 
-// A page is stored as the base64 text of: the format, the lower end, the number of entries, the
-// entries, and a checksum of the key and all of that. An entry is the distance from the number
-// before it, then its done tasks and whether it was cancelled. All numbers are varints.
+// A page is stored as base64 text. The packed bytes are a header (one byte for the format, the lower end
+// of the range, the number of entries), the entries, and a little-endian CRC-32C checksum of the key and
+// all bytes before. An entry is the difference between its job number and the previous one (the lower
+// end for the first entry), and one number that combines the count of done tasks with a flag for
+// cancellation: see packState. The numbers of the header and the entries are varints.
 const (
 	pageFormat    = 1
 	checksumBytes = 4
-	// maxEntryBytes is the most that one entry takes.
+	// maxEntryBytes is the maximum size of one entry.
 	maxEntryBytes = 2 * binary.MaxVarintLen64
-	// frameBytes is the most that a page takes besides its entries.
-	frameBytes = 1 + 2*binary.MaxVarintLen64 + checksumBytes
-	// maxTasks bounds the tasks of a job, far above the protocol's limit.
+	// maxOverheadBytes is the maximum size of a page's header and checksum.
+	maxOverheadBytes = 1 + 2*binary.MaxVarintLen64 + checksumBytes
+	// maxTasks is the largest number of done tasks that is accepted, far above the protocol's limit of
+	// tasks in a job.
 	maxTasks = 1 << 32
 )
 
 var (
-	errTooShort = errors.New("it is too short")
-	errChecksum = errors.New("its checksum is wrong")
-	errOrder    = errors.New("its entries are out of order or range")
+	errTooShort       = errors.New("the value is too short")
+	errChecksum       = errors.New("checksum mismatch")
+	errInvalidEntries = errors.New("invalid range or entries")
 )
 
-// packedPage is a page whose entries are decoded only where they are needed.
+// packedPage is a page in packed form. Its entries are decoded only when they are needed.
 type packedPage struct {
 	lower, upper JobNumber
 	count        int
@@ -49,13 +52,14 @@
 	return binary.LittleEndian.AppendUint32(body, checksum(pageKey(p.Upper), body))
 }
 
-// appendEntry appends an entry that follows the number previous.
+// appendEntry appends a packed entry. previous is the number of the entry before it.
 func appendEntry(body []byte, previous JobNumber, e *Entry) []byte {
 	body = binary.AppendUvarint(body, uint64(e.Number-previous))
 	return binary.AppendUvarint(body, packState(e.FinalState))
 }
 
-// packState returns a final state as one number: the lowest bit is set if the job was cancelled.
+// packState encodes a final state as one number: the lowest bit is set if the job was cancelled, and the
+// other bits are the number of done tasks.
 func packState(f FinalState) uint64 {
 	state := uint64(f.Done) << 1
 	if f.Cancelled {
@@ -64,61 +68,63 @@
 	return state
 }
 
+// unpackState is the inverse of packState.
 func unpackState(state uint64) FinalState {
 	return FinalState{Cancelled: state&1 != 0, Done: int(state >> 1)}
 }
 
-// entryBytes returns what an entry takes that follows the number previous.
+// entryBytes returns the packed size of an entry. previous is the number of the entry before it.
 func entryBytes(previous JobNumber, e *Entry) int {
 	var buffer [maxEntryBytes]byte
 	return len(appendEntry(buffer[:0], previous, e))
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the CRC-32C checksum of a page's key and body.
 func checksum(key string, body []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, body)
+	return crc32.Update(crc32.Checksum([]byte(key), castagnoliTable), castagnoliTable, body)
 }
 
 // encode returns the stored value of a packed page.
 func encode(packed []byte) (json.RawMessage, error) { return json.Marshal(packed) }
 
-// decode decodes the frame of a stored page and checks the whole of it. The entries stay packed.
-// All its errors are DamagedErrors.
+// decode decodes the header of a stored page and validates the whole page. The entries stay packed. All
+// errors are DamagedErrors.
 func decode(key string, value json.RawMessage) (packedPage, error) {
-	upper, err := upperOf(key)
+	upper, err := parsePageKey(key)
 	if err != nil {
 		return packedPage{}, err
 	}
 	var packed []byte
 	if err := json.Unmarshal(value, &packed); err != nil {
-		return packedPage{}, &DamagedError{Key: key, Reason: "it is no base64 text"}
+		return packedPage{}, &DamagedError{Key: key, Reason: "the value isn't base64 text"}
 	}
 	p := packedPage{upper: upper, packed: slices.Clip(packed)}
-	if err := p.check(key); err != nil {
+	if err := p.validate(key); err != nil {
 		return packedPage{}, &DamagedError{Key: key, Reason: err.Error()}
 	}
 	return p, nil
 }
 
-// check verifies the checksum, decodes the frame and walks the entries once.
-func (p *packedPage) check(key string) error {
+// validate verifies the checksum, decodes the header and checks all entries.
+func (p *packedPage) validate(key string) error {
 	body, err := p.verifiedBody(key)
 	if err != nil {
 		return err
 	}
-	if err := p.readFrame(body); err != nil {
+	if err := p.decodeHeader(body); err != nil {
 		return err
 	}
 	entries := 0
-	rest := p.each(func(Entry) bool { entries++; return true })
+	rest := p.forEachEntry(func(Entry) bool { entries++; return true })
 	if entries != p.count || rest != 0 {
-		return errOrder
+		return errInvalidEntries
 	}
 	return nil
 }
 
-// verifiedBody returns the bytes before the checksum, which must match them.
+// verifiedBody returns the bytes before the checksum, or an error if the checksum doesn't match them.
 func (p *packedPage) verifiedBody(key string) ([]byte, error) {
 	if len(p.packed) < 1+checksumBytes {
 		return nil, errTooShort
@@ -133,14 +139,14 @@
 // body returns the bytes before the checksum.
 func (p *packedPage) body() []byte { return p.packed[:len(p.packed)-checksumBytes] }
 
-// readFrame decodes the format, the lower end and the number of entries.
-func (p *packedPage) readFrame(body []byte) error {
+// decodeHeader decodes the format, the lower end and the number of entries.
+func (p *packedPage) decodeHeader(body []byte) error {
 	if body[0] != pageFormat {
-		return fmt.Errorf("format %d is not known, only %d", body[0], pageFormat)
+		return fmt.Errorf("format %d is not supported, only %d", body[0], pageFormat)
 	}
 	lower, n := binary.Uvarint(body[1:])
 	if n <= 0 || JobNumber(lower) >= p.upper {
-		return errOrder
+		return errInvalidEntries
 	}
 	count, m := binary.Uvarint(body[1+n:])
 	if m <= 0 || count > uint64(len(body)) {
@@ -150,10 +156,11 @@
 	return nil
 }
 
-// each calls f for the entries in order until it returns false, and returns how many bytes are
-// left behind the last entry. An entry that is out of order or range ends it.
-func (p *packedPage) each(f func(Entry) bool) (rest int) {
-	entries := skipFrame(p.body())
+// forEachEntry calls f for the entries in order until f returns false, and returns how many bytes follow
+// the last entry that it decoded. It also stops at an entry that is invalid, out of order or outside
+// the page's range.
+func (p *packedPage) forEachEntry(f func(Entry) bool) (rest int) {
+	entries := skipHeader(p.body())
 	number := p.lower
 	for range p.count {
 		distance, n := binary.Uvarint(entries)
@@ -173,8 +180,8 @@
 	return len(entries)
 }
 
-// skipFrame returns the entries of a body whose frame was checked.
-func skipFrame(body []byte) []byte {
+// skipHeader returns the packed entries of a body with a valid header.
+func skipHeader(body []byte) []byte {
 	body = body[1:]
 	for range 2 { // the lower end and the number of entries
 		_, n := binary.Uvarint(body)
@@ -183,9 +190,9 @@
 	return body
 }
 
-// find returns the final state of a job.
+// find returns the final state of a job, and whether the page has the job.
 func (p *packedPage) find(number JobNumber) (final FinalState, found bool) {
-	p.each(func(e Entry) bool {
+	p.forEachEntry(func(e Entry) bool {
 		if e.Number == number {
 			final, found = e.FinalState, true
 		}
@@ -194,10 +201,10 @@
 	return final, found
 }
 
-// page decodes all entries.
-func (p *packedPage) page() Page {
+// unpack returns the page with all entries decoded.
+func (p *packedPage) unpack() Page {
 	entries := make([]Entry, 0, p.count)
-	p.each(func(e Entry) bool {
+	p.forEachEntry(func(e Entry) bool {
 		entries = append(entries, e)
 		return true
 	})
--- a/internal/archive/packed_page_test.go
+++ b/internal/archive/packed_page_test.go
@@ -13,10 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntries draws jobs in a range, in order. Some lie close together, some far apart.
-func drawEntries(t *rapid.T, name string, lower, upper JobNumber, most int) []Entry {
+// drawEntries draws at most maxCount jobs in a range, sorted by number. Some have consecutive numbers,
+// others are far apart.
+func drawEntries(t *rapid.T, name string, lower, upper JobNumber, maxCount int) []Entry {
 	var entries []Entry
-	for i := range rapid.IntRange(0, most).Draw(t, name) {
+	for i := range rapid.IntRange(0, maxCount).Draw(t, name) {
 		number := JobNumber(rapid.Uint64Range(uint64(lower)+1, uint64(upper)).Draw(t, fmt.Sprintf("%s %d", name, i)))
 		if len(entries) > 0 && rapid.Bool().Draw(t, "close") && entries[len(entries)-1].Number < upper {
 			number = entries[len(entries)-1].Number + 1
@@ -27,7 +28,7 @@
 	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.Number == b.Number })
 }
 
-// drawRange draws the range of a page.
+// drawRange draws the range of a page: all numbers in half of the cases.
 func drawRange(t *rapid.T) (lower, upper JobNumber) {
 	a := rapid.Uint64Range(0, uint64(LastJobNumber)-1).Draw(t, "lower")
 	if rapid.Bool().Draw(t, "whole") {
@@ -55,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := decoded.page()
+		again := decoded.unpack()
 		if again.Lower != lower || again.Upper != upper || !slices.Equal(again.Entries, page.Entries) {
 			t.Fatalf("%+v is decoded as %+v", page, again)
 		}
@@ -64,7 +65,7 @@
 				t.Fatalf("find(%d): got %+v, %v; want %+v", e.Number, final, found, e.FinalState)
 			}
 		}
-		// Under another page's key the same value is damaged.
+		// The checksum includes the key, so the same value is damaged under another page's key.
 		if other := pageKey(upper%LastJobNumber + 1); other != pageKey(upper) {
 			if _, err := decode(other, value); err == nil {
 				t.Fatal("the value is decoded under another key")
@@ -106,9 +107,9 @@
 	return value
 }
 
-// FuzzDecode checks that whatever is stored under a page's key is decoded or reported as damaged, and
-// that what is decoded is encoded again without a change. The checksum is correct, so that the code
-// behind it is reached.
+// FuzzDecode checks that any value under a page key is either decoded or reported as damaged, and that
+// packing a decoded page again preserves it. The test adds a correct checksum, so that the code after the
+// checksum check is reached.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{}, uint64(LastJobNumber))
 	f.Add([]byte{pageFormat, 0, 0}, uint64(100))
@@ -125,7 +126,7 @@
 		if err != nil {
 			return
 		}
-		page := decoded.page()
+		page := decoded.unpack()
 		previous := page.Lower
 		for _, e := range page.Entries {
 			if e.Number <= previous || e.Number > upper {
@@ -134,10 +135,10 @@
 			previous = e.Number
 		}
 		again := packedPage{upper: upper, packed: pack(&page)}
-		if err := again.check(pageKey(upper)); err != nil || len(page.Entries) != decoded.count {
+		if err := again.validate(pageKey(upper)); err != nil || len(page.Entries) != decoded.count {
 			t.Fatalf("%+v is decoded, and encoded damaged: %v", page, err)
 		}
-		if second := again.page(); !slices.Equal(second.Entries, page.Entries) || second.Lower != page.Lower {
+		if second := again.unpack(); !slices.Equal(second.Entries, page.Entries) || second.Lower != page.Lower {
 			t.Fatalf("%+v is encoded as %+v", page, second)
 		}
 	})
--- a/internal/archive/page.go
+++ b/internal/archive/page.go
@@ -5,15 +5,15 @@
 // FinalState is the final state of a job.
 type FinalState struct {
 	Cancelled bool // otherwise the job is done
-	Done      int  // how many of its tasks are done
+	Done      int  // number of done tasks
 }
 
-// FinalStateOf returns the final state of a job in a final phase.
+// FinalStateOf returns the final state of a job from its final phase and its number of done tasks.
 func FinalStateOf(phase storage.Phase, done int) FinalState {
 	return FinalState{Cancelled: phase == storage.Cancelled, Done: done}
 }
 
-// Phase returns the job's phase.
+// Phase returns the final phase of the job.
 func (f FinalState) Phase() storage.Phase {
 	if f.Cancelled {
 		return storage.Cancelled
@@ -21,13 +21,13 @@
 	return storage.Done
 }
 
-// Entry is one archived job.
+// Entry is the number and the final state of one archived job.
 type Entry struct {
 	Number JobNumber
 	FinalState
 }
 
-// Page holds the archived jobs with numbers above Lower up to Upper, in order.
+// Page holds the archived jobs whose numbers are above Lower and at most Upper, sorted by number.
 type Page struct {
 	Lower, Upper JobNumber
 	Entries      []Entry
--- a/internal/archive/page_split.go
+++ b/internal/archive/page_split.go
@@ -8,46 +8,48 @@
 )
 
 const (
-	// valueShare of the value limit may be used by a page.
+	// valueShare is the share of the store's value limit that a page may use.
 	valueShare = 0.9
-	// splitShare of that is what each part of a page takes that was split: the rest is left for
-	// jobs to come.
-	splitShare = 0.6
-	// txnBytes bounds one transaction, below the protocol's 64 KiB.
+	// splitFillShare is the share of the maximum page size that each part of a split page fills. The
+	// rest is headroom for later entries.
+	splitFillShare = 0.6
+	// txnBytes limits the values of one transaction. It is below the protocol's limit of 64 KiB.
 	txnBytes = 56 << 10
 )
 
-// maxPageBytes returns how many bytes a packed page may take, before base64.
+// maxPageBytes returns the maximum size of a packed page, before base64 encoding.
 func maxPageBytes(limits *storage.Limits) int {
 	return int(float64(limits.ValueBytes)*valueShare)/4*3 - 2
 }
 
-// maxParts returns how many pages one transaction may write, with a budget of changes.
+// maxParts returns how many pages one transaction may write within a budget of changes.
 func maxParts(limits *storage.Limits, changes int) int {
 	return max(1, min(limits.TxnOps, changes, txnBytes/max(1, limits.ValueBytes)))
 }
 
-// add adds as many of the entries to a page as fit into so many parts of it, and returns the parts
-// and the rest of the entries. A job that is in the page already keeps its state. The entries must
-// be in order and in the page's range.
-func add(p *Page, entries []Entry, bytes, parts int) (pages []Page, rest []Entry) {
-	added := fitting(p, entries, bytes, parts)
-	whole := Page{Lower: p.Lower, Upper: p.Upper, Entries: merge(p.Entries, entries[:added])}
-	return split(whole, bytes), entries[added:]
+// addEntries adds as many of the entries to a page as fit into partLimit parts of at most pageBytes each,
+// and returns the parts and the remaining entries. A job that is already in the page keeps its state.
+// The entries must be sorted by number and in the page's range.
+func addEntries(p *Page, entries []Entry, pageBytes, partLimit int) (pages []Page, rest []Entry) {
+	added := countFitting(p, entries, pageBytes, partLimit)
+	whole := Page{Lower: p.Lower, Upper: p.Upper, Entries: mergeEntries(p.Entries, entries[:added])}
+	return splitPage(whole, pageBytes), entries[added:]
 }
 
-// fitting returns how many of the entries are guaranteed to fit into so many parts of a page.
-func fitting(p *Page, entries []Entry, bytes, parts int) (count int) {
-	size, most := packedSize(p), bytes
-	if parts > 1 {
-		most = max(bytes, parts*partBytes(bytes))
+// countFitting returns how many of the entries are certain to fit if the page is split into at most
+// partLimit parts of at most pageBytes each.
+func countFitting(p *Page, entries []Entry, pageBytes, partLimit int) (count int) {
+	size, maxSize := packedSize(p), pageBytes
+	if partLimit > 1 {
+		maxSize = max(pageBytes, partLimit*targetPartBytes(pageBytes))
 	}
 	previous := p.Lower
 	for i := range entries {
-		// The entry behind it doesn't get longer. The entry itself is measured from the one of
-		// these before it, which is at least as far away as its neighbour in the page.
+		// This never underestimates the growth. Inserting an entry doesn't lengthen the next one. The
+		// new entry is measured from the previous new one, which is at least as far away as the entry
+		// that precedes it in the merged page.
 		size += entryBytes(previous, &entries[i])
-		if size > most {
+		if size > maxSize {
 			break
 		}
 		previous = entries[i].Number
@@ -56,23 +58,24 @@
 	return count
 }
 
-// merge returns the entries of a page with others.
-func merge(present, added []Entry) []Entry {
+// mergeEntries returns a page's present entries with others added. Present entries aren't replaced.
+func mergeEntries(present, added []Entry) []Entry {
 	merged := slices.Clone(present)
 	for i := range added {
-		at, found := slices.BinarySearchFunc(merged, added[i].Number, compareNumber)
+		position, found := slices.BinarySearchFunc(merged, added[i].Number, compareNumber)
 		if !found {
-			merged = slices.Insert(merged, at, added[i])
+			merged = slices.Insert(merged, position, added[i])
 		}
 	}
 	return merged
 }
 
+// compareNumber compares an entry's number with another number.
 func compareNumber(e Entry, number JobNumber) int { return cmp.Compare(e.Number, number) }
 
-// packedSize returns an upper bound of the bytes of a packed page.
+// packedSize returns an upper bound of a page's packed size.
 func packedSize(p *Page) int {
-	size, previous := frameBytes, p.Lower
+	size, previous := maxOverheadBytes, p.Lower
 	for i := range p.Entries {
 		size += entryBytes(previous, &p.Entries[i])
 		previous = p.Entries[i].Number
@@ -80,26 +83,26 @@
 	return size
 }
 
-// partBytes returns what the entries of one part of a split page take.
-func partBytes(bytes int) int {
-	return max(maxEntryBytes, int(float64(bytes)*splitShare)-frameBytes)
+// targetPartBytes returns the target size of the entries in one part of a split page.
+func targetPartBytes(pageBytes int) int {
+	return max(maxEntryBytes, int(float64(pageBytes)*splitFillShare)-maxOverheadBytes)
 }
 
-// split splits a page evenly into parts that take at most so many bytes each. A page that is small
-// enough stays whole.
-func split(p Page, bytes int) []Page {
+// splitPage splits a page evenly into parts of at most pageBytes each. A page that is small enough isn't
+// split.
+func splitPage(p Page, pageBytes int) []Page {
 	size := packedSize(&p)
-	if size <= bytes || len(p.Entries) < 2 {
+	if size <= pageBytes || len(p.Entries) < 2 {
 		return []Page{p}
 	}
-	count := (size + partBytes(bytes) - 1) / partBytes(bytes)
-	each := (size + count - 1) / count
+	count := (size + targetPartBytes(pageBytes) - 1) / targetPartBytes(pageBytes)
+	partTarget := (size + count - 1) / count
 	var parts []Page
 	part, partSize := Page{Lower: p.Lower}, 0
 	for i, e := range p.Entries {
 		partSize += entryBytes(part.lastNumber(), &p.Entries[i])
 		part.Entries = append(part.Entries, e)
-		if partSize >= each && i < len(p.Entries)-1 {
+		if partSize >= partTarget && i < len(p.Entries)-1 {
 			part.Upper = e.Number
 			parts = append(parts, part)
 			part, partSize = Page{Lower: e.Number}, 0
@@ -109,7 +112,8 @@
 	return append(parts, part)
 }
 
-// lastNumber returns the number that the next entry of a page follows.
+// lastNumber returns the number from which the next entry of a page is measured: that of the last entry,
+// or the lower end if there are no entries.
 func (p *Page) lastNumber() JobNumber {
 	if n := len(p.Entries); n > 0 {
 		return p.Entries[n-1].Number
@@ -117,11 +121,11 @@
 	return p.Lower
 }
 
-// Build returns the operations that store an archive of the jobs, which must be in order, in a
-// store without one. Tools and tests begin with it.
+// Build returns the operations that write an archive of the entries, which must be sorted by number, to
+// a store without an archive. Tools and tests use it to prepare a store.
 func Build(entries []Entry, limits *storage.Limits) ([]storage.Op, error) {
 	var ops []storage.Op
-	for _, page := range split(Page{Upper: LastJobNumber, Entries: entries}, maxPageBytes(limits)) {
+	for _, page := range splitPage(Page{Upper: LastJobNumber, Entries: entries}, maxPageBytes(limits)) {
 		data, err := encode(pack(&page))
 		if err != nil {
 			return nil, err
--- a/internal/archive/page_split_test.go
+++ b/internal/archive/page_split_test.go
@@ -9,8 +9,8 @@
 	"sagevale/internal/storage"
 )
 
-// The parts of a page hold what was added to it and what was there. They cover its range without gaps,
-// and each fits into a value.
+// The parts of a split page hold the present and the added entries, cover the page's range without gaps,
+// and each fit into one value.
 func TestAddSplitsPage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := storage.Limits{ValueBytes: rapid.IntRange(1024, 8192).Draw(t, "value"), TxnOps: rapid.IntRange(2, 32).Draw(t, "ops")}
@@ -24,7 +24,7 @@
 			t.Skip("too large for one value")
 		}
 		added := drawEntries(t, "added", lower, upper, 200)
-		pages, rest := add(&page, added, bytes, parts)
+		pages, rest := addEntries(&page, added, bytes, parts)
 		added = added[:len(added)-len(rest)]
 		if len(rest) > 0 && parts > 1 && len(added) == 0 {
 			t.Fatalf("nothing is added, though %d parts may be written", parts)
@@ -33,7 +33,7 @@
 			t.Fatalf("got %d parts, want at most %d", len(pages), parts)
 		}
 		want := make(map[JobNumber]FinalState)
-		for _, e := range append(slices.Clone(added), page.Entries...) { // the present states stay
+		for _, e := range append(slices.Clone(added), page.Entries...) { // present entries keep their states
 			want[e.Number] = e.FinalState
 		}
 		from, n := lower, 0
--- a/internal/archive/page_writer.go
+++ b/internal/archive/page_writer.go
@@ -9,24 +9,24 @@
 	"sagevale/internal/storage"
 )
 
-// replacement replaces stored pages by others of the same range.
+// replacement describes stored pages and the new pages that replace them and cover the same range.
 type replacement struct {
-	old       *cachedPage // nil: the new pages are the first ones
-	neighbour *cachedPage // another page that is removed, because the new pages cover its range too; nil: none
-	pages     []Page      // none: the archive has no pages any longer
+	old      *cachedPage // nil: the archive has no pages yet
+	absorbed *cachedPage // another page to delete because the new pages also cover its range; nil: none
+	pages    []Page      // empty: the old page was the only one, and the archive is left without pages
 }
 
-// transaction is a guarded transaction, and the pages as they are held once it is applied.
+// transaction is a guarded transaction with the pages to put into the index once it is applied.
 type transaction struct {
 	guards  []storage.Guard
 	ops     []storage.Op
 	written []*cachedPage
 }
 
-// replace writes a replacement in one transaction that is guarded by the leadership key and by the
-// versions of all pages that it touches. It may be applied late, twice or without an answer: then
-// the index is invalidated.
-func (a *Archiver) replace(ctx context.Context, r replacement) error {
+// replacePages writes a replacement in one transaction that is guarded by the leadership key and by the
+// versions of all pages that it touches. A write without a response may be applied, even late or twice;
+// the index is then invalidated.
+func (a *Archiver) replacePages(ctx context.Context, r replacement) error {
 	txn, err := r.transaction(a.leadership)
 	if err != nil {
 		return err
@@ -35,14 +35,14 @@
 	defer cancel()
 	revision, err := a.store.Txn(ctx, txn.guards, txn.ops)
 	if err != nil {
-		return a.writeFailed(err)
+		return a.handleWriteError(err)
 	}
 	for _, p := range txn.written {
 		p.version = revision
 	}
-	a.Index.put(txn.written) // before the removals, so that every range has a page at any time
-	if r.neighbour != nil {
-		a.Index.remove(r.neighbour.upper, revision)
+	a.Index.put(txn.written) // before the removals, so that the index always has a page for every range
+	if r.absorbed != nil {
+		a.Index.remove(r.absorbed.upper, revision)
 	}
 	if len(r.pages) == 0 {
 		a.Index.remove(r.old.upper, revision)
@@ -50,29 +50,30 @@
 	return nil
 }
 
-// transaction returns the transaction of a replacement in a term.
+// transaction returns the transaction that writes the replacement in a term.
 func (r *replacement) transaction(leadership *Leadership) (transaction, error) {
 	txn := transaction{guards: []storage.Guard{leadership.Guard}}
 	if r.old != nil {
 		txn.guards = append(txn.guards, storage.Guard{Key: r.old.key, Version: r.old.version})
 	}
-	if r.neighbour != nil {
-		txn.guards = append(txn.guards, storage.Guard{Key: r.neighbour.key, Version: r.neighbour.version})
-		txn.ops = append(txn.ops, storage.Op{Key: r.neighbour.key, Delete: true})
+	if r.absorbed != nil {
+		txn.guards = append(txn.guards, storage.Guard{Key: r.absorbed.key, Version: r.absorbed.version})
+		txn.ops = append(txn.ops, storage.Op{Key: r.absorbed.key, Delete: true})
 	}
 	if len(r.pages) == 0 {
 		txn.ops = append(txn.ops, storage.Op{Key: r.old.key, Delete: true})
 	}
 	for i := range r.pages {
-		if err := r.put(&txn, &r.pages[i], leadership.Term); err != nil {
+		if err := r.addPage(&txn, &r.pages[i], leadership.Term); err != nil {
 			return transaction{}, err
 		}
 	}
 	return txn, nil
 }
 
-// put adds a page to the transaction. Its key must be that of the old page, or absent.
-func (r *replacement) put(txn *transaction, page *Page, term uint64) error {
+// addPage adds a page to the transaction. A guard requires that the page's key doesn't exist yet, unless
+// it is the key of the old page.
+func (r *replacement) addPage(txn *transaction, page *Page, term uint64) error {
 	key := pageKey(page.Upper)
 	if r.old == nil || key != r.old.key {
 		txn.guards = append(txn.guards, storage.Guard{Key: key})
@@ -89,9 +90,10 @@
 	return nil
 }
 
-// writeFailed handles the error of a write and returns it wrapped. Unless the write was refused it
-// may have been applied, so the index is invalidated.
-func (a *Archiver) writeFailed(err error) error {
+// handleWriteError handles the error of a write and returns it wrapped, or ErrLeadershipLost. It
+// invalidates the index unless the store refused the write, because the write may have been applied or
+// conflicted with pages that are newer than the index.
+func (a *Archiver) handleWriteError(err error) error {
 	var conflict *storage.ConflictError
 	switch {
 	case errors.As(err, &conflict) && slices.Contains(conflict.Failed, a.leadership.Guard.Key):
@@ -106,14 +108,15 @@
 	return fmt.Errorf("archive not written: %w", err)
 }
 
-// pageOf returns a page with its entries, which are read again if they were evicted. A page that
-// doesn't exist yet is the first one, which covers all numbers.
-func (a *Archiver) pageOf(ctx context.Context, held *cachedPage) (Page, error) {
+// pageWithEntries decodes a page of the index. If its entries were evicted, the page is read from the
+// store. If held is nil because the archive has no pages yet, it returns an empty page that covers all
+// numbers.
+func (a *Archiver) pageWithEntries(ctx context.Context, held *cachedPage) (Page, error) {
 	if held == nil {
 		return Page{Upper: LastJobNumber}, nil
 	}
 	if !held.evicted {
-		return held.page(), nil
+		return held.unpack(), nil
 	}
 	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
@@ -127,8 +130,8 @@
 	}
 	page, err := decode(item.Key, item.Data)
 	if err != nil {
-		a.report(err)
+		a.logError(err)
 		return Page{}, err
 	}
-	return page.page(), nil
+	return page.unpack(), nil
 }
--- a/internal/archive/read.go
+++ b/internal/archive/read.go
@@ -2,47 +2,48 @@
 
 import "context"
 
-// Read returns what is known of a job, and reads its page if that is needed. It fails with ErrBusy
-// at once if there are too many requests, and with ErrIncomplete if there is no page to read.
+// Read looks up a job and, if necessary, reads its page from the store first. It fails with ErrBusy at
+// once if there are too many requests, and with ErrIncomplete if the store has no page for the job.
 func (a *Archiver) Read(ctx context.Context, number JobNumber) (Result, error) {
 	replies := make(chan reply[Result], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
-		if ctx.Err() == nil { // else nobody waits for the reply
-			replies <- replyOf(a.read(serving, number))
+		if ctx.Err() == nil { // otherwise the caller no longer waits for the reply
+			replies <- newReply(a.read(serving, number))
 		}
 	})
 }
 
-// read looks a job up, and reads its page unless what is held is exact.
+// read looks up a job. The leader reads the job's page from the store, unless the job is found in memory
+// or its absence is exact for the present term.
 func (a *Archiver) read(ctx context.Context, number JobNumber) (Result, error) {
 	held := a.Index.Lookup(number)
 	if a.leadership == nil || held.Knowledge == Found || held.Knowledge == Absent && held.Term == a.leadership.Term {
 		return held, nil
 	}
 	a.applyLimits()
-	if !a.reads.Allow() {
+	if !a.readLimiter.Allow() {
 		return Result{}, ErrBusy
 	}
 	return a.readPage(ctx, number)
 }
 
-// readPage reads the page of a job and looks it up there.
+// readPage reads a job's page from the store and looks up the job in it.
 func (a *Archiver) readPage(ctx context.Context, number JobNumber) (Result, error) {
 	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	// The first page whose range doesn't end before the number.
-	items, _, _, err := a.store.List(ctx, prefix, pageKey(number-1), 1)
+	// This lists the first page whose upper end isn't below the number.
+	items, _, _, err := a.store.List(ctx, pagePrefix, pageKey(number-1), 1)
 	if err != nil {
 		return Result{}, err
 	}
 	if len(items) == 0 {
-		// There may be no pages at all, which only a refresh can tell.
+		// The archive may have no pages at all, or its last page is missing. Only a refresh shows which.
 		return Result{}, ErrIncomplete
 	}
 	pages := a.decodePages(items, a.leadership.Term)
 	a.Index.put(pages)
 	if len(pages) == 0 || pages[0].damaged || number <= pages[0].lower {
-		return Result{Knowledge: Damaged, Key: items[0].Key}, nil // in the last case the page before it is missing
+		return Result{Knowledge: Damaged, Key: items[0].Key}, nil // in the last case the page before this one is missing
 	}
 	return pages[0].lookup(number, 0), nil
 }
--- a/internal/archive/read_test.go
+++ b/internal/archive/read_test.go
@@ -9,10 +9,10 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// Only pages that were read in the leader's own term prove that a job isn't archived: an index that
-// is older than the pages doesn't.
+// Only a page that was read in the leader's own term proves that a job isn't archived. Here a new leader's
+// index is older than the last write of the leader before it.
 func TestOutdatedIndexDoesNotProveAbsence(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		first, second := f.startIdle(), f.startFollower()
 		f.beginTerm(first)
 		entries := newEntries(100)
@@ -23,7 +23,7 @@
 			t.Errorf("lookup at a follower: got %+v, want absent for no term", r)
 		}
 		f.archive(first, []Entry{late})
-		f.cut.Store(true)
+		f.disconnected.Store(true)
 		leadership := f.beginTerm(second)
 		if r := second.Index.Lookup(late.Number); r.Knowledge == Absent && r.Term == leadership.Term {
 			t.Error("the outdated index proves that the job isn't archived")
@@ -31,18 +31,18 @@
 		if r, err := read(second, late.Number); err == nil && r.Knowledge == Absent && r.Term == leadership.Term {
 			t.Errorf("read without the store: got %+v, want no proof", r)
 		}
-		f.cut.Store(false)
+		f.disconnected.Store(false)
 		f.checkFound(second, late)
 		f.checkAbsent(second, late.Number-1)
 	})
 }
 
-// Reads beyond the archive's share of requests fail at once.
+// Reads beyond the archive's share of the request rate fail with ErrBusy at once.
 func TestReadsAreRateLimited(t *testing.T) {
 	const reads = 1000
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		first := f.startIdle()
-		f.memoryBytes = 1 // no page is held
+		f.memoryBytes = 1 // all entries are evicted
 		leader := f.startIdle()
 		f.beginTerm(first)
 		f.archive(first, newEntries(600))
@@ -65,17 +65,18 @@
 			}
 		}
 		took := time.Since(began)
-		share := testLimits.RequestsPerS * readShare
-		if most := int(share*took.Seconds()) + int(share) + 1; answered > most || busy < 800 || took > time.Second {
-			t.Errorf("got %d answered, %d busy in %v; want at most %d, at least 800, and at most a second", answered, busy, took, most)
+		share := testLimits.RequestsPerS * readRateShare
+		if maxAnswered := int(share*took.Seconds()) + int(share) + 1; answered > maxAnswered || busy < 800 || took > time.Second {
+			t.Errorf("got %d answered, %d busy in %v; want at most %d, at least 800, and at most a second",
+				answered, busy, took, maxAnswered)
 		}
 	})
 }
 
-// A read that nobody waits for any longer makes no request to the store.
+// A read whose caller no longer waits sends no request to the store.
 func TestReadSkipsCancelledRequest(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
-		f.memoryBytes = 1 // no page is held
+	runWithFixture(t, func(t *testing.T, f *fixture) {
+		f.memoryBytes = 1 // all entries are evicted
 		leader, entries := f.startLeaderWith(100)
 		time.Sleep(loadTime)
 		requests := 0
--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -10,127 +10,128 @@
 )
 
 const (
-	// listLimit is how many pages one request reads at the most, by the protocol.
-	listLimit = 1000
-	// refreshPause is the least pause between two steps of a refresh, in durations of one step.
-	refreshPause = 10
-	// staleRefreshes is for how many refresh intervals changes are requested: beyond that the
-	// answer could be larger than all pages, and they are loaded again.
-	staleRefreshes = 8
+	// maxListedPages is the protocol's limit of the items that one request lists.
+	maxListedPages = 1000
+	// refreshPauseFactor is the minimum pause after a step of a refresh, as a multiple of the step's
+	// duration.
+	refreshPauseFactor = 10
+	// maxMissedRefreshes is the number of refresh intervals without a refresh after which the Archiver
+	// loads all pages again. The changes since the last refresh could then be larger than all pages.
+	maxMissedRefreshes = 8
 )
 
-// load is the state of reading all pages, which takes several steps.
-type load struct {
-	cursor   string // key of the last page that was read; empty: none
-	revision uint64 // of the store when the load began
-	seen     map[JobNumber]bool
+// fullLoad is the progress of reading all pages, which takes several steps.
+type fullLoad struct {
+	cursor   string             // key of the last page that was read; empty: none was read
+	revision uint64             // of the store when the load began
+	seen     map[JobNumber]bool // upper ends of the pages that were read
 }
 
-// refresh does one step of bringing the index up to date: it reads the next pages of a load, or the
-// changes since the last refresh.
+// refresh performs one step of updating the index: it reads the next pages of a load, or the changes
+// since the last refresh. It then schedules the next step, if one is necessary.
 func (a *Archiver) refresh(ctx context.Context) {
 	began := time.Now()
-	if a.load == nil && a.isStale(began) {
-		a.load = &load{}
+	if a.loadState == nil && a.isStale(began) {
+		a.loadState = &fullLoad{}
 	}
 	var err error
 	switch {
-	case a.load != nil || !a.Index.current.Load().complete:
-		err = a.loadNext(ctx)
-	case a.exact():
-		// Only this controller writes, so it knows all changes.
+	case a.loadState != nil || !a.Index.current.Load().complete:
+		err = a.loadNextPages(ctx)
+	case a.indexIsExact():
+		// Only this controller writes pages, and it applies its own writes to the index.
 		a.nextRefresh = time.Time{}
 		return
 	default:
 		err = a.readChanges(ctx)
 	}
-	pause := refreshPause * time.Since(began)
+	pause := refreshPauseFactor * time.Since(began)
 	switch {
 	case errors.Is(err, storage.ErrCompacted):
-		a.load = &load{}
+		a.loadState = &fullLoad{}
 	case err != nil:
 		a.log.Debug("archive refresh failed", "error", err)
 		pause = max(pause, a.settings.RequestTimeout)
-	case a.load == nil && a.leadership == nil:
+	case a.loadState == nil && a.leadership == nil:
 		pause = max(pause, a.settings.RefreshInterval)
 	}
 	a.nextRefresh = time.Now().Add(pause)
 }
 
-// isStale reports whether the index is too old for its changes to be requested.
+// isStale reports whether the index is so outdated that all pages have to be loaded again.
 func (a *Archiver) isStale(now time.Time) bool {
-	return !a.exact() && now.Sub(a.refreshed) > staleRefreshes*a.settings.RefreshInterval
+	return !a.indexIsExact() && now.Sub(a.refreshedAt) > maxMissedRefreshes*a.settings.RefreshInterval
 }
 
-// loadNext reads the next pages of a load. What has changed since it began is read by the refreshes
-// that follow it.
-func (a *Archiver) loadNext(ctx context.Context) error {
-	if a.load == nil {
-		a.load = &load{}
+// loadNextPages reads the next pages of a load. The refreshes after the load read the changes that were
+// made since it began.
+func (a *Archiver) loadNextPages(ctx context.Context) error {
+	if a.loadState == nil {
+		a.loadState = &fullLoad{}
 	}
 	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	items, more, revision, err := a.store.List(ctx, prefix, a.load.cursor, listLimit)
+	items, more, revision, err := a.store.List(ctx, pagePrefix, a.loadState.cursor, maxListedPages)
 	if err != nil {
 		return err
 	}
-	if a.load.cursor == "" {
-		a.load.revision, a.load.seen = revision, make(map[JobNumber]bool)
+	if a.loadState.cursor == "" {
+		a.loadState.revision, a.loadState.seen = revision, make(map[JobNumber]bool)
 	}
 	pages := a.decodePages(items, 0)
 	for _, p := range pages {
-		a.load.seen[p.upper] = true
+		a.loadState.seen[p.upper] = true
 	}
 	a.Index.put(pages)
 	if more && len(items) > 0 {
-		a.load.cursor = items[len(items)-1].Key
+		a.loadState.cursor = items[len(items)-1].Key
 		return nil
 	}
 	a.finishLoad()
 	return nil
 }
 
-// finishLoad removes the pages from the index that the load hasn't seen.
+// finishLoad ends a load, and removes the pages from the index that the load didn't read.
 func (a *Archiver) finishLoad() {
-	a.Index.edit(func(s *snapshot) {
-		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return !a.load.seen[p.upper] })
+	a.Index.update(func(s *snapshot) {
+		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return !a.loadState.seen[p.upper] })
 		s.complete = true
 	})
-	a.revision, a.refreshed = a.load.revision, time.Now()
-	a.load = nil
+	a.refreshRevision, a.refreshedAt = a.loadState.revision, time.Now()
+	a.loadState = nil
 }
 
-// readChanges applies the changes since the last refresh. If they are read in this controller's
-// term the index is exact: no other controller writes pages any longer.
+// readChanges reads the changes since the last refresh and applies them to the index. If this controller
+// is the leader, the index is then exact for its term, because no other controller can write pages
+// any more.
 func (a *Archiver) readChanges(ctx context.Context) error {
 	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	changes, revision, err := a.store.Watch(ctx, prefix, a.revision, 0)
+	changes, revision, err := a.store.Watch(ctx, pagePrefix, a.refreshRevision, 0)
 	if err != nil {
 		return err
 	}
 	isRemoval := func(item storage.Item) bool { return item.Data == nil }
 	a.Index.put(a.decodePages(slices.DeleteFunc(slices.Clone(changes), isRemoval), 0))
 	for _, item := range changes {
-		if upper, err := upperOf(item.Key); err == nil && isRemoval(item) {
+		if upper, err := parsePageKey(item.Key); err == nil && isRemoval(item) {
 			a.Index.remove(upper, item.Version)
 		}
 	}
-	a.revision, a.refreshed = max(a.revision, revision), time.Now()
+	a.refreshRevision, a.refreshedAt = max(a.refreshRevision, revision), time.Now()
 	if a.leadership != nil {
-		a.Index.edit(func(s *snapshot) { s.term = a.leadership.Term })
+		a.Index.update(func(s *snapshot) { s.term = a.leadership.Term })
 	}
 	return nil
 }
 
-// decodePages returns the pages of stored items. Damage is logged; what has no page's key is left
-// out.
+// decodePages decodes stored items. It logs damage, and omits items whose key isn't a page key.
 func (a *Archiver) decodePages(items []storage.Item, term uint64) []*cachedPage {
 	pages := make([]*cachedPage, 0, len(items))
 	for _, item := range items {
 		page, err := newCachedPage(item, term)
 		if err != nil {
-			a.report(err)
+			a.logError(err)
 		}
 		if page != nil {
 			pages = append(pages, page)
--- a/internal/archive/refresh_test.go
+++ b/internal/archive/refresh_test.go
@@ -10,18 +10,18 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// A follower applies changes of pages that were removed and written again, also if the store no
-// longer keeps these changes.
+// A follower that was disconnected while pages were removed and written again has the new pages
+// afterwards, even if the store no longer keeps these changes.
 func TestFollowerAppliesChanges(t *testing.T) {
 	for _, otherChanges := range []int{0, 25_000} {
 		t.Run(fmt.Sprint(otherChanges), func(t *testing.T) {
-			inFixture(t, func(t *testing.T, f *fixture) {
+			runWithFixture(t, func(t *testing.T, f *fixture) {
 				follower := f.startFollower()
 				leader, _ := f.startLeaderWith(300)
 				time.Sleep(loadTime)
-				f.cut.Store(true)
+				f.disconnected.Store(true)
 				time.Sleep(30 * time.Second)
-				f.cut.Store(false)
+				f.disconnected.Store(false)
 				dropAllPages(t, leader)
 				last := newEntries(301)[300]
 				f.archive(leader, []Entry{last})
@@ -38,7 +38,7 @@
 	}
 }
 
-// dropAllPages removes all pages.
+// dropAllPages removes all pages from the archive.
 func dropAllPages(t *testing.T, leader *Archiver) {
 	t.Helper()
 	for {
@@ -55,7 +55,7 @@
 	}
 }
 
-// countingStore counts the requests that read pages.
+// countingStore counts the List requests, which load all pages.
 type countingStore struct {
 	storage.KeyValueStore
 	lists int
@@ -66,10 +66,10 @@
 	return s.KeyValueStore.List(ctx, prefix, after, limit)
 }
 
-// An index that wasn't refreshed for long is loaded again, because its changes may be more than all
-// pages.
+// An index that wasn't refreshed for a long time is loaded again, because its changes may be larger than
+// all pages.
 func TestStaleIndexIsLoadedAgain(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		_, entries := f.startLeaderWith(100)
 		store := &countingStore{KeyValueStore: &storagetest.Client{Service: f.store}}
 		a := f.newArchiver(store, false)
@@ -89,16 +89,16 @@
 	})
 }
 
-// While another controller leads, an Archiver that doesn't follow makes no requests.
+// While another controller is the leader, an Archiver without Settings.Follow sends no requests.
 func TestIdleArchiverMakesNoRequests(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		a := f.startIdle()
-		f.cut.Store(true)
+		f.disconnected.Store(true)
 		time.Sleep(10 * time.Minute)
 		if a.Index.Stats().Complete || len(f.store.Sent) > 0 {
 			t.Errorf("without the store: got %+v, %d writes; want no requests", a.Index.Stats(), len(f.store.Sent))
 		}
-		f.cut.Store(false)
+		f.disconnected.Store(false)
 		time.Sleep(10 * time.Minute)
 		if a.Index.Stats().Complete {
 			t.Errorf("got %+v, want no requests", a.Index.Stats())
@@ -106,10 +106,10 @@
 	})
 }
 
-// The end of an earlier term doesn't end the present one. After the end of that the Archiver
+// The end of an earlier term doesn't end the present one. After the end of the present term the Archiver
 // follows again.
 func TestEndTermIgnoresEarlierTerm(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		a, other := f.startFollower(), f.startIdle()
 		first := f.beginTerm(a)
 		second := f.beginTerm(a)
--- a/internal/archive/stored.go
+++ b/internal/archive/stored.go
@@ -7,18 +7,19 @@
 	"sagevale/internal/storage"
 )
 
-// Stored summarises what the key-value store holds of the archive.
+// Stored summarizes the archive in the key-value store.
 type Stored struct {
 	Jobs, Pages, Bytes int
-	Damaged            []string // what is wrong, key by key
+	Damaged            []string // descriptions of damaged or missing pages
 }
 
-// ReadStored reads all pages. It writes nothing, and may be called without an Archiver.
+// ReadStored reads all pages from the store and summarizes them. It writes nothing and needs no
+// Archiver.
 func ReadStored(ctx context.Context, store storage.KeyValueStore) (Stored, error) {
 	var stored Stored
 	var lower JobNumber
 	for after := ""; ; {
-		items, more, _, err := store.List(ctx, prefix, after, listLimit)
+		items, more, _, err := store.List(ctx, pagePrefix, after, maxListedPages)
 		if err != nil {
 			return Stored{}, fmt.Errorf("read archive: %w", err)
 		}
@@ -36,15 +37,15 @@
 	return stored, nil
 }
 
-// add counts a page. Its range should begin with lower, where that of the page before it ends. It
-// returns where the range of this one ends.
+// add adds a page to the summary. lower is the upper end of the page before it, at which the page's
+// range must begin. add returns the upper end of this page.
 func (s *Stored) add(item storage.Item, lower JobNumber) (upper JobNumber) {
 	s.Pages++
 	s.Bytes += len(item.Key) + len(item.Data)
 	page, err := decode(item.Key, item.Data)
 	if err != nil {
 		s.Damaged = append(s.Damaged, err.Error())
-		if upper, err := upperOf(item.Key); err == nil {
+		if upper, err := parsePageKey(item.Key); err == nil {
 			return upper
 		}
 		return lower
--- a/internal/archive/withdrawal.go
+++ b/internal/archive/withdrawal.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A withdrawal moves the jobs back to where they came from, page by page: the leader reads the first
-// page, makes its jobs durable elsewhere, and removes the page. The next leader continues with the
-// pages that are left.
+// Withdrawing the archive moves all jobs back into the journal, page by page: the leader reads the first
+// page, makes its jobs durable in the journal, and removes the page. After a failover the next leader
+// continues with the remaining pages.
 
-// Count returns how many jobs are archived, where each damaged page counts as one. It includes all
-// jobs that were archived before. It fails with ErrIncomplete unless the index is exact.
+// Count returns how many jobs are archived, and counts each damaged page as one job. It includes all
+// jobs that were archived before the call. It fails with ErrIncomplete unless the index is exact.
 func (a *Archiver) Count(ctx context.Context) (int, error) {
-	return callExact(ctx, a, func(context.Context) (int, error) {
+	return callIfExact(ctx, a, func(context.Context) (int, error) {
 		stats := a.Index.Stats()
 		return stats.Jobs + stats.Damaged, nil
 	})
 }
 
-// FirstPage returns the first page, or one without a range if there is none. It fails with
+// FirstPage returns the first page, or a Page with Upper 0 if the archive has no pages. It fails with
 // ErrIncomplete unless the index is exact, and with a DamagedError if the page can't be decoded.
 func (a *Archiver) FirstPage(ctx context.Context) (Page, error) {
-	return callExact(ctx, a, a.firstPage)
+	return callIfExact(ctx, a, a.firstPage)
 }
 
 func (a *Archiver) firstPage(ctx context.Context) (Page, error) {
@@ -30,52 +30,55 @@
 		return Page{}, nil
 	}
 	if pages[0].damaged {
-		return Page{}, &DamagedError{Key: pages[0].key, Reason: "its jobs can't be brought back"}
+		return Page{}, &DamagedError{Key: pages[0].key, Reason: "its jobs can't be restored"}
 	}
-	return a.pageOf(ctx, pages[0])
+	return a.pageWithEntries(ctx, pages[0])
 }
 
-// DropFirstPage removes the first page, whose jobs must be durable elsewhere, if its range ends with
-// upper. The next page takes over its range, so that no range is without a page. If the budget
-// allows no changes yet it does nothing: the caller looks at the first page again.
+// DropFirstPage removes the first page if its upper end is upper. The page's jobs must be durable
+// elsewhere. The next page is extended over the range of the removed one, so that the ranges have no
+// gap. While the change budget is too small, DropFirstPage does nothing and returns nil; the caller
+// has to call FirstPage again to see whether the page is removed.
 func (a *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
-	_, err := callExact(ctx, a, func(ctx context.Context) (struct{}, error) {
+	_, err := callIfExact(ctx, a, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, a.dropFirstPage(ctx, upper)
 	})
 	return err
 }
 
-// dropChanges is how many changes the removal of a page takes.
-const dropChanges = 2
+// dropPageChanges is how many changes the removal of a page requires: deleting it and writing the next
+// page.
+const dropPageChanges = 2
 
 func (a *Archiver) dropFirstPage(ctx context.Context, upper JobNumber) error {
 	limits := a.applyLimits()
 	pages := a.Index.current.Load().pages
-	if len(pages) == 0 || pages[0].upper != upper || !a.writes.AllowN(time.Now(), dropChanges) {
+	if len(pages) == 0 || pages[0].upper != upper || !a.writeLimiter.AllowN(time.Now(), dropPageChanges) {
 		return nil
 	}
 	if len(pages) == 1 {
-		return a.replace(ctx, replacement{old: pages[0]})
+		return a.replacePages(ctx, replacement{old: pages[0]})
 	}
 	if pages[1].damaged {
-		return &DamagedError{Key: pages[1].key, Reason: "it can't take over the range before it"}
+		return &DamagedError{Key: pages[1].key, Reason: "it can't be extended over the range of the page before it"}
 	}
-	next, err := a.pageOf(ctx, pages[1])
+	next, err := a.pageWithEntries(ctx, pages[1])
 	if err != nil {
 		return err
 	}
 	next.Lower = pages[0].lower
-	return a.replace(ctx, replacement{old: pages[1], neighbour: pages[0], pages: split(next, maxPageBytes(&limits))})
+	return a.replacePages(ctx, replacement{old: pages[1], absorbed: pages[0], pages: splitPage(next, maxPageBytes(&limits))})
 }
 
-// callExact has the archiver's goroutine call f if the index is exact then.
-func callExact[T any](ctx context.Context, a *Archiver, f func(context.Context) (T, error)) (T, error) {
+// callIfExact calls f in the Archiver's goroutine. It fails with ErrIncomplete unless the index is exact
+// at that time.
+func callIfExact[T any](ctx context.Context, a *Archiver, f func(context.Context) (T, error)) (T, error) {
 	replies := make(chan reply[T], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
-		if !a.exact() {
+		if !a.indexIsExact() {
 			replies <- reply[T]{err: ErrIncomplete}
 			return
 		}
-		replies <- replyOf(f(serving))
+		replies <- newReply(f(serving))
 	})
 }
--- a/internal/archive/withdrawal_test.go
+++ b/internal/archive/withdrawal_test.go
@@ -8,10 +8,11 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The archive is withdrawn page by page, by several leaders in turn and with lost answers. Every
-// job is in one place at any time, and nothing is stored of the archive at the end.
+// Several leaders in turn withdraw the archive page by page, while some responses of the store are lost.
+// Each job is found in the archive until its page is returned, and is absent once the page is removed.
+// At the end no page is stored.
 func TestWithdrawalReturnsEveryJob(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader, entries := f.startLeaderWith(500)
 		returned := make(map[JobNumber]FinalState)
 		for step := 0; ; step++ {
@@ -19,7 +20,7 @@
 				t.Fatal("the withdrawal doesn't end")
 			}
 			if step%3 == 2 {
-				leader = f.startLeader() // continues
+				leader = f.startLeader() // the new leader continues the withdrawal
 				time.Sleep(5 * time.Second)
 			}
 			page, err := leader.FirstPage(context.Background())
@@ -39,15 +40,15 @@
 					f.checkAbsent(leader, e.Number)
 				}
 			}
-			if err := leader.DropFirstPage(context.Background(), page.Upper-1); err != nil || len(f.pages()) == 0 {
-				t.Errorf("DropFirstPage of another page: got %v, %d pages; want no effect", err, len(f.pages()))
+			if err := leader.DropFirstPage(context.Background(), page.Upper-1); err != nil || len(f.storedPageKeys()) == 0 {
+				t.Errorf("DropFirstPage of another page: got %v, %d pages; want no effect", err, len(f.storedPageKeys()))
 			}
 			f.store.Update(func(s *storagetest.Service) { s.LoseResponses = step % 2 })
-			_ = leader.DropFirstPage(context.Background(), page.Upper) // fails without an answer
+			_ = leader.DropFirstPage(context.Background(), page.Upper) // fails if the response is lost
 			time.Sleep(5 * time.Second)
 		}
-		if len(returned) != len(entries) || len(f.pages()) != 0 {
-			t.Errorf("got %d jobs back and %d pages left, want %d and none", len(returned), len(f.pages()), len(entries))
+		if len(returned) != len(entries) || len(f.storedPageKeys()) != 0 {
+			t.Errorf("got %d jobs back and %d pages left, want %d and none", len(returned), len(f.storedPageKeys()), len(entries))
 		}
 		f.checkAbsent(leader, entries[0].Number)
 		f.archive(leader, entries[:10])
@@ -55,15 +56,15 @@
 	})
 }
 
-// A leader that can't read the pages neither counts the jobs nor returns any.
+// A leader that can't read the pages returns neither a count nor a page.
 func TestWithdrawalRequiresExactIndex(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		const jobs = 20
 		first, second := f.startIdle(), f.startFollower()
 		f.beginTerm(first)
 		time.Sleep(loadTime)
 		f.archive(first, newEntries(jobs))
-		f.cut.Store(true)
+		f.disconnected.Store(true)
 		f.beginTerm(second)
 		if n, err := second.Count(context.Background()); err == nil {
 			t.Errorf("Count without the store: got %d, want an error", n)
@@ -71,7 +72,7 @@
 		if page, err := second.FirstPage(context.Background()); err == nil {
 			t.Errorf("FirstPage without the store: got %+v, want an error", page)
 		}
-		f.cut.Store(false)
+		f.disconnected.Store(false)
 		time.Sleep(10 * time.Second)
 		if n, err := second.Count(context.Background()); err != nil || n != jobs {
 			t.Errorf("Count: got %d, %v; want %d", n, err, jobs)
@@ -80,7 +81,7 @@
 }
 
 func TestDropFirstPageFailsAfterChange(t *testing.T) {
-	inFixture(t, func(t *testing.T, f *fixture) {
+	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader, _ := f.startLeaderWith(300)
 		page, err := leader.FirstPage(context.Background())
 		if err != nil {
@@ -91,8 +92,8 @@
 			t.Fatal(err)
 		}
 		f.put(pageKey(page.Upper), string(value))
-		if err := leader.DropFirstPage(context.Background(), page.Upper); err == nil || len(f.pages()) == 0 {
-			t.Errorf("DropFirstPage: got %v, %d pages; want an error and no effect", err, len(f.pages()))
+		if err := leader.DropFirstPage(context.Background(), page.Upper); err == nil || len(f.storedPageKeys()) == 0 {
+			t.Errorf("DropFirstPage: got %v, %d pages; want an error and no effect", err, len(f.storedPageKeys()))
 		}
 	})
 }
