--- a/internal/activator/connection.go
+++ b/internal/activator/connection.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// dialTimeout is the longest that a connection to a model's server may take.
+	// dialTimeout is the timeout for opening a connection to a model's server.
 	dialTimeout = 2 * time.Second
-	// minRedialPause is the pause after the first failed connection to a model's server, doubled after each up to
-	// maxRedialPause.
+	// minRedialPause is the pause after the first failed attempt to connect to a model's server. It is doubled after
+	// each further failure, up to maxRedialPause.
 	minRedialPause = 50 * time.Millisecond
 	maxRedialPause = time.Second
 )
 
-// errNotConnected is the error of a request without a connection: nothing was sent.
+// errNotConnected is the error of a request that reaches the transport without a connection. Nothing was sent.
 var errNotConnected = errors.New("no connection to the model's server")
 
-// connection is an open connection to a model's server, for one request.
+// connection is an open connection to a model's server that is used for one request.
 type connection struct {
 	net.Conn
 	target *url.URL
@@ -30,35 +30,37 @@
 // connectionKey is the context key of a request's *connection.
 type connectionKey struct{}
 
+// withConnection returns a context with a request's connection.
 func withConnection(ctx context.Context, c *connection) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// connectionFrom returns a request's connection; nil if there is none.
+// connectionFrom returns the connection in a request's context, or nil if there is none.
 func connectionFrom(ctx context.Context) *connection {
 	c, _ := ctx.Value(connectionKey{}).(*connection)
 	return c
 }
 
-// dialRequest is the DialContext of an http.Transport that uses the connection of the request.
-func dialRequest(ctx context.Context, _, _ string) (net.Conn, error) {
+// requestConnection is the DialContext of the handler's http.Transport. It opens no connection, but returns the one in
+// the request's context.
+func requestConnection(ctx context.Context, _, _ string) (net.Conn, error) {
 	if c := connectionFrom(ctx); c != nil {
 		return c.Conn, nil
 	}
 	return nil, errNotConnected
 }
 
-// connect opens a connection for a request once it is granted, and tries again until the request's deadline: a server
-// may not listen yet, or may have moved to another machine. Nothing is sent. The connection is nil unless the outcome
-// is Granted.
-func (h *Handler) connect(ctx context.Context, model, element string) (*connection, Decision) {
+// connectGranted waits until a request is granted and then connects to the model's server. It retries failed connections
+// until the request's deadline, because the server may not listen yet or may have moved to another machine. It sends
+// nothing. The connection is nil unless the outcome is Granted.
+func (h *Handler) connectGranted(ctx context.Context, model, pathElement string) (*connection, Decision) {
 	deadline := h.tracker.Deadline()
 	for pause := minRedialPause; ; pause = min(2*pause, maxRedialPause) {
 		decision := h.tracker.AcquireBy(ctx, model, deadline)
 		if decision.Outcome != Granted {
 			return nil, decision
 		}
-		c, err := h.dial(ctx, decision.Response.Machine, element)
+		c, err := h.dial(ctx, decision.Response.Machine, pathElement)
 		if err == nil {
 			return c, decision
 		}
@@ -77,8 +79,8 @@
 }
 
 // dial connects to a model's server on a machine.
-func (h *Handler) dial(ctx context.Context, machine, element string) (*connection, error) {
-	target, err := Target(h.config.Target, machine, element)
+func (h *Handler) dial(ctx context.Context, machine, pathElement string) (*connection, error) {
+	target, err := Target(h.config.Target, machine, pathElement)
 	if err != nil {
 		return nil, fmt.Errorf("target of the model: %w", err)
 	}
--- a/internal/activator/doc.go
+++ b/internal/activator/doc.go
@@ -1,4 +1,4 @@
-// Package activator serves requests for models at each controller: it sends the leader wake requests for models that
-// have no ready replica, holds requests while a model starts, forwards them once it is ready, and reports the usage
-// of models to the leader.
+// Package activator serves requests for models at each controller. It sends wake requests to the leader for models
+// without a ready replica, holds requests while a model starts, forwards them once the model is ready, and reports the
+// usage of models to the leader.
 package activator
--- a/internal/activator/fakes_test.go
+++ b/internal/activator/fakes_test.go
@@ -11,14 +11,14 @@
 	"sagevale/internal/activation"
 )
 
-// fakeLeader is a Scheduler with given responses, which records the requests.
+// fakeLeader is a LeaderClient that returns fixed responses and records the requests.
 type fakeLeader struct {
-	mu       sync.Mutex
-	response activation.WakeResponse
-	latency  time.Duration // of response
-	drains   []activation.DrainOrder
-	wakes    []activation.WakeRequest
-	usages   []activation.UsageReport
+	mu           sync.Mutex
+	response     activation.WakeResponse
+	latency      time.Duration // delay of each response to a wake request
+	drainOrders  []activation.DrainOrder
+	wakeRequests []activation.WakeRequest
+	usageReports []activation.UsageReport
 }
 
 func (f *fakeLeader) setResponse(response activation.WakeResponse) {
@@ -36,12 +36,12 @@
 func (f *fakeLeader) orderDrains(drains ...activation.DrainOrder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drains = drains
+	f.drainOrders = drains
 }
 
 func (f *fakeLeader) Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	f.mu.Lock()
-	f.wakes = append(f.wakes, req)
+	f.wakeRequests = append(f.wakeRequests, req)
 	response, latency := f.response, f.latency
 	f.mu.Unlock()
 	select {
@@ -54,23 +54,23 @@
 func (f *fakeLeader) ReportUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.usages = append(f.usages, report)
-	return activation.UsageResponse{Verdict: activation.Known, Draining: f.drains}
+	f.usageReports = append(f.usageReports, report)
+	return activation.UsageResponse{Verdict: activation.Known, Draining: f.drainOrders}
 }
 
-// wakeCount returns how many wake requests were received, after all goroutines are blocked.
+// wakeCount waits until all goroutines are blocked, and returns how many wake requests were received.
 func (f *fakeLeader) wakeCount() int {
 	synctest.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.wakes)
+	return len(f.wakeRequests)
 }
 
 // lastUsage returns the usage of a model in the latest report.
 func (f *fakeLeader) lastUsage(model string) activation.ModelUsage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, u := range f.usages[len(f.usages)-1].Models {
+	for _, u := range f.usageReports[len(f.usageReports)-1].Models {
 		if u.Model == model {
 			return u
 		}
@@ -78,14 +78,14 @@
 	return activation.ModelUsage{}
 }
 
-// knownResponse returns a response that is valid for two seconds.
+// knownResponse returns a wake response with the verdict Known that is valid for two seconds.
 func knownResponse(state activation.State, generation uint64, machine string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.Known, State: state, Generation: generation, Machine: machine, Holds: 2 * time.Second}
 }
 
 var testPace = Pace{Retry: 250 * time.Millisecond, Timeout: time.Second, Wait: 250 * time.Millisecond, Usage: time.Second, Repeat: 10 * time.Second, Remember: time.Minute}
 
-// startTracker starts a tracker. The function that it returns stops the tracker and waits for it.
+// startTracker starts a tracker. The returned function stops the tracker and waits until it has ended.
 func startTracker(leader *fakeLeader, limits Limits) (tracker *Tracker, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tracker = NewTracker(leader, testPace, limits, rand.New(rand.NewPCG(1, 1)))
--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// modelPattern is the pattern of the paths that a Handler serves.
+// modelPattern is the pattern of the URL paths that a Handler serves.
 const modelPattern = "/models/{model}/{rest...}"
 
-// minRetryAfter is the least Retry-After of a request that is refused.
+// minRetryAfter is the minimum Retry-After in the response to a refused request.
 const minRetryAfter = time.Second
 
 // Config configures a Handler.
 type Config struct {
-	Target       string // template of the addresses of models' servers: see Target
-	MaxBodyBytes int64  // the largest request body, in bytes
+	Target       string // template of the addresses of models' servers; see Target
+	MaxBodyBytes int64  // maximum size of a request body
 	// ModelOf returns the model that a path element names; ok is false if it names none.
 	ModelOf func(element string) (model string, ok bool)
 }
 
-// Handler serves requests for models, under /models/{model}/. Each request gets one final response: the model's, or an
-// error if there is none. It implements http.Handler.
+// Handler is the http.Handler for requests to models, under /models/{model}/. Each request gets one final response: the
+// model's, or an error response if there is none.
 type Handler struct {
 	tracker *Tracker
 	config  Config
@@ -35,14 +35,14 @@
 	log     *slog.Logger
 }
 
-// NewHandler returns a handler that has its requests decided by tracker, whose Run is to be called elsewhere.
+// NewHandler returns a handler that admits requests by the tracker's decisions. The caller must run the tracker.
 func NewHandler(tracker *Tracker, config Config, log *slog.Logger) *Handler {
 	h := &Handler{tracker: tracker, config: config, log: log, mux: http.NewServeMux()}
 	h.proxy = &httputil.ReverseProxy{
 		Rewrite: rewrite,
-		// Each request has a connection of its own: on one that was kept alive, the transport may send a request
-		// again after the server has received it.
-		Transport:    &http.Transport{DisableKeepAlives: true, DialContext: dialRequest},
+		// Each request has its own connection, because the transport may resend a request on a kept-alive connection
+		// after the server has received it.
+		Transport:    &http.Transport{DisableKeepAlives: true, DialContext: requestConnection},
 		ErrorHandler: h.handleProxyError,
 		ErrorLog:     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
@@ -61,9 +61,10 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
+// serveModel responds to a request for a model once it is forwarded or refused.
 func (h *Handler) serveModel(w http.ResponseWriter, r *http.Request) {
-	element := r.PathValue("model")
-	model, ok := h.config.ModelOf(element)
+	pathElement := r.PathValue("model")
+	model, ok := h.config.ModelOf(pathElement)
 	if !ok {
 		writeError(w, http.StatusNotFound, "no such model", 0)
 		return
@@ -73,7 +74,7 @@
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, h.config.MaxBodyBytes)
-	c, decision := h.connect(r.Context(), model, element)
+	c, decision := h.connectGranted(r.Context(), model, pathElement)
 	switch decision.Outcome {
 	case Granted:
 		defer h.tracker.Release(model)
@@ -88,7 +89,7 @@
 	}
 }
 
-// forward forwards a request over its connection, once.
+// forward sends a request over its connection, once, and copies the model's response.
 func (h *Handler) forward(w http.ResponseWriter, r *http.Request, c *connection) {
 	out := r.WithContext(withConnection(r.Context(), c))
 	out.URL.Path = "/" + r.PathValue("rest")
@@ -96,32 +97,33 @@
 	h.proxy.ServeHTTP(w, out)
 }
 
-// handleProxyError responds to a request that has no response of its model.
+// handleProxyError responds to a request for which the model sent no response.
 func (h *Handler) handleProxyError(w http.ResponseWriter, _ *http.Request, err error) {
 	h.log.Debug("model request failed", "error", err)
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		writeBodyTooLarge(w)
 		return
 	}
-	writeError(w, http.StatusBadGateway, "the model has not answered; it may have carried the request out", 0)
+	writeError(w, http.StatusBadGateway, "the model sent no response; it may have executed the request", 0)
 }
 
-// errorResponse is the body of a response that isn't the model's.
+// errorResponse is the body of an error response of the controller itself.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
+// writeBodyTooLarge writes the error response to a request with a body above Config.MaxBodyBytes.
 func writeBodyTooLarge(w http.ResponseWriter) {
 	writeError(w, http.StatusRequestEntityTooLarge, "the body is too large", 0)
 }
 
-// writeError writes an error response, with a Retry-After in whole seconds unless that is 0.
+// writeError writes an error response. A retryAfter above 0 is sent as Retry-After, rounded up to whole seconds.
 func writeError(w http.ResponseWriter, status int, reason string, retryAfter time.Duration) {
 	w.Header().Set("Content-Type", "application/json")
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	}
 	w.WriteHeader(status)
-	// A client that has disconnected needs no response.
+	// A write error means that the client has disconnected, and is ignored.
 	_ = json.NewEncoder(w).Encode(errorResponse{reason})
 }
--- a/internal/activator/handler_test.go
+++ b/internal/activator/handler_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/activation"
 )
 
-// startHandler starts a handler whose leader gives one response to wake requests, and returns its URL. Models are named
-// by job ids.
+// startHandler starts a server with a handler whose leader returns the same response to all wake requests, and returns
+// the server's URL. In URLs a model is named by its job ID.
 func startHandler(t *testing.T, response activation.WakeResponse, limits Limits, target string) string {
 	t.Helper()
 	tracker, stop := startTracker(&fakeLeader{response: response}, limits)
@@ -44,7 +44,7 @@
 	return response.StatusCode, response.Header.Get("Retry-After"), string(raw)
 }
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns a loopback address on which no server listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,6 +55,7 @@
 	return l.Addr().String()
 }
 
+// portOf returns the port of an address.
 func portOf(t *testing.T, address string) string {
 	t.Helper()
 	_, port, err := net.SplitHostPort(address)
@@ -92,16 +93,16 @@
 		{"other path", "/jobs", "", ready, port, http.StatusNotFound, "", ""},
 		{"too large", path, strings.Repeat("x", 101), ready, port, http.StatusRequestEntityTooLarge, "", "too large"},
 		{"too large, unknown length", path, "chunked:" + strings.Repeat("x", 101), ready, port, http.StatusRequestEntityTooLarge, "", "too large"},
-		{"starting", path, "", activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Generation: 1, Expected: 2500 * time.Millisecond, Holds: time.Second}, port, http.StatusServiceUnavailable, "3", "starts"},
+		{"starting", path, "", activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Generation: 1, Expected: 2500 * time.Millisecond, Holds: time.Second}, port, http.StatusServiceUnavailable, "3", "is starting"},
 		{"cooling down", path, "", activation.WakeResponse{Verdict: activation.Known, State: activation.Failed, Generation: 1, Expected: 90 * time.Second, Holds: time.Second}, port, http.StatusServiceUnavailable, "90", "can't be started"},
 		{"damaged", path, "", activation.WakeResponse{Verdict: activation.Damaged, Holds: time.Second}, port, http.StatusServiceUnavailable, "1", "can't be started"},
 		{"no leader", path, "", activation.WakeResponse{Reason: "no leader yet"}, port, http.StatusServiceUnavailable, "1", "no leader yet"},
 		{"connection refused", path, "hi", ready, closedPort, http.StatusServiceUnavailable, "1", "nothing was sent"},
-		{"aborted by the server", "/models/job-000001/dies", "hi", ready, port, http.StatusBadGateway, "", "may have carried"},
+		{"aborted by the server", "/models/job-000001/dies", "hi", ready, port, http.StatusBadGateway, "", "may have executed"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			url := startHandler(t, tc.response, Limits{MaxHeld: 1, MaxConcurrent: 1}, "{host}:"+tc.port+"/{model}")
-			for range 2 { // the second is granted only if the first is released
+			for range 2 { // the second request is granted only if the first was released
 				var body io.Reader = strings.NewReader(tc.body)
 				if chunked, ok := strings.CutPrefix(tc.body, "chunked:"); ok {
 					body = io.MultiReader(strings.NewReader(chunked))
@@ -115,7 +116,7 @@
 	}
 }
 
-// While a request may be held, a server that doesn't listen yet, or has moved, is tried again.
+// Until the request's deadline, the handler retries the connection to a server that doesn't listen yet.
 func TestHandlerRetriesConnection(t *testing.T) {
 	address := freeAddress(t)
 	var served atomic.Int64
--- a/internal/activator/messages.go
+++ b/internal/activator/messages.go
@@ -6,25 +6,25 @@
 	"sagevale/internal/activation"
 )
 
-// message is what the mailbox of a Tracker receives: a *request or one of the types below.
+// message is a message in a Tracker's mailbox: a *request or one of the types below.
 type message interface{ isMessage() }
 
 // request is a client's request for a model.
 type request struct {
 	model    string
-	deadline time.Time // until when it may be held
+	deadline time.Time // until when the request may be held
 	reply    chan Decision
-	held     bool
-	decided  bool // or canceled
+	held     bool // counted in Tracker.heldCount
+	decided  bool // a decision was sent, or the client has disconnected
 }
 
-// canceledMsg says that a request's client has disconnected.
+// canceledMsg reports that a request's client has disconnected.
 type canceledMsg struct{ request *request }
 
-// releasedMsg says that a granted request is finished.
+// releasedMsg reports that a granted request has finished.
 type releasedMsg struct{ model string }
 
-// wakeResponseMsg is the response to a wake request.
+// wakeResponseMsg is a wake request with the leader's response.
 type wakeResponseMsg struct {
 	model    string
 	sentAt   time.Time
@@ -32,7 +32,7 @@
 	response activation.WakeResponse
 }
 
-// usageResponseMsg is the response to a usage report.
+// usageResponseMsg is the leader's response to a usage report.
 type usageResponseMsg struct{ response activation.UsageResponse }
 
 func (*request) isMessage()         {}
--- a/internal/activator/model.go
+++ b/internal/activator/model.go
@@ -6,25 +6,25 @@
 	"sagevale/internal/activation"
 )
 
-// model is a tracker's state of one model.
+// model is a Tracker's state of one model.
 type model struct {
-	response   activation.WakeResponse // the leader's latest
-	validUntil time.Time               // of response
-
-	wakePending bool      // a wake request has no response yet
-	failures    int       // wake requests in a row that were undecided
-	reason      string    // of the latest of them
-	retryAt     time.Time // no wake request is sent before
-	demandUntil time.Time // there was demand that is undecided: it is repeated until then
-
-	waiting   []*request // in the order in which they came
-	inFlight  int        // granted requests
-	lastUsed  time.Time  // when a request last came, or was finished
-	drain     uint64     // the latest drain that the leader has ordered
+	response   activation.WakeResponse // the leader's latest response
+	validUntil time.Time               // end of the response's validity
+
+	wakePending     bool      // a wake request is in flight
+	undecidedWakes  int       // number of consecutive undecided responses to wake requests
+	undecidedReason string    // of the latest undecided response
+	retryAt         time.Time // no wake request is sent before this time
+	demandUntil     time.Time // until when wake requests are repeated for demand that the leader hasn't decided on
+
+	waiting   []*request // in order of arrival
+	inFlight  int        // granted requests that haven't finished
+	lastUsed  time.Time  // when a request last arrived or finished
+	lastDrain uint64     // the latest drain that the leader has ordered; 0: none
 	drainedAt time.Time  // when the order was received
 }
 
-// model returns the state of a model, which is created where there is none.
+// model returns the state of a model, and creates it if there is none.
 func (t *Tracker) model(name string) *model {
 	m := t.models[name]
 	if m == nil {
@@ -34,18 +34,19 @@
 	return m
 }
 
-// responseValid reports whether requests may be decided by the leader's latest response.
+// responseValid reports whether the leader's latest response is still valid for deciding on requests.
 func (m *model) responseValid(now time.Time) bool { return now.Before(m.validUntil) }
 
-// needsWake reports whether a wake request is to be sent, if there is demand.
+// needsWake reports whether a wake request should be sent now if there is demand.
 func (m *model) needsWake(now time.Time) bool {
 	return !m.wakePending && !m.responseValid(now) && !now.Before(m.retryAt)
 }
 
-// unused reports whether the model has no requests, and none for as long as it is to be reported.
-func (m *model) unused(now time.Time, remember time.Duration) bool {
+// canBeRemoved reports whether the model has no requests and no valid response, and had neither a request nor a drain
+// order within rememberFor, so that it no longer has to be in usage reports.
+func (m *model) canBeRemoved(now time.Time, rememberFor time.Duration) bool {
 	idle := m.inFlight == 0 && len(m.waiting) == 0 && !m.responseValid(now)
-	return idle && now.Sub(m.lastUsed) > remember && now.Sub(m.drainedAt) > remember
+	return idle && now.Sub(m.lastUsed) > rememberFor && now.Sub(m.drainedAt) > rememberFor
 }
 
 // heldRequests returns how many requests for the model are held.
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -8,36 +8,37 @@
 	"sagevale/internal/activation"
 )
 
-// Acquire decides on a request for a model that comes now: see AcquireBy.
+// Acquire is AcquireBy for a request that arrives now.
 func (t *Tracker) Acquire(ctx context.Context, name string) Decision {
 	return t.AcquireBy(ctx, name, t.Deadline())
 }
 
-// Deadline returns until when a request that comes now may be held.
+// Deadline returns until when a request that arrives now may be held.
 func (t *Tracker) Deadline() time.Time { return time.Now().Add(t.limits.HoldTimeout) }
 
-// AcquireBy decides on a request for a model, which may be held until its deadline. If the model isn't known to be
-// ready, the leader gets a wake request. A request that is granted counts as in flight until Release.
+// AcquireBy returns the decision on a request for a model. It may hold the request until the deadline. Without a valid
+// response of the leader for the model, the tracker sends the leader a wake request. A granted request counts as in
+// flight until Release is called.
 func (t *Tracker) AcquireBy(ctx context.Context, name string, deadline time.Time) Decision {
 	r := &request{model: name, deadline: deadline, reply: make(chan Decision, 1)}
 	if !t.post(ctx, r) {
-		return Decision{Reason: "too much is asked at once"}
+		return Decision{Reason: "the request queue is full, or the controller is shutting down"}
 	}
 	select {
 	case decision := <-r.reply:
 		return decision
 	case <-t.done:
-		return Decision{Reason: "the controller ends"}
+		return Decision{Reason: "the controller is shutting down"}
 	case <-ctx.Done():
-		t.post(context.Background(), canceledMsg{r}) // even though ctx has ended
-		return Decision{Reason: "its client has gone"}
+		t.post(context.Background(), canceledMsg{r}) // ctx has already ended
+		return Decision{Reason: "the client has disconnected"}
 	}
 }
 
-// Release ends a request that was granted.
+// Release reports that a granted request has finished.
 func (t *Tracker) Release(name string) { t.post(context.Background(), releasedMsg{name}) }
 
-// handleRequest decides on a new request, or has it wait for the leader's response.
+// handleRequest decides on a new request, or queues it until the leader responds to a wake request.
 func (t *Tracker) handleRequest(ctx context.Context, r *request, now time.Time) {
 	m := t.model(r.model)
 	m.lastUsed = now
@@ -56,11 +57,12 @@
 	}
 }
 
-// handleCanceled removes a request whose client has disconnected; if it was granted meanwhile, it is finished.
+// handleCanceled removes a request whose client has disconnected. If the request was granted in the meantime, it no
+// longer counts as in flight.
 func (t *Tracker) handleCanceled(r *request, now time.Time) {
 	m := t.model(r.model)
 	if !r.decided {
-		t.finish(r)
+		t.markDecided(r)
 		m.waiting = slices.DeleteFunc(m.waiting, func(o *request) bool { return o == r })
 		return
 	}
@@ -71,7 +73,7 @@
 	}
 }
 
-// handleReleased ends a granted request, so that another may be granted.
+// handleReleased handles the end of a granted request, after which a waiting request may be granted.
 func (t *Tracker) handleReleased(ctx context.Context, name string, now time.Time) {
 	m := t.model(name)
 	m.inFlight--
@@ -82,64 +84,64 @@
 	}
 }
 
-// decide decides on a request by the leader's latest response, or holds it.
+// decide decides on a request by the leader's latest response, or holds the request.
 func (t *Tracker) decide(m *model, r *request, now time.Time) {
 	response := &m.response
 	switch {
 	case r.decided:
 	case !m.responseValid(now):
-		t.holdOrReply(m, r, now, Decision{RetryAfter: m.retryAt.Sub(now), Reason: m.reason})
+		t.holdOrReply(m, r, now, Decision{RetryAfter: m.retryAt.Sub(now), Reason: m.undecidedReason})
 	case response.Verdict == activation.Unknown:
-		t.reply(r, Decision{Outcome: Unknown, Response: *response, Reason: response.Reason})
+		t.sendDecision(r, Decision{Outcome: Unknown, Response: *response, Reason: response.Reason})
 	case response.Verdict == activation.Damaged || response.State == activation.Failed:
-		t.reply(r, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model can't be started now"})
+		t.sendDecision(r, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model can't be started now"})
 	case response.Ready() && m.inFlight < t.limits.MaxConcurrent:
 		m.inFlight++
-		t.reply(r, Decision{Outcome: Granted, Response: *response})
+		t.sendDecision(r, Decision{Outcome: Granted, Response: *response})
 	case response.Ready():
-		t.holdOrReply(m, r, now, Decision{Response: *response, Reason: "the model has as many requests as it may"})
+		t.holdOrReply(m, r, now, Decision{Response: *response, Reason: "the model is at its limit of concurrent requests"})
 	default:
-		t.holdOrReply(m, r, now, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model starts"})
+		t.holdOrReply(m, r, now, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model is starting"})
 	}
 }
 
-// holdOrReply holds a request, or replies with decision if it can't be held: there is no capacity, or the model isn't
-// expected to be ready before the request's deadline.
+// holdOrReply holds a request. It replies with decision instead if no requests are held at all, if the capacity for
+// held requests is used up, or if the model isn't expected to be ready before the request's deadline.
 func (t *Tracker) holdOrReply(m *model, r *request, now time.Time, decision Decision) {
 	switch {
 	case r.held:
 		m.waiting = append(m.waiting, r)
 	case t.limits.HoldTimeout <= 0 || now.Add(decision.RetryAfter).After(r.deadline) || !t.canHold(m):
-		t.reply(r, decision)
+		t.sendDecision(r, decision)
 	default:
 		r.held = true
-		t.held++
+		t.heldCount++
 		m.waiting = append(m.waiting, r)
 	}
 }
 
-// canHold reports whether one more request for a model may be held: a model holds no more requests than are left for
-// all others, so that a burst for one leaves capacity for the next (dynamic thresholds).
-func (t *Tracker) canHold(m *model) bool { return m.heldRequests() < t.limits.MaxHeld-t.held }
+// canHold reports whether one more request for a model may be held. The requests held for a model may not exceed the
+// capacity that is still free, so a burst for one model leaves capacity for others (dynamic threshold).
+func (t *Tracker) canHold(m *model) bool { return m.heldRequests() < t.limits.MaxHeld-t.heldCount }
 
-// reply gives a request its decision, unless it has one.
-func (t *Tracker) reply(r *request, decision Decision) {
+// sendDecision sends the decision on a request, unless the request is already decided or canceled.
+func (t *Tracker) sendDecision(r *request, decision Decision) {
 	if r.decided {
 		return
 	}
-	t.finish(r)
+	t.markDecided(r)
 	r.reply <- decision
 }
 
-// finish marks a request as decided or canceled; it is no longer held.
-func (t *Tracker) finish(r *request) {
+// markDecided marks a request as decided or canceled. The request no longer counts as held.
+func (t *Tracker) markDecided(r *request) {
 	r.decided = true
 	if r.held {
-		t.held--
+		t.heldCount--
 	}
 }
 
-// decideWaiting decides on all requests that wait for a model, in the order in which they came.
+// decideWaiting decides on all requests that wait for a model, in order of arrival.
 func (t *Tracker) decideWaiting(m *model, now time.Time) {
 	waiting := m.waiting
 	m.waiting = nil
@@ -148,12 +150,12 @@
 	}
 }
 
-// timeOutHeld replies to the held requests whose deadline has passed.
-func (t *Tracker) timeOutHeld(m *model, now time.Time) {
+// timeOutHeldRequests replies to a model's held requests whose deadline has passed.
+func (t *Tracker) timeOutHeldRequests(m *model, now time.Time) {
 	m.waiting = slices.DeleteFunc(m.waiting, func(r *request) bool {
 		expired := r.held && !now.Before(r.deadline)
 		if expired {
-			t.reply(r, Decision{Outcome: TimedOut, Response: m.response, Reason: "the model didn't start in time"})
+			t.sendDecision(r, Decision{Outcome: TimedOut, Response: m.response, Reason: "the request's deadline passed while it was held"})
 		}
 		return expired
 	})
--- a/internal/activator/target.go
+++ b/internal/activator/target.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// TargetHost and TargetModel are replaced in the template of a target: by the host of a model's machine, and by the
-// model's name in the request's path.
+// TargetHost and TargetModel are placeholders in the template of a target. They are replaced by the host of the model's
+// machine and by the model's name as it is in the request's path.
 const (
 	TargetHost  = "{host}"
 	TargetModel = "{model}"
 )
 
-// DefaultTarget is the template where the operators set none.
+// DefaultTarget is the template that is used if none is configured.
 const DefaultTarget = TargetHost + ":8000"
 
-// Target returns the URL of a model's server on a machine, by a template such as "{host}:8000/{model}". An empty
-// template is DefaultTarget. machine is the machine's address, with or without a port, which isn't used.
+// Target returns the URL of a model's server on a machine, from a template such as "{host}:8000/{model}". An empty
+// template means DefaultTarget. machine is the machine's address; if it has a port, the port is ignored.
 func Target(template, machine, model string) (*url.URL, error) {
 	if template == "" {
 		template = DefaultTarget
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -9,88 +9,88 @@
 	"sagevale/internal/activation"
 )
 
-// Scheduler is the leader, as a controller reaches it. Its methods are called from several goroutines, and return
-// soon after ctx has ended.
-type Scheduler interface {
+// LeaderClient sends requests to the leader. Its methods are called from several goroutines and must return soon after
+// ctx has ended.
+type LeaderClient interface {
 	// Wake sends a wake request for a model and returns the response.
 	Wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
 	// ReportUsage sends the usage of models at this controller and returns the response.
 	ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
-// Pace is how often a tracker sends requests to the leader.
+// Pace configures when a Tracker sends requests to the leader.
 type Pace struct {
-	Retry    time.Duration // pause after the first wake request that is undecided; doubled after each, with jitter
+	Retry    time.Duration // pause after the first undecided wake request; doubled after each further one, with jitter
 	Timeout  time.Duration // of one request
-	Wait     time.Duration // for how long the leader may delay a response while requests are held
-	Usage    time.Duration // between two usage reports; 0: none are sent
-	Repeat   time.Duration // for how long demand that is undecided is repeated
-	Remember time.Duration // for how long an unused model is reported; longer than the idle window
+	Wait     time.Duration // how long the leader may delay a response while a model with waiting requests starts
+	Usage    time.Duration // interval of usage reports; 0: none are sent
+	Repeat   time.Duration // how long wake requests are repeated for undecided demand after its last request
+	Remember time.Duration // how long an unused model stays in usage reports; longer than the idle window
 }
 
-// Limits bound the requests that a tracker holds and grants.
+// Limits limit the requests that a Tracker holds and grants.
 type Limits struct {
-	HoldTimeout   time.Duration // the longest that a request is held; 0: none is held
-	MaxHeld       int           // requests held at a time, of all models
+	HoldTimeout   time.Duration // maximum time for which a request is held; 0: none is held
+	MaxHeld       int           // requests held at a time, for all models together
 	MaxConcurrent int           // requests in flight to one model at a time
 }
 
 const (
-	// maxRetryShift bounds the doubling of Pace.Retry.
+	// maxRetryShift is how many times Pace.Retry is doubled at most.
 	maxRetryShift = 4
-	// mailboxLength is how many messages may wait for the tracker before their senders wait.
+	// mailboxLength is how many messages the mailbox buffers. Senders block while it is full.
 	mailboxLength = 256
 )
 
-// Tracker decides on requests for models by the leader's latest responses, and holds requests for models that start.
-// It is an actor: Run owns its state, which other methods reach through the mailbox. However many requests wait for a
-// model, the tracker sends one wake request at a time for it.
+// Tracker decides on requests for models by the leader's latest responses, and holds requests for models that are
+// starting. It is an actor: the goroutine of Run owns its state, and other methods send messages to the mailbox. A
+// Tracker sends one wake request at a time for a model, however many requests wait for it.
 type Tracker struct {
-	scheduler Scheduler
-	pace      Pace
-	limits    Limits
-	rand      *rand.Rand
-	mailbox   chan message
-	done      chan struct{}  // closed once Run handles no more messages
-	senders   sync.WaitGroup // of wake requests and usage reports
+	leader      LeaderClient
+	pace        Pace
+	limits      Limits
+	rand        *rand.Rand
+	mailbox     chan message
+	done        chan struct{}  // closed when Run stops handling messages
+	leaderCalls sync.WaitGroup // goroutines that send wake requests and usage reports
 
 	started      time.Time
 	models       map[string]*model
-	held         int    // requests held, of all models
-	usageSerial  uint64 // of the latest usage report
-	usagePending bool   // a usage report has no response yet
+	heldCount    int    // requests held, for all models together
+	usageSerial  uint64 // serial number of the latest usage report
+	usagePending bool   // a usage report is in flight
 }
 
-// Outcome is the decision on a request.
+// Outcome is the kind of a decision on a request.
 type Outcome int
 
 // The outcomes.
 const (
-	Refused  Outcome = iota // it may be sent again after RetryAfter
-	Granted                 // it may be forwarded once; Release must be called after it
+	Refused  Outcome = iota // the client may send the request again after RetryAfter
+	Granted                 // the request may be forwarded once; the caller must call Release afterwards
 	Unknown                 // there is no such model
-	TimedOut                // it was held until its deadline
+	TimedOut                // the request was held until its deadline
 )
 
-// Decision is the decision on a request, with its reasons.
+// Decision is the decision on a request and the reason for it.
 type Decision struct {
 	Outcome    Outcome
 	Response   activation.WakeResponse // the leader's response that the decision is based on
-	RetryAfter time.Duration           // 0: not known
+	RetryAfter time.Duration           // 0: unknown
 	Reason     string
 }
 
-// NewTracker returns a tracker. Its methods wait until Run is called. random must not be used elsewhere.
-func NewTracker(scheduler Scheduler, pace Pace, limits Limits, random *rand.Rand) *Tracker {
+// NewTracker returns a Tracker. Acquire and AcquireBy block until Run is called. random must not be used elsewhere.
+func NewTracker(leader LeaderClient, pace Pace, limits Limits, random *rand.Rand) *Tracker {
 	return &Tracker{
-		scheduler: scheduler, pace: pace, limits: limits, rand: random, started: time.Now(),
+		leader: leader, pace: pace, limits: limits, rand: random, started: time.Now(),
 		mailbox: make(chan message, mailboxLength), done: make(chan struct{}), models: make(map[string]*model),
 	}
 }
 
-// Run handles requests until ctx ends; it must be called once.
+// Run handles messages, and sends wake requests and usage reports, until ctx ends. It must be called exactly once.
 func (t *Tracker) Run(ctx context.Context) {
-	defer t.senders.Wait()
+	defer t.leaderCalls.Wait()
 	defer close(t.done)
 	ticker := time.NewTicker(t.pace.Retry)
 	defer ticker.Stop()
@@ -114,6 +114,7 @@
 	}
 }
 
+// handle handles one message from the mailbox.
 func (t *Tracker) handle(ctx context.Context, m message, now time.Time) {
 	switch m := m.(type) {
 	case *request:
@@ -129,24 +130,24 @@
 	}
 }
 
-// tick times out held requests, sends wake requests again where requests wait or demand is undecided, and removes
-// models that are no longer used.
+// tick times out held requests, repeats wake requests for models with waiting requests or undecided demand, and removes
+// the state of models that are no longer used.
 func (t *Tracker) tick(ctx context.Context, now time.Time) {
 	for name, m := range t.models {
-		t.timeOutHeld(m, now)
+		t.timeOutHeldRequests(m, now)
 		switch {
 		case m.wakePending:
 		case len(m.waiting) > 0 && !m.responseValid(now) || now.Before(m.demandUntil):
 			if !now.Before(m.retryAt) {
 				t.sendWake(ctx, name, m, now)
 			}
-		case m.unused(now, t.pace.Remember):
+		case m.canBeRemoved(now, t.pace.Remember):
 			delete(t.models, name)
 		}
 	}
 }
 
-// post puts a message into the mailbox and reports whether it has.
+// post sends a message to the mailbox. It returns false if ctx or Run ends first.
 func (t *Tracker) post(ctx context.Context, m message) bool {
 	select {
 	case t.mailbox <- m:
--- a/internal/activator/tracker_test.go
+++ b/internal/activator/tracker_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/activation"
 )
 
-// However many requests wait for a model, one wake request at a time is sent for it; demand that is undecided is
-// repeated.
+// However many requests wait for a model, the tracker sends one wake request at a time for it. It repeats wake requests
+// until the leader has decided on the demand.
 func TestTrackerCoalescesWakeRequests(t *testing.T) {
 	leader := &fakeLeader{response: activation.WakeResponse{Reason: "no leader"}, latency: 10 * time.Millisecond}
 	runTracker(t, leader, Limits{MaxHeld: 1}, func(ctx context.Context, tracker *Tracker) {
@@ -42,8 +42,9 @@
 	})
 }
 
-// Requests are held while a model starts, within limits that leave capacity for other models. Once it is ready they are
-// granted in order, up to the limit of concurrent requests. At the deadline they time out.
+// The tracker holds requests while a model starts, within limits that leave capacity for other models. Once the model is
+// ready, held requests are granted in order of arrival, up to the limit of concurrent requests. Requests that are still
+// held at their deadline time out.
 func TestTrackerHoldsRequests(t *testing.T) {
 	leader := &fakeLeader{response: knownResponse(activation.Starting, 1, "")}
 	runTracker(t, leader, Limits{MaxHeld: 8, MaxConcurrent: 2, HoldTimeout: 20 * time.Second}, func(ctx context.Context, tracker *Tracker) {
@@ -106,14 +107,14 @@
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(30 * time.Second)
-		if count(TimedOut) != 1 || tracker.held != 0 {
-			t.Errorf("%d timed out, %d held; want 1 and 0", count(TimedOut), tracker.held)
+		if count(TimedOut) != 1 || tracker.heldCount != 0 {
+			t.Errorf("%d timed out, %d held; want 1 and 0", count(TimedOut), tracker.heldCount)
 		}
 	})
 }
 
-// After a drain is ordered, no request is granted by the response to an earlier wake request, and the next usage report
-// confirms the drain.
+// After a drain order, no request is granted by the response to a wake request from before the order, and the next usage
+// report acknowledges the drain.
 func TestTrackerDrainInvalidatesEarlierResponses(t *testing.T) {
 	leader := &fakeLeader{response: knownResponse(activation.Ready, 1, "10.0.0.1:9000")}
 	runTracker(t, leader, Limits{MaxHeld: 8, MaxConcurrent: 9}, func(ctx context.Context, tracker *Tracker) {
