--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -104,7 +104,7 @@
 		writeBodyTooLarge(w)
 		return
 	}
-	writeError(w, http.StatusBadGateway, "the model sent no response; it may have executed the request", 0)
+	writeError(w, http.StatusBadGateway, "the model has not answered; it may have carried the request out", 0)
 }
 
 // errorResponse is the body of an error response of the controller itself.
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -22,16 +22,16 @@
 func (t *Tracker) AcquireBy(ctx context.Context, name string, deadline time.Time) Decision {
 	r := &request{model: name, deadline: deadline, reply: make(chan Decision, 1)}
 	if !t.post(ctx, r) {
-		return Decision{Reason: "the request queue is full, or the controller is shutting down"}
+		return Decision{Reason: "too much is asked at once"}
 	}
 	select {
 	case decision := <-r.reply:
 		return decision
 	case <-t.done:
-		return Decision{Reason: "the controller is shutting down"}
+		return Decision{Reason: "the controller ends"}
 	case <-ctx.Done():
 		t.post(context.Background(), canceledMsg{r}) // ctx has already ended
-		return Decision{Reason: "the client has disconnected"}
+		return Decision{Reason: "its client has gone"}
 	}
 }
 
@@ -99,9 +99,9 @@
 		m.inFlight++
 		t.sendDecision(r, Decision{Outcome: Granted, Response: *response})
 	case response.Ready():
-		t.holdOrReply(m, r, now, Decision{Response: *response, Reason: "the model is at its limit of concurrent requests"})
+		t.holdOrReply(m, r, now, Decision{Response: *response, Reason: "the model has as many requests as it may"})
 	default:
-		t.holdOrReply(m, r, now, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model is starting"})
+		t.holdOrReply(m, r, now, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model starts"})
 	}
 }
 
@@ -155,7 +155,7 @@
 	m.waiting = slices.DeleteFunc(m.waiting, func(r *request) bool {
 		expired := r.held && !now.Before(r.deadline)
 		if expired {
-			t.sendDecision(r, Decision{Outcome: TimedOut, Response: m.response, Reason: "the request's deadline passed while it was held"})
+			t.sendDecision(r, Decision{Outcome: TimedOut, Response: m.response, Reason: "the model didn't start in time"})
 		}
 		return expired
 	})
--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -27,9 +27,9 @@
 // Errors of an Archiver. None of them implies that a job is archived or that it isn't.
 var (
 	// ErrBusy means that there are too many requests. They may be retried later.
-	ErrBusy = errors.New("too many archive requests")
+	ErrBusy = errors.New("too many questions to the archive")
 	// ErrIncomplete means that this controller's copies of pages may be outdated.
-	ErrIncomplete = errors.New("the archive index isn't up to date yet")
+	ErrIncomplete = errors.New("the archive's pages aren't all read yet")
 	// ErrLeadershipLost means that another controller is the leader.
 	ErrLeadershipLost = errors.New("another controller is the leader")
 )
