--- a/internal/protocol/report_reader.go
+++ b/internal/protocol/report_reader.go
@@ -59,7 +59,7 @@
 	if len(body) > maxCachedReportBytes || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
 		return // a field name with escape sequences can be spelled in several ways
 	}
-	// encoding/json ignores the case of field names, so the name must occur exactly once in any case.
+	// encoding/json matches field names regardless of case, so all spellings together must occur exactly once.
 	if bytes.Count(bytes.ToLower(body), bytes.ToLower(seqField[1:len(seqField)-2])) != 1 {
 		return
 	}
