--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -12,20 +12,19 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// Combinations of faults that violated invariants on real machines, as the operators listed
-// them. Each scenario produces one combination while the simulation checks the invariants:
-// fakeWorker.checkStart checks placement, limits and duplicate tasks, watchCancelledJobs checks
-// cancellations, and requestFrom checks the responses to users. docs/combined-faults.md names
-// the code that guards against each combination.
+// The scenarios reproduce combinations of faults that violated invariants on real machines, as listed by the
+// operators. Each scenario produces one combination while the simulation checks the invariants:
+// fakeWorker.checkStart checks placement, limits and duplicate tasks, watchCancelledJobs checks cancellations,
+// and requestFrom checks the responses to users. docs/combined-faults.md names the code that guards against each
+// combination.
 
-// scenario is a named run of the simulation.
+// scenario is a named sequence of steps and faults in the simulation.
 type scenario struct {
 	name string
 	run  func(sim *simulation)
 }
 
-// leaderFaultScenarios are combinations of faults of leaders, the key-value store and the
-// network between them.
+// leaderFaultScenarios combine faults of leaders, of the key-value store and of the network between them.
 var leaderFaultScenarios = []scenario{
 	{"a transaction is applied and its response lost", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 3, 40*time.Second))
@@ -132,7 +131,7 @@
 		sim.awaitRunning("000003", 2)
 		old := sim.awaitLeader()
 		for _, wk := range sim.allWorkers() {
-			wk.onlyNode.Store(old)
+			wk.onlyReachableNode.Store(old)
 		}
 		old.cutPeers.Store(true)
 		old.cutStore.Store(true)
@@ -148,7 +147,7 @@
 		}
 		sim.awaitStopped("000001")
 		for _, wk := range sim.allWorkers() {
-			wk.onlyNode.Store(nil)
+			wk.onlyReachableNode.Store(nil)
 		}
 		old.cutPeers.Store(false)
 		old.cutStore.Store(false)
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -9,13 +9,13 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// machineFaultScenarios are combinations of faults of machines, their reports and their tasks.
+// machineFaultScenarios combine faults of machines, of their reports and of their tasks.
 var machineFaultScenarios = []scenario{
 	{"jobs with zone constraints lose machines", func(sim *simulation) {
-		a, b, c := clustertest.Array("000001", 6), zonalService("000002", "b", 4), arrayWithRuntime("000003", 5, time.Minute)
-		a.SameZone, a.EstimateS, c.Spread = true, 60, true
-		for _, s := range []storage.Spec{a, b, c} {
-			sim.submit(s)
+		sameZone, zonal, spread := clustertest.Array("000001", 6), zonalService("000002", "b", 4), arrayWithRuntime("000003", 5, time.Minute)
+		sameZone.SameZone, sameZone.EstimateS, spread.Spread = true, 60, true
+		for _, spec := range []storage.Spec{sameZone, zonal, spread} {
+			sim.submit(spec)
 		}
 		sim.awaitRunning("000002", 4)
 		sim.awaitRunning("000001", 6)
@@ -26,7 +26,7 @@
 				wk.cut.Store(true)
 			}
 		}
-		// All machines of the second job may be among the dead ones already.
+		// The loop above may already have stopped all machines of the second job.
 		if remaining := sim.machinesOf("000002"); len(remaining) > 0 {
 			remaining[0].dead.Store(true)
 		}
@@ -46,7 +46,7 @@
 			for _, wk := range sim.workers {
 				for k, task := range wk.tasks {
 					if k.ID.Task > 0 {
-						task.ends = task.ends.Add(time.Duration(k.ID.Task) * 40 * time.Second)
+						task.endsAt = task.endsAt.Add(time.Duration(k.ID.Task) * 40 * time.Second)
 					}
 				}
 			}
@@ -63,11 +63,11 @@
 	{"small jobs, four a second, a quarter cancelled", func(sim *simulation) {
 		const jobs = 480
 		for i := range jobs {
-			s := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
-			s.Resources.CPUs = 0.5
-			sim.submit(s)
+			spec := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 1, 5*time.Second)
+			spec.Resources.CPUs = 0.5
+			sim.submit(spec)
 			if i%4 == 0 {
-				sim.cancel(s.ID)
+				sim.cancel(spec.ID)
 			}
 			if i%120 == 60 {
 				sim.crash(sim.awaitLeader(), time.Second)
@@ -144,7 +144,7 @@
 		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
-			wk.cut.Store(true) // its incarnation ends, and its tasks start elsewhere
+			wk.cut.Store(true) // its lease expires, and its tasks start on other machines
 		}
 		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
@@ -165,11 +165,11 @@
 		})
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
 		for i := range 10 {
-			s := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
-			s.Priority = storage.Priority(i % 3)
-			sim.submit(s)
+			spec := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
+			spec.Priority = storage.Priority(i % 3)
+			sim.submit(spec)
 		}
-		sim.submit(clustertest.Service("000100", 4)) // urgent
+		sim.submit(clustertest.Service("000100", 4)) // production services have priority over the arrays
 		sim.awaitRunning("000100", 4)
 		for i := range 10 {
 			sim.awaitDone(fmt.Sprintf("%06d", i+1))
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// No start is sent between a cancellation and its commit: it could arrive after the user was
-// told that the job is cancelled.
+// No start command is sent between a cancellation and its commit. It could arrive after the user got the
+// response that the job is cancelled.
 func TestNoStartIsSentDuringCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -36,8 +36,8 @@
 	})
 }
 
-// A leader may end between the commits of a job's last page and of the job itself: its
-// successor finds a job that is open, but whose tasks are done.
+// A leader may fail after it has committed the last page of a job and before it commits the job's record. Its
+// successor then loads an open job whose tasks are all done, and must complete it.
 func TestLoadCompletesJobWhoseTasksAreDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 3)
@@ -58,7 +58,7 @@
 	})
 }
 
-// newRecord returns the record that stores data under a key.
+// newRecord returns a record with the given key and data.
 func newRecord(t *testing.T, key string, data any) storage.Record {
 	t.Helper()
 	record, err := storage.NewRecord(key, data)
@@ -68,7 +68,7 @@
 	return record
 }
 
-// The journal retries a commit whose response doesn't arrive; the commit takes effect once.
+// The journal retries a commit whose response doesn't arrive. The commit takes effect once.
 func TestJournalRetriesUnansweredCommit(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
@@ -93,8 +93,8 @@
 	})
 }
 
-// Neither a start nor a forget command is sent before the record that it depends on is durable:
-// a successor would start the task a second time, or miss that it is done.
+// Neither a start nor a forget command is sent before the record that it depends on is durable. Otherwise a
+// successor would start the task a second time, or would load the task as not done.
 func TestCommandsWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -124,11 +124,10 @@
 	})
 }
 
-// requestWithoutCommit handles a user's request, and returns the response if there is one before
-// the next commit.
-func (d *scheduler) requestWithoutCommit(op api.Op, spec storage.Spec) (response api.Response, responded bool) {
+// requestWithoutCommit handles a user's request, and returns the response if it is sent before the next commit.
+func (s *scheduler) requestWithoutCommit(op api.Op, spec storage.Spec) (response api.Response, responded bool) {
 	reply := make(chan api.Response, 1)
-	d.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
+	s.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
 	select {
 	case response = <-reply:
 		return response, true
@@ -137,53 +136,53 @@
 	}
 }
 
-// No response shows a state before it is durable: a successor would not know of it.
+// No response reports a state before it is durable, because a successor would report an older state.
 func TestResponsesWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		request := sched.requestWithoutCommit
-		a, b := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
-		if got, responded := request(api.OpSubmit, a); responded {
+		cancelledSpec, doneSpec := clustertest.Array("000001", 1), clustertest.Array("000002", 1)
+		if got, responded := request(api.OpSubmit, cancelledSpec); responded {
 			t.Errorf("submission before the commit: got %+v, want no response", got)
 		}
-		if got, _ := request(api.OpPoll, a); got.Code != api.CodeUnavailable {
+		if got, _ := request(api.OpPoll, cancelledSpec); got.Code != api.CodeUnavailable {
 			t.Errorf("poll before the submission's commit: got %+v, want code %v", got, api.CodeUnavailable)
 		}
-		request(api.OpSubmit, b)
+		request(api.OpSubmit, doneSpec)
 		sched.commitPending(nil)
-		if got, _ := request(api.OpPoll, a); got.Code != api.CodeOK {
+		if got, _ := request(api.OpPoll, cancelledSpec); got.Code != api.CodeOK {
 			t.Errorf("poll after the submission's commit: got %+v, want code %v", got, api.CodeOK)
 		}
-		if got, responded := request(api.OpCancel, a); responded {
+		if got, responded := request(api.OpCancel, cancelledSpec); responded {
 			t.Errorf("cancellation before the commit: got %+v, want no response", got)
 		}
-		if got, _ := request(api.OpPoll, a); got.Final() {
+		if got, _ := request(api.OpPoll, cancelledSpec); got.Final() {
 			t.Errorf("poll before the cancellation's commit: got %+v, want an open state", got)
 		}
-		j := sched.state.Jobs.Get(b.ID)
+		j := sched.state.Jobs.Get(doneSpec.ID)
 		j.SetTask(0, cluster.TaskDone)
 		sched.finishIfDone(j)
-		if got, _ := request(api.OpPoll, b); got.Final() {
+		if got, _ := request(api.OpPoll, doneSpec); got.Final() {
 			t.Errorf("poll before the completion's commit: got %+v, want an open state", got)
 		}
 		sched.commitPending(nil)
-		for _, spec := range []storage.Spec{a, b} {
+		for _, spec := range []storage.Spec{cancelledSpec, doneSpec} {
 			if got, _ := request(api.OpPoll, spec); !got.Final() {
 				t.Errorf("poll after the commit: got %+v, want a final state", got)
 			}
 		}
 		// The response to any request for a final job is its final state.
-		if got, _ := request(api.OpCancel, b); got.Code != api.CodeOK || got.State != api.StateDone {
+		if got, _ := request(api.OpCancel, doneSpec); got.Code != api.CodeOK || got.State != api.StateDone {
 			t.Errorf("cancellation of a done job: got %+v, want state %v", got, api.StateDone)
 		}
-		if got, _ := request(api.OpSubmit, a); got.Code != api.CodeOK || got.State != api.StateCancelled {
+		if got, _ := request(api.OpSubmit, cancelledSpec); got.Code != api.CodeOK || got.State != api.StateCancelled {
 			t.Errorf("repeated submission of a cancelled job: got %+v, want state %v", got, api.StateCancelled)
 		}
 	})
 }
 
-// A start is sent only once its record is durable: a successor would not know where the task
-// runs.
+// A start command is sent only once the attempt's record is durable. Otherwise a successor would not know which
+// machine runs the task.
 func TestStartWaitsForDurableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -11,51 +11,50 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The leader alone loses the key-value store, another node takes the leadership over and
-// confirms cancellations, and then the store is down for all nodes for longer than the cancel
-// timeout, while the workers go on reporting to the old leader. The outage begins at times from
-// well before the leader's lease can expire to well after, and the old leader's peers are
-// reachable, cut off or restarted.
+// Only the leader is cut off from the key-value store, and another node becomes leader and acknowledges
+// cancellations. Then the store is down for all nodes for longer than the cancel timeout, while the workers keep
+// reporting to the old leader. The cases begin the outage at times from well before the old leader's lease can
+// expire to well after that, and the old leader's peers are reachable, cut off or restarted.
 func TestStoreOutageAfterFailover(t *testing.T) {
 	lease := clustertest.Settings().Tuning.LeaderLease
-	for _, peers := range []string{"reachable", "cut", "restarted"} {
-		for _, after := range []time.Duration{
+	for _, peerState := range []string{"reachable", "cut", "restarted"} {
+		for _, outageAfter := range []time.Duration{
 			lease / 2, lease - 100*time.Millisecond, lease + 50*time.Millisecond, lease + 500*time.Millisecond, 2 * lease, 4 * lease,
 		} {
-			t.Run(fmt.Sprintf("peers %s, outage after %v", peers, after), func(t *testing.T) {
-				runSimulation(t, func(sim *simulation) { outageAfterFailover(sim, peers, after) })
+			t.Run(fmt.Sprintf("peers %s, outage after %v", peerState, outageAfter), func(t *testing.T) {
+				runSimulation(t, func(sim *simulation) { outageAfterFailover(sim, peerState, outageAfter) })
 			})
 		}
 	}
 }
 
-// outageAfterFailover is one case of TestStoreOutageAfterFailover. Jobs 000001 and 000002 are
-// cancelled; job 000003 goes on.
-func outageAfterFailover(sim *simulation, peers string, after time.Duration) {
+// outageAfterFailover runs one case of TestStoreOutageAfterFailover. Jobs 000001 and 000002 are cancelled; job
+// 000003 must keep running.
+func outageAfterFailover(sim *simulation, peerState string, outageAfter time.Duration) {
 	for _, id := range []string{"000001", "000002", "000003"} {
 		sim.submit(clustertest.Service(id, 3))
 		sim.awaitRunning(id, 3)
 	}
 	old := sim.awaitLeader()
 	for _, wk := range sim.allWorkers() {
-		wk.onlyNode.Store(old)
+		wk.onlyReachableNode.Store(old)
 	}
 	time.Sleep(2 * sim.settings.HeartbeatInterval)
 	old.cutStore.Store(true)
-	old.cutPeers.Store(peers == "cut")
+	old.cutPeers.Store(peerState == "cut")
 	cancelled := make(chan struct{})
-	go func() { // users cancel as soon as any node accepts it
+	go func() { // users cancel as soon as any node accepts the cancellation
 		defer close(cancelled)
-		for end := time.Now().Add(after + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(outageAfter + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			for _, n := range sim.nodes {
 				sim.requestFrom(n, api.OpCancel, "000001", storage.Spec{})
 				sim.requestFrom(n, api.OpCancel, "000002", storage.Spec{})
 			}
 		}
 	}()
-	time.Sleep(after)
+	time.Sleep(outageAfter)
 	sim.state.Outage(true)
-	if peers == "restarted" {
+	if peerState == "restarted" {
 		for _, n := range sim.nodes {
 			if n != old {
 				n.restart()
@@ -68,7 +67,7 @@
 	old.cutPeers.Store(false)
 	sim.state.Outage(false)
 	for _, wk := range sim.allWorkers() {
-		wk.onlyNode.Store(nil)
+		wk.onlyReachableNode.Store(nil)
 	}
 	sim.cancel("000001")
 	sim.cancel("000002")
@@ -77,15 +76,15 @@
 	sim.awaitRunning("000003", 3)
 }
 
-// A leader that is still loading the state decides no request: neither for a job that the state
-// has nor for one that was never submitted.
+// A leader that is still loading the state must not decide any request, neither for a job that the state
+// contains nor for one that was never submitted.
 func TestLoadingLeaderAnswersNoRequests(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 150 * time.Millisecond })
 		sim.awaitLeader().kill()
-		loading := 0
+		loadingCount := 0
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			leading, loaded := false, false
 			for _, n := range sim.nodes {
@@ -98,7 +97,7 @@
 				break
 			}
 			if leading {
-				loading++
+				loadingCount++
 			}
 			for _, n := range sim.nodes {
 				live := n.live.Load()
@@ -112,7 +111,7 @@
 				}
 			}
 		}
-		if loading == 0 {
+		if loadingCount == 0 {
 			t.Error("no leader was observed while loading")
 		}
 		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
--- a/internal/scheduler/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -18,21 +18,21 @@
 // fakeCloud launches and terminates workers. Its fields are guarded by sim.mu.
 type fakeCloud struct {
 	sim              *simulation
-	next             int              // number of the next machine
-	launches         map[string][]int // machines of each launch, by its name
-	launchCalls      map[string]int   // calls for each launch, by its name
-	loseNextResponse bool             // the response to the next new launch is lost
-	noCapacity       func(storage.LaunchRecord) bool
-	bootTime         time.Duration // 0: defaultBootTime
-	terminated       map[int]bool
+	next             int                             // ID of the next machine
+	launches         map[string][]int                // IDs of the launched machines, by launch name
+	launchCalls      map[string]int                  // number of Launch calls, by launch name
+	loseNextResponse bool                            // the response to the next new launch is lost
+	noCapacity       func(storage.LaunchRecord) bool // launches for which it returns true fail; nil: none fails
+	bootTime         time.Duration                   // 0: defaultBootTime
+	terminated       map[int]bool                    // by machine ID
 }
 
-// MachineTypes returns the instance types of the tests' clusters.
+// MachineTypes returns the instance types that the tests use.
 func (c *fakeCloud) MachineTypes(context.Context) ([]storage.MachineType, error) {
 	return clustertest.Types, nil
 }
 
-// Launch starts machines once per name; a repeated call returns the same machines.
+// Launch launches machines once per name. A repeated call returns the same machines.
 func (c *fakeCloud) Launch(_ context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
@@ -68,7 +68,7 @@
 	return terminated
 }
 
-// Terminate ends machines, also those that have not come up.
+// Terminate terminates machines, including those that haven't started yet.
 func (c *fakeCloud) Terminate(_ context.Context, machines []int) error {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// List returns all machines after a number in one page.
+// List returns all running machines with an ID greater than after, in one page.
 func (c *fakeCloud) List(_ context.Context, after, _ int) ([]cloud.Machine, bool, error) {
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -20,59 +20,59 @@
 	"sagevale/internal/worker"
 )
 
-// fakeNode is a controller of the simulation: its current process, the peer link and its
-// connections to the workers, with the faults of each.
+// fakeNode is a controller of the simulation. It runs the controller's process, implements the process's
+// links to its peers and to the workers, and injects faults into all of them.
 type fakeNode struct {
 	sim       *simulation
 	name      string
 	zone      string
-	node      *Node                // its latest process, for the scenario
-	live      atomic.Pointer[Node] // its running process; nil: none
+	node      *Node                // the latest process, also after it has ended; used by the scenarios
+	live      atomic.Pointer[Node] // the running process; nil: none
 	cancelRun context.CancelFunc   // ends the running process; nil: none
 
-	cutStore      atomic.Bool
-	cutPeers      atomic.Bool
+	cutStore      atomic.Bool                   // requests to the key-value store are refused
+	cutPeers      atomic.Bool                   // no messages to or from peers
 	cutWorkers    atomic.Bool                   // no messages to or from workers
-	resumed       atomic.Pointer[chan struct{}] // closed when its pause ends; nil: it isn't paused
-	responseDelay atomic.Int64                  // delay in ns of its responses to forwarded requests
+	resumed       atomic.Pointer[chan struct{}] // closed when the pause ends; nil: not paused
+	responseDelay atomic.Int64                  // delay in ns of responses to forwarded requests
 
-	statuses map[string]peer.ObservedStatus    // the latest of each peer; guarded by sim.mu
-	upgrade  func(*upgrade.Settings)           // changes the upgrade settings of its next process; nil: none
-	refusal  atomic.Pointer[error]             // why its process ended by itself; nil: it didn't
-	tracker  atomic.Pointer[activator.Tracker] // of its latest process, if services may be at zero
-	// unregistered is its process of a version that doesn't register; nil: none.
+	statuses map[string]peer.ObservedStatus    // the latest status of each peer; guarded by sim.mu
+	upgrade  func(*upgrade.Settings)           // changes the upgrade settings of the next process; nil: no change
+	refusal  atomic.Pointer[error]             // the error with which the upgrade check refused the latest process; nil: none
+	tracker  atomic.Pointer[activator.Tracker] // of the latest process, if services may scale to zero
+	// unregistered is the node's process if it is of a version that doesn't register; nil: it isn't.
 	unregistered atomic.Pointer[unregisteredProcess]
 }
 
-// start begins a new process.
+// start starts a new process.
 func (n *fakeNode) start() {
 	n.unregistered.Store(nil)
-	s := n.sim.settings
-	s.NodeName, s.Zone = n.name, n.zone
-	for _, o := range n.sim.nodes {
-		if o != n {
-			s.Peers = append(s.Peers, config.Peer{Name: o.name, Zone: o.zone})
+	settings := n.sim.settings
+	settings.NodeName, settings.Zone = n.name, n.zone
+	for _, other := range n.sim.nodes {
+		if other != n {
+			settings.Peers = append(settings.Peers, config.Peer{Name: other.name, Zone: other.zone})
 		}
 	}
 	if n.upgrade != nil {
-		n.upgrade(&s.Tuning.Upgrade)
+		n.upgrade(&settings.Tuning.Upgrade)
 	}
 	n.refusal.Store(nil)
-	n.node = NewNode(&s, Dependencies{
+	n.node = NewNode(&settings, Dependencies{
 		State:   pausableStore{&storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n},
 		Cloud:   n.sim.cloud,
 		Workers: n,
 		Peers:   n,
 		Log:     n.sim.log,
-		Rand:    rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // no two processes draw the same numbers
+		Rand:    rand.New(rand.NewPCG(7, n.sim.processCount.Add(1))), // each process has its own seed
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancelRun = cancel
 	n.live.Store(n.node)
 	go n.ping(ctx)
 	node := n.node
-	if len(s.Tuning.Activation.Classes) > 0 {
-		n.runTracker(ctx, node, &s)
+	if len(settings.Tuning.Activation.Classes) > 0 {
+		n.runTracker(ctx, node, &settings)
 	}
 	go func() {
 		err := node.Run(ctx)
@@ -86,23 +86,23 @@
 	}()
 }
 
-// runTracker starts the process's tracker of models; the context ends it.
-func (n *fakeNode) runTracker(ctx context.Context, node *Node, s *config.Settings) {
-	pace := activator.Pace{Retry: s.WakeInterval(), Timeout: s.HeartbeatInterval, Wait: s.WakeInterval(), Usage: s.UsageInterval(),
-		Repeat: s.WorkerLease, Remember: 2 * s.Tuning.Activation.Policy.IdleWindow}
-	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: s.Tuning.Activation.HoldTimeout}
+// runTracker starts the model tracker of a process. The tracker runs until ctx ends.
+func (n *fakeNode) runTracker(ctx context.Context, node *Node, settings *config.Settings) {
+	pace := activator.Pace{Retry: settings.WakeInterval(), Timeout: settings.HeartbeatInterval, Wait: settings.WakeInterval(), Usage: settings.UsageInterval(),
+		Repeat: settings.WorkerLease, Remember: 2 * settings.Tuning.Activation.Policy.IdleWindow}
+	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: settings.Tuning.Activation.HoldTimeout}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
 	go tracker.Run(ctx)
 }
 
-// restartWithVersion restarts the node with a process of another version.
+// restartWithVersion restarts the node with a process of the given version.
 func (n *fakeNode) restartWithVersion(version upgrade.Version) {
 	n.upgrade = func(s *upgrade.Settings) { *s = s.CappedAt(version) }
 	n.restart()
 }
 
-// kill ends the process, if one runs.
+// kill stops the process if one is running.
 func (n *fakeNode) kill() {
 	if n.cancelRun != nil {
 		n.live.Store(nil)
@@ -111,6 +111,7 @@
 	}
 }
 
+// restart stops the process if one is running, and starts a new one.
 func (n *fakeNode) restart() {
 	n.kill()
 	n.start()
@@ -119,43 +120,43 @@
 // errNoConnection is returned for a peer that is down or unreachable.
 var errNoConnection = errors.New("no connection to the peer")
 
-// reachablePeer returns another node unless the link between them is cut.
+// reachablePeer returns a peer by name, or false if there is none or either node is cut off from its peers.
 func (n *fakeNode) reachablePeer(name string) (*fakeNode, bool) {
-	i := slices.IndexFunc(n.sim.nodes, func(o *fakeNode) bool { return o.name == name })
+	i := slices.IndexFunc(n.sim.nodes, func(other *fakeNode) bool { return other.name == name })
 	if i < 0 || n.cutPeers.Load() || n.sim.nodes[i].cutPeers.Load() {
 		return nil, false
 	}
 	return n.sim.nodes[i], true
 }
 
-// callPeer makes one call of a peer's process and returns the peer. The pauses of both nodes
-// delay the request and the response.
+// callPeer makes a call to a peer's process and returns the peer. The request and the response wait while
+// either node is paused.
 func (n *fakeNode) callPeer(name string, call func(process *Node)) (*fakeNode, error) {
-	o, ok := n.reachablePeer(name)
+	target, ok := n.reachablePeer(name)
 	if !ok {
 		return nil, errNoConnection
 	}
-	process := o.live.Load()
+	process := target.live.Load()
 	if process == nil {
 		return nil, errNoConnection
 	}
 	n.waitWhilePaused()
-	o.waitWhilePaused()
+	target.waitWhilePaused()
 	call(process)
-	o.waitWhilePaused()
+	target.waitWhilePaused()
 	n.waitWhilePaused()
-	return o, nil
+	return target, nil
 }
 
-// Forward is the peer link for users' requests and pings.
+// Forward sends a user's request or a ping to a peer.
 func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
-	if o, ok := n.reachablePeer(name); ok && req.Op == api.OpPing {
-		if old := o.unregistered.Load(); old != nil {
+	if target, ok := n.reachablePeer(name); ok && req.Op == api.OpPing {
+		if old := target.unregistered.Load(); old != nil {
 			return api.Response{Peer: peer.Status{Version: old.version}}, nil
 		}
 	}
 	var response api.Response
-	o, err := n.callPeer(name, func(process *Node) { response = process.HandleForwardedRequest(ctx, req) })
+	target, err := n.callPeer(name, func(process *Node) { response = process.HandleForwardedRequest(ctx, req) })
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -163,12 +164,12 @@
 		return api.Response{}, err
 	}
 	if req.Op != api.OpPing {
-		time.Sleep(time.Duration(o.responseDelay.Load()))
+		time.Sleep(time.Duration(target.responseDelay.Load()))
 	}
 	return response, nil
 }
 
-// ReportUsage is the peer link for usage.
+// ReportUsage sends a usage report to a peer.
 func (n *fakeNode) ReportUsage(ctx context.Context, name string, report activation.UsageReport) (activation.UsageResponse, error) {
 	var response activation.UsageResponse
 	_, err := n.callPeer(name, func(process *Node) {
@@ -181,21 +182,21 @@
 	return response, ctx.Err()
 }
 
-// Wake is the peer link for demand.
+// Wake sends a wake request, which reports demand for a model, to a peer.
 func (n *fakeNode) Wake(ctx context.Context, name string, req activation.WakeRequest) (activation.WakeResponse, error) {
 	var response activation.WakeResponse
-	o, err := n.callPeer(name, func(process *Node) {
+	target, err := n.callPeer(name, func(process *Node) {
 		n.sim.noteWakeRequest(req)
 		response = process.HandleForwardedWake(ctx, req)
 	})
 	if err != nil {
 		return activation.WakeResponse{}, err
 	}
-	time.Sleep(time.Duration(o.responseDelay.Load()))
+	time.Sleep(time.Duration(target.responseDelay.Load()))
 	return response, ctx.Err()
 }
 
-// ForwardHeartbeats is the peer link for heartbeats.
+// ForwardHeartbeats sends workers' heartbeats to a peer.
 func (n *fakeNode) ForwardHeartbeats(ctx context.Context, name string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	var responses []worker.HeartbeatResponse
 	_, err := n.callPeer(name, func(process *Node) { responses = process.HandleForwardedHeartbeats(ctx, reports) })
@@ -208,20 +209,20 @@
 	return responses, nil
 }
 
-// ping requests the statuses of the peers until the context ends, as the peer link does.
+// ping requests the statuses of the peers at a fixed interval until ctx ends, as the real peer link does.
 func (n *fakeNode) ping(ctx context.Context) {
 	n.sim.mu.Lock()
 	n.statuses = make(map[string]peer.ObservedStatus)
 	n.sim.mu.Unlock()
 	for ctx.Err() == nil {
-		for _, o := range n.sim.nodes {
-			if o == n {
+		for _, other := range n.sim.nodes {
+			if other == n {
 				continue
 			}
 			sent := time.Now()
-			if a, err := n.Forward(ctx, o.name, api.Request{Op: api.OpPing, ID: n.name}); err == nil {
+			if response, err := n.Forward(ctx, other.name, api.Request{Op: api.OpPing, ID: n.name}); err == nil {
 				n.sim.mu.Lock()
-				n.statuses[o.name] = peer.ObservedStatus{Status: a.Peer, Sent: sent, Received: time.Now()}
+				n.statuses[other.name] = peer.ObservedStatus{Status: response.Peer, Sent: sent, Received: time.Now()}
 				n.sim.mu.Unlock()
 			}
 		}
@@ -233,21 +234,21 @@
 func (n *fakeNode) Status(name string) (peer.ObservedStatus, bool) {
 	n.sim.mu.Lock()
 	defer n.sim.mu.Unlock()
-	w, ok := n.statuses[name]
-	return w, ok
+	status, ok := n.statuses[name]
+	return status, ok
 }
 
-// KnownLeader returns the latest leader that reachable peers have reported.
+// KnownLeader returns the leader with the latest term in the statuses of reachable peers, and that term.
 func (n *fakeNode) KnownLeader() (leader string, term uint64) {
-	for _, o := range n.sim.nodes {
-		if w, ok := n.Status(o.name); ok && o.live.Load() != nil && !o.cutPeers.Load() && !n.cutPeers.Load() && w.Term > term {
-			leader, term = w.Leader, w.Term
+	for _, other := range n.sim.nodes {
+		if status, ok := n.Status(other.name); ok && other.live.Load() != nil && !other.cutPeers.Load() && !n.cutPeers.Load() && status.Term > term {
+			leader, term = status.Leader, status.Term
 		}
 	}
 	return leader, term
 }
 
-// UnreachableFor returns how long a peer hasn't been reached.
+// UnreachableFor returns an hour while the node is cut off from its peers, and 0 otherwise.
 func (n *fakeNode) UnreachableFor(string) time.Duration {
 	if n.cutPeers.Load() {
 		return time.Hour
@@ -258,16 +259,16 @@
 // canReach reports whether messages pass between the node and a worker.
 func (n *fakeNode) canReach(wk *fakeWorker) bool {
 	isolated := n.sim.isolatedZone.Load()
-	return !n.cutWorkers.Load() && (wk.onlyNode.Load() == nil || wk.onlyNode.Load() == n) &&
+	return !n.cutWorkers.Load() && (wk.onlyReachableNode.Load() == nil || wk.onlyReachableNode.Load() == n) &&
 		(isolated == nil || n.zone == wk.zone || n.zone != *isolated && wk.zone != *isolated)
 }
 
-// SendCommands sends commands to a worker directly, not in a heartbeat response.
+// SendCommands sends commands to a worker directly instead of in a heartbeat response.
 func (n *fakeNode) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) {
 		return worker.NotSent, nil
 	}
-	n.waitWhilePaused() // a pause may fall between the check and the sending
+	n.waitWhilePaused() // a pause may begin after sendBy was checked
 	var id int
 	if _, err := fmt.Sscan(addr, &id); err != nil {
 		n.sim.t.Errorf("worker address %q: %v", addr, err)
@@ -293,15 +294,15 @@
 	return wk.executeDirect(token, incarnation, commands)
 }
 
-// waitWhilePaused blocks while the node is paused: what it sends leaves late, and what it
-// receives is handled late. Its clock goes on.
+// waitWhilePaused blocks while the node is paused, so that its messages are sent late and messages to it are
+// handled late. The node's clock keeps running.
 func (n *fakeNode) waitWhilePaused() {
 	if resumed := n.resumed.Load(); resumed != nil {
 		<-*resumed
 	}
 }
 
-// pause pauses the node for a while, as a process that gets no processor time.
+// pause pauses the node for the given duration, like a process that gets no processor time.
 func (n *fakeNode) pause(duration time.Duration) {
 	resumed := make(chan struct{})
 	n.resumed.Store(&resumed)
@@ -311,8 +312,8 @@
 	})
 }
 
-// pausableStore is a node's client of the key-value store. A pause delays each request and
-// each response.
+// pausableStore is a node's client of the key-value store. Requests and responses wait while the node is
+// paused.
 type pausableStore struct {
 	storage.KeyValueStore
 	node *fakeNode
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -16,8 +16,8 @@
 	"sagevale/internal/worker"
 )
 
-// fakeWorker is a machine with an agent that follows the worker protocol. All fields that
-// are not atomic are guarded by sim.mu.
+// fakeWorker is a machine with an agent that follows the worker protocol. sim.mu guards the fields that are
+// neither atomic nor constant, except nodeIndex.
 type fakeWorker struct {
 	sim      *simulation
 	id       int
@@ -25,25 +25,25 @@
 	zone     string
 	spot     bool
 
-	dead            atomic.Bool
-	cut             atomic.Bool              // no messages in either direction
-	onlyNode        atomic.Pointer[fakeNode] // no messages to or from other nodes; nil: all nodes
-	dropsResponses  atomic.Bool              // heartbeats arrive, responses and direct commands are lost
-	dropsHeartbeats atomic.Bool              // direct commands arrive, heartbeats are lost
-	delaysCommands  atomic.Bool              // direct commands wait for executeDelayed
-	paused          atomic.Bool              // the process is paused, and may resume at any time
-	failsTasks      atomic.Bool              // every task ends in an error
-	stuckPulling    atomic.Bool              // no image pull completes
+	dead              atomic.Bool              // the machine is down for good
+	cut               atomic.Bool              // no messages to or from the worker
+	onlyReachableNode atomic.Pointer[fakeNode] // no messages to or from any other node; nil: no restriction
+	dropsResponses    atomic.Bool              // heartbeats arrive, responses and direct commands are lost
+	dropsHeartbeats   atomic.Bool              // direct commands arrive, heartbeats are lost
+	delaysCommands    atomic.Bool              // direct commands wait for executeDelayed
+	paused            atomic.Bool              // the process is paused and may resume at any time
+	failsTasks        atomic.Bool              // every task exits with an error
+	stuckPulling      atomic.Bool              // no image pull completes
 
 	spotNotice       *float64 // seconds until the spot instance is reclaimed; nil: no notice
 	incarnation      uint64
 	seq              uint64
 	token            uint64
-	nodeIndex        int       // the node that it reports to, modulo their number
-	leaseRenewed     time.Time // when the last answered heartbeat was sent
+	nodeIndex        int       // index of the node that gets the heartbeats, modulo the number of nodes; used only by run
+	leaseRenewed     time.Time // start of the lease: when the last accepted heartbeat was sent, or the incarnation began
 	tasks            map[attemptKey]*workerTask
 	delayedCommands  []commandBatch
-	recordedCommands []commandBatch      // all direct commands while sim.recordingCommands
+	recordedCommands []commandBatch      // direct commands that were sent while sim.recordingCommands was set
 	forgotten        map[attemptKey]bool // attempts dropped by a forget command
 }
 
@@ -53,17 +53,17 @@
 	Number uint64
 }
 
-// workerTask is an attempt on a worker.
+// workerTask is an attempt of a task on a worker.
 type workerTask struct {
-	state worker.TaskState
-	cause worker.ExitCause
-	ends  time.Time // when it exits by itself; zero: it doesn't
-	since time.Time // when a gang's task entered its state
-	saved bool      // it left a checkpoint
-	fails bool      // it ends in an error
+	state           worker.TaskState
+	cause           worker.ExitCause
+	endsAt          time.Time // when it exits by itself; zero: never
+	since           time.Time // when a task of a gang entered its state, or its stop window began
+	checkpointSaved bool      // it saved a checkpoint when it was stopped
+	endsInError     bool      // it exits with an error at endsAt
 }
 
-// startRecord is a start command that a worker accepted.
+// startRecord describes a start command that a worker accepted.
 type startRecord struct {
 	at      time.Time
 	attempt uint64
@@ -76,7 +76,7 @@
 	commands           []worker.Command
 }
 
-// addWorker brings up a machine, unless the scenario has ended.
+// addWorker starts a machine, unless the scenario has ended.
 func (sim *simulation) addWorker(id int, typeName, zone string, spot bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -98,7 +98,7 @@
 	go wk.run()
 }
 
-// machineType returns the machine's entry among the instance types.
+// machineType returns the machine's instance type.
 func (wk *fakeWorker) machineType() storage.MachineType {
 	for _, t := range clustertest.Types {
 		if t.Name == wk.typeName {
@@ -108,28 +108,29 @@
 	return storage.MachineType{}
 }
 
-// report returns its next heartbeat report.
+// report returns the worker's next heartbeat report.
 func (wk *fakeWorker) report() *worker.Report {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
-	return wk.makeReport()
+	return wk.reportLocked()
 }
 
-// makeReport is report for callers that hold the lock.
-func (wk *fakeWorker) makeReport() *worker.Report {
+// reportLocked is report for callers that hold sim.mu.
+func (wk *fakeWorker) reportLocked() *worker.Report {
 	wk.advance()
 	wk.seq++
-	r := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot,
+	report := &worker.Report{Machine: wk.id, Addr: fmt.Sprint(wk.id), Type: wk.typeName, Zone: wk.zone, Spot: wk.spot,
 		Incarnation: wk.incarnation, Seq: wk.seq, Token: wk.token, NoticeSeconds: wk.spotNotice}
-	for k, t := range wk.tasks {
-		r.Tasks = append(r.Tasks, worker.TaskReport{ID: k.ID, Attempt: k.Number, State: t.state, Cause: t.cause, Saved: t.saved})
+	for key, task := range wk.tasks {
+		report.Tasks = append(report.Tasks, worker.TaskReport{ID: key.ID, Attempt: key.Number, State: task.state, Cause: task.cause, Saved: task.checkpointSaved})
 	}
-	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Attempt < r.Tasks[b].Attempt })
-	return r
+	sort.Slice(report.Tasks, func(a, b int) bool { return report.Tasks[a].Attempt < report.Tasks[b].Attempt })
+	return report
 }
 
-// advance ends the tasks that are complete, or all tasks once the lease has expired. It is
-// called under the lock.
+// advance updates the tasks to the current time, unless the worker is paused. Tasks whose run time is over
+// exit. If the worker's lease has expired, all tasks are removed and a new incarnation begins. The caller
+// holds sim.mu.
 func (wk *fakeWorker) advance() {
 	if wk.paused.Load() {
 		return
@@ -140,18 +141,18 @@
 		wk.incarnation++
 		wk.seq, wk.leaseRenewed = 0, now
 	}
-	for k, t := range wk.tasks {
-		if t.state == worker.Running && !t.ends.IsZero() && now.After(t.ends) {
-			t.state, t.cause = worker.Exited, worker.CauseDone
-			if t.fails || wk.failsTasks.Load() || wk.sim.failingJobs[k.ID.Job] {
-				t.cause = worker.CauseError
+	for key, task := range wk.tasks {
+		if task.state == worker.Running && !task.endsAt.IsZero() && now.After(task.endsAt) {
+			task.state, task.cause = worker.Exited, worker.CauseDone
+			if task.endsInError || wk.failsTasks.Load() || wk.sim.failingJobs[key.ID.Job] {
+				task.cause = worker.CauseError
 			}
-			wk.sim.completed[k.ID] = wk.sim.completed[k.ID] || t.cause == worker.CauseDone
+			wk.sim.completed[key.ID] = wk.sim.completed[key.ID] || task.cause == worker.CauseDone
 		}
 	}
 }
 
-// run sends heartbeats until the machine is dead.
+// run sends heartbeats until the machine is down.
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
 		pause := wk.sim.settings.HeartbeatInterval
@@ -164,16 +165,16 @@
 
 // heartbeat sends a report and returns the pause until the next one.
 func (wk *fakeWorker) heartbeat() time.Duration {
-	n := wk.sim.nodes[wk.nodeIndex%len(wk.sim.nodes)]
-	r := wk.report()
+	node := wk.sim.nodes[wk.nodeIndex%len(wk.sim.nodes)]
+	report := wk.report()
 	sent := time.Now()
 	wk.sim.withLock(func() {
 		if wk.sim.recordingReports {
-			wk.sim.recordedReports = append(wk.sim.recordedReports, r)
+			wk.sim.recordedReports = append(wk.sim.recordedReports, report)
 		}
 	})
-	live := n.live.Load()
-	if live == nil || !n.canReach(wk) {
+	live := node.live.Load()
+	if live == nil || !node.canReach(wk) {
 		wk.nodeIndex++
 		if live == nil {
 			return config.WorkerRetryPause // the connection was refused
@@ -181,119 +182,121 @@
 		return config.WorkerResponseTimeout + config.WorkerRetryPause
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), config.WorkerResponseTimeout)
-	n.waitWhilePaused()
-	response := live.HandleHeartbeat(ctx, r)
-	n.waitWhilePaused()
+	node.waitWhilePaused()
+	response := live.HandleHeartbeat(ctx, report)
+	node.waitWhilePaused()
 	cancel()
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	switch {
-	case time.Since(sent) > config.WorkerResponseTimeout: // the worker gave up waiting
+	case time.Since(sent) > config.WorkerResponseTimeout: // the worker has stopped waiting for the response
 		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case wk.dropsResponses.Load() || wk.cut.Load() || wk.dead.Load() || wk.paused.Load() || !n.canReach(wk):
+	case wk.dropsResponses.Load() || wk.cut.Load() || wk.dead.Load() || wk.paused.Load() || !node.canReach(wk):
 	case !response.Accepted:
-		for i, o := range wk.sim.nodes {
-			if o.name == response.Leader && o != n {
+		for i, other := range wk.sim.nodes {
+			if other.name == response.Leader && other != node {
 				wk.nodeIndex = i
 				return 0
 			}
 		}
 		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case response.Token >= wk.token && r.Incarnation == wk.incarnation:
+	case response.Token >= wk.token && report.Incarnation == wk.incarnation:
 		wk.token, wk.leaseRenewed = response.Token, sent
 		wk.execute(response.Commands)
 	}
 	return wk.sim.settings.HeartbeatInterval
 }
 
-// execute executes commands. It is called under the lock.
+// execute executes commands. The caller holds sim.mu.
 func (wk *fakeWorker) execute(commands []worker.Command) {
 	wk.advance()
-	for _, c := range commands {
-		k := attemptKey{c.ID, c.Attempt}
-		t := wk.tasks[k]
-		switch c.Verb {
+	for _, command := range commands {
+		key := attemptKey{command.ID, command.Attempt}
+		task := wk.tasks[key]
+		switch command.Verb {
 		case worker.Start:
-			if t == nil {
-				wk.tasks[k] = wk.startTask(k)
+			if task == nil {
+				wk.tasks[key] = wk.startTask(key)
 			}
 		case worker.Stop:
-			if t != nil && t.state != worker.Exited {
-				spec := wk.sim.specs[c.ID.Job]
-				t.saved = spec.Gang && t.state == worker.Running && c.GraceSeconds >= spec.SaveS
-				t.state, t.cause = worker.Exited, worker.CauseStopped
+			if task != nil && task.state != worker.Exited {
+				spec := wk.sim.specs[command.ID.Job]
+				task.checkpointSaved = spec.Gang && task.state == worker.Running && command.GraceSeconds >= spec.SaveS
+				task.state, task.cause = worker.Exited, worker.CauseStopped
 			}
 		case worker.Forget:
-			if t != nil && t.state == worker.Exited {
-				delete(wk.tasks, k)
-				wk.forgotten[k] = true
+			if task != nil && task.state == worker.Exited {
+				delete(wk.tasks, key)
+				wk.forgotten[key] = true
 			}
 		}
 	}
 }
 
-// startTask starts a task, and checks that no invariant is violated by it.
-func (wk *fakeWorker) startTask(k attemptKey) *workerTask {
+// startTask starts an attempt, and checks that this violates no invariant. If the worker rejects the start,
+// the returned attempt has exited.
+func (wk *fakeWorker) startTask(key attemptKey) *workerTask {
 	sim := wk.sim
-	spec, ok := sim.specs[k.ID.Job]
+	spec, ok := sim.specs[key.ID.Job]
 	if !ok {
 		return &workerTask{state: worker.Exited, cause: worker.CauseUnknownJob}
 	}
 	sim.starts++
-	if wk.forgotten[k] {
-		sim.t.Errorf("attempt %v was forgotten, and starts again on machine %d", k, wk.id)
+	if wk.forgotten[key] {
+		sim.t.Errorf("attempt %v was forgotten, and starts again on machine %d", key, wk.id)
 	}
 	if !spec.Resources.Fits(wk.freeResources()) {
 		return &workerTask{state: worker.Exited, cause: worker.CauseFull}
 	}
-	wk.checkStart(k.ID, spec)
-	sim.startsByJob[k.ID.Job] = append(sim.startsByJob[k.ID.Job], startRecord{at: time.Now(), attempt: k.Number, machine: wk.id})
-	t := &workerTask{state: worker.Running}
-	if after, fails := sim.failAfter[k.ID.Job]; fails {
-		t.fails, t.ends = true, time.Now().Add(after)
+	wk.checkStart(key.ID, spec)
+	sim.startsByJob[key.ID.Job] = append(sim.startsByJob[key.ID.Job], startRecord{at: time.Now(), attempt: key.Number, machine: wk.id})
+	task := &workerTask{state: worker.Running}
+	if after, fails := sim.failAfter[key.ID.Job]; fails {
+		task.endsInError, task.endsAt = true, time.Now().Add(after)
 	}
 	switch {
 	case wk.stuckPulling.Load():
-		t.state = worker.Pulling
+		task.state = worker.Pulling
 	case spec.Gang:
-		t.state, t.since = worker.Gathering, time.Now()
-	case !spec.Service && t.ends.IsZero():
-		t.ends = time.Now().Add(clock.Seconds(spec.EstimateS))
+		task.state, task.since = worker.Gathering, time.Now()
+	case !spec.Service && task.endsAt.IsZero():
+		task.endsAt = time.Now().Add(clock.Seconds(spec.EstimateS))
 	}
-	return t
+	return task
 }
 
-// freeResources returns what the running tasks leave of the machine.
+// freeResources returns the machine's resources less those of the tasks that haven't exited.
 func (wk *fakeWorker) freeResources() storage.Resources {
 	free := wk.machineType().Resources
-	for k, t := range wk.tasks {
-		if t.state != worker.Exited {
-			free = free.Sub(wk.sim.specs[k.ID.Job].Resources)
+	for key, task := range wk.tasks {
+		if task.state != worker.Exited {
+			free = free.Sub(wk.sim.specs[key.ID.Job].Resources)
 		}
 	}
 	return free
 }
 
-// checkStart checks the invariants that the start of a task may violate: a task runs once, its
-// team stays within its limit, it is placed as its job requires, and its job isn't cancelled.
+// checkStart checks the invariants that the start of a task may violate: a task runs on one machine at a
+// time, its team stays within its limit, it is placed as its job requires, and it doesn't start later
+// than the cancel timeout after its job was cancelled.
 func (wk *fakeWorker) checkStart(id worker.TaskID, spec storage.Spec) {
 	sim := wk.sim
 	used, zones := spec.Resources, map[string]int{wk.zone: 1}
 	for _, other := range sim.workers {
 		other.advance()
-		for k, t := range other.tasks {
-			if other.dead.Load() || t.state == worker.Exited {
+		for key, task := range other.tasks {
+			if other.dead.Load() || task.state == worker.Exited {
 				continue
 			}
-			if k.ID == id {
+			if key.ID == id {
 				sim.t.Errorf("ran_twice: %v on machines %d and %d", id, other.id, wk.id)
 			}
-			if sim.specs[k.ID.Job].Team == spec.Team {
-				used = used.Add(sim.specs[k.ID.Job].Resources)
+			if sim.specs[key.ID.Job].Team == spec.Team {
+				used = used.Add(sim.specs[key.ID.Job].Resources)
 			}
-			if k.ID.Job == id.Job {
+			if key.ID.Job == id.Job {
 				zones[other.zone]++
 			}
 		}
@@ -310,30 +313,30 @@
 	}
 }
 
-// executeDelayed executes the direct commands that were delayed, and repeats the recorded ones.
+// executeDelayed executes the direct commands that were delayed, and the recorded ones again.
 func (wk *fakeWorker) executeDelayed() {
 	var batches []commandBatch
 	wk.sim.withLock(func() { batches = slices.Concat(wk.delayedCommands, wk.recordedCommands) })
-	for _, b := range batches {
-		wk.executeDirect(b.token, b.incarnation, b.commands)
+	for _, batch := range batches {
+		wk.executeDirect(batch.token, batch.incarnation, batch.commands)
 	}
 }
 
-// executeDirect executes commands that were sent directly under a fencing token.
+// executeDirect executes commands that were sent directly. It rejects them if the token is lower than the
+// worker's or the incarnation is another.
 func (wk *fakeWorker) executeDirect(token, incarnation uint64, commands []worker.Command) (worker.CommandOutcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
 	wk.advance()
 	if token < wk.token || incarnation != wk.incarnation {
-		return worker.Rejected, wk.makeReport()
+		return worker.Rejected, wk.reportLocked()
 	}
 	wk.token = token
 	wk.execute(commands)
-	return worker.Executed, wk.makeReport()
+	return worker.Executed, wk.reportLocked()
 }
 
-// cpuReport returns a report without tasks of the first incarnation of a machine of type cpu in
-// zone a.
+// cpuReport returns a report without tasks from the first incarnation of a machine of type cpu in zone a.
 func cpuReport(machine int, seq, token uint64) *worker.Report {
 	return &worker.Report{Machine: machine, Addr: fmt.Sprint(machine), Type: "cpu", Zone: "a", Incarnation: 1, Seq: seq, Token: token}
 }
--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// A leader that alone has lost the key-value store and its peers still receives the
-// heartbeats of its workers; its successor must not start their tasks before they have stopped.
+// The leader is cut off from the key-value store and from its peers, but still receives the workers'
+// heartbeats. Its successor must not start their tasks again before they have stopped.
 func TestDeposedLeaderHasNoEffect(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
@@ -75,7 +75,7 @@
 		old.cutStore.Store(true)
 		old.cutPeers.Store(true)
 		for _, wk := range sim.allWorkers() {
-			wk.onlyNode.Store(old)
+			wk.onlyReachableNode.Store(old)
 		}
 		requestFromOld := func(op api.Op, id string) api.Response {
 			ctx, cancel := context.WithTimeout(sim.t.Context(), time.Second)
@@ -102,7 +102,8 @@
 	})
 }
 
-// A direct command may be executed minutes after it was sent, also after a cancellation.
+// A direct start command may arrive minutes after it was sent. If its job has been cancelled by then, the task
+// must not run.
 func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -123,27 +124,28 @@
 	})
 }
 
-// A duplicate of a start command that was answered must not start a forgotten attempt again.
+// A duplicate of a start command arrives after its attempt has finished and the worker has forgotten it. The
+// attempt must not start again.
 func TestRepeatedStartDoesNotRestartFinishedTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 1))
-		var k attemptKey
-		var on *fakeWorker
+		var attempt attemptKey
+		var host *fakeWorker
 		sim.eventually("the task runs", 2*time.Minute, func() bool {
 			for id, wk := range sim.runningTasks("000001") {
-				on = wk
+				host = wk
 				for key := range wk.tasks {
 					if key.ID == id {
-						k = key
+						attempt = key
 					}
 				}
 			}
-			return on != nil
+			return host != nil
 		})
 		sim.awaitDoneWithin(2*time.Minute, "000001")
 		time.Sleep(30 * time.Second)
 		before := sim.startCount()
-		on.executeDirect(on.token, on.incarnation, []worker.Command{{Verb: worker.Start, ID: k.ID, Attempt: k.Number}})
+		host.executeDirect(host.token, host.incarnation, []worker.Command{{Verb: worker.Start, ID: attempt.ID, Attempt: attempt.Number}})
 		if n := sim.startsSince(before); n != 0 {
 			t.Fatalf("repeated start of a finished task: got %d starts, want none", n)
 		}
@@ -187,17 +189,18 @@
 	})
 }
 
-// A peer that has restarted can't know whether its earlier process led meanwhile.
+// A peer that has restarted doesn't have the state of its earlier process, which may have led. It must not
+// confirm that there was no other leader.
 func TestRestartedPeerDoesNotConfirmNoLeader(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
 		time.Sleep(10 * time.Second)
 		term := leader.node.view.Load().role.Term
-		cut := time.Now()
+		cutAt := time.Now()
 		leader.cutStore.Store(true)
 		sim.state.Outage(true)
 		time.Sleep(10 * time.Second)
-		if !leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+		if !leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cutAt) {
 			t.Error("peers without a later leader don't confirm that there is none")
 		}
 		for _, n := range sim.nodes {
@@ -207,7 +210,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cut) {
+		if leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cutAt) {
 			t.Error("a restarted peer confirms that there was no leader")
 		}
 	})
@@ -234,7 +237,7 @@
 	})
 }
 
-// A late copy of a report neither replaces newer ones nor renews a lease.
+// A report that arrives late must neither replace newer reports nor renew a lease.
 func TestStaleReportIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -255,7 +258,7 @@
 	})
 }
 
-// A follower that doesn't reach the leader forwards requests and heartbeats through the store.
+// A follower that can't reach the leader forwards users' requests and heartbeats through the key-value store.
 func TestPartitionedFollowerRelaysThroughStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -281,8 +284,8 @@
 	})
 }
 
-// Workers must retain attempts that were started directly; a new token ends the retention
-// before their reports grow too large.
+// Workers must retain ended attempts that were started by direct commands, and list them in their reports. The
+// leader raises the fencing token, which ends the retention, before the reports grow too large.
 func TestReportSizeStaysBounded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		spec := arrayWithRuntime("000001", 1500, 2*time.Second)
@@ -299,28 +302,28 @@
 	})
 }
 
-// An incarnation that is first seen in the response to a direct command has its own lease from
-// then on; the lease bound of the incarnation before it doesn't apply to its tasks. The
+// The leader first sees a new incarnation of a worker in the response to a direct command. From then on the new
+// incarnation has its own lease, and the lease bound of the earlier incarnation doesn't apply to its tasks. The
 // simulation checks that no task runs twice.
 func TestIncarnationSeenInDirectResponseHasOwnLease(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.submit(clustertest.Service("000003", 4))
 		sim.eventually("the services run", 2*time.Minute, func() bool { return len(sim.runningTasks("000001"))+len(sim.runningTasks("000003")) == 5 })
-		var on *fakeWorker
+		var host *fakeWorker
 		for _, wk := range sim.runningTasks("000001") {
-			on = wk
+			host = wk
 		}
-		on.dropsHeartbeats.Store(true)
-		var leased time.Time
-		sim.withLock(func() { leased = on.leaseRenewed })
-		time.Sleep(time.Until(leased.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
-		sim.cancel("000001") // the response to the stop shows the new incarnation
+		host.dropsHeartbeats.Store(true)
+		var renewedAt time.Time
+		sim.withLock(func() { renewedAt = host.leaseRenewed })
+		time.Sleep(time.Until(renewedAt.Add(sim.settings.WorkerLease + 50*time.Millisecond)))
+		sim.cancel("000001") // the response to the stop command reports the new incarnation
 		for i := range 3 {
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 10+i), 1))
 		}
-		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // further machines are up by now
-		on.dropsHeartbeats.Store(false)
+		time.Sleep(sim.settings.WorkerLease - 2*time.Second) // more machines have started by now
+		host.dropsHeartbeats.Store(false)
 		time.Sleep(10 * time.Second)
 	})
 }
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// Tasks on an unreachable machine count to their team's limit until they are known to have
-// ended. The simulation checks the limit at each start.
+// Tasks on an unreachable machine count toward their team's limit until they have certainly ended. The
+// simulation checks the limit at each start.
 func TestTeamLimitCountsTasksOnUnreachableMachines(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
@@ -83,7 +83,7 @@
 		sim.submit(clustertest.Array("000001", 4))
 		sim.awaitRunningWithin(2*time.Minute, "000001", 4)
 		for _, wk := range sim.allWorkers() {
-			wk.failsTasks.Store(true) // as if the job itself were faulty
+			wk.failsTasks.Store(true) // on every machine, as if the job itself were faulty
 		}
 		time.Sleep(40 * time.Second)
 		before := sim.startCount()
@@ -143,10 +143,10 @@
 
 func TestPlacementHonorsZoneAndSpotConstraints(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		spread, same := clustertest.Service("000001", 5), clustertest.Service("000002", 3)
-		spread.Spread, same.SameZone = true, true
+		spread, sameZone := clustertest.Service("000001", 5), clustertest.Service("000002", 3)
+		spread.Spread, sameZone.SameZone = true, true
 		sim.submit(spread)
-		sim.submit(same)
+		sim.submit(sameZone)
 		spot := clustertest.Array("000003", 4)
 		spot.Spot = true
 		sim.submit(spot)
@@ -179,7 +179,8 @@
 	})
 }
 
-// Idle capacity is kept for expected arrivals; a class whose arrivals have ceased expects none.
+// Idle capacity is kept for expected arrivals. Once no more jobs of a class arrive, none are expected, and all
+// machines are terminated.
 func TestIdleFleetIsScaledIn(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 12 {
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -20,11 +20,11 @@
 	"sagevale/internal/worker"
 )
 
-// The bounds of leases: a worker's, a leader's, and what a leader may still do near its end.
-// The scenarios of combined faults depend on them; here each is tested alone.
+// This file tests each bound of the workers' leases and of the leader's lease alone, and what a leader may still
+// do near the end of its lease. The scenarios of combined faults depend on these bounds.
 
-// Once the leader's lease may have expired, a successor may have sent the user a newer state: a
-// response that is still on its way is void then, unless its state is final.
+// Once the leader's lease may have expired, a successor may have sent the user a newer state. A response that
+// isn't delivered by then must be replaced by one that asks the user to retry, unless its state is final.
 func TestResponseValidityEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -49,8 +49,8 @@
 	})
 }
 
-// A follower drops a leader's response that arrives after the leader's lease, unless its state
-// is final.
+// A follower drops a leader's response that arrives after the leader's lease has expired, unless the state in
+// it is final.
 func TestDelayedResponseIsNotForwarded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -72,9 +72,9 @@
 	})
 }
 
-// For each way to renew a worker's lease: the last renewal plus a lease on a slow clock ends
-// before the cancel timeout of the earliest cancellation that the renewer can't know of.
-// docs/design.md has the argument.
+// For each way to renew a worker's lease, the last renewal and a lease measured by a slow clock must end before
+// the cancel timeout of the earliest cancellation that the renewing controller can't know of, measured by a fast
+// clock. docs/design.md explains why.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	const maxClockSkew = 1.0005
 	for _, settings := range []config.Settings{
@@ -86,8 +86,8 @@
 		settings.Tuning = settings.DefaultTuning()
 		for _, c := range []struct {
 			name string
-			// lastRenewal returns when a lease is renewed last, and from when on a cancellation may
-			// be confirmed that the renewer can't know of.
+			// lastRenewal returns the time of the last renewal of a lease, and the time from which
+			// cancellations may be acknowledged that the renewing controller can't know of.
 			lastRenewal func(t *testing.T, settings config.Settings) (renewed, unknownSince time.Time)
 		}{
 			{"heartbeat responses of the leader", lastLeaderRenewal},
@@ -108,8 +108,8 @@
 	}
 }
 
-// lastLeaderRenewal has a leader whose lease has just expired answer heartbeats for as long as it
-// renews leases.
+// lastLeaderRenewal sends heartbeats to a leader whose lease has just expired. It returns the time of the last
+// heartbeat that the leader accepted, and the time at which the leader's lease expired.
 func lastLeaderRenewal(t *testing.T, settings config.Settings) (renewed, leaseExpiry time.Time) {
 	t.Helper()
 	sched := newTestScheduler(t, settings)
@@ -124,8 +124,8 @@
 	return renewed, leaseExpiry
 }
 
-// lastDelegatedRenewal has a leader whose lease has just expired delegate renewals to a peer for
-// as long as it does, and returns the end of the delegation.
+// lastDelegatedRenewal requests delegations from a leader whose lease has just expired, for the whole cancel
+// timeout. It returns the end of the last delegation, and the time at which the leader's lease expired.
 func lastDelegatedRenewal(t *testing.T, settings config.Settings) (until, leaseExpiry time.Time) {
 	t.Helper()
 	sched := newTestScheduler(t, settings)
@@ -136,9 +136,9 @@
 	forwarder.node.deps.Peers = peers
 	for time.Since(leaseExpiry) < settings.CancelTimeout {
 		sched.publishDelegation(time.Now())
-		span, excluded := sched.delegator.delegate("n1")
+		period, excluded := sched.delegator.delegate("n1")
 		peers.statuses["n1"] = peer.ObservedStatus{
-			Status:   peer.Status{DelegationPeriod: span, DelegationTerm: 2, ExcludedMachines: excluded},
+			Status:   peer.Status{DelegationPeriod: period, DelegationTerm: 2, ExcludedMachines: excluded},
 			Sent:     time.Now(),
 			Received: time.Now(),
 		}
@@ -148,14 +148,16 @@
 	return forwarder.delegation.until, leaseExpiry
 }
 
-// lastConfirmedRenewal returns the end of the grace that peers have confirmed with a status. A
-// peer that becomes leader after its status does so after the status was requested.
+// lastConfirmedRenewal returns the end of the renewal grace that the peers confirm by their statuses, and the
+// time at which the statuses were requested. A peer that becomes leader after it has sent its status does so after
+// that time.
 func lastConfirmedRenewal(_ *testing.T, settings config.Settings) (renewed, requested time.Time) {
 	requested = time.Now()
 	return requested.Add(settings.RenewalGrace()), requested
 }
 
-// A machine that has tasks of a cancelled job is excluded from a delegation.
+// Machines that have tasks of a cancelled job are excluded from a delegation: the peer must not renew their
+// leases.
 func TestDelegationDoesNotRenewExcludedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -173,9 +175,9 @@
 	})
 }
 
-// An incarnation that is first seen in a direct response has its own lease, whenever the one
-// before was last acknowledged. The scenario of this no longer places work there, since such a
-// machine isn't ready; the bound must hold all the same.
+// An incarnation that is first seen in the response to a direct command has its own lease, no matter when the
+// last heartbeat of the earlier incarnation was acknowledged. The scenario of that fault places no tasks on such a
+// machine any more, because the machine isn't ready, but the bound must still hold.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -190,8 +192,8 @@
 	})
 }
 
-// An earlier leader may have renewed leases until the end of its grace: a machine without a
-// report in this term isn't taken for empty before the last such lease has expired.
+// An earlier leader may have renewed leases until the end of its renewal grace. The attempts on a machine that
+// hasn't reported in this term are kept until the last such lease has expired.
 func TestLeaseBoundAfterFailoverCoversEarlierLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -214,8 +216,8 @@
 	})
 }
 
-// A worker that knows a later term ends this leadership at once, unless its lease is valid: then
-// nobody can have led later, and a faulty worker must not end the term for all others.
+// A report with the token of a later term ends the leadership at once if the leader's lease has expired. While
+// the lease is valid, there can't be a later leader, and one faulty worker must not end the term for all others.
 func TestLaterTermEndsExpiredLeadership(t *testing.T) {
 	for _, leaseValid := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lease valid %v", leaseValid), func(t *testing.T) {
@@ -228,11 +230,11 @@
 				if !leaseValid {
 					sched.role.LeaseValidUntil = time.Now()
 				}
-				later := cpuReport(7, 9, sched.tokens.Last+1)
-				if got := sched.handleHeartbeat(later); got.Accepted {
+				laterReport := cpuReport(7, 9, sched.tokens.Last+1)
+				if got := sched.handleHeartbeat(laterReport); got.Accepted {
 					t.Errorf("heartbeat with a later token: got %+v, want it rejected", got)
 				}
-				sched.handleCommandOutcome(commandOutcomeMessage{machine: 7, outcome: worker.Rejected, report: later})
+				sched.handleCommandOutcome(commandOutcomeMessage{machine: 7, outcome: worker.Rejected, report: laterReport})
 				if leading := sched.leaseValid(time.Now()); leading != leaseValid || resignations > 0 == leaseValid {
 					t.Errorf("got leading %v after %d resignations, want leading %v", leading, resignations, leaseValid)
 				}
@@ -245,8 +247,8 @@
 	}
 }
 
-// A start command isn't sent once the sender's lease may have expired: a successor may have
-// confirmed a cancellation by then. Stop commands are not bound by the lease.
+// A start command isn't sent once the sender's lease may have expired, because a successor may have acknowledged
+// a cancellation by then. Stop commands may be sent at any time.
 func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -267,7 +269,7 @@
 	})
 }
 
-// sendDeadlineRecorder records the send deadline of each message of commands, and sends none.
+// sendDeadlineRecorder records the send deadline of each batch of commands, and sends no commands.
 type sendDeadlineRecorder struct{ sent chan<- time.Time }
 
 func (r sendDeadlineRecorder) SendCommands(_ context.Context, _ string, _, _ uint64, _ []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
@@ -275,8 +277,8 @@
 	return worker.NotSent, nil
 }
 
-// A leader whose lease may have expired decides no request. withValidity holds its responses
-// back too, so no scenario fails without this guard; here it is tested alone.
+// A leader whose lease may have expired must not decide any request. withValidity also withholds its responses,
+// so no scenario fails without this guard. This test checks the guard alone.
 func TestNoRequestIsDecidedAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/machine_readiness_test.go
+++ b/internal/scheduler/machine_readiness_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/worker"
 )
 
-// A machine whose heartbeats are lost loses its lease, even if direct commands reach it: only a
-// heartbeat makes it ready.
+// A machine whose heartbeats are lost loses its lease even if direct commands reach it. Only a heartbeat
+// therefore makes it ready.
 func TestDirectResponsesDoNotMakeMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -33,8 +33,8 @@
 	})
 }
 
-// A machine is tried again within two leases, however often its tasks or incarnations ended: work
-// must not wait long beside free capacity.
+// The quarantine of a machine ends within two worker leases, however often its tasks failed or its incarnations
+// ended. Otherwise work would wait although there is free capacity.
 func TestQuarantineIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
--- a/internal/scheduler/node_test.go
+++ b/internal/scheduler/node_test.go
@@ -11,7 +11,8 @@
 	"sagevale/internal/worker"
 )
 
-// A node that is cut off from the key-value store alone learns the leader from its peers.
+// A node that is cut off only from the key-value store gets the leader's name from its peers, and forwards
+// requests and heartbeats to the leader.
 func TestNodeWithoutStoreForwardsByPeerStatus(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		old := sim.awaitLeader()
@@ -23,21 +24,21 @@
 		sim.storeSpec(spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if a := old.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); a.Code != api.CodeCreated {
-			t.Errorf("submission is answered %+v, want it forwarded and accepted", a)
+		if response := old.node.HandleUserRequest(ctx, api.Request{Op: api.OpSubmit, ID: spec.ID, Spec: spec}); response.Code != api.CodeCreated {
+			t.Errorf("submission: got %+v, want it forwarded and accepted", response)
 		}
 		if !old.node.Ready() {
 			t.Error("the node isn't ready though it reaches the leader")
 		}
 		leader := sim.leader()
-		a := old.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Incarnation: 1, Seq: 1, Zone: "a"})
-		if forwarded := a.Accepted && a.Token == leader.node.view.Load().role.Term; !forwarded && (a.Leader == "" || a.Leader == old.name) {
-			t.Errorf("heartbeat is answered %+v, want it forwarded or another leader named", a)
+		response := old.node.HandleHeartbeat(ctx, &worker.Report{Machine: 900, Incarnation: 1, Seq: 1, Zone: "a"})
+		if forwarded := response.Accepted && response.Token == leader.node.view.Load().role.Term; !forwarded && (response.Leader == "" || response.Leader == old.name) {
+			t.Errorf("heartbeat: got %+v, want it forwarded or another leader named", response)
 		}
 	})
 }
 
-// A node that can't reach a leader isn't ready, so that users are directed to others.
+// A node that can't reach the leader isn't ready, so that the load balancer directs users to other nodes.
 func TestNodeThatCannotReachLeaderIsNotReady(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -56,14 +57,14 @@
 	})
 }
 
-// A renewal that overlaps a resignation must not make the lease valid again.
+// A renewal of the leader lease that overlaps a resignation must not make the lease valid again.
 func TestLateRenewalDoesNotUndoResignation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		role := d.role
-		d.resignLeadership("test")
-		roleMessage{role}.handle(d)
-		if d.leaseValid(time.Now()) || time.Now().Before(d.role.RenewWorkersUntil) {
+		sched := newTestScheduler(t, clustertest.Settings())
+		role := sched.role
+		sched.resignLeadership("test")
+		roleMessage{role}.handle(sched)
+		if sched.leaseValid(time.Now()) || time.Now().Before(sched.role.RenewWorkersUntil) {
 			t.Error("the lease is valid or renewable after a resignation")
 		}
 	})
--- a/internal/scheduler/process_pause_test.go
+++ b/internal/scheduler/process_pause_test.go
@@ -27,7 +27,7 @@
 	sim.awaitDone("000003")
 }
 
-// pauseScenarios are scenarios in which a controller process is paused while its clocks run on.
+// pauseScenarios returns scenarios in which a controller process is paused while its clocks keep running.
 func pauseScenarios() []scenario {
 	var scenarios []scenario
 	for _, c := range []struct {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -11,9 +11,9 @@
 	"sagevale/internal/worker"
 )
 
-// A start command of an earlier leader can't take effect any more at a worker that knows the
-// current token: a report without the attempt proves that it doesn't run, and its reservation
-// ends. Other guards stand before this one, so no scenario fails without it.
+// A worker that has the current token rejects the start commands of earlier leaders. If its report doesn't list
+// an attempt of an earlier leader, the attempt doesn't run, and its reservation ends. Other guards cover the same
+// fault, so no scenario fails without this one.
 func TestReportUnderCurrentTokenDisprovesEarlierStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 1)
@@ -37,16 +37,16 @@
 	})
 }
 
-// A new leader repeats the start of an earlier leader's attempt in a heartbeat response. The
-// worker's response to the token announcement, sent before that start arrived, doesn't list the
-// attempt. It was taken for proof of absence: the task was started elsewhere and ran twice.
+// A new leader repeats the start command of an earlier leader's attempt in a heartbeat response. The worker's
+// response to the token announcement was sent before that start command arrived, so it doesn't list the attempt.
+// It was once taken as proof that the attempt didn't run: the task was started on another machine and ran twice.
 func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		m := sched.state.EnsureMachine(1, time.Now())
 		m.Addr, m.Incarnation = "1", 1
 		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
-		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded
+		a := &cluster.Attempt{Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, Durable: true} // as loaded from the store
 		sched.addAttempt(a)
 		report := func(seq, token uint64) *worker.Report {
 			return cpuReport(1, seq, token)
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -11,9 +11,9 @@
 	"sagevale/internal/worker"
 )
 
-// Steps that the scenarios share.
+// This file has the steps that the scenarios share.
 
-// crash ends a node's process. It restarts after the given time, or not at all with 0.
+// crash stops a node's process and starts a new one after restartAfter, or none if that is 0.
 func (sim *simulation) crash(n *fakeNode, restartAfter time.Duration) {
 	n.kill()
 	if restartAfter > 0 {
@@ -22,21 +22,22 @@
 	}
 }
 
-// cutLeaderFromStore cuts the leader alone off from the key-value store, and returns it.
+// cutLeaderFromStore cuts only the leader off from the key-value store, and returns the leader.
 func (sim *simulation) cutLeaderFromStore() *fakeNode {
 	n := sim.awaitLeader()
 	n.cutStore.Store(true)
 	return n
 }
 
-// outage takes the key-value store down for all nodes.
+// outage takes the key-value store down for all nodes, for the given duration.
 func (sim *simulation) outage(duration time.Duration) {
 	sim.state.Outage(true)
 	time.Sleep(duration)
 	sim.state.Outage(false)
 }
 
-// delayCommits applies every nth transaction late and without a response, or with 0 none.
+// delayCommits delays every nth transaction, so that it is applied late and without a response. An nth of 0
+// ends the delays.
 func (sim *simulation) delayCommits(nth int, delay time.Duration) {
 	count := 0
 	sim.state.Update(func(s *storagetest.Service) {
@@ -49,10 +50,10 @@
 	})
 }
 
-// recordReports records all reports from now on, for replayReports.
+// recordReports records all heartbeat reports from now on, for replayReports.
 func (sim *simulation) recordReports() { sim.withLock(func() { sim.recordingReports = true }) }
 
-// replayReports delivers the recorded reports to nodes again.
+// replayReports delivers the recorded reports again, to the given nodes.
 func (sim *simulation) replayReports(nodes ...*fakeNode) {
 	var reports []*worker.Report
 	sim.withLock(func() { reports = sim.recordedReports })
@@ -66,7 +67,7 @@
 	}
 }
 
-// requestFromAll polls and submits a job again at all nodes, three times within milliseconds.
+// requestFromAll polls a job and repeats its submission at every node, three times within milliseconds.
 func (sim *simulation) requestFromAll(id string) {
 	for range 3 {
 		for _, n := range sim.nodes {
@@ -101,14 +102,14 @@
 	sim.eventually("job "+id+" is done", timeout, func() bool { return sim.poll(id).State == api.StateDone })
 }
 
-// awaitStopped waits until no task of a cancelled job runs. Whether they stop within the cancel
-// timeout is checked by watchCancelledJobs.
+// awaitStopped waits until no task of a cancelled job runs. watchCancelledJobs checks that the tasks stop
+// within the cancel timeout.
 func (sim *simulation) awaitStopped(id string) {
 	sim.t.Helper()
 	sim.eventually("job "+id+" has stopped", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
 }
 
-// withLimitedTeam changes a job to one of the team whose limit is two GPUs; each task takes one.
+// withLimitedTeam returns the specification with one GPU per task and the team whose limit is two GPUs.
 func withLimitedTeam(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
@@ -121,14 +122,14 @@
 	return spec
 }
 
-// zonalService returns a service whose tasks all run in one zone.
+// zonalService returns a service whose tasks must all run in the given zone.
 func zonalService(id, zone string, tasks int) storage.Spec {
 	spec := clustertest.Service(id, tasks)
 	spec.Zone = zone
 	return spec
 }
 
-// machinesOf lists the machines that a job runs on.
+// machinesOf returns the machines that run tasks of a job, each once.
 func (sim *simulation) machinesOf(id string) []*fakeWorker {
 	var machines []*fakeWorker
 	seen := make(map[int]bool)
@@ -141,7 +142,7 @@
 	return machines
 }
 
-// moveLeaderOutOf restarts leaders until the leader is outside the zone.
+// moveLeaderOutOf restarts leaders until one outside the zone is elected.
 func (sim *simulation) moveLeaderOutOf(zone string) {
 	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
 		n.kill()
@@ -150,11 +151,11 @@
 	}
 }
 
-// submitFailing submits a job that fails on any machine.
+// submitFailing submits a job whose tasks fail on every machine.
 func (sim *simulation) submitFailing(id string) {
 	sim.withLock(func() { sim.failingJobs[id] = true })
 	sim.submit(arrayWithRuntime(id, 4, 2*time.Second))
 }
 
-// startsSince returns the number of starts since an earlier startCount.
+// startsSince returns by how much startCount has grown from an earlier value.
 func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -26,9 +26,9 @@
 	"sagevale/internal/worker"
 )
 
-// simulation is a small deployment in memory and simulated time: controllers, a
-// key-value store, a cloud, workers and the network between them. It reports violated
-// invariants as errors of the test.
+// simulation is a small deployment that runs in memory and in simulated time: controllers, a
+// key-value store, a cloud, workers and the network between them. It reports each violated
+// invariant as a test error.
 type simulation struct {
 	t        *testing.T
 	settings config.Settings
@@ -37,38 +37,38 @@
 	nodes    []*fakeNode
 	log      *slog.Logger
 
-	// mu guards the fields of this group, and all workers and the cloud.
+	// mu guards the fields of this group, the workers' non-atomic fields, and the cloud.
 	mu                sync.Mutex
 	workers           map[int]*fakeWorker
 	specs             map[string]storage.Spec
-	cancelledAt       map[string]time.Time    // when a cancellation was first confirmed to a user
-	reportedStates    map[string]api.JobState // the latest state in a response to a user; pending for any that isn't final
-	cancelRequested   map[string]bool         // jobs with a cancel request, answered or not
+	cancelledAt       map[string]time.Time    // by job: when its cancellation was first acknowledged to a user
+	reportedStates    map[string]api.JobState // by job: the latest state in a response; pending stands for all that aren't final
+	cancelRequested   map[string]bool         // jobs for which a cancel request was sent, answered or not
 	completed         map[worker.TaskID]bool
-	recordedReports   []*worker.Report // to be delivered again late
+	recordedReports   []*worker.Report // kept for replayReports, which delivers them again late
 	recordingReports  bool
-	recordingCommands bool            // direct commands are recorded, to be delivered again late
-	gangStarts        map[string]int  // number of times that all tasks of a gang began to run, by job
-	overdue           map[string]bool // cancelled jobs reported for running beyond the cancel timeout
-	failingJobs       map[string]bool // jobs whose tasks end in an error on any machine
-	starts            int
-	startsByJob       map[string][]startRecord // start commands that a worker accepted
-	wakeRequests      []activation.WakeRequest // sent between nodes, to be delivered again late
-	served            []porcupine.Operation    // requests to models that were forwarded
-	usageReports      []activation.UsageReport // sent between nodes, to be delivered again late
-	failAfter         map[string]time.Duration // run time after which the tasks of a job fail on any machine
-
-	isolatedZone    atomic.Pointer[string] // this zone reaches nothing outside itself; "" or nil: none
-	ended           atomic.Bool            // no further machines come up
-	messagesDropped atomic.Bool            // a leader has been killed together with what it sent
+	recordingCommands bool                     // workers record their direct commands, which executeDelayed delivers again late
+	gangStarts        map[string]int           // by job: how many times all tasks of the gang began to run together
+	overdueJobs       map[string]bool          // cancelled jobs that were already reported for running beyond the cancel timeout
+	failingJobs       map[string]bool          // jobs whose tasks exit with an error on every machine
+	starts            int                      // start commands as counted by startCount
+	startsByJob       map[string][]startRecord // by job: the start commands that a worker accepted
+	wakeRequests      []activation.WakeRequest // sent between nodes; kept to be delivered again late
+	served            []porcupine.Operation    // forwarded requests to models, for the linearizability check
+	usageReports      []activation.UsageReport // sent between nodes; kept to be delivered again late
+	failAfter         map[string]time.Duration // by job: the run time after which its tasks fail on every machine
+
+	isolatedZone    atomic.Pointer[string] // the zone that is cut off from everything outside it; nil or "": none
+	ended           atomic.Bool            // the scenario has ended; no more machines start
+	messagesDropped atomic.Bool            // killLeaderOnce has killed a leader and its transaction was dropped
 	processCount    atomic.Uint64          // controller processes started so far
-	requestsMayFail atomic.Bool            // machines or models fail, so requests may go unserved
+	requestsMayFail atomic.Bool            // machines or models fail, so requests may remain unserved
 	processMu       sync.Mutex             // serializes faults that stop and start nodes
 	maxLogDelay     atomic.Int64           // upper bound in ns of the delay of a log call; 0: none
 }
 
-// slowLogHandler delays the logging goroutine at random. It stands for a slow processor: a
-// delay may fall between any check and its effect.
+// slowLogHandler delays each goroutine that logs by a random time. It simulates a slow processor:
+// a delay may occur between a check and the action that relies on it.
 type slowLogHandler struct {
 	slog.Handler
 	sim  *simulation
@@ -76,12 +76,12 @@
 	rand *rand.Rand
 }
 
-// Enabled reports whether delays are on: then all levels are logged.
+// Enabled reports whether delays are on. If they are, records of all levels are delayed.
 func (h *slowLogHandler) Enabled(context.Context, slog.Level) bool {
 	return h.sim.maxLogDelay.Load() > 0
 }
 
-// Handle drops the record after the delay.
+// Handle waits for the delay and discards the record.
 func (h *slowLogHandler) Handle(context.Context, slog.Record) error {
 	maxDelay := h.sim.maxLogDelay.Load()
 	if maxDelay <= 0 {
@@ -94,41 +94,41 @@
 	return nil
 }
 
-// WithAttrs ignores the attributes, since no record is written.
+// WithAttrs ignores the attributes, because no record is written.
 func (h *slowLogHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
-// runSimulation runs a scenario in simulated time.
+// runSimulation runs a scenario in simulated time, with the default settings of the simulation.
 func runSimulation(t *testing.T, run func(sim *simulation)) {
 	t.Helper()
 	runSimulationWithSettings(t, func(*config.Settings) {}, run)
 }
 
 // runSimulationWithSettings runs a scenario with changed settings.
-func runSimulationWithSettings(t *testing.T, change func(*config.Settings), run func(sim *simulation)) {
+func runSimulationWithSettings(t *testing.T, changeSettings func(*config.Settings), run func(sim *simulation)) {
 	t.Helper()
-	runSimulationWithTuning(t, change, func(*config.Tuning) {}, run)
+	runSimulationWithTuning(t, changeSettings, func(*config.Tuning) {}, run)
 }
 
-// threeControllers and fiveControllers are the zones of a deployment's controllers.
+// threeControllers and fiveControllers list the zone of each controller of a deployment.
 var (
 	threeControllers = []string{"a", "b", "a"}
 	fiveControllers  = []string{"a", "b", "a", "b", "a"}
 )
 
 // runSimulationWithTuning runs a scenario with changed settings and tuning.
-func runSimulationWithTuning(t *testing.T, change func(*config.Settings), tune func(*config.Tuning), run func(sim *simulation)) {
+func runSimulationWithTuning(t *testing.T, changeSettings func(*config.Settings), changeTuning func(*config.Tuning), run func(sim *simulation)) {
 	t.Helper()
-	runSimulationInZones(t, threeControllers, change, tune, run)
+	runSimulationInZones(t, threeControllers, changeSettings, changeTuning, run)
 }
 
-// runSimulationInZones runs a scenario with one controller in each of the zones.
-func runSimulationInZones(t *testing.T, zones []string, change func(*config.Settings), tune func(*config.Tuning), run func(sim *simulation)) {
+// runSimulationInZones runs a scenario with one controller for each element of zones.
+func runSimulationInZones(t *testing.T, zones []string, changeSettings func(*config.Settings), changeTuning func(*config.Tuning), run func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := simulationSettings()
-		change(&settings)
+		changeSettings(&settings)
 		settings.Tuning = settings.DefaultTuning()
-		tune(&settings.Tuning)
+		changeTuning(&settings.Tuning)
 		sim := newSimulation(t, settings, zones)
 		for _, n := range sim.nodes {
 			n.start()
@@ -139,7 +139,7 @@
 	})
 }
 
-// simulationSettings are the settings of a scenario that doesn't change them.
+// simulationSettings returns the default settings of the simulation.
 func simulationSettings() config.Settings {
 	return config.Settings{
 		Zones:             []string{"a", "b"},
@@ -170,12 +170,12 @@
 		cancelRequested: make(map[string]bool),
 		completed:       make(map[worker.TaskID]bool),
 		gangStarts:      make(map[string]int),
-		overdue:         make(map[string]bool),
+		overdueJobs:     make(map[string]bool),
 		failingJobs:     make(map[string]bool),
 		startsByJob:     make(map[string][]startRecord),
 		failAfter:       make(map[string]time.Duration),
 	}
-	//nolint:sloglint // the handler formats every record, as the programs do
+	//nolint:sloglint // the embedded handler only completes the interface; slowLogHandler discards all records
 	sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
 	sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int), launchCalls: make(map[string]int), terminated: make(map[int]bool)}
 	for i, zone := range zones {
@@ -184,7 +184,7 @@
 	return sim
 }
 
-// shutDown ends all processes and machines, and gives their goroutines time to return.
+// shutDown stops all processes and machines, and waits until their goroutines have had time to return.
 func (sim *simulation) shutDown() {
 	for _, n := range sim.nodes {
 		n.kill()
@@ -197,7 +197,8 @@
 	time.Sleep(time.Minute)
 }
 
-// leader returns the node that leads under a valid lease with the state loaded, or nil.
+// leader returns the node that holds a valid leader lease and has loaded the state, or nil. It fails the
+// test if there are two.
 func (sim *simulation) leader() *fakeNode {
 	var leader *fakeNode
 	for _, n := range sim.nodes {
@@ -215,7 +216,7 @@
 	return leader
 }
 
-// awaitLeader waits until some node leads with the state loaded.
+// awaitLeader waits until leader finds a leader, and returns it.
 func (sim *simulation) awaitLeader() *fakeNode {
 	sim.t.Helper()
 	for range 300 {
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// request sends a user's request to the nodes in turn until one decides it.
+// request sends a user's request to the nodes in turn until one returns a decided response.
 func (sim *simulation) request(op api.Op, id string, spec storage.Spec) api.Response {
 	sim.t.Helper()
 	for attempt := range 120 {
@@ -242,8 +243,8 @@
 	return api.Response{}
 }
 
-// requestFrom sends one request to one node, and checks that the response is no older
-// than any response that was received before the request was sent.
+// requestFrom sends a user's request to one node. It checks that the job state in the response is no older
+// than in any response that was received before the request was sent.
 func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.live.Load()
 	if live == nil {
@@ -255,7 +256,7 @@
 		before, known = sim.reportedStates[id]
 		sim.cancelRequested[id] = sim.cancelRequested[id] || op == api.OpCancel
 	})
-	// Not the test's context: a scenario may leave a request running when it ends.
+	// The test's context isn't used, because a request may still be running when the scenario ends.
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	n.waitWhilePaused()
 	response := live.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: spec})
@@ -263,7 +264,7 @@
 	timedOut := ctx.Err() != nil
 	cancel()
 	if timedOut {
-		return api.Unavailable(id, "the user has gone")
+		return api.Unavailable(id, "the user stopped waiting")
 	}
 	if !response.Decided() {
 		return response
@@ -278,31 +279,31 @@
 	return response
 }
 
-// checkState checks the state of a job in a response and records it. The state before is the
-// one known when the request was sent. It is called under the lock.
+// checkState checks the state of a job in a response and records it. before is the job's recorded state
+// when the request was sent; known is false if there was none. The caller holds sim.mu.
 func (sim *simulation) checkState(n *fakeNode, id string, response api.Response, before api.JobState, known bool) {
-	now := api.StatePending
+	current := api.StatePending
 	if response.Final() {
-		now = response.State
+		current = response.State
 	}
-	if known && before != api.StatePending && now != before {
+	if known && before != api.StatePending && current != before {
 		sim.t.Errorf("went_back: job %s from %v to %+v, by %s", id, before, response, n.name)
 	}
 	switch {
-	case now == api.StateCancelled && !sim.cancelRequested[id]:
+	case current == api.StateCancelled && !sim.cancelRequested[id]:
 		sim.t.Errorf("went_back: job %s is cancelled without a request", id)
-	case now == api.StateCancelled && sim.cancelledAt[id].IsZero():
+	case current == api.StateCancelled && sim.cancelledAt[id].IsZero():
 		sim.cancelledAt[id] = time.Now()
-	case now == api.StateDone:
+	case current == api.StateDone:
 		sim.checkAllCompleted(id)
 	}
 	if sim.reportedStates[id] == api.StatePending {
-		sim.reportedStates[id] = now
+		sim.reportedStates[id] = current
 	}
 }
 
-// checkAllCompleted checks that each task of a job reported as done has completed. It is
-// called under the lock.
+// checkAllCompleted checks that each task of a job that was reported as done has completed. The caller
+// holds sim.mu.
 func (sim *simulation) checkAllCompleted(id string) {
 	for _, wk := range sim.workers {
 		wk.advance()
@@ -314,7 +315,8 @@
 	}
 }
 
-// watchCancelledJobs looks for tasks that run beyond their job's cancel timeout.
+// watchCancelledJobs advances the gangs and checks that no task runs beyond its job's cancel timeout, every
+// 250 ms until the scenario has ended.
 func (sim *simulation) watchCancelledJobs() {
 	for !sim.ended.Load() {
 		time.Sleep(250 * time.Millisecond)
@@ -329,22 +331,22 @@
 	}
 }
 
-// checkCancelledTasks reports each cancelled job once that runs on a worker beyond the cancel
-// timeout. It is called under the lock.
+// checkCancelledTasks reports cancelled jobs that have tasks on a worker beyond the cancel timeout, each job
+// once. The caller holds sim.mu.
 func (sim *simulation) checkCancelledTasks(wk *fakeWorker) {
 	wk.advance()
 	for k, task := range wk.tasks {
 		job := k.ID.Job
 		at, ok := sim.cancelledAt[job]
-		if ok && task.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overdue[job] {
-			sim.overdue[job] = true
+		if ok && task.state != worker.Exited && time.Since(at) > sim.settings.CancelTimeout && !sim.overdueJobs[job] {
+			sim.overdueJobs[job] = true
 			sim.t.Errorf("ran_cancelled: %v is on machine %d %v after its cancellation, want at most %v", k.ID, wk.id, time.Since(at), sim.settings.CancelTimeout)
 		}
 	}
 }
 
-// advanceGangs lets the tasks of a gang's attempt start together and notice the end of
-// another one. It is called under the lock.
+// advanceGangs advances the tasks of each gang attempt. They start together once all of them are gathering. If
+// one of them is missing later without being done, the others exit after the stop window. The caller holds sim.mu.
 func (sim *simulation) advanceGangs() {
 	type gangAttempt struct {
 		job    string
@@ -370,8 +372,8 @@
 	}
 }
 
-// advanceGang advances the tasks of one attempt of a gang, and reports whether all of them
-// were gathered and begin to run.
+// advanceGang advances the tasks of one attempt of a gang, and reports whether all of them were gathering
+// and have now begun to run.
 func (sim *simulation) advanceGang(spec storage.Spec, tasks []*workerTask) (started bool) {
 	now := time.Now()
 	gathering, running, done := 0, 0, 0
@@ -388,26 +390,26 @@
 	for _, task := range tasks {
 		switch {
 		case gathering == spec.Tasks:
-			task.state, task.since, task.ends = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
+			task.state, task.since, task.endsAt = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
 		case task.state == worker.Gathering && now.Sub(task.since) > sim.settings.GangWait:
 			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		case task.state != worker.Running || running+done == spec.Tasks:
-		case task.since.After(now.Add(-sim.settings.GangStopWindow)) && task.ends.IsZero():
-		case !task.ends.IsZero() && running+done < spec.Tasks:
-			task.ends, task.since = time.Time{}, now // it exits after the stop window
-		case task.ends.IsZero():
+		case task.since.After(now.Add(-sim.settings.GangStopWindow)) && task.endsAt.IsZero():
+		case !task.endsAt.IsZero() && running+done < spec.Tasks:
+			task.endsAt, task.since = time.Time{}, now // the task exits after the stop window
+		case task.endsAt.IsZero():
 			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		}
 	}
 	return gathering == spec.Tasks
 }
 
-// storeSpec makes a job's specification known to the workers.
+// storeSpec stores a job's specification, which the workers read when they start its tasks.
 func (sim *simulation) storeSpec(spec storage.Spec) {
 	sim.withLock(func() { sim.specs[spec.ID] = spec })
 }
 
-// allWorkers lists the machines that ever came up, in order of their numbers.
+// allWorkers returns all machines that have ever been started, ordered by ID.
 func (sim *simulation) allWorkers() []*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -421,7 +423,7 @@
 	f()
 }
 
-// isolateZone cuts a zone off from everything outside it, or with "" reconnects all zones.
+// isolateZone cuts a zone off from everything outside it. "" reconnects all zones.
 func (sim *simulation) isolateZone(zone string) {
 	sim.isolatedZone.Store(&zone)
 	for _, n := range sim.nodes {
@@ -430,13 +432,15 @@
 	}
 }
 
-// startCount returns the number of start commands that workers have accepted so far.
+// startCount returns how many start commands for known jobs workers have received so far, including those that
+// were rejected for lack of resources. Commands for attempts that the worker already has don't count.
 func (sim *simulation) startCount() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.starts
 }
 
+// submit submits a job, and fails the test if it isn't accepted.
 func (sim *simulation) submit(spec storage.Spec) {
 	sim.t.Helper()
 	sim.storeSpec(spec)
@@ -445,6 +449,7 @@
 	}
 }
 
+// cancel cancels a job, and fails the test if the response isn't that it is cancelled.
 func (sim *simulation) cancel(id string) {
 	sim.t.Helper()
 	if got := sim.request(api.OpCancel, id, storage.Spec{}); got.Code != api.CodeOK || got.State != api.StateCancelled {
@@ -452,23 +457,24 @@
 	}
 }
 
+// poll returns the response to a poll of a job.
 func (sim *simulation) poll(id string) api.Response {
 	sim.t.Helper()
 	return sim.request(api.OpPoll, id, storage.Spec{})
 }
 
-// eventually waits until a condition holds, and fails the test if it doesn't in time.
-func (sim *simulation) eventually(what string, timeout time.Duration, condition func() bool) {
+// eventually waits until a condition holds, and fails the test if that takes longer than the timeout.
+func (sim *simulation) eventually(description string, timeout time.Duration, condition func() bool) {
 	sim.t.Helper()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	sim.t.Fatalf("not within %v: %s", timeout, what)
+	sim.t.Fatalf("not within %v: %s", timeout, description)
 }
 
-// runningTasks returns the worker of each task of a job that runs now.
+// runningTasks returns the tasks of a job that are on a machine and haven't exited, each with its worker.
 func (sim *simulation) runningTasks(id string) map[worker.TaskID]*fakeWorker {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
