--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -11,130 +11,131 @@
 	"sagevale/internal/worker"
 )
 
-// The benchmarks measure the hot paths with a fleet of 2,000 machines and 12,000 attempts.
+// The benchmarks measure the hot paths of the scheduler with a fleet of 2,000 machines and 12,000 attempts.
 
 const (
 	benchMachines = 2000
-	benchServices = 1000 // of five tasks
-	benchArrays   = 600  // of twelve tasks
+	benchServices = 1000 // of five tasks each
+	benchArrays   = 600  // of twelve tasks each
 )
 
-// newBenchScheduler returns a scheduler whose fleet runs services and arrays.
+// newBenchScheduler returns a scheduler whose fleet runs services and job arrays.
 func newBenchScheduler(b *testing.B) *scheduler {
 	b.Helper()
-	d := newTestScheduler(b, clustertest.Settings())
+	sched := newTestScheduler(b, clustertest.Settings())
 	for i := range benchMachines {
-		kind := "cpu"
+		typeName := "cpu"
 		if i%2 == 0 {
-			kind = "gpu"
+			typeName = "gpu"
 		}
-		d.addReadyMachine(i+1, kind, []string{"a", "b"}[i/2%2], i%6 == 0)
+		sched.addReadyMachine(i+1, typeName, []string{"a", "b"}[i/2%2], i%6 == 0)
 	}
 	for i := range benchServices {
-		s := clustertest.Spread(fmt.Sprintf("%06d", i), 5)
-		s.Image = fmt.Sprintf("img-%02d", i%16)
-		d.addAcceptedJob(s)
+		spec := clustertest.Spread(fmt.Sprintf("%06d", i), 5)
+		spec.Image = fmt.Sprintf("img-%02d", i%16)
+		sched.addAcceptedJob(spec)
 	}
 	for i := range benchArrays {
-		d.addAcceptedJob(benchArray(100000+i, 12))
+		sched.addAcceptedJob(benchArray(100000+i, 12))
 	}
-	for d.placementDue = true; d.placementDue; {
-		d.placeRound(time.Now())
+	for sched.placementDue = true; sched.placementDue; {
+		sched.placeRound(time.Now())
 	}
-	for _, m := range d.state.Machines.InOrder() {
+	for _, m := range sched.state.Machines.InOrder() {
 		for _, a := range m.Attempts {
 			a.Durable, a.Reported, a.State, a.Started = true, true, worker.Running, time.Now()
 		}
 	}
-	d.discardPending()
-	d.state.Classes.FirstArrival = time.Now().Add(-3 * d.settings.WorkerLease)
-	return d
+	sched.discardPending()
+	sched.state.Classes.FirstArrival = time.Now().Add(-3 * sched.settings.WorkerLease)
+	return sched
 }
 
-// benchArray returns the specification of an array of GPU tasks with a deadline.
+// benchArray returns the specification of a job array of GPU tasks with a deadline.
 func benchArray(id, tasks int) storage.Spec {
-	s := clustertest.Array(fmt.Sprintf("%06d", id), tasks)
-	s.Resources, s.Spot, s.DeadlineS = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
-	s.Image, s.ImageGB = fmt.Sprintf("big-%d", id%4), 34
-	return s
+	spec := clustertest.Array(fmt.Sprintf("%06d", id), tasks)
+	spec.Resources, spec.Spot, spec.DeadlineS = storage.Resources{CPUs: 8, GPUs: 1, MemoryGB: 25}, true, 90
+	spec.Image, spec.ImageGB = fmt.Sprintf("big-%d", id%4), 34
+	return spec
 }
 
-// BenchmarkHeartbeat measures the handling of a machine's heartbeat, with the response.
+// BenchmarkHeartbeat measures the handling of one worker's heartbeat, including the response.
 func BenchmarkHeartbeat(b *testing.B) {
-	d := newBenchScheduler(b)
-	m := d.state.Machines.InOrder()[1]
-	r := &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Token: d.term}
+	sched := newBenchScheduler(b)
+	m := sched.state.Machines.InOrder()[1]
+	r := &worker.Report{Machine: m.ID, Addr: m.Addr, Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Token: sched.term}
 	for _, a := range m.SortedAttempts() {
 		r.Tasks = append(r.Tasks, worker.TaskReport{ID: a.ID(), Attempt: a.Number, State: worker.Running})
 	}
 	b.ReportMetric(float64(len(r.Tasks)), "tasks")
 	for b.Loop() {
 		r.Seq++
-		d.handleHeartbeat(r)
+		sched.handleHeartbeat(r)
 	}
 }
 
-// BenchmarkRoundInVain measures a round in which 200 jobs wait and none fits.
+// BenchmarkRoundInVain measures a placement round in which 200 jobs wait and none of their tasks fits on any machine.
 func BenchmarkRoundInVain(b *testing.B) {
-	d := newBenchScheduler(b)
+	sched := newBenchScheduler(b)
 	for i := range 200 {
-		s := clustertest.Spread(fmt.Sprintf("%06d", 200000+i), 6)
-		s.Resources = storage.Resources{CPUs: 65}
-		d.addAcceptedJob(s)
+		spec := clustertest.Spread(fmt.Sprintf("%06d", 200000+i), 6)
+		spec.Resources = storage.Resources{CPUs: 65}
+		sched.addAcceptedJob(spec)
 	}
 	for b.Loop() {
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 	}
 }
 
-// BenchmarkRoundOfOne measures a round that places a service of one task while 200 arrays wait for GPUs.
+// BenchmarkRoundOfOne measures a placement round that places a service of one task while 200 job arrays wait for
+// GPUs.
 func BenchmarkRoundOfOne(b *testing.B) {
-	d := newBenchScheduler(b)
+	sched := newBenchScheduler(b)
 	for i := range 200 {
-		d.addAcceptedJob(benchArray(200000+i, 40))
+		sched.addAcceptedJob(benchArray(200000+i, 40))
 	}
-	s := clustertest.Service("300000", 1)
-	s.Resources = storage.Resources{CPUs: 0.1}
+	spec := clustertest.Service("300000", 1)
+	spec.Resources = storage.Resources{CPUs: 0.1}
 	for b.Loop() {
-		j := d.addAcceptedJob(s)
-		d.placeRound(time.Now())
-		d.removeAttempt(j.Attempts[0], "placed")
-		delete(d.state.Jobs.Open, s.ID)
+		j := sched.addAcceptedJob(spec)
+		sched.placeRound(time.Now())
+		sched.removeAttempt(j.Attempts[0], "placed")
+		delete(sched.state.Jobs.Open, spec.ID)
 	}
 }
 
-// BenchmarkFleetSnapshot measures a snapshot of the fleet while no job waits.
+// BenchmarkFleetSnapshot measures a snapshot of the fleet for the autoscaler while no job waits.
 func BenchmarkFleetSnapshot(b *testing.B) {
-	d := newBenchScheduler(b)
+	sched := newBenchScheduler(b)
 	for b.Loop() {
-		d.snapshotFleet(time.Now())
+		sched.snapshotFleet(time.Now())
 	}
 }
 
-// BenchmarkFleetSnapshotBacklog measures a snapshot while 200 arrays of 40 tasks wait.
+// BenchmarkFleetSnapshotBacklog measures a snapshot of the fleet while 200 job arrays of 40 tasks wait.
 func BenchmarkFleetSnapshotBacklog(b *testing.B) {
-	d := newBenchScheduler(b)
+	sched := newBenchScheduler(b)
 	for i := range 200 {
-		d.addAcceptedJob(benchArray(200000+i, 40))
+		sched.addAcceptedJob(benchArray(200000+i, 40))
 	}
 	for b.Loop() {
-		d.snapshotFleet(time.Now())
+		sched.snapshotFleet(time.Now())
 	}
 }
 
-// BenchmarkTick measures a tick without a snapshot or a round.
+// BenchmarkTick measures a tick of the scheduler without a fleet snapshot or a placement round.
 func BenchmarkTick(b *testing.B) {
-	d := newBenchScheduler(b)
-	d.nextSnapshot = time.Now().Add(time.Hour)
+	sched := newBenchScheduler(b)
+	sched.nextSnapshot = time.Now().Add(time.Hour)
 	for b.Loop() {
-		d.tick()
-		d.publishDelegation(time.Now())
+		sched.tick()
+		sched.publishDelegation(time.Now())
 	}
 }
 
-// BenchmarkLoad measures loading the records of the whole fleet.
+// BenchmarkLoad measures loading the records of all machines and open jobs into a new scheduler.
 func BenchmarkLoad(b *testing.B) {
-	d := newBenchScheduler(b)
+	sched := newBenchScheduler(b)
 	var records []storage.Record
 	add := func(key string, data any) {
 		r, err := storage.NewRecord(key, data)
@@ -143,10 +144,10 @@
 		}
 		records = append(records, r)
 	}
-	for _, m := range d.state.Machines.InOrder() {
+	for _, m := range sched.state.Machines.InOrder() {
 		add(storage.MachineKey(m.ID), m.Record())
 	}
-	for id, j := range d.state.Jobs.Open {
+	for id, j := range sched.state.Jobs.Open {
 		add(storage.JobKey(id), j.Record())
 		add(storage.PageKey(id, 0), j.PageRecord(0))
 	}
@@ -157,20 +158,21 @@
 	}
 }
 
-// BenchmarkIdleServices measures a tick of the activation controller with services at zero, which cost memory alone.
+// BenchmarkIdleServices measures a tick of the activation controller with services that are scaled to zero. Such
+// services must cost memory only.
 func BenchmarkIdleServices(b *testing.B) {
 	for _, services := range []int{0, 1000, 100_000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
-			s := clustertest.Settings()
-			s.Tuning.Activation.Classes = []string{coldClass}
-			d := newTestScheduler(b, s)
+			settings := clustertest.Settings()
+			settings.Tuning.Activation.Classes = []string{coldClass}
+			sched := newTestScheduler(b, settings)
 			for i := range services {
 				j := cluster.NewJob(modelSpec(fmt.Sprintf("%06d", i)), time.Now())
-				d.state.Jobs.AddOpen(j)
-				d.activation.track(j, time.Now())
+				sched.state.Jobs.AddOpen(j)
+				sched.activation.track(j, time.Now())
 			}
 			for b.Loop() {
-				d.activation.tick(time.Now())
+				sched.activation.tick(time.Now())
 			}
 		})
 	}
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -16,8 +16,9 @@
 	"sagevale/internal/worker"
 )
 
-// In an isolated zone all leases expired although a node of the zone received the heartbeats of
-// its workers. It renews their leases by delegation, for longer than a lease.
+// When a zone was isolated, all worker leases in it once expired although a node of the zone
+// received the workers' heartbeats. Under a delegation that node now renews the leases, for longer
+// than the duration of one lease.
 func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
@@ -35,8 +36,8 @@
 	})
 }
 
-// A job may be cancelled while delegation keeps its tasks in an isolated zone: they must end in
-// time, although the node there can't know of the cancellation.
+// A job is cancelled while its tasks in an isolated zone run on under a delegation. They must end
+// within the cancel timeout, although the cancellation can't reach the node in that zone.
 func TestDelegationEndsBeforeCancelTimeout(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
@@ -52,8 +53,8 @@
 	})
 }
 
-// A machine with tasks to stop is excluded from the delegation: their job was cancelled before
-// the last exchange with the leader, so the delegation may last beyond the cancel timeout.
+// A machine with tasks to stop is excluded from the delegation. Their job was cancelled before the
+// delegation was granted, so leases renewed under it may last beyond the job's cancel timeout.
 func TestDelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -83,8 +84,8 @@
 	})
 }
 
-// A delegation extends the bound after which an unreachable machine is taken for empty, until
-// the peer reports which renewals it has made.
+// A delegation extends the time after which the lease of an unreachable machine has certainly
+// expired, until the peer's status shows when it last renewed a lease.
 func TestDelegationExtendsLeaseBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -93,11 +94,11 @@
 		peers := &fakeNode{sim: &simulation{}, statuses: make(map[string]peer.ObservedStatus)}
 		sched.deps.Peers = peers
 		m := sched.addReadyMachine(7, "cpu", "a", false)
-		own := m.LastAcknowledged.Add(settings.LeaseBound())
+		leaderBound := m.LastAcknowledged.Add(settings.LeaseBound())
 		sched.publishDelegation(time.Now())
 		sched.updatePeerRenewals()
-		if got := sched.leaseExpiredBy(m); !got.Equal(own) {
-			t.Errorf("without a delegation: got lease bound %v, want the leader's own %v", got, own)
+		if got := sched.leaseExpiredBy(m); !got.Equal(leaderBound) {
+			t.Errorf("without a delegation: got lease bound %v, want the leader's own %v", got, leaderBound)
 		}
 		span, _ := sched.delegator.delegate("n1")
 		until := time.Now().Add(span)
@@ -109,8 +110,8 @@
 		now := time.Now()
 		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: time.Hour}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
-		if got := sched.leaseExpiredBy(m); !got.Equal(own) {
-			t.Errorf("after a delegation without renewals: got lease bound %v, want the leader's own %v", got, own)
+		if got := sched.leaseExpiredBy(m); !got.Equal(leaderBound) {
+			t.Errorf("after a delegation without renewals: got lease bound %v, want the leader's own %v", got, leaderBound)
 		}
 		peers.statuses["n1"] = peer.ObservedStatus{Status: peer.Status{Uptime: time.Hour, SinceDelegatedRenewal: 10 * time.Second}, Sent: now, Received: now}
 		sched.updatePeerRenewals()
@@ -120,69 +121,70 @@
 	})
 }
 
-// Delegation renews no lease for a late copy of a report, nor for a worker that knows a higher
-// token.
+// Under a delegation a node renews no lease for a late copy of a report or for a worker with a
+// token above the term's range, and none at all if it is the only node that is cut off.
 func TestDelegationRenewsOnlyCurrentReports(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
 		term := leader.node.view.Load().role.Term
-		var n *fakeNode
-		for _, o := range sim.nodes {
-			if o != leader {
-				n = o
+		var follower *fakeNode
+		for _, node := range sim.nodes {
+			if node != leader {
+				follower = node
 			}
 		}
 		time.Sleep(5 * time.Second)
-		machine := 900 // raised until the machine belongs to this node of the zone
+		machine := 900 // incremented until this node is the one that the machine should report to
 		report := func(seq, token uint64) worker.HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
 			defer cancel()
-			return n.node.HandleHeartbeat(ctx, &worker.Report{Machine: machine, Addr: "900", Type: "cpu", Zone: n.zone, Incarnation: 1, Seq: seq, Token: token})
+			return follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: machine, Addr: "900", Type: "cpu", Zone: follower.zone, Incarnation: 1, Seq: seq, Token: token})
 		}
 		for !report(5, 0).Accepted { // redirected to the other node of the zone
 			machine++
 		}
-		n.cutPeers.Store(true)
-		n.cutStore.Store(true)
+		follower.cutPeers.Store(true)
+		follower.cutStore.Store(true)
 		time.Sleep(2 * time.Second)
 		if got := report(4, term); got.Accepted {
 			t.Errorf("late copy: got %+v, want it rejected", got)
 		}
-		later := fencing.TermTokens(term).Last + 1
-		if got := report(6, later); got.Accepted {
+		laterToken := fencing.TermTokens(term).Last + 1
+		if got := report(6, laterToken); got.Accepted {
 			t.Errorf("report with the token of a later term: got %+v, want it rejected", got)
 		}
 		if got := report(7, term); !got.Accepted || got.Token != term || len(got.Commands) != 0 {
 			t.Errorf("current report: got %+v, want it accepted under token %d without commands", got, term)
 		}
-		// The response to a worker with a token that the leader has raised within its term has
-		// that token: the worker would drop a response under a lower one.
-		if got := report(8, later-1); !got.Accepted || got.Token != later-1 || len(got.Commands) != 0 {
-			t.Errorf("report with a raised token: got %+v, want it accepted under token %d without commands", got, later-1)
+		// If the leader has raised the worker's token within its term, the response must carry the
+		// raised token, because the worker would drop a response with a lower one.
+		if got := report(8, laterToken-1); !got.Accepted || got.Token != laterToken-1 || len(got.Commands) != 0 {
+			t.Errorf("report with a raised token: got %+v, want it accepted under token %d without commands", got, laterToken-1)
 		}
-		n.node.Ready() // the load balancer's check arrives: only this node is cut off
+		follower.node.Ready() // a probe of the load balancer arrives, so only this node seems to be cut off
 		if got := report(9, term); got.Accepted {
 			t.Errorf("report of a worker that can reach other nodes: got %+v, want it rejected", got)
 		}
 	})
 }
 
-// A leader that no longer reached its workers kept the leadership, and all leases expired. Now
-// the heartbeats reach it through the other nodes, and it resigns for one of them.
+// A leader that could no longer reach its workers once kept leadership, and all worker leases
+// expired. The other nodes now forward the heartbeats to the leader, and it hands leadership over
+// to one of them.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
 		sim.awaitRunningWithin(2*time.Minute, "000001", 12)
-		old := sim.awaitLeader()
+		oldLeader := sim.awaitLeader()
 		time.Sleep(2 * sim.settings.WorkerLease)
 		before := sim.startCount()
-		old.cutWorkers.Store(true)
+		oldLeader.cutWorkers.Store(true)
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		for i := range 20 { // their direct commands are lost
+		for i := range 20 { // the direct commands that start these services are lost
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", 100+i), 1))
 			time.Sleep(time.Second)
 		}
-		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
+		sim.eventually("another node leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != oldLeader })
 		time.Sleep(sim.settings.WorkerLease)
 		if starts, running := sim.startsSince(before), len(sim.runningTasks("000001")); starts != 20 || running != 12 {
 			t.Errorf("got %d starts and %d running tasks, want 20 and 12", starts, running)
@@ -190,8 +192,8 @@
 	})
 }
 
-// A worker that reports to a node of another zone is redirected to its own zone once, and again
-// only after some leases.
+// A worker that reports to a node of another zone is redirected to a node of its own zone once, and
+// again only after redirectPauseLeases worker leases.
 func TestWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -16,8 +16,9 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// TestFreeze writes what this version leaves in the key-value store to the directory that FREEZE
-// names: see the README.md of each directory in testdata.
+// TestFreeze runs scenarios and writes the journal, the term and the leader that they leave in the
+// key-value store to the directory that the environment variable FREEZE names. See the README.md of
+// each directory in testdata.
 func TestFreeze(t *testing.T) {
 	dir := os.Getenv("FREEZE")
 	write := func(name string, v any) {
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -13,8 +13,8 @@
 	"sagevale/internal/worker"
 )
 
-// Opportunistic jobs share the capacity evenly, and a job with a deadline goes before them. The
-// first of several large jobs used to take all capacity, and the last started after minutes.
+// Opportunistic jobs share the capacity evenly, and a job with a deadline is placed before them.
+// The first of several large jobs once took all capacity, and the last one started minutes later.
 func TestOpportunisticJobsShareEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -39,7 +39,7 @@
 		}
 		for _, j := range jobs {
 			if n := j.Allocated(); n < 30 || n > 60 {
-				t.Errorf("job %s: got %d allocated tasks of some 160, want 30 to 60", j.Spec.ID, n)
+				t.Errorf("job %s: got %d allocated tasks of about 160, want 30 to 60", j.Spec.ID, n)
 			}
 		}
 	})
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/cluster/clustertest"
 )
 
-// Machines that all boot four times as slowly as expected are waited for. They were terminated
-// before they were up, and so were their replacements.
+// If all machines boot four times as slowly as expected, the leader waits for them. It once
+// terminated them before they were up, and then their replacements, too.
 func TestSlowProvisioningIsAwaited(t *testing.T) {
 	const opportunistic = "opportunistic work"
 	for name, disturb := range map[string]func(sim *simulation){
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			runSimulation(t, func(sim *simulation) {
 				sim.withLock(func() { sim.cloud.bootTime = 60 * time.Second })
-				spec := clustertest.Service("000001", 24) // fills six machines
+				spec := clustertest.Service("000001", 24) // its tasks fill six machines
 				spec.Types = []string{"cpu"}
 				sim.submit(spec)
 				disturb(sim)
@@ -43,7 +43,7 @@
 				launched := 0
 				sim.withLock(func() { launched = sim.cloud.next })
 				if launched > 20 && name != opportunistic {
-					t.Errorf("got %d launched machines for the work of six, want at most 20", launched)
+					t.Errorf("got %d launched machines for tasks that fill six, want at most 20", launched)
 				}
 			})
 		})
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -12,7 +12,8 @@
 	"sagevale/internal/storage"
 )
 
-// Hundreds of services at once: the fleet scales out to what they need, and all run within a few boot times.
+// 120 services are submitted at once while the fleet is empty. The fleet scales out to what they need, and all of
+// them run within a few boot times.
 func TestScaleOutFromEmptyFleet(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 120 {
@@ -25,7 +26,7 @@
 			}
 			return n >= 720
 		})
-		// Four tasks fit a machine, which makes 180; while few machines are up, half as many again may be launched.
+		// Four tasks fit on a machine, so 180 machines are needed. While few machines are up, half as many more may be launched.
 		if n := len(sim.allWorkers()); n < 180 || n > 270 {
 			t.Errorf("%d machines are launched, want 180 to 270", n)
 		}
@@ -33,49 +34,50 @@
 		defer sim.mu.Unlock()
 		for name, machines := range sim.cloud.launches {
 			if len(machines) > config.MaxLaunchMachines {
-				t.Errorf("launch %s is of %d machines, want at most %d", name, len(machines), config.MaxLaunchMachines)
+				t.Errorf("launch %s: got %d machines, want at most %d", name, len(machines), config.MaxLaunchMachines)
 			}
 		}
 	})
 }
 
-// Each waiting task needs resources of its own. Once all of them relied on the first machine that was being freed.
+// Preemption must free resources for each waiting task. All waiting tasks once relied on the first machine on which
+// resources were being freed.
 func TestPreemptionFreesResourcesForEachWaitingTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		low := clustertest.Array("000001", 40)
-		low.Priority = storage.BestEffort
-		j := d.addAcceptedJob(low)
+		sched := newTestScheduler(t, clustertest.Settings())
+		lowPriority := clustertest.Array("000001", 40)
+		lowPriority.Priority = storage.BestEffort
+		j := sched.addAcceptedJob(lowPriority)
 		for i := range 10 {
-			m := d.addReadyMachine(i+1, "cpu", "a", false)
+			m := sched.addReadyMachine(i+1, "cpu", "a", false)
 			for k := range 4 {
-				d.addRunningAttempt(j, 4*i+k, uint64(4*i+k+1), m)
+				sched.addRunningAttempt(j, 4*i+k, uint64(4*i+k+1), m)
 			}
 		}
-		d.addAcceptedJob(clustertest.Service("000002", 12))
-		d.placeRound(time.Now())
-		d.placeRound(time.Now()) // counts the resources that are being freed
+		sched.addAcceptedJob(clustertest.Service("000002", 12))
+		sched.placeRound(time.Now())
+		sched.placeRound(time.Now()) // counts the resources that are being freed
 		if stopping, _ := countStopping(j); stopping != 12 {
-			t.Errorf("%d tasks are stopped for 12 waiting ones, want 12", stopping)
+			t.Errorf("%d tasks are stopped for 12 waiting tasks, want 12", stopping)
 		}
 	})
 }
 
-// A machine behind a partition may be back sooner than another one boots. Terminating such machines at once lost half a fleet
-// with the partition of a zone.
+// A partitioned machine may be reachable again before a replacement has booted. When such machines were terminated at
+// once, the partition of a zone cost half of the fleet.
 func TestPartitionedMachineIsNotTerminatedAtOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 40))
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
-		var cut []*fakeWorker // with tasks: idle ones may be terminated
+		var cutOff []*fakeWorker // only machines with tasks, because idle machines may be terminated
 		for _, wk := range sim.runningTasks("000001") {
-			if !wk.cut.Load() && len(cut) < 5 {
+			if !wk.cut.Load() && len(cutOff) < 5 {
 				wk.cut.Store(true)
-				cut = append(cut, wk)
+				cutOff = append(cutOff, wk)
 			}
 		}
 		time.Sleep(sim.settings.WorkerLease + 8*time.Second)
-		for _, wk := range cut {
+		for _, wk := range cutOff {
 			if wk.dead.Load() {
 				t.Errorf("machine %d is terminated while it is cut off", wk.id)
 			}
@@ -85,27 +87,27 @@
 	})
 }
 
-// The images that a machine has cached are recorded. Without that, replicas were placed on machines that had to pull their images
-// after a failover.
+// The record of a machine includes the images that it has cached. When the record lacked them, replicas were placed
+// on machines that had to pull their images after a failover.
 func TestCachedImagesSurviveFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, next := newTestScheduler(t, clustertest.Settings()), newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
+		sched, nextLeader := newTestScheduler(t, clustertest.Settings()), newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
 		m.UseImage("seldom", 5, time.Now())
 		if m.Recorded {
 			t.Error("a new image doesn't mark the machine to be recorded")
 		}
-		if _, err := next.state.Load([]storage.Record{newRecord(t, storage.MachineKey(1), m.Record())}, time.Now()); err != nil {
+		if _, err := nextLeader.state.Load([]storage.Record{newRecord(t, storage.MachineKey(1), m.Record())}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if im, ok := next.state.Machines.Get(1).Images["seldom"]; !ok || im.SizeGB != 5 {
-			t.Errorf("the next leader knows images %+v, want seldom of 5 GB", next.state.Machines.Get(1).Images)
+		if image, ok := nextLeader.state.Machines.Get(1).Images["seldom"]; !ok || image.SizeGB != 5 {
+			t.Errorf("images after the failover: got %+v, want image seldom of 5 GB", nextLeader.state.Machines.Get(1).Images)
 		}
 	})
 }
 
-// The cloud numbers its machines from 0, which once stood for no machine: while machine 0 was the best candidate for scale-in, none
-// was terminated.
+// The cloud numbers its machines from 0. The number 0 once stood for "no machine", so that no machine was terminated
+// while machine 0 was the best candidate for scale-in.
 func TestMachineZeroIsTerminated(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 8))
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/worker"
 )
 
-// A faulty job runs beside others during faults of controllers. It is retried a task at a time, also by a new leader; other jobs and
-// machines are unaffected, and a cancellation ends it.
+// A faulty job runs beside other jobs while controllers or the key-value store fail. The leader, also a new one,
+// retries it one task at a time. Other jobs and the machines are unaffected, and the job can be cancelled.
 func TestFaultyJobIsContainedDuringFaults(t *testing.T) {
 	for name, inject := range map[string]func(sim *simulation){
 		"no fault":                     func(*simulation) {},
@@ -50,12 +50,12 @@
 	}
 }
 
-// suspectedMachines returns the failures of the machines that the leader suspects. It reads the scheduler's state while all goroutines
-// of the simulation are blocked.
-func (d *scheduler) suspectedMachines() map[int]string {
+// suspectedMachines returns the failures of the suspected machines, by machine. It reads the scheduler's state while
+// all goroutines of the simulation are blocked.
+func (s *scheduler) suspectedMachines() map[int]string {
 	synctest.Wait()
 	suspected := make(map[int]string)
-	for _, m := range d.state.Machines.InOrder() {
+	for _, m := range s.state.Machines.InOrder() {
 		if m.Failures.Suspected() {
 			suspected[m.ID] = fmt.Sprint(m.Failures)
 		}
@@ -70,13 +70,14 @@
 	sim.startAll()
 }
 
-// Once, when all tasks of a job on one machine failed, the job was blamed. Failures on one machine blame the machine, those on several
-// the job.
+// If all tasks of a job on one machine fail, the job isn't at fault, but the machine is if another job has failed on
+// it, too. If tasks fail on several machines, the job is at fault. A job whose tasks all failed on one machine was
+// once taken to be at fault.
 func TestFailuresBlameMachineOrJob(t *testing.T) {
 	for name, c := range map[string]struct {
-		machines     []int // on which tasks of the job fail, in order
+		machines     []int // machines on which tasks of the job fail, in order
 		wantJob      bool  // whether the job is at fault
-		wantMachines int   // number of machines at fault, if another job has failed on machine 1
+		wantMachines int   // number of machines at fault; another job has failed on machine 1 before
 	}{
 		"one machine":            {machines: []int{1, 1, 1, 1}, wantMachines: 1},
 		"several machines":       {machines: []int{1, 2, 3}, wantJob: true},
@@ -84,19 +85,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestScheduler(t, clustertest.Settings())
+				sched := newTestScheduler(t, clustertest.Settings())
 				for id := range 5 {
-					d.addReadyMachine(id, "cpu", "a", false)
+					sched.addReadyMachine(id, "cpu", "a", false)
 				}
-				other, j := d.addAcceptedJob(clustertest.Array("000001", 1)), d.addAcceptedJob(clustertest.Array("000002", 8))
+				otherJob, j := sched.addAcceptedJob(clustertest.Array("000001", 1)), sched.addAcceptedJob(clustertest.Array("000002", 8))
 				reservedAt := time.Now()
 				time.Sleep(time.Second)
-				d.recordTaskFailure(other, d.state.Machines.Get(1), reservedAt, time.Now())
+				sched.recordTaskFailure(otherJob, sched.state.Machines.Get(1), reservedAt, time.Now())
 				for _, id := range c.machines {
-					d.recordTaskFailure(j, d.state.Machines.Get(id), reservedAt, time.Now())
+					sched.recordTaskFailure(j, sched.state.Machines.Get(id), reservedAt, time.Now())
 				}
 				faulty := 0
-				for _, m := range d.state.Machines.InOrder() {
+				for _, m := range sched.state.Machines.InOrder() {
 					if m.Failures.AtFault() && m.Quarantined(time.Now()) {
 						faulty++
 					}
@@ -109,39 +110,39 @@
 	}
 }
 
-// Many short tasks once made workers retain so many attempts that the leader resigned again and again. Only some of them may be
-// started directly; urgent tasks always are.
+// Many short tasks once made workers retain so many ended attempts that the leader resigned again and again. So only
+// a limited number of them is started by direct commands. Urgent tasks are always started directly.
 func TestShortTasksDoNotFillFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
 		start := func(spec storage.Spec) (direct int) {
 			for _, task := range []int{0, 1} {
-				m.InFlight = 0 // as if each command were answered
-				a := d.Reserve(d.addAcceptedJob(spec), task, m, time.Now())
-				d.startReserved([]*cluster.Attempt{a})
+				m.InFlight = 0 // as if the worker had responded to each command
+				a := sched.Reserve(sched.addAcceptedJob(spec), task, m, time.Now())
+				sched.startReserved([]*cluster.Attempt{a})
 				if a.Delivery != cluster.DeliveryNone {
 					direct++
 					a.Delivery = cluster.DeliverySettled
 				}
-				d.removeAttempt(a, "ended")
+				sched.removeAttempt(a, "ended")
 			}
 			return direct
 		}
-		short := 0
+		shortStarts := 0
 		for i := range maxDirectBacklog {
-			short += start(clustertest.Array(fmt.Sprintf("%06d", i), 2))
+			shortStarts += start(clustertest.Array(fmt.Sprintf("%06d", i), 2))
 		}
-		if short < maxDirectBacklog/2 || short > maxDirectBacklog || m.Fence.Full() {
-			t.Errorf("%d short tasks were started directly, fence full: %v; want %d to %d and room in the fence", short, m.Fence.Full(), maxDirectBacklog/2, maxDirectBacklog)
+		if shortStarts < maxDirectBacklog/2 || shortStarts > maxDirectBacklog || m.Fence.Full() {
+			t.Errorf("%d short tasks were started directly, fence full: %v; want %d to %d and a fence that isn't full", shortStarts, m.Fence.Full(), maxDirectBacklog/2, maxDirectBacklog)
 		}
 		if n := start(clustertest.Service("900000", 2)); n != 2 {
 			t.Errorf("%d urgent tasks are started directly, want 2", n)
 		}
-		a := d.Reserve(d.addAcceptedJob(clustertest.Array("900001", 2)), 0, m, time.Now())
+		a := sched.Reserve(sched.addAcceptedJob(clustertest.Array("900001", 2)), 0, m, time.Now())
 		a.Durable = true
 		time.Sleep(time.Second)
-		if commands := d.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.Seq + 1, Token: d.term}, time.Now()); len(commands) != 1 || commands[0].Verb != worker.Start {
+		if commands := sched.commandsFor(m, &worker.Report{Machine: 1, Incarnation: 1, Seq: m.Seq + 1, Token: sched.term}, time.Now()); len(commands) != 1 || commands[0].Verb != worker.Start {
 			t.Errorf("commands for a task that isn't started directly are %v, want one start", commands)
 		}
 	})
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -19,28 +19,31 @@
 	"sagevale/internal/upgrade"
 )
 
-// Two earlier versions don't register: 3661d31 reports no version to its peers, af96c21 reports 2. The loopback test outside CI runs
-// their real binaries; this file models how they acquire leadership and what they report.
+// Programs of two earlier commits don't register. Commit 3661d31 is version 1 and reports no version to its peers;
+// commit af96c21 is version 2 and reports 2. The loopback test outside CI runs their real binaries. The tests of this
+// file model how they acquire leadership and which version they report.
 
-// unregisteredProcess acquires leadership as those versions do, and does nothing as leader.
+// unregisteredProcess models a process of those commits. It acquires leadership as they do, but does nothing as the
+// leader.
 type unregisteredProcess struct {
-	version int          // reported to peers
-	terms   atomic.Int32 // in which it has led
+	version int          // the version reported to peers; 0: none
+	terms   atomic.Int32 // number of terms that it has led
 }
 
-// startUnregistered replaces a node's process by one that doesn't register.
+// startUnregistered replaces a node's process by one that doesn't register and that reports the given version to its
+// peers.
 func (n *fakeNode) startUnregistered(version int) *unregisteredProcess {
 	n.kill()
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &unregisteredProcess{version: version}
 	n.cancelRun = cancel
 	n.unregistered.Store(p)
-	go p.contend(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
+	go p.competeForLeadership(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
 	return p
 }
 
-// contend acquires leadership whenever it is vacant, and resigns after three seconds.
-func (p *unregisteredProcess) contend(ctx context.Context, store storage.KeyValueStore, ttl time.Duration, node string) {
+// competeForLeadership acquires leadership whenever it is vacant, and resigns it after three seconds.
+func (p *unregisteredProcess) competeForLeadership(ctx context.Context, store storage.KeyValueStore, ttl time.Duration, node string) {
 	for clock.Sleep(ctx, ttl/20) {
 		if _, err := store.Get(ctx, leadership.LeaderKey); err == nil {
 			continue
@@ -54,10 +57,10 @@
 		if err == nil && json.Unmarshal(item.Data, &term) != nil {
 			continue // a fenced term, which these versions can't read
 		}
-		leader, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
-		next, _ := json.Marshal(term + 1)
+		leaderData, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
+		termData, _ := json.Marshal(term + 1)
 		if _, err = store.Txn(ctx, []storage.Guard{{Key: leadership.LeaderKey}, {Key: leadership.TermKey, Version: item.Version}},
-			[]storage.Op{{Key: leadership.LeaderKey, Data: leader, Lease: lease}, {Key: leadership.TermKey, Data: next}}); err != nil {
+			[]storage.Op{{Key: leadership.LeaderKey, Data: leaderData, Lease: lease}, {Key: leadership.TermKey, Data: termData}}); err != nil {
 			continue
 		}
 		p.terms.Add(1)
@@ -70,50 +73,50 @@
 	}
 }
 
-// 3661d31 returns while a gang job is open: it can't become leader, even if leadership is vacant, before everything that it can't
-// read is gone.
+// A node is rolled back to commit 3661d31 while a gang job is open. Its process can't become the leader, even while
+// leadership is vacant, until everything that it can't read is gone from the store.
 func TestUnregisteredProcessIsFencedDuringGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		g := clustertest.Array("000002", 3)
-		g.Gang, g.EstimateS = true, 120
-		sim.submit(g)
+		gang := clustertest.Array("000002", 3)
+		gang.Gang, gang.EstimateS = true, 120
+		sim.submit(gang)
 		leader := sim.awaitLeader()
-		back := sim.nodes[0]
-		if leader == back {
-			back = sim.nodes[1]
+		rolledBack := sim.nodes[0]
+		if leader == rolledBack {
+			rolledBack = sim.nodes[1]
 		}
-		older := back.startUnregistered(0)
+		olderProcess := rolledBack.startUnregistered(0)
 		leader.kill()
 		time.Sleep(20 * time.Second)
 		sim.awaitLeader()
 		leader.start()
-		if n := older.terms.Load(); n > 0 {
-			t.Errorf("it became leader %d times while a gang job was open, want never", n)
+		if n := olderProcess.terms.Load(); n > 0 {
+			t.Errorf("the unregistered process became leader %d times while a gang job was open, want never", n)
 		}
 		sim.eventually("the gate is being withdrawn", 20*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
 		sim.awaitDone("000002")
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		sim.eventually("the fence is removed", 20*time.Second, func() bool { return sim.clusterRecord().Fence == 0 })
-		sim.killAllBut(back)
-		sim.eventually("the older version leads", 20*time.Second, func() bool { return older.terms.Load() > 0 })
-		back.restartWithVersion(upgrade.Current)
+		sim.killAllBut(rolledBack)
+		sim.eventually("the older version leads", 20*time.Second, func() bool { return olderProcess.terms.Load() > 0 })
+		rolledBack.restartWithVersion(upgrade.Current)
 		sim.startKilled()
 		sim.awaitActive(upgrade.Current, 2*time.Minute)
 		sim.awaitRunning("000001", 2)
 	})
 }
 
-// Before a gate is used, all nodes may be rolled back to 3661d31 at once, and it leads.
+// Before a gate is used, all nodes may be rolled back to commit 3661d31 at once, and one of their processes leads.
 func TestUnregisteredProcessLeadsBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		older := sim.nodes[0].startUnregistered(0)
+		olderProcess := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("the older version leads", time.Minute, func() bool { return older.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
 		for _, n := range sim.nodes {
 			n.restartWithVersion(upgrade.Current)
 		}
@@ -122,14 +125,15 @@
 	})
 }
 
-// af96c21 reads gang jobs and compressed chunks, so that their gates stay open, there is no fence, and it may lead.
+// A process of commit af96c21 reads gang jobs and compressed chunks. The gates of both therefore stay open, the fence
+// is removed, and the process may lead.
 func TestUnregisteredVersion2CanLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		g := clustertest.Array("000002", 3)
-		g.Gang, g.EstimateS = true, 600
-		sim.submit(g)
-		older := sim.nodes[0].startUnregistered(2)
+		gang := clustertest.Array("000002", 3)
+		gang.Gang, gang.EstimateS = true, 600
+		sim.submit(gang)
+		olderProcess := sim.nodes[0].startUnregistered(2)
 		sim.awaitLeader()
 		sim.awaitActive(upgrade.Version2, time.Minute)
 		sim.eventually("the fence is removed", time.Minute, func() bool { return sim.clusterRecord().Fence == 0 })
@@ -138,12 +142,12 @@
 		}
 		sim.nodes[1].kill()
 		sim.nodes[2].kill()
-		sim.eventually("the older version leads", time.Minute, func() bool { return older.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
 	})
 }
 
-// fieldsOf3661d31 lists the fields that 3661d31 knows, by kind of record.
-var fieldsOf3661d31 = map[byte][]string{
+// version1Fields lists the JSON fields of each kind of record that version 1, commit 3661d31, can read.
+var version1Fields = map[byte][]string{
 	storage.KindJob:     {"f", "n", "a", "s", "d"},
 	storage.KindPage:    {"d", "a"},
 	storage.KindMachine: {"a", "t", "z", "l", "r", "x", "i"},
@@ -151,9 +155,10 @@
 	storage.KindFleet:   {"n", "t"},
 }
 
-// While version 1 is active, 3661d31 can read all that is written, even under lowered limits: chunks are uncompressed, records are
-// whole and all fields known.
-func TestStoredRecordsAreReadableBy3661d31(t *testing.T) {
+// While version 1 is active, commit 3661d31 must be able to read everything that is written, even under lowered
+// limits. So chunks are uncompressed, records are not split into fragments, and no record has a field of a later
+// version.
+func TestStoredRecordsAreReadableByVersion1(t *testing.T) {
 	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(clustertest.Service("000001", 3))
@@ -166,13 +171,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, it := range items {
+		for _, item := range items {
 			var records [][]json.RawMessage
-			if err := json.Unmarshal(it.Data, &records); err != nil {
-				t.Fatalf("%s is no list of records: %.60s: %v", it.Key, it.Data, err)
+			if err := json.Unmarshal(item.Data, &records); err != nil {
+				t.Fatalf("%s is not a list of records: %.60s: %v", item.Key, item.Data, err)
 			}
 			for _, r := range records {
-				checkReadableBy3661d31(t, r)
+				checkReadableByVersion1(t, r)
 			}
 		}
 		term, err := client.Get(context.Background(), leadership.TermKey)
@@ -182,19 +187,19 @@
 	})
 }
 
-// checkReadableBy3661d31 checks that a record is whole and has only fields that 3661d31 knows.
-func checkReadableBy3661d31(t *testing.T, record []json.RawMessage) {
+// checkReadableByVersion1 checks that a record is not split into fragments and has only fields of version 1.
+func checkReadableByVersion1(t *testing.T, record []json.RawMessage) {
 	t.Helper()
 	if len(record) > 2 {
-		t.Fatalf("a record in fragments: %s", record)
+		t.Fatalf("record is split into fragments: %s", record)
 	}
 	key := strings.Trim(string(record[0]), `"`)
 	var fields map[string]json.RawMessage
 	if len(record) < 2 || json.Unmarshal(record[1], &fields) != nil {
-		return // a removal, or the machine types
+		return // a removal, or the record of the machine types
 	}
 	for name := range fields {
-		if !slices.Contains(fieldsOf3661d31[key[0]], name) {
+		if !slices.Contains(version1Fields[key[0]], name) {
 			t.Errorf("record %s has field %q", key, name)
 		}
 	}
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -12,9 +12,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// The encodings that the journal may write follow the state of their gate. While the gate is
-// being withdrawn, a record that is too large for a plain chunk must still be written, or every
-// commit would stall.
+// The state of the gate of compressed chunks determines which encodings the journal may write.
+// While the gate is being withdrawn, a record that is too large for a plain chunk must still be
+// written, or every commit would stall.
 func TestJournalEncodingFollowsGate(t *testing.T) {
 	for _, c := range []struct {
 		gate upgrade.GateState
@@ -33,8 +33,9 @@
 	}
 }
 
-// The first gang job waits until the use of its gate is durable, as any accepted job waits for
-// its commit. If that takes too long or the gate is closed, the response has a retry interval.
+// The submission of the first gang job waits until its gate is durably marked as used, as any
+// submission waits for its commit. If that takes too long or the gate isn't open, the response has
+// a retry interval.
 func TestFirstGangJobWaitsForGate(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -59,7 +60,7 @@
 			n.restart()
 		}
 		leader = sim.awaitLeader()
-		time.Sleep(20 * time.Second) // a release of the gate is unanswered, and so are its uses
+		time.Sleep(20 * time.Second) // the store drops the release of the gate, and any mark that the gate is used
 		start = time.Now()
 		if got := sim.requestFrom(leader, api.OpSubmit, "000002", gang("000002")); got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
 			t.Errorf("gang job with a blocked gate: got %+v, want code %v with a retry interval", got, api.CodeUnavailable)
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -16,8 +16,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// The tests of this file change the store between a check and the write that depends on it. Each fails without the guard of that
-// write.
+// Most tests of this file change the key-value store between a check and the write that relies on the check, or apply
+// a write late. They fail if that write has no guard.
 
 // writeKey writes a key as another process would, without guards.
 func (sim *simulation) writeKey(key string, value any) {
@@ -30,24 +30,24 @@
 	}
 }
 
-// beforeFirstWrite calls f before the first transaction that sets a key to a value which contains the given text.
-func (sim *simulation) beforeFirstWrite(key, value string, f func()) {
-	var done atomic.Bool
+// beforeFirstWrite calls f before the first transaction that sets a key to a value with the given substring.
+func (sim *simulation) beforeFirstWrite(key, substring string, f func()) {
+	var called atomic.Bool
 	sim.state.Update(func(s *storagetest.Service) {
 		s.Before = func(tx storagetest.Txn) {
-			if slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key && strings.Contains(string(o.Data), value) }) && done.CompareAndSwap(false, true) {
+			if slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key && strings.Contains(string(o.Data), substring) }) && called.CompareAndSwap(false, true) {
 				f()
 			}
 		}
 	})
 }
 
-// writes reports whether a transaction writes a key.
-func writes(tx storagetest.Txn, key string) bool {
+// writesKey reports whether a transaction writes a key.
+func writesKey(tx storagetest.Txn, key string) bool {
 	return slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key })
 }
 
-// clusterHistory returns all revisions of the cluster record.
+// clusterHistory returns all revisions of the cluster record, in order.
 func (sim *simulation) clusterHistory() (history []upgrade.Record) {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.state}
@@ -55,8 +55,8 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	for _, it := range changes {
-		record, err := upgrade.DecodeRecord(it.Key, it.Data)
+	for _, change := range changes {
+		record, err := upgrade.DecodeRecord(change.Key, change.Data)
 		if err != nil {
 			sim.t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 			t.Error("a process of version 1 leads while gang jobs are in use")
 		}
 		if a := sim.requestFrom(sim.nodes[0], api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable {
-			t.Errorf("it answers %+v, want unavailable", a)
+			t.Errorf("poll on the node of version 1: got %+v, want unavailable", a)
 		}
 		sim.nodes[1].start()
 		sim.awaitDone("000001")
@@ -150,16 +150,16 @@
 func TestRegistrationDetectsConcurrentFinalization(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		back := sim.follower()
-		back.kill()
-		sim.beforeFirstWrite(leadership.RegistrationPrefix+back.name, "", func() {
+		rolledBack := sim.follower()
+		rolledBack.kill()
+		sim.beforeFirstWrite(leadership.RegistrationPrefix+rolledBack.name, "", func() {
 			record := sim.clusterRecord()
 			record.Minimum, record.Phase = record.Active, upgrade.Finalized
 			sim.writeKey(leadership.ClusterKey, record)
 		})
-		back.restartWithVersion(upgrade.Version2)
-		sim.eventually("the start is refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
-		if r := sim.registrationOf(back.name); r.Max != upgrade.Current {
+		rolledBack.restartWithVersion(upgrade.Version2)
+		sim.eventually("the start is refused", 20*time.Second, func() bool { return rolledBack.refusal.Load() != nil })
+		if r := sim.registrationOf(rolledBack.name); r.Max != upgrade.Current {
 			t.Errorf("registration %+v, want that of the earlier process up to version %d", r, upgrade.Current)
 		}
 	})
@@ -169,19 +169,19 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
-		time.Sleep(10 * time.Second) // until the record is stable, whose changes would reject the registration too
+		time.Sleep(10 * time.Second) // until the cluster record no longer changes, because a change would reject the registration too
 		node := sim.nodes[0]
 		node.kill()
 		var delayed atomic.Bool
 		sim.state.Update(func(s *storagetest.Service) {
 			s.Late = func(tx storagetest.Txn) time.Duration {
-				if !writes(tx, leadership.RegistrationPrefix+node.name) || !delayed.CompareAndSwap(false, true) {
+				if !writesKey(tx, leadership.RegistrationPrefix+node.name) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
 				return 15 * time.Second
 			}
 		})
-		node.restartWithVersion(upgrade.Version1) // its registration is delayed
+		node.restartWithVersion(upgrade.Version1) // the registration of this process is delayed
 		time.Sleep(200 * time.Millisecond)
 		node.restartWithVersion(upgrade.Current)
 		time.Sleep(30 * time.Second)
@@ -196,7 +196,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.killAll()
 		sim.state.Update(func(s *storagetest.Service) {
-			s.Drop = func(tx storagetest.Txn) bool { return writes(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
+			s.Drop = func(tx storagetest.Txn) bool { return writesKey(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
@@ -208,7 +208,7 @@
 	})
 }
 
-// After an unanswered step the leader reads the record again before the next one.
+// After a write of the cluster record without a response, the leader reads the record again before the next step.
 func TestUnansweredUpgradeStepIsReadAgain(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -233,7 +233,7 @@
 	})
 }
 
-// A delayed step of a former leader must not change the record under its successor.
+// A delayed upgrade step of a former leader must not change the cluster record.
 func TestLateUpgradeStepOfFormerLeaderIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -251,7 +251,7 @@
 		sim.eventually("a step is delayed", time.Minute, delayed.Load)
 		sim.killAll()
 		before := len(sim.clusterHistory())
-		time.Sleep(16 * time.Second) // until the delayed step has arrived, before a successor takes one
+		time.Sleep(16 * time.Second) // until the delayed step has arrived; no controller runs that could take another step
 		if history := sim.clusterHistory(); len(history) > before {
 			t.Errorf("changes %+v of the cluster record by a former leader, want none", history[before:])
 		}
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// releaseAfter is how long a gate has to be unused in these scenarios.
+// releaseAfter is how long a gate must have been unused before it is released in these scenarios.
 const releaseAfter = 20 * time.Second
 
 // runReleaseSimulation runs a scenario in which gates are released after releaseAfter.
@@ -38,7 +38,8 @@
 	return false
 }
 
-// Once a gate has been unused for a while, all controllers may be rolled back at once.
+// After a gate has been unused for releaseAfter, it counts as unused again. All controllers may then be rolled back
+// at once, even to a version that doesn't register.
 func TestUnusedGateIsReleased(t *testing.T) {
 	runReleaseSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
@@ -50,15 +51,15 @@
 			r := sim.clusterRecord()
 			return !r.Gate(upgrade.GangJobs).Used && !r.Gate(upgrade.FencedTerm).Used && r.Fence == 0
 		})
-		older := sim.nodes[0].startUnregistered(0)
+		olderProcess := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("the older version leads", time.Minute, func() bool { return older.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
 	})
 }
 
-// A release is delayed without a response while the next gang job arrives. The use is stored again first, so that the release can't
-// undo it.
+// The transaction that releases a gate is delayed and gets no response, and a gang job arrives in the meantime. The
+// leader marks the gate as used again before it accepts the job, so that the late transaction can't undo the mark.
 func TestLateReleaseDoesNotUndoUse(t *testing.T) {
 	runReleaseSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
@@ -74,9 +75,9 @@
 		})
 		sim.eventually("a release is delayed", 2*time.Minute, delayed.Load)
 		time.Sleep(1500 * time.Millisecond) // until uses are counted again
-		g := clustertest.Array("000002", 3)
-		g.Gang, g.EstimateS = true, 60
-		sim.submit(g)
+		gang := clustertest.Array("000002", 3)
+		gang.Gang, gang.EstimateS = true, 60
+		sim.submit(gang)
 		time.Sleep(5 * time.Second)
 		if r := sim.clusterRecord(); !r.Gate(upgrade.GangJobs).Used || r.Fence == 0 {
 			t.Errorf("cluster record %+v with a gang job open, want the gate in use", r)
@@ -85,7 +86,7 @@
 	})
 }
 
-// A gang job that arrives between the count and the release keeps the gate in use.
+// A gang job that arrives shortly before the release of its gate is due keeps the gate in use.
 func TestUseBeforeReleaseKeepsGate(t *testing.T) {
 	runReleaseSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
@@ -95,13 +96,13 @@
 			if r := sim.clusterRecord(); !r.Gate(upgrade.GangJobs).Used {
 				t.Fatalf("cluster record %+v, want the gate still in use", r)
 			}
-			g := clustertest.Array("00001"+string(rune('0'+i)), 2)
-			g.Gang = true
-			sim.submit(g)
+			gang := clustertest.Array("00001"+string(rune('0'+i)), 2)
+			gang.Gang = true
+			sim.submit(gang)
 			if r := sim.clusterRecord(); !r.Gate(upgrade.GangJobs).Used {
 				t.Fatalf("cluster record %+v with a gang job open, want the gate in use", r)
 			}
-			sim.awaitDone(g.ID)
+			sim.awaitDone(gang.ID)
 		}
 	})
 }
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -15,8 +15,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// One controller is rolled back while a gang job is open: it answers, but doesn't lead. The gate is withdrawn once the gang is done,
-// and then the controller may lead.
+// One controller is rolled back while a gang job is open. It still responds to users but doesn't lead. Once the gang
+// job is done, the gate is withdrawn, and then the controller may lead.
 func TestRollbackOfOneController(t *testing.T) {
 	for _, rollBackLeader := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader=%v", rollBackLeader), func(t *testing.T) {
@@ -24,32 +24,32 @@
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000001", 3))
 				sim.submitGang("000002")
-				back := sim.nodes[2]
-				if leader := sim.awaitLeader(); rollBackLeader == (leader != back) {
-					back = leader
+				rolledBack := sim.nodes[2]
+				if leader := sim.awaitLeader(); rollBackLeader == (leader != rolledBack) {
+					rolledBack = leader
 				}
-				if !rollBackLeader && back == sim.awaitLeader() {
-					back = sim.nodes[0]
+				if !rollBackLeader && rolledBack == sim.awaitLeader() {
+					rolledBack = sim.nodes[0]
 				}
-				back.restartWithVersion(upgrade.Version1)
-				if sim.awaitLeader() == back {
-					t.Errorf("%s leads while a gang job is open", back.name)
+				rolledBack.restartWithVersion(upgrade.Version1)
+				if sim.awaitLeader() == rolledBack {
+					t.Errorf("%s leads while a gang job is open", rolledBack.name)
 				}
-				refused := clustertest.Array("000003", 3)
-				refused.Gang = true
-				sim.eventually("the older version answers", 10*time.Second, func() bool {
-					a := sim.requestFrom(back, api.OpPoll, "000002", storage.Spec{})
+				newGang := clustertest.Array("000003", 3)
+				newGang.Gang = true
+				sim.eventually("the older version responds", 10*time.Second, func() bool {
+					a := sim.requestFrom(rolledBack, api.OpPoll, "000002", storage.Spec{})
 					return a.Decided()
 				})
 				sim.eventually("the gate is being withdrawn", 10*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
-				if a := sim.requestFrom(back, api.OpSubmit, refused.ID, refused); a.Decided() {
-					t.Errorf("a gang job is answered %+v during the withdrawal, want no decision", a)
+				if a := sim.requestFrom(rolledBack, api.OpSubmit, newGang.ID, newGang); a.Decided() {
+					t.Errorf("submit of a gang job during the withdrawal: got %+v, want no decision", a)
 				}
 				sim.awaitDone("000002")
 				sim.awaitActive(upgrade.Version1, time.Minute)
-				sim.killAllBut(back)
-				if sim.awaitLeader() != back {
-					t.Errorf("%s doesn't lead, though no other controller runs", back.name)
+				sim.killAllBut(rolledBack)
+				if sim.awaitLeader() != rolledBack {
+					t.Errorf("%s doesn't lead, though no other controller runs", rolledBack.name)
 				}
 				sim.awaitRunning("000001", 3)
 				sim.submit(clustertest.Array("000004", 4))
@@ -59,7 +59,8 @@
 	}
 }
 
-// All controllers are rolled back at once before a gate is used: they carry on, and the fleet may be upgraded again.
+// All controllers are rolled back at once before a gate is used. The jobs continue, and the controllers may be
+// upgraded again.
 func TestRollbackOfAllBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -78,35 +79,36 @@
 	})
 }
 
-// Chunks are compressed under lowered limits. A rollback rewrites them, even if leaders are restarted meanwhile.
+// Under lowered limits the journal writes compressed chunks. A rollback to version 1 rewrites them as plain chunks,
+// even if leaders are restarted in the meantime.
 func TestRollbackDuringMigration(t *testing.T) {
 	for restarts := range 4 {
 		t.Run(fmt.Sprintf("%d leader restarts", restarts), func(t *testing.T) {
-			next := &storage.Limits{ChangesPerS: 30, ValueBytes: 3072, TxnOps: 6}
-			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = next }, func(sim *simulation) {
+			lowered := &storage.Limits{ChangesPerS: 30, ValueBytes: 3072, TxnOps: 6}
+			runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = lowered }, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				for i := range 12 {
 					sim.submit(clustertest.Array(fmt.Sprintf("%06d", i+1), 40))
 				}
-				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
+				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = lowered.ValueBytes, lowered.TxnOps })
 				sim.submit(clustertest.Array("000100", 60))
 				sim.eventually("chunks are compressed", time.Minute, func() bool {
 					return sim.clusterRecord().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
 				})
-				back := sim.follower()
-				back.restartWithVersion(upgrade.Version1)
+				rolledBack := sim.follower()
+				rolledBack.restartWithVersion(upgrade.Version1)
 				for range restarts {
 					time.Sleep(700 * time.Millisecond)
-					if leader := sim.leader(); leader != nil && leader != back {
+					if leader := sim.leader(); leader != nil && leader != rolledBack {
 						leader.restart()
 					}
 					sim.awaitLeader()
 				}
 				sim.awaitActive(upgrade.Version1, 3*time.Minute)
 				if n := sim.encodedChunks(); n > 0 {
-					t.Errorf("%d compressed chunks are left, want none", n)
+					t.Errorf("%d encoded chunks are left, want none", n)
 				}
-				sim.killAllBut(back)
+				sim.killAllBut(rolledBack)
 				sim.awaitLeader()
 				for i := range 12 {
 					sim.awaitDone(fmt.Sprintf("%06d", i+1))
@@ -116,7 +118,7 @@
 	}
 }
 
-// encodedChunks counts the stored chunks that are compressed, which version 1 can't read.
+// encodedChunks counts the stored chunks that are compressed or hold fragments, which version 1 can't read.
 func (sim *simulation) encodedChunks() int {
 	client := &storagetest.Client{Service: sim.state}
 	items, _, _, err := client.List(context.Background(), "log/", "", 1000)
@@ -124,15 +126,16 @@
 		sim.t.Fatal(err)
 	}
 	encoded := 0
-	for _, it := range items {
-		if storage.IsEncoded(it.Data) {
+	for _, item := range items {
+		if storage.IsEncoded(item.Data) {
 			encoded++
 		}
 	}
 	return encoded
 }
 
-// After finalization a process of an older version exits and says which version is needed; the others are unaffected.
+// After finalization a process of an older version ends with an error that names the required version. The other
+// controllers are unaffected.
 func TestFinalizedVersionRejectsOlderProcesses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
@@ -141,11 +144,11 @@
 		}
 		sim.submit(clustertest.Service("000001", 3))
 		sim.eventually("the version is finalized", time.Minute, func() bool { return sim.clusterRecord().Minimum == upgrade.Current })
-		back := sim.awaitLeader()
-		back.restartWithVersion(upgrade.Version2)
-		sim.eventually("the start is refused", 20*time.Second, func() bool { return back.refusal.Load() != nil })
-		if why := (*back.refusal.Load()).Error(); !strings.Contains(why, fmt.Sprintf("version %d or later is needed", upgrade.Current)) || strings.Contains(why, "\n") {
-			t.Errorf("it exits with %q, want one line with the version needed", why)
+		rolledBack := sim.awaitLeader()
+		rolledBack.restartWithVersion(upgrade.Version2)
+		sim.eventually("the start is refused", 20*time.Second, func() bool { return rolledBack.refusal.Load() != nil })
+		if message := (*rolledBack.refusal.Load()).Error(); !strings.Contains(message, fmt.Sprintf("version %d or later is needed", upgrade.Current)) || strings.Contains(message, "\n") {
+			t.Errorf("refused with %q, want one line with the required version", message)
 		}
 		sim.awaitLeader()
 		sim.submit(clustertest.Array("000002", 3))
@@ -157,7 +160,7 @@
 	})
 }
 
-// The leader is rolled back right after an activation, and upgraded again.
+// The leader is rolled back right after the activation of a version, and then upgraded again.
 func TestRollbackOfLeaderAfterActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -29,14 +29,14 @@
 	if errors.Is(err, storage.ErrNotFound) {
 		return upgrade.Initial()
 	}
-	record, derr := upgrade.DecodeRecord(leadership.ClusterKey, item.Data)
-	if derr != nil && err == nil {
-		sim.t.Fatal(derr)
+	record, decodeErr := upgrade.DecodeRecord(leadership.ClusterKey, item.Data)
+	if decodeErr != nil && err == nil {
+		sim.t.Fatal(decodeErr)
 	}
 	return record
 }
 
-// awaitActive waits until a version is active and no gate is being withdrawn.
+// awaitActive waits until the given version is active and no gate is being withdrawn.
 func (sim *simulation) awaitActive(version upgrade.Version, within time.Duration) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("version %d active", version), within, func() bool {
@@ -45,7 +45,7 @@
 	})
 }
 
-// follower returns a node that doesn't lead.
+// follower returns a node that isn't the leader.
 func (sim *simulation) follower() *fakeNode {
 	sim.t.Helper()
 	if sim.awaitLeader() == sim.nodes[0] {
@@ -74,7 +74,7 @@
 	}
 }
 
-// startKilled starts the nodes that don't run.
+// startKilled starts the nodes that have no running process.
 func (sim *simulation) startKilled() {
 	for _, n := range sim.nodes {
 		if n.cancelRun == nil {
@@ -83,35 +83,37 @@
 	}
 }
 
-// restartAllWithVersion restarts all nodes with a version.
+// restartAllWithVersion restarts all nodes with processes of the given version.
 func (sim *simulation) restartAllWithVersion(version upgrade.Version) {
 	for _, n := range sim.nodes {
 		n.restartWithVersion(version)
 	}
 }
 
-// submitGang submits a gang job until it is accepted.
+// submitGang submits a gang job of three tasks, and retries until it is accepted.
 func (sim *simulation) submitGang(id string) {
 	sim.t.Helper()
-	g := clustertest.Array(id, 3)
-	g.Gang = true
-	sim.submit(g)
+	gang := clustertest.Array(id, 3)
+	gang.Gang = true
+	sim.submit(gang)
 }
 
+// writesClusterRecord reports whether a transaction writes the cluster record.
 func writesClusterRecord(tx storagetest.Txn) bool {
-	return writes(tx, leadership.ClusterKey)
+	return writesKey(tx, leadership.ClusterKey)
 }
 
-// New behaviour is disabled until every controller supports it; until then gang jobs are left undecided, so that users retry.
+// A new feature stays off until every controller supports it. Until then a submission of a gang job gets no decision,
+// so that the user retries.
 func TestGatesOpenOnceAllControllersAreUpgraded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
 		sim.submit(clustertest.Service("000001", 3))
-		g := clustertest.Array("000002", 3)
-		g.Gang = true
-		sim.storeSpec(g)
+		gang := clustertest.Array("000002", 3)
+		gang.Gang = true
+		sim.storeSpec(gang)
 		for i, n := range sim.nodes {
-			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, g.ID, g); a.Decided() {
+			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, gang.ID, gang); a.Decided() {
 				t.Errorf("with %d nodes upgraded a gang job is answered %+v, want no decision", i, a)
 			}
 			if r := sim.clusterRecord(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
@@ -121,14 +123,14 @@
 			time.Sleep(10 * time.Second)
 		}
 		sim.awaitActive(upgrade.Current, 10*time.Second)
-		sim.submit(g)
+		sim.submit(gang)
 		sim.awaitDone("000002")
 		sim.awaitRunning("000001", 3)
 	})
 }
 
-// A transaction of the upgrade is lost, committed without a response, or delayed, and the leader may crash with it. The next leader
-// continues from the record.
+// A transaction that writes a step of the upgrade is dropped, committed without a response, or delayed. In half of
+// the cases the leader also crashes at that step, and the next leader continues from the cluster record.
 func TestUpgradeSurvivesLostStep(t *testing.T) {
 	for _, fault := range []string{"dropped", "unanswered", "delayed"} {
 		for _, kill := range []bool{false, true} {
@@ -141,17 +143,19 @@
 	}
 }
 
-// runUpgradeWithLostStep upgrades the fleet and uses a gate, while the given transaction on the cluster record meets a fault.
+// runUpgradeWithLostStep upgrades the fleet and uses a gate. It injects the fault into one transaction that writes
+// the cluster record, where step is the index of that transaction. If kill is set, it also restarts the leader at
+// that transaction.
 func (sim *simulation) runUpgradeWithLostStep(fault string, kill bool, step int) {
 	sim.restartAllWithVersion(upgrade.Version1)
 	sim.submit(clustertest.Service("000001", 2))
 	sim.awaitLeader()
-	var seen atomic.Int32
+	var clusterWrites atomic.Int32
 	matches := func(tx storagetest.Txn) bool {
 		if !writesClusterRecord(tx) {
 			return false
 		}
-		if int(seen.Add(1)) != step+1 {
+		if int(clusterWrites.Add(1)) != step+1 {
 			return false
 		}
 		if kill {
@@ -189,8 +193,8 @@
 	sim.awaitRunning("000001", 2)
 }
 
-// Throughout the upgrade the key-value store is unavailable, to all nodes or to one, or its limits are lowered. That delays the
-// upgrade and nothing else.
+// During the upgrade the key-value store is unavailable to all nodes or to one node, or its limits are lowered. This
+// may delay the upgrade but must have no other effect.
 func TestUpgradeDuringStoreFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -223,22 +227,22 @@
 	}
 }
 
-// With a damaged cluster record no controller leads, and users are asked to retry.
+// While the cluster record is damaged no controller leads, and users get responses that ask them to retry.
 func TestDamagedClusterRecordPreventsLeadership(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		client := &storagetest.Client{Service: sim.state}
-		good, err := client.Get(context.Background(), leadership.ClusterKey)
+		original, err := client.Get(context.Background(), leadership.ClusterKey)
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := func(data string) {
+		setClusterRecord := func(data string) {
 			if _, err := client.Apply(nil, []storage.Op{{Key: leadership.ClusterKey, Data: json.RawMessage(data)}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		set(`{"schema":1,"active":0}`)
+		setClusterRecord(`{"schema":1,"active":0}`)
 		// The leader reads the record again only when a registration changes.
 		sim.writeKey(leadership.RegistrationPrefix+"n2", upgrade.NewRegistration("n2", "another", upgrade.Supported))
 		time.Sleep(10 * time.Second)
@@ -254,16 +258,16 @@
 		}
 		for _, n := range sim.nodes {
 			if a := sim.requestFrom(n, api.OpPoll, "000001", storage.Spec{}); a.Code != api.CodeUnavailable || a.RetrySeconds == 0 {
-				t.Errorf("%s answers %+v, want unavailable with a time to retry", n.name, a)
+				t.Errorf("poll on %s: got %+v, want unavailable with a retry interval", n.name, a)
 			}
 		}
-		set(string(good.Data))
+		setClusterRecord(string(original.Data))
 		sim.awaitLeader()
 		sim.awaitRunning("000001", 2)
 	})
 }
 
-// A damaged registration delays the activation until its node registers again.
+// A damaged registration delays the activation of a version until its node registers again.
 func TestDamagedRegistrationDelaysActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -285,7 +289,7 @@
 	})
 }
 
-// Three nodes, three versions: the lowest counts, whoever leads.
+// While the nodes are of three versions, the lowest of them stays active, whichever node leads.
 func TestFleetOfThreeVersions(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.nodes[0].restartWithVersion(upgrade.Version1)
@@ -295,7 +299,7 @@
 		for range 4 {
 			time.Sleep(10 * time.Second)
 			if r := sim.clusterRecord(); r.Active != upgrade.Version1 {
-				t.Fatalf("%+v", r)
+				t.Fatalf("cluster record %+v, want version 1 active", r)
 			}
 			sim.awaitLeader().restart()
 		}
@@ -307,8 +311,8 @@
 	})
 }
 
-// Random upgrades, rollbacks, restarts, partitions and outages under a stream of jobs. The simulation checks that no task is lost or
-// runs twice, and that no response goes back behind an earlier one.
+// The nodes go through random upgrades, rollbacks, restarts, partitions and outages while jobs are submitted. The
+// simulation checks that no task is lost or runs twice, and that no response contradicts an earlier one.
 func TestRandomUpgradesAndRollbacks(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -317,7 +321,7 @@
 	}
 }
 
-// runRandomUpgrades runs fourteen random steps, and then upgrades the fleet.
+// runRandomUpgrades runs fourteen random steps and then upgrades all nodes.
 func (sim *simulation) runRandomUpgrades(random *rand.Rand) {
 	sim.restartAllWithVersion(upgrade.Version(1 + random.IntN(3)))
 	sim.submit(clustertest.Service("000001", 4))
@@ -352,8 +356,8 @@
 	sim.awaitDone("000100")
 }
 
-// If another leader has activated a version above a node's target, the node doesn't start and says why in one line; a running
-// one isn't stopped.
+// A leader without a target may activate a version above the upgrade.target of another node. That node then refuses
+// to start, with an error of one line. A process that already runs isn't stopped, and may still become the leader.
 func TestTargetBelowActiveVersion(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		limitTarget := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
@@ -367,7 +371,7 @@
 			if n.node.settings.Tuning.Upgrade.Policy.Target == 0 {
 				continue
 			}
-			n.cutStore.Store(true) // so that the node without a target leads
+			n.cutStore.Store(true) // so that the node without a target becomes the leader
 			defer n.cutStore.Store(false)
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -381,13 +385,14 @@
 		}
 		leader.restart()
 		sim.eventually("the start is refused", 20*time.Second, func() bool { return leader.refusal.Load() != nil })
-		if why := (*leader.refusal.Load()).Error(); !strings.HasPrefix(why, "upgrade.target: ") || strings.Contains(why, "\n") {
-			t.Errorf("refused with %q, want one line on upgrade.target", why)
+		if message := (*leader.refusal.Load()).Error(); !strings.HasPrefix(message, "upgrade.target: ") || strings.Contains(message, "\n") {
+			t.Errorf("refused with %q, want one line on upgrade.target", message)
 		}
 	})
 }
 
-// A slow key-value store prevents neither registration nor leadership, because reading the cluster record has a timeout of its own.
+// A slow key-value store prevents neither registration nor leadership, because the candidate reads the cluster record
+// under a timeout of its own.
 func TestElectionWithSlowStore(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -17,17 +17,17 @@
 	"sagevale/internal/worker"
 )
 
-// Leaders of earlier versions and of this one may follow each other, so that each reads what the others wrote. Every folder of
-// testdata holds what one of them really wrote.
+// Leaders of earlier versions and of this version may succeed each other, so each version must read what the others
+// have written. Each directory of testdata holds what a process of an earlier version has written.
 
-// readFrozen decodes a file that an earlier version wrote.
+// readFrozen decodes a file of testdata that an earlier version wrote.
 func readFrozen(t *testing.T, version, name string, value any) {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", version, name))
+	data, err := os.ReadFile(filepath.Join("testdata", version, name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(raw, value); err != nil {
+	if err := json.Unmarshal(data, value); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -36,7 +36,7 @@
 	lowered := storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
 	for _, c := range []struct {
 		version, file string
-		next          *storage.Limits // the lowered limits when it was written, if any
+		next          *storage.Limits // the lowered limits under which the file was written; nil: none
 	}{
 		{"production", "store.json", nil},
 		{"769a0b2", "store.json", nil},
@@ -61,7 +61,8 @@
 	}
 }
 
-// checkLoadedStore starts the nodes on a store that freeze_test.go has written, and checks that all jobs are known and continue.
+// checkLoadedStore starts the nodes on a store that TestFreeze of an earlier version has written, and checks that the
+// leader has all jobs and continues them. hasLongRecord reports whether the store holds a record in fragments.
 func (sim *simulation) checkLoadedStore(hasLongRecord bool) {
 	t := sim.t
 	array, replicas, gang := clustertest.Array("000001", 70), clustertest.Service("000002", 3), clustertest.Array("000005", 3)
@@ -78,7 +79,7 @@
 	sim.startAll()
 	leader := sim.awaitLeader()
 	if term := leader.node.view.Load().role.Term; term != 2 {
-		t.Errorf("leads term %d after the earlier version's first, want 2", term)
+		t.Errorf("got term %d after the first term of the earlier version, want 2", term)
 	}
 	for id, state := range want {
 		sim.withLock(func() { sim.cancelRequested[id] = id == "000004" })
@@ -95,10 +96,10 @@
 	if done <= 20 || done >= 70 {
 		t.Errorf("%d tasks of the array are done, want 21 to 69", done)
 	}
-	// The machines of the store are gone: all tasks on them start again in time.
+	// The machines in the store no longer exist, so all tasks on them must start again on other machines in time.
 	sim.withLock(func() {
 		for i := range 70 {
-			sim.completed[worker.TaskID{Job: "000001", Task: i}] = true // those done before haven't run in this simulation
+			sim.completed[worker.TaskID{Job: "000001", Task: i}] = true // tasks that are done in the store don't run in this simulation
 		}
 	})
 	sim.awaitRunning("000002", 3)
@@ -109,14 +110,14 @@
 	sim.awaitDone("000005")
 }
 
-// longRecord returns the specification of a service whose record exceeds a value of 2 KiB even if compressed, so that it is stored
-// in fragments under limits that low.
+// longRecord returns the specification of a service whose record takes more than 2 KiB even if compressed, so that it
+// is stored in fragments under a limit of 2 KiB on values.
 func longRecord(id string) storage.Spec {
-	s := clustertest.Service(id, 1)
-	s.Types = []string{"cpu"}
-	r := rand.New(rand.NewPCG(7, 7))
+	spec := clustertest.Service(id, 1)
+	spec.Types = []string{"cpu"}
+	random := rand.New(rand.NewPCG(7, 7))
 	for range 100 {
-		s.Types = append(s.Types, strconv.FormatUint(r.Uint64(), 36))
+		spec.Types = append(spec.Types, strconv.FormatUint(random.Uint64(), 36))
 	}
-	return s
+	return spec
 }
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -14,7 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// runFencingSimulation runs a scenario in which a worker's token is raised after the given number of ended attempts.
+// runFencingSimulation runs a scenario in which a worker's token is raised once the worker must retain window ended
+// attempts, or as many as it has live attempts if that is more.
 func runFencingSimulation(t *testing.T, window int, scenario func(sim *simulation)) {
 	t.Helper()
 	addTeam := func(s *config.Settings) {
@@ -23,15 +24,16 @@
 	runSimulationWithTuning(t, addTeam, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, scenario)
 }
 
-// shortTaskArray returns the specification of an array of short tasks, few of which run at a time.
+// shortTaskArray returns the specification of a job array of two-second tasks. The limit of its team lets 20 of them
+// run at a time.
 func shortTaskArray(id string, tasks int) storage.Spec {
-	s := clustertest.Array(id, tasks)
-	s.Team, s.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
-	s.EstimateS = 2
-	return s
+	spec := clustertest.Array(id, tasks)
+	spec.Team, spec.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
+	spec.EstimateS = 2
+	return spec
 }
 
-// longestReport returns the largest number of tasks in a worker's report.
+// longestReport returns the largest number of tasks that any live worker reports.
 func (sim *simulation) longestReport() int {
 	longest := 0
 	for _, wk := range sim.allWorkers() {
@@ -42,7 +44,8 @@
 	return longest
 }
 
-// In a term of any length, a worker's reports and what the leader retains of it are bounded by its live tasks and a small window.
+// However long a term lasts, a worker's reports, and the ended attempts that the leader makes it retain, are bounded
+// by the worker's live tasks and a small window.
 func TestRetainedAttemptsAreBoundedWithinTerm(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
@@ -52,19 +55,20 @@
 		term := leader.node.view.Load().role.Term
 		for end := time.Now().Add(30 * time.Minute); time.Now().Before(end); time.Sleep(3 * time.Second) {
 			if n := sim.longestReport(); n > fencing.MaxRetained/2 {
-				t.Fatalf("a report of %d tasks, want at most %d", n, fencing.MaxRetained/2)
+				t.Fatalf("longest report: got %d tasks, want at most %d", n, fencing.MaxRetained/2)
 			}
 		}
 		if a := sim.poll("000002"); a.Done < 5000 {
-			t.Errorf("%d tasks done, want at least 5000 for the test to mean anything", a.Done)
+			t.Errorf("%d tasks done, want at least 5000 for a meaningful test", a.Done)
 		}
 		if now := sim.awaitLeader(); now != leader || now.node.view.Load().role.Term != term {
-			t.Error("leadership was lost")
+			t.Error("the leader or the term has changed, want neither")
 		}
 	})
 }
 
-// repeatCommands makes workers execute all recorded direct commands again and again until the simulation ends.
+// repeatCommands records all direct commands from now on, and delivers them to the workers repeatedly until the
+// simulation ends.
 func (sim *simulation) repeatCommands() {
 	sim.withLock(func() { sim.recordingCommands = true })
 	go func() {
@@ -79,8 +83,8 @@
 	}()
 }
 
-// Tokens are raised during faults, while all direct commands are delivered again late. The workers show that tasks make progress, and
-// the simulation checks its invariants.
+// Workers' tokens are raised during faults, while all direct commands are delivered again late. The test checks that
+// tasks still complete and that reports stay short, and the simulation checks its invariants.
 func TestTokensAreRaisedDuringFaults(t *testing.T) {
 	const short, long = 8 * time.Second, 40 * time.Second
 	machineFault := func(set func(*fakeWorker, bool), duration time.Duration) func(*simulation) {
@@ -104,8 +108,8 @@
 		fault func(*simulation)
 	}{
 		{"none", func(*simulation) { time.Sleep(long) }},
-		{"commands delayed beyond an epoch", machineFault(delayCommands, short)},
-		{"commands delayed beyond several epochs", machineFault(delayCommands, long)},
+		{"commands delayed beyond a token raise", machineFault(delayCommands, short)},
+		{"commands delayed beyond several token raises", machineFault(delayCommands, long)},
 		{"responses lost", machineFault(dropResponses, short)},
 		{"responses lost beyond the lease", machineFault(dropResponses, long)},
 		{"heartbeats lost", machineFault(dropHeartbeats, short)},
@@ -165,24 +169,24 @@
 				before := sim.poll("000002").Done
 				time.Sleep(long)
 				if n := sim.poll("000002").Done; n <= before && n < 4000 {
-					t.Errorf("%d tasks of the array are done after %d before, want progress", n, before)
+					t.Errorf("%d tasks of the array are done, want more than the %d before", n, before)
 				}
 				if n := sim.longestReport(); n > fencing.MaxRetained/2 {
-					t.Errorf("a report of %d tasks, want at most %d", n, fencing.MaxRetained/2)
+					t.Errorf("longest report: got %d tasks, want at most %d", n, fencing.MaxRetained/2)
 				}
 			})
 		})
 	}
 }
 
-// While a zone is partitioned, its controller renews the leases of workers with raised tokens.
+// While a zone is partitioned, the controller in the zone also renews the leases of workers with raised tokens.
 func TestDelegationRenewsRaisedTokens(t *testing.T) {
 	runFencingSimulation(t, 1, func(sim *simulation) {
 		const zone = "b"
-		service, short := clustertest.Service("000001", 4), shortTaskArray("000002", 2000)
-		service.Zone, short.Zone = zone, zone
+		service, shortTasks := clustertest.Service("000001", 4), shortTaskArray("000002", 2000)
+		service.Zone, shortTasks.Zone = zone, zone
 		sim.submit(service)
-		sim.submit(short)
+		sim.submit(shortTasks)
 		sim.awaitRunning("000001", 4)
 		for sim.awaitLeader().zone == zone {
 			sim.crash(sim.awaitLeader(), 2*time.Second)
@@ -201,23 +205,23 @@
 		time.Sleep(sim.settings.WorkerLease + 2*time.Second)
 		for wk, incarnation := range incarnations {
 			if wk.report().Incarnation != incarnation {
-				t.Errorf("worker %d has lost its lease in the partition", wk.id)
+				t.Errorf("worker %d has lost its lease during the partition", wk.id)
 			}
 		}
 		sim.isolateZone("")
 	})
 }
 
-// The next leader's tokens exceed all of this one's, and so do its attempt numbers.
+// The tokens and attempt numbers of each term are above all those of the term before it.
 func TestNextTermExceedsAllTokens(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
-		sim.submitGang("000001") // uses a gate, which writes the term record again
+		sim.submitGang("000001") // marks a gate as used, which writes the term record again
 		first := sim.awaitLeader().node.view.Load().scheduler
 		sim.awaitLeader().kill()
 		next := sim.awaitLeader().node.view.Load().scheduler
 		if next.tokens.First <= first.tokens.Last || first.tokens.Last-first.tokens.First+1 != fencing.TokensPerTerm {
-			t.Errorf("tokens %+v and then %+v, want ranges of %d in ascending order", first.tokens, next.tokens, fencing.TokensPerTerm)
+			t.Errorf("tokens %+v, then %+v in the next term, want ascending ranges of %d tokens", first.tokens, next.tokens, fencing.TokensPerTerm)
 		}
 		if numbers := next.lastAttempt - first.lastAttempt; numbers < fencing.TokensPerTerm*attemptNumbersPerToken {
 			t.Errorf("%d attempt numbers in a term, want at least %d", numbers, fencing.TokensPerTerm*attemptNumbersPerToken)
@@ -225,24 +229,24 @@
 	})
 }
 
-// If no token is left to raise, a worker that retains too many attempts receives start commands only in responses to its
-// heartbeats, for which it need not retain more.
+// If a term has no higher token for a worker that must retain too many ended attempts, the worker receives start
+// commands only in the responses to its heartbeats. It need not retain the attempts that those commands start.
 func TestWorkerWithFullFenceStartsTasksByHeartbeat(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
 		sim.awaitActive(upgrade.Current, time.Minute)
 		time.Sleep(10 * time.Second)
-		d := sim.awaitLeader().node.view.Load().scheduler
+		sched := sim.awaitLeader().node.view.Load().scheduler
 		for _, wk := range sim.allWorkers() { // each receives the term's last token
-			wk.executeDirect(d.tokens.Last, wk.incarnation, nil)
+			wk.executeDirect(sched.tokens.Last, wk.incarnation, nil)
 		}
 		sim.submit(shortTaskArray("000002", 700))
 		sim.awaitDone("000002")
 		if n := sim.longestReport(); n < fencing.MaxRetained || n > fencing.MaxRetained+fencing.MaxRetained/2 {
-			t.Errorf("a report of %d tasks, want %d to %d", n, fencing.MaxRetained, fencing.MaxRetained+fencing.MaxRetained/2)
+			t.Errorf("longest report: got %d tasks, want %d to %d", n, fencing.MaxRetained, fencing.MaxRetained+fencing.MaxRetained/2)
 		}
-		if d.resigned {
+		if sched.resigned {
 			t.Error("the leader has resigned")
 		}
 		sim.awaitLeader().kill()
@@ -251,8 +255,8 @@
 	})
 }
 
-// While a controller doesn't know the range of a term's tokens, none is raised, because it could not renew the leases of workers
-// with raised tokens.
+// No token is raised while some controller is of a version that doesn't know the range of a term's tokens, because
+// that controller could not renew the leases of workers with raised tokens.
 func TestTokensAreNotRaisedBesideEarlierVersion(t *testing.T) {
 	runFencingSimulation(t, 1, func(sim *simulation) {
 		sim.nodes[2].restartWithVersion(upgrade.Version4)
@@ -279,34 +283,35 @@
 	})
 }
 
-// Reports under a raised token prove the same as those under the term's first one.
+// A report under a raised token proves the absence of attempts and confirms the machine, as a report under the term's
+// first token does.
 func TestRaisedTokenBelongsToTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.addAcceptedJob(clustertest.Array("000001", 1))
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
+		j := sched.addAcceptedJob(clustertest.Array("000001", 1))
 		a := &cluster.Attempt{
 			Job: j, Task: 0, Number: 1, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true,
-			Delivery: cluster.DeliverySettled, DeliveryToken: d.term, Reported: true,
+			Delivery: cluster.DeliverySettled, DeliveryToken: sched.term, Reported: true,
 		}
-		d.addAttempt(a)
-		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: d.term + 1}
-		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
+		sched.addAttempt(a)
+		r := &worker.Report{Machine: 1, Addr: "1", Type: "cpu", Zone: "a", Incarnation: 1, Seq: 5, Token: sched.term + 1}
+		if sched.handleHeartbeat(r); len(m.Attempts) != 0 {
 			t.Error("an attempt that is gone is still reserved")
 		}
 		stopped := &cluster.Attempt{Job: j, Task: 0, Number: 3, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, CommandedSeq: 5, Stopping: true}
-		d.addAttempt(stopped)
+		sched.addAttempt(stopped)
 		r.Seq++
-		if d.handleHeartbeat(r); len(m.Attempts) != 0 {
+		if sched.handleHeartbeat(r); len(m.Attempts) != 0 {
 			t.Error("a stopped attempt that never started is still reserved")
 		}
-		m.Fence.Retain(cluster.AttemptKey{ID: a.ID(), Number: 2}, d.term+1)
-		d.expireLeases(time.Now().Add(time.Hour))
+		m.Fence.Retain(cluster.AttemptKey{ID: a.ID(), Number: 2}, sched.term+1)
+		sched.expireLeases(time.Now().Add(time.Hour))
 		if m.Confirmed {
 			t.Fatal("the machine is confirmed after its lease has expired")
 		}
 		r.Incarnation, r.Seq = 2, 1
-		if d.handleHeartbeat(r); !m.Confirmed || m.Fence.Retained() != 0 {
+		if sched.handleHeartbeat(r); !m.Confirmed || m.Fence.Retained() != 0 {
 			t.Errorf("a later incarnation is confirmed %v and retains %d attempts, want true and none", m.Confirmed, m.Fence.Retained())
 		}
 	})
