--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -15,16 +15,16 @@
 	"testing"
 )
 
-// architecturePage is the page that describes the packages, from this directory.
+// architecturePage is the page that describes the packages, relative to this directory.
 const architecturePage = "../docs/architecture.md"
 
-// modulePrefix begins the import paths of the module's packages.
+// modulePrefix is the prefix of the import paths of the module's packages.
 const modulePrefix = "sagevale/"
 
-// testSupport is the layer of packages that only tests and fleetload import. They may import each other.
+// testSupport is the layer of packages that only tests and fleetload import. Packages of this layer may import each other.
 const testSupport = "tests"
 
-// layers are the packages of the module, each with its layer. A package imports only packages of lower layers.
+// layers maps the directory of each package of the module to its layer. A package may import only packages of lower layers.
 var layers = map[string]string{
 	"cmd/sagevale":                 "9",
 	"internal/transport":           "8",
@@ -62,25 +62,25 @@
 	"cmd/fleetload":                testSupport,
 }
 
-// sourcePackage is a package as its program files declare it.
+// sourcePackage holds the imports and declarations of a package, without its test files.
 type sourcePackage struct {
 	name    string
-	imports []string        // packages of the module, by directory, sorted
+	imports []string        // directories of imported packages of the module, sorted
 	members map[string]bool // "Name" of declarations, "Type.Member" of methods, fields and interface methods
 }
 
-// TestImportsGoDownwards checks the program files of each package against the layers.
+// TestImportsGoDownwards checks the imports of each package, without its test files, against the layers.
 func TestImportsGoDownwards(t *testing.T) {
 	packages := readPackages(t)
 	for dir := range layers {
 		if packages[dir] == nil {
-			t.Errorf("layers has %s, which is no package", dir)
+			t.Errorf("layers lists %s, which is not a package", dir)
 		}
 	}
 	for dir, p := range packages {
 		layer, ok := layers[dir]
 		if !ok {
-			t.Errorf("layers lacks package %s", dir)
+			t.Errorf("layers does not list package %s", dir)
 			continue
 		}
 		for _, imported := range p.imports {
@@ -91,7 +91,7 @@
 	}
 }
 
-// mayImport reports whether a package of a layer may import one of another.
+// mayImport reports whether a package of a layer may import a package of the other layer.
 func mayImport(layer, imported string) bool {
 	if layer == testSupport {
 		return imported != ""
@@ -112,7 +112,7 @@
 		if row.layer != layers[dir] {
 			t.Errorf("%s: layer of %s: got %s, want %s", architecturePage, dir, row.layer, layers[dir])
 		}
-		if row.job == "" {
+		if row.description == "" {
 			t.Errorf("%s: %s has no description", architecturePage, dir)
 		}
 		if want := shortNames(p.imports); row.imports != want {
@@ -121,12 +121,12 @@
 	}
 	for dir := range rows {
 		if packages[dir] == nil {
-			t.Errorf("%s has a row for %s, which is no package", architecturePage, dir)
+			t.Errorf("%s has a row for %s, which is not a package", architecturePage, dir)
 		}
 	}
 }
 
-// TestArchitecturePageNamesExistingCode checks each name of the form `package.Name` or `package.Type.Member`.
+// TestArchitecturePageNamesExistingCode checks that each `package.Name` or `package.Type.Member` on the page exists.
 func TestArchitecturePageNamesExistingCode(t *testing.T) {
 	byName := make(map[string]*sourcePackage)
 	for dir, p := range readPackages(t) {
@@ -135,10 +135,10 @@
 		}
 	}
 	found := 0
-	for _, match := range codeName.FindAllStringSubmatch(readPage(t), -1) {
+	for _, match := range codeReference.FindAllStringSubmatch(readPage(t), -1) {
 		p := byName[match[1]]
 		if p == nil {
-			continue // a key, a property, a file
+			continue // not a package: a key, a property or a file
 		}
 		found++
 		if !p.members[match[2]] {
@@ -146,19 +146,19 @@
 		}
 	}
 	if found == 0 {
-		t.Errorf("%s: got no names of code, want some", architecturePage)
+		t.Errorf("%s: got no references to code, want at least one", architecturePage)
 	}
 }
 
 var (
-	// codeName matches a name of code: the package, then a declaration and possibly its member.
-	codeName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
-	// packageRow matches a row of the table of packages: layer, directory, job, imports.
+	// codeReference matches a reference to code: a package, a declaration and optionally its member.
+	codeReference = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
+	// packageRow matches a row of the table of packages: layer, directory, description, imports.
 	packageRow = regexp.MustCompile("(?m)^\\| (\\w+) \\| `((?:cmd|internal)/[\\w/]+)` \\| ([^|]*) \\|([^|]*)\\|$")
 )
 
 // pageRow is a row of the page's table of packages.
-type pageRow struct{ layer, job, imports string }
+type pageRow struct{ layer, description, imports string }
 
 func pageRows(t *testing.T) map[string]pageRow {
 	t.Helper()
@@ -167,7 +167,7 @@
 		if _, twice := rows[match[2]]; twice {
 			t.Errorf("%s has two rows for %s", architecturePage, match[2])
 		}
-		rows[match[2]] = pageRow{layer: match[1], job: strings.TrimSpace(match[3]), imports: strings.TrimSpace(match[4])}
+		rows[match[2]] = pageRow{layer: match[1], description: strings.TrimSpace(match[3]), imports: strings.TrimSpace(match[4])}
 	}
 	return rows
 }
@@ -181,7 +181,7 @@
 	return string(page)
 }
 
-// shortNames lists packages as the page does.
+// shortNames returns a list of packages as the page writes it: separated by commas, without the prefix "internal/".
 func shortNames(dirs []string) string {
 	names := make([]string, 0, len(dirs))
 	for _, dir := range dirs {
@@ -190,12 +190,12 @@
 	return strings.Join(names, ", ")
 }
 
-// readPackages parses the program files of the module, and returns its packages by directory.
+// readPackages parses the Go files under cmd and internal, except tests, and returns the packages by directory.
 func readPackages(t *testing.T) map[string]*sourcePackage {
 	t.Helper()
 	packages := make(map[string]*sourcePackage)
-	files := token.NewFileSet()
-	read := func(file string, entry fs.DirEntry, err error) error {
+	fileSet := token.NewFileSet()
+	readFile := func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -205,7 +205,7 @@
 		if entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
 			return nil
 		}
-		parsed, err := parser.ParseFile(files, file, nil, parser.SkipObjectResolution)
+		parsed, err := parser.ParseFile(fileSet, file, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
@@ -213,10 +213,10 @@
 		if packages[dir] == nil {
 			packages[dir] = &sourcePackage{name: parsed.Name.Name, members: make(map[string]bool)}
 		}
-		return packages[dir].add(parsed)
+		return packages[dir].addFile(parsed)
 	}
 	for _, root := range []string{"../cmd", "../internal"} {
-		if err := filepath.WalkDir(root, read); err != nil {
+		if err := filepath.WalkDir(root, readFile); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -227,8 +227,8 @@
 	return packages
 }
 
-// add adds the imports and the declarations of a file.
-func (p *sourcePackage) add(file *ast.File) error {
+// addFile adds the imports and declarations of a file.
+func (p *sourcePackage) addFile(file *ast.File) error {
 	for _, spec := range file.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
@@ -244,14 +244,14 @@
 			p.members[receiverPrefix(d)+d.Name.Name] = true
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
-				p.addSpec(spec)
+				p.addDeclaration(spec)
 			}
 		}
 	}
 	return nil
 }
 
-func (p *sourcePackage) addSpec(spec ast.Spec) {
+func (p *sourcePackage) addDeclaration(spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
--- a/internal/log_messages_test.go
+++ b/internal/log_messages_test.go
@@ -13,30 +13,30 @@
 	"testing"
 )
 
-// logPage is the page whose table lists all log messages, from this directory.
-const logPage = "../docs/operating-incidents.md"
+// incidentsPage is the page whose table lists all log messages, relative to this directory.
+const incidentsPage = "../docs/operating-incidents.md"
 
-// logRow matches a row of the table: message, levels, keys.
-var logRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([a-z, ]+) \\| ([^|]+) \\| [^|]+ \\|$")
+// messageRow matches a row of the table: message, levels, keys.
+var messageRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([a-z, ]+) \\| ([^|]+) \\| [^|]+ \\|$")
 
 // loggedMessage is a log call with its constant message and keys.
 type loggedMessage struct {
 	position token.Position
 	message  string
-	level    string // "": chosen at run time
+	level    string // "": chosen at run time, not checked
 	keys     []string
 }
 
 // TestIncidentsPageListsLogMessages checks that the page lists exactly the messages that the programs log, with their
-// levels and keys: engineers on call search the page for what they read in the log.
+// levels and keys, since engineers on call search the page for messages that they find in the log.
 func TestIncidentsPageListsLogMessages(t *testing.T) {
-	page, err := os.ReadFile(logPage)
+	page, err := os.ReadFile(incidentsPage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	type row struct{ levels, keys string }
 	rows := make(map[string]row)
-	for _, match := range logRow.FindAllStringSubmatch(string(page), -1) {
+	for _, match := range messageRow.FindAllStringSubmatch(string(page), -1) {
 		rows[match[1]] = row{levels: match[2], keys: match[3]}
 	}
 	logged := make(map[string]bool)
@@ -44,26 +44,26 @@
 		logged[m.message] = true
 		r, ok := rows[m.message]
 		if !ok {
-			t.Errorf("%v: message %q has no row in %s", m.position, m.message, logPage)
+			t.Errorf("%v: message %q has no row in %s", m.position, m.message, incidentsPage)
 			continue
 		}
 		if m.level != "" && !slices.Contains(strings.Split(r.levels, ", "), m.level) {
-			t.Errorf("%v: message %q is logged at level %s, %s lists %q", m.position, m.message, m.level, logPage, r.levels)
+			t.Errorf("%v: message %q is logged at level %s, %s lists %q", m.position, m.message, m.level, incidentsPage, r.levels)
 		}
 		for _, key := range m.keys {
 			if !strings.Contains(r.keys, "`"+key+"`") {
-				t.Errorf("%v: message %q has key %s, %s lists %s", m.position, m.message, key, logPage, r.keys)
+				t.Errorf("%v: message %q has key %s, %s lists %s", m.position, m.message, key, incidentsPage, r.keys)
 			}
 		}
 	}
 	for message := range rows {
 		if !logged[message] {
-			t.Errorf("%s lists message %q, which nothing logs", logPage, message)
+			t.Errorf("%s lists message %q, which no program logs", incidentsPage, message)
 		}
 	}
 }
 
-// readLogCalls returns the log calls of all program files but those of test support.
+// readLogCalls returns the log calls of all packages but those of test support, without test files.
 func readLogCalls(t *testing.T) []loggedMessage {
 	t.Helper()
 	var calls []loggedMessage
@@ -77,7 +77,7 @@
 		}
 		for _, name := range files {
 			if !strings.HasSuffix(name, "_test.go") {
-				calls = append(calls, readLogCallsOf(t, name)...)
+				calls = append(calls, readLogCallsOfFile(t, name)...)
 			}
 		}
 	}
@@ -87,10 +87,10 @@
 	return calls
 }
 
-func readLogCallsOf(t *testing.T, name string) []loggedMessage {
+func readLogCallsOfFile(t *testing.T, fileName string) []loggedMessage {
 	t.Helper()
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, name, nil, 0)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, fileName, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 			return true
 		}
 		if m, ok := parseLogCall(call); ok {
-			m.position = files.Position(call.Pos())
+			m.position = fileSet.Position(call.Pos())
 			calls = append(calls, m)
 		}
 		return true
@@ -109,7 +109,7 @@
 	return calls
 }
 
-// parseLogCall returns the message and the constant keys of a call of a logger.
+// parseLogCall returns the message, the level and the constant keys of a log call.
 func parseLogCall(call *ast.CallExpr) (m loggedMessage, ok bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !isLogger(method.X) {
@@ -133,7 +133,7 @@
 	return m, ok
 }
 
-// isLogger reports whether an expression is a logger by its name: log, x.log, x.Log or the package slog.
+// isLogger reports whether the name of an expression denotes a logger: log, x.log, x.Log or the package slog.
 func isLogger(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -144,6 +144,7 @@
 	return false
 }
 
+// stringConstant returns the value of an expression that is a string literal.
 func stringConstant(e ast.Expr) (string, bool) {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// gangChecksPerHeartbeat is how often per heartbeat interval a task of a gang checks the others.
+// gangChecksPerHeartbeat is the number of times per heartbeat interval that a task of a gang checks the gang's other tasks.
 const gangChecksPerHeartbeat = 10
 
 // attemptID identifies an attempt of a task.
@@ -15,26 +15,27 @@
 	number uint64
 }
 
-// attempt is one attempt of a task on a machine.
+// attempt is one attempt of a task on a machine, simulated by timers.
 type attempt struct {
 	id         attemptID
 	job        string
-	state      string // as in heartbeats
-	cause      string
+	state      string // one of the states on the wire
+	cause      string // of the end, one of the causes on the wire
 	stateSince time.Time
-	running    bool // started and not ended
-	restarted  bool // an earlier attempt of the task has been on a machine
+	running    bool // its image is fetched and it has not ended
+	restarted  bool // an earlier attempt of the task has run
 	team       string
 	cpus       float64
 }
 
-// jobOfTask returns the job ID of a task's name.
+// jobOfTask returns the job ID that a task's name begins with.
 func jobOfTask(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	return id
 }
 
-// startAttempt executes the start of an attempt. It ends at once if the worker can't run it.
+// startAttempt executes a start command. The attempt ends at once if the job was not added to the workers, or if
+// another attempt of the task has not ended on the machine.
 func (w *Workers) startAttempt(m *machine, id attemptID, now time.Time) {
 	a := &attempt{id: id, job: jobOfTask(id.task), state: statePulling, stateSince: now}
 	if _, known := w.jobs[a.job]; !known {
@@ -49,7 +50,7 @@
 	w.audit.addAttempt(m, a)
 }
 
-// endAttempt ends an attempt, if it has not ended.
+// endAttempt ends an attempt with a cause. It does nothing if the attempt has ended already.
 func (w *Workers) endAttempt(a *attempt, cause string) {
 	if a.state != stateEnded {
 		a.state, a.cause, a.running = stateEnded, cause, false
@@ -57,7 +58,7 @@
 	}
 }
 
-// expireLease kills all attempts of a machine whose lease has expired, and begins a new incarnation.
+// expireLease kills all attempts of a machine whose lease has expired, and starts a new incarnation.
 func (w *Workers) expireLease(m *machine, now time.Time) {
 	for _, a := range m.attempts {
 		a.running = false
@@ -68,9 +69,9 @@
 	m.leaseRenewedAt = now
 }
 
-// advance applies what time has changed on a machine: lease expiry, fetched images, finished runs and
-// gangs. It reports whether anything has changed. w.mu must be held.
-func (w *Workers) advance(m *machine, now time.Time) (changed bool) {
+// advanceMachine applies the changes of a machine that are due: an expired lease, fetched images, completed tasks, and
+// gangs that can start or have lost a task. It reports whether anything has changed. w.mu must be held.
+func (w *Workers) advanceMachine(m *machine, now time.Time) (changed bool) {
 	if m.deleted {
 		return false
 	}
@@ -98,8 +99,9 @@
 	return changed
 }
 
-// nextChange returns when time changes an attempt of the machine next; the zero time if it doesn't.
-func (w *Workers) nextChange(m *machine) time.Time {
+// nextAttemptChange returns the time at which advanceMachine must be called next for an attempt of the machine, or the
+// zero time if no attempt needs it.
+func (w *Workers) nextAttemptChange(m *machine) time.Time {
 	var next time.Time
 	candidate := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
@@ -120,7 +122,7 @@
 	return next
 }
 
-// runAttempt makes an attempt run once its image is fetched. The audit log finds duplicates here.
+// runAttempt runs an attempt whose image has been fetched. The audit log checks that no other attempt of the task runs.
 func (w *Workers) runAttempt(m *machine, a *attempt, now time.Time) {
 	j := w.jobs[a.job]
 	a.restarted = w.startedTasks[a.id.task]
@@ -135,7 +137,7 @@
 	}
 }
 
-// startGang starts a gang once all its tasks are gathering, and reports whether it did.
+// startGang starts a gang if all its tasks are gathering, and reports whether it did.
 func (w *Workers) startGang(job string, attemptNumber uint64, now time.Time) bool {
 	var gathering []*attempt
 	for a, m := range w.audit.attemptsByJob[job] {
@@ -152,7 +154,7 @@
 	return true
 }
 
-// gangIncomplete reports whether a running gang has lost a task.
+// gangIncomplete reports whether a task of a running gang neither runs nor has completed.
 func (w *Workers) gangIncomplete(job string, attemptNumber uint64) bool {
 	present := 0
 	for a, m := range w.audit.attemptsByJob[job] {
@@ -176,7 +178,7 @@
 	return running
 }
 
-// Done reports whether all tasks of a job have completed. One is enough for a gang.
+// Done reports whether all tasks of a job have completed. For a gang, one completed task is enough.
 func (w *Workers) Done(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/loopbacktest/audit_log_test.go
+++ b/internal/loopbacktest/audit_log_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// auditFixture is an audit log with two machines and a job of a team.
+// auditFixture is an audit log with two machines and a job.
 type auditFixture struct {
 	*auditLog
 	a, b *machine
@@ -32,7 +32,7 @@
 	return a
 }
 
-// expectViolations checks how often a rule was broken so far, and that no other was.
+// expectViolations checks the number of violations of a rule so far, and that no other rule was broken.
 func (f *auditFixture) expectViolations(t *testing.T, rule Rule, want int) {
 	t.Helper()
 	got := 0
@@ -55,7 +55,7 @@
 	f.expectViolations(t, RanTwice, 0)
 	f.start(f.a, "job-000001/1", 4)
 	f.expectViolations(t, RanTwice, 1)
-	f.b.leaseRenewedAt = f.now.Add(-2 * time.Minute) // expired: nothing runs there
+	f.b.leaseRenewedAt = f.now.Add(-2 * time.Minute) // the lease has expired: no attempt runs on this machine
 	f.start(f.a, "job-000001/0", 5)
 	f.expectViolations(t, RanTwice, 1)
 }
@@ -68,7 +68,7 @@
 	f.start(f.b, "job-000002/0", 3)
 	f.expectViolations(t, OverQuota, 1)
 	f.attemptEnded(second)
-	f.attemptEnded(second) // has no effect
+	f.attemptEnded(second) // a second call has no effect
 	if got := f.cpusInUse["team"]; got != 4 {
 		t.Errorf("got %v processors in use, want 4", got)
 	}
--- a/internal/loopbacktest/cloud.go
+++ b/internal/loopbacktest/cloud.go
@@ -11,16 +11,16 @@
 	"sagevale/internal/protocol"
 )
 
-// maxPageSize is the largest page of the machine list.
+// maxPageSize is the maximum number of machines on a page of the machine list.
 const maxPageSize = 500
 
-// Cloud is the stand-in of the cloud. Workers.mu guards it.
+// Cloud is the stand-in for the cloud's API. Workers.mu guards it.
 type Cloud struct {
 	workers      *Workers
 	cpus         float64 // of a machine
-	machineLimit int     // 0: no limit
+	machineLimit int     // maximum number of machines; 0: no limit
 	nextID       int
-	launched     map[string][]string // machine names by name of the launch request
+	launched     map[string][]string // machine names by name of the launch request, so that launches are idempotent
 }
 
 // newCloud returns a cloud without machines.
@@ -28,25 +28,25 @@
 	return &Cloud{workers: w, cpus: o.MachineCPUs, machineLimit: o.MachineLimit, launched: make(map[string][]string)}
 }
 
-// provision creates machines without a request, spread over the zones.
-func (c *Cloud) provision(count int) {
+// createInitialMachines creates the machines that exist when the fleet starts, spread over the zones.
+func (c *Cloud) createInitialMachines(count int) {
 	c.workers.mu.Lock()
 	defer c.workers.mu.Unlock()
 	for i := range count {
-		m := c.create(machineTypeName, zones[i%len(zones)], false)
-		// Their heartbeats are spread over one interval, as those of a fleet that has been up for long.
+		m := c.createMachine(machineTypeName, zones[i%len(zones)], false)
+		// The heartbeats are spread over one interval, as in a fleet that has run for a long time.
 		c.workers.bootAfter(m, time.Duration(i)*c.workers.timing.Heartbeat/time.Duration(count))
 	}
 }
 
-// create creates a machine that is not booted yet.
-func (c *Cloud) create(typeName, zone string, spot bool) *machine {
-	m := c.workers.add(c.nextID, protocol.MachineName(c.nextID), typeName, zone, spot)
+// createMachine creates a machine that is not booted yet.
+func (c *Cloud) createMachine(typeName, zone string, spot bool) *machine {
+	m := c.workers.addMachine(c.nextID, protocol.MachineName(c.nextID), typeName, zone, spot)
 	c.nextID++
 	return m
 }
 
-// handler serves the protocol.
+// handler returns the HTTP handler of the cloud's API.
 func (c *Cloud) handler() http.Handler {
 	mux := http.NewServeMux()
 	counted := c.workers.traffic.counted
@@ -83,7 +83,7 @@
 	}}})
 }
 
-// launch creates machines. A repeated request of the same name returns the same machines.
+// launch creates machines. A repeated request with the same name returns the same machines.
 func (c *Cloud) launch(w http.ResponseWriter, r *http.Request) {
 	var request protocol.LaunchRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Count < 1 {
@@ -94,7 +94,7 @@
 	defer c.workers.mu.Unlock()
 	names, known := c.launched[request.Name]
 	if !known {
-		names = c.createAll(request)
+		names = c.createRequestedMachines(request)
 		if len(names) == 0 {
 			writeJSON(w, http.StatusServiceUnavailable, errorBody{"no capacity"})
 			return
@@ -104,13 +104,13 @@
 	writeJSON(w, http.StatusOK, protocol.MachineNames{Machines: names})
 }
 
-// createAll creates the machines of one launch request, as far as the limit allows.
-func (c *Cloud) createAll(request protocol.LaunchRequest) (names []string) {
+// createRequestedMachines creates the machines of one launch request, as far as the machine limit allows.
+func (c *Cloud) createRequestedMachines(request protocol.LaunchRequest) (names []string) {
 	for range request.Count {
 		if c.machineLimit > 0 && len(c.workers.byAddr) >= c.machineLimit {
 			break
 		}
-		m := c.create(request.Type, request.Zone, request.Spot)
+		m := c.createMachine(request.Type, request.Zone, request.Spot)
 		c.workers.bootAfter(m, c.workers.timing.Boot)
 		names = append(names, m.name)
 	}
@@ -132,7 +132,7 @@
 	defer c.workers.mu.Unlock()
 	for _, id := range ids {
 		if m := c.workers.machines[id]; m != nil && !m.deleted {
-			c.workers.remove(m)
+			c.workers.deleteMachine(m)
 		}
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -156,9 +156,9 @@
 }
 
 func (c *Cloud) listMachines(w http.ResponseWriter, r *http.Request) {
-	after, pageSize := -1, maxPageSize
+	afterID, pageSize := -1, maxPageSize
 	if from := r.URL.Query().Get("From"); from != "" {
-		after, _ = protocol.ParseMachineName(from) // 0 if it is no machine's name
+		afterID, _ = protocol.ParseMachineName(from) // 0 if it is not a machine's name
 	}
 	if n, err := strconv.Atoi(r.URL.Query().Get("Page")); err == nil && n > 0 && n < pageSize {
 		pageSize = n
@@ -167,11 +167,11 @@
 	defer c.workers.mu.Unlock()
 	machines := []listedMachine{}
 	for id, m := range c.workers.machines {
-		if id <= after || m.deleted {
+		if id <= afterID || m.deleted {
 			continue
 		}
 		state := "booting"
-		if m.up {
+		if m.booted {
 			state = "running"
 		}
 		machines = append(machines, listedMachine{
--- a/internal/loopbacktest/commands.go
+++ b/internal/loopbacktest/commands.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// serveCommands executes commands that the leader sends directly.
+// serveCommands executes commands that the leader sends directly. Status 409 means that the fencing token is
+// outdated, that the commands are for another incarnation, or that the machine was deleted.
 func (w *Workers) serveCommands(m *machine, rw http.ResponseWriter, r *http.Request) {
 	var request directCommands
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Token == 0 || request.Incarnation == 0 {
@@ -14,28 +15,29 @@
 		return
 	}
 	w.mu.Lock()
-	w.advance(m, time.Now())
+	w.advanceMachine(m, time.Now())
 	status := http.StatusConflict
 	if request.Token >= m.token && request.Incarnation == m.incarnation && !m.deleted {
 		m.token, status = request.Token, http.StatusOK
-		w.execute(m, request.Commands)
+		w.executeCommands(m, request.Commands)
 	}
 	response := m.newHeartbeat()
 	w.mu.Unlock()
 	writeJSON(rw, status, response)
 }
 
-// serveStatus returns the machine's status without a heartbeat.
+// serveStatus responds with the machine's status in the form of a heartbeat.
 func (w *Workers) serveStatus(m *machine, rw http.ResponseWriter, _ *http.Request) {
 	w.mu.Lock()
-	w.advance(m, time.Now())
+	w.advanceMachine(m, time.Now())
 	response := m.newHeartbeat()
 	w.mu.Unlock()
 	writeJSON(rw, http.StatusOK, response)
 }
 
-// execute executes commands in order. w.mu must be held.
-func (w *Workers) execute(m *machine, commands []command) {
+// executeCommands executes commands in order. Commands that don't apply to the state of their attempt have no effect.
+// w.mu must be held.
+func (w *Workers) executeCommands(m *machine, commands []command) {
 	now := time.Now()
 	changed := false
 	for _, c := range commands {
--- a/internal/loopbacktest/controller.go
+++ b/internal/loopbacktest/controller.go
@@ -10,28 +10,28 @@
 	"sync/atomic"
 )
 
-// Program is a version of the controllers' program with its operators' properties.
+// Program is a build of the controllers' program together with the operators' properties that it runs with.
 type Program struct {
-	Name       string
+	Name       string // for tests, such as "older"
 	Binary     string // path
-	Properties string // contents of the properties file; empty: none
+	Properties string // contents of the properties file; empty: no file
 }
 
 // Controller is one controller node and its current process. Its methods, Fleet.Start and Fleet.Close must not
-// be called concurrently for one controller.
+// be called concurrently for the same controller.
 type Controller struct {
 	Name       string
-	UsersAddr  string // address for users and workers
-	ModelsAddr string // address for requests to models, if it listens there
-	Program    Program
+	UsersAddr  string  // address for users and workers
+	ModelsAddr string  // address for requests to models, if it listens there
+	Program    Program // last one started
 
 	peersAddr string
-	process   *exec.Cmd     // nil: not running, or not started
+	process   *exec.Cmd     // nil: not started, or killed
 	exited    chan struct{} // closed when the process has exited
 	log       *os.File
 }
 
-// newController returns a controller with free addresses, not started.
+// newController returns a controller that is not started, with addresses that are free.
 func newController(name string) (*Controller, error) {
 	c := &Controller{Name: name}
 	for _, addr := range []*string{&c.UsersAddr, &c.peersAddr, &c.ModelsAddr} {
@@ -44,20 +44,21 @@
 }
 
 // The controllers' ports are below the range that the system assigns to outgoing connections and to listeners
-// without a port, so that none is taken between its choice and the controller's start.
+// without a port. Otherwise a port could be taken between its choice and the controller's start.
 const (
 	firstPort = 16_000
 	portCount = 16_000
 )
 
-// portsTried counts the ports that were tried. Processes begin at different ones.
+// portsTried counts the ports that were tried. It starts at a value that depends on the process ID, so that
+// concurrent test processes begin at different ports.
 var portsTried = func() *atomic.Int64 {
 	var n atomic.Int64
 	n.Store(int64(os.Getpid()) * 101)
 	return &n
 }()
 
-// freeAddress returns an address of the loopback interface that nobody listens on.
+// freeAddress returns an address of the loopback interface whose port is not in use.
 func freeAddress() (string, error) {
 	var err error
 	for range portCount {
@@ -92,13 +93,13 @@
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		_ = process.Wait() // the tests read ProcessState
+		_ = process.Wait() // tests read the exit code from ProcessState
 	}()
 	c.process, c.exited, c.log = process, exited, log
 	return nil
 }
 
-// Kill kills the controller's process, if one runs, and waits for its exit. The process can't react to it.
+// Kill sends SIGKILL to the controller's process, if one runs, and waits for its exit. The process can't handle the signal.
 func (c *Controller) Kill() {
 	if c.process == nil {
 		return
@@ -109,7 +110,7 @@
 	c.process = nil
 }
 
-// Log returns all that the controller's processes have logged, or the error that prevents it.
+// Log returns the log of all processes of the controller, or the text of the error if the log can't be read.
 func (f *Fleet) Log(c *Controller) string {
 	raw, err := os.ReadFile(f.logPath(c))
 	if err != nil {
@@ -124,7 +125,7 @@
 	return filepath.Join(f.dir, c.Name+".properties")
 }
 
-// writeConfig writes the settings and the properties of the controller, and returns the arguments that name them.
+// writeConfig writes the controller's settings file and properties file, and returns the arguments that name them.
 func (f *Fleet) writeConfig(c *Controller) (args []string, err error) {
 	if err := os.WriteFile(f.settingsPath(c), []byte(f.settings(c)), 0o600); err != nil {
 		return nil, err
--- a/internal/loopbacktest/fleet.go
+++ b/internal/loopbacktest/fleet.go
@@ -13,13 +13,13 @@
 	"sagevale/internal/upgrade"
 )
 
-// Keys of the key-value store that are read.
+// Keys of the key-value store that Fleet reads.
 const (
-	leadershipKey = "lead"
-	clusterKey    = "upgrade/cluster"
+	leadershipKey = "lead"            // the leader
+	clusterKey    = "upgrade/cluster" // the cluster record
 )
 
-// Fleet is a set of controllers, the stand-ins that they use, and a client of theirs.
+// Fleet is a set of controllers with the stand-ins that they use, and the HTTP client of their users.
 type Fleet struct {
 	Controllers []*Controller
 	Store       *KeyValueStore
@@ -36,14 +36,14 @@
 	cloudAddr string
 	closed    bool
 
-	nextController atomic.Int64 // spreads users' requests, as a load balancer does
+	nextController atomic.Int64 // round-robin counter that spreads users' requests, as a load balancer does
 }
 
 // NewFleet starts the stand-ins of a fleet, and chooses the controllers' addresses. Start starts the
-// controllers; Close must be called in the end. The controllers' files are written to dir.
+// controllers; the caller must call Close at the end. The controllers' files are written to dir.
 func NewFleet(dir string, options Options) (*Fleet, error) {
 	traffic := newTraffic()
-	f := &Fleet{options: options, dir: dir, Traffic: traffic, Store: newStateService(traffic), client: newUserClient()}
+	f := &Fleet{options: options, dir: dir, Traffic: traffic, Store: newKeyValueStore(traffic), client: newUserClient()}
 	f.Store.Service.Update(func(s *storagetest.Service) {
 		s.ValueBytes, s.TxnOps = int(options.ValueKB*1024), options.TxnOps
 	})
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	f.Cloud = newCloud(f.Workers, &options)
-	f.Cloud.provision(options.Workers)
+	f.Cloud.createInitialMachines(options.Workers)
 	if err := f.serveStandIns(); err != nil {
 		f.Close()
 		return nil, err
@@ -86,7 +86,7 @@
 	}
 	server := &http.Server{Handler: h}
 	f.servers = append(f.servers, server)
-	f.serving.Go(func() { _ = server.Serve(l) }) // it returns ErrServerClosed
+	f.serving.Go(func() { _ = server.Serve(l) }) // returns ErrServerClosed after Close
 	return l.Addr().String(), nil
 }
 
@@ -107,7 +107,7 @@
 	f.serving.Wait()
 }
 
-// Cluster returns the cluster record; the initial one if none is stored.
+// Cluster returns the cluster record, or the initial record if the key can't be read.
 func (f *Fleet) Cluster(ctx context.Context) (upgrade.Record, error) {
 	item, err := f.Store.client().Get(ctx, clusterKey)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return upgrade.DecodeRecord(item.Key, item.Data)
 }
 
-// Leader returns the controller that holds the leadership key; nil if there is none, or its process does not run.
+// Leader returns the controller that holds the leadership key, or nil if there is none or that controller was killed.
 func (f *Fleet) Leader(ctx context.Context) *Controller {
 	item, err := f.Store.client().Get(ctx, leadershipKey)
 	if err != nil {
--- a/internal/loopbacktest/heartbeats.go
+++ b/internal/loopbacktest/heartbeats.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// heartbeatTimeout bounds the wait for the response to a heartbeat, by the protocol.
+// heartbeatTimeout is the time within which a response to a heartbeat must arrive, according to the protocol.
 const heartbeatTimeout = 4 * time.Second
 
 // runHeartbeats sends a machine's heartbeats until it is deleted or the workers are closed.
@@ -26,16 +26,16 @@
 		}
 		w.mu.Lock()
 		now := time.Now()
-		pendingChange = w.advance(m, now) || pendingChange
-		at := m.nextHeartbeat(w.timing, pendingChange)
-		due := !m.unresponsive && !now.Before(at)
+		pendingChange = w.advanceMachine(m, now) || pendingChange
+		nextAt := m.nextHeartbeat(w.timing, pendingChange)
+		due := !m.unresponsive && !now.Before(nextAt)
 		var h heartbeat
 		if due {
 			m.lastHeartbeat = now
 			h = m.newHeartbeat()
 		}
 		controller, deleted := m.controller, m.deleted
-		wait := w.untilNextWork(m, at, due, now)
+		wait := w.timeUntilNextStep(m, nextAt, due, now)
 		w.mu.Unlock()
 		if deleted {
 			return
@@ -48,21 +48,21 @@
 	}
 }
 
-// nextHeartbeat returns when the next heartbeat is due.
+// nextHeartbeat returns when the next heartbeat is due. It is due earlier if a change must be reported.
 func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
-	at := m.lastHeartbeat.Add(timing.Heartbeat)
+	nextAt := m.lastHeartbeat.Add(timing.Heartbeat)
 	if changed {
-		at = m.lastHeartbeat.Add(timing.Change)
+		nextAt = m.lastHeartbeat.Add(timing.Change)
 	}
-	if at.Before(m.retryAt) {
-		at = m.retryAt
+	if nextAt.Before(m.retryAt) {
+		nextAt = m.retryAt
 	}
-	return at
+	return nextAt
 }
 
-// untilNextWork returns the time until a machine has to send a heartbeat or one of its attempts changes.
+// timeUntilNextStep returns the time until a machine must send a heartbeat or one of its attempts must be advanced.
 // w.mu must be held.
-func (w *Workers) untilNextWork(m *machine, heartbeatAt time.Time, heartbeatDue bool, now time.Time) time.Duration {
+func (w *Workers) timeUntilNextStep(m *machine, heartbeatAt time.Time, heartbeatDue bool, now time.Time) time.Duration {
 	if heartbeatDue {
 		return 0 // check again after the response
 	}
@@ -70,14 +70,14 @@
 	if m.unresponsive {
 		next = now.Add(w.timing.Heartbeat)
 	}
-	if change := w.nextChange(m); !change.IsZero() && change.Before(next) {
+	if change := w.nextAttemptChange(m); !change.IsZero() && change.Before(next) {
 		next = change
 	}
 	return max(next.Sub(now), time.Millisecond)
 }
 
-// sendHeartbeat sends one heartbeat and executes the commands of the response. After a failure
-// the next heartbeat goes to another controller.
+// sendHeartbeat sends one heartbeat and executes the commands of the response. After a redirect
+// the next heartbeat goes to the leader, after a failure to the next controller.
 func (w *Workers) sendHeartbeat(m *machine, h heartbeat, controller int) {
 	sent := time.Now()
 	response, status, err := w.postHeartbeat(h, controller)
@@ -89,7 +89,7 @@
 		recordMicros(w.heartbeatLatency, latency)
 		if h.Incarnation == m.incarnation && response.Token >= m.token && !m.deleted && latency < heartbeatTimeout {
 			m.token, m.leaseRenewedAt = response.Token, sent
-			w.execute(m, response.Commands)
+			w.executeCommands(m, response.Commands)
 		}
 	case status == http.StatusMisdirectedRequest && known && leader != controller:
 		m.controller = leader
--- a/internal/loopbacktest/job.go
+++ b/internal/loopbacktest/job.go
@@ -7,11 +7,11 @@
 
 // The classes of jobs.
 const (
-	Urgent Class = "urgent"
-	Other  Class = "other"
+	UrgentJobs Class = "urgent"
+	OtherJobs  Class = "other"
 )
 
-// Shapes of jobs, by the protocol.
+// Shapes of jobs on the wire.
 const (
 	serviceShape = "service"
 	gangShape    = "group"
@@ -22,9 +22,9 @@
 	ID     string
 	Shape  string        // sweep, service or group
 	Tasks  int           // number of tasks
-	Run    time.Duration // of a task; services run until they are stopped
-	Team   string        // empty: the fleet's first
-	CPUs   float64       // of a task; 0: one
+	Run    time.Duration // run time of a task; services run until they are stopped
+	Team   string        // empty: the fleet's first team
+	CPUs   float64       // processors per task; 0: one
 	Urgent bool
 
 	acceptedAt time.Time // when the user received the acceptance
@@ -33,15 +33,15 @@
 // Class returns the class of the job.
 func (j Job) Class() Class {
 	if j.Urgent {
-		return Urgent
+		return UrgentJobs
 	}
-	return Other
+	return OtherJobs
 }
 
 func (j Job) isService() bool { return j.Shape == serviceShape }
 func (j Job) isGang() bool    { return j.Shape == gangShape }
 
-// submission is a job on the wire.
+// submission is the body of a request that submits a job.
 type submission struct {
 	ID          string  `json:"Id"`
 	Class       string  `json:"Bracket"`
--- a/internal/loopbacktest/machine.go
+++ b/internal/loopbacktest/machine.go
@@ -8,8 +8,8 @@
 // machineTypeName is the only machine type of the cloud.
 const machineTypeName = "cpu"
 
-// machine is one instance with its hollow worker: it speaks the worker's protocol and
-// simulates tasks by timers. Workers.mu guards it.
+// machine is one cloud instance and its simulated worker, which implements the worker's
+// protocol and simulates tasks with timers. Workers.mu guards it.
 type machine struct {
 	id             int
 	name           string
@@ -18,13 +18,13 @@
 	zone           string
 	spot           bool
 	createdAt      time.Time
-	up             bool // booted
+	booted         bool
 	deleted        bool
 	unresponsive   bool // sends no heartbeats and accepts no commands
 	incarnation    uint64
-	sequence       uint64 // of the latest heartbeat
-	token          uint64 // the highest fencing token received
-	leaseRenewedAt time.Time
+	sequence       uint64    // number of the latest heartbeat
+	token          uint64    // the highest fencing token received
+	leaseRenewedAt time.Time // start of the worker's current lease
 	attempts       map[attemptID]*attempt
 	changed        chan struct{} // wakes the heartbeat loop
 	controller     int           // index of the controller that receives the heartbeats
@@ -32,8 +32,8 @@
 	lastHeartbeat  time.Time
 }
 
-// add creates a machine that is not booted yet. w.mu must be held.
-func (w *Workers) add(id int, name, typeName, zone string, spot bool) *machine {
+// addMachine creates a machine that is not booted yet, with its own loopback address. w.mu must be held.
+func (w *Workers) addMachine(id int, name, typeName, zone string, spot bool) *machine {
 	m := &machine{
 		id: id, name: name, typeName: typeName, zone: zone, spot: spot, createdAt: time.Now(),
 		addr:     net.JoinHostPort(net.IPv4(127, byte(1+id>>16), byte(id>>8), byte(id)).String(), w.port),
@@ -51,13 +51,13 @@
 		if m.deleted || w.isClosed() {
 			return
 		}
-		m.up, m.incarnation, m.leaseRenewedAt = true, 1, time.Now()
+		m.booted, m.incarnation, m.leaseRenewedAt = true, 1, time.Now()
 		w.background.Go(func() { w.runHeartbeats(m) })
 	})
 }
 
-// remove deletes a machine with all its attempts. w.mu must be held.
-func (w *Workers) remove(m *machine) {
+// deleteMachine deletes a machine with all its attempts. w.mu must be held.
+func (w *Workers) deleteMachine(m *machine) {
 	m.deleted = true
 	for _, a := range m.attempts {
 		a.running = false
--- a/internal/loopbacktest/model_server.go
+++ b/internal/loopbacktest/model_server.go
@@ -9,48 +9,48 @@
 // RequestID is the header that identifies a user's request to a model.
 const RequestID = "X-Request-Id"
 
-// ModelFigures is what the stand-in servers of a model have counted.
-type ModelFigures struct {
+// ModelCounts holds what the simulated servers of a model have counted.
+type ModelCounts struct {
 	Starts int // of replicas
 
-	executions map[string]int // by request ID
+	executions map[string]int // number of executions by request ID
 }
 
-// TargetTemplate returns the address of the model servers as controllers are configured with it. All machines
-// serve on one port.
+// TargetTemplate returns the address template of the model servers for the controllers' property activation.target.
+// All machines listen on the same port.
 func (w *Workers) TargetTemplate() string { return "{host}:" + w.port + "/{model}" }
 
 // replicaStarted records that a replica of a model has started. w.mu must be held.
 func (w *Workers) replicaStarted(job string) {
-	figures := w.models[job]
-	if figures == nil {
-		figures = &ModelFigures{executions: make(map[string]int)}
-		w.models[job] = figures
+	counts := w.models[job]
+	if counts == nil {
+		counts = &ModelCounts{executions: make(map[string]int)}
+		w.models[job] = counts
 	}
-	figures.Starts++
+	counts.Starts++
 }
 
-// Model returns what the servers of a model have counted.
-func (w *Workers) Model(job string) ModelFigures {
+// Model returns the counts of a model, without the executions, which Executions returns.
+func (w *Workers) Model(job string) ModelCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if figures := w.models[job]; figures != nil {
-		return ModelFigures{Starts: figures.Starts}
+	if counts := w.models[job]; counts != nil {
+		return ModelCounts{Starts: counts.Starts}
 	}
-	return ModelFigures{}
+	return ModelCounts{}
 }
 
-// Executions returns how often a model has executed a request.
-func (w *Workers) Executions(job, request string) int {
+// Executions returns how many times a model has executed the request with an ID.
+func (w *Workers) Executions(job, requestID string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if figures := w.models[job]; figures != nil {
-		return figures.executions[request]
+	if counts := w.models[job]; counts != nil {
+		return counts.executions[requestID]
 	}
 	return 0
 }
 
-// serveModel responds to a request for a model. The connection is aborted if the model does not run on the
+// serveModel responds to a request for a model. It aborts the connection if the model does not run on the
 // machine.
 func (w *Workers) serveModel(m *machine, rw http.ResponseWriter, r *http.Request) {
 	job, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -60,14 +60,14 @@
 	writeJSON(rw, http.StatusOK, map[string]string{"model": job, "machine": m.name})
 }
 
-// executeModelRequest counts a request and reports whether the model runs on the machine.
-func (w *Workers) executeModelRequest(m *machine, job, request string) bool {
+// executeModelRequest reports whether the model runs on the machine, and counts the request if it does.
+func (w *Workers) executeModelRequest(m *machine, job, requestID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance(m, time.Now())
+	w.advanceMachine(m, time.Now())
 	for _, a := range m.attempts {
 		if a.job == job && a.running {
-			w.models[job].executions[request]++
+			w.models[job].executions[requestID]++
 			return true
 		}
 	}
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Timing holds intervals and limits of the workers.
+// Timing holds intervals, limits and simulated durations of the workers.
 type Timing struct {
-	Heartbeat time.Duration // between two heartbeats
-	Change    time.Duration // least pause before a heartbeat that a change causes
-	Lease     time.Duration // of a worker
-	Cancel    time.Duration // from a confirmed cancellation until no task of the job may run
-	Boot      time.Duration // of a machine
-	Fetch     time.Duration // of a task's image
+	Heartbeat time.Duration // interval between two heartbeats
+	Change    time.Duration // minimum interval between a heartbeat and one that reports a change
+	Lease     time.Duration // duration of a worker's lease
+	Cancel    time.Duration // from a confirmed cancellation until no task of the job may still run
+	Boot      time.Duration // boot time of a machine
+	Fetch     time.Duration // time to fetch a task's image
 }
 
-// Team is a team of the settings.
+// Team is a team in the controllers' settings.
 type Team struct {
 	Name     string
-	CPULimit float64 // 0: none
+	CPULimit float64 // maximum processors in use; 0: no limit
 }
 
-// Options describe a fleet and the limits that its controllers are configured with.
+// Options describes a fleet and the limits in its controllers' settings.
 type Options struct {
 	Controllers  int
 	Timing       Timing
 	Teams        []Team
-	Workers      int // machines that exist from the start
-	MachineLimit int // of the cloud; 0: none
-	MachineCPUs  float64
+	Workers      int     // machines that exist from the start
+	MachineLimit int     // maximum number of machines in the cloud; 0: no limit
+	MachineCPUs  float64 // processors per machine
 
 	// The limits of the key-value store. The stand-in enforces only ValueKB and TxnOps.
 	RequestsPerS, ChangesPerS, ValueKB float64
 	TxnOps                             int
 
-	CloudRPS float64 // requests per second to the cloud
-	MemoryMB float64 // of a controller
-	CPUShare float64 // of a controller, in processors
-	Sockets  int     // of a controller
+	CloudRPS float64 // maximum requests per second to the cloud
+	MemoryMB float64 // memory limit of a controller
+	CPUShare float64 // processor limit of a controller, in processors
+	Sockets  int     // maximum number of open sockets of a controller
 	LogLevel string  // of the controllers
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// defaultTiming is short enough for tests with many steps, and long enough for a busy machine.
+// defaultTiming is short enough for tests with many steps, and long enough for tests on a busy machine.
 var defaultTiming = Timing{
 	Heartbeat: 400 * time.Millisecond, Change: 100 * time.Millisecond, Lease: 5 * time.Second, Cancel: 12 * time.Second,
 	Boot: 300 * time.Millisecond, Fetch: 50 * time.Millisecond,
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -15,7 +15,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// KeyValueStore serves the stand-in of the key-value store over HTTP, and counts the requests.
+// KeyValueStore serves the stand-in for the key-value store over HTTP, and counts the requests.
 type KeyValueStore struct {
 	Service  *storagetest.Service
 	Requests atomic.Int64
@@ -24,8 +24,8 @@
 	traffic  *Traffic
 }
 
-// newStateService returns an empty store.
-func newStateService(traffic *Traffic) *KeyValueStore {
+// newKeyValueStore returns an empty store.
+func newKeyValueStore(traffic *Traffic) *KeyValueStore {
 	store := storagetest.NewService()
 	store.Update(func(s *storagetest.Service) { s.ForgetSent = true })
 	return &KeyValueStore{Service: store, traffic: traffic}
@@ -33,7 +33,7 @@
 
 func (s *KeyValueStore) client() *storagetest.Client { return &storagetest.Client{Service: s.Service} }
 
-// Stored returns the size of all keys and values in KiB, and the number of keys.
+// Stored returns the total size of all keys and values in KiB, and the number of keys.
 func (s *KeyValueStore) Stored() (kb float64, keys int) {
 	bytes := 0
 	s.Service.Each(func(it storage.Item) {
@@ -43,16 +43,16 @@
 	return float64(bytes) / 1024, keys
 }
 
-// handler serves the protocol.
+// handler returns the HTTP handler of the store's protocol.
 func (s *KeyValueStore) handler() http.Handler {
 	mux := http.NewServeMux()
 	counted := s.traffic.counted
 	mux.HandleFunc("GET /store/{key...}", counted(StateGet, s.get))
 	mux.HandleFunc("GET /store", counted(StateList, s.list))
 	mux.HandleFunc("POST /txn", counted(StateTxn, s.transact))
-	mux.HandleFunc("POST /grants", counted(StateLease, s.grant))
-	mux.HandleFunc("POST /grants/{id}/touch", counted(StateLease, s.touch))
-	mux.HandleFunc("DELETE /grants/{id}", counted(StateLease, s.revoke))
+	mux.HandleFunc("POST /grants", counted(StateLease, s.grantLease))
+	mux.HandleFunc("POST /grants/{id}/touch", counted(StateLease, s.renewLease))
+	mux.HandleFunc("DELETE /grants/{id}", counted(StateLease, s.revokeLease))
 	mux.HandleFunc("GET /changes", counted(StateWatch, s.watch))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Requests.Add(1)
@@ -68,14 +68,14 @@
 	Error string `json:"error"`
 }
 
-// writeJSON writes a response with a JSON body. A client that has disconnected is ignored.
+// writeJSON writes a response with a JSON body. It ignores the error of a client that has disconnected.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// writeError writes an error of the store as a response of the protocol.
+// writeError writes the response that the protocol specifies for an error of the store.
 func writeError(w http.ResponseWriter, err error) {
 	var conflict *storage.ConflictError
 	status := http.StatusServiceUnavailable
@@ -107,7 +107,7 @@
 }
 
 func (s *KeyValueStore) list(w http.ResponseWriter, r *http.Request) {
-	limit, _ := strconv.Atoi(r.URL.Query().Get("Page")) // 0 if there is none
+	limit, _ := strconv.Atoi(r.URL.Query().Get("Page")) // 0 if the parameter is missing
 	items, more, revision, err := s.client().List(r.Context(), r.URL.Query().Get("Under"), r.URL.Query().Get("From"), limit)
 	if err != nil {
 		writeError(w, err)
@@ -148,13 +148,13 @@
 	writeJSON(w, http.StatusOK, protocol.TxnResponse{Revision: revision})
 }
 
-func (s *KeyValueStore) grant(w http.ResponseWriter, r *http.Request) {
-	var life protocol.GrantRequest
-	if json.NewDecoder(r.Body).Decode(&life) != nil {
+func (s *KeyValueStore) grantLease(w http.ResponseWriter, r *http.Request) {
+	var request protocol.GrantRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	id, err := s.client().Grant(r.Context(), time.Duration(life.LifeMS)*time.Millisecond)
+	id, err := s.client().Grant(r.Context(), time.Duration(request.LifeMS)*time.Millisecond)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -162,7 +162,7 @@
 	writeJSON(w, http.StatusOK, protocol.GrantResponse{ID: id})
 }
 
-// withLease applies an operation to the lease that the request names.
+// withLease applies an operation to the lease whose ID is in the request's path.
 func (s *KeyValueStore) withLease(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err == nil {
@@ -175,11 +175,11 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (s *KeyValueStore) touch(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.withLease(w, r, s.client().Renew)
 }
 
-func (s *KeyValueStore) revoke(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.withLease(w, r, s.client().Revoke)
 }
 
@@ -198,9 +198,9 @@
 }
 
 func (s *KeyValueStore) watch(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("From"), 10, 64) // 0 if there is none
-	hold, _ := strconv.Atoi(r.URL.Query().Get("HoldMs"))             // likewise
-	items, revision, err := s.client().Watch(r.Context(), r.URL.Query().Get("Under"), after, time.Duration(hold)*time.Millisecond)
+	after, _ := strconv.ParseUint(r.URL.Query().Get("From"), 10, 64) // 0 if the parameter is missing
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("HoldMs"))           // 0 if the parameter is missing
+	items, revision, err := s.client().Watch(r.Context(), r.URL.Query().Get("Under"), after, time.Duration(holdMS)*time.Millisecond)
 	if err != nil {
 		writeError(w, err)
 		return
--- a/internal/loopbacktest/traffic.go
+++ b/internal/loopbacktest/traffic.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Kind is a kind of message, by its sender and purpose.
+// Kind is a kind of message, distinguished by sender and purpose.
 type Kind string
 
-// The kinds of messages that the stand-ins see. Messages between controllers are not among them.
+// The kinds of messages that the stand-ins and the client of the users count. Messages between controllers are not counted.
 const (
 	Heartbeats     Kind = "worker report"
 	DirectCommands Kind = "direct orders"
@@ -24,7 +24,7 @@
 	Cancels        Kind = "cancel"
 )
 
-// Flow counts messages of one kind: requests, and the bytes of the request and response bodies.
+// Flow counts the messages of one kind, and the bytes of their request and response bodies.
 type Flow struct {
 	Messages, RequestBytes, ResponseBytes int64
 }
@@ -37,7 +37,7 @@
 
 func newTraffic() *Traffic { return &Traffic{flows: make(map[Kind]*Flow)} }
 
-// add counts one message.
+// add counts one request and its response as one message.
 func (t *Traffic) add(kind Kind, requestBytes, responseBytes int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 	clear(t.flows)
 }
 
-// counted wraps a handler so that its messages are counted under kind.
+// counted returns a handler that calls h and counts the request and its response under kind.
 func (t *Traffic) counted(kind Kind, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body := &countingReader{ReadCloser: r.Body}
@@ -80,6 +80,7 @@
 	}
 }
 
+// countingReader counts the bytes that are read from a request body.
 type countingReader struct {
 	io.ReadCloser
 	bytes int64
@@ -91,6 +92,7 @@
 	return n, err
 }
 
+// countingWriter counts the bytes that are written to a response body.
 type countingWriter struct {
 	http.ResponseWriter
 	bytes int64
--- a/internal/loopbacktest/upgrade_bench_test.go
+++ b/internal/loopbacktest/upgrade_bench_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// maxValue is the largest value that histograms distinguish: a minute in microseconds.
-const maxValue = int64(time.Minute / time.Microsecond)
+// maxRecordedValue is the largest value that a histogram accepts, in the unit of its distribution.
+const maxRecordedValue = int64(time.Minute / time.Microsecond)
 
 // distribution is the histogram of one quantity.
 type distribution struct {
@@ -20,7 +20,7 @@
 	values     *hdrhistogram.Histogram
 }
 
-// measurements holds the distributions of one version, in the order of their first values.
+// measurements holds the distributions of one version, by name and in the order of their first values.
 type measurements struct {
 	byName map[string]*distribution
 	order  []string
@@ -31,7 +31,7 @@
 func (m *measurements) add(name, unit string, value int64) error {
 	d := m.byName[name]
 	if d == nil {
-		d = &distribution{name: name, unit: unit, values: hdrhistogram.New(0, maxValue, 3)}
+		d = &distribution{name: name, unit: unit, values: hdrhistogram.New(0, maxRecordedValue, 3)}
 		m.byName[name] = d
 		m.order = append(m.order, name)
 	}
@@ -50,14 +50,14 @@
 	return b.String()
 }
 
-// availabilityProbe polls a job through all controllers, as a user behind a load balancer.
+// availabilityProbe polls a job through all controllers in turn, like a user behind a load balancer.
 type availabilityProbe struct {
 	stop       chan struct{}
 	stopped    chan struct{}
-	longestGap time.Duration // between two responses
+	longestGap time.Duration // longest time between two responses
 }
 
-// startProbe starts a probe. stopAndWait ends it.
+// startProbe starts a probe that polls a job until stopAndWait is called.
 func (f *Fleet) startProbe(id string) *availabilityProbe {
 	p := &availabilityProbe{stop: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
@@ -86,11 +86,11 @@
 }
 
 const (
-	idleDuration    = 4 * time.Second // of measureIdle
-	restartDuration = 3 * time.Second // of measureRestart
+	idleDuration    = 4 * time.Second // time that measureIdle measures
+	restartDuration = 3 * time.Second // time that measureRestart measures
 )
 
-// measuredFleet is a fleet whose upgrade, idle time and rollback are measured.
+// measuredFleet is a fleet whose restarts, upgrade, idle load and rollback are measured.
 type measuredFleet struct {
 	*testFleet
 	results *measurements
@@ -115,7 +115,7 @@
 	f.record(name+": bytes to the state service", "in 3 s", f.Store.Bytes.Load()-sent)
 }
 
-// measureIdle records the load of the key-value store while nothing happens.
+// measureIdle records the load of the key-value store while no jobs are submitted and no controller is restarted.
 func (f *measuredFleet) measureIdle() {
 	requests, sent := f.Store.Requests.Load(), f.Store.Bytes.Load()
 	time.Sleep(idleDuration)
@@ -123,15 +123,15 @@
 	f.record("at rest: bytes to the state service", "in 4 s", f.Store.Bytes.Load()-sent)
 }
 
-// serves reports whether a controller responds to a user, by itself or through the leader.
+// serves reports whether a controller responds to a user, either itself or by forwarding to the leader.
 func (f *measuredFleet) serves(c *Controller) bool {
 	_, err := f.request(c, "GET", "/v1/jobs/job-000001", nil)
 	return err == nil
 }
 
-// BenchmarkUpgradeSteps prints distributions for docs/rolling-upgrade.md: run it with
+// BenchmarkUpgradeSteps prints the distributions for docs/rolling-upgrade.md. Run it with
 // -benchtime 15x. With -older it also measures restarts of that binary, which does not
-// register.
+// register the versions that it supports.
 func BenchmarkUpgradeSteps(b *testing.B) {
 	current, older := newMeasurements(), newMeasurements()
 	seed := uint64(0)
@@ -145,6 +145,7 @@
 	fmt.Println(current.table("loopback, this version") + older.table("loopback, the version before")) // b.Log truncates
 }
 
+// measureRestarts restarts each controller of a fleet with the same program, and then measures the idle load.
 func measureRestarts(tb testing.TB, seed uint64, p Program, results *measurements) {
 	tb.Helper()
 	f := &measuredFleet{newTestFleet(tb, seed), results}
@@ -160,6 +161,7 @@
 	f.Close()
 }
 
+// measureUpgrade upgrades a fleet from version 1 to the current version and rolls it back.
 func measureUpgrade(tb testing.TB, seed uint64, results *measurements) {
 	tb.Helper()
 	f := &measuredFleet{newTestFleet(tb, seed), results}
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -19,12 +19,12 @@
 
 var (
 	olderBinary  = flag.String("older", "", "a binary of an earlier commit, to upgrade from; empty: this source, capped at version 1")
-	seeds        = flag.Int("seeds", 2, "random orders to play")
-	firstSeed    = flag.Uint64("seed", 1, "the first of them")
-	stepsPerSeed = flag.Int("steps", 8, "steps of each")
+	seeds        = flag.Int("seeds", 2, "number of random orders of upgrades")
+	firstSeed    = flag.Uint64("seed", 1, "seed of the first random order")
+	stepsPerSeed = flag.Int("steps", 8, "steps per random order")
 )
 
-// currentProgram is this source, built once for all tests.
+// currentProgram is the program of this source, built once for all tests.
 var currentProgram Program
 
 func TestMain(m *testing.M) {
@@ -49,7 +49,7 @@
 	return m.Run()
 }
 
-// cappedAt returns this source acting as an earlier version that registers.
+// cappedAt returns the program of this source, limited to the behavior of an earlier version that registers its versions.
 func cappedAt(version upgrade.Version) Program {
 	return Program{Name: fmt.Sprintf("capped at %d", version), Binary: currentProgram.Binary, Properties: fmt.Sprintf("upgrade.test.cap = %d\n", version)}
 }
@@ -62,7 +62,7 @@
 	return Program{Name: "older", Binary: *olderBinary}
 }
 
-// testFleet is a fleet with the jobs that were submitted to it. Its methods fail the test.
+// testFleet is a fleet with the jobs that were submitted to it. Its methods fail the test on errors.
 type testFleet struct {
 	*Fleet
 	tb     testing.TB
@@ -70,8 +70,8 @@
 	jobs   []Job
 }
 
-// newTestFleet starts the stand-ins of a fleet. It is closed with the test, which logs the ends of the
-// controllers' logs if it has failed.
+// newTestFleet starts the stand-ins of a fleet. When the test ends, the fleet is closed; if the test has failed, the
+// last lines of the controllers' logs are printed.
 func newTestFleet(tb testing.TB, seed uint64) *testFleet {
 	tb.Helper()
 	fleet, err := NewFleet(tb.TempDir(), DefaultOptions())
@@ -109,27 +109,27 @@
 	f.jobs = append(f.jobs, j)
 }
 
-// eventually waits until a condition holds.
-func (f *testFleet) eventually(what string, within time.Duration, condition func() bool) {
+// eventually waits until a condition holds, and fails the test after the timeout.
+func (f *testFleet) eventually(what string, timeout time.Duration, condition func() bool) {
 	f.tb.Helper()
 	began := time.Now()
-	for time.Since(began) < within {
+	for time.Since(began) < timeout {
 		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	record, err := f.Cluster(f.tb.Context())
-	f.tb.Fatalf("not seen within %v: %s; cluster record %+v, %v", within, what, record, err)
+	f.tb.Fatalf("not seen within %v: %s; cluster record %+v, %v", timeout, what, record, err)
 }
 
-// versionActive reports whether a version is active and not being withdrawn.
+// versionActive reports whether a version is active and is not being withdrawn.
 func (f *testFleet) versionActive(version upgrade.Version) bool {
 	record, err := f.Cluster(f.tb.Context())
 	return err == nil && record.Active == version && record.Phase != upgrade.Withdrawing
 }
 
-// exited reports whether the controller's process has exited by itself.
+// exited reports whether the process that was last started for the controller has exited.
 func (f *testFleet) exited(c *Controller) bool {
 	f.tb.Helper()
 	select {
@@ -140,8 +140,8 @@
 	}
 }
 
-// canDowngrade reports whether another controller knows the gates that are in use, so that this one may
-// be downgraded.
+// canDowngrade reports whether a controller may be downgraded: no gate newer than the baseline is in use, or another
+// controller runs the current program and thus supports the gates in use.
 func (f *testFleet) canDowngrade(c *Controller) bool {
 	record, err := f.Cluster(f.tb.Context())
 	if err != nil {
@@ -151,10 +151,10 @@
 	for _, name := range record.GateNames() {
 		inUse = inUse || record.Gate(name).Used && record.Gate(name).Since > upgrade.Baseline
 	}
-	othersKnowGates := slices.ContainsFunc(f.Controllers, func(other *Controller) bool {
+	othersSupportGates := slices.ContainsFunc(f.Controllers, func(other *Controller) bool {
 		return other != c && other.Program.Name == currentProgram.Name
 	})
-	return !inUse || othersKnowGates
+	return !inUse || othersSupportGates
 }
 
 // restartAndSubmit upgrades, downgrades or kills a random controller and submits a job.
@@ -167,7 +167,7 @@
 	case action < 5 && f.canDowngrade(c):
 		f.start(c, older)
 	default:
-		f.start(c, c.Program) // killed and restarted
+		f.start(c, c.Program) // kill and restart
 	}
 	job := Job{Shape: "sweep"}
 	if record, err := f.Cluster(f.tb.Context()); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
@@ -176,18 +176,18 @@
 	job.ID, job.Tasks, job.Run = fmt.Sprintf("job-%06d", 100+step), 2+f.random.IntN(4), 300*time.Millisecond
 	if !job.isGang() {
 		f.submit(job)
-	} else if f.Submit(job, time.Second) == nil { // an older controller in the fleet may refuse it
+	} else if f.Submit(job, time.Second) == nil { // an older controller in the fleet may refuse a gang job
 		f.jobs = append(f.jobs, job)
 	}
-	time.Sleep(time.Duration(f.random.IntN(1500)) * time.Millisecond) // a pause of any length
+	time.Sleep(time.Duration(f.random.IntN(1500)) * time.Millisecond) // up to 1.5 s between two steps
 }
 
-// checkJobs checks that services run completely, that other jobs complete, and that no rule was broken.
+// checkJobs checks that services run all tasks, that other jobs complete, and that no rule was broken.
 func (f *testFleet) checkJobs() {
 	f.tb.Helper()
 	for _, j := range f.jobs {
 		if j.isService() {
-			f.eventually(j.ID+" runs whole", 40*time.Second, func() bool { return f.runsOnce(j) })
+			f.eventually(j.ID+" runs all tasks exactly once", 40*time.Second, func() bool { return f.runsOnce(j) })
 			continue
 		}
 		f.eventually(j.ID+" done", 60*time.Second, func() bool {
@@ -198,8 +198,8 @@
 			f.tb.Errorf("%s is reported as done, but not all of its tasks have completed", j.ID)
 		}
 	}
-	for _, fault := range f.Workers.Violations() {
-		f.tb.Errorf("broken rule: %v", fault)
+	for _, violation := range f.Workers.Violations() {
+		f.tb.Errorf("broken rule: %v", violation)
 	}
 }
 
@@ -214,8 +214,8 @@
 	return len(running) == j.Tasks
 }
 
-// Three controllers are upgraded, killed and rolled back in random order while jobs are
-// submitted: no replica is lost, and none runs twice.
+// TestUpgradesInRandomOrder upgrades, kills and rolls back three controllers in random order while
+// jobs are submitted. No replica may be lost, and none may run twice.
 func TestUpgradesInRandomOrder(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -240,8 +240,8 @@
 	}
 }
 
-// After finalization an older controller exits with one line that names the required version,
-// and the others continue to serve.
+// TestFinalizedClusterRefusesOlderController checks that after finalization an older controller exits
+// with one line that names the required version, and that the other controllers continue to serve.
 func TestFinalizedClusterRefusesOlderController(t *testing.T) {
 	f := newTestFleet(t, 1)
 	finalizing := currentProgram
@@ -268,13 +268,14 @@
 	f.checkJobs()
 }
 
-// upgradeStatus runs the command that shows the status of the upgrade.
+// upgradeStatus runs the command "upgrade status" with the settings of a controller and returns its output.
 func (f *testFleet) upgradeStatus(c *Controller) (string, error) {
 	out, err := exec.CommandContext(f.tb.Context(), currentProgram.Binary, "upgrade", "status", "--config", f.settingsPath(c)).CombinedOutput()
 	return string(out), err
 }
 
-// The status needs only the key-value store, and names a damaged record.
+// TestUpgradeStatus checks the output of "upgrade status" while a controller has not registered, once the current version
+// is active, and with a damaged cluster record. The command needs only the key-value store.
 func TestUpgradeStatus(t *testing.T) {
 	f := newTestFleet(t, 1)
 	for _, c := range f.Controllers[:2] {
--- a/internal/loopbacktest/user_client.go
+++ b/internal/loopbacktest/user_client.go
@@ -15,26 +15,26 @@
 const (
 	// maxIdleUserConns bounds the idle connections of users to one controller.
 	maxIdleUserConns = 256
-	// userTimeout bounds one request of a user.
+	// userTimeout is the timeout of one request of a user.
 	userTimeout = 3 * time.Second
-	// retryPause is the pause between two requests of Insist.
+	// retryPause is the pause between two requests of RequestWithRetry.
 	retryPause = 50 * time.Millisecond
-	// minRefusalPause is the least pause of a user whose submission was refused, by the protocol.
+	// minRefusalPause is the minimum pause that the protocol requires of users after a refused submission.
 	minRefusalPause = time.Second
-	// pollTimeout bounds the retries of a poll.
+	// pollTimeout is the time for which Poll retries.
 	pollTimeout = 20 * time.Second
 )
 
-// errNoDecision says that a controller could not decide a request for now, or that its decision is not known.
+// errNoDecision means that a controller could not decide a request yet, or that its response was not received.
 var errNoDecision = errors.New("undecided")
 
-// JobStatus is the response to a user's request: the state of a job, if the request was decided.
+// JobStatus is the response to a user's request. It contains the state of the job if the request was decided.
 type JobStatus struct {
-	Code    int    `json:"Status"`   // of HTTP
+	Code    int    `json:"Status"`   // HTTP status code
 	State   string `json:"Standing"` // state of the job on the wire, such as "done"
-	Running int    `json:"running"`  // number of tasks
-	Done    int    `json:"done"`     // number of tasks
-	// RetryAfter is the pause that a refusal asks for; 0: none.
+	Running int    `json:"running"`  // number of running tasks
+	Done    int    `json:"done"`     // number of completed tasks
+	// RetryAfter is the pause that a refusal asks for, or 0 if it asks for none.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -42,13 +42,13 @@
 	return &http.Client{Timeout: userTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleUserConns}}
 }
 
-// request sends one request to one controller. It returns errNoDecision if it may be retried.
+// request sends one request to one controller. The error wraps errNoDecision if the request may be retried.
 func (f *Fleet) request(c *Controller, method, path string, body any) (JobStatus, error) {
-	raw, err := json.Marshal(body)
+	requestBody, err := json.Marshal(body)
 	if err != nil {
 		return JobStatus{}, err
 	}
-	request, err := http.NewRequest(method, "http://"+c.UsersAddr+path, bytes.NewReader(raw))
+	request, err := http.NewRequest(method, "http://"+c.UsersAddr+path, bytes.NewReader(requestBody))
 	if err != nil {
 		return JobStatus{}, err
 	}
@@ -57,8 +57,8 @@
 		return JobStatus{}, fmt.Errorf("%w: %w", errNoDecision, err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
-	f.Traffic.add(userRequestKind(method, path), int64(len(raw)), int64(len(answer)))
+	responseBody, err := io.ReadAll(response.Body)
+	f.Traffic.add(userRequestKind(method, path), int64(len(requestBody)), int64(len(responseBody)))
 	if err != nil {
 		return JobStatus{}, fmt.Errorf("%w: %w", errNoDecision, err)
 	}
@@ -67,12 +67,12 @@
 		s.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	if s.Code >= http.StatusTooManyRequests {
-		return s, fmt.Errorf("%w: %d %s", errNoDecision, s.Code, answer)
+		return s, fmt.Errorf("%w: %d %s", errNoDecision, s.Code, responseBody)
 	}
-	return s, json.Unmarshal(answer, &s)
+	return s, json.Unmarshal(responseBody, &s)
 }
 
-// userRequestKind returns the kind of message of a user's request.
+// userRequestKind returns the kind under which a user's request is counted.
 func userRequestKind(method, path string) Kind {
 	switch {
 	case method == http.MethodGet:
@@ -84,12 +84,12 @@
 	}
 }
 
-// RequestWithRetry sends a request to the controllers in turn until one decides it, or the time is over.
-func (f *Fleet) RequestWithRetry(method, path string, body any, within time.Duration) (JobStatus, error) {
+// RequestWithRetry sends a request to the controllers in turn until one decides it or the timeout has passed.
+func (f *Fleet) RequestWithRetry(method, path string, body any, timeout time.Duration) (JobStatus, error) {
 	var s JobStatus
 	err := errNoDecision
 	first := int(f.nextController.Add(1))
-	for end, i := time.Now().Add(within), first; time.Now().Before(end); i++ {
+	for deadline, i := time.Now().Add(timeout), first; time.Now().Before(deadline); i++ {
 		if s, err = f.request(f.Controllers[i%len(f.Controllers)], method, path, body); !errors.Is(err, errNoDecision) {
 			return s, err
 		}
@@ -99,25 +99,25 @@
 }
 
 // SubmitWithBackoff submits a job as the protocol requires of users: after a refusal they wait for a second, or as
-// long as the refusal asks for if that is longer. refused is called for each refusal.
-func (f *Fleet) SubmitWithBackoff(j Job, within time.Duration, refused func(JobStatus)) error {
+// long as the refusal asks for if that is longer. onRefusal is called for each refusal.
+func (f *Fleet) SubmitWithBackoff(j Job, timeout time.Duration, onRefusal func(JobStatus)) error {
 	f.Workers.addJob(j)
-	end := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for i := int(f.nextController.Add(1)); ; i++ {
 		s, err := f.request(f.Controllers[i%len(f.Controllers)], http.MethodPost, "/v1/jobs", j.submission())
 		if err == nil {
-			return f.submitted(j, s)
+			return f.recordAcceptance(j, s)
 		}
-		if !errors.Is(err, errNoDecision) || time.Now().After(end) {
+		if !errors.Is(err, errNoDecision) || time.Now().After(deadline) {
 			return err
 		}
-		refused(s)
+		onRefusal(s)
 		time.Sleep(max(minRefusalPause, s.RetryAfter))
 	}
 }
 
-// Submit submits a job, with retries until it is accepted or the time is over.
-func (f *Fleet) Submit(j Job, within time.Duration) error {
+// Submit submits a job, with retries until the submission is decided or the timeout has passed.
+func (f *Fleet) Submit(j Job, timeout time.Duration) error {
 	if j.Team == "" {
 		j.Team = f.options.Teams[0].Name
 	}
@@ -125,32 +125,32 @@
 		j.CPUs = 1
 	}
 	f.Workers.addJob(j)
-	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs", j.submission(), within)
+	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs", j.submission(), timeout)
 	if err != nil {
 		return err
 	}
-	return f.submitted(j, s)
+	return f.recordAcceptance(j, s)
 }
 
-// submitted records the acceptance of a job. It returns an error if the decision is another one.
-func (f *Fleet) submitted(j Job, s JobStatus) error {
+// recordAcceptance records the time at which a job was accepted. It returns an error if the response is no acceptance.
+func (f *Fleet) recordAcceptance(j Job, s JobStatus) error {
 	if s.Code != http.StatusCreated && s.Code != http.StatusOK {
-		return fmt.Errorf("job %s is answered %d", j.ID, s.Code)
+		return fmt.Errorf("submission of job %s: got status %d", j.ID, s.Code)
 	}
 	f.Workers.jobAccepted(j.ID, time.Now())
 	return nil
 }
 
-// Cancel cancels a job, with retries until that is decided or the time is over.
-func (f *Fleet) Cancel(id string, within time.Duration) (JobStatus, error) {
-	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs/"+id+"/cancel", nil, within)
+// Cancel cancels a job, with retries until the cancellation is decided or the timeout has passed.
+func (f *Fleet) Cancel(id string, timeout time.Duration) (JobStatus, error) {
+	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs/"+id+"/cancel", nil, timeout)
 	if err == nil && s.State == "aborted" {
 		f.Workers.jobCancelled(id, time.Now())
 	}
 	return s, err
 }
 
-// Poll requests the state of a job, with retries for up to 20 s.
+// Poll requests the state of a job, with retries for up to pollTimeout.
 func (f *Fleet) Poll(id string) (JobStatus, error) {
 	return f.RequestWithRetry(http.MethodGet, "/v1/jobs/"+id, nil, pollTimeout)
 }
--- a/internal/loopbacktest/worker_metrics.go
+++ b/internal/loopbacktest/worker_metrics.go
@@ -6,17 +6,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatencyMicros is the largest latency that histograms distinguish, in microseconds.
+// maxLatencyMicros is the largest latency that the histograms record, in microseconds. Longer ones are recorded as
+// this value.
 const maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
 
 func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-// recordMicros records a latency in microseconds, limited to the range of the histogram.
+// recordMicros records a latency in microseconds, clamped to the range of the histogram.
 func recordMicros(h *hdrhistogram.Histogram, latency time.Duration) {
 	_ = h.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) // never out of range
 }
 
-// Counts are numbers of machines, running attempts, starts so far and broken rules so far.
+// Counts holds the number of machines, of tasks that run, of attempts started so far and of violations so far.
 type Counts struct {
 	Machines, Running, Starts, Violations int
 }
@@ -28,14 +29,15 @@
 	return Counts{Machines: len(w.byAddr), Running: len(w.audit.running), Starts: w.audit.starts, Violations: w.audit.violationCount}
 }
 
-// HeartbeatLatencies returns a copy of the latencies from heartbeat to response, in microseconds.
+// HeartbeatLatencies returns a copy of the histogram of the times from a heartbeat to its response, in microseconds.
 func (w *Workers) HeartbeatLatencies() *hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return hdrhistogram.Import(w.heartbeatLatency.Export())
 }
 
-// StartLatencies returns a copy of the latencies from acceptance to start by class, in microseconds.
+// StartLatencies returns copies of the histograms, by class, of the times from the acceptance of a job to the first
+// start of each task, in microseconds.
 func (w *Workers) StartLatencies() map[Class]*hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/loopbacktest/worker_protocol.go
+++ b/internal/loopbacktest/worker_protocol.go
@@ -24,12 +24,12 @@
 const (
 	causeDone    = "done"
 	causeStopped = "stopped"
-	causeUnknown = "unknown" // the job is not known to the worker
+	causeUnknown = "unknown" // the job was not added to the workers
 	causeBusy    = "busy"    // another attempt of the task is on the machine
 	causePeers   = "peers"   // the gang has lost a task
 )
 
-// command is one command to a worker.
+// command is one command to a worker, about one attempt.
 type command struct {
 	Verb    string `json:"Verb"`
 	Task    string `json:"Chore"`
@@ -40,10 +40,10 @@
 type heartbeatResponse struct {
 	Token    uint64    `json:"Baton"`
 	Commands []command `json:"Orders"`
-	Leader   string    `json:"Steward"` // the controller to report to instead, in a redirect
+	Leader   string    `json:"Steward"` // in a redirect: the name of the controller that heartbeats must be sent to
 }
 
-// directCommands are commands that the leader sends to a worker on its own initiative.
+// directCommands is a request with commands that the leader sends to a worker without waiting for its heartbeat.
 type directCommands struct {
 	Token       uint64    `json:"Baton"`
 	Incarnation uint64    `json:"Ride"`
@@ -71,7 +71,7 @@
 	Tasks       []taskStatus `json:"Chores"`
 }
 
-// newHeartbeat returns the next heartbeat of the machine.
+// newHeartbeat returns the next heartbeat of the machine, with the next sequence number.
 func (m *machine) newHeartbeat() heartbeat {
 	m.sequence++
 	h := heartbeat{
--- a/internal/loopbacktest/workers.go
+++ b/internal/loopbacktest/workers.go
@@ -9,10 +9,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxIdleConnsPerController bounds the idle connections to one controller: each worker keeps its own.
+// maxIdleConnsPerController bounds the idle connections to one controller, since each worker keeps its own connection.
 const maxIdleConnsPerController = 20_000
 
-// Workers is all machines with their hollow workers. One lock guards them, since they share the audit log.
+// Workers holds all machines with their simulated workers. One lock guards them, since they share the audit log.
 type Workers struct {
 	timing          Timing
 	controllerAddrs []string
@@ -20,27 +20,27 @@
 	traffic         *Traffic
 	client          *http.Client
 	server          *http.Server
-	port            string // of all machines' addresses
-	closed          chan struct{}
+	port            string        // of all machines' addresses
+	closed          chan struct{} // closed by Close
 	background      sync.WaitGroup
 
 	mu               sync.Mutex
-	machines         map[int]*machine
-	byAddr           map[string]*machine // those that are not deleted
+	machines         map[int]*machine    // by ID, including deleted ones
+	byAddr           map[string]*machine // those that are not deleted, by host and port
 	jobs             map[string]Job      // by ID
 	audit            *auditLog
-	startedTasks     map[string]bool
-	models           map[string]*ModelFigures // by job
-	heartbeatLatency *hdrhistogram.Histogram  // from heartbeat to response, in microseconds
+	startedTasks     map[string]bool         // by task name; true once an attempt has run
+	models           map[string]*ModelCounts // by job
+	heartbeatLatency *hdrhistogram.Histogram // from heartbeat to response, in microseconds
 }
 
-// newWorkers starts the workers' side without machines, for controllers of these names and addresses.
+// newWorkers starts the server of the workers, without machines, for controllers with these names and addresses.
 func newWorkers(timing Timing, teams []Team, names, addrs []string, traffic *Traffic) (*Workers, error) {
 	w := &Workers{
 		timing: timing, controllerAddrs: addrs, controllerIndex: make(map[string]int), traffic: traffic,
 		client: &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: maxIdleConnsPerController}},
 		closed: make(chan struct{}), machines: make(map[int]*machine), byAddr: make(map[string]*machine), jobs: make(map[string]Job),
-		audit: newAuditLog(teams), startedTasks: make(map[string]bool), models: make(map[string]*ModelFigures), heartbeatLatency: newLatencyHistogram(),
+		audit: newAuditLog(teams), startedTasks: make(map[string]bool), models: make(map[string]*ModelCounts), heartbeatLatency: newLatencyHistogram(),
 	}
 	for i, name := range names {
 		w.controllerIndex[name] = i
@@ -52,8 +52,8 @@
 	return w, nil
 }
 
-// listen serves the addresses of all machines, which differ within the loopback range, with one
-// listener. Requests to other addresses are refused.
+// listen starts one server for all machines. Each machine has its own address in the loopback range.
+// Requests to addresses outside that range are refused.
 func (w *Workers) listen() error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -63,17 +63,17 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", w.traffic.counted(DirectCommands, w.onMachine(w.serveCommands)))
-	mux.HandleFunc("GET /show", w.onMachine(w.serveStatus))
-	mux.HandleFunc("/", w.onMachine(w.serveModel))
+	mux.HandleFunc("POST /orders", w.traffic.counted(DirectCommands, w.withMachine(w.serveCommands)))
+	mux.HandleFunc("GET /show", w.withMachine(w.serveStatus))
+	mux.HandleFunc("/", w.withMachine(w.serveModel))
 	w.server = &http.Server{Handler: mux}
-	w.background.Go(func() { _ = w.server.Serve(listener) }) // it returns ErrServerClosed
+	w.background.Go(func() { _ = w.server.Serve(listener) }) // returns ErrServerClosed after Close
 	return nil
 }
 
-// onMachine passes a request to the machine whose address it was sent to. The connection is aborted if
-// there is none that responds.
-func (w *Workers) onMachine(serve func(*machine, http.ResponseWriter, *http.Request)) http.HandlerFunc {
+// withMachine returns a handler that passes each request to the machine whose address the request was sent to.
+// It aborts the connection if no machine has this address or the machine is unresponsive.
+func (w *Workers) withMachine(serve func(*machine, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		local, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 		if !ok || !local.IP.IsLoopback() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// addJob makes a job known to the workers.
+// addJob adds a job that the workers can run.
 func (w *Workers) addJob(j Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,14 +133,14 @@
 	w.audit.cancelledAt[id] = at
 }
 
-// Violations returns the broken rules that the audit log has found, up to a limit.
+// Violations returns the violations that the audit log has found, up to maxViolations.
 func (w *Workers) Violations() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Violation(nil), w.audit.violations...)
 }
 
-// checkCancelledJobs checks periodically for tasks of cancelled jobs, until the workers are closed.
+// checkCancelledJobs checks periodically for tasks of cancelled jobs that still run, until the workers are closed.
 func (w *Workers) checkCancelledJobs() {
 	ticker := time.NewTicker(w.timing.Cancel / 20)
 	defer ticker.Stop()
