--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -12,90 +12,90 @@
 	"sagevale/internal/worker"
 )
 
-// Preemption either frees resources for all tasks of a gang or stops nothing.
+// Preemption on behalf of a gang either frees resources for all of its tasks or stops nothing.
 func TestGangPreemptionIsAllOrNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		low := arrayWithRuntime("000001", 8, time.Hour)
-		low.Priority, low.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
-		j := d.addAcceptedJob(low)
+		sched := newTestScheduler(t, clustertest.Settings())
+		lowPriority := arrayWithRuntime("000001", 8, time.Hour)
+		lowPriority.Priority, lowPriority.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
+		j := sched.addAcceptedJob(lowPriority)
 		for i := range 4 {
-			m := d.addReadyMachine(i, "cpu", "a", false)
+			m := sched.addReadyMachine(i, "cpu", "a", false)
 			for k := range 2 {
-				d.addRunningAttempt(j, 2*i+k, uint64(1+2*i+k), m)
+				sched.addRunningAttempt(j, 2*i+k, uint64(1+2*i+k), m)
 			}
 		}
-		d.addAcceptedJob(gangSpec("000002", 17)) // one task more than would fit
-		d.placeRound(time.Now())
+		sched.addAcceptedJob(gangSpec("000002", 17)) // one task more than fits on all machines
+		sched.placeRound(time.Now())
 		if n, _ := countStopping(j); n != 0 {
 			t.Errorf("%d tasks are stopped for a gang that doesn't fit, want none", n)
 		}
-		g := d.addAcceptedJob(gangSpec("000003", 5))
-		d.state.Jobs.Get("000002").RetryAfter = time.Now().Add(time.Hour)
+		gang := sched.addAcceptedJob(gangSpec("000003", 5))
+		sched.state.Jobs.Get("000002").RetryAfter = time.Now().Add(time.Hour)
 		time.Sleep(time.Second)
-		d.placeRound(time.Now())
-		if n, _ := countStopping(j); n != 3 || len(g.Attempts) != 0 {
-			t.Errorf("%d tasks of 4 CPUs are stopped for five of 2 CPUs and %d are placed, want 3 and none", n, len(g.Attempts))
+		sched.placeRound(time.Now())
+		if n, _ := countStopping(j); n != 3 || len(gang.Attempts) != 0 {
+			t.Errorf("%d tasks of 4 CPUs are stopped for five of 2 CPUs and %d are placed, want 3 and none", n, len(gang.Attempts))
 		}
 		time.Sleep(time.Second)
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 		if n, _ := countStopping(j); n != 3 {
 			t.Errorf("%d tasks are stopped after another round, want still 3", n)
 		}
 		for _, a := range j.GangAttempts() {
 			if a.Stopping {
-				d.removeAttempt(a, "stopped")
+				sched.removeAttempt(a, "stopped")
 			}
 		}
-		d.placeRound(time.Now())
-		if len(g.Attempts) != 5 {
-			t.Errorf("%d tasks are placed, want 5", len(g.Attempts))
+		sched.placeRound(time.Now())
+		if len(gang.Attempts) != 5 {
+			t.Errorf("%d tasks are placed, want 5", len(gang.Attempts))
 		}
 	})
 }
 
-// A gang that is preempted is stopped as a whole, with the time to save a checkpoint.
+// All tasks of a preempted gang are stopped together, with a grace period in which they save a checkpoint.
 func TestPreemptedGangGetsTimeToSave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		g := d.addAcceptedJob(gangSpec("000001", 4))
+		sched := newTestScheduler(t, clustertest.Settings())
+		gang := sched.addAcceptedJob(gangSpec("000001", 4))
 		var machines []*cluster.Machine
 		for i := range 2 {
-			machines = append(machines, d.addReadyMachine(i, "cpu", "a", false))
+			machines = append(machines, sched.addReadyMachine(i, "cpu", "a", false))
 		}
 		for i := range 4 {
-			d.addRunningAttempt(g, i, 9, machines[i/2])
+			sched.addRunningAttempt(gang, i, 9, machines[i/2])
 		}
-		g.Gang.Started = true
-		d.addAcceptedJob(urgentService())
-		d.placeRound(time.Now())
-		for _, a := range g.GangAttempts() {
-			if !a.Stopping || a.GraceSeconds != g.Spec.SaveS || !a.StopCommanded {
-				t.Errorf("attempt of task %d is %+v, want a stop with %v s to save", a.Task, a, g.Spec.SaveS)
+		gang.Gang.Started = true
+		sched.addAcceptedJob(urgentService())
+		sched.placeRound(time.Now())
+		for _, a := range gang.GangAttempts() {
+			if !a.Stopping || a.GraceSeconds != gang.Spec.SaveS || !a.StopCommanded {
+				t.Errorf("attempt of task %d is %+v, want a stop with a grace period of %v s", a.Task, a, gang.Spec.SaveS)
 			}
 		}
 	})
 }
 
-// addCompetingGangs adds two running gangs of three tasks. Two tasks of each fill a machine and the third runs on another
-// one; that of the first gang is returned.
-func addCompetingGangs(d *scheduler, now time.Time) (first, second *cluster.Job, elsewhere *cluster.Machine) {
+// addCompetingGangs adds two running gangs of three tasks each. Two tasks of a gang fill one machine, and its third task
+// runs on another machine. It also returns the machine of the first gang's third task.
+func addCompetingGangs(sched *scheduler, now time.Time) (first, second *cluster.Job, thirdTaskMachine *cluster.Machine) {
 	for m := 1; m <= 4; m++ {
-		d.addReadyMachine(m, "cpu", "a", false)
+		sched.addReadyMachine(m, "cpu", "a", false)
 	}
 	add := func(id string, number uint64, machines ...int) *cluster.Job {
 		spec := gangSpec(id, 3)
 		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
-		j := d.addAcceptedJob(spec)
+		j := sched.addAcceptedJob(spec)
 		for i, m := range machines {
-			d.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: number, Machine: d.state.Machines.Get(m), Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
+			sched.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: number, Machine: sched.state.Machines.Get(m), Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
 				State: worker.Running, ReservedAt: now, Started: now.Add(-time.Minute)})
 		}
 		j.Gang.Started = true
 		return j
 	}
 	first, second = add("000001", 8, 1, 1, 3), add("000002", 9, 2, 2, 4)
-	return first, second, d.state.Machines.Get(3)
+	return first, second, sched.state.Machines.Get(3)
 }
 
 // urgentService returns the specification of a service that needs a whole machine of type cpu.
@@ -105,7 +105,8 @@
 	return s
 }
 
-// countStopping counts a job's attempts that are being stopped, and those of them with time to save.
+// countStopping returns how many attempts of a job are being stopped, and how many of these have a grace period to save a
+// checkpoint.
 func countStopping(j *cluster.Job) (stopping, saving int) {
 	for _, a := range j.Attempts {
 		if a.Stopping {
@@ -118,72 +119,73 @@
 	return stopping, saving
 }
 
-// All tasks of a gang must receive their stop commands within gang_peer_s, or its checkpoint is lost. A gang that may not manage
-// that is spared while another one can be preempted.
+// All tasks of a gang must receive their stop commands within gang_peer_s of the first one, or the gang's checkpoint is
+// lost. If the commands to a machine of a gang may be late, that gang isn't preempted as long as another gang can be.
 func TestPreemptionSparesGangThatCannotSave(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault func(d *scheduler, m *cluster.Machine)
+		fault func(sched *scheduler, m *cluster.Machine)
 	}{
-		{"no heartbeat", func(d *scheduler, m *cluster.Machine) {
-			m.LastContact = m.LastContact.Add(-2 * d.settings.HeartbeatInterval)
+		{"no heartbeat", func(sched *scheduler, m *cluster.Machine) {
+			m.LastContact = m.LastContact.Add(-2 * sched.settings.HeartbeatInterval)
 		}},
 		{"commands unanswered", func(_ *scheduler, m *cluster.Machine) { m.InFlight = maxInFlightCommands }},
-		{"commands fail", func(d *scheduler, m *cluster.Machine) { d.commandsFailing[m.ID] = true }},
+		{"commands fail", func(sched *scheduler, m *cluster.Machine) { sched.commandsFailing[m.ID] = true }},
 		{"unresponsive", func(_ *scheduler, m *cluster.Machine) { m.Unresponsive = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestScheduler(t, clustertest.Settings())
-				first, second, elsewhere := addCompetingGangs(d, time.Now())
-				c.fault(d, elsewhere)
-				d.addAcceptedJob(urgentService())
-				d.placeRound(time.Now())
+				sched := newTestScheduler(t, clustertest.Settings())
+				first, second, thirdTaskMachine := addCompetingGangs(sched, time.Now())
+				c.fault(sched, thirdTaskMachine)
+				sched.addAcceptedJob(urgentService())
+				sched.placeRound(time.Now())
 				if n, _ := countStopping(first); n != 0 {
-					t.Errorf("%d tasks are stopped of the gang that can't save, want none", n)
+					t.Errorf("%d tasks of the gang that can't save a checkpoint are stopped, want none", n)
 				}
 				if n, saving := countStopping(second); n != 3 || saving != 3 {
-					t.Errorf("%d tasks are stopped of the gang that can save, %d with time to; want all 3", n, saving)
+					t.Errorf("%d tasks of the gang that can save a checkpoint are stopped, %d with a grace period; want all 3", n, saving)
 				}
 			})
 		})
 	}
 }
 
-// If no gang can save, one is stopped without a grace period: waiting for a checkpoint that fails would only delay
-// the preemption.
+// If no gang can save a checkpoint, one is stopped without a grace period, because waiting for a checkpoint that fails would
+// only delay the preemption.
 func TestGangThatCannotSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		first, second, elsewhere := addCompetingGangs(d, time.Now())
-		elsewhere.InFlight = maxInFlightCommands
-		d.state.Machines.Get(4).InFlight = maxInFlightCommands
-		d.addAcceptedJob(urgentService())
-		d.placeRound(time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		first, second, thirdTaskMachine := addCompetingGangs(sched, time.Now())
+		thirdTaskMachine.InFlight = maxInFlightCommands
+		sched.state.Machines.Get(4).InFlight = maxInFlightCommands
+		sched.addAcceptedJob(urgentService())
+		sched.placeRound(time.Now())
 		n1, saving1 := countStopping(first)
 		n2, saving2 := countStopping(second)
 		if n1+n2 != 3 || saving1+saving2 != 0 {
-			t.Errorf("stopped %d and %d tasks, %d and %d with time to save; want 3 of one gang, none with time", n1, n2, saving1, saving2)
+			t.Errorf("stopped %d and %d tasks, %d and %d with a grace period; want 3 of one gang, none with a grace period", n1, n2, saving1, saving2)
 		}
 	})
 }
 
-// On a spot notice a gang that can't save in time keeps running, because it may reach another checkpoint before.
+// After a spot notice, a gang that can't save a checkpoint in time keeps running, because it may still reach its next
+// checkpoint before the preemption.
 func TestSpotNoticeStopsOnlyGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reachable=%v", reachable), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newTestScheduler(t, clustertest.Settings())
-				first, _, elsewhere := addCompetingGangs(d, time.Now())
+				sched := newTestScheduler(t, clustertest.Settings())
+				first, _, thirdTaskMachine := addCompetingGangs(sched, time.Now())
 				first.Spec.EstimateS = 1000
 				if !reachable {
-					elsewhere.InFlight = maxInFlightCommands
+					thirdTaskMachine.InFlight = maxInFlightCommands
 				}
-				m := d.state.Machines.Get(1)
+				m := sched.state.Machines.Get(1)
 				m.PreemptionAt = time.Now().Add(10 * time.Second)
-				d.drain(m, "spot notice")
+				sched.drain(m, "spot notice")
 				if n, saving := countStopping(first); (n == 3 && saving == 3) != reachable || !reachable && n != 0 {
-					t.Errorf("%d tasks are stopped, %d with time to save; want all 3 if reachable, else none", n, saving)
+					t.Errorf("%d tasks are stopped, %d with a grace period; want all 3 if reachable, else none", n, saving)
 				}
 			})
 		})
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -11,21 +11,21 @@
 	"sagevale/internal/worker"
 )
 
-// gangStartCount returns how often all tasks of a gang have started together.
+// gangStartCount returns the number of times that all tasks of a gang have started together.
 func (sim *simulation) gangStartCount(id string) (n int) {
 	sim.withLock(func() { n = sim.gangStarts[id] })
 	return n
 }
 
-// setStuckPulling makes image pulls on all workers get stuck, or complete at once.
+// setStuckPulling sets whether image pulls that begin on any worker get stuck; otherwise they complete at once.
 func (sim *simulation) setStuckPulling(stuck bool) {
 	for _, wk := range sim.allWorkers() {
 		wk.stuckPulling.Store(stuck)
 	}
 }
 
-// attemptNumbers counts a job's live tasks by their attempt number.
-func (sim *simulation) attemptNumbers(id string) map[uint64]int {
+// tasksByAttempt returns the number of a job's tasks that haven't exited, by attempt number.
+func (sim *simulation) tasksByAttempt(id string) map[uint64]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	numbers := make(map[uint64]int)
@@ -63,8 +63,8 @@
 		sim.setStuckPulling(true)
 		sim.submit(gangSpec("000002", 3))
 		sim.eventually("the gang is placed", time.Minute, func() bool { return len(sim.runningTasks("000002")) == 3 })
-		if a := sim.poll("000002"); a.State != api.StatePending || a.Running != 0 {
-			sim.t.Errorf("poll returns %+v, want a pending job without running tasks", a)
+		if response := sim.poll("000002"); response.State != api.StatePending || response.Running != 0 {
+			sim.t.Errorf("poll returns %+v, want a pending job without running tasks", response)
 		}
 	}},
 	{"task that does not start is replaced within the attempt", func(sim *simulation) {
@@ -75,17 +75,17 @@
 		slow := sim.machinesOf("000001")[0]
 		slow.stuckPulling.Store(true)
 		sim.submit(gangSpec("000002", 5))
-		var placed uint64 // the number of the attempt
+		var placedNumber uint64 // attempt number under which the gang was placed
 		sim.eventually("the gang is placed", 2*time.Minute, func() bool {
-			for number := range sim.attemptNumbers("000002") {
-				placed = number
+			for number := range sim.tasksByAttempt("000002") {
+				placedNumber = number
 			}
 			return len(sim.runningTasks("000002")) == 5
 		})
 		sim.eventually("the gang runs", 2*time.Minute, func() bool { return sim.gangStartCount("000002") == 1 })
-		for number := range sim.attemptNumbers("000002") {
-			if number != placed {
-				sim.t.Errorf("a task runs as attempt %d, want %d", number, placed)
+		for number := range sim.tasksByAttempt("000002") {
+			if number != placedNumber {
+				sim.t.Errorf("a task runs as attempt %d, want %d", number, placedNumber)
 			}
 		}
 		sim.awaitDone("000002")
@@ -133,9 +133,9 @@
 		sim.submit(zonalService("000002", "b", 8))
 		sim.awaitRunning("000001", 8)
 		sim.awaitRunning("000002", 8)
-		g := gangSpec("000003", 10)
-		g.SameZone, g.Spread, g.EstimateS = false, true, 60
-		sim.submit(g)
+		spec := gangSpec("000003", 10)
+		spec.SameZone, spec.Spread, spec.EstimateS = false, true, 60
+		sim.submit(spec)
 		sim.eventually("the gang runs", 3*time.Minute, func() bool { return sim.gangStartCount("000003") == 1 })
 		sim.moveLeaderOutOf("b")
 		sim.isolateZone("b")
@@ -209,20 +209,21 @@
 }
 
 func TestGangScheduling(t *testing.T) {
-	for _, g := range gangScenarios {
-		t.Run(g.name, func(t *testing.T) { runSimulation(t, g.run) })
+	for _, scenario := range gangScenarios {
+		t.Run(scenario.name, func(t *testing.T) { runSimulation(t, scenario.run) })
 	}
 }
 
-// Whether a gang is accepted depends on what it needs as a whole.
+// A gang is rejected as infeasible if its tasks together exceed the limit of its team, or if a task fits on no type of
+// machine.
 func TestInfeasibleGangIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.submit(clustertest.Service("000009", 1)) // so that the machine types are known
+		sim.submit(clustertest.Service("000009", 1)) // ensures that the machine types are known
 		beyondLimit, beyondMachine := withLimitedTeam(gangSpec("000001", 3)), gangSpec("000002", 2)
 		beyondMachine.Resources.CPUs = 1000
 		for _, s := range []storage.Spec{beyondLimit, beyondMachine} {
-			if a := sim.request(api.OpSubmit, s.ID, s); a.Code != api.CodeInfeasible {
-				t.Errorf("submission of job %s is answered %+v, want code %v", s.ID, a, api.CodeInfeasible)
+			if response := sim.request(api.OpSubmit, s.ID, s); response.Code != api.CodeInfeasible {
+				t.Errorf("submission of job %s: got %+v, want code %v", s.ID, response, api.CodeInfeasible)
 			}
 		}
 		sim.submit(withLimitedTeam(gangSpec("000003", 2)))
@@ -236,8 +237,8 @@
 		sim.submit(gangSpec("000001", 2))
 		sim.awaitDone("000001")
 		for _, op := range []api.Op{api.OpSubmit, api.OpCancel, api.OpPoll} {
-			if a := sim.request(op, "000001", gangSpec("000001", 2)); a.Code != api.CodeOK || a.State != api.StateDone || a.Done != 2 {
-				t.Errorf("request %v is answered %+v, want the job done with 2 tasks", op, a)
+			if response := sim.request(op, "000001", gangSpec("000001", 2)); response.Code != api.CodeOK || response.State != api.StateDone || response.Done != 2 {
+				t.Errorf("request %v: got %+v, want the job done with 2 tasks", op, response)
 			}
 		}
 	})
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -13,91 +13,93 @@
 	"sagevale/internal/worker"
 )
 
-// Attempts of two numbers, which an earlier leader left half written, are all stopped; the gang starts again once they are gone.
+// An earlier leader may leave tasks of one gang under two attempt numbers, because only part of its writes became durable.
+// The new leader stops all these tasks, and starts the gang again once they are gone.
 func TestLoadedGangOfTwoAttemptsIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := gangSpec("000001", 3)
-		d := newTestScheduler(t, clustertest.Settings())
-		if err := d.loadRecords([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
+		sched := newTestScheduler(t, clustertest.Settings())
+		if err := sched.loadRecords([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
 			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
-		d.state.SetTypes(clustertest.Types)
-		j := d.state.Jobs.Get("000001")
+		sched.state.SetTypes(clustertest.Types)
+		j := sched.state.Jobs.Get("000001")
 		for i := 10; i < 14; i++ {
-			d.addReadyMachine(i, "cpu", "a", false)
+			sched.addReadyMachine(i, "cpu", "a", false)
 		}
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 2 || !j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
 			t.Errorf("attempts %+v, want both stopping", j.Attempts)
 		}
 		for _, a := range j.GangAttempts() {
-			d.removeAttempt(a, "gone")
+			sched.removeAttempt(a, "gone")
 		}
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 3 || len(map[uint64]bool{j.Attempts[0].Number: true, j.Attempts[1].Number: true, j.Attempts[2].Number: true}) != 1 {
-			t.Errorf("attempts %+v, want three of one number", j.Attempts)
+			t.Errorf("attempts %+v, want three with the same number", j.Attempts)
 		}
 	})
 }
 
-// addGang adds a gang with an attempt in the given state, one task on each of the machines.
-func (d *scheduler) addGang(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
-	j := d.addAcceptedJob(spec)
+// addGang adds a gang with attempt number 9, whose tasks are all in the given state. Task i runs on the i-th of the
+// machines.
+func (s *scheduler) addGang(spec storage.Spec, state worker.TaskState, machines ...*cluster.Machine) *cluster.Job {
+	j := s.addAcceptedJob(spec)
 	for i, m := range machines {
-		d.addAttempt(&cluster.Attempt{
+		s.addAttempt(&cluster.Attempt{
 			Job: j, Task: i, Number: 9, Machine: m, Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
 			State: state, ReservedAt: time.Now(), Started: time.Now(), GatheringSince: time.Now(),
 		})
 	}
-	d.lastAttempt = 9
+	s.lastAttempt = 9
 	j.Gang.Started = state == worker.Running
 	return j
 }
 
-// The loss of a task aborts a running attempt: the other tasks are stopped at once, and no new attempt starts before all of them
-// are gone.
+// If a running gang loses a task, the scheduler stops the other tasks without a grace period. It starts no new attempt
+// before all of them are gone.
 func TestTaskLossAbortsRunningGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		j := d.addGang(gangSpec("000001", 3), worker.Running, d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false), d.addReadyMachine(3, "cpu", "a", false))
-		d.addReadyMachine(4, "cpu", "a", false)
-		d.removeAttempt(j.Attempts[0], "its machine is gone")
+		sched := newTestScheduler(t, clustertest.Settings())
+		j := sched.addGang(gangSpec("000001", 3), worker.Running, sched.addReadyMachine(1, "cpu", "a", false), sched.addReadyMachine(2, "cpu", "a", false), sched.addReadyMachine(3, "cpu", "a", false))
+		sched.addReadyMachine(4, "cpu", "a", false)
+		sched.removeAttempt(j.Attempts[0], "its machine is gone")
 		for _, a := range j.GangAttempts() {
 			if !a.Stopping || a.GraceSeconds != 0 {
-				t.Errorf("attempt of task %d is %+v, want it stopping at once", a.Task, a)
+				t.Errorf("attempt of task %d is %+v, want it stopping without a grace period", a.Task, a)
 			}
 		}
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 2 {
-			t.Errorf("%d tasks while the earlier attempt isn't over, want its 2", len(j.Attempts))
+			t.Errorf("%d tasks before the earlier attempt has ended, want its remaining 2", len(j.Attempts))
 		}
 		for _, a := range j.GangAttempts() {
-			d.removeAttempt(a, "ended")
+			sched.removeAttempt(a, "ended")
 		}
-		d.placeRound(time.Now())
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 3 || j.Attempts[0].Number == 9 {
-			t.Errorf("restarted as %+v with %d tasks, want 3 under a new number", j.Gang, len(j.Attempts))
+			t.Errorf("restarted as %+v with %d tasks, want 3 tasks under a new attempt number", j.Gang, len(j.Attempts))
 		}
 	})
 }
 
-// A worker doesn't start an attempt again whose exit it has recorded, so that a replacement under the same number is placed on
-// another machine.
+// A worker never restarts an attempt whose exit it has recorded. A replacement under the same attempt number is therefore
+// placed on another machine.
 func TestGangReplacementAvoidsMachineOfSameAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, one)
+		sched := newTestScheduler(t, clustertest.Settings())
+		machine1, machine2 := sched.addReadyMachine(1, "cpu", "a", false), sched.addReadyMachine(2, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 2), worker.Gathering, machine1, machine1)
 		j.Attempts[0].State = worker.Exited
-		d.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
+		sched.attemptExited(j.Attempts[0], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseStopped}, time.Now())
 		if len(j.Attempts) != 1 {
 			t.Fatalf("%d attempts are left, want 1", len(j.Attempts))
 		}
-		one.Images["img"] = cluster.Image{SizeGB: 1} // preferred otherwise
-		d.placeRound(time.Now())
-		if a := j.Attempts[0]; a == nil || a.Machine != two || a.Number != 9 {
+		machine1.Images["img"] = cluster.Image{SizeGB: 1} // placement would prefer this machine otherwise
+		sched.placeRound(time.Now())
+		if a := j.Attempts[0]; a == nil || a.Machine != machine2 || a.Number != 9 {
 			t.Errorf("replaced by %+v, want attempt 9 on machine 2", a)
 		}
 	})
@@ -105,67 +107,69 @@
 
 func TestGangIsDoneWithFirstTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
-		d.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
+		sched.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
 		if j.Done != 3 || j.Phase != storage.Done {
 			t.Errorf("%d tasks done in phase %v, want all 3 and done", j.Done, j.Phase)
 		}
 	})
 }
 
-// A task whose image pull doesn't complete would keep its whole gang waiting: after a while it is stopped, to be placed elsewhere.
+// A task whose image pull doesn't complete makes its whole gang wait. After a share of GangWait, stalledGangWaitShare, the
+// scheduler stops the task, so that it can be placed on another machine.
 func TestGangTaskThatDoesNotStartIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.GangWait = 45 * time.Second
-		d := newTestScheduler(t, s)
-		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
+		sched := newTestScheduler(t, s)
+		machine1, machine2 := sched.addReadyMachine(1, "cpu", "a", false), sched.addReadyMachine(2, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 2), worker.Gathering, machine1, machine2)
 		j.Attempts[1].State = worker.Pulling
-		d.nextSnapshot = time.Now().Add(time.Hour) // no fleet snapshots in this test
-		if d.tick(); j.Attempts[1].Stopping {
+		sched.nextSnapshot = time.Now().Add(time.Hour) // no fleet snapshots in this test
+		if sched.tick(); j.Attempts[1].Stopping {
 			t.Error("the pulling task is stopped at once")
 		}
-		time.Sleep(s.GangWait * 45 / 100) // before the machines' leases expire
-		if d.tick(); j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
+		time.Sleep(s.GangWait * 45 / 100) // more than stalledGangWaitShare, but before the machines' leases expire
+		if sched.tick(); j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
 			t.Errorf("gathering task stopping: %v, pulling task stopping: %v; want false and true", j.Attempts[0].Stopping, j.Attempts[1].Stopping)
 		}
 	})
 }
 
-// A gang beyond its team's remaining limit reserves nothing.
+// No task of a gang is placed while the gang as a whole exceeds the remaining limit of its team.
 func TestGangWaitsForTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
 		s.Teams = append(s.Teams, config.Team{Name: "small", Limit: storage.Resources{GPUs: 2}})
-		d := newTestScheduler(t, s)
-		m := d.addReadyMachine(1, "gpu", "a", false)
-		other := d.addGang(withLimitedTeam(gangSpec("000001", 1)), worker.Running, m)
-		j := d.addAcceptedJob(withLimitedTeam(gangSpec("000002", 2)))
-		d.placeRound(time.Now())
+		sched := newTestScheduler(t, s)
+		m := sched.addReadyMachine(1, "gpu", "a", false)
+		runningGang := sched.addGang(withLimitedTeam(gangSpec("000001", 1)), worker.Running, m)
+		j := sched.addAcceptedJob(withLimitedTeam(gangSpec("000002", 2)))
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 0 {
 			t.Errorf("%d tasks are placed beyond the limit, want none", len(j.Attempts))
 		}
-		d.removeAttempt(other.Attempts[0], "ended")
-		other.RetryAfter = time.Now().Add(time.Hour)
-		d.placeRound(time.Now())
+		sched.removeAttempt(runningGang.Attempts[0], "ended")
+		runningGang.RetryAfter = time.Now().Add(time.Hour)
+		sched.placeRound(time.Now())
 		if len(j.Attempts) != 2 {
 			t.Errorf("%d tasks are placed within the limit, want 2", len(j.Attempts))
 		}
 	})
 }
 
-// An exit caused by the other tasks of a gang is no failure of the machine: it isn't quarantined.
+// If a task exits because other tasks of its gang are missing, this doesn't count as a failure of the machine or of the job,
+// and the machine isn't quarantined.
 func TestGangFailureIsNotMachineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		one, two := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 2), worker.Gathering, one, two)
-		d.applyTaskReport(one, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseGangMissing}, time.Now())
-		if one.Failures.Suspected() || !one.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
-			t.Errorf("failures of the machine %+v and of the job %+v, want none", one.Failures, j.Failures)
+		sched := newTestScheduler(t, clustertest.Settings())
+		machine1, machine2 := sched.addReadyMachine(1, "cpu", "a", false), sched.addReadyMachine(2, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 2), worker.Gathering, machine1, machine2)
+		sched.applyTaskReport(machine1, &worker.Report{Incarnation: 1}, worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 9, State: worker.Exited, Cause: worker.CauseGangMissing}, time.Now())
+		if machine1.Failures.Suspected() || !machine1.QuarantinedUntil.IsZero() || len(j.Failures.Machines()) != 0 {
+			t.Errorf("failures of the machine %+v and of the job %+v, want none", machine1.Failures, j.Failures)
 		}
 		if a := j.Attempts[1]; a == nil || !a.Stopping {
 			t.Errorf("the other task's attempt is %+v, want it stopping", a)
@@ -173,65 +177,67 @@
 	})
 }
 
-// A replacement stays in the zone of the other tasks, and no attempt starts in another zone before the earlier one is gone.
+// A replacement task is placed only in the zone of the gang's other tasks. An attempt in another zone starts only after the
+// earlier attempt is gone.
 func TestGangStaysInZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		full, other := d.addReadyMachine(1, "cpu", "a", false), d.addReadyMachine(2, "cpu", "b", false)
+		sched := newTestScheduler(t, clustertest.Settings())
+		fullMachine, otherZoneMachine := sched.addReadyMachine(1, "cpu", "a", false), sched.addReadyMachine(2, "cpu", "b", false)
 		spec := gangSpec("000001", 2)
 		spec.Resources.CPUs = 4
-		j := d.addGang(spec, worker.Gathering, full, full)
-		d.removeAttempt(j.Attempts[0], "its machine is gone")
+		j := sched.addGang(spec, worker.Gathering, fullMachine, fullMachine)
+		sched.removeAttempt(j.Attempts[0], "its machine is gone")
 		blocker := clustertest.Service("000002", 1)
 		blocker.Resources.CPUs = 4
-		d.Reserve(d.addAcceptedJob(blocker), 0, full, time.Now())
-		d.placeRound(time.Now())
+		sched.Reserve(sched.addAcceptedJob(blocker), 0, fullMachine, time.Now())
+		sched.placeRound(time.Now())
 		if a := j.Attempts[0]; a != nil {
 			t.Errorf("replaced on machine %d of another zone, want no replacement", a.Machine.ID)
 		}
-		d.removeAttempt(j.Attempts[1], "ended")
-		d.placeRound(time.Now())
-		if len(j.Attempts) != 2 || j.Attempts[0].Machine != other {
+		sched.removeAttempt(j.Attempts[1], "ended")
+		sched.placeRound(time.Now())
+		if len(j.Attempts) != 2 || j.Attempts[0].Machine != otherZoneMachine {
 			t.Errorf("restarted with %d tasks, want 2 in the other zone", len(j.Attempts))
 		}
 	})
 }
 
-// Tasks are reported as running until they exit, even if their gang is being stopped or has lost a task.
+// Responses to users count the tasks of a gang as running until they exit, even while the gang is being stopped or after it
+// has lost a task.
 func TestStoppingGangTasksCountAsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
-		d.stopGang(j)
-		if a := responseOf(j); a.Running != 3 || a.State != api.StateRunning {
-			t.Errorf("response %+v, want 3 running tasks", a)
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
+		sched.stopGang(j)
+		if response := responseOf(j); response.Running != 3 || response.State != api.StateRunning {
+			t.Errorf("response %+v, want 3 running tasks", response)
 		}
-		d.removeAttempt(j.Attempts[0], "ended")
-		if a := responseOf(j); a.Running != 2 || a.State != api.StateRunning {
-			t.Errorf("response %+v after a loss, want 2 running tasks", a)
+		sched.removeAttempt(j.Attempts[0], "ended")
+		if response := responseOf(j); response.Running != 2 || response.State != api.StateRunning {
+			t.Errorf("response %+v after a loss, want 2 running tasks", response)
 		}
 	})
 }
 
-// For arrays and services every start has an attempt number of its own.
+// Every start of a task of an array or a service has an attempt number that no other start has used.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
+		sched := newTestScheduler(t, clustertest.Settings())
 		for i := range 4 {
-			d.addReadyMachine(i, "cpu", "a", false)
+			sched.addReadyMachine(i, "cpu", "a", false)
 		}
-		array, replicas := d.addAcceptedJob(clustertest.Array("000001", 4)), d.addAcceptedJob(clustertest.Service("000002", 3))
+		array, replicas := sched.addAcceptedJob(clustertest.Array("000001", 4)), sched.addAcceptedJob(clustertest.Service("000002", 3))
 		used := make(map[uint64]worker.TaskID)
 		for range 3 {
-			d.placeRound(time.Now())
+			sched.placeRound(time.Now())
 			for _, j := range []*cluster.Job{array, replicas} {
 				for _, a := range j.GangAttempts() {
 					if id, ok := used[a.Number]; ok {
-						t.Errorf("%v starts under attempt number %d, which %v had", a.ID(), a.Number, id)
+						t.Errorf("%v starts under attempt number %d, which %v has already used", a.ID(), a.Number, id)
 					}
 					used[a.Number] = a.ID()
-					d.removeAttempt(a, "lost")
+					sched.removeAttempt(a, "lost")
 				}
 			}
 		}
@@ -241,23 +247,23 @@
 	})
 }
 
-// Reports that no gang can cause change nothing: of a task that the job doesn't have, of the exit of another attempt, of
-// gathering after the start, and of an unknown job.
+// The scheduler ignores reports that contradict its state: of a task that the job doesn't have, of the exit of another
+// attempt, of a task that gathers after its gang has started, and of an unknown job.
 func TestImpossibleGangReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestScheduler(t, clustertest.Settings())
-		m := d.addReadyMachine(1, "cpu", "a", false)
-		j := d.addGang(gangSpec("000001", 2), worker.Running, m, m)
+		sched := newTestScheduler(t, clustertest.Settings())
+		m := sched.addReadyMachine(1, "cpu", "a", false)
+		j := sched.addGang(gangSpec("000001", 2), worker.Running, m, m)
 		for _, r := range []worker.TaskReport{
 			{ID: worker.TaskID{Job: "000001", Task: 7}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone},
 			{ID: worker.TaskID{Job: "000001", Task: 0}, Attempt: 3, State: worker.Exited, Cause: worker.CauseGangMissing},
 			{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Gathering},
 			{ID: worker.TaskID{Job: "999999", Task: 0}, Attempt: 9, State: worker.Running},
 		} {
-			d.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
+			sched.applyTaskReport(m, &worker.Report{Incarnation: 1}, r, time.Now())
 		}
 		if n, _ := countStopping(j); j.Done != 0 || len(j.Attempts) != 2 || n != 0 || !j.Gang.Started || j.Gang.Failed {
-			t.Errorf("%d done, %d attempts, %d stopping, %+v; want two attempts that run on", j.Done, len(j.Attempts), n, j.Gang)
+			t.Errorf("%d done, %d attempts, %d stopping, %+v; want two attempts that keep running", j.Done, len(j.Attempts), n, j.Gang)
 		}
 	})
 }
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -10,16 +10,16 @@
 	"sagevale/internal/config"
 )
 
-// Controllers with little processor time and memory fall behind, and must keep all invariants
-// that the simulation checks.
+// The tests in this file run controllers with little CPU time and memory. Such controllers fall behind, but must keep all
+// invariants that the simulation checks.
 
-// lowResources gives the controllers a few hundredths of a processor.
+// lowResources gives the controllers 3.6% of a CPU, 65 MB of memory and a longer heartbeat interval.
 func lowResources(s *config.Settings) {
 	s.CPUShare, s.MemoryMB, s.HeartbeatInterval = 0.036, 65, 4*time.Second
 }
 
-// On a slow processor timers fire late and each step is late: the leadership may end between a
-// check and its effect.
+// On a slow CPU timers fire late and each step takes longer. A controller's leadership may therefore end between a check and
+// the action that depends on it.
 func TestSlowProcessorKeepsInvariants(t *testing.T) {
 	for _, maxDelay := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(maxDelay.String(), func(t *testing.T) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// All controllers restart at once and all workers report to them at about the same time: no
-// job is lost and no task starts again.
+// When all controllers restart at once, all workers report to them at about the same time. No job is lost, and no running
+// task is started again.
 func TestRestartOfAllNodesKeepsTasksRunning(t *testing.T) {
 	runSimulationWithSettings(t, lowResources, func(sim *simulation) {
 		const jobs, tasks = 20, 8
@@ -97,14 +97,15 @@
 	})
 }
 
-// A submission that doesn't fit into memory gets a retry interval; other work goes on.
+// A submission that would exceed the leader's memory is rejected with a retry interval. Other jobs are still accepted and
+// run.
 func TestSubmitBeyondMemoryReturnsBusy(t *testing.T) {
 	lowMemory := func(s *config.Settings) {
 		lowResources(s)
 		s.MemoryMB = 16
 	}
 	runSimulationWithSettings(t, lowMemory, func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 2)) // now the machine types are known
+		sim.submit(clustertest.Service("000001", 2)) // ensures that the machine types are known
 		large := clustertest.Array("000002", sim.settings.MaxOpenTasks()+1)
 		got := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
 		if got.Code != api.CodeBusy || got.RetrySeconds < 1 {
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -14,16 +14,16 @@
 	"sagevale/internal/worker"
 )
 
-// largeFleet is a number of machines that no fixed limit may stand in the way of.
-const largeFleet = 6000
+// largeFleetSize is the number of machines of a large fleet, which must not exceed any fixed limit.
+const largeFleetSize = 6000
 
-// All workers may report at once: users are turned away before heartbeats are, and submissions
-// before polls and cancellations.
+// All workers may send heartbeats at the same time. As the scheduler's mailbox fills up, submissions are rejected first,
+// then polls and cancellations, and heartbeats last.
 func TestMailboxReservesCapacityForHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
-		settings.Sockets = largeFleet
-		sched := newTestScheduler(t, settings) // it handles no message
+		settings.Sockets = largeFleetSize
+		sched := newTestScheduler(t, settings) // it doesn't run, so messages stay in its mailbox
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		report := func(n int) {
@@ -33,50 +33,49 @@
 			synctest.Wait()
 		}
 		busy := func(op api.Op) bool { return !sched.acceptsRequest(op) }
-		if report(largeFleet*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
+		if report(largeFleetSize*3/4 - 1); busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("a request is rejected while a quarter of the mailbox is free")
 		}
 		if report(2); !busy(api.OpSubmit) || busy(api.OpPoll) || busy(api.OpCancel) {
 			t.Error("beyond three quarters: want submissions rejected, polls and cancellations admitted")
 		}
-		if report(largeFleet / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
+		if report(largeFleetSize / 8); !busy(api.OpPoll) || !busy(api.OpCancel) {
 			t.Error("beyond seven eighths: want polls and cancellations rejected")
 		}
 		got := sched.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"})
 		if got.Code != api.CodeBusy || got.RetrySeconds < 1 || got.RetrySeconds > maxBusyRetrySeconds {
 			t.Errorf("poll: got %+v, want code %v with a retry interval of 1 to %d s", got, api.CodeBusy, maxBusyRetrySeconds)
 		}
-		if report(largeFleet/8 - 1); len(sched.mailbox) != largeFleet {
-			t.Errorf("got %d waiting heartbeats, want %d", len(sched.mailbox), largeFleet)
+		if report(largeFleetSize/8 - 1); len(sched.mailbox) != largeFleetSize {
+			t.Errorf("got %d waiting heartbeats, want %d", len(sched.mailbox), largeFleetSize)
 		}
 	})
 }
 
-// A worker that reports more unknown tasks than fit into one response gets their stop commands in
-// several responses.
+// If a worker reports more unknown tasks than fit into one response, their stop commands are spread over several responses.
 func TestHeartbeatResponseLimitsCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		sched.addReadyMachine(1, "cpu", "a", false)
-		r := cpuReport(1, 5, sched.term)
+		report := cpuReport(1, 5, sched.term)
 		for i := range 3 * maxCommands / 2 {
 			id := worker.TaskID{Job: fmt.Sprintf("%06d", i), Task: 0}
-			r.Tasks = append(r.Tasks, worker.TaskReport{ID: id, Attempt: uint64(i), State: worker.Running})
+			report.Tasks = append(report.Tasks, worker.TaskReport{ID: id, Attempt: uint64(i), State: worker.Running})
 		}
 		notStop := func(c worker.Command) bool { return c.Verb != worker.Stop }
-		if got := sched.handleHeartbeat(r); !got.Accepted || len(got.Commands) != maxCommands || slices.ContainsFunc(got.Commands, notStop) {
+		if got := sched.handleHeartbeat(report); !got.Accepted || len(got.Commands) != maxCommands || slices.ContainsFunc(got.Commands, notStop) {
 			t.Errorf("first response: got accepted %v with %d commands, want %d stop commands", got.Accepted, len(got.Commands), maxCommands)
 		}
-		r.Seq++
-		r.Tasks = r.Tasks[maxCommands:]
-		if got := sched.handleHeartbeat(r); len(got.Commands) != maxCommands/2 {
+		report.Seq++
+		report.Tasks = report.Tasks[maxCommands:]
+		if got := sched.handleHeartbeat(report); len(got.Commands) != maxCommands/2 {
 			t.Errorf("second response: got %d commands, want %d", len(got.Commands), maxCommands/2)
 		}
 	})
 }
 
-// Submissions beyond what can be committed in time are rejected with staggered retry intervals;
-// repeated submissions of known jobs are answered all the same.
+// Submissions are rejected with increasing retry intervals if they can't be committed in time. Repeated submissions of known
+// jobs are still answered.
 func TestSubmissionFloodIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -108,13 +107,13 @@
 	})
 }
 
-// failRecord returns a callback for a record that can't be encoded: it fails the test.
-func failRecord(t *testing.T) func(key string, err error) {
+// failOnRecordError returns a callback that fails the test if a record can't be encoded.
+func failOnRecordError(t *testing.T) func(key string, err error) {
 	t.Helper()
 	return func(key string, err error) { t.Errorf("record %s: %v", key, err) }
 }
 
-// The start of an urgent task doesn't wait for the records of a flood of other jobs.
+// An urgent task starts without waiting for the commit of the records of many other jobs.
 func TestUrgentStartBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -128,7 +127,7 @@
 		a := sched.Reserve(urgent, 0, m, time.Now())
 		sched.startWhenDurable([]*cluster.Attempt{a})
 		for range 2 {
-			if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failRecord(t)); ok {
+			if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failOnRecordError(t)); ok {
 				sched.handleCommitted(nil)
 			}
 		}
@@ -138,8 +137,8 @@
 	})
 }
 
-// A cancellation doesn't wait behind a flood of accepted jobs, even if the job's own record is
-// queued behind them already.
+// A cancellation doesn't wait for the commit of the records of many accepted jobs, even if the job's own record is already
+// queued behind them.
 func TestCancellationBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -147,10 +146,10 @@
 		for i := range 5000 {
 			sched.markJob(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
-		sched.markJob(j) // for another change, at the end of the bulk lane
+		sched.markJob(j) // queues the record for another change, at the end of the bulk lane
 		reply := make(chan api.Response, 1)
 		sched.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
-		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failRecord(t)); !ok {
+		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failOnRecordError(t)); !ok {
 			t.Fatal("no record is queued to be written")
 		}
 		sched.handleCommitted(nil)
