--- a/internal/scheduler/cold_start_faults_test.go
+++ b/internal/scheduler/cold_start_faults_test.go
@@ -9,20 +9,22 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// coldStartFault is a fault that is injected at some moment of a wake or a drain, and passes by itself.
+// coldStartFault is a fault that is injected at some point of a wake or a drain. The inject function also ends the fault, unless
+// a machine is lost.
 type coldStartFault struct {
 	name   string
 	inject func(sim *simulation, leader *fakeNode)
-	// mayRestart is whether the replica may be restarted within its generation, because a machine or
-	// the model fails too.
+	// mayRestart is set if the fault concerns a machine or the model, so that the replica may be restarted within its
+	// generation.
 	mayRestart bool
 }
 
-// coldFaultDuration is longer than a leader's lease.
-const coldFaultDuration = 6 * time.Second
+// faultDuration is the duration of most faults. It is longer than a leader's lease.
+const faultDuration = 6 * time.Second
 
-// restartAfter kills nodes and starts them again after a delay. Two faults at once may concern the same node.
-func (sim *simulation) restartAfter(delay time.Duration, nodes ...*fakeNode) {
+// killAndRestart kills nodes and starts them again after a delay. It skips a node that runs again already, because two
+// simultaneous faults may concern the same node.
+func (sim *simulation) killAndRestart(delay time.Duration, nodes ...*fakeNode) {
 	for _, n := range nodes {
 		sim.processMu.Lock()
 		n.kill()
@@ -38,39 +40,39 @@
 	}
 }
 
-// duringFault begins a fault, and ends it after coldFaultDuration.
-func (sim *simulation) duringFault(begin, end func()) {
+// injectTemporarily begins a fault, and ends it after faultDuration.
+func (sim *simulation) injectTemporarily(begin, end func()) {
 	begin()
-	time.Sleep(coldFaultDuration)
+	time.Sleep(faultDuration)
 	end()
 }
 
 var coldStartFaults = []coldStartFault{
-	{"leader crash", func(sim *simulation, leader *fakeNode) { sim.restartAfter(4*time.Second, leader) }, false},
-	{"leader restart", func(sim *simulation, leader *fakeNode) { sim.restartAfter(time.Millisecond, leader) }, false},
-	{"leader paused beyond its lease", func(_ *simulation, leader *fakeNode) { leader.pause(coldFaultDuration) }, false},
+	{"leader crash", func(sim *simulation, leader *fakeNode) { sim.killAndRestart(4*time.Second, leader) }, false},
+	{"leader restart", func(sim *simulation, leader *fakeNode) { sim.killAndRestart(time.Millisecond, leader) }, false},
+	{"leader paused beyond its lease", func(_ *simulation, leader *fakeNode) { leader.pause(faultDuration) }, false},
 	{"leader and follower crash", func(sim *simulation, leader *fakeNode) {
-		sim.restartAfter(4*time.Second, leader, sim.followers(leader)[0])
+		sim.killAndRestart(4*time.Second, leader, sim.followers(leader)[0])
 	}, false},
 	{"all controllers crash", func(sim *simulation, _ *fakeNode) {
-		sim.restartAfter(4*time.Second, sim.nodes...)
+		sim.killAndRestart(4*time.Second, sim.nodes...)
 	}, false},
-	{"follower crash", func(sim *simulation, leader *fakeNode) { sim.restartAfter(4*time.Second, sim.followers(leader)[0]) }, false},
+	{"follower crash", func(sim *simulation, leader *fakeNode) { sim.killAndRestart(4*time.Second, sim.followers(leader)[0]) }, false},
 	{"leader cut off from store", func(sim *simulation, leader *fakeNode) {
-		sim.duringFault(func() { leader.cutStore.Store(true) }, func() { leader.cutStore.Store(false) })
+		sim.injectTemporarily(func() { leader.cutStore.Store(true) }, func() { leader.cutStore.Store(false) })
 	}, false},
 	{"leader cut off from peers", func(sim *simulation, leader *fakeNode) {
-		sim.duringFault(func() { leader.cutPeers.Store(true) }, func() { leader.cutPeers.Store(false) })
+		sim.injectTemporarily(func() { leader.cutPeers.Store(true) }, func() { leader.cutPeers.Store(false) })
 	}, false},
 	{"leader cut off from workers", func(sim *simulation, leader *fakeNode) {
-		sim.duringFault(func() { leader.cutWorkers.Store(true) }, func() { leader.cutWorkers.Store(false) })
+		sim.injectTemporarily(func() { leader.cutWorkers.Store(true) }, func() { leader.cutWorkers.Store(false) })
 	}, false},
-	{"store outage", func(sim *simulation, _ *fakeNode) { sim.outage(coldFaultDuration) }, false},
+	{"store outage", func(sim *simulation, _ *fakeNode) { sim.outage(faultDuration) }, false},
 	{"store responses lost", func(sim *simulation, _ *fakeNode) {
 		sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
 	}, false},
 	{"transactions delayed", func(sim *simulation, _ *fakeNode) {
-		sim.duringFault(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
+		sim.injectTemporarily(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
 	}, false},
 	{"heartbeats and demand replayed", func(sim *simulation, _ *fakeNode) {
 		sim.recordReports()
@@ -81,30 +83,31 @@
 		}
 	}, false},
 	{"machine loss", func(sim *simulation, _ *fakeNode) {
-		for _, wk := range sim.machinesOf(coldModel) {
+		for _, wk := range sim.machinesOf(modelID) {
 			wk.dead.Store(true)
 		}
 	}, true},
 	{"machine paused", func(sim *simulation, _ *fakeNode) {
-		for _, wk := range sim.machinesOf(coldModel) {
-			sim.duringFault(func() { wk.paused.Store(true) }, func() { wk.paused.Store(false); wk.executeDelayed() })
+		for _, wk := range sim.machinesOf(modelID) {
+			sim.injectTemporarily(func() { wk.paused.Store(true) }, func() { wk.paused.Store(false); wk.executeDelayed() })
 		}
 	}, true},
 	{"model exits after its first responses", func(sim *simulation, _ *fakeNode) {
-		sim.withLock(func() { sim.failAfter[coldModel] = time.Second })
-		time.Sleep(6 * coldFaultDuration)
-		sim.withLock(func() { delete(sim.failAfter, coldModel) })
+		sim.withLock(func() { sim.failAfter[modelID] = time.Second })
+		time.Sleep(6 * faultDuration)
+		sim.withLock(func() { delete(sim.failAfter, modelID) })
 	}, true},
 }
 
-// coldStartMoment is a moment of a wake or a drain at which faults are injected.
-type coldStartMoment struct {
+// injectionPoint is a point of a wake or a drain at which faults are injected.
+type injectionPoint struct {
 	name string
-	// schedule arranges for inject to be called at that moment of the wake or drain about to begin.
+	// schedule arranges for inject to be called at this point of the next wake or drain.
 	schedule func(sim *simulation, inject func())
 }
 
-// isLeaderRecordWrite reports whether a transaction is the leader's commit of journal records, not one on upgrades.
+// isLeaderRecordWrite reports whether a transaction is a commit of journal records by the leader, not a write of upgrade
+// state.
 func isLeaderRecordWrite(tx storagetest.Txn) bool {
 	byLeader := false
 	for _, g := range tx.Guards {
@@ -116,7 +119,8 @@
 	return byLeader
 }
 
-// onNthWrite returns a hook that starts f with the nth commit of records from now on, and reports whether a transaction is that commit.
+// onNthWrite returns a hook for transactions. At the nth commit of journal records from now on, the hook starts f in a new
+// goroutine and returns true. For other transactions it returns false.
 func onNthWrite(nth int, f func()) func(storagetest.Txn) bool {
 	var seen atomic.Int64
 	return func(tx storagetest.Txn) bool {
@@ -131,37 +135,40 @@
 	}
 }
 
-// coldStartMoments returns the moments of a wake, by its durable steps and between them. Tests draw them by index.
-func coldStartMoments() []coldStartMoment {
-	moments := []coldStartMoment{
+// wakeInjectionPoints returns the injection points of a wake. Some are points in time. The others are the transactions of
+// its durable steps: a transaction is dropped, is about to be applied, or is applied without a response. Tests draw random
+// points by index.
+func wakeInjectionPoints() []injectionPoint {
+	points := []injectionPoint{
 		{"at first demand", func(_ *simulation, inject func()) { go inject() }},
 		{"during start", func(_ *simulation, inject func()) { time.AfterFunc(4*time.Second, inject) }},
 		{"after first response", func(_ *simulation, inject func()) { time.AfterFunc(15*time.Second, inject) }},
 	}
 	for step, name := range []string{"the wake", "the reservation", "the first response"} {
 		nth := step + 1
-		moments = append(moments,
-			coldStartMoment{"before " + name + " is written", func(sim *simulation, inject func()) {
+		points = append(points,
+			injectionPoint{"before " + name + " is written", func(sim *simulation, inject func()) {
 				sim.state.Update(func(s *storagetest.Service) { s.Drop = onNthWrite(nth, inject) })
 			}},
-			coldStartMoment{"when " + name + " is written", func(sim *simulation, inject func()) {
+			injectionPoint{"when " + name + " is written", func(sim *simulation, inject func()) {
 				injectAtNth := onNthWrite(nth, inject)
 				sim.state.Update(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { injectAtNth(tx) } })
 			}},
-			coldStartMoment{"when " + name + " is written but unanswered", func(sim *simulation, inject func()) {
+			injectionPoint{"when " + name + " is written but unanswered", func(sim *simulation, inject func()) {
 				sim.state.Update(func(s *storagetest.Service) { s.Lose = onNthWrite(nth, inject) })
 			}})
 	}
-	return moments
+	return points
 }
 
-// drainMoments returns the moments of a drain, by its three durable steps: draining, stopping, idle.
-func drainMoments() []coldStartMoment {
-	var moments []coldStartMoment
-	for _, m := range coldStartMoments() {
-		if strings.Contains(m.name, "written") {
-			moments = append(moments, m)
+// drainInjectionPoints returns the injection points of a drain: the transactions of its three durable steps, which are
+// draining, stopping and idle. Their names refer to the steps of a wake in the same order.
+func drainInjectionPoints() []injectionPoint {
+	var points []injectionPoint
+	for _, point := range wakeInjectionPoints() {
+		if strings.Contains(point.name, "written") {
+			points = append(points, point)
 		}
 	}
-	return moments
+	return points
 }
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	coldModel = "000002"         // the job that cold starts are about
-	coldClass = "model"          // its class, which scales to zero
-	coldIdle  = 15 * time.Second // time without requests before it scales to zero
-	coldHold  = 10 * time.Second // time for which a request waits for it
+	modelID          = "000002"         // job ID of the model that is started from zero
+	coldClass        = "model"          // class of its job; services of this class scale to zero
+	modelIdleWindow  = 15 * time.Second // time without requests after which the model scales to zero
+	modelHoldTimeout = 10 * time.Second // longest time for which a request waits for the model to start
 )
 
-// noteWakeRequest records a wake request that a controller has sent to another.
+// noteWakeRequest records a wake request that one controller has sent to another.
 func (sim *simulation) noteWakeRequest(req activation.WakeRequest) {
 	sim.withLock(func() { sim.wakeRequests = append(sim.wakeRequests, req) })
 }
 
-// noteUsage records a usage report that a controller has sent to another.
+// noteUsage records a usage report that one controller has sent to another.
 func (sim *simulation) noteUsage(report activation.UsageReport) {
 	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
 }
@@ -54,20 +54,20 @@
 	}
 }
 
-// startsOf returns a job's starts by the workers' record.
+// startsOf returns the start commands of a job that workers have accepted.
 func (sim *simulation) startsOf(id string) (starts []startRecord) {
 	sim.withLock(func() { starts = append(starts, sim.startsByJob[id]...) })
 	return starts
 }
 
-// modelSpec returns the specification of a service that is at zero until there is demand.
+// modelSpec returns the specification of a service that has no replica until there is demand.
 func modelSpec(id string) storage.Spec {
 	s := clustertest.Service(id, 1)
 	s.Class = coldClass
 	return s
 }
 
-// runColdStart runs a scenario with a model at zero beside a running service.
+// runColdStart runs a scenario with a model at zero and another service that is running.
 func runColdStart(t *testing.T, scenario func(sim *simulation)) {
 	t.Helper()
 	runColdStartInZones(t, threeControllers, scenario)
@@ -78,23 +78,23 @@
 	t.Helper()
 	tune := func(tuning *config.Tuning) {
 		tuning.Activation.Classes = []string{coldClass}
-		tuning.Activation.Policy.IdleWindow = coldIdle
-		tuning.Activation.HoldTimeout = coldHold
+		tuning.Activation.Policy.IdleWindow = modelIdleWindow
+		tuning.Activation.HoldTimeout = modelHoldTimeout
 	}
 	runSimulationInZones(t, zones, func(*config.Settings) {}, tune, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		sim.awaitRunning("000001", 2)
-		sim.submit(modelSpec(coldModel))
+		sim.submit(modelSpec(modelID))
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
-		if n := len(sim.startsOf(coldModel)); n != 0 {
+		if n := len(sim.startsOf(modelID)); n != 0 {
 			t.Errorf("the model started %d times without demand, want never", n)
 		}
 		scenario(sim)
 	})
 }
 
-// modelClient requests the model at one node again and again.
+// modelClient repeatedly sends requests for the model to one node.
 type modelClient struct {
 	id             int
 	node           *fakeNode
@@ -103,7 +103,7 @@
 	lastGeneration uint64      // the latest generation in a response
 }
 
-// startClients starts a client at every node, all within a millisecond; they run until the simulation ends.
+// startClients starts one client for each node, 300 µs apart. The clients run until the simulation ends.
 func (sim *simulation) startClients() []*modelClient {
 	var clients []*modelClient
 	for i, n := range sim.nodes {
@@ -125,18 +125,18 @@
 // clientTimeout is how long a client waits for a response.
 const clientTimeout = 20 * time.Second
 
-// acquire sends one request, and checks that generations never go back.
+// acquire sends one request, and checks that the generations in the responses never decrease.
 func (c *modelClient) acquire(sim *simulation) {
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	tracker := c.node.tracker.Load()
 	called := time.Now()
-	decision := tracker.Acquire(ctx, coldModel)
+	decision := tracker.Acquire(ctx, modelID)
 	c.ready.Store(decision.Outcome == activator.Granted)
 	if decision.Outcome == activator.Granted {
 		sim.serveRequest(c.node, decision.Response.Machine)
-		sim.noteServed(c.id, called, decision.Response.Generation)
-		tracker.Release(coldModel)
+		sim.recordServedRequest(c.id, called, decision.Response.Generation)
+		tracker.Release(modelID)
 	}
 	if decision.Response.Verdict != activation.Known || decision.Response.Reason == alwaysRunningReason {
 		return
@@ -147,12 +147,12 @@
 	c.lastGeneration = decision.Response.Generation
 }
 
-// serveRequest forwards a request to the model, which takes 60 ms. The replica must run on that machine throughout, unless the
-// scenario's faults concern machines or the model.
+// serveRequest simulates a forwarded request, which takes 60 ms. It checks that the model runs on the given machine
+// throughout, unless the scenario injects faults of machines or of the model.
 func (sim *simulation) serveRequest(n *fakeNode, machine string) {
 	for range 3 {
 		served := false
-		for _, wk := range sim.runningTasks(coldModel) {
+		for _, wk := range sim.runningTasks(modelID) {
 			served = served || fmt.Sprint(wk.id) == machine
 		}
 		if !served && !sim.requestsMayFail.Load() && !sim.ended.Load() {
@@ -171,7 +171,7 @@
 				return false
 			}
 		}
-		return len(sim.runningTasks(coldModel)) == 1
+		return len(sim.runningTasks(modelID)) == 1
 	})
 }
 
@@ -186,7 +186,7 @@
 	return followers
 }
 
-// completePulls completes all image pulls, and makes later ones immediate.
+// completePulls completes all image pulls. Later pulls complete at once.
 func (sim *simulation) completePulls() {
 	sim.withLock(func() {
 		for _, wk := range sim.workers {
@@ -200,26 +200,26 @@
 	})
 }
 
-// setPaused pauses or resumes clients; none counts as ready until its next request is granted.
-func setPaused(clients []*modelClient, paused bool) {
+// setClientsPaused pauses or resumes clients. A client counts as ready again only after its next request is granted.
+func setClientsPaused(clients []*modelClient, paused bool) {
 	for _, c := range clients {
 		c.paused.Store(paused)
 		c.ready.Store(false)
 	}
 }
 
-// awaitZero waits until no replica of the model runs.
-func (sim *simulation) awaitZero() {
+// awaitScaledToZero waits until no replica of the model runs.
+func (sim *simulation) awaitScaledToZero() {
 	sim.t.Helper()
-	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.runningTasks(coldModel)) == 0 })
+	sim.eventually("the model is at zero", 3*time.Minute, func() bool { return len(sim.runningTasks(modelID)) == 0 })
 }
 
 // modelStatus returns the model's activation status as operators read it.
 func (sim *simulation) modelStatus() ServiceStatus {
 	sim.t.Helper()
 	status, err := ReadActivationStatus(sim.t.Context(), &storagetest.Client{Service: sim.state}, &sim.settings)
-	if err != nil || !status.Gate.Used || len(status.Services) != 1 || status.Services[0].ID != coldModel {
-		sim.t.Fatalf("ReadActivationStatus() = %+v, %v, want %s alone", status, err, coldModel)
+	if err != nil || !status.Gate.Used || len(status.Services) != 1 || status.Services[0].ID != modelID {
+		sim.t.Fatalf("ReadActivationStatus() = %+v, %v, want %s alone", status, err, modelID)
 	}
 	return status.Services[0]
 }
