--- a/cmd/sagevale/model_gateway.go
+++ b/cmd/sagevale/model_gateway.go
@@ -36,9 +36,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("activation.listen: %w", err)
 	}
-	pace := activator.Pace{
-		Retry: s.WakeInterval(), Timeout: s.UsageInterval(), Wait: s.WakeInterval(), Usage: s.UsageInterval(),
-		Repeat: s.WorkerLease, Remember: 2 * tuning.Policy.IdleWindow,
+	pace := activator.Timing{
+		RetryPause: s.WakeInterval(), RequestTimeout: s.UsageInterval(), MaxResponseDelay: s.WakeInterval(), UsageInterval: s.UsageInterval(),
+		RepeatDemandFor: s.WorkerLease, ReportUnusedFor: 2 * tuning.Policy.IdleWindow,
 	}
 	limits := activator.Limits{HoldTimeout: tuning.HoldTimeout, MaxHeld: tuning.MaxHeldRequests, MaxConcurrent: tuning.MaxConcurrentRequests}
 	tracker := activator.NewTracker(node, pace, limits, newRand())
--- a/internal/activation/message.go
+++ b/internal/activation/message.go
@@ -21,10 +21,10 @@
 
 // The verdicts.
 const (
-	Undecided Verdict = iota // no leader can answer now; the sender should retry the request
-	Known                    // the response is valid; a WakeResponse then has State and Generation set
-	Unknown                  // there is no such service
-	Damaged                  // the lifecycle record can't be decoded; the model is neither started nor stopped
+	VerdictUndecided Verdict = iota // no leader can answer now; the sender should retry the request
+	VerdictKnown                    // the response is valid; a WakeResponse then has State and Generation set
+	VerdictUnknown                  // there is no such service
+	VerdictDamaged                  // the lifecycle record can't be decoded; the model is neither started nor stopped
 )
 
 // WakeResponse is the leader's response to a WakeRequest: the state of the model.
@@ -42,12 +42,12 @@
 
 // Ready reports whether requests may be forwarded to the model.
 func (r *WakeResponse) Ready() bool {
-	return r.Verdict == Known && r.State == Ready && r.Machine != ""
+	return r.Verdict == VerdictKnown && r.State == Ready && r.Machine != ""
 }
 
-// Asleep reports whether demand that names the response's generation could start the next generation.
-func (r *WakeResponse) Asleep() bool {
-	return r.Verdict == Known && (r.State == Idle || r.State == Failed && r.Expected <= 0)
+// CanWake reports whether demand that names the response's generation could start the next generation.
+func (r *WakeResponse) CanWake() bool {
+	return r.Verdict == VerdictKnown && (r.State == Idle || r.State == Failed && r.Expected <= 0)
 }
 
 // UsageReport reports to the leader the models for which a controller has had requests.
@@ -72,7 +72,7 @@
 
 // UsageResponse is the leader's response to a UsageReport: the models that are being drained.
 type UsageResponse struct {
-	Verdict  Verdict // Known or Undecided
+	Verdict  Verdict // VerdictKnown or VerdictUndecided
 	Draining []DrainOrder
 	Reason   string // for operators
 }
--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -210,7 +210,7 @@
 		sim.orderedStarts = append(sim.orderedStarts, replica{r.Generation, r.Replica})
 	case Stop:
 		sim.remove(r.Replica)
-	case Reserve, Drain, Nothing:
+	case Reserve, Drain, NoAction:
 	}
 }
 
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -9,11 +9,11 @@
 
 // The actions.
 const (
-	Nothing Action = iota
-	Reserve        // reserve resources for the next replica; completed by the event Reserved
-	Start          // start the reserved replica like any task; completed by Serving or ReplicaGone
-	Stop           // stop the replica; completed by ReplicaGone
-	Drain          // order every controller to stop forwarding requests; completed by Drained
+	NoAction Action = iota
+	Reserve         // reserve resources for the next replica; completed by the event Reserved
+	Start           // start the reserved replica like any task; completed by Serving or ReplicaGone
+	Stop            // stop the replica; completed by ReplicaGone
+	Drain           // order every controller to stop forwarding requests; completed by Drained
 )
 
 // Apply returns the record after an event, and the action to take. A record that is returned unchanged
@@ -43,7 +43,7 @@
 		}
 	case Ready:
 	}
-	return Nothing
+	return NoAction
 }
 
 // placeholderAttempt is the attempt number that Restore uses for an attempt that is no longer stored.
@@ -66,7 +66,7 @@
 
 func (e Demand) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if e.Generation != r.Generation {
-		return r, Nothing // the response carries the current generation; the controller repeats its demand if necessary
+		return r, NoAction // the response carries the current generation; the controller repeats its demand if necessary
 	}
 	switch r.State {
 	case "", Idle, Failed:
@@ -79,12 +79,12 @@
 		r.WakeWanted = true
 	case Starting, Ready:
 	}
-	return r, Nothing
+	return r, NoAction
 }
 
 func (e Reserved) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if r.State != Starting || e.Generation != r.Generation || r.Replica != NoReplica || r.BackoffRemaining(now) > 0 {
-		return r, Nothing
+		return r, NoAction
 	}
 	r.Replica = e.Attempt
 	return r, Start
@@ -92,14 +92,14 @@
 
 func (e Serving) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if r.State != Starting || r.Abandoned || !r.isCurrentReplica(e.Generation, e.Attempt) {
-		return r, Nothing
+		return r, NoAction
 	}
-	return r.enterState(Ready, now), Nothing
+	return r.enterState(Ready, now), NoAction
 }
 
 func (e ReplicaGone) apply(r Record, p *Policy, now time.Time) (Record, Action) {
 	if !r.isCurrentReplica(e.Generation, e.Attempt) {
-		return r, Nothing
+		return r, NoAction
 	}
 	failed := e.Failed || r.Abandoned
 	r.Replica, r.Abandoned = NoReplica, false
@@ -108,9 +108,9 @@
 		if r.WakeWanted {
 			return r.startNextGeneration(now)
 		}
-		return r.enterState(Idle, now), Nothing
+		return r.enterState(Idle, now), NoAction
 	case Draining:
-		return r, Nothing // controllers may still forward requests to the model
+		return r, NoAction // controllers may still forward requests to the model
 	case Starting:
 		return r.replaceReplica(failed, p, now)
 	case Ready:
@@ -121,7 +121,7 @@
 		return r.replaceReplica(failed && !stable, p, now)
 	case Idle, Failed:
 	}
-	return r, Nothing
+	return r, NoAction
 }
 
 func (e Quiet) apply(r Record, p *Policy, now time.Time) (Record, Action) {
@@ -130,7 +130,7 @@
 		since = e.Since
 	}
 	if r.State != Ready || e.Generation != r.Generation || now.Sub(since) < p.IdleWindow {
-		return r, Nothing
+		return r, NoAction
 	}
 	r.Drain++
 	return r.enterState(Draining, now), Drain
@@ -138,10 +138,10 @@
 
 func (e Drained) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if r.State != Draining || e.Drain != r.Drain {
-		return r, Nothing
+		return r, NoAction
 	}
 	if r.Replica == NoReplica {
-		return r.enterState(Idle, now), Nothing
+		return r.enterState(Idle, now), NoAction
 	}
 	return r.enterState(Stopping, now), Stop
 }
@@ -156,7 +156,7 @@
 	case r.State == Draining && r.timeInState(now) > p.DrainTimeout:
 		return r.cancelDrain(now) // the model is still in use
 	}
-	return r, Nothing
+	return r, NoAction
 }
 
 // isCurrentReplica reports whether an event of this generation and attempt is about the current replica.
@@ -178,7 +178,7 @@
 	if r.Replica == NoReplica {
 		return r.enterState(Starting, now), Reserve
 	}
-	return r.enterState(Ready, now), Nothing
+	return r.enterState(Ready, now), NoAction
 }
 
 // replaceReplica starts another replica of the same generation after the previous one is gone although
@@ -194,8 +194,8 @@
 	if next.Failures >= p.MaxAttempts {
 		next.State = Failed
 		next.NotBeforeMS = now.Add(p.Cooldown).UnixMilli()
-		return next, Nothing
+		return next, NoAction
 	}
 	next.NotBeforeMS = now.Add(p.backoff(next.Failures)).UnixMilli()
-	return next, Nothing
+	return next, NoAction
 }
--- a/internal/activator/fakes_test.go
+++ b/internal/activator/fakes_test.go
@@ -55,7 +55,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.usageReports = append(f.usageReports, report)
-	return activation.UsageResponse{Verdict: activation.Known, Draining: f.drainOrders}
+	return activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: f.drainOrders}
 }
 
 // wakeCount waits until all goroutines are blocked, and returns how many wake requests were received.
@@ -78,12 +78,12 @@
 	return activation.ModelUsage{}
 }
 
-// knownResponse returns a wake response with the verdict Known that is valid for two seconds.
+// knownResponse returns a wake response with the verdict VerdictKnown that is valid for two seconds.
 func knownResponse(state activation.State, generation uint64, machine string) activation.WakeResponse {
-	return activation.WakeResponse{Verdict: activation.Known, State: state, Generation: generation, Machine: machine, Holds: 2 * time.Second}
+	return activation.WakeResponse{Verdict: activation.VerdictKnown, State: state, Generation: generation, Machine: machine, Holds: 2 * time.Second}
 }
 
-var testPace = Pace{Retry: 250 * time.Millisecond, Timeout: time.Second, Wait: 250 * time.Millisecond, Usage: time.Second, Repeat: 10 * time.Second, Remember: time.Minute}
+var testPace = Timing{RetryPause: 250 * time.Millisecond, RequestTimeout: time.Second, MaxResponseDelay: 250 * time.Millisecond, UsageInterval: time.Second, RepeatDemandFor: 10 * time.Second, ReportUnusedFor: time.Minute}
 
 // startTracker starts a tracker. The returned function stops the tracker and waits until it has ended.
 func startTracker(leader *fakeLeader, limits Limits) (tracker *Tracker, stop func()) {
--- a/internal/activator/handler_test.go
+++ b/internal/activator/handler_test.go
@@ -88,14 +88,14 @@
 		retryAfter, contains string
 	}{
 		{"forwarded", "/models/job-000001/v1/chat?x=1", "hi", ready, port, http.StatusOK, "", "/job-000001/v1/chat x=1 hi"},
-		{"unknown model", path, "", activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: time.Second}, port, http.StatusNotFound, "", "no such service"},
+		{"unknown model", path, "", activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no such service", Holds: time.Second}, port, http.StatusNotFound, "", "no such service"},
 		{"invalid model", "/models/x/v1", "", ready, port, http.StatusNotFound, "", "no such model"},
 		{"other path", "/jobs", "", ready, port, http.StatusNotFound, "", ""},
 		{"too large", path, strings.Repeat("x", 101), ready, port, http.StatusRequestEntityTooLarge, "", "too large"},
 		{"too large, unknown length", path, "chunked:" + strings.Repeat("x", 101), ready, port, http.StatusRequestEntityTooLarge, "", "too large"},
-		{"starting", path, "", activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Generation: 1, Expected: 2500 * time.Millisecond, Holds: time.Second}, port, http.StatusServiceUnavailable, "3", "starts"},
-		{"cooling down", path, "", activation.WakeResponse{Verdict: activation.Known, State: activation.Failed, Generation: 1, Expected: 90 * time.Second, Holds: time.Second}, port, http.StatusServiceUnavailable, "90", "can't be started"},
-		{"damaged", path, "", activation.WakeResponse{Verdict: activation.Damaged, Holds: time.Second}, port, http.StatusServiceUnavailable, "1", "can't be started"},
+		{"starting", path, "", activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Starting, Generation: 1, Expected: 2500 * time.Millisecond, Holds: time.Second}, port, http.StatusServiceUnavailable, "3", "starts"},
+		{"cooling down", path, "", activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Failed, Generation: 1, Expected: 90 * time.Second, Holds: time.Second}, port, http.StatusServiceUnavailable, "90", "can't be started"},
+		{"damaged", path, "", activation.WakeResponse{Verdict: activation.VerdictDamaged, Holds: time.Second}, port, http.StatusServiceUnavailable, "1", "can't be started"},
 		{"no leader", path, "", activation.WakeResponse{Reason: "no leader yet"}, port, http.StatusServiceUnavailable, "1", "no leader yet"},
 		{"connection refused", path, "hi", ready, closedPort, http.StatusServiceUnavailable, "1", "nothing was sent"},
 		{"aborted by the server", "/models/job-000001/dies", "hi", ready, port, http.StatusBadGateway, "", "may have carried"},
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -46,10 +46,10 @@
 	case m.responseValid(now):
 		t.decide(m, r, now)
 	case !m.wakePending && now.Before(m.retryAt):
-		m.demandUntil = now.Add(t.pace.Repeat)
+		m.demandUntil = now.Add(t.pace.RepeatDemandFor)
 		t.decide(m, r, now)
 	default:
-		m.demandUntil = now.Add(t.pace.Repeat)
+		m.demandUntil = now.Add(t.pace.RepeatDemandFor)
 		m.waiting = append(m.waiting, r)
 	}
 	if m.needsWake(now) {
@@ -91,9 +91,9 @@
 	case r.decided:
 	case !m.responseValid(now):
 		t.holdOrReply(m, r, now, Decision{RetryAfter: m.retryAt.Sub(now), Reason: m.undecidedReason})
-	case response.Verdict == activation.Unknown:
+	case response.Verdict == activation.VerdictUnknown:
 		t.sendDecision(r, Decision{Outcome: Unknown, Response: *response, Reason: response.Reason})
-	case response.Verdict == activation.Damaged || response.State == activation.Failed:
+	case response.Verdict == activation.VerdictDamaged || response.State == activation.Failed:
 		t.sendDecision(r, Decision{Response: *response, RetryAfter: response.Expected, Reason: "the model can't be started now"})
 	case response.Ready() && m.inFlight < t.limits.MaxConcurrent:
 		m.inFlight++
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -18,14 +18,14 @@
 	ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
-// Pace configures when a Tracker sends requests to the leader.
-type Pace struct {
-	Retry    time.Duration // pause after the first undecided wake request; doubled after each further one, with jitter
-	Timeout  time.Duration // of one request
-	Wait     time.Duration // how long the leader may delay a response while a model with waiting requests starts
-	Usage    time.Duration // interval of usage reports; 0: none are sent
-	Repeat   time.Duration // how long wake requests are repeated for undecided demand after its last request
-	Remember time.Duration // how long an unused model stays in usage reports; longer than the idle window
+// Timing configures when a Tracker sends requests to the leader.
+type Timing struct {
+	RetryPause       time.Duration // pause after the first undecided wake request; doubled after each further one, with jitter
+	RequestTimeout   time.Duration // of one request
+	MaxResponseDelay time.Duration // how long the leader may delay a response while a model with waiting requests starts
+	UsageInterval    time.Duration // interval of usage reports; 0: none are sent
+	RepeatDemandFor  time.Duration // how long wake requests are repeated for undecided demand after its last request
+	ReportUnusedFor  time.Duration // how long an unused model stays in usage reports; longer than the idle window
 }
 
 // Limits limit the requests that a Tracker holds and grants.
@@ -36,7 +36,7 @@
 }
 
 const (
-	// maxRetryShift is how many times Pace.Retry is doubled at most.
+	// maxRetryShift is how many times Timing.RetryPause is doubled at most.
 	maxRetryShift = 4
 	// mailboxLength is how many messages the mailbox buffers. Senders block while it is full.
 	mailboxLength = 256
@@ -47,7 +47,7 @@
 // Tracker sends one wake request at a time for a model, however many requests wait for it.
 type Tracker struct {
 	leader      LeaderClient
-	pace        Pace
+	pace        Timing
 	limits      Limits
 	rand        *rand.Rand
 	mailbox     chan message
@@ -81,7 +81,7 @@
 }
 
 // NewTracker returns a Tracker. Acquire and AcquireBy block until Run is called. random must not be used elsewhere.
-func NewTracker(leader LeaderClient, pace Pace, limits Limits, random *rand.Rand) *Tracker {
+func NewTracker(leader LeaderClient, pace Timing, limits Limits, random *rand.Rand) *Tracker {
 	return &Tracker{
 		leader: leader, pace: pace, limits: limits, rand: random, started: time.Now(),
 		mailbox: make(chan message, mailboxLength), done: make(chan struct{}), models: make(map[string]*model),
@@ -92,11 +92,11 @@
 func (t *Tracker) Run(ctx context.Context) {
 	defer t.leaderCalls.Wait()
 	defer close(t.done)
-	ticker := time.NewTicker(t.pace.Retry)
+	ticker := time.NewTicker(t.pace.RetryPause)
 	defer ticker.Stop()
 	var usageTicks <-chan time.Time
-	if t.pace.Usage > 0 {
-		usageTicker := time.NewTicker(t.pace.Usage)
+	if t.pace.UsageInterval > 0 {
+		usageTicker := time.NewTicker(t.pace.UsageInterval)
 		defer usageTicker.Stop()
 		usageTicks = usageTicker.C
 	}
@@ -141,7 +141,7 @@
 			if !now.Before(m.retryAt) {
 				t.sendWake(ctx, name, m, now)
 			}
-		case m.canBeRemoved(now, t.pace.Remember):
+		case m.canBeRemoved(now, t.pace.ReportUnusedFor):
 			delete(t.models, name)
 		}
 	}
--- a/internal/activator/usage.go
+++ b/internal/activator/usage.go
@@ -16,7 +16,7 @@
 	t.usagePending = true
 	report := t.usageReport(now)
 	t.leaderCalls.Go(func() {
-		requestCtx, cancel := context.WithTimeout(ctx, t.pace.Timeout)
+		requestCtx, cancel := context.WithTimeout(ctx, t.pace.RequestTimeout)
 		defer cancel()
 		t.post(ctx, usageResponseMsg{t.leader.ReportUsage(requestCtx, report)})
 	})
@@ -38,7 +38,7 @@
 // acknowledges the drains.
 func (t *Tracker) handleUsageResponse(response activation.UsageResponse, now time.Time) {
 	t.usagePending = false
-	if response.Verdict != activation.Known {
+	if response.Verdict != activation.VerdictKnown {
 		return
 	}
 	for _, order := range response.Draining {
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -153,7 +153,7 @@
 					f.checkFound(next, e)
 				}
 				for _, e := range late {
-					if r, err := read(next, e.Number); c.canSplit && (err != nil || r.Knowledge != Found) {
+					if r, err := read(next, e.Number); c.canSplit && (err != nil || r.Status != Found) {
 						t.Errorf("read %s: got %+v, %v; want found", e.Number.ID(), r, err)
 					}
 				}
--- a/internal/archive/cached_page.go
+++ b/internal/archive/cached_page.go
@@ -38,9 +38,9 @@
 func (p *cachedPage) lookup(number JobNumber, indexTerm uint64) Result {
 	p.recentlyUsed.Store(true)
 	if final, found := p.find(number); found {
-		return Result{Knowledge: Found, Final: final}
+		return Result{Status: Found, FinalState: final}
 	}
-	return Result{Knowledge: Absent, Term: max(indexTerm, p.term)}
+	return Result{Status: Absent, Term: max(indexTerm, p.term)}
 }
 
 // withoutEntries returns a copy of the page that is marked as evicted and has no entries.
--- a/internal/archive/damage_test.go
+++ b/internal/archive/damage_test.go
@@ -30,7 +30,7 @@
 			time.Sleep(c.wait)
 			damaged.check(t, f, leader, entries, c.name)
 		}
-		stored, err := ReadStored(context.Background(), &storagetest.Client{Service: f.store})
+		stored, err := ReadStoredSummary(context.Background(), &storagetest.Client{Service: f.store})
 		if err != nil || len(stored.Damaged) < 2 || !strings.Contains(strings.Join(stored.Damaged, "\n"), damaged.key) {
 			t.Errorf("ReadStored: got %+v, %v; want damage of %s and another key", stored, err, damaged.key)
 		}
@@ -53,7 +53,7 @@
 			continue
 		}
 		inRange++
-		if r, err := read(leader, e.Number); err != nil || r.Knowledge != Damaged || r.Key != d.key {
+		if r, err := read(leader, e.Number); err != nil || r.Status != Damaged || r.Key != d.key {
 			t.Errorf("%s: read %s: got %+v, %v; want damaged %s", name, e.Number.ID(), r, err, d.key)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -84,10 +84,10 @@
 			found := 0
 			for _, e := range entries {
 				r, err := read(leader, e.Number)
-				if err == nil && r.Knowledge == Absent {
+				if err == nil && r.Status == Absent {
 					t.Fatalf("after %v: read %s: got absent, want found or unknown", wait, e.Number.ID())
 				}
-				if r.Knowledge == Found {
+				if r.Status == Found {
 					found++
 				}
 				time.Sleep(60 * time.Millisecond)
--- a/internal/archive/fixture_test.go
+++ b/internal/archive/fixture_test.go
@@ -81,7 +81,7 @@
 
 // start starts an Archiver. follow is its Settings.Follow.
 func (f *fixture) start(follow bool) *Archiver {
-	a := f.newArchiver(&storagetest.Client{Service: f.store, Cut: &f.disconnected}, follow)
+	a := f.newArchiver(&storagetest.Client{Service: f.store, Disconnected: &f.disconnected}, follow)
 	ctx, stop := context.WithCancel(context.Background())
 	f.cancels = append(f.cancels, stop)
 	f.running.Go(func() { a.Run(ctx) })
@@ -187,7 +187,7 @@
 // checkFound reads a job and requires that it is archived.
 func (f *fixture) checkFound(a *Archiver, want Entry) {
 	f.t.Helper()
-	if r := f.readUntilAnswered(a, want.Number); r.Knowledge != Found || r.Final != want.FinalState {
+	if r := f.readUntilAnswered(a, want.Number); r.Status != Found || r.FinalState != want.FinalState {
 		f.t.Errorf("read %s: got %+v, want found %+v", want.Number.ID(), r, want.FinalState)
 	}
 }
@@ -195,7 +195,7 @@
 // checkAbsent reads a job and requires that it isn't archived.
 func (f *fixture) checkAbsent(a *Archiver, number JobNumber) {
 	f.t.Helper()
-	if r := f.readUntilAnswered(a, number); r.Knowledge != Absent {
+	if r := f.readUntilAnswered(a, number); r.Status != Absent {
 		f.t.Errorf("read %s: got %+v, want absent", number.ID(), r)
 	}
 }
@@ -203,7 +203,7 @@
 // checkHeld looks up a job in the index and requires that it is found without reading its page.
 func checkHeld(t *testing.T, a *Archiver, want Entry) {
 	t.Helper()
-	if r := a.Index.Lookup(want.Number); r.Knowledge != Found || r.Final != want.FinalState {
+	if r := a.Index.Lookup(want.Number); r.Status != Found || r.FinalState != want.FinalState {
 		t.Errorf("lookup of %s: got %+v, want found %+v", want.Number.ID(), r, want.FinalState)
 	}
 }
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -18,10 +18,10 @@
 
 // Result is the result of looking up a job.
 type Result struct {
-	Knowledge LookupStatus
-	Final     FinalState // if Found
-	Term      uint64     // if Absent: the leader's term for which that is exact; 0: none
-	Key       string     // if Damaged: key of the page
+	Status     LookupStatus
+	FinalState FinalState // if Found
+	Term       uint64     // if Absent: the leader's term for which that is exact; 0: none
+	Key        string     // if Damaged: key of the page
 }
 
 // Index holds the pages in memory, and evicts the entries of some when they exceed its size limit. It
@@ -54,7 +54,7 @@
 	i, _ := findPage(s.pages, number)
 	switch {
 	case len(s.pages) == 0 && s.complete:
-		return Result{Knowledge: Absent, Term: s.term}
+		return Result{Status: Absent, Term: s.term}
 	case i == len(s.pages):
 		return Result{} // the last page is missing; the index may still be complete
 	case s.pages[i].damaged, s.pages[i].evicted, number <= s.pages[i].lower:
--- a/internal/archive/index_test.go
+++ b/internal/archive/index_test.go
@@ -16,11 +16,11 @@
 	x.put([]*cachedPage{page(4)})
 	x.put([]*cachedPage{page(3)})
 	x.remove(LastJobNumber, 2)
-	if r := x.Lookup(number); r.Knowledge != Found || r.Final.Done != 4 {
+	if r := x.Lookup(number); r.Status != Found || r.FinalState.Done != 4 {
 		t.Errorf("after earlier changes: got %+v, want version 4", r)
 	}
 	x.remove(LastJobNumber, 5)
-	if r := x.Lookup(number); r.Knowledge != Unknown {
+	if r := x.Lookup(number); r.Status != Unknown {
 		t.Errorf("after its removal: got %+v, want unknown", r)
 	}
 }
@@ -41,12 +41,12 @@
 	if stats.Bytes > maxBytes || stats.Jobs != pages*jobs || stats.Pages != pages || stats.Evicted < 5 || stats.Evicted > 8 {
 		t.Errorf("got %+v, want %d jobs in %d pages, at most %d bytes, and 5 to 8 pages evicted", stats, pages*jobs, pages, maxBytes)
 	}
-	if r := x.Lookup(lookedUp); r.Knowledge != Found {
+	if r := x.Lookup(lookedUp); r.Status != Found {
 		t.Errorf("lookup in the page that is used: got %+v, want found", r)
 	}
 	unknown := 0
 	for i := range JobNumber(pages) {
-		if x.Lookup(i*1000+1).Knowledge == Unknown {
+		if x.Lookup(i*1000+1).Status == Unknown {
 			unknown++
 		}
 	}
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -145,18 +145,18 @@
 func (m *historyModel) lookUp() {
 	number := m.jobNumbers().Draw(m.t, "looked up")
 	want, finished := m.finalStates[number]
-	if r := m.follower.Index.Lookup(number); r.Knowledge == Found && (!finished || r.Final != want) {
-		m.t.Fatalf("a follower finds %s as %+v, want %+v (finished: %v)", number.ID(), r.Final, want, finished)
+	if r := m.follower.Index.Lookup(number); r.Status == Found && (!finished || r.FinalState != want) {
+		m.t.Fatalf("a follower finds %s as %+v, want %+v (finished: %v)", number.ID(), r.FinalState, want, finished)
 	}
 	_, inJournal := m.journal[number]
 	r, err := read(m.leader, number)
 	switch {
 	case err != nil:
-	case r.Knowledge == Found && (!finished || r.Final != want):
-		m.t.Fatalf("the leader finds %s as %+v, want %+v (finished: %v)", number.ID(), r.Final, want, finished)
-	case r.Knowledge == Absent && r.Term == m.leadership.Term && finished && !inJournal:
+	case r.Status == Found && (!finished || r.FinalState != want):
+		m.t.Fatalf("the leader finds %s as %+v, want %+v (finished: %v)", number.ID(), r.FinalState, want, finished)
+	case r.Status == Absent && r.Term == m.leadership.Term && finished && !inJournal:
 		m.t.Fatalf("the leader doesn't find %s, want %+v", number.ID(), want)
-	case r.Knowledge == Damaged:
+	case r.Status == Damaged:
 		m.t.Fatalf("key %s of %s is damaged", r.Key, number.ID())
 	}
 }
--- a/internal/archive/page.go
+++ b/internal/archive/page.go
@@ -10,15 +10,15 @@
 
 // FinalStateOf returns the final state of a job from its final phase and its number of done tasks.
 func FinalStateOf(phase storage.Phase, done int) FinalState {
-	return FinalState{Cancelled: phase == storage.Cancelled, Done: done}
+	return FinalState{Cancelled: phase == storage.PhaseCancelled, Done: done}
 }
 
 // Phase returns the final phase of the job.
 func (f FinalState) Phase() storage.Phase {
 	if f.Cancelled {
-		return storage.Cancelled
+		return storage.PhaseCancelled
 	}
-	return storage.Done
+	return storage.PhaseDone
 }
 
 // Entry is the number and the final state of one archived job.
--- a/internal/archive/read.go
+++ b/internal/archive/read.go
@@ -17,7 +17,7 @@
 // or its absence is exact for the present term.
 func (a *Archiver) read(ctx context.Context, number JobNumber) (Result, error) {
 	held := a.Index.Lookup(number)
-	if a.leadership == nil || held.Knowledge == Found || held.Knowledge == Absent && held.Term == a.leadership.Term {
+	if a.leadership == nil || held.Status == Found || held.Status == Absent && held.Term == a.leadership.Term {
 		return held, nil
 	}
 	a.applyLimits()
@@ -43,7 +43,7 @@
 	pages := a.decodePages(items, a.leadership.Term)
 	a.Index.put(pages)
 	if len(pages) == 0 || pages[0].damaged || number <= pages[0].lower {
-		return Result{Knowledge: Damaged, Key: items[0].Key}, nil // in the last case the page before this one is missing
+		return Result{Status: Damaged, Key: items[0].Key}, nil // in the last case the page before this one is missing
 	}
 	return pages[0].lookup(number, 0), nil
 }
--- a/internal/archive/read_test.go
+++ b/internal/archive/read_test.go
@@ -19,16 +19,16 @@
 		f.archive(first, entries[:50])
 		time.Sleep(loadTime)
 		late := entries[70]
-		if r := second.Index.Lookup(late.Number); r.Knowledge != Absent || r.Term != 0 {
+		if r := second.Index.Lookup(late.Number); r.Status != Absent || r.Term != 0 {
 			t.Errorf("lookup at a follower: got %+v, want absent for no term", r)
 		}
 		f.archive(first, []Entry{late})
 		f.disconnected.Store(true)
 		leadership := f.beginTerm(second)
-		if r := second.Index.Lookup(late.Number); r.Knowledge == Absent && r.Term == leadership.Term {
+		if r := second.Index.Lookup(late.Number); r.Status == Absent && r.Term == leadership.Term {
 			t.Error("the outdated index proves that the job isn't archived")
 		}
-		if r, err := read(second, late.Number); err == nil && r.Knowledge == Absent && r.Term == leadership.Term {
+		if r, err := read(second, late.Number); err == nil && r.Status == Absent && r.Term == leadership.Term {
 			t.Errorf("read without the store: got %+v, want no proof", r)
 		}
 		f.disconnected.Store(false)
@@ -81,7 +81,7 @@
 		time.Sleep(loadTime)
 		requests := 0
 		f.store.Update(func(s *storagetest.Service) {
-			s.Refuse = func(string) bool { requests++; return false }
+			s.RefuseRead = func(string) bool { requests++; return false }
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/archive/stored.go
+++ b/internal/archive/stored.go
@@ -7,21 +7,21 @@
 	"sagevale/internal/storage"
 )
 
-// Stored summarizes the archive in the key-value store.
-type Stored struct {
+// StoredSummary summarizes the archive in the key-value store.
+type StoredSummary struct {
 	Jobs, Pages, Bytes int
 	Damaged            []string // descriptions of damaged or missing pages
 }
 
-// ReadStored reads all pages from the store and summarizes them. It writes nothing and needs no
+// ReadStoredSummary reads all pages from the store and summarizes them. It writes nothing and needs no
 // Archiver.
-func ReadStored(ctx context.Context, store storage.KeyValueStore) (Stored, error) {
-	var stored Stored
+func ReadStoredSummary(ctx context.Context, store storage.KeyValueStore) (StoredSummary, error) {
+	var stored StoredSummary
 	var lower JobNumber
 	for after := ""; ; {
 		items, more, _, err := store.List(ctx, pagePrefix, after, maxListedPages)
 		if err != nil {
-			return Stored{}, fmt.Errorf("read archive: %w", err)
+			return StoredSummary{}, fmt.Errorf("read archive: %w", err)
 		}
 		for _, item := range items {
 			lower = stored.add(item, lower)
@@ -39,7 +39,7 @@
 
 // add adds a page to the summary. lower is the upper end of the page before it, at which the page's
 // range must begin. add returns the upper end of this page.
-func (s *Stored) add(item storage.Item, lower JobNumber) (upper JobNumber) {
+func (s *StoredSummary) add(item storage.Item, lower JobNumber) (upper JobNumber) {
 	s.Pages++
 	s.Bytes += len(item.Key) + len(item.Data)
 	page, err := decode(item.Key, item.Data)
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -21,7 +21,7 @@
 		return r.gangHeadroomTasks(c, now)
 	}
 	batch := !spec.Service
-	if spec.Priority < storage.High && !(batch && spec.Spot && (spec.Priority >= storage.Normal || spec.DeadlineS > 0)) {
+	if spec.Priority < storage.PriorityHigh && !(batch && spec.Spot && (spec.Priority >= storage.PriorityNormal || spec.DeadlineS > 0)) {
 		return 0
 	}
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
--- a/internal/cluster/clustertest/clustertest.go
+++ b/internal/cluster/clustertest/clustertest.go
@@ -32,14 +32,14 @@
 
 // Array returns the specification of a job array of small tasks that run for 20 seconds.
 func Array(id string, tasks int) storage.Spec {
-	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
+	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.PriorityNormal,
 		Resources: storage.Resources{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
 // Service returns the specification of a production service of small replicas.
 func Service(id string, tasks int) storage.Spec {
 	s := Array(id, tasks)
-	s.Class, s.Service, s.Priority, s.EstimateS = "service", true, storage.Production, 0
+	s.Class, s.Service, s.Priority, s.EstimateS = "service", true, storage.PriorityProduction, 0
 	return s
 }
 
@@ -54,7 +54,7 @@
 // cpu.
 func Opportunistic(id string, tasks int) storage.Spec {
 	s := Array(id, tasks)
-	s.Class, s.Priority, s.Spot, s.Resources.CPUs = "idle", storage.BestEffort, true, 4
+	s.Class, s.Priority, s.Spot, s.Resources.CPUs = "idle", storage.PriorityBestEffort, true, 4
 	return s
 }
 
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -121,7 +121,7 @@
 }
 
 // Urgent reports whether the job's records must not wait behind the records of less urgent jobs.
-func (j *Job) Urgent() bool { return j.Spec.Priority >= storage.High }
+func (j *Job) Urgent() bool { return j.Spec.Priority >= storage.PriorityHigh }
 
 // ZoneCounts returns the number of the job's attempts in each zone. Attempts whose zone is unknown are counted
 // under the empty name.
@@ -153,13 +153,13 @@
 // Record returns the job's record. The specification is left out once the job is final and has no attempts.
 func (j *Job) Record() *storage.JobRecord {
 	record := &storage.JobRecord{Phase: j.Phase, Tasks: j.Spec.Tasks, SubmittedMS: j.Submitted.UnixMilli()}
-	if j.Phase == storage.Open || len(j.Attempts) > 0 {
+	if j.Phase == storage.PhaseOpen || len(j.Attempts) > 0 {
 		record.Spec = &j.Spec
 	}
-	if j.Phase != storage.Open {
+	if j.Phase != storage.PhaseOpen {
 		record.DoneTasks = j.Done
 	}
-	if j.Phase == storage.Open && j.Lifecycle != nil {
+	if j.Phase == storage.PhaseOpen && j.Lifecycle != nil {
 		record.Activation = j.Lifecycle.Stored()
 	}
 	return record
@@ -167,9 +167,9 @@
 
 // PageRecord returns the record of one page of the job's tasks, or nil if the page has neither done tasks nor
 // attempts.
-func (j *Job) PageRecord(page int) *storage.PageRecord {
-	record := &storage.PageRecord{}
-	first, end := page*storage.PageTasks, min((page+1)*storage.PageTasks, len(j.Tasks))
+func (j *Job) PageRecord(page int) *storage.TaskPageRecord {
+	record := &storage.TaskPageRecord{}
+	first, end := page*storage.TasksPerPage, min((page+1)*storage.TasksPerPage, len(j.Tasks))
 	for task := first; task < end; task++ {
 		if j.Tasks[task] == TaskDone {
 			record.Done = appendToRanges(record.Done, task)
--- a/internal/cluster/job_table.go
+++ b/internal/cluster/job_table.go
@@ -83,7 +83,7 @@
 func (t *JobTable) CurrentTasks(class string) int {
 	tasks := 0
 	for _, j := range t.Open {
-		if j.Spec.Class == class && j.Phase == storage.Open && !j.ScalesToZero() {
+		if j.Spec.Class == class && j.Phase == storage.PhaseOpen && !j.ScalesToZero() {
 			tasks += len(j.Attempts) + j.Waiting
 		}
 	}
--- a/internal/cluster/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -29,7 +29,7 @@
 				tasks[id] = j.Spec.Tasks
 			case step < 2 && tasks[id] > 0:
 				table.ReleaseTasks(j)
-				j.Phase = storage.Done
+				j.Phase = storage.PhaseDone
 				delete(tasks, id)
 				table.TrackFinished(j)
 				finished[id] = true
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -22,7 +22,7 @@
 // first, then launches, machines and jobs. Pages come last because they refer to machines and jobs.
 var loadOrder = string([]byte{
 	storage.KindMachineTypes, storage.KindFleet, storage.KindLaunch,
-	storage.KindMachine, storage.KindJob, storage.KindPage,
+	storage.KindMachine, storage.KindJob, storage.KindTaskPage,
 })
 
 // Load rebuilds the state from the journal's records. now becomes the time at which the machines were first seen.
@@ -73,8 +73,8 @@
 			return err
 		}
 		s.loadJob(name, &record, result)
-	case storage.KindPage:
-		record, err := decode[storage.PageRecord](r)
+	case storage.KindTaskPage:
+		record, err := decode[storage.TaskPageRecord](r)
 		if err != nil {
 			return err
 		}
@@ -115,14 +115,14 @@
 	}
 	spec.ID = id
 	j := NewJob(spec, time.UnixMilli(record.SubmittedMS))
-	j.Phase, j.Acknowledged, j.FinalDurable = record.Phase, true, record.Phase != storage.Open
+	j.Phase, j.Acknowledged, j.FinalDurable = record.Phase, true, record.Phase != storage.PhaseOpen
 	if j.FinalDurable {
 		j.Done = record.DoneTasks
 		if record.Spec == nil {
 			j.Tasks, j.Waiting = nil, 0
 		}
 	}
-	if record.Activation != nil && record.Phase == storage.Open {
+	if record.Activation != nil && record.Phase == storage.PhaseOpen {
 		result.Lifecycles[j] = record.Activation
 	}
 	s.Jobs.Add(j)
@@ -130,7 +130,7 @@
 
 // loadPage applies the done tasks and the attempts of one page to its job. A page without a job is added to
 // result.OrphanPages.
-func (s *State) loadPage(id, key string, record *storage.PageRecord, now time.Time, result *LoadResult) {
+func (s *State) loadPage(id, key string, record *storage.TaskPageRecord, now time.Time, result *LoadResult) {
 	j := s.Jobs.Get(id)
 	switch {
 	case j == nil:
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -42,13 +42,13 @@
 	Terminating          bool      // the machine's termination has been or will be requested from the cloud
 
 	Attempts      map[worker.TaskID]*Attempt
-	Reserved      *storage.Resources                        // resources of all attempts
-	RunningUsage  [storage.Production + 1]storage.Resources // by priority, resources of attempts that aren't being stopped
-	StoppingUsage storage.Resources                         // resources of attempts that are being stopped
-	IdleSince     time.Time                                 // time since which the machine has had no attempts
-	Fence         *fencing.Fence[AttemptKey]                // fencing token, and the ended attempts that the worker must retain
-	Images        map[string]Image                          // cached images by name
-	Recorded      bool                                      // the machine's record is durable or being written
+	Reserved      *storage.Resources                                // resources of all attempts
+	RunningUsage  [storage.PriorityProduction + 1]storage.Resources // by priority, resources of attempts that aren't being stopped
+	StoppingUsage storage.Resources                                 // resources of attempts that are being stopped
+	IdleSince     time.Time                                         // time since which the machine has had no attempts
+	Fence         *fencing.Fence[AttemptKey]                        // fencing token, and the ended attempts that the worker must retain
+	Images        map[string]Image                                  // cached images by name
+	Recorded      bool                                              // the machine's record is durable or being written
 
 	InFlight         int // number of direct requests that the worker hasn't answered yet
 	Failures         failures.Machine
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -82,7 +82,7 @@
 
 // AddAttempt adds an attempt to its job and machine, and reserves its resources.
 func (s *State) AddAttempt(a *Attempt) {
-	if a.Job.Phase == storage.Cancelled {
+	if a.Job.Phase == storage.PhaseCancelled {
 		s.Jobs.TrackCancelling(a.Job)
 	}
 	a.Job.Attempts[a.Task] = a
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -29,7 +29,7 @@
 
 // testSpec returns the specification of a job array whose tasks need 2 CPUs and 4 GB of memory each.
 func testSpec(id string, tasks int) storage.Spec {
-	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.Normal,
+	return storage.Spec{ID: id, Class: "sweep", Team: "team", Tasks: tasks, Priority: storage.PriorityNormal,
 		Resources: storage.Resources{CPUs: 2, MemoryGB: 4}, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
@@ -48,8 +48,8 @@
 	first, second := addAttempt(s, j, 0, 0, 1), addAttempt(s, j, 1, 0, 2)
 	want := j.Spec.Resources.Mul(2)
 	m := s.Machines.Get(0)
-	if *m.Reserved != want || s.Reservations.Team("team") != want || m.RunningUsage[storage.Normal] != want {
-		t.Errorf("machine %+v, team %+v, running %+v, want %+v each", *m.Reserved, s.Reservations.Team("team"), m.RunningUsage[storage.Normal], want)
+	if *m.Reserved != want || s.Reservations.Team("team") != want || m.RunningUsage[storage.PriorityNormal] != want {
+		t.Errorf("machine %+v, team %+v, running %+v, want %+v each", *m.Reserved, s.Reservations.Team("team"), m.RunningUsage[storage.PriorityNormal], want)
 	}
 	if j.Waiting != 1 || j.Allocated() != 2 {
 		t.Errorf("%d tasks wait and %d are allocated, want 1 and 2", j.Waiting, j.Allocated())
@@ -57,16 +57,16 @@
 
 	s.MarkStopping(first, 5)
 	s.MarkStopping(first, 9) // a longer grace period doesn't replace a shorter one
-	if first.GraceSeconds != 5 || m.StoppingUsage != j.Spec.Resources || m.RunningUsage[storage.Normal] != j.Spec.Resources {
-		t.Errorf("grace %v, stopping %+v, running %+v; want 5 and %+v each", first.GraceSeconds, m.StoppingUsage, m.RunningUsage[storage.Normal], j.Spec.Resources)
+	if first.GraceSeconds != 5 || m.StoppingUsage != j.Spec.Resources || m.RunningUsage[storage.PriorityNormal] != j.Spec.Resources {
+		t.Errorf("grace %v, stopping %+v, running %+v; want 5 and %+v each", first.GraceSeconds, m.StoppingUsage, m.RunningUsage[storage.PriorityNormal], j.Spec.Resources)
 	}
 
 	idle := now.Add(time.Minute)
 	if !s.RemoveAttempt(first, now) || s.RemoveAttempt(first, now) || !s.RemoveAttempt(second, idle) {
 		t.Error("RemoveAttempt() doesn't report true exactly once for each attempt")
 	}
-	if *m.Reserved != (storage.Resources{}) || m.StoppingUsage != (storage.Resources{}) || m.RunningUsage[storage.Normal] != (storage.Resources{}) {
-		t.Errorf("%+v reserved, %+v stopping, %+v running after all attempts are gone", *m.Reserved, m.StoppingUsage, m.RunningUsage[storage.Normal])
+	if *m.Reserved != (storage.Resources{}) || m.StoppingUsage != (storage.Resources{}) || m.RunningUsage[storage.PriorityNormal] != (storage.Resources{}) {
+		t.Errorf("%+v reserved, %+v stopping, %+v running after all attempts are gone", *m.Reserved, m.StoppingUsage, m.RunningUsage[storage.PriorityNormal])
 	}
 	if j.Waiting != 3 || !m.IdleSince.Equal(idle) {
 		t.Errorf("%d tasks wait, idle since %v, want 3 and %v", j.Waiting, m.IdleSince, idle)
@@ -106,9 +106,9 @@
 	}
 	for _, j := range s.Jobs.InOrder() {
 		add(storage.JobKey(j.Spec.ID), j.Record())
-		for page := 0; page*storage.PageTasks < len(j.Tasks); page++ {
+		for page := 0; page*storage.TasksPerPage < len(j.Tasks); page++ {
 			if r := j.PageRecord(page); r != nil {
-				add(storage.PageKey(j.Spec.ID, page), r)
+				add(storage.TaskPageKey(j.Spec.ID, page), r)
 			}
 		}
 	}
@@ -120,17 +120,17 @@
 	now := time.UnixMilli(1_700_000_000_000)
 	s := newTestState(3, now)
 	s.Machines.Get(1).UseImage("img", 1, now)
-	open := NewJob(testSpec("000001", storage.PageTasks+6), now)
+	open := NewJob(testSpec("000001", storage.TasksPerPage+6), now)
 	s.Jobs.AddOpen(open)
 	for task := range 10 {
 		open.SetTask(task, TaskDone)
 	}
 	addAttempt(s, open, 20, 0, 7)
-	addAttempt(s, open, storage.PageTasks+1, 2, 8)
+	addAttempt(s, open, storage.TasksPerPage+1, 2, 8)
 	cancelled := NewJob(testSpec("000002", 2), now.Add(time.Second))
 	s.Jobs.AddOpen(cancelled)
 	addAttempt(s, cancelled, 1, 1, 9)
-	cancelled.Phase = storage.Cancelled
+	cancelled.Phase = storage.PhaseCancelled
 
 	restored := NewState(fencing.TermTokens(3))
 	loaded, err := restored.Load(recordsOf(t, s), now)
@@ -147,7 +147,7 @@
 		t.Errorf("restored reservations %+v, want %+v", got, want)
 	}
 	j := restored.Jobs.Get("000001")
-	if j.Done != 10 || j.Waiting != storage.PageTasks+6-12 || !j.Acknowledged || j.FinalDurable {
+	if j.Done != 10 || j.Waiting != storage.TasksPerPage+6-12 || !j.Acknowledged || j.FinalDurable {
 		t.Errorf("restored job: %d done, %d wait, acknowledged %v, final %v", j.Done, j.Waiting, j.Acknowledged, j.FinalDurable)
 	}
 	if restored.Jobs.Cancelling["000002"] == nil {
@@ -157,7 +157,7 @@
 
 func TestLoadRejectsDamagedRecords(t *testing.T) {
 	for _, key := range []string{
-		storage.JobKey("000001"), storage.PageKey("000001", 0), storage.MachineKey(1),
+		storage.JobKey("000001"), storage.TaskPageKey("000001", 0), storage.MachineKey(1),
 		storage.LaunchKey("r-1-1"), storage.FleetKey, storage.MachineTypesKey,
 	} {
 		t.Run(key, func(t *testing.T) {
@@ -170,7 +170,7 @@
 }
 
 func TestLoadReportsPagesWithoutAJob(t *testing.T) {
-	key := storage.PageKey("000001", 0)
+	key := storage.TaskPageKey("000001", 0)
 	records := []storage.Record{{Key: key, Data: []byte(`{"d":[0,1]}`)}}
 	loaded, err := NewState(fencing.TermTokens(2)).Load(records, time.Now())
 	if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -110,7 +110,7 @@
 // IsOpportunistic reports whether a job is opportunistic work: best-effort batch work, without a deadline and
 // not in a gang, of a team without a guarantee and of a class without an objective.
 func (s *Settings) IsOpportunistic(spec *storage.Spec) bool {
-	if spec.Priority > storage.BestEffort || spec.DeadlineS > 0 || spec.Service || spec.Gang {
+	if spec.Priority > storage.PriorityBestEffort || spec.DeadlineS > 0 || spec.Service || spec.Gang {
 		return false
 	}
 	if team := s.Team(spec.Team); team != nil && team.Guarantee != (storage.Resources{}) {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -57,7 +57,7 @@
 
 // opportunisticSpec returns the specification of an opportunistic job.
 func opportunisticSpec() storage.Spec {
-	return storage.Spec{ID: "000001", Class: "idle", Team: "team", Tasks: 1, Priority: storage.BestEffort, Spot: true}
+	return storage.Spec{ID: "000001", Class: "idle", Team: "team", Tasks: 1, Priority: storage.PriorityBestEffort, Spot: true}
 }
 
 func TestIsOpportunistic(t *testing.T) {
@@ -71,7 +71,7 @@
 		want   bool
 	}{
 		{"best effort", func(*storage.Spec) {}, true},
-		{"a priority", func(j *storage.Spec) { j.Priority = storage.Normal }, false},
+		{"a priority", func(j *storage.Spec) { j.Priority = storage.PriorityNormal }, false},
 		{"a deadline", func(j *storage.Spec) { j.DeadlineS = 60 }, false},
 		{"a service", func(j *storage.Spec) { j.Service = true }, false},
 		{"a gang", func(j *storage.Spec) { j.Gang = true }, false},
--- a/internal/fleetload/fault_injection.go
+++ b/internal/fleetload/fault_injection.go
@@ -38,13 +38,13 @@
 		sleep(ctx, f.Duration)
 		e.fleet.Workers.SetUnresponsive(f.Amount, false)
 	case StoreOutage:
-		store.Outage(true)
+		store.SetOutage(true)
 		sleep(ctx, f.Duration)
-		store.Outage(false)
+		store.SetOutage(false)
 	case StoreSlow:
-		store.Update(func(s *storagetest.Service) { s.Slow = time.Duration(f.Amount * float64(time.Second)) })
+		store.Update(func(s *storagetest.Service) { s.AddedLatency = time.Duration(f.Amount * float64(time.Second)) })
 		sleep(ctx, f.Duration)
-		store.Update(func(s *storagetest.Service) { s.Slow = 0 })
+		store.Update(func(s *storagetest.Service) { s.AddedLatency = 0 })
 	case Burst:
 		e.users.burst(int(f.Amount))
 	case ZoneLost:
--- a/internal/fleetload/seed.go
+++ b/internal/fleetload/seed.go
@@ -48,7 +48,7 @@
 	}
 	now := time.Now().UnixMilli()
 	for i := range e.config.Finished {
-		r, err := storage.NewRecord(storage.JobKey(finishedID(i)), storage.JobRecord{Phase: storage.Done, Tasks: finishedTasks, SubmittedMS: now, DoneTasks: finishedTasks})
+		r, err := storage.NewRecord(storage.JobKey(finishedID(i)), storage.JobRecord{Phase: storage.PhaseDone, Tasks: finishedTasks, SubmittedMS: now, DoneTasks: finishedTasks})
 		if err != nil {
 			return err
 		}
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -271,7 +271,7 @@
 	if err := upgrade.Admit(cluster.Record, upgradeSettings.Versions, upgrade.Policy{}); err != nil {
 		return ClusterRecord{}, err
 	}
-	return cluster, upgrade.MayLead(cluster.Record, upgradeSettings.Versions, upgradeSettings.Known)
+	return cluster, upgrade.MayLead(cluster.Record, upgradeSettings.Versions, upgradeSettings.KnownGates)
 }
 
 // acquireLeadership tries to become the leader and, if it succeeds, leads until the term ends.
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	service := storagetest.NewService()
 	t.Cleanup(service.Close)
-	return &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
+	return &storagetest.Client{Service: service, Disconnected: new(atomic.Bool)}
 }
 
 // A peer confirms that there is no leader only if it has run without contact to the key-value store since before the
@@ -212,12 +212,12 @@
 		e := newTestElection(client, scriptedPeers{}) // peers that confirm nothing
 		roles := runElection(t, e)
 		role := await(t, roles, leading)
-		client.Cut.Store(true)
+		client.Disconnected.Store(true)
 		await(t, roles, notLeading)
 		if ended := time.Now(); ended.Before(role.RenewWorkersUntil) {
 			t.Errorf("leadership ended %v before the end of the renewal grace, want after it", role.RenewWorkersUntil.Sub(ended))
 		}
-		client.Cut.Store(false)
+		client.Disconnected.Store(false)
 		await(t, roles, leading)
 	})
 }
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -36,7 +36,7 @@
 // Stored returns the total size of all keys and values in KiB, and the number of keys.
 func (s *KeyValueStore) Stored() (kb float64, keys int) {
 	bytes := 0
-	s.Service.Each(func(it storage.Item) {
+	s.Service.ForEachItem(func(it storage.Item) {
 		bytes += len(it.Key) + len(it.Data)
 		keys++
 	})
@@ -149,17 +149,17 @@
 }
 
 func (s *KeyValueStore) grantLease(w http.ResponseWriter, r *http.Request) {
-	var request protocol.GrantRequest
+	var request protocol.LeaseGrantRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	id, err := s.client().Grant(r.Context(), time.Duration(request.LifeMS)*time.Millisecond)
+	id, err := s.client().Grant(r.Context(), time.Duration(request.TTLMS)*time.Millisecond)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, protocol.GrantResponse{ID: id})
+	writeJSON(w, http.StatusOK, protocol.LeaseGrantResponse{ID: id})
 }
 
 // withLease applies an operation to the lease whose ID is in the request's path.
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -24,7 +24,7 @@
 // preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
 // they would not all fit, it preempts nothing and returns false.
 func (p *Planner) preemptForGang(j *cluster.Job, r *round) bool {
-	if j.Spec.Priority <= storage.BestEffort || j.Spec.Spread {
+	if j.Spec.Priority <= storage.PriorityBestEffort || j.Spec.Spread {
 		return false
 	}
 	var best []gangPreemption
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -132,7 +132,7 @@
 func (p *Planner) WaitingByUrgency(now time.Time) []*cluster.Job {
 	var waiting []*cluster.Job
 	for _, j := range p.state.Jobs.Open {
-		if j.Phase == storage.Open && j.Waiting > 0 && !now.Before(j.RetryAfter) && j.MayPlace(now) {
+		if j.Phase == storage.PhaseOpen && j.Waiting > 0 && !now.Before(j.RetryAfter) && j.MayPlace(now) {
 			waiting = append(waiting, j)
 		}
 	}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -15,7 +15,7 @@
 	rights := p.preemptionRightsOf(j, r)
 	shape := p.ShapeOf(j)
 	shape.guaranteed = rights.guaranteed
-	if rights.priorityBound() <= storage.BestEffort || r.unpreemptable.FirstUnsearched(shape, zones, r.zones) >= len(r.candidates) {
+	if rights.priorityBound() <= storage.PriorityBestEffort || r.unpreemptable.FirstUnsearched(shape, zones, r.zones) >= len(r.candidates) {
 		return "", false
 	}
 	best, victims := p.cheapestPreemption(j, rights, r, zones)
@@ -68,7 +68,7 @@
 
 // preemptionRightsOf returns which attempts a job may preempt.
 func (p *Planner) preemptionRightsOf(j *cluster.Job, r *round) preemptionRights {
-	if j.Spec.Priority > storage.BestEffort {
+	if j.Spec.Priority > storage.PriorityBestEffort {
 		return preemptionRights{priority: j.Spec.Priority} // all opportunistic work has a lower priority
 	}
 	if r.withinGuarantee == nil {
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -75,7 +75,7 @@
 		}
 	}
 	admission := &deadlineAdmission{completionRate: p.batchCompletionRate(), now: now, urgencies: urgencies}
-	for priority := storage.Production; priority >= storage.BestEffort; priority-- {
+	for priority := storage.PriorityProduction; priority >= storage.PriorityBestEffort; priority-- {
 		remaining := withDeadline[priority]
 		for rank := rankStartAtRisk; rank < rankCannotMeetDeadline; rank++ { //nolint:modernize // the first rank need not be 0
 			remaining = admission.admit(remaining, rank, func(j *cluster.Job) []time.Time {
@@ -132,7 +132,7 @@
 func (p *Planner) jobsWithinGuarantee() map[*cluster.Job]bool {
 	byTeam := make(map[string][]*cluster.Job)
 	for _, j := range p.state.Jobs.Open {
-		if t := p.settings.Team(j.Spec.Team); j.Phase == storage.Open && t != nil && t.Guarantee != (storage.Resources{}) {
+		if t := p.settings.Team(j.Spec.Team); j.Phase == storage.PhaseOpen && t != nil && t.Guarantee != (storage.Resources{}) {
 			byTeam[t.Name] = append(byTeam[t.Name], j)
 		}
 	}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/storage"
 )
 
-// Catalogue is the cloud's catalog of instance types.
-type Catalogue struct {
+// Catalog is the cloud's catalog of instance types.
+type Catalog struct {
 	Types []machineType `json:"Breeds"`
 }
 
@@ -31,7 +31,7 @@
 }
 
 // MachineTypes returns the valid instance types of the catalog.
-func (c Catalogue) MachineTypes() []storage.MachineType {
+func (c Catalog) MachineTypes() []storage.MachineType {
 	var types []storage.MachineType
 	for _, t := range c.Types {
 		if !t.valid() {
@@ -106,8 +106,8 @@
 	"booting": cloud.Booting, "running": cloud.Running, "failed": cloud.Failed,
 }
 
-// Page returns the machines of the page. It returns an error if any entry is invalid.
-func (l MachineList) Page() ([]cloud.Machine, error) {
+// ParseMachines returns the machines of the page. It returns an error if any entry is invalid.
+func (l MachineList) ParseMachines() ([]cloud.Machine, error) {
 	machines := make([]cloud.Machine, 0, len(l.Machines))
 	for _, m := range l.Machines {
 		id, err := ParseMachineName(m.ID)
--- a/internal/protocol/key_value.go
+++ b/internal/protocol/key_value.go
@@ -66,18 +66,18 @@
 	Revision uint64   `json:"LedgerRev"` // revision of the store after the transaction
 }
 
-// GrantRequest is the body of a request for a lease.
-type GrantRequest struct {
-	LifeMS int64 `json:"LifeMs"` // time to live
+// LeaseGrantRequest is the body of a request for a lease.
+type LeaseGrantRequest struct {
+	TTLMS int64 `json:"LifeMs"` // time to live
 }
 
-// GrantResponse is the body of the response to a request for a lease.
-type GrantResponse struct {
+// LeaseGrantResponse is the body of the response to a request for a lease.
+type LeaseGrantResponse struct {
 	ID uint64 `json:"Tether"`
 }
 
-// Changes is the body of the response to a watch.
-type Changes struct {
+// WatchResponse is the body of the response to a watch.
+type WatchResponse struct {
 	Revision uint64   `json:"LedgerRev"`
 	Events   []change `json:"Events"`
 }
@@ -90,7 +90,7 @@
 }
 
 // Items returns the changed items. The item of a removed key has no data.
-func (c Changes) Items() []storage.Item {
+func (c WatchResponse) Items() []storage.Item {
 	items := make([]storage.Item, 0, len(c.Events))
 	for _, e := range c.Events {
 		if e.Remove != "" {
--- a/internal/protocol/upgrade_properties_test.go
+++ b/internal/protocol/upgrade_properties_test.go
@@ -43,7 +43,7 @@
 				return
 			}
 			got := s.Tuning.Upgrade
-			if err != nil || got.Policy != tc.want.Policy || got.Versions != tc.want.Versions || len(got.Known) != len(tc.want.Known) {
+			if err != nil || got.Policy != tc.want.Policy || got.Versions != tc.want.Versions || len(got.KnownGates) != len(tc.want.KnownGates) {
 				t.Errorf("settings are %+v, %v; want %+v", got, err, tc.want)
 			}
 		})
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -63,7 +63,7 @@
 }
 
 var priorities = map[string]storage.Priority{
-	"prod": storage.Production, "high": storage.High, "normal": storage.Normal, "best_effort": storage.BestEffort,
+	"prod": storage.PriorityProduction, "high": storage.PriorityHigh, "normal": storage.PriorityNormal, "best_effort": storage.PriorityBestEffort,
 }
 
 // ParseSubmission decodes and checks a submission. An error that concerns one field is a *FieldError. The error text is
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -125,7 +125,7 @@
 	t.Helper()
 	service := storagetest.NewService()
 	t.Cleanup(service.Close)
-	s := &leaderFixture{settings: clustertest.Settings(), client: &storagetest.Client{Service: service, Cut: new(atomic.Bool)}}
+	s := &leaderFixture{settings: clustertest.Settings(), client: &storagetest.Client{Service: service, Disconnected: new(atomic.Bool)}}
 	s.settings.NodeName = "n1"
 	revision, err := s.client.Txn(t.Context(), nil, []storage.Op{{Key: "lead", Data: json.RawMessage(`{}`)}})
 	if err != nil {
@@ -210,7 +210,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newLeaderFixture(t)
 		c := s.newClient(t)
-		s.client.Cut.Store(true)
+		s.client.Disconnected.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		if r := c.HandleUserRequest(ctx, api.Request{Op: api.OpPoll, ID: "000001"}); r.Code != api.CodeUnavailable {
--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -312,7 +312,7 @@
 			c.scheduler.stopAttempt(a, 0)
 			c.scheduler.sendJobStops(s.job)
 		}
-	case activation.Nothing, activation.Start, activation.Drain:
+	case activation.NoAction, activation.Start, activation.Drain:
 	}
 }
 
--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	s := clustertest.Settings()
 	s.NodeName, s.Peers = "n0", []config.Peer{{Name: "n1"}, {Name: "n2"}}
-	s.Tuning.Activation.Classes = []string{coldClass}
+	s.Tuning.Activation.Classes = []string{modelClass}
 	sched := newTestScheduler(t, s)
 	sched.setGates(activationGateInUse)
 	sched.activation.resume(time.Now())
@@ -85,7 +85,7 @@
 		"failed commit leaves wake undecided": func(t *testing.T, sched *scheduler, _ *cluster.Job, _ *cluster.Machine) {
 			reply := sched.requestWake(0, 0)
 			sched.commitPending(storage.ErrLeadershipLost)
-			if r := <-reply; r.Verdict != activation.Undecided {
+			if r := <-reply; r.Verdict != activation.VerdictUndecided {
 				t.Errorf("wake response %+v, want undecided", r)
 			}
 		},
@@ -93,19 +93,19 @@
 			role := sched.role
 			role.LeaseValidUntil = time.Now().Add(time.Second)
 			sched.setRole(role)
-			if r := sched.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Holds > time.Second {
+			if r := sched.withLeaseBound(activation.WakeResponse{Verdict: activation.VerdictKnown, Holds: time.Minute}, time.Now()); r.Holds > time.Second {
 				t.Errorf("response is valid for %v, want at most the remaining second of the lease", r.Holds)
 			}
 			time.Sleep(time.Second)
-			if r := <-sched.requestWake(0, 0); r.Verdict != activation.Undecided || sched.activation.service(j).record.Generation != 0 {
+			if r := <-sched.requestWake(0, 0); r.Verdict != activation.VerdictUndecided || sched.activation.service(j).record.Generation != 0 {
 				t.Errorf("wake response %+v with record %s, want undecided in generation 0", r, sched.activation.service(j).record)
 			}
-			if r := sched.withLeaseBound(activation.WakeResponse{Verdict: activation.Known, Holds: time.Minute}, time.Now()); r.Verdict != activation.Undecided {
+			if r := sched.withLeaseBound(activation.WakeResponse{Verdict: activation.VerdictKnown, Holds: time.Minute}, time.Now()); r.Verdict != activation.VerdictUndecided {
 				t.Errorf("response %+v after the end of the lease, want undecided", r)
 			}
 			reply := make(chan activation.UsageResponse, 1)
 			sched.handleUsage(usageMessage{activation.UsageReport{Node: "n1", Serial: 1}, reply})
-			if r := <-reply; r.Verdict != activation.Undecided {
+			if r := <-reply; r.Verdict != activation.VerdictUndecided {
 				t.Errorf("usage response %+v, want undecided", r)
 			}
 		},
@@ -143,7 +143,7 @@
 			}
 		},
 		"idle service counts only as gate use": func(t *testing.T, sched *scheduler, j *cluster.Job, _ *cluster.Machine) {
-			if sched.state.Classes.Get(coldClass) != nil || sched.state.Jobs.CurrentTasks(coldClass) != 0 || len(sched.planner.WaitingByUrgency(time.Now())) > 0 || len(sched.snapshotFleet(time.Now()).Desired) > 0 {
+			if sched.state.Classes.Get(modelClass) != nil || sched.state.Jobs.CurrentTasks(modelClass) != 0 || len(sched.planner.WaitingByUrgency(time.Now())) > 0 || len(sched.snapshotFleet(time.Now()).Desired) > 0 {
 				t.Error("an idle service counts as an arrival, a task, demand or desired machines")
 			}
 			if sched.activation.gateUseCount() != 1 {
@@ -170,13 +170,13 @@
 func TestNewLeaderReconcilesActivation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
-		s.Tuning.Activation.Classes = []string{coldClass}
+		s.Tuning.Activation.Classes = []string{modelClass}
 		sched := newTestScheduler(t, s)
 		sched.activation.gate = activationGateInUse.Gate(upgrade.Activation)
 		spec := modelSpec(modelID)
 		if err := sched.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey(modelID), storage.JobRecord{Tasks: 1, Spec: &spec, Activation: []byte(`{"state":"failed","generation":2}`)}),
-			newRecord(t, storage.PageKey(modelID, 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
+			newRecord(t, storage.TaskPageKey(modelID, 0), storage.TaskPageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -206,7 +206,7 @@
 		t.Run(fmt.Sprintf("phase %q", phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := clustertest.Settings()
-				s.Tuning.Activation.Classes = []string{coldClass}
+				s.Tuning.Activation.Classes = []string{modelClass}
 				sched := newTestScheduler(t, s)
 				sched.gates = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: phase}}}
 				sched.handleUser(userMessage{req: api.Request{Op: api.OpSubmit, ID: modelID, Spec: modelSpec(modelID)}, reply: make(chan api.Response, 1)})
@@ -229,11 +229,11 @@
 		leader := sim.awaitLeader()
 		follower := sim.followers(leader)[0]
 		req := activation.WakeRequest{Model: modelID, Generation: 7}
-		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Known {
+		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.VerdictKnown {
 			t.Errorf("response %+v, want verdict known", r)
 		}
 		leader.responseDelay.Store(int64(2 * sim.settings.WakeInterval()))
-		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Undecided {
+		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.VerdictUndecided {
 			t.Errorf("late response %+v, want undecided", r)
 		}
 		leader.responseDelay.Store(0)
@@ -243,7 +243,7 @@
 				follower.statuses[name] = status
 			}
 		})
-		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.Undecided {
+		if r := follower.node.Wake(sim.t.Context(), req); r.Verdict != activation.VerdictUndecided {
 			t.Errorf("response with a leader of an earlier version %+v, want undecided", r)
 		}
 	})
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, r := range records {
-		if r.Key[0] == storage.KindPage {
+		if r.Key[0] == storage.KindTaskPage {
 			setReplica(services, r)
 		}
 	}
@@ -71,7 +71,7 @@
 // job isn't an open service that scales to zero or whose class is configured to.
 func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
 	var job storage.JobRecord
-	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.Open || job.Spec == nil || !job.Spec.Service {
+	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.PhaseOpen || job.Spec == nil || !job.Spec.Service {
 		return nil
 	}
 	if job.Activation == nil && !slices.Contains(tuning.Classes, job.Spec.Class) {
@@ -93,7 +93,7 @@
 func setReplica(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
-	var page storage.PageRecord
+	var page storage.TaskPageRecord
 	if service == nil || json.Unmarshal(r.Data, &page) != nil {
 		return
 	}
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -14,7 +14,7 @@
 type ArchiveStatus struct {
 	Gate    upgrade.GateState // the zero state is closed
 	Waiting string            // what the upgrade waits for, as a leader last recorded it; "" if nothing
-	Stored  archive.Stored
+	Stored  archive.StoredSummary
 	Backlog int // finished jobs whose records are in the journal
 	Open    int // jobs in the journal that aren't finished
 }
@@ -26,7 +26,7 @@
 		return ArchiveStatus{}, err
 	}
 	status := ArchiveStatus{Gate: upgradeStatus.Record.Gate(upgrade.JobArchive), Waiting: upgradeStatus.Waiting}
-	if status.Stored, err = archive.ReadStored(ctx, store); err != nil {
+	if status.Stored, err = archive.ReadStoredSummary(ctx, store); err != nil {
 		return ArchiveStatus{}, err
 	}
 	return status, status.countJournal(ctx, store, s)
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -117,7 +117,7 @@
 				olderProcess := rolledBack.startUnregistered(version)
 				sim.killAllBut(rolledBack)
 				time.Sleep(time.Minute)
-				if n := olderProcess.terms.Load(); n > 0 {
+				if n := olderProcess.termsLed.Load(); n > 0 {
 					t.Errorf("the older version became leader %d times, want never", n)
 				}
 				rolledBack.kill()
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -66,7 +66,7 @@
 		return api.Response{}, false
 	}
 	r := n.archive.Index.Lookup(number)
-	return archivedResponse(req.ID, r.Final), r.Knowledge == archive.Found
+	return archivedResponse(req.ID, r.FinalState), r.Status == archive.Found
 }
 
 // answerFromArchive handles a request for a job that isn't in memory. It returns true if it has answered the request, or
@@ -79,10 +79,10 @@
 	}
 	r := s.archive.Index.Lookup(number)
 	switch {
-	case r.Knowledge == archive.Found:
-		m.reply <- archivedResponse(m.req.ID, r.Final)
+	case r.Status == archive.Found:
+		m.reply <- archivedResponse(m.req.ID, r.FinalState)
 		return true
-	case m.notArchived, r.Knowledge == archive.Absent && r.Term == s.term, !s.leaseValid(now):
+	case m.notArchived, r.Status == archive.Absent && r.Term == s.term, !s.leaseValid(now):
 		return false
 	}
 	s.readArchive(m, number)
@@ -104,12 +104,12 @@
 	switch {
 	case m.err != nil:
 		m.user.reply <- api.Unavailable(id, m.err.Error())
-	case m.result.Knowledge == archive.Found:
-		m.user.reply <- archivedResponse(id, m.result.Final)
-	case m.result.Knowledge == archive.Absent && m.result.Term == s.term:
+	case m.result.Status == archive.Found:
+		m.user.reply <- archivedResponse(id, m.result.FinalState)
+	case m.result.Status == archive.Absent && m.result.Term == s.term:
 		m.user.notArchived = true
 		s.handleUser(m.user)
-	case m.result.Knowledge == archive.Damaged:
+	case m.result.Status == archive.Damaged:
 		m.user.reply <- api.Unavailable(id, fmt.Sprintf("key %s is damaged", m.result.Key))
 	default:
 		m.user.reply <- api.Unavailable(id, "the archive isn't read yet")
@@ -120,15 +120,15 @@
 // precedence.
 func (s *scheduler) finalizeArchived(j *cluster.Job) {
 	number, ok := archive.ParseJobNumber(j.Spec.ID)
-	if !s.archiveInUse || !ok || j.Phase != storage.Open {
+	if !s.archiveInUse || !ok || j.Phase != storage.PhaseOpen {
 		return
 	}
 	r := s.archive.Index.Lookup(number)
-	if r.Knowledge != archive.Found {
+	if r.Status != archive.Found {
 		return
 	}
-	s.log.Error("open job found in archive", "job", j.Spec.ID, "phase", r.Final.Phase())
-	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = r.Final.Phase(), r.Final.Done, true, true
+	s.log.Error("open job found in archive", "job", j.Spec.ID, "phase", r.FinalState.Phase())
+	j.Phase, j.Done, j.Acknowledged, j.FinalDurable = r.FinalState.Phase(), r.FinalState.Done, true, true
 	s.activation.untrack(j)
 	s.state.Jobs.TrackCancelling(j)
 	s.markJob(j)
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -35,7 +35,7 @@
 func BenchmarkFinishedInTheJournal(b *testing.B) {
 	records := make([]storage.Record, 0, finishedJobCount)
 	for i := range finishedJobCount {
-		r, err := storage.NewRecord(storage.JobKey(finishedJobID(i)), storage.JobRecord{Phase: storage.Done, Tasks: 10, SubmittedMS: 1_796_000_000_000, DoneTasks: 10})
+		r, err := storage.NewRecord(storage.JobKey(finishedJobID(i)), storage.JobRecord{Phase: storage.PhaseDone, Tasks: 10, SubmittedMS: 1_796_000_000_000, DoneTasks: 10})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -32,26 +32,26 @@
 	}
 	for name, inject := range map[string]func(sim *simulation, s *storagetest.Service){
 		"leader killed before archive write": func(sim *simulation, s *storagetest.Service) {
-			s.Drop = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.killLeaderOnce() }
+			s.DropTxn = func(txn storagetest.Txn) bool { return isArchiveWrite(txn) && sim.killLeaderOnce() }
 		},
 		"leader killed during archive write": func(sim *simulation, s *storagetest.Service) {
-			s.Before = callOnce(isArchiveWrite, func() { go sim.leader().kill() })
+			s.BeforeApply = callOnce(isArchiveWrite, func() { go sim.leader().kill() })
 		},
 		"leader killed before removal": func(sim *simulation, s *storagetest.Service) {
-			s.Drop = func(txn storagetest.Txn) bool {
+			s.DropTxn = func(txn storagetest.Txn) bool {
 				return isJournalRemoval("000001")(txn) && sim.killLeaderOnce()
 			}
 		},
 		"leader killed during removal": func(sim *simulation, s *storagetest.Service) {
-			s.Before = callOnce(isJournalRemoval("000001"), func() { go sim.leader().kill() })
+			s.BeforeApply = callOnce(isJournalRemoval("000001"), func() { go sim.leader().kill() })
 		},
 		"archive write response lost": func(_ *simulation, s *storagetest.Service) {
-			s.Lose = isArchiveWrite
+			s.LoseResponse = isArchiveWrite
 		},
-		"removal response lost": func(_ *simulation, s *storagetest.Service) { s.Lose = isJournalRemoval("000001") },
-		"archive write delayed": func(_ *simulation, s *storagetest.Service) { s.Late = delayFirst(isArchiveWrite, 9*time.Second) },
+		"removal response lost": func(_ *simulation, s *storagetest.Service) { s.LoseResponse = isJournalRemoval("000001") },
+		"archive write delayed": func(_ *simulation, s *storagetest.Service) { s.DelayTxn = delayFirst(isArchiveWrite, 9*time.Second) },
 		"removal delayed": func(_ *simulation, s *storagetest.Service) {
-			s.Late = delayFirst(isJournalRemoval("000001"), 9*time.Second)
+			s.DelayTxn = delayFirst(isJournalRemoval("000001"), 9*time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,15 +60,15 @@
 				sim.submit(clustertest.Service("000009", 2))
 				sim.runToCompletion("000007") // ensures that the gate is in use and a page exists
 				sim.awaitArchived(1)
-				sim.state.Update(func(s *storagetest.Service) { inject(sim, s) })
+				sim.store.Update(func(s *storagetest.Service) { inject(sim, s) })
 				s := clustertest.Array("000001", 2)
 				s.EstimateS = 3
 				sim.submit(s)
 				stop := sim.pollContinuously("000001", s)
 				sim.awaitDone("000001")
 				time.Sleep(20 * time.Second)
-				sim.startKilled()
-				sim.state.Update(func(s *storagetest.Service) { s.Lose = nil })
+				sim.startStopped()
+				sim.store.Update(func(s *storagetest.Service) { s.LoseResponse = nil })
 				sim.awaitLeader()
 				sim.awaitArchived(2)
 				stop()
@@ -106,7 +106,7 @@
 // killLeaderOnce kills the leader and returns true if it is called for the first time, so that the caller drops the
 // transaction. Later calls return false.
 func (sim *simulation) killLeaderOnce() bool {
-	if !sim.messagesDropped.CompareAndSwap(false, true) {
+	if !sim.leaderKilled.CompareAndSwap(false, true) {
 		return false
 	}
 	go sim.leader().kill()
@@ -138,8 +138,8 @@
 		sim.runToCompletion("000001", "000002")
 		sim.awaitArchived(2)
 		time.Sleep(2 * sim.settings.WorkerLease) // until the followers have refreshed their index
-		sim.state.Outage(true)
-		defer sim.state.Outage(false)
+		sim.store.SetOutage(true)
+		defer sim.store.SetOutage(false)
 		for range 30 {
 			for _, n := range sim.nodes {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
@@ -168,8 +168,8 @@
 		sim.awaitArchived(2)
 		leader := sim.awaitLeader()
 		// The new leader can read everything but the archive.
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Refuse = func(key string) bool { return strings.HasPrefix(key, archivePagePrefix) }
+		sim.store.Update(func(s *storagetest.Service) {
+			s.RefuseRead = func(key string) bool { return strings.HasPrefix(key, archivePagePrefix) }
 		})
 		leader.kill()
 		newLeader := sim.awaitLeader()
@@ -183,7 +183,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		sim.state.Update(func(s *storagetest.Service) { s.Refuse = nil })
+		sim.store.Update(func(s *storagetest.Service) { s.RefuseRead = nil })
 		leader.start()
 		sim.checkFinalState("000002", api.StateDone)
 		sim.runToCompletion("000003")
@@ -197,7 +197,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001")
 		sim.awaitArchived(1)
-		key := sim.state.Keys(archivePagePrefix)[0]
+		key := sim.store.Keys(archivePagePrefix)[0]
 		sim.writeKey(key, "AAAA")
 		for _, n := range sim.nodes {
 			n.restart()
@@ -293,7 +293,7 @@
 		case 5:
 			sim.crash(sim.nodes[random.IntN(len(sim.nodes))], time.Duration(random.IntN(6000))*time.Millisecond)
 		case 6:
-			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 1 + random.IntN(3) })
+			sim.store.Update(func(s *storagetest.Service) { s.LoseResponses = 1 + random.IntN(3) })
 		case 7:
 			sim.delayCommits(2+random.IntN(6), time.Duration(random.IntN(20_000))*time.Millisecond)
 		case 8:
@@ -310,7 +310,7 @@
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 	}
-	sim.state.Update(func(s *storagetest.Service) { s.LoseResponses, s.Delay = 0, nil })
+	sim.store.Update(func(s *storagetest.Service) { s.LoseResponses, s.Delay = 0, nil })
 	time.Sleep(time.Minute)
 	sim.awaitLeader()
 	for i := range nextJob - 1 {
--- a/internal/scheduler/archiving_guards_test.go
+++ b/internal/scheduler/archiving_guards_test.go
@@ -22,11 +22,11 @@
 			result archive.Result
 			want   api.Code
 		}{
-			{archive.Result{Knowledge: archive.Absent, Term: sched.term + 1}, api.CodeUnavailable},
-			{archive.Result{Knowledge: archive.Absent}, api.CodeUnavailable},
+			{archive.Result{Status: archive.Absent, Term: sched.term + 1}, api.CodeUnavailable},
+			{archive.Result{Status: archive.Absent}, api.CodeUnavailable},
 			{archive.Result{}, api.CodeUnavailable},
-			{archive.Result{Knowledge: archive.Absent, Term: sched.term}, api.CodeNotFound},
-			{archive.Result{Knowledge: archive.Found, Final: archive.FinalState{Done: 1}}, api.CodeOK},
+			{archive.Result{Status: archive.Absent, Term: sched.term}, api.CodeNotFound},
+			{archive.Result{Status: archive.Found, FinalState: archive.FinalState{Done: 1}}, api.CodeOK},
 		} {
 			reply := make(chan api.Response, 1)
 			sched.handleArchiveRead(archiveReadMessage{user: userMessage{req: api.Request{Op: api.OpPoll, ID: "000001"}, reply: reply}, result: c.result})
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -35,7 +35,7 @@
 // archiveStatus returns the status of the archive as operators read it.
 func (sim *simulation) archiveStatus() ArchiveStatus {
 	sim.t.Helper()
-	status, err := ReadArchiveStatus(context.Background(), &storagetest.Client{Service: sim.state}, &sim.settings)
+	status, err := ReadArchiveStatus(context.Background(), &storagetest.Client{Service: sim.store}, &sim.settings)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
@@ -127,8 +127,8 @@
 		sim.runToCompletion("000001")
 		time.Sleep(2 * time.Minute)
 		status := sim.archiveStatus()
-		if len(sim.state.Keys("archive")) > 0 || status.Backlog != 1 || status.Gate.Used {
-			t.Errorf("stored keys %v, status %+v; want no keys and a backlog of one job", sim.state.Keys("archive"), status)
+		if len(sim.store.Keys("archive")) > 0 || status.Backlog != 1 || status.Gate.Used {
+			t.Errorf("stored keys %v, status %+v; want no keys and a backlog of one job", sim.store.Keys("archive"), status)
 		}
 		for _, n := range sim.nodes {
 			if n.node.archive.Index.Stats().Complete {
@@ -167,7 +167,7 @@
 		if err != nil || len(ops) != 1 {
 			t.Fatalf("Build() = %v, %v, want one operation", ops, err)
 		}
-		if _, err := sim.state.Apply(nil, ops); err != nil {
+		if _, err := sim.store.Apply(nil, ops); err != nil {
 			t.Fatal(err)
 		}
 		sim.withLock(func() { sim.cancelRequested["000002"] = true })
@@ -187,7 +187,7 @@
 	runSimulationWithTuning(t, func(s *config.Settings) { s.State.Next = next }, enableArchive(0), func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.seedArchive(1500)
-		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
+		sim.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = next.ValueBytes, next.TxnOps })
 		var ids []string
 		for i := range 20 {
 			ids = append(ids, fmt.Sprintf("%09d", 1_000_000+i))
@@ -225,7 +225,7 @@
 	}
 	ops, err := archive.Build(entries, &sim.settings.State)
 	if err == nil {
-		_, err = sim.state.Apply(nil, ops)
+		_, err = sim.store.Apply(nil, ops)
 	}
 	if err != nil {
 		sim.t.Fatal(err)
@@ -294,12 +294,12 @@
 		sim.runToCompletion("000001")
 		sim.awaitArchived(1)
 		sim.killAll()
-		chunks := sim.state.Keys("log/")
+		chunks := sim.store.Keys("log/")
 		var lastChunk uint64
 		if _, err := fmt.Sscanf(chunks[len(chunks)-1], "log/%d", &lastChunk); err != nil {
 			t.Fatal(err)
 		}
-		page, err := storage.NewRecord(storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 1}})
+		page, err := storage.NewRecord(storage.TaskPageKey("000001", 0), storage.TaskPageRecord{Done: []int{0, 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -307,18 +307,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := sim.state.Apply(nil, []storage.Op{{Key: storage.ChunkKey(lastChunk + 1), Data: data}}); err != nil {
+		if _, err := sim.store.Apply(nil, []storage.Op{{Key: storage.ChunkKey(lastChunk + 1), Data: data}}); err != nil {
 			t.Fatal(err)
 		}
 		sim.startAll()
 		sim.awaitLeader()
 		sim.eventually("the page record is removed", 20*time.Second, func() bool {
-			journal, err := storage.OpenJournal(context.Background(), &storagetest.Client{Service: sim.state}, storage.NewLimitTracker(sim.settings.State), storage.Guard{})
+			journal, err := storage.OpenJournal(context.Background(), &storagetest.Client{Service: sim.store}, storage.NewLimitTracker(sim.settings.State), storage.Guard{})
 			if err != nil {
 				return false
 			}
 			for _, r := range journal.Records() {
-				if r.Key[0] == storage.KindPage {
+				if r.Key[0] == storage.KindTaskPage {
 					return false
 				}
 			}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -22,7 +22,7 @@
 	}
 	j, m := a.Job, a.Machine
 	s.markPage(j, a.Task)
-	if j.Spec.Gang && j.Phase == storage.Open {
+	if j.Spec.Gang && j.Phase == storage.PhaseOpen {
 		s.gangTaskLost(a)
 	}
 	if m.DrainReason != "" && len(m.Attempts) == 0 {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -149,7 +149,7 @@
 	}
 	for id, j := range sched.state.Jobs.Open {
 		add(storage.JobKey(id), j.Record())
-		add(storage.PageKey(id, 0), j.PageRecord(0))
+		add(storage.TaskPageKey(id, 0), j.PageRecord(0))
 	}
 	for b.Loop() {
 		if err := newTestScheduler(b, clustertest.Settings()).loadRecords(records); err != nil {
@@ -164,7 +164,7 @@
 	for _, services := range []int{0, 1000, 100_000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			settings := clustertest.Settings()
-			settings.Tuning.Activation.Classes = []string{coldClass}
+			settings.Tuning.Activation.Classes = []string{modelClass}
 			sched := newTestScheduler(b, settings)
 			for i := range services {
 				j := cluster.NewJob(modelSpec(fmt.Sprintf("%06d", i)), time.Now())
--- a/internal/scheduler/cold_start_faults_test.go
+++ b/internal/scheduler/cold_start_faults_test.go
@@ -69,7 +69,7 @@
 	}, false},
 	{"store outage", func(sim *simulation, _ *fakeNode) { sim.outage(faultDuration) }, false},
 	{"store responses lost", func(sim *simulation, _ *fakeNode) {
-		sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
+		sim.store.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
 	}, false},
 	{"transactions delayed", func(sim *simulation, _ *fakeNode) {
 		sim.injectTemporarily(func() { sim.delayCommits(2, time.Second) }, func() { sim.delayCommits(0, 0) })
@@ -148,14 +148,14 @@
 		nth := step + 1
 		points = append(points,
 			injectionPoint{"before " + name + " is written", func(sim *simulation, inject func()) {
-				sim.state.Update(func(s *storagetest.Service) { s.Drop = onNthWrite(nth, inject) })
+				sim.store.Update(func(s *storagetest.Service) { s.DropTxn = onNthWrite(nth, inject) })
 			}},
 			injectionPoint{"when " + name + " is written", func(sim *simulation, inject func()) {
 				injectAtNth := onNthWrite(nth, inject)
-				sim.state.Update(func(s *storagetest.Service) { s.Before = func(tx storagetest.Txn) { injectAtNth(tx) } })
+				sim.store.Update(func(s *storagetest.Service) { s.BeforeApply = func(tx storagetest.Txn) { injectAtNth(tx) } })
 			}},
 			injectionPoint{"when " + name + " is written but unanswered", func(sim *simulation, inject func()) {
-				sim.state.Update(func(s *storagetest.Service) { s.Lose = onNthWrite(nth, inject) })
+				sim.store.Update(func(s *storagetest.Service) { s.LoseResponse = onNthWrite(nth, inject) })
 			}})
 	}
 	return points
--- a/internal/scheduler/cold_start_history_test.go
+++ b/internal/scheduler/cold_start_history_test.go
@@ -13,7 +13,7 @@
 // recordServedRequest adds a forwarded request to the history of served requests.
 func (sim *simulation) recordServedRequest(client int, called time.Time, generation uint64) {
 	sim.withLock(func() {
-		sim.served = append(sim.served, porcupine.Operation{
+		sim.servedRequests = append(sim.servedRequests, porcupine.Operation{
 			ClientId: client, Call: called.UnixNano(), Return: time.Now().UnixNano(), Output: generation,
 		})
 	})
@@ -33,7 +33,7 @@
 func (sim *simulation) checkServedRequests() {
 	sim.t.Helper()
 	var served []porcupine.Operation
-	sim.withLock(func() { served = append(served, sim.served...) })
+	sim.withLock(func() { served = append(served, sim.servedRequests...) })
 	if !porcupine.CheckOperations(servedRequestSpec, served) {
 		sim.t.Errorf("the history of %d requests is not linearizable", len(served))
 	}
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -19,18 +19,18 @@
 
 const (
 	modelID          = "000002"         // job ID of the model that is started from zero
-	coldClass        = "model"          // class of its job; services of this class scale to zero
+	modelClass       = "model"          // class of its job; services of this class scale to zero
 	modelIdleWindow  = 15 * time.Second // time without requests after which the model scales to zero
 	modelHoldTimeout = 10 * time.Second // longest time for which a request waits for the model to start
 )
 
-// noteWakeRequest records a wake request that one controller has sent to another.
-func (sim *simulation) noteWakeRequest(req activation.WakeRequest) {
+// recordWakeRequest records a wake request that one controller has sent to another.
+func (sim *simulation) recordWakeRequest(req activation.WakeRequest) {
 	sim.withLock(func() { sim.wakeRequests = append(sim.wakeRequests, req) })
 }
 
-// noteUsage records a usage report that one controller has sent to another.
-func (sim *simulation) noteUsage(report activation.UsageReport) {
+// recordUsageReport records a usage report that one controller has sent to another.
+func (sim *simulation) recordUsageReport(report activation.UsageReport) {
 	sim.withLock(func() { sim.usageReports = append(sim.usageReports, report) })
 }
 
@@ -40,7 +40,7 @@
 	var usages []activation.UsageReport
 	sim.withLock(func() { wakes, usages = append(wakes, sim.wakeRequests...), append(usages, sim.usageReports...) })
 	for _, n := range sim.nodes {
-		live := n.live.Load()
+		live := n.runningProcess.Load()
 		if live == nil {
 			continue
 		}
@@ -63,7 +63,7 @@
 // modelSpec returns the specification of a service that has no replica until there is demand.
 func modelSpec(id string) storage.Spec {
 	s := clustertest.Service(id, 1)
-	s.Class = coldClass
+	s.Class = modelClass
 	return s
 }
 
@@ -77,7 +77,7 @@
 func runColdStartInZones(t *testing.T, zones []string, scenario func(sim *simulation)) {
 	t.Helper()
 	tune := func(tuning *config.Tuning) {
-		tuning.Activation.Classes = []string{coldClass}
+		tuning.Activation.Classes = []string{modelClass}
 		tuning.Activation.Policy.IdleWindow = modelIdleWindow
 		tuning.Activation.HoldTimeout = modelHoldTimeout
 	}
@@ -138,7 +138,7 @@
 		sim.recordServedRequest(c.id, called, decision.Response.Generation)
 		tracker.Release(modelID)
 	}
-	if decision.Response.Verdict != activation.Known || decision.Response.Reason == alwaysRunningReason {
+	if decision.Response.Verdict != activation.VerdictKnown || decision.Response.Reason == alwaysRunningReason {
 		return
 	}
 	if decision.Response.Generation < c.lastGeneration {
@@ -217,7 +217,7 @@
 // modelStatus returns the model's activation status as operators read it.
 func (sim *simulation) modelStatus() ServiceStatus {
 	sim.t.Helper()
-	status, err := ReadActivationStatus(sim.t.Context(), &storagetest.Client{Service: sim.state}, &sim.settings)
+	status, err := ReadActivationStatus(sim.t.Context(), &storagetest.Client{Service: sim.store}, &sim.settings)
 	if err != nil || !status.Gate.Used || len(status.Services) != 1 || status.Services[0].ID != modelID {
 		sim.t.Fatalf("ReadActivationStatus() = %+v, %v, want %s alone", status, err, modelID)
 	}
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -255,7 +255,7 @@
 		spec := modelSpec(modelID)
 		other := modelSpec("000003")
 		s := clustertest.Settings()
-		s.Tuning.Activation.Classes = []string{coldClass}
+		s.Tuning.Activation.Classes = []string{modelClass}
 		sched := newTestScheduler(t, s)
 		sched.activation.gate = upgrade.GateState{Phase: upgrade.GateOpen, Used: true}
 		err := sched.loadRecords([]storage.Record{
@@ -275,7 +275,7 @@
 		}
 		reply := make(chan activation.WakeResponse, 1)
 		sched.activation.handleDemand(damaged, wakeMessage{activation.WakeRequest{Model: spec.ID, Generation: 3}, reply}, now)
-		if response := <-reply; response.Verdict != activation.Damaged {
+		if response := <-reply; response.Verdict != activation.VerdictDamaged {
 			t.Errorf("wake response %+v, want verdict damaged", response)
 		}
 	})
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -31,7 +31,7 @@
 		sim.submit(clustertest.Service("000002", 2))
 		sim.awaitRunning("000002", 2)
 		for range 4 {
-			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
+			sim.store.Update(func(s *storagetest.Service) { s.LoseResponses = 3 })
 			sim.submit(clustertest.Service("000003", 1))
 			sim.cancel("000002")
 			sim.requestFromAll("000003")
@@ -106,10 +106,10 @@
 			sim.submit(clustertest.Service(fmt.Sprintf("%06d", i+1), 2))
 			sim.awaitRunning(fmt.Sprintf("%06d", i+1), 2)
 		}
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = 400 * time.Millisecond })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 400 * time.Millisecond })
 		sim.cancel("000001")
 		time.Sleep(10 * time.Second)
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 0 })
 		old := sim.cutLeaderFromStore()
 		go sim.requestFrom(old, api.OpCancel, "000002", storage.Spec{})
 		sim.cancel("000003")
@@ -180,7 +180,7 @@
 		for i, wk := range sim.allWorkers() {
 			switch i % 3 {
 			case 0:
-				wk.cut.Store(true)
+				wk.partitioned.Store(true)
 			case 1:
 				wk.dropsResponses.Store(true)
 			}
@@ -190,7 +190,7 @@
 		sim.cancel("000002")
 		time.Sleep(sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 			wk.dropsResponses.Store(false)
 		}
 		sim.awaitStopped("000002")
@@ -202,7 +202,7 @@
 		sim.awaitRunning("000001", 4)
 		for i := range 10 {
 			if i == 4 {
-				sim.state.Outage(true)
+				sim.store.SetOutage(true)
 			}
 			for _, n := range sim.nodes {
 				if v := n.node.view.Load(); n.cancelRun != nil && v.role.Leading {
@@ -212,7 +212,7 @@
 			}
 			time.Sleep(10 * time.Second)
 			if i == 6 {
-				sim.state.Outage(false)
+				sim.store.SetOutage(false)
 				sim.cancel("000001")
 			}
 		}
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -23,7 +23,7 @@
 			if i%2 == 0 {
 				wk.dead.Store(true)
 			} else {
-				wk.cut.Store(true)
+				wk.partitioned.Store(true)
 			}
 		}
 		// The loop above may already have stopped all machines of the second job.
@@ -32,7 +32,7 @@
 		}
 		time.Sleep(3 * sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		sim.awaitRunning("000002", 4)
 		sim.awaitDone("000001")
@@ -79,7 +79,7 @@
 				sim.awaitDone(fmt.Sprintf("%06d", i+1))
 			}
 		}
-		if n := len(sim.state.Keys("log/")); n > 400 {
+		if n := len(sim.store.Keys("log/")); n > 400 {
 			sim.t.Errorf("got %d journal chunks, want at most 400", n)
 		}
 	}},
@@ -144,11 +144,11 @@
 		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
-			wk.cut.Store(true) // its lease expires, and its tasks start on other machines
+			wk.partitioned.Store(true) // its lease expires, and its tasks start on other machines
 		}
 		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		for range 5 {
 			sim.replayReports(sim.nodes...)
@@ -163,7 +163,7 @@
 		sim.withLock(func() {
 			sim.cloud.noCapacity = func(launch storage.LaunchRecord) bool { return len(sim.workers) >= 4 || launch.Type == "gpu" }
 		})
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = 100 * time.Millisecond })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 100 * time.Millisecond })
 		for i := range 10 {
 			spec := arrayWithRuntime(fmt.Sprintf("%06d", i+1), 6, 20*time.Second)
 			spec.Priority = storage.Priority(i % 3)
@@ -199,13 +199,13 @@
 		sim.awaitRunning("000001", 2)
 		sim.submit(withLimitedTeam(arrayWithRuntime("000002", 2, 20*time.Second)))
 		for _, wk := range sim.machinesOf("000001") {
-			wk.cut.Store(true)
+			wk.partitioned.Store(true)
 		}
 		sim.crash(sim.awaitLeader(), 2*time.Second)
 		sim.cancel("000001")
 		time.Sleep(sim.settings.WorkerLease / 2)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		sim.awaitDone("000002")
 		sim.awaitStopped("000001")
@@ -244,14 +244,14 @@
 			wk.paused.Store(true)
 		}
 		for _, wk := range sim.machinesOf("000002") {
-			wk.cut.Store(true)
+			wk.partitioned.Store(true)
 		}
 		sim.cancel("000001")
 		sim.crash(sim.awaitLeader(), time.Second)
 		sim.cancel("000002")
 		time.Sleep(sim.settings.WorkerLease * 2 / 3)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 			wk.paused.Store(false)
 			wk.executeDelayed()
 		}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -54,7 +54,7 @@
 	case a.Stopping && !a.Reported && a.CommandedSeq != 0 && a.Delivery != cluster.DeliveryInFlight && s.tokens.Contains(r.Token):
 		s.removeAttempt(a, "its start was not executed")
 	case a.Stopping:
-	case !a.Reported && a.Durable && a.Job.Phase == storage.Open && s.leaseValid(now) && !a.Machine.Terminating:
+	case !a.Reported && a.Durable && a.Job.Phase == storage.PhaseOpen && s.leaseValid(now) && !a.Machine.Terminating:
 		a.RecordStartCommanded(r)
 		return append(commands, start)
 	}
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -30,7 +30,7 @@
 
 // admitSubmission reports whether a team's submission is admitted to wait for a commit.
 func (s *scheduler) admitSubmission(team string) bool {
-	return s.admission.Admit(team, s.journal.SpareBytes()/acceptedJobBytes)
+	return s.admission.Admit(team, s.journal.AvailableBytes()/acceptedJobBytes)
 }
 
 // markRecord marks an entity's record to be written in the bulk lane. data is called when the commit begins. It returns
@@ -47,7 +47,7 @@
 // jobLane returns the lane of a job's own record. A cancellation uses the urgent lane, so that it doesn't wait behind
 // submissions, because it frees resources.
 func jobLane(j *cluster.Job) groupcommit.Lane {
-	if j.Urgent() || j.Phase == storage.Cancelled {
+	if j.Urgent() || j.Phase == storage.PhaseCancelled {
 		return groupcommit.Urgent
 	}
 	return groupcommit.Interactive
@@ -64,8 +64,8 @@
 
 // markPage marks the page record that contains a job's task to be written.
 func (s *scheduler) markPage(j *cluster.Job, task int) {
-	p := task / storage.PageTasks
-	s.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), func() any {
+	p := task / storage.TasksPerPage
+	s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), func() any {
 		if rec := j.PageRecord(p); rec != nil {
 			return rec
 		}
@@ -81,7 +81,7 @@
 
 // pageDurable reports whether the current value of a task's page record is durable.
 func (s *scheduler) pageDurable(id worker.TaskID) bool {
-	return s.queue.Durable(storage.PageKey(id.Job, id.Task/storage.PageTasks))
+	return s.queue.Durable(storage.TaskPageKey(id.Job, id.Task/storage.TasksPerPage))
 }
 
 // onCommit calls f once all records that are marked now are durable, or with the error of a commit that failed.
@@ -138,8 +138,8 @@
 	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
 	}
-	saved, burst, _ := s.journal.Budget()
-	allowed := s.bulkPacer.Allow(now, saved, burst) * s.journal.ChangeBytes()
+	saved, burst, _ := s.journal.ChangeBudget()
+	allowed := s.bulkPacer.Allow(now, saved, burst) * s.journal.BytesPerChange()
 	s.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
 
@@ -149,7 +149,7 @@
 	if !s.queue.Idle() || s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
 	}
-	saved, burst, rate := s.journal.Budget()
+	saved, burst, rate := s.journal.ChangeBudget()
 	return s.bulkPacer.RetryAfter(now, saved, burst, rate), true
 }
 
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -67,7 +67,7 @@
 		if span, excluded := sched.delegator.delegate("n1"); span <= 0 || len(excluded) != 0 {
 			t.Errorf("got a delegation for %v that excludes %v, want one without exclusions", span, excluded)
 		}
-		j.Phase = storage.Cancelled
+		j.Phase = storage.PhaseCancelled
 		sched.state.Jobs.TrackCancelling(j)
 		time.Sleep(time.Second)
 		sched.publishDelegation(time.Now())
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -22,7 +22,7 @@
 		j := sched.addAcceptedJob(clustertest.Service("000001", 1))
 		m := sched.addReadyMachine(7, "cpu", "a", false)
 		a := sched.Reserve(j, 0, m, time.Now())
-		j.Phase = storage.Cancelled
+		j.Phase = storage.PhaseCancelled
 		sched.startReserved([]*cluster.Attempt{a})
 		if a.Delivery != cluster.DeliveryNone {
 			t.Errorf("direct start of a cancelled job: got delivery %v, want none", a.Delivery)
@@ -43,14 +43,14 @@
 		spec := clustertest.Array("000001", 3)
 		records := []storage.Record{
 			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Done: []int{0, 2}}),
+			newRecord(t, storage.TaskPageKey("000001", 0), storage.TaskPageRecord{Done: []int{0, 2}}),
 		}
 		sched := newTestScheduler(t, clustertest.Settings())
 		if err := sched.loadRecords(records); err != nil {
 			t.Fatal(err)
 		}
-		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.Done {
-			t.Errorf("got phase %v, want %v", j.Phase, storage.Done)
+		if j := sched.state.Jobs.Get("000001"); j.Phase != storage.PhaseDone {
+			t.Errorf("got phase %v, want %v", j.Phase, storage.PhaseDone)
 		}
 		if sched.queue.Waiting(groupcommit.Interactive) == 0 {
 			t.Error("the new phase isn't queued to be written")
@@ -74,7 +74,7 @@
 		sim.awaitLeader()
 		time.Sleep(5 * time.Second)
 		transactions := 0
-		sim.state.Update(func(s *storagetest.Service) {
+		sim.store.Update(func(s *storagetest.Service) {
 			s.Delay = func() time.Duration {
 				if transactions++; transactions == 1 {
 					return time.Hour // beyond the end of the scenario
@@ -85,7 +85,7 @@
 		start := time.Now()
 		sim.submit(clustertest.Service("000001", 1))
 		duration := time.Since(start)
-		sim.state.Update(func(*storagetest.Service) {
+		sim.store.Update(func(*storagetest.Service) {
 			if duration > 2*time.Second || transactions < 2 {
 				t.Errorf("accepted after %v with %d transactions, want at most 2s and at least 2", duration, transactions)
 			}
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -53,7 +53,7 @@
 		}
 	}()
 	time.Sleep(outageAfter)
-	sim.state.Outage(true)
+	sim.store.SetOutage(true)
 	if peerState == "restarted" {
 		for _, n := range sim.nodes {
 			if n != old {
@@ -65,7 +65,7 @@
 	time.Sleep(sim.settings.CancelTimeout + sim.settings.WorkerLease)
 	old.cutStore.Store(false)
 	old.cutPeers.Store(false)
-	sim.state.Outage(false)
+	sim.store.SetOutage(false)
 	for _, wk := range sim.allWorkers() {
 		wk.onlyReachableNode.Store(nil)
 	}
@@ -82,13 +82,13 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
 		sim.awaitRunning("000001", 1)
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = 150 * time.Millisecond })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 150 * time.Millisecond })
 		sim.awaitLeader().kill()
 		loadingCount := 0
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			leading, loaded := false, false
 			for _, n := range sim.nodes {
-				if live := n.live.Load(); live != nil {
+				if live := n.runningProcess.Load(); live != nil {
 					v := live.view.Load()
 					leading, loaded = leading || v.role.Leading, loaded || v.scheduler != nil
 				}
@@ -100,7 +100,7 @@
 				loadingCount++
 			}
 			for _, n := range sim.nodes {
-				live := n.live.Load()
+				live := n.runningProcess.Load()
 				if live == nil || live.view.Load().scheduler != nil {
 					continue
 				}
@@ -114,7 +114,7 @@
 		if loadingCount == 0 {
 			t.Error("no leader was observed while loading")
 		}
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = 0 })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 0 })
 		sim.awaitRunning("000001", 1)
 	})
 }
--- a/internal/scheduler/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -18,8 +18,8 @@
 // fakeCloud launches and terminates workers. Its fields are guarded by sim.mu.
 type fakeCloud struct {
 	sim              *simulation
-	next             int                             // ID of the next machine
-	launches         map[string][]int                // IDs of the launched machines, by launch name
+	nextMachineID    int                             // ID of the next machine
+	machinesByLaunch map[string][]int                // IDs of the launched machines, by launch name
 	launchCalls      map[string]int                  // number of Launch calls, by launch name
 	loseNextResponse bool                            // the response to the next new launch is lost
 	noCapacity       func(storage.LaunchRecord) bool // launches for which it returns true fail; nil: none fails
@@ -37,7 +37,7 @@
 	c.sim.mu.Lock()
 	defer c.sim.mu.Unlock()
 	c.launchCalls[name]++
-	if machines, ok := c.launches[name]; ok {
+	if machines, ok := c.machinesByLaunch[name]; ok {
 		return machines, nil
 	}
 	if c.noCapacity != nil && c.noCapacity(launch) {
@@ -45,8 +45,8 @@
 	}
 	var machines []int
 	for range launch.Count {
-		id := c.next
-		c.next++
+		id := c.nextMachineID
+		c.nextMachineID++
 		machines = append(machines, id)
 		time.AfterFunc(cmp.Or(c.bootTime, defaultBootTime), func() {
 			if !c.isTerminated(id) {
@@ -54,7 +54,7 @@
 			}
 		})
 	}
-	c.launches[name] = machines
+	c.machinesByLaunch[name] = machines
 	if c.loseNextResponse {
 		c.loseNextResponse = false
 		return nil, cloud.ErrUnknownOutcome
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -23,12 +23,12 @@
 // fakeNode is a controller of the simulation. It runs the controller's process, implements the process's
 // links to its peers and to the workers, and injects faults into all of them.
 type fakeNode struct {
-	sim       *simulation
-	name      string
-	zone      string
-	node      *Node                // the latest process, also after it has ended; used by the scenarios
-	live      atomic.Pointer[Node] // the running process; nil: none
-	cancelRun context.CancelFunc   // ends the running process; nil: none
+	sim            *simulation
+	name           string
+	zone           string
+	node           *Node                // the latest process, also after it has ended; used by the scenarios
+	runningProcess atomic.Pointer[Node] // the running process; nil: none
+	cancelRun      context.CancelFunc   // ends the running process; nil: none
 
 	cutStore      atomic.Bool                   // requests to the key-value store are refused
 	cutPeers      atomic.Bool                   // no messages to or from peers
@@ -36,10 +36,10 @@
 	resumed       atomic.Pointer[chan struct{}] // closed when the pause ends; nil: not paused
 	responseDelay atomic.Int64                  // delay in ns of responses to forwarded requests
 
-	statuses map[string]peer.ObservedStatus    // the latest status of each peer; guarded by sim.mu
-	upgrade  func(*upgrade.Settings)           // changes the upgrade settings of the next process; nil: no change
-	refusal  atomic.Pointer[error]             // the error with which the upgrade check refused the latest process; nil: none
-	tracker  atomic.Pointer[activator.Tracker] // of the latest process, if services may scale to zero
+	statuses              map[string]peer.ObservedStatus    // the latest status of each peer; guarded by sim.mu
+	changeUpgradeSettings func(*upgrade.Settings)           // changes the upgrade settings of the next process; nil: no change
+	refusal               atomic.Pointer[error]             // the error with which the upgrade check refused the latest process; nil: none
+	tracker               atomic.Pointer[activator.Tracker] // of the latest process, if services may scale to zero
 	// unregistered is the node's process if it is of a version that doesn't register; nil: it isn't.
 	unregistered atomic.Pointer[unregisteredProcess]
 }
@@ -54,12 +54,12 @@
 			settings.Peers = append(settings.Peers, config.Peer{Name: other.name, Zone: other.zone})
 		}
 	}
-	if n.upgrade != nil {
-		n.upgrade(&settings.Tuning.Upgrade)
+	if n.changeUpgradeSettings != nil {
+		n.changeUpgradeSettings(&settings.Tuning.Upgrade)
 	}
 	n.refusal.Store(nil)
 	n.node = NewNode(&settings, Dependencies{
-		State:   pausableStore{&storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n},
+		State:   pausableStore{&storagetest.Client{Service: n.sim.store, Disconnected: &n.cutStore}, n},
 		Cloud:   n.sim.cloud,
 		Workers: n,
 		Peers:   n,
@@ -68,7 +68,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancelRun = cancel
-	n.live.Store(n.node)
+	n.runningProcess.Store(n.node)
 	go n.ping(ctx)
 	node := n.node
 	if len(settings.Tuning.Activation.Classes) > 0 {
@@ -79,7 +79,7 @@
 		switch {
 		case upgrade.IsRefusal(err):
 			n.refusal.Store(&err)
-			n.live.CompareAndSwap(node, nil)
+			n.runningProcess.CompareAndSwap(node, nil)
 		case err != nil:
 			n.sim.t.Errorf("node ended: %v", err)
 		}
@@ -88,8 +88,8 @@
 
 // runTracker starts the model tracker of a process. The tracker runs until ctx ends.
 func (n *fakeNode) runTracker(ctx context.Context, node *Node, settings *config.Settings) {
-	pace := activator.Pace{Retry: settings.WakeInterval(), Timeout: settings.HeartbeatInterval, Wait: settings.WakeInterval(), Usage: settings.UsageInterval(),
-		Repeat: settings.WorkerLease, Remember: 2 * settings.Tuning.Activation.Policy.IdleWindow}
+	pace := activator.Timing{RetryPause: settings.WakeInterval(), RequestTimeout: settings.HeartbeatInterval, MaxResponseDelay: settings.WakeInterval(), UsageInterval: settings.UsageInterval(),
+		RepeatDemandFor: settings.WorkerLease, ReportUnusedFor: 2 * settings.Tuning.Activation.Policy.IdleWindow}
 	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: settings.Tuning.Activation.HoldTimeout}
 	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
@@ -98,14 +98,14 @@
 
 // restartWithVersion restarts the node with a process of the given version.
 func (n *fakeNode) restartWithVersion(version upgrade.Version) {
-	n.upgrade = func(s *upgrade.Settings) { *s = s.CappedAt(version) }
+	n.changeUpgradeSettings = func(s *upgrade.Settings) { *s = s.CappedAt(version) }
 	n.restart()
 }
 
 // kill stops the process if one is running.
 func (n *fakeNode) kill() {
 	if n.cancelRun != nil {
-		n.live.Store(nil)
+		n.runningProcess.Store(nil)
 		n.cancelRun()
 		n.cancelRun = nil
 	}
@@ -136,7 +136,7 @@
 	if !ok {
 		return nil, errNoConnection
 	}
-	process := target.live.Load()
+	process := target.runningProcess.Load()
 	if process == nil {
 		return nil, errNoConnection
 	}
@@ -173,7 +173,7 @@
 func (n *fakeNode) ReportUsage(ctx context.Context, name string, report activation.UsageReport) (activation.UsageResponse, error) {
 	var response activation.UsageResponse
 	_, err := n.callPeer(name, func(process *Node) {
-		n.sim.noteUsage(report)
+		n.sim.recordUsageReport(report)
 		response = process.HandleForwardedUsage(ctx, report)
 	})
 	if err != nil {
@@ -186,7 +186,7 @@
 func (n *fakeNode) Wake(ctx context.Context, name string, req activation.WakeRequest) (activation.WakeResponse, error) {
 	var response activation.WakeResponse
 	target, err := n.callPeer(name, func(process *Node) {
-		n.sim.noteWakeRequest(req)
+		n.sim.recordWakeRequest(req)
 		response = process.HandleForwardedWake(ctx, req)
 	})
 	if err != nil {
@@ -241,7 +241,7 @@
 // KnownLeader returns the leader with the latest term in the statuses of reachable peers, and that term.
 func (n *fakeNode) KnownLeader() (leader string, term uint64) {
 	for _, other := range n.sim.nodes {
-		if status, ok := n.Status(other.name); ok && other.live.Load() != nil && !other.cutPeers.Load() && !n.cutPeers.Load() && status.Term > term {
+		if status, ok := n.Status(other.name); ok && other.runningProcess.Load() != nil && !other.cutPeers.Load() && !n.cutPeers.Load() && status.Term > term {
 			leader, term = status.Leader, status.Term
 		}
 	}
@@ -275,7 +275,7 @@
 	}
 	n.sim.mu.Lock()
 	wk := n.sim.workers[id]
-	lost := wk == nil || wk.dead.Load() || wk.cut.Load() || wk.dropsResponses.Load() || !n.canReach(wk)
+	lost := wk == nil || wk.dead.Load() || wk.partitioned.Load() || wk.dropsResponses.Load() || !n.canReach(wk)
 	if !lost && (wk.delaysCommands.Load() || wk.paused.Load()) {
 		wk.delayedCommands = append(wk.delayedCommands, commandBatch{token, incarnation, commands})
 	}
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -26,7 +26,7 @@
 	spot     bool
 
 	dead              atomic.Bool              // the machine is down for good
-	cut               atomic.Bool              // no messages to or from the worker
+	partitioned       atomic.Bool              // no messages to or from the worker
 	onlyReachableNode atomic.Pointer[fakeNode] // no messages to or from any other node; nil: no restriction
 	dropsResponses    atomic.Bool              // heartbeats arrive, responses and direct commands are lost
 	dropsHeartbeats   atomic.Bool              // direct commands arrive, heartbeats are lost
@@ -58,7 +58,7 @@
 	state           worker.TaskState
 	cause           worker.ExitCause
 	endsAt          time.Time // when it exits by itself; zero: never
-	since           time.Time // when a task of a gang entered its state, or its stop window began
+	stateSince      time.Time // when a task of a gang entered its state, or its stop window began
 	checkpointSaved bool      // it saved a checkpoint when it was stopped
 	endsInError     bool      // it exits with an error at endsAt
 }
@@ -156,7 +156,7 @@
 func (wk *fakeWorker) run() {
 	for !wk.dead.Load() {
 		pause := wk.sim.settings.HeartbeatInterval
-		if !wk.cut.Load() && !wk.dropsHeartbeats.Load() && !wk.paused.Load() {
+		if !wk.partitioned.Load() && !wk.dropsHeartbeats.Load() && !wk.paused.Load() {
 			pause = wk.heartbeat()
 		}
 		time.Sleep(pause)
@@ -173,7 +173,7 @@
 			wk.sim.recordedReports = append(wk.sim.recordedReports, report)
 		}
 	})
-	live := node.live.Load()
+	live := node.runningProcess.Load()
 	if live == nil || !node.canReach(wk) {
 		wk.nodeIndex++
 		if live == nil {
@@ -192,7 +192,7 @@
 	case time.Since(sent) > config.WorkerResponseTimeout: // the worker has stopped waiting for the response
 		wk.nodeIndex++
 		return config.WorkerRetryPause
-	case wk.dropsResponses.Load() || wk.cut.Load() || wk.dead.Load() || wk.paused.Load() || !node.canReach(wk):
+	case wk.dropsResponses.Load() || wk.partitioned.Load() || wk.dead.Load() || wk.paused.Load() || !node.canReach(wk):
 	case !response.Accepted:
 		for i, other := range wk.sim.nodes {
 			if other.name == response.Leader && other != node {
@@ -260,7 +260,7 @@
 	case wk.stuckPulling.Load():
 		task.state = worker.Pulling
 	case spec.Gang:
-		task.state, task.since = worker.Gathering, time.Now()
+		task.state, task.stateSince = worker.Gathering, time.Now()
 	case !spec.Service && task.endsAt.IsZero():
 		task.endsAt = time.Now().Add(clock.Seconds(spec.EstimateS))
 	}
--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -157,12 +157,12 @@
 		sim.submit(clustertest.Service("000001", 2))
 		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(true)
+			wk.partitioned.Store(true)
 		}
 		sim.cancel("000001")
 		sim.eventually("the tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		time.Sleep(time.Minute)
 		if n := len(sim.runningTasks("000001")); n != 0 {
@@ -178,10 +178,10 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 3))
 		sim.awaitRunningWithin(2*time.Minute, "000001", 3)
-		sim.state.Outage(true)
+		sim.store.SetOutage(true)
 		before := sim.startCount()
 		time.Sleep(3 * time.Minute)
-		sim.state.Outage(false)
+		sim.store.SetOutage(false)
 		time.Sleep(time.Minute)
 		if running, started := len(sim.runningTasks("000001")), sim.startsSince(before); running != 3 || started != 0 {
 			t.Fatalf("after the outage: got %d running tasks and %d starts, want 3 and none", running, started)
@@ -198,7 +198,7 @@
 		term := leader.node.view.Load().role.Term
 		cutAt := time.Now()
 		leader.cutStore.Store(true)
-		sim.state.Outage(true)
+		sim.store.SetOutage(true)
 		time.Sleep(10 * time.Second)
 		if !leader.node.election.PeersConfirmNoLeader(sim.t.Context(), term, cutAt) {
 			t.Error("peers without a later leader don't confirm that there is none")
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -65,12 +65,12 @@
 		sim.submit(withLimitedTeam(clustertest.Service("000001", 2)))
 		sim.awaitRunningWithin(3*time.Minute, "000001", 2)
 		for _, wk := range sim.runningTasks("000001") {
-			wk.cut.Store(true)
+			wk.partitioned.Store(true)
 		}
 		sim.submit(withLimitedTeam(clustertest.Array("000002", 2)))
 		time.Sleep(30 * time.Second)
 		for _, wk := range sim.allWorkers() {
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		sim.awaitRunningWithin(3*time.Minute, "000001", 2)
 		sim.cancel("000001")
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -53,7 +53,7 @@
 			n.kill()
 		}
 		time.Sleep(time.Second)
-		client := &storagetest.Client{Service: sim.state, Cut: new(atomic.Bool)}
+		client := &storagetest.Client{Service: sim.store, Disconnected: new(atomic.Bool)}
 		var items []storage.Item
 		for _, prefix := range []string{"log/", "term", "lead"} {
 			got, _, _, err := client.List(sim.t.Context(), prefix, "", 1000)
@@ -69,7 +69,7 @@
 		s.State.Next = &storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
 	}
 	runSimulationWithSettings(t, lowerNext, func(sim *simulation) {
-		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
+		sim.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		freezeStore("store-lowered.json", sim)
 	})
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -78,7 +78,7 @@
 func (s *scheduler) completeGang(j *cluster.Job) {
 	for i := range j.Tasks {
 		j.SetTask(i, cluster.TaskDone)
-		if i%storage.PageTasks == 0 {
+		if i%storage.TasksPerPage == 0 {
 			s.markPage(j, i)
 		}
 	}
@@ -112,7 +112,7 @@
 func (s *scheduler) replaceStalledGangTasks(now time.Time) {
 	waitLimit := clock.Scale(s.settings.GangWait, stalledGangWaitShare)
 	for _, j := range s.state.Jobs.Open {
-		if !j.Spec.Gang || j.Phase != storage.Open || waitLimit <= 0 || !j.GangCompletable() || j.GatherTime(now) < waitLimit {
+		if !j.Spec.Gang || j.Phase != storage.PhaseOpen || waitLimit <= 0 || !j.GangCompletable() || j.GatherTime(now) < waitLimit {
 			continue
 		}
 		for _, a := range j.GangAttempts() {
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		lowPriority := arrayWithRuntime("000001", 8, time.Hour)
-		lowPriority.Priority, lowPriority.Resources = storage.BestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
+		lowPriority.Priority, lowPriority.Resources = storage.PriorityBestEffort, storage.Resources{CPUs: 4, MemoryGB: 8}
 		j := sched.addAcceptedJob(lowPriority)
 		for i := range 4 {
 			m := sched.addReadyMachine(i, "cpu", "a", false)
@@ -85,7 +85,7 @@
 	}
 	add := func(id string, number uint64, machines ...int) *cluster.Job {
 		spec := gangSpec(id, 3)
-		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.Normal
+		spec.Resources, spec.Priority = storage.Resources{CPUs: 4, MemoryGB: 8}, storage.PriorityNormal
 		j := sched.addAcceptedJob(spec)
 		for i, m := range machines {
 			sched.addAttempt(&cluster.Attempt{Job: j, Task: i, Number: number, Machine: sched.state.Machines.Get(m), Incarnation: 1, ThisTerm: true, Durable: true, Reported: true,
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -102,7 +102,7 @@
 			sim.withLock(func() {
 				for k, t := range wk.tasks {
 					if k.ID.Job == "000002" && t.state == worker.Pulling {
-						t.state, t.since = worker.Gathering, time.Now()
+						t.state, t.stateSince = worker.Gathering, time.Now()
 					}
 				}
 			})
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -20,7 +20,7 @@
 		spec := gangSpec("000001", 3)
 		sched := newTestScheduler(t, clustertest.Settings())
 		if err := sched.loadRecords([]storage.Record{newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 3, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{
+			newRecord(t, storage.TaskPageKey("000001", 0), storage.TaskPageRecord{Attempts: []storage.AttemptRecord{
 				{Task: 0, Number: 5, Machine: 1, Incarnation: 1}, {Task: 1, Number: 9, Machine: 2, Incarnation: 1}}})}); err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 		m := sched.addReadyMachine(1, "cpu", "a", false)
 		j := sched.addGang(gangSpec("000001", 3), worker.Running, m, m, m)
 		sched.attemptExited(j.Attempts[1], worker.TaskReport{ID: worker.TaskID{Job: "000001", Task: 1}, Attempt: 9, State: worker.Exited, Cause: worker.CauseDone}, time.Now())
-		if j.Done != 3 || j.Phase != storage.Done {
+		if j.Done != 3 || j.Phase != storage.PhaseDone {
 			t.Errorf("%d tasks done in phase %v, want all 3 and done", j.Done, j.Phase)
 		}
 	})
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -201,7 +201,7 @@
 		spec := clustertest.Service("000001", 1)
 		if err := sched.loadRecords([]storage.Record{
 			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Tasks: 1, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
+			newRecord(t, storage.TaskPageKey("000001", 0), storage.TaskPageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 1, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -300,8 +300,8 @@
 		if n := sched.queue.Waiting(groupcommit.Interactive); n != 0 {
 			t.Errorf("got %d records to write, want none", n)
 		}
-		if phase := sched.state.Jobs.Get("000001").Phase; phase != storage.Open {
-			t.Errorf("got phase %v, want %v", phase, storage.Open)
+		if phase := sched.state.Jobs.Get("000001").Phase; phase != storage.PhaseOpen {
+			t.Errorf("got phase %v, want %v", phase, storage.PhaseOpen)
 		}
 	})
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -34,10 +34,10 @@
 	if j.Tasks != nil {
 		s.state.Classes.RecordArrival(j)
 	}
-	if j.Phase == storage.Open && !j.ScalesToZero() {
+	if j.Phase == storage.PhaseOpen && !j.ScalesToZero() {
 		s.activation.postpone(j)
 	}
-	if j.Phase == storage.Open || len(j.Attempts) > 0 {
+	if j.Phase == storage.PhaseOpen || len(j.Attempts) > 0 {
 		s.state.Jobs.TrackOpen(j)
 		// An earlier leader may have committed the job's pages but not yet its own record.
 		if j.Spec.Gang && j.Done > 0 {
@@ -48,7 +48,7 @@
 		j.Tasks, j.Waiting = nil, 0
 		s.trackFinished(j)
 	}
-	if j.Phase != storage.Open {
+	if j.Phase != storage.PhaseOpen {
 		s.state.Jobs.TrackCancelling(j)
 		s.stopJob(j)
 	}
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -24,7 +24,7 @@
 			time.Sleep(time.Second)
 		}
 		spec := clustertest.Array("000009", 1)
-		spec.Priority, spec.Spot, spec.DeadlineS = storage.BestEffort, true, 600
+		spec.Priority, spec.Spot, spec.DeadlineS = storage.PriorityBestEffort, true, 600
 		withDeadline := sched.addAcceptedJob(spec)
 		for batch := range 4 {
 			for i := range 20 {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -120,7 +120,7 @@
 // cancellation.
 func (s *scheduler) mayStart(a *cluster.Attempt) bool {
 	m := a.Machine
-	if a.Job.Phase != storage.Open || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.StartMayBeDelivered() {
+	if a.Job.Phase != storage.PhaseOpen || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.StartMayBeDelivered() {
 		return false
 	}
 	return s.directStartsAllowed(m, a.Job) // otherwise the response to a heartbeat carries the start
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -41,7 +41,7 @@
 				disturb(sim)
 				sim.awaitRunningWithin(3*time.Minute, "000001", 24)
 				launched := 0
-				sim.withLock(func() { launched = sim.cloud.next })
+				sim.withLock(func() { launched = sim.cloud.nextMachineID })
 				if launched > 20 && name != opportunistic {
 					t.Errorf("got %d launched machines for tasks that fill six, want at most 20", launched)
 				}
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -19,8 +19,8 @@
 		spec := clustertest.Array("000001", 1)
 		sched := newTestScheduler(t, clustertest.Settings())
 		if err := sched.loadRecords([]storage.Record{
-			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.Cancelled, Tasks: 1, Spec: &spec}),
-			newRecord(t, storage.PageKey("000001", 0), storage.PageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
+			newRecord(t, storage.JobKey("000001"), storage.JobRecord{Phase: storage.PhaseCancelled, Tasks: 1, Spec: &spec}),
+			newRecord(t, storage.TaskPageKey("000001", 0), storage.TaskPageRecord{Attempts: []storage.AttemptRecord{{Task: 0, Number: 5, Machine: 7, Incarnation: 1}}}),
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -32,7 +32,7 @@
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		for name, machines := range sim.cloud.launches {
+		for name, machines := range sim.cloud.machinesByLaunch {
 			if len(machines) > config.MaxLaunchMachines {
 				t.Errorf("launch %s: got %d machines, want at most %d", name, len(machines), config.MaxLaunchMachines)
 			}
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		lowPriority := clustertest.Array("000001", 40)
-		lowPriority.Priority = storage.BestEffort
+		lowPriority.Priority = storage.PriorityBestEffort
 		j := sched.addAcceptedJob(lowPriority)
 		for i := range 10 {
 			m := sched.addReadyMachine(i+1, "cpu", "a", false)
@@ -71,8 +71,8 @@
 		sim.eventually("the service runs", 2*time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
 		var cutOff []*fakeWorker // only machines with tasks, because idle machines may be terminated
 		for _, wk := range sim.runningTasks("000001") {
-			if !wk.cut.Load() && len(cutOff) < 5 {
-				wk.cut.Store(true)
+			if !wk.partitioned.Load() && len(cutOff) < 5 {
+				wk.partitioned.Store(true)
 				cutOff = append(cutOff, wk)
 			}
 		}
@@ -81,7 +81,7 @@
 			if wk.dead.Load() {
 				t.Errorf("machine %d is terminated while it is cut off", wk.id)
 			}
-			wk.cut.Store(false)
+			wk.partitioned.Store(false)
 		}
 		sim.eventually("the service runs again", time.Minute, func() bool { return len(sim.runningTasks("000001")) == 40 })
 	})
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -31,16 +31,16 @@
 
 // outage takes the key-value store down for all nodes, for the given duration.
 func (sim *simulation) outage(duration time.Duration) {
-	sim.state.Outage(true)
+	sim.store.SetOutage(true)
 	time.Sleep(duration)
-	sim.state.Outage(false)
+	sim.store.SetOutage(false)
 }
 
 // delayCommits delays every nth transaction, so that it is applied late and without a response. An nth of 0
 // ends the delays.
 func (sim *simulation) delayCommits(nth int, delay time.Duration) {
 	count := 0
-	sim.state.Update(func(s *storagetest.Service) {
+	sim.store.Update(func(s *storagetest.Service) {
 		s.Delay = func() time.Duration {
 			if count++; nth > 0 && count%nth == 0 {
 				return delay + time.Duration(count%7)*time.Second
@@ -59,7 +59,7 @@
 	sim.withLock(func() { reports = sim.recordedReports })
 	for _, n := range nodes {
 		for _, r := range reports {
-			if live := n.live.Load(); live != nil {
+			if live := n.runningProcess.Load(); live != nil {
 				report := *r
 				live.HandleHeartbeat(sim.t.Context(), &report)
 			}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -27,7 +27,7 @@
 	tb.Helper()
 	service := storagetest.NewService()
 	tb.Cleanup(service.Close)
-	client := &storagetest.Client{Service: service, Cut: new(atomic.Bool)}
+	client := &storagetest.Client{Service: service, Disconnected: new(atomic.Bool)}
 	journal, err := storage.OpenJournal(context.Background(), client, storage.NewLimitTracker(settings.State), storage.Guard{Key: leadership.LeaderKey})
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -32,7 +32,7 @@
 type simulation struct {
 	t        *testing.T
 	settings config.Settings
-	state    *storagetest.Service
+	store    *storagetest.Service
 	cloud    *fakeCloud
 	nodes    []*fakeNode
 	log      *slog.Logger
@@ -54,13 +54,13 @@
 	starts            int                      // start commands as counted by startCount
 	startsByJob       map[string][]startRecord // by job: the start commands that a worker accepted
 	wakeRequests      []activation.WakeRequest // sent between nodes; kept to be delivered again late
-	served            []porcupine.Operation    // forwarded requests to models, for the linearizability check
+	servedRequests    []porcupine.Operation    // forwarded requests to models, for the linearizability check
 	usageReports      []activation.UsageReport // sent between nodes; kept to be delivered again late
 	failAfter         map[string]time.Duration // by job: the run time after which its tasks fail on every machine
 
 	isolatedZone    atomic.Pointer[string] // the zone that is cut off from everything outside it; nil or "": none
 	ended           atomic.Bool            // the scenario has ended; no more machines start
-	messagesDropped atomic.Bool            // killLeaderOnce has killed a leader and its transaction was dropped
+	leaderKilled    atomic.Bool            // killLeaderOnce has killed a leader and its transaction was dropped
 	processCount    atomic.Uint64          // controller processes started so far
 	requestsMayFail atomic.Bool            // machines or models fail, so requests may remain unserved
 	processMu       sync.Mutex             // serializes faults that stop and start nodes
@@ -162,7 +162,7 @@
 	sim := &simulation{
 		t:               t,
 		settings:        settings,
-		state:           storagetest.NewService(),
+		store:           storagetest.NewService(),
 		workers:         make(map[int]*fakeWorker),
 		specs:           make(map[string]storage.Spec),
 		cancelledAt:     make(map[string]time.Time),
@@ -177,7 +177,7 @@
 	}
 	//nolint:sloglint // the embedded handler only completes the interface; slowLogHandler discards all records
 	sim.log = slog.New(&slowLogHandler{Handler: slog.NewTextHandler(io.Discard, nil), sim: sim, rand: rand.New(rand.NewPCG(3, 5))})
-	sim.cloud = &fakeCloud{sim: sim, launches: make(map[string][]int), launchCalls: make(map[string]int), terminated: make(map[int]bool)}
+	sim.cloud = &fakeCloud{sim: sim, machinesByLaunch: make(map[string][]int), launchCalls: make(map[string]int), terminated: make(map[int]bool)}
 	for i, zone := range zones {
 		sim.nodes = append(sim.nodes, &fakeNode{sim: sim, name: fmt.Sprintf("n%d", i), zone: zone})
 	}
@@ -193,7 +193,7 @@
 	for _, wk := range sim.allWorkers() {
 		wk.dead.Store(true)
 	}
-	sim.state.Close()
+	sim.store.Close()
 	time.Sleep(time.Minute)
 }
 
@@ -202,7 +202,7 @@
 func (sim *simulation) leader() *fakeNode {
 	var leader *fakeNode
 	for _, n := range sim.nodes {
-		live := n.live.Load()
+		live := n.runningProcess.Load()
 		if live == nil {
 			continue
 		}
@@ -246,7 +246,7 @@
 // requestFrom sends a user's request to one node. It checks that the job state in the response is no older
 // than in any response that was received before the request was sent.
 func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
-	live := n.live.Load()
+	live := n.runningProcess.Load()
 	if live == nil {
 		return api.Unavailable(id, "not running")
 	}
@@ -390,13 +390,13 @@
 	for _, task := range tasks {
 		switch {
 		case gathering == spec.Tasks:
-			task.state, task.since, task.endsAt = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
-		case task.state == worker.Gathering && now.Sub(task.since) > sim.settings.GangWait:
+			task.state, task.stateSince, task.endsAt = worker.Running, now, now.Add(clock.Seconds(spec.EstimateS))
+		case task.state == worker.Gathering && now.Sub(task.stateSince) > sim.settings.GangWait:
 			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		case task.state != worker.Running || running+done == spec.Tasks:
-		case task.since.After(now.Add(-sim.settings.GangStopWindow)) && task.endsAt.IsZero():
+		case task.stateSince.After(now.Add(-sim.settings.GangStopWindow)) && task.endsAt.IsZero():
 		case !task.endsAt.IsZero() && running+done < spec.Tasks:
-			task.endsAt, task.since = time.Time{}, now // the task exits after the stop window
+			task.endsAt, task.stateSince = time.Time{}, now // the task exits after the stop window
 		case task.endsAt.IsZero():
 			task.state, task.cause = worker.Exited, worker.CauseGangMissing
 		}
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -86,7 +86,7 @@
 		Job: j, Task: t.ID.Task, Number: t.Attempt, Machine: m, Incarnation: r.Incarnation,
 		ReservedAt: now, Reported: true, State: t.State,
 	}
-	a.Stopping = j.Phase != storage.Open || !j.MayPlace(now)
+	a.Stopping = j.Phase != storage.PhaseOpen || !j.MayPlace(now)
 	s.addAttempt(a)
 	s.markPage(j, a.Task)
 }
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -26,8 +26,8 @@
 // unregisteredProcess models a process of those commits. It acquires leadership as they do, but does nothing as the
 // leader.
 type unregisteredProcess struct {
-	version int          // the version reported to peers; 0: none
-	terms   atomic.Int32 // number of terms that it has led
+	version  int          // the version reported to peers; 0: none
+	termsLed atomic.Int32 // number of terms that it has led
 }
 
 // startUnregistered replaces a node's process by one that doesn't register and that reports the given version to its
@@ -38,7 +38,7 @@
 	p := &unregisteredProcess{version: version}
 	n.cancelRun = cancel
 	n.unregistered.Store(p)
-	go p.competeForLeadership(ctx, &storagetest.Client{Service: n.sim.state, Cut: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
+	go p.competeForLeadership(ctx, &storagetest.Client{Service: n.sim.store, Disconnected: &n.cutStore}, n.sim.settings.Tuning.LeaderLease, n.name)
 	return p
 }
 
@@ -63,7 +63,7 @@
 			[]storage.Op{{Key: leadership.LeaderKey, Data: leaderData, Lease: lease}, {Key: leadership.TermKey, Data: termData}}); err != nil {
 			continue
 		}
-		p.terms.Add(1)
+		p.termsLed.Add(1)
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && clock.Sleep(ctx, ttl/5); {
 			if store.Renew(ctx, lease) != nil {
 				break
@@ -92,7 +92,7 @@
 		time.Sleep(20 * time.Second)
 		sim.awaitLeader()
 		leader.start()
-		if n := olderProcess.terms.Load(); n > 0 {
+		if n := olderProcess.termsLed.Load(); n > 0 {
 			t.Errorf("the unregistered process became leader %d times while a gang job was open, want never", n)
 		}
 		sim.eventually("the gate is being withdrawn", 20*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
@@ -100,9 +100,9 @@
 		sim.awaitActive(upgrade.Version1, time.Minute)
 		sim.eventually("the fence is removed", 20*time.Second, func() bool { return sim.clusterRecord().Fence == 0 })
 		sim.killAllBut(rolledBack)
-		sim.eventually("the older version leads", 20*time.Second, func() bool { return olderProcess.terms.Load() > 0 })
+		sim.eventually("the older version leads", 20*time.Second, func() bool { return olderProcess.termsLed.Load() > 0 })
 		rolledBack.restartWithVersion(upgrade.Current)
-		sim.startKilled()
+		sim.startStopped()
 		sim.awaitActive(upgrade.Current, 2*time.Minute)
 		sim.awaitRunning("000001", 2)
 	})
@@ -116,7 +116,7 @@
 		olderProcess := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.termsLed.Load() > 0 })
 		for _, n := range sim.nodes {
 			n.restartWithVersion(upgrade.Current)
 		}
@@ -142,17 +142,17 @@
 		}
 		sim.nodes[1].kill()
 		sim.nodes[2].kill()
-		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.termsLed.Load() > 0 })
 	})
 }
 
 // version1Fields lists the JSON fields of each kind of record that version 1, commit 3661d31, can read.
 var version1Fields = map[byte][]string{
-	storage.KindJob:     {"f", "n", "a", "s", "d"},
-	storage.KindPage:    {"d", "a"},
-	storage.KindMachine: {"a", "t", "z", "l", "r", "x", "i"},
-	storage.KindLaunch:  {"t", "z", "l", "n"},
-	storage.KindFleet:   {"n", "t"},
+	storage.KindJob:      {"f", "n", "a", "s", "d"},
+	storage.KindTaskPage: {"d", "a"},
+	storage.KindMachine:  {"a", "t", "z", "l", "r", "x", "i"},
+	storage.KindLaunch:   {"t", "z", "l", "n"},
+	storage.KindFleet:    {"n", "t"},
 }
 
 // While version 1 is active, commit 3661d31 must be able to read everything that is written, even under lowered
@@ -163,10 +163,10 @@
 		sim.nodes[2].startUnregistered(0)
 		sim.submit(clustertest.Service("000001", 3))
 		sim.submit(clustertest.Array("000002", 60))
-		sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 4096, 8 })
+		sim.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 4096, 8 })
 		sim.submit(clustertest.Array("000003", 60))
 		sim.awaitDone("000003")
-		client := &storagetest.Client{Service: sim.state}
+		client := &storagetest.Client{Service: sim.store}
 		items, _, _, err := client.List(context.Background(), "log/", "", 1000)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -54,9 +54,9 @@
 			t.Errorf("first gang job: got a response after %v, want at most 100ms", duration)
 		}
 		sim.awaitDone("000001")
-		sim.state.Update(func(s *storagetest.Service) { s.Drop = writesClusterRecord })
+		sim.store.Update(func(s *storagetest.Service) { s.DropTxn = writesClusterRecord })
 		for _, n := range sim.nodes {
-			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
+			n.changeUpgradeSettings = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = 5 * time.Second }
 			n.restart()
 		}
 		leader = sim.awaitLeader()
@@ -68,7 +68,7 @@
 		if duration, limit := time.Since(start), clock.Scale(sim.settings.HeartbeatInterval, 0.7); duration > limit {
 			t.Errorf("gang job with a blocked gate: got a response after %v, want at most %v", duration, limit)
 		}
-		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
+		sim.store.Update(func(s *storagetest.Service) { s.DropTxn = nil })
 		sim.submit(gang("000002"))
 		sim.awaitDone("000002")
 	})
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	if _, err := sim.state.Apply(nil, []storage.Op{{Key: key, Data: data}}); err != nil {
+	if _, err := sim.store.Apply(nil, []storage.Op{{Key: key, Data: data}}); err != nil {
 		sim.t.Fatal(err)
 	}
 }
@@ -33,8 +33,8 @@
 // beforeFirstWrite calls f before the first transaction that sets a key to a value with the given substring.
 func (sim *simulation) beforeFirstWrite(key, substring string, f func()) {
 	var called atomic.Bool
-	sim.state.Update(func(s *storagetest.Service) {
-		s.Before = func(tx storagetest.Txn) {
+	sim.store.Update(func(s *storagetest.Service) {
+		s.BeforeApply = func(tx storagetest.Txn) {
 			if slices.ContainsFunc(tx.Ops, func(o storage.Op) bool { return o.Key == key && strings.Contains(string(o.Data), substring) }) && called.CompareAndSwap(false, true) {
 				f()
 			}
@@ -50,7 +50,7 @@
 // clusterHistory returns all revisions of the cluster record, in order.
 func (sim *simulation) clusterHistory() (history []upgrade.Record) {
 	sim.t.Helper()
-	client := &storagetest.Client{Service: sim.state}
+	client := &storagetest.Client{Service: sim.store}
 	changes, _, err := client.Watch(context.Background(), leadership.ClusterKey, 0, 0)
 	if err != nil {
 		sim.t.Fatal(err)
@@ -68,7 +68,7 @@
 // registrationOf reads a node's stored registration.
 func (sim *simulation) registrationOf(node string) upgrade.Registration {
 	sim.t.Helper()
-	client := &storagetest.Client{Service: sim.state}
+	client := &storagetest.Client{Service: sim.store}
 	item, err := client.Get(context.Background(), leadership.RegistrationPrefix+node)
 	if err != nil {
 		sim.t.Fatal(err)
@@ -173,8 +173,8 @@
 		node := sim.nodes[0]
 		node.kill()
 		var delayed atomic.Bool
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Late = func(tx storagetest.Txn) time.Duration {
+		sim.store.Update(func(s *storagetest.Service) {
+			s.DelayTxn = func(tx storagetest.Txn) time.Duration {
 				if !writesKey(tx, leadership.RegistrationPrefix+node.name) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
@@ -195,15 +195,15 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.killAll()
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Drop = func(tx storagetest.Txn) bool { return writesKey(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
+		sim.store.Update(func(s *storagetest.Service) {
+			s.DropTxn = func(tx storagetest.Txn) bool { return writesKey(tx, leadership.RegistrationPrefix+sim.nodes[0].name) }
 		})
 		sim.nodes[0].start()
 		time.Sleep(20 * time.Second)
 		if sim.leader() != nil {
 			t.Error("a process leads though only an earlier process of its node is registered")
 		}
-		sim.state.Update(func(s *storagetest.Service) { s.Drop = nil })
+		sim.store.Update(func(s *storagetest.Service) { s.DropTxn = nil })
 		sim.awaitLeader()
 	})
 }
@@ -214,8 +214,8 @@
 		sim.restartAllWithVersion(upgrade.Version1)
 		sim.awaitLeader()
 		var lost atomic.Int32
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Lose = func(tx storagetest.Txn) bool {
+		sim.store.Update(func(s *storagetest.Service) {
+			s.LoseResponse = func(tx storagetest.Txn) bool {
 				if writesClusterRecord(tx) {
 					lost.Add(1)
 					return true
@@ -239,8 +239,8 @@
 		sim.restartAllWithVersion(upgrade.Version1)
 		leader := sim.awaitLeader()
 		var delayed atomic.Bool
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Late = func(tx storagetest.Txn) time.Duration {
+		sim.store.Update(func(s *storagetest.Service) {
+			s.DelayTxn = func(tx storagetest.Txn) time.Duration {
 				if !writesClusterRecord(tx) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
-			n.upgrade = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = releaseAfter }
+			n.changeUpgradeSettings = func(s *upgrade.Settings) { s.Policy.ReleaseAfter = releaseAfter }
 			n.restart()
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -54,7 +54,7 @@
 		olderProcess := sim.nodes[0].startUnregistered(0)
 		sim.nodes[1].startUnregistered(0)
 		sim.nodes[2].startUnregistered(0)
-		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.terms.Load() > 0 })
+		sim.eventually("the older version leads", time.Minute, func() bool { return olderProcess.termsLed.Load() > 0 })
 	})
 }
 
@@ -65,8 +65,8 @@
 		sim.submitGang("000001")
 		sim.awaitDone("000001")
 		var delayed atomic.Bool
-		sim.state.Update(func(s *storagetest.Service) {
-			s.Late = func(tx storagetest.Txn) time.Duration {
+		sim.store.Update(func(s *storagetest.Service) {
+			s.DelayTxn = func(tx storagetest.Txn) time.Duration {
 				if !isGangRelease(tx) || !delayed.CompareAndSwap(false, true) {
 					return 0
 				}
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -90,7 +90,7 @@
 				for i := range 12 {
 					sim.submit(clustertest.Array(fmt.Sprintf("%06d", i+1), 40))
 				}
-				sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = lowered.ValueBytes, lowered.TxnOps })
+				sim.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = lowered.ValueBytes, lowered.TxnOps })
 				sim.submit(clustertest.Array("000100", 60))
 				sim.eventually("chunks are compressed", time.Minute, func() bool {
 					return sim.clusterRecord().Gate(upgrade.CompressedChunks).Used && sim.encodedChunks() > 0
@@ -120,7 +120,7 @@
 
 // encodedChunks counts the stored chunks that are compressed or hold fragments, which version 1 can't read.
 func (sim *simulation) encodedChunks() int {
-	client := &storagetest.Client{Service: sim.state}
+	client := &storagetest.Client{Service: sim.store}
 	items, _, _, err := client.List(context.Background(), "log/", "", 1000)
 	if err != nil {
 		sim.t.Fatal(err)
@@ -139,7 +139,7 @@
 func TestFinalizedVersionRejectsOlderProcesses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
-			n.upgrade = func(s *upgrade.Settings) { s.Policy.AutoFinalize, s.Policy.Soak = true, 10*time.Second }
+			n.changeUpgradeSettings = func(s *upgrade.Settings) { s.Policy.AutoFinalize, s.Policy.Soak = true, 10*time.Second }
 			n.restart()
 		}
 		sim.submit(clustertest.Service("000001", 3))
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -24,7 +24,7 @@
 // clusterRecord reads the stored cluster record.
 func (sim *simulation) clusterRecord() upgrade.Record {
 	sim.t.Helper()
-	client := &storagetest.Client{Service: sim.state}
+	client := &storagetest.Client{Service: sim.store}
 	item, err := client.Get(context.Background(), leadership.ClusterKey)
 	if errors.Is(err, storage.ErrNotFound) {
 		return upgrade.Initial()
@@ -74,8 +74,8 @@
 	}
 }
 
-// startKilled starts the nodes that have no running process.
-func (sim *simulation) startKilled() {
+// startStopped starts the nodes that have no running process.
+func (sim *simulation) startStopped() {
 	for _, n := range sim.nodes {
 		if n.cancelRun == nil {
 			n.start()
@@ -167,14 +167,14 @@
 		}
 		return true
 	}
-	sim.state.Update(func(s *storagetest.Service) {
+	sim.store.Update(func(s *storagetest.Service) {
 		switch fault {
 		case "dropped":
-			s.Drop = matches
+			s.DropTxn = matches
 		case "unanswered":
-			s.Lose = matches
+			s.LoseResponse = matches
 		case "delayed":
-			s.Late = func(tx storagetest.Txn) time.Duration {
+			s.DelayTxn = func(tx storagetest.Txn) time.Duration {
 				if matches(tx) {
 					return 20 * time.Second
 				}
@@ -201,10 +201,10 @@
 		begin func(sim *simulation)
 		end   func(sim *simulation)
 	}{
-		{"outage", func(sim *simulation) { sim.state.Outage(true) }, func(sim *simulation) { sim.state.Outage(false) }},
+		{"outage", func(sim *simulation) { sim.store.SetOutage(true) }, func(sim *simulation) { sim.store.SetOutage(false) }},
 		{"one node cut off", func(sim *simulation) { sim.nodes[1].cutStore.Store(true) }, func(sim *simulation) { sim.nodes[1].cutStore.Store(false) }},
 		{"lowered limits", func(sim *simulation) {
-			sim.state.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
+			sim.store.Update(func(s *storagetest.Service) { s.ValueBytes, s.TxnOps = 2048, 4 })
 		}, func(*simulation) {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -232,7 +232,7 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		client := &storagetest.Client{Service: sim.state}
+		client := &storagetest.Client{Service: sim.store}
 		original, err := client.Get(context.Background(), leadership.ClusterKey)
 		if err != nil {
 			t.Fatal(err)
@@ -276,7 +276,7 @@
 		sim.nodes[1].restartWithVersion(upgrade.Current)
 		time.Sleep(5 * time.Second)
 		sim.nodes[2].kill()
-		client := &storagetest.Client{Service: sim.state}
+		client := &storagetest.Client{Service: sim.store}
 		if _, err := client.Apply(nil, []storage.Op{{Key: leadership.RegistrationPrefix + sim.nodes[2].name, Data: json.RawMessage(`{"schema":1,"min":9}`)}}); err != nil {
 			t.Fatal(err)
 		}
@@ -336,10 +336,10 @@
 			node.cutStore.Store(true)
 			time.AfterFunc(8*time.Second, func() { node.cutStore.Store(false) })
 		case 5:
-			sim.state.Outage(true)
-			time.AfterFunc(4*time.Second, func() { sim.state.Outage(false) })
+			sim.store.SetOutage(true)
+			time.AfterFunc(4*time.Second, func() { sim.store.SetOutage(false) })
 		case 6:
-			sim.state.Update(func(s *storagetest.Service) { s.LoseResponses = 2 })
+			sim.store.Update(func(s *storagetest.Service) { s.LoseResponses = 2 })
 		}
 		id := fmt.Sprintf("%06d", 10+i)
 		job := clustertest.Array(id, 1+random.IntN(4))
@@ -348,7 +348,7 @@
 		sim.requestFrom(node, api.OpSubmit, id, job)
 		time.Sleep(time.Duration(random.IntN(10_000)) * time.Millisecond)
 	}
-	sim.state.Outage(false)
+	sim.store.SetOutage(false)
 	sim.restartAllWithVersion(upgrade.Current)
 	sim.awaitActive(upgrade.Current, 2*time.Minute)
 	sim.awaitRunning("000001", 4)
@@ -362,7 +362,7 @@
 	runSimulation(t, func(sim *simulation) {
 		limitTarget := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
 		for _, n := range sim.nodes {
-			n.upgrade = limitTarget
+			n.changeUpgradeSettings = limitTarget
 			n.restart()
 		}
 		sim.awaitActive(upgrade.Version2, time.Minute)
@@ -398,7 +398,7 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
 		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four take more
-		sim.state.Update(func(s *storagetest.Service) { s.Slow = slow })
+		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = slow })
 		for _, n := range sim.nodes {
 			n.restart()
 		}
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -18,7 +18,7 @@
 
 // usageUndecided returns the response of a controller that isn't certain to be the leader.
 func usageUndecided(reason string) activation.UsageResponse {
-	return activation.UsageResponse{Verdict: activation.Undecided, Reason: reason}
+	return activation.UsageResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
 // ReportUsage sends this controller's usage of the models to the leader, and returns the leader's response.
@@ -66,7 +66,7 @@
 	}
 	c := s.activation
 	c.usage.RecordReport(m.report, now)
-	m.reply <- activation.UsageResponse{Verdict: activation.Known, Draining: c.drainOrders()}
+	m.reply <- activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: c.drainOrders()}
 }
 
 // drainOrders returns drain orders for the models whose draining state is durable.
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -221,8 +221,8 @@
 	case !j.Acknowledged, s.commitStalled(now):
 		m.reply <- api.Unavailable(m.req.ID, "state service slow or out of reach")
 		return
-	case j.Phase == storage.Open:
-		j.Phase = storage.Cancelled
+	case j.Phase == storage.PhaseOpen:
+		j.Phase = storage.PhaseCancelled
 		s.state.Jobs.TrackCancelling(j)
 		s.state.Classes.RecordDeparture(j, now)
 		s.activation.untrack(j)
@@ -243,10 +243,10 @@
 
 // finishIfDone marks a job as done if all of its tasks are done. Services are never done.
 func (s *scheduler) finishIfDone(j *cluster.Job) {
-	if j.Phase != storage.Open || j.Done < j.Spec.Tasks || j.Spec.Service {
+	if j.Phase != storage.PhaseOpen || j.Done < j.Spec.Tasks || j.Spec.Service {
 		return
 	}
-	j.Phase = storage.Done
+	j.Phase = storage.PhaseDone
 	s.markJob(j)
 	s.log.Debug("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks,
 		"duration", time.Since(j.Submitted), "deadline_s", j.Spec.DeadlineS)
@@ -264,8 +264,8 @@
 	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
 	}
-	for p := 0; p*storage.PageTasks < len(j.Tasks); p++ {
-		s.queue.Mark(pageLane(j), storage.PageKey(j.Spec.ID, p), removed)
+	for p := 0; p*storage.TasksPerPage < len(j.Tasks); p++ {
+		s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), removed)
 	}
 	s.state.Jobs.ReleaseTasks(j)
 	s.markJob(j)
@@ -286,9 +286,9 @@
 // stateOf returns the state of a job as users see it. A final state is shown only once it is durable.
 func stateOf(j *cluster.Job) api.JobState {
 	switch {
-	case j.FinalDurable && j.Phase == storage.Done:
+	case j.FinalDurable && j.Phase == storage.PhaseDone:
 		return api.StateDone
-	case j.FinalDurable && j.Phase == storage.Cancelled:
+	case j.FinalDurable && j.Phase == storage.PhaseCancelled:
 		return api.StateCancelled
 	case j.RunningTasks() > 0:
 		return api.StateRunning
--- a/internal/scheduler/versions_test.go
+++ b/internal/scheduler/versions_test.go
@@ -49,7 +49,7 @@
 				sim.awaitLeader()
 				sim.killAll()
 				time.Sleep(time.Minute)
-				sim.state.Update(func(s *storagetest.Service) {
+				sim.store.Update(func(s *storagetest.Service) {
 					s.Restore(items)
 					if c.next != nil {
 						s.ValueBytes, s.TxnOps = c.next.ValueBytes, c.next.TxnOps
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -20,7 +20,7 @@
 
 // undecided returns the response of a controller that can't determine the state of a model.
 func undecided(reason string) activation.WakeResponse {
-	return activation.WakeResponse{Verdict: activation.Undecided, Reason: reason}
+	return activation.WakeResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
 // Wake reports demand for a model to the leader, and returns the leader's response with the model's state.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return undecided("leader out of reach")
 	}
-	if response.Verdict != activation.Undecided && time.Since(sentAt) > response.Holds+req.Wait {
+	if response.Verdict != activation.VerdictUndecided && time.Since(sentAt) > response.Holds+req.Wait {
 		return undecided("the leader's answer came late")
 	}
 	return response
@@ -80,7 +80,7 @@
 // withLeaseBound limits the validity of a response to the end of the leader's lease. The lease may already have expired,
 // because this process may have been paused since the scheduler decided the response.
 func (s *scheduler) withLeaseBound(response activation.WakeResponse, requestedAt time.Time) activation.WakeResponse {
-	if response.Verdict == activation.Undecided {
+	if response.Verdict == activation.VerdictUndecided {
 		return response
 	}
 	validUntil := s.leaseValidUntil.Load()
@@ -99,11 +99,11 @@
 	case !s.leaseValid(now):
 		m.reply <- undecided("leadership not certain")
 	case j == nil:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no such service", Holds: s.settings.WakeInterval()}
+		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no such service", Holds: s.settings.WakeInterval()}
 	case !j.Acknowledged:
 		m.reply <- undecided("acceptance not yet recorded")
-	case j.Phase != storage.Open || !j.Spec.Service:
-		m.reply <- activation.WakeResponse{Verdict: activation.Unknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
+	case j.Phase != storage.PhaseOpen || !j.Spec.Service:
+		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
 	case s.commitStalled(now):
 		m.reply <- undecided("state service slow or out of reach")
 	default:
@@ -167,7 +167,7 @@
 
 // alwaysRunningResponse returns the response about a service that runs regardless of demand.
 func (c *activationController) alwaysRunningResponse(j *cluster.Job) activation.WakeResponse {
-	response := activation.WakeResponse{Verdict: activation.Known, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: alwaysRunningReason}
+	response := activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Starting, Holds: c.settings.WakeInterval(), Reason: alwaysRunningReason}
 	for _, a := range j.Attempts {
 		if a.Serving() {
 			response.State, response.Machine, response.Holds = activation.Ready, a.Machine.Addr, c.settings.RoutingLease()
@@ -179,10 +179,10 @@
 // response returns the response about a service that has a lifecycle record.
 func (c *activationController) response(s *managedService, now time.Time) activation.WakeResponse {
 	if s.damaged != nil {
-		return activation.WakeResponse{Verdict: activation.Damaged, Reason: "its record is damaged", Holds: c.settings.WakeInterval()}
+		return activation.WakeResponse{Verdict: activation.VerdictDamaged, Reason: "its record is damaged", Holds: c.settings.WakeInterval()}
 	}
 	response := activation.WakeResponse{
-		Verdict: activation.Known, State: s.record.State, Generation: s.record.Generation, Holds: c.settings.WakeInterval(),
+		Verdict: activation.VerdictKnown, State: s.record.State, Generation: s.record.Generation, Holds: c.settings.WakeInterval(),
 	}
 	switch s.record.State {
 	case activation.Ready:
--- a/internal/storage/fragment_test.go
+++ b/internal/storage/fragment_test.go
@@ -24,13 +24,13 @@
 
 		transactions := 0
 		f.Update(func(s *storagetest.Service) {
-			s.Drop = func(storagetest.Txn) bool { transactions++; return transactions > 2 }
+			s.DropTxn = func(storagetest.Txn) bool { transactions++; return transactions > 2 }
 		})
 		go func() { _ = first.append(map[string]any{"p1": text(5, 7000)}) }() // returns when the term ends
 		synctest.Wait()
 		time.Sleep(20 * time.Second)
 		endFirstTerm()
-		f.Update(func(s *storagetest.Service) { s.Drop = nil })
+		f.Update(func(s *storagetest.Service) { s.DropTxn = nil })
 		if transactions < 3 {
 			t.Fatalf("%d transactions were sent, want 3", transactions)
 		}
--- a/internal/storage/job_records.go
+++ b/internal/storage/job_records.go
@@ -10,10 +10,10 @@
 
 // The priorities that users can request.
 const (
-	BestEffort Priority = iota
-	Normal
-	High
-	Production
+	PriorityBestEffort Priority = iota
+	PriorityNormal
+	PriorityHigh
+	PriorityProduction
 )
 
 // Spec is the specification of a job as its user submitted it. Fields whose names end in a
@@ -43,11 +43,11 @@
 // Phase is the phase of a job's lifecycle, the durable part of its state.
 type Phase int
 
-// The phases of a job. Done and Cancelled are final.
+// The phases of a job. PhaseDone and PhaseCancelled are final.
 const (
-	Open Phase = iota
-	Done
-	Cancelled
+	PhaseOpen Phase = iota
+	PhaseDone
+	PhaseCancelled
 )
 
 // JobRecord is the durable record of a job. The record of a finished job without attempts has no
@@ -63,12 +63,12 @@
 	Activation json.RawMessage `json:"w,omitempty"`
 }
 
-// PageTasks is the number of consecutive tasks of a job that share one page record. The largest
+// TasksPerPage is the number of consecutive tasks of a job that share one page record. The largest
 // page record must stay well below the value limit of the key-value store.
-const PageTasks = 64
+const TasksPerPage = 64
 
-// PageRecord holds the finished tasks and the attempts of one page of a job's tasks.
-type PageRecord struct {
+// TaskPageRecord holds the finished tasks and the attempts of one page of a job's tasks.
+type TaskPageRecord struct {
 	Done     []int           `json:"d,omitempty"` // ranges of finished tasks: first and last task of each in turn
 	Attempts []AttemptRecord `json:"a,omitempty"`
 }
@@ -88,5 +88,5 @@
 	if err := json.Unmarshal(r.Data, &job); err != nil {
 		return false, fmt.Errorf("decode record %s: %w", r.Key, err)
 	}
-	return job.Phase != Open && job.Spec == nil, nil
+	return job.Phase != PhaseOpen && job.Spec == nil, nil
 }
--- a/internal/storage/journal_budget.go
+++ b/internal/storage/journal_budget.go
@@ -4,9 +4,9 @@
 // transaction. Unused changes accumulate up to the burst. The methods of this file may be called
 // from any goroutine.
 
-// Budget returns how many changes the bucket holds now, its burst, and how many changes are
+// ChangeBudget returns how many changes the bucket holds now, its burst, and how many changes are
 // added per second.
-func (j *Journal) Budget() (changes, burst, rate float64) {
+func (j *Journal) ChangeBudget() (changes, burst, rate float64) {
 	return max(0, j.changeLimiter.Tokens()), float64(j.changeLimiter.Burst()), float64(j.changeLimiter.Limit())
 }
 
@@ -16,14 +16,14 @@
 	return j.changeLimiter.Tokens() >= float64(j.limitTracker.Limits().TxnOps)
 }
 
-// ChangeBytes returns how many bytes of uncompressed records one change can write.
-func (j *Journal) ChangeBytes() float64 {
+// BytesPerChange returns how many bytes of uncompressed records one change can write.
+func (j *Journal) BytesPerChange() float64 {
 	return usableValueShare * float64(j.limitTracker.Limits().ValueBytes)
 }
 
-// SpareBytes returns how many bytes of uncompressed records the changes in the budget can write
+// AvailableBytes returns how many bytes of uncompressed records the changes in the budget can write
 // now.
-func (j *Journal) SpareBytes() int {
-	saved, _, _ := j.Budget()
-	return int(saved * j.ChangeBytes())
+func (j *Journal) AvailableBytes() int {
+	saved, _, _ := j.ChangeBudget()
+	return int(saved * j.BytesPerChange())
 }
--- a/internal/storage/journal_limits_test.go
+++ b/internal/storage/journal_limits_test.go
@@ -96,7 +96,7 @@
 			batch := make(map[string]any)
 			for p := range pages {
 				page := attemptsPage(round, p)
-				batch[storage.PageKey(fmt.Sprint(p), 0)] = page
+				batch[storage.TaskPageKey(fmt.Sprint(p), 0)] = page
 				plain += len(marshal(t, page))
 			}
 			j.write(batch)
@@ -115,9 +115,9 @@
 }
 
 // attemptsPage returns a page record of a running job array.
-func attemptsPage(round, page int) storage.PageRecord {
-	var record storage.PageRecord
-	for i := range storage.PageTasks / 2 {
+func attemptsPage(round, page int) storage.TaskPageRecord {
+	var record storage.TaskPageRecord
+	for i := range storage.TasksPerPage / 2 {
 		record.Attempts = append(record.Attempts, storage.AttemptRecord{
 			Task: i, Number: uint64(5<<24 + 1000*round + 40*page + i), Machine: 100 + (i*7+page)%90, Incarnation: 1,
 		})
@@ -153,7 +153,7 @@
 		j.write(map[string]any{"a": 1})
 		first := len(f.Sent)
 		f.Update(func(s *storagetest.Service) {
-			s.Drop = func(storagetest.Txn) bool { return len(s.Sent) == first+1 }
+			s.DropTxn = func(storagetest.Txn) bool { return len(s.Sent) == first+1 }
 		})
 		time.AfterFunc(10*time.Millisecond, func() { f.setLimits(lowestLimits) })
 		j.write(map[string]any{"b": text(1, 3000), "c": text(2, 3000)})
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -75,8 +75,8 @@
 		j := f.open()
 		const tasks = 100_000
 		data := map[string]any{storage.JobKey("000001"): storage.JobRecord{Tasks: tasks, Spec: &storage.Spec{Tasks: tasks}}}
-		for p := 0; p*storage.PageTasks < tasks; p++ {
-			data[storage.PageKey("000001", p)] = largestPage(p * storage.PageTasks)
+		for p := 0; p*storage.TasksPerPage < tasks; p++ {
+			data[storage.TaskPageKey("000001", p)] = largestPage(p * storage.TasksPerPage)
 		}
 		j.write(data)
 		if got := f.records(); len(got) != len(data) {
@@ -87,9 +87,9 @@
 
 // largestPage returns a page record of the maximum size: every second task is done, and the others
 // have attempts.
-func largestPage(firstTask int) storage.PageRecord {
-	var page storage.PageRecord
-	for i := range storage.PageTasks {
+func largestPage(firstTask int) storage.TaskPageRecord {
+	var page storage.TaskPageRecord
+	for i := range storage.TasksPerPage {
 		task := firstTask + i
 		if i%2 == 0 {
 			page.Done = append(page.Done, task, task)
@@ -104,8 +104,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		j := f.open()
-		f.Outage(true)
-		time.AfterFunc(30*time.Second, func() { f.Outage(false) })
+		f.SetOutage(true)
+		time.AfterFunc(30*time.Second, func() { f.SetOutage(false) })
 		j.write(map[string]any{"ja": 1})
 	})
 }
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -53,7 +53,7 @@
 	// The faults of the last step: none, a lost transaction, a lost response.
 	failures := []func(s *storagetest.Service){
 		func(*storagetest.Service) {},
-		func(s *storagetest.Service) { s.Drop = func(storagetest.Txn) bool { return true } },
+		func(s *storagetest.Service) { s.DropTxn = func(storagetest.Txn) bool { return true } },
 		func(s *storagetest.Service) { s.LoseResponses = 1 },
 	}
 	for steps := range 12 {
@@ -72,7 +72,7 @@
 	const records = 30
 	f := newFixture(t)
 	stopMigration(t, f, records, steps, fail)
-	f.Update(func(s *storagetest.Service) { s.Drop, s.LoseResponses = nil, 0 })
+	f.Update(func(s *storagetest.Service) { s.DropTxn, s.LoseResponses = nil, 0 })
 
 	next := f.openUnderLoweredLimits(t.Context())
 	next.SetEncoding(storage.PlainWherePossible)
--- a/internal/storage/record_format_test.go
+++ b/internal/storage/record_format_test.go
@@ -12,7 +12,7 @@
 func TestRecordEncodingIsStable(t *testing.T) {
 	resources := storage.Resources{CPUs: 2, GPUs: 1, MemoryGB: 4.5}
 	spec := storage.Spec{
-		ID: "000007", Class: "c", Team: "t", Service: true, Gang: true, Priority: storage.High, Tasks: 3, Resources: resources,
+		ID: "000007", Class: "c", Team: "t", Service: true, Gang: true, Priority: storage.PriorityHigh, Tasks: 3, Resources: resources,
 		Types: []string{"cpu"}, Zone: "a", SameZone: true, Spread: true, Spot: true, Image: "img", ImageGB: 1.5,
 		EstimateS: 30, CheckpointS: 10, SaveS: 2, DeadlineS: 90,
 	}
@@ -24,13 +24,13 @@
 	}{
 		{
 			"job", storage.JobKey("000007"),
-			storage.JobRecord{Phase: storage.Cancelled, Tasks: 3, SubmittedMS: 99, Spec: &spec, DoneTasks: 1},
+			storage.JobRecord{Phase: storage.PhaseCancelled, Tasks: 3, SubmittedMS: 99, Spec: &spec, DoneTasks: 1},
 			`["j000007",{"f":2,"n":3,"a":99,"s":{"b":"c","o":"t","s":true,"gg":true,"u":2,"n":3,"r":{"c":2,"g":1,"m":4.5},"t":["cpu"],"z":"a","sz":true,"sp":true,"l":true,"i":"img","ig":1.5,"e":30,"k":10,"ks":2,"d":90},"d":1}]`,
 		},
 		{"small job", storage.JobKey("000008"), storage.JobRecord{Tasks: 1}, `["j000008",{"n":1}]`},
 		{
-			"page", storage.PageKey("000007", 2),
-			storage.PageRecord{Done: []int{0, 2}, Attempts: []storage.AttemptRecord{{Task: 3, Number: 9, Machine: 7, Incarnation: 4}}},
+			"page", storage.TaskPageKey("000007", 2),
+			storage.TaskPageRecord{Done: []int{0, 2}, Attempts: []storage.AttemptRecord{{Task: 3, Number: 9, Machine: 7, Incarnation: 4}}},
 			`["p000007/2",{"d":[0,2],"a":[{"t":3,"y":9,"m":7,"r":4}]}]`,
 		},
 		{
--- a/internal/storage/record_key.go
+++ b/internal/storage/record_key.go
@@ -5,7 +5,7 @@
 // The kinds of records. The first letter of a record's key is its kind.
 const (
 	KindJob          = 'j'
-	KindPage         = 'p'
+	KindTaskPage     = 'p'
 	KindMachine      = 'm'
 	KindLaunch       = 'h'
 	KindFleet        = 'f'
@@ -21,8 +21,8 @@
 // JobKey returns the key of a job's record.
 func JobKey(id string) string { return "j" + id }
 
-// PageKey returns the key of the record of one page of a job's tasks. Pages are numbered from 0.
-func PageKey(id string, page int) string { return "p" + id + "/" + strconv.Itoa(page) }
+// TaskPageKey returns the key of the record of one page of a job's tasks. Pages are numbered from 0.
+func TaskPageKey(id string, page int) string { return "p" + id + "/" + strconv.Itoa(page) }
 
 // MachineKey returns the key of a machine's record.
 func MachineKey(n int) string { return "m" + strconv.Itoa(n) }
--- a/internal/storage/record_test.go
+++ b/internal/storage/record_test.go
@@ -12,11 +12,11 @@
 	tb.Helper()
 	var records []Record
 	for i := range pages {
-		page := PageRecord{Done: []int{0, 3}}
+		page := TaskPageRecord{Done: []int{0, 3}}
 		for task := range 5 {
 			page.Attempts = append(page.Attempts, AttemptRecord{Task: task, Number: uint64(167772160 + i), Machine: 231 + i, Incarnation: 1})
 		}
-		r, err := NewRecord(PageKey(fmt.Sprintf("%06d", i), 0), page)
+		r, err := NewRecord(TaskPageKey(fmt.Sprintf("%06d", i), 0), page)
 		if err != nil {
 			tb.Fatal(err)
 		}
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -23,7 +23,7 @@
 type Client struct {
 	*Service
 	// Cut, if it is set and holds true, makes the store refuse all requests of this client.
-	Cut *atomic.Bool
+	Disconnected *atomic.Bool
 }
 
 var _ storage.KeyValueStore = (*Client)(nil)
@@ -187,7 +187,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.outageSince.IsZero() || c.Cut != nil && c.Cut.Load() {
+	if !c.outageSince.IsZero() || c.Disconnected != nil && c.Disconnected.Load() {
 		return storage.ErrRefused
 	}
 	c.expireLeases()
@@ -195,14 +195,14 @@
 }
 
 // beginRead begins a request that reads a key or prefix. It also refuses requests selected by
-// Faults.Refuse.
+// Faults.RefuseRead.
 func (c *Client) beginRead(ctx context.Context, key string) error {
 	if err := c.beginRequest(ctx); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Refuse != nil && c.Refuse(key) {
+	if c.RefuseRead != nil && c.RefuseRead(key) {
 		return storage.ErrRefused
 	}
 	return nil
@@ -212,7 +212,7 @@
 func (s *Service) addedLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Slow
+	return s.AddedLatency
 }
 
 // checkLimits returns ErrMalformed for transactions that exceed the limits or have invalid values.
--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -20,21 +20,21 @@
 	ForgetSent bool
 	// LoseResponses is the number of next transactions that are applied without a response.
 	LoseResponses int
-	// Lose, if set, selects transactions that are applied without a response.
-	Lose func(Txn) bool
-	// Drop, if set, selects transactions that are never applied and have no response.
-	Drop func(Txn) bool
+	// LoseResponse, if set, selects transactions that are applied without a response.
+	LoseResponse func(Txn) bool
+	// DropTxn, if set, selects transactions that are never applied and have no response.
+	DropTxn func(Txn) bool
 	// Delay, if set, is called for each transaction. If it returns more than 0, the transaction
 	// is applied after that delay and has no response.
 	Delay func() time.Duration
-	// Late, if set, is like Delay but receives the transaction. The longer delay applies.
-	Late func(Txn) time.Duration
-	// Before, if set, is called for each received transaction, before it is applied or dropped.
-	Before func(Txn)
-	// Slow is added to the latency of each request.
-	Slow time.Duration
-	// Refuse, if set, selects keys and prefixes whose read requests are refused.
-	Refuse func(key string) bool
+	// DelayTxn, if set, is like Delay but receives the transaction. The longer delay applies.
+	DelayTxn func(Txn) time.Duration
+	// BeforeApply, if set, is called for each received transaction, before it is applied or dropped.
+	BeforeApply func(Txn)
+	// AddedLatency is added to the latency of each request.
+	AddedLatency time.Duration
+	// RefuseRead, if set, selects keys and prefixes whose read requests are refused.
+	RefuseRead func(key string) bool
 }
 
 // Update calls f, which may change the faults and the limits, under the lock of the store.
@@ -44,9 +44,9 @@
 	f(s)
 }
 
-// Outage begins or ends an outage, during which all requests are refused. Leases don't expire
+// SetOutage begins or ends an outage, during which all requests are refused. Leases don't expire
 // during an outage, and all leases are renewed at its end.
-func (s *Service) Outage(on bool) {
+func (s *Service) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on {
@@ -76,18 +76,18 @@
 	if !s.ForgetSent {
 		s.Sent = append(s.Sent, txn)
 	}
-	f := txnFaults{before: s.Before}
-	f.drop = s.Drop != nil && s.Drop(txn)
+	f := txnFaults{before: s.BeforeApply}
+	f.drop = s.DropTxn != nil && s.DropTxn(txn)
 	if s.LoseResponses > 0 {
 		f.loseAnswer = true
 		s.LoseResponses--
 	}
-	f.loseAnswer = f.loseAnswer || s.Lose != nil && s.Lose(txn)
+	f.loseAnswer = f.loseAnswer || s.LoseResponse != nil && s.LoseResponse(txn)
 	if s.Delay != nil {
 		f.delay = s.Delay()
 	}
-	if s.Late != nil {
-		f.delay = max(f.delay, s.Late(txn))
+	if s.DelayTxn != nil {
+		f.delay = max(f.delay, s.DelayTxn(txn))
 	}
 	return f
 }
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -80,8 +80,8 @@
 	return keys
 }
 
-// Each calls f for every key, in unspecified order, under the lock of the store.
-func (s *Service) Each(f func(storage.Item)) {
+// ForEachItem calls f for every key, in unspecified order, under the lock of the store.
+func (s *Service) ForEachItem(f func(storage.Item)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, item := range s.items {
--- a/internal/storage/unknown_fields.go
+++ b/internal/storage/unknown_fields.go
@@ -29,11 +29,11 @@
 
 // knownFields maps the kinds of records to the JSON fields that this version knows.
 var knownFields = map[byte][]string{
-	KindJob:     upgrade.FieldNames(JobRecord{}),
-	KindPage:    upgrade.FieldNames(PageRecord{}),
-	KindMachine: upgrade.FieldNames(MachineRecord{}),
-	KindLaunch:  upgrade.FieldNames(LaunchRecord{}),
-	KindFleet:   upgrade.FieldNames(FleetRecord{}),
+	KindJob:      upgrade.FieldNames(JobRecord{}),
+	KindTaskPage: upgrade.FieldNames(TaskPageRecord{}),
+	KindMachine:  upgrade.FieldNames(MachineRecord{}),
+	KindLaunch:   upgrade.FieldNames(LaunchRecord{}),
+	KindFleet:    upgrade.FieldNames(FleetRecord{}),
 }
 
 // knownSpecFields lists the JSON fields of a job's specification that this version knows.
--- a/internal/storage/unknown_fields_test.go
+++ b/internal/storage/unknown_fields_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	j.index.put("j1", entity{data: open})
-	if final := rewrite(JobRecord{Phase: Done, Tasks: 2}); !bytes.Contains(final, []byte(`"region"`)) || bytes.Contains(final, []byte("tier")) {
+	if final := rewrite(JobRecord{Phase: PhaseDone, Tasks: 2}); !bytes.Contains(final, []byte(`"region"`)) || bytes.Contains(final, []byte("tier")) {
 		t.Errorf("the record of the finished job is %s", final)
 	}
 	if removed := j.keepUnknownFields([]Record{{Key: "j1"}})[0]; removed.Data != nil {
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -62,7 +62,7 @@
 
 // MachineTypes returns the instance types in the cloud's catalog. An empty catalog is an error.
 func (c *CloudClient) MachineTypes(ctx context.Context) ([]storage.MachineType, error) {
-	var catalog protocol.Catalogue
+	var catalog protocol.Catalog
 	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	if err := c.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &page); err != nil {
 		return nil, false, err
 	}
-	machines, err = page.Page()
+	machines, err = page.ParseMachines()
 	if err != nil {
 		return nil, false, fmt.Errorf("%w: %w", cloud.ErrUnknownOutcome, err)
 	}
--- a/internal/transport/fakes_test.go
+++ b/internal/transport/fakes_test.go
@@ -48,11 +48,11 @@
 }
 
 func (fakePeerHandler) HandleForwardedUsage(_ context.Context, report activation.UsageReport) activation.UsageResponse {
-	return activation.UsageResponse{Verdict: activation.Known, Draining: []activation.DrainOrder{{Model: report.Models[0].Model, Drain: report.Serial}}}
+	return activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: []activation.DrainOrder{{Model: report.Models[0].Model, Drain: report.Serial}}}
 }
 
 func (fakePeerHandler) HandleForwardedWake(_ context.Context, req activation.WakeRequest) activation.WakeResponse {
-	return activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: req.Generation, Machine: req.Model}
+	return activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Ready, Generation: req.Generation, Machine: req.Model}
 }
 
 func (fakePeerHandler) HandleForwardedHeartbeats(_ context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	notice := 12.5
-	spec := storage.Spec{ID: "000007", Class: "sweep", Team: "team", Gang: true, Priority: storage.High, Tasks: 3,
+	spec := storage.Spec{ID: "000007", Class: "sweep", Team: "team", Gang: true, Priority: storage.PriorityHigh, Tasks: 3,
 		Resources: storage.Resources{CPUs: 2, GPUs: 1, MemoryGB: 4}, Types: []string{"cpu"}, Zone: "a", SameZone: true, Spread: true, Spot: true,
 		Image: "img", ImageGB: 1.5, EstimateS: 30, CheckpointS: 10, SaveS: 2, DeadlineS: 90}
 	write("asks.gob",
@@ -47,11 +47,11 @@
 	write("answers-activation.gob", answersOfVersion(peer.Version)...)
 	write("wakes.gob",
 		wakeAsk{Serial: 4, Wake: &activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}},
-		wakeAnswer{Serial: 4, Wake: &activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
+		wakeAnswer{Serial: 4, Wake: &activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
 			Expected: time.Second, Holds: 3 * time.Second, Reason: "runs always"}},
 		usageAsk{Serial: 5, Usage: &activation.UsageReport{Node: "n1", Session: "s", Serial: 7, Uptime: time.Minute,
 			Models: []activation.ModelUsage{{Model: "000007", InFlight: 2, QuietFor: time.Second, Drained: 3}}}},
-		usageAnswer{Serial: 5, Usage: &activation.UsageResponse{Verdict: activation.Known, Draining: []activation.DrainOrder{{Model: "000007", Drain: 4}}, Reason: "none"}})
+		usageAnswer{Serial: 5, Usage: &activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: []activation.DrainOrder{{Model: "000007", Drain: 4}}, Reason: "none"}})
 }
 
 // Version numbers that earlier versions send in their status. This version sends another number in the same message.
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -101,8 +101,8 @@
 // Grant creates a lease and returns its ID. The lease expires after life, truncated to whole milliseconds, unless it is
 // renewed.
 func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	var lease protocol.GrantResponse
-	if err := c.send(ctx, http.MethodPost, "/grants", protocol.GrantRequest{LifeMS: life.Milliseconds()}, &lease); err != nil {
+	var lease protocol.LeaseGrantResponse
+	if err := c.send(ctx, http.MethodPost, "/grants", protocol.LeaseGrantRequest{TTLMS: life.Milliseconds()}, &lease); err != nil {
 		return 0, err
 	}
 	return lease.ID, nil
@@ -122,7 +122,7 @@
 // complete. It waits at most hold for a change.
 func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
 	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	var changes protocol.Changes
+	var changes protocol.WatchResponse
 	if err := c.send(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, &changes); err != nil {
 		return nil, 0, err
 	}
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -44,7 +44,7 @@
 	if ping.Req.Op != api.OpPing || ping.Req.ID != "n1" {
 		t.Errorf("ping is read as %+v", ping)
 	}
-	if s := submission.Req.Request().Spec; !s.Gang || s.Priority != storage.High || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
+	if s := submission.Req.Request().Spec; !s.Gang || s.Priority != storage.PriorityHigh || s.Tasks != 3 || s.DeadlineS != 90 || s.Resources.GPUs != 1 {
 		t.Errorf("submission is read as %+v", submission)
 	}
 	if r := wire.Reports(heartbeats.Reports)[0]; r.Machine != 7 || *r.NoticeSeconds != 12.5 || r.Tasks[0].Cause != worker.CauseGangMissing {
@@ -84,7 +84,7 @@
 	if r := wakeRequest; r.Serial != 4 || *r.Wake != (activation.WakeRequest{Model: "000007", Generation: 3, Wait: time.Second}) {
 		t.Errorf("wake request is read as %+v", r.Wake)
 	}
-	want := activation.WakeResponse{Verdict: activation.Known, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
+	want := activation.WakeResponse{Verdict: activation.VerdictKnown, State: activation.Ready, Generation: 4, Machine: "10.0.0.7:9000",
 		Expected: time.Second, Holds: 3 * time.Second, Reason: "runs always"}
 	if r := wakeResponse; r.Serial != 4 || *r.Wake != want {
 		t.Errorf("wake response is read as %+v, want %+v", r.Wake, want)
@@ -92,7 +92,7 @@
 	if u := usageRequest.Usage; u.Node != "n1" || u.Session != "s" || u.Serial != 7 || u.Models[0] != (activation.ModelUsage{Model: "000007", InFlight: 2, QuietFor: time.Second, Drained: 3}) {
 		t.Errorf("usage report is read as %+v", u)
 	}
-	if u := usageResponse.Usage; u.Verdict != activation.Known || u.Draining[0] != (activation.DrainOrder{Model: "000007", Drain: 4}) {
+	if u := usageResponse.Usage; u.Verdict != activation.VerdictKnown || u.Draining[0] != (activation.DrainOrder{Model: "000007", Drain: 4}) {
 		t.Errorf("usage response is read as %+v", u)
 	}
 }
--- a/internal/upgrade/activation.go
+++ b/internal/upgrade/activation.go
@@ -45,7 +45,7 @@
 	if nodeWithUnknownVersions(s.Members) != "" {
 		return nil
 	}
-	for _, gate := range s.Known {
+	for _, gate := range s.KnownGates {
 		if !s.eligible(record, gate) {
 			continue
 		}
--- a/internal/upgrade/decode_test.go
+++ b/internal/upgrade/decode_test.go
@@ -137,7 +137,7 @@
 		_ = MayLead(record, Supported, Gates)
 		_ = Admit(record, Supported, Policy{})
 		registration := NewRegistration("n0", "1", Supported)
-		step := Next(Situation{Record: record, Members: []Member{{Node: "n0", Registration: &registration}}, Versions: Supported, Known: Gates, Usage: Usage{}})
+		step := NextStep(Situation{Record: record, Members: []Member{{Node: "n0", Registration: &registration}}, Versions: Supported, KnownGates: Gates, Usage: Usage{}})
 		if step.Changed {
 			if reason := step.Record.inconsistency(); reason != "" {
 				t.Fatalf("%s: step %q leads to an inconsistent record: %s", data, step.Description, reason)
--- a/internal/upgrade/finalization.go
+++ b/internal/upgrade/finalization.go
@@ -12,7 +12,7 @@
 	if !s.Policy.AutoFinalize || s.Policy.Hold {
 		return waitingStep("finalization of version %d is held back by upgrade.finalize", active)
 	}
-	if _, known := s.Known.find(FencedTerm); known && s.Record.Gate(FencedTerm).Phase != GateOpen {
+	if _, known := s.KnownGates.find(FencedTerm); known && s.Record.Gate(FencedTerm).Phase != GateOpen {
 		return waitingStep("finalization of version %d: gate %s must be open first", active, FencedTerm)
 	}
 	if node := nodeWithUnknownVersions(s.Members); node != "" {
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -20,7 +20,7 @@
 // Such dependents were created by versions that don't register, which use their features without
 // checking a gate.
 func markGateWithDependents(s *Situation) Step {
-	for _, gate := range s.Known {
+	for _, gate := range s.KnownGates {
 		state, present := s.Record.Gates[gate.Name]
 		if !present || state.Used || s.Usage[gate.Name] <= 0 {
 			continue
@@ -51,7 +51,7 @@
 		next.Gates[name] = gate
 		next.recomputeFence()
 		step := s.transitionTo(next, "gate %s is unused again", name)
-		step.Releases = name
+		step.ReleasedGate = name
 		return step
 	}
 	return Step{}
--- a/internal/upgrade/gate_use_test.go
+++ b/internal/upgrade/gate_use_test.go
@@ -23,12 +23,12 @@
 				Schema: 1, Active: 2, Phase: Soaking,
 				Gates: map[GateName]GateState{GangJobs: {Since: 2, Phase: GateOpen, Used: true}},
 			}, Supported)
-			s.Known = GateList{{Name: GangJobs, Since: Version2}}
+			s.KnownGates = GateList{{Name: GangJobs, Since: Version2}}
 			s.Policy = Policy{ReleaseAfter: releaseAfter, Hold: true}
 			s.Usage, s.Unused = c.usage, map[GateName]time.Duration{GangJobs: c.unused}
-			step := Next(s)
-			if step.Releases != c.wantReleases {
-				t.Errorf("releases: got %q by step %q, want %q", step.Releases, step.Description, c.wantReleases)
+			step := NextStep(s)
+			if step.ReleasedGate != c.wantReleases {
+				t.Errorf("releases: got %q by step %q, want %q", step.ReleasedGate, step.Description, c.wantReleases)
 			}
 			if got, want := step.Changed, c.wantReleases != ""; got != want {
 				t.Errorf("changed: got %v, want %v", got, want)
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -68,8 +68,8 @@
 	for _, gate := range simulatedGates {
 		unused[gate.Name] = sim.unusedFor
 	}
-	return Next(Situation{
-		Record: sim.leader.record, Members: sim.members(), Versions: p.versions, Known: p.knownGates(),
+	return NextStep(Situation{
+		Record: sim.leader.record, Members: sim.members(), Versions: p.versions, KnownGates: p.knownGates(),
 		Usage: maps.Clone(sim.dependents), Unused: unused, Policy: sim.policy, Now: sim.now, Term: sim.leader.term,
 	})
 }
@@ -132,7 +132,7 @@
 	if !step.Changed {
 		return step, false
 	}
-	sim.leader.releasePending = sim.leader.releasePending || step.Releases != ""
+	sim.leader.releasePending = sim.leader.releasePending || step.ReleasedGate != ""
 	return step, sim.commit(step.Record, true, result)
 }
 
--- a/internal/upgrade/rollback.go
+++ b/internal/upgrade/rollback.go
@@ -48,8 +48,8 @@
 }
 
 // withdrawalOrder returns the gates that a controller of the common version lacks, in the order in
-// which they must be withdrawn: first the gates that aren't in Known, which belong to later versions,
-// and then the others in reverse order of Known, so that each comes before the gates that it depends
+// which they must be withdrawn: first the gates that aren't in KnownGates, which belong to later versions,
+// and then the others in reverse order of KnownGates, so that each comes before the gates that it depends
 // on.
 func (s *Situation) withdrawalOrder(commonVersion Version) []GateName {
 	var names []GateName
@@ -59,12 +59,12 @@
 		}
 	}
 	position := func(name GateName) int {
-		for i, g := range s.Known {
+		for i, g := range s.KnownGates {
 			if g.Name == name {
 				return i
 			}
 		}
-		return len(s.Known) // a gate that isn't listed was added by a later version
+		return len(s.KnownGates) // a gate that isn't listed was added by a later version
 	}
 	slices.SortStableFunc(names, func(a, b GateName) int { return position(b) - position(a) })
 	return names
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -5,19 +5,19 @@
 // Settings holds a process's parameters for upgrades: the versions and gates that its program
 // supports, and the operators' policy.
 type Settings struct {
-	Versions Range    // the compatibility range
-	Known    GateList // the gates that the program supports
-	Policy   Policy
+	Versions   Range    // the compatibility range
+	KnownGates GateList // the gates that the program supports
+	Policy     Policy
 }
 
 // DefaultSettings returns this program's settings with a policy that finalizes no version.
-func DefaultSettings() Settings { return Settings{Versions: Supported, Known: Gates} }
+func DefaultSettings() Settings { return Settings{Versions: Supported, KnownGates: Gates} }
 
 // CappedAt returns the settings limited to a maximum version, as if an earlier program of that version
 // were running that registers.
 func (s Settings) CappedAt(version Version) Settings {
 	s.Versions.Max = min(s.Versions.Max, version)
-	s.Known = s.Known.UpTo(version)
+	s.KnownGates = s.KnownGates.UpTo(version)
 	return s
 }
 
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -11,16 +11,16 @@
 
 // Situation is the input from which Next chooses a transition.
 type Situation struct {
-	Record   Record
-	Members  []Member // every controller of the fleet, including the leader
-	Versions Range    // the leader's compatibility range
-	Known    GateList // the gates that the leader supports
-	Usage    Usage
-	Unused   map[GateName]time.Duration // how long each gate has had no dependents
-	Blocked  *BlockedError              // why the uses of a gate can't be ended; nil: they can be ended
-	Policy   Policy
-	Now      time.Time
-	Term     uint64 // the leader's term
+	Record     Record
+	Members    []Member // every controller of the fleet, including the leader
+	Versions   Range    // the leader's compatibility range
+	KnownGates GateList // the gates that the leader supports
+	Usage      Usage
+	Unused     map[GateName]time.Duration // how long each gate has had no dependents
+	Blocked    *BlockedError              // why the uses of a gate can't be ended; nil: they can be ended
+	Policy     Policy
+	Now        time.Time
+	Term       uint64 // the leader's term
 }
 
 // Step is one transition of the cluster record, or the reason why there is none.
@@ -28,10 +28,10 @@
 	Changed     bool
 	Record      Record // the next record, if Changed
 	Description string // what the step does, for operators
-	// Releases is the gate that the step marks as unused, or "". The caller must prevent new
+	// ReleasedGate is the gate that the step marks as unused, or "". The caller must prevent new
 	// dependents of that gate before it stores the step.
-	Releases GateName
-	Waiting  string // if not Changed: what blocks the next step, for operators; "": no step is left
+	ReleasedGate GateName
+	Waiting      string // if not Changed: what blocks the next step, for operators; "": no step is left
 }
 
 // transitionRules lists the transition rules in order of precedence. Each rule returns a step with the
@@ -48,9 +48,9 @@
 	finalize,
 }
 
-// Next returns the next transition. The result depends only on the situation, so that a new leader
+// NextStep returns the next transition. The result depends only on the situation, so that a new leader
 // continues where the previous one stopped.
-func Next(s Situation) Step {
+func NextStep(s Situation) Step {
 	var waiting Step
 	for _, rule := range transitionRules {
 		step := rule(&s)
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -72,7 +72,7 @@
 	return Situation{
 		Record:   record,
 		Members:  []Member{{Node: "n0", Registration: &registration}},
-		Versions: Supported, Known: Gates,
+		Versions: Supported, KnownGates: Gates,
 		Now: time.Unix(1, 0),
 	}
 }
@@ -217,25 +217,25 @@
 			GangJobs:   {Since: 2, Phase: GateWithdrawing, Used: true},
 		},
 	}, Range{1, 1})
-	if step := Next(s); step.Changed {
+	if step := NextStep(s); step.Changed {
 		t.Errorf("got step %q, want none", step.Description)
 	}
 }
 
 func TestGateOpensAfterItsDependencies(t *testing.T) {
 	s := singleMember(Record{Schema: 1, Active: 2, Phase: Soaking}, Supported)
-	s.Known = GateList{{Name: "dependent", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
+	s.KnownGates = GateList{{Name: "dependent", Since: 2, DependsOn: []GateName{FencedTerm}}, {Name: FencedTerm, Since: 1}}
 	registeredMembers := s.Members
 	s.Members = append(slices.Clone(registeredMembers), Member{Node: "n1", UnregisteredVersion: Version2})
-	if step := Next(s); step.Changed {
+	if step := NextStep(s); step.Changed {
 		t.Errorf("with a member that doesn't register: got step %q, want none", step.Description)
 	}
 	s.Members = registeredMembers
-	s.Record = Next(s).Record
+	s.Record = NextStep(s).Record
 	if s.Record.Gate(FencedTerm).Phase != GateOpen || s.Record.Gate("dependent").Phase != "" {
 		t.Errorf("after the first step: got %+v, want gate %s open only", s.Record, FencedTerm)
 	}
-	if s.Record = Next(s).Record; s.Record.Gate("dependent").Phase != GateOpen {
+	if s.Record = NextStep(s).Record; s.Record.Gate("dependent").Phase != GateOpen {
 		t.Errorf("after the second step: got %+v, want the dependent gate open", s.Record)
 	}
 }
@@ -253,8 +253,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := singleMember(Record{Schema: 1, Active: Current, Phase: Soaking}, Supported)
-			s.Known = c.known
-			step := Next(s)
+			s.KnownGates = c.known
+			step := NextStep(s)
 			if open := step.Record.Gate(JobArchive).Phase == GateOpen; open != c.wantOpen {
 				t.Errorf("archive gate open: got %v by step %q, want %v", open, step.Description, c.wantOpen)
 			}
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -93,7 +93,7 @@
 		cluster:             c.Role.Cluster,
 		outdated:            true,
 		unusedSince:         make(map[upgrade.GateName]time.Time),
-		useRequests:         make(chan upgrade.GateName, len(c.Settings.Tuning.Upgrade.Known)+1),
+		useRequests:         make(chan upgrade.GateName, len(c.Settings.Tuning.Upgrade.KnownGates)+1),
 		registrationChanged: make(chan struct{}, 1),
 	}
 }
@@ -157,12 +157,12 @@
 		if err != nil {
 			return c.retryUnlessFatal("count gate uses", err)
 		}
-		step := upgrade.Next(situation)
+		step := upgrade.NextStep(situation)
 		if !step.Changed {
 			c.publishWaiting(ctx, step.Waiting)
 			return nil
 		}
-		if step.Releases != "" {
+		if step.ReleasedGate != "" {
 			unused, err := c.preventNewUses(ctx, step)
 			if err != nil || !unused {
 				return c.retryUnlessFatal("release gate", err)
@@ -216,7 +216,7 @@
 func (c *Controller) buildSituation(ctx context.Context) (upgrade.Situation, error) {
 	upgradeSettings := &c.settings.Tuning.Upgrade
 	s := upgrade.Situation{
-		Record: c.cluster.Record, Members: c.members(), Versions: upgradeSettings.Versions, Known: upgradeSettings.Known,
+		Record: c.cluster.Record, Members: c.members(), Versions: upgradeSettings.Versions, KnownGates: upgradeSettings.KnownGates,
 		Policy: upgradeSettings.Policy, Now: time.Now(), Term: c.term,
 	}
 	if s.Now.Before(c.nextCount) && s.Record.Phase != upgrade.Withdrawing {
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -94,7 +94,7 @@
 		users := &fakeGateUsers{countGangJobs: func(int) int { return 0 }}
 		c, client := newReleasingController(t, users)
 		defer client.Close()
-		client.Late = func(tx storagetest.Txn) time.Duration {
+		client.DelayTxn = func(tx storagetest.Txn) time.Duration {
 			if strings.Contains(string(tx.Ops[0].Data), `"used":true`) {
 				return 0
 			}
--- a/internal/upgradecontrol/gate_uses.go
+++ b/internal/upgradecontrol/gate_uses.go
@@ -70,11 +70,11 @@
 	if err != nil {
 		return false, err
 	}
-	if usage[step.Releases] == 0 {
+	if usage[step.ReleasedGate] == 0 {
 		return true, nil
 	}
 	c.tentative = nil
-	delete(c.unusedSince, step.Releases)
+	delete(c.unusedSince, step.ReleasedGate)
 	return false, c.publishRecordInForce(ctx)
 }
 
