--- a/internal/activation/event.go
+++ b/internal/activation/event.go
@@ -63,7 +63,7 @@
 	case Drained:
 		return "no controller forwards requests"
 	case Tick:
-		return "time passed"
+		return "time"
 	}
 	return "unknown"
 }
