--- a/internal/loopbacktest/model_server.go
+++ b/internal/loopbacktest/model_server.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RequestID is the header that identifies a user's request to a model.
+// RequestIDHeader is the header that identifies a user's request to a model.
 const RequestID = "X-Request-Id"
 
 // ModelCounts holds what the simulated servers of a model have counted.
@@ -30,7 +30,7 @@
 	counts.Starts++
 }
 
-// Model returns the counts of a model, without the executions, which Executions returns.
+// ModelCounts returns the counts of a model, without the executions, which Executions returns.
 func (w *Workers) Model(job string) ModelCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
