--- a/internal/fleetload/demo.go
+++ b/internal/fleetload/demo.go
@@ -53,8 +53,8 @@
 	d.logf("%s is the leader", d.fleet.Leader(ctx).Name)
 	d.jobs = []loopbacktest.Job{
 		{ID: "job-000001", Shape: serviceShape, Tasks: 4},
-		{ID: "job-000002", Shape: sweepShape, Tasks: 12, Run: 2 * time.Second},
-		{ID: "job-000003", Shape: sweepShape, Tasks: 6, Run: 8 * time.Second, Urgent: true},
+		{ID: "job-000002", Shape: sweepShape, Tasks: 12, RunTime: 2 * time.Second},
+		{ID: "job-000003", Shape: sweepShape, Tasks: 6, RunTime: 8 * time.Second, Urgent: true},
 	}
 	for _, j := range d.jobs {
 		if err := d.fleet.Submit(j, demoStepTimeout); err != nil {
--- a/internal/fleetload/experiment.go
+++ b/internal/fleetload/experiment.go
@@ -59,8 +59,8 @@
 	o := loopbacktest.DefaultOptions()
 	o.Controllers, o.Workers, o.MachineLimit, o.MachineCPUs = c.Controllers, c.Workers, c.Workers, slotsPerWorker
 	o.Timing = loopbacktest.Timing{
-		Heartbeat: c.HeartbeatInterval, Change: min(500*time.Millisecond, c.HeartbeatInterval/4), Lease: c.Lease, Cancel: 2*c.Lease + 8*time.Second,
-		Boot: 2 * time.Second, Fetch: 100 * time.Millisecond,
+		Heartbeat: c.HeartbeatInterval, MinHeartbeatInterval: min(500*time.Millisecond, c.HeartbeatInterval/4), Lease: c.Lease, CancelLimit: 2*c.Lease + 8*time.Second,
+		Boot: 2 * time.Second, ImageFetch: 100 * time.Millisecond,
 	}
 	o.Teams = nil
 	for i := range c.Teams {
@@ -158,7 +158,7 @@
 	r.RunningTasks = e.fleet.Workers.Counts().Running
 	r.LeaderHeapMB = leaderHeapMB(ctx, e.fleet)
 	r.FailoverLoadMS = stateLoadTimes(e.fleet)
-	r.Store.StoredKB, r.Store.StoredKeys = e.fleet.Store.Stored()
+	r.Store.StoredKB, r.Store.StoredKeys = e.fleet.Store.StoredSize()
 }
 
 // BuildProgram builds the controllers' program from this source tree into dir and returns its path.
--- a/internal/fleetload/measurement.go
+++ b/internal/fleetload/measurement.go
@@ -29,7 +29,7 @@
 // storeCounters returns the current values of the key-value store's counters.
 func (e *Experiment) storeCounters() storeCounters {
 	s := e.fleet.Store
-	return storeCounters{requests: s.Requests.Load(), bytes: s.Bytes.Load(), changes: s.Changes.Load()}
+	return storeCounters{requests: s.Requests.Load(), bytes: s.RequestBytes.Load(), changes: s.Changes.Load()}
 }
 
 // ratesSince returns the rates at which the counters have grown since earlier values, without the stored size.
@@ -78,7 +78,7 @@
 			return
 		}
 		totalBytes := 0.0
-		for _, kind := range []loopbacktest.Kind{loopbacktest.Heartbeats, loopbacktest.DirectCommands} {
+		for _, kind := range []loopbacktest.MessageKind{loopbacktest.Heartbeats, loopbacktest.DirectCommands} {
 			flow := e.fleet.Traffic.Snapshot()[kind]
 			totalBytes += float64(flow.RequestBytes + flow.ResponseBytes)
 		}
@@ -134,8 +134,8 @@
 }
 
 // trafficFigures returns the rate and the mean sizes of each kind of message.
-func trafficFigures(flows map[loopbacktest.Kind]loopbacktest.Flow, seconds float64, workers int) map[loopbacktest.Kind]TrafficFigures {
-	out := make(map[loopbacktest.Kind]TrafficFigures)
+func trafficFigures(flows map[loopbacktest.MessageKind]loopbacktest.MessageCounts, seconds float64, workers int) map[loopbacktest.MessageKind]TrafficFigures {
+	out := make(map[loopbacktest.MessageKind]TrafficFigures)
 	for kind, f := range flows {
 		messages := float64(max(f.Messages, 1))
 		out[kind] = TrafficFigures{
--- a/internal/fleetload/result.go
+++ b/internal/fleetload/result.go
@@ -16,26 +16,26 @@
 
 // Result holds the measurements of an experiment. All its traffic goes over the loopback interface.
 type Result struct {
-	Config         Config                               `json:"config"`
-	FillS          float64                              `json:"fill_s"` // from the first submission until all standing tasks ran
-	MeasuredS      float64                              `json:"measured_s"`
-	StartsPerS     float64                              `json:"starts_per_s"` // started tasks per second
-	RunningTasks   int                                  `json:"present"`      // running tasks at the end
-	AcceptedJobs   int                                  `json:"submitted"`    // accepted short jobs
-	DoneJobs       int                                  `json:"done_jobs"`
-	CancelledJobs  int                                  `json:"cancelled_jobs"`
-	SkippedJobs    int                                  `json:"not_offered"` // short jobs beyond the limit of concurrent submissions
-	FailedRequests int                                  `json:"failed_requests"`
-	Roles          map[string]RoleFigures               `json:"roles"`
-	Store          StoreFigures                         `json:"state"`
-	Traffic        map[loopbacktest.Kind]TrafficFigures `json:"traffic"`
-	Latencies      map[string]Quantiles                 `json:"latencies"`                // by kind of latency
-	FailoverS      []float64                            `json:"take_over_s"`              // from each kill of controllers to the first response to a user
-	FailoverLoadMS []float64                            `json:"take_over_load_ms"`        // time to load the state, as new leaders logged it
-	LeaderHeapMB   float64                              `json:"leader_heap_mb,omitempty"` // live, as the last leader logged it at level debug; 0: not logged
-	Bursts         BurstFigures                         `json:"bursts"`
-	WorkerBPerS    []float64                            `json:"worker_b_per_s"` // mean per worker, both directions, in each tenth of the time
-	Violations     []string                             `json:"broken"`         // violated rules, with the evidence
+	Config         Config                                      `json:"config"`
+	FillS          float64                                     `json:"fill_s"` // from the first submission until all standing tasks ran
+	MeasuredS      float64                                     `json:"measured_s"`
+	StartsPerS     float64                                     `json:"starts_per_s"` // started tasks per second
+	RunningTasks   int                                         `json:"present"`      // running tasks at the end
+	AcceptedJobs   int                                         `json:"submitted"`    // accepted short jobs
+	DoneJobs       int                                         `json:"done_jobs"`
+	CancelledJobs  int                                         `json:"cancelled_jobs"`
+	SkippedJobs    int                                         `json:"not_offered"` // short jobs beyond the limit of concurrent submissions
+	FailedRequests int                                         `json:"failed_requests"`
+	Roles          map[string]RoleFigures                      `json:"roles"`
+	Store          StoreFigures                                `json:"state"`
+	Traffic        map[loopbacktest.MessageKind]TrafficFigures `json:"traffic"`
+	Latencies      map[string]Quantiles                        `json:"latencies"`                // by kind of latency
+	FailoverS      []float64                                   `json:"take_over_s"`              // from each kill of controllers to the first response to a user
+	FailoverLoadMS []float64                                   `json:"take_over_load_ms"`        // time to load the state, as new leaders logged it
+	LeaderHeapMB   float64                                     `json:"leader_heap_mb,omitempty"` // live, as the last leader logged it at level debug; 0: not logged
+	Bursts         BurstFigures                                `json:"bursts"`
+	WorkerBPerS    []float64                                   `json:"worker_b_per_s"` // mean per worker, both directions, in each tenth of the time
+	Violations     []string                                    `json:"broken"`         // violated rules, with the evidence
 }
 
 // RoleFigures is the resource usage of the process of a role.
--- a/internal/fleetload/users.go
+++ b/internal/fleetload/users.go
@@ -81,7 +81,7 @@
 	id := "job-" + submittedID(u.nextJob)
 	team := teamName(u.nextJob % u.config.Teams)
 	u.nextJob++
-	return loopbacktest.Job{ID: id, Shape: shape, Tasks: tasks, Run: u.config.TaskTime, Team: team, CPUs: 1}
+	return loopbacktest.Job{ID: id, Shape: shape, Tasks: tasks, RunTime: u.config.TaskTime, Team: team, CPUs: 1}
 }
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
@@ -186,7 +186,7 @@
 	if s.State != doneState {
 		return false
 	}
-	if !u.fleet.Workers.Done(j.ID) {
+	if !u.fleet.Workers.JobDone(j.ID) {
 		u.addViolation("not_done: a poll returned that %s is done, but not all of its tasks have completed", j.ID)
 	}
 	u.update(func() { u.doneJobs++ })
--- a/internal/fleetload/wake.go
+++ b/internal/fleetload/wake.go
@@ -144,7 +144,7 @@
 
 // activationGateOpen reports whether the feature gate for scaling to zero is open.
 func (r *wakeExperiment) activationGateOpen(ctx context.Context) bool {
-	cluster, err := r.fleet.Cluster(ctx)
+	cluster, err := r.fleet.ClusterRecord(ctx)
 	return err == nil && cluster.Gate(upgrade.Activation).Phase == upgrade.GateOpen
 }
 
@@ -229,7 +229,7 @@
 	if err != nil {
 		return retryPause, false
 	}
-	request.Header.Set(loopbacktest.RequestID, id)
+	request.Header.Set(loopbacktest.RequestIDHeader, id)
 	response, err := r.client.Do(request)
 	if err != nil {
 		return retryPause, false // for example, the controller was killed
@@ -251,7 +251,7 @@
 
 // recordFirstAnswer records the latency of a model's first answer in a wake, less the time to fetch the image.
 func (r *wakeExperiment) recordFirstAnswer(latency time.Duration) {
-	fetch := r.config.fleetOptions().Timing.Fetch
+	fetch := r.config.fleetOptions().Timing.ImageFetch
 	r.update(func() { r.firstAnswerLatency.record(latency - fetch) })
 }
 
@@ -262,7 +262,7 @@
 	result.Wakes = r.config.Models * r.config.Wakes
 	result.FirstAnswerLatency, result.AnswerLatency = r.firstAnswerLatency.quantiles(), r.answerLatency.quantiles()
 	for i := range r.config.Models {
-		starts := r.fleet.Workers.Model(modelID(i)).Starts
+		starts := r.fleet.Workers.ModelCounts(modelID(i)).Starts
 		result.Starts += starts
 		if starts > r.config.Wakes && !r.config.losesMachines() {
 			result.Broken = append(result.Broken, fmt.Sprintf("%s: %d starts in %d wakes", modelID(i), starts, r.config.Wakes))
--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -82,12 +82,12 @@
 	for id, a := range m.attempts {
 		j := w.jobs[a.job]
 		switch {
-		case a.state == statePulling && now.Sub(a.stateSince) >= w.timing.Fetch:
+		case a.state == statePulling && now.Sub(a.stateSince) >= w.timing.ImageFetch:
 			w.runAttempt(m, a, now)
 			changed = true
 		case a.state == stateGathering:
 			changed = w.startGang(a.job, id.number, now) || changed
-		case a.state == stateRunning && !j.isService() && now.Sub(a.stateSince) >= j.Run:
+		case a.state == stateRunning && !j.isService() && now.Sub(a.stateSince) >= j.RunTime:
 			w.endAttempt(a, causeDone)
 			w.audit.completedTasks[id.task] = true
 			changed = true
@@ -112,11 +112,11 @@
 		j := w.jobs[a.job]
 		switch {
 		case a.state == statePulling:
-			candidate(a.stateSince.Add(w.timing.Fetch))
+			candidate(a.stateSince.Add(w.timing.ImageFetch))
 		case a.state == stateGathering, a.state == stateRunning && j.isGang():
 			candidate(time.Now().Add(w.timing.Heartbeat / gangChecksPerHeartbeat))
 		case a.state == stateRunning && !j.isService():
-			candidate(a.stateSince.Add(j.Run))
+			candidate(a.stateSince.Add(j.RunTime))
 		}
 	}
 	return next
@@ -178,8 +178,8 @@
 	return running
 }
 
-// Done reports whether all tasks of a job have completed. For a gang, one completed task is enough.
-func (w *Workers) Done(id string) bool {
+// JobDone reports whether all tasks of a job have completed. For a gang, one completed task is enough.
+func (w *Workers) JobDone(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	completed := 0
--- a/internal/loopbacktest/audit_log.go
+++ b/internal/loopbacktest/audit_log.go
@@ -107,7 +107,7 @@
 // checked once.
 func (l *auditLog) checkCancelled(timing Timing, now time.Time) {
 	for id, at := range l.cancelledAt {
-		if now.Sub(at) <= timing.Cancel {
+		if now.Sub(at) <= timing.CancelLimit {
 			continue
 		}
 		for a, m := range l.attemptsByJob[id] {
--- a/internal/loopbacktest/audit_log_test.go
+++ b/internal/loopbacktest/audit_log_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestAuditLogFindsTaskOfCancelledJob(t *testing.T) {
-	timing := Timing{Cancel: time.Second, Lease: time.Minute}
+	timing := Timing{CancelLimit: time.Second, Lease: time.Minute}
 	for _, tt := range []struct {
 		name    string
 		running bool
--- a/internal/loopbacktest/controller.go
+++ b/internal/loopbacktest/controller.go
@@ -156,7 +156,7 @@
 		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %.1f\n", t.Name, t.CPULimit)
 	}
 	fmt.Fprintf(&b, "[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 5.0\ngang_peer_s = 1.0\ncancel_s = %g\n",
-		o.Timing.Heartbeat.Seconds(), o.Timing.Lease.Seconds(), o.Timing.Cancel.Seconds())
+		o.Timing.Heartbeat.Seconds(), o.Timing.Lease.Seconds(), o.Timing.CancelLimit.Seconds())
 	fmt.Fprintf(&b, "[params.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = %g\ntxn_ops = %d\n", o.RequestsPerS, o.ChangesPerS, o.ValueKB, o.TxnOps)
 	fmt.Fprintf(&b, "[params.cloud]\nrps = %g\nlist_lag_s = 0.1\n", o.CloudRPS)
 	fmt.Fprintf(&b, "[params.quota]\ncpu_share = %g\nram_mb = %g\nsockets = %d\n", o.CPUShare, o.MemoryMB, o.Sockets)
--- a/internal/loopbacktest/fleet.go
+++ b/internal/loopbacktest/fleet.go
@@ -107,8 +107,8 @@
 	f.serving.Wait()
 }
 
-// Cluster returns the cluster record, or the initial record if the key can't be read.
-func (f *Fleet) Cluster(ctx context.Context) (upgrade.Record, error) {
+// ClusterRecord returns the cluster record, or the initial record if the key can't be read.
+func (f *Fleet) ClusterRecord(ctx context.Context) (upgrade.Record, error) {
 	item, err := f.Store.client().Get(ctx, clusterKey)
 	if err != nil {
 		return upgrade.Initial(), nil //nolint:nilerr // none is stored yet
--- a/internal/loopbacktest/heartbeats.go
+++ b/internal/loopbacktest/heartbeats.go
@@ -52,7 +52,7 @@
 func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
 	nextAt := m.lastHeartbeat.Add(timing.Heartbeat)
 	if changed {
-		nextAt = m.lastHeartbeat.Add(timing.Change)
+		nextAt = m.lastHeartbeat.Add(timing.MinHeartbeatInterval)
 	}
 	if nextAt.Before(m.retryAt) {
 		nextAt = m.retryAt
--- a/internal/loopbacktest/job.go
+++ b/internal/loopbacktest/job.go
@@ -19,13 +19,13 @@
 
 // Job is a job to submit, together with what its tasks do on a worker.
 type Job struct {
-	ID     string
-	Shape  string        // sweep, service or group
-	Tasks  int           // number of tasks
-	Run    time.Duration // run time of a task; services run until they are stopped
-	Team   string        // empty: the fleet's first team
-	CPUs   float64       // processors per task; 0: one
-	Urgent bool
+	ID      string
+	Shape   string        // sweep, service or group
+	Tasks   int           // number of tasks
+	RunTime time.Duration // run time of a task; services run until they are stopped
+	Team    string        // empty: the fleet's first team
+	CPUs    float64       // processors per task; 0: one
+	Urgent  bool
 
 	acceptedAt time.Time // when the user received the acceptance
 }
@@ -69,6 +69,6 @@
 	}
 	return submission{
 		ID: j.ID, Class: j.Shape, Team: j.Team, Shape: j.Shape, Urgency: urgency, Tasks: j.Tasks,
-		CPUs: j.CPUs, MemoryGB: 2 * j.CPUs, Image: "img", ImageGB: 0.1, EstimateS: j.Run.Seconds(),
+		CPUs: j.CPUs, MemoryGB: 2 * j.CPUs, Image: "img", ImageGB: 0.1, EstimateS: j.RunTime.Seconds(),
 	}
 }
--- a/internal/loopbacktest/model_server.go
+++ b/internal/loopbacktest/model_server.go
@@ -7,7 +7,7 @@
 )
 
 // RequestIDHeader is the header that identifies a user's request to a model.
-const RequestID = "X-Request-Id"
+const RequestIDHeader = "X-Request-Id"
 
 // ModelCounts holds what the simulated servers of a model have counted.
 type ModelCounts struct {
@@ -31,7 +31,7 @@
 }
 
 // ModelCounts returns the counts of a model, without the executions, which Executions returns.
-func (w *Workers) Model(job string) ModelCounts {
+func (w *Workers) ModelCounts(job string) ModelCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if counts := w.models[job]; counts != nil {
@@ -54,7 +54,7 @@
 // machine.
 func (w *Workers) serveModel(m *machine, rw http.ResponseWriter, r *http.Request) {
 	job, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if !w.executeModelRequest(m, job, r.Header.Get(RequestID)) {
+	if !w.executeModelRequest(m, job, r.Header.Get(RequestIDHeader)) {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(rw, http.StatusOK, map[string]string{"model": job, "machine": m.name})
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -4,12 +4,12 @@
 
 // Timing holds intervals, limits and simulated durations of the workers.
 type Timing struct {
-	Heartbeat time.Duration // interval between two heartbeats
-	Change    time.Duration // minimum interval between a heartbeat and one that reports a change
-	Lease     time.Duration // duration of a worker's lease
-	Cancel    time.Duration // from a confirmed cancellation until no task of the job may still run
-	Boot      time.Duration // boot time of a machine
-	Fetch     time.Duration // time to fetch a task's image
+	Heartbeat            time.Duration // interval between two heartbeats
+	MinHeartbeatInterval time.Duration // minimum interval between a heartbeat and one that reports a change
+	Lease                time.Duration // duration of a worker's lease
+	CancelLimit          time.Duration // from a confirmed cancellation until no task of the job may still run
+	Boot                 time.Duration // boot time of a machine
+	ImageFetch           time.Duration // time to fetch a task's image
 }
 
 // Team is a team in the controllers' settings.
@@ -49,8 +49,8 @@
 
 // defaultTiming is short enough for tests with many steps, and long enough for tests on a busy machine.
 var defaultTiming = Timing{
-	Heartbeat: 400 * time.Millisecond, Change: 100 * time.Millisecond, Lease: 5 * time.Second, Cancel: 12 * time.Second,
-	Boot: 300 * time.Millisecond, Fetch: 50 * time.Millisecond,
+	Heartbeat: 400 * time.Millisecond, MinHeartbeatInterval: 100 * time.Millisecond, Lease: 5 * time.Second, CancelLimit: 12 * time.Second,
+	Boot: 300 * time.Millisecond, ImageFetch: 50 * time.Millisecond,
 }
 
 // zones are the zones of every fleet.
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -17,11 +17,11 @@
 
 // KeyValueStore serves the stand-in for the key-value store over HTTP, and counts the requests.
 type KeyValueStore struct {
-	Service  *storagetest.Service
-	Requests atomic.Int64
-	Bytes    atomic.Int64 // of request bodies
-	Changes  atomic.Int64 // committed puts and deletions
-	traffic  *Traffic
+	Service      *storagetest.Service
+	Requests     atomic.Int64
+	RequestBytes atomic.Int64 // of request bodies
+	Changes      atomic.Int64 // committed puts and deletions
+	traffic      *Traffic
 }
 
 // newKeyValueStore returns an empty store.
@@ -33,8 +33,8 @@
 
 func (s *KeyValueStore) client() *storagetest.Client { return &storagetest.Client{Service: s.Service} }
 
-// Stored returns the total size of all keys and values in KiB, and the number of keys.
-func (s *KeyValueStore) Stored() (kb float64, keys int) {
+// StoredSize returns the total size of all keys and values in KiB, and the number of keys.
+func (s *KeyValueStore) StoredSize() (kb float64, keys int) {
 	bytes := 0
 	s.Service.ForEachItem(func(it storage.Item) {
 		bytes += len(it.Key) + len(it.Data)
@@ -57,7 +57,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Requests.Add(1)
 		if r.ContentLength > 0 {
-			s.Bytes.Add(r.ContentLength)
+			s.RequestBytes.Add(r.ContentLength)
 		}
 		mux.ServeHTTP(w, r)
 	})
--- a/internal/loopbacktest/traffic.go
+++ b/internal/loopbacktest/traffic.go
@@ -6,44 +6,44 @@
 	"sync"
 )
 
-// Kind is a kind of message, distinguished by sender and purpose.
-type Kind string
+// MessageKind is a kind of message, distinguished by sender and purpose.
+type MessageKind string
 
 // The kinds of messages that the stand-ins and the client of the users count. Messages between controllers are not counted.
 const (
-	Heartbeats     Kind = "worker report"
-	DirectCommands Kind = "direct orders"
-	StateGet       Kind = "state get"
-	StateList      Kind = "state list"
-	StateTxn       Kind = "state txn"
-	StateLease     Kind = "state lease"
-	StateWatch     Kind = "state watch"
-	CloudCalls     Kind = "cloud call"
-	Submissions    Kind = "submit"
-	Polls          Kind = "poll"
-	Cancels        Kind = "cancel"
+	Heartbeats     MessageKind = "worker report"
+	DirectCommands MessageKind = "direct orders"
+	StateGet       MessageKind = "state get"
+	StateList      MessageKind = "state list"
+	StateTxn       MessageKind = "state txn"
+	StateLease     MessageKind = "state lease"
+	StateWatch     MessageKind = "state watch"
+	CloudCalls     MessageKind = "cloud call"
+	Submissions    MessageKind = "submit"
+	Polls          MessageKind = "poll"
+	Cancels        MessageKind = "cancel"
 )
 
-// Flow counts the messages of one kind, and the bytes of their request and response bodies.
-type Flow struct {
+// MessageCounts counts the messages of one kind, and the bytes of their request and response bodies.
+type MessageCounts struct {
 	Messages, RequestBytes, ResponseBytes int64
 }
 
 // Traffic counts messages by kind. It is safe for concurrent use.
 type Traffic struct {
 	mu    sync.Mutex
-	flows map[Kind]*Flow
+	flows map[MessageKind]*MessageCounts
 }
 
-func newTraffic() *Traffic { return &Traffic{flows: make(map[Kind]*Flow)} }
+func newTraffic() *Traffic { return &Traffic{flows: make(map[MessageKind]*MessageCounts)} }
 
 // add counts one request and its response as one message.
-func (t *Traffic) add(kind Kind, requestBytes, responseBytes int64) {
+func (t *Traffic) add(kind MessageKind, requestBytes, responseBytes int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.flows[kind]
 	if f == nil {
-		f = &Flow{}
+		f = &MessageCounts{}
 		t.flows[kind] = f
 	}
 	f.Messages++
@@ -52,10 +52,10 @@
 }
 
 // Snapshot returns a copy of the counts.
-func (t *Traffic) Snapshot() map[Kind]Flow {
+func (t *Traffic) Snapshot() map[MessageKind]MessageCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[Kind]Flow, len(t.flows))
+	out := make(map[MessageKind]MessageCounts, len(t.flows))
 	for kind, f := range t.flows {
 		out[kind] = *f
 	}
@@ -70,7 +70,7 @@
 }
 
 // counted returns a handler that calls h and counts the request and its response under kind.
-func (t *Traffic) counted(kind Kind, h http.HandlerFunc) http.HandlerFunc {
+func (t *Traffic) counted(kind MessageKind, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body := &countingReader{ReadCloser: r.Body}
 		r.Body = body
--- a/internal/loopbacktest/upgrade_bench_test.go
+++ b/internal/loopbacktest/upgrade_bench_test.go
@@ -105,22 +105,22 @@
 
 // measureRestart restarts a controller and records the effects on users and the key-value store.
 func (f *measuredFleet) measureRestart(name string, c *Controller, p Program) {
-	requests, sent := f.Store.Requests.Load(), f.Store.Bytes.Load()
+	requests, sent := f.Store.Requests.Load(), f.Store.RequestBytes.Load()
 	probe := f.startProbe("job-000001")
 	began := time.Now()
 	f.start(c, p)
 	time.Sleep(restartDuration - time.Since(began))
 	f.record(name+": longest without an answer", "ms", probe.stopAndWait().Milliseconds())
 	f.record(name+": requests to the state service", "in 3 s", f.Store.Requests.Load()-requests)
-	f.record(name+": bytes to the state service", "in 3 s", f.Store.Bytes.Load()-sent)
+	f.record(name+": bytes to the state service", "in 3 s", f.Store.RequestBytes.Load()-sent)
 }
 
 // measureIdle records the load of the key-value store while no jobs are submitted and no controller is restarted.
 func (f *measuredFleet) measureIdle() {
-	requests, sent := f.Store.Requests.Load(), f.Store.Bytes.Load()
+	requests, sent := f.Store.Requests.Load(), f.Store.RequestBytes.Load()
 	time.Sleep(idleDuration)
 	f.record("at rest: requests to the state service", "in 4 s", f.Store.Requests.Load()-requests)
-	f.record("at rest: bytes to the state service", "in 4 s", f.Store.Bytes.Load()-sent)
+	f.record("at rest: bytes to the state service", "in 4 s", f.Store.RequestBytes.Load()-sent)
 }
 
 // serves reports whether a controller responds to a user, either itself or by forwarding to the leader.
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -119,13 +119,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	record, err := f.Cluster(f.tb.Context())
+	record, err := f.ClusterRecord(f.tb.Context())
 	f.tb.Fatalf("not seen within %v: %s; cluster record %+v, %v", timeout, what, record, err)
 }
 
 // versionActive reports whether a version is active and is not being withdrawn.
 func (f *testFleet) versionActive(version upgrade.Version) bool {
-	record, err := f.Cluster(f.tb.Context())
+	record, err := f.ClusterRecord(f.tb.Context())
 	return err == nil && record.Active == version && record.Phase != upgrade.Withdrawing
 }
 
@@ -143,7 +143,7 @@
 // canDowngrade reports whether a controller may be downgraded: no gate newer than the baseline is in use, or another
 // controller runs the current program and thus supports the gates in use.
 func (f *testFleet) canDowngrade(c *Controller) bool {
-	record, err := f.Cluster(f.tb.Context())
+	record, err := f.ClusterRecord(f.tb.Context())
 	if err != nil {
 		f.tb.Fatal(err)
 	}
@@ -170,10 +170,10 @@
 		f.start(c, c.Program) // kill and restart
 	}
 	job := Job{Shape: "sweep"}
-	if record, err := f.Cluster(f.tb.Context()); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
+	if record, err := f.ClusterRecord(f.tb.Context()); err == nil && record.Gate(upgrade.GangJobs).Phase == upgrade.GateOpen && f.random.IntN(2) == 0 {
 		job.Shape = gangShape
 	}
-	job.ID, job.Tasks, job.Run = fmt.Sprintf("job-%06d", 100+step), 2+f.random.IntN(4), 300*time.Millisecond
+	job.ID, job.Tasks, job.RunTime = fmt.Sprintf("job-%06d", 100+step), 2+f.random.IntN(4), 300*time.Millisecond
 	if !job.isGang() {
 		f.submit(job)
 	} else if f.Submit(job, time.Second) == nil { // an older controller in the fleet may refuse a gang job
@@ -194,7 +194,7 @@
 			s, err := f.Poll(j.ID)
 			return err == nil && s.State == "done"
 		})
-		if !f.Workers.Done(j.ID) {
+		if !f.Workers.JobDone(j.ID) {
 			f.tb.Errorf("%s is reported as done, but not all of its tasks have completed", j.ID)
 		}
 	}
@@ -234,7 +234,7 @@
 				}
 			}
 			f.eventually("this version active", 40*time.Second, func() bool { return f.versionActive(upgrade.Current) })
-			f.submit(Job{ID: "job-000002", Shape: "group", Tasks: 3, Run: 300 * time.Millisecond})
+			f.submit(Job{ID: "job-000002", Shape: "group", Tasks: 3, RunTime: 300 * time.Millisecond})
 			f.checkJobs()
 		})
 	}
@@ -251,7 +251,7 @@
 	}
 	f.submit(Job{ID: "job-000001", Shape: "service", Tasks: 3})
 	f.eventually("finalized", 20*time.Second, func() bool {
-		record, err := f.Cluster(f.tb.Context())
+		record, err := f.ClusterRecord(f.tb.Context())
 		return err == nil && record.Minimum == upgrade.Current
 	})
 	older := f.Controllers[1]
@@ -264,7 +264,7 @@
 	if code := older.process.ProcessState.ExitCode(); code == 0 {
 		t.Errorf("got exit code %d, want another", code)
 	}
-	f.submit(Job{ID: "job-000002", Shape: "sweep", Tasks: 3, Run: 200 * time.Millisecond})
+	f.submit(Job{ID: "job-000002", Shape: "sweep", Tasks: 3, RunTime: 200 * time.Millisecond})
 	f.checkJobs()
 }
 
@@ -287,7 +287,7 @@
 	})
 	f.start(f.Controllers[2], currentProgram)
 	f.eventually("active", 20*time.Second, func() bool { return f.versionActive(upgrade.Current) })
-	f.submit(Job{ID: "job-000001", Shape: "group", Tasks: 2, Run: 100 * time.Millisecond})
+	f.submit(Job{ID: "job-000001", Shape: "group", Tasks: 2, RunTime: 100 * time.Millisecond})
 	out, err := f.upgradeStatus(f.Controllers[1])
 	if err != nil {
 		t.Fatalf("upgrade status: %v\n%s", err, out)
--- a/internal/loopbacktest/user_client.go
+++ b/internal/loopbacktest/user_client.go
@@ -73,7 +73,7 @@
 }
 
 // userRequestKind returns the kind under which a user's request is counted.
-func userRequestKind(method, path string) Kind {
+func userRequestKind(method, path string) MessageKind {
 	switch {
 	case method == http.MethodGet:
 		return Polls
--- a/internal/loopbacktest/workers.go
+++ b/internal/loopbacktest/workers.go
@@ -142,7 +142,7 @@
 
 // checkCancelledJobs checks periodically for tasks of cancelled jobs that still run, until the workers are closed.
 func (w *Workers) checkCancelledJobs() {
-	ticker := time.NewTicker(w.timing.Cancel / 20)
+	ticker := time.NewTicker(w.timing.CancelLimit / 20)
 	defer ticker.Stop()
 	for {
 		select {
