--- a/internal/activation/event.go
+++ b/internal/activation/event.go
@@ -9,38 +9,41 @@
 
 // The event types.
 type (
-	// Demand reports a request for the model at a controller whose latest known generation is
-	// Generation.
+	// Demand reports that a controller has received a request for the model. Generation is the
+	// latest generation of the model that this controller knows.
 	Demand struct{ Generation uint64 }
-	// Reserved reports that resources have been reserved for the next replica. The scheduler assigns
-	// the attempt numbers and never reuses one.
+	// Reserved reports that resources have been reserved for the next replica. Attempt is the number
+	// of the attempt to run this replica. The scheduler assigns these numbers and never reuses one.
 	Reserved struct {
 		Generation uint64
 		Attempt    uint64
 	}
-	// Serving reports that a replica answers requests.
+	// Serving reports that the replica of an attempt answers requests.
 	Serving struct {
 		Generation uint64
 		Attempt    uint64
 	}
-	// ReplicaGone reports that a replica is proved to be no longer on a machine. Failed is true if
-	// the replica ended by itself, rather than because its machine was lost or it was ordered to stop.
+	// ReplicaGone reports that the replica of an attempt has been proved to be on no machine any
+	// more. Failed is true if the replica ended by itself. It is false if the machine was lost or the
+	// replica was ordered to stop.
 	ReplicaGone struct {
 		Generation uint64
 		Attempt    uint64
 		Failed     bool
 	}
-	// Quiet reports that no controller has had a request for the model since the time Since,
-	// according to recent reports of all controllers.
+	// Quiet reports that no controller has had a request for the model since the time Since. All
+	// controllers have sent recent reports that show this.
 	Quiet struct {
 		Generation uint64
 		Since      time.Time
 	}
-	// Drained reports that no controller forwards requests to the model any more and that none is in
-	// flight: each controller has acknowledged this drain, or the responses that allowed it to
+	// Drained reports that the drain with the number Drain is complete: no controller forwards
+	// requests to the model any more. Each controller has acknowledged the drain and has no request
+	// in flight, or it has sent no recent report and the leader's responses that allowed it to
 	// forward requests have expired.
 	Drained struct{ Drain uint64 }
-	// Tick reports that time has passed, and how long ago the current replica was reserved.
+	// Tick reports that time has passed. ReservedFor is the time since resources were reserved for
+	// the current replica.
 	Tick struct{ ReservedFor time.Duration }
 )
 
--- a/internal/activation/message.go
+++ b/internal/activation/message.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Controllers of different versions exchange the messages of this file. Fields may be added, but not
-// changed or removed.
+// Controllers of different versions exchange the messages in this file. Fields of the messages may be
+// added, but not changed or removed.
 
-// WakeRequest reports to the leader that a controller holds requests for a model. A controller has at
-// most one WakeRequest in flight for each model, however many requests it holds.
+// WakeRequest reports to the leader that a controller has received requests for a model. A controller has
+// at most one WakeRequest in flight for each model, however many requests it has received.
 type WakeRequest struct {
 	Model string // job ID of the service
-	// Generation is the latest generation that the sender has learned of. Demand starts the next
-	// generation only if it names the current one.
+	// Generation is the latest generation of the model that the sender knows. The leader starts the
+	// next generation only if Generation is the current one.
 	Generation uint64
-	// Wait is how long the response may be delayed while the model starts.
+	// Wait is how long the leader may delay the response while the model starts.
 	Wait time.Duration
 }
 
@@ -45,7 +45,7 @@
 	return r.Verdict == VerdictKnown && r.State == Ready && r.Machine != ""
 }
 
-// CanWake reports whether demand that names the response's generation could start the next generation.
+// CanWake reports whether a WakeRequest with the response's generation could start the next generation.
 func (r *WakeResponse) CanWake() bool {
 	return r.Verdict == VerdictKnown && (r.State == Idle || r.State == Failed && r.Expected <= 0)
 }
@@ -55,18 +55,18 @@
 	Node    string
 	Session string        // unique to each process of the controller
 	Serial  uint64        // increases with each report of the session
-	Uptime  time.Duration // of the process; the requests of an earlier process ended with that process
-	Models  []ModelUsage  // the models with requests within the idle window, and those being drained
+	Uptime  time.Duration // time since the process started; requests to an earlier process ended with that process
+	Models  []ModelUsage  // models with requests within the idle window, and models that are being drained
 }
 
 // ModelUsage is a controller's usage of a model.
 type ModelUsage struct {
 	Model    string
 	InFlight int           // requests that are held or forwarded and not answered yet
-	QuietFor time.Duration // time since the last request arrived or was answered
-	// Drained is the latest drain that the controller has acknowledged: it forwards no further
-	// requests on the basis of earlier responses. Requests that it forwarded before the
-	// acknowledgment are counted by InFlight. 0: none.
+	QuietFor time.Duration // time since a request last arrived or was answered
+	// Drained is the number of the latest drain that the controller has acknowledged; 0: none. After
+	// the acknowledgment, the controller no longer forwards requests on the basis of wake responses
+	// from before the drain. InFlight still counts the requests that it forwarded earlier.
 	Drained uint64
 }
 
@@ -77,8 +77,8 @@
 	Reason   string // for operators
 }
 
-// DrainOrder orders a controller to stop forwarding requests to a model on the basis of earlier
-// responses.
+// DrainOrder orders a controller to forward no more requests to a model until a new WakeResponse allows
+// the controller to do so.
 type DrainOrder struct {
 	Model string
 	Drain uint64
--- a/internal/activation/policy.go
+++ b/internal/activation/policy.go
@@ -9,8 +9,8 @@
 	StableAfter  time.Duration // a replica that fails sooner than this after it became ready counts as a failed start
 	MaxAttempts  int           // number of consecutive failed starts after which a wake fails
 	Backoff      time.Duration // pause after the first failed start; doubled after each further one
-	Cooldown     time.Duration // pause after a failed wake; longer than controllers may act on an outdated record
-	DrainTimeout time.Duration // time after which a drain that still has requests in flight is canceled
+	Cooldown     time.Duration // pause after a failed wake; must exceed the time for which a controller may use a response of the leader
+	DrainTimeout time.Duration // time after which a drain that hasn't completed is canceled
 }
 
 // maxBackoffMultiple bounds the pause between two starts, as a multiple of Policy.Backoff.
--- a/internal/activation/record.go
+++ b/internal/activation/record.go
@@ -15,29 +15,29 @@
 	Starting State = "starting" // a replica is being started; failed starts are retried
 	Ready    State = "ready"    // the replica answers requests
 	Draining State = "draining" // new requests aren't forwarded; the drain may be canceled, and the replica may be lost
-	Stopping State = "stopping" // the replica is being stopped, until it is proved gone
-	Failed   State = "failed"   // all starts of this generation failed; the next wake must wait for the cooldown
+	Stopping State = "stopping" // the replica has to be stopped, but isn't proved gone yet
+	Failed   State = "failed"   // too many consecutive starts failed; the next wake must wait for the cooldown
 )
 
-// NoReplica is the value of Record.Replica when no attempt may be on a machine.
+// NoReplica is the value of Record.Replica if it is certain that no replica is on a machine.
 const NoReplica uint64 = 0
 
 // Record is the durable record of a model's lifecycle. The zero value describes an idle model that was
 // never started.
 type Record struct {
 	State State `json:"state"`
-	// Generation increases by one with each wake.
+	// Generation is the number of wakes of the model up to now.
 	Generation uint64 `json:"generation"`
 	// Failures is the number of consecutive failed starts in this generation.
 	Failures int `json:"failures,omitempty"`
-	// Drain is the number of the latest drain. Drains are numbered across all generations, so that
-	// the acknowledgment of one drain isn't taken for that of the next.
+	// Drain is the number of the latest drain. Drains are numbered across all generations, so that a
+	// controller's acknowledgment of one drain isn't taken for an acknowledgment of the next drain.
 	Drain uint64 `json:"drain,omitempty"`
-	// Replica is the number of the attempt that may be on a machine, or NoReplica. It isn't stored
-	// in this record, because the scheduler stores the attempts; Restore sets it.
+	// Replica is the number of the attempt whose replica may be on a machine, or NoReplica. It isn't
+	// stored in this record, because the scheduler stores the attempts; Restore sets it.
 	Replica uint64 `json:"-"`
-	// Abandoned reports that the replica must be stopped, and that another one is started once this
-	// one is proved gone.
+	// Abandoned reports that the replica took too long to start and must be stopped. Once it is proved
+	// gone, another replica is started.
 	Abandoned bool `json:"abandoned,omitempty"`
 	// WakeWanted reports that there was demand while the replica was being stopped.
 	WakeWanted bool `json:"wake_wanted,omitempty"`
@@ -48,8 +48,8 @@
 	NotBeforeMS int64 `json:"not_before_ms,omitempty"`
 }
 
-// DamagedError reports that the record stored under a key is one that no leader can have written. The
-// model of such a record is neither started nor stopped.
+// DamagedError reports that the value stored under a key is not a record that a leader can have written.
+// The model of such a record is neither started nor stopped.
 type DamagedError struct{ Key, Reason string }
 
 func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
@@ -67,8 +67,8 @@
 	return r, nil
 }
 
-// inconsistency describes why no sequence of transitions can lead to the record, or returns "" if one
-// can.
+// inconsistency describes a contradiction that no sequence of transitions can lead to, or returns "" if
+// it finds none in the record.
 func (r *Record) inconsistency() string {
 	switch {
 	case r.Failures < 0:
@@ -95,13 +95,13 @@
 	return fmt.Sprintf("%s, generation %d, attempt %d", r.State, r.Generation, r.Replica)
 }
 
-// SameStored reports whether two records are equal in their stored fields, that is, in all but Replica.
+// SameStored reports whether two records are equal in their stored fields: in all fields except Replica.
 func (r Record) SameStored(other Record) bool {
 	r.Replica, other.Replica = NoReplica, NoReplica
 	return r == other
 }
 
-// BackoffRemaining returns the time that is left until a replica may be reserved.
+// BackoffRemaining returns the remaining time until a replica may be reserved.
 func (r *Record) BackoffRemaining(now time.Time) time.Duration {
 	return max(0, time.UnixMilli(r.NotBeforeMS).Sub(now))
 }
--- a/internal/activation/start_times.go
+++ b/internal/activation/start_times.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxStartTime is the longest start time that the histograms record, and startTimeDigits is their
-	// precision in significant decimal digits.
+	// maxStartTime is the longest start time that the histograms record. startTimeDigits is the
+	// precision of the histograms in significant decimal digits.
 	maxStartTime    = time.Hour
 	startTimeDigits = 2
-	// expectedPercentile is the percentile of the recorded start times that Expected uses as the
-	// duration of a start.
+	// expectedPercentile selects the expected duration of a start: this percentile of the recorded
+	// start times.
 	expectedPercentile = 90
 )
 
 // StartTimes holds a histogram of cold-start times for each class of services. The zero value is empty.
-// It is not safe for concurrent use.
+// A StartTimes is not safe for concurrent use.
 type StartTimes struct {
 	byClass map[string]*hdrhistogram.Histogram
 }
@@ -37,8 +37,8 @@
 	_ = h.RecordValue(min(took, maxStartTime).Milliseconds())
 }
 
-// Expected returns the expected remaining time of a start that began elapsed ago. It returns 0 if no
-// start time is recorded for the class, or if the start is overdue.
+// Expected returns the expected remaining time of a start. elapsed is the time since the start began.
+// Expected returns 0 if no start time is recorded for the class, or if the start is overdue.
 func (t *StartTimes) Expected(class string, elapsed time.Duration) time.Duration {
 	h := t.byClass[class]
 	if h == nil {
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Action is what the leader must do once a changed record is durable. The same action may be returned
-// repeatedly. Actions follow from the record, so a new leader gets the outstanding one from
+// repeatedly. The outstanding action can be derived from the record, so a new leader gets it from
 // Record.Pending.
 type Action int
 
@@ -17,8 +17,8 @@
 )
 
 // Apply returns the record after an event, and the action to take. A record that is returned unchanged
-// need not be stored. Late and repeated events, and events of another generation, attempt or drain,
-// have no effect.
+// need not be stored. Events that arrive late or again have no effect, and neither have events of another
+// generation, attempt or drain.
 func (r Record) Apply(e Event, p *Policy, now time.Time) (Record, Action) { return e.apply(r, p, now) }
 
 // Pending returns the outstanding action of a record.
@@ -46,14 +46,14 @@
 	return NoAction
 }
 
-// placeholderAttempt is the attempt number that Restore uses for an attempt that is no longer stored.
+// placeholderAttempt is the number that Restore uses for an attempt that is no longer stored.
 const placeholderAttempt uint64 = 1
 
 // Restore returns the record that a new leader starts from, and the outstanding action. replica is the
-// attempt that may be on a machine according to the stored attempts, or NoReplica. The record and the
-// attempts are stored independently, so either may be ahead of the other. If the record's state
-// requires a replica but no attempt is stored, Restore applies the ReplicaGone event whose effect on the
-// record wasn't stored.
+// attempt whose replica may be on a machine according to the stored attempts, or NoReplica. The record and
+// the attempts are stored independently, so either may be ahead of the other. If the record's state
+// requires a replica but no attempt is stored, the replica is gone and the record doesn't show it yet.
+// Restore then applies the event ReplicaGone.
 func (r Record) Restore(replica uint64, p *Policy, now time.Time) (Record, Action) {
 	r.Replica = replica
 	hasReplica := r.State == Ready || r.State == Stopping || r.Abandoned
@@ -172,8 +172,8 @@
 	return next, Reserve
 }
 
-// cancelDrain makes the model ready again, or starts another replica if the current one was lost during
-// the drain.
+// cancelDrain makes the model ready again, or starts another replica if the replica was lost during the
+// drain.
 func (r Record) cancelDrain(now time.Time) (Record, Action) {
 	if r.Replica == NoReplica {
 		return r.enterState(Starting, now), Reserve
@@ -181,8 +181,8 @@
 	return r.enterState(Ready, now), NoAction
 }
 
-// replaceReplica starts another replica of the same generation after the previous one is gone although
-// the model wasn't being scaled to zero. If failed is false, the next replica is reserved immediately.
+// replaceReplica starts another replica of the same generation. It is called when a replica is gone and
+// the model isn't being scaled to zero. If failed is false, the next replica is reserved immediately.
 // Otherwise the loss counts as a failed start: the next start waits for a growing backoff, and after
 // Policy.MaxAttempts consecutive failures the wake fails.
 func (r Record) replaceReplica(failed bool, p *Policy, now time.Time) (Record, Action) {
--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// RecordReport records a controller's report. It ignores late and repeated copies: reports that aren't
-// newer than the latest one of the same process, and reports of a process that has been replaced.
+// RecordReport records a controller's report. It ignores reports that arrive late or again: those that
+// aren't newer than the latest report of the same process, and those of a process that has been replaced.
 func (u *Usage) RecordReport(report UsageReport, now time.Time) {
 	last := u.latest[report.Node]
 	switch {
@@ -86,13 +86,13 @@
 
 // Drained reports whether all controllers have stopped forwarding requests to a model. A controller has
 // stopped if it has acknowledged this drain and has no requests in flight. A silent controller has
-// stopped once routedUntil is reached, because the leader's responses that allowed it to forward
-// requests have expired by then.
-func (u *Usage) Drained(model string, drain uint64, routedUntil, now time.Time) bool {
+// stopped at the time responsesExpireAt, because the leader's responses that allowed the controller to
+// forward requests have expired by then.
+func (u *Usage) Drained(model string, drain uint64, responsesExpireAt, now time.Time) bool {
 	for _, controller := range u.controllers {
 		latest := u.freshReport(controller, now)
 		if latest == nil {
-			if now.Before(routedUntil) {
+			if now.Before(responsesExpireAt) {
 				return false
 			}
 			continue
--- a/internal/upgrade/activation.go
+++ b/internal/upgrade/activation.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// activateNext activates the version that follows the active one, once every controller supports it
-// and the operators' policy allows it.
+// activateNext activates the version after the active one, once every controller supports the new version
+// and the operators' policy allows the activation.
 func activateNext(s *Situation) Step {
 	next := s.Record.Active + 1
 	switch {
@@ -29,7 +29,7 @@
 	return s.transitionTo(record, "version %d active", next)
 }
 
-// openGates opens the gates of the active version that became eligible after its activation.
+// openGates opens the gates that became eligible only after the active version had been activated.
 func openGates(s *Situation) Step {
 	record := s.Record.clone()
 	opened := s.openEligibleGates(&record)
@@ -56,9 +56,9 @@
 	return opened
 }
 
-// eligible reports whether a gate may be opened in the record: it is closed, the active version and
-// every controller support it, and the gates that it depends on are open. FencedTerm also requires
-// that every controller follows the cluster record.
+// eligible reports whether a gate may be opened in the record. The gate must be closed, the active
+// version and every controller must support it, and the gates that it depends on must be open. To open
+// FencedTerm, every controller must also follow the cluster record.
 func (s *Situation) eligible(record *Record, gate Gate) bool {
 	if _, present := record.Gates[gate.Name]; present {
 		return false
--- a/internal/upgrade/admission.go
+++ b/internal/upgrade/admission.go
@@ -55,10 +55,9 @@
 	return nil
 }
 
-// MayLead checks whether a process may become the leader. It may if it supports every gate that is in
-// use, because it can then read all data that depends on these gates. Nothing depends on a gate that
-// isn't in use, so such a gate need not be supported. MayLead returns an *UnreadableGateError if the
-// process must not lead.
+// MayLead checks whether a process may become the leader. A process may lead if it supports every gate
+// that is in use, because it can then read all stored data. It need not support the other gates, because
+// no data depends on them. MayLead returns an *UnreadableGateError if the process must not lead.
 func MayLead(r Record, versions Range, known GateList) error {
 	for _, name := range r.GateNames() {
 		g := r.Gates[name]
--- a/internal/upgrade/doc.go
+++ b/internal/upgrade/doc.go
@@ -2,11 +2,15 @@
 //
 // Each controller stores a registration with the range of versions that it can read and write. The
 // leader maintains one durable record, the cluster record, which changes only by the pure transition
-// functions of this package. The leader activates a version and opens its feature gates once every
-// controller supports that version, withdraws the gates when a controller is rolled back to an older
-// version, and finalizes the active version when the operators allow it. A finalized version can't be
-// rolled back.
+// functions of this package:
 //
-// The package does no I/O. The scheduler reads the registrations and the record, calls Next, and
-// stores the record of the step that Next returns.
+//   - Once every controller supports a version, the leader activates the version and opens the feature
+//     gates that it adds.
+//   - When a controller is rolled back to an older version, the leader withdraws the gates that this
+//     controller lacks and lowers the active version.
+//   - When the operators' policy allows it, the leader finalizes the active version. Controllers of lower
+//     versions are then refused, and the version can't be rolled back any more.
+//
+// The package does no I/O. The caller reads the registrations and the record, calls NextStep, and stores
+// the record of the step that NextStep returns.
 package upgrade
--- a/internal/upgrade/fence.go
+++ b/internal/upgrade/fence.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// requiredFence returns the lowest version that isn't refused and that can read all data that may
-// depend on a gate.
+// requiredFence returns the lowest version that may lead. Such a version isn't refused, and can read all
+// data that may depend on a gate.
 func (r *Record) requiredFence() Version {
 	required := max(r.Minimum, Baseline)
 	for _, gate := range r.Gates {
@@ -15,9 +15,9 @@
 // raiseFence raises the fence to requiredFence and marks FencedTerm as used. It does nothing if
 // FencedTerm is closed or if every version may lead.
 func (r *Record) raiseFence() {
-	gate, open := r.Gates[FencedTerm]
+	gate, present := r.Gates[FencedTerm]
 	required := r.requiredFence()
-	if !open || required <= Baseline {
+	if !present || required <= Baseline {
 		return
 	}
 	r.Fence = max(r.Fence, required)
@@ -28,8 +28,8 @@
 // recomputeFence lowers the fence to requiredFence, or removes the fence if every version may lead. It
 // does nothing if FencedTerm is closed.
 func (r *Record) recomputeFence() {
-	gate, open := r.Gates[FencedTerm]
-	if !open {
+	gate, present := r.Gates[FencedTerm]
+	if !present {
 		return
 	}
 	gate.Used = false
@@ -38,11 +38,11 @@
 	r.raiseFence()
 }
 
-// removeFence closes FencedTerm and removes the fence if a controller that doesn't register can read
-// all data that may depend on a gate, so that this controller may lead. The fence stays once a version
-// is finalized.
+// removeFence allows a controller that doesn't register to lead if its version can read all data that
+// may depend on a gate: it closes FencedTerm and removes the fence. Once a version is finalized, the
+// fence is never removed.
 func removeFence(s *Situation) Step {
-	if _, open := s.Record.Gates[FencedTerm]; !open || s.Record.Minimum != 0 {
+	if _, present := s.Record.Gates[FencedTerm]; !present || s.Record.Minimum != 0 {
 		return Step{}
 	}
 	for i := range s.Members {
--- a/internal/upgrade/gate.go
+++ b/internal/upgrade/gate.go
@@ -19,29 +19,30 @@
 	// can't read the archive treats such jobs as never submitted.
 	JobArchive GateName = "job-archive"
 	// WorkerTokens allows a worker's fencing token to be raised within a term. A version without
-	// this gate doesn't support the range of tokens of a term, and doesn't renew the leases of such
-	// workers under a delegation.
+	// this gate doesn't support several tokens in one term. When the leader has delegated the renewal
+	// of worker leases to a controller of such a version, this controller doesn't renew the leases of
+	// workers with a raised token.
 	WorkerTokens GateName = "worker-tokens"
 	// Activation allows services to scale to zero. A version that doesn't support service lifecycles
 	// would start these services without demand.
 	Activation GateName = "activation"
 	// FencedTerm allows the term record to be written in a format that prevents processes that don't
-	// register from leading. The gate is open only while every controller registers.
+	// register from leading. The gate is opened only when every controller registers.
 	FencedTerm GateName = "fenced-term"
 )
 
-// Gate is a feature gate: its feature stays off until every controller of the fleet supports it.
+// Gate is a feature gate. The feature stays off until every controller of the fleet supports the feature.
 type Gate struct {
 	Name      GateName
-	Since     Version    // the version that adds the feature
+	Since     Version    // first version that supports the feature
 	DependsOn []GateName // gates that must be open before this one may be opened
 }
 
-// GateList lists the gates that a program supports, each after the gates that it depends on.
+// GateList lists the gates that a program supports. Each gate comes after the gates that it depends on.
 type GateList []Gate
 
-// Gates lists the gates of this program. FencedTerm belongs to the baseline version, because every
-// version that registers supports it.
+// Gates lists the gates of this program. FencedTerm is listed since the baseline version, because it is
+// opened only when every controller registers, and every version that registers supports it.
 var Gates = GateList{
 	{Name: FencedTerm, Since: Baseline},
 	{Name: CompressedChunks, Since: Version2},
@@ -61,8 +62,8 @@
 	return Gate{}, false
 }
 
-// UpTo returns the gates that were added up to version v, which are those that a program of version v
-// supports.
+// UpTo returns the gates that a program of version v supports: those that were added by version v or by an
+// earlier version.
 func (l GateList) UpTo(v Version) GateList {
 	var known GateList
 	for _, g := range l {
@@ -86,7 +87,7 @@
 type GateState struct {
 	Since Version   `json:"since"`
 	Phase GatePhase `json:"phase"`
-	// Used reports whether stored data may depend on the gate. While it is false, a version that
+	// Used reports whether stored data may depend on the gate. While Used is false, a version that
 	// doesn't support the gate may lead, and may withdraw the gate.
 	Used bool `json:"used,omitempty"`
 
@@ -102,7 +103,7 @@
 // plainGateState is GateState without its methods, so that encoding/json uses the default encoding.
 type plainGateState GateState
 
-// MarshalJSON encodes the state together with the unknown fields that were found when it was decoded.
+// MarshalJSON encodes the state together with the unknown fields that UnmarshalJSON found in it.
 func (g GateState) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(plainGateState(g))
 	if err != nil {
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -16,9 +16,9 @@
 	return next, nil
 }
 
-// markGateWithDependents marks the first gate as used that already has dependents but isn't marked.
-// Such dependents were created by versions that don't register, which use their features without
-// checking a gate.
+// markGateWithDependents looks for a gate that isn't marked as used although it has dependents, and marks
+// the first such gate as used. The dependents were created by versions that don't register, because these
+// use their features without checking a gate.
 func markGateWithDependents(s *Situation) Step {
 	for _, gate := range s.KnownGates {
 		state, present := s.Record.Gates[gate.Name]
@@ -34,9 +34,9 @@
 	return Step{}
 }
 
-// releaseGate marks a gate as unused after it has had no dependents for Policy.ReleaseAfter, so that
-// versions without the gate may lead again. The delay saves writes, because the record must be stored
-// again before the next use of the gate.
+// releaseGate marks a gate as unused after the gate has had no dependents for Policy.ReleaseAfter, so that
+// versions without the gate may lead again. Each release costs a write, and the next use of the gate costs
+// another one. The delay avoids these writes for a gate that is soon used again.
 func releaseGate(s *Situation) Step {
 	if s.Policy.ReleaseAfter == 0 || s.Usage == nil {
 		return Step{}
@@ -58,8 +58,9 @@
 }
 
 // releasable reports whether a gate has had no dependents for long enough to be marked as unused. It
-// returns false for FencedTerm, whose use is derived from the other gates, and for gates of finalized
-// versions, because every version that isn't refused supports them.
+// returns false for FencedTerm, because the Used field of FencedTerm is derived from the other gates. It
+// also returns false for gates of finalized versions, because every version that isn't refused supports
+// these gates.
 func (s *Situation) releasable(name GateName) bool {
 	gate := s.Record.Gates[name]
 	if name == FencedTerm || !gate.Usable() || gate.Since <= s.Record.Minimum {
--- a/internal/upgrade/member.go
+++ b/internal/upgrade/member.go
@@ -8,14 +8,15 @@
 	Registration *Registration
 	// Damaged reports that the stored registration can't be decoded.
 	Damaged bool
-	// UnregisteredVersion is the version that a process that doesn't register has reported to its
-	// peers. 0: no such process is known. Such a process can't replace a registration that an
-	// earlier process stored, so Versions uses the older of the two versions.
+	// UnregisteredVersion is set if the controller's process doesn't register. It is then the version
+	// that the process has reported to its peers. 0: no such process is known. Such a process can't
+	// replace a registration that an earlier process stored, so Versions uses the lower of the two
+	// versions.
 	UnregisteredVersion Version
 }
 
-// Versions returns the effective compatibility range of the member, and whether it is known. The range
-// follows from the latest registration or report, whether or not the member is reachable.
+// Versions returns the compatibility range of the member, and whether the range is known. The range is
+// derived from the latest registration and from UnregisteredVersion. The member need not be reachable.
 func (m *Member) Versions() (versions Range, ok bool) {
 	switch {
 	case m.UnregisteredVersion != 0 && m.hasRegistration():
@@ -31,8 +32,8 @@
 // hasRegistration reports whether there is a registration that can be decoded.
 func (m *Member) hasRegistration() bool { return m.Registration != nil && !m.Damaged }
 
-// followsRecord reports whether the member's version uses only the gates that the cluster record
-// permits. Every version that registers does.
+// followsRecord reports whether the member uses only the gates that the cluster record permits. This
+// holds for every version that registers.
 func (m *Member) followsRecord() bool { return m.UnregisteredVersion == 0 && m.hasRegistration() }
 
 // allFollowRecord reports whether every member follows the cluster record.
@@ -45,8 +46,8 @@
 	return true
 }
 
-// oldestMember returns the node with the lowest maximum version, and that version. ok is false if the
-// versions of all members are unknown.
+// oldestMember returns the node whose maximum version is the lowest, and this maximum version. ok is
+// false if the versions of all members are unknown.
 func oldestMember(members []Member) (node string, version Version, ok bool) {
 	for i := range members {
 		versions, known := members[i].Versions()
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -11,15 +11,15 @@
 // added without a new schema number. A value with another schema number can't be decoded.
 const recordSchema = 1
 
-// Phase is the phase of an upgrade.
+// Phase is the phase of the fleet's upgrade.
 type Phase string
 
 // The phases of the cluster record.
 const (
 	Stable      Phase = "stable"      // the baseline version is active
-	Soaking     Phase = "soaking"     // a later version is active, and may still be rolled back
+	Soaking     Phase = "soaking"     // the active version isn't finalized yet, and may still be rolled back
 	Withdrawing Phase = "withdrawing" // gates are being withdrawn because a controller was rolled back
-	Finalized   Phase = "finalized"   // versions below the active one are refused
+	Finalized   Phase = "finalized"   // the active version is finalized: controllers of lower versions are refused
 )
 
 // Record is the cluster record: the active version and the state of the gates. Only the leader
@@ -31,9 +31,9 @@
 	Minimum Version                `json:"minimum,omitempty"`
 	Phase   Phase                  `json:"phase"`
 	Gates   map[GateName]GateState `json:"gates,omitempty"`
-	// Fence is the version below which a controller that doesn't register must not lead. 0: there
-	// is no such limit. While it isn't 0, the term record is stored in a format that prevents all
-	// controllers that don't register from leading.
+	// Fence is a lower limit for controllers that don't register: if their version is below Fence,
+	// they must not lead. 0: there is no limit. While Fence isn't 0, the term record is stored in a
+	// format that prevents all controllers that don't register from leading: see removeFence.
 	Fence Version `json:"fence,omitempty"`
 	Term  uint64  `json:"term"` // term of the leader that wrote the record
 	// ActivatedMS is the time of the latest activation, in Unix milliseconds. The soak time starts then.
@@ -64,7 +64,7 @@
 	return out
 }
 
-// phaseAfterWithdrawal returns the phase that the record has when no withdrawal is in progress.
+// phaseAfterWithdrawal returns the phase of the record after a withdrawal has ended.
 func (r *Record) phaseAfterWithdrawal() Phase {
 	switch r.Active {
 	case r.Minimum:
@@ -79,7 +79,7 @@
 // plainRecord is Record without its methods, so that encoding/json uses the default encoding.
 type plainRecord Record
 
-// MarshalJSON encodes the record together with the unknown fields that were found when it was decoded.
+// MarshalJSON encodes the record together with the unknown fields that DecodeRecord found in it.
 func (r Record) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(plainRecord(r))
 	if err != nil {
@@ -97,7 +97,7 @@
 func (e *DamagedError) Error() string { return fmt.Sprintf("key %s is damaged: %s", e.Key, e.Reason) }
 
 // DecodeRecord decodes the cluster record that was stored under key. It returns a *DamagedError if the
-// value is not a valid record. It keeps the fields that this program doesn't define.
+// value is not a valid record. The decoded record keeps the fields that this program doesn't define.
 func DecodeRecord(key string, data []byte) (Record, error) {
 	damaged := func(format string, args ...any) (Record, error) {
 		return Record{}, &DamagedError{Key: key, Reason: fmt.Sprintf(format, args...)}
--- a/internal/upgrade/rollback.go
+++ b/internal/upgrade/rollback.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// rollBack undoes activations step by step while some controller supports only versions below the
-// active one. It first withdraws the gates that this controller lacks, each before the gates that it
-// depends on, and then lowers the active version. The fence stays until removeFence removes it, after
-// the gates that it protects are no longer in use.
+// rollBack returns the next step of a rollback, which is necessary while some controller supports only
+// versions below the active one. The rollback first withdraws the gates that this controller lacks, each
+// gate before the gates that it depends on. Then it lowers the active version by one in each step. It
+// leaves the fence in place: see removeFence.
 func rollBack(s *Situation) Step {
 	node, commonVersion := s.commonVersion()
 	if commonVersion >= s.Record.Active {
@@ -23,8 +23,8 @@
 	return s.transitionTo(next, "version %d active again: node %s is of version %d", next.Active, node, commonVersion)
 }
 
-// withdrawGate stops new uses of a gate, and closes the gate once no uses are left. node is the
-// controller that lacks the gate.
+// withdrawGate returns the next step to withdraw a gate: it stops new uses of the gate, and closes the
+// gate once no uses are left. node is the controller that lacks the gate.
 func withdrawGate(s *Situation, name GateName, node string, commonVersion Version) Step {
 	next := s.Record.clone()
 	next.Phase = Withdrawing
@@ -48,9 +48,9 @@
 }
 
 // withdrawalOrder returns the gates that a controller of the common version lacks, in the order in
-// which they must be withdrawn: first the gates that aren't in KnownGates, which belong to later versions,
-// and then the others in reverse order of KnownGates, so that each comes before the gates that it depends
-// on.
+// which they must be withdrawn. The gates that aren't in KnownGates come first, because they belong to
+// versions above the leader's. The other gates follow in the reverse order of KnownGates, so that each gate
+// comes before the gates that it depends on.
 func (s *Situation) withdrawalOrder(commonVersion Version) []GateName {
 	var names []GateName
 	for _, name := range s.Record.GateNames() {
@@ -64,7 +64,7 @@
 				return i
 			}
 		}
-		return len(s.KnownGates) // a gate that isn't listed was added by a later version
+		return len(s.KnownGates) // the gate was added by a version above the leader's
 	}
 	slices.SortStableFunc(names, func(a, b GateName) int { return position(b) - position(a) })
 	return names
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -13,8 +13,8 @@
 // DefaultSettings returns this program's settings with a policy that finalizes no version.
 func DefaultSettings() Settings { return Settings{Versions: Supported, KnownGates: Gates} }
 
-// CappedAt returns the settings limited to a maximum version, as if an earlier program of that version
-// were running that registers.
+// CappedAt returns the settings limited to a maximum version. The process then behaves like a program of
+// that version, except that it registers even if that version doesn't.
 func (s Settings) CappedAt(version Version) Settings {
 	s.Versions.Max = min(s.Versions.Max, version)
 	s.KnownGates = s.KnownGates.UpTo(version)
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -5,12 +5,13 @@
 	"encoding/json"
 )
 
-// Term is the value of the term record. Versions that don't register can decode only a bare number, and
-// don't lead if the record contains anything else. A term with a fence is therefore stored as an
-// object, which prevents them from leading even though they don't read the cluster record.
+// Term is the value of the term record, which a controller must read before it becomes the leader.
+// Versions that don't register can decode only a bare number, and don't lead if the record contains
+// anything else. A term with a fence is therefore stored as an object, which prevents these versions
+// from leading even though they don't read the cluster record.
 type Term struct {
 	Number uint64  `json:"t"`
-	Fence  Version `json:"fence"` // 0: the term is stored as a bare number
+	Fence  Version `json:"fence"` // Record.Fence; 0: the term is stored as a bare number
 }
 
 // MarshalJSON encodes the term as a bare number, or as an object if it has a fence.
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Usage holds the number of dependents of each gate in the leader's state. A nil Usage means that the
-// dependents haven't been counted; no gate in use can be closed then.
+// Usage holds the number of dependents of each gate. The dependents of a gate are stored objects that only
+// versions with the gate can handle, such as open gang jobs for GangJobs. A nil Usage means that the
+// dependents haven't been counted; a gate in use can't be closed then.
 type Usage map[GateName]int
 
-// Situation is the input from which Next chooses a transition.
+// Situation is the input from which NextStep chooses a transition.
 type Situation struct {
 	Record     Record
 	Members    []Member // every controller of the fleet, including the leader
@@ -28,15 +29,14 @@
 	Changed     bool
 	Record      Record // the next record, if Changed
 	Description string // what the step does, for operators
-	// ReleasedGate is the gate that the step marks as unused, or "". The caller must prevent new
-	// dependents of that gate before it stores the step.
+	// ReleasedGate is the gate that the step marks as unused, or "". Before the caller stores the
+	// record, it must prevent new dependents of that gate.
 	ReleasedGate GateName
 	Waiting      string // if not Changed: what blocks the next step, for operators; "": no step is left
 }
 
 // transitionRules lists the transition rules in order of precedence. Each rule returns a step with the
-// changed record, a step that only says what the rule waits for, or the zero Step if the rule doesn't
-// apply.
+// changed record, a step that only has the Waiting text, or the zero Step if the rule doesn't apply.
 var transitionRules = []func(*Situation) Step{
 	rollBack,
 	removeFence,
@@ -65,19 +65,20 @@
 }
 
 // transitionTo returns a step that changes the cluster record to r, written in the leader's term. The
-// arguments format its description.
+// step's description is formatted from the other arguments.
 func (s *Situation) transitionTo(r Record, format string, args ...any) Step {
 	r.Term = s.Term
 	return Step{Changed: true, Record: r, Description: fmt.Sprintf(format, args...)}
 }
 
-// waitingStep returns a step without a change whose Waiting text is formatted from the arguments.
+// waitingStep returns a step that changes nothing. Its Waiting text is formatted from the arguments.
 func waitingStep(format string, args ...any) Step {
 	return Step{Waiting: fmt.Sprintf(format, args...)}
 }
 
-// commonVersion returns the highest version that all members with known versions support, and the node
-// that limits it. It returns at least the finalized version, because controllers below it are refused.
+// commonVersion returns the lowest of the maximum versions of the members, and the node with this maximum.
+// Members whose versions are unknown are left out; without any others, it returns the active version. The
+// result is never below the finalized version, because controllers of lower versions are refused.
 func (s *Situation) commonVersion() (node string, version Version) {
 	node, version, ok := oldestMember(s.Members)
 	if !ok {
--- a/internal/upgrade/unknown_fields.go
+++ b/internal/upgrade/unknown_fields.go
@@ -30,8 +30,9 @@
 }
 
 // FindUnknown returns the fields of an encoded JSON object whose names aren't in known, or nil if there
-// are none. It returns an error if the value is not an object, or if the name of a field differs from a
-// known name only in case, because encoding/json would decode both into the same struct field.
+// are none. It returns an error if the value is not an object. It also returns an error if the name of a
+// field differs from a known name only in case, because encoding/json would decode both fields into the
+// same struct field.
 func FindUnknown(object []byte, known []string) (UnknownFields, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(object, &fields); err != nil || fields == nil {
@@ -51,7 +52,8 @@
 	return fields, nil
 }
 
-// AddTo adds the unknown fields to an encoded JSON object that doesn't contain them.
+// AddTo returns an encoded JSON object with the unknown fields added. object must not contain fields with
+// these names.
 func (u UnknownFields) AddTo(object []byte) ([]byte, error) {
 	if len(u) == 0 {
 		return object, nil
--- a/internal/upgrade/version.go
+++ b/internal/upgrade/version.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Version identifies the data formats and the behavior of a controller. A higher version is later.
+// Version identifies the data formats and the behavior of a controller. Newer programs have higher versions.
 type Version uint32
 
 // The versions that have been defined so far.
 const (
 	// Version1 is commit 3661d31. It runs job arrays and services, writes uncompressed journal
-	// chunks, and doesn't register.
+	// chunks, and doesn't register: it stores no Registration.
 	Version1 Version = 1
 	// Version2 adds gang jobs and compressed chunks. Commit af96c21 is the last commit of this
 	// version that doesn't register.
 	Version2 Version = 2
-	// Version3 registers and follows the cluster record.
+	// Version3 stores a Registration and uses only the gates that the cluster record permits.
 	Version3 Version = 3
 	// Version4 adds the archive of finished jobs.
 	Version4 Version = 4
@@ -44,5 +44,5 @@
 // String formats the range for operators.
 func (r Range) String() string { return fmt.Sprintf("%d to %d", r.Min, r.Max) }
 
-// valid reports whether the range is a possible range of a controller: not empty, and without version 0.
+// valid reports whether the range is not empty and doesn't contain version 0, which doesn't exist.
 func (r Range) valid() bool { return r.Min >= 1 && r.Min <= r.Max }
