--- a/internal/activator/connection.go
+++ b/internal/activator/connection.go
@@ -18,7 +18,7 @@
 	maxRedialPause = time.Second
 )
 
-// errNotConnected is the error of a request that reaches the transport without a connection. Nothing was sent.
+// errNotConnected is the error of a request whose context has no connection. No part of the request was sent.
 var errNotConnected = errors.New("no connection to the model's server")
 
 // connection is an open connection to a model's server that is used for one request.
@@ -50,9 +50,10 @@
 	return nil, errNotConnected
 }
 
-// connectGranted waits until a request is granted and then connects to the model's server. It retries failed connections
-// until the request's deadline, because the server may not listen yet or may have moved to another machine. It sends
-// nothing. The connection is nil unless the outcome is Granted.
+// connectGranted waits until the tracker grants a request, which allows the request to be forwarded, and then connects to
+// the model's server. It sends no data. If connecting fails, it waits until the request is granted again and retries. It
+// does so until the request's deadline, because the server may not listen yet or may have moved to another machine. The
+// connection is nil unless the outcome is Granted.
 func (h *Handler) connectGranted(ctx context.Context, model, pathElement string) (*connection, Decision) {
 	deadline := h.tracker.Deadline()
 	for pause := minRedialPause; ; pause = min(2*pause, maxRedialPause) {
--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -26,7 +26,7 @@
 }
 
 // Handler is the http.Handler for requests to models, under /models/{model}/. Each request gets one final response: the
-// model's, or an error response if there is none.
+// model's response, or an error response if the model sent none.
 type Handler struct {
 	tracker *Tracker
 	config  Config
@@ -35,7 +35,8 @@
 	log     *slog.Logger
 }
 
-// NewHandler returns a handler that admits requests by the tracker's decisions. The caller must run the tracker.
+// NewHandler returns a handler that forwards or refuses requests according to the tracker's decisions. The caller must run
+// the tracker.
 func NewHandler(tracker *Tracker, config Config, log *slog.Logger) *Handler {
 	h := &Handler{tracker: tracker, config: config, log: log, mux: http.NewServeMux()}
 	h.proxy = &httputil.ReverseProxy{
@@ -50,7 +51,7 @@
 	return h
 }
 
-// rewrite directs a proxied request to its connection's target.
+// rewrite sets the URL and the X-Forwarded headers of a proxied request. The URL is that of the connection's target.
 func rewrite(r *httputil.ProxyRequest) {
 	if c := connectionFrom(r.In.Context()); c != nil {
 		r.SetURL(c.target)
@@ -61,7 +62,7 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// serveModel responds to a request for a model once it is forwarded or refused.
+// serveModel forwards a request to its model once the tracker grants the request. Otherwise it responds with an error.
 func (h *Handler) serveModel(w http.ResponseWriter, r *http.Request) {
 	pathElement := r.PathValue("model")
 	model, ok := h.config.ModelOf(pathElement)
@@ -89,7 +90,7 @@
 	}
 }
 
-// forward sends a request over its connection, once, and copies the model's response.
+// forward sends a request once over its connection, and copies the model's response to the client.
 func (h *Handler) forward(w http.ResponseWriter, r *http.Request, c *connection) {
 	out := r.WithContext(withConnection(r.Context(), c))
 	out.URL.Path = "/" + r.PathValue("rest")
@@ -107,12 +108,12 @@
 	writeError(w, http.StatusBadGateway, "the model has not answered; it may have carried the request out", 0)
 }
 
-// errorResponse is the body of an error response of the controller itself.
+// errorResponse is the body of an error response that the controller itself sends.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// writeBodyTooLarge writes the error response to a request with a body above Config.MaxBodyBytes.
+// writeBodyTooLarge writes the error response to a request whose body is larger than Config.MaxBodyBytes.
 func writeBodyTooLarge(w http.ResponseWriter) {
 	writeError(w, http.StatusRequestEntityTooLarge, "the body is too large", 0)
 }
--- a/internal/activator/messages.go
+++ b/internal/activator/messages.go
@@ -12,10 +12,10 @@
 // request is a client's request for a model.
 type request struct {
 	model    string
-	deadline time.Time // until when the request may be held
+	deadline time.Time // end of the time for which the request may be held
 	reply    chan Decision
 	held     bool // counted in Tracker.heldCount
-	decided  bool // a decision was sent, or the client has disconnected
+	decided  bool // the decision was sent to reply, or the client has disconnected
 }
 
 // canceledMsg reports that a request's client has disconnected.
@@ -24,7 +24,7 @@
 // releasedMsg reports that a granted request has finished.
 type releasedMsg struct{ model string }
 
-// wakeResponseMsg is a wake request with the leader's response.
+// wakeResponseMsg holds a wake request and the leader's response to this request.
 type wakeResponseMsg struct {
 	model    string
 	sentAt   time.Time
--- a/internal/activator/model.go
+++ b/internal/activator/model.go
@@ -6,22 +6,22 @@
 	"sagevale/internal/activation"
 )
 
-// model is a Tracker's state of one model.
+// model is a Tracker's state for one model.
 type model struct {
 	response   activation.WakeResponse // the leader's latest response
 	validUntil time.Time               // end of the response's validity
 
 	wakePending     bool      // a wake request is in flight
-	undecidedWakes  int       // number of consecutive undecided responses to wake requests
-	undecidedReason string    // of the latest undecided response
+	undecidedWakes  int       // number of consecutive wake requests without a usable response; see scheduleRetry
+	undecidedReason string    // reason given in the latest of these responses
 	retryAt         time.Time // no wake request is sent before this time
-	demandUntil     time.Time // until when wake requests are repeated for demand that the leader hasn't decided on
+	demandUntil     time.Time // wake requests are repeated until this time or a usable response, even if no request waits
 
-	waiting   []*request // in order of arrival
+	waiting   []*request // requests that wait for a decision, in order of arrival
 	inFlight  int        // granted requests that haven't finished
 	lastUsed  time.Time  // when a request last arrived or finished
 	lastDrain uint64     // the latest drain that the leader has ordered; 0: none
-	drainedAt time.Time  // when the order was received
+	drainedAt time.Time  // when the order for lastDrain was received
 }
 
 // model returns the state of a model, and creates it if there is none.
@@ -37,19 +37,20 @@
 // responseValid reports whether the leader's latest response is still valid for deciding on requests.
 func (m *model) responseValid(now time.Time) bool { return now.Before(m.validUntil) }
 
-// needsWake reports whether a wake request should be sent now if there is demand.
+// needsWake reports whether demand for the model requires a wake request now. None is required while one is in flight,
+// while the latest response is valid, and before retryAt.
 func (m *model) needsWake(now time.Time) bool {
 	return !m.wakePending && !m.responseValid(now) && !now.Before(m.retryAt)
 }
 
-// canBeRemoved reports whether the model has no requests and no valid response, and had neither a request nor a drain
-// order within rememberFor, so that it no longer has to be in usage reports.
+// canBeRemoved reports whether the model no longer has to be in usage reports. The model must have no requests and no
+// valid response. In addition, there must have been neither a request nor a drain order for it within rememberFor.
 func (m *model) canBeRemoved(now time.Time, rememberFor time.Duration) bool {
 	idle := m.inFlight == 0 && len(m.waiting) == 0 && !m.responseValid(now)
 	return idle && now.Sub(m.lastUsed) > rememberFor && now.Sub(m.drainedAt) > rememberFor
 }
 
-// heldRequests returns how many requests for the model are held.
+// heldRequests returns how many requests for the model are held. Waiting requests that aren't held yet don't count.
 func (m *model) heldRequests() int {
 	held := 0
 	for _, r := range m.waiting {
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -8,16 +8,16 @@
 	"sagevale/internal/activation"
 )
 
-// Acquire is AcquireBy for a request that arrives now.
+// Acquire calls AcquireBy with the deadline of a request that arrives now.
 func (t *Tracker) Acquire(ctx context.Context, name string) Decision {
 	return t.AcquireBy(ctx, name, t.Deadline())
 }
 
-// Deadline returns until when a request that arrives now may be held.
+// Deadline returns the end of the time for which a request that arrives now may be held.
 func (t *Tracker) Deadline() time.Time { return time.Now().Add(t.limits.HoldTimeout) }
 
-// AcquireBy returns the decision on a request for a model. It may hold the request until the deadline. Without a valid
-// response of the leader for the model, the tracker sends the leader a wake request. A granted request counts as in
+// AcquireBy returns the decision on a request for a model. It may hold the request until the deadline. If the tracker has
+// no valid response from the leader about the model, it sends the leader a wake request. A granted request counts as in
 // flight until Release is called.
 func (t *Tracker) AcquireBy(ctx context.Context, name string, deadline time.Time) Decision {
 	r := &request{model: name, deadline: deadline, reply: make(chan Decision, 1)}
@@ -38,18 +38,19 @@
 // Release reports that a granted request has finished.
 func (t *Tracker) Release(name string) { t.post(context.Background(), releasedMsg{name}) }
 
-// handleRequest decides on a new request, or queues it until the leader responds to a wake request.
+// handleRequest handles a new request. It decides on the request if the leader's latest response is valid, or if the next
+// wake request has to wait until retryAt. Otherwise it queues the request until the leader responds to a wake request.
 func (t *Tracker) handleRequest(ctx context.Context, r *request, now time.Time) {
 	m := t.model(r.model)
 	m.lastUsed = now
 	switch {
 	case m.responseValid(now):
-		t.decide(m, r, now)
+		t.decideOrHold(m, r, now)
 	case !m.wakePending && now.Before(m.retryAt):
-		m.demandUntil = now.Add(t.pace.RepeatDemandFor)
-		t.decide(m, r, now)
+		m.demandUntil = now.Add(t.timing.RepeatDemandFor)
+		t.decideOrHold(m, r, now)
 	default:
-		m.demandUntil = now.Add(t.pace.RepeatDemandFor)
+		m.demandUntil = now.Add(t.timing.RepeatDemandFor)
 		m.waiting = append(m.waiting, r)
 	}
 	if m.needsWake(now) {
@@ -84,8 +85,8 @@
 	}
 }
 
-// decide decides on a request by the leader's latest response, or holds the request.
-func (t *Tracker) decide(m *model, r *request, now time.Time) {
+// decide sends the decision on a request according to the leader's latest response, or holds the request.
+func (t *Tracker) decideOrHold(m *model, r *request, now time.Time) {
 	response := &m.response
 	switch {
 	case r.decided:
@@ -105,8 +106,9 @@
 	}
 }
 
-// holdOrReply holds a request. It replies with decision instead if no requests are held at all, if the capacity for
-// held requests is used up, or if the model isn't expected to be ready before the request's deadline.
+// holdOrReply holds a request or replies with decision. A request that is already held stays held. For other requests, it
+// replies if Limits.HoldTimeout is 0, if the capacity for held requests is used up, or if the model isn't expected to be
+// ready before the request's deadline.
 func (t *Tracker) holdOrReply(m *model, r *request, now time.Time, decision Decision) {
 	switch {
 	case r.held:
@@ -120,8 +122,9 @@
 	}
 }
 
-// canHold reports whether one more request for a model may be held. The requests held for a model may not exceed the
-// capacity that is still free, so a burst for one model leaves capacity for others (dynamic threshold).
+// canHold reports whether one more request for a model may be held. The model must have fewer held requests than the
+// tracker has free places for held requests. A burst of requests for one model thus leaves places for other models
+// (dynamic threshold).
 func (t *Tracker) canHold(m *model) bool { return m.heldRequests() < t.limits.MaxHeld-t.heldCount }
 
 // sendDecision sends the decision on a request, unless the request is already decided or canceled.
@@ -146,7 +149,7 @@
 	waiting := m.waiting
 	m.waiting = nil
 	for _, r := range waiting {
-		t.decide(m, r, now)
+		t.decideOrHold(m, r, now)
 	}
 }
 
--- a/internal/activator/server.go
+++ b/internal/activator/server.go
@@ -21,7 +21,7 @@
 )
 
 // Serve runs a tracker and serves requests for models on the listener until ctx ends, and then returns nil. At most
-// maxConnections connections are open at a time; further ones wait until they are accepted.
+// maxConnections connections are open at a time; further connections wait to be accepted.
 func Serve(ctx context.Context, listener net.Listener, maxConnections int, tracker *Tracker, handler http.Handler,
 	log *slog.Logger) error {
 	var trackerRun sync.WaitGroup
--- a/internal/activator/target.go
+++ b/internal/activator/target.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// TargetHost and TargetModel are placeholders in the template of a target. They are replaced by the host of the model's
-// machine and by the model's name as it is in the request's path.
+// TargetHost and TargetModel are placeholders in the template of a target. TargetHost is replaced by the host of the
+// model's machine, and TargetModel by the model's name in the request's path.
 const (
 	TargetHost  = "{host}"
 	TargetModel = "{model}"
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -20,19 +20,23 @@
 
 // Timing configures when a Tracker sends requests to the leader.
 type Timing struct {
-	RetryPause       time.Duration // pause after the first undecided wake request; doubled after each further one, with jitter
-	RequestTimeout   time.Duration // of one request
+	// RetryPause is the pause after the first wake request without a usable response. The pause is doubled after each
+	// further such request, and has jitter.
+	RetryPause       time.Duration
+	RequestTimeout   time.Duration // timeout of one request
 	MaxResponseDelay time.Duration // how long the leader may delay a response while a model with waiting requests starts
 	UsageInterval    time.Duration // interval of usage reports; 0: none are sent
-	RepeatDemandFor  time.Duration // how long wake requests are repeated for undecided demand after its last request
-	ReportUnusedFor  time.Duration // how long an unused model stays in usage reports; longer than the idle window
+	// RepeatDemandFor is how long wake requests for a model are repeated after a request for this model, if the leader
+	// sends no usable response.
+	RepeatDemandFor time.Duration
+	ReportUnusedFor time.Duration // how long an unused model stays in usage reports; longer than the idle window
 }
 
-// Limits limit the requests that a Tracker holds and grants.
+// Limits holds the limits on the requests that a Tracker holds and grants.
 type Limits struct {
-	HoldTimeout   time.Duration // maximum time for which a request is held; 0: none is held
-	MaxHeld       int           // requests held at a time, for all models together
-	MaxConcurrent int           // requests in flight to one model at a time
+	HoldTimeout   time.Duration // maximum time for which a request is held; 0: no request is held
+	MaxHeld       int           // maximum number of requests held at a time, for all models together
+	MaxConcurrent int           // maximum number of requests in flight to one model at a time
 }
 
 const (
@@ -42,12 +46,12 @@
 	mailboxLength = 256
 )
 
-// Tracker decides on requests for models by the leader's latest responses, and holds requests for models that are
-// starting. It is an actor: the goroutine of Run owns its state, and other methods send messages to the mailbox. A
-// Tracker sends one wake request at a time for a model, however many requests wait for it.
+// Tracker decides on requests for models according to the leader's latest responses, and holds requests for models that
+// are starting. It is an actor: the goroutine of Run owns its state, and other methods send messages to the mailbox. A
+// Tracker sends one wake request at a time for a model, however many requests wait for the model.
 type Tracker struct {
 	leader      LeaderClient
-	pace        Timing
+	timing      Timing
 	limits      Limits
 	rand        *rand.Rand
 	mailbox     chan message
@@ -56,12 +60,12 @@
 
 	started      time.Time
 	models       map[string]*model
-	heldCount    int    // requests held, for all models together
+	heldCount    int    // number of requests held, for all models together
 	usageSerial  uint64 // serial number of the latest usage report
 	usagePending bool   // a usage report is in flight
 }
 
-// Outcome is the kind of a decision on a request.
+// Outcome is the outcome of a decision on a request.
 type Outcome int
 
 // The outcomes.
@@ -72,18 +76,18 @@
 	TimedOut                // the request was held until its deadline
 )
 
-// Decision is the decision on a request and the reason for it.
+// Decision is the decision on a request, with the reason for the decision.
 type Decision struct {
 	Outcome    Outcome
 	Response   activation.WakeResponse // the leader's response that the decision is based on
-	RetryAfter time.Duration           // 0: unknown
+	RetryAfter time.Duration           // time after which the client may send the request again; 0: unknown
 	Reason     string
 }
 
 // NewTracker returns a Tracker. Acquire and AcquireBy block until Run is called. random must not be used elsewhere.
-func NewTracker(leader LeaderClient, pace Timing, limits Limits, random *rand.Rand) *Tracker {
+func NewTracker(leader LeaderClient, timing Timing, limits Limits, random *rand.Rand) *Tracker {
 	return &Tracker{
-		leader: leader, pace: pace, limits: limits, rand: random, started: time.Now(),
+		leader: leader, timing: timing, limits: limits, rand: random, started: time.Now(),
 		mailbox: make(chan message, mailboxLength), done: make(chan struct{}), models: make(map[string]*model),
 	}
 }
@@ -92,11 +96,11 @@
 func (t *Tracker) Run(ctx context.Context) {
 	defer t.leaderCalls.Wait()
 	defer close(t.done)
-	ticker := time.NewTicker(t.pace.RetryPause)
+	ticker := time.NewTicker(t.timing.RetryPause)
 	defer ticker.Stop()
 	var usageTicks <-chan time.Time
-	if t.pace.UsageInterval > 0 {
-		usageTicker := time.NewTicker(t.pace.UsageInterval)
+	if t.timing.UsageInterval > 0 {
+		usageTicker := time.NewTicker(t.timing.UsageInterval)
 		defer usageTicker.Stop()
 		usageTicks = usageTicker.C
 	}
@@ -130,8 +134,8 @@
 	}
 }
 
-// tick times out held requests, repeats wake requests for models with waiting requests or undecided demand, and removes
-// the state of models that are no longer used.
+// tick replies to held requests whose deadline has passed, and removes the state of models that are no longer used. It
+// repeats wake requests for models with waiting requests, and until model.demandUntil also for others.
 func (t *Tracker) tick(ctx context.Context, now time.Time) {
 	for name, m := range t.models {
 		t.timeOutHeldRequests(m, now)
@@ -141,7 +145,7 @@
 			if !now.Before(m.retryAt) {
 				t.sendWake(ctx, name, m, now)
 			}
-		case m.canBeRemoved(now, t.pace.ReportUnusedFor):
+		case m.canBeRemoved(now, t.timing.ReportUnusedFor):
 			delete(t.models, name)
 		}
 	}
--- a/internal/activator/usage.go
+++ b/internal/activator/usage.go
@@ -16,7 +16,7 @@
 	t.usagePending = true
 	report := t.usageReport(now)
 	t.leaderCalls.Go(func() {
-		requestCtx, cancel := context.WithTimeout(ctx, t.pace.RequestTimeout)
+		requestCtx, cancel := context.WithTimeout(ctx, t.timing.RequestTimeout)
 		defer cancel()
 		t.post(ctx, usageResponseMsg{t.leader.ReportUsage(requestCtx, report)})
 	})
@@ -34,8 +34,8 @@
 	return report
 }
 
-// handleUsageResponse invalidates the latest wake responses for the models that the leader drains. The next usage report
-// acknowledges the drains.
+// handleUsageResponse handles the leader's drain orders. It invalidates the latest wake response for each model that the
+// leader drains. The next usage report acknowledges the drains.
 func (t *Tracker) handleUsageResponse(response activation.UsageResponse, now time.Time) {
 	t.usagePending = false
 	if response.Verdict != activation.VerdictKnown {
--- a/internal/archive/append.go
+++ b/internal/archive/append.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// minAppendChanges is the change budget that an append requires: a full page is split into two pages.
+// minAppendChanges is the number of changes that the write limit must allow for an append, because a full
+// page is split into two pages.
 const minAppendChanges = 2
 
-// Archive archives some of the entries, which must be sorted by number: those that belong to the page
-// with the most of them. It returns the numbers of the jobs that are now durably archived, and none
-// while the change budget is too small. It fails with ErrBusy, ErrIncomplete or ErrLeadershipLost, or
-// with the error of the write; the caller may then pass the same entries again.
+// Archive adds some of the entries to one page of the archive: the page that most of the entries belong
+// to. The entries must be sorted by number. Archive returns the numbers of the jobs that are now durably
+// archived. While the write limit allows too few changes, it returns no numbers and no error. It fails
+// with ErrBusy, ErrIncomplete or ErrLeadershipLost, or with the error of the write; the caller may then
+// pass the same entries again.
 func (a *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	replies := make(chan reply[[]JobNumber], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
@@ -21,7 +23,7 @@
 	})
 }
 
-// archiveLargestGroup archives the entries that belong to the page with the most of them.
+// archiveLargestGroup adds entries to the page that most of the entries belong to.
 func (a *Archiver) archiveLargestGroup(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	if !a.indexIsExact() {
 		return nil, ErrIncomplete
@@ -46,8 +48,8 @@
 			pageKey(page.Upper)))
 		return nil, nil
 	}
-	// The page is written even if it already has all of the entries: the new version makes late writes
-	// that are guarded by the current version fail.
+	// The page is written even if it already has all of the entries, because the write gives the page a
+	// new version. Late writes that are guarded by the present version then fail.
 	a.writeLimiter.AllowN(time.Now(), len(pages))
 	if err := a.replacePages(ctx, replacement{old: old, pages: pages}); err != nil {
 		return nil, err
--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// writeRateShare and readRateShare are the archive's shares of the store's change rate and request
-	// rate. They are small because the journal has priority.
+	// writeRateShare is the share of the store's limit on the rate of changes that the archive may use,
+	// and readRateShare is its share of the limit on the rate of requests. The shares are small because
+	// the journal has priority.
 	writeRateShare = 0.05
 	readRateShare  = 0.05
-	// minBurst is the smallest burst of the rate limiters. It allows splitting a page in one
-	// transaction at any rate.
+	// minBurst is the smallest burst of the rate limiters. It allows a page to be split in one
+	// transaction, however low the rate is.
 	minBurst = 4
 	// queueSize is how many requests may wait for the Archiver's goroutine. While the queue is full,
-	// requests with a reply fail with ErrBusy, and the start and end of a term wait.
+	// BeginTerm and EndTerm block, and all other methods that queue a request fail with ErrBusy.
 	queueSize = 64
 )
 
@@ -28,7 +29,7 @@
 var (
 	// ErrBusy means that there are too many requests. They may be retried later.
 	ErrBusy = errors.New("too many questions to the archive")
-	// ErrIncomplete means that this controller's copies of pages may be outdated.
+	// ErrIncomplete means that this controller's copies of pages may be missing or outdated.
 	ErrIncomplete = errors.New("the archive's pages aren't all read yet")
 	// ErrLeadershipLost means that another controller is the leader.
 	ErrLeadershipLost = errors.New("another controller is the leader")
@@ -37,8 +38,8 @@
 // Settings configures an Archiver.
 type Settings struct {
 	RefreshInterval time.Duration // how often a follower reads the changes of pages
-	RequestTimeout  time.Duration // of one request to the store
-	MemoryBytes     int           // limit of the packed pages held in memory
+	RequestTimeout  time.Duration // timeout of one request to the store
+	MemoryBytes     int           // maximum total size of the packed pages in memory
 	Follow          bool          // also hold pages while another controller is the leader
 }
 
@@ -65,9 +66,9 @@
 
 	leadership      *Leadership // nil: this controller is not the leader
 	refreshedAt     time.Time   // when all pages or their changes were last read
-	refreshRevision uint64      // revision of the store up to which changes were applied
-	loadState       *fullLoad   // the load in progress; nil: none
-	nextRefresh     time.Time   // zero: none is scheduled
+	refreshRevision uint64      // revision of the store up to which changes were applied to the index
+	loadState       *fullLoad   // progress of the full load; nil: no full load is in progress
+	nextRefresh     time.Time   // time of the next refresh; zero: none is scheduled
 	lastLoggedError string      // message of the last error that was logged
 }
 
@@ -86,8 +87,8 @@
 	}
 }
 
-// Run serves requests and refreshes the index until ctx ends. While another controller is the leader,
-// it sends no requests to the store unless Settings.Follow is set.
+// Run serves requests and refreshes the index until ctx ends. While another controller is the leader, the
+// Archiver sends requests to the store only if Settings.Follow is set.
 func (a *Archiver) Run(ctx context.Context) {
 	if a.settings.Follow {
 		a.nextRefresh = time.Now()
@@ -121,7 +122,7 @@
 	})
 }
 
-// EndTerm ends a term, unless a later one has started.
+// EndTerm ends a term. It has no effect if a later term has started.
 func (a *Archiver) EndTerm(ctx context.Context, term uint64) {
 	a.enqueue(ctx, func(context.Context) { a.endTerm(term) })
 }
@@ -136,7 +137,7 @@
 	}
 }
 
-// enqueue queues a request without a reply. It blocks while the queue is full.
+// enqueue queues a request and doesn't wait until the request is served. It blocks while the queue is full.
 func (a *Archiver) enqueue(ctx context.Context, r request) {
 	select {
 	case a.requests <- r:
@@ -144,7 +145,7 @@
 	}
 }
 
-// reply is the result of a request.
+// reply holds the result of a request, or the error with which it failed.
 type reply[T any] struct {
 	value T
 	err   error
@@ -173,7 +174,7 @@
 	return context.WithTimeout(ctx, a.settings.RequestTimeout)
 }
 
-// applyLimits applies the store's current limits to the rate limiters and returns them.
+// applyLimits sets the rate limiters according to the store's current limits, and returns these limits.
 func (a *Archiver) applyLimits() storage.Limits {
 	l := a.limits.Limits()
 	a.readLimiter.SetLimit(rate.Limit(l.RequestsPerS * readRateShare))
@@ -181,7 +182,8 @@
 	return l
 }
 
-// indexIsExact reports whether this controller is the leader and the whole index is exact for its term.
+// indexIsExact reports whether this controller is the leader and the whole index is exact for its term. If
+// so, a job that is in none of the pages is certainly not archived.
 func (a *Archiver) indexIsExact() bool {
 	return a.leadership != nil && a.Index.ExactFor(a.leadership.Term)
 }
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -10,7 +10,7 @@
 
 // The lookup statuses.
 const (
-	Unknown LookupStatus = iota // the job's page isn't in memory, or is known to be damaged, and has to be read
+	Unknown LookupStatus = iota // the job's page has to be read: it isn't in memory, or its copy is damaged
 	Found                       // the job is archived; its final state never changes
 	Absent                      // the job wasn't in its page when the page was read
 	Damaged                     // the job's page can't be decoded
@@ -20,24 +20,24 @@
 type Result struct {
 	Status     LookupStatus
 	FinalState FinalState // if Found
-	Term       uint64     // if Absent: the leader's term for which that is exact; 0: none
+	Term       uint64     // if Absent: the leader's term for which the absence is certain; 0: for no term
 	Key        string     // if Damaged: key of the page
 }
 
-// Index holds the pages in memory, and evicts the entries of some when they exceed its size limit. It
-// may be read from any goroutine; only its Archiver changes it.
+// Index holds the pages in memory. When the packed pages exceed the size limit, it evicts the entries of
+// some pages. An Index may be read from any goroutine; only its Archiver changes it.
 type Index struct {
 	current   atomic.Pointer[snapshot]
 	maxBytes  int
-	bytes     int
+	bytes     int // total size of the packed pages in memory
 	clockHand int // position of the page that the eviction scan visited last
 }
 
 // snapshot is an immutable state of the index. Each update replaces it as a whole.
 type snapshot struct {
 	pages    []*cachedPage // sorted by upper end
-	complete bool          // includes all pages that existed at some revision of the store
-	term     uint64        // leader's term for which the whole snapshot is exact; 0: none
+	complete bool          // all pages have been read from the store since the index was created
+	term     uint64        // leader's term for which the whole snapshot is exact, see the package comment; 0: none
 }
 
 // NewIndex returns an empty index that holds at most maxBytes bytes of packed pages.
@@ -56,18 +56,19 @@
 	case len(s.pages) == 0 && s.complete:
 		return Result{Status: Absent, Term: s.term}
 	case i == len(s.pages):
-		return Result{} // the last page is missing; the index may still be complete
+		return Result{} // the last page is missing, in the index or also in the store
 	case s.pages[i].damaged, s.pages[i].evicted, number <= s.pages[i].lower:
 		return Result{}
 	}
 	return s.pages[i].lookup(number, s.term)
 }
 
-// ExactFor reports whether the whole index is exact for a leader's term.
+// ExactFor reports whether the whole index is exact for a leader's term, so that the leader of this term can
+// conclude from it that a job isn't archived.
 func (x *Index) ExactFor(term uint64) bool { return x.current.Load().term == term }
 
-// update applies f to a copy of the snapshot, evicts entries beyond the size limit, and publishes the
-// copy.
+// update applies f to a copy of the snapshot, evicts entries if the copy exceeds the size limit, and
+// publishes the copy.
 func (x *Index) update(f func(s *snapshot)) {
 	next := *x.current.Load()
 	next.pages = slices.Clone(next.pages)
@@ -80,7 +81,8 @@
 	x.current.Store(&next)
 }
 
-// put adds or replaces pages, except those of which the index has a later version.
+// put adds pages to the index, or replaces the index's copies of them. It leaves out a page if the index
+// already has a later version of the page.
 func (x *Index) put(pages []*cachedPage) {
 	x.update(func(s *snapshot) {
 		for _, p := range pages {
@@ -95,16 +97,17 @@
 	})
 }
 
-// remove removes a page that was deleted from the store at a revision, unless the index has a version
-// of the page that isn't older than that.
+// remove removes a page that was deleted from the store at the given revision. It has no effect if the
+// index has a version of the page that was written at this revision or later.
 func (x *Index) remove(upper JobNumber, revision uint64) {
 	x.update(func(s *snapshot) {
 		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return p.upper == upper && p.version < revision })
 	})
 }
 
-// evict drops the entries of pages that weren't used recently until the rest fits the size limit. It
-// uses the CLOCK algorithm: it visits the pages in turn and keeps those used since its last visit.
+// evict drops the entries of pages that weren't used recently, until the remaining entries fit the size
+// limit. It uses the CLOCK algorithm: it visits the pages in turn, and keeps the entries of a page that
+// was used since the last visit.
 func (x *Index) evict(s *snapshot) {
 	for steps := 2 * len(s.pages); x.bytes > x.maxBytes && steps > 0; steps-- {
 		x.clockHand = (x.clockHand + 1) % len(s.pages)
@@ -119,8 +122,8 @@
 
 // Stats are statistics of an index.
 type Stats struct {
-	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs excludes those in damaged pages
-	Complete                             bool // includes all pages that existed at some revision of the store
+	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs excludes the jobs in damaged pages
+	Complete                             bool // all pages have been read from the store since the index was created
 }
 
 // Stats returns the index's current statistics.
--- a/internal/archive/packed_page.go
+++ b/internal/archive/packed_page.go
@@ -9,11 +9,15 @@
 	"slices"
 )
 
-// A page is stored as base64 text. The packed bytes are a header (one byte for the format, the lower end
-// of the range, the number of entries), the entries, and a little-endian CRC-32C checksum of the key and
-// all bytes before. An entry is the difference between its job number and the previous one (the lower
-// end for the first entry), and one number that combines the count of done tasks with a flag for
-// cancellation: see packState. The numbers of the header and the entries are varints.
+// A page is stored as base64 text. The packed bytes are, in this order:
+//
+//   - the header: one byte for the format, the lower end of the range, and the number of entries
+//   - the entries, sorted by job number
+//   - the CRC-32C checksum of the page's key and all bytes before the checksum, in little-endian order
+//
+// An entry consists of two numbers. The first is the difference between the job's number and the number
+// of the previous entry; for the first entry, it is the difference from the lower end. The second is the
+// final state, packed by packState. These numbers and those in the header are varints.
 const (
 	pageFormat    = 1
 	checksumBytes = 4
@@ -21,8 +25,8 @@
 	maxEntryBytes = 2 * binary.MaxVarintLen64
 	// maxOverheadBytes is the maximum size of a page's header and checksum.
 	maxOverheadBytes = 1 + 2*binary.MaxVarintLen64 + checksumBytes
-	// maxTasks is the largest number of done tasks that is accepted, far above the protocol's limit of
-	// tasks in a job.
+	// maxTasks is the largest number of done tasks that is accepted in an entry. It is far above the
+	// protocol's limit on the number of tasks in a job.
 	maxTasks = 1 << 32
 )
 
@@ -156,9 +160,9 @@
 	return nil
 }
 
-// forEachEntry calls f for the entries in order until f returns false, and returns how many bytes follow
-// the last entry that it decoded. It also stops at an entry that is invalid, out of order or outside
-// the page's range.
+// forEachEntry calls f for the entries in order. It stops when f returns false, and at an entry that is
+// invalid, out of order or outside the page's range. It returns how many bytes follow the last entry that
+// was decoded.
 func (p *packedPage) forEachEntry(f func(Entry) bool) (rest int) {
 	entries := skipHeader(p.body())
 	number := p.lower
@@ -190,7 +194,7 @@
 	return body
 }
 
-// find returns the final state of a job, and whether the page has the job.
+// find returns the final state of a job, and whether the job is in the page.
 func (p *packedPage) find(number JobNumber) (final FinalState, found bool) {
 	p.forEachEntry(func(e Entry) bool {
 		if e.Number == number {
--- a/internal/archive/page.go
+++ b/internal/archive/page.go
@@ -2,18 +2,19 @@
 
 import "sagevale/internal/storage"
 
-// FinalState is the final state of a job.
+// FinalState describes how a job ended.
 type FinalState struct {
-	Cancelled bool // otherwise the job is done
+	Cancelled bool // whether the job was cancelled; otherwise it is done
 	Done      int  // number of done tasks
 }
 
-// FinalStateOf returns the final state of a job from its final phase and its number of done tasks.
+// FinalStateOf returns the final state of a job in the given final phase with the given number of done
+// tasks.
 func FinalStateOf(phase storage.Phase, done int) FinalState {
 	return FinalState{Cancelled: phase == storage.PhaseCancelled, Done: done}
 }
 
-// Phase returns the final phase of the job.
+// Phase returns the phase that the journal records for a job with this final state.
 func (f FinalState) Phase() storage.Phase {
 	if f.Cancelled {
 		return storage.PhaseCancelled
--- a/internal/archive/page_key.go
+++ b/internal/archive/page_key.go
@@ -29,7 +29,8 @@
 	return JobNumber(upper), nil
 }
 
-// DamagedError reports that a stored page can't be decoded. The jobs in it are then unknown.
+// DamagedError reports that a stored page can't be used. The final states of the jobs in the page are then
+// unknown.
 type DamagedError struct {
 	Key    string
 	Reason string
--- a/internal/archive/page_split.go
+++ b/internal/archive/page_split.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// valueShare is the share of the store's value limit that a page may use.
+	// valueShare is the share of the store's limit on the size of a value that a page may use.
 	valueShare = 0.9
-	// splitFillShare is the share of the maximum page size that each part of a split page fills. The
-	// rest is headroom for later entries.
+	// splitFillShare is the share of the maximum page size that each part of a split page should fill.
+	// The remaining share is headroom for later entries.
 	splitFillShare = 0.6
-	// txnBytes limits the values of one transaction. It is below the protocol's limit of 64 KiB.
+	// txnBytes limits the total size of the values in one transaction. It is below the protocol's limit
+	// of 64 KiB.
 	txnBytes = 56 << 10
 )
 
@@ -22,22 +23,23 @@
 	return int(float64(limits.ValueBytes)*valueShare)/4*3 - 2
 }
 
-// maxParts returns how many pages one transaction may write within a budget of changes.
+// maxParts returns how many pages one transaction may write if at most the given number of changes is
+// allowed.
 func maxParts(limits *storage.Limits, changes int) int {
 	return max(1, min(limits.TxnOps, changes, txnBytes/max(1, limits.ValueBytes)))
 }
 
-// addEntries adds as many of the entries to a page as fit into partLimit parts of at most pageBytes each,
-// and returns the parts and the remaining entries. A job that is already in the page keeps its state.
-// The entries must be sorted by number and in the page's range.
+// addEntries adds entries to a page, and splits the page into at most partLimit parts of at most pageBytes
+// bytes each. It returns the parts and the entries that don't fit. A job that is already in the page keeps
+// its state. The entries must be sorted by number and lie in the page's range.
 func addEntries(p *Page, entries []Entry, pageBytes, partLimit int) (pages []Page, rest []Entry) {
 	added := countFitting(p, entries, pageBytes, partLimit)
 	whole := Page{Lower: p.Lower, Upper: p.Upper, Entries: mergeEntries(p.Entries, entries[:added])}
 	return splitPage(whole, pageBytes), entries[added:]
 }
 
-// countFitting returns how many of the entries are certain to fit if the page is split into at most
-// partLimit parts of at most pageBytes each.
+// countFitting returns how many of the entries, counted from the first one, are certain to fit if the page
+// is split into at most partLimit parts of at most pageBytes bytes each.
 func countFitting(p *Page, entries []Entry, pageBytes, partLimit int) (count int) {
 	size, maxSize := packedSize(p), pageBytes
 	if partLimit > 1 {
@@ -45,9 +47,9 @@
 	}
 	previous := p.Lower
 	for i := range entries {
-		// This never underestimates the growth. Inserting an entry doesn't lengthen the next one. The
-		// new entry is measured from the previous new one, which is at least as far away as the entry
-		// that precedes it in the merged page.
+		// The sum never underestimates the size of the merged page. Inserting an entry doesn't lengthen
+		// the entry after it. The size of the new entry depends on the distance to the entry before it.
+		// The distance used here, to the previous new entry, is at least the one in the merged page.
 		size += entryBytes(previous, &entries[i])
 		if size > maxSize {
 			break
@@ -58,7 +60,8 @@
 	return count
 }
 
-// mergeEntries returns a page's present entries with others added. Present entries aren't replaced.
+// mergeEntries returns the present entries of a page together with the added ones. If a job is in both, its
+// present entry is kept.
 func mergeEntries(present, added []Entry) []Entry {
 	merged := slices.Clone(present)
 	for i := range added {
@@ -83,13 +86,13 @@
 	return size
 }
 
-// targetPartBytes returns the target size of the entries in one part of a split page.
+// targetPartBytes returns the target size of the packed entries in one part of a split page, in bytes.
 func targetPartBytes(pageBytes int) int {
 	return max(maxEntryBytes, int(float64(pageBytes)*splitFillShare)-maxOverheadBytes)
 }
 
-// splitPage splits a page evenly into parts of at most pageBytes each. A page that is small enough isn't
-// split.
+// splitPage splits a page into parts of about the same size, at most pageBytes bytes each. A page that is
+// small enough isn't split.
 func splitPage(p Page, pageBytes int) []Page {
 	size := packedSize(&p)
 	if size <= pageBytes || len(p.Entries) < 2 {
@@ -112,8 +115,8 @@
 	return append(parts, part)
 }
 
-// lastNumber returns the number from which the next entry of a page is measured: that of the last entry,
-// or the lower end if there are no entries.
+// lastNumber returns the job number of the last entry, or the lower end if the page has no entries. An
+// entry that is appended to the page is packed as the difference from this number.
 func (p *Page) lastNumber() JobNumber {
 	if n := len(p.Entries); n > 0 {
 		return p.Entries[n-1].Number
@@ -121,8 +124,8 @@
 	return p.Lower
 }
 
-// Build returns the operations that write an archive of the entries, which must be sorted by number, to
-// a store without an archive. Tools and tests use it to prepare a store.
+// Build returns the operations that write an archive of the entries to a store without an archive. The
+// entries must be sorted by number. Tools and tests use Build to prepare a store.
 func Build(entries []Entry, limits *storage.Limits) ([]storage.Op, error) {
 	var ops []storage.Op
 	for _, page := range splitPage(Page{Upper: LastJobNumber, Entries: entries}, maxPageBytes(limits)) {
--- a/internal/archive/page_writer.go
+++ b/internal/archive/page_writer.go
@@ -9,23 +9,24 @@
 	"sagevale/internal/storage"
 )
 
-// replacement describes stored pages and the new pages that replace them and cover the same range.
+// replacement describes one or two stored pages, and the new pages that replace them and cover the same
+// range.
 type replacement struct {
 	old      *cachedPage // nil: the archive has no pages yet
 	absorbed *cachedPage // another page to delete because the new pages also cover its range; nil: none
 	pages    []Page      // empty: the old page was the only one, and the archive is left without pages
 }
 
-// transaction is a guarded transaction with the pages to put into the index once it is applied.
+// transaction is a guarded transaction of the store.
 type transaction struct {
 	guards  []storage.Guard
 	ops     []storage.Op
-	written []*cachedPage
+	written []*cachedPage // pages to put into the index once the transaction is applied
 }
 
 // replacePages writes a replacement in one transaction that is guarded by the leadership key and by the
-// versions of all pages that it touches. A write without a response may be applied, even late or twice;
-// the index is then invalidated.
+// versions of all pages that it touches. If the store doesn't respond, the write may still be applied,
+// late or twice. replacePages then invalidates the index.
 func (a *Archiver) replacePages(ctx context.Context, r replacement) error {
 	txn, err := r.transaction(a.leadership)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return txn, nil
 }
 
-// addPage adds a page to the transaction. A guard requires that the page's key doesn't exist yet, unless
-// it is the key of the old page.
+// addPage adds a page to the transaction. Unless the page has the same key as the old page, a guard requires
+// that its key doesn't exist yet.
 func (r *replacement) addPage(txn *transaction, page *Page, term uint64) error {
 	key := pageKey(page.Upper)
 	if r.old == nil || key != r.old.key {
@@ -90,9 +91,10 @@
 	return nil
 }
 
-// handleWriteError handles the error of a write and returns it wrapped, or ErrLeadershipLost. It
-// invalidates the index unless the store refused the write, because the write may have been applied or
-// conflicted with pages that are newer than the index.
+// handleWriteError handles the error of a write. If another controller is the leader, it returns
+// ErrLeadershipLost; otherwise it returns the error wrapped. It invalidates the index unless the store
+// refused the write, because the write may have been applied, or the stored pages may be newer than those
+// in the index.
 func (a *Archiver) handleWriteError(err error) error {
 	var conflict *storage.ConflictError
 	switch {
@@ -108,9 +110,9 @@
 	return fmt.Errorf("archive not written: %w", err)
 }
 
-// pageWithEntries decodes a page of the index. If its entries were evicted, the page is read from the
-// store. If held is nil because the archive has no pages yet, it returns an empty page that covers all
-// numbers.
+// pageWithEntries decodes a page of the index. If the page's entries were evicted, pageWithEntries reads
+// the page from the store. If held is nil because the archive has no pages yet, it returns an empty page
+// that covers all numbers.
 func (a *Archiver) pageWithEntries(ctx context.Context, held *cachedPage) (Page, error) {
 	if held == nil {
 		return Page{Upper: LastJobNumber}, nil
--- a/internal/archive/read.go
+++ b/internal/archive/read.go
@@ -2,8 +2,9 @@
 
 import "context"
 
-// Read looks up a job and, if necessary, reads its page from the store first. It fails with ErrBusy at
-// once if there are too many requests, and with ErrIncomplete if the store has no page for the job.
+// Read looks up a job. If this controller is the leader and the index doesn't give a certain answer, Read
+// looks up the job in its stored page. Read fails with ErrBusy at once if there are too many requests, and
+// with ErrIncomplete if the store has no page for the job.
 func (a *Archiver) Read(ctx context.Context, number JobNumber) (Result, error) {
 	replies := make(chan reply[Result], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
@@ -13,8 +14,8 @@
 	})
 }
 
-// read looks up a job. The leader reads the job's page from the store, unless the job is found in memory
-// or its absence is exact for the present term.
+// read looks up a job in the index. The leader then reads the job's page from the store, unless the job was
+// found in the index or its absence is certain for the current term.
 func (a *Archiver) read(ctx context.Context, number JobNumber) (Result, error) {
 	held := a.Index.Lookup(number)
 	if a.leadership == nil || held.Status == Found || held.Status == Absent && held.Term == a.leadership.Term {
@@ -31,7 +32,7 @@
 func (a *Archiver) readPage(ctx context.Context, number JobNumber) (Result, error) {
 	ctx, cancel := a.withTimeout(ctx)
 	defer cancel()
-	// This lists the first page whose upper end isn't below the number.
+	// This lists the first page whose upper end is at least the number.
 	items, _, _, err := a.store.List(ctx, pagePrefix, pageKey(number-1), 1)
 	if err != nil {
 		return Result{}, err
@@ -43,7 +44,7 @@
 	pages := a.decodePages(items, a.leadership.Term)
 	a.Index.put(pages)
 	if len(pages) == 0 || pages[0].damaged || number <= pages[0].lower {
-		return Result{Status: Damaged, Key: items[0].Key}, nil // in the last case the page before this one is missing
+		return Result{Status: Damaged, Key: items[0].Key}, nil // number <= lower: the page before this one is missing
 	}
 	return pages[0].lookup(number, 0), nil
 }
--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// maxListedPages is the protocol's limit of the items that one request lists.
+	// maxListedPages is the protocol's limit on the number of items that one request lists.
 	maxListedPages = 1000
-	// refreshPauseFactor is the minimum pause after a step of a refresh, as a multiple of the step's
-	// duration.
+	// refreshPauseFactor is the minimum pause after a call of refresh, as a multiple of the duration of
+	// that call.
 	refreshPauseFactor = 10
-	// maxMissedRefreshes is the number of refresh intervals without a refresh after which the Archiver
-	// loads all pages again. The changes since the last refresh could then be larger than all pages.
+	// maxMissedRefreshes is the time without a completed refresh after which the Archiver reads all
+	// pages again, in refresh intervals. The changes since the last refresh could then be larger than
+	// all pages.
 	maxMissedRefreshes = 8
 )
 
-// fullLoad is the progress of reading all pages, which takes several steps.
+// fullLoad is the progress of a full load, which reads all pages with several requests.
 type fullLoad struct {
 	cursor   string             // key of the last page that was read; empty: none was read
-	revision uint64             // of the store when the load began
+	revision uint64             // revision of the store when the load began
 	seen     map[JobNumber]bool // upper ends of the pages that were read
 }
 
-// refresh performs one step of updating the index: it reads the next pages of a load, or the changes
-// since the last refresh. It then schedules the next step, if one is necessary.
+// refresh brings the index closer to the store. During a full load, it reads the next pages; otherwise it
+// reads the changes since the last refresh. It then schedules the next refresh, if one is necessary.
 func (a *Archiver) refresh(ctx context.Context) {
 	began := time.Now()
 	if a.loadState == nil && a.isStale(began) {
@@ -58,13 +59,13 @@
 	a.nextRefresh = time.Now().Add(pause)
 }
 
-// isStale reports whether the index is so outdated that all pages have to be loaded again.
+// isStale reports whether the index is so outdated that all pages have to be read again.
 func (a *Archiver) isStale(now time.Time) bool {
 	return !a.indexIsExact() && now.Sub(a.refreshedAt) > maxMissedRefreshes*a.settings.RefreshInterval
 }
 
-// loadNextPages reads the next pages of a load. The refreshes after the load read the changes that were
-// made since it began.
+// loadNextPages reads the next pages of a full load. The refreshes after the load read the changes that
+// were made since the load began.
 func (a *Archiver) loadNextPages(ctx context.Context) error {
 	if a.loadState == nil {
 		a.loadState = &fullLoad{}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// finishLoad ends a load, and removes the pages from the index that the load didn't read.
+// finishLoad ends a full load. It removes each page from the index that wasn't read by the load.
 func (a *Archiver) finishLoad() {
 	a.Index.update(func(s *snapshot) {
 		s.pages = slices.DeleteFunc(s.pages, func(p *cachedPage) bool { return !a.loadState.seen[p.upper] })
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// decodePages decodes stored items. It logs damage, and omits items whose key isn't a page key.
+// decodePages decodes stored items. term is the term for which the pages are exact, or 0. decodePages logs
+// damaged items, and omits items whose key isn't a page key.
 func (a *Archiver) decodePages(items []storage.Item, term uint64) []*cachedPage {
 	pages := make([]*cachedPage, 0, len(items))
 	for _, item := range items {
--- a/internal/archive/stored.go
+++ b/internal/archive/stored.go
@@ -37,8 +37,8 @@
 	return stored, nil
 }
 
-// add adds a page to the summary. lower is the upper end of the page before it, at which the page's
-// range must begin. add returns the upper end of this page.
+// add adds a page to the summary. lower is the upper end of the previous page, which must be the lower end
+// of this page. add returns the upper end of this page.
 func (s *StoredSummary) add(item storage.Item, lower JobNumber) (upper JobNumber) {
 	s.Pages++
 	s.Bytes += len(item.Key) + len(item.Data)
--- a/internal/archive/withdrawal.go
+++ b/internal/archive/withdrawal.go
@@ -10,7 +10,8 @@
 // continues with the remaining pages.
 
 // Count returns how many jobs are archived, and counts each damaged page as one job. It includes all
-// jobs that were archived before the call. It fails with ErrIncomplete unless the index is exact.
+// jobs that were archived before the call. It fails with ErrIncomplete unless this controller is the
+// leader and the index is exact for its term (see the package comment).
 func (a *Archiver) Count(ctx context.Context) (int, error) {
 	return callIfExact(ctx, a, func(context.Context) (int, error) {
 		stats := a.Index.Stats()
@@ -19,7 +20,7 @@
 }
 
 // FirstPage returns the first page, or a Page with Upper 0 if the archive has no pages. It fails with
-// ErrIncomplete unless the index is exact, and with a DamagedError if the page can't be decoded.
+// ErrIncomplete under the same conditions as Count, and with a DamagedError if the page can't be decoded.
 func (a *Archiver) FirstPage(ctx context.Context) (Page, error) {
 	return callIfExact(ctx, a, a.firstPage)
 }
@@ -35,10 +36,10 @@
 	return a.pageWithEntries(ctx, pages[0])
 }
 
-// DropFirstPage removes the first page if its upper end is upper. The page's jobs must be durable
-// elsewhere. The next page is extended over the range of the removed one, so that the ranges have no
-// gap. While the change budget is too small, DropFirstPage does nothing and returns nil; the caller
-// has to call FirstPage again to see whether the page is removed.
+// DropFirstPage removes the first page if the upper end of this page is upper. The page's jobs must be
+// durable elsewhere. The next page is extended over the range of the removed page, so that the ranges have
+// no gap. While the write limit allows too few changes, DropFirstPage does nothing and returns nil; the
+// caller has to call FirstPage again to see whether the page was removed.
 func (a *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
 	_, err := callIfExact(ctx, a, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, a.dropFirstPage(ctx, upper)
@@ -70,8 +71,8 @@
 	return a.replacePages(ctx, replacement{old: pages[1], absorbed: pages[0], pages: splitPage(next, maxPageBytes(&limits))})
 }
 
-// callIfExact calls f in the Archiver's goroutine. It fails with ErrIncomplete unless the index is exact
-// at that time.
+// callIfExact calls f in the Archiver's goroutine. If the index isn't exact for the current term at that
+// time, it fails with ErrIncomplete instead.
 func callIfExact[T any](ctx context.Context, a *Archiver, f func(context.Context) (T, error)) (T, error) {
 	replies := make(chan reply[T], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
