--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -154,7 +154,7 @@
 		r.Abandoned = true
 		return r, Stop
 	case r.State == Draining && r.timeInState(now) > p.DrainTimeout:
-		return r.cancelDrain(now) // the model is still in use
+		return r.cancelDrain(now) // the drain may never complete while the model is in use
 	}
 	return r, NoAction
 }
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -65,7 +65,7 @@
 	usagePending bool   // a usage report is in flight
 }
 
-// Outcome is the outcome of a decision on a request.
+// Outcome classifies the decision on a request.
 type Outcome int
 
 // The outcomes.
--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -37,7 +37,7 @@
 
 // Settings configures an Archiver.
 type Settings struct {
-	RefreshInterval time.Duration // how often a follower reads the changes of pages
+	RefreshInterval time.Duration // interval at which a follower reads the changes of pages; see Follow
 	RequestTimeout  time.Duration // timeout of one request to the store
 	MemoryBytes     int           // maximum total size of the packed pages in memory
 	Follow          bool          // also hold pages while another controller is the leader
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Stats are statistics of an index.
+// Stats holds the numbers of jobs and pages in an index, and the total size of the packed pages in memory.
 type Stats struct {
 	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs excludes the jobs in damaged pages
 	Complete                             bool // all pages have been read from the store since the index was created
--- a/internal/archive/job_number.go
+++ b/internal/archive/job_number.go
@@ -9,7 +9,7 @@
 // longer ones, and IDs of the same length are in numerical order.
 type JobNumber uint64
 
-// The protocol's limits of the number of digits in a job ID.
+// The protocol's limits on the number of digits in a job ID.
 const (
 	minDigits = 6
 	maxDigits = 18
--- a/internal/archive/page_split.go
+++ b/internal/archive/page_split.go
@@ -29,9 +29,10 @@
 	return max(1, min(limits.TxnOps, changes, txnBytes/max(1, limits.ValueBytes)))
 }
 
-// addEntries adds entries to a page, and splits the page into at most partLimit parts of at most pageBytes
-// bytes each. It returns the parts and the entries that don't fit. A job that is already in the page keeps
-// its state. The entries must be sorted by number and lie in the page's range.
+// addEntries adds entries to a page and splits the page into parts of at most pageBytes bytes each. It adds
+// entries in order, as long as they are certain to fit into partLimit parts, and returns the parts and the
+// entries that weren't added. A job that is already in the page keeps its state. The entries must be sorted
+// by number and lie in the page's range.
 func addEntries(p *Page, entries []Entry, pageBytes, partLimit int) (pages []Page, rest []Entry) {
 	added := countFitting(p, entries, pageBytes, partLimit)
 	whole := Page{Lower: p.Lower, Upper: p.Upper, Entries: mergeEntries(p.Entries, entries[:added])}
--- a/internal/upgrade/doc.go
+++ b/internal/upgrade/doc.go
@@ -5,7 +5,7 @@
 // functions of this package:
 //
 //   - Once every controller supports a version, the leader activates the version and opens the feature
-//     gates that it adds.
+//     gates that this version adds.
 //   - When a controller is rolled back to an older version, the leader withdraws the gates that this
 //     controller lacks and lowers the active version.
 //   - When the operators' policy allows it, the leader finalizes the active version. Controllers of lower
--- a/internal/upgrade/gate.go
+++ b/internal/upgrade/gate.go
@@ -35,14 +35,14 @@
 type Gate struct {
 	Name      GateName
 	Since     Version    // first version that supports the feature
-	DependsOn []GateName // gates that must be open before this one may be opened
+	DependsOn []GateName // gates that must be open before this gate may be opened
 }
 
 // GateList lists the gates that a program supports. Each gate comes after the gates that it depends on.
 type GateList []Gate
 
-// Gates lists the gates of this program. FencedTerm is listed since the baseline version, because it is
-// opened only when every controller registers, and every version that registers supports it.
+// Gates lists the gates of this program. FencedTerm needs no version above the baseline: it is opened only
+// when every controller registers, and every version that registers supports it.
 var Gates = GateList{
 	{Name: FencedTerm, Since: Baseline},
 	{Name: CompressedChunks, Since: Version2},
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -27,7 +27,7 @@
 type Record struct {
 	Schema int     `json:"schema"`
 	Active Version `json:"active"`
-	// Minimum is the finalized version. Controllers of lower versions are refused. 0: none is finalized.
+	// Minimum is the finalized version. Controllers of lower versions are refused. 0: no version is finalized.
 	Minimum Version                `json:"minimum,omitempty"`
 	Phase   Phase                  `json:"phase"`
 	Gates   map[GateName]GateState `json:"gates,omitempty"`
@@ -45,7 +45,7 @@
 // recordFields lists the JSON names of the Record fields that this program defines.
 var recordFields = FieldNames(Record{})
 
-// Initial returns the record that applies while none is stored.
+// Initial returns the record that applies while no record is stored.
 func Initial() Record { return Record{Schema: recordSchema, Active: Baseline, Phase: Stable} }
 
 // Gate returns the state of a gate, or the zero value if the gate is closed.
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -23,7 +23,7 @@
 
 // Policy holds the operators' settings for upgrades.
 type Policy struct {
-	Hold         bool          // activate no further version
+	Hold         bool          // activate and finalize no further version
 	Target       Version       // the highest version to activate; 0: no limit
 	AutoFinalize bool          // finalize the active version after the soak time
 	Soak         time.Duration // how long a version must be active before it is finalized
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -77,8 +77,9 @@
 }
 
 // commonVersion returns the lowest of the maximum versions of the members, and the node with this maximum.
-// Members whose versions are unknown are left out; without any others, it returns the active version. The
-// result is never below the finalized version, because controllers of lower versions are refused.
+// Members whose versions are unknown are left out. If there are no other members, it returns the active
+// version. The result is never below the finalized version, because controllers of lower versions are
+// refused.
 func (s *Situation) commonVersion() (node string, version Version) {
 	node, version, ok := oldestMember(s.Members)
 	if !ok {
