--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -13,8 +13,8 @@
 // DefaultSettings returns this program's settings with a policy that finalizes no version.
 func DefaultSettings() Settings { return Settings{Versions: Supported, KnownGates: Gates} }
 
-// CappedAt returns the settings limited to a maximum version, as if an earlier program of that version
-// were running that registers.
+// CappedAt returns the settings limited to a maximum version. The process then behaves like a program of
+// that version, except that it registers even if that version doesn't.
 func (s Settings) CappedAt(version Version) Settings {
 	s.Versions.Max = min(s.Versions.Max, version)
 	s.KnownGates = s.KnownGates.UpTo(version)
@@ -23,7 +23,7 @@
 
 // Policy holds the operators' settings for upgrades.
 type Policy struct {
-	Hold         bool          // activate no further version
+	Hold         bool          // activate and finalize no further version
 	Target       Version       // the highest version to activate; 0: no limit
 	AutoFinalize bool          // finalize the active version after the soak time
 	Soak         time.Duration // how long a version must be active before it is finalized
