--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -9,8 +9,8 @@
 )
 
 // DriftBound is the largest factor by which two monotonic clocks, such as a worker's and a controller's, may
-// differ over the same interval. A duration measured by another clock ends at the latest after the duration
-// times DriftBound, and at the earliest after the duration divided by it.
+// differ over the same interval. While another clock measures a duration d, this process's clock measures at
+// least d/DriftBound and at most d*DriftBound.
 const DriftBound = 1.002
 
 // Scale returns d multiplied by factor.
@@ -35,7 +35,7 @@
 	}
 }
 
-// AtomicTime is a point in time that one goroutine publishes to others. The zero value holds none.
+// AtomicTime is a point in time that one goroutine publishes to others. The zero value holds no point in time.
 type AtomicTime struct{ at atomic.Pointer[time.Time] }
 
 // Set publishes now as the point in time.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,7 +21,7 @@
 	Zone       string
 	Spot       bool
 	State      State
-	AgeSeconds float64 // time since the launch request, at the time that the list shows
+	AgeSeconds float64 // time from the launch request to the list's own timestamp
 }
 
 // Errors of cloud calls.
--- a/internal/cloud/offering.go
+++ b/internal/cloud/offering.go
@@ -1,6 +1,6 @@
 package cloud
 
-// Offering is a combination of machine type, zone and market (spot or on-demand) in which machines are launched.
+// Offering describes machines that can be launched: their type, their zone, and whether they are spot machines.
 type Offering struct {
 	Type string
 	Zone string
--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -1,13 +1,13 @@
 package fencing
 
-// MaxRetained is the maximum number of ended attempts that a worker may have to retain. At that number
-// no attempt is started by a direct command, so that the worker's heartbeat stays well below the limit
-// of 64 KiB on a request.
+// MaxRetained is the maximum number of ended attempts that a worker may have to retain. While a worker
+// must retain that many, no attempt is started on it by a direct command. The worker's heartbeat, which
+// lists the retained attempts, thus stays well below the limit of 64 KiB on a request.
 const MaxRetained = 256
 
-// forcedRaiseWindows is the number of windows of retained attempts at which the token is raised even
-// while direct commands are unanswered. The worker rejects those commands if they arrive after it has
-// seen the raised token.
+// forcedRaiseWindows is a multiple of the window of RaiseIfDue. While direct commands are unanswered, the
+// token is raised only once the worker must retain that many windows of attempts. The worker rejects the
+// unanswered commands if they arrive after it has seen the raised token.
 const forcedRaiseWindows = 2
 
 // Fence is a leader's view of one worker's fencing token and of the ended attempts, each identified
@@ -27,9 +27,9 @@
 // Token returns the fencing token that commands to the worker must carry.
 func (f *Fence[K]) Token() uint64 { return f.token }
 
-// ObserveToken records the token in a heartbeat, which must be newer than all heartbeats before it.
-// The worker no longer carries out commands with lower tokens, so attempts that only those could start
-// need not be retained any more.
+// ObserveToken records the token that a heartbeat contains. The heartbeat must be newer than all
+// heartbeats observed before. The worker no longer carries out commands with lower tokens, so it need
+// not retain attempts any more that only such commands could start.
 func (f *Fence[K]) ObserveToken(token uint64) {
 	if token <= f.observed {
 		return
@@ -45,8 +45,9 @@
 	}
 }
 
-// Retain makes the worker retain an ended attempt for as long as the direct command that started it
-// can be carried out again. startToken is the token of that command.
+// Retain records that the worker must retain an ended attempt. The worker must do so for as long as it
+// may still carry out another copy of the direct command that started the attempt. startToken is the
+// token of that command.
 func (f *Fence[K]) Retain(attempt K, startToken uint64) {
 	if startToken >= f.observed {
 		f.retained[attempt] = startToken
@@ -66,15 +67,16 @@
 func (f *Fence[K]) Full() bool { return len(f.retained) >= MaxRetained }
 
 // IncarnationEnded drops all retained attempts. It must be called when the worker has begun a later
-// incarnation, in which it rejects commands for earlier ones.
+// incarnation, because the worker then rejects commands for its earlier incarnations.
 func (f *Fence[K]) IncarnationEnded() { clear(f.retained) }
 
 // Exhausted reports whether the term has no higher token for the worker.
 func (f *Fence[K]) Exhausted() bool { return f.token == f.tokens.Last }
 
-// RaiseIfDue raises the token if a raise is due, and reports whether it did. A raise is due once the
-// worker must retain at least window attempts, or forcedRaiseWindows times as many while direct commands
-// are unanswered. The token is raised only after a heartbeat has shown the current one.
+// RaiseIfDue raises the token if a raise is due and possible, and reports whether it has done so. A raise
+// is due once the worker must retain at least window attempts. While direct commands are unanswered, it
+// is due only at forcedRaiseWindows times as many attempts. A raise is possible only once a heartbeat has
+// contained the current token, and only while the term has a higher token.
 func (f *Fence[K]) RaiseIfDue(window int, commandsUnanswered bool) bool {
 	due := len(f.retained) >= window && (!commandsUnanswered || len(f.retained) >= forcedRaiseWindows*window)
 	if !due || f.observed < f.token || f.Exhausted() {
--- a/internal/fencing/tokens.go
+++ b/internal/fencing/tokens.go
@@ -1,16 +1,19 @@
 // Package fencing decides which fencing token the commands to each worker carry, and which ended
 // attempts the worker must retain.
 //
-// A worker carries out a direct command unless it has seen a higher token or begun a later
-// incarnation. Commands may be delayed by minutes and may be repeated. A worker must therefore retain
-// an ended attempt while a copy of the command that started it can still be carried out, because the
-// copy would start the attempt again. To bound the number of retained attempts, a fence raises the
-// worker's token: once a newer heartbeat of the worker shows the raised token, commands with lower
-// tokens can't be carried out any more, and attempts that only those could start need not be retained.
+// Direct commands are sent to a worker on their own, not in the response to a heartbeat. A worker
+// carries out a direct command unless it has seen a higher token or begun a later incarnation. Direct
+// commands may be delayed by minutes and may be repeated. A worker must therefore retain an ended
+// attempt while it may still carry out another copy of the command that started the attempt, because
+// the copy would start the attempt again.
 //
-// Each leader has a range of tokens of its own, reserved by the transaction in which it acquires
-// leadership, and the next leader's range begins above it. Raising a token within the range
-// therefore needs no write.
+// To bound the number of retained attempts, a Fence raises the worker's token. Once a heartbeat of the
+// worker contains the raised token, the worker no longer carries out commands with lower tokens.
+// Attempts that only such commands could start need not be retained any more.
+//
+// Each leader has a range of tokens of its own. The transaction that acquires leadership also reserves
+// this range, and the next leader's range begins above it. Raising a token within the range therefore
+// needs no write.
 //
 // The package does no input or output.
 package fencing
@@ -18,8 +21,9 @@
 import "math"
 
 // TokensPerTerm is the number of tokens in the range of one term of leadership. With one raise per
-// worker lease of 20 s they last for two weeks. After that a worker's attempts are started only by
-// the responses to its heartbeats, which are never carried out late.
+// worker lease of 20 s they last for two weeks. Once a worker has the last token, its attempts are
+// started only by the responses to its heartbeats, because a worker never carries out commands in
+// such a response late.
 const TokensPerTerm = 1 << 16
 
 // LastTerm is the highest number that a term may have. The attempt numbers of a term start at the
--- a/internal/leadership/cluster_record.go
+++ b/internal/leadership/cluster_record.go
@@ -15,16 +15,18 @@
 	UpgradePrefix      = "upgrade/"
 	ClusterKey         = UpgradePrefix + "cluster"  // the cluster record: active version and gates
 	RegistrationPrefix = UpgradePrefix + "node/"    // each controller's registration
-	SessionPrefix      = UpgradePrefix + "session/" // per controller; attached to a lease that its process renews
+	SessionPrefix      = UpgradePrefix + "session/" // each controller's session, on a lease that the controller's process renews
 )
 
-// ClusterRecord is the cluster record with the version of its key. Version 0 means that none is stored.
+// ClusterRecord is the cluster record with the version of its key. Version 0 means that no cluster record
+// is stored.
 type ClusterRecord struct {
 	Record  upgrade.Record
 	Version uint64
 }
 
-// ReadClusterRecord reads the cluster record. If none is stored, it returns upgrade.Initial with version 0.
+// ReadClusterRecord reads the cluster record. If there is no stored record, it returns upgrade.Initial with
+// version 0.
 func ReadClusterRecord(ctx context.Context, store storage.KeyValueStore) (ClusterRecord, error) {
 	item, err := store.Get(ctx, ClusterKey)
 	if errors.Is(err, storage.ErrNotFound) {
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -30,7 +30,7 @@
 const (
 	// LeaderKey holds a LeaderRecord and is attached to the leader's lease.
 	LeaderKey = "lead"
-	// TermKey holds an upgrade.Term: the last fencing token of the latest term.
+	// TermKey holds an upgrade.Term, whose number is the last fencing token of the latest term.
 	TermKey = "term"
 )
 
@@ -38,16 +38,17 @@
 	// RenewalsPerLease is the number of times that a leader renews its lease within the lease's time to
 	// live.
 	RenewalsPerLease = 5
-	// retriesPerLease is the number of times that a follower checks again for a leader within that time.
+	// retriesPerLease is the number of times that a controller without leadership retries a failed
+	// request, or competes again, within the lease's time to live.
 	retriesPerLease = 4 * RenewalsPerLease
 	// watchLeases is the duration of one watch of the leader's key, as a multiple of the lease's time to
 	// live.
 	watchLeases = 4
-	// standDownLeases is how long a leader that stands down doesn't compete again, as a multiple of the
-	// lease's time to live.
+	// standDownLeases is how long a controller doesn't compete for leadership after it has stood down,
+	// as a multiple of the lease's time to live.
 	standDownLeases = 4
-	// resignationQueue is the capacity of the resignation channel. It has room for the resignations of
-	// one term, which come from the term's actors and from the end of the term.
+	// resignationQueue is the capacity of the resignation channel. It has room for all resignations of
+	// one term: those that the term's actors send, and the one that is sent when the term has ended.
 	resignationQueue = 4
 )
 
@@ -58,9 +59,9 @@
 	Term    uint64 `json:"t"`
 }
 
-// Peers is the part of the links to the other controllers that an election needs.
+// Peers is what an election needs from the connections to the other controllers.
 type Peers interface {
-	// Ping requests the named controller's status. An error means that no answer came.
+	// Ping requests the named controller's status. It returns an error if no response arrives.
 	Ping(ctx context.Context, name string) (peer.Status, error)
 	// KnownLeader returns the leader with the latest term that any reachable peer has reported, and
 	// that term. Term 0 means that no peer has reported a leader.
@@ -167,8 +168,9 @@
 	return nil
 }
 
-// logNotAcquired logs why leadership was not acquired. A problem that operators must solve, damaged
-// stored data or a gate that this process can't read, is logged at level error, and only once in a row.
+// logNotAcquired logs why leadership was not acquired. Operators must solve two of the problems: damaged
+// stored data, and a gate that this process can't read. These are logged at level error, and only once
+// if the same error repeats.
 func (e *Election) logNotAcquired(err error) {
 	var damaged *upgrade.DamagedError
 	var unreadable *upgrade.UnreadableGateError
@@ -200,10 +202,12 @@
 	clock.Sleep(ctx, e.settings.Tuning.LeaderLease/retriesPerLease)
 }
 
-// followLeader waits for the end of another controller's leadership. If the leader record names this
-// controller, its lease is revoked at once. The record then belongs to an earlier process, which must
-// have ended because this one runs in its place, or to this process, if the answer to the transaction
-// that acquired leadership was lost.
+// followLeader publishes which controller leads, and waits until the leader record changes.
+//
+// If the leader record names this controller, followLeader revokes the record's lease instead. In that
+// case an earlier process of this controller may have written the record; that process must have ended,
+// because this process runs in its place. Or this process itself has written the record, but the response
+// to the transaction that acquired leadership was lost.
 func (e *Election) followLeader(ctx context.Context, item storage.Item) {
 	var record LeaderRecord
 	if err := json.Unmarshal(item.Data, &record); err != nil {
@@ -222,7 +226,8 @@
 	e.awaitLeaderChange(ctx, item.Version)
 }
 
-// awaitLeaderChange waits until LeaderKey has changed after a version. It returns early if the watch fails.
+// awaitLeaderChange waits until LeaderKey has another version than the given one. It returns early if the
+// watch fails.
 func (e *Election) awaitLeaderChange(ctx context.Context, version uint64) {
 	hold := watchLeases * e.settings.Tuning.LeaderLease
 	for ctx.Err() == nil {
@@ -265,8 +270,8 @@
 	if err != nil {
 		return ClusterRecord{}, err
 	}
-	// The zero policy leaves out the operators' target version. An active version above the target
-	// refuses a process at startup, but must not end a process that already serves.
+	// The zero policy leaves out the target version that operators have set. If the active version is
+	// above the target, a process may not start, but a process that already runs must not stop.
 	upgradeSettings := &e.settings.Tuning.Upgrade
 	if err := upgrade.Admit(cluster.Record, upgradeSettings.Versions, upgrade.Policy{}); err != nil {
 		return ClusterRecord{}, err
@@ -297,8 +302,8 @@
 	term.Number, term.Fence = tokens.Last, cluster.Record.Fence
 	version, err := e.writeLeader(callCtx, &held, term, termVersion)
 	if err != nil {
-		// The transaction may have been committed if its answer was lost, or may still be committed
-		// late. Revoking the lease deletes the key in the first case and makes the transaction fail in
+		// The transaction may have been committed, if the response was lost, or may still be committed
+		// later. Revoking the lease deletes the key in the first case and makes the transaction fail in
 		// the second.
 		if revokeErr := e.revokeLease(ctx, held.id); revokeErr != nil {
 			e.log.Debug("lease revocation failed", "error", revokeErr)
@@ -306,8 +311,8 @@
 		return fmt.Errorf("acquire leadership: %w", err)
 	}
 	held.guard = storage.Guard{Key: LeaderKey, Version: version}
-	// This contact shows peers that this process may have led, even if the term ends at once: see
-	// PeersConfirmNoLeader.
+	// Record the contact, so that this controller's status shows peers that it may have led, even if
+	// the term ends at once: see PeersConfirmNoLeader.
 	e.markContact()
 	e.log.Info("leadership acquired", "term", held.term)
 	e.holdLeadership(ctx, held)
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -17,18 +17,18 @@
 
 const (
 	// sessionLeases is the time to live of a session, as a multiple of a worker's lease. A session only
-	// shows operators that the process is alive, so a long time to live suffices and its renewals cost
-	// next to nothing.
+	// shows operators that the process is alive. A long time to live is enough for that, and makes the
+	// cost of renewals negligible.
 	sessionLeases = 8
 	// renewalsPerSession is the number of times that a session is renewed within its time to live.
 	renewalsPerSession = 3
-	// registrationCalls is the number of consecutive calls to the key-value store in a registration.
+	// registrationCalls is the number of consecutive calls to the key-value store that register makes.
 	registrationCalls = 4
 )
 
-// Registrar is the actor that registers this process with the versions that it reads and writes. The
-// registration outlives the process: it stands for the controller's versions until another process of
-// the same controller replaces it.
+// Registrar is the actor that registers in the key-value store which versions of stored data this process
+// reads and writes. The registration remains valid for the controller after the process has ended, until
+// another process of the same controller replaces it.
 type Registrar struct {
 	store    storage.KeyValueStore
 	settings *config.Settings
@@ -36,7 +36,7 @@
 	log      *slog.Logger
 
 	registered atomic.Bool
-	version    uint64 // of this controller's registration key
+	version    uint64 // version of this controller's registration key
 	session    uint64 // the lease of the session; 0: none is granted
 	lastLogged string
 }
@@ -80,9 +80,11 @@
 }
 
 // register stores which versions this process supports, unless the cluster record refuses the process.
-// The transaction is guarded by the version of the cluster record, and an activation is guarded by the
-// registrations that it relies on. So this registration and an activation that relies on the earlier
-// one can't both succeed: the later of the two fails and reads the keys again.
+//
+// A registration must not succeed together with the activation of a version that relies on the
+// controller's earlier registration. The registration is therefore guarded by the version of the cluster
+// record, and the activation by the registrations that it relies on. The second of the two transactions
+// fails, and its sender reads the keys again.
 func (r *Registrar) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registrationCalls*r.settings.CallTimeout())
 	defer cancel()
@@ -120,7 +122,8 @@
 	return nil
 }
 
-// writeSession stores the session and, unless it is nil, the registration. It returns the new revision.
+// writeSession stores the session, and also the registration unless registration is nil. It returns the
+// revision of the transaction.
 func (r *Registrar) writeSession(ctx context.Context, guards []storage.Guard, registration *upgrade.Registration) (uint64, error) {
 	session, err := json.Marshal(r.process)
 	if err != nil {
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -18,9 +18,10 @@
 	reasonNoContact   = "key-value store unreachable for too long"
 )
 
-// holdLeadership renews the leadership lease until the term ends: the lease has expired, this leader
-// resigns, a peer reports a later term, or the key-value store has been unreachable for longer than
-// workers' leases may be renewed without it.
+// holdLeadership renews the leadership lease until the term ends. A term ends if ctx ends, if the lease
+// has expired, if this leader resigns, or if a peer reports a leader of a later term. It also ends if the
+// key-value store is unreachable for so long that this leader may no longer renew workers' leases: see
+// Role.RenewWorkersUntil.
 func (e *Election) holdLeadership(ctx context.Context, held heldLease) {
 	e.publish(e.roleOf(&held))
 	reason := reasonStopped
@@ -95,11 +96,14 @@
 	return ""
 }
 
-// PeersConfirmNoLeader reports whether all peers confirm that they can't have led since expiry, the
-// earliest time at which this controller's lease may have expired. A peer confirms this if its process
-// has run since before expiry, if the key-value store hasn't answered it since then, and if it reports
-// no later term than term. A peer that has restarted since doesn't have the state of its earlier
-// process, so it can't confirm, whatever else it reports.
+// PeersConfirmNoLeader reports whether all peers confirm that they can't have led since expiry. expiry is
+// the earliest time at which this controller's lease may have expired. A peer's status confirms this if
+// three conditions hold:
+//
+//   - The peer's process started before expiry. A process that started after expiry doesn't have the state
+//     of the peer's earlier process, so its status says nothing about that process.
+//   - The key-value store hasn't answered the peer since expiry.
+//   - The peer reports no term above the given one.
 func (e *Election) PeersConfirmNoLeader(ctx context.Context, term uint64, expiry time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
 	defer cancel()
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -36,9 +36,10 @@
 	term      uint64
 	guard     storage.Guard
 	cluster   ClusterRecord
-	renewedAt time.Time // when the last successful renewal, or else the grant, was sent
-	// confirmedAt is when the peers were last asked, and all of them confirmed that they can't have led
-	// since the lease may have expired; zero: never.
+	renewedAt time.Time // when the last successful renewal was sent; before the first renewal: when the grant was sent
+	// confirmedAt is when this controller last asked the peers and all of them confirmed that they can't
+	// have led since the lease may have expired: see PeersConfirmNoLeader. Zero: they have never confirmed
+	// this.
 	confirmedAt time.Time
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -8,8 +8,9 @@
 )
 
 // The values of Status.Version, by which processes of different versions show their peers what they support.
-// Processes of commit af96c21 report 2, and those of commit 3661d31 report none. The versions of stored data
-// that a process reads and writes are in its registration in the key-value store instead.
+// Processes of commit af96c21 report 2, and processes of commit 3661d31 report no version. These values don't
+// describe stored data: a process registers the versions of stored data that it reads and writes in the
+// key-value store.
 const (
 	// VersionRegistering is the lowest version whose processes register the versions that they read and
 	// write in the key-value store.
@@ -26,7 +27,7 @@
 type Status struct {
 	Uptime                time.Duration // since the controller's process started
 	SinceStoreContact     time.Duration // since the key-value store last answered the controller's election
-	Leader                string        // the leader, if the controller has read that from the store itself; "": none
+	Leader                string        // the leader, if the controller itself has read it from the key-value store; "": no leader
 	Term                  uint64
 	SinceHeartbeat        time.Duration // since the controller last received a worker's heartbeat; Uptime if never
 	SinceDelegatedRenewal time.Duration // since the controller last renewed a worker's lease by delegation; Uptime if never
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -2,9 +2,9 @@
 // running leader, but can reach the store, relays users' requests and workers' heartbeats this way: it writes its
 // latest batch of requests under one key prefix, and the leader writes the responses under another.
 //
-// For the leader a relay is only a slower path for requests, so the same rules hold as for others: heartbeats may
-// arrive late, and a worker's lease counts from the time at which its heartbeat is answered. Responses are written
-// under the guard of the leader's key, so a deposed leader can't store any.
+// For the leader a relay is only a slower path for requests, so the same rules apply to relayed requests as to others:
+// heartbeats may arrive late, and a worker's lease counts from the time at which the leader responds to the heartbeat.
+// Responses are written under the guard of the leader's key, so a deposed leader can't store any response.
 package relay
 
 import (
@@ -33,14 +33,15 @@
 const (
 	// BatchTimeout bounds the delivery of a batch, from the encoding of its requests to the arrival of its responses.
 	BatchTimeout = 2 * time.Second
-	// writeBudgetShare is the share of the key-value store's permitted changes per second that each writer of a
-	// relay may use.
+	// writeBudgetShare is the share of the key-value store's rate limit on changes that each writer may use. The
+	// writers are the Client of each follower and the Server of the leader.
 	writeBudgetShare = 0.1
 	// maxBatchRequests is the maximum number of requests in a batch.
 	maxBatchRequests = 192
 	// maxFragments is the maximum number of values that a batch is split into.
 	maxFragments = 4
-	// maxRequestBytes bounds the size of one request in a batch. The largest is the body of a user's request.
+	// maxRequestBytes bounds the size of one request in a batch. The largest requests are users' requests with their
+	// bodies.
 	maxRequestBytes = 64 << 10
 	// fragmentOverhead is the size of a value without the data of its fragment, in bytes.
 	fragmentOverhead = 64
@@ -52,7 +53,7 @@
 	return rate.NewLimiter(rate.Limit(changes), max(1, int(changes)))
 }
 
-// fragment is the value of one key of a batch. A batch is split over several keys if it exceeds one value.
+// fragment is the value of one key of a batch. A batch takes several keys if it is too large for one value.
 type fragment struct {
 	Process uint64 `json:"r"` // the process that sent the requests
 	Serial  uint64 `json:"s"`
@@ -60,8 +61,8 @@
 	Data    []byte `json:"d"`
 }
 
-// batchID identifies a batch. It distinguishes the batches of one sender, because a transaction that is committed
-// late stores an old batch among newer ones.
+// batchID identifies a batch. The process and the serial number distinguish the batches of one sender: a transaction
+// may be committed late and so store an old batch after a newer one.
 type batchID struct {
 	sender  string
 	process uint64
@@ -78,8 +79,8 @@
 	return encodeBatch(func(w io.Writer) error { return wire.EncodeRelayResponses(w, responses) }, process, serial, limits)
 }
 
-// encodeBatch compresses the output of encode and splits it into values within the store's limits. It returns nil
-// values and no error if that takes too many values.
+// encodeBatch compresses the output of encode and splits it into values within the store's limits. If the batch needs
+// too many values, it returns nil values and no error.
 func encodeBatch(encode func(io.Writer) error, process, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	var buf bytes.Buffer
 	compressor, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// collectBatches groups the fragments in changed keys by batch. It omits batches with missing fragments.
+// collectBatches decodes the fragments in the values of changed keys and groups them by batch. It omits batches with
+// missing fragments.
 func collectBatches(changes []storage.Item, prefix string) map[batchID][]fragment {
 	batches := make(map[batchID][]fragment)
 	for _, item := range changes {
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// queueSize is the maximum number of requests that wait for the next batch. It is about what a few batches
-	// can carry before the waiting callers time out. A request that finds the queue full isn't relayed: a
-	// heartbeat can then be answered by delegation at once, and others can be sent to another controller.
+	// queueSize is the maximum number of requests that wait for the next batch. It is about the number of requests
+	// that can be relayed, in a few batches, before their callers time out. While the queue is full, further requests
+	// aren't relayed. A heartbeat can then be answered by delegation at once, that is, by this controller in the
+	// leader's place. A user's request can be sent to another controller.
 	queueSize = 512
 	// gatherPerHeartbeat is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
 	gatherPerHeartbeat = 0.1
@@ -96,7 +97,7 @@
 	}
 }
 
-// Run sends batches until ctx ends. It sends each batch after the one before it was answered or has timed out.
+// Run sends batches until ctx ends. It sends the next batch once the current batch has been answered or has timed out.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		batch := c.gatherBatch(ctx)
@@ -144,7 +145,8 @@
 	return batch
 }
 
-// deliverBatch sends as much of a batch as fits, passes the responses to the callers, and returns the rest of the batch.
+// deliverBatch sends as many of the first requests of a batch as fit, and passes the responses to the callers. It returns
+// the remaining requests.
 func (c *Client) deliverBatch(ctx context.Context, batch []queuedRequest) []queuedRequest {
 	ctx, cancel := context.WithTimeout(ctx, BatchTimeout)
 	defer cancel()
@@ -158,7 +160,7 @@
 		}
 		copy(responses, got)
 	} else {
-		n = 1 // the first request doesn't fit even alone and gets no response
+		n = 1 // the first request doesn't fit even alone; its caller gets the zero response
 	}
 	for i, q := range batch[:n] {
 		q.reply <- responses[i]
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -19,7 +19,8 @@
 type Handler interface {
 	// HandleUserRequest executes a user's request and returns the response.
 	HandleUserRequest(ctx context.Context, req api.Request) api.Response
-	// HandleHeartbeats returns a response for each report, or nil if it doesn't decide on them.
+	// HandleHeartbeats returns a response to each report. It returns nil if it leaves the heartbeats undecided: see
+	// worker.HeartbeatResponse.
 	HandleHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
 }
 
@@ -74,7 +75,7 @@
 	return latest
 }
 
-// handleBatch answers a batch if it is its sender's latest.
+// handleBatch answers a batch if it is the latest batch of its sender.
 func (s *Server) handleBatch(ctx context.Context, id batchID, fragments []fragment) {
 	if !s.recordIfLatest(id) {
 		return
@@ -87,8 +88,9 @@
 	s.answerBatch(ctx, id, requests)
 }
 
-// recordIfLatest reports whether a batch is its sender's latest, and records it if so. An earlier batch must not be
-// executed: its sender no longer waits for the responses, and its reports may be old.
+// recordIfLatest reports whether a batch is the latest batch of its sender, and records the batch in that case. A batch
+// that is older than the recorded one must not be executed: its sender no longer waits for the responses, and its workers'
+// reports may be outdated.
 func (s *Server) recordIfLatest(id batchID) bool {
 	if last, ok := s.latest[id.sender]; ok && last.process == id.process && id.serial <= last.serial {
 		return false
--- a/internal/storage/chunk_encoder.go
+++ b/internal/storage/chunk_encoder.go
@@ -8,12 +8,13 @@
 	"io"
 )
 
-// Chunks are compressed once the key-value store has lowered its limits: records resemble each
-// other, and compressed commits need a third of the store operations. The first versions of the
-// program can't read compressed chunks: see Encoding.
+// The journal compresses new chunks once the key-value store has lowered its limits, if the
+// Encoding allows it. Records resemble each other and compress well: a commit then takes a third as
+// many store operations. The first versions of the program can't read compressed chunks: see
+// Encoding.
 
-// chunk is a journal entry: a list of records and their encoding, the value that the key-value
-// store holds under the chunk's key.
+// chunk is an entry of the journal. It holds a list of records, and their encoding as it is stored
+// under the chunk's key in the key-value store.
 type chunk struct {
 	records []Record
 	data    json.RawMessage
@@ -31,8 +32,8 @@
 	capacity        int  // maximum size of a chunk's value in bytes
 	compressChunks  bool // whether new chunks are compressed
 	compressor      compressor
-	commitRatio     compressionRatio // expected for the records of commits
-	compactionRatio compressionRatio // expected for the records that compaction moves, which are of other kinds
+	commitRatio     compressionRatio // expected for the records that a commit writes
+	compactionRatio compressionRatio // expected for the records that compaction moves; commits mostly write other kinds
 }
 
 func newChunkEncoder(capacity int) chunkEncoder {
@@ -106,8 +107,10 @@
 	return chunk{records[:n:n], data}, records[n:], nil
 }
 
-// adjustCommitRatio adjusts commitRatio according to the size of an encoded value. It raises the
-// ratio only if full is set, because other values ran out of records before the chunk was full.
+// adjustCommitRatio adjusts commitRatio according to the size of an encoded value. It lowers the
+// ratio if the value exceeds the capacity. It raises the ratio if full is set and the value takes
+// less than three quarters of the capacity. full means that there were enough records to fill the
+// chunk: if there are fewer, the value is small however the records compress.
 func (e *chunkEncoder) adjustCommitRatio(valueBytes int, full bool) {
 	switch {
 	case !e.compressChunks:
@@ -118,12 +121,13 @@
 	}
 }
 
-// compressionRatio is the expected size of uncompressed records divided by their compressed size.
+// compressionRatio is the expected ratio of the size of records before compression to their size
+// after it.
 type compressionRatio float64
 
 const (
 	initialRatio compressionRatio = 2
-	// minRatio is below the ratio of incompressible records, which base64 enlarges by a third.
+	// minRatio is below 0.75, the ratio of incompressible records: base64 enlarges them by a third.
 	minRatio compressionRatio = 0.7
 	maxRatio compressionRatio = 16
 )
@@ -173,11 +177,12 @@
 	return err
 }
 
-// maxDecompressedBytes limits the size of one decompressed chunk. A larger chunk is truncated, so
-// that it can't be decoded.
+// maxDecompressedBytes limits the size of one decompressed chunk. A larger chunk is truncated, and
+// decoding it fails.
 const maxDecompressedBytes = 1 << 20
 
-// decompress returns the JSON array of records of a chunk's value, which may be compressed.
+// decompress returns the JSON array of records that a chunk's value contains. The value may be
+// compressed or plain.
 func decompress(value json.RawMessage) ([]byte, error) {
 	if !isCompressed(value) {
 		return value, nil
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -5,30 +5,32 @@
 	"slices"
 )
 
-// Compaction removes old chunks, the oldest first: the transaction of a commit also writes the
-// live records of an old chunk again and deletes that chunk. A record is live if it is the
-// latest of its key and doesn't remove the entity.
+// Compaction removes old chunks, the oldest first. It is part of the transactions that write new
+// chunks: such a transaction also writes the live records of an old chunk again, and deletes the
+// old chunk. A record is live if it is the latest record of its key and doesn't remove the entity.
 
 const (
-	// Chunks are compacted while their number exceeds compactionFactor times the number that the
-	// live records need, plus compactionSlackChunks.
+	// Chunks in excess of compactionFactor*needed + compactionSlackChunks are compacted, where
+	// needed is the number of chunks that the live records would fill.
 	compactionFactor      = 2
 	compactionSlackChunks = 24
-	// forcedCompactionThreshold is the number of excess chunks that noticeably delays a failover.
-	// Beyond it each commit spends at least forcedCompactionChanges on compaction, although that
-	// delays the next commit.
+	// forcedCompactionThreshold is the number of excess chunks that noticeably delays a failover,
+	// because a new leader reads all chunks. While there are more, each commit spends at least
+	// forcedCompactionChanges on compaction, although that delays the next commit.
 	forcedCompactionThreshold = 4 * compactionSlackChunks
-	// forcedCompactionChanges are enough changes to write a new chunk and to delete an old one. A
-	// change is one operation of a transaction.
+	// forcedCompactionChanges is the number of changes that write one new chunk and delete one
+	// old chunk. A change is one operation of a transaction.
 	forcedCompactionChanges = 2
 )
 
-// errChunkTooLarge means that records compressed worse than expected.
+// errChunkTooLarge means that a chunk exceeds the value limit because its records compressed worse
+// than expected.
 var errChunkTooLarge = errors.New("chunk exceeds the value limit")
 
-// compact adds the live records of the oldest chunks to the chunks of a transaction, and
-// returns how many of the oldest chunks the same transaction may delete. If the live records of
-// an old chunk exceed the budget or the limits, it adds only some of them.
+// compact adds the live records of the oldest chunks to the chunks of a transaction. It returns
+// the new chunks of the transaction and how many of the oldest chunks the transaction may delete.
+// If the live records of an old chunk exceed the budget or the limits, compact adds only some of
+// them, and that chunk isn't deleted yet.
 func (j *Journal) compact(chunks []chunk) ([]chunk, int) {
 	excess, changes := j.compactionBudget()
 	if excess <= 0 || changes <= 0 {
@@ -70,7 +72,7 @@
 	chunks             []chunk
 	firstToEncode      int             // index of the first chunk that has to be encoded again
 	writtenKeys        map[string]bool // keys of the records that the transaction writes
-	totalBytes         int             // size of the encoded chunks plus that of the added records
+	totalBytes         int             // size of the commit's encoded chunks plus the size of the added records
 	txnOps             int             // puts and deletions of the transaction
 	changesLeft        int             // changes that compaction may still add
 	lastChunkBytesLeft int             // bytes of further records that are expected to fit into the last chunk
@@ -98,8 +100,8 @@
 	return c.journal.encoder.expectedRecordBytes(c.journal.encoder.compactionRatio)
 }
 
-// moveOldestChunks adds the live records of at most limit of the oldest chunks, and returns how
-// many chunks can be deleted.
+// moveOldestChunks adds the live records of the oldest chunks, up to limit chunks. It returns for
+// how many chunks it added all live records, so that these chunks can be deleted.
 func (c *compaction) moveOldestChunks(limit int) (deleted int) {
 	for deleted < limit {
 		live := c.journal.index.liveRecords(deleted, c.writtenKeys)
@@ -116,7 +118,8 @@
 	return c.changesLeft >= n && c.txnOps+n <= c.journal.limits.TxnOps
 }
 
-// addDeletion adds the deletion of a chunk, and reports whether the limits allowed it.
+// addDeletion counts the deletion of a chunk as a change of the transaction, unless the budget or
+// the operation limit doesn't allow it. It reports whether they allow it.
 func (c *compaction) addDeletion() bool {
 	if !c.canAddChanges(1) {
 		return false
@@ -130,7 +133,7 @@
 func (c *compaction) moveRecords(records []Record) bool {
 	for _, r := range records {
 		if !c.journal.allows(PlainWherePossible) && !c.journal.encoder.fitsInChunk(r) {
-			return false // the record would have to be split into fragments
+			return false // the record would have to be split into fragments, which the encoding doesn't allow
 		}
 		if !c.moveRecord(c.journal.splitLargeRecords([]Record{r})) {
 			return false
@@ -140,8 +143,8 @@
 	return true
 }
 
-// moveRecord adds one record, whole or as fragments, and reports whether the limits allowed it.
-// It adds either all of the record's fragments or none.
+// moveRecord adds one record, and reports whether the limits allowed it. fragments holds either the
+// whole record or all of its fragments; moveRecord adds all of them or none.
 func (c *compaction) moveRecord(fragments []Record) bool {
 	newChunks, bytes := c.spaceNeeded(fragments)
 	if newChunks > 0 && !c.canAddChanges(newChunks) || c.totalBytes+bytes > maxTxnBytes {
@@ -184,7 +187,7 @@
 }
 
 // encodeChangedChunks encodes the chunks that compaction has changed or added, and returns all
-// chunks. It fails with errChunkTooLarge if a chunk exceeds the value limit.
+// new chunks of the transaction. It fails with errChunkTooLarge if a chunk exceeds the value limit.
 func (c *compaction) encodeChangedChunks() ([]chunk, error) {
 	for i := c.firstToEncode; i < len(c.chunks); i++ {
 		data, err := c.journal.encoder.encode(c.chunks[i].records)
--- a/internal/storage/encoding.go
+++ b/internal/storage/encoding.go
@@ -8,15 +8,15 @@
 	"sagevale/internal/clock"
 )
 
-// Encoding limits the chunk formats that the journal may write. The first versions of the
-// program can't read compressed chunks or records in fragments, so a journal writes these only
-// once the feature gate upgrade.CompressedChunks allows it.
+// Encoding limits the chunk formats that the journal may write. A plain chunk is neither compressed
+// nor holds fragments of records. The first versions of the program can read only plain chunks, so
+// the journal writes other chunks only once the feature gate upgrade.CompressedChunks allows it.
 type Encoding int32
 
-// The encodings. Each also allows everything that the ones before it allow.
+// The encodings. Each encoding also allows everything that the encodings listed before it allow.
 const (
-	PlainOnly          Encoding = iota // plain chunks; the commit of a record that is too large for one waits
-	PlainWherePossible                 // plain chunks, except that records too large for one are written as fragments
+	PlainOnly          Encoding = iota // plain chunks; a record that is too large for a plain chunk can't be committed yet
+	PlainWherePossible                 // plain chunks, but a record that is too large for a plain chunk is written as fragments
 	AnyEncoding                        // compressed chunks and fragments
 )
 
@@ -48,14 +48,15 @@
 // EncodeChunk encodes records as the value of a plain chunk.
 func EncodeChunk(records []Record) (json.RawMessage, error) { return json.Marshal(records) }
 
-// IsEncoded reports whether a stored chunk is compressed, holds fragments or can't be decoded.
-// The first versions can't read such chunks.
+// IsEncoded reports whether a stored chunk is not plain: compressed, with fragments, or not decodable.
+// The first versions of the program can't read such chunks.
 func IsEncoded(value json.RawMessage) bool {
 	records, err := decodeChunk(value)
 	return err != nil || isEncoded(value, records)
 }
 
-// isEncoded reports whether a chunk with these decoded records is compressed or holds fragments.
+// isEncoded reports whether a chunk is not plain: compressed, or with fragments. value is the stored
+// value of the chunk, and records holds the records that were decoded from the value.
 func isEncoded(value json.RawMessage, records []Record) bool {
 	isFragment := func(r Record) bool { return r.fragment != nil }
 	return isCompressed(value) || slices.ContainsFunc(records, isFragment)
--- a/internal/storage/fragment.go
+++ b/internal/storage/fragment.go
@@ -6,32 +6,33 @@
 )
 
 // A record that is too large for one chunk is written as consecutive fragments, each of which
-// fits into one chunk. The record takes effect once its last fragment is written, and the index
-// assigns it to the chunk of its first fragment. Fragments whose first or last one is missing are
-// remnants of an unfinished commit or of a compaction that deleted older chunks. The reader
-// ignores them.
+// fits into one chunk. The record takes effect once its last fragment is written, and the journal
+// index assigns the record to the chunk of the first fragment. If the last fragment is missing, the
+// commit of the record wasn't finished. If the first fragment is missing, compaction has deleted
+// its chunk. The reader ignores the remaining fragments in both cases.
 //
 // The first versions of the program can't read fragments: see Encoding.
 
 // fragment is one part of a record's data.
 type fragment struct {
 	index, count int
-	tag          uint64 // identifies one write of one record: only its fragments have this tag
+	tag          uint64 // the same in all fragments of a record, but different each time that a record is split
 	data         []byte
 }
 
 const (
 	// fragmentOverheadBytes is the maximum size of an encoded fragment without its key and data.
 	fragmentOverheadBytes = 64
-	// minFragmentDataBytes is the minimum of data per fragment, so that a record with a long key
-	// can be split too.
+	// minFragmentDataBytes is the minimum size of a fragment's data. A long key may leave less
+	// room than that, or none, but its record must be split too.
 	minFragmentDataBytes = 16
 	// fragmentFields is the number of array elements of an encoded fragment: key, data, index,
 	// count and tag.
 	fragmentFields = 5
 )
 
-// splitRecord splits a record into fragments of at most maxBytes each when encoded.
+// splitRecord splits a record into fragments. Each takes at most maxBytes when encoded, unless the
+// record's key is so long that minFragmentDataBytes applies.
 func splitRecord(r Record, maxBytes int, tag uint64) []Record {
 	dataBytes := max(minFragmentDataBytes, (maxBytes-fragmentOverheadBytes-len(r.Key))*3/4) // base64 adds a third
 	count := (len(r.Data) + dataBytes - 1) / dataBytes
@@ -46,12 +47,13 @@
 // size returns an upper bound of the fragment's encoded size without its key.
 func (f *fragment) size() int { return fragmentOverheadBytes + (len(f.data)+2)/3*4 }
 
-// marshal encodes the fragment of the record with the given key.
+// marshal encodes the fragment. key is the key of its record.
 func (f *fragment) marshal(key string) ([]byte, error) {
 	return json.Marshal([]any{key, f.data, f.index, f.count, f.tag})
 }
 
-// unmarshalFragment decodes the fields of a fragment, which follow the record's key.
+// unmarshalFragment decodes a fragment from the array elements of an encoded fragment. The first
+// element is the record's key, which unmarshalFragment skips.
 func unmarshalFragment(fields []json.RawMessage) (*fragment, error) {
 	var f fragment
 	for i, target := range []any{&f.data, &f.index, &f.count, &f.tag} {
@@ -76,9 +78,10 @@
 	data       []byte
 }
 
-// add adds the fragment of a record from the chunk of the given number. Once the record is
-// complete, add returns its data and the number of the chunk of its first fragment. It ignores
-// fragments that are out of order or that have another tag.
+// add adds a fragment. chunk is the number of the chunk that holds the fragment. Once all fragments
+// of the record have been added, add returns the record's data and the number of the chunk that
+// holds the first fragment. add ignores a fragment that is out of order or whose tag differs from
+// that of the first fragment.
 func (a fragmentAssembler) add(chunk uint64, r Record) (e entity, complete bool) {
 	f := r.fragment
 	if f.index == 0 {
--- a/internal/storage/job_records.go
+++ b/internal/storage/job_records.go
@@ -40,7 +40,7 @@
 	DeadlineS   float64   `json:"d,omitempty"`
 }
 
-// Phase is the phase of a job's lifecycle, the durable part of its state.
+// Phase is the durable part of a job's lifecycle state: whether the job is open, done or cancelled.
 type Phase int
 
 // The phases of a job. PhaseDone and PhaseCancelled are final.
@@ -50,8 +50,8 @@
 	PhaseCancelled
 )
 
-// JobRecord is the durable record of a job. The record of a finished job without attempts has no
-// specification.
+// JobRecord is the durable record of a job. Once the job is done or cancelled and has no attempts
+// left, the record holds no specification.
 type JobRecord struct {
 	Phase       Phase `json:"f,omitempty"`
 	Tasks       int   `json:"n"`
@@ -69,7 +69,7 @@
 
 // TaskPageRecord holds the finished tasks and the attempts of one page of a job's tasks.
 type TaskPageRecord struct {
-	Done     []int           `json:"d,omitempty"` // ranges of finished tasks: first and last task of each in turn
+	Done     []int           `json:"d,omitempty"` // ranges of finished tasks: the first and the last task of each range
 	Attempts []AttemptRecord `json:"a,omitempty"`
 }
 
@@ -81,8 +81,8 @@
 	Incarnation uint64 `json:"r"` // incarnation of the machine's worker
 }
 
-// IsFinished reports whether a job record belongs to a finished job without attempts. It returns
-// an error if the record can't be decoded.
+// IsFinished reports whether r is the record of a job that is done or cancelled and has no attempts
+// left. It returns an error if the record can't be decoded.
 func IsFinished(r Record) (bool, error) {
 	var job JobRecord
 	if err := json.Unmarshal(r.Data, &job); err != nil {
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -41,7 +41,7 @@
 	index                journalIndex
 	encoder              chunkEncoder
 	nextChunkNumber      uint64 // number of the next chunk to write
-	previousChunkVersion uint64 // version of the chunk before the next one; 0: there is none
+	previousChunkVersion uint64 // version of the newest existing chunk; 0: no chunk exists
 	fragmentedRecords    uint64 // number of records that this journal has split into fragments
 
 	allowedEncoding   atomic.Int32 // holds an Encoding
--- a/internal/storage/journal_budget.go
+++ b/internal/storage/journal_budget.go
@@ -21,8 +21,8 @@
 	return usableValueShare * float64(j.limitTracker.Limits().ValueBytes)
 }
 
-// AvailableBytes returns how many bytes of uncompressed records the changes in the budget can write
-// now.
+// AvailableBytes returns how many bytes of uncompressed records the journal can write now with the
+// changes that its budget holds.
 func (j *Journal) AvailableBytes() int {
 	saved, _, _ := j.ChangeBudget()
 	return int(saved * j.BytesPerChange())
--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// journalIndex holds the latest state of each entity, by record key, and the number of the chunk
-// that holds it. Only the journal's goroutine may use it.
+// journalIndex is an index of the stored chunks. It holds the latest state of each entity, by record
+// key, with the number of the chunk that stores this state. Only the journal's goroutine may use it.
 type journalIndex struct {
 	entities  map[string]entity
 	liveBytes int            // total size of the keys and the data of all entities
@@ -24,15 +24,16 @@
 // indexedChunk describes a stored chunk of the journal.
 type indexedChunk struct {
 	number  uint64
-	keys    []string // keys of the records that the chunk holds whole or as first fragment
-	encoded bool     // compressed or with fragments: see Encoding
+	keys    []string // keys of the whole records and of the first fragments in the chunk
+	encoded bool     // not plain, that is, compressed or with fragments: see Encoding
 }
 
 func newJournalIndex() journalIndex {
 	return journalIndex{entities: make(map[string]entity), fragments: make(fragmentAssembler)}
 }
 
-// addChunk adds a chunk that is newer than all others. Its records replace those of older chunks.
+// addChunk adds a chunk that is newer than all others. Its records replace records of older chunks
+// with the same keys.
 func (x *journalIndex) addChunk(number uint64, records []Record, encoded bool) {
 	c := indexedChunk{number: number, encoded: encoded}
 	for _, r := range records {
@@ -82,8 +83,7 @@
 	return records
 }
 
-// liveRecords returns the records that are live in chunk n, counted from the oldest chunk, which
-// is 0. It omits the records whose keys are in rewritten.
+// liveRecords returns the live records of x.chunks[n], except those whose keys are in rewritten.
 func (x *journalIndex) liveRecords(n int, rewritten map[string]bool) []Record {
 	c := &x.chunks[n]
 	var records []Record
@@ -95,8 +95,8 @@
 	return records
 }
 
-// hasRecordLargerThan reports whether the record of some entity may need more than the given
-// number of bytes in a chunk.
+// hasRecordLargerThan reports whether any entity's record may take more than the given number of
+// bytes in a plain chunk.
 func (x *journalIndex) hasRecordLargerThan(bytes int) bool {
 	for key, e := range x.entities {
 		if r := (Record{Key: key, Data: e.data}); r.Size() > bytes {
@@ -106,7 +106,7 @@
 	return false
 }
 
-// encodedChunkCount returns how many chunks are compressed or hold fragments.
+// encodedChunkCount returns how many chunks are not plain.
 func (x *journalIndex) encodedChunkCount() int {
 	n := 0
 	for i := range x.chunks {
@@ -117,8 +117,8 @@
 	return n
 }
 
-// chunksUntilPlain returns how many of the oldest chunks have to be deleted until no chunk is
-// compressed or holds fragments.
+// chunksUntilPlain returns how many of the oldest chunks have to be deleted so that all remaining
+// chunks are plain.
 func (x *journalIndex) chunksUntilPlain() int {
 	for i, chunk := range slices.Backward(x.chunks) {
 		if chunk.encoded {
--- a/internal/storage/journal_reader.go
+++ b/internal/storage/journal_reader.go
@@ -14,8 +14,8 @@
 	chunkPrefix = "log/"
 	// listPageSize is the maximum number of chunks that one List request reads.
 	listPageSize = 1000
-	// listTimeoutMultiple is the timeout of a List request as a multiple of the request timeout,
-	// because its response is large.
+	// listTimeoutMultiple is the timeout of a List request, as a multiple of the request timeout.
+	// It is longer than the timeout of other requests because the response is large.
 	listTimeoutMultiple = 8
 )
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// listChunks reads the next page of chunks, with keys greater than after. It retries until the
-// store responds.
+// listChunks reads the next page of chunks, with keys greater than after. It retries while the
+// store refuses the request or doesn't respond.
 func (j *Journal) listChunks(ctx context.Context, after string) (items []Item, more bool, err error) {
 	for {
 		items, more, err = j.listChunksOnce(ctx, after)
--- a/internal/storage/journal_transaction.go
+++ b/internal/storage/journal_transaction.go
@@ -10,15 +10,17 @@
 	"sagevale/internal/clock"
 )
 
-// maxTimeoutMultiple limits the timeout of a transaction request, as a multiple of the request
-// timeout. Each retry has twice the timeout of the one before, because the store may be slow.
+// maxTimeoutMultiple is the maximum timeout of a transaction request, as a multiple of the request
+// timeout. Each retry doubles the timeout up to this maximum, because the store may be slow.
 const maxTimeoutMultiple = 16
 
-// transactionGuards returns the guards of the next transaction: the leadership key, the absence
-// of the transaction's first chunk, and the presence of the chunk before it at the version at
-// which it was written. If the store applies the transaction a second time, the guards fail: the
-// transaction's first chunk exists, or, if that chunk has been compacted away since, the chunk
-// before it no longer exists.
+// transactionGuards returns the guards of the next transaction. They require that the leadership key
+// has the version of this leader's term, that the transaction's first chunk doesn't exist, and that
+// the preceding chunk exists at the version at which it was written.
+//
+// These guards prevent the store from applying the transaction a second time. Then either the
+// transaction's first chunk still exists, or compaction has deleted it. In the latter case the
+// preceding chunk doesn't exist any more either, because compaction deletes older chunks first.
 func (j *Journal) transactionGuards() []Guard {
 	return []Guard{
 		j.leadership,
@@ -40,21 +42,21 @@
 	return ops
 }
 
-// pendingTransaction is a transaction whose outcome isn't known yet. Its first operation puts a
-// chunk that must not exist according to its guards.
+// pendingTransaction is a transaction whose outcome isn't known yet. Its first operation writes a
+// chunk, and its guards require that this chunk doesn't exist yet.
 type pendingTransaction struct {
 	guards          []Guard
 	ops             []Op
 	timeoutMultiple int  // timeout of the next request, as a multiple of the request timeout
-	mayBeApplied    bool // the outcome of an earlier request is unknown
+	mayBeApplied    bool // an earlier request with this transaction has an unknown outcome
 }
 
 func (t *pendingTransaction) firstChunkKey() string { return t.ops[0].Key }
 
-// commitTransaction sends a transaction until it is known to be applied, and returns its
-// revision, or until it is known that it can't be applied. If a request without a response was
-// applied, the guards of its retry fail because the first chunk exists; resolveConflict detects
-// that.
+// commitTransaction sends a transaction until it is known whether the transaction has been applied
+// or can't be applied any more. In the first case it returns the transaction's revision, otherwise
+// an error. The store may apply the transaction although no response arrives. The guards of the next
+// request then fail, because the first chunk exists; resolveConflict detects this case.
 func (j *Journal) commitTransaction(ctx context.Context, guards []Guard, ops []Op) (revision uint64, err error) {
 	t := &pendingTransaction{guards: guards, ops: ops, timeoutMultiple: 1}
 	for {
@@ -93,12 +95,13 @@
 	return j.store.Txn(ctx, t.guards, t.ops)
 }
 
-// resolveConflict determines why the guards of a transaction failed. If an earlier request of
-// the transaction may have been applied, resolveConflict reads the transaction's first chunk: if
-// it exists, that request was applied, and the chunk's version is returned. Otherwise this leader
-// may no longer write, usually because another controller leads, and the error is
-// ErrLeadershipLost. Any other error means that the chunk couldn't be read, so that the cause
-// isn't known yet.
+// resolveConflict determines why the guards of a transaction failed. It has three results:
+//
+//   - No error: an earlier request has applied the transaction, because the transaction's first
+//     chunk exists. The version of this chunk is returned.
+//   - ErrLeadershipLost: this leader may no longer write, usually because another controller leads.
+//     Either the guard of the leadership key failed, or no earlier request applied the transaction.
+//   - Any other error: the transaction's first chunk couldn't be read. The cause isn't known yet.
 func (j *Journal) resolveConflict(ctx context.Context, t *pendingTransaction, conflict *ConflictError) (version uint64, err error) {
 	if slices.Contains(conflict.Failed, j.leadership.Key) {
 		return 0, ErrLeadershipLost
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -62,13 +62,12 @@
 	return j.splitLargeRecords(records), nil
 }
 
-// fragmentTagBits is the number of low bits of a fragment's tag, which hold the count of the
-// records that were split in this term. The bits above them are the version of the leadership
-// key.
+// fragmentTagBits is the number of low bits of a fragment's tag. The low bits count the records that
+// were split in this term, and the high bits hold the version of the leadership key.
 const fragmentTagBits = 20
 
-// splitLargeRecords returns the records, and replaces each that is too large for a chunk by its
-// fragments.
+// splitLargeRecords returns the records in the same order. It replaces each record that is too large
+// for a chunk by the record's fragments.
 func (j *Journal) splitLargeRecords(records []Record) []Record {
 	out := records[:0:0]
 	for _, r := range records {
@@ -130,9 +129,9 @@
 	return nil
 }
 
-// ensurePreviousChunk writes the very first chunk of the journal if no chunk exists. No earlier
-// chunk can guard its transaction, so the store could apply it again after the chunk has been
-// compacted away. The chunk must therefore be empty.
+// ensurePreviousChunk writes an empty first chunk if the journal has no chunk. The transaction of the
+// first chunk can't be guarded by a preceding chunk. So the store could apply a late copy of this
+// transaction after compaction has deleted the chunk. That does no harm if the chunk is empty.
 func (j *Journal) ensurePreviousChunk(ctx context.Context) error {
 	if j.previousChunkVersion != 0 {
 		return nil
--- a/internal/storage/key_value_store.go
+++ b/internal/storage/key_value_store.go
@@ -26,9 +26,10 @@
 	Renew(ctx context.Context, lease uint64) error
 	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease uint64) error
-	// Watch waits until a key with the prefix has changed after the given revision, at most for
-	// maxWait, and returns the changes. A deleted key is returned without data. Watch returns
-	// ErrCompacted if the store no longer keeps all changes after that revision.
+	// Watch returns the changes of keys with the prefix that are newer than the revision after. If
+	// there are none, it waits for one, for at most maxWait. A deleted key is returned without
+	// data. The returned revision is the one after which the next call continues. Watch returns
+	// ErrCompacted if the store no longer keeps all changes that are newer than after.
 	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (changes []Item, revision uint64, err error)
 }
 
--- a/internal/storage/limit_tracker.go
+++ b/internal/storage/limit_tracker.go
@@ -15,14 +15,14 @@
 	valueLimitLowered atomic.Bool // the limit on the size of values was lowered
 }
 
-// NewLimitTracker returns a tracker that starts with the given limits of the settings.
+// NewLimitTracker returns a tracker. l holds the limits from the settings, which apply at first.
 func NewLimitTracker(l Limits) *LimitTracker {
 	t := &LimitTracker{next: l.Next}
 	t.current.Store(&l)
 	return t
 }
 
-// Limits returns the limits to comply with.
+// Limits returns the limits that requests must comply with now.
 func (t *LimitTracker) Limits() Limits { return *t.current.Load() }
 
 // Observe lowers the limits if the error of a request indicates that the store has lowered them:
@@ -68,7 +68,7 @@
 	l.RequestsPerS = lowerLimit(l.RequestsPerS, next.RequestsPerS)
 }
 
-// lowerLimit returns the smaller of two limits. If next is 0, it returns current.
+// lowerLimit returns the smaller of two limits. If next is 0, the limit doesn't change.
 func lowerLimit[T int | float64](current, next T) T {
 	if next > 0 {
 		return min(current, next)
--- a/internal/storage/limits.go
+++ b/internal/storage/limits.go
@@ -7,7 +7,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits is the set of the key-value store's limits, from the settings.
+// Limits holds the limits that the key-value store enforces. Operators configure them in the
+// settings.
 type Limits struct {
 	RequestsPerS float64 // requests per second
 	ChangesPerS  float64 // transaction operations per second
@@ -16,30 +17,31 @@
 	// RequestTimeout is how long the journal waits for a response before it retries, because
 	// the response to a request may never arrive. 0: no timeout.
 	RequestTimeout time.Duration
-	// Next holds the lower limits that the store will enforce later, from an unannounced time
-	// on; nil: none are known. A value of 0 means that the limit doesn't change.
+	// Next holds the lower limits that the store will enforce at some later time, which is not
+	// announced. A limit of 0 in Next means that this limit doesn't change. nil: no lower limits
+	// are known.
 	Next *Limits
 }
 
 const (
-	// usableValueShare is the share of the value limit that a chunk uses. The rest is left for
-	// framing.
+	// usableValueShare is the share of ValueBytes that a chunk may use. The remaining bytes are
+	// left for framing.
 	usableValueShare = 0.9
-	// journalChangeShare is the share of the store's change rate that the journal uses.
+	// journalChangeShare is the share of ChangesPerS that the journal may use.
 	journalChangeShare = 0.7
 	// maxTxnBytes limits the size of one transaction, below the protocol's limit of 64 KiB.
 	maxTxnBytes = 56 << 10
 )
 
-// BytesWithin returns how many bytes of records the journal can write within the duration at its
-// share of the change rate. The result is at least the capacity of one transaction.
+// BytesWithin returns how many bytes of records the journal can write within a duration while it
+// uses its share of ChangesPerS. The result is at least the capacity of one transaction.
 func (l *Limits) BytesWithin(d time.Duration) int {
 	value := usableValueShare * float64(l.ValueBytes)
 	transaction := min(float64(l.maxNewChunksPerTxn())*value, maxTxnBytes)
 	return int(max(transaction, journalChangeShare*l.ChangesPerS*d.Seconds()*value))
 }
 
-// changeRate returns the limit of the journal's changes per second, and its burst.
+// changeRate returns how many changes per second the journal may make, and the burst of this limit.
 func (l *Limits) changeRate() (limit rate.Limit, burst int) {
 	return rate.Limit(l.ChangesPerS * journalChangeShare), max(l.TxnOps, int(l.ChangesPerS*journalChangeShare))
 }
--- a/internal/storage/machine_records.go
+++ b/internal/storage/machine_records.go
@@ -9,14 +9,14 @@
 	Spot        bool   `json:"l,omitempty"`
 	Incarnation uint64 `json:"r,omitempty"`
 	Terminating bool   `json:"x,omitempty"`
-	// Images maps the images that the machine has fetched to their sizes in GB. Without them a
-	// new leader would place tasks as if all images except the running ones had to be fetched
-	// again.
+	// Images maps the images that the machine has fetched to their sizes in GB. Without this
+	// record, a new leader would assume that the machine has only the images of its running tasks.
+	// It would then place tasks as if all other images had to be fetched again.
 	Images map[string]float64 `json:"i,omitempty"`
 }
 
-// LaunchRecord is the durable record of a request to the cloud to launch machines. It is written,
-// under the name of the launch, before the request is sent.
+// LaunchRecord is the durable record of a request to the cloud to launch machines. It is written
+// before the request is sent. Its key contains the name of the launch: see LaunchKey.
 type LaunchRecord struct {
 	Type  string `json:"t"`
 	Zone  string `json:"z"`
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -5,9 +5,10 @@
 	"errors"
 )
 
-// A migration rewrites compressed chunks and records in fragments as plain chunks, so that
-// versions that can read only plain chunks can lead. It consists of steps of one commit each. If
-// a leader stops between or during steps, the next leader resumes the migration.
+// A migration rewrites compressed chunks and chunks with fragments as plain chunks. Afterwards,
+// versions of the program that can read only plain chunks can lead. A migration consists of steps,
+// and each step is one commit. If a leader stops between or during steps, the next leader resumes
+// the migration.
 
 // migrationRequest asks the journal's goroutine to run one migration step.
 type migrationRequest struct {
@@ -20,10 +21,10 @@
 	err           error
 }
 
-// MigrateStep applies the encoding set by SetEncoding, and returns how many chunks are still
-// compressed or hold fragments. If AnyEncoding is not allowed, it first rewrites some of these
-// chunks in one commit, within the budget of changes. It may be called from any goroutine while
-// Run is running.
+// MigrateStep runs one step of a migration, and returns how many chunks are still compressed or hold
+// fragments. The step rewrites some of these chunks as plain chunks, within the budget of changes.
+// It rewrites nothing if the encoding set by SetEncoding is AnyEncoding, or while the migration is
+// paused: see canMigrate. MigrateStep may be called from any goroutine while Run is running.
 func (j *Journal) MigrateStep(ctx context.Context) (encoded int, err error) {
 	reply := make(chan migrationResult, 1)
 	select {
@@ -64,8 +65,9 @@
 	return err
 }
 
-// canMigrate reports whether there are encoded chunks to rewrite as plain ones. While some record
-// is too large for a plain chunk, the migration can't be completed, so it pauses.
+// canMigrate reports whether the journal should rewrite chunks as plain chunks. It returns false if
+// the encoding is AnyEncoding or if all chunks are plain already. It also returns false while some
+// record is too large for a plain chunk: the migration pauses, because it can't be completed.
 func (j *Journal) canMigrate() bool {
 	if j.allows(AnyEncoding) || j.index.encodedChunkCount() == 0 {
 		return false
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -11,7 +11,7 @@
 type Record struct {
 	Key      string
 	Data     json.RawMessage // nil: the entity is removed
-	fragment *fragment       // a part of the data; nil: Data holds all of it
+	fragment *fragment       // set if the record holds only one fragment of its data; nil: Data holds all data
 }
 
 // NewRecord returns a record of the JSON encoding of data under the key. A record with nil data
--- a/internal/storage/record_key.go
+++ b/internal/storage/record_key.go
@@ -12,7 +12,7 @@
 	KindMachineTypes = 'c'
 )
 
-// The keys of the kinds of which there is only one record.
+// The keys of the kinds that have only one record each.
 const (
 	FleetKey        = "f"
 	MachineTypesKey = "c"
@@ -27,5 +27,5 @@
 // MachineKey returns the key of a machine's record.
 func MachineKey(n int) string { return "m" + strconv.Itoa(n) }
 
-// LaunchKey returns the key of the record of the launch with the given name.
+// LaunchKey returns the key of a launch's record.
 func LaunchKey(name string) string { return "h" + name }
--- a/internal/storage/resources.go
+++ b/internal/storage/resources.go
@@ -7,7 +7,8 @@
 	MemoryGB float64 `json:"m,omitempty"`
 }
 
-// roundingSlack is the tolerance in comparisons for rounding errors in sums of decimal fractions.
+// roundingSlack is the tolerance of comparisons. It covers the rounding errors of sums of decimal
+// fractions.
 const roundingSlack = 1e-6
 
 // Add returns the sum of two amounts.
@@ -26,7 +27,7 @@
 	return Resources{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
 }
 
-// Fits reports whether r is at most the free resources, in each of its amounts.
+// Fits reports whether the CPUs, the GPUs and the memory of r each fit into the free resources.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPUs <= free.CPUs+roundingSlack && r.GPUs <= free.GPUs+roundingSlack && r.MemoryGB <= free.MemoryGB+roundingSlack
 }
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -22,7 +22,7 @@
 // Client is the connection of one controller to the store.
 type Client struct {
 	*Service
-	// Cut, if it is set and holds true, makes the store refuse all requests of this client.
+	// Disconnected, if it is set and holds true, makes the store refuse all requests of this client.
 	Disconnected *atomic.Bool
 }
 
@@ -162,8 +162,8 @@
 	}
 }
 
-// poll returns the changes after a revision up to now, and a channel that is closed at the next
-// change.
+// poll returns the changes that are newer than the revision after, the current revision, and a
+// channel that is closed at the next change.
 func (s *Service) poll(prefix string, after uint64) (changes []storage.Item, revision uint64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +178,7 @@
 }
 
 // beginRequest waits for the latency of a request. It refuses the request during an outage, or if
-// Cut holds true.
+// Disconnected holds true.
 func (c *Client) beginRequest(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// beginRead begins a request that reads a key or prefix. It also refuses requests selected by
-// Faults.RefuseRead.
+// beginRead begins a request that reads a key or prefix. In addition to the checks of beginRequest,
+// it refuses the requests that Faults.RefuseRead selects.
 func (c *Client) beginRead(ctx context.Context, key string) error {
 	if err := c.beginRequest(ctx); err != nil {
 		return err
--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -18,7 +18,8 @@
 	Sent []Txn // every received transaction that was within the limits
 	// ForgetSent keeps Sent empty, because the transactions of a long test would exhaust memory.
 	ForgetSent bool
-	// LoseResponses is the number of next transactions that are applied without a response.
+	// LoseResponses is a number of transactions. That many transactions, starting with the next one,
+	// are applied without a response.
 	LoseResponses int
 	// LoseResponse, if set, selects transactions that are applied without a response.
 	LoseResponse func(Txn) bool
@@ -27,7 +28,8 @@
 	// Delay, if set, is called for each transaction. If it returns more than 0, the transaction
 	// is applied after that delay and has no response.
 	Delay func() time.Duration
-	// DelayTxn, if set, is like Delay but receives the transaction. The longer delay applies.
+	// DelayTxn, if set, is like Delay but receives the transaction. If both are set, the longer of
+	// the two delays applies.
 	DelayTxn func(Txn) time.Duration
 	// BeforeApply, if set, is called for each received transaction, before it is applied or dropped.
 	BeforeApply func(Txn)
@@ -37,15 +39,15 @@
 	RefuseRead func(key string) bool
 }
 
-// Update calls f, which may change the faults and the limits, under the lock of the store.
+// Update calls f while it holds the lock of the store. f may change the faults and the limits.
 func (s *Service) Update(f func(s *Service)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
 }
 
-// SetOutage begins or ends an outage, during which all requests are refused. Leases don't expire
-// during an outage, and all leases are renewed at its end.
+// SetOutage begins or ends an outage of the store. During an outage all requests are refused and no
+// lease expires. At the end of the outage all leases are renewed.
 func (s *Service) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// keptChanges is the minimum number of past changes that the protocol keeps for watches.
+	// keptChanges is the minimum number of past changes that a store of this protocol keeps for
+	// watches.
 	keptChanges = 10_000
 	// defaultValueBytes and defaultTxnOps are the limits of a new store.
 	defaultValueBytes = 8192
@@ -80,7 +81,7 @@
 	return keys
 }
 
-// ForEachItem calls f for every key, in unspecified order, under the lock of the store.
+// ForEachItem calls f for every key, in unspecified order, while it holds the lock of the store.
 func (s *Service) ForEachItem(f func(storage.Item)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +165,8 @@
 	}
 }
 
-// changesAfter returns the kept changes of keys with a prefix after a revision.
+// changesAfter returns the changes that are newer than the revision, of keys that have the prefix.
+// Changes that the store no longer keeps are missing.
 func (s *Service) changesAfter(revision uint64, prefix string) []storage.Item {
 	var changes []storage.Item
 	first := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > revision })
--- a/internal/storage/unknown_fields.go
+++ b/internal/storage/unknown_fields.go
@@ -7,18 +7,18 @@
 	"sagevale/internal/upgrade"
 )
 
-// A later version of the program may write fields into records that this version doesn't know.
-// The later version stores its number in the field schemaField of such a record. When this
-// version rewrites a record with that field, it keeps the unknown fields of the record itself and
-// of a job's specification. Records without schemaField have no unknown fields, so they are not
-// searched.
+// Records may contain fields that this version of the program doesn't know, because a later version
+// wrote them. The later version also stores its version number in the record, in the field
+// schemaField. When this version rewrites a record with schemaField, it keeps the unknown fields of
+// the record itself and of a job's specification. Records without schemaField have no unknown
+// fields, so they are not searched for such fields.
 //
-// State that an earlier version must not ignore needs a feature gate instead: while the gate is in
-// use, earlier versions can't lead.
+// This doesn't suffice for state that earlier versions must not ignore. Such state needs a feature
+// gate: while the gate is in use, versions without the gate can't lead.
 
 const (
-	// schemaField is the field of a record that holds the number of the later version that wrote
-	// unknown fields into it.
+	// schemaField is the field in which a version stores its number when it writes fields that
+	// earlier versions don't know.
 	schemaField = "v"
 	// specField is the field of a job's record that holds its specification.
 	specField = "s"
@@ -39,8 +39,8 @@
 // knownSpecFields lists the JSON fields of a job's specification that this version knows.
 var knownSpecFields = upgrade.FieldNames(Spec{})
 
-// keepUnknownFields adds the unknown fields of the stored records, which later versions wrote, to
-// the new records of the same keys.
+// keepUnknownFields copies unknown fields from stored records to the new records with the same keys.
+// It copies only fields that a later version has written.
 func (j *Journal) keepUnknownFields(records []Record) []Record {
 	for i, r := range records {
 		if old := j.index.entities[r.Key].data; r.Data != nil && bytes.Contains(old, schemaFieldPrefix) {
@@ -50,8 +50,8 @@
 	return records
 }
 
-// withUnknownFields returns data with the unknown fields of old added if a later version wrote
-// old. Otherwise it returns data unchanged.
+// withUnknownFields adds the unknown fields of the stored record old to data, and returns the result.
+// If old was not written by a later version, withUnknownFields returns data unchanged.
 func withUnknownFields(kind byte, old, data json.RawMessage) json.RawMessage {
 	var mark struct {
 		Schema uint32 `json:"v"`
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -1,8 +1,11 @@
 // Package upgradecontrol carries out rolling upgrades. Package upgrade decides on each step without input or output,
 // and this package stores the step in the cluster record. Its Controller is an actor of the leader and the only
 // writer of the cluster record. Each write is guarded by the leader's key, the record's version and the registrations
-// that the step relies on. Through GateUsers the Controller publishes the record in force to the leader's other
-// actors, which also count what depends on each gate.
+// that the step relies on.
+//
+// Through GateUsers the Controller publishes the record in force to the leader's other actors, which also count what
+// depends on each gate. The record in force is the stored cluster record, with one exception: the record of a step that
+// releases a gate is in force before it is stored.
 package upgradecontrol
 
 import (
@@ -27,14 +30,14 @@
 	// checksPerLease is the number of times that a leader checks an upgrade in progress within the time to live
 	// of its lease. If no upgrade is in progress, it checks once per heartbeat interval.
 	checksPerLease = leadership.RenewalsPerLease
-	// countsPerRelease is the number of times that the uses of gates are counted within the time after which an
-	// unused gate is released.
+	// countsPerRelease is the number of times that the uses of gates are counted within Policy.ReleaseAfter, which is
+	// how long a gate must be unused before it is released.
 	countsPerRelease = 20
 )
 
-// Peers is the part of the links to the other controllers that upgrades need.
+// Peers is what upgrades need from the connections to the other controllers.
 type Peers interface {
-	// Status returns the named controller's latest status. ok is false if there is none.
+	// Status returns the latest status that the named controller has reported. ok is false if it has reported none.
 	Status(name string) (status peer.ObservedStatus, ok bool)
 }
 
@@ -42,7 +45,7 @@
 type GateUsers interface {
 	// PublishGates sends the actors the record in force, and returns once all of them obey it.
 	PublishGates(ctx context.Context, record upgrade.Record) error
-	// CountGateUses does the same and then counts what depends on each gate.
+	// CountGateUses does what PublishGates does, and then counts the jobs and records that depend on each gate.
 	CountGateUses(ctx context.Context, record upgrade.Record) (upgrade.Usage, error)
 }
 
@@ -56,7 +59,7 @@
 	Log       *slog.Logger
 }
 
-// Controller is the leader's actor that advances the cluster record.
+// Controller is the leader's actor that carries out upgrades: it decides on the steps and writes the cluster record.
 type Controller struct {
 	store     storage.KeyValueStore
 	settings  *config.Settings
@@ -71,8 +74,8 @@
 	outdated      bool                           // the registrations or the record must be read again
 	nextCount     time.Time                      // when the uses of gates are next counted
 	unusedSince   map[upgrade.GateName]time.Time // since when a gate has had no uses
-	// tentative, unless nil, is the record that the other actors obey instead of the stored one. It is set before
-	// the release of a gate is written, and kept while that write may still be committed.
+	// tentative is the record that the other actors obey instead of the stored record; nil: they obey the stored record.
+	// It is set before the release of a gate is written, and kept while that write may still be committed.
 	tentative        *upgrade.Record
 	publishedWaiting string // the reason for waiting that was last stored for operators
 
@@ -98,7 +101,7 @@
 	}
 }
 
-// Run advances the record until ctx ends or an error ends the term: see retryUnlessFatal.
+// Run carries out the steps of upgrades until ctx ends or an error ends the term: see retryUnlessFatal.
 func (c *Controller) Run(ctx context.Context) error {
 	timer := time.NewTimer(c.firstCheckDelay())
 	defer timer.Stop()
@@ -128,8 +131,9 @@
 	}
 }
 
-// firstCheckDelay returns the delay of a term's first check of the upgrade. If this program's latest version is active
-// and no withdrawal is in progress, the check is put off by a heartbeat interval, because a failover needs the CPU.
+// firstCheckDelay returns the delay of a term's first check of the upgrade. There is no delay if this program supports a
+// later version than the active one, or if gates are being withdrawn. Otherwise the check waits for one heartbeat
+// interval, because a failover needs the CPU.
 func (c *Controller) firstCheckDelay() time.Duration {
 	if c.cluster.Record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.Record.Phase == upgrade.Withdrawing {
 		return 0
@@ -145,7 +149,7 @@
 	return c.settings.HeartbeatInterval
 }
 
-// advanceUpgrade takes all steps that can be taken now. An error ends the term.
+// advanceUpgrade takes all steps of the upgrade that are possible now. If it returns an error, the term ends.
 func (c *Controller) advanceUpgrade(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if c.outdated {
@@ -176,8 +180,9 @@
 	return nil
 }
 
-// retryUnlessFatal returns err if it ends the term. It logs other errors and marks the record and the registrations
-// as outdated, so that the next check reads them again and retries the action.
+// retryUnlessFatal returns err if it ends the term, because leadership is lost or stored data is damaged. It logs other
+// errors and marks the record and the registrations as outdated, so that the next check reads them again and retries
+// the action.
 func (c *Controller) retryUnlessFatal(action string, err error) error {
 	var damaged *upgrade.DamagedError
 	if err == nil || errors.Is(err, storage.ErrLeadershipLost) || errors.As(err, &damaged) {
@@ -188,8 +193,8 @@
 	return nil
 }
 
-// readUpgradeKeys reads the cluster record and the registrations. No other actor writes the record in this term, but
-// its version may be unknown because the answer to a write was lost.
+// readUpgradeKeys reads the cluster record and the registrations. No other actor writes the cluster record in this term,
+// but this actor may not know the record's current version, because the response to one of its writes was lost.
 func (c *Controller) readUpgradeKeys(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
 	defer cancel()
@@ -211,8 +216,8 @@
 	return nil
 }
 
-// buildSituation returns the input for the decision on the next step. It counts the uses of gates if a count is due or
-// a withdrawal is in progress.
+// buildSituation returns the input of upgrade.NextStep. It counts the uses of gates if a count is due or gates are being
+// withdrawn.
 func (c *Controller) buildSituation(ctx context.Context) (upgrade.Situation, error) {
 	upgradeSettings := &c.settings.Tuning.Upgrade
 	s := upgrade.Situation{
@@ -232,8 +237,8 @@
 }
 
 // writeStep writes a step in one transaction, which is guarded by the leader's key, the record and every registration
-// that the step relies on. The transaction fails if an older process has registered meanwhile, or if there is a later
-// leader.
+// that the step relies on. So the transaction fails if a controller of an older version has registered meanwhile, or if
+// another controller has become the leader.
 func (c *Controller) writeStep(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
 	guards := []storage.Guard{c.leader, {Key: leadership.ClusterKey, Version: c.cluster.Version}}
 	for _, m := range members {
@@ -257,7 +262,8 @@
 	return c.publishRecordInForce(ctx)
 }
 
-// stepOps returns the operations that write a record and, if the fence changes, the term record.
+// stepOps returns the operations that write the cluster record. If the step changes the record's Fence, the operations
+// also write the term record.
 func (c *Controller) stepOps(next upgrade.Record) ([]storage.Op, error) {
 	record, err := json.Marshal(next)
 	if err != nil {
@@ -274,7 +280,7 @@
 	return append(ops, storage.Op{Key: leadership.TermKey, Data: term}), nil
 }
 
-// waitingKey holds what the upgrade waits for, for operators.
+// waitingKey is the key under which operators find what the upgrade waits for.
 const waitingKey = leadership.UpgradePrefix + "waiting"
 
 // waitingRecord is the value of waitingKey.
--- a/internal/upgradecontrol/gate_uses.go
+++ b/internal/upgradecontrol/gate_uses.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// markGateUsed marks a gate as used before anything depends on it. If the gate is in use already, the record in force is
-// published again.
+// markGateUsed marks a gate as used before anything depends on the gate. If the record in force already allows new uses
+// of the gate, the record is only published again.
 func (c *Controller) markGateUsed(ctx context.Context, gate upgrade.GateName) error {
 	delete(c.unusedSince, gate)
 	if c.recordInForce().Gate(gate).Usable() {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// recordUsage records a count of the uses of gates, and returns how long each gate has been unused.
+// recordUsage records the result of counting the uses of gates. It returns how long each unused gate has been unused.
 func (c *Controller) recordUsage(usage upgrade.Usage, now time.Time) map[upgrade.GateName]time.Duration {
 	unused := make(map[upgrade.GateName]time.Duration)
 	for name, uses := range usage {
@@ -53,7 +53,8 @@
 	return unused
 }
 
-// recordInForce returns the record that the other actors must obey.
+// recordInForce returns the record that the other actors must obey: the tentative record, if there is one, or else the
+// stored record.
 func (c *Controller) recordInForce() upgrade.Record {
 	if c.tentative != nil {
 		return *c.tentative
@@ -61,9 +62,12 @@
 	return c.cluster.Record
 }
 
-// preventNewUses publishes the record of a step that releases a gate before the step is stored, so that the other
-// actors make no new use of the gate. It reports whether nothing depends on the gate after that. From then on a new
-// use must be stored first, because the release may be committed late.
+// preventNewUses prepares a step that releases a gate. It publishes the record of the step before that record is stored,
+// so that the other actors make no new use of the gate. It then reports whether the gate has no uses.
+//
+// If the gate has none, the published record stays in force, and the caller writes the step. This write may be committed
+// late, so a new use of the gate has to be written to the cluster record first: see markGateUsed. If the gate has uses,
+// the stored record is in force again.
 func (c *Controller) preventNewUses(ctx context.Context, step upgrade.Step) (unused bool, err error) {
 	c.tentative = &step.Record
 	usage, err := c.gateUsers.CountGateUses(ctx, step.Record)
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// maxUpgradeKeys is the limit of a read of all upgrade keys, which are fewer.
+// maxUpgradeKeys is the limit of a List request that reads all upgrade keys. There are always fewer keys.
 const maxUpgradeKeys = 1000
 
 // registration is a controller's registration with the version of its key.
@@ -22,8 +22,8 @@
 	version uint64
 }
 
-// parseKeys decodes the cluster record and the registrations. A damaged registration is not an error, because only
-// the versions of that one controller are unknown then.
+// parseKeys decodes the cluster record and the registrations. A damaged registration is not an error, because it only
+// means that the versions of one controller are unknown.
 func parseKeys(items []storage.Item) (leadership.ClusterRecord, map[string]registration, error) {
 	cluster := leadership.ClusterRecord{Record: upgrade.Initial()}
 	registrations := make(map[string]registration)
@@ -51,7 +51,7 @@
 	return registration{value: &value, version: item.Version}
 }
 
-// members returns all controllers of the settings with what is known of their versions.
+// members returns all controllers that the settings name, with what is known about their versions.
 func (c *Controller) members() []upgrade.Member {
 	members := []upgrade.Member{c.member(c.settings.NodeName)}
 	for _, p := range c.settings.Peers {
--- a/internal/upgradecontrol/status.go
+++ b/internal/upgradecontrol/status.go
@@ -26,7 +26,7 @@
 // ControllerVersions is the latest registration of one controller.
 type ControllerVersions struct {
 	Name     string
-	Versions upgrade.Range // zero if it never registered or Damaged is set
+	Versions upgrade.Range // zero if the controller has never registered or Damaged is set
 	Session  string        // the process that registered
 	Alive    bool          // a process of the controller still renews its session
 	Damaged  bool          // the registration can't be decoded
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// controllerVersions returns the controllers of the settings and all others that have registered, sorted by name.
+// controllerVersions returns the controllers that the settings name and all other controllers that have registered,
+// sorted by name.
 func controllerVersions(s *config.Settings, registrations map[string]registration, items []storage.Item) []ControllerVersions {
 	names := s.ControllerNames()
 	for name := range registrations {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -3,7 +3,7 @@
 // Package protocol maps them to its JSON, and package wire/coordination to the messages between controllers.
 package worker
 
-// TaskID identifies a task of a job. The job's name is without its prefix.
+// TaskID identifies a task of a job. Job is the job's ID without the prefix that job IDs have in external interfaces.
 type TaskID struct {
 	Job  string
 	Task int
@@ -46,8 +46,8 @@
 }
 
 // Report is a worker's report on itself, sent as a heartbeat or as the response to commands. Of two
-// reports the one with the higher incarnation is newer, or with equal incarnations the one with the
-// higher sequence number.
+// reports, the report with the higher incarnation is newer. If the incarnations are equal, the report
+// with the higher sequence number is newer.
 type Report struct {
 	Machine       int
 	Addr          string // host and port for commands
@@ -76,7 +76,7 @@
 	Verb         Verb
 	ID           TaskID
 	Attempt      uint64  // number of the attempt
-	GraceSeconds float64 // time for a checkpoint before the stop, in seconds
+	GraceSeconds float64 // of a Stop command: time that the task has for a checkpoint, in seconds
 }
 
 // HeartbeatResponse is the response to a heartbeat.
@@ -86,8 +86,8 @@
 	Commands []Command
 	Leader   string // if not accepted: the controller to send heartbeats to, if known
 	Busy     bool   // neither accepted nor redirected: the worker tries the next controller
-	// Undecided reports that no leader has decided on the heartbeat. The controller that received the
-	// heartbeat may then answer it by delegation.
+	// Undecided reports that no leader has responded to the heartbeat with a result. The controller that
+	// received the heartbeat may then answer it by delegation, that is, in the leader's place.
 	Undecided bool
 }
 
