--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -28,8 +28,8 @@
 func (f *Fence[K]) Token() uint64 { return f.token }
 
 // ObserveToken records the token that a heartbeat contains. The heartbeat must be newer than all
-// heartbeats observed before. The worker no longer carries out commands with lower tokens, so it need
-// not retain attempts any more that only such commands could start.
+// heartbeats observed before. The worker no longer carries out commands with lower tokens. Attempts that
+// only such commands could start need not be retained any more.
 func (f *Fence[K]) ObserveToken(token uint64) {
 	if token <= f.observed {
 		return
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -59,7 +59,7 @@
 	Term    uint64 `json:"t"`
 }
 
-// Peers is what an election needs from the connections to the other controllers.
+// Peers represents the connections to the other controllers, with only the methods that an election needs.
 type Peers interface {
 	// Ping requests the named controller's status. It returns an error if no response arrives.
 	Ping(ctx context.Context, name string) (peer.Status, error)
@@ -169,8 +169,8 @@
 }
 
 // logNotAcquired logs why leadership was not acquired. Operators must solve two of the problems: damaged
-// stored data, and a gate that this process can't read. These are logged at level error, and only once
-// if the same error repeats.
+// stored data, and a gate that this process can't read. These two are logged at level error, and only
+// once if the same error repeats.
 func (e *Election) logNotAcquired(err error) {
 	var damaged *upgrade.DamagedError
 	var unreadable *upgrade.UnreadableGateError
@@ -229,10 +229,10 @@
 // awaitLeaderChange waits until LeaderKey has another version than the given one. It returns early if the
 // watch fails.
 func (e *Election) awaitLeaderChange(ctx context.Context, version uint64) {
-	hold := watchLeases * e.settings.Tuning.LeaderLease
+	maxWait := watchLeases * e.settings.Tuning.LeaderLease
 	for ctx.Err() == nil {
-		watchCtx, cancel := context.WithTimeout(ctx, hold+e.settings.Tuning.LeaderLease)
-		changes, revision, err := e.store.Watch(watchCtx, LeaderKey, version, hold)
+		watchCtx, cancel := context.WithTimeout(ctx, maxWait+e.settings.Tuning.LeaderLease)
+		changes, revision, err := e.store.Watch(watchCtx, LeaderKey, version, maxWait)
 		cancel()
 		if err != nil {
 			e.pauseBeforeRetry(ctx)
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -35,10 +35,10 @@
 	process  string
 	log      *slog.Logger
 
-	registered atomic.Bool
-	version    uint64 // version of this controller's registration key
-	session    uint64 // the lease of the session; 0: none is granted
-	lastLogged string
+	registered          atomic.Bool
+	registrationVersion uint64 // version of this controller's registration key
+	sessionLease        uint64 // the lease of the session; 0: none is granted
+	lastLogged          string
 }
 
 // NewRegistrar returns a registrar. Run starts it. process identifies this process among all processes
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// logFailure logs a failed registration. The same error is logged only once in a row.
+// logFailure logs a failed registration. If the same error repeats, it is logged only once.
 func (r *Registrar) logFailure(err error) {
 	level := slog.LevelDebug
 	if _, ok := errors.AsType[*upgrade.DamagedError](err); ok {
@@ -100,8 +100,8 @@
 	if err != nil && !errors.Is(err, storage.ErrNotFound) {
 		return fmt.Errorf("read registration: %w", err)
 	}
-	if r.session == 0 {
-		if r.session, err = r.store.Grant(ctx, r.sessionTimeToLive()); err != nil {
+	if r.sessionLease == 0 {
+		if r.sessionLease, err = r.store.Grant(ctx, r.sessionTimeToLive()); err != nil {
 			return fmt.Errorf("grant session: %w", err)
 		}
 	}
@@ -111,12 +111,12 @@
 		{Key: r.registrationKey(), Version: earlier.Version},
 	}, &registration)
 	if errors.Is(err, storage.ErrLeaseExpired) {
-		r.session = 0
+		r.sessionLease = 0
 	}
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	r.version = version
+	r.registrationVersion = version
 	r.registered.Store(true)
 	r.log.Info("controller registered", "versions", upgradeSettings.Versions.String(), "active", cluster.Record.Active)
 	return nil
@@ -129,7 +129,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode session: %w", err)
 	}
-	ops := []storage.Op{{Key: SessionPrefix + r.settings.NodeName, Data: session, Lease: r.session}}
+	ops := []storage.Op{{Key: SessionPrefix + r.settings.NodeName, Data: session, Lease: r.sessionLease}}
 	if registration != nil {
 		data, err := json.Marshal(registration)
 		if err != nil {
@@ -159,15 +159,15 @@
 func (r *Registrar) renewSession(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout())
 	defer cancel()
-	err := r.store.Renew(ctx, r.session)
+	err := r.store.Renew(ctx, r.sessionLease)
 	if !errors.Is(err, storage.ErrNotFound) {
 		return err
 	}
-	session, err := r.store.Grant(ctx, r.sessionTimeToLive())
+	lease, err := r.store.Grant(ctx, r.sessionTimeToLive())
 	if err != nil {
 		return err
 	}
-	r.session = session
-	_, err = r.writeSession(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.version}}, nil)
+	r.sessionLease = lease
+	_, err = r.writeSession(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.registrationVersion}}, nil)
 	return err
 }
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -86,8 +86,8 @@
 		return reasonLaterLeader
 	}
 	validUntil := held.validUntil(e.settings.Tuning.LeaderLease)
-	if asked := time.Now(); asked.After(validUntil) && e.PeersConfirmNoLeader(ctx, held.term, validUntil) {
-		held.confirmedAt = asked
+	if askedAt := time.Now(); askedAt.After(validUntil) && e.PeersConfirmNoLeader(ctx, held.term, validUntil) {
+		held.confirmedAt = askedAt
 		e.publish(e.roleOf(held))
 	}
 	if time.Now().After(e.roleOf(held).RenewWorkersUntil) {
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -23,8 +23,8 @@
 	// aren't relayed. A heartbeat can then be answered by delegation at once, that is, by this controller in the
 	// leader's place. A user's request can be sent to another controller.
 	queueSize = 512
-	// gatherPerHeartbeat is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
-	gatherPerHeartbeat = 0.1
+	// gatherShare is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
+	gatherShare = 0.1
 )
 
 // Client is the actor that relays a follower's requests to the leader. Its methods may be called from any goroutine.
@@ -123,7 +123,7 @@
 				return c.takeQueued(batch)
 			}
 			if len(batch) == 1 {
-				gatherTimeout = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherPerHeartbeat))
+				gatherTimeout = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherShare))
 			}
 		case <-gatherTimeout:
 			return c.takeQueued(batch)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -46,11 +46,11 @@
 
 // Run answers requests until ctx ends.
 func (s *Server) Run(ctx context.Context) {
-	hold := s.settings.WorkerLease
+	maxWait := s.settings.WorkerLease
 	revision := s.leader.Version
 	for ctx.Err() == nil {
-		watchCtx, cancel := context.WithTimeout(ctx, 2*hold)
-		changes, next, err := s.store.Watch(watchCtx, requestPrefix, revision, hold)
+		watchCtx, cancel := context.WithTimeout(ctx, 2*maxWait)
+		changes, next, err := s.store.Watch(watchCtx, requestPrefix, revision, maxWait)
 		cancel()
 		if err != nil {
 			revision = s.latestRevision(ctx, revision) // the senders of skipped requests time out and retry
@@ -132,8 +132,8 @@
 	}
 	responses := make([]wire.RelayResponse, len(requests))
 	for range requests {
-		d := <-answers
-		responses[d.index] = d.response
+		answer := <-answers
+		responses[answer.index] = answer.response
 	}
 	return responses
 }
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -10,13 +10,14 @@
 // old chunk. A record is live if it is the latest record of its key and doesn't remove the entity.
 
 const (
-	// Chunks in excess of compactionFactor*needed + compactionSlackChunks are compacted, where
-	// needed is the number of chunks that the live records would fill.
+	// Chunks are compacted while there are more than compactionFactor*needed +
+	// compactionSlackChunks. needed is the number of chunks that the live records would fill.
 	compactionFactor      = 2
 	compactionSlackChunks = 24
-	// forcedCompactionThreshold is the number of excess chunks that noticeably delays a failover,
-	// because a new leader reads all chunks. While there are more, each commit spends at least
-	// forcedCompactionChanges on compaction, although that delays the next commit.
+	// forcedCompactionThreshold is a number of excess chunks, which are the chunks above that
+	// limit. So many excess chunks noticeably delay a failover, because a new leader reads all
+	// chunks. While there are more, each commit spends at least forcedCompactionChanges on
+	// compaction, although that delays the next commit.
 	forcedCompactionThreshold = 4 * compactionSlackChunks
 	// forcedCompactionChanges is the number of changes that write one new chunk and delete one
 	// old chunk. A change is one operation of a transaction.
@@ -100,8 +101,8 @@
 	return c.journal.encoder.expectedRecordBytes(c.journal.encoder.compactionRatio)
 }
 
-// moveOldestChunks adds the live records of the oldest chunks, up to limit chunks. It returns for
-// how many chunks it added all live records, so that these chunks can be deleted.
+// moveOldestChunks adds the live records of the oldest chunks, up to limit chunks. It returns how
+// many chunks can be deleted because all of their live records have been added.
 func (c *compaction) moveOldestChunks(limit int) (deleted int) {
 	for deleted < limit {
 		live := c.journal.index.liveRecords(deleted, c.writtenKeys)
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -20,7 +20,7 @@
 //     Thus a late or repeated copy of an applied transaction has no effect, and a leader whose
 //     term has ended can't write. The very first transaction has no preceding chunk, so it writes
 //     an empty chunk.
-//   - Chunks are deleted from the oldest on, and only in a transaction that also writes their live
+//   - Chunks are deleted oldest first, and only in a transaction that also writes their live
 //     records again. A record is live if no newer record has the same key and if it doesn't remove
 //     the entity. Removals need not be written again, because no older chunk holds a record of
 //     the removed entity.
--- a/internal/storage/encoding.go
+++ b/internal/storage/encoding.go
@@ -52,12 +52,12 @@
 // The first versions of the program can't read such chunks.
 func IsEncoded(value json.RawMessage) bool {
 	records, err := decodeChunk(value)
-	return err != nil || isEncoded(value, records)
+	return err != nil || isNonPlain(value, records)
 }
 
-// isEncoded reports whether a chunk is not plain: compressed, or with fragments. value is the stored
+// isNonPlain reports whether a chunk is not plain: compressed, or with fragments. value is the stored
 // value of the chunk, and records holds the records that were decoded from the value.
-func isEncoded(value json.RawMessage, records []Record) bool {
+func isNonPlain(value json.RawMessage, records []Record) bool {
 	isFragment := func(r Record) bool { return r.fragment != nil }
 	return isCompressed(value) || slices.ContainsFunc(records, isFragment)
 }
--- a/internal/storage/fragment.go
+++ b/internal/storage/fragment.go
@@ -16,7 +16,7 @@
 // fragment is one part of a record's data.
 type fragment struct {
 	index, count int
-	tag          uint64 // the same in all fragments of a record, but different each time that a record is split
+	tag          uint64 // shared by the fragments of one split record; every split uses another tag
 	data         []byte
 }
 
--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -23,9 +23,9 @@
 
 // indexedChunk describes a stored chunk of the journal.
 type indexedChunk struct {
-	number  uint64
-	keys    []string // keys of the whole records and of the first fragments in the chunk
-	encoded bool     // not plain, that is, compressed or with fragments: see Encoding
+	number   uint64
+	keys     []string // keys of the whole records and of the first fragments in the chunk
+	nonPlain bool     // not plain, that is, compressed or with fragments: see Encoding
 }
 
 func newJournalIndex() journalIndex {
@@ -34,8 +34,8 @@
 
 // addChunk adds a chunk that is newer than all others. Its records replace records of older chunks
 // with the same keys.
-func (x *journalIndex) addChunk(number uint64, records []Record, encoded bool) {
-	c := indexedChunk{number: number, encoded: encoded}
+func (x *journalIndex) addChunk(number uint64, records []Record, nonPlain bool) {
+	c := indexedChunk{number: number, nonPlain: nonPlain}
 	for _, r := range records {
 		if r.fragment == nil || r.fragment.index == 0 {
 			c.keys = append(c.keys, r.Key)
@@ -106,11 +106,11 @@
 	return false
 }
 
-// encodedChunkCount returns how many chunks are not plain.
-func (x *journalIndex) encodedChunkCount() int {
+// nonPlainChunkCount returns how many chunks are not plain.
+func (x *journalIndex) nonPlainChunkCount() int {
 	n := 0
 	for i := range x.chunks {
-		if x.chunks[i].encoded {
+		if x.chunks[i].nonPlain {
 			n++
 		}
 	}
@@ -121,7 +121,7 @@
 // chunks are plain.
 func (x *journalIndex) chunksUntilPlain() int {
 	for i, chunk := range slices.Backward(x.chunks) {
-		if chunk.encoded {
+		if chunk.nonPlain {
 			return i + 1
 		}
 	}
--- a/internal/storage/journal_reader.go
+++ b/internal/storage/journal_reader.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("decode chunk %q: %w", item.Key, err)
 	}
-	j.index.addChunk(number, records, isEncoded(item.Data, records))
+	j.index.addChunk(number, records, isNonPlain(item.Data, records))
 	j.nextChunkNumber, j.previousChunkVersion = number+1, item.Version
 	return nil
 }
--- a/internal/storage/journal_transaction.go
+++ b/internal/storage/journal_transaction.go
@@ -18,9 +18,9 @@
 // has the version of this leader's term, that the transaction's first chunk doesn't exist, and that
 // the preceding chunk exists at the version at which it was written.
 //
-// These guards prevent the store from applying the transaction a second time. Then either the
-// transaction's first chunk still exists, or compaction has deleted it. In the latter case the
-// preceding chunk doesn't exist any more either, because compaction deletes older chunks first.
+// These guards prevent the store from applying the transaction a second time. As long as the
+// transaction's first chunk exists, the guard on that chunk fails. Once compaction has deleted that
+// chunk, the guard on the preceding chunk fails, because compaction deletes older chunks first.
 func (j *Journal) transactionGuards() []Guard {
 	return []Guard{
 		j.leadership,
@@ -97,8 +97,8 @@
 
 // resolveConflict determines why the guards of a transaction failed. It has three results:
 //
-//   - No error: an earlier request has applied the transaction, because the transaction's first
-//     chunk exists. The version of this chunk is returned.
+//   - No error: the transaction's first chunk exists, so an earlier request has applied the
+//     transaction. The version of this chunk is returned.
 //   - ErrLeadershipLost: this leader may no longer write, usually because another controller leads.
 //     Either the guard of the leadership key failed, or no earlier request applied the transaction.
 //   - Any other error: the transaction's first chunk couldn't be read. The cause isn't known yet.
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -149,7 +149,7 @@
 // indexWrittenChunks adds committed chunks to the index.
 func (j *Journal) indexWrittenChunks(chunks []chunk, version uint64) {
 	for _, c := range chunks {
-		j.index.addChunk(j.nextChunkNumber, c.records, isEncoded(c.data, c.records))
+		j.index.addChunk(j.nextChunkNumber, c.records, isNonPlain(c.data, c.records))
 		j.nextChunkNumber++
 	}
 	j.previousChunkVersion = version
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -17,15 +17,15 @@
 
 // migrationResult is the outcome of a migration step.
 type migrationResult struct {
-	encodedChunks int
-	err           error
+	nonPlainChunks int
+	err            error
 }
 
 // MigrateStep runs one step of a migration, and returns how many chunks are still compressed or hold
 // fragments. The step rewrites some of these chunks as plain chunks, within the budget of changes.
 // It rewrites nothing if the encoding set by SetEncoding is AnyEncoding, or while the migration is
 // paused: see canMigrate. MigrateStep may be called from any goroutine while Run is running.
-func (j *Journal) MigrateStep(ctx context.Context) (encoded int, err error) {
+func (j *Journal) MigrateStep(ctx context.Context) (nonPlain int, err error) {
 	reply := make(chan migrationResult, 1)
 	select {
 	case j.migrationRequests <- migrationRequest{reply}:
@@ -34,7 +34,7 @@
 	}
 	select {
 	case r := <-reply:
-		return r.encodedChunks, r.err
+		return r.nonPlainChunks, r.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -48,7 +48,7 @@
 	if j.canMigrate() {
 		err = j.commitMigration(ctx)
 	}
-	request.reply <- migrationResult{j.index.encodedChunkCount(), err}
+	request.reply <- migrationResult{j.index.nonPlainChunkCount(), err}
 	return err
 }
 
@@ -69,7 +69,7 @@
 // the encoding is AnyEncoding or if all chunks are plain already. It also returns false while some
 // record is too large for a plain chunk: the migration pauses, because it can't be completed.
 func (j *Journal) canMigrate() bool {
-	if j.allows(AnyEncoding) || j.index.encodedChunkCount() == 0 {
+	if j.allows(AnyEncoding) || j.index.nonPlainChunkCount() == 0 {
 		return false
 	}
 	return !j.index.hasRecordLargerThan(j.encoder.capacity - arrayBracketBytes)
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -74,8 +74,8 @@
 	}
 	txn := Txn{guards, ops}
 	faults := c.receiveTransaction(txn)
-	if faults.before != nil {
-		faults.before(txn)
+	if faults.beforeApply != nil {
+		faults.beforeApply(txn)
 	}
 	if faults.delay > 0 && !faults.drop {
 		time.AfterFunc(faults.delay, func() { _, _ = c.Apply(guards, ops) }) // nobody receives its result
@@ -85,7 +85,7 @@
 		return 0, storage.ErrOutcomeUnknown
 	}
 	revision, err = c.Apply(guards, ops)
-	if faults.loseAnswer {
+	if faults.loseResponse {
 		return 0, storage.ErrOutcomeUnknown
 	}
 	return revision, err
--- a/internal/storage/storagetest/faults.go
+++ b/internal/storage/storagetest/faults.go
@@ -18,8 +18,8 @@
 	Sent []Txn // every received transaction that was within the limits
 	// ForgetSent keeps Sent empty, because the transactions of a long test would exhaust memory.
 	ForgetSent bool
-	// LoseResponses is a number of transactions. That many transactions, starting with the next one,
-	// are applied without a response.
+	// LoseResponses is how many transactions, starting with the next one, are applied without a
+	// response.
 	LoseResponses int
 	// LoseResponse, if set, selects transactions that are applied without a response.
 	LoseResponse func(Txn) bool
@@ -64,10 +64,10 @@
 
 // txnFaults holds the faults of one transaction.
 type txnFaults struct {
-	before     func(Txn)
-	drop       bool
-	delay      time.Duration
-	loseAnswer bool
+	beforeApply  func(Txn)
+	drop         bool
+	delay        time.Duration
+	loseResponse bool
 }
 
 // receiveTransaction records a transaction in Sent, unless ForgetSent is set, and returns its
@@ -78,13 +78,13 @@
 	if !s.ForgetSent {
 		s.Sent = append(s.Sent, txn)
 	}
-	f := txnFaults{before: s.BeforeApply}
+	f := txnFaults{beforeApply: s.BeforeApply}
 	f.drop = s.DropTxn != nil && s.DropTxn(txn)
 	if s.LoseResponses > 0 {
-		f.loseAnswer = true
+		f.loseResponse = true
 		s.LoseResponses--
 	}
-	f.loseAnswer = f.loseAnswer || s.LoseResponse != nil && s.LoseResponse(txn)
+	f.loseResponse = f.loseResponse || s.LoseResponse != nil && s.LoseResponse(txn)
 	if s.Delay != nil {
 		f.delay = s.Delay()
 	}
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// changesAfter returns the changes that are newer than the revision, of keys that have the prefix.
-// Changes that the store no longer keeps are missing.
+// changesAfter returns the changes that are newer than the revision and whose keys have the prefix.
+// It omits changes that the store no longer keeps.
 func (s *Service) changesAfter(revision uint64, prefix string) []storage.Item {
 	var changes []storage.Item
 	first := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > revision })
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -35,7 +35,7 @@
 	countsPerRelease = 20
 )
 
-// Peers is what upgrades need from the connections to the other controllers.
+// Peers represents the connections to the other controllers, with only the methods that upgrades need.
 type Peers interface {
 	// Status returns the latest status that the named controller has reported. ok is false if it has reported none.
 	Status(name string) (status peer.ObservedStatus, ok bool)
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -84,11 +84,11 @@
 
 // watchRegistrations notifies the controller of each change of a registration, until ctx ends.
 func (c *Controller) watchRegistrations(ctx context.Context) {
-	hold := c.settings.WorkerLease
+	maxWait := c.settings.WorkerLease
 	revision := c.leader.Version
 	for ctx.Err() == nil {
-		watchCtx, cancel := context.WithTimeout(ctx, hold+c.settings.Tuning.LeaderLease)
-		changes, next, err := c.store.Watch(watchCtx, leadership.RegistrationPrefix, revision, hold)
+		watchCtx, cancel := context.WithTimeout(ctx, maxWait+c.settings.Tuning.LeaderLease)
+		changes, next, err := c.store.Watch(watchCtx, leadership.RegistrationPrefix, revision, maxWait)
 		cancel()
 		switch {
 		case errors.Is(err, storage.ErrCompacted):
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -76,7 +76,7 @@
 	Verb         Verb
 	ID           TaskID
 	Attempt      uint64  // number of the attempt
-	GraceSeconds float64 // of a Stop command: time that the task has for a checkpoint, in seconds
+	GraceSeconds float64 // for Stop: time that the task has for a checkpoint, in seconds
 }
 
 // HeartbeatResponse is the response to a heartbeat.
