--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -41,7 +41,8 @@
 // Set publishes now as the point in time.
 func (t *AtomicTime) Set(now time.Time) { t.at.Store(&now) }
 
-// Since returns the time elapsed since the published point in time, or never if there is none.
+// Since returns the time elapsed since the published point in time. If no point in time has been published, it
+// returns the argument never.
 func (t *AtomicTime) Since(never time.Duration) time.Duration {
 	if at := t.at.Load(); at != nil {
 		return time.Since(*at)
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -78,7 +78,8 @@
 	return responses
 }
 
-// SinceAccepted returns the time since the key-value store last accepted a batch, or never if it has accepted none.
+// SinceAccepted returns the time since the key-value store last accepted a batch. If the store has accepted no batch, it
+// returns the argument never.
 func (c *Client) SinceAccepted(never time.Duration) time.Duration { return c.lastAccepted.Since(never) }
 
 // sendRequest queues a request and waits for its response. The response is zero if the queue is full or ctx ends.
