--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -17,28 +17,28 @@
 
 const (
 	// sessionLeases is the time to live of a session, as a multiple of a worker's lease. A session only
-	// shows operators that the process is alive, so a long time to live suffices and its renewals cost
-	// next to nothing.
+	// shows operators that the process is alive. A long time to live is enough for that, and makes the
+	// cost of renewals negligible.
 	sessionLeases = 8
 	// renewalsPerSession is the number of times that a session is renewed within its time to live.
 	renewalsPerSession = 3
-	// registrationCalls is the number of consecutive calls to the key-value store in a registration.
+	// registrationCalls is the number of consecutive calls to the key-value store that register makes.
 	registrationCalls = 4
 )
 
-// Registrar is the actor that registers this process with the versions that it reads and writes. The
-// registration outlives the process: it stands for the controller's versions until another process of
-// the same controller replaces it.
+// Registrar is the actor that registers in the key-value store which versions of stored data this process
+// reads and writes. The registration remains valid for the controller after the process has ended, until
+// another process of the same controller replaces it.
 type Registrar struct {
 	store    storage.KeyValueStore
 	settings *config.Settings
 	process  string
 	log      *slog.Logger
 
-	registered atomic.Bool
-	version    uint64 // of this controller's registration key
-	session    uint64 // the lease of the session; 0: none is granted
-	lastLogged string
+	registered          atomic.Bool
+	registrationVersion uint64 // version of this controller's registration key
+	sessionLease        uint64 // the lease of the session; 0: none is granted
+	lastLogged          string
 }
 
 // NewRegistrar returns a registrar. Run starts it. process identifies this process among all processes
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// logFailure logs a failed registration. The same error is logged only once in a row.
+// logFailure logs a failed registration. If the same error repeats, it is logged only once.
 func (r *Registrar) logFailure(err error) {
 	level := slog.LevelDebug
 	if _, ok := errors.AsType[*upgrade.DamagedError](err); ok {
@@ -80,9 +80,11 @@
 }
 
 // register stores which versions this process supports, unless the cluster record refuses the process.
-// The transaction is guarded by the version of the cluster record, and an activation is guarded by the
-// registrations that it relies on. So this registration and an activation that relies on the earlier
-// one can't both succeed: the later of the two fails and reads the keys again.
+//
+// A registration must not succeed together with the activation of a version that relies on the
+// controller's earlier registration. The registration is therefore guarded by the version of the cluster
+// record, and the activation by the registrations that it relies on. The second of the two transactions
+// fails, and its sender reads the keys again.
 func (r *Registrar) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registrationCalls*r.settings.CallTimeout())
 	defer cancel()
@@ -98,8 +100,8 @@
 	if err != nil && !errors.Is(err, storage.ErrNotFound) {
 		return fmt.Errorf("read registration: %w", err)
 	}
-	if r.session == 0 {
-		if r.session, err = r.store.Grant(ctx, r.sessionTimeToLive()); err != nil {
+	if r.sessionLease == 0 {
+		if r.sessionLease, err = r.store.Grant(ctx, r.sessionTimeToLive()); err != nil {
 			return fmt.Errorf("grant session: %w", err)
 		}
 	}
@@ -109,24 +111,25 @@
 		{Key: r.registrationKey(), Version: earlier.Version},
 	}, &registration)
 	if errors.Is(err, storage.ErrLeaseExpired) {
-		r.session = 0
+		r.sessionLease = 0
 	}
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	r.version = version
+	r.registrationVersion = version
 	r.registered.Store(true)
 	r.log.Info("controller registered", "versions", upgradeSettings.Versions.String(), "active", cluster.Record.Active)
 	return nil
 }
 
-// writeSession stores the session and, unless it is nil, the registration. It returns the new revision.
+// writeSession stores the session, and also the registration unless registration is nil. It returns the
+// revision of the transaction.
 func (r *Registrar) writeSession(ctx context.Context, guards []storage.Guard, registration *upgrade.Registration) (uint64, error) {
 	session, err := json.Marshal(r.process)
 	if err != nil {
 		return 0, fmt.Errorf("encode session: %w", err)
 	}
-	ops := []storage.Op{{Key: SessionPrefix + r.settings.NodeName, Data: session, Lease: r.session}}
+	ops := []storage.Op{{Key: SessionPrefix + r.settings.NodeName, Data: session, Lease: r.sessionLease}}
 	if registration != nil {
 		data, err := json.Marshal(registration)
 		if err != nil {
@@ -156,15 +159,15 @@
 func (r *Registrar) renewSession(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout())
 	defer cancel()
-	err := r.store.Renew(ctx, r.session)
+	err := r.store.Renew(ctx, r.sessionLease)
 	if !errors.Is(err, storage.ErrNotFound) {
 		return err
 	}
-	session, err := r.store.Grant(ctx, r.sessionTimeToLive())
+	lease, err := r.store.Grant(ctx, r.sessionTimeToLive())
 	if err != nil {
 		return err
 	}
-	r.session = session
-	_, err = r.writeSession(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.version}}, nil)
+	r.sessionLease = lease
+	_, err = r.writeSession(ctx, []storage.Guard{{Key: r.registrationKey(), Version: r.registrationVersion}}, nil)
 	return err
 }
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// queueSize is the maximum number of requests that wait for the next batch. It is about what a few batches
-	// can carry before the waiting callers time out. A request that finds the queue full isn't relayed: a
-	// heartbeat can then be answered by delegation at once, and others can be sent to another controller.
+	// queueSize is the maximum number of requests that wait for the next batch. It is about the number of requests
+	// that can be relayed, in a few batches, before their callers time out. While the queue is full, further requests
+	// aren't relayed. A heartbeat can then be answered by delegation at once, that is, by this controller in the
+	// leader's place. A user's request can be sent to another controller.
 	queueSize = 512
-	// gatherPerHeartbeat is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
-	gatherPerHeartbeat = 0.1
+	// gatherShare is how long heartbeats are gathered for a batch, as a share of the heartbeat interval.
+	gatherShare = 0.1
 )
 
 // Client is the actor that relays a follower's requests to the leader. Its methods may be called from any goroutine.
@@ -77,7 +78,8 @@
 	return responses
 }
 
-// SinceAccepted returns the time since the key-value store last accepted a batch, or never if it has accepted none.
+// SinceAccepted returns the time since the key-value store last accepted a batch. If the store has accepted no batch, it
+// returns the argument never.
 func (c *Client) SinceAccepted(never time.Duration) time.Duration { return c.lastAccepted.Since(never) }
 
 // sendRequest queues a request and waits for its response. The response is zero if the queue is full or ctx ends.
@@ -96,7 +98,7 @@
 	}
 }
 
-// Run sends batches until ctx ends. It sends each batch after the one before it was answered or has timed out.
+// Run sends batches until ctx ends. It sends the next batch once the current batch has been answered or has timed out.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		batch := c.gatherBatch(ctx)
@@ -122,7 +124,7 @@
 				return c.takeQueued(batch)
 			}
 			if len(batch) == 1 {
-				gatherTimeout = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherPerHeartbeat))
+				gatherTimeout = time.After(clock.Scale(c.settings.HeartbeatInterval, gatherShare))
 			}
 		case <-gatherTimeout:
 			return c.takeQueued(batch)
@@ -144,7 +146,8 @@
 	return batch
 }
 
-// deliverBatch sends as much of a batch as fits, passes the responses to the callers, and returns the rest of the batch.
+// deliverBatch sends as many of the first requests of a batch as fit, and passes the responses to the callers. It returns
+// the remaining requests.
 func (c *Client) deliverBatch(ctx context.Context, batch []queuedRequest) []queuedRequest {
 	ctx, cancel := context.WithTimeout(ctx, BatchTimeout)
 	defer cancel()
@@ -158,7 +161,7 @@
 		}
 		copy(responses, got)
 	} else {
-		n = 1 // the first request doesn't fit even alone and gets no response
+		n = 1 // the first request doesn't fit even alone; its caller gets the zero response
 	}
 	for i, q := range batch[:n] {
 		q.reply <- responses[i]
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -5,9 +5,10 @@
 	"errors"
 )
 
-// A migration rewrites compressed chunks and records in fragments as plain chunks, so that
-// versions that can read only plain chunks can lead. It consists of steps of one commit each. If
-// a leader stops between or during steps, the next leader resumes the migration.
+// A migration rewrites compressed chunks and chunks with fragments as plain chunks. Afterwards,
+// versions of the program that can read only plain chunks can lead. A migration consists of steps,
+// and each step is one commit. If a leader stops between or during steps, the next leader resumes
+// the migration.
 
 // migrationRequest asks the journal's goroutine to run one migration step.
 type migrationRequest struct {
@@ -16,15 +17,15 @@
 
 // migrationResult is the outcome of a migration step.
 type migrationResult struct {
-	encodedChunks int
-	err           error
+	nonPlainChunks int
+	err            error
 }
 
-// MigrateStep applies the encoding set by SetEncoding, and returns how many chunks are still
-// compressed or hold fragments. If AnyEncoding is not allowed, it first rewrites some of these
-// chunks in one commit, within the budget of changes. It may be called from any goroutine while
-// Run is running.
-func (j *Journal) MigrateStep(ctx context.Context) (encoded int, err error) {
+// MigrateStep runs one step of a migration, and returns how many chunks are still compressed or hold
+// fragments. The step rewrites some of these chunks as plain chunks, within the budget of changes.
+// It rewrites nothing if the encoding set by SetEncoding is AnyEncoding, or while the migration is
+// paused: see canMigrate. MigrateStep may be called from any goroutine while Run is running.
+func (j *Journal) MigrateStep(ctx context.Context) (nonPlain int, err error) {
 	reply := make(chan migrationResult, 1)
 	select {
 	case j.migrationRequests <- migrationRequest{reply}:
@@ -33,7 +34,7 @@
 	}
 	select {
 	case r := <-reply:
-		return r.encodedChunks, r.err
+		return r.nonPlainChunks, r.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -47,7 +48,7 @@
 	if j.canMigrate() {
 		err = j.commitMigration(ctx)
 	}
-	request.reply <- migrationResult{j.index.encodedChunkCount(), err}
+	request.reply <- migrationResult{j.index.nonPlainChunkCount(), err}
 	return err
 }
 
@@ -64,10 +65,11 @@
 	return err
 }
 
-// canMigrate reports whether there are encoded chunks to rewrite as plain ones. While some record
-// is too large for a plain chunk, the migration can't be completed, so it pauses.
+// canMigrate reports whether the journal should rewrite chunks as plain chunks. It returns false if
+// the encoding is AnyEncoding or if all chunks are plain already. It also returns false while some
+// record is too large for a plain chunk: the migration pauses, because it can't be completed.
 func (j *Journal) canMigrate() bool {
-	if j.allows(AnyEncoding) || j.index.encodedChunkCount() == 0 {
+	if j.allows(AnyEncoding) || j.index.nonPlainChunkCount() == 0 {
 		return false
 	}
 	return !j.index.hasRecordLargerThan(j.encoder.capacity - arrayBracketBytes)
