--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,8 @@
 // Package admission limits how many submissions may wait to be recorded durably. A submission that
 // can't be recorded soon is rejected at once, with the time after which to retry. When the capacity is
-// contended, each team may use its fair share. Retries are spaced at the measured throughput, so that
-// rejected submissions don't all return at the same time and each is likely to be admitted then.
+// contended, each team may use only its fair share. The times to retry are spaced at the measured
+// throughput. Rejected submissions therefore don't all return at the same time, and each is likely to be
+// admitted when it returns.
 //
 // The package does no input or output.
 package admission
@@ -14,13 +15,14 @@
 const (
 	// throughputWeight is the weight of one measurement in the moving average of the throughput.
 	throughputWeight = 0.3
-	// contendedShare is the used share of the capacity from which it counts as contended. From there
-	// on each team is admitted only up to its fair share of the whole capacity.
+	// contendedShare is a share of the capacity. Once this share is used, the capacity counts as contended,
+	// and each team is admitted only up to its fair share of the whole capacity.
 	contendedShare = 0.5
 	// minCapacity is the least number of submissions that may wait, however low the throughput is,
 	// because the throughput can be measured only while submissions are recorded.
 	minCapacity = 32
-	// maxRetrySeconds bounds the time to retry in the response. By the protocol users wait no longer.
+	// maxRetrySeconds is the longest time that a response may state until the retry. By the protocol, users
+	// wait no longer.
 	maxRetrySeconds = 30
 )
 
@@ -28,10 +30,10 @@
 type Limiter struct {
 	maxWait    time.Duration  // how long a submission may wait to be recorded
 	throughput float64        // moving average of the submissions recorded per second at saturation
-	waiting    map[string]int // admitted submissions that aren't recorded yet, by team; no entry is zero
+	waiting    map[string]int // number of admitted submissions that aren't recorded yet, by team; no entry is zero
 	total      int            // the sum of waiting
 	teams      int            // number of configured teams
-	nextRetry  time.Time      // time reserved for the retry of the last rejected submission
+	nextRetry  time.Time      // time to retry that was assigned to the last rejected submission
 }
 
 // NewLimiter returns a limiter that admits submissions expected to be recorded within maxWait.
@@ -62,9 +64,10 @@
 	return true
 }
 
-// fairShare returns the part of the capacity that a team may use when the capacity is contended: an even
-// share among the team and the others with waiting submissions. If several teams are configured, at least
-// two are counted, so that a single active team leaves capacity for another.
+// fairShare returns how much of the capacity a team may use when the capacity is contended. It divides the
+// capacity evenly among this team and the other teams with waiting submissions. If several teams are
+// configured, it divides the capacity by at least two, so that a single active team leaves capacity for
+// another team.
 func (l *Limiter) fairShare(team string, capacity int) int {
 	active := len(l.waiting)
 	if l.waiting[team] == 0 {
@@ -92,8 +95,8 @@
 	l.throughput += throughputWeight * (float64(recorded)/took.Seconds() - l.throughput)
 }
 
-// RetryAfterSeconds reserves a time to retry for a submission that is rejected now. It returns the time until
-// then in whole seconds, from 1 to maxRetrySeconds.
+// RetryAfterSeconds assigns a time to retry to a submission that is rejected now. It returns how many whole seconds
+// the submission must wait until that time, from 1 to maxRetrySeconds.
 func (l *Limiter) RetryAfterSeconds(now time.Time) int {
 	if l.nextRetry.Before(now) {
 		l.nextRetry = now
--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -1,11 +1,12 @@
-// Package autoscaling sizes the fleet. A Reviewer runs trial packings of the cluster state to compute which
-// machines the fleet needs and which are surplus; it runs in the scheduler's goroutine. An Autoscaler is an
-// actor that owns the fleet's desired size and is the only caller of the cloud's interface. After sustained
-// demand it scales out in bounded steps, and it scales in one machine at a time.
+// Package autoscaling sizes the fleet. A Reviewer computes which machines the fleet needs and which are surplus.
+// For this it makes a trial packing: it computes where the waiting tasks would fit, without placing them. A Reviewer
+// runs in the scheduler's goroutine. An Autoscaler is an actor that owns the fleet's desired size and is the only
+// caller of the cloud's interface. After sustained demand it scales out in bounded steps. It scales in one machine
+// at a time.
 //
-// Every step is recorded durably before it is carried out. One guarded commit holds the desired size, the
-// leader's term and the names of the launch requests, so that a repeated or delayed request can't launch
-// machines twice.
+// Every step is recorded durably before it is carried out. One guarded commit, which succeeds only during the
+// leader's term, holds the desired size, the term and the names of the launch requests. A repeated or delayed
+// request therefore can't launch machines twice.
 package autoscaling
 
 import (
@@ -43,8 +44,8 @@
 	Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error)
 	// Terminate terminates machines. Once it returns without an error, they and their tasks no longer run.
 	Terminate(ctx context.Context, machines []int) error
-	// List returns one page of at most limit machines, those after the machine with number after. With
-	// NoMachine it starts at the first machine. more reports whether further pages follow.
+	// List returns the page of the machine list that follows the machine with the given number, at most limit
+	// machines. If after is NoMachine, it returns the first page. more reports whether further pages follow.
 	List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error)
 }
 
@@ -53,14 +54,16 @@
 	Append(ctx context.Context, b storage.Batch)
 }
 
-// Scheduler receives the cloud's responses. Its methods queue a message and return without waiting for its effects.
+// Scheduler receives the cloud's responses and the drain requests. Its methods queue a message, and return without
+// waiting until the message is handled.
 type Scheduler interface {
 	HandleMachineTypes(types []storage.MachineType)
 	HandleMachineList(machines []cloud.Machine)
 	HandleLaunched(launch storage.LaunchRecord, machines []int)
 	HandleRejected(o cloud.Offering)
 	HandleTerminated(machines []int)
-	// HandleSurplus requests that a machine be drained. The scheduler calls DrainCompleted when that drain is over.
+	// HandleSurplus requests that a machine be drained. The scheduler calls Autoscaler.DrainCompleted when the
+	// drain is over.
 	HandleSurplus(m SurplusMachine)
 }
 
@@ -97,8 +100,8 @@
 	lastLaunchNumber int                       // number of the last launch request in this term
 	commitInFlight   bool                      // the commit of a step is in flight
 
-	// The conditions for a step.
-	demandSince   time.Time // zero: there is no demand
+	// The conditions for scaling out and for scaling in.
+	demandSince   time.Time // start of the current demand or, if later, the last scale-out; zero: there is no demand
 	healthySince  time.Time // zero: some machine isn't healthy, or scaling is frozen
 	cooldownUntil time.Time // no machine is drained before then
 	backOffUntil  time.Time // scaling is frozen until then
@@ -122,8 +125,8 @@
 // pendingLaunch is a launch request without a final response from the cloud.
 type pendingLaunch struct {
 	storage.LaunchRecord
-	durable bool // its record is committed; it must not be sent before
-	sending bool // a call for it is in flight
+	durable bool // the request's record is committed; the request must not be sent before that
+	sending bool // a call with the request is in flight
 	retryAt time.Time
 }
 
@@ -178,7 +181,7 @@
 func (a *Autoscaler) Run(ctx context.Context) error {
 	tick := time.NewTicker(clock.Scale(a.settings.HeartbeatInterval, tickPerHeartbeat))
 	defer tick.Stop()
-	cooldown := time.NewTimer(0) // fires at the end of the cooldown after a drain
+	cooldown := time.NewTimer(0) // fires at the end of the cooldown, when the next machine may be drained
 	defer cooldown.Stop()
 	defer a.cloudCalls.Wait() // the calls end with ctx
 	for {
@@ -206,7 +209,7 @@
 // queues the surplus machines for scaling in, which drains them one at a time.
 func (m snapshotMessage) handle(ctx context.Context, a *Autoscaler, now time.Time) {
 	s := m.snapshot
-	// After a failover the machines must first report to the new leader. In term 1 there are none to wait for.
+	// After a failover the machines must first report to the new leader. In term 1 there are no machines to wait for.
 	starting := a.term > 1 && now.Sub(a.started) < a.settings.HeartbeatInterval
 	frozen := now.Before(a.backOffUntil) || starting || !s.MachinesListed
 	a.updateWindows(&s, frozen, now)
@@ -228,9 +231,9 @@
 	}
 }
 
-// updateWindows records since when there has been demand, and since when all machines have been healthy. Demand
-// other than that of opportunistic work prevents scaling in while it lasts, because the snapshot then lists no
-// surplus, and for a cooldown after each scale-out step.
+// updateWindows records since when there has been demand, and since when all machines have been healthy. While there
+// is demand other than that of opportunistic work, the fleet doesn't scale in, because the snapshot then lists no
+// surplus machines. After a scale-out step for such demand, the fleet doesn't scale in for a cooldown either.
 func (a *Autoscaler) updateWindows(s *Snapshot, frozen bool, now time.Time) {
 	switch {
 	case len(s.Desired) == 0:
@@ -246,7 +249,7 @@
 	}
 }
 
-// scaleOut records the new size, the term and the launch requests in one guarded commit. The requests are sent
+// scaleOut records the new size, the term and the launch requests in one guarded commit. The launch requests are sent
 // after the commit.
 func (a *Autoscaler) scaleOut(ctx context.Context, s Snapshot, now time.Time) {
 	n := min(len(s.Desired), a.settings.Tuning.MaxScaleOut(s.Size))
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -14,8 +14,8 @@
 const (
 	// callTimeoutPerLease is the timeout of one call of the cloud, in worker leases.
 	callTimeoutPerLease = 0.5
-	// listsPerLag is how many times the machine list is read per ListLag. It is read less often if the
-	// reads would use more than listRequestShare of the autoscaler's requests.
+	// listsPerLag is how many times the machine list is read within one ListLag. The list is read less often if
+	// that would take more than listRequestShare of the autoscaler's request rate.
 	listsPerLag      = 2
 	listRequestShare = 0.5
 	// listPageSize is the number of machines requested per page, the most that the cloud returns.
@@ -108,7 +108,7 @@
 	}
 }
 
-// listMachinesPage reads the page of the machine list that follows the machine with number after.
+// listMachinesPage reads the page of the machine list that follows the machine with the given number.
 func (a *Autoscaler) listMachinesPage(ctx context.Context, after int) (page []cloud.Machine, more bool, err error) {
 	ctx, cancel := a.callContext(ctx)
 	defer cancel()
@@ -209,8 +209,8 @@
 	a.sendTerminations(ctx)
 }
 
-// sendTerminations sends one request to terminate the waiting machines, at most maxTerminationBatch of them, unless a
-// request is in flight.
+// sendTerminations sends one request to terminate machines of toTerminate, at most maxTerminationBatch of them. It does
+// nothing while a termination request is in flight.
 func (a *Autoscaler) sendTerminations(ctx context.Context) {
 	if a.terminationInFlight || len(a.toTerminate) == 0 {
 		return
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -18,7 +18,7 @@
 	zones         placement.ZoneCheck
 	tasks         int     // tasks left to pack
 	headroom      bool    // the tasks stand for resources to keep free
-	opportunistic bool    // opportunistic work, for which only affordable machines are launched
+	opportunistic bool    // the tasks are opportunistic work; mayLaunchOpportunistic limits launches for them
 	runSeconds    float64 // expected run time of a batch task; 0 for services, headroom and opportunistic work
 	packed        placement.PackedTask
 }
@@ -59,8 +59,9 @@
 	return append(demands, opportunistic...)
 }
 
-// demandedTasks returns how many of a job's waiting tasks fit within its team's limit, in addition to what the team
-// has reserved and planned. It adds their resources to planned. Of a gang either all waiting tasks count or none.
+// demandedTasks returns how many of a job's waiting tasks fit within its team's limit. The team's reserved resources
+// count towards the limit, and so do the resources in planned. demandedTasks adds the resources of the tasks that fit
+// to planned. For a gang it returns either the number of all waiting tasks or 0.
 func (r *Reviewer) demandedTasks(j *cluster.Job, team *config.Team, planned map[string]storage.Resources) int {
 	reserved := r.state.Reservations.Team(j.Spec.Team)
 	if j.Spec.Gang {
@@ -110,9 +111,9 @@
 	return demands
 }
 
-// classHeadroomDemands returns headroom demands for a number of tasks of a class. A spread job must run half of its
-// tasks, rounded down, outside its first zone. For such classes that share of the headroom is kept in every feasible
-// zone.
+// classHeadroomDemands returns headroom demands for a number of tasks of a class. A job that is spread over zones must
+// run half of its tasks, rounded down, outside of its first zone. If the class's jobs are spread, that share of the
+// headroom is kept free in every feasible zone, because each of them may be the other zone of a job.
 func (r *Reviewer) classHeadroomDemands(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -9,12 +9,13 @@
 	"sagevale/internal/storage"
 )
 
-// headroomTasks returns the number of tasks of a class to keep resources free for. Classes of high priority or above have
-// headroom, and so does batch work that may use spot machines and has at least normal priority or a deadline.
+// headroomTasks returns for how many tasks of a class resources are kept free. All classes of high priority or above
+// have headroom. A class of lower priority has headroom only if it is batch work that may use spot machines, and if it
+// has normal priority or a deadline.
 //
-// For services it is the number of tasks expected to arrive while a machine boots, net of departures, plus a margin
-// of HeadroomDeviations standard deviations. For batch work it is the expected number of running tasks, plus the
-// same margin, minus the current number.
+// For services the result is the number of tasks that are expected to arrive while a machine boots, minus departures,
+// plus a margin of HeadroomDeviations standard deviations. For batch work it is the expected number of running tasks,
+// plus the same margin, minus the current number of tasks.
 func (r *Reviewer) headroomTasks(c *cluster.Class, now time.Time) int {
 	spec := &c.Latest.Spec
 	if spec.Gang {
@@ -38,13 +39,13 @@
 	return int(math.Ceil(rate.Expected(r.state.MinBootSeconds(c.Latest), deviations) - 0.5))
 }
 
-// maxPromptStartBoots is the start objective, in boot times, below which a class of gangs has headroom. Gangs with
-// more time can wait for machines to boot.
+// maxPromptStartBoots limits which classes of gangs have headroom: those whose start objective is shorter than this
+// number of boot times. Gangs with more time can wait for machines to boot.
 const maxPromptStartBoots = 2
 
-// gangHeadroomTasks returns the number of tasks of a class of gangs to keep resources free for. It is the expected
-// number of running tasks, plus the margin, minus the current number, but at least the size of the largest recent
-// gang.
+// gangHeadroomTasks returns for how many tasks of a class of gangs resources are kept free. For a class with headroom,
+// that is the expected number of running tasks, plus the margin of headroomTasks, minus the current number of tasks.
+// The result is at least the size of the largest recent gang.
 func (r *Reviewer) gangHeadroomTasks(c *cluster.Class, now time.Time) int {
 	objective := r.settings.StartObjective(c.Latest.Spec.Class)
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
@@ -56,8 +57,8 @@
 	return max(c.LargestJob(), int(expected)-r.state.Jobs.CurrentTasks(c.Latest.Spec.Class))
 }
 
-// servicesOnFullestMachine counts, by class, the service tasks with GPUs on the machine whose services use the most
-// GPUs. Headroom for them lets them restart elsewhere if that machine is lost.
+// servicesOnFullestMachine finds the machine whose services use the most GPUs. It returns the number of service tasks
+// with GPUs on this machine, by class. Headroom for these tasks lets them restart elsewhere if the machine is lost.
 func (r *Reviewer) servicesOnFullestMachine() map[string]int {
 	var fullest *cluster.Machine
 	most := 0.0
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -13,17 +13,20 @@
 )
 
 const (
-	// maxDesiredSteps bounds the desired machines of a snapshot, in scale-out steps. It is more than one so
-	// that each step can choose the desired machines that boot longest and launch them first.
+	// maxDesiredSteps is the maximum number of desired machines in a snapshot, in scale-out steps of full size.
+	// It is more than one, so that each step can choose among the desired machines and first launch those that
+	// take longest to boot.
 	maxDesiredSteps = 4
-	// hedgeShare is the share of the booting machines that waiting services count on for which extra
-	// machines are launched, because some boot late and some never come up. With many machines chance
-	// evens out, and the square root of their number is enough.
+	// hedgeShare is the number of extra machines that are launched per booting machine on which waiting service
+	// tasks were packed, because some machines boot late and some never come up. The number of extra machines is
+	// at most the square root of the number of such booting machines. That is enough, because with many machines
+	// chance evens out.
 	hedgeShare = 0.5
-	// minBacklogShare is the least share of the batch slots that is assumed to be available to the backlog.
+	// minBacklogShare is the least share of the batch slots that is assumed to be available to waiting batch
+	// tasks, see batchBacklog.
 	minBacklogShare = 0.2
-	// zoneBalanceWeight is the relative surcharge on the cost of an offering in a zone that has all
-	// machines of the fleet, compared to a zone that has none.
+	// zoneBalanceWeight is the surcharge on the cost of an offering whose zone holds all machines of the fleet,
+	// as a fraction of the cost. The surcharge is proportional to the zone's share of the machines.
 	zoneBalanceWeight = 0.02
 )
 
@@ -35,10 +38,10 @@
 	desired       []cloud.Offering // machines to launch for tasks that fit on no candidate
 	maxDesired    int
 	opportunistic int            // number of desired machines for opportunistic work
-	zoneSizes     map[string]int // number of machines, with the desired ones, by zone
+	zoneSizes     map[string]int // number of machines by zone, including the desired machines
 }
 
-// nonOpportunistic returns how many desired machines are for other than opportunistic work.
+// nonOpportunistic returns how many desired machines are for work that isn't opportunistic.
 func (p *packing) nonOpportunistic() int { return len(p.desired) - p.opportunistic }
 
 // addDesired adds a machine for a demand to the desired machines and to the candidates.
@@ -56,14 +59,15 @@
 	}
 }
 
-// batchBacklog holds the totals of batch work in a packing. A slot is room for one task.
+// batchBacklog counts the slots for batch work in a packing, and the waiting batch tasks without a slot. A slot is room
+// for one batch task on a machine. Opportunistic work isn't counted.
 type batchBacklog struct {
-	slots         int     // slots that batch tasks occupy or were packed into
-	expectedSlots float64 // slots that batch work typically occupies
-	unpackedTasks int     // tasks left unpacked so far
+	slots         int     // number of slots that batch tasks occupy or were packed into
+	expectedSlots float64 // number of slots that batch work typically occupies
+	unpackedTasks int     // number of waiting batch tasks that the packing has left unpacked so far
 }
 
-// packTask packs one task of a demand on a candidate. It returns 1 if the candidate is a booting machine, and else 0.
+// packTask packs one task of a demand on a candidate. It returns 1 if the candidate is still booting, and 0 otherwise.
 func packTask(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
 	c.Packed = append(c.Packed, d.packedTask())
@@ -78,9 +82,8 @@
 	return 0
 }
 
-// packDemands packs the demands into the candidates. For tasks that don't fit it adds desired machines, each of the
-// cheapest offering. No machine is added for batch work that existing slots can start before a new machine would be
-// up.
+// packDemands packs the demands into the candidates. For tasks that don't fit it adds desired machines of the cheapest
+// offerings. It adds no machine for batch tasks that can start in existing slots before a new machine would be up.
 func (r *Reviewer) packDemands(p *packing, demands []*demand, size int, now time.Time) {
 	p.zones = placement.ZonesOf(p.candidates)
 	p.maxDesired = maxDesiredSteps * r.settings.Tuning.MaxScaleOut(size)
@@ -107,12 +110,13 @@
 	}
 }
 
-// provisioningHedge computes the number of tasks of one class to launch extra machines for. bootingTasks counts the
-// tasks that rely on booting machines, and hedgedTasks those for which extra machines were requested.
+// provisioningHedge computes for how many tasks of one class extra machines are launched, see hedgeShare. bootingTasks
+// is the number of tasks that were packed on booting machines. hedgedTasks is the number of tasks for which extra
+// machines were requested.
 type provisioningHedge struct{ bootingTasks, hedgedTasks float64 }
 
-// extraTasks adds tasks that rely on booting machines to the count, and returns the number of further tasks to launch
-// extra machines for.
+// extraTasks adds a number of tasks that were packed on booting machines. It returns for how many more tasks extra
+// machines are to be requested.
 func (h *provisioningHedge) extraTasks(booting int, tasksPerMachine float64) int {
 	h.bootingTasks += float64(booting)
 	machines := h.bootingTasks / tasksPerMachine
@@ -121,7 +125,8 @@
 	return max(0, extra)
 }
 
-// tasksPerMachine returns how many tasks of the job fit on a machine of the feasible type that holds the most.
+// tasksPerMachine returns how many tasks of the job fit on one machine. Of the feasible machine types, it considers the
+// type on which the most tasks fit.
 func (r *Reviewer) tasksPerMachine(j *cluster.Job) float64 {
 	most := 1
 	for _, name := range r.state.FeasibleTypes(j) {
@@ -135,7 +140,7 @@
 func (r *Reviewer) packDemand(p *packing, d *demand, backlog *batchBacklog, now time.Time) (booting int) {
 	if spec := &d.job.Spec; spec.Gang && spec.SameZone && len(d.job.Attempts) == 0 {
 		if zone := zoneWithMostCapacity(p.candidates, d); zone != "" {
-			d.zones.Add(zone, 1) // the whole gang goes there
+			d.zones.Add(zone, 1) // all tasks of the gang must then be packed in this zone
 		}
 	}
 	for d.tasks > 0 {
@@ -155,7 +160,7 @@
 		}
 		t := r.state.Types.Get(o.Type)
 		if d.job.Spec.Resources.GPUs == 0 && t.Resources.GPUs > 0 {
-			// Only GPU machines are on offer for this CPU-only task. Prefer one that is already booting.
+			// The best offering for this CPU-only task has GPUs. A GPU machine that is already booting is preferred.
 			if c := r.planner.BestFit(p.candidates, d.job, &d.zones, placement.AcceptAny); c != nil {
 				booting += packTask(c, d, backlog)
 				continue
@@ -169,8 +174,9 @@
 	return booting
 }
 
-// batchSlotsSuffice reports whether the slots of batch work can start the rest of a demand before a new machine would
-// be up. The slots that batch work typically occupies aren't available to the backlog.
+// batchSlotsSuffice reports whether the remaining tasks of a demand can start in slots for batch work before a new
+// machine would be up. The slots that batch work typically occupies don't count as available, but at least
+// minBacklogShare of all slots does.
 func (r *Reviewer) batchSlotsSuffice(d *demand, backlog *batchBacklog) bool {
 	if d.runSeconds <= 0 || backlog.slots == 0 || d.job.Spec.Gang {
 		return false
@@ -180,8 +186,8 @@
 }
 
 // mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. An unaffordable machine
-// is launched only for a job that has waited too long for its first task's machine. The demand is then reduced to
-// that task.
+// is launched only for a job that has waited too long for its first task to get a machine. The demand is then reduced
+// to this task.
 func (r *Reviewer) mayLaunchOpportunistic(p *packing, o cloud.Offering, d *demand, now time.Time) bool {
 	if p.opportunistic == config.MaxLaunchMachines {
 		return false // more at a time would delay launches for other work
@@ -196,8 +202,8 @@
 	return true
 }
 
-// expectedBatchSlots returns how many slots batch work typically occupies. While the arrival rate of any class isn't
-// known yet it returns infinity, because more tasks may arrive than there are slots.
+// expectedBatchSlots returns how many slots batch work typically occupies. As long as the arrival rate of any batch
+// class is unknown, it returns infinity, because more tasks may arrive than there are slots.
 func (r *Reviewer) expectedBatchSlots(now time.Time) float64 {
 	slots := 0.0
 	for _, c := range r.state.Classes.All() {
@@ -244,8 +250,8 @@
 	return !c.Booting || !j.Spec.Service || j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0
 }
 
-// zoneWithMostCapacity returns the zone in which the most tasks of a single-zone gang fit, or "" if none fits
-// anywhere. Of equal zones it returns the first by name.
+// zoneWithMostCapacity returns the zone in which the most tasks of a single-zone gang fit, or "" if no task fits in any
+// zone. If several zones have the same capacity, it returns the first of them by name.
 func zoneWithMostCapacity(candidates []*placement.Candidate, d *demand) string {
 	capacity := make(map[string]int)
 	best := ""
@@ -261,8 +267,9 @@
 	return best
 }
 
-// bestOffering returns the offering with the least cost per task for the rest of a demand, among those that the cloud
-// hasn't rejected recently. Offerings whose machines mostly didn't come up are used only if there are no others.
+// bestOffering returns the offering with the least cost per task for the remaining tasks of a demand. It leaves out
+// offerings that the cloud has rejected recently. It returns an offering whose recent machines mostly didn't come up
+// only if there is no other.
 func (r *Reviewer) bestOffering(p *packing, d *demand, now time.Time) (cloud.Offering, bool) {
 	best, ok := r.cheapestOffering(p, d, now, func(o cloud.Offering) bool { return !r.failsToProvision(o, now) })
 	if !ok {
@@ -271,8 +278,8 @@
 	return best, ok
 }
 
-// cheapestOffering returns the offering with the least cost per task among those that suits accepts. The cost has a
-// surcharge for zones with many machines.
+// cheapestOffering returns the offering with the least cost per task among those for which suits returns true. The cost
+// includes a surcharge for zones with many machines, see zoneBalanceWeight.
 func (r *Reviewer) cheapestOffering(p *packing, d *demand, now time.Time, suits func(cloud.Offering) bool) (best cloud.Offering, ok bool) {
 	spec := &d.job.Spec
 	bestCost := math.Inf(1)
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// overdueRatio is the number of nominal boot times after which a machine that isn't up is overdue and
-	// no longer counted on: some machines take several times as long, and some never come up.
+	// overdueRatio is the number of nominal boot times after which a machine that isn't up is overdue. No tasks
+	// are packed on overdue machines, because some take several times as long to boot and some never come up.
 	overdueRatio = 1.6
-	// abandonRatio is the number of nominal boot times after which it is terminated, because a replacement
-	// comes up sooner.
+	// abandonRatio is the number of nominal boot times after which a machine that isn't up is terminated,
+	// because a replacement would come up sooner.
 	abandonRatio = 2.0
 	// firstReportGrace is the additional time that a booted machine has until its first report.
 	firstReportGrace = 5 * time.Second
 )
 
-// provisioningHistory holds the outcomes of provisioning in this term. Those by machine type show how slow it is,
-// and those by offering show whether machines come up at all.
+// provisioningHistory holds the outcomes of provisioning in this term. The histories by machine type show how slowly
+// machines boot, and the histories by offering show whether machines come up at all.
 type provisioningHistory struct {
 	byType     map[string]*provisioning.History
 	byOffering map[cloud.Offering]*provisioning.History
-	slowness   map[string]float64 // factor by type, as of the last snapshot; 1: not slow
+	slowness   map[string]float64 // result of History.Slowness by type, as of the last snapshot; 1: not slow
 }
 
 func newProvisioningHistory() *provisioningHistory {
@@ -68,7 +68,7 @@
 	r.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
-// noteAbandoned records that a machine is terminated that never came up, if its launch was observed.
+// noteAbandoned records that a machine never came up and is to be terminated, if its launch was observed.
 func (r *Reviewer) noteAbandoned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
@@ -78,7 +78,7 @@
 	r.provisioning.ofOffering(m.Offering()).RecordAbandoned(now, provisioningRatio(m, now))
 }
 
-// updateSlowness computes for each machine type the factor by which provisioning is slower than usual.
+// updateSlowness computes for each machine type the factor by which machines boot slower than nominal.
 func (r *Reviewer) updateSlowness(now time.Time) {
 	overdueRatios := make(map[string][]float64)
 	for _, m := range r.state.Machines.InOrder() {
@@ -96,15 +96,15 @@
 	}
 }
 
-// provisioningExceeds reports whether a machine was launched more than ratio nominal boot times and firstReportGrace
-// ago.
+// provisioningExceeds reports whether a machine was launched too long ago. The limit is ratio nominal boot times of its
+// type plus firstReportGrace.
 func provisioningExceeds(m *cluster.Machine, now time.Time, ratio float64) bool {
 	return m.Type != nil && now.Sub(m.FirstSeen) > clock.Seconds(m.Type.BootS*ratio)+firstReportGrace
 }
 
-// Overdue reports whether a machine that isn't up is no longer counted on. If all machines of its type boot slowly,
-// a replacement would come up no sooner. The slow ones may also be machines that never come up, so the limit is
-// extended only by the square root of the slowness.
+// Overdue reports whether a machine that isn't up is overdue, see overdueRatio. If all machines of its type boot slowly,
+// a replacement would come up no sooner, so the limit is longer for them. But machines that seem slow may also be
+// machines that never come up, so the limit grows only by the square root of the slowness.
 func (r *Reviewer) Overdue(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, overdueRatio*math.Sqrt(max(1, r.provisioning.slowness[m.TypeName])))
 }
@@ -120,9 +120,10 @@
 	return history != nil && history.Failing(now, clock.Seconds(r.state.Types.Get(o.Type).BootS))
 }
 
-// shouldAbandon reports whether a machine that hasn't reported in this term is to be terminated. A machine that never
-// reported is terminated when its provisioning has failed. One that did is terminated once it has been silent for a
-// worker lease plus the boot time of a replacement: if it is behind a network partition it may return before that.
+// shouldAbandon reports whether a machine that isn't confirmed is to be terminated. A machine is confirmed once it has
+// reported with a fencing token of this term. A machine without any report in this term is terminated when its
+// provisioning has failed. A machine that has reported, but without such a token, is terminated once it has been silent
+// for a worker lease plus the boot time of a replacement. If a network partition isolates it, it may return before that.
 func (r *Reviewer) shouldAbandon(m *cluster.Machine, now time.Time) bool {
 	if m.LastContact.IsZero() {
 		return r.provisioningFailed(m, now)
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// NoteRejected records that the cloud rejected a launch of an offering or had too little capacity for it. The
-// offering isn't desired again for a worker lease.
+// NoteRejected records that the cloud rejected a launch of an offering or had too little capacity for it. For a worker
+// lease, no further machines of the offering are desired.
 func (r *Reviewer) NoteRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
 
 // recentlyRejected reports whether the cloud rejected an offering within the last worker lease.
@@ -51,8 +51,8 @@
 	minimumAllocationLeases = 2
 )
 
-// minimumAllocationDue reports whether an opportunistic job has waited long enough for its first task's machine
-// for one of any price to be launched.
+// minimumAllocationDue reports whether an opportunistic job has waited so long for its first task to get a machine that
+// a machine of any price may be launched for this task.
 func (r *Reviewer) minimumAllocationDue(j *cluster.Job, now time.Time) bool {
 	return j.Allocated() == 0 && now.Sub(j.Submitted) > minimumAllocationLeases*r.settings.WorkerLease
 }
@@ -63,15 +63,15 @@
 	return r.pricePerTask(o, j.Spec.Resources) <= maxOpportunisticPriceRatio*r.leastPricePerTask(j)
 }
 
-// pricePerTask returns the hourly price of a machine of an offering, divided by the number of tasks of a size that
-// it holds.
+// pricePerTask returns the hourly price of a machine of an offering, divided by the number of tasks that fit on it. task
+// is the resources that one task needs.
 func (r *Reviewer) pricePerTask(o cloud.Offering, task storage.Resources) float64 {
 	t := r.state.Types.Get(o.Type)
 	return hourlyPrice(t, o.Spot) / float64(placement.FitCount(t.Resources, task))
 }
 
-// leastPricePerTask returns the least price per task among the machine types that a job may use, with the spot price
-// for jobs that may use spot machines.
+// leastPricePerTask returns the least price per task among the machine types that a job may use. If the job may use spot
+// machines, it takes the spot prices of the types that have one.
 func (r *Reviewer) leastPricePerTask(j *cluster.Job) float64 {
 	least := 0.0
 	for _, name := range r.state.FeasibleTypes(j) {
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -8,37 +8,37 @@
 	"sagevale/internal/placement"
 )
 
-// Snapshot is the state of the fleet and of the demand from which the autoscaler decides.
+// Snapshot is the state of the fleet and of the demand, on which the autoscaler's decisions are based.
 type Snapshot struct {
 	Desired          []cloud.Offering   // machines to launch for the demand, in the order of packing
-	NonOpportunistic int                // number of desired machines for other than opportunistic work
+	NonOpportunistic int                // number of desired machines for work that isn't opportunistic
 	Healthy          bool               // the last report of every confirmed machine is fresh
 	Surplus          []SurplusMachine   // machines that may be drained and terminated, one after the other
 	Emptied          []int              // machines to terminate: drained and without tasks
 	Lost             []int              // machines to terminate: failed, silent, never provisioned or already terminating
-	DrainsRequested  int                // drain requests that the scheduler had received
+	DrainsRequested  int                // number of drain requests that the scheduler had received
 	Draining         bool               // a draining machine still has tasks
 	Size             int                // number of machines that are neither terminating nor failed
 	MachinesListed   bool               // the cloud's machine list was read in this term
 	BootSeconds      map[string]float64 // nominal boot time by machine type
 }
 
-// SurplusMachine is a machine that the fleet doesn't need. Attempts is its number of attempts in the snapshot, so
-// that the scheduler can skip a machine that has got more since.
+// SurplusMachine is a machine that the fleet doesn't need. Attempts is the number of attempts that it had in the
+// snapshot. The scheduler can therefore skip a machine that has received more attempts since the snapshot.
 type SurplusMachine struct {
 	Machine  int
 	Attempts int
 }
 
-// Conditions holds the scheduler's state that a snapshot depends on.
+// Conditions holds the parts of the scheduler's state that a snapshot depends on.
 type Conditions struct {
 	LeaseValid      bool // the leadership lease is valid; demand and surplus are computed only then
 	MachinesListed  bool
 	DrainsRequested int
 }
 
-// Snapshot reviews the fleet. It computes the demand by a trial packing of the waiting tasks and of the headroom into
-// the free resources of the ready and booting machines.
+// Snapshot reviews the fleet and returns its state. It computes the demand by a trial packing: it packs the waiting
+// tasks and the headroom into the free resources of the ready and booting machines.
 func (r *Reviewer) Snapshot(now time.Time, c Conditions) Snapshot {
 	s := Snapshot{Healthy: true, MachinesListed: c.MachinesListed, DrainsRequested: c.DrainsRequested}
 	p := &packing{exhausted: make(placement.ExhaustedShapes)}
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// maxRemovalTrials is the number of machines with tasks that one snapshot tests for being surplus. The
-	// next snapshot continues with the machine at which this one stopped.
+	// maxRemovalTrials is the maximum number of machines with tasks that one snapshot tests for being surplus.
+	// The next snapshot continues where this snapshot stopped.
 	maxRemovalTrials = 8
-	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus, but at
-	// least one machine may be reported.
+	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus. One
+	// machine may be reported even if it is more than this share.
 	maxSurplusShare = 1.0 / 32
-	// moveCostFactor is the least slack before its deadline that a task needs in order to be moved, as a
-	// multiple of the time that the move costs. It is above 1 because the run time is only an estimate.
+	// moveCostFactor is the least slack that a task with a deadline needs in order to be moved, as a multiple of
+	// the time that the move costs. The slack is the time from the expected end of the task to its deadline. The
+	// factor is above 1 because the run time is only an estimate.
 	moveCostFactor = 2
 )
 
 // findSurplus returns machines without which the waiting tasks, the headroom and the running tasks would still fit.
 // It starts from the result of the trial packing, and tests the machines that waste the most money first. The
-// machines are drained and terminated one after the other.
+// returned machines may be drained and terminated one after the other.
 func (r *Reviewer) findSurplus(p *packing, now time.Time) []SurplusMachine {
 	maxSurplus := max(1, int(maxSurplusShare*float64(len(p.candidates))))
 	var surplus []SurplusMachine
-	busySeen, busySkipped := 0, r.surplusCursor // machines with tasks: seen so far, and tested by earlier snapshots
+	busySeen, busySkipped := 0, r.surplusCursor // numbers of machines with tasks: seen so far, and to skip as tested before
 	r.surplusCursor = 0
 	for _, c := range r.sortedByWaste(p, now) {
 		if len(surplus) == maxSurplus {
 			break
 		}
-		if c.MovedTasks > 0 {
+		if c.PlannedMoves > 0 {
 			continue // tasks of another surplus machine move here
 		}
 		if len(c.Machine.Attempts) > 0 || len(c.Packed) > 0 {
@@ -87,9 +88,10 @@
 	return share
 }
 
-// canRemove tries to move a candidate's running tasks, and the tasks that the packing has put there, to ready
-// candidates with enough resources left free by the packing. Running services move only to machines that have cached
-// their image.
+// canRemove reports whether the fleet can do without a candidate. For this, the tasks that run on the candidate and the
+// tasks that the packing has put there must fit on other candidates that are ready, in the resources that the packing
+// has left free. If they fit, canRemove takes the resources from the other candidates. Running services fit only on
+// machines that have cached their image.
 func (r *Reviewer) canRemove(p *packing, c *placement.Candidate, now time.Time) bool {
 	ready := func(o *placement.Candidate, _ *cluster.Job) bool { return o != c && o.Machine != nil && !o.Booting }
 	readyWithImage := func(o *placement.Candidate, j *cluster.Job) bool {
@@ -99,7 +101,7 @@
 		_, cached := o.Machine.Images[j.Spec.Image]
 		return cached || !j.Spec.Service
 	}
-	undo, ok := r.tryMoveAttempts(c.Machine, p.candidates, true, now, readyWithImage)
+	undo, ok := r.planMoves(c.Machine, p.candidates, true, now, readyWithImage)
 	if !ok {
 		undo()
 		return false
@@ -114,47 +116,48 @@
 			undo()
 			return false
 		}
-		undo = moveTask(target, task.Job, undo)
+		undo = planMove(target, task.Job, undo)
 	}
 	return true
 }
 
-// moveTask takes a candidate's resources for a task. The returned function gives them back and then calls undoEarlier,
-// which undoes the earlier moves.
-func moveTask(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
+// planMove takes a candidate's resources for a task that would move there. The returned function gives the resources
+// back and then calls undoEarlier, which undoes the earlier calls of planMove.
+func planMove(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
-	c.MovedTasks++
+	c.PlannedMoves++
 	return func() {
 		c.Free = c.Free.Add(j.Spec.Resources)
-		c.MovedTasks--
+		c.PlannedMoves--
 		undoEarlier()
 	}
 }
 
-// CanRelocateServices reports whether the services of a machine that may be lost fit on the candidates. If they do, it takes
-// their resources from the candidates.
+// CanRelocateServices reports whether the services on a machine that may be lost would fit on the candidates. If they
+// would, it takes the services' resources from the candidates.
 func (r *Reviewer) CanRelocateServices(m *cluster.Machine, candidates []*placement.Candidate, now time.Time) bool {
-	undo, ok := r.tryMoveAttempts(m, candidates, false, now, placement.AcceptAny)
+	undo, ok := r.planMoves(m, candidates, false, now, placement.AcceptAny)
 	if !ok {
 		undo()
 	}
 	return ok
 }
 
-// tryMoveAttempts tries to pack a machine's services into the candidates. With moveCheckpointed it also packs the
-// tasks that save checkpoints, except those of gangs, because a drain stops them. The other tasks may finish, or wait.
-// undo gives the resources back. The caller must call it if ok is false.
-func (r *Reviewer) tryMoveAttempts(m *cluster.Machine, candidates []*placement.Candidate, moveCheckpointed bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
+// planMoves checks whether the services on a machine would fit on the candidates, and takes the services'
+// resources from the candidates. If includeCheckpointed is true, this includes the tasks that save checkpoints, except
+// those of gangs, because a drain stops these tasks. All other tasks may finish on the machine, or may wait if they are
+// stopped. undo gives the resources back. The caller must call it if ok is false.
+func (r *Reviewer) planMoves(m *cluster.Machine, candidates []*placement.Candidate, includeCheckpointed bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.SortedAttempts() {
 		spec := &a.Job.Spec
-		if !spec.Service && !(moveCheckpointed && spec.CheckpointS > 0 && !spec.Gang) {
+		if !spec.Service && !(includeCheckpointed && spec.CheckpointS > 0 && !spec.Gang) {
 			continue
 		}
-		if moveCheckpointed && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
+		if includeCheckpointed && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
 			continue // the task waits for cheaper machines instead
 		}
-		if moveCheckpointed && r.moveMissesDeadline(a, now) {
+		if includeCheckpointed && r.moveMissesDeadline(a, now) {
 			return undo, false
 		}
 		zones := placement.NewZoneCheck(a.Job)
@@ -163,7 +166,7 @@
 		if target == nil {
 			return undo, false
 		}
-		undo = moveTask(target, a.Job, undo)
+		undo = planMove(target, a.Job, undo)
 	}
 	return undo, true
 }
--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -22,7 +22,7 @@
 	arrivals      []event
 	departures    []event // cancellations of jobs
 	meanRunS      float64 // average run time of tasks in seconds; 0 if none has finished
-	meanExpectedS float64 // average run time that the owners of the same tasks expected, in seconds
+	meanExpectedS float64 // average of the run times that owners expected for the same tasks, in seconds
 }
 
 // event is the arrival or departure of one job.
@@ -69,8 +69,8 @@
 	return largest
 }
 
-// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone of their job if
-// jobs are spread over zones. That is half of the tasks of each job, rounded down.
+// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone of their job, if
+// the class's jobs are spread over zones. Each job must run half of its tasks, rounded down, outside of its first zone.
 func (c *Class) SecondZoneShare() float64 {
 	all, outside := 0, 0
 	for _, e := range c.arrivals {
@@ -80,10 +80,10 @@
 	return float64(outside) / float64(max(all, 1))
 }
 
-// Rate holds the number of arrivals within a window of time.
+// Rate holds the arrivals within a window of time.
 type Rate struct {
 	Tasks     float64 // number of tasks that arrived
-	SquareSum float64 // sum over the jobs of the square of their number of tasks
+	SquareSum float64 // the number of tasks of each arrived job, squared, and then summed over the jobs
 	WindowS   float64 // length of the window in seconds; 0 if the rate is unknown
 }
 
@@ -128,9 +128,9 @@
 	return fallback
 }
 
-// EstimateRunSeconds returns the estimated run time in seconds of a task whose owner expects expectedS seconds. It is
-// the class's average, scaled by the ratio of this expectation to the average one. Only the square root of the ratio
-// is used, because owners' expectations are often wrong by half.
+// EstimateRunSeconds returns the estimated run time, in seconds, of a task whose owner expects expectedS seconds. The
+// estimate is the class's average run time, multiplied by the square root of a ratio: the owner's expectation divided
+// by the average expectation. The square root is used because owners' expectations are often wrong by half.
 func (c *Class) EstimateRunSeconds(expectedS float64) float64 {
 	switch {
 	case c.meanRunS <= 0:
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -6,8 +6,8 @@
 	"sagevale/internal/worker"
 )
 
-// Attempt is one attempt to run a task on a machine. It exists from the time its resources are reserved until it
-// is certain that it isn't on the machine and can't be started there any more.
+// Attempt is one attempt to run a task on a machine. It exists from the time when its resources are reserved. The
+// attempt is removed once the worker certainly isn't running it and can't start it any more.
 type Attempt struct {
 	Job         *Job
 	Task        int    // index of the task in its job
@@ -15,7 +15,7 @@
 	Machine     *Machine
 	Incarnation uint64 // the worker's incarnation when the resources were reserved
 	ThisTerm    bool   // the attempt was reserved or commanded to start in this term
-	Durable     bool   // the page record with the attempt is durable, so the attempt may be started
+	Durable     bool   // the task page record that contains the attempt is durable, so the attempt may be started
 	ReservedAt  time.Time
 
 	Reported       bool             // a report of this term has listed the attempt
@@ -62,9 +62,10 @@
 	return !a.ThisTerm || a.Reported || a.CommandedSeq != 0 || a.Delivery != DeliveryNone
 }
 
-// RecordStartCommanded records that the response to a report contains the start command. An attempt that an earlier
-// leader reserved counts as one of this term from then on: if a report doesn't list the attempt, that no longer
-// proves that it can't start, even under this term's token, because the report may precede the response.
+// RecordStartCommanded records that the response to a report contains the start command. From then on, an attempt that
+// an earlier leader reserved counts as an attempt of this term. Until then, a report under a token of this term that
+// doesn't list the attempt proves that it can't start, because the worker rejects the commands of earlier leaders.
+// After that, such a report proves nothing, because the worker may have sent it before it received this response.
 func (a *Attempt) RecordStartCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
 
 // StartUnresolved reports whether the worker may still execute a direct start command that it hasn't responded to.
--- a/internal/cluster/class_table.go
+++ b/internal/cluster/class_table.go
@@ -17,7 +17,7 @@
 }
 
 // TypicalRunSeconds returns the average run time of the class's tasks, in seconds. Before any task has completed,
-// it returns the estimate of the latest job's owner.
+// it returns the estimate that the owner of the latest job has given.
 func (c *Class) TypicalRunSeconds() float64 { return c.MeanRunSeconds(c.Latest.Spec.EstimateS) }
 
 // ClassTable keeps the statistics of the classes of jobs.
@@ -75,8 +75,8 @@
 }
 
 // ArrivalRate returns the rate at which tasks of a class have arrived within the last arrivalRateLeases leases.
-// Arrivals in the first lease after the first job of any class are left out, because they are the initial load of the
-// fleet. Until one more lease has passed, the result is the zero Rate.
+// Arrivals within one lease after the first job of any class are left out, because they are the initial load of the
+// fleet. The result is the zero Rate until two leases have passed since that first job.
 func (t *ClassTable) ArrivalRate(c *Class, lease time.Duration, now time.Time) classstats.Rate {
 	since := now.Add(-clock.Scale(lease, arrivalRateLeases))
 	if start := t.FirstArrival.Add(lease); start.After(since) {
--- a/internal/cluster/gang.go
+++ b/internal/cluster/gang.go
@@ -8,18 +8,18 @@
 	"sagevale/internal/worker"
 )
 
-// Gang is the state of the current attempt of a gang job, whose tasks run at the same time or not at all. Workers
-// find the other tasks by the number of the attempt, which all tasks share. A task that is lost before the gang
-// runs is replaced under the same number. After that, the loss of a task ends the attempt.
+// Gang is the state of the current attempt of a gang job, whose tasks run at the same time or not at all. All tasks of
+// the gang share the number of the attempt, by which workers find the other tasks. If a task is lost before the gang
+// runs, it is replaced under the same number. If a task is lost after the gang has started to run, the attempt ends.
 type Gang struct {
 	Number   uint64       // number of the attempt; 0 if there is none
-	Started  bool         // the tasks have run
+	Started  bool         // the tasks have started to run
 	Failed   bool         // the attempt can't be completed any more
 	ExitedOn map[int]bool // IDs of machines on which a task of the attempt has exited and can't start again
 }
 
-// GangCompletable reports whether the current attempt can still be completed by replacing lost tasks. That requires
-// that it hasn't failed, and that no task has run or may have run unnoticed.
+// GangCompletable reports whether the current attempt can still be completed by replacing lost tasks. This requires
+// that the attempt hasn't failed, and that no task has run or may have run without the leader's knowledge.
 func (j *Job) GangCompletable() bool {
 	if j.Gang.Failed || j.Gang.Started {
 		return false
@@ -46,7 +46,7 @@
 // recordGangAttempt updates the gang's state when an attempt of one of its tasks is added.
 func (j *Job) recordGangAttempt(a *Attempt) {
 	if j.Gang.Number != 0 && j.Gang.Number != a.Number {
-		j.Gang.Failed = true // the records are of two attempts because an earlier leader ended between two commits
+		j.Gang.Failed = true // an earlier leader ended between two commits, so the records contain two attempts
 	}
 	j.Gang.Number = max(j.Gang.Number, a.Number)
 }
@@ -56,7 +56,7 @@
 	return slices.SortedFunc(maps.Values(j.Attempts), func(a, b *Attempt) int { return a.Task - b.Task })
 }
 
-// GatherTime returns how long the longest waiting task of the gang has waited for the others.
+// GatherTime returns the longest time for which any task of the gang has waited for the other tasks.
 func (j *Job) GatherTime(now time.Time) time.Duration {
 	var longest time.Duration
 	for _, a := range j.Attempts {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -28,7 +28,7 @@
 	Acknowledged bool // the record of the job's acceptance is durable
 	FinalDurable bool // the record of the job's final phase is durable
 
-	Tasks    []TaskState      // nil once the job is final and has no attempts left
+	Tasks    []TaskState      // states of the tasks; nil once the job is final and has no attempts left
 	Waiting  int              // number of tasks in TaskWaiting
 	Done     int              // number of tasks in TaskDone
 	Attempts map[int]*Attempt // current attempts by task
@@ -37,7 +37,7 @@
 	FeasibleTypes []string // cache of State.FeasibleTypes; nil if not computed yet
 	AllowedTypes  string   // machine types that the specification allows, separated by commas
 
-	StoredPages []string // keys of the page records that a final job had when the term began
+	StoredPages []string // keys of the task page records that a final job had when the term began
 
 	Gang      Gang      // state of the current gang attempt if Spec.Gang is set
 	Lifecycle Lifecycle // nil unless the job is a service that scales to zero
@@ -69,8 +69,8 @@
 	return 0, false
 }
 
-// Startable returns how many of the waiting tasks may be started now. A job that fails on every machine may have
-// only one attempt at a time.
+// Startable returns how many of the waiting tasks may be started now. A job that is assumed to fail on every machine may
+// have only one attempt at a time.
 func (j *Job) Startable() int {
 	if !j.Failures.AtFault() {
 		return j.Waiting
@@ -111,8 +111,8 @@
 // Allocated returns how many of the job's tasks have an attempt or are done.
 func (j *Job) Allocated() int { return len(j.Attempts) + j.Done }
 
-// Deadline returns the time by which the job should be complete. Without a deadline in its specification, that is
-// the time of its submission.
+// Deadline returns the time by which the job should be complete. If the specification has no deadline, it returns the
+// time of submission.
 func (j *Job) Deadline() time.Time {
 	if j.Spec.DeadlineS > 0 {
 		return j.Submitted.Add(clock.Seconds(j.Spec.DeadlineS))
@@ -133,8 +133,8 @@
 	return counts
 }
 
-// ZoneAllows reports whether one more task may start in a zone, given the number of the job's tasks in each zone. A
-// task in an unknown zone counts as if it were in whichever zone would forbid the start.
+// ZoneAllows reports whether one more task may start in a zone, given the number of the job's tasks in each zone. If
+// the zone of a task is unknown, the task is assumed to be in a zone that forbids the start.
 func (j *Job) ZoneAllows(zone string, counts map[string]int) bool {
 	spec := &j.Spec
 	if spec.Zone != "" && spec.Zone != zone {
--- a/internal/cluster/job_table.go
+++ b/internal/cluster/job_table.go
@@ -20,7 +20,7 @@
 	// finished holds the final jobs whose final record is durable and that have no attempts left, ordered by
 	// job number as in the archive.
 	finished      *btree.BTreeG[finishedJob]
-	archiveCursor archive.JobNumber // job number from which the next call of NextFinished lists jobs
+	archiveCursor archive.JobNumber // smallest job number that the next call of NextFinished may return
 }
 
 // finishedJob is a job in JobTable.finished, which may be archived.
@@ -62,7 +62,7 @@
 	t.TrackOpen(j)
 }
 
-// TrackOpen adds a job of the table, which is open or still has attempts, to Open.
+// TrackOpen adds a job to Open. The job must be in the table, and must be open or still have attempts.
 func (t *JobTable) TrackOpen(j *Job) {
 	t.Open[j.Spec.ID] = j
 	t.OpenTasks += len(j.Tasks)
@@ -123,7 +123,7 @@
 }
 
 // NextFinished returns up to limit jobs that may be archived, ordered by job number. Each call continues after the
-// last job of the previous call, and starts over once that call has reached the end.
+// last job of the previous call. If the previous call has reached the end, the next call starts over.
 func (t *JobTable) NextFinished(limit int) []archive.Entry {
 	entries := make([]archive.Entry, 0, min(limit, t.finished.Len()))
 	t.finished.AscendGreaterOrEqual(finishedJob{number: t.archiveCursor}, func(f finishedJob) bool {
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -25,7 +25,7 @@
 	storage.KindMachine, storage.KindJob, storage.KindTaskPage,
 })
 
-// Load rebuilds the state from the journal's records. now becomes the time at which the machines were first seen.
+// Load rebuilds the state from the journal's records. It sets the time when the machines were first seen to now.
 func (s *State) Load(records []storage.Record, now time.Time) (LoadResult, error) {
 	result := LoadResult{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
 	slices.SortStableFunc(records, func(a, b storage.Record) int {
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -22,20 +22,20 @@
 	Spot     bool
 	Type     *storage.MachineType // nil if the type is unknown
 
-	// The following fields come from the worker's reports.
+	// The following fields come from the worker's reports. A worker begins a new incarnation when its lease expires.
 	Incarnation, Seq, Token uint64              // incarnation and sequence number of the newest report; highest reported token
 	LastContact             time.Time           // last new report, in a heartbeat or in the response to direct commands
-	LastHeartbeat           time.Time           // last new heartbeat; before the first one, when the machine was first seen
+	LastHeartbeat           time.Time           // last new heartbeat; when the machine was first seen if none has arrived
 	LastAcknowledged        time.Time           // last accepted heartbeat, from which the worker's lease counts
 	Confirmed               bool                // the worker has reported with a fencing token of this term
 	ExpiredIncarnation      uint64              // an incarnation whose lease is proved to have expired
 	Exited                  []worker.TaskReport // exited tasks in the last report
-	Orphans                 []worker.TaskReport // reported live tasks that match no attempt here
+	Orphans                 []worker.TaskReport // reported live tasks that match no attempt of the leader
 	PreemptionAt            time.Time           // when the cloud reclaims the spot machine; zero without a spot notice
 
 	// The following fields come from the cloud and the autoscaler.
 	FirstSeen            time.Time // when the machine was launched or, if the launch wasn't seen, first known
-	ProvisioningObserved bool      // the launch was seen, and the machine has neither come up nor been abandoned yet
+	ProvisioningObserved bool      // this leader has seen the launch, and the machine hasn't come up or been abandoned
 	ListedAt             time.Time // when the cloud last listed the machine
 	Failed               bool      // the cloud lists the machine as failed
 	DrainReason          string    // why no more tasks are placed here; empty if the machine isn't draining
@@ -43,7 +43,7 @@
 
 	Attempts      map[worker.TaskID]*Attempt
 	Reserved      *storage.Resources                                // resources of all attempts
-	RunningUsage  [storage.PriorityProduction + 1]storage.Resources // by priority, resources of attempts that aren't being stopped
+	RunningUsage  [storage.PriorityProduction + 1]storage.Resources // resources of attempts that aren't being stopped, by priority
 	StoppingUsage storage.Resources                                 // resources of attempts that are being stopped
 	IdleSince     time.Time                                         // time since which the machine has had no attempts
 	Fence         *fencing.Fence[AttemptKey]                        // fencing token, and the ended attempts that the worker must retain
@@ -81,28 +81,28 @@
 	return cloud.Offering{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// Stale reports whether a report isn't newer than the newest one from this machine.
+// Stale reports whether a report is no newer than the newest report that was received from this machine.
 func (m *Machine) Stale(r *worker.Report) bool {
 	return r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Seq <= m.Seq
 }
 
 // Ready reports whether tasks may be placed on the machine. Its last report and its last heartbeat must not be older
-// than fresh. Responses to direct commands aren't enough, because without heartbeats the worker's lease expires
-// even if the worker can be reached.
+// than fresh. Reports in responses to direct commands aren't enough, because the worker's lease expires without
+// heartbeats, even if the worker can be reached.
 func (m *Machine) Ready(now time.Time, fresh time.Duration) bool {
 	return m.Confirmed && m.Type != nil && m.DrainReason == "" && !m.Terminating && !m.Failed &&
 		now.Sub(m.LastContact) <= fresh && now.Sub(m.LastHeartbeat) <= fresh && !now.Before(m.QuarantinedUntil)
 }
 
-// Quarantined reports whether no tasks are placed on the machine for a while because it fails tasks, loses its
-// leases or doesn't execute commands. Its free resources can't be used during that time.
+// Quarantined reports whether the machine is in quarantine, because tasks fail on it, it loses its leases or it doesn't
+// execute commands. No tasks are placed on it until the quarantine ends, so its free resources can't be used.
 func (m *Machine) Quarantined(now time.Time) bool {
 	return now.Before(m.QuarantinedUntil) && (m.LostIncarnations > 0 || m.Failures.Suspected() || m.Unresponsive)
 }
 
-// BrieflyIdleBootTimes is how long a machine counts as briefly idle, as a fraction of its type's nominal boot time. It is
-// relative to the boot time because, if the machine is terminated and needed again, its replacement takes that long
-// to boot and is paid for meanwhile.
+// BrieflyIdleBootTimes is how long a machine counts as briefly idle, in nominal boot times of its type. The unit is the
+// boot time because a machine that is terminated too early must be replaced. The replacement takes one boot time to
+// come up, and is paid for meanwhile.
 const BrieflyIdleBootTimes = 0.25
 
 // BrieflyIdle reports whether the machine has no attempts, but hasn't been idle for longer than BrieflyIdleBootTimes allows.
@@ -110,8 +110,8 @@
 	return len(m.Attempts) == 0 && now.Sub(m.IdleSince) < clock.Seconds(BrieflyIdleBootTimes*m.Type.BootS)
 }
 
-// ClearFailures drops a job's failures from the machine's record of failures, and ends the machine's quarantine if
-// these failures were its only reason.
+// ClearFailures drops a job's failures from the machine's record of failures. If these failures were the only reason
+// for the machine's quarantine, it ends the quarantine.
 func (m *Machine) ClearFailures(j *Job) {
 	wasAtFault := m.Failures.AtFault()
 	m.Failures.Clear(j.Spec.ID)
@@ -120,8 +120,9 @@
 	}
 }
 
-// UseImage records that an image is in use. It evicts the least recently used other images while all together
-// exceed the machine's image cache. An image that is new on the machine makes its record due to be written again.
+// UseImage records that an image is in use on the machine. As long as the images together exceed the size of the
+// machine's image cache, it drops the least recently used of the other images. If the image is new on the machine, the
+// machine's record must be written again.
 func (m *Machine) UseImage(name string, sizeGB float64, now time.Time) {
 	if name == "" {
 		return
@@ -144,11 +145,11 @@
 	}
 }
 
-// leastRecentlyUsed returns the name of the least recently used image, except for the one named other.
-func (m *Machine) leastRecentlyUsed(other string) string {
+// leastRecentlyUsed returns the name of the least recently used image. It leaves out the image named excluded.
+func (m *Machine) leastRecentlyUsed(excluded string) string {
 	oldest := ""
 	for name, image := range m.Images {
-		if name != other && (oldest == "" || image.LastUsed.Before(m.Images[oldest].LastUsed)) {
+		if name != excluded && (oldest == "" || image.LastUsed.Before(m.Images[oldest].LastUsed)) {
 			oldest = name
 		}
 	}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// EnsureMachine returns the machine with the given ID. If it is unknown, it is added as first seen now.
+// EnsureMachine returns the machine with the given ID. If the machine is unknown, it adds a machine that is first seen
+// now.
 func (s *State) EnsureMachine(id int, now time.Time) *Machine {
 	m := s.Machines.Get(id)
 	if m == nil {
@@ -95,8 +96,8 @@
 	}
 }
 
-// RemoveAttempt removes an attempt from its job and machine, and releases its resources. Its task waits again unless
-// it is done. It reports whether the attempt was present.
+// RemoveAttempt removes an attempt from its job and machine, and releases its resources. The attempt's task waits again
+// unless the task is done. RemoveAttempt returns false if the attempt wasn't the current attempt of its task.
 func (s *State) RemoveAttempt(a *Attempt, now time.Time) bool {
 	j, m := a.Job, a.Machine
 	if j.Attempts[a.Task] != a {
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -44,25 +44,25 @@
 	// modelSocketShare is the share of the sockets for requests to models. Each request takes two: the
 	// client's connection and the connection to the model.
 	modelSocketShare = 1.0 / 4
-	// heldConnectionShare is the share of the clients' connections whose requests may be held. The requests of the
-	// others are forwarded or rejected at once.
+	// heldConnectionShare is the share of the clients' connections whose requests may be held. Requests on all other
+	// connections are forwarded or rejected at once.
 	heldConnectionShare = 3.0 / 4
 	// wakesPerHeartbeat is how many times per heartbeat interval a controller asks the leader again about a
 	// model that isn't ready yet.
 	wakesPerHeartbeat = 8
 )
 
-// ModelConnections returns how many connections from clients of models a controller accepts at a time.
+// ModelConnections returns the maximum number of open connections that a controller accepts for requests to models.
 func (s *Settings) ModelConnections() int {
 	return max(2, int(float64(s.Sockets)*modelSocketShare/2))
 }
 
-// MaxHeldRequests returns how many requests for models a controller can hold within ModelConnections.
+// MaxHeldRequests returns how many requests to models a controller can hold at a time, given its ModelConnections.
 func (s *Settings) MaxHeldRequests() int {
 	return max(1, int(float64(s.ModelConnections())*heldConnectionShare))
 }
 
-// defaultHeldRequests returns the default limit on requests held at a time, bounded by memory and connections.
+// defaultHeldRequests returns the default of Activation.MaxHeldRequests, which memory and connections limit.
 func (s *Settings) defaultHeldRequests() int {
 	byMemory := int(s.memoryBytes() * heldMemoryShare / heldRequestBytes)
 	return max(1, min(byMemory, s.MaxHeldRequests()))
@@ -86,11 +86,11 @@
 	}
 }
 
-// RoutingLease returns the longest time for which a controller may forward requests based on one response of the
-// leader.
+// RoutingLease returns how long a controller may forward requests based on one response of the leader.
 func (s *Settings) RoutingLease() time.Duration { return s.HeartbeatInterval }
 
-// WakeInterval returns how long a controller uses a response that a model isn't ready before it asks again.
+// WakeInterval returns how long a controller may use a response about a model that isn't ready. After that, it asks the
+// leader again.
 func (s *Settings) WakeInterval() time.Duration { return s.HeartbeatInterval / wakesPerHeartbeat }
 
 // UsageInterval returns the interval at which a controller reports the use of models to the leader.
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -11,7 +11,7 @@
 	// finishedJobBytes is the memory that a finished job takes in the leader.
 	finishedJobBytes = 560
 	// finishedMemoryShare is the share of the memory quota for finished jobs that aren't archived yet. The
-	// more there are, the more of them are written with one write of a page.
+	// more such jobs there are, the more of them are archived with one write of a page.
 	finishedMemoryShare = 0.01
 	// pageMemoryShare is the share of the memory quota for cached pages of the archive.
 	pageMemoryShare = 1.0 / 16
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -18,11 +18,11 @@
 const (
 	// storeCallShare is the timeout of one call to the key-value store, as a share of the leadership lease.
 	storeCallShare = 0.4
-	// renewalMargin is the part of cancel_s - lease_s that RenewalGrace leaves unused besides the clock
-	// drift, in heartbeat intervals, because a worker needs some time to end its tasks.
+	// renewalMargin is the time that RenewalGrace leaves to a worker for ending its tasks, in heartbeat
+	// intervals. RenewalGrace is cancel_s - lease_s, reduced by this time and by the clock drift.
 	renewalMargin = 1.0 / 8
-	// leaseMarginDivisor defines the margin that LeaseBound adds to a worker's lease: a heartbeat
-	// interval divided by it.
+	// leaseMarginDivisor determines the margin that LeaseBound adds to a worker's lease. The margin is the
+	// heartbeat interval divided by leaseMarginDivisor.
 	leaseMarginDivisor = 10
 	// FreshIntervals is the number of heartbeat intervals for which a machine's last report counts as fresh.
 	FreshIntervals = 3
@@ -48,8 +48,8 @@
 	return clock.Scale(s.WorkerLease, clock.DriftBound) + s.HeartbeatInterval/leaseMarginDivisor
 }
 
-// UnconfirmedLeaseBound returns how long after the failover the tasks of a worker may still run that hasn't
-// reported in this term. The earlier leader may have renewed the worker's lease until the end of its own
+// UnconfirmedLeaseBound returns how long after the failover tasks may still run on a worker that hasn't reported
+// in this term. The earlier leader may have renewed the worker's lease until the end of the earlier leader's
 // renewal grace.
 func (s *Settings) UnconfirmedLeaseBound() time.Duration {
 	return clock.Scale(s.RenewalGrace(), clock.DriftBound) + s.LeaseBound()
@@ -63,8 +63,8 @@
 	// leader, in heartbeat intervals.
 	minBatchWindow = 1.0 / 128
 	maxBatchWindow = 1.0 / 16
-	// ampleCPUShare is the share of a core from which the window is shortest. Each batch wakes two
-	// processes, so the window grows as the share falls below that.
+	// ampleCPUShare is the share of a core that is enough for the shortest window. With a smaller share the
+	// window is longer, because each batch wakes two processes.
 	ampleCPUShare = 0.25
 )
 
@@ -79,8 +79,8 @@
 }
 
 const (
-	// minLinkTestInterval is the interval between tests of a link between controllers with an ample share
-	// of a core, and maxLinkTestInterval the interval with a small share.
+	// minLinkTestInterval is the interval between two tests of a link between controllers if the controller
+	// has at least ampleCPUShare. With a smaller share the interval is longer, up to maxLinkTestInterval.
 	minLinkTestInterval = 250 * time.Millisecond
 	maxLinkTestInterval = 2 * minLinkTestInterval
 )
@@ -99,13 +99,13 @@
 	// announcementSocketShare is the share of the sockets for announcements of a fencing token.
 	announcementSocketShare = 1.0 / 16
 	// CommitPerHeartbeat is how long one commit may take at the journal's rate of changes, in heartbeat
-	// intervals. Records for the next commit have to wait for as long.
+	// intervals. Records for the next commit have to wait for that long.
 	CommitPerHeartbeat = 0.07
 )
 
-// QueueSize returns how many requests the queues of a controller's actors hold. Every accepted connection, and
-// every exchange with a worker or a peer, takes a socket and brings one request at a time. A queue with a place
-// for each socket therefore can't overflow because of them.
+// QueueSize returns how many requests each queue of a controller's actors holds. Every accepted connection, and
+// every exchange with a worker or a peer, takes one socket and has at most one request in a queue. A queue with
+// a place for each socket therefore has room for all of these requests.
 func (s *Settings) QueueSize() int { return max(minQueueSize, s.Sockets) }
 
 // MaxTokenAnnouncements returns to how many workers the fencing token may be announced at a time.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,7 +16,8 @@
 	Addr string
 }
 
-// Team is a team with its guaranteed quota and its resource limit. A zero amount means none.
+// Team is a team with its guaranteed quota and its resource limit. If all amounts of Guarantee are zero, the team has
+// no guarantee. If an amount of Limit is zero, that resource isn't limited.
 type Team struct {
 	Name      string
 	Guarantee storage.Resources
@@ -52,16 +53,16 @@
 	Teams              []Team
 	Objectives         []Objective
 	HeartbeatInterval  time.Duration // between two heartbeats of a worker
-	WorkerLease        time.Duration // time after which a worker without a response ends its tasks
+	WorkerLease        time.Duration // time after which a worker that gets no response ends its tasks
 	GangWait           time.Duration // how long the tasks of a gang wait for each other; 0: not stated
 	GangStopWindow     time.Duration // time within which all tasks of a gang must receive the stop command, to save together
 	CancelTimeout      time.Duration // time within which the tasks of a cancelled job must be gone
 	State              storage.Limits
 	CloudRPS           float64       // requests per second that the cloud accepts
 	ListLag            time.Duration // how far the cloud's machine list lags behind
-	CPUShare           float64       // quota, as a share of one core
-	MemoryMB           float64       // quota
-	Sockets            int           // quota
+	CPUShare           float64       // CPU quota of this controller, as a share of one core
+	MemoryMB           float64       // memory quota of this controller
+	Sockets            int           // maximum number of sockets of this controller
 	Tuning             Tuning
 	Warnings           []string // warnings about deprecated settings, for operators
 }
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -12,7 +12,7 @@
 	ScaleOutWindow     time.Duration // how long demand must exceed the fleet before it scales out
 	ScaleInWindow      time.Duration // how long all machines must be healthy before the fleet scales in
 	Cooldown           time.Duration // pause after a drain request or a scale-out step before the next drain
-	ScaleOutStep       int           // most machines per scale-out step of a small fleet, see MaxScaleOut
+	ScaleOutStep       int           // maximum number of machines per scale-out step of a small fleet, see MaxScaleOut
 	LeaderLease        time.Duration // time to live of the leadership lease
 	HeadroomDeviations float64       // margin of the headroom, in standard deviations of the arrivals
 	Upgrade            upgrade.Settings
@@ -24,8 +24,8 @@
 // Fencing holds the operators' settings for raising workers' fencing tokens within a term.
 type Fencing struct {
 	Enabled bool
-	// Window is how many exited attempts a worker remembers before its token is raised. For a worker with
-	// more live tasks than that, it is the number of its live tasks.
+	// Window is how many exited attempts a worker remembers before its token is raised. If a worker has more
+	// live tasks than that, the number of its live tasks is used instead.
 	Window int
 }
 
@@ -50,9 +50,9 @@
 // doubles in one step.
 func (t *Tuning) MaxScaleOut(size int) int { return max(t.ScaleOutStep, size) }
 
-// CooldownFleetSize is the largest fleet size to which the full cooldown applies. A larger fleet has a
-// proportionally shorter cooldown, still with one machine at a time, so that scaling in a given share of the
-// fleet takes equally long at any larger size.
+// CooldownFleetSize is the largest fleet size to which the full cooldown applies. In a larger fleet, machines are
+// still drained one at a time, but the cooldown is shorter in proportion to the fleet's size. Scaling in by a given
+// share of the fleet therefore takes equally long at any larger size.
 const CooldownFleetSize = 16
 
 // CooldownFor returns the cooldown after a drain request in a fleet of the given size.
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// jobFaultThreshold is the number of machines with failures of a job, or of consecutive failures of a job, at
-	// which the job is at fault.
+	// jobFaultThreshold is the number of machines on which a job must fail to be at fault. A job is also at fault
+	// after this number of consecutive failures.
 	jobFaultThreshold = 3
-	// maxBackoffDoublings is how often the backoff between retries doubles at most.
+	// maxBackoffDoublings is the maximum number of times that the backoff between retries is doubled.
 	maxBackoffDoublings = 4
 	// maxRemembered is the maximum number of failed jobs remembered per machine, and of failed tasks per job.
 	maxRemembered = 8
@@ -25,12 +25,12 @@
 	machines      []int       // IDs of machines on which tasks failed, at most jobFaultThreshold
 	consecutive   int         // number of consecutive failures
 	lastCountedAt time.Time   // when the last consecutive failure was counted
-	earlierByTask map[int]int // failures under earlier leaders by task, for at most maxRemembered tasks
+	earlierByTask map[int]int // number of failures under earlier leaders by task, for at most maxRemembered tasks
 }
 
 // RecordFailure records that a task failed on a machine now. started is when the task was started. Failures of tasks
-// that ran at the same time are assumed to have one cause, so a failure counts as another consecutive one only if the
-// task was started after the last counted failure.
+// that ran at the same time are assumed to have one cause. A failure is therefore counted as a further consecutive
+// failure only if the task was started after the last counted failure.
 func (j *Job) RecordFailure(machine int, started, now time.Time) {
 	j.addMachine(machine)
 	if j.consecutive == 0 || started.After(j.lastCountedAt) {
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// machineFaultThreshold is the number of jobs with failures on a machine at which the machine is at fault.
+// machineFaultThreshold is the number of jobs that must fail on a machine for the machine to be at fault.
 const machineFaultThreshold = 2
 
 // Machine records which jobs failed on a machine since a task last succeeded there. The zero value has no failures.
@@ -25,11 +25,12 @@
 // RecordSuccess records that a task succeeded on the machine. It drops all failures.
 func (m *Machine) RecordSuccess() { m.jobs = nil }
 
-// Suspected reports whether any job has failed on the machine that isn't known to be at fault itself.
+// Suspected reports whether a failure is recorded for the machine. Failures of jobs that are known to be at fault are
+// dropped by Clear.
 func (m *Machine) Suspected() bool { return len(m.jobs) > 0 }
 
 // AtFault reports whether the machine is assumed to make every job fail.
 func (m *Machine) AtFault() bool { return len(m.jobs) >= machineFaultThreshold }
 
-// Excess returns by how many jobs the failures on the machine exceed machineFaultThreshold.
+// Excess returns by how much the number of jobs that failed on the machine exceeds machineFaultThreshold.
 func (m *Machine) Excess() int { return max(0, len(m.jobs)-machineFaultThreshold) }
--- a/internal/groupcommit/lane.go
+++ b/internal/groupcommit/lane.go
@@ -1,13 +1,13 @@
 package groupcommit
 
-// lane is a queue of the entities of one lane that wait for a commit. Marks are numbered. An entity
-// has the number of its first mark since it was last taken into a commit.
+// lane holds the entities of one Lane that wait for a commit. An entity that is added gets a mark, which is a number
+// that increases with each added entity. If the entity is marked again while it waits, it keeps its mark.
 type lane struct {
 	waiting     map[string]entity // by key
 	order       []entity          // oldest mark first; includes entities that have moved to another lane since
-	lastMark    uint64            // number of the last mark
-	lastTaken   uint64            // marks up to this one were taken into a commit
-	lastDurable uint64            // marks up to this one are durable
+	lastMark    uint64            // the last mark that an added entity got
+	lastTaken   uint64            // entities with marks up to this one were taken into a commit, or have moved
+	lastDurable uint64            // entities with marks up to this one are durable, or have moved
 }
 
 // entity is an entity that waits for a commit.
@@ -26,11 +26,11 @@
 	return e.mark
 }
 
-// oldest returns the oldest entity with the data of its last mark. The entity must still be waiting in the
-// lane: skipMoved ensures that.
+// oldest returns the oldest entity, with the data function of the last call of Mark. The entity must still be waiting
+// in the lane. skipMoved ensures that.
 func (l *lane) oldest() entity { return l.waiting[l.order[0].key] }
 
-// takeOldest removes the oldest entity from the lane, as taken into a commit.
+// takeOldest removes the oldest entity from the lane when it is taken into a commit.
 func (l *lane) takeOldest() {
 	delete(l.waiting, l.order[0].key)
 	l.skipOldest()
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -1,13 +1,13 @@
 // Package groupcommit queues changed entities and groups their records into commits of bounded size.
-// Within a lane, entities are written in the order in which they were marked. The lanes share a
-// commit evenly, and the part that one lane doesn't need goes to the others. A flood of changes in
-// one lane therefore delays the others little.
+// The queue is divided into lanes. Within a lane, entities are written in the order in which they were
+// marked as changed. The lanes share a commit evenly, and the part that one lane doesn't need goes to the
+// other lanes. A flood of changes in one lane therefore delays the other lanes little.
 //
 // A Queue does no input or output and is not safe for concurrent use. Its owner passes each commit
 // to the journal and reports the result to the queue. The invariants are:
 //
 //   - At most one commit is in flight.
-//   - An entity waits in at most one lane. The value written is that at the beginning of its commit.
+//   - An entity waits in at most one lane. Its value at the beginning of the commit is written.
 //   - A callback is called exactly once: when everything that it waits for is durable, or when a
 //     commit fails.
 package groupcommit
@@ -18,7 +18,8 @@
 	"sagevale/internal/storage"
 )
 
-// Lane is a class of entities, by who waits for them to become durable. Each lane has its share of a commit.
+// Lane is a class of entities. The classes differ in who waits for the entities to become durable. Each lane has its
+// share of a commit.
 type Lane int
 
 // The lanes.
@@ -37,7 +38,7 @@
 type Queue struct {
 	lanes      [laneCount]lane
 	waiters    []waiter
-	bulkBytes  int             // limit on the bytes of the bulk lane in a commit; 0: the lane is held back
+	bulkBytes  int             // maximum number of bytes of the bulk lane in a commit; 0: the lane is held back
 	inFlight   bool            // a commit is in flight
 	committing map[string]bool // keys of the entities in the commit in flight
 	full       bool            // the last commit left entities of the interactive lane behind
@@ -52,9 +53,9 @@
 	return q
 }
 
-// Mark queues a changed entity in a lane. data is called when the entity's commit begins, and returns its
-// value, or nil if the entity is removed. An entity that waits in another lane moves to this one. It is
-// written once, with the data of its last mark.
+// Mark queues a changed entity in a lane. data is called when the entity's commit begins. It returns the entity's
+// value, or nil if the entity is removed. An entity that already waits in another lane moves to this lane. An
+// entity that is marked several times before its commit is written once, with the data of the last call.
 func (q *Queue) Mark(in Lane, key string, data func() any) {
 	l := &q.lanes[in]
 	if old, waits := l.waiting[key]; waits {
@@ -181,9 +182,9 @@
 	return n
 }
 
-// EndCommit ends the commit in flight with its result, and calls the callbacks that are due. If the commit
-// failed these are all callbacks. It reports whether the commit was full, which means that entities of the
-// interactive lane were left for the next one.
+// EndCommit ends the commit in flight with its result, and calls the callbacks that are due. If the commit failed, all
+// callbacks are due. EndCommit reports whether the commit was full, which means that entities of the interactive
+// lane were left for the next commit.
 func (q *Queue) EndCommit(err error) (full bool) {
 	for i := range q.lanes {
 		q.lanes[i].lastDurable = q.lanes[i].lastTaken
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -10,18 +10,19 @@
 	"sagevale/internal/storage"
 )
 
-// Candidate is a machine that tasks may be placed on in one placement round or one trial packing. It is created
-// once per round or packing, and its free resources shrink as tasks are placed on it.
+// Candidate is a machine on which tasks may be placed, in one placement round or in one trial packing. A trial packing
+// only computes where tasks would fit. Each round and each packing creates its own candidates. The free resources of
+// a candidate shrink as tasks are placed on it.
 type Candidate struct {
 	cloud.Offering
-	Type       *storage.MachineType
-	Machine    *cluster.Machine // nil if the machine isn't launched yet
-	Free       storage.Resources
-	Releasing  storage.Resources // resources of attempts that are being stopped
-	Booting    bool              // the machine hasn't come up yet
-	ForCPUOnly bool              // the machine would be launched for tasks without GPUs
-	Packed     []*PackedTask     // tasks that a trial packing has placed here
-	MovedTasks int               // number of tasks that the search for surplus machines has moved here
+	Type         *storage.MachineType
+	Machine      *cluster.Machine // nil if the machine isn't launched yet
+	Free         storage.Resources
+	Releasing    storage.Resources // resources of attempts that are being stopped
+	Booting      bool              // the machine isn't launched yet, or its worker hasn't reported in this term
+	ForCPUOnly   bool              // the machine would be launched for tasks without GPUs
+	Packed       []*PackedTask     // tasks that a trial packing has placed here
+	PlannedMoves int               // number of tasks that would move here from surplus machines
 }
 
 // PackedTask describes a task that a trial packing places on a candidate. All tasks of one demand share it.
@@ -74,7 +75,7 @@
 	return (!c.Spot || j.Spec.Spot) && c.Zone != "" && allows(j.Spec.Types, c.Offering.Type) && zones.Allows(c.Zone)
 }
 
-// Capacity returns how many tasks of the job fit into the free resources together with those being released.
+// Capacity returns how many tasks of the job fit on the candidate once the resources that are being released are free.
 func (c *Candidate) Capacity(j *cluster.Job) int {
 	if free := c.Free.Add(c.Releasing); j.Spec.Resources.Fits(free) {
 		return FitCount(free, j.Spec.Resources)
@@ -82,9 +83,10 @@
 	return 0
 }
 
-// takeReleasing takes resources for a task that is placed once the releasing resources are free. It uses the
-// releasing resources first.
-func (c *Candidate) takeReleasing(r storage.Resources) {
+// withhold makes resources unavailable for the rest of the round. The tasks that need them are placed in a later round,
+// once the resources that are being released are free. Free resources are withheld only as far as the resources that
+// are being released don't suffice.
+func (c *Candidate) withhold(r storage.Resources) {
 	left := c.Free.Add(c.Releasing).Sub(r)
 	c.Free = storage.Resources{
 		CPUs:     min(c.Free.CPUs, left.CPUs),
@@ -94,8 +96,8 @@
 	c.Releasing = left.Sub(c.Free)
 }
 
-// freeShare returns the fraction of the machine's GPUs that is free if the job needs GPUs and the machine has
-// them, and the fraction of its CPUs otherwise.
+// freeShare returns the fraction of the machine's GPUs that is free. If the job needs no GPUs or the machine has none,
+// it returns the fraction of the machine's CPUs that is free.
 func (c *Candidate) freeShare(j *cluster.Job) float64 {
 	if j.Spec.Resources.GPUs > 0 && c.Type.Resources.GPUs > 0 {
 		return c.Free.GPUs / c.Type.Resources.GPUs
@@ -129,13 +131,13 @@
 	return max(1, int(n+fitTolerance))
 }
 
-// onDemandPenalty is added to the free measure of on-demand machines, so that a job that may use spot machines
-// prefers these.
+// onDemandPenalty is added to the amount of free resources by which BestFit compares candidates, if the job may use
+// spot machines and the candidate is an on-demand machine. Such a job therefore prefers spot machines.
 const onDemandPenalty = 100
 
-// BestFit returns the candidate with the least free resources on which a task of the job fits and for which suits
-// returns true, or nil. A task without GPUs must leave enough CPUs and memory for the machine's free GPUs, except
-// on a machine that would be launched for tasks without GPUs.
+// BestFit returns the candidate with the least free resources among those on which a task of the job fits and for
+// which suits returns true. It returns nil if there is none. A task without GPUs must leave enough CPUs and memory for
+// the machine's free GPUs. This doesn't apply to a machine that would be launched for tasks without GPUs.
 func (p *Planner) BestFit(candidates []*Candidate, j *cluster.Job, zones *ZoneCheck, suits func(*Candidate, *cluster.Job) bool) *Candidate {
 	need := j.Spec.Resources
 	var best *Candidate
@@ -158,8 +160,8 @@
 // AcceptAny is a filter for BestFit that accepts every candidate.
 func AcceptAny(*Candidate, *cluster.Job) bool { return true }
 
-// strandsGPUs reports whether placing a task without GPUs would leave the machine too few CPUs or too little
-// memory for its free GPUs to be used.
+// strandsGPUs reports whether a task of a job that needs no GPUs would leave too few CPUs or too little memory on the
+// machine for other tasks to use its free GPUs.
 func (p *Planner) strandsGPUs(j *cluster.Job, c *Candidate) bool {
 	if j.Spec.Resources.GPUs > 0 || c.Type.Resources.GPUs == 0 {
 		return false
--- a/internal/placement/deadline_admission.go
+++ b/internal/placement/deadline_admission.go
@@ -8,10 +8,10 @@
 	"sagevale/internal/cluster"
 )
 
-// deadlineAdmission decides which jobs with deadlines can start in time, given the rate at which running tasks
-// complete and free their resources. As in the Moore-Hodgson algorithm, each rank admits jobs in the order of the
-// times by which they must start, and drops the largest admitted job whenever one would start late. That keeps
-// the number of jobs in time as large as possible when not all of them can be.
+// deadlineAdmission decides which jobs with deadlines can start in time. It assumes that tasks start at the rate at
+// which running tasks complete and free their resources. Like the Moore-Hodgson algorithm, admit admits jobs in the
+// order of the times by which they must start. Whenever a job would start late, it drops the largest admitted job.
+// This way, as many jobs as possible start in time if not all of them can.
 type deadlineAdmission struct {
 	completionRate float64 // tasks per second that complete and free their resources; 0 if unknown
 	admittedTasks  int     // tasks admitted so far
@@ -19,15 +19,15 @@
 	urgencies      map[*cluster.Job]urgency
 }
 
-// admissionCandidate is a job with the times by which it must start, earliest first. If the job can't start by
-// the first one, admission tries the next.
+// admissionCandidate is a job with the alternative times by which it may start, earliest first. If the job can't start
+// by the earliest time, admit tries the next one.
 type admissionCandidate struct {
 	job     *cluster.Job
 	startBy []time.Time
 }
 
-// admit assigns the rank to the jobs that can start in time and returns the other jobs. startTimes returns the
-// times by which a job must start for this rank.
+// admit assigns the rank to the jobs that can start in time, and returns the other jobs. startTimes returns the times
+// by which a job must start to get this rank; starting by any of them suffices.
 func (d *deadlineAdmission) admit(jobs []*cluster.Job, rank int, startTimes func(*cluster.Job) []time.Time) (rejected []*cluster.Job) {
 	var waiting earliestFirst
 	for _, j := range jobs {
@@ -44,7 +44,7 @@
 		d.admittedTasks += next.job.Startable()
 		heap.Push(&admitted, next)
 		d.setRank(next.job, rank, next.startBy[0])
-		if d.inTime(next.startBy[0]) {
+		if d.admittedCanStartBy(next.startBy[0]) {
 			continue
 		}
 		dropped := heap.Pop(&admitted).(admissionCandidate)
@@ -59,8 +59,9 @@
 	return rejected
 }
 
-// inTime reports whether all admitted tasks can start by the given time.
-func (d *deadlineAdmission) inTime(startBy time.Time) bool {
+// admittedCanStartBy reports whether all admitted tasks can start by the given time. It returns true if the completion
+// rate is unknown.
+func (d *deadlineAdmission) admittedCanStartBy(startBy time.Time) bool {
 	return d.completionRate == 0 || !d.now.Add(clock.Seconds(float64(d.admittedTasks)/d.completionRate)).After(startBy)
 }
 
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -4,8 +4,8 @@
 	"sagevale/internal/cluster"
 )
 
-// placeGang reserves resources for all waiting tasks of a gang at once, or for none. The waiting tasks are
-// either all tasks of the gang, or the lost tasks of an attempt that hasn't run yet.
+// placeGang reserves resources for all waiting tasks of a gang at once, or for none of them. Usually all tasks of the
+// gang wait. If some tasks were lost before the gang's attempt ran, only these wait.
 func (p *Planner) placeGang(j *cluster.Job, r *round) {
 	if len(j.Attempts) > 0 && !j.GangCompletable() {
 		if j.Gang.Failed {
@@ -35,9 +35,9 @@
 	}
 }
 
-// planGang chooses a candidate for each waiting task of a gang and takes the resources from them, or returns nil
-// if not all tasks fit. If the tasks must share a zone and fit in several, it chooses the zone with the smallest
-// sum of tiers, where the tasks start soonest.
+// planGang chooses a candidate for each waiting task of a gang, and subtracts the tasks' resources from the free
+// resources of the candidates. It returns nil if not all tasks fit. If all tasks must run in one zone and fit in
+// several zones, it chooses the zone where they start soonest: the one with the smallest sum of tiers, see tierOf.
 func (p *Planner) planGang(j *cluster.Job, r *round) []*Candidate {
 	var best []*Candidate
 	bestTiers := 0
@@ -76,9 +76,9 @@
 	return groups
 }
 
-// planGangAmong chooses a candidate of the group for each waiting task of a gang, or returns nil if not all tasks
-// fit. Each one is the fuller of two random candidates of the best tier. The candidates' free resources are
-// unchanged on return. tiers is the sum of the chosen candidates' tiers.
+// planGangAmong chooses a candidate of the group for each waiting task of a gang. It returns nil if not all tasks fit.
+// The choice for a task is the fuller of two random candidates of the best tier. Before planGangAmong returns, it
+// restores the candidates' free resources. tiers is the sum of the chosen candidates' tiers.
 func (p *Planner) planGangAmong(j *cluster.Job, group []*Candidate) (plan []*Candidate, tiers int) {
 	capacity := 0
 	for _, c := range group {
@@ -111,8 +111,8 @@
 	return plan, tiers
 }
 
-// bestTier returns the candidates of the group that fit one more task of the job and have the best tier among
-// those, and that tier.
+// bestTier returns the best tier among the candidates of the group on which one more task of the job fits, and all of
+// these candidates that have this tier.
 func (p *Planner) bestTier(j *cluster.Job, group []*Candidate, zones *ZoneCheck) (best []*Candidate, tier int) {
 	for _, c := range group {
 		if !j.Spec.Resources.Fits(c.Free) || !zones.Allows(c.Zone) {
@@ -128,9 +128,9 @@
 	return best, tier
 }
 
-// holdForGang withholds resources from less urgent jobs for the rest of the round, so that they accumulate for a
-// gang that doesn't fit yet. Only one gang per round holds resources; otherwise two gangs could each hold
-// resources that the other one needs.
+// holdForGang withholds resources from less urgent jobs for the rest of the round. This way, enough free resources
+// accumulate for a gang that doesn't fit yet. Resources are withheld for only one gang per round. Otherwise, each of
+// two gangs could block resources that the other gang needs.
 func (p *Planner) holdForGang(j *cluster.Job, r *round) {
 	if r.heldForGang || r.now.Sub(j.Submitted) < p.settings.HeartbeatInterval {
 		return
@@ -150,7 +150,7 @@
 	left := j.Waiting
 	for _, c := range best {
 		n := min(left, c.Capacity(j))
-		c.takeReleasing(j.Spec.Resources.Mul(n))
+		c.withhold(j.Spec.Resources.Mul(n))
 		left -= n
 	}
 }
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -18,11 +18,11 @@
 	cost      float64 // preemption cost of the victims, in CPU seconds
 }
 
-// costPerTask returns the preemption cost divided by the number of the gang's tasks that it makes room for.
+// costPerTask returns the preemption cost per task of the gang that then fits on the candidate.
 func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
 
 // preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
-// they would not all fit, it preempts nothing and returns false.
+// preemption can't make room for all of them, it preempts nothing and returns false.
 func (p *Planner) preemptForGang(j *cluster.Job, r *round) bool {
 	if j.Spec.Priority <= storage.PriorityBestEffort || j.Spec.Spread {
 		return false
@@ -36,14 +36,14 @@
 	}
 	for _, g := range best {
 		p.stopVictims(g.candidate, g.victims, j, r.now)
-		g.candidate.takeReleasing(j.Spec.Resources.Mul(g.tasks))
+		g.candidate.withhold(j.Spec.Resources.Mul(g.tasks))
 		p.actions.CommandStops(g.candidate.Machine)
 	}
 	return best != nil
 }
 
-// planGangPreemption chooses candidates of the group for all waiting tasks of a gang, with the attempts to stop on
-// each, or returns nil if not all tasks would fit. cost is the total preemption cost.
+// planGangPreemption chooses candidates of the group for all waiting tasks of a gang, and selects the attempts to stop
+// on each candidate. It returns nil if not all tasks would fit. cost is the total preemption cost.
 func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
 	rights := preemptionRights{priority: j.Spec.Priority}
 	options, capacity := p.gangPreemptionOptions(j, group, rights, now)
@@ -63,11 +63,12 @@
 	return plan, cost
 }
 
-// gangPreemptionOptions returns, for each candidate that preemption can make room on, how many of a gang's waiting
-// tasks would fit there and which attempts must be stopped. capacity is the sum of these tasks.
+// gangPreemptionOptions returns an option for each candidate on which preemption can make room for tasks of a gang. An
+// option holds the number of waiting tasks that would fit, and the attempts that must be stopped for them. capacity is
+// the total number of tasks over all options.
 func (p *Planner) gangPreemptionOptions(j *cluster.Job, group []*Candidate, rights preemptionRights, now time.Time) (options []gangPreemption, capacity int) {
 	for _, c := range group {
-		available := preemptibleBelow(c, rights.priority)
+		available := availableAfterPreemption(c, rights.priority)
 		if !j.Spec.Resources.Fits(available) {
 			continue
 		}
--- a/internal/placement/opportunistic.go
+++ b/internal/placement/opportunistic.go
@@ -4,11 +4,11 @@
 
 // Opportunistic work is best-effort work of a team without a guarantee, for which neither a deadline nor another
 // objective is set. It runs on idle resources: it uses neither the headroom that is reserved for other work nor
-// the CPUs and memory that free GPUs need, and guaranteed work preempts it. Opportunistic jobs share the idle
-// resources evenly, so that large jobs start too.
+// the CPUs and memory that free GPUs need. Work of higher priority and work within its team's guarantee may preempt
+// it. Opportunistic jobs share the idle resources evenly, so that large jobs start too.
 
-// opportunisticShare returns the maximum number of tasks that a round places of each opportunistic job, when the
-// given number of such jobs wait.
+// opportunisticShare returns how many tasks of each opportunistic job one round may place. jobs is the number of
+// opportunistic jobs with waiting tasks.
 func opportunisticShare(jobs int) int { return max(1, MaxPlacementsPerRound/max(1, jobs)) }
 
 // countOpportunistic returns the number of opportunistic jobs among the waiting jobs.
@@ -22,8 +22,8 @@
 	return n
 }
 
-// placeOpportunistic places up to the round's share of an opportunistic job's tasks. Before the first such job of
-// a round it reserves the headroom.
+// placeOpportunistic places waiting tasks of an opportunistic job, at most r.opportunisticShare of them. Before it
+// places the first opportunistic job of a round, it reserves the headroom.
 func (p *Planner) placeOpportunistic(j *cluster.Job, r *round) {
 	if !r.headroomReserved {
 		r.headroomReserved = true
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -2,9 +2,9 @@
 // among candidate machines, plans gangs as a whole, and selects attempts to preempt.
 //
 // A Planner reads the cluster state and carries out its decisions through Actions, one at a time, because each
-// decision changes the resources available to the next. Its only state is the current round, the headroom to keep
-// free, and the resources that jobs request per GPU. It sends no messages, reads no clock and does no input or
-// output.
+// decision changes the resources available to the next. From one round to the next it keeps only the headroom, which
+// is the resources to keep free, and the largest amounts of CPUs and memory that jobs request per GPU. It sends no
+// messages, reads no clock and does no input or output.
 package placement
 
 import (
@@ -20,14 +20,14 @@
 
 // MaxPlacementsPerRound limits the tasks placed in one round, so that a burst of tasks doesn't delay the responses
 // to workers. It doesn't limit the placement rate: the pause between rounds is proportional to a round's
-// duration, and longer rounds would only make urgent work wait longer for the next one.
+// duration, and longer rounds would only make urgent work wait longer for the next round.
 const MaxPlacementsPerRound = 512
 
 // Actions carries out the planner's decisions. Each action changes the cluster state before it returns.
 type Actions interface {
-	// Reserve reserves a machine's resources for a waiting task and returns the new attempt. A task of a gang
-	// gets the number of the gang's attempt, any other task a new number. The task is started once the
-	// reservation is durable.
+	// Reserve reserves a machine's resources for a waiting task and returns the new attempt. An attempt of a
+	// gang's task gets the number of the gang's current attempt, and any other attempt gets a new number. The
+	// task is started once the reservation is durable.
 	Reserve(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Attempt
 	// BeginGang begins a new attempt of a gang, under a new number.
 	BeginGang(j *cluster.Job)
@@ -162,7 +162,7 @@
 		if !ok {
 			return
 		}
-		zones.Add(zone, 1) // counts the task where resources are being released for it
+		zones.Add(zone, 1) // counts the task in the zone where resources are being released for it
 	}
 }
 
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -7,10 +7,10 @@
 	"sagevale/internal/storage"
 )
 
-// preempt makes room for one more task of a job that fits on no candidate. It chooses a candidate where enough
-// resources are being released already, or else the one where preemption costs least. The task is placed in a later
-// round, once the resources are free; for the rest of this round no other task can use them. zone is the zone of the
-// chosen candidate. ok is false if no room can be made.
+// preempt makes room for one more task of a job if the task fits on no candidate. It chooses a candidate on which
+// enough resources are being released already. If there is none, it chooses the candidate on which preemption costs
+// least. The task is placed in a later round, once the resources are free. For the rest of this round, no other task
+// can use them. zone is the zone of the chosen candidate. ok is false if no room can be made.
 func (p *Planner) preempt(j *cluster.Job, r *round, zones *ZoneCheck) (zone string, ok bool) {
 	rights := p.preemptionRightsOf(j, r)
 	shape := p.ShapeOf(j)
@@ -24,7 +24,7 @@
 		return "", false
 	}
 	p.stopVictims(best, victims, j, r.now)
-	best.takeReleasing(j.Spec.Resources)
+	best.withhold(j.Spec.Resources)
 	if len(victims) > 0 {
 		p.actions.CommandStops(best.Machine)
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// preemptionRights describes which attempts a job may preempt: those of lower priority and, if the job is within its
-// team's guarantee, opportunistic ones of the same priority.
+// preemptionRights describes which attempts a job may preempt. These are the attempts of lower priority. A job within
+// its team's guarantee may also preempt opportunistic attempts of its own priority.
 type preemptionRights struct {
 	priority   storage.Priority
 	guaranteed bool // the job is within its team's guarantee
@@ -77,7 +77,7 @@
 	return preemptionRights{priority: j.Spec.Priority, guaranteed: r.withinGuarantee[j]}
 }
 
-// priorityBound returns the lowest priority whose work may not be preempted.
+// priorityBound returns the lowest priority at which a job with these rights may preempt no attempt at all.
 func (r preemptionRights) priorityBound() storage.Priority {
 	if r.guaranteed {
 		return r.priority + 1
@@ -98,7 +98,7 @@
 	if needed.Fits(free) {
 		return nil, 0, true
 	}
-	if !needed.Fits(preemptibleBelow(c, rights.priorityBound())) {
+	if !needed.Fits(availableAfterPreemption(c, rights.priorityBound())) {
 		return nil, 0, false
 	}
 	var preemptible []*cluster.Attempt
@@ -118,9 +118,9 @@
 	return victims, cost, needed.Fits(free)
 }
 
-// preemptibleBelow returns the resources that would be free on the candidate if all work below the priority were
-// stopped.
-func preemptibleBelow(c *Candidate, priority storage.Priority) storage.Resources {
+// availableAfterPreemption returns the resources that would be free on the candidate if all work below the given
+// priority were stopped.
+func availableAfterPreemption(c *Candidate, priority storage.Priority) storage.Resources {
 	available := c.Free.Add(c.Releasing)
 	for _, usage := range c.Machine.RunningUsage[:priority] {
 		available = available.Add(usage)
@@ -139,11 +139,11 @@
 	return cheapest
 }
 
-// gpuWeight is the number of CPUs that one GPU counts as in the preemption cost.
+// gpuWeight is the number of CPUs to which one GPU is equivalent in the preemption cost.
 const gpuWeight = 16
 
-// preemptionCost returns the work that is lost if an attempt is stopped, in CPU seconds. An attempt that isn't
-// running yet counts as one second.
+// preemptionCost returns the work that is lost if an attempt is stopped, in CPU seconds. One second is added for each
+// attempt, so that stopping an attempt that isn't running yet has a cost too.
 func (p *Planner) preemptionCost(a *cluster.Attempt, now time.Time) float64 {
 	size := max(a.Job.Spec.Resources.CPUs, 1) + gpuWeight*a.Job.Spec.Resources.GPUs
 	if !a.Reported || waitsToRun(a) {
@@ -155,9 +155,10 @@
 	return size * (1 + p.lostWorkSeconds(a, now))
 }
 
-// lostWorkSeconds returns how many seconds of running an attempt loses if it is stopped. Without checkpoints that
-// is its whole run time. A gang that can't be stopped at the same time everywhere saves no checkpoint, and loses
-// up to one checkpoint interval. All others lose the time that saving a checkpoint takes.
+// lostWorkSeconds returns how many seconds of its run time an attempt loses if it is stopped. An attempt that saves no
+// checkpoints loses its whole run time. If the tasks of a gang are unlikely to be stopped at the same time, the gang
+// can't save a checkpoint and loses up to one checkpoint interval. Any other attempt loses only the time that saving
+// a checkpoint takes.
 func (p *Planner) lostWorkSeconds(a *cluster.Attempt, now time.Time) float64 {
 	ran := now.Sub(a.Started).Seconds()
 	switch spec := &a.Job.Spec; {
--- a/internal/placement/shape.go
+++ b/internal/placement/shape.go
@@ -8,16 +8,17 @@
 	"sagevale/internal/storage"
 )
 
-// Shape holds the properties of a job, except for its zones, that determine which machines its tasks may run on.
-// Rounds record the shapes for which no machine was found, so that a thousand similar tasks cost one search.
+// Shape holds the properties of a job that determine which machines its tasks may run on. The zones of the job are not
+// part of it. A round records the shapes for which it found no machine, so that it searches only once for a thousand
+// similar tasks.
 type Shape struct {
 	resources     storage.Resources
 	types         string
 	spot          bool
 	service       bool
 	priority      storage.Priority
-	opportunistic bool // may not strand GPUs
-	guaranteed    bool // may preempt opportunistic work of its own priority
+	opportunistic bool // the tasks must leave enough CPUs and memory for free GPUs, see strandsGPUs
+	guaranteed    bool // the job may preempt opportunistic work of its own priority
 }
 
 // ShapeOf returns the shape of a job's tasks.
@@ -32,51 +33,52 @@
 	}
 }
 
-// ExhaustedShapes records, for each shape and zone, how many candidates at the head of the list are known not to
-// fit a task. Within a round the free resources of a candidate only shrink, so the record stays true until the
-// round ends. New candidates are appended to the list, so the record doesn't cover them.
+// ExhaustedShapes records for each shape and zone how far the list of candidates has been searched without success. A
+// task of the shape fits on none of the searched candidates in the zone. Within a round the free resources of
+// a candidate only shrink, so the record stays true until the round ends. New candidates are appended to the list, so
+// the record doesn't cover them.
 type ExhaustedShapes map[Shape][]exhaustedZone
 
-// exhaustedZone is the record of a shape in one zone.
+// exhaustedZone records how far the list of candidates has been searched in one zone for tasks of one shape.
 type exhaustedZone struct {
-	zone string
-	upTo int // index of the first candidate that hasn't been searched
+	zone            string
+	firstUnsearched int // index of the first candidate that hasn't been searched
 }
 
-// FirstUnsearched returns the index of the first candidate that may fit a task of the shape in one of the zones that the
-// check allows. It returns math.MaxInt if the check allows none of the zones.
+// FirstUnsearched returns the index of the candidate at which a search for the shape must begin. The search is
+// restricted to the zones that the check allows. If it allows none of the zones, the result is math.MaxInt.
 func (e ExhaustedShapes) FirstUnsearched(s Shape, check *ZoneCheck, zones []string) int {
 	from := math.MaxInt
 	for _, zone := range zones {
 		if check.Allows(zone) {
-			from = min(from, e.upTo(s, zone))
+			from = min(from, e.firstUnsearchedIn(s, zone))
 		}
 	}
 	return from
 }
 
-// upTo returns the index of the first candidate in a zone that hasn't been searched for the shape.
-func (e ExhaustedShapes) upTo(s Shape, zone string) int {
+// firstUnsearchedIn returns the index of the first candidate that hasn't been searched for the shape in a zone.
+func (e ExhaustedShapes) firstUnsearchedIn(s Shape, zone string) int {
 	for _, exhausted := range e[s] {
 		if exhausted.zone == zone {
-			return exhausted.upTo
+			return exhausted.firstUnsearched
 		}
 	}
 	return 0
 }
 
-// MarkExhausted records for the shape that none of the first upTo candidates fits a task in the zones that the check
-// allows.
-func (e ExhaustedShapes) MarkExhausted(s Shape, check *ZoneCheck, zones []string, upTo int) {
+// MarkExhausted records that the zones that the check allows have been searched without success for the shape. searched
+// is the number of candidates at the beginning of the list that the search has covered.
+func (e ExhaustedShapes) MarkExhausted(s Shape, check *ZoneCheck, zones []string, searched int) {
 	for _, zone := range zones {
 		if !check.Allows(zone) {
 			continue
 		}
 		i := slices.IndexFunc(e[s], func(x exhaustedZone) bool { return x.zone == zone })
 		if i < 0 {
-			e[s] = append(e[s], exhaustedZone{zone, upTo})
+			e[s] = append(e[s], exhaustedZone{zone, searched})
 		} else {
-			e[s][i].upTo = upTo
+			e[s][i].firstUnsearched = searched
 		}
 	}
 }
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -9,8 +9,8 @@
 // samplesPerChoice is the number of random candidates that a placement chooses between ("power of two choices").
 const samplesPerChoice = 2
 
-// shortlist holds the candidates of the best tier for the tasks of one job in one round. It is computed by one
-// search and then updated as tasks are placed, because a search looks at every machine.
+// shortlist holds the candidates of the best tier, see tierOf, for the tasks of one job in one round. A search looks at
+// every machine. Therefore the list isn't searched again for each task, but updated as tasks are placed.
 type shortlist struct {
 	job        *cluster.Job
 	round      *round
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// lateFactor is the multiple of its deadline within which a late job must complete to get rankLate.
+	// lateFactor determines which jobs get rankLate: those that can complete within lateFactor times the time from
+	// their submission to their deadline.
 	lateFactor = 1.5
-	// startAtRiskShare is the fraction of its class's start objective below which the remaining time gives a job
-	// rankStartAtRisk.
+	// startAtRiskShare determines which jobs get rankStartAtRisk: those with less than this fraction of their
+	// class's start objective left.
 	startAtRiskShare = 1.0 / 8
 )
 
@@ -31,11 +32,17 @@
 	rank            int
 	withinGuarantee bool      // the job is within its team's guarantee
 	startBy         time.Time // time by which the job must start to achieve what its rank stands for
-	allocated       int       // tasks of an opportunistic job that have or had a machine; jobs with fewer go first
+	allocated       int       // number of an opportunistic job's tasks that have an attempt or are done
 }
 
-// sortByUrgency sorts waiting jobs by priority, then by rank, then jobs within their team's guarantee first, then
-// opportunistic jobs with the fewest allocated tasks first, then by the time by which they must start.
+// sortByUrgency sorts waiting jobs, most urgent first. It compares two jobs by the following criteria. The first one in
+// which they differ decides.
+//
+//   - The job with the higher priority goes first.
+//   - The job with the lower rank goes first.
+//   - A job within its team's guarantee goes first.
+//   - The opportunistic job with fewer allocated tasks goes first.
+//   - The job that must start earlier goes first.
 func (p *Planner) sortByUrgency(jobs []*cluster.Job, now time.Time) {
 	urgencies := p.urgencies(jobs, now)
 	sort.SliceStable(jobs, func(x, y int) bool {
@@ -57,8 +64,8 @@
 	})
 }
 
-// urgencies returns the urgency of each job. Jobs with a deadline are ranked by deadlineAdmission, one priority
-// after the other from the highest.
+// urgencies returns the urgency of each job. deadlineAdmission ranks the batch jobs with a deadline, one priority after
+// the other, beginning with the highest.
 func (p *Planner) urgencies(jobs []*cluster.Job, now time.Time) map[*cluster.Job]urgency {
 	urgencies := make(map[*cluster.Job]urgency, len(jobs))
 	withinGuarantee := p.jobsWithinGuarantee()
@@ -86,8 +93,8 @@
 	return urgencies
 }
 
-// startTimes returns the times by which a job must start to get a rank, earliest first. For rankOnTime there may
-// be two: starting by either one suffices. It returns none if the rank doesn't apply to the job.
+// startTimes returns the times by which a job must start to get a rank, earliest first. For rankOnTime there may be
+// two times, and a start by either of them suffices. If the rank doesn't apply to the job, the result is nil.
 func (p *Planner) startTimes(j *cluster.Job, rank int, withinGuarantee bool, now time.Time) []time.Time {
 	runTime := clock.Seconds(p.state.Classes.RunSeconds(j))
 	switch rank {
@@ -127,8 +134,9 @@
 	return float64(tasks) * float64(tasks) / runSeconds
 }
 
-// jobsWithinGuarantee returns the open jobs that are within their team's guarantee: their unfinished tasks fit into
-// it together with those of the team's open jobs that were submitted earlier.
+// jobsWithinGuarantee returns the open jobs that are within their team's guarantee. For each team it adds up the
+// resources of the unfinished tasks, job by job in the order of submission. A job is within the guarantee if the sum
+// that includes this job doesn't exceed it.
 func (p *Planner) jobsWithinGuarantee() map[*cluster.Job]bool {
 	byTeam := make(map[string][]*cluster.Job)
 	for _, j := range p.state.Jobs.Open {
--- a/internal/placement/zone_check.go
+++ b/internal/placement/zone_check.go
@@ -2,8 +2,8 @@
 
 import "sagevale/internal/cluster"
 
-// ZoneCheck determines in which zones one more task of a job may start. It caches the result for each zone until
-// the job's tasks per zone change.
+// ZoneCheck determines in which zones one more task of a job may start. It caches the result for each zone until Add
+// changes the number of tasks in a zone.
 type ZoneCheck struct {
 	job     *cluster.Job
 	counts  map[string]int // tasks per zone; nil if the job's zones are unrestricted
--- a/internal/provisioning/history.go
+++ b/internal/provisioning/history.go
@@ -15,14 +15,14 @@
 	maxSamples = 32
 	// retentionBootTimes is the age beyond which a sample is dropped, in nominal boot times.
 	retentionBootTimes = 20
-	// slowThreshold is the median ratio from which on boots count as slow. In ordinary operation no boot takes
+	// slowThreshold is the least median ratio at which boots count as slow. In ordinary operation no boot takes
 	// longer than 1.5 nominal boot times.
 	slowThreshold = 1.5
 	// minSamples is the number of samples needed to consider boots slow, because one or two may be late by chance.
 	minSamples = 4
 	// maxSlowness is the upper bound of Slowness.
 	maxSlowness = 4.0
-	// minAbandoned is the number of abandoned machines from which on a history may be failing.
+	// minAbandoned is the least number of abandoned machines for which Failing may return true.
 	minAbandoned = 2
 )
 
@@ -60,9 +60,9 @@
 	h.samples = slices.DeleteFunc(h.samples, func(s sample) bool { return now.Sub(s.at) > retentionBootTimes*nominal })
 }
 
-// Slowness returns the factor by which machines boot slower than nominal: the median ratio of the recent samples and
-// the currently overdue machines, at most maxSlowness. It returns 1 if boots aren't slow or if there are too few
-// samples. overdue holds the ratios that the overdue machines have reached so far, which are lower bounds of their
+// Slowness returns the factor by which machines boot slower than nominal. The factor is the median ratio of the recent
+// samples and the currently overdue machines, at most maxSlowness. It is 1 if boots aren't slow or if there are too few
+// ratios. overdue holds the ratios that the overdue machines have reached so far, which are lower bounds of their
 // final ratios. nominal is the nominal boot time.
 func (h *History) Slowness(now time.Time, nominal time.Duration, overdue []float64) float64 {
 	h.expire(now, nominal)
@@ -81,8 +81,8 @@
 	return min(maxSlowness, median)
 }
 
-// Failing reports whether at least minAbandoned machines were abandoned recently, and more than came up. nominal is
-// the nominal boot time.
+// Failing reports whether at least minAbandoned machines were abandoned recently, and whether more machines were
+// abandoned than came up. nominal is the nominal boot time.
 func (h *History) Failing(now time.Time, nominal time.Duration) bool {
 	h.expire(now, nominal)
 	up := 0
