--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -306,7 +306,8 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// mayUseMarket reports whether a demand may use spot machines of a type or, if spot is false, on-demand machines.
+// mayUseMarket reports whether a demand may use machines of a type: spot machines if spot is true, and on-demand machines
+// otherwise.
 // Headroom for work that may use spot machines is launched only on spot machines.
 func mayUseMarket(t *storage.MachineType, d *demand, spot bool) bool {
 	if spot {
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -123,7 +123,7 @@
 // shouldAbandon reports whether a machine that isn't confirmed is to be terminated. A machine is confirmed once it has
 // reported with a fencing token of this term. A machine without any report in this term is terminated when its
 // provisioning has failed. A machine that has reported, but without such a token, is terminated once it has been silent
-// for a worker lease plus the boot time of a replacement. If a network partition isolates it, it may return before that.
+// for a worker lease plus the boot time of a replacement. Before that, it may return from a network partition.
 func (r *Reviewer) shouldAbandon(m *cluster.Machine, now time.Time) bool {
 	if m.LastContact.IsZero() {
 		return r.provisioningFailed(m, now)
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -172,7 +172,7 @@
 }
 
 // moveMissesDeadline reports whether a move may make a batch task miss a deadline that it would meet on its present
-// machine, because of the time to save a checkpoint and to fetch its image on the other machine.
+// machine. The move costs the time to save a checkpoint and to fetch the task's image on the other machine.
 func (r *Reviewer) moveMissesDeadline(a *cluster.Attempt, now time.Time) bool {
 	spec := &a.Job.Spec
 	if spec.Service || spec.DeadlineS <= 0 || a.Started.IsZero() {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -15,9 +15,9 @@
 
 // The states of a task.
 const (
-	TaskWaiting TaskState = iota // waits to be placed on a machine
-	TaskActive                   // has an attempt
-	TaskDone                     // has completed
+	TaskWaiting TaskState = iota // the task waits to be placed on a machine
+	TaskActive                   // the task has an attempt
+	TaskDone                     // the task has completed
 )
 
 // Job holds a job's specification and the state of its tasks and attempts.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -25,7 +25,7 @@
 	// The following fields come from the worker's reports. A worker begins a new incarnation when its lease expires.
 	Incarnation, Seq, Token uint64              // incarnation and sequence number of the newest report; highest reported token
 	LastContact             time.Time           // last new report, in a heartbeat or in the response to direct commands
-	LastHeartbeat           time.Time           // last new heartbeat; when the machine was first seen if none has arrived
+	LastHeartbeat           time.Time           // last new heartbeat or, if none has arrived, when the machine was first seen
 	LastAcknowledged        time.Time           // last accepted heartbeat, from which the worker's lease counts
 	Confirmed               bool                // the worker has reported with a fencing token of this term
 	ExpiredIncarnation      uint64              // an incarnation whose lease is proved to have expired
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -9,7 +9,7 @@
 
 // Tuning holds the operators' settings.
 type Tuning struct {
-	ScaleOutWindow     time.Duration // how long demand must exceed the fleet before it scales out
+	ScaleOutWindow     time.Duration // how long demand must exceed the fleet before the fleet scales out
 	ScaleInWindow      time.Duration // how long all machines must be healthy before the fleet scales in
 	Cooldown           time.Duration // pause after a drain request or a scale-out step before the next drain
 	ScaleOutStep       int           // maximum number of machines per scale-out step of a small fleet, see MaxScaleOut
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -131,8 +131,8 @@
 	return max(1, int(n+fitTolerance))
 }
 
-// onDemandPenalty is added to the amount of free resources by which BestFit compares candidates, if the job may use
-// spot machines and the candidate is an on-demand machine. Such a job therefore prefers spot machines.
+// onDemandPenalty makes a job that may use spot machines prefer them. BestFit compares candidates by the amount of their
+// free resources, and for such a job adds the penalty to the amount of each on-demand machine.
 const onDemandPenalty = 100
 
 // BestFit returns the candidate with the least free resources among those on which a task of the job fits and for
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -111,8 +111,8 @@
 	return plan, tiers
 }
 
-// bestTier returns the best tier among the candidates of the group on which one more task of the job fits, and all of
-// these candidates that have this tier.
+// bestTier returns the best tier among the candidates of the group on which one more task of the job fits, together
+// with the candidates of this tier.
 func (p *Planner) bestTier(j *cluster.Job, group []*Candidate, zones *ZoneCheck) (best []*Candidate, tier int) {
 	for _, c := range group {
 		if !j.Spec.Resources.Fits(c.Free) || !zones.Allows(c.Zone) {
