--- a/cmd/sagevale/memory.go
+++ b/cmd/sagevale/memory.go
@@ -3,10 +3,10 @@
 import "runtime/debug"
 
 const (
-	// softLimitShare is the share of the memory quota that is the soft memory limit of the Go runtime.
+	// softLimitShare is the Go runtime's soft memory limit, as a share of the memory quota.
 	softLimitShare = 0.7
-	// gcThresholdShare is the share of the memory quota to which a small heap grows before garbage is collected. It
-	// keeps collections rare, because with a small CPU quota each one delays all other work for a long time.
+	// gcThresholdShare is the size to which a small heap grows before garbage is collected, as a share of the memory
+	// quota. It keeps collections rare: with a small CPU quota, each collection delays all other work for a long time.
 	gcThresholdShare = 1.0 / 3
 	// goMinHeapMB is the size to which the Go runtime lets a small heap grow at a GC percentage of 100.
 	goMinHeapMB = 4
--- a/cmd/sagevale/model_gateway.go
+++ b/cmd/sagevale/model_gateway.go
@@ -13,7 +13,8 @@
 	"sagevale/internal/scheduler"
 )
 
-// socketsPerModelConnection counts the client's connection and the connection to the model's server.
+// socketsPerModelConnection is the number of sockets that the gateway uses for each client connection: one for the
+// client's connection and one for the connection to the model's server.
 const socketsPerModelConnection = 2
 
 // modelGateway serves requests for models. A nil gateway serves none.
@@ -26,7 +27,7 @@
 }
 
 // newModelGateway returns a gateway that listens on the address in the settings. It returns nil if the settings have no
-// address for it.
+// such address.
 func newModelGateway(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelGateway, error) {
 	tuning := &s.Tuning.Activation
 	if tuning.Listen == "" {
@@ -36,13 +37,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("activation.listen: %w", err)
 	}
-	pace := activator.Timing{
+	timing := activator.Timing{
 		RetryPause: s.WakeInterval(), RequestTimeout: s.UsageInterval(), MaxResponseDelay: s.WakeInterval(), UsageInterval: s.UsageInterval(),
 		RepeatDemandFor: s.WorkerLease, ReportUnusedFor: 2 * tuning.Policy.IdleWindow,
 	}
 	limits := activator.Limits{HoldTimeout: tuning.HoldTimeout, MaxHeld: tuning.MaxHeldRequests, MaxConcurrent: tuning.MaxConcurrentRequests}
-	tracker := activator.NewTracker(node, pace, limits, newRand())
-	handlerConfig := activator.Config{Target: tuning.Target, MaxBodyBytes: tuning.MaxBodyBytes, ModelOf: protocol.JobID}
+	tracker := activator.NewTracker(node, timing, limits, newRand())
+	handlerConfig := activator.Config{Target: tuning.Target, MaxBodyBytes: tuning.MaxBodyBytes, ModelOf: protocol.ParseJobID}
 	return &modelGateway{
 		listener: listener, maxConnections: s.ModelConnections(),
 		tracker: tracker, handler: activator.NewHandler(tracker, handlerConfig, log), log: log,
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,6 @@
 // Package api defines the requests of users and the responses to them, in the form in which controllers handle them.
-// Package protocol converts them from and to the JSON of the users' HTTP API, and package wire/coordination from and to
-// the messages between controllers.
+// Package protocol converts these types from and to the JSON of the users' HTTP API. Package wire/coordination converts
+// them from and to the messages between controllers.
 package api
 
 import (
@@ -18,8 +18,8 @@
 	OpSubmit Op = iota
 	OpPoll
 	OpCancel
-	// OpPing is sent by another controller, whose name is in the request's ID. It tests the connection and asks for the
-	// receiver's status, in which a leader may delegate the renewal of leases to the sender.
+	// OpPing is sent by another controller. It tests the connection and requests the receiver's status. If the receiver
+	// is the leader, the status may also delegate the renewal of workers' leases to the sender.
 	OpPing
 )
 
@@ -27,7 +27,7 @@
 type Request struct {
 	Op   Op
 	ID   string       // job ID without its prefix; with OpPing, the sender's name
-	Spec storage.Spec // of the submitted job; OpSubmit only
+	Spec storage.Spec // specification of the submitted job; only with OpSubmit
 }
 
 // Code classifies a response.
@@ -39,7 +39,7 @@
 	CodeOK                      // the job is known; the response holds its state
 	CodeNotFound                // no such job was ever accepted
 	CodeInfeasible              // the job can never run
-	CodeUnavailable             // the controller can't decide on the request now
+	CodeUnavailable             // the controller can't respond with a result now; the client should retry
 	CodeBusy                    // too many requests
 )
 
@@ -63,10 +63,10 @@
 	Running      int         // number of running tasks
 	Reason       string      // why the response has no job state
 	RetrySeconds int         // time until the client should retry; 0: unspecified
-	Peer         peer.Status // the response to OpPing
-	// ValidFor is how long a response that isn't final may be passed on to the user, counted from the time when the
-	// leader received the request. It ends when the leader's lease may have expired, because a successor may then have
-	// sent the user a newer state. 0: unspecified.
+	Peer         peer.Status // status of the responding controller; only in responses to OpPing
+	// ValidFor limits how long the leader's response may be passed on to the user, counted from the time when the leader
+	// received the request. At the end of that time, the leader's lease may have expired, and the next leader may have
+	// sent the user a newer state. ValidFor doesn't apply to final responses. 0: no limit.
 	ValidFor time.Duration
 }
 
@@ -75,10 +75,10 @@
 	return r.Code == CodeOK && (r.State == StateDone || r.State == StateCancelled)
 }
 
-// Decided reports whether the controller decided on the request, so that the response is about the job itself.
+// Decided reports whether the response is the result of the request. If it isn't, the client should retry the request.
 func (r *Response) Decided() bool { return r.Code != CodeUnavailable && r.Code != CodeBusy }
 
-// Unavailable returns the response of a controller that can't decide on the request now.
+// Unavailable returns a response with CodeUnavailable, which asks the client to retry the request after a second.
 func Unavailable(id, reason string) Response {
 	return Response{Code: CodeUnavailable, ID: id, Reason: reason, RetrySeconds: 1}
 }
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -27,7 +27,7 @@
 	activationBodyBytesProperty     = "activation.body.bytes"
 )
 
-// Maximum values of these properties.
+// Maximum values of the properties that are whole numbers.
 const (
 	maxStartAttempts      = 1000
 	maxHeldRequests       = 1_000_000
@@ -61,7 +61,8 @@
 	}
 }
 
-// parseModelTarget checks the template of the model servers' addresses. activator.Target describes the template.
+// parseModelTarget checks the template of the model servers' addresses and returns it unchanged. activator.Target
+// describes the template.
 func parseModelTarget(v *validator, key, value string) string {
 	target, err := activator.Target(value, "127.0.0.1:1", "job-000001")
 	if !strings.Contains(value, activator.TargetHost) || err != nil || target.Port() == "" {
--- a/internal/protocol/archive_properties.go
+++ b/internal/protocol/archive_properties.go
@@ -11,7 +11,7 @@
 
 // Bounds of these properties' values.
 const (
-	maxKeptJobs        = 10_000_000 // finished jobs that stay in the journal
+	maxKeptJobs        = 10_000_000 // limit on the number of finished jobs that stay in the journal
 	minArchiveMemoryMB = 0.1
 	maxArchiveMemoryMB = 1 << 20
 )
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -73,7 +73,7 @@
 	return MachineNames{Machines: names}
 }
 
-// IDs returns the IDs of the machines. It returns an error if any name is invalid.
+// IDs converts the names to machine IDs. It returns an error if any name is invalid.
 func (n MachineNames) IDs() ([]int, error) {
 	ids := make([]int, 0, len(n.Machines))
 	for _, name := range n.Machines {
--- a/internal/protocol/fencing_properties.go
+++ b/internal/protocol/fencing_properties.go
@@ -11,8 +11,9 @@
 	fencingWindowProperty  = "fencing.window"
 )
 
-// maxFencingWindow is the largest value of fencing.window. It ensures that a worker's token is raised well before the
-// worker retains fencing.MaxRetained attempts. At that number, no attempt is started by a direct command.
+// maxFencingWindow is the largest value of fencing.window, the number of ended attempts that a worker must retain before
+// its token is raised. The token is thus usually raised well before the worker must retain fencing.MaxRetained attempts.
+// At that number, direct commands no longer start attempts.
 const maxFencingWindow = fencing.MaxRetained / 2
 
 // addFencing adds the parsers of the properties for the workers' fencing tokens.
--- a/internal/protocol/key_value.go
+++ b/internal/protocol/key_value.go
@@ -19,14 +19,14 @@
 	return storage.Item{Key: i.Key, Data: i.Data, Version: i.Version, Lease: i.Lease}
 }
 
-// ItemPage is one page of the list of keys.
+// ItemPage is one page of a list of items.
 type ItemPage struct {
 	Items    []StoredItem `json:"Items"`
 	More     bool         `json:"More"`
 	Revision uint64       `json:"LedgerRev"`
 }
 
-// Txn is the body of a guarded transaction, whose operations are executed only if all guards hold.
+// Txn is the body of a guarded transaction. The store executes the operations only if all guards hold.
 type Txn struct {
 	Guards []txnGuard `json:"Guards"`
 	Ops    []txnOp    `json:"Apply,omitempty"`
@@ -68,7 +68,7 @@
 
 // LeaseGrantRequest is the body of a request for a lease.
 type LeaseGrantRequest struct {
-	TTLMS int64 `json:"LifeMs"` // time to live
+	TTLMS int64 `json:"LifeMs"` // time to live in milliseconds
 }
 
 // LeaseGrantResponse is the body of the response to a request for a lease.
--- a/internal/protocol/properties.go
+++ b/internal/protocol/properties.go
@@ -36,8 +36,8 @@
 // propertyParsers holds the parsers of all properties by name.
 type propertyParsers map[string]propertyParser
 
-// parseProperties checks the contents of a properties file and stores them in s. An error is a *FieldError; after it, s
-// must not be used.
+// parseProperties checks the contents of a properties file and stores them in s. An error is a *FieldError. After an
+// error, s must not be used.
 func parseProperties(file string, raw []byte, s *config.Settings) error {
 	parsed, err := properties.Load(raw, properties.UTF8)
 	if err != nil {
--- a/internal/protocol/report_reader.go
+++ b/internal/protocol/report_reader.go
@@ -7,16 +7,16 @@
 	"sagevale/internal/worker"
 )
 
-// maxCachedReportBytes is the size of the largest report that a ReportReader caches. It suffices for a machine with about
-// thirty tasks. It is bounded because a controller caches a report for each connection from a worker.
+// maxCachedReportBytes is the size of the largest report that a ReportReader caches. The size suffices for a machine with
+// about thirty tasks. It is limited because a controller caches one report for each connection from a worker.
 const maxCachedReportBytes = 4 << 10
 
 // seqField is the JSON text that precedes a report's sequence number.
 var seqField = []byte(`"Tally":`)
 
-// ReportReader parses the reports that are received on one connection. A report that differs from the cached one only in
-// its sequence number, as most do, isn't decoded again. The zero value is ready to use. A ReportReader must not be used
-// by several goroutines at once.
+// ReportReader parses the reports that are received on one connection. It caches the report that it decoded last. Most
+// reports differ from the cached report only in the sequence number; these aren't decoded again. The zero value is ready
+// to use. A ReportReader must not be used by several goroutines at once.
 type ReportReader struct {
 	prefix, suffix []byte // bytes of the cached report before and after its sequence number; nil: no report is cached
 	cached         worker.Report
@@ -52,14 +52,16 @@
 	return &r
 }
 
-// cache caches a report if it is small enough, has no preemption notice, and the position of its sequence number in body
-// is unambiguous. Otherwise no report is cached.
+// cache caches the report r, which was decoded from body, if three conditions hold: the body is small enough, the report
+// has no preemption notice, and the position of the sequence number in the body is unambiguous. Otherwise no report is
+// cached.
 func (reader *ReportReader) cache(body []byte, r *worker.Report) {
 	reader.prefix, reader.suffix = nil, nil
 	if len(body) > maxCachedReportBytes || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
-		return // a field name with escape sequences can be spelled in several ways
+		return // a backslash may belong to a field name with escape sequences, which the search below wouldn't find
 	}
-	// encoding/json matches field names regardless of case, so all spellings together must occur exactly once.
+	// encoding/json matches field names regardless of case. The field name must therefore occur exactly once in body,
+	// counting all spellings.
 	if bytes.Count(bytes.ToLower(body), bytes.ToLower(seqField[1:len(seqField)-2])) != 1 {
 		return
 	}
@@ -82,7 +84,7 @@
 	reader.prefix, reader.suffix, reader.cached = copied[:start:start], copied[end:], *r
 }
 
-// parseSeq parses a sequence number in JSON, which must be positive and have no leading zero.
+// parseSeq parses a sequence number in JSON. The number must be positive and have no leading zero.
 func parseSeq(digits []byte) (uint64, bool) {
 	if len(digits) == 0 || digits[0] == '0' {
 		return 0, false
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// limits returns the limits that are announced for the key-value store, or nil if none are. A limit that isn't
-// announced is 0.
+// limits returns the limits that the key-value store will enforce later, according to the settings. It returns nil if the
+// settings have no section params.state.next. A limit that is missing from this section is 0.
 func (s *nextStateSection) limits(v *validator) *storage.Limits {
 	if s == nil {
 		return nil
--- a/internal/protocol/upgrade_properties.go
+++ b/internal/protocol/upgrade_properties.go
@@ -12,7 +12,8 @@
 	upgradeTargetProperty   = "upgrade.target"
 	upgradeFinalizeProperty = "upgrade.finalize"
 	upgradeSoakProperty     = "upgrade.soak"
-	// upgradeVersionCapProperty makes the program act as an earlier version. It is for tests.
+	// upgradeVersionCapProperty makes the program act as if it were a program of the given, earlier version. It is for
+	// tests.
 	upgradeVersionCapProperty = "upgrade.test.cap"
 )
 
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/storage"
 )
 
-// MaxBodyBytes is the largest request body in bytes.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks of a job.
@@ -22,7 +22,7 @@
 // key-value store.
 const (
 	maxNameBytes  = 256
-	maxTypesBytes = 2048 // of all machine types, with separators
+	maxTypesBytes = 2048 // for the names of all machine types together, with separators
 )
 
 // jobIDPrefix is the prefix of every job ID in the external interfaces.
@@ -30,8 +30,8 @@
 
 var jobIDPattern = regexp.MustCompile(`^job-[0-9]{6,18}$`)
 
-// JobID returns the job ID in s without its prefix. ok is false if s is not a job ID.
-func JobID(s string) (id string, ok bool) {
+// ParseJobID returns the job ID in s without its prefix. ok is false if s is not a job ID.
+func ParseJobID(s string) (id string, ok bool) {
 	if !jobIDPattern.MatchString(s) {
 		return "", false
 	}
@@ -121,14 +121,14 @@
 }
 
 func (s *submission) jobID(v *validator) string {
-	id, ok := JobID(required(v, "Id", s.ID))
+	id, ok := ParseJobID(required(v, "Id", s.ID))
 	if !ok {
 		v.fail("Id", "is not a job id")
 	}
 	return id
 }
 
-// parseKind reports whether the job is a service, and whether it is a gang; a job array is neither.
+// parseKind reports whether the job is a service, and whether it is a gang. For a job array, both results are false.
 func (s *submission) parseKind(v *validator) (service, gang bool) {
 	switch kind := required(v, "Shape", s.Kind); kind {
 	case "service":
@@ -170,8 +170,8 @@
 type JobStatus struct {
 	ID      string `json:"Id"`
 	State   string `json:"Standing"`
-	Done    int    `json:"done"`    // tasks
-	Running int    `json:"running"` // tasks
+	Done    int    `json:"done"`    // number of tasks that are done
+	Running int    `json:"running"` // number of running tasks
 }
 
 var jobStates = map[api.JobState]string{
@@ -184,8 +184,8 @@
 	return JobStatus{ID: jobIDPrefix + r.ID, State: jobStates[r.State], Done: r.Done, Running: r.Running}
 }
 
-// ErrorResponse is the body of every response that isn't successful. It is sent to users and workers, and received
-// from the cloud.
+// ErrorResponse is the body of error responses that controllers send to users and workers, and of those that the cloud
+// sends. The response that redirects a worker has a Redirect as its body instead.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/validator.go
+++ b/internal/protocol/validator.go
@@ -12,11 +12,11 @@
 // line.
 type FieldError struct {
 	File   string // path; empty for a request
-	Field  string // name in the interface; empty if the error doesn't concern one field
+	Field  string // name of the field in the external interface; empty if the error doesn't concern one field
 	Reason string
 }
 
-// Error returns the file, the field and the reason, without those that are empty.
+// Error returns the file, the field and the reason. It omits the file or the field if it is empty.
 func (e *FieldError) Error() string {
 	text := e.Reason
 	if e.Field != "" {
@@ -29,7 +29,7 @@
 }
 
 // validator checks fields and keeps the first error. Its methods take the name and the value of a field and return the
-// value to use, which has no meaning after an error.
+// value to use. After an error, the returned value has no meaning.
 type validator struct {
 	file string // path; empty for a request
 	err  *FieldError
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -33,7 +33,7 @@
 
 func parseTaskName(name string) (worker.TaskID, error) {
 	job, index, ok := strings.Cut(name, "/")
-	id, valid := JobID(job)
+	id, valid := ParseJobID(job)
 	n, err := strconv.Atoi(index)
 	if !ok || !valid || err != nil || n < 0 {
 		return worker.TaskID{}, fmt.Errorf("%q is not a task's name", name)
@@ -78,8 +78,8 @@
 // A notice of 0 seconds would thus be lost.
 const minNoticeSeconds = 0.001
 
-// ParseReport decodes and checks a worker's report. It rejects a report with any invalid task, because a report without
-// that task would mean that the task no longer runs.
+// ParseReport decodes and checks a worker's report. If one task of the report is invalid, it rejects the whole report: a
+// report from which the task was left out would mean that the task no longer runs.
 func ParseReport(body []byte) (*worker.Report, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -127,7 +127,7 @@
 	return worker.TaskReport{ID: id, Attempt: t.Attempt, State: state, Cause: cause, Saved: t.Saved}, nil
 }
 
-// command is a command to a worker, as it is sent.
+// command is the JSON form of a command to a worker.
 type command struct {
 	Verb         string   `json:"Verb"`
 	Task         string   `json:"Chore"`
@@ -139,8 +139,7 @@
 	worker.Start: "run", worker.Stop: "stop", worker.Forget: "forget",
 }
 
-// newCommands returns commands in the form in which they are sent. The result is never nil, because nil would be encoded
-// as null.
+// newCommands converts commands to the JSON form. The result is never nil, because nil would be encoded as null.
 func newCommands(commands []worker.Command) []command {
 	sent := make([]command, 0, len(commands))
 	for _, c := range commands {
@@ -164,7 +163,7 @@
 	return HeartbeatResponse{Token: r.Token, Commands: newCommands(r.Commands)}
 }
 
-// Redirect is the body of the response to a heartbeat that the worker must send to another controller.
+// Redirect is the body of the response that redirects a worker's heartbeat to another controller.
 type Redirect struct {
 	Leader string `json:"Steward,omitempty"` // name of the leader; empty: unknown
 	Error  string `json:"error"`
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
 // Package telemetry logs the resource usage of the process: CPU time, memory, garbage
-// collection and timer lag.
+// collection and timer lag, which is how late timers fire.
 package telemetry
 
 import (
@@ -14,10 +14,10 @@
 const lagProbesPerInterval = 20
 
 // Reporter logs one line of resource usage per interval at level debug. If the logger's
-// level is higher, it measures nothing.
+// level is higher, Reporter measures nothing.
 type Reporter struct {
 	Log      *slog.Logger
-	Interval time.Duration // between two lines
+	Interval time.Duration // time between two lines
 	CPUShare float64       // number of CPU cores that the process may use, such as 0.5
 	// Gauges returns further key-value pairs for the line, as arguments for slog.
 	Gauges func() []any
@@ -71,7 +71,7 @@
 type sample struct {
 	at     time.Time
 	cpu    time.Duration      // user and system CPU time since the process started
-	values map[string]float64 // by name of the runtime metric
+	values map[string]float64 // values of the runtime metrics by name
 }
 
 // readSample reads the current usage. The CPU time is 0 if the operating system does not report it.
--- a/internal/transport/body_limiter.go
+++ b/internal/transport/body_limiter.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// maxSmallBodyBytes is the largest request body that connectionBytes already accounts for.
+	// maxSmallBodyBytes is the size of the largest small request body. The memory for small bodies is included in
+	// connectionBytes.
 	maxSmallBodyBytes = 4 << 10
-	// unknownLengthBodyBytes is the memory that is reserved for a body of unknown length. Its buffer grows by
-	// doubling, so it may become twice as large as the largest body.
+	// unknownLengthBodyBytes is the memory that is reserved for a body of unknown length. The body's buffer grows by
+	// doubling, so the buffer may become twice as large as the largest allowed body.
 	unknownLengthBodyBytes = 2 * protocol.MaxBodyBytes
 )
 
@@ -22,8 +23,8 @@
 }
 
 // acquire reserves memory for a body of length bytes. If length is negative, the body's length is unknown, and acquire
-// reserves enough for the largest body that the protocol allows. It never waits: if too little memory is left, ok is
-// false. Otherwise the caller must call release once.
+// reserves enough for the largest body that the protocol allows. acquire never waits: if too little memory is left, it
+// returns false. Otherwise it returns true, and the caller must call release once.
 func (l bodyLimiter) acquire(length int64) (release func(), ok bool) {
 	bytes := length
 	switch {
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -60,7 +60,7 @@
 	return fmt.Errorf("%w: status %d", cloud.ErrUnknownOutcome, resp.status)
 }
 
-// MachineTypes returns the instance types in the cloud's catalog. An empty catalog is an error.
+// MachineTypes returns the valid instance types in the cloud's catalog. It returns an error if there are none.
 func (c *CloudClient) MachineTypes(ctx context.Context) ([]storage.MachineType, error) {
 	var catalog protocol.Catalog
 	if err := c.send(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
@@ -73,8 +73,8 @@
 	return types, nil
 }
 
-// Launch launches machines and returns their IDs. The name makes the request idempotent: a repeated request with the
-// same name launches no further machines.
+// Launch launches machines and returns their IDs. The name makes the request idempotent: if the request is repeated with
+// the same name, the cloud launches no further machines.
 func (c *CloudClient) Launch(ctx context.Context, name string, launch storage.LaunchRecord) ([]int, error) {
 	var names protocol.MachineNames
 	if err := c.send(ctx, http.MethodPost, "/rentals", protocol.NewLaunchRequest(name, launch), &names); err != nil {
@@ -92,8 +92,9 @@
 	return c.send(ctx, http.MethodPost, "/rentals/delete", protocol.NewMachineNames(machines), nil)
 }
 
-// List returns a page of at most limit machines and whether more machines follow. The page starts behind the machine
-// with the ID after, or at the first machine if after is negative.
+// List returns one page of the cloud's list of machines, which has at most limit machines. more reports whether further
+// machines follow the page. If after is negative, the page is the first of the list. Otherwise the page starts with the
+// machine that follows the ID after.
 func (c *CloudClient) List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error) {
 	query := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -9,7 +9,8 @@
 	"sagevale/internal/protocol"
 )
 
-// maxShedShare is the largest share of the maximum number of connections that is closed at a time to accept others.
+// maxShedShare limits how many idle worker connections are closed at a time to make room for new connections. It is a
+// share of the maximum number of connections.
 const maxShedShare = 1.0 / 8
 
 // connLimiter is a listener that limits the number of its open connections. At the limit, Accept closes idle worker
@@ -19,7 +20,7 @@
 	net.Listener
 	maxOpenConns, maxWorkerConns int64
 	openConns, workerConns       atomic.Int64   // current numbers of connections
-	conns                        []*limitedConn // in the order of acceptance, some of them closed; used by Accept only
+	conns                        []*limitedConn // in the order of acceptance, may include closed ones; used by Accept only
 	connClosed                   chan struct{}  // wakes up a waiting Accept
 	listenerClosed               chan struct{}
 	closeOnce                    sync.Once
@@ -38,9 +39,10 @@
 	return l.Listener.Close()
 }
 
-// Accept waits until fewer than the maximum number of connections are open and returns the next connection.
+// Accept returns the next connection. While the maximum number of connections is open, it first closes idle worker
+// connections or, if there are none, waits until a connection is closed.
 func (l *connLimiter) Accept() (net.Conn, error) {
-	for l.openConns.Load() >= l.maxOpenConns && !l.shedWorkers() {
+	for l.openConns.Load() >= l.maxOpenConns && !l.shedWorkerConns() {
 		select {
 		case <-l.connClosed:
 		case <-l.listenerClosed:
@@ -72,9 +74,9 @@
 	l.conns = open
 }
 
-// shedWorkers closes some of the worker connections on which no heartbeat is being handled, the oldest first. It
-// reports whether it has closed any.
-func (l *connLimiter) shedWorkers() bool {
+// shedWorkerConns closes idle worker connections, the oldest first. A worker connection is idle while no heartbeat from
+// it is being handled. shedWorkerConns reports whether it has closed any connection.
+func (l *connLimiter) shedWorkerConns() bool {
 	l.removeClosed()
 	maxShed := max(1, int(maxShedShare*float64(l.maxOpenConns)))
 	shed := 0
@@ -83,7 +85,7 @@
 			break
 		}
 		if c.isWorker.Load() && !c.busy.Load() {
-			_ = c.Close() // an error loses nothing: the connection is closed only to free its slot
+			_ = c.Close() // even after an error, the connection no longer counts as open
 			shed++
 		}
 	}
@@ -94,7 +96,7 @@
 type limitedConn struct {
 	net.Conn
 	limiter      *connLimiter
-	reportReader protocol.ReportReader // used by one request at a time, as a connection serves only one
+	reportReader protocol.ReportReader // needs no lock: a connection serves one request at a time
 	isWorker     atomic.Bool           // the client is a worker
 	busy         atomic.Bool           // a worker's heartbeat is being handled
 	closed       atomic.Bool
@@ -116,8 +118,8 @@
 	return c.Conn.Close()
 }
 
-// markWorker records that the client is a worker. It reports whether the connection may stay open after the response,
-// which it may not if there are more worker connections than maxWorkerConns.
+// markWorker records that the client is a worker. It returns false if more than maxWorkerConns worker connections are
+// open. The connection must then be closed after the response.
 func (c *limitedConn) markWorker() (mayStayOpen bool) {
 	if !c.isWorker.Swap(true) {
 		c.limiter.workerConns.Add(1)
@@ -136,7 +138,8 @@
 	return ctx
 }
 
-// limitedConnFrom returns the connection of the request with the context ctx, or nil if no connLimiter accepted it.
+// limitedConnFrom returns the connection of the request with the context ctx. It returns nil if the connection wasn't
+// accepted by a connLimiter.
 func limitedConnFrom(ctx context.Context) *limitedConn {
 	c, _ := ctx.Value(limitedConnKey{}).(*limitedConn)
 	return c
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -11,14 +11,14 @@
 	"sagevale/internal/protocol"
 )
 
-// maxPooledBufferBytes is the largest buffer that is kept for further requests.
+// maxPooledBufferBytes is the size of the largest buffer that is kept for later requests.
 const maxPooledBufferBytes = 4 * maxSmallBodyBytes
 
-// bodyBuffers holds reusable buffers for request bodies. readBody returns a buffer to the pool when it returns.
+// bodyBuffers holds reusable buffers for request bodies. Buffers larger than maxPooledBufferBytes aren't put back.
 var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// readBody reads a request's body and passes it to handleBody, which must not retain it. If the body is too large or
-// can't be read, or if there is no memory for it, readBody writes an error response and doesn't call handleBody.
+// readBody reads a request's body and passes it to handleBody, which must not retain the body. If the body is too large
+// or can't be read, or if no memory is left for it, readBody writes an error response and doesn't call handleBody.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, handleBody func(body []byte)) {
 	if r.ContentLength > protocol.MaxBodyBytes {
 		writeBodyTooLarge(w)
@@ -52,8 +52,8 @@
 	handleBody(buf.Bytes())
 }
 
-// allowMethod reports whether a request has the given method. HEAD is allowed where GET is. For any other method it
-// writes an error response.
+// allowMethod reports whether a request has the given method. If the given method is GET, it also allows HEAD. If the
+// request's method isn't allowed, allowMethod writes an error response.
 func allowMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method || method == http.MethodGet && r.Method == http.MethodHead {
 		return true
@@ -63,7 +63,7 @@
 	return false
 }
 
-// closeAfterResponse has the server close the connection after the response. It must be called before the response is
+// closeAfterResponse makes the server close the connection after the response. It must be called before the response is
 // written.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
@@ -75,7 +75,7 @@
 }
 
 // writeError writes an error response. For the statuses after which clients retry (429 and 503), it sets Retry-After to
-// retrySeconds, or to 1 if that is less.
+// retrySeconds, but to at least 1.
 func writeError(w http.ResponseWriter, status int, reason string, retrySeconds int) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retrySeconds)))
@@ -94,6 +94,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
-	// A write error means that the client has disconnected: it needs no response.
+	// A write error means that the client has disconnected and can't receive the response.
 	_, _ = w.Write(raw)
 }
--- a/internal/transport/json_client.go
+++ b/internal/transport/json_client.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxResponseBytes is the most that is read of a response body.
+	// maxResponseBytes limits how much of a response body is read. A longer body is truncated.
 	maxResponseBytes = 16 << 20
-	// connectTimeout is the longest that opening a connection may take.
+	// connectTimeout limits how long opening a connection may take.
 	connectTimeout = 2 * time.Second
-	// Limits on the idle connections of a client that newServerClient returns.
+	// The following limits on idle connections are for the clients that newServerClient returns.
 	idleConnsPerServer = 4
 	maxIdleConns       = 8
 	idleConnTimeout    = time.Minute
@@ -29,8 +29,8 @@
 	http *http.Client
 }
 
-// newJSONClient returns a client that keeps idle connections for idleTimeout: at most perHost to each server, and at
-// most total to all servers.
+// newJSONClient returns a client that keeps idle connections for idleTimeout. It keeps at most perHost idle connections
+// to each server, and at most total idle connections to all servers.
 func newJSONClient(perHost, total int, idleTimeout time.Duration) *jsonClient {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	return &jsonClient{http: &http.Client{
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -12,8 +12,9 @@
 	"sagevale/internal/storage"
 )
 
-// KeyValueClient is a client of the key-value store's HTTP API. Except for a conflict response that can't be decoded,
-// its methods return errors of package storage, possibly wrapped. They may be called from several goroutines.
+// KeyValueClient is a client of the key-value store's HTTP API. Its methods return errors of package storage, possibly
+// wrapped. The only other error is that of a conflict response that can't be decoded. The methods may be called from
+// several goroutines.
 type KeyValueClient struct {
 	baseURL string
 	client  *jsonClient
@@ -71,8 +72,9 @@
 	return item.Item(), nil
 }
 
-// List reads a page of at most limit keys with the prefix. The page starts behind the key after, or at the first key
-// if after is empty. It also returns whether more keys follow, and the store's revision.
+// List reads one page of the keys with the prefix, which has at most limit keys. If after is empty, the page starts with
+// the first key. Otherwise it starts with the first key that follows the key after. List also returns whether more keys
+// follow the page, and the store's revision.
 func (c *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) (items []storage.Item, more bool, revision uint64, err error) {
 	query := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -89,7 +91,8 @@
 	return items, page.More, page.Revision, nil
 }
 
-// Txn executes a transaction on condition that all guards hold, and returns the store's revision after it.
+// Txn executes a transaction if all guards hold, and returns the store's revision after the transaction. If a guard
+// doesn't hold, Txn returns a *storage.ConflictError.
 func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
 	var result protocol.TxnResponse
 	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
@@ -98,30 +101,30 @@
 	return result.Revision, nil
 }
 
-// Grant creates a lease and returns its ID. The lease expires after life, truncated to whole milliseconds, unless it is
-// renewed.
-func (c *KeyValueClient) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// Grant creates a lease and returns its ID. The lease expires after ttl unless it is renewed. ttl is truncated to whole
+// milliseconds.
+func (c *KeyValueClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var lease protocol.LeaseGrantResponse
-	if err := c.send(ctx, http.MethodPost, "/grants", protocol.LeaseGrantRequest{TTLMS: life.Milliseconds()}, &lease); err != nil {
+	if err := c.send(ctx, http.MethodPost, "/grants", protocol.LeaseGrantRequest{TTLMS: ttl.Milliseconds()}, &lease); err != nil {
 		return 0, err
 	}
 	return lease.ID, nil
 }
 
-// Renew renews a lease.
+// Renew renews a lease. It returns storage.ErrNotFound if the lease has expired.
 func (c *KeyValueClient) Renew(ctx context.Context, lease uint64) error {
 	return c.send(ctx, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), struct{}{}, nil)
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease. The store then deletes the keys that are attached to the lease.
 func (c *KeyValueClient) Revoke(ctx context.Context, lease uint64) error {
 	return c.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch returns the changes of keys with the prefix after a revision, and the revision up to which these changes are
-// complete. It waits at most hold for a change.
-func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) ([]storage.Item, uint64, error) {
-	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+// Watch waits until a key with the prefix has changed after the given revision, at most for maxWait, and returns the
+// changes. It also returns the revision up to which the changes are complete.
+func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]storage.Item, uint64, error) {
+	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(maxWait.Milliseconds(), 10)}}
 	var changes protocol.WatchResponse
 	if err := c.send(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, &changes); err != nil {
 		return nil, 0, err
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -5,12 +5,12 @@
 // Limits are the process limits from which a server derives how many connections and how much memory it uses for its
 // clients.
 type Limits struct {
-	Sockets  int     // of the process, for accepted and outgoing connections
-	MemoryMB float64 // of the process, in MB of 2^20 bytes; 0: connections aren't limited by memory
+	Sockets  int     // number of sockets for accepted and outgoing connections
+	MemoryMB float64 // memory of the process in MB of 2^20 bytes; 0: connections aren't limited by memory
 }
 
-// Shares of the sockets. Workers keep their connections open, and a fleet may have more workers than a process has
-// sockets. The shares leave sockets for users, health checks and outgoing connections.
+// Shares of the process's sockets. Workers keep their connections open, and a fleet may have more workers than a process
+// has sockets. The shares leave sockets for users, health checks and outgoing connections.
 const (
 	// workerSocketShare limits the worker connections that stay open between two heartbeats. Any further worker
 	// connection is closed after the response.
@@ -18,19 +18,19 @@
 	// acceptedSocketShare limits all accepted connections. At the limit, idle worker connections are closed to accept
 	// others.
 	acceptedSocketShare = 2.0 / 3
-	// commandSocketShare limits the connections on which commands are being sent to workers, and
-	// idleCommandSocketShare the idle ones that are kept for later commands.
+	// commandSocketShare limits the connections on which commands are being sent to workers. idleCommandSocketShare
+	// limits the idle connections that are kept for later commands.
 	commandSocketShare     = 1.0 / 6
 	idleCommandSocketShare = 1.0 / 12
 )
 
 // Shares of the process's memory.
 const (
-	// connectionMemoryShare is for accepted connections. Each takes connectionBytes for its buffers, the stacks of its
-	// goroutines and its latest heartbeat.
+	// connectionMemoryShare is the share for accepted connections. Each connection takes connectionBytes for its
+	// buffers, the stacks of its goroutines and the latest heartbeat received on it.
 	connectionMemoryShare = 1.0 / 3
 	connectionBytes       = 24 << 10
-	// bodyMemoryShare is for large request bodies while they are read.
+	// bodyMemoryShare is the share for large request bodies while they are read and parsed.
 	bodyMemoryShare = 1.0 / 16
 )
 
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -5,13 +5,16 @@
 	wire "sagevale/internal/wire/coordination"
 )
 
-// Controllers exchange the messages of this file in encoding/gob.
+// Controllers send each other the messages in this file, encoded with encoding/gob.
 //
 // The names of the types that are sent, and of their fields, must never change, even where the rest of the package uses
 // other names. gob sends these names before the first message of a type, controllers of other versions match fields by
 // name, and CI compares the encoded bytes with those of earlier versions. A new kind of message must get a type of its
 // own rather than a field in an existing type, so that the encoded bytes of the other kinds don't change. The receiver
-// decodes all kinds into one type that has the fields of all of them.
+// decodes every kind of request into receivedRequest and every kind of response into receivedResponse, which have the
+// fields of all kinds.
+//
+// Serial identifies a request. The response to the request has the same Serial.
 
 // peerAsk is a forwarded user request, a ping, or a batch of forwarded heartbeats.
 type peerAsk struct {
@@ -27,7 +30,8 @@
 	Beats  []wire.BeatAnswer
 }
 
-// wakeAsk is a wake request. It is sent only to peers of version peer.VersionActivation or later.
+// wakeAsk carries a wake request, which reports to the leader that a controller holds requests for a model. It is sent
+// only to peers of version peer.VersionActivation or later.
 type wakeAsk struct {
 	Serial uint64
 	Wake   *activation.WakeRequest
@@ -39,7 +43,8 @@
 	Wake   *activation.WakeResponse
 }
 
-// usageAsk is a usage report. It is sent only to peers of version peer.VersionActivation or later.
+// usageAsk carries a usage report, which reports to the leader the models for which a controller has had requests. It is
+// sent only to peers of version peer.VersionActivation or later.
 type usageAsk struct {
 	Serial uint64
 	Usage  *activation.UsageReport
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -17,7 +17,7 @@
 	wire "sagevale/internal/wire/coordination"
 )
 
-// peerRequest is a request to one peer. At most one of wake and usage is set; if neither is, the request is message.
+// peerRequest is a request to one peer. At most one of wake and usage is set. If neither is set, message is sent.
 type peerRequest struct {
 	message peerAsk
 	wake    *activation.WakeRequest // if not nil, sent instead of message
@@ -31,7 +31,7 @@
 	err      error
 }
 
-// gobMessage returns the message that is encoded and sent for the request.
+// gobMessage returns the message to encode and send, with the given serial number.
 func (r *peerRequest) gobMessage(serial uint64) any {
 	switch {
 	case r.wake != nil:
@@ -54,7 +54,7 @@
 }
 
 // mayBatch reports whether the request may be delayed and sent in a batch. Only polls are batched: they are frequent
-// and not urgent, and each message that is sent alone would wake up the peer.
+// and not urgent, and each poll that is sent alone would wake up the peer's process.
 func (r *peerRequest) mayBatch() bool {
 	return r.isUserRequest() && r.message.Req.Op == api.OpPoll
 }
@@ -65,11 +65,10 @@
 	sentAt time.Time
 }
 
-// peerEvent is an event that the reader of a connection passes to the peerClient. Its types are receivedResponse and
-// disconnected.
+// peerEvent is an event that readResponses sends to the peerClient: a receivedResponse or a disconnected.
 type peerEvent interface{ isPeerEvent() }
 
-// disconnected is the last event of a connection and holds the error that ended it.
+// disconnected is the last event of a connection. It holds the error that ended the connection.
 type disconnected struct {
 	conn net.Conn
 	err  error
@@ -78,8 +77,9 @@
 func (receivedResponse) isPeerEvent() {}
 func (disconnected) isPeerEvent()     {}
 
-// peerClient sends requests to one peer over one connection, which it opens when there is a request to send. It is an
-// actor: only the goroutine that executes run accesses the fields below log, except for the atomic ones.
+// peerClient sends requests to one peer over one connection, which it opens when there is a request to send. Only the
+// goroutine that executes run accesses the fields below log. The atomic fields are the exception: any goroutine may read
+// them.
 type peerClient struct {
 	self        string // this controller's name
 	addr        string
@@ -95,12 +95,12 @@
 	encoder    *gob.Encoder
 	flushTimer <-chan time.Time // nil: no batch is waiting to be sent
 	pending    map[uint64]pendingRequest
-	serial     uint64         // of the latest request
+	serial     uint64         // serial number of the latest request
 	retryAt    time.Time      // no connection is attempted before this time
 	readers    sync.WaitGroup // the goroutines that read the connections
 
-	lastContact atomic.Value // time.Time of the latest response
-	status      atomic.Value // peer.ObservedStatus of the latest response to a ping
+	lastContact atomic.Value // when the latest response arrived, a time.Time
+	status      atomic.Value // status from the latest response to a ping, a peer.ObservedStatus
 }
 
 func newPeerClient(self string, node config.Peer, pacing PeerPacing, log *slog.Logger) *peerClient {
@@ -171,8 +171,9 @@
 	})
 }
 
-// send sends a request at once together with the current batch, or adds it to the batch, which is sent with the next
-// urgent request or when the batch window ends.
+// send writes a request to the buffer of the connection. A request that may be batched waits in the buffer for the next
+// flush, at the latest until the batch window ends. For any other request, send flushes the buffer at once. If there is
+// no connection and none can be opened, the request fails.
 func (c *peerClient) send(ctx context.Context, req peerRequest) {
 	if c.conn == nil && !c.connect(ctx) {
 		req.result <- peerResult{err: errPeerUnreachable}
@@ -194,7 +195,7 @@
 	}
 }
 
-// connect opens a connection, unless the time for the next attempt hasn't come. It reports whether it has opened one.
+// connect opens a connection and reports whether it succeeded. Before retryAt, it makes no attempt and returns false.
 func (c *peerClient) connect(ctx context.Context) bool {
 	if time.Now().Before(c.retryAt) {
 		return false
@@ -217,7 +218,7 @@
 	c.encoder = gob.NewEncoder(c.writer)
 }
 
-// flush sends the requests that are buffered.
+// flush sends the requests in the buffer.
 func (c *peerClient) flush() {
 	c.flushTimer = nil
 	if c.conn == nil {
@@ -229,7 +230,7 @@
 }
 
 // readResponses reads responses from a connection and sends them to events until the connection fails or ctx ends. If
-// the connection fails, it sends a disconnected last. The end of ctx closes the connection, which also aborts a write
+// the connection fails, the last event is a disconnected. The end of ctx closes the connection, which also aborts a write
 // that is in progress.
 func readResponses(ctx context.Context, conn net.Conn, events chan<- peerEvent) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -21,17 +21,18 @@
 type PeerHandler interface {
 	// HandleForwardedRequest handles a user request or a ping that another controller has sent.
 	HandleForwardedRequest(ctx context.Context, req api.Request) api.Response
-	// HandleForwardedHeartbeats handles workers' heartbeats. It returns one response to each, in the same order, or nil
-	// if this controller decides on none of them.
+	// HandleForwardedHeartbeats handles workers' heartbeats that another controller has forwarded. It returns one
+	// response to each heartbeat, in the same order. It returns nil if this controller doesn't handle them, for example
+	// because it isn't the leader.
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
-	// HandleForwardedWake handles a wake request.
+	// HandleForwardedWake handles a wake request, which reports that another controller holds requests for a model.
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
-	// HandleForwardedUsage handles a usage report.
+	// HandleForwardedUsage handles a usage report, which contains another controller's usage of models.
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
-// ServePeers serves the requests of other controllers on l until ctx ends. It returns once all connections
-// are closed and all handlers have returned.
+// ServePeers serves the requests of other controllers on l until ctx ends. It returns after all connections have been
+// closed and all handlers have returned.
 func ServePeers(ctx context.Context, l net.Listener, handler PeerHandler, log *slog.Logger) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -97,7 +98,7 @@
 		case <-ctx.Done():
 			return
 		case response := <-responses:
-			// An error isn't logged here: it ends the connection, and servePeer logs that.
+			// An error isn't logged here: it ends the connection, and servePeer logs the disconnection.
 			if err := conn.SetWriteDeadline(time.Now().Add(2 * peerTimeout)); err != nil {
 				return
 			}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -20,14 +20,14 @@
 const (
 	// peerTimeout is the longest that a controller waits for another controller's response.
 	peerTimeout = time.Second
-	// peerRetryDelay is the delay before the next attempt to connect to a peer, or to accept a connection from one,
-	// after a failure.
+	// peerRetryDelay is the pause after a connection to a peer has failed or couldn't be opened, before the next attempt
+	// to open one. It is also the pause after a failure to accept a connection.
 	peerRetryDelay = 250 * time.Millisecond
-	// peerQueueLength is how many responses from a peer, or to a peer, are buffered. When the buffer is full, the
-	// goroutine that adds a response waits.
+	// peerQueueLength is the size of two buffers: for the responses received from a peer, and for the responses to send on
+	// a connection. When a buffer is full, the goroutine that adds a response waits.
 	peerQueueLength = 256
-	// unreachableAfter is the time since a peer's latest response after which it counts as unreachable. For a peer that
-	// has never responded, firstContactTimeout applies, counted from the creation of its client.
+	// A peer counts as unreachable once unreachableAfter has passed since its latest response. A peer that has never
+	// responded counts as unreachable once firstContactTimeout has passed since the creation of its client.
 	unreachableAfter    = 3 * peerTimeout / 2
 	firstContactTimeout = peerTimeout / 2
 )
@@ -43,14 +43,14 @@
 
 var _ scheduler.PeerLink = (*Peers)(nil)
 
-// PeerPacing limits how often the connections to peers use the CPU, and how many requests may wait for them.
+// PeerPacing limits how often the peer clients use the CPU, and how many requests may wait to be sent.
 type PeerPacing struct {
 	BatchWindow  time.Duration // how long polls may be delayed to be sent in a batch
 	PingInterval time.Duration // time between two pings of a peer
-	QueueLength  int           // how many requests may wait for one peer
+	QueueLength  int           // how many requests to one peer may wait to be sent
 }
 
-// NewPeers returns the clients of the other controllers. They send nothing before Run is called.
+// NewPeers returns a Peers with one client for each other controller. It sends nothing before Run is called.
 func NewPeers(self string, peers []config.Peer, pacing PeerPacing, log *slog.Logger) *Peers {
 	p := &Peers{clients: make(map[string]*peerClient, len(peers)), pingInterval: pacing.PingInterval}
 	for _, node := range peers {
@@ -95,16 +95,16 @@
 }
 
 // ForwardHeartbeats sends workers' heartbeats to the named controller and returns its responses in the same order. It
-// returns an error if the controller doesn't decide on the heartbeats.
+// returns an error if the controller doesn't handle the heartbeats, for example because it isn't the leader.
 func (p *Peers) ForwardHeartbeats(ctx context.Context, node string, reports []*worker.Report) ([]worker.HeartbeatResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{message: peerAsk{Reports: wire.FromReports(reports)}})
 	if err == nil && len(r.Beats) != len(reports) {
-		err = fmt.Errorf("%w: its response has no decisions on the heartbeats", errPeerUnreachable)
+		err = fmt.Errorf("%w: it returned no responses to the heartbeats", errPeerUnreachable)
 	}
 	return wire.HeartbeatResponses(r.Beats), err
 }
 
-// Wake sends a wake request to the named controller and returns its response.
+// Wake sends a wake request, which reports demand for a model, to the named controller and returns its response.
 func (p *Peers) Wake(ctx context.Context, node string, req activation.WakeRequest) (activation.WakeResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{wake: &req})
 	if err == nil && r.Wake == nil {
@@ -186,8 +186,8 @@
 	return 0
 }
 
-// KnownLeader returns the leader with the highest term among the statuses of all reachable peers, and that term. It
-// returns "" and 0 if none of them names a leader.
+// KnownLeader returns the leader and the term from the latest statuses of the reachable peers. If these statuses name
+// several leaders, it returns the leader with the highest term. If they name no leader, it returns "" and 0.
 func (p *Peers) KnownLeader() (leader string, term uint64) {
 	for name, c := range p.clients {
 		if status, ok := c.status.Load().(peer.ObservedStatus); ok && status.Leader != "" && status.Term > term && p.UnreachableFor(name) == 0 {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -43,7 +43,7 @@
 	cancelSuffix  = "/cancel"
 )
 
-// unavailableRetrySeconds is the Retry-After value of the error responses that don't come from the controller.
+// unavailableRetrySeconds is the Retry-After value of a 503 response for which the controller has returned no value.
 const unavailableRetrySeconds = 1
 
 // Controller handles the requests of users and workers. Its methods are called from several goroutines.
@@ -103,8 +103,8 @@
 	return limiter.openConns.Load()
 }
 
-// ServeHTTP implements http.Handler. It matches paths exactly as clients send them. http.ServeMux isn't used because it
-// would redirect requests for some paths.
+// ServeHTTP implements http.Handler. It doesn't clean the path of a request. http.ServeMux isn't used because it would
+// redirect requests for some paths.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.recoverPanic(w, r)
 	switch path := r.URL.Path; {
@@ -172,7 +172,7 @@
 	if !allowMethod(w, r, method) {
 		return
 	}
-	id, ok := protocol.JobID(name)
+	id, ok := protocol.ParseJobID(name)
 	if !ok {
 		writeError(w, http.StatusNotFound, "no such job", 0)
 		return
@@ -181,7 +181,7 @@
 }
 
 // handleUserRequest passes a request to the controller and writes the controller's response. timeout is how long the
-// client waits for it.
+// client waits for the response.
 func (s *Server) handleUserRequest(w http.ResponseWriter, r *http.Request, req api.Request, timeout time.Duration) {
 	ctx, cancel := handlerContext(r, timeout)
 	defer cancel()
@@ -203,7 +203,8 @@
 }
 
 // serveHeartbeat handles a worker's heartbeat. The connection is closed after the response if too many worker
-// connections are open, or if the heartbeat isn't accepted: the worker then turns to another controller.
+// connections are open. It is also closed if the heartbeat isn't accepted, because the worker then sends its heartbeats to
+// another controller.
 func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	if !allowMethod(w, r, http.MethodPost) {
 		return
@@ -253,8 +254,8 @@
 	return report
 }
 
-// handlerContext returns the context for the controller's handling of a request whose client waits for timeout. It ends
-// after handlerTimeoutShare of timeout.
+// handlerContext returns the context in which the controller handles a request. timeout is how long the client waits for
+// the response. The context ends after handlerTimeoutShare of timeout.
 func handlerContext(r *http.Request, timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), time.Duration(float64(timeout)*handlerTimeoutShare))
 }
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -20,32 +20,32 @@
 
 // WorkerClient sends commands to workers. Its methods may be called from several goroutines.
 type WorkerClient struct {
-	client *jsonClient
-	slots  chan struct{} // limits the requests in flight; holds one value for each
-	log    *slog.Logger
+	client   *jsonClient
+	inFlight chan struct{} // semaphore: holds one value for each request in flight
+	log      *slog.Logger
 }
 
 var _ scheduler.WorkerLink = (*WorkerClient)(nil)
 
-// NewWorkerClient returns a client. sockets is the number of sockets of the process, of which the client uses no more
-// than the shares for commands.
+// NewWorkerClient returns a client. sockets is the number of sockets of the process. commandSocketShare and
+// idleCommandSocketShare are the shares of the sockets that the client may use.
 func NewWorkerClient(sockets int, log *slog.Logger) *WorkerClient {
 	maxIdle := socketShare(sockets, idleCommandSocketShare)
 	return &WorkerClient{
-		client: newJSONClient(idleConnsPerWorker, maxIdle, idleWorkerConnTimeout),
-		slots:  make(chan struct{}, socketShare(sockets, commandSocketShare)),
-		log:    log,
+		client:   newJSONClient(idleConnsPerWorker, maxIdle, idleWorkerConnTimeout),
+		inFlight: make(chan struct{}, socketShare(sockets, commandSocketShare)),
+		log:      log,
 	}
 }
 
 // SendCommands sends commands to the worker at addr. The request carries a fencing token and the incarnation of the
-// worker for which the commands are meant. If too many requests are in flight for it to be sent before sendBy, nothing
-// is sent; a zero sendBy sets no limit. SendCommands returns the outcome and the report in the worker's response, or nil
-// if there is no report.
+// worker for which the commands are meant. While too many requests are in flight, SendCommands waits. It sends nothing
+// once sendBy has passed; a zero sendBy sets no limit. SendCommands returns the outcome and the report in the worker's
+// response. The report is nil if the response has none.
 func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.inFlight <- struct{}{}:
+		defer func() { <-c.inFlight }()
 	case <-ctx.Done():
 		return worker.NotSent, nil
 	}
@@ -63,7 +63,7 @@
 	return c.outcome(addr, resp)
 }
 
-// outcome returns the outcome of the commands, as determined by the worker's response, and the report in it.
+// outcome returns the outcome of the commands according to the worker's response, and the report in the response.
 func (c *WorkerClient) outcome(addr string, resp httpResponse) (worker.CommandOutcome, *worker.Report) {
 	report, err := protocol.ParseReport(resp.body)
 	switch resp.status {
--- a/internal/wire/coordination/messages.go
+++ b/internal/wire/coordination/messages.go
@@ -4,8 +4,8 @@
 // Controllers of other versions read and write these messages. gob sends the names of types and fields. For unnamed
 // types (such as []*coordination.Report) it also sends the package name. Therefore the name of this package and the names
 // of its message types and their fields must never change, even if the domain types are renamed. Fields may only be
-// added. A comment behind a field gives the name of the domain field where it differs. Only code that sends or receives
-// messages may use these names. Import this package under the name wire.
+// added. If the corresponding field of the domain type has another name, a comment behind the field gives that name. Only
+// code that sends or receives messages may use the names of this package. Import this package under the name wire.
 package coordination
 
 import (
@@ -62,7 +62,7 @@
 	Done    int
 	Running int
 	Reason  string
-	RetryS  int
+	RetryS  int // RetrySeconds
 	Peer    PeerState
 	Holds   time.Duration // ValidFor
 }
@@ -77,7 +77,7 @@
 	Alone      time.Duration // SinceDelegatedRenewal
 	Lends      time.Duration // DelegationPeriod
 	LendTerm   uint64        // DelegationTerm
-	Barred     []int         // Excluded
+	Barred     []int         // ExcludedMachines
 	Version    int
 }
 
--- a/internal/wire/coordination/relay.go
+++ b/internal/wire/coordination/relay.go
@@ -8,15 +8,15 @@
 	"sagevale/internal/worker"
 )
 
-// RelayRequest is one request in a batch that a controller sends to the leader through the key-value store. It is
-// either a user's request or the report of a worker's heartbeat; the other field is nil.
+// RelayRequest is one request in a batch that a controller sends to the leader through the key-value store. It holds
+// either a user's request or the report in a worker's heartbeat. The other field is nil.
 type RelayRequest struct {
 	User   *api.Request
 	Report *worker.Report
 }
 
-// RelayResponse is the response to a RelayRequest. If Answered is set, so is the field that corresponds to the
-// request. Otherwise the request has no response.
+// RelayResponse is the response to a RelayRequest. If Answered is false, no response has arrived. Otherwise User is set
+// for a user's request, and Heartbeat for a worker's heartbeat.
 type RelayResponse struct {
 	Answered  bool
 	User      *api.Response
