--- a/cmd/sagevale/status.go
+++ b/cmd/sagevale/status.go
@@ -82,7 +82,7 @@
 // earlier write.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
-// gateText describes the state of an upgrade gate.
+// gateText describes the state of an upgrade gate, which is open when every controller supports the gate's feature.
 func gateText(gate upgrade.GateState) string {
 	phase := string(gate.Phase)
 	if phase == "" {
--- a/internal/protocol/upgrade_properties.go
+++ b/internal/protocol/upgrade_properties.go
@@ -7,7 +7,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// Names of the operators' properties for upgrades.
+// Names of the operators' properties for upgrades. After the active version is finalized, controllers can't be rolled back
+// to versions that don't support it.
 const (
 	upgradeTargetProperty   = "upgrade.target"
 	upgradeFinalizeProperty = "upgrade.finalize"
