--- a/internal/protocol/upgrade_properties.go
+++ b/internal/protocol/upgrade_properties.go
@@ -7,12 +7,14 @@
 	"sagevale/internal/upgrade"
 )
 
-// Names of the operators' properties for upgrades.
+// Names of the operators' properties for upgrades. After the active version is finalized, controllers can't be rolled back
+// to versions that don't support it.
 const (
 	upgradeTargetProperty   = "upgrade.target"
 	upgradeFinalizeProperty = "upgrade.finalize"
 	upgradeSoakProperty     = "upgrade.soak"
-	// upgradeVersionCapProperty makes the program act as an earlier version. It is for tests.
+	// upgradeVersionCapProperty makes the program act as if it were a program of the given, earlier version. It is for
+	// tests.
 	upgradeVersionCapProperty = "upgrade.test.cap"
 )
 
