--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -20,14 +20,14 @@
 	record        activation.Record
 	damaged       json.RawMessage // the stored record if it can't be decoded, else nil
 	pendingWrites int             // number of changes to the record that aren't durable yet
-	wokenAt       time.Time       // when demand woke the service; zero if not in this term, or once it is ready
+	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did or once it is ready
 	waiters       []wakeWaiter    // controllers whose wake requests wait until the service has started
-	// routedUntil is the latest time at which any controller may still route requests to the replica, based on a
-	// response that it received in this term or the previous one.
+	// Controllers may route requests to the replica until routedUntil. Each response of a leader permits them to do so for
+	// a limited time, and the permission remains valid when another controller becomes the leader.
 	routedUntil time.Time
 }
 
-// Stored returns the lifecycle record in the encoding in which the job's record contains it.
+// Stored implements cluster.Lifecycle. It returns the lifecycle record as JSON, and a damaged record unchanged.
 func (s *managedService) Stored() json.RawMessage {
 	if s.damaged != nil {
 		return s.damaged
@@ -39,13 +39,13 @@
 	return raw
 }
 
-// MayPlace reports whether a replica of the service may be placed now: the wake that requires it is durable, and the
-// record doesn't require another action first.
+// MayPlace implements cluster.Lifecycle. It reports whether a replica of the service may be placed now. The lifecycle
+// record must be durable, and its outstanding action must be to reserve resources for a replica.
 func (s *managedService) MayPlace(now time.Time) bool {
 	return s.damaged == nil && s.pendingWrites == 0 && s.record.Pending(now) == activation.Reserve
 }
 
-// replica returns the attempt whose number the record contains, or nil if there is none.
+// replica returns the attempt with the number record.Replica, or nil if the job has no such attempt.
 func (s *managedService) replica() *cluster.Attempt {
 	for _, a := range s.job.Attempts {
 		if a.Number == s.record.Replica {
@@ -57,19 +57,21 @@
 
 // activationScheduler contains the operations of the scheduler that the activation controller uses.
 type activationScheduler interface {
-	// recordJob schedules a write of a job's record, and calls done once the record's present value is durable, or with
-	// the error of its commit.
+	// recordJob schedules a write of a job's record. Once the record's current value is durable, it calls done with nil.
+	// If a commit fails first, it calls done with the error.
 	recordJob(j *cluster.Job, done func(error))
-	// afterJobCommit calls done once all scheduled writes of a job's record are durable, or with the error of their
-	// commit.
+	// afterJobCommit calls done with nil once all scheduled writes of a job's record are durable. If a commit fails first,
+	// it calls done with the error.
 	afterJobCommit(j *cluster.Job, done func(error))
 	// stopAttempt stops an attempt, with a grace period in which it may save a checkpoint.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
 	// sendJobStops sends stop commands for a job's stopping attempts directly to their workers.
 	sendJobStops(j *cluster.Job)
-	// requestPlacement requests a round of placement at the end of the scheduler's present round.
+	// requestPlacement requests a round of placement. The scheduler runs the round after it has handled the waiting
+	// messages.
 	requestPlacement()
-	// mayUse reports whether something new may depend on a gate. It requests that an open gate be marked as used.
+	// mayUse reports whether new state may depend on a feature gate. If the gate is open but not yet marked as used,
+	// mayUse requests the mark and returns false.
 	mayUse(name upgrade.GateName) bool
 }
 
@@ -101,7 +103,7 @@
 	// while the gate was closed. They run all the time until the gate is in use.
 	postponed       map[string]*cluster.Job
 	pendingRemovals int  // number of lifecycle records whose removal isn't durable yet
-	resumed         bool // the term's actors run; reconcile handles the attempts of earlier terms
+	resumed         bool // resume was called; attemptReserved has no effect before, because reconcile handles stored attempts
 }
 
 func newActivationController(settings *config.Settings, gate upgrade.GateState, sched activationScheduler, log *slog.Logger) *activationController {
@@ -118,7 +120,8 @@
 	return spec.Service && !spec.Gang && spec.Tasks == 1 && slices.Contains(c.tuning.Classes, spec.Class)
 }
 
-// gateUseCount returns the number of lifecycle records that depend on the gate, including those whose removal isn't durable yet.
+// gateUseCount returns the number of lifecycle records, which depend on the activation gate. It includes removed records
+// until their removal is durable.
 func (c *activationController) gateUseCount() int { return len(c.services) + c.pendingRemovals }
 
 // track adds a service that was just submitted. The service starts in the idle state, which is stored with the job's record.
@@ -126,7 +129,8 @@
 	c.addService(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
-// postpone adds a job to the postponed services if it should scale to zero. It runs until the gate is in use.
+// postpone adds a job to the postponed services if it should scale to zero. The job runs all the time until the
+// activation gate is in use.
 func (c *activationController) postpone(j *cluster.Job) {
 	if c.scalesToZero(&j.Spec) {
 		c.postponed[j.Spec.ID] = j
@@ -207,7 +211,8 @@
 	}
 }
 
-// setGate updates the gate's state. Unless the gate is open, every service is started and then runs all the time.
+// setGate updates the gate's state. If the gate isn't open, it removes all lifecycle records. The services are then started
+// and run all the time.
 func (c *activationController) setGate(gate upgrade.GateState) {
 	c.gate = gate
 	c.removeIneligibleLifecycles()
@@ -223,7 +228,7 @@
 	}
 }
 
-// removeLifecycle removes a service's lifecycle record, so that it runs all the time like any other service.
+// removeLifecycle removes a service's lifecycle record, so that the service runs all the time like any other service.
 func (c *activationController) removeLifecycle(s *managedService) {
 	c.log.Info("service lifecycle removed", "job", s.job.Spec.ID, "generation", s.record.Generation)
 	c.untrack(s.job)
@@ -237,7 +242,8 @@
 	c.scheduler.requestPlacement()
 }
 
-// untrack stops managing a service that was cancelled or that always runs from now on. It answers the waiting wake requests.
+// untrack stops managing a service that has ended or that always runs from now on. It answers the service's waiting wake
+// requests.
 func (c *activationController) untrack(j *cluster.Job) {
 	delete(c.services, j.Spec.ID)
 	delete(c.postponed, j.Spec.ID)
@@ -259,7 +265,7 @@
 	c.setAndAct(s, next, activation.Cause(e), now)
 }
 
-// setAndAct sets a service's lifecycle record, and performs its outstanding action once the record is durable.
+// setAndAct sets a service's lifecycle record, and performs the record's outstanding action once the record is durable.
 func (c *activationController) setAndAct(s *managedService, next activation.Record, cause string, now time.Time) {
 	if !c.setRecord(s, next, cause) {
 		c.performPendingAction(s, now)
@@ -289,7 +295,7 @@
 	return true
 }
 
-// updateActive adds a service to the active services, or removes it if its state doesn't change as time passes.
+// updateActive adds a service to the active services, or removes it from them if its state doesn't change as time passes.
 func (c *activationController) updateActive(s *managedService) {
 	if s.record.State == activation.Idle || s.record.State == activation.Failed {
 		delete(c.active, s.job.Spec.ID)
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -14,22 +14,22 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ServiceStatus is the stored state, for operators, of an open service that scales to zero or whose class is configured to
-// scale to zero.
+// ServiceStatus describes to operators the stored state of a service. It is used for open services that scale to zero or
+// whose class is configured to scale to zero.
 type ServiceStatus struct {
 	ID      string
 	Class   string
-	Record  activation.Record // Replica is the attempt that may exist on a machine
-	Machine int               // ID of the replica's machine
+	Record  activation.Record // Record.Replica is taken from the stored attempts, because the stored record lacks it
+	Machine int               // ID of the replica's machine; 0 if there is no replica
 	Managed bool              // the service has a lifecycle record; otherwise it always runs
-	Damaged string            // why its record can't be decoded; "" if it can
-	Why     string            // the reason for its present state; "" if demand could start it at once
+	Damaged string            // why the lifecycle record can't be decoded; "" if it can
+	Why     string            // the reason for the service's present state; "" if demand could start it at once
 }
 
-// ActivationStatus is the stored state of the activation gate and of all services that a ServiceStatus describes.
+// ActivationStatus contains the stored state of the activation gate and the statuses of the services.
 type ActivationStatus struct {
-	Gate     upgrade.GateState // the zero state is closed
-	Waiting  string            // what the upgrade waits for, as a leader last recorded it; "" if nothing
+	Gate     upgrade.GateState // the zero value means that the gate is closed
+	Waiting  string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
 	Services []ServiceStatus   // sorted by ID
 }
 
@@ -67,8 +67,9 @@
 	return status, nil
 }
 
-// serviceStatus returns the status of the service in a job's record, without its replica and reason. It returns nil if the
-// job isn't an open service that scales to zero or whose class is configured to.
+// serviceStatus returns the status of the service in a job's record, in which the replica, its machine and Why are not
+// set. It returns nil if the job isn't an open service, or if the service has no lifecycle record and its class isn't
+// configured to scale to zero.
 func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
 	var job storage.JobRecord
 	if json.Unmarshal(r.Data, &job) != nil || job.Phase != storage.PhaseOpen || job.Spec == nil || !job.Spec.Service {
@@ -89,7 +90,7 @@
 	return service
 }
 
-// setReplica sets a service's replica and its machine from the attempts in a page of the service's tasks.
+// setReplica sets a service's replica and the replica's machine from the attempts in a page record of the service's tasks.
 func setReplica(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -8,15 +8,17 @@
 )
 
 // Workers send their heartbeats to a controller in their own zone, so that they keep their controller when zones are
-// partitioned from each other. The workers of a zone are distributed over its controllers, because one controller doesn't
-// have enough sockets for all of them. A worker that reports to a different controller is redirected once. If it soon
-// returns it couldn't reach the other controller, and isn't redirected again.
+// partitioned from each other. The workers of a zone are distributed over the zone's controllers, because one controller
+// doesn't have enough sockets for all of them. A worker that reports to a different controller than the one chosen for it
+// is redirected to the chosen controller. If the worker soon returns, it couldn't reach the chosen controller, so it isn't
+// redirected again for some time.
 
 const (
-	// redirectPauseLeases is the time after a redirection in which a worker isn't redirected again, in worker leases.
+	// redirectPauseLeases is how long a worker isn't redirected again after a redirection, in worker leases.
 	redirectPauseLeases = 2
-	// affinityProbeInterval is the least time between two redirections to a controller that receives no heartbeats. Such a
-	// controller may have just started, or may be partitioned from the workers, so one worker at a time probes it.
+	// affinityProbeInterval is the minimum time between two redirections to a controller that receives no heartbeats. Such a
+	// controller may have just started, or may be partitioned from the workers. Redirecting one worker at a time probes
+	// whether workers can reach it.
 	affinityProbeInterval = time.Second
 )
 
@@ -41,7 +43,8 @@
 	return a
 }
 
-// nodeFor returns the controller to which a worker is to be redirected, or "" if it should stay with this controller.
+// nodeFor returns the controller to which a worker is to be redirected, or "" if the worker should stay with this
+// controller.
 func (a *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
 	self := a.node.settings.NodeName
 	if !known.redirected.IsZero() && now.Sub(known.redirected) < redirectPauseLeases*a.node.settings.WorkerLease {
@@ -61,8 +64,8 @@
 	return node
 }
 
-// pickNode returns one of the eligible controllers, or "" if there is none. For a given machine and set of eligible
-// controllers it always returns the same one.
+// pickNode returns one of the eligible controllers, or "" if there is none. The choice depends only on the machine and on
+// the set of eligible controllers.
 func (a *affinity) pickNode(machine int, eligible func(string) bool) string {
 	var names []string
 	for _, n := range a.names {
@@ -76,7 +79,8 @@
 	return names[machine%len(names)]
 }
 
-// canForward reports whether a controller can forward heartbeats to the leader: it is reachable and follows that leader.
+// canForward reports whether a controller can forward heartbeats to the leader. The controller must be reachable, and its
+// status must name the same leader.
 func (a *affinity) canForward(name, leader string) bool {
 	if name == a.node.settings.NodeName {
 		return true
@@ -85,7 +89,9 @@
 	return ok && status.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
-// receivesHeartbeats reports whether a controller receives heartbeats, or is to be probed by redirecting a worker to it now.
+// receivesHeartbeats reports whether a worker may be redirected to a controller now. That is the case if the controller
+// receives heartbeats. Otherwise one worker per affinityProbeInterval may be redirected to it as a probe, and
+// receivesHeartbeats records the time of the probe.
 func (a *affinity) receivesHeartbeats(name string, now time.Time) bool {
 	if status, ok := a.node.deps.Peers.Status(name); ok && status.SinceHeartbeat+now.Sub(status.Received) < a.node.settings.HeartbeatInterval {
 		return true
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -10,13 +10,13 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ArchiveStatus is the stored state of the archive of finished jobs and of the journal's jobs, for operators.
+// ArchiveStatus describes to operators the stored state of the job archive, and how many jobs the journal contains.
 type ArchiveStatus struct {
-	Gate    upgrade.GateState // the zero state is closed
-	Waiting string            // what the upgrade waits for, as a leader last recorded it; "" if nothing
+	Gate    upgrade.GateState // the zero value means that the gate is closed
+	Waiting string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
 	Stored  archive.StoredSummary
-	Backlog int // finished jobs whose records are in the journal
-	Open    int // jobs in the journal that aren't finished
+	Backlog int // number of finished jobs that are still in the journal
+	Open    int // number of jobs in the journal that aren't finished
 }
 
 // ReadArchiveStatus reads the status from the upgrade records, the archive's pages and the journal. It writes nothing.
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -15,13 +15,12 @@
 )
 
 // Finished jobs move from the leader's memory and the journal to the archive. A job's record is removed from the journal
-// only after the archive's page with the job is durable. If the leader ends between the two steps, the job is in both
-// places, and the next leader archives it again.
+// only after the archive's page with the job is durable. If the leader's term ends between the two steps, both the journal
+// and the archive contain the job, and the next leader archives it again.
 
-// maxArchiveBatch is the largest number of finished jobs that are passed to the archive at a time.
+// maxArchiveBatch is the maximum number of finished jobs in a batch for the archive.
 const maxArchiveBatch = 4096
 
-// newArchiver returns the controller's archiver.
 func newArchiver(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
@@ -31,13 +30,13 @@
 
 // Messages to the scheduler about the archive.
 type (
-	// archiveReadMessage is the result of reading a job's page for a user's request.
+	// archiveReadMessage carries the result of reading an archive page to answer a user's request for a job.
 	archiveReadMessage struct {
 		user   userMessage
 		result archive.Result
 		err    error
 	}
-	// archivedMessage is the result of archiving a batch: jobs are those that are durable in the archive.
+	// archivedMessage carries the result of archiving a batch. jobs lists the jobs that are durable in the archive.
 	archivedMessage struct {
 		jobs []archive.JobNumber
 		err  error
@@ -58,8 +57,8 @@
 	return api.Response{Code: api.CodeOK, ID: id, State: state, Done: final.Done}
 }
 
-// lookupArchived returns the response to a request for a job that the archive's pages in memory contain; otherwise ok is
-// false. Followers may send this response too, because archived states are final.
+// lookupArchived looks up the job of a request in the archive pages that this process holds in memory. If they contain the
+// job, it returns the response and true. Followers may send this response too, because archived states are final.
 func (n *Node) lookupArchived(req api.Request) (a api.Response, ok bool) {
 	number, ok := archive.ParseJobNumber(req.ID)
 	if !ok {
@@ -69,9 +68,9 @@
 	return archivedResponse(req.ID, r.FinalState), r.Status == archive.Found
 }
 
-// answerFromArchive handles a request for a job that isn't in memory. It returns true if it has answered the request, or
-// will answer it once the job's page has been read. It returns false if the job is known not to be archived, or if this
-// controller isn't certain to be the leader.
+// answerFromArchive handles a request for a job that isn't in the leader's memory. It returns true if the request has been
+// answered, or will be answered once the archive page has been read that may contain the job. It returns false if the job
+// certainly isn't archived, or if this controller isn't certain to be the leader.
 func (s *scheduler) answerFromArchive(m userMessage, now time.Time) bool {
 	number, ok := archive.ParseJobNumber(m.req.ID)
 	if !s.archiveInUse || !ok {
@@ -89,7 +88,7 @@
 	return true
 }
 
-// readArchive reads a job's page in the background, and sends the result to the scheduler.
+// readArchive reads the archive page that may contain a job in the background, and sends the result to the scheduler.
 func (s *scheduler) readArchive(m userMessage, number archive.JobNumber) {
 	s.background(s.settings.CallTimeout(), func(ctx context.Context) {
 		result, err := s.archive.Read(ctx, number)
@@ -97,8 +96,8 @@
 	})
 }
 
-// handleArchiveRead continues a request after the page of its job has been read. Only a page that was read in this term
-// proves that a job isn't archived.
+// handleArchiveRead continues to handle a user's request after the archive page that may contain its job has been read.
+// Only a page that was read in this term proves that a job isn't archived.
 func (s *scheduler) handleArchiveRead(m archiveReadMessage) {
 	id := m.user.req.ID
 	switch {
@@ -116,8 +115,8 @@
 	}
 }
 
-// finalizeArchived sets a job that is open in memory but also archived to its archived state, which is final and takes
-// precedence.
+// finalizeArchived handles a job that is open in memory although the archive contains it. The archived state is final and
+// takes precedence, so the job gets the archived state and its attempts are stopped. Other jobs are left unchanged.
 func (s *scheduler) finalizeArchived(j *cluster.Job) {
 	number, ok := archive.ParseJobNumber(j.Spec.ID)
 	if !s.archiveInUse || !ok || j.Phase != storage.PhaseOpen {
@@ -137,7 +136,8 @@
 	s.releaseFinalJob(j)
 }
 
-// finalizeArchivedJobs finalizes the open jobs that are archived. It does so once per term, after all pages have been read.
+// finalizeArchivedJobs calls finalizeArchived for all open jobs. It does so once per term, after all pages of the archive
+// have been read.
 func (s *scheduler) finalizeArchivedJobs() {
 	if !s.archiveInUse || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
@@ -148,13 +148,13 @@
 	}
 }
 
-// updateArchiveInUse sets archiveInUse once the archive's gate is marked as used: jobs may be archived from now on, or were archived
-// in an earlier term. It remains set for the rest of the term, even if the gate is closed again.
+// updateArchiveInUse sets archiveInUse once the archive's gate is marked as used, because the archive may contain jobs from
+// then on. archiveInUse remains set for the rest of the term, even if the gate is closed again.
 func (s *scheduler) updateArchiveInUse() {
 	s.archiveInUse = s.archiveInUse || s.gates.Gate(upgrade.JobArchive).Used
 }
 
-// archiveFinished archives a batch of finished jobs if the journal has more of them than it should keep.
+// archiveFinished starts to archive a batch of finished jobs if the journal contains more than KeepInJournal of them.
 func (s *scheduler) archiveFinished(now time.Time) {
 	tuning := &s.settings.Tuning.Archive
 	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.Finished() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
@@ -164,11 +164,12 @@
 	s.writeToArchive(s.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
-// archiveBatchCalls is the time limit for archiving a batch, in timeouts of one call to the key-value store. It includes the
-// time for which the calls are queued behind others.
+// archiveBatchCalls is the time limit for archiving a batch, as a multiple of Settings.CallTimeout. The limit includes the
+// time for which the batch's calls to the key-value store are queued behind other calls.
 const archiveBatchCalls = 4
 
-// writeToArchive archives finished jobs in the background, and sends the scheduler the jobs that are durable in the archive.
+// writeToArchive archives finished jobs in the background. It then sends the scheduler the numbers of the jobs that are
+// durable in the archive.
 func (s *scheduler) writeToArchive(entries []archive.Entry) {
 	s.background(archiveBatchCalls*s.settings.CallTimeout(), func(ctx context.Context) {
 		jobs, err := s.archive.Archive(ctx, entries)
@@ -201,8 +202,8 @@
 // errArchivingInProgress reports that jobs can't be restored because a batch of jobs is being archived.
 var errArchivingInProgress = errors.New("jobs are being archived")
 
-// restoreArchived moves archived jobs back to the journal. It fails while a batch is being archived, because the completion
-// of the batch could remove a restored job from the journal just before its page is removed from the archive.
+// restoreArchived adds archived jobs to the journal again. It fails while a batch is being archived. Otherwise a restored job
+// could be lost: the end of the batch would remove it from the journal, and its page is then removed from the archive.
 func (s *scheduler) restoreArchived(m restoreMessage) {
 	if s.archiving {
 		m.reply <- errArchivingInProgress
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -26,7 +26,7 @@
 		s.gangTaskLost(a)
 	}
 	if m.DrainReason != "" && len(m.Attempts) == 0 {
-		s.nextSnapshot = time.Time{} // the machine can be terminated, and the next drain waits until it is
+		s.nextSnapshot = time.Time{} // the empty machine can be terminated, and the next drain waits until it is terminated
 	}
 	s.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
 	s.activation.attemptRemoved(a, now)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -44,8 +44,8 @@
 	case a.Stopping && !a.StartMayBeDelivered():
 		s.removeAttempt(a, "stopped before its start")
 	case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
-		// The direct start command may still arrive, minutes late. Starting and stopping the attempt now makes the
-		// worker record it. A worker ignores the start of an attempt that it has recorded.
+		// The direct start command may still arrive, minutes late. Starting and stopping the attempt now makes the worker
+		// record the attempt. A worker ignores start commands for attempts that it has recorded.
 		if s.leaseValid(now) {
 			a.RecordStartCommanded(r)
 			commands = append(commands, start)
@@ -61,9 +61,9 @@
 	return commands
 }
 
-// mayForget reports whether a worker may drop an exited attempt from its reports: the scheduler has removed the attempt,
-// the task's page is durable, and no direct start command of the attempt can still arrive. A late start command would run
-// the attempt again if the worker had already dropped it.
+// mayForget reports whether a worker may drop an exited attempt from its reports. The scheduler must have removed the
+// attempt, the task's page must be durable, and no direct start command of the attempt may still arrive. If a start command
+// arrived after the worker had dropped the attempt, the worker would run the attempt again.
 func (s *scheduler) mayForget(m *cluster.Machine, t worker.TaskReport, now time.Time) bool {
 	if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
 		return false
@@ -115,9 +115,9 @@
 	})
 }
 
-// announceToken sends this term's fencing token to a worker, unless the worker has it or can't be reached. It returns
-// false, and sends nothing, if MaxTokenAnnouncements are in flight already. The worker then gets the token in the response
-// to its next heartbeat.
+// announceToken sends this term's fencing token to a worker, unless the worker already has a token of this term or can't
+// be reached. If MaxTokenAnnouncements announcements are in flight already, it sends nothing and returns false. The worker
+// then gets the token in the response to its next heartbeat at the latest.
 func (s *scheduler) announceToken(m *cluster.Machine) bool {
 	if s.announcements >= s.settings.MaxTokenAnnouncements() {
 		return false
@@ -181,8 +181,8 @@
 		return
 	}
 	s.applyReport(m, r, false, now)
-	// The report may show attempts for the first time that are to be stopped. Their stop commands needn't wait for the
-	// next heartbeat.
+	// This may be the first report that lists some attempts that are to be stopped. Their stop commands are sent now, so
+	// that they needn't wait for the next heartbeat.
 	s.sendStops(m)
 }
 
@@ -196,8 +196,8 @@
 	}
 }
 
-// sendStops sends stop commands directly to a worker, for its reported attempts that are to be stopped and that no
-// earlier call has sent a stop command for.
+// sendStops sends stop commands directly to a worker for its attempts that are to be stopped. It skips attempts that no
+// report has listed, that already save a checkpoint, or that were sent a direct stop command before.
 func (s *scheduler) sendStops(m *cluster.Machine) {
 	var commands []worker.Command
 	for _, a := range m.SortedAttempts() {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -14,38 +14,39 @@
 	"sagevale/internal/worker"
 )
 
-// acceptedJobBytes is the typical size of an accepted job's record, in bytes. The expected throughput of submissions is
-// derived from it until the throughput has been measured.
+// acceptedJobBytes is the typical size of an accepted job's record, in bytes. Until the throughput of submissions has been
+// measured, it is estimated from this size.
 const acceptedJobBytes = 250
 
 // maxSubmissionWait is how long a submission may wait for its commit. The protocol lets users time out after 5 s, and the
 // response needs time to arrive.
 const maxSubmissionWait = 3 * time.Second
 
-// newAdmission returns a limiter that admits submissions as long as their commits are expected within maxSubmissionWait.
+// newAdmission returns a limiter that admits a submission if its commit is expected within maxSubmissionWait.
 func newAdmission(s *config.Settings) *admission.Limiter {
 	throughput := float64(s.State.BytesWithin(time.Second)) / acceptedJobBytes
 	return admission.NewLimiter(maxSubmissionWait, throughput, len(s.Teams))
 }
 
-// admitSubmission reports whether a team's submission is admitted to wait for a commit.
+// admitSubmission reports whether a team's submission may wait for a commit. An admitted submission counts as waiting until
+// admission.Recorded is called.
 func (s *scheduler) admitSubmission(team string) bool {
 	return s.admission.Admit(team, s.journal.AvailableBytes()/acceptedJobBytes)
 }
 
-// markRecord marks an entity's record to be written in the bulk lane. data is called when the commit begins. It returns
-// the record's value, or nil to remove the record.
+// markRecord marks a record to be written in the bulk lane, the lane of records that neither users nor urgent jobs wait for.
+// data is called when the commit begins. It returns the record's value, or nil to remove the record.
 func (s *scheduler) markRecord(key string, data func() any) {
 	s.queue.Mark(groupcommit.Bulk, key, data)
 }
 
-// markJob marks a job's own record to be written. The job's user may be waiting for it.
+// markJob marks a job's own record to be written. The job's user may be waiting until the record is durable.
 func (s *scheduler) markJob(j *cluster.Job) {
 	s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), func() any { return j.Record() })
 }
 
-// jobLane returns the lane of a job's own record. A cancellation uses the urgent lane, so that it doesn't wait behind
-// submissions, because it frees resources.
+// jobLane returns the lane of a job's own record. Urgent jobs and cancelled jobs use the urgent lane. A cancellation frees
+// resources, so it must not wait behind submissions.
 func jobLane(j *cluster.Job) groupcommit.Lane {
 	if j.Urgent() || j.Phase == storage.PhaseCancelled {
 		return groupcommit.Urgent
@@ -53,8 +54,8 @@
 	return groupcommit.Interactive
 }
 
-// pageLane returns the lane of a job's page records, which hold the reservations that must be durable before its tasks
-// start.
+// pageLane returns the lane of a job's page records. They hold the reservations of the job's tasks. A task is started only
+// after its reservation is durable.
 func pageLane(j *cluster.Job) groupcommit.Lane {
 	if j.Urgent() {
 		return groupcommit.Urgent
@@ -62,7 +63,7 @@
 	return groupcommit.Bulk
 }
 
-// markPage marks the page record that contains a job's task to be written.
+// markPage marks a page record to be written: the one that contains the given task of the job.
 func (s *scheduler) markPage(j *cluster.Job, task int) {
 	p := task / storage.TasksPerPage
 	s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), func() any {
@@ -84,14 +85,16 @@
 	return s.queue.Durable(storage.TaskPageKey(id.Job, id.Task/storage.TasksPerPage))
 }
 
-// onCommit calls f once all records that are marked now are durable, or with the error of a commit that failed.
+// onCommit calls f with nil once all records that are marked now are durable. If a commit fails first, it calls f with the
+// commit's error.
 func (s *scheduler) onCommit(f func(error)) { s.queue.OnAllDurable(f) }
 
-// onJobCommit calls f once the current value of a job's own record is durable, or with the error of a commit that failed.
+// onJobCommit calls f with nil once the current value of a job's own record is durable. If a commit fails first, it calls f
+// with the commit's error.
 func (s *scheduler) onJobCommit(j *cluster.Job, f func(error)) { s.queue.OnDurable(f, jobLane(j)) }
 
-// startWhenDurable starts reserved attempts once the records of their jobs and pages are durable. Attempts of urgent jobs
-// wait only for the urgent lane.
+// startWhenDurable starts reserved attempts once their job records and page records are durable. Attempts of urgent jobs wait
+// only for the urgent lane. The other attempts wait for all lanes.
 func (s *scheduler) startWhenDurable(reserved []*cluster.Attempt) {
 	var urgent, others []*cluster.Attempt
 	for _, a := range reserved {
@@ -116,8 +119,8 @@
 	}
 }
 
-// flush starts a commit of the marked records, up to the size limit of one commit, unless a commit is in flight. The
-// bulk lane is limited so that journal changes are left for the other lanes.
+// flush starts a commit of the marked records, up to the size limit of one commit. If a commit is in flight it does nothing.
+// The bulk lane is limited, so that it doesn't use up the journal's change budget, which the other lanes need too.
 func (s *scheduler) flush(ctx context.Context) {
 	if !s.queue.Idle() {
 		return
@@ -133,7 +136,8 @@
 	s.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { s.post(committedMessage{err}) }})
 }
 
-// limitBulk limits the bulk lane to the changes that the journal has saved up beyond the reserve for the other lanes.
+// limitBulk limits how many bytes of the bulk lane the next commit may contain. The journal's rate limit saves up unused
+// changes. Part of them is reserved for the other lanes, and the bulk lane may use the remaining changes.
 func (s *scheduler) limitBulk(now time.Time) {
 	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
@@ -143,8 +147,8 @@
 	s.queue.LimitBulk(int(min(allowed, math.MaxInt32)))
 }
 
-// bulkThrottled reports whether records wait only because the bulk lane is throttled, which is so if no commit is in
-// flight. It also returns after what time the lane may be written again.
+// bulkThrottled reports whether records of the bulk lane wait although no commit is in flight. In that case they wait only
+// because the lane is throttled, and retryAfter is the time after which the lane may be written again.
 func (s *scheduler) bulkThrottled(now time.Time) (retryAfter time.Duration, throttled bool) {
 	if !s.queue.Idle() || s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return 0, false
@@ -153,8 +157,8 @@
 	return s.bulkPacer.RetryAfter(now, saved, burst, rate), true
 }
 
-// handleCommitted ends the commit in flight. EndCommit calls the callbacks that waited for it, and those of accepted jobs
-// increment acceptedInCommit.
+// handleCommitted ends the commit in flight. EndCommit calls the callbacks that waited for the commit. The callbacks of
+// accepted jobs increment acceptedInCommit.
 func (s *scheduler) handleCommitted(err error) {
 	duration := time.Since(s.commitStarted)
 	s.commitStarted = time.Time{}
@@ -165,7 +169,7 @@
 	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool { return w.answered })
 }
 
-// removed is the data function for a record that is to be removed.
+// removed is the data function of a record that is to be removed, and returns nil.
 func removed() any { return nil }
 
 // committedMessage carries the result of the commit in flight.
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -17,13 +17,16 @@
 // zones. A peer uses this right while it can't reach a leader: while its zone is partitioned, or in the seconds between
 // two leaders.
 //
-// A delegation lasts as long as the leader itself may renew leases without the key-value store, for the same reason: a
-// successor may confirm the cancellation of a job without reaching the job's workers. The job's tasks must be gone within
-// cancel_s, so the last renewal must happen at most cancel_s - lease_s, less a margin, after the last contact with the
-// leader. Workers that still have to stop tasks of a cancelled job are excluded from the delegation, and a delegated
-// renewal carries no commands.
+// The time limit of a delegation is the same as that for a leader that renews leases without reaching the key-value store.
+// In both cases a new leader may confirm the cancellation of a job without reaching the job's workers. The job's tasks must
+// be gone within cancel_s, and they may run until lease_s after the last renewal of their worker's lease. The last renewal
+// must therefore happen within cancel_s - lease_s, less a margin, after the last contact with the leader.
 //
-// The leader takes its delegations into account before it declares a machine empty: see delegatedLeaseBound.
+// Workers that still have to stop tasks of a cancelled job are excluded from the delegation. The response to a delegated
+// renewal contains no commands.
+//
+// Before the leader treats a worker's lease as expired, it allows for the renewals that peers may have made under its
+// delegations: see delegatedLeaseBound.
 
 // delegation is a leader's permission for this controller to renew workers' leases for a limited time.
 type delegation struct {
@@ -47,7 +50,7 @@
 	}
 }
 
-// answerDelegated answers a heartbeat on which no leader has decided.
+// answerDelegated answers a heartbeat for which no leader has responded with a result.
 func (f *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- f.decideDelegated(p, now)
 }
@@ -64,15 +67,15 @@
 		// The worker's state has changed, and only a leader can act on the change. Another controller may reach a leader.
 		return worker.HeartbeatResponse{Busy: true}
 	}
-	// The renewal is recorded before the worker is answered, so that the status sent to a leader never omits a renewal
-	// that the worker has already received.
+	// The renewal is recorded before the worker gets the response. A status that is sent to a leader therefore includes
+	// every renewal that a worker has received.
 	f.lastDelegated.Set(now)
 	known.lastAcknowledged = now
 	return worker.HeartbeatResponse{Accepted: true, Token: max(grant.tokens.First, r.Token)}
 }
 
-// isolated reports whether only this controller seems to be cut off: it reaches neither the key-value store nor a peer, but
-// the load balancer still probes it. In that case its workers should try the other controllers.
+// isolated reports whether this controller seems to be the only one that is cut off: it reaches neither the key-value store
+// nor a peer, but the load balancer still probes it. In that case its workers should try the other controllers.
 func (f *forwarder) isolated() bool {
 	if len(f.settings.Peers) == 0 || f.node.storeReachable() {
 		return false
@@ -85,30 +88,30 @@
 	return f.lastProbe.Since(math.MaxInt64) < probeTimeout
 }
 
-// probeTimeout is the time after the load balancer's last probe for which the load balancer still counts as connected to
-// this controller. It probes once a second.
+// probeTimeout is how long after its last probe the load balancer still counts as connected to this controller. The load
+// balancer probes once a second.
 const probeTimeout = 5 * time.Second / 2
 
-// canTryOthers reports whether a worker has enough of its lease left to try all other controllers without success and then
-// return to this one.
+// canTryOthers reports whether a worker has enough time left in its lease to try all other controllers without success and
+// then return to this one.
 func (f *forwarder) canTryOthers(known *knownWorker, now time.Time) bool {
 	retryTime := time.Duration(len(f.settings.Peers))*(config.WorkerResponseTimeout+config.WorkerRetryPause) + config.WorkerRetryPause
 	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+retryTime+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
-// delegationTerms are the conditions of the leader's delegations. They are immutable, and the scheduler publishes them.
+// delegationTerms are the conditions of the leader's delegations. The scheduler publishes them as an immutable value.
 type delegationTerms struct {
-	at         time.Time        // the time for which excluded is complete
+	at         time.Time        // when the scheduler collected excluded; delegations count from this time
 	renewUntil time.Time        // the time until which the leader may renew leases
-	excluded   map[string][]int // machines with tasks of cancelled jobs, by zone
+	excluded   map[string][]int // IDs of the machines with tasks of cancelled jobs, by the machine's zone
 }
 
 // delegator grants the leader's delegations. Its methods may be called from any goroutine.
 type delegator struct {
 	renewalGrace time.Duration
 	terms        atomic.Pointer[delegationTerms]
-	until        map[string]*atomic.Int64 // by peer: the latest end of any delegation to it, in ns after startedAt
-	zones        map[string]string        // by peer
+	until        map[string]*atomic.Int64 // latest end of the delegations to each peer, in ns after startedAt; 0 if there is none
+	zones        map[string]string        // zone of each peer
 	startedAt    time.Time
 }
 
@@ -120,8 +123,8 @@
 	return d
 }
 
-// delegate returns for how long a peer may renew leases itself, counted from when it sent its request, and the machines
-// whose leases it may not renew.
+// delegate grants a delegation to a peer that has requested this controller's status. It returns how long the peer may renew
+// leases, counted from when the peer sent the request, and the machines whose leases the peer may not renew.
 func (d *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
 	terms, until := d.terms.Load(), d.until[peer]
@@ -146,7 +149,7 @@
 	return end.Sub(now), slices.Concat(terms.excluded[""], terms.excluded[d.zones[peer]])
 }
 
-// delegatedUntil returns the latest time at which a peer may renew leases, or zero if it was granted no delegation.
+// delegatedUntil returns the latest time at which a peer may renew leases, or zero if the peer was granted no delegation.
 func (d *delegator) delegatedUntil(peer string) time.Time {
 	if offset := d.until[peer].Load(); offset != 0 {
 		return d.startedAt.Add(time.Duration(offset))
@@ -154,11 +157,11 @@
 	return time.Time{}
 }
 
-// termsAgePerHeartbeat is the age from which the published delegation terms are replaced, in heartbeat intervals. The
-// duration of a delegation counts from the time of its terms, so old terms shorten it.
+// termsAgePerHeartbeat is the age at which the published delegation terms are replaced, in heartbeat intervals. A delegation
+// counts from the time of its terms, so old terms would shorten it.
 const termsAgePerHeartbeat = 0.02
 
-// publishDelegation replaces the published delegation terms unless they are recent or leadership was resigned. The terms
+// publishDelegation replaces the published delegation terms if they are old and leadership was not resigned. The terms
 // exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
 	if previous := s.delegator.terms.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, termsAgePerHeartbeat) {
@@ -187,8 +190,8 @@
 		if !renewals.covers(m) {
 			continue
 		}
-		// This pass considers the renewals that the peers' statuses report. The second pass adds the renewals that a peer
-		// may have made after its latest status.
+		// This pass considers the renewals that the peers' statuses report. The second pass adds the renewals that a peer may
+		// have made after its latest status, if that status was requested before the lease could have expired.
 		if b := renewals.last.Add(s.settings.LeaseBound()); !renewals.last.IsZero() && b.After(end) {
 			end = b
 		}
@@ -208,12 +211,12 @@
 type peerRenewals struct {
 	zone        string
 	until       time.Time // latest time at which the peer may renew leases
-	last        time.Time // latest possible time of the peer's last renewal before requestedAt; zero if unknown
+	last        time.Time // latest possible time of the last renewal that the peer's latest status reports; zero if unknown
 	requestedAt time.Time // when the peer's latest status was requested
 }
 
-// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone, and an
-// unknown zone may be any zone.
+// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone. If a zone
+// is unknown, it could be the same one.
 func (r *peerRenewals) covers(m *cluster.Machine) bool {
 	return r.zone == m.Zone || r.zone == "" || m.Zone == ""
 }
@@ -227,7 +230,8 @@
 			continue
 		}
 		if status, ok := s.deps.Peers.Status(p.Name); ok && status.Sent.After(s.termStarted) {
-			// A process before the peer's last restart may have renewed leases until that restart.
+			// SinceDelegatedRenewal covers only the peer's current process. An earlier process may have renewed leases until
+			// the peer restarted, so the time is limited to Uptime.
 			renewals.last = status.Received.Add(-clock.Scale(min(status.SinceDelegatedRenewal, status.Uptime), 1/clock.DriftBound))
 			renewals.requestedAt = status.Sent
 		}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -12,11 +12,12 @@
 	"sagevale/internal/worker"
 )
 
-// maxListLags is the number of list lags of the cloud for which a machine must be unlisted before it counts as gone.
+// maxListLags is how long a machine must be missing from the cloud's list before it counts as gone, as a multiple of
+// Settings.ListLag, the time by which the list may lag behind.
 const maxListLags = 4
 
-// drain cordons a machine and evicts its tasks. Services and tasks that save checkpoints are restarted
-// elsewhere. Other tasks may finish, unless the machine will be preempted before they can.
+// drain cordons a machine and evicts its tasks. Services and tasks that save checkpoints are restarted on other machines.
+// Other tasks may finish, unless the cloud will preempt the machine before that. drainGang handles the tasks of gangs.
 func (s *scheduler) drain(m *cluster.Machine, reason string) {
 	if m.DrainReason != "" || m.Terminating {
 		return
@@ -32,7 +33,7 @@
 		case spec.Service:
 			s.stopAttempt(a, 0)
 		case spec.CheckpointS > 0:
-			s.stopAttempt(a, spec.SaveS) // resumes elsewhere from its checkpoint
+			s.stopAttempt(a, spec.SaveS) // the task resumes on another machine from its checkpoint
 		case m.PreemptionAt.IsZero():
 		case !a.Reported || a.State == worker.Pulling || clock.Seconds(spec.EstimateS)-now.Sub(a.Started) > m.PreemptionAt.Sub(now):
 			s.stopAttempt(a, 0)
@@ -42,8 +43,8 @@
 	s.placementDue = true
 }
 
-// drainSurplus drains a machine that the autoscaler has found to be surplus, unless the machine has received more
-// attempts since then. An empty machine is terminated at once.
+// drainSurplus drains a machine that the autoscaler has found to be surplus. If the machine has received more attempts since
+// the autoscaler's decision, it isn't drained. An empty machine is terminated at once.
 func (s *scheduler) drainSurplus(surplus autoscaling.SurplusMachine) {
 	s.drainsRequested++
 	m := s.state.Machines.Get(surplus.Machine)
@@ -58,8 +59,8 @@
 	}
 }
 
-// handleList reconciles the machines with the cloud's list. The list lags, so absence from it doesn't prove that a
-// machine is gone: an unlisted machine is removed only once its worker lease has provably expired too.
+// handleList reconciles the machines with the cloud's list. The list lags behind, so a machine that isn't listed may still
+// exist. It is removed only once provenGone returns true.
 func (s *scheduler) handleList(machines []cloud.Machine) {
 	now := time.Now()
 	s.machinesListed = true
@@ -97,8 +98,9 @@
 	m.Failed = listed.State == cloud.Failed
 }
 
-// provenGone reports whether a machine that isn't listed is gone: it has been silent and unlisted for longer
-// than the list lags, and its worker lease has provably expired.
+// provenGone reports whether a machine that isn't in the cloud's list is certainly gone. It must have been unlisted for
+// longer than the list can lag behind, and silent for longer than a worker lease, and its worker's lease must have expired
+// for certain.
 func (s *scheduler) provenGone(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
@@ -139,8 +141,8 @@
 	s.placementDue = true
 }
 
-// terminateMachines requests that the cloud delete machines, once that decision is durable. The decision can't be
-// revoked, because the cloud may carry out a deletion late.
+// terminateMachines makes the durable decision to terminate machines, and then requests that the cloud delete them. The
+// decision can't be revoked, because the cloud may execute a deletion late.
 func (s *scheduler) terminateMachines(ids []int) {
 	if len(ids) == 0 {
 		return
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -13,16 +13,18 @@
 	"sagevale/internal/worker"
 )
 
-// The forwarder of a controller receives the workers' heartbeats that arrive at the controller, and forwards each to the
-// leader. If its own controller leads it calls the scheduler. Otherwise it sends batches over the peer link, or uses the
-// relay if the leader can be reached only through the key-value store. The worker gets the leader's own response under the
-// leader's fencing token, so leases count from the leader's responses. Only while no leader can be reached does the
-// forwarder renew leases itself, within the limits of the last leader's delegation: see delegation.go.
+// Each controller has a forwarder, which receives the workers' heartbeats that arrive at the controller and passes them to
+// the leader. If the controller itself is the leader, the forwarder calls the scheduler. Otherwise it sends batches of
+// heartbeats to the leader. If the leader can be reached only through the key-value store, it uses the relay. The worker
+// gets the leader's own response with the leader's fencing token, so leases count from the leader's responses.
+//
+// While no leader can be reached, the forwarder renews leases itself if the last leader's delegation permits that: see
+// delegation.go.
 
 const (
 	// maxBatchReports is the largest number of heartbeats in one batch for the leader.
 	maxBatchReports = 128
-	// workerMemoryLeases is the number of worker leases after which the record of a silent worker is deleted.
+	// workerMemoryLeases is how long the record of a silent worker is kept, in worker leases.
 	workerMemoryLeases = 2
 )
 
@@ -36,7 +38,7 @@
 	seed          maphash.Seed
 	pending       []pendingReport  // the batch that is being filled for the leader
 	batchLeader   string           // the controller to which the pending batch will be sent
-	flushTimer    <-chan time.Time // fires when the pending batch has to be sent; nil while there is none
+	flushTimer    <-chan time.Time // fires when the pending batch has to be sent; nil while no batch is pending
 	affinity      affinity
 	delegation    delegation
 	lastHeartbeat clock.AtomicTime // when a heartbeat last arrived at this controller
@@ -61,10 +63,11 @@
 	reply  chan worker.HeartbeatResponse
 }
 
-// heartbeatRequest requests a leader's responses to heartbeats. It returns nil if no leader decided on them.
+// heartbeatRequest sends heartbeats to the leader and returns the leader's responses, or nil if no leader has handled the
+// heartbeats.
 type heartbeatRequest func(context.Context, []*worker.Report) []worker.HeartbeatResponse
 
-// decidedBatch is a batch with the leader's responses. There are no responses if no leader decided on the batch.
+// decidedBatch is a batch with the leader's responses. responses is empty if no leader has handled the batch.
 type decidedBatch struct {
 	reports   []pendingReport
 	responses []worker.HeartbeatResponse
@@ -100,7 +103,7 @@
 	defer sweep.Stop()
 	refresh := time.NewTicker(f.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
-	defer f.requests.Wait() // they end when ctx does
+	defer f.requests.Wait() // the requests end when ctx ends
 	for {
 		select {
 		case <-ctx.Done():
@@ -181,7 +184,7 @@
 		f.startRequest(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 			responses, err := f.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
-				return nil // no leader decided on them
+				return nil // no response from the leader
 			}
 			return responses
 		})
@@ -211,8 +214,8 @@
 	}
 }
 
-// handleDecided answers the workers with the leader's responses. Heartbeats that no leader decided on may be answered under
-// a delegation.
+// handleDecided answers the workers with the leader's responses. Heartbeats that no leader has handled are answered by
+// answerDelegated.
 func (f *forwarder) handleDecided(d decidedBatch) {
 	now := time.Now()
 	for i, p := range d.reports {
@@ -228,12 +231,13 @@
 	}
 }
 
-// stale reports whether a heartbeat is no newer than the last one that was accepted, as late copies are.
+// stale reports whether a heartbeat isn't newer than the last heartbeat that the leader accepted. This is so for copies that
+// arrive late.
 func (known *knownWorker) stale(r *worker.Report) bool {
 	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
 
-// digest returns a hash of the worker's state in a heartbeat. It excludes the sequence number.
+// digest returns a hash of the worker's state in a heartbeat. The hash doesn't cover the sequence number.
 func (f *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
 	h.SetSeed(f.seed)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,17 +9,17 @@
 	"sagevale/internal/worker"
 )
 
-// Gang scheduling: the tasks of a gang run at the same time or not at all. The workers find each other by the attempt
-// number, so all tasks of one attempt of the gang share it. Resources for all tasks are durably reserved before any task
-// is started. Until the gang runs, a lost task is replaced under the same attempt number. After that a loss ends the
-// attempt, and the next attempt begins once every task of the ended one is proved to be gone.
+// Gang scheduling: the tasks of a gang run at the same time or not at all. Workers find the other tasks of a gang by the
+// attempt number, so all tasks in one attempt of a gang have the same number. Resources for all tasks are durably reserved
+// before any task is started. Until the gang runs, a lost task is replaced with the same attempt number. Once the gang has
+// run, the loss of a task ends the attempt. The next attempt begins when all tasks of the ended attempt are proved to be gone.
 
-// stalledGangWaitShare is the share of GangWait for which the other tasks of a gang wait for a stalled task before it is
-// restarted on another machine. The replacement has the rest of GangWait to start.
+// stalledGangWaitShare is how long the other tasks of a gang wait for a stalled task, as a share of GangWait. The stalled
+// task is then restarted on another machine, and has the remaining part of GangWait to start there.
 const stalledGangWaitShare = 0.4
 
-// gangTaskLost handles the loss of a gang's task. If the attempt has run, its other tasks are stopped at once, because the
-// attempt's progress since the last checkpoint is lost.
+// gangTaskLost handles the loss of a gang's task. If the gang's attempt has run, the other tasks are stopped at once, because
+// the attempt's progress since the last checkpoint is lost.
 func (s *scheduler) gangTaskLost(a *cluster.Attempt) {
 	j := a.Job
 	if len(j.Attempts) == 0 {
@@ -51,9 +51,9 @@
 	s.sendGangStops(j)
 }
 
-// stopGang stops all tasks of a gang with time to save a checkpoint. The checkpoint succeeds only if all tasks receive
-// their stop within gang_peer_s of the first one, so the stops are sent as direct commands and are repeated in the
-// responses to heartbeats.
+// stopGang stops all tasks of a gang, with a grace period to save a checkpoint. The checkpoint succeeds only if all tasks
+// receive their stop commands within gang_peer_s of the first task. The stop commands are therefore sent directly, and are
+// repeated in the responses to heartbeats.
 func (s *scheduler) stopGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && !a.Stopping {
@@ -84,10 +84,12 @@
 	}
 }
 
-// drainGang handles a gang's task on a draining machine. If the machine won't be preempted, the task may finish. Otherwise
-// a task whose gang hasn't run yet is stopped and replaced. A gang that has run and can't finish before the preemption is
-// stopped to save a checkpoint, if there is time for that and all its workers are reachable. If not, it continues to run,
-// because it may still reach its next checkpoint.
+// drainGang handles a gang's task on a draining machine:
+//   - If no preemption of the machine is announced, the task may finish.
+//   - If the gang hasn't run yet, the task is stopped and replaced.
+//   - If the gang saves checkpoints and can't finish before the preemption, all its tasks are stopped to save a checkpoint.
+//     This requires that there is time for the checkpoint and that all workers of the gang are reachable.
+//   - Otherwise the gang continues to run, because it may still finish or reach its next checkpoint.
 func (s *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if m.PreemptionAt.IsZero() {
@@ -107,8 +109,8 @@
 	}
 }
 
-// replaceStalledGangTasks stops gang tasks that have kept the other tasks of their gang waiting for too long, because
-// their machine hangs or is slow to pull an image. They are restarted on other machines.
+// replaceStalledGangTasks stops gang tasks for which the other tasks of their gang have waited too long. The machine of such
+// a task may hang, or may be slow to pull an image. The tasks are restarted on other machines.
 func (s *scheduler) replaceStalledGangTasks(now time.Time) {
 	waitLimit := clock.Scale(s.settings.GangWait, stalledGangWaitShare)
 	for _, j := range s.state.Jobs.Open {
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -12,8 +12,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// mayUse reports whether something new may depend on a gate. If the gate is open but not yet marked as used, mayUse requests
-// the mark. The mark precedes any use, so that a version without the feature can no longer become the leader.
+// mayUse reports whether new state may depend on a feature gate. The gate must be open and durably marked as used. If an open
+// gate isn't marked yet, mayUse requests the mark and returns false. Once a gate is marked, a controller whose version lacks
+// the feature can't become the leader. No state may therefore depend on the gate before the mark is durable.
 func (s *scheduler) mayUse(name upgrade.GateName) bool {
 	gate := s.gates.Gate(name)
 	if gate.Phase == upgrade.GateOpen && !gate.Used {
@@ -28,8 +29,8 @@
 	since time.Time
 }
 
-// awaitGate adds a submission to those that wait until an open gate is durably marked as used, as submissions wait for a
-// commit. If the gate isn't open it responds at once that the user has to retry.
+// awaitGate makes a submission wait until an open gate is durably marked as used. If the gate isn't open, it responds at once
+// and asks the user to retry.
 func (s *scheduler) awaitGate(m userMessage, name upgrade.GateName, now time.Time) {
 	if s.gates.Gate(name).Phase != upgrade.GateOpen {
 		m.reply <- api.Unavailable(m.req.ID, "not every controller is known to have what it needs yet")
@@ -49,7 +50,7 @@
 		kept := len(s.gateWaiters)
 		s.handleUser(w.msg)
 		if len(s.gateWaiters) > kept {
-			s.gateWaiters[kept].since = w.since // the submission waits again: its time limit isn't extended
+			s.gateWaiters[kept].since = w.since // the submission waits again, and its time limit isn't extended
 		}
 	}
 }
@@ -66,7 +67,7 @@
 	})
 }
 
-// encodingOf returns the encoding that the journal may write under a cluster record.
+// encodingOf returns the record encoding that the journal may write while the gates of a cluster record are in force.
 func encodingOf(record upgrade.Record) storage.Encoding {
 	gate := record.Gate(upgrade.CompressedChunks)
 	switch {
@@ -81,8 +82,8 @@
 // errTermEnded reports that the actors of the leader's term have stopped.
 var errTermEnded = errors.New("the term has ended")
 
-// termGates publishes the gates in force to the actors of one term. Each actor applies them before the uses of gates are
-// counted, so that no use is missed. termGates implements upgradecontrol.GateUsers.
+// termGates publishes the gates in force to the actors of one term, and counts how much of their state depends on each gate.
+// All actors apply new gates before the count, so that it includes every use. termGates implements upgradecontrol.GateUsers.
 type termGates struct {
 	scheduler *scheduler
 	journal   *storage.Journal
@@ -94,8 +95,8 @@
 	return err
 }
 
-// publish sends a cluster record to the journal and the scheduler. It returns the scheduler's uses of gates as of when the
-// scheduler applied the record.
+// publish sends a cluster record to the journal and the scheduler. It returns the uses of gates that the scheduler counted
+// when it had applied the record.
 func (t termGates) publish(ctx context.Context, record upgrade.Record) (gateUses, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
@@ -130,24 +131,25 @@
 	if uses.archive {
 		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
 	}
-	if uses.archiving { // the count may not include the batch yet
+	if uses.archiving { // the count may not include the batch that is being archived
 		usage[upgrade.JobArchive]++
 	}
 	return usage, err
 }
 
-// gatesMessage is a change of the gates in force. The scheduler replies with its uses of gates after the change.
+// gatesMessage sends the scheduler the gates that are in force from now on. The scheduler applies them, and replies with its
+// uses of gates.
 type gatesMessage struct {
 	record upgrade.Record
 	reply  chan gateUses
 }
 
-// gateUses contains the uses of gates by the scheduler's state.
+// gateUses describes which parts of the scheduler's state depend on gates.
 type gateUses struct {
-	openGangs  int  // gang jobs that are open or still have attempts
-	archive    bool // jobs may be archived, so the archive has to be counted
+	openGangs  int  // number of gang jobs that are open or still have attempts
+	archive    bool // the archive may contain jobs, so they have to be counted
 	archiving  bool // a batch of jobs is being archived
-	lifecycles int  // lifecycle records of services that scale to zero
+	lifecycles int  // number of lifecycle records of services that scale to zero
 }
 
 func (m gatesMessage) handle(s *scheduler) {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -7,15 +7,16 @@
 	"sagevale/internal/leadership"
 )
 
-// Leadership handover: a leader may lose its connections to the workers and keep those to its peers and the key-value store.
-// Its peers still forward the workers' heartbeats, but its direct commands fail, so tasks start only with the responses to
-// heartbeats. Such a leader hands leadership over to a controller that receives heartbeats itself.
+// Leadership handover: a leader may lose its connections to the workers but still reach its peers and the key-value store.
+// The peers then forward the workers' heartbeats to the leader, but its direct commands fail. Tasks start only with the
+// responses to heartbeats. Such a leader hands leadership over to a controller that receives heartbeats itself.
 
-// handoverThreshold is the number of machines that must be out of reach of direct commands, although their reports arrive,
-// before leadership is handed over. The count starts again whenever a direct command reaches a machine.
+// handoverThreshold is the number of machines that direct commands must fail to reach before leadership is handed over. Only
+// machines whose reports still arrive are counted. The count starts again whenever a direct command reaches any machine.
 const handoverThreshold = 8
 
-// noteReachable records whether a direct command reached a machine, and hands leadership over if no machine can be reached.
+// noteReachable records whether a direct command reached a machine. It hands leadership over once direct commands have
+// failed to reach handoverThreshold machines, if this controller receives no heartbeats from workers but a peer does.
 func (s *scheduler) noteReachable(m *cluster.Machine, reached bool, now time.Time) {
 	if reached {
 		clear(s.commandsFailing)
@@ -48,11 +49,11 @@
 // resignLeadership gives up leadership. This controller may be elected again immediately.
 func (s *scheduler) resignLeadership(reason string) { s.resignOnce(reason, false) }
 
-// resignOnce gives up leadership unless it has done so before. From then on this controller delegates no lease renewals. If
-// standDown is set, another controller is to lead next.
+// resignOnce gives up leadership. In a term that has been resigned before it does nothing. After the resignation this
+// controller grants no delegations of lease renewals. If standDown is set, another controller is to be elected next.
 func (s *scheduler) resignOnce(reason string, standDown bool) {
 	if s.resigned {
-		return // messages that queued up while the process was paused may cause several calls
+		return // after a pause of the process, several of the messages in the mailbox may cause a resignation
 	}
 	s.log.Info("leadership resigned", "reason", reason)
 	s.resigned = true
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -19,14 +19,15 @@
 		for _, a := range m.SortedAttempts() {
 			s.removeAttempt(a, "worker lease expired")
 		}
-		// The worker's next report has a later incarnation.
+		// A worker whose lease has expired begins a new incarnation. Reports of the ended incarnation no longer confirm the
+		// machine.
 		m.Confirmed, m.ExpiredIncarnation = false, m.Incarnation
 	}
 }
 
-// leaseExpiredBy returns the time by which the lease of a machine has certainly expired if the machine stays silent. Until
-// the machine has reported a token of this term, an earlier leader may have renewed the lease, or a peer by delegation of
-// that leader.
+// leaseExpiredBy returns the time by which the lease of a machine has certainly expired if the machine stays silent. As long
+// as the machine hasn't reported a token of this term, two others may also have renewed its lease: an earlier leader, and a
+// peer under a delegation of that leader.
 func (s *scheduler) leaseExpiredBy(m *cluster.Machine) time.Time {
 	bound := s.delegatedLeaseBound(m)
 	if !m.Confirmed {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -39,9 +39,9 @@
 	}
 	if j.Phase == storage.PhaseOpen || len(j.Attempts) > 0 {
 		s.state.Jobs.TrackOpen(j)
-		// An earlier leader may have committed the job's pages but not yet its own record.
+		// An earlier leader may have committed the job's pages with all tasks done, but not yet the job's own record.
 		if j.Spec.Gang && j.Done > 0 {
-			s.completeGang(j) // an earlier version recorded the tasks of a gang one by one
+			s.completeGang(j) // an earlier version of the program recorded the tasks of a gang one by one
 		}
 		s.finishIfDone(j)
 	} else {
--- a/internal/scheduler/mailbox_limits.go
+++ b/internal/scheduler/mailbox_limits.go
@@ -8,9 +8,9 @@
 
 // This file holds the limits of the scheduler's queues. docs/limits.md lists each limit with the effect of reaching it.
 
-// A submission is accepted only while the scheduler's mailbox is filled to less than maxFillForSubmission of its capacity, a
-// poll or cancellation to less than maxFillForRequest. The rest is reserved for workers' heartbeats: if those were
-// rejected, worker leases would expire.
+// A submission is accepted only while less than maxFillForSubmission of the scheduler's mailbox is filled. A poll or a
+// cancellation is accepted while less than maxFillForRequest is filled. The remaining part is reserved for workers'
+// heartbeats: if heartbeats were rejected, worker leases would expire.
 const (
 	maxFillForSubmission = 3.0 / 4
 	maxFillForRequest    = 7.0 / 8
--- a/internal/scheduler/messages.go
+++ b/internal/scheduler/messages.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// post sends a message that must not be lost, and blocks while the mailbox is full. After the end of the term it drops the
-// message.
+// post sends a message that must not be lost during the term, and blocks while the mailbox is full. After the end of the
+// term it drops the message.
 func (s *scheduler) post(m message) {
 	select {
 	case s.mailbox <- m:
@@ -57,8 +57,8 @@
 // roleMessage carries a change of this controller's role.
 type roleMessage struct{ role leadership.Role }
 
-// handle updates the role. After a resignation it ignores the message, which may report a renewal that was in flight: the
-// lease may be revoked at any moment.
+// handle updates the role. After a resignation it ignores the message. The message may report a lease renewal that was in
+// flight during the resignation, but the lease may now be revoked at any moment.
 func (m roleMessage) handle(s *scheduler) {
 	if !s.resigned {
 		s.setRole(m.role)
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -27,8 +27,8 @@
 	"sagevale/internal/worker"
 )
 
-// journalTimeoutShare is the journal's request timeout as a share of the leader's lease. Responses usually arrive within a
-// tenth of this timeout, and retries are idempotent.
+// journalTimeoutShare is the timeout of the journal's requests, as a share of the leader's lease. Responses usually arrive
+// within a tenth of this timeout, and retries are idempotent.
 const journalTimeoutShare = 0.2
 
 // roleQueueSize is the number of role changes that may wait to be handled by runTerms.
@@ -44,8 +44,8 @@
 	Rand    *rand.Rand
 }
 
-// Node is one controller: it is the leader or a follower, and answers users and workers. Its methods may be called from
-// any goroutine.
+// Node is one controller. It is either the leader or a follower, and answers users and workers in both roles. Its methods
+// may be called from any goroutine.
 type Node struct {
 	settings     *config.Settings
 	deps         Dependencies
@@ -65,7 +65,7 @@
 	scheduler *scheduler // nil unless this controller leads and the state is loaded
 }
 
-// NewNode returns a controller, which Run starts.
+// NewNode returns a controller that isn't running yet. Run starts its actors.
 func NewNode(s *config.Settings, deps Dependencies) *Node {
 	limits := s.State
 	limits.RequestTimeout = clock.Scale(s.Tuning.LeaderLease, journalTimeoutShare)
@@ -168,7 +168,8 @@
 	n.runActors(ctx, role, s, loaded, log)
 }
 
-// loadState reads the journal under the new leader's guard, and returns a scheduler with the cluster state.
+// loadState reads the journal, and returns a scheduler with the cluster state. The journal gets the new leader's guard, so
+// that its writes fail once another controller has become the leader.
 func (n *Node) loadState(ctx context.Context, role leadership.Role, log *slog.Logger) (*scheduler, error) {
 	started := time.Now()
 	journal, err := storage.OpenJournal(ctx, n.deps.State, n.limitTracker, role.Guard)
@@ -259,11 +260,14 @@
 	return "without a leader"
 }
 
-// Ready reports whether the load balancer should send users to this controller. It returns true if this controller is
-// certain to be the leader. If another controller is the leader, Ready returns false once that one has been unreachable for
-// longer than a leader lease. While no other leader is known, Ready returns true if this controller reaches any peer, or
-// has none: all controllers that reach each other then serve users equally well. Each call also records that the load
-// balancer reaches this controller.
+// Ready reports whether the load balancer should send users to this controller:
+//   - If this controller is certainly the leader, it returns true.
+//   - If another controller is the leader, it returns true until the leader has been unreachable for longer than a leader
+//     lease.
+//   - If no other leader is known, it returns true if this controller reaches a peer or has no peers. All controllers that
+//     reach each other then serve users equally well.
+//
+// Each call also records that the load balancer reaches this controller.
 func (n *Node) Ready() bool {
 	n.forwarder.lastProbe.Set(time.Now())
 	v := n.view.Load()
@@ -282,9 +286,9 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader returns the name of the leader, or "" if none is known. If the peers' statuses name another controller as the
-// leader of a later term than this controller's role, it returns that one: perhaps only this controller has lost contact
-// with the key-value store.
+// leader returns the name of the leader, or "" if no leader is known. Usually this is the leader in this controller's role.
+// If the peers' statuses name another controller as the leader of a higher term, leader returns that controller's name,
+// because this controller may have lost contact with the key-value store.
 func (n *Node) leader(v *view) string {
 	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > v.role.Term && peersLeader != n.settings.NodeName {
 		return peersLeader
@@ -292,8 +296,8 @@
 	return v.role.Leader
 }
 
-// HandleUserRequest answers a user's request. The leader answers it by its scheduler. Other controllers answer it from the
-// archive's pages in memory, or forward it to the leader.
+// HandleUserRequest answers a user's request. If this controller is the leader, its scheduler answers the request. Otherwise
+// the controller answers from the archive pages in its memory, or forwards the request to the leader.
 func (n *Node) HandleUserRequest(ctx context.Context, req api.Request) api.Response {
 	v := n.view.Load()
 	if v.scheduler != nil {
@@ -315,8 +319,8 @@
 	sent := time.Now()
 	var response api.Response
 	if n.useRelay(leader) {
-		// The transaction with the leader's response was guarded by the leader's key, so only a job's state, which only
-		// polls request, can be outdated.
+		// The leader wrote the response in a transaction that succeeds only while the leader holds its key. Only a job's
+		// state can have become outdated since then, and only polls request the state.
 		if response = n.relay.HandleUserRequest(ctx, req); req.Op != api.OpPoll {
 			return response
 		}
@@ -332,15 +336,16 @@
 	return response
 }
 
-// storeReachable reports whether the key-value store has recently answered this controller's election, or its relay while
-// the relay is in use.
+// storeReachable reports whether the key-value store has recently answered this controller's election. While the relay is in
+// use, an answer to the relay counts too.
 func (n *Node) storeReachable() bool {
 	since := min(n.election.Status().SinceStoreContact, n.relay.SinceAccepted(math.MaxInt64))
 	return since < relay.BatchTimeout+n.settings.Tuning.LeaderLease
 }
 
-// useRelay reports whether requests to the leader have to be relayed through the key-value store: the leader has been
-// unreachable for longer than its lease lasts, but it still holds its key, because it is still known as the leader.
+// useRelay reports whether requests to the leader have to be relayed through the key-value store. This is so once the leader
+// has been unreachable for longer than a leader lease. The leader still holds its key in the store in that case, because
+// otherwise it would no longer be known as the leader.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -13,8 +13,8 @@
 	// placementPauseFactor is how long placement pauses after a round, as a multiple of the duration of that round. The
 	// next round handles all changes that arrive during the pause.
 	placementPauseFactor = 8
-	// reachableReportAge is the highest age of a machine's last report at which direct commands are likely to reach the
-	// machine, in heartbeat intervals.
+	// reachableReportAge is the maximum age of a reachable machine's last report, in heartbeat intervals. If the last report
+	// is older, a direct command is unlikely to reach the machine.
 	reachableReportAge = 1.5
 )
 
@@ -31,8 +31,8 @@
 	s.startWhenDurable(reserved)
 }
 
-// Reserve implements placement.Actions. The attempt of a gang's task gets the number of the gang's attempt, any other
-// attempt a new number.
+// Reserve implements placement.Actions. All tasks in one attempt of a gang share the number of that attempt. The attempt of
+// any other task gets a new number.
 func (s *scheduler) Reserve(j *cluster.Job, task int, m *cluster.Machine, now time.Time) *cluster.Attempt {
 	number := s.nextAttempt()
 	if j.Spec.Gang {
@@ -75,8 +75,9 @@
 	}
 }
 
-// GangReachable implements placement.Actions. If one task of a gang doesn't receive its stop command within gang_peer_s
-// of the others, the other tasks exit without it and the checkpoint fails.
+// GangReachable implements placement.Actions. It reports whether direct commands are likely to reach all machines of a gang.
+// If one task receives its stop command more than gang_peer_s after the other tasks, the other tasks exit without it and the
+// checkpoint fails.
 func (s *scheduler) GangReachable(j *cluster.Job, now time.Time) bool {
 	for _, a := range j.Attempts {
 		if !s.reachable(a.Machine, now) {
@@ -115,13 +116,13 @@
 	}
 }
 
-// mayStart reports whether a durable attempt may be started by a direct command. If the job has been cancelled it may
-// not, even before the cancellation is durable: the command could arrive after the user got the response to the
-// cancellation.
+// mayStart reports whether a durable attempt may be started by a direct command. The attempts of a cancelled job may not be
+// started, even if the cancellation isn't durable yet: the start command could arrive after the user has received the
+// response to the cancellation.
 func (s *scheduler) mayStart(a *cluster.Attempt) bool {
 	m := a.Machine
 	if a.Job.Phase != storage.PhaseOpen || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.StartMayBeDelivered() {
 		return false
 	}
-	return s.directStartsAllowed(m, a.Job) // otherwise the response to a heartbeat carries the start
+	return s.directStartsAllowed(m, a.Job) // otherwise the response to a heartbeat carries the start command
 }
--- a/internal/scheduler/ports.go
+++ b/internal/scheduler/ports.go
@@ -14,7 +14,7 @@
 type WorkerLink interface {
 	// SendCommands sends commands to the worker at addr. The worker rejects them if it has seen a higher fencing token or
 	// is in another incarnation. SendCommands sends nothing after sendBy, because the sender may have lost leadership by
-	// then; a zero sendBy is no limit. The returned report is the worker's response, or nil if there was none.
+	// then. If sendBy is zero, there is no such limit. The returned report is the worker's response, or nil if none arrived.
 	SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report)
 }
 
@@ -33,7 +33,7 @@
 	Status(node string) (status peer.ObservedStatus, ok bool)
 	// UnreachableFor returns how long a controller has been unreachable, or 0 if it is reachable.
 	UnreachableFor(node string) time.Duration
-	// KnownLeader returns the leader with the highest term in the recent statuses of the peers. The term is 0 if there is
-	// none.
+	// KnownLeader returns the leader with the highest term that the recent statuses of the peers name, and that term. The
+	// term is 0 if no recent status names a leader.
 	KnownLeader() (leader string, term uint64)
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// updateMachine updates the fields of a machine that its record holds, and marks the record to be written if it isn't up
-// to date.
+// updateMachine updates a machine's type, zone, address and spot property from a report. If the machine's record isn't up to
+// date, updateMachine marks the record to be written.
 func (s *scheduler) updateMachine(m *cluster.Machine, r *worker.Report) {
 	if m.TypeName != r.Type || m.Addr != r.Addr || m.Zone != r.Zone {
 		m.Addr, m.TypeName, m.Zone, m.Spot, m.Type = r.Addr, r.Type, r.Zone, r.Spot, s.state.Types.Get(r.Type)
@@ -63,8 +63,8 @@
 	}
 }
 
-// confirmMachine handles the first report of a machine under a token of this term. From now on no earlier leader can renew
-// the machine's lease, because the worker rejects earlier tokens.
+// confirmMachine handles the first report of a machine with a token of this term. From then on no earlier leader can renew
+// the machine's lease, because the worker rejects lower tokens.
 func (s *scheduler) confirmMachine(m *cluster.Machine, now time.Time) {
 	m.Confirmed, m.LastAcknowledged = true, now
 	s.reviewer.NoteProvisioned(m, now)
@@ -79,7 +79,7 @@
 // removes the attempts of the earlier incarnations.
 func (s *scheduler) handleNewIncarnation(m *cluster.Machine, r *worker.Report, now time.Time) {
 	if m.Confirmed && now.Sub(m.LastContact) <= s.settings.ReportFreshness() {
-		// The leader received reports until shortly before, so the lease expired because the responses were lost.
+		// The lease expired although the machine's reports arrived until shortly before now, so the responses were lost.
 		m.LostIncarnations++
 		m.QuarantinedUntil = now.Add(clock.Scale(s.settings.WorkerLease, float64(min(m.LostIncarnations, maxQuarantineLeases))))
 		s.log.Info("worker lease lost", "machine", m.ID, "incarnation", r.Incarnation, "lost_incarnations", m.LostIncarnations)
@@ -92,7 +92,7 @@
 	m.Fence.IncarnationEnded()
 	m.Recorded = false
 	// The lease of the new incarnation began before now. If the lease were still counted from the last heartbeat of the
-	// earlier incarnation, tasks of the new one would be declared lost while they run.
+	// earlier incarnation, tasks of the new incarnation would be treated as lost while they still run.
 	m.LastAcknowledged = now
 }
 
@@ -109,8 +109,8 @@
 	}
 }
 
-// provesAbsence reports whether a newer report that doesn't list an attempt proves that the attempt isn't on the machine
-// and can't be started there any more.
+// provesAbsence reports whether a report proves that an attempt isn't on the machine and can't be started there any more.
+// The caller has checked that the report doesn't list the attempt and is newer than all earlier reports of the worker.
 func (s *scheduler) provesAbsence(a *cluster.Attempt, r *worker.Report, heartbeat bool) bool {
 	switch {
 	case !s.tokens.Contains(r.Token) || r.Incarnation != a.Incarnation:
@@ -124,7 +124,7 @@
 		// The response to a heartbeat may carry the start command and still be in flight.
 		return false
 	}
-	// An attempt that was never reported hasn't been started yet. It is kept, and its start command is sent again under
-	// the same number.
+	// An attempt that no report has listed hasn't been started yet. It is kept, and its start command is sent again with the
+	// same attempt number.
 	return a.Reported
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -40,8 +40,8 @@
 	// commitStallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
 	// for a stalled commit get a response that asks them to retry.
 	commitStallPerHeartbeat = 0.35
-	// attemptNumbersPerToken is the number of attempt numbers for each fencing token. The attempt numbers of a term follow the
-	// term's number times attemptNumbersPerToken.
+	// attemptNumbersPerToken is the number of attempt numbers for each fencing token of a term. The first attempt number of a
+	// term is the term's number times attemptNumbersPerToken, plus 1.
 	attemptNumbersPerToken = 1 << 24
 )
 
@@ -88,7 +88,7 @@
 type gateState struct {
 	gates          upgrade.Record
 	requestGateUse func(upgrade.GateName) // requests that a gate be marked as used
-	gateWaiters    []gateWaiter           // submissions that wait until a gate is marked as used
+	gateWaiters    []gateWaiter           // submissions that wait until a gate is durably marked as used
 }
 
 // commitState holds the records to be committed and the users who wait for commits.
@@ -112,18 +112,18 @@
 
 // fleetState holds the state of the fleet that isn't part of the machine table.
 type fleetState struct {
-	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms that have no response yet
+	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms without a recorded response
 	desired         int                             // the recorded desired size of the fleet, in machines
 	machinesListed  bool                            // the cloud's machine list has been read in this term
 	terminated      map[int]bool                    // machines whose termination the cloud has confirmed
-	drainsRequested int                             // drains of surplus machines that the autoscaler has requested
+	drainsRequested int                             // number of drains of surplus machines that the autoscaler has requested
 }
 
 // commandState holds the state of the direct commands to workers.
 type commandState struct {
-	tokenPending    []*cluster.Machine   // machines known at the failover to which this term's token hasn't been announced
-	announcements   int                  // token announcements in flight
-	commandsFailing map[int]bool         // machines out of reach of direct commands; cleared when one reaches any machine
+	tokenPending    []*cluster.Machine   // machines known at the failover that must still be sent this term's token
+	announcements   int                  // number of token announcements in flight
+	commandsFailing map[int]bool         // machines that direct commands don't reach; cleared when a command reaches any machine
 	sinceHeartbeat  func() time.Duration // returns the time since this controller last received a heartbeat
 }
 
@@ -133,7 +133,7 @@
 	peerRenewals []peerRenewals
 }
 
-// pacing holds when the scheduler does expensive work next.
+// pacing holds the state that determines when the scheduler next does expensive work.
 type pacing struct {
 	placementDue         bool // the state has changed in a way that may allow tasks to be placed
 	placementPausedUntil time.Time
@@ -201,9 +201,10 @@
 	return s.withValidity(response, requestedAt)
 }
 
-// withValidity sets how long a response that isn't final may be forwarded to the user, counted from requestedAt. If the
-// leadership lease may have expired it returns a response that asks the user to retry. That can happen because the process
-// may have been paused since the scheduler decided on the response.
+// withValidity limits how long a response may be forwarded to the user, counted from requestedAt. A response with a final
+// job state has no such limit, because it can't become outdated. If the leadership lease may have expired, withValidity
+// returns a response that asks the user to retry. The lease can expire because the process was paused after the scheduler
+// had responded.
 func (s *scheduler) withValidity(response api.Response, requestedAt time.Time) api.Response {
 	if response.Final() || !response.Decided() {
 		return response
@@ -234,8 +235,8 @@
 }
 
 // run is the scheduler's main loop, which runs until ctx ends. Each iteration handles all messages that are waiting, does
-// at most one round of placement for all of them, and commits the resulting changes as a group. Higher load therefore
-// makes iterations handle more messages instead of adding placement rounds and commits.
+// at most one round of placement for all of them, and commits the resulting changes as a group. Under higher load, each
+// iteration therefore handles more messages, while the number of placement rounds and commits doesn't grow.
 func (s *scheduler) run(ctx context.Context) error {
 	s.tokenPending = slices.Clone(s.state.Machines.InOrder())
 	s.announceTokens()
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -8,8 +8,8 @@
 	"sagevale/internal/worker"
 )
 
-// maxQuarantineLeases is the longest quarantine of a machine that fails tasks or loses its lease, in worker leases. A longer
-// one would keep work waiting while resources are free.
+// maxQuarantineLeases is the longest quarantine of a machine that fails tasks or loses its lease, in worker leases. With a
+// longer quarantine, tasks would wait although resources are free.
 const maxQuarantineLeases = 2
 
 // recordTaskFailure records a task's failure and attributes it to the job or the machine. A job that fails on every machine
@@ -41,8 +41,8 @@
 	}
 }
 
-// recordEarlierFailures records the task failures under earlier leaders that a worker's first report of this term shows.
-// Without them, a job that fails on every machine would be started on every machine again.
+// recordEarlierFailures records task failures that happened under earlier leaders. It takes them from a worker's first report
+// of this term. Without these records, a job that fails on every machine would be started on every machine again.
 func (s *scheduler) recordEarlierFailures(m *cluster.Machine, r *worker.Report) {
 	for _, t := range r.Tasks {
 		j := s.state.Jobs.Get(t.ID.Job)
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -63,7 +63,7 @@
 }
 
 // applyUntrackedExit handles the exit of an attempt that the scheduler doesn't track. If the attempt completed a task that
-// still waits, the task is done.
+// still waits to be placed, the task is done.
 func (s *scheduler) applyUntrackedExit(t worker.TaskReport) {
 	if t.Cause != worker.CauseDone || !s.taskWaiting(t.ID) {
 		return
@@ -77,8 +77,8 @@
 	s.finishIfDone(j)
 }
 
-// adoptAttempt adds an attempt for a live task that has no reservation, because a worker executed an earlier start command
-// late.
+// adoptAttempt adds an attempt for a task that a worker reports as live although the task has no reservation. This happens
+// when the worker executes an earlier start command late.
 func (s *scheduler) adoptAttempt(m *cluster.Machine, r *worker.Report, t worker.TaskReport, now time.Time) {
 	j := s.state.Jobs.Get(t.ID.Job)
 	s.log.Info("unreserved task adopted", "job", t.ID.Job, "task", t.ID.Task, "machine", m.ID, "attempt", t.Attempt)
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -11,15 +11,17 @@
 	// unconfirmedTimeoutLeases is how long after a failover a machine may stay silent before it counts as lost, in worker
 	// leases.
 	unconfirmedTimeoutLeases = 0.5
-	// maxUnconfirmedShare is the largest share of the machines with attempts that may count as lost. If more of them are
-	// silent, the cause is this controller's network or the failure of a zone.
+	// maxUnconfirmedShare is the largest share of the machines with attempts that may be silent. If more of them are silent,
+	// the cause is this controller's network or the failure of a zone, and no machine counts as lost.
 	maxUnconfirmedShare = 0.25
 )
 
-// lostSinceFailover returns the machines to terminate because they have been silent since the failover, while nearly all
-// others have reported. Waiting for their leases to expire takes long, because the earlier leader may have renewed them;
-// the cloud's confirmation of the deletion proves sooner that no task runs there. Machines whose services don't fit
-// elsewhere are left out, because a machine that becomes reachable again still has its cached images.
+// lostSinceFailover returns the machines to terminate because they have been silent since the failover, although most
+// machines have reported. The leases of silent machines expire late, because the earlier leader may have renewed them. The
+// cloud's confirmation that a machine is deleted proves sooner that no task runs on it.
+//
+// A machine is not terminated if its services don't fit on other machines. If that machine becomes reachable again, its
+// images are still cached.
 func (s *scheduler) lostSinceFailover(now time.Time) []int {
 	if !s.leaseValid(now) || now.Sub(s.termStarted) < max(clock.Scale(s.settings.WorkerLease, unconfirmedTimeoutLeases), s.settings.ReportFreshness()) {
 		return nil
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,21 +7,21 @@
 	"sagevale/internal/activation"
 )
 
-// usageIntervals is the number of usage intervals without a report after which a controller counts as silent.
+// usageIntervals is how long a controller may send no usage report before it counts as silent, in usage intervals.
 const usageIntervals = 2
 
-// usageMessage is a controller's usage report.
+// usageMessage carries a controller's usage report to the scheduler.
 type usageMessage struct {
 	report activation.UsageReport
 	reply  chan activation.UsageResponse
 }
 
-// usageUndecided returns the response of a controller that isn't certain to be the leader.
+// usageUndecided returns the response to a usage report that no leader is known to have handled.
 func usageUndecided(reason string) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
-// ReportUsage sends this controller's usage of the models to the leader, and returns the leader's response.
+// ReportUsage reports to the leader how this controller uses the models, and returns the leader's response.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	report.Node, report.Session = n.settings.NodeName, n.election.Process()
 	v := n.view.Load()
@@ -69,7 +69,8 @@
 	m.reply <- activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: c.drainOrders()}
 }
 
-// drainOrders returns drain orders for the models whose draining state is durable.
+// drainOrders returns the drain orders for a controller. The controller must stop routing requests to each model whose
+// draining state is durable.
 func (c *activationController) drainOrders() []activation.DrainOrder {
 	var orders []activation.DrainOrder
 	for id, s := range c.active {
@@ -80,7 +81,8 @@
 	return orders
 }
 
-// checkUsage starts to drain a service without recent requests, and stops one that has been drained.
+// checkUsage starts to drain a ready service that has no recent requests, and stops a draining service once all controllers
+// have stopped routing to it.
 func (c *activationController) checkUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.pendingWrites > 0 {
 		return
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// answerWhenDurable sends a user the response once the current value of a job's record is durable. If the commit takes
-// too long, failWaiters sends a response that asks the user to retry.
+// answerWhenDurable sends the response to a user once the current value of a job's record is durable. If the commit takes
+// too long, failWaiters sends another response that asks the user to retry.
 func (s *scheduler) answerWhenDurable(j *cluster.Job, reply chan api.Response, response func() api.Response) {
 	id := j.Spec.ID
 	w := &waiter{id: id, reply: reply}
@@ -50,7 +50,7 @@
 	s.waiters = s.waiters[:0]
 }
 
-// commitStalled reports whether the commit in flight takes so long that users should retry instead of waiting for it.
+// commitStalled reports whether the commit in flight takes so long that users should retry instead of waiting for the commit.
 func (s *scheduler) commitStalled(now time.Time) bool {
 	return !s.commitStarted.IsZero() && now.Sub(s.commitStarted) > clock.Scale(s.settings.HeartbeatInterval, commitStallPerHeartbeat)
 }
@@ -258,8 +258,9 @@
 	})
 }
 
-// releaseFinalJob frees the memory of a final job's tasks and removes their pages from the journal. After that the job may be
-// archived. releaseFinalJob does nothing while the final state isn't durable or attempts of the job remain.
+// releaseFinalJob frees the memory of the tasks of a done or cancelled job, and removes their pages from the journal. After
+// that the job may be archived. If the job's final state isn't durable yet, or attempts of the job remain, releaseFinalJob
+// does nothing.
 func (s *scheduler) releaseFinalJob(j *cluster.Job) {
 	if !j.FinalDurable || len(j.Attempts) > 0 || j.Tasks == nil {
 		return
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -12,13 +12,14 @@
 	"sagevale/internal/storage"
 )
 
-// wakeMessage is a wake request: it reports that a controller has requests for a model.
+// wakeMessage carries a wake request to the scheduler. A controller sends one when it has requests for a model.
 type wakeMessage struct {
 	req   activation.WakeRequest
 	reply chan activation.WakeResponse
 }
 
-// undecided returns the response of a controller that can't determine the state of a model.
+// undecided returns the response to a wake request that can't be answered now. It contains no state of the model, and the
+// sender should retry the request.
 func undecided(reason string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
@@ -45,7 +46,8 @@
 }
 
 // activationLeader returns the name of the leader if it is another controller that supports wake requests and usage
-// reports. Otherwise it returns the reason why there is no such leader. Earlier versions would misinterpret these messages.
+// reports. Otherwise it returns the reason why there is no such leader. Controllers of earlier versions would misinterpret
+// these messages.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
@@ -65,8 +67,8 @@
 	return undecided("not the leader")
 }
 
-// wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full it returns an
-// undecided response at once.
+// wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full, it returns a
+// response without a result at once.
 func (s *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	requestedAt := time.Now()
@@ -77,8 +79,9 @@
 	return s.withLeaseBound(response, requestedAt)
 }
 
-// withLeaseBound limits the validity of a response to the end of the leader's lease. The lease may already have expired,
-// because this process may have been paused since the scheduler decided the response.
+// withLeaseBound limits the validity of a response to the end of the leader's lease. If the lease may already have expired,
+// it returns a response without a result. The lease can expire because the process was paused after the scheduler had
+// responded.
 func (s *scheduler) withLeaseBound(response activation.WakeResponse, requestedAt time.Time) activation.WakeResponse {
 	if response.Verdict == activation.VerdictUndecided {
 		return response
@@ -111,8 +114,8 @@
 	}
 }
 
-// handleDemand applies the demand of a wake request to a service, and answers the request. If the request allows a delay, the
-// response to it is delayed while the service starts.
+// handleDemand applies the demand of a wake request to a service, and answers the request. If the request allows a delay,
+// the response is delayed while the service starts.
 func (c *activationController) handleDemand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
@@ -162,7 +165,7 @@
 	})
 }
 
-// alwaysRunningReason is the reason in responses about services that have no lifecycle record.
+// alwaysRunningReason is the reason given in responses about services that have no lifecycle record.
 const alwaysRunningReason = "runs always"
 
 // alwaysRunningResponse returns the response about a service that runs regardless of demand.
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -9,15 +9,16 @@
 	"sagevale/internal/worker"
 )
 
-// fencingInForce reports whether the tokens of workers are raised within a term. While they are, peers renew leases for the
-// term's whole range of tokens. Earlier versions don't support that, so it depends on a feature gate.
+// fencingInForce reports whether the leader raises the fencing tokens of workers within a term. A peer that renews leases
+// under a delegation must then accept all tokens of the term. Earlier versions don't support that, so raising tokens depends
+// on a feature gate.
 func (s *scheduler) fencingInForce() bool {
 	return s.settings.Tuning.Fencing.Enabled && s.gates.Gate(upgrade.WorkerTokens).Phase == upgrade.GateOpen
 }
 
-// raiseToken raises the token of a worker that must retain many ended attempts. The response to the worker's heartbeat
-// carries the new token. Once the worker reports it, it rejects all direct commands under earlier tokens and may forget
-// those attempts.
+// raiseToken raises the token of a worker that must retain many ended attempts. A worker retains an ended attempt while a
+// late direct command could start the attempt again. The response to the worker's heartbeat carries the new token. Once the
+// worker reports the new token, it rejects all direct commands with lower tokens, and needn't retain those attempts any more.
 func (s *scheduler) raiseToken(m *cluster.Machine) {
 	if !s.fencingInForce() {
 		return
@@ -27,14 +28,15 @@
 	}
 }
 
-// maxDirectBacklog is how many attempts a worker may have, live ones and retained ended ones together, for work that isn't
-// urgent to be started on it by a direct command. The remaining capacity is reserved for urgent work. Without this limit a
-// flood of short tasks would fill the fences, and the leader would have to resign.
+// maxDirectBacklog is the number of attempts on a worker above which direct commands no longer start tasks there, unless
+// their jobs are urgent. Live attempts and retained ended attempts are counted together. The remaining part of MaxRetained is
+// reserved for urgent jobs. Without this limit, a flood of short tasks would fill the fences, and the leader would have to
+// resign.
 const maxDirectBacklog = fencing.MaxRetained / 2
 
-// directStartsAllowed reports whether tasks of a job may be started on a worker by direct commands. A worker that must retain
-// too many ended attempts gets its start commands in the responses to its heartbeats. Those commands are never executed
-// late, so their attempts needn't be retained.
+// directStartsAllowed reports whether tasks of a job may be started on a worker by direct commands. If the worker must retain
+// too many ended attempts, the responses to its heartbeats carry the start commands instead. Start commands in responses are
+// never executed late, so the worker needn't retain the attempts that they start.
 func (s *scheduler) directStartsAllowed(m *cluster.Machine, j *cluster.Job) bool {
 	if s.fencingInForce() {
 		return !m.Fence.Full()
@@ -53,9 +55,9 @@
 	s.resignLeadership("higher fencing token reported")
 }
 
-// resignIfFencesFull resigns leadership if some worker must retain too many ended attempts and tokens can't be raised within
-// the term. Once the worker has a token of the next term it rejects all earlier direct start commands, so those attempts
-// needn't be retained any more.
+// resignIfFencesFull resigns leadership if a worker must retain too many ended attempts and tokens can't be raised within the
+// term. Once the worker has a token of the next term, it rejects all direct start commands of this term, and needn't retain
+// those attempts any more.
 func (s *scheduler) resignIfFencesFull(now time.Time) {
 	if s.fencingInForce() || !s.leaseValid(now) || now.Sub(s.termStarted) < s.settings.WorkerLease {
 		return
