--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -110,7 +110,7 @@
 	return &activationController{
 		tuning: &settings.Tuning.Activation, settings: settings, gate: gate, scheduler: sched, log: log,
 		services: make(map[string]*managedService), postponed: make(map[string]*cluster.Job), active: make(map[string]*managedService),
-		usage: activation.NewUsage(settings.ControllerNames(), usageIntervals*settings.UsageInterval()),
+		usage: activation.NewUsage(settings.ControllerNames(), maxSilentUsageIntervals*settings.UsageInterval()),
 	}
 }
 
@@ -250,7 +250,7 @@
 	delete(c.active, j.Spec.ID)
 	if s := c.service(j); s != nil {
 		for _, w := range s.waiters {
-			w.reply <- undecided("it runs always, or no longer")
+			w.reply <- undecidedWakeResponse("it runs always, or no longer")
 		}
 	}
 	j.Lifecycle = nil
@@ -359,7 +359,7 @@
 			reservedFor = now.Sub(a.ReservedAt)
 		}
 		c.applyEvent(s, activation.Tick{ReservedFor: reservedFor}, now)
-		c.checkUsage(s, now)
+		c.applyUsage(s, now)
 		c.answerWaiters(s, now)
 	}
 }
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -58,7 +58,7 @@
 	if node == "" {
 		node = a.pickNode(r.Machine, func(name string) bool { return a.canForward(name, leader) })
 	}
-	if node == "" || node == self || !a.receivesHeartbeats(node, now) {
+	if node == "" || node == self || !a.mayRedirectTo(node, now) {
 		return ""
 	}
 	return node
@@ -89,10 +89,10 @@
 	return ok && status.Leader == leader && a.node.deps.Peers.UnreachableFor(name) == 0
 }
 
-// receivesHeartbeats reports whether a worker may be redirected to a controller now. That is the case if the controller
+// mayRedirectTo reports whether a worker may be redirected to a controller now. That is the case if the controller
 // receives heartbeats. Otherwise one worker per affinityProbeInterval may be redirected to it as a probe, and
-// receivesHeartbeats records the time of the probe.
-func (a *affinity) receivesHeartbeats(name string, now time.Time) bool {
+// mayRedirectTo records the time of the probe.
+func (a *affinity) mayRedirectTo(name string, now time.Time) bool {
 	if status, ok := a.node.deps.Peers.Status(name); ok && status.SinceHeartbeat+now.Sub(status.Received) < a.node.settings.HeartbeatInterval {
 		return true
 	}
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -189,9 +189,9 @@
 		if j == nil {
 			continue
 		}
-		s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), removed)
+		s.queue.Mark(jobLane(j), storage.JobKey(j.Spec.ID), noData)
 		for _, key := range j.StoredPages {
-			s.markRecord(key, removed)
+			s.markRecord(key, noData)
 		}
 	}
 	if len(m.jobs) > 0 {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -126,13 +126,13 @@
 		return true // the worker has a token of this term, or can't be reached
 	}
 	s.announcements++
-	s.sendInBackground(m, nil, nil, clock.Scale(s.settings.HeartbeatInterval, announcePerHeartbeat))
+	s.sendInBackground(m, nil, nil, clock.Scale(s.settings.HeartbeatInterval, announceTimeoutPerHeartbeat))
 	return true
 }
 
-// announcePerHeartbeat is the timeout of a token announcement, in heartbeat intervals. It is short so that announcements
+// announceTimeoutPerHeartbeat is the timeout of a token announcement, in heartbeat intervals. It is short so that announcements
 // to unreachable workers don't hold sockets for long.
-const announcePerHeartbeat = 0.25
+const announceTimeoutPerHeartbeat = 0.25
 
 // announceTokens sends this term's fencing token to the workers that were known at the start of the term, a limited
 // number at a time. Workers that have the token reject late commands of the earlier leader.
@@ -152,7 +152,7 @@
 	m := s.state.Machines.Get(msg.machine)
 	if m != nil {
 		m.InFlight = max(0, m.InFlight-1)
-		s.noteReachable(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
+		s.updateReachability(m, msg.outcome == worker.Executed || msg.outcome == worker.Rejected, now)
 	}
 	if msg.announcement {
 		s.announcements--
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -169,8 +169,8 @@
 	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool { return w.answered })
 }
 
-// removed is the data function of a record that is to be removed, and returns nil.
-func removed() any { return nil }
+// noData is the data function of a record that is to be removed, and returns nil.
+func noData() any { return nil }
 
 // committedMessage carries the result of the commit in flight.
 type committedMessage struct{ err error }
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -99,8 +99,8 @@
 	return len(f.settings.Peers) > 0 && now.Sub(known.lastAcknowledged)+retryTime+f.settings.HeartbeatInterval < f.settings.WorkerLease
 }
 
-// delegationTerms are the conditions of the leader's delegations. The scheduler publishes them as an immutable value.
-type delegationTerms struct {
+// delegationLimits limits the delegations that the leader grants. The scheduler publishes it as an immutable value.
+type delegationLimits struct {
 	at         time.Time        // when the scheduler collected excluded; delegations count from this time
 	renewUntil time.Time        // the time until which the leader may renew leases
 	excluded   map[string][]int // IDs of the machines with tasks of cancelled jobs, by the machine's zone
@@ -109,7 +109,7 @@
 // delegator grants the leader's delegations. Its methods may be called from any goroutine.
 type delegator struct {
 	renewalGrace time.Duration
-	terms        atomic.Pointer[delegationTerms]
+	limits       atomic.Pointer[delegationLimits]
 	until        map[string]*atomic.Int64 // latest end of the delegations to each peer, in ns after startedAt; 0 if there is none
 	zones        map[string]string        // zone of each peer
 	startedAt    time.Time
@@ -127,13 +127,13 @@
 // leases, counted from when the peer sent the request, and the machines whose leases the peer may not renew.
 func (d *delegator) delegate(peer string) (time.Duration, []int) {
 	now := time.Now()
-	terms, until := d.terms.Load(), d.until[peer]
-	if terms == nil || until == nil || d.zones[peer] == "" {
+	limits, until := d.limits.Load(), d.until[peer]
+	if limits == nil || until == nil || d.zones[peer] == "" {
 		return 0, nil
 	}
-	end := terms.at.Add(d.renewalGrace)
-	if terms.renewUntil.Before(end) {
-		end = terms.renewUntil
+	end := limits.at.Add(d.renewalGrace)
+	if limits.renewUntil.Before(end) {
+		end = limits.renewUntil
 	}
 	if !now.Before(end) {
 		return 0, nil
@@ -146,7 +146,7 @@
 			break
 		}
 	}
-	return end.Sub(now), slices.Concat(terms.excluded[""], terms.excluded[d.zones[peer]])
+	return end.Sub(now), slices.Concat(limits.excluded[""], limits.excluded[d.zones[peer]])
 }
 
 // delegatedUntil returns the latest time at which a peer may renew leases, or zero if the peer was granted no delegation.
@@ -157,28 +157,28 @@
 	return time.Time{}
 }
 
-// termsAgePerHeartbeat is the age at which the published delegation terms are replaced, in heartbeat intervals. A delegation
-// counts from the time of its terms, so old terms would shorten it.
-const termsAgePerHeartbeat = 0.02
+// delegationLimitsAgePerHeartbeat is the age at which the published delegationLimits are replaced, in heartbeat intervals. A
+// delegation counts from the time of the limits, so old limits would shorten it.
+const delegationLimitsAgePerHeartbeat = 0.02
 
-// publishDelegation replaces the published delegation terms if they are old and leadership was not resigned. The terms
+// publishDelegation replaces the published delegationLimits if they are old and leadership was not resigned. The limits
 // exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
-	if previous := s.delegator.terms.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, termsAgePerHeartbeat) {
+	if previous := s.delegator.limits.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, delegationLimitsAgePerHeartbeat) {
 		return
 	}
-	terms := &delegationTerms{at: now, renewUntil: s.role.RenewWorkersUntil, excluded: make(map[string][]int)}
+	limits := &delegationLimits{at: now, renewUntil: s.role.RenewWorkersUntil, excluded: make(map[string][]int)}
 	for id, j := range s.state.Jobs.Cancelling {
 		if len(j.Attempts) == 0 {
 			delete(s.state.Jobs.Cancelling, id)
 		}
 		for _, a := range j.Attempts {
-			if z := a.Machine.Zone; !slices.Contains(terms.excluded[z], a.Machine.ID) {
-				terms.excluded[z] = append(terms.excluded[z], a.Machine.ID)
+			if z := a.Machine.Zone; !slices.Contains(limits.excluded[z], a.Machine.ID) {
+				limits.excluded[z] = append(limits.excluded[z], a.Machine.ID)
 			}
 		}
 	}
-	s.delegator.terms.Store(terms)
+	s.delegator.limits.Store(limits)
 }
 
 // delegatedLeaseBound returns the time by which a machine's lease has expired for certain. This leader last renewed the
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -117,7 +117,7 @@
 		s.removeAttempt(a, "machine removed")
 	}
 	s.state.Machines.Remove(m)
-	s.markRecord(storage.MachineKey(id), removed)
+	s.markRecord(storage.MachineKey(id), noData)
 	s.log.Info("machine removed", "machine", id, "reason", reason)
 	s.placementDue = true
 }
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -33,7 +33,7 @@
 	node          *Node
 	settings      *config.Settings
 	incoming      chan pendingReport
-	decisions     chan decidedBatch
+	batchResults  chan batchResult
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
 	pending       []pendingReport  // the batch that is being filled for the leader
@@ -67,15 +67,15 @@
 // heartbeats.
 type heartbeatRequest func(context.Context, []*worker.Report) []worker.HeartbeatResponse
 
-// decidedBatch is a batch with the leader's responses. responses is empty if no leader has handled the batch.
-type decidedBatch struct {
+// batchResult is a batch with the leader's responses. responses is empty if no leader has handled the batch.
+type batchResult struct {
 	reports   []pendingReport
 	responses []worker.HeartbeatResponse
 }
 
 func newForwarder(n *Node) *forwarder {
 	return &forwarder{
-		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), decisions: make(chan decidedBatch, n.settings.QueueSize()),
+		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), batchResults: make(chan batchResult, n.settings.QueueSize()),
 		workers: make(map[int]*knownWorker), seed: maphash.MakeSeed(), affinity: newAffinity(n),
 	}
 }
@@ -110,8 +110,8 @@
 			return
 		case p := <-f.incoming:
 			f.handleReport(ctx, p)
-		case d := <-f.decisions:
-			f.handleDecided(d)
+		case d := <-f.batchResults:
+			f.handleBatchResult(d)
 		case <-f.flushTimer:
 			f.sendBatch(ctx)
 		case <-refresh.C:
@@ -209,14 +209,14 @@
 		reports = append(reports, p.report)
 	}
 	select {
-	case f.decisions <- decidedBatch{batch, request(requestCtx, reports)}:
+	case f.batchResults <- batchResult{batch, request(requestCtx, reports)}:
 	case <-ctx.Done():
 	}
 }
 
-// handleDecided answers the workers with the leader's responses. Heartbeats that no leader has handled are answered by
+// handleBatchResult answers the workers with the leader's responses. Heartbeats that no leader has handled are answered by
 // answerDelegated.
-func (f *forwarder) handleDecided(d decidedBatch) {
+func (f *forwarder) handleBatchResult(d batchResult) {
 	now := time.Now()
 	for i, p := range d.reports {
 		if i >= len(d.responses) || d.responses[i].Undecided {
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -47,10 +47,10 @@
 	waiting := s.gateWaiters
 	s.gateWaiters = nil
 	for _, w := range waiting {
-		kept := len(s.gateWaiters)
+		waitingBefore := len(s.gateWaiters)
 		s.handleUser(w.msg)
-		if len(s.gateWaiters) > kept {
-			s.gateWaiters[kept].since = w.since // the submission waits again, and its time limit isn't extended
+		if len(s.gateWaiters) > waitingBefore {
+			s.gateWaiters[waitingBefore].since = w.since // the submission waits again, and its time limit isn't extended
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		upgrade.Activation:       uses.lifecycles,
 	}
 	if uses.archive {
-		usage[upgrade.JobArchive], err = t.countArchived(ctx, record)
+		usage[upgrade.JobArchive], err = t.restoreAndCountArchived(ctx, record)
 	}
 	if uses.archiving { // the count may not include the batch that is being archived
 		usage[upgrade.JobArchive]++
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -15,9 +15,9 @@
 // machines whose reports still arrive are counted. The count starts again whenever a direct command reaches any machine.
 const handoverThreshold = 8
 
-// noteReachable records whether a direct command reached a machine. It hands leadership over once direct commands have
+// updateReachability records whether a direct command reached a machine. It hands leadership over once direct commands have
 // failed to reach handoverThreshold machines, if this controller receives no heartbeats from workers but a peer does.
-func (s *scheduler) noteReachable(m *cluster.Machine, reached bool, now time.Time) {
+func (s *scheduler) updateReachability(m *cluster.Machine, reached bool, now time.Time) {
 	if reached {
 		clear(s.commandsFailing)
 		return
@@ -60,6 +60,6 @@
 	r := s.role
 	r.LeaseValidUntil, r.RenewWorkersUntil = time.Time{}, time.Time{}
 	s.setRole(r)
-	s.delegator.terms.Store(nil)
+	s.delegator.limits.Store(nil)
 	s.resign(leadership.Resignation{Term: s.term, StandDown: standDown})
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -19,7 +19,7 @@
 	}
 	if s.archiveInUse {
 		for _, key := range loaded.OrphanPages {
-			s.markRecord(key, removed) // the page's job was archived, and the removal of the page was interrupted
+			s.markRecord(key, noData) // the page's job was archived, and the removal of the page was interrupted
 		}
 	}
 	for _, j := range s.state.Jobs.InOrder() {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		a.Durable = true
-		if leaseValid && s.mayStart(a) {
+		if leaseValid && s.mayStartDirectly(a) {
 			starts[a.Machine] = append(starts[a.Machine], a)
 		}
 	}
@@ -116,10 +116,10 @@
 	}
 }
 
-// mayStart reports whether a durable attempt may be started by a direct command. The attempts of a cancelled job may not be
-// started, even if the cancellation isn't durable yet: the start command could arrive after the user has received the
-// response to the cancellation.
-func (s *scheduler) mayStart(a *cluster.Attempt) bool {
+// mayStartDirectly reports whether a durable attempt may be started by a direct command. The attempts of a cancelled job may
+// not be started, even if the cancellation isn't durable yet: the start command could arrive after the user has received
+// the response to the cancellation.
+func (s *scheduler) mayStartDirectly(a *cluster.Attempt) bool {
 	m := a.Machine
 	if a.Job.Phase != storage.PhaseOpen || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.StartMayBeDelivered() {
 		return false
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/activation"
 )
 
-// usageIntervals is how long a controller may send no usage report before it counts as silent, in usage intervals.
-const usageIntervals = 2
+// maxSilentUsageIntervals is how long a controller may send no usage report before it counts as silent, in usage intervals.
+const maxSilentUsageIntervals = 2
 
 // usageMessage carries a controller's usage report to the scheduler.
 type usageMessage struct {
@@ -16,8 +16,8 @@
 	reply  chan activation.UsageResponse
 }
 
-// usageUndecided returns the response to a usage report that no leader is known to have handled.
-func usageUndecided(reason string) activation.UsageResponse {
+// undecidedUsageResponse returns the response to a usage report that no leader is known to have handled.
+func undecidedUsageResponse(reason string) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
@@ -30,11 +30,11 @@
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
-		return usageUndecided(reason)
+		return undecidedUsageResponse(reason)
 	}
 	response, err := n.deps.Peers.ReportUsage(ctx, leader, report)
 	if err != nil {
-		return usageUndecided("leader out of reach")
+		return undecidedUsageResponse("leader out of reach")
 	}
 	return response
 }
@@ -44,7 +44,7 @@
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.reportUsage(ctx, report)
 	}
-	return usageUndecided("not the leader")
+	return undecidedUsageResponse("not the leader")
 }
 
 // reportUsage sends a usage report to the scheduler and waits for its response.
@@ -52,7 +52,7 @@
 	reply := make(chan activation.UsageResponse, 1)
 	response, err := call(ctx, s, usageMessage{report, reply}, reply)
 	if err != nil {
-		return usageUndecided(err.Error())
+		return undecidedUsageResponse(err.Error())
 	}
 	return response
 }
@@ -61,7 +61,7 @@
 func (s *scheduler) handleUsage(m usageMessage) {
 	now := time.Now()
 	if !s.leaseValid(now) {
-		m.reply <- usageUndecided("leadership not certain")
+		m.reply <- undecidedUsageResponse("leadership not certain")
 		return
 	}
 	c := s.activation
@@ -81,9 +81,9 @@
 	return orders
 }
 
-// checkUsage starts to drain a ready service that has no recent requests, and stops a draining service once all controllers
+// applyUsage starts to drain a ready service that has no recent requests, and stops a draining service once all controllers
 // have stopped routing to it.
-func (c *activationController) checkUsage(s *managedService, now time.Time) {
+func (c *activationController) applyUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.pendingWrites > 0 {
 		return
 	}
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -266,7 +266,7 @@
 		return
 	}
 	for p := 0; p*storage.TasksPerPage < len(j.Tasks); p++ {
-		s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), removed)
+		s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), noData)
 	}
 	s.state.Jobs.ReleaseTasks(j)
 	s.markJob(j)
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -18,9 +18,9 @@
 	reply chan activation.WakeResponse
 }
 
-// undecided returns the response to a wake request that can't be answered now. It contains no state of the model, and the
-// sender should retry the request.
-func undecided(reason string) activation.WakeResponse {
+// undecidedWakeResponse returns the response to a wake request that can't be answered now. The response contains no state of
+// the model, and the sender should retry the request.
+func undecidedWakeResponse(reason string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
@@ -32,15 +32,15 @@
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
-		return undecided(reason)
+		return undecidedWakeResponse(reason)
 	}
 	sentAt := time.Now()
 	response, err := n.deps.Peers.Wake(ctx, leader, req)
 	if err != nil {
-		return undecided("leader out of reach")
+		return undecidedWakeResponse("leader out of reach")
 	}
 	if response.Verdict != activation.VerdictUndecided && time.Since(sentAt) > response.Holds+req.Wait {
-		return undecided("the leader's answer came late")
+		return undecidedWakeResponse("the leader's answer came late")
 	}
 	return response
 }
@@ -64,7 +64,7 @@
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.wake(ctx, req)
 	}
-	return undecided("not the leader")
+	return undecidedWakeResponse("not the leader")
 }
 
 // wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full, it returns a
@@ -74,7 +74,7 @@
 	requestedAt := time.Now()
 	response, err := call(ctx, s, wakeMessage{req, reply}, reply)
 	if err != nil {
-		return undecided(err.Error())
+		return undecidedWakeResponse(err.Error())
 	}
 	return s.withLeaseBound(response, requestedAt)
 }
@@ -88,7 +88,7 @@
 	}
 	validUntil := s.leaseValidUntil.Load()
 	if validUntil == nil || !time.Now().Before(*validUntil) {
-		return undecided("leadership not certain")
+		return undecidedWakeResponse("leadership not certain")
 	}
 	response.Holds = min(response.Holds, clock.Scale(validUntil.Sub(requestedAt), 1/clock.DriftBound))
 	return response
@@ -100,15 +100,15 @@
 	j := s.state.Jobs.Get(m.req.Model)
 	switch {
 	case !s.leaseValid(now):
-		m.reply <- undecided("leadership not certain")
+		m.reply <- undecidedWakeResponse("leadership not certain")
 	case j == nil:
 		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no such service", Holds: s.settings.WakeInterval()}
 	case !j.Acknowledged:
-		m.reply <- undecided("acceptance not yet recorded")
+		m.reply <- undecidedWakeResponse("acceptance not yet recorded")
 	case j.Phase != storage.PhaseOpen || !j.Spec.Service:
 		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
 	case s.commitStalled(now):
-		m.reply <- undecided("state service slow or out of reach")
+		m.reply <- undecidedWakeResponse("state service slow or out of reach")
 	default:
 		s.activation.handleDemand(j, m, now)
 	}
@@ -137,7 +137,7 @@
 	}
 	c.scheduler.afterJobCommit(j, func(err error) {
 		if err != nil || c.service(j) != s {
-			m.reply <- undecided("not recorded")
+			m.reply <- undecidedWakeResponse("not recorded")
 			return
 		}
 		m.reply <- c.response(s, time.Now())
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -9,10 +9,10 @@
 	"sagevale/internal/worker"
 )
 
-// fencingInForce reports whether the leader raises the fencing tokens of workers within a term. A peer that renews leases
+// mayRaiseTokens reports whether the leader raises the fencing tokens of workers within a term. A peer that renews leases
 // under a delegation must then accept all tokens of the term. Earlier versions don't support that, so raising tokens depends
 // on a feature gate.
-func (s *scheduler) fencingInForce() bool {
+func (s *scheduler) mayRaiseTokens() bool {
 	return s.settings.Tuning.Fencing.Enabled && s.gates.Gate(upgrade.WorkerTokens).Phase == upgrade.GateOpen
 }
 
@@ -20,7 +20,7 @@
 // late direct command could start the attempt again. The response to the worker's heartbeat carries the new token. Once the
 // worker reports the new token, it rejects all direct commands with lower tokens, and needn't retain those attempts any more.
 func (s *scheduler) raiseToken(m *cluster.Machine) {
-	if !s.fencingInForce() {
+	if !s.mayRaiseTokens() {
 		return
 	}
 	if m.Fence.RaiseIfDue(max(s.settings.Tuning.Fencing.Window, len(m.Attempts)), m.InFlight > 0) {
@@ -38,7 +38,7 @@
 // too many ended attempts, the responses to its heartbeats carry the start commands instead. Start commands in responses are
 // never executed late, so the worker needn't retain the attempts that they start.
 func (s *scheduler) directStartsAllowed(m *cluster.Machine, j *cluster.Job) bool {
-	if s.fencingInForce() {
+	if s.mayRaiseTokens() {
 		return !m.Fence.Full()
 	}
 	return j.Urgent() || m.Fence.Retained()+len(m.Attempts) <= maxDirectBacklog
@@ -59,7 +59,7 @@
 // term. Once the worker has a token of the next term, it rejects all direct start commands of this term, and needn't retain
 // those attempts any more.
 func (s *scheduler) resignIfFencesFull(now time.Time) {
-	if s.fencingInForce() || !s.leaseValid(now) || now.Sub(s.termStarted) < s.settings.WorkerLease {
+	if s.mayRaiseTokens() || !s.leaseValid(now) || now.Sub(s.termStarted) < s.settings.WorkerLease {
 		return
 	}
 	for _, m := range s.state.Machines.InOrder() {
