--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -14,7 +14,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// managedService is a service that scales to zero, together with the leader's copy of its lifecycle record.
+// managedService is a service that scales to zero. record is the leader's copy of the service's lifecycle record, which
+// stores whether the service is idle, starting, ready, draining, stopping or failed.
 type managedService struct {
 	job           *cluster.Job
 	record        activation.Record
@@ -99,11 +100,11 @@
 	active     map[string]*managedService // the services whose state may change as time passes
 	usage      *activation.Usage
 	startTimes activation.StartTimes
-	// postponed holds the services that should scale to zero but have no lifecycle record, because they were accepted
-	// while the gate was closed. They run all the time until the gate is in use.
+	// postponed holds the services that should scale to zero but have no lifecycle record, for example because they were
+	// accepted while the activation gate was closed. They run all the time until the gate is open and marked as used.
 	postponed       map[string]*cluster.Job
 	pendingRemovals int  // number of lifecycle records whose removal isn't durable yet
-	resumed         bool // resume was called; attemptReserved has no effect before, because reconcile handles stored attempts
+	resumed         bool // set by resume; attemptReserved does nothing before, because reconcile handles the stored attempts
 }
 
 func newActivationController(settings *config.Settings, gate upgrade.GateState, sched activationScheduler, log *slog.Logger) *activationController {
@@ -129,16 +130,16 @@
 	c.addService(&managedService{job: j, record: activation.Record{State: activation.Idle, SinceMS: now.UnixMilli()}})
 }
 
-// postpone adds a job to the postponed services if it should scale to zero. The job runs all the time until the
-// activation gate is in use.
+// postpone adds a job to the postponed services if it should scale to zero. The job runs all the time until
+// adoptPostponed creates its lifecycle record.
 func (c *activationController) postpone(j *cluster.Job) {
 	if c.scalesToZero(&j.Spec) {
 		c.postponed[j.Spec.ID] = j
 	}
 }
 
-// adoptPostponed creates lifecycle records for the postponed services once the gate is in use. From then on they scale to
-// zero like all other managed services.
+// adoptPostponed creates lifecycle records for the postponed services once the activation gate is open and marked as used.
+// From then on they scale to zero like all other managed services.
 func (c *activationController) adoptPostponed(now time.Time) {
 	if len(c.postponed) == 0 || c.gate.Phase != upgrade.GateOpen || !c.scheduler.mayUse(upgrade.Activation) {
 		return
@@ -329,7 +330,7 @@
 	}
 }
 
-// attemptRunning handles an attempt that has started to run: its model answers requests from then on.
+// attemptRunning handles an attempt that has started to run. From then on the service answers requests.
 func (c *activationController) attemptRunning(a *cluster.Attempt, now time.Time) {
 	s := c.service(a.Job)
 	if s == nil {
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -26,7 +26,7 @@
 type affinity struct {
 	node       *Node
 	names      []string             // all controllers, sorted
-	zones      map[string]string    // by controller
+	zones      map[string]string    // zone of each controller
 	lastProbed map[string]time.Time // when a worker was last redirected to a controller without heartbeats
 }
 
@@ -90,7 +90,7 @@
 }
 
 // mayRedirectTo reports whether a worker may be redirected to a controller now. That is the case if the controller
-// receives heartbeats. Otherwise one worker per affinityProbeInterval may be redirected to it as a probe, and
+// receives heartbeats. Otherwise one worker per affinityProbeInterval may be redirected to the controller as a probe, and
 // mayRedirectTo records the time of the probe.
 func (a *affinity) mayRedirectTo(name string, now time.Time) bool {
 	if status, ok := a.node.deps.Peers.Status(name); ok && status.SinceHeartbeat+now.Sub(status.Received) < a.node.settings.HeartbeatInterval {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -88,7 +88,8 @@
 	return true
 }
 
-// readArchive reads the archive page that may contain a job in the background, and sends the result to the scheduler.
+// readArchive starts a read of the archive page that may contain a job. The read runs in the background and sends its result
+// to the scheduler.
 func (s *scheduler) readArchive(m userMessage, number archive.JobNumber) {
 	s.background(s.settings.CallTimeout(), func(ctx context.Context) {
 		result, err := s.archive.Read(ctx, number)
@@ -202,8 +203,9 @@
 // errArchivingInProgress reports that jobs can't be restored because a batch of jobs is being archived.
 var errArchivingInProgress = errors.New("jobs are being archived")
 
-// restoreArchived adds archived jobs to the journal again. It fails while a batch is being archived. Otherwise a restored job
-// could be lost: the end of the batch would remove it from the journal, and its page is then removed from the archive.
+// restoreArchived adds archived jobs to the journal again, before their page is removed from the archive. It fails while a
+// batch is being archived. Otherwise handleArchived could remove a restored job from the journal at the end of the batch,
+// and the job would be lost when its page is removed.
 func (s *scheduler) restoreArchived(m restoreMessage) {
 	if s.archiving {
 		m.reply <- errArchivingInProgress
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -107,7 +107,7 @@
 	m.InFlight++
 	var sendBy time.Time
 	if len(starts) > 0 {
-		sendBy = s.role.LeaseValidUntil // the process may be paused before it sends the request
+		sendBy = s.role.LeaseValidUntil // the lease may expire if the process is paused before it sends the request
 	}
 	s.background(timeout, func(ctx context.Context) {
 		outcome, report := s.deps.Workers.SendCommands(ctx, addr, token, incarnation, commands, sendBy)
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// acceptedJobBytes is the typical size of an accepted job's record, in bytes. Until the throughput of submissions has been
-// measured, it is estimated from this size.
+// acceptedJobBytes is the typical size of an accepted job's record, in bytes. The initial estimate of the throughput of
+// submissions uses this size, until the throughput has been measured.
 const acceptedJobBytes = 250
 
 // maxSubmissionWait is how long a submission may wait for its commit. The protocol lets users time out after 5 s, and the
@@ -63,7 +63,7 @@
 	return groupcommit.Bulk
 }
 
-// markPage marks a page record to be written: the one that contains the given task of the job.
+// markPage marks the page record of a job's task to be written. A page record holds the states of several tasks.
 func (s *scheduler) markPage(j *cluster.Job, task int) {
 	p := task / storage.TasksPerPage
 	s.queue.Mark(pageLane(j), storage.TaskPageKey(j.Spec.ID, p), func() any {
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -17,10 +17,10 @@
 // zones. A peer uses this right while it can't reach a leader: while its zone is partitioned, or in the seconds between
 // two leaders.
 //
-// The time limit of a delegation is the same as that for a leader that renews leases without reaching the key-value store.
-// In both cases a new leader may confirm the cancellation of a job without reaching the job's workers. The job's tasks must
-// be gone within cancel_s, and they may run until lease_s after the last renewal of their worker's lease. The last renewal
-// must therefore happen within cancel_s - lease_s, less a margin, after the last contact with the leader.
+// A leader that doesn't reach the key-value store may renew leases only for a limited time, and a delegation has the same
+// time limit. In both cases a new leader may confirm the cancellation of a job without reaching the job's workers. The job's
+// tasks must be gone within cancel_s, and they may run until lease_s after the last renewal of their worker's lease. The last
+// renewal must therefore happen within cancel_s - lease_s, less a margin, after the last contact with the leader.
 //
 // Workers that still have to stop tasks of a cancelled job are excluded from the delegation. The response to a delegated
 // renewal contains no commands.
@@ -88,8 +88,8 @@
 	return f.lastProbe.Since(math.MaxInt64) < probeTimeout
 }
 
-// probeTimeout is how long after its last probe the load balancer still counts as connected to this controller. The load
-// balancer probes once a second.
+// probeTimeout is how long the load balancer counts as connected to this controller after its last probe. The load balancer
+// probes once a second.
 const probeTimeout = 5 * time.Second / 2
 
 // canTryOthers reports whether a worker has enough time left in its lease to try all other controllers without success and
@@ -215,8 +215,8 @@
 	requestedAt time.Time // when the peer's latest status was requested
 }
 
-// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone. If a zone
-// is unknown, it could be the same one.
+// covers reports whether the peer may renew the machine's lease at all. A peer renews leases only in its own zone. If the
+// zone of the peer or of the machine is unknown, the two may be in the same zone.
 func (r *peerRenewals) covers(m *cluster.Machine) bool {
 	return r.zone == m.Zone || r.zone == "" || m.Zone == ""
 }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -98,9 +98,9 @@
 	m.Failed = listed.State == cloud.Failed
 }
 
-// provenGone reports whether a machine that isn't in the cloud's list is certainly gone. It must have been unlisted for
-// longer than the list can lag behind, and silent for longer than a worker lease, and its worker's lease must have expired
-// for certain.
+// provenGone reports whether a machine that isn't in the cloud's list is certainly gone. The machine must have been unlisted
+// for longer than the list can lag behind, and silent for longer than a worker lease. The lease of its worker must also have
+// expired for certain.
 func (s *scheduler) provenGone(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -155,7 +155,8 @@
 	case leader == "" || leader == f.settings.NodeName:
 		f.answerDelegated(p, now)
 	case f.node.deps.Peers.UnreachableFor(leader) > 0:
-		// The relay is used because a redirection to an unreachable leader would cost the worker seconds of its lease.
+		// The relay is used instead of redirecting the worker to the leader. If the worker can't reach the leader either,
+		// the redirection would cost the worker seconds of its lease.
 		f.startRequest(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
 	default:
 		f.enqueue(ctx, p, leader)
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// failGateWaiters answers the submissions that have waited too long for a gate with a response to retry later. If this
-// controller isn't certain to be the leader, it answers all waiting submissions in this way.
+// failGateWaiters ends the wait of submissions that have waited too long for a gate, and asks their users to retry. If this
+// controller isn't certain to be the leader, it does so for all waiting submissions.
 func (s *scheduler) failGateWaiters(now time.Time) {
 	s.gateWaiters = slices.DeleteFunc(s.gateWaiters, func(w gateWaiter) bool {
 		expired := !s.leaseValid(now) || now.Sub(w.since) > clock.Scale(s.settings.HeartbeatInterval, commitStallPerHeartbeat)
@@ -83,7 +83,8 @@
 var errTermEnded = errors.New("the term has ended")
 
 // termGates publishes the gates in force to the actors of one term, and counts how much of their state depends on each gate.
-// All actors apply new gates before the count, so that it includes every use. termGates implements upgradecontrol.GateUsers.
+// All actors apply new gates before the count, so that the count includes every use. termGates implements
+// upgradecontrol.GateUsers.
 type termGates struct {
 	scheduler *scheduler
 	journal   *storage.Journal
@@ -96,7 +97,7 @@
 }
 
 // publish sends a cluster record to the journal and the scheduler. It returns the uses of gates that the scheduler counted
-// when it had applied the record.
+// right after it had applied the record.
 func (t termGates) publish(ctx context.Context, record upgrade.Record) (gateUses, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -49,8 +49,8 @@
 // resignLeadership gives up leadership. This controller may be elected again immediately.
 func (s *scheduler) resignLeadership(reason string) { s.resignOnce(reason, false) }
 
-// resignOnce gives up leadership. In a term that has been resigned before it does nothing. After the resignation this
-// controller grants no delegations of lease renewals. If standDown is set, another controller is to be elected next.
+// resignOnce gives up leadership, at most once per term. After the resignation this controller grants no delegations of
+// lease renewals. If standDown is set, another controller is to be elected next.
 func (s *scheduler) resignOnce(reason string, standDown bool) {
 	if s.resigned {
 		return // after a pause of the process, several of the messages in the mailbox may cause a resignation
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -26,8 +26,8 @@
 }
 
 // leaseExpiredBy returns the time by which the lease of a machine has certainly expired if the machine stays silent. As long
-// as the machine hasn't reported a token of this term, two others may also have renewed its lease: an earlier leader, and a
-// peer under a delegation of that leader.
+// as the machine hasn't reported a token of this term, an earlier leader may have renewed its lease, and so may a peer under
+// a delegation of that leader.
 func (s *scheduler) leaseExpiredBy(m *cluster.Machine) time.Time {
 	bound := s.delegatedLeaseBound(m)
 	if !m.Confirmed {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -246,7 +246,7 @@
 	n.election.Resign(leadership.Resignation{Term: term})
 }
 
-// Role returns this controller's present role, for operators.
+// Role describes this controller's present role to operators.
 func (n *Node) Role() string {
 	v := n.view.Load()
 	switch {
@@ -314,7 +314,7 @@
 }
 
 // forwardUserRequest forwards a user's request to the leader. If the leader's response arrives too late to be valid, it
-// returns a response to retry later instead.
+// returns another response that asks the user to retry.
 func (n *Node) forwardUserRequest(ctx context.Context, leader string, req api.Request) api.Response {
 	sent := time.Now()
 	var response api.Response
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -93,8 +93,8 @@
 		now.Sub(m.LastContact) <= clock.Scale(s.settings.HeartbeatInterval, reachableReportAge)
 }
 
-// startReserved marks reserved attempts as durable and sends their start commands directly to the workers, where that is
-// allowed.
+// startReserved marks reserved attempts as durable. If mayStartDirectly permits it, startReserved sends an attempt's start
+// command directly to the worker.
 func (s *scheduler) startReserved(reserved []*cluster.Attempt) {
 	leaseValid := s.leaseValid(time.Now())
 	starts := make(map[*cluster.Machine][]*cluster.Attempt)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -32,10 +32,10 @@
 const (
 	// tickPerHeartbeat is the interval of the scheduler's periodic work, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// snapshotPerHeartbeat is the pause between two fleet snapshots, in heartbeat intervals.
+	// snapshotPerHeartbeat is the minimum pause between two fleet snapshots, in heartbeat intervals.
 	snapshotPerHeartbeat = 0.25
-	// snapshotPauseFactor is the minimum pause between two fleet snapshots, as a multiple of the time that the tick
-	// with the last snapshot took.
+	// snapshotPauseFactor is another minimum pause between two fleet snapshots, as a multiple of the duration of the tick
+	// that made the last snapshot. The longer of the two pauses applies.
 	snapshotPauseFactor = 10
 	// commitStallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
 	// for a stalled commit get a response that asks them to retry.
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -100,8 +100,8 @@
 }
 
 // handleSubmit handles a submission. Submissions are idempotent: the response to a repeated submission is the job's
-// state, and if the job's record isn't durable yet the repeated submission waits until it is. j is nil if the job doesn't
-// exist.
+// state. If the job's record isn't durable yet, the repeated submission waits until the record is durable. j is nil if the
+// job doesn't exist.
 func (s *scheduler) handleSubmit(m userMessage, j *cluster.Job, now time.Time) {
 	if j != nil && j.Acknowledged {
 		m.reply <- responseOf(j)
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -30,8 +30,8 @@
 
 // maxDirectBacklog is the number of attempts on a worker above which direct commands no longer start tasks there, unless
 // their jobs are urgent. Live attempts and retained ended attempts are counted together. The remaining part of MaxRetained is
-// reserved for urgent jobs. Without this limit, a flood of short tasks would fill the fences, and the leader would have to
-// resign.
+// reserved for urgent jobs. Without this limit, a flood of short tasks would fill the workers' fences with retained attempts,
+// and the leader would have to resign.
 const maxDirectBacklog = fencing.MaxRetained / 2
 
 // directStartsAllowed reports whether tasks of a job may be started on a worker by direct commands. If the worker must retain
