--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -13,16 +13,18 @@
 	"sagevale/internal/worker"
 )
 
-// The forwarder of a controller receives the workers' heartbeats that arrive at the controller, and forwards each to the
-// leader. If its own controller leads it calls the scheduler. Otherwise it sends batches over the peer link, or uses the
-// relay if the leader can be reached only through the key-value store. The worker gets the leader's own response under the
-// leader's fencing token, so leases count from the leader's responses. Only while no leader can be reached does the
-// forwarder renew leases itself, within the limits of the last leader's delegation: see delegation.go.
+// Each controller has a forwarder, which receives the workers' heartbeats that arrive at the controller and passes them to
+// the leader. If the controller itself is the leader, the forwarder calls the scheduler. Otherwise it sends batches of
+// heartbeats to the leader. If the leader can be reached only through the key-value store, it uses the relay. The worker
+// gets the leader's own response with the leader's fencing token, so leases count from the leader's responses.
+//
+// While no leader can be reached, the forwarder renews leases itself if the last leader's delegation permits that: see
+// delegation.go.
 
 const (
 	// maxBatchReports is the largest number of heartbeats in one batch for the leader.
 	maxBatchReports = 128
-	// workerMemoryLeases is the number of worker leases after which the record of a silent worker is deleted.
+	// workerMemoryLeases is how long the record of a silent worker is kept, in worker leases.
 	workerMemoryLeases = 2
 )
 
@@ -31,12 +33,12 @@
 	node          *Node
 	settings      *config.Settings
 	incoming      chan pendingReport
-	decisions     chan decidedBatch
+	batchResults  chan batchResult
 	workers       map[int]*knownWorker
 	seed          maphash.Seed
 	pending       []pendingReport  // the batch that is being filled for the leader
 	batchLeader   string           // the controller to which the pending batch will be sent
-	flushTimer    <-chan time.Time // fires when the pending batch has to be sent; nil while there is none
+	flushTimer    <-chan time.Time // fires when the pending batch has to be sent; nil while no batch is pending
 	affinity      affinity
 	delegation    delegation
 	lastHeartbeat clock.AtomicTime // when a heartbeat last arrived at this controller
@@ -61,18 +63,19 @@
 	reply  chan worker.HeartbeatResponse
 }
 
-// heartbeatRequest requests a leader's responses to heartbeats. It returns nil if no leader decided on them.
+// heartbeatRequest sends heartbeats to the leader and returns the leader's responses, or nil if no leader has handled the
+// heartbeats.
 type heartbeatRequest func(context.Context, []*worker.Report) []worker.HeartbeatResponse
 
-// decidedBatch is a batch with the leader's responses. There are no responses if no leader decided on the batch.
-type decidedBatch struct {
+// batchResult is a batch with the leader's responses. responses is empty if no leader has handled the batch.
+type batchResult struct {
 	reports   []pendingReport
 	responses []worker.HeartbeatResponse
 }
 
 func newForwarder(n *Node) *forwarder {
 	return &forwarder{
-		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), decisions: make(chan decidedBatch, n.settings.QueueSize()),
+		node: n, settings: n.settings, incoming: make(chan pendingReport, n.settings.QueueSize()), batchResults: make(chan batchResult, n.settings.QueueSize()),
 		workers: make(map[int]*knownWorker), seed: maphash.MakeSeed(), affinity: newAffinity(n),
 	}
 }
@@ -100,15 +103,15 @@
 	defer sweep.Stop()
 	refresh := time.NewTicker(f.settings.Tuning.LeaderLease / leadership.RenewalsPerLease)
 	defer refresh.Stop()
-	defer f.requests.Wait() // they end when ctx does
+	defer f.requests.Wait() // the requests end when ctx ends
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case p := <-f.incoming:
 			f.handleReport(ctx, p)
-		case d := <-f.decisions:
-			f.handleDecided(d)
+		case d := <-f.batchResults:
+			f.handleBatchResult(d)
 		case <-f.flushTimer:
 			f.sendBatch(ctx)
 		case <-refresh.C:
@@ -152,7 +155,8 @@
 	case leader == "" || leader == f.settings.NodeName:
 		f.answerDelegated(p, now)
 	case f.node.deps.Peers.UnreachableFor(leader) > 0:
-		// The relay is used because a redirection to an unreachable leader would cost the worker seconds of its lease.
+		// The relay is used instead of redirecting the worker to the leader. If the worker can't reach the leader either,
+		// the redirection would cost the worker seconds of its lease.
 		f.startRequest(ctx, []pendingReport{p}, f.node.relay.HandleHeartbeats)
 	default:
 		f.enqueue(ctx, p, leader)
@@ -181,7 +185,7 @@
 		f.startRequest(ctx, batch, func(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse {
 			responses, err := f.node.deps.Peers.ForwardHeartbeats(ctx, leader, reports)
 			if err != nil {
-				return nil // no leader decided on them
+				return nil // no response from the leader
 			}
 			return responses
 		})
@@ -206,14 +210,14 @@
 		reports = append(reports, p.report)
 	}
 	select {
-	case f.decisions <- decidedBatch{batch, request(requestCtx, reports)}:
+	case f.batchResults <- batchResult{batch, request(requestCtx, reports)}:
 	case <-ctx.Done():
 	}
 }
 
-// handleDecided answers the workers with the leader's responses. Heartbeats that no leader decided on may be answered under
-// a delegation.
-func (f *forwarder) handleDecided(d decidedBatch) {
+// handleBatchResult answers the workers with the leader's responses. Heartbeats that no leader has handled are answered by
+// answerDelegated.
+func (f *forwarder) handleBatchResult(d batchResult) {
 	now := time.Now()
 	for i, p := range d.reports {
 		if i >= len(d.responses) || d.responses[i].Undecided {
@@ -228,12 +232,13 @@
 	}
 }
 
-// stale reports whether a heartbeat is no newer than the last one that was accepted, as late copies are.
+// stale reports whether a heartbeat isn't newer than the last heartbeat that the leader accepted. This is so for copies that
+// arrive late.
 func (known *knownWorker) stale(r *worker.Report) bool {
 	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
 
-// digest returns a hash of the worker's state in a heartbeat. It excludes the sequence number.
+// digest returns a hash of the worker's state in a heartbeat. The hash doesn't cover the sequence number.
 func (f *forwarder) digest(r *worker.Report) uint64 {
 	var h maphash.Hash
 	h.SetSeed(f.seed)
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,21 +7,21 @@
 	"sagevale/internal/activation"
 )
 
-// usageIntervals is the number of usage intervals without a report after which a controller counts as silent.
-const usageIntervals = 2
+// maxSilentUsageIntervals is how long a controller may send no usage report before it counts as silent, in usage intervals.
+const maxSilentUsageIntervals = 2
 
-// usageMessage is a controller's usage report.
+// usageMessage carries a controller's usage report to the scheduler.
 type usageMessage struct {
 	report activation.UsageReport
 	reply  chan activation.UsageResponse
 }
 
-// usageUndecided returns the response of a controller that isn't certain to be the leader.
-func usageUndecided(reason string) activation.UsageResponse {
+// undecidedUsageResponse returns the response to a usage report that no leader is known to have handled.
+func undecidedUsageResponse(reason string) activation.UsageResponse {
 	return activation.UsageResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
-// ReportUsage sends this controller's usage of the models to the leader, and returns the leader's response.
+// ReportUsage reports to the leader how this controller uses the models, and returns the leader's response.
 func (n *Node) ReportUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse {
 	report.Node, report.Session = n.settings.NodeName, n.election.Process()
 	v := n.view.Load()
@@ -30,11 +30,11 @@
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
-		return usageUndecided(reason)
+		return undecidedUsageResponse(reason)
 	}
 	response, err := n.deps.Peers.ReportUsage(ctx, leader, report)
 	if err != nil {
-		return usageUndecided("leader out of reach")
+		return undecidedUsageResponse("leader out of reach")
 	}
 	return response
 }
@@ -44,7 +44,7 @@
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.reportUsage(ctx, report)
 	}
-	return usageUndecided("not the leader")
+	return undecidedUsageResponse("not the leader")
 }
 
 // reportUsage sends a usage report to the scheduler and waits for its response.
@@ -52,7 +52,7 @@
 	reply := make(chan activation.UsageResponse, 1)
 	response, err := call(ctx, s, usageMessage{report, reply}, reply)
 	if err != nil {
-		return usageUndecided(err.Error())
+		return undecidedUsageResponse(err.Error())
 	}
 	return response
 }
@@ -61,7 +61,7 @@
 func (s *scheduler) handleUsage(m usageMessage) {
 	now := time.Now()
 	if !s.leaseValid(now) {
-		m.reply <- usageUndecided("leadership not certain")
+		m.reply <- undecidedUsageResponse("leadership not certain")
 		return
 	}
 	c := s.activation
@@ -69,7 +69,8 @@
 	m.reply <- activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: c.drainOrders()}
 }
 
-// drainOrders returns drain orders for the models whose draining state is durable.
+// drainOrders returns the drain orders for a controller. The controller must stop routing requests to each model whose
+// draining state is durable.
 func (c *activationController) drainOrders() []activation.DrainOrder {
 	var orders []activation.DrainOrder
 	for id, s := range c.active {
@@ -80,8 +81,9 @@
 	return orders
 }
 
-// checkUsage starts to drain a service without recent requests, and stops one that has been drained.
-func (c *activationController) checkUsage(s *managedService, now time.Time) {
+// applyUsage starts to drain a ready service that has no recent requests, and stops a draining service once all controllers
+// have stopped routing to it.
+func (c *activationController) applyUsage(s *managedService, now time.Time) {
 	if s.damaged != nil || s.pendingWrites > 0 {
 		return
 	}
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -12,14 +12,15 @@
 	"sagevale/internal/storage"
 )
 
-// wakeMessage is a wake request: it reports that a controller has requests for a model.
+// wakeMessage carries a wake request to the scheduler. A controller sends one when it has requests for a model.
 type wakeMessage struct {
 	req   activation.WakeRequest
 	reply chan activation.WakeResponse
 }
 
-// undecided returns the response of a controller that can't determine the state of a model.
-func undecided(reason string) activation.WakeResponse {
+// undecidedWakeResponse returns the response to a wake request that can't be answered now. The response contains no state of
+// the model, and the sender should retry the request.
+func undecidedWakeResponse(reason string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.VerdictUndecided, Reason: reason}
 }
 
@@ -31,21 +32,22 @@
 	}
 	leader, reason := n.activationLeader(v)
 	if leader == "" {
-		return undecided(reason)
+		return undecidedWakeResponse(reason)
 	}
 	sentAt := time.Now()
 	response, err := n.deps.Peers.Wake(ctx, leader, req)
 	if err != nil {
-		return undecided("leader out of reach")
+		return undecidedWakeResponse("leader out of reach")
 	}
 	if response.Verdict != activation.VerdictUndecided && time.Since(sentAt) > response.Holds+req.Wait {
-		return undecided("the leader's answer came late")
+		return undecidedWakeResponse("the leader's answer came late")
 	}
 	return response
 }
 
 // activationLeader returns the name of the leader if it is another controller that supports wake requests and usage
-// reports. Otherwise it returns the reason why there is no such leader. Earlier versions would misinterpret these messages.
+// reports. Otherwise it returns the reason why there is no such leader. Controllers of earlier versions would misinterpret
+// these messages.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
@@ -62,30 +64,31 @@
 	if v := n.view.Load(); v.scheduler != nil {
 		return v.scheduler.wake(ctx, req)
 	}
-	return undecided("not the leader")
+	return undecidedWakeResponse("not the leader")
 }
 
-// wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full it returns an
-// undecided response at once.
+// wake sends a wake request to the scheduler and waits for its response. If the scheduler's mailbox is full, it returns a
+// response without a result at once.
 func (s *scheduler) wake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse {
 	reply := make(chan activation.WakeResponse, 1)
 	requestedAt := time.Now()
 	response, err := call(ctx, s, wakeMessage{req, reply}, reply)
 	if err != nil {
-		return undecided(err.Error())
+		return undecidedWakeResponse(err.Error())
 	}
 	return s.withLeaseBound(response, requestedAt)
 }
 
-// withLeaseBound limits the validity of a response to the end of the leader's lease. The lease may already have expired,
-// because this process may have been paused since the scheduler decided the response.
+// withLeaseBound limits the validity of a response to the end of the leader's lease. If the lease may already have expired,
+// it returns a response without a result. The lease can expire because the process was paused after the scheduler had
+// responded.
 func (s *scheduler) withLeaseBound(response activation.WakeResponse, requestedAt time.Time) activation.WakeResponse {
 	if response.Verdict == activation.VerdictUndecided {
 		return response
 	}
 	validUntil := s.leaseValidUntil.Load()
 	if validUntil == nil || !time.Now().Before(*validUntil) {
-		return undecided("leadership not certain")
+		return undecidedWakeResponse("leadership not certain")
 	}
 	response.Holds = min(response.Holds, clock.Scale(validUntil.Sub(requestedAt), 1/clock.DriftBound))
 	return response
@@ -97,22 +100,22 @@
 	j := s.state.Jobs.Get(m.req.Model)
 	switch {
 	case !s.leaseValid(now):
-		m.reply <- undecided("leadership not certain")
+		m.reply <- undecidedWakeResponse("leadership not certain")
 	case j == nil:
 		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no such service", Holds: s.settings.WakeInterval()}
 	case !j.Acknowledged:
-		m.reply <- undecided("acceptance not yet recorded")
+		m.reply <- undecidedWakeResponse("acceptance not yet recorded")
 	case j.Phase != storage.PhaseOpen || !j.Spec.Service:
 		m.reply <- activation.WakeResponse{Verdict: activation.VerdictUnknown, Reason: "no service that is open", Holds: s.settings.WakeInterval()}
 	case s.commitStalled(now):
-		m.reply <- undecided("state service slow or out of reach")
+		m.reply <- undecidedWakeResponse("state service slow or out of reach")
 	default:
 		s.activation.handleDemand(j, m, now)
 	}
 }
 
-// handleDemand applies the demand of a wake request to a service, and answers the request. If the request allows a delay, the
-// response to it is delayed while the service starts.
+// handleDemand applies the demand of a wake request to a service, and answers the request. If the request allows a delay,
+// the response is delayed while the service starts.
 func (c *activationController) handleDemand(j *cluster.Job, m wakeMessage, now time.Time) {
 	s := c.service(j)
 	if s == nil {
@@ -134,7 +137,7 @@
 	}
 	c.scheduler.afterJobCommit(j, func(err error) {
 		if err != nil || c.service(j) != s {
-			m.reply <- undecided("not recorded")
+			m.reply <- undecidedWakeResponse("not recorded")
 			return
 		}
 		m.reply <- c.response(s, time.Now())
@@ -162,7 +165,7 @@
 	})
 }
 
-// alwaysRunningReason is the reason in responses about services that have no lifecycle record.
+// alwaysRunningReason is the reason given in responses about services that have no lifecycle record.
 const alwaysRunningReason = "runs always"
 
 // alwaysRunningResponse returns the response about a service that runs regardless of demand.
