--- a/internal/activation/lifecycle_test.go
+++ b/internal/activation/lifecycle_test.go
@@ -8,9 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// In any sequence of events with lost, unanswered and delayed writes, there is at most one replica at a
-// time, generations increase by one, no request is forwarded to a replica that is being stopped, every
-// record stays the same when it is encoded and decoded, and the service ends up idle or failed.
+// In any sequence of events with lost, unanswered and delayed writes:
+//
+//   - There is at most one replica at a time, and generations increase by one.
+//   - No request is forwarded to a replica that is being stopped.
+//   - Every record stays the same when it is encoded and decoded.
+//   - The service ends up idle or failed.
 func TestAtMostOneReplicaInAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation()
@@ -32,8 +35,8 @@
 
 const historySeeds = 60
 
-// runHistory runs a long random history in a simulation that configure has changed, until the first violated
-// invariant at the latest.
+// runHistory creates a simulation, lets configure change the simulation, and then runs a long random history
+// in it. It stops at the first violated invariant.
 func runHistory(seed uint64, configure func(sim *simulation)) *simulation {
 	random := rand.New(rand.NewPCG(seed, 2))
 	sim := newSimulation()
@@ -61,7 +64,7 @@
 	}
 }
 
-// The simulation is strict enough to detect lifecycles that lack a guard.
+// Each case removes one safeguard of the lifecycle. The simulation must then detect a violated invariant.
 func TestSimulationDetectsMissingGuards(t *testing.T) {
 	faulty := func(apply transition) func(*simulation) {
 		return func(sim *simulation) { sim.transition = apply }
@@ -74,7 +77,7 @@
 			r.Replica = NoReplica
 			return r.enterState(Starting, now), Reserve
 		}),
-		"demand for an earlier generation wakes": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
+		"demand for any generation starts the next replica while the old one is being stopped": faulty(func(r Record, e Event, p *Policy, now time.Time) (Record, Action) {
 			if _, demand := e.(Demand); demand && r.State == Stopping {
 				r.Replica = NoReplica
 				return r.startNextGeneration(now)
--- a/internal/activation/model_test.go
+++ b/internal/activation/model_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// This file simulates one service. Its lifecycle record is in a store with revisions, which also holds the
-// attempt that may be on a machine. A leader's term may end at any time. Each write of a leader to the record
-// or to the attempt may be lost, unanswered or delayed, and the two may be written in either order. Starts may
-// arrive late and repeatedly. Controllers forward requests according to a view of the record that may be out
-// of date.
+// This file simulates one service. The store holds the lifecycle record of the service, with a revision, and
+// the number of the attempt whose replica may be on a machine. A leader's term may end at any time. A leader's
+// write to the record or to the attempt may be lost, unanswered or delayed. If an event changes both, they may
+// be written in either order. Start commands may arrive late and repeatedly. Controllers forward requests
+// according to a view of the record that may be out of date.
 
 // write is a conditional write of either the record or the attempt.
 type write struct {
@@ -20,17 +20,18 @@
 	attempt        uint64
 }
 
-// replica identifies an attempt of a generation that may be on a machine.
+// replica identifies the replica of one attempt of a generation.
 type replica struct{ generation, attempt uint64 }
 
-// controller forwards requests while its view of the record is valid and has the state Ready.
+// controller is a simulated controller. It forwards requests while its view of the record is valid and shows
+// the state Ready, but not if it has acknowledged a later drain than the view shows.
 type controller struct {
 	view    Record
 	readAt  time.Time
-	drained uint64 // the latest drain that it has acknowledged
+	drained uint64 // the number of the latest drain that the controller has acknowledged; 0: none
 }
 
-// viewLease is how long a controller's view is valid.
+// viewLease is how long a controller's view is valid after the controller has read it.
 const viewLease = 10 * time.Second
 
 func (c *controller) forwards(now time.Time) bool {
@@ -48,29 +49,29 @@
 
 	// The store.
 	record   Record
-	revision int    // of the record
-	attempt  uint64 // the attempt that may be on a machine
-	term     int    // of the current leader
-	delayed  []write
+	revision int     // the revision of the record
+	attempt  uint64  // the attempt whose replica may be on a machine
+	term     int     // the number of the current leader's term
+	delayed  []write // writes that may be carried out later, repeatedly or never
 
 	// The leader's state.
-	view         Record
-	viewRevision int
-	reservedAt   time.Time // of the leader's replica
-	routedUntil  time.Time // until when controllers may forward requests, according to the leader
+	view          Record
+	viewRevision  int
+	reservedAt    time.Time // when the replica in the leader's view changed, or when the term began
+	viewsExpireAt time.Time // when the views of all controllers will have expired, according to the leader
 
 	lastAttempt   uint64 // the highest attempt number used
 	liveReplicas  map[replica]bool
-	provedGone    map[uint64]bool // attempts proved gone, whose later starts have no effect
-	orderedStarts []replica       // ordered starts, which may arrive at any time and repeatedly
+	provedGone    map[uint64]bool // attempts proved to be on no machine; start commands for them have no effect
+	orderedStarts []replica       // start commands sent so far; each may arrive at any time and repeatedly
 	controllers   []*controller
-	acks          map[uint64]map[int]bool // by drain: the controllers that have acknowledged it
+	acks          map[uint64]map[int]bool // by drain number: the controllers that have acknowledged the drain
 	events        []Event                 // every event so far; each may occur again
 	violations    []string
 
-	// Tests that check whether the simulation is strict enough change these.
+	// Tests that check whether the simulation detects faults change the following fields.
 	transition        transition
-	assumedViewLease  time.Duration // how long a new leader assumes that earlier views are valid
+	assumedViewLease  time.Duration // how long a new leader assumes that views of earlier terms stay valid
 	maxStepIntervalMS int           // upper bound of the time between two steps
 }
 
@@ -100,15 +101,15 @@
 	return sim
 }
 
-// fault records a violated invariant.
+// addViolation records a violated invariant.
 func (sim *simulation) addViolation(format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-// changeLeader begins a new term, whose leader reads the store and continues with the outstanding action.
+// changeLeader begins a new term. The new leader reads the store and continues with the outstanding action.
 func (sim *simulation) changeLeader() {
 	sim.term++
-	sim.viewRevision, sim.reservedAt, sim.routedUntil = sim.revision, sim.now, sim.now.Add(sim.assumedViewLease)
+	sim.viewRevision, sim.reservedAt, sim.viewsExpireAt = sim.revision, sim.now, sim.now.Add(sim.assumedViewLease)
 	var action Action
 	sim.view, action = sim.record.Restore(sim.attempt, &sim.policy, sim.now)
 	if !sim.view.SameStored(sim.record) {
@@ -120,18 +121,18 @@
 
 // store carries out a write if its conditions hold, and reports whether they did. It checks that generations
 // increase by one, and that records stay the same when they are encoded and decoded.
-func (sim *simulation) store(t write) bool {
-	if t.term != sim.term {
+func (sim *simulation) store(w write) bool {
+	if w.term != sim.term {
 		return false
 	}
-	if t.record == nil {
-		sim.attempt = t.attempt
+	if w.record == nil {
+		sim.attempt = w.attempt
 		return true
 	}
-	if t.revision != sim.revision {
+	if w.revision != sim.revision {
 		return false
 	}
-	next := *t.record
+	next := *w.record
 	if next.Generation != sim.record.Generation && next.Generation != sim.record.Generation+1 {
 		sim.addViolation("generation %d follows generation %d", next.Generation, sim.record.Generation)
 	}
@@ -151,18 +152,18 @@
 // outcome is the result of a write.
 type outcome int
 
-// The outcomes. After any outcome but answered, the leader's term ends.
+// The outcomes. The leader's term ends after any outcome but answered. It also ends if the write is rejected.
 const (
-	answered outcome = iota
-	lost
-	unanswered
-	delayed
-	outcomeCount // the number of outcomes
+	answered     outcome = iota // the write is carried out or rejected, and the leader receives the response
+	lost                        // the write is never carried out, and the leader receives no response
+	unanswered                  // the write is carried out or rejected, and the leader receives no response
+	delayed                     // the write may be carried out later, and the leader receives no response
+	outcomeCount                // the number of outcomes
 )
 
-// apply makes the leader apply an event and store the changes with the given outcome. If both the record and
-// the attempt change, there are two writes: the first is always answered, and attemptFirst selects whether the
-// first is that of the attempt.
+// apply makes the leader apply an event and store the changes. If both the record and the attempt change, there
+// are two writes, and attemptFirst selects whether the attempt is written first. The first of two writes is
+// always answered. The last write has the given outcome.
 func (sim *simulation) apply(e Event, result outcome, attemptFirst bool) {
 	sim.events = append(sim.events, e)
 	next, action := sim.transition(sim.view, e, &sim.policy, sim.now)
@@ -181,15 +182,15 @@
 		sim.store(writes[0])
 		writes = writes[1:]
 	}
-	for _, t := range writes {
+	for _, w := range writes {
 		switch result {
 		case unanswered:
-			sim.store(t)
+			sim.store(w)
 		case delayed:
-			sim.delayed = append(sim.delayed, t)
+			sim.delayed = append(sim.delayed, w)
 		default: // answered is stored below, and lost is never stored
 		}
-		if result != answered || !sim.store(t) {
+		if result != answered || !sim.store(w) {
 			sim.changeLeader() // a leader resigns if a write isn't answered
 			return
 		}
@@ -214,8 +215,8 @@
 	}
 }
 
-// startArrives delivers a start to its machine, perhaps not for the first time. It checks that there is at
-// most one replica.
+// startArrives delivers a start command to its machine. The same command may have arrived before. startArrives
+// checks that there is at most one replica.
 func (sim *simulation) startArrives(r replica) {
 	if sim.provedGone[r.attempt] || sim.isRunning(r.attempt) {
 		return
@@ -245,7 +246,7 @@
 	}
 }
 
-// replicaGone ends the replica in the leader's view, and reports to the leader that it is proved gone.
+// replicaGone ends the replica in the leader's view, and reports to the leader that the replica is on no machine.
 func (sim *simulation) replicaGone(result outcome, failed, attemptFirst bool) {
 	if attempt := sim.view.Replica; attempt != NoReplica {
 		sim.remove(attempt)
@@ -270,8 +271,9 @@
 	}
 }
 
-// request is a user's request at a controller, which forwards it or reports demand. It checks that requests
-// are forwarded only to the current generation, and not while this generation is stopped or being stopped.
+// request sends a user's request to a controller. The controller forwards the request, or reports demand to the
+// leader if it may not forward requests. request checks that requests are forwarded only to the current
+// generation, and not while this generation is stopped or being stopped.
 func (sim *simulation) request(c *controller, result outcome) {
 	if !c.forwards(sim.now) {
 		sim.apply(Demand{c.view.Generation}, result, false)
@@ -286,18 +288,21 @@
 func (sim *simulation) respond(c *controller) {
 	if sim.viewRevision == sim.revision {
 		c.read(sim.record, sim.now)
-		sim.routedUntil = sim.now.Add(viewLease)
+		sim.viewsExpireAt = sim.now.Add(viewLease)
 	}
 }
 
-// expireViews ends a drain once the views of all controllers have expired.
+// expireViews reports to the leader that the current drain is complete, if the views of all controllers have
+// expired.
 func (sim *simulation) expireViews() {
-	if !sim.now.Before(sim.routedUntil) {
+	if !sim.now.Before(sim.viewsExpireAt) {
 		sim.apply(Drained{sim.view.Drain}, answered, false)
 	}
 }
 
-// acknowledgeDrain makes a controller stop forwarding requests and acknowledge the drain.
+// acknowledgeDrain makes a controller stop forwarding requests and acknowledge the current drain. If there is no
+// current drain, the controller repeats its latest acknowledgment, if any. Once every controller has acknowledged
+// the drain, acknowledgeDrain reports to the leader that this drain is complete.
 func (sim *simulation) acknowledgeDrain(i int) {
 	c := sim.controllers[i]
 	if sim.record.State == Draining {
@@ -316,7 +321,7 @@
 	}
 }
 
-// quiet reports that no controller has had requests for the idle window.
+// quiet reports to the leader that no controller has had requests for the idle window.
 func (sim *simulation) quiet(result outcome) {
 	sim.apply(Quiet{sim.view.Generation, sim.now.Add(-sim.policy.IdleWindow)}, result, false)
 }
@@ -404,7 +409,8 @@
 	sim.addViolation("not settled: %s", sim.record)
 }
 
-// settleStart makes the current start succeed, or repeats it if it was abandoned.
+// settleStart takes the next step of the current start. It reports an abandoned replica as gone, reserves
+// resources for a replica, or makes the reserved replica answer requests.
 func (sim *simulation) settleStart() {
 	sim.tick(answered)
 	switch {
--- a/internal/activation/start_times_test.go
+++ b/internal/activation/start_times_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestStartTimesExpectPercentileLessElapsed(t *testing.T) {
+func TestExpectedStartTimeIsPercentileMinusElapsedTime(t *testing.T) {
 	var times StartTimes
 	if got := times.Expected("a", 0); got != 0 {
 		t.Errorf("without starts: got %v, want 0", got)
--- a/internal/activation/transition_test.go
+++ b/internal/activation/transition_test.go
@@ -17,7 +17,8 @@
 	DrainTimeout: 20 * time.Second,
 }
 
-// step is an event at a time in seconds, with the expected record and action after it.
+// step is one event of a lifecycle, with the time of the event in seconds, and the record and the action that
+// are expected after the event.
 type step struct {
 	atS        int
 	event      Event
@@ -59,7 +60,7 @@
 			{108, demand(1), "failed, generation 1", NoAction},
 			{109, demand(1), "starting, generation 2", Reserve},
 		},
-		"a start that takes too long is stopped, and the next one waits for the proof that its replica is gone": {
+		"a start that takes too long is stopped, and the next start waits until the replica is proved gone": {
 			{0, demand(0), "starting, generation 1", Reserve},
 			{0, reserved(1, 1), "starting, generation 1, attempt 1", Start},
 			{40, Tick{30 * time.Second}, "starting, generation 1, attempt 1", NoAction},
@@ -116,7 +117,7 @@
 			step{74, demand(0), "idle, generation 1", NoAction},
 			step{74, demand(1), "starting, generation 2", Reserve},
 		),
-		"demand cancels a drain, whose acknowledgments don't count for the next drain": afterReady(
+		"demand cancels a drain, and the acknowledgments of this drain don't count for the next one": afterReady(
 			step{70, Quiet{1, time.UnixMilli(0)}, "draining, generation 1, attempt 1", Drain},
 			step{71, demand(1), "ready, generation 1, attempt 1", NoAction},
 			step{72, Drained{1}, "ready, generation 1, attempt 1", NoAction},
@@ -159,7 +160,7 @@
 	now := time.UnixMilli(5000)
 	for _, c := range []struct {
 		record     Record
-		replica    uint64 // according to the stored attempts
+		replica    uint64 // the attempt whose replica may be on a machine, according to the store
 		wantAction Action
 		wantRecord string
 	}{
--- a/internal/activation/usage_test.go
+++ b/internal/activation/usage_test.go
@@ -28,10 +28,10 @@
 // model is quiet, and whether it is drained.
 func TestUsage(t *testing.T) {
 	const (
-		model        = "m"
-		drain        = 4
-		routedUntilS = 12
-		silentAfter  = 3 * time.Second
+		model              = "m"
+		drain              = 4
+		responsesExpireAtS = 12
+		silentAfter        = 3 * time.Second
 	)
 	at := func(s int) time.Time { return time.UnixMilli(1e9).Add(time.Duration(s) * time.Second) }
 	quiet := ModelUsage{QuietFor: 100 * time.Second, Drained: drain}
@@ -39,25 +39,25 @@
 	absent := ModelUsage{InFlight: -1}
 	others := []testReport{{0, "a", "a1", 1, 900, quiet}, {0, "b", "b1", 1, 900, quiet}}
 	for name, c := range map[string]struct {
-		reports         []testReport // after those of the others
+		reports         []testReport // the reports that follow those of controllers a and b
 		atS             int
 		wantQuiet       bool
 		wantQuietSinceS int
 		wantDrained     bool
 	}{
-		"all are quiet":                        {[]testReport{{0, "c", "c1", 1, 900, quiet}}, 1, true, -100, true},
-		"one was used recently":                {[]testReport{{0, "c", "c1", 1, 900, ModelUsage{QuietFor: 7 * time.Second, Drained: drain}}}, 1, true, -7, true},
-		"one has requests in flight":           {[]testReport{{0, "c", "c1", 1, 900, busy}}, 1, false, 0, false},
-		"one has never reported":               {nil, 1, false, 0, false},
-		"one is silent":                        {[]testReport{{-3, "c", "c1", 1, 900, quiet}}, 1, false, 0, false},
-		"one is silent and its routes expired": {[]testReport{{-3, "c", "c1", 1, 900, quiet}, {12, "a", "a1", 2, 900, quiet}, {12, "b", "b1", 2, 900, quiet}}, 12, false, 0, true},
-		"one has no entry for the model":       {[]testReport{{0, "c", "c1", 1, 900, absent}}, 1, true, -100, false},
-		"one has restarted":                    {[]testReport{{0, "c", "c1", 1, 5, absent}}, 1, true, -5, false},
-		"one acknowledged an earlier drain":    {[]testReport{{0, "c", "c1", 1, 900, ModelUsage{QuietFor: 100 * time.Second, Drained: drain - 1}}}, 1, true, -100, false},
-		"late copy of an earlier report":       {[]testReport{{0, "c", "c1", 2, 900, busy}, {0, "c", "c1", 1, 900, quiet}}, 1, false, 0, false},
-		"copy with the same serial":            {[]testReport{{0, "c", "c1", 2, 900, busy}, {0, "c", "c1", 2, 900, quiet}}, 1, false, 0, false},
-		"late copy from an ended process":      {[]testReport{{0, "c", "c1", 9, 900, quiet}, {0, "c", "c2", 1, 900, busy}, {0, "c", "c1", 10, 900, quiet}}, 1, false, 0, false},
-		"report of a new process":              {[]testReport{{0, "c", "c1", 9, 900, busy}, {0, "c", "c2", 1, 900, quiet}}, 1, true, -100, true},
+		"all are quiet":                                 {[]testReport{{0, "c", "c1", 1, 900, quiet}}, 1, true, -100, true},
+		"one was used recently":                         {[]testReport{{0, "c", "c1", 1, 900, ModelUsage{QuietFor: 7 * time.Second, Drained: drain}}}, 1, true, -7, true},
+		"one has requests in flight":                    {[]testReport{{0, "c", "c1", 1, 900, busy}}, 1, false, 0, false},
+		"one has never reported":                        {nil, 1, false, 0, false},
+		"one is silent":                                 {[]testReport{{-3, "c", "c1", 1, 900, quiet}}, 1, false, 0, false},
+		"one is silent and the responses to it expired": {[]testReport{{-3, "c", "c1", 1, 900, quiet}, {12, "a", "a1", 2, 900, quiet}, {12, "b", "b1", 2, 900, quiet}}, 12, false, 0, true},
+		"one has no entry for the model":                {[]testReport{{0, "c", "c1", 1, 900, absent}}, 1, true, -100, false},
+		"one has restarted":                             {[]testReport{{0, "c", "c1", 1, 5, absent}}, 1, true, -5, false},
+		"one acknowledged an earlier drain":             {[]testReport{{0, "c", "c1", 1, 900, ModelUsage{QuietFor: 100 * time.Second, Drained: drain - 1}}}, 1, true, -100, false},
+		"late copy of an earlier report":                {[]testReport{{0, "c", "c1", 2, 900, busy}, {0, "c", "c1", 1, 900, quiet}}, 1, false, 0, false},
+		"copy with the same serial":                     {[]testReport{{0, "c", "c1", 2, 900, busy}, {0, "c", "c1", 2, 900, quiet}}, 1, false, 0, false},
+		"late copy from an ended process":               {[]testReport{{0, "c", "c1", 9, 900, quiet}, {0, "c", "c2", 1, 900, busy}, {0, "c", "c1", 10, 900, quiet}}, 1, false, 0, false},
+		"report of a new process":                       {[]testReport{{0, "c", "c1", 9, 900, busy}, {0, "c", "c2", 1, 900, quiet}}, 1, true, -100, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := NewUsage([]string{"a", "b", "c"}, silentAfter)
@@ -71,7 +71,7 @@
 			if want := at(c.wantQuietSinceS); known && !since.Equal(want) {
 				t.Errorf("quiet since: got %v, want %v", since, want)
 			}
-			if got := u.Drained(model, drain, at(routedUntilS), at(c.atS)); got != c.wantDrained {
+			if got := u.Drained(model, drain, at(responsesExpireAtS), at(c.atS)); got != c.wantDrained {
 				t.Errorf("drained: got %v, want %v", got, c.wantDrained)
 			}
 		})
--- a/internal/activator/fakes_test.go
+++ b/internal/activator/fakes_test.go
@@ -78,17 +78,17 @@
 	return activation.ModelUsage{}
 }
 
-// knownResponse returns a wake response with the verdict VerdictKnown that is valid for two seconds.
+// knownResponse returns a wake response that has the verdict VerdictKnown and is valid for two seconds.
 func knownResponse(state activation.State, generation uint64, machine string) activation.WakeResponse {
 	return activation.WakeResponse{Verdict: activation.VerdictKnown, State: state, Generation: generation, Machine: machine, Holds: 2 * time.Second}
 }
 
-var testPace = Timing{RetryPause: 250 * time.Millisecond, RequestTimeout: time.Second, MaxResponseDelay: 250 * time.Millisecond, UsageInterval: time.Second, RepeatDemandFor: 10 * time.Second, ReportUnusedFor: time.Minute}
+var testTiming = Timing{RetryPause: 250 * time.Millisecond, RequestTimeout: time.Second, MaxResponseDelay: 250 * time.Millisecond, UsageInterval: time.Second, RepeatDemandFor: 10 * time.Second, ReportUnusedFor: time.Minute}
 
 // startTracker starts a tracker. The returned function stops the tracker and waits until it has ended.
 func startTracker(leader *fakeLeader, limits Limits) (tracker *Tracker, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	tracker = NewTracker(leader, testPace, limits, rand.New(rand.NewPCG(1, 1)))
+	tracker = NewTracker(leader, testTiming, limits, rand.New(rand.NewPCG(1, 1)))
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
--- a/internal/activator/handler_test.go
+++ b/internal/activator/handler_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/activation"
 )
 
-// startHandler starts a server with a handler whose leader returns the same response to all wake requests, and returns
-// the server's URL. In URLs a model is named by its job ID.
+// startHandler starts a server with a handler, and returns the server's URL. The handler's leader returns the given
+// response to all wake requests. In URLs a model is named by its job ID with the prefix "job-".
 func startHandler(t *testing.T, response activation.WakeResponse, limits Limits, target string) string {
 	t.Helper()
 	tracker, stop := startTracker(&fakeLeader{response: response}, limits)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Until the request's deadline, the handler retries the connection to a server that doesn't listen yet.
+// If the model's server doesn't listen yet, the handler retries the connection until the request's deadline.
 func TestHandlerRetriesConnection(t *testing.T) {
 	address := freeAddress(t)
 	var served atomic.Int64
--- a/internal/activator/tracker_test.go
+++ b/internal/activator/tracker_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/activation"
 )
 
-// However many requests wait for a model, the tracker sends one wake request at a time for it. It repeats wake requests
-// until the leader has decided on the demand.
+// The tracker sends only one wake request for a model at a time, however many requests wait for the model. It repeats
+// the wake request until a leader has responded with the state of the model.
 func TestTrackerCoalescesWakeRequests(t *testing.T) {
 	leader := &fakeLeader{response: activation.WakeResponse{Reason: "no leader"}, latency: 10 * time.Millisecond}
 	runTracker(t, leader, Limits{MaxHeld: 1}, func(ctx context.Context, tracker *Tracker) {
@@ -37,7 +37,7 @@
 		before := leader.wakeCount()
 		time.Sleep(time.Minute)
 		if n := leader.wakeCount(); n != before {
-			t.Errorf("%d wake requests after the demand is decided, want none", n-before)
+			t.Errorf("%d wake requests after a leader has responded, want none", n-before)
 		}
 	})
 }
@@ -113,8 +113,8 @@
 	})
 }
 
-// After a drain order, no request is granted by the response to a wake request from before the order, and the next usage
-// report acknowledges the drain.
+// A wake request is sent before a drain order, and the response arrives after the order. The tracker must not grant
+// requests because of this response, and the next usage report must acknowledge the drain.
 func TestTrackerDrainInvalidatesEarlierResponses(t *testing.T) {
 	leader := &fakeLeader{response: knownResponse(activation.Ready, 1, "10.0.0.1:9000")}
 	runTracker(t, leader, Limits{MaxHeld: 8, MaxConcurrent: 9}, func(ctx context.Context, tracker *Tracker) {
@@ -134,7 +134,7 @@
 		time.Sleep(600 * time.Millisecond) // the order is received before the response
 		leader.setResponse(knownResponse(activation.Draining, 1, ""))
 		if d := <-decided; d.Outcome == Granted {
-			t.Errorf("granted by a response from before the drain: %+v", d)
+			t.Errorf("granted because of a wake request from before the drain order: %+v", d)
 		}
 		tracker.Release("m")
 		time.Sleep(2 * time.Second)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -18,8 +18,9 @@
 	return NewLimiter(testMaxWait, throughput, testTeams)
 }
 
-// admitUntilRejected submits for four teams in turn until a submission is rejected. It returns how
-// many were admitted.
+// admitUntilRejected submits for four teams in turn until a submission is rejected, and returns how many
+// submissions were admitted. atOnce is the number of submissions that can be recorded immediately,
+// independent of the throughput.
 func admitUntilRejected(l *Limiter, atOnce int) (admitted int) {
 	for l.Admit(fmt.Sprint(l.total%4), atOnce) {
 		admitted++
@@ -52,7 +53,7 @@
 	}
 }
 
-func TestLimiterAdmitsSubmissionsRecordedAtOnceBesideThroughput(t *testing.T) {
+func TestLimiterAddsImmediatelyRecordableSubmissionsToCapacity(t *testing.T) {
 	if admitted := admitUntilRejected(newTestLimiter(100), 300); admitted != 500 {
 		t.Errorf("300 at once and 200 within 2 s: got %d admitted, want 500", admitted)
 	}
@@ -83,12 +84,12 @@
 	}
 }
 
-// The retry times of rejected submissions must be spaced at the throughput, so that never more submissions
-// return at a time than can be admitted.
+// The retry times of rejected submissions must be spread so that, in each second, about as many submissions are
+// retried as can be recorded in a second.
 func TestLimiterSpacesRetriesAtThroughput(t *testing.T) {
 	const throughput = 10
 	l, now := newTestLimiter(throughput), time.Now()
-	retries := make(map[int]int) // by seconds from now
+	retries := make(map[int]int) // number of retries, by the seconds from now
 	for range 20 * throughput {
 		retries[l.RetryAfterSeconds(now)]++
 	}
@@ -98,16 +99,16 @@
 		}
 	}
 	if s := l.RetryAfterSeconds(now.Add(15 * time.Second)); s < 5 || s > 6 {
-		t.Errorf("retry with 5 s of earlier ones left: got %d s, want 5 or 6", s)
+		t.Errorf("retry 15 s later, with 5 s of earlier retries left: got %d s, want 5 or 6", s)
 	}
 	for range 1000 {
 		l.RetryAfterSeconds(now)
 	}
 	if s := l.RetryAfterSeconds(now); s != maxRetrySeconds {
-		t.Errorf("retry behind 1000 others: got %d s, want %d", s, maxRetrySeconds)
+		t.Errorf("retry after 1000 other retries: got %d s, want %d", s, maxRetrySeconds)
 	}
 	if s := l.RetryAfterSeconds(now.Add(time.Hour)); s != 1 {
-		t.Errorf("retry after all earlier ones: got %d s, want 1", s)
+		t.Errorf("retry an hour later, after all earlier retries: got %d s, want 1", s)
 	}
 }
 
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// The next leader archives jobs again that the first leader has archived, while the first leader's writes
-// arrive late or their responses are lost.
+// The first leader archives jobs, but its writes arrive late, or the responses to its writes are lost. The
+// next leader then archives some of the same jobs again. Every job must be found, and be counted once.
 func TestNextLeaderArchivesSameJobs(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -77,7 +77,7 @@
 	}
 }
 
-// A write that is applied again after later writes of the same page has no effect.
+// A write that arrives again after later writes of the same page has no effect.
 func TestRepeatedWriteHasNoEffect(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader := f.startLeader()
@@ -117,8 +117,8 @@
 	})
 }
 
-// When the store's limits fall below the size of stored pages, such pages are split if the lower limits
-// allow that, and remain readable in any case.
+// The store's limits fall below the size of stored pages. Jobs in such a page must remain readable. If the
+// lower limits allow it, the page must be split when jobs are added to it.
 func TestLimitsFallBelowPageSize(t *testing.T) {
 	for _, c := range []struct {
 		valueBytes, txnOps int
--- a/internal/archive/damage_test.go
+++ b/internal/archive/damage_test.go
@@ -32,18 +32,20 @@
 		}
 		stored, err := ReadStoredSummary(context.Background(), &storagetest.Client{Service: f.store})
 		if err != nil || len(stored.Damaged) < 2 || !strings.Contains(strings.Join(stored.Damaged, "\n"), damaged.key) {
-			t.Errorf("ReadStored: got %+v, %v; want damage of %s and another key", stored, err, damaged.key)
+			t.Errorf("ReadStoredSummary: got %+v, %v; want damage of %s and another key", stored, err, damaged.key)
 		}
 	})
 }
 
-// damagedRange is the range of a page that was damaged.
+// damagedRange identifies a damaged page, and the range of the page: the job numbers above lower, up to and
+// including upper.
 type damagedRange struct {
 	key          string
 	lower, upper JobNumber
 }
 
-// check checks a leader's reads of all jobs, and that it adds no job to the damaged page.
+// check checks that a leader reports the jobs in the range as damaged, finds all other jobs, and adds no job
+// to the damaged page.
 func (d *damagedRange) check(t *testing.T, f *fixture, leader *Archiver, entries []Entry, name string) {
 	t.Helper()
 	inRange := 0
--- a/internal/archive/fixture_test.go
+++ b/internal/archive/fixture_test.go
@@ -18,9 +18,9 @@
 const (
 	// leadershipKey is the key whose version guards the leader's writes.
 	leadershipKey = "lead"
-	// testTimeout is the timeout of one call of an Archiver, and shortTimeout that of a call that may get
-	// no response.
-	testTimeout  = 5 * time.Second
+	// testTimeout is the timeout of a call of an Archiver.
+	testTimeout = 5 * time.Second
+	// shortTimeout is the timeout of a call of an Archiver that may get no response from the store.
 	shortTimeout = 3 * time.Second
 	// loadTime is longer than an Archiver takes to load all pages.
 	loadTime = time.Minute
@@ -28,7 +28,7 @@
 
 var testLimits = storage.Limits{RequestsPerS: 400, ChangesPerS: 400, ValueBytes: 1024, TxnOps: 12}
 
-// testReporter fails a test or one of its random histories: a *testing.T or a *rapid.T.
+// testReporter fails a test, or a single random history of a test. *testing.T and *rapid.T implement it.
 type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -41,7 +41,7 @@
 	store        *storagetest.Service
 	limits       *storage.LimitTracker
 	memoryBytes  int         // memory limit of the Archivers that are started next
-	disconnected atomic.Bool // disconnects all Archivers from the store
+	disconnected atomic.Bool // whether all Archivers are disconnected from the store
 	term         uint64
 	cancels      []context.CancelFunc
 	running      sync.WaitGroup
--- a/internal/archive/index_test.go
+++ b/internal/archive/index_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newTestPage returns the copy in memory of a page.
+// newTestPage returns the in-memory copy of a page that is stored with the given version.
 func newTestPage(p Page, version uint64) *cachedPage {
 	return &cachedPage{packedPage: packedPage{p.Lower, p.Upper, len(p.Entries), pack(&p)}, key: pageKey(p.Upper), version: version}
 }
@@ -17,7 +17,7 @@
 	x.put([]*cachedPage{page(3)})
 	x.remove(LastJobNumber, 2)
 	if r := x.Lookup(number); r.Status != Found || r.FinalState.Done != 4 {
-		t.Errorf("after earlier changes: got %+v, want version 4", r)
+		t.Errorf("after changes of versions 3 and 2: got %+v, want version 4", r)
 	}
 	x.remove(LastJobNumber, 5)
 	if r := x.Lookup(number); r.Status != Unknown {
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -18,23 +18,25 @@
 type historyModel struct {
 	*fixture
 	t           *rapid.T
-	finalStates map[JobNumber]FinalState // of all jobs that have finished
-	journal     map[JobNumber]FinalState // of the jobs that are still in the journal
+	finalStates map[JobNumber]FinalState // the final state of each job that has finished
+	journal     map[JobNumber]FinalState // the final state of each finished job that is still in the journal
 	leader      *Archiver
 	leadership  Leadership
 	follower    *Archiver
 }
 
-// In random histories of finished jobs, archiving, failovers, and writes that are late, repeated or lose
-// their response, every answer agrees with the model. At the end every archived job is found.
+// In a random history, jobs finish and are archived, leaders fail over, and writes arrive late, are repeated
+// or lose their responses. The result of every lookup must agree with the model. At the end every job that
+// isn't in the journal any more must be found in the archive.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inSimulatedTime(t, func() { runHistory(rt) })
 	})
 }
 
-// inSimulatedTime runs a property in simulated time. rapid ends properties with a panic, which is
-// re-raised in the goroutine that called inSimulatedTime.
+// inSimulatedTime runs a property in simulated time. rapid may end a property with a panic, which it expects
+// in the goroutine that called inSimulatedTime. inSimulatedTime therefore recovers the panic, and panics with
+// the same value in that goroutine.
 func inSimulatedTime(t *testing.T, property func()) {
 	var panicked any
 	synctest.Test(t, func(*testing.T) {
@@ -122,7 +124,7 @@
 	m.leadership = m.beginTerm(m.leader)
 }
 
-// injectFault drops the response to a write, delays a write, or repeats an earlier one.
+// injectFault drops the response to the next write, delays the next write, or repeats an earlier write.
 func (m *historyModel) injectFault() {
 	fault := rapid.IntRange(0, 2).Draw(m.t, "fault")
 	late := time.Duration(rapid.IntRange(1, 20_000).Draw(m.t, "late")) * time.Millisecond
--- a/internal/archive/packed_page_test.go
+++ b/internal/archive/packed_page_test.go
@@ -28,7 +28,7 @@
 	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.Number == b.Number })
 }
 
-// drawRange draws the range of a page: all numbers in half of the cases.
+// drawRange draws the range of a page. In half of the cases the range contains all job numbers.
 func drawRange(t *rapid.T) (lower, upper JobNumber) {
 	a := rapid.Uint64Range(0, uint64(LastJobNumber)-1).Draw(t, "lower")
 	if rapid.Bool().Draw(t, "whole") {
@@ -37,7 +37,8 @@
 	return JobNumber(a), JobNumber(rapid.Uint64Range(a+1, uint64(LastJobNumber)).Draw(t, "upper"))
 }
 
-// valueBytes returns the length of the stored value of a packed page: base64 in quotes.
+// valueBytes returns the length of the stored value of a page that takes the given number of bytes when
+// packed. The value is base64 in quotes.
 func valueBytes(packed int) int { return base64.StdEncoding.EncodedLen(packed) + 2 }
 
 func TestPageRoundTrip(t *testing.T) {
--- a/internal/archive/read_test.go
+++ b/internal/archive/read_test.go
@@ -9,8 +9,8 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// Only a page that was read in the leader's own term proves that a job isn't archived. Here a new leader's
-// index is older than the last write of the leader before it.
+// Only a page that was read in the leader's own term proves that a job isn't archived. Here the index of the
+// new leader was read before the last write of the previous leader.
 func TestOutdatedIndexDoesNotProveAbsence(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		first, second := f.startIdle(), f.startFollower()
--- a/internal/archive/refresh_test.go
+++ b/internal/archive/refresh_test.go
@@ -10,8 +10,8 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// A follower that was disconnected while pages were removed and written again has the new pages
-// afterwards, even if the store no longer keeps these changes.
+// A follower is disconnected for a while. Then all pages are removed, and a new page is written. The follower
+// must have only the new page afterwards, even if the store no longer keeps these changes.
 func TestFollowerAppliesChanges(t *testing.T) {
 	for _, otherChanges := range []int{0, 25_000} {
 		t.Run(fmt.Sprint(otherChanges), func(t *testing.T) {
@@ -66,8 +66,8 @@
 	return s.KeyValueStore.List(ctx, prefix, after, limit)
 }
 
-// An index that wasn't refreshed for a long time is loaded again, because its changes may be larger than
-// all pages.
+// An index that wasn't refreshed for a long time is loaded again as a whole, because the changes since then may
+// be larger than all pages together.
 func TestStaleIndexIsLoadedAgain(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		_, entries := f.startLeaderWith(100)
@@ -106,8 +106,8 @@
 	})
 }
 
-// The end of an earlier term doesn't end the present one. After the end of the present term the Archiver
-// follows again.
+// EndTerm with the number of an earlier term doesn't end the current term. After the end of the current term
+// the Archiver applies the changes of the next leader.
 func TestEndTermIgnoresEarlierTerm(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		a, other := f.startFollower(), f.startIdle()
--- a/internal/archive/withdrawal_test.go
+++ b/internal/archive/withdrawal_test.go
@@ -57,7 +57,7 @@
 }
 
 // A leader that can't read the pages returns neither a count nor a page.
-func TestWithdrawalRequiresExactIndex(t *testing.T) {
+func TestWithdrawalRequiresCompleteIndex(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		const jobs = 20
 		first, second := f.startIdle(), f.startFollower()
--- a/internal/autoscaling/autoscaler_test.go
+++ b/internal/autoscaling/autoscaler_test.go
@@ -16,8 +16,8 @@
 	"sagevale/internal/storage"
 )
 
-// Guards against launch requests for more than 50 machines. The cloud rejects them as malformed, and the autoscaler
-// once treated that as missing capacity.
+// Guards against launch requests for more than 50 machines. The cloud rejects such requests as malformed. In a former
+// version the autoscaler took this error for missing capacity.
 func TestLaunchesStayWithinTheCloudsLimit(t *testing.T) {
 	var desired []cloud.Offering
 	for i := range 173 {
@@ -61,8 +61,8 @@
 	return page, after+1+len(page) < c.machines, nil
 }
 
-// A list of many pages takes longer than the timeout of one call. It must still be read whole, and leave the other
-// calls their share of the cloud's request rate.
+// Reading a machine list of many pages takes longer than the timeout of one call. The list must still be read
+// completely, and must leave a share of the cloud's request rate to the other calls.
 func TestLongMachineListIsReadWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -122,8 +122,8 @@
 	return []int{1}, c.launchErr
 }
 
-// runAutoscaler runs an autoscaler of term 2 until the test ends. It returns once the autoscaler no longer waits for
-// the machines to report to a new leader.
+// runAutoscaler runs an autoscaler of term 2 until the test ends. At the start of a term, an autoscaler waits until
+// the machines have had time to report to the new leader. runAutoscaler returns after this time.
 func runAutoscaler(t *testing.T, c *fakeCloud, journal Journal) (*Autoscaler, *fakeScheduler) {
 	t.Helper()
 	settings := clustertest.Settings()
@@ -185,7 +185,7 @@
 		a, scheduler := runAutoscaler(t, c, &fakeJournal{})
 		sendSnapshots(a, snapshotDesiring(testOffering), time.Minute)
 		if len(c.requests) != 1 || len(scheduler.launched) != 0 {
-			t.Errorf("requests %v, %d launched; want one name and none", c.requests, len(scheduler.launched))
+			t.Errorf("requests by name %v, %d launched; want one name and no launch", c.requests, len(scheduler.launched))
 		}
 		for name, n := range c.requests {
 			if n < 2 {
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -29,7 +29,8 @@
 	return NewReviewer(&fleet.Settings, fleet.State, planner, log), fleet
 }
 
-// trialPacking packs the waiting tasks and the headroom into the ready machines.
+// trialPacking packs the waiting tasks and the headroom into the free resources of the ready machines, and adds desired
+// machines as Snapshot does.
 func (r *Reviewer) trialPacking() *packing {
 	now := time.Now()
 	p := &packing{exhausted: make(placement.ExhaustedShapes), candidates: r.planner.ReadyCandidates(now)}
@@ -42,8 +43,8 @@
 	return r.Snapshot(time.Now(), Conditions{LeaseValid: true, MachinesListed: true})
 }
 
-// Half of a spread job must run outside its first zone. With headroom in one zone only, every job had to wait for
-// machines in the other zone.
+// At most half of the tasks of a spread job, rounded up, may run in one zone. In a former version headroom was kept in
+// one zone only, and every spread job had to wait for machines in the other zone.
 func TestHeadroomIsKeptInEachZoneThatSpreadJobsNeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -51,8 +52,8 @@
 		for i := range 4 {
 			fleet.ReportMachine(i+1, "cpu", "a", false) // ample free resources, all in one zone
 		}
-		// This service takes so many CPUs per GPU that tasks without GPUs find no spare CPUs beside the free GPUs
-		// of the other zone.
+		// For each free GPU the planner keeps as many CPUs free as this service uses per GPU. The GPU machines of
+		// zone b therefore have no spare CPUs for tasks without GPUs.
 		training := clustertest.Service("000009", 1)
 		training.Resources = storage.Resources{CPUs: 8, GPUs: 1}
 		fleet.Reserve(fleet.AddJob(training), 0, fleet.ReportMachine(20, "gpu", "b", false), time.Now())
@@ -73,8 +74,8 @@
 	})
 }
 
-// With only GPU machines on offer, tasks without GPUs must fill the machines launched for them. A fault launched a
-// machine for each task.
+// A job without GPUs allows only GPU machines. Its tasks must fill the machines that are launched for them. In a former
+// version a machine was launched for each task.
 func TestCPUOnlyTasksFillTheMachineLaunchedForThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -129,7 +130,7 @@
 			return affordable, expensive
 		}
 		if affordable, expensive := desired(); affordable != 20 || expensive != 0 {
-			t.Errorf("%d affordable and %d expensive machines for 20 machines' work", affordable, expensive)
+			t.Errorf("%d affordable and %d expensive machines for work that fills 20 machines, want 20 and 0", affordable, expensive)
 		}
 		reject := func() {
 			for _, zone := range []string{"a", "b"} {
@@ -143,7 +144,7 @@
 		time.Sleep(minimumAllocationLeases*fleet.Settings.WorkerLease + time.Second)
 		reject()
 		if affordable, expensive := desired(); affordable != 0 || expensive != 1 {
-			t.Errorf("%d affordable and %d expensive machines for a job that waits for its first, want 0 and 1", affordable, expensive)
+			t.Errorf("%d affordable and %d expensive machines for a job that still has no machine, want 0 and 1", affordable, expensive)
 		}
 		m := fleet.ReportMachine(1, "cpu", "a", false)
 		fleet.Reserve(j, 0, m, time.Now())
@@ -155,7 +156,7 @@
 }
 
 // Guards against two faults: demand of opportunistic work made the fleet keep expensive machines, and launches for
-// it delayed launches for services.
+// opportunistic work delayed launches for services.
 func TestOpportunisticDemandNeitherKeepsMachinesNorDelaysOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -196,8 +197,8 @@
 	}
 }
 
-// Batch tasks may wait for slots to become free instead of a new machine. A gang that lacks resources for one task
-// would wait forever that way, so a machine must be launched for it.
+// Batch tasks may wait until running tasks end, instead of getting a new machine. A gang that lacks resources for one
+// of its tasks would wait forever in this way, so a machine must be launched for the gang.
 func TestGangGetsMachinesForAllItsTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, fleet := newTestReviewer()
@@ -232,7 +233,7 @@
 	return s
 }
 
-// withTeamLimit assigns a job of one GPU per task to the team whose limit is two GPUs.
+// withTeamLimit returns the specification with one GPU per task and with the team "small", whose limit is two GPUs.
 func withTeamLimit(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
--- a/internal/cluster/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -11,8 +11,11 @@
 	"sagevale/internal/storage"
 )
 
-// After any sequence of changes, the table holds exactly the jobs that haven't been removed, OpenTasks counts the tasks
-// of the open jobs, and repeated calls of NextFinished list every finished job in order.
+// After any sequence of changes:
+//
+//   - The table holds exactly the jobs that haven't been removed.
+//   - OpenTasks is the number of tasks of all open jobs.
+//   - Repeated calls of NextFinished list every finished job, each call in order of the job numbers.
 func TestJobTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewJobTable()
@@ -49,18 +52,19 @@
 			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished; want %d, %d, %d, %d", table.OpenTasks, len(table.Open), table.Count(), table.Finished(),
 				open, len(tasks), len(tasks)+len(finished), len(finished))
 		}
-		checkRound(t, table, finished)
+		checkNextFinished(t, table, finished)
 	})
 }
 
-// checkRound checks that calls of NextFinished with a small limit list every finished job once they reach the end.
-func checkRound(t *rapid.T, table *JobTable, finished map[string]bool) {
-	most := rapid.IntRange(1, 7).Draw(t, "most")
+// checkNextFinished calls NextFinished with a small limit until it reaches the end of the table, and checks that these
+// calls list every finished job.
+func checkNextFinished(t *rapid.T, table *JobTable, finished map[string]bool) {
+	limit := rapid.IntRange(1, 7).Draw(t, "most")
 	listed := make(map[string]bool)
 	table.archiveCursor = 0
-	for range len(finished)/most + 1 {
+	for range len(finished)/limit + 1 {
 		before := archive.JobNumber(0)
-		for _, e := range table.NextFinished(most) {
+		for _, e := range table.NextFinished(limit) {
 			if e.Number <= before || !finished[e.Number.ID()] {
 				t.Fatalf("%s is listed out of order, or isn't finished", e.Number.ID())
 			}
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -63,7 +63,7 @@
 
 	idle := now.Add(time.Minute)
 	if !s.RemoveAttempt(first, now) || s.RemoveAttempt(first, now) || !s.RemoveAttempt(second, idle) {
-		t.Error("RemoveAttempt() doesn't report true exactly once for each attempt")
+		t.Error("RemoveAttempt() must return true exactly once for each attempt")
 	}
 	if *m.Reserved != (storage.Resources{}) || m.StoppingUsage != (storage.Resources{}) || m.RunningUsage[storage.PriorityNormal] != (storage.Resources{}) {
 		t.Errorf("%+v reserved, %+v stopping, %+v running after all attempts are gone", *m.Reserved, m.StoppingUsage, m.RunningUsage[storage.PriorityNormal])
--- a/internal/fencing/fence_test.go
+++ b/internal/fencing/fence_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// runHistory runs the model for a history of 3000 random steps.
+// runHistory runs the model for 3000 random steps.
 func runHistory(seed uint64, newFence newFence) *world {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(2, 3, newFence)
@@ -35,11 +35,11 @@
 
 const historySeeds = 50
 
-// The model is strict enough to detect a fence that releases attempts too early.
+// The model must detect a fence that allows workers to forget ended attempts too early.
 func TestModelDetectsFenceThatReleasesEarly(t *testing.T) {
 	releasesEarly := func(tokens Tokens) *Fence[attempt] {
 		f := New[attempt](tokens)
-		f.observed = tokens.Last // treats every command as if it could no longer be carried out
+		f.observed = tokens.Last // the fence then assumes that no command can be carried out any more
 		return f
 	}
 	violations := 0
@@ -89,7 +89,7 @@
 	retain(4)
 	f.ObserveToken(11)
 	if f.Retained() != 4 || f.MustRetain(1000) || !f.MustRetain(1100) {
-		t.Errorf("after token 11 is observed: got %d retained, want the 4 started under it", f.Retained())
+		t.Errorf("after token 11 is observed: got %d retained, want the 4 started with token 11", f.Retained())
 	}
 }
 
@@ -98,7 +98,7 @@
 	f.Retain(-1, f.Token())
 	f.ObserveToken(12) // from a faulty worker: no command has carried this token
 	if f.Retained() != 0 {
-		t.Errorf("after token 12 is observed: got %d started under token 10 retained, want 0", f.Retained())
+		t.Errorf("after token 12 is observed: got %d retained attempts started with token 10, want 0", f.Retained())
 	}
 	for i := range MaxRetained {
 		f.Retain(i, f.Token())
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -37,10 +37,10 @@
 	fence            *Fence[attempt]
 	incarnation, seq uint64
 	tokenShown       bool               // a heartbeat has shown a token of this term
-	reserved         map[attempt]uint64 // attempts with the token of their direct command; 0: none
+	reserved         map[attempt]uint64 // reserved attempts, with the token of their direct command; 0: no such command
 }
 
-// newFence returns a new fence for a worker. Tests of the model itself return faulty fences.
+// newFence returns a new fence for a worker. Tests of the model itself use functions that return faulty fences.
 type newFence func(Tokens) *Fence[attempt]
 
 // world is the state of the model.
@@ -52,8 +52,8 @@
 	active      map[int]bool // tasks for which the leader has a reserved attempt
 	commands    []command    // every command ever sent
 	heartbeats  []heartbeat  // every heartbeat ever sent
-	window      int
-	maxRetained int // the most attempts that a worker had to retain
+	window      int          // the number of retained attempts at which the token is raised
+	maxRetained int          // the most attempts that a worker had to retain
 	violations  []string
 	newFence    newFence
 }
@@ -73,7 +73,7 @@
 }
 
 // changeLeader begins a term. The attempts of the previous term are lost: in this model every worker
-// begins a new incarnation, which proves to the new leader that none of them runs any more.
+// begins a new incarnation, which proves to the new leader that none of these attempts runs any more.
 func (w *world) changeLeader() {
 	tokens := TermTokens(w.term + 1)
 	w.term = tokens.Last
@@ -91,9 +91,9 @@
 	clear(worker.running)
 }
 
-// start reserves an attempt of a task on a worker. If direct is set and the fence isn't full, a direct
+// reserveAttempt reserves an attempt of a task on a worker. If direct is set and the fence isn't full, a direct
 // command starts the attempt. Otherwise the response to a heartbeat starts it.
-func (w *world) start(task, workerIndex int, direct bool) {
+func (w *world) reserveAttempt(task, workerIndex int, direct bool) {
 	view := w.views[workerIndex]
 	if w.active[task] || !view.tokenShown {
 		return
@@ -116,11 +116,11 @@
 		return
 	}
 	worker.token = c.token
-	w.begin(worker, c.attempt)
+	w.startAttempt(worker, c.attempt)
 }
 
-// begin starts an attempt on a worker, unless the worker has it already, and checks the invariants.
-func (w *world) begin(target *worker, a attempt) {
+// startAttempt starts an attempt on a worker, unless the worker has it already, and checks the invariants.
+func (w *world) startAttempt(target *worker, a attempt) {
 	if _, known := target.running[a]; known {
 		return
 	}
@@ -137,8 +137,8 @@
 	target.running[a] = true
 }
 
-// finish ends all attempts on a worker.
-func (w *world) finish(workerIndex int) {
+// endAttempts ends all attempts on a worker.
+func (w *world) endAttempts(workerIndex int) {
 	for a := range w.workers[workerIndex].running {
 		w.workers[workerIndex].running[a] = false
 	}
@@ -195,7 +195,7 @@
 // and forgets ended ones that it need not retain.
 func (w *world) respond(view *workerView, worker *worker, h heartbeat) {
 	for a := range view.reserved {
-		w.begin(worker, a)
+		w.startAttempt(worker, a)
 	}
 	for _, a := range h.ended {
 		if _, reserved := view.reserved[a]; !reserved && !view.fence.MustRetain(a) {
@@ -216,7 +216,7 @@
 	workerIndex := choose(len(w.workers))
 	switch choose(12) {
 	case 0, 1, 2:
-		w.start(choose(4), workerIndex, choose(4) > 0)
+		w.reserveAttempt(choose(4), workerIndex, choose(4) > 0)
 	case 3, 4:
 		if len(w.commands) > 0 { // any command, delivered for the first time or again
 			w.deliver(w.commands[choose(len(w.commands))])
@@ -226,7 +226,7 @@
 			w.deliver(w.commands[n-1])
 		}
 	case 6:
-		w.finish(workerIndex)
+		w.endAttempts(workerIndex)
 	case 7, 8, 9:
 		w.receive(w.heartbeat(workerIndex), choose(4) > 0)
 	case 10:
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -12,8 +12,9 @@
 	testMaxWait = 300 * time.Millisecond
 )
 
-// Guards against a backlog of bulk using up the saved changes: without the pacer each commit waited for the
-// journal's rate, and a submission waited for two commits.
+// Guards against a bulk lane that uses up the saved changes, which are the tokens in the token bucket of the
+// journal's change rate. Without the pacer each commit waited for the journal's rate, and a submission waited
+// for two commits.
 func TestBulkPacerReservesSavedChanges(t *testing.T) {
 	now := time.Now()
 	p := NewBulkPacer(testMaxWait)
@@ -23,14 +24,14 @@
 		}
 	}
 	if due := p.RetryAfter(now, 16, testBurst, testRate); due <= 0 || due > 150*time.Millisecond {
-		t.Errorf("Due with four changes missing: got %v, want at most 150ms", due)
+		t.Errorf("RetryAfter with four changes missing: got %v, want at most 150ms", due)
 	}
 	if due := p.RetryAfter(now, 20, testBurst, testRate); due < minRetryDelay {
-		t.Errorf("Due without missing changes: got %v, want at least %v", due, minRetryDelay)
+		t.Errorf("RetryAfter without missing changes: got %v, want at least %v", due, minRetryDelay)
 	}
 }
 
-// Bulk must be written eventually, even if the other lanes use up all saved changes.
+// The bulk lane must be written eventually, even if the other lanes use up all saved changes.
 func TestBulkPacerAllowsBulkAfterMaxWait(t *testing.T) {
 	const saved = 1
 	began := time.Now()
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -13,7 +13,8 @@
 	"sagevale/internal/storage"
 )
 
-// failOnUnencodable is the failed callback of tests in which every entity can be encoded.
+// failOnUnencodable panics. Tests in which every entity can be encoded pass it to BeginCommit as the callback for
+// entities that can't be encoded.
 func failOnUnencodable(key string, err error) { panic(fmt.Sprint(key, err)) }
 
 // dataOfSize returns a data function for an entity of about the given size.
@@ -27,15 +28,15 @@
 	return out
 }
 
-// model runs a queue and a reference model of it side by side. The value of an entity counts its marks, and the
-// model records which values are durable.
+// model runs a queue and a reference model of this queue side by side. The value of an entity is the number of times
+// that the entity was marked. The model records which values are durable.
 type model struct {
 	queue        *Queue
 	values       map[string]int  // the latest value of each entity
 	lanes        map[string]Lane // the lane of each entity's last mark
 	committing   map[string]int  // the values in the commit in flight; nil: there is none
 	durable      map[string]int
-	callbacks    map[int]map[string]int // the values that each open callback waits for
+	callbacks    map[int]map[string]int // the values that each callback waits for; called callbacks are removed
 	nextCallback int
 	failed       bool // the last commit failed
 }
@@ -54,8 +55,9 @@
 	m.queue.Mark(in, key, func() any { return m.values[key] })
 }
 
-// await registers a callback that checks, when called, that everything it waits for is durable.
-func (m *model) await(t *rapid.T, in ...Lane) {
+// addCallback registers a callback for the given lanes. When the callback is called, it checks that the values that it
+// waits for are durable.
+func (m *model) addCallback(t *rapid.T, in ...Lane) {
 	waits := make(map[string]int)
 	for key, v := range m.values {
 		if slices.Contains(in, m.lanes[key]) {
@@ -86,7 +88,8 @@
 	}
 }
 
-// begin begins a commit and records the values in it.
+// begin begins a commit with about the given number of bytes, and records the values in the commit. It returns false
+// if there is nothing to commit.
 func (m *model) begin(bytes int) bool {
 	records, ok := m.queue.BeginCommit(bytes, failOnUnencodable)
 	if !ok {
@@ -118,9 +121,9 @@
 			"mark": func(t *rapid.T) {
 				m.mark(Lane(rapid.IntRange(0, int(laneCount)-1).Draw(t, "lane")), rapid.StringMatching("[a-f]").Draw(t, "key"))
 			},
-			"awaitAll":         func(t *rapid.T) { m.await(t, Urgent, Interactive, Bulk) },
-			"awaitUrgent":      func(t *rapid.T) { m.await(t, Urgent, Interactive) },
-			"awaitInteractive": func(t *rapid.T) { m.await(t, Interactive) },
+			"awaitAll":         func(t *rapid.T) { m.addCallback(t, Urgent, Interactive, Bulk) },
+			"awaitUrgent":      func(t *rapid.T) { m.addCallback(t, Urgent, Interactive) },
+			"awaitInteractive": func(t *rapid.T) { m.addCallback(t, Interactive) },
 			"begin": func(t *rapid.T) {
 				if m.committing != nil {
 					if _, ok := m.queue.BeginCommit(100, failOnUnencodable); ok {
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -56,8 +56,8 @@
 	return &storagetest.Client{Service: service, Disconnected: new(atomic.Bool)}
 }
 
-// A peer confirms that there is no leader only if it has run without contact to the key-value store since before the
-// lease may have expired. Otherwise it may have led and resigned.
+// A peer confirms that there is no leader only if, already before the lease may have expired, its process was running
+// and had its last contact to the key-value store. Otherwise the peer may have led and resigned since then.
 func TestPeersConfirmNoLeader(t *testing.T) {
 	const sinceExpiry = 10 * time.Second
 	for _, c := range []struct {
@@ -66,10 +66,10 @@
 		term          uint64
 		want          bool
 	}{
-		{"running and without the store since before", 20 * time.Second, 15 * time.Second, 2, true},
-		{"answered by the store since: may have led and resigned", 20 * time.Second, 5 * time.Second, 0, false},
-		{"restarted since", 5 * time.Second, 5 * time.Second, 0, false},
-		{"restarted since, though it reports no contact for longer", 5 * time.Second, 15 * time.Second, 0, false},
+		{"running, and without contact to the store, since before the expiry", 20 * time.Second, 15 * time.Second, 2, true},
+		{"answered by the store after the expiry: may have led and resigned", 20 * time.Second, 5 * time.Second, 0, false},
+		{"restarted after the expiry", 5 * time.Second, 5 * time.Second, 0, false},
+		{"restarted after the expiry, though it reports no contact for longer", 5 * time.Second, 15 * time.Second, 0, false},
 		{"answered by the store at the moment of expiry", 20 * time.Second, 10 * time.Second, 0, false},
 		{"has observed a later term", 20 * time.Second, 15 * time.Second, 3, false},
 	} {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A term record counts as damaged if its number leaves no tokens and attempt numbers for another term.
+// A term record counts as damaged if no tokens and attempt numbers are left for a term after the recorded one.
 func TestAcquireFailsAfterLastTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newTestStore(t)
@@ -103,7 +103,7 @@
 	})
 }
 
-// runElection runs an election until the test ends, and returns the channel of its roles.
+// runElection runs an election until the test ends, and returns a channel of the roles that the election publishes.
 func runElection(t *testing.T, e *Election) <-chan Role {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -119,8 +119,8 @@
 	return roles
 }
 
-// await returns the first role that matches. It fails the test after a minute without one.
-func await(t *testing.T, roles <-chan Role, matches func(Role) bool) Role {
+// awaitRole returns the first role that matches. It fails the test after a minute without such a role.
+func awaitRole(t *testing.T, roles <-chan Role, matches func(Role) bool) Role {
 	t.Helper()
 	timeout := time.After(time.Minute)
 	for {
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestElection(newTestStore(t), scriptedPeers{})
 		roles := runElection(t, e)
-		first := await(t, roles, leading)
+		first := awaitRole(t, roles, leading)
 		if first.Term == 0 || first.Guard.Key != LeaderKey || first.Guard.Version == 0 {
 			t.Errorf("first role %+v, want a term and a guard of %s", first, LeaderKey)
 		}
@@ -156,7 +156,7 @@
 			t.Errorf("role after ten leases: %+v, want a valid lease of term %d", last, first.Term)
 		}
 		if grace := last.RenewWorkersUntil.Sub(last.LeaseValidUntil); grace != e.settings.RenewalGrace() {
-			t.Errorf("workers' leases are renewed for %v after the lease, want %v", grace, e.settings.RenewalGrace())
+			t.Errorf("workers' leases are renewed for %v after the leader's lease, want %v", grace, e.settings.RenewalGrace())
 		}
 	})
 }
@@ -167,12 +167,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				e := newTestElection(newTestStore(t), scriptedPeers{})
 				roles := runElection(t, e)
-				term := await(t, roles, leading).Term
+				term := awaitRole(t, roles, leading).Term
 				e.Resign(Resignation{Term: term - 1}) // from an earlier term: has no effect
 				e.Resign(Resignation{Term: term, StandDown: standDown})
 				resigned := time.Now()
-				await(t, roles, notLeading)
-				next := await(t, roles, leading)
+				awaitRole(t, roles, notLeading)
+				next := awaitRole(t, roles, leading)
 				if next.Term <= term {
 					t.Errorf("next term is %d, want one after %d", next.Term, term)
 				}
@@ -198,7 +198,7 @@
 		}
 		started := time.Now()
 		roles := runElection(t, newTestElection(client, scriptedPeers{}))
-		await(t, roles, leading)
+		awaitRole(t, roles, leading)
 		if waited := time.Since(started); waited > time.Second {
 			t.Errorf("leads after %v, want at once", waited)
 		}
@@ -211,13 +211,13 @@
 		client := newTestStore(t)
 		e := newTestElection(client, scriptedPeers{}) // peers that confirm nothing
 		roles := runElection(t, e)
-		role := await(t, roles, leading)
+		role := awaitRole(t, roles, leading)
 		client.Disconnected.Store(true)
-		await(t, roles, notLeading)
+		awaitRole(t, roles, notLeading)
 		if ended := time.Now(); ended.Before(role.RenewWorkersUntil) {
 			t.Errorf("leadership ended %v before the end of the renewal grace, want after it", role.RenewWorkersUntil.Sub(ended))
 		}
 		client.Disconnected.Store(false)
-		await(t, roles, leading)
+		awaitRole(t, roles, leading)
 	})
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -15,19 +15,21 @@
 	"sagevale/internal/storage"
 )
 
-// newTestPlanner returns a planner and an empty fleet that carries out its decisions.
+// newTestPlanner returns a planner and an empty fleet that carries out the planner's decisions.
 func newTestPlanner() (*Planner, *clustertest.Fleet) {
 	fleet := clustertest.NewFleet(clustertest.Settings())
 	random := rand.New(rand.NewPCG(7, 7))
 	return New(&fleet.Settings, fleet.State, fleet, random, slog.New(slog.DiscardHandler)), fleet
 }
 
-// setMaxPerGPU sets the resources that open jobs request per GPU, as if UpdateMaxPerGPU had just computed them.
+// setMaxPerGPU sets the largest amounts of resources that open jobs request per GPU, as if UpdateMaxPerGPU had just
+// computed them.
 func (p *Planner) setMaxPerGPU(r storage.Resources) {
 	p.maxPerGPU, p.maxPerGPUUpdatedAt = r, time.Now()
 }
 
-// After a search for a shape found no candidate, later searches for it look only at candidates added since.
+// Once a search has found no candidate for a shape, that is for tasks with the same requirements, later searches for
+// this shape look only at candidates that were added after the first search.
 func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -49,8 +51,8 @@
 	})
 }
 
-// A shortlist that is updated after each task has the same candidates in the same order as one from a new search, so
-// that both lead to the same choices.
+// A shortlist that is updated after each placed task must have the same candidates, in the same order, as a shortlist
+// from a new search. Both then lead to the same choices.
 func TestShortlistMatchesFreshSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, fleet := newTestPlanner()
@@ -90,8 +92,8 @@
 	})
 }
 
-// Opportunistic tasks must leave the headroom of services and the CPUs that tasks with GPUs need. They once filled
-// both.
+// Opportunistic tasks must leave free the headroom of services, and the CPUs that tasks need to use the free GPUs. In a
+// former version opportunistic tasks took up both.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
--- a/internal/relay/freeze_test.go
+++ b/internal/relay/freeze_test.go
@@ -16,7 +16,7 @@
 	"sagevale/internal/worker"
 )
 
-// TestFreeze writes a batch of requests and the responses to it to the directory named by the environment variable
+// TestFreeze writes a batch of requests and a batch of responses to the directory named by the environment variable
 // FREEZE. The README.md of each directory in testdata describes its use.
 func TestFreeze(t *testing.T) {
 	write := func(name string, values []json.RawMessage, err error) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,7 +27,7 @@
 func TestBatchesOfEarlierVersionsAreRead(t *testing.T) {
 	for _, version := range []string{"production", "769a0b2"} {
 		t.Run(version, func(t *testing.T) {
-			requests, err := decodeRequests(frozenFragments(t, version, "letters.json"))
+			requests, err := decodeRequests(readTestdataBatch(t, version, "letters.json"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -35,7 +35,7 @@
 				requests[2].Report.Tasks[0].Cause != worker.CauseGangMissing || requests[2].Report.Tasks[1].State != worker.Gathering || *requests[2].Report.NoticeSeconds != 12.5 {
 				t.Errorf("requests %+v, want those of freeze_test.go", requests)
 			}
-			responses, err := decodeResponses(frozenFragments(t, version, "replies.json"))
+			responses, err := decodeResponses(readTestdataBatch(t, version, "replies.json"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,8 +46,8 @@
 	}
 }
 
-// frozenFragments reads a batch that an earlier version wrote.
-func frozenFragments(t *testing.T, version, name string) []fragment {
+// readTestdataBatch reads the fragments of a batch that an earlier version wrote.
+func readTestdataBatch(t *testing.T, version, name string) []fragment {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", version, name))
 	if err != nil {
@@ -60,8 +60,8 @@
 	return fragments
 }
 
-// A delayed batch may arrive among newer ones of its sender. The newer batches must not be lost, and the delayed one must be
-// skipped because its sender no longer waits for it.
+// A delayed batch may arrive among newer batches of its sender. The newer batches must not be lost. The delayed batch must
+// be skipped, because the sender no longer waits for the responses to it.
 func TestDelayedBatchIsOrderedBySerial(t *testing.T) {
 	change := func(process, serial uint64, count, i int) storage.Item {
 		data, err := json.Marshal(fragment{Process: process, Serial: serial, Count: count})
@@ -72,7 +72,7 @@
 	}
 	got := collectBatches([]storage.Item{change(1, 8, 2, 0), change(1, 8, 2, 1), change(1, 7, 1, 0), change(1, 6, 2, 0)}, requestPrefix)
 	if len(got) != 2 || len(got[batchID{"n1", 1, 8}]) != 2 || len(got[batchID{"n1", 1, 7}]) != 1 {
-		t.Errorf("collected %v, want both fragments of 8 and that of 7", got)
+		t.Errorf("collected %v, want both fragments of batch 8 and the only fragment of batch 7", got)
 	}
 	s := &Server{latest: make(map[string]batchID)}
 	for _, c := range []struct {
@@ -106,14 +106,14 @@
 	return responses
 }
 
-// requested returns the jobs of the users' requests so far.
-func (h *fakeHandler) requested() []string {
+// requestedJobs returns the IDs of the jobs of the users' requests so far.
+func (h *fakeHandler) requestedJobs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.jobs)
 }
 
-// leaderFixture is a key-value store and the relay server of a leader.
+// leaderFixture holds a key-value store, and the settings and the request handler of a leader with a relay server.
 type leaderFixture struct {
 	settings config.Settings
 	client   *storagetest.Client
@@ -146,7 +146,7 @@
 	return c
 }
 
-// runUntilEnd runs an actor until the test ends, and waits for it.
+// runUntilEnd runs an actor in the background. At the end of the test it stops the actor and waits until it has returned.
 func runUntilEnd(t *testing.T, run func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -161,8 +161,8 @@
 	})
 }
 
-// A batch that arrives after a newer one of its sender must not be executed: its sender no longer waits for it, and its
-// heartbeats may be old.
+// A batch that arrives after a newer batch of the same sender must not be executed: the sender no longer waits for the
+// responses, and the heartbeats in the batch may be old.
 func TestDelayedBatchIsNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newLeaderFixture(t)
@@ -178,11 +178,11 @@
 			time.Sleep(10 * time.Second)
 		}
 		send(8, "000001")
-		if got := s.handler.requested(); !slices.Equal(got, []string{"000001"}) {
+		if got := s.handler.requestedJobs(); !slices.Equal(got, []string{"000001"}) {
 			t.Fatalf("requests for jobs %v, want 000001", got)
 		}
 		send(7, "000002")
-		if got := s.handler.requested(); !slices.Equal(got, []string{"000001"}) {
+		if got := s.handler.requestedJobs(); !slices.Equal(got, []string{"000001"}) {
 			t.Errorf("requests for jobs %v, want 000001 alone: an older batch was executed", got)
 		}
 	})
@@ -217,7 +217,7 @@
 			t.Errorf("HandleUserRequest() = %+v, want unavailable", r)
 		}
 		if responses := c.HandleHeartbeats(ctx, []*worker.Report{{Machine: 7}}); responses != nil {
-			t.Errorf("HandleHeartbeats() = %+v, want nil: no leader has decided", responses)
+			t.Errorf("HandleHeartbeats() = %+v, want nil: no leader has responded", responses)
 		}
 	})
 }
--- a/internal/storage/compaction_test.go
+++ b/internal/storage/compaction_test.go
@@ -10,8 +10,9 @@
 	"sagevale/internal/storage"
 )
 
-// Commits at the highest rate leave no changes in the budget for compaction. Without forced
-// compaction the journal grew to 2000 chunks, all of which the next leader had to read.
+// Commits at the highest rate use up the change rate, so that none of it is left for compaction.
+// Compaction is therefore forced beyond a number of excess chunks. Without this the journal grew to
+// 2000 chunks, all of which the next leader had to read.
 func TestCompactionKeepsUpWithLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -28,9 +29,9 @@
 	})
 }
 
-// Compaction expects records to compress as well as earlier ones. If they compress worse, the
-// compaction must be abandoned as a whole. In a former version such records counted as moved
-// although they were not written, and were lost when their old chunk was deleted.
+// Compaction expects records to compress as well as the records that it moved before. If they
+// compress worse, the compaction must be abandoned as a whole. In a former version such records
+// counted as moved although they were not written, and were lost when their old chunk was deleted.
 func TestCompactionKeepsRecordsThatCompressWorse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -65,8 +66,8 @@
 	})
 }
 
-// Compaction doesn't split a record that was written whole under higher limits unless fragments
-// are allowed. The chunk of the record stays instead.
+// A record was written whole while the limits were higher. While fragments aren't allowed, compaction
+// must not split this record, and leaves the record's chunk in place.
 func TestPlainOnlyCompactionWritesNoFragments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/storage/fixture_test.go
+++ b/internal/storage/fixture_test.go
@@ -36,7 +36,8 @@
 	return storage.NewLimitTracker(l)
 }
 
-// trackerWithTimeout returns trackerWithNext(lowestLimits) with a request timeout.
+// trackerWithTimeout returns a tracker that starts with initialLimits and the given request timeout,
+// and may lower the limits to lowestLimits.
 func trackerWithTimeout(timeout time.Duration) *storage.LimitTracker {
 	l := initialLimits
 	l.RequestTimeout = timeout
@@ -138,7 +139,7 @@
 }
 
 // openUnderLoweredLimits lowers the limits of the store, and opens and runs a journal whose
-// tracker has observed that.
+// tracker has observed the lowered limits.
 func (f *fixture) openUnderLoweredLimits(ctx context.Context) *testJournal {
 	f.t.Helper()
 	f.setLimits(loweredLimits)
@@ -206,7 +207,7 @@
 func numberedKey(prefix string, i int) string { return fmt.Sprintf("%s%d", prefix, i) }
 
 // text returns a string that begins with the number i, followed by about the given number
-// of bytes in JSON. Texts with odd numbers can't be compressed.
+// of bytes in JSON. If i is odd, the text is random data in base64, which hardly compresses.
 func text(i, bytes int) string {
 	if i%2 == 0 {
 		return fmt.Sprintf("%d:%s", i, strings.Repeat(`"`, bytes/2)) // a quote takes two bytes in JSON
--- a/internal/storage/journal_limits_test.go
+++ b/internal/storage/journal_limits_test.go
@@ -12,10 +12,10 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The store may lower its limits without notice. In a former version that ended every term,
-// because each new leader first wrote a value that the store rejected as malformed. Stored chunks
-// must stay readable, the journal must write smaller chunks from then on, and compaction must
-// remove the old chunks.
+// The store may lower its limits without notice. In a former version every term ended from then on,
+// because each new leader first wrote a value that the store rejected as malformed. After the limits
+// are lowered, stored chunks must stay readable, the journal must write smaller chunks, and compaction
+// must remove the old chunks.
 func TestJournalAppliesLoweredLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const records = 40
@@ -125,9 +125,9 @@
 	return record
 }
 
-// If the response to a commit is lost and the store rejects the retry as malformed, the first
-// request may have been applied, so the journal must not replace its chunk by smaller ones. The
-// term ends, and the next leader reads the stored records.
+// The response to a commit is lost, and the store rejects the retry as malformed. Here the first
+// request was applied, so the journal must not replace its chunk by smaller ones. The term ends, and
+// the next leader reads the stored records.
 func TestLimitsLoweredAfterAppliedCommitEndTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -144,8 +144,9 @@
 	})
 }
 
-// If the first request of such a commit was not applied, the term continues with smaller chunks,
-// and the first request must have no effect if the store receives it later.
+// The first request of a commit isn't applied, and the store rejects the retry as malformed. The term
+// must continue with smaller chunks, and the first request must have no effect if the store receives
+// it later.
 func TestLimitsLoweredAfterDroppedCommitAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// The store may receive transactions late or repeatedly, even after their chunks have been
-// compacted away. They must have no effect then.
+// The store may receive a transaction again, even after the chunks of this transaction have been
+// compacted away. The repeated transaction must have no effect.
 func TestRepeatedTransactionHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/storage/limit_tracker_test.go
+++ b/internal/storage/limit_tracker_test.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/storage"
 )
 
-func TestLimitTrackerLowersLimitsOnFirstSign(t *testing.T) {
+func TestLimitTrackerLowersLimitsOnFirstLimitError(t *testing.T) {
 	tracker := trackerWithNext(lowestLimits)
 	for _, err := range []error{storage.ErrRefused, nil, storage.ErrOutcomeUnknown} {
 		if tracker.Observe(err) {
--- a/internal/storage/migration_test.go
+++ b/internal/storage/migration_test.go
@@ -12,7 +12,8 @@
 )
 
 // While only plain chunks are allowed, the journal writes nothing that the first versions can't
-// read. The commit of a record that is too large for a plain chunk waits.
+// read. The commit of a record that is too large for a plain chunk waits until other encodings are
+// allowed.
 func TestPlainOnlyJournalWaitsForEncoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -47,8 +48,8 @@
 	})
 }
 
-// The migration to plain chunks may stop after any step. The transaction of the last step may be
-// lost, or its response. The next leader must resume the migration, and no record may be lost.
+// The migration to plain chunks may stop after any step. The transaction of the last step, or the
+// response to it, may be lost. The next leader must resume the migration, and no record may be lost.
 func TestNextLeaderResumesMigration(t *testing.T) {
 	// The faults of the last step: none, a lost transaction, a lost response.
 	failures := []func(s *storagetest.Service){
@@ -113,8 +114,8 @@
 	time.Sleep(time.Second)
 }
 
-// A migration can't be completed while some record is too large for a plain chunk. Until then the
-// journal must not rewrite chunks without effect, and it must still accept writes of the record.
+// A migration can't be completed while some record is too large for a plain chunk. During this time
+// the journal must not rewrite chunks to no effect, and must still accept writes of the large record.
 func TestMigrationWaitsForRecordTooLargeForPlainChunk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/internal/storage/unknown_fields_test.go
+++ b/internal/storage/unknown_fields_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Records of this or an earlier version are not searched for unknown fields and stay unchanged,
-// as do records whose unknown fields can't be determined.
+// A rewritten record takes over no fields from the stored record if the stored record is of this or an
+// earlier version, or if the unknown fields of the stored record can't be determined.
 func TestRecordsOfKnownVersionsStayUnchanged(t *testing.T) {
 	for _, old := range []string{`{"n":2,"extra":1}`, `{"n":2,"v":3,"extra":1}`, `{"n":2,"v":"x","extra":1}`, `[{"v":9}]`, `{"v":9,"N":7}`} {
 		data := json.RawMessage(`{"n":4}`)
@@ -63,8 +63,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := MachineRecord{Addr: rapid.String().Draw(t, "addr"), Incarnation: rapid.Uint64().Draw(t, "session"), Images: map[string]float64{"i": 1}}
-		data, err := json.Marshal(now)
+		rewritten := MachineRecord{Addr: rapid.String().Draw(t, "addr"), Incarnation: rapid.Uint64().Draw(t, "session"), Images: map[string]float64{"i": 1}}
+		data, err := json.Marshal(rewritten)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,9 +91,9 @@
 	})
 }
 
-// FuzzParseRecords checks that decoding a chunk, encoding it and decoding it again yields the same
-// keys, and fragments at the same positions, also for records of later versions. It also checks
-// that merging the unknown fields of any record doesn't panic.
+// FuzzParseRecords checks that a decoded chunk keeps its keys, and its fragments at the same
+// positions, when it is encoded and decoded again, also if it holds records of later versions. It
+// also checks that merging the unknown fields of any record doesn't panic.
 func FuzzParseRecords(f *testing.F) {
 	f.Add([]byte(`[["j1",` + laterJob + `],["m3"],["p1/0","QUJD",0,2,77]]`))
 	f.Add([]byte(`[["f",{"n":1,"t":2}],["\u0066",{}]]`))
--- a/internal/upgrade/admission_test.go
+++ b/internal/upgrade/admission_test.go
@@ -10,8 +10,8 @@
 // A process that must not join the fleet is refused with a one-line error that states the cause or the
 // version to install.
 func TestAdmit(t *testing.T) {
-	const later = Current + 1
-	finalized := Record{Schema: 1, Active: later, Minimum: later, Phase: Finalized}
+	const laterVersion = Current + 1
+	finalized := Record{Schema: 1, Active: laterVersion, Minimum: laterVersion, Phase: Finalized}
 	active := Record{Schema: 1, Active: 3, Phase: Soaking}
 	for _, c := range []struct {
 		name     string
@@ -20,10 +20,10 @@
 		policy   Policy
 		want     string // part of the error; "": admitted
 	}{
-		{"older than finalized", finalized, Supported, Policy{}, fmt.Sprintf("version %d or later is needed", later)},
+		{"below the finalized version", finalized, Supported, Policy{}, fmt.Sprintf("version %d or later is needed", laterVersion)},
 		{"a version skipped", Initial(), Range{3, 5}, Policy{}, "upgrade to version 3 first"},
 		{"target below the active version", active, Supported, Policy{Target: 2}, "upgrade.target: version 2 is below version 3"},
-		{"older than active only", active, Range{1, 2}, Policy{}, ""},
+		{"below the active version, none finalized", active, Range{1, 2}, Policy{}, ""},
 		{"target is the active version", active, Supported, Policy{Target: 3}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/upgrade/decode_test.go
+++ b/internal/upgrade/decode_test.go
@@ -54,9 +54,9 @@
 }
 
 func TestUnknownFieldsSurviveRewrite(t *testing.T) {
-	const later = `{"schema":1,"active":2,"phase":"soaking","term":4,"region":{"a":[1,2]},` +
+	const laterRecord = `{"schema":1,"active":2,"phase":"soaking","term":4,"region":{"a":[1,2]},` +
 		`"gates":{"gang-jobs":{"since":2,"phase":"open","owner":"x"},"from-the-future":{"since":2,"phase":"open","limit":7}}}`
-	record, err := DecodeRecord("", []byte(later))
+	record, err := DecodeRecord("", []byte(laterRecord))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,9 +114,9 @@
 	return raw
 }
 
-// FuzzDecodeRecord checks that a decoded record stays the same when it is encoded and decoded again,
-// including unknown gates and fields, that MayLead, Admit and Next don't panic on it, and that the step
-// of Next leads to a consistent record.
+// FuzzDecodeRecord checks that a decoded record, including unknown gates and fields, stays the same when
+// it is encoded and decoded again. It also checks that MayLead, Admit and NextStep don't panic on the
+// record, and that the step that NextStep returns leads to a consistent record.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"schema":1,"active":3,"minimum":2,"phase":"finalized","gates":{"gang-jobs":{"since":2,"phase":"open","used":true}},"fence":2,"term":9,"activated_ms":5}`))
 	f.Add([]byte(`{"schema":1,"active":2,"phase":"withdrawing","gates":{"x":{"since":2,"phase":"withdrawing","y":1}},"z":[{}]}`))
@@ -162,8 +162,8 @@
 	})
 }
 
-// FuzzDecodeTerm checks that a decoded term stays the same when it is encoded and decoded again, and that
-// only a term without a fence can be decoded as a bare number.
+// FuzzDecodeTerm checks that a decoded term stays the same when it is encoded and decoded again. It also
+// checks that the term is encoded as a bare number exactly if it has no fence.
 func FuzzDecodeTerm(f *testing.F) {
 	f.Add([]byte(`7`))
 	f.Add([]byte(`{"t":7,"fence":2}`))
--- a/internal/upgrade/history_test.go
+++ b/internal/upgrade/history_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// processKinds lists the kinds of processes that a history may start: versions that register, among them
-// a later version that can't read the first two versions, and a version that doesn't register.
+// processKinds lists the kinds of processes that a random history may start. All but the last kind
+// register. The kind with the range 3 to 5 can't read versions 1 and 2.
 var processKinds = []process{
 	{versions: Range{1, 1}, registers: true},
 	{versions: Range{1, 2}, registers: true},
@@ -25,7 +25,8 @@
 	rapid.Check(t, func(t *rapid.T) { runHistory(t, processKinds) })
 }
 
-// TestInvariantsHoldWithUnregisteredVersion2 adds processes that use features without checking their gates.
+// TestInvariantsHoldWithUnregisteredVersion2 adds processes of version 2 that don't register. They use
+// the features of version 2 without checking the gates of these features.
 func TestInvariantsHoldWithUnregisteredVersion2(t *testing.T) {
 	kinds := append([]process{{versions: Range{1, 2}}}, processKinds...)
 	rapid.Check(t, func(t *rapid.T) { runHistory(t, kinds) })
@@ -46,8 +47,8 @@
 	}
 	check := func(t *rapid.T) {
 		sim.checkState()
-		for _, fault := range sim.violations {
-			t.Fatal(fault)
+		for _, violation := range sim.violations {
+			t.Fatal(violation)
 		}
 	}
 
--- a/internal/upgrade/invariants_test.go
+++ b/internal/upgrade/invariants_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// checkRegistrationsSupport checks that every stored registration supports a version that has just been
-// activated.
+// checkRegistrationsSupport checks that every stored registration that can be decoded supports the
+// version that was just activated.
 func (sim *simulation) checkRegistrationsSupport(activated Version) {
 	for _, node := range sim.nodes {
 		stored := sim.store[registrationPrefix+node]
@@ -70,8 +70,8 @@
 	}
 }
 
-// maxSettleSteps is more than the number of steps that any history needs to settle, in which each gate
-// may open, be withdrawn and close, and each version may be activated or rolled back.
+// maxSettleSteps is the number of steps after which settle gives up. No history needs that many, even if
+// each gate is opened, withdrawn and closed, and each version is activated or rolled back.
 const maxSettleSteps = 60
 
 // settle runs without further faults until the leader has no steps left, and checks the final state.
@@ -83,7 +83,7 @@
 		sim.acquireLeadership(node)
 	}
 	if sim.unregisteredLeader != nil {
-		return // such a leader takes no steps; checkState checks that it can read all data
+		return // such a leader takes no steps; checkState checks that this leader can read all data
 	}
 	if sim.leader == nil {
 		sim.checkNoneMayLead()
@@ -123,9 +123,12 @@
 	return removed
 }
 
-// checkSettled checks that the active version isn't above that of the oldest controller unless it is
-// finalized. It also checks that the active version is the highest that every controller supports and the
-// policy allows, unless the versions of a controller are unknown.
+// checkSettled checks the active version after the last step:
+//
+//   - If the active version isn't finalized, every controller whose versions are known supports it.
+//   - The active version isn't below the highest version that every controller supports and the policy
+//     allows. This isn't checked if the policy holds activations, if the versions of a controller are
+//     unknown, or if a controller is too new for the next version.
 func (sim *simulation) checkSettled(step Step) {
 	members := sim.members()
 	record := sim.record()
@@ -142,7 +145,7 @@
 	}
 	for i := range members {
 		if versions, _ := members[i].Versions(); versions.Min > record.Active+1 {
-			return // Admit refuses this controller
+			return // the controller doesn't support the next version, and Admit refuses the controller
 		}
 	}
 	if record.Active < min(want, sim.leader.process.versions.Max) {
@@ -150,7 +153,8 @@
 	}
 }
 
-// checkNoneMayLead checks that, while there is no leader, no live process may lead.
+// checkNoneMayLead checks that no live process may lead. It is called when no process could acquire
+// leadership.
 func (sim *simulation) checkNoneMayLead() {
 	record := sim.record()
 	for _, p := range sim.processes {
--- a/internal/upgrade/member_test.go
+++ b/internal/upgrade/member_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Found by TestInvariantsHoldInRandomHistories: for a node with a registration of an older version, the
-// version that a process without registration reported was used instead of the older one.
+// Found by TestInvariantsHoldInRandomHistories: a node had a registration of version 1, and its process
+// of version 2, which didn't register, reported version 2. Versions then returned version 2, though the
+// lower of the two versions must be used.
 func TestMemberVersionIsOlderOfRegistrationAndReport(t *testing.T) {
 	registration := NewRegistration("n0", "1", Range{1, 1})
 	m := Member{Node: "n0", Registration: &registration, UnregisteredVersion: Version2}
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -13,8 +13,10 @@
 	record         Record
 	recordRevision int
 	registrations  map[string]item    // by node
-	unregistered   map[string]Version // by node: versions of processes that don't register, as reported to peers
-	releasePending bool               // a release of a gate may still be committed, so that its next use must be stored again
+	unregistered   map[string]Version // by node: the version that a process that doesn't register has reported
+	// releasePending reports that the release of a gate may still be committed. A gate must then be
+	// marked as used again before its next use.
+	releasePending bool
 }
 
 // refresh makes the leader read the record and the registrations from the store.
@@ -74,8 +76,9 @@
 	})
 }
 
-// recordTransaction returns the leader's transaction that stores a record, and also the term if the fence
-// changes. If guardMembers is set, the transaction fails if a registration has changed.
+// recordTransaction returns a transaction of the leader that stores a record. If the fence changes, the
+// transaction also stores the term with the new fence. If guardMembers is true, the transaction is
+// rejected if a registration has changed since the leader read it.
 func (sim *simulation) recordTransaction(record Record, guardMembers bool) transaction {
 	l := sim.leader
 	tx := transaction{
@@ -105,7 +108,7 @@
 )
 
 // commit makes the leader store a record, and reports whether the leader has received a response that
-// confirms it. Otherwise the leader reads the store again.
+// confirms the write. If not, the leader reads the store again.
 func (sim *simulation) commit(record Record, guardMembers bool, result outcome) bool {
 	tx := sim.recordTransaction(record, guardMembers)
 	if result == delayed {
@@ -136,8 +139,9 @@
 	return step, sim.commit(step.Record, true, result)
 }
 
-// addDependent makes the leader store a dependent of a gate, if it may. If the gate isn't marked as used,
-// or its release is pending, the leader marks it as used instead, by a transaction with the given outcome.
+// addDependent makes the leader store an object that depends on a gate, if the leader supports the gate
+// and the gate is open. If the gate isn't marked as used, or a release is pending, the leader only marks
+// the gate as used, by a transaction with the given outcome. A further call then stores the object.
 func (sim *simulation) addDependent(name GateName, result outcome) {
 	if sim.usesWithoutGate(name) {
 		sim.dependents[name]++
@@ -160,8 +164,8 @@
 	}
 }
 
-// usesWithoutGate reports whether the leader is a version 2 that doesn't register, which uses its
-// features without gates.
+// usesWithoutGate reports whether the leader uses the feature of a gate without checking the gate. A
+// process that doesn't register does so if it is of version 2 or later and the gate belongs to version 2.
 func (sim *simulation) usesWithoutGate(name GateName) bool {
 	p := sim.unregisteredLeader
 	return p != nil && p.versions.Max >= Version2 && (name == GangJobs || name == CompressedChunks)
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -7,9 +7,10 @@
 )
 
 // This file simulates a fleet of controllers and a store with guarded transactions. The simulated processes
-// use this package as the scheduler does: they register, acquire leadership, and store the steps of Next. A
-// process can't use a gate that its version doesn't support. Restarts, lost responses, delayed transactions
-// and changes of leadership may occur at any time. The invariants are in invariants_test.go.
+// use this package as the scheduler does: they register, acquire leadership, and store the records of the
+// steps that NextStep returns. A process can't use a gate that its version doesn't support. Restarts, lost
+// responses, delayed transactions and changes of leadership may occur at any time. The invariants are in
+// invariants_test.go.
 
 // simulatedGates lists this program's gates and gates that exist only in the simulation.
 var simulatedGates = append(append(GateList{}, Gates...),
@@ -65,19 +66,19 @@
 	now       time.Time
 
 	store      map[string]item
-	revision   int           // of the latest change of the store
+	revision   int           // the revision of the latest change of the store
 	leadership int           // the revision of the leadership key; 0: there is no leader
 	delayed    []transaction // sent transactions that may be committed later or never
 
 	leader             *leader  // nil: there is no leader, or the leader doesn't register
 	unregisteredLeader *process // the leader, if it doesn't register
-	// unregisteredVersion2 reports that a process of version 2 that doesn't register has been in the
+	// unregisteredVersion2 is true once a process of version 2 that doesn't register has been in the
 	// fleet. Such a process uses the features of version 2 without checking gates, and doesn't prevent
 	// version 1 from leading: see docs/rolling-upgrade.md.
 	unregisteredVersion2 bool
 
-	dependents map[GateName]int // the number of stored dependents of each gate
-	unusedFor  time.Duration    // how long each gate has had no dependents, as reported to Next
+	dependents map[GateName]int // the number of stored objects that depend on each gate
+	unusedFor  time.Duration    // how long each gate has had no dependents, as passed to NextStep
 
 	previousRecord Record // the record before the latest transaction
 	violations     []string
@@ -98,7 +99,7 @@
 	return sim
 }
 
-// fault records a violated invariant.
+// addViolation records a violated invariant.
 func (sim *simulation) addViolation(format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
@@ -241,8 +242,9 @@
 	sim.refresh()
 }
 
-// acquireLeadershipUnregistered does the same as commits 3661d31 and af96c21, which don't lead unless the
-// stored term is a bare number.
+// acquireLeadershipUnregistered makes a process that doesn't register the leader. It behaves like the
+// program at commits 3661d31 and af96c21: if a term is stored that isn't a bare number, the process doesn't
+// become the leader.
 func (sim *simulation) acquireLeadershipUnregistered(p *process) {
 	var term uint64
 	if stored := sim.store[termKey]; stored.revision != 0 && json.Unmarshal(stored.data, &term) != nil {
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -42,8 +42,8 @@
 		sim.refresh()
 		step, _ := sim.step(answered)
 		sim.checkState()
-		for _, fault := range sim.violations {
-			t.Fatal(fault)
+		for _, violation := range sim.violations {
+			t.Fatal(violation)
 		}
 		if !step.Changed {
 			return step.Waiting
@@ -77,8 +77,8 @@
 	}
 }
 
-// A controller whose registration is missing or damaged blocks an activation. For a stopped controller its
-// latest registration is used.
+// A controller whose registration is missing or damaged blocks an activation. A stopped controller doesn't
+// block it if the latest registration of the controller supports the version.
 func TestActivationWaitsForRegistrations(t *testing.T) {
 	sim := newSimulation(3, Policy{})
 	sim.startRegistered("n0", Supported)
@@ -135,8 +135,8 @@
 	}
 }
 
-// Found by TestInvariantsHoldInRandomHistories: a withdrawal that waited for the uses of its gate to end was
-// canceled immediately and started again, in an endless loop.
+// Found by TestInvariantsHoldInRandomHistories: a gate was being withdrawn and still had uses. The withdrawal
+// was canceled at once instead of waiting for these uses to end, and was then started again, without end.
 func TestWaitingWithdrawalIsNotCancelled(t *testing.T) {
 	sim := newUpgradedSimulation(t, Policy{})
 	sim.addFirstDependent(CompressedChunks)
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -19,7 +19,8 @@
 // releaseAfter is how long a gate must be unused in these tests before it is released.
 const releaseAfter = 20 * time.Second
 
-// gangJobsInUse returns a cluster record with the gate for gang jobs in use. Under it a process of version 1 must not lead.
+// gangJobsInUse returns a cluster record with the gate for gang jobs in use. While this record is stored, a process of
+// version 1 must not lead.
 func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
@@ -27,12 +28,12 @@
 	return record
 }
 
-// fakeGateUsers is a fake of the leader's other actors. It records the published records and takes the number of gang jobs
-// from a function.
+// fakeGateUsers is a fake of the leader's other actors. It keeps the cluster records that the controller publishes, and
+// takes the number of gang jobs from a function.
 type fakeGateUsers struct {
 	published     []upgrade.Record
-	countGangJobs func(count int) int // returns the result of a count; the first count is 1
-	counts        int
+	countGangJobs func(count int) int // returns the number of gang jobs; count is 1 in the first call
+	counts        int                 // number of calls of countGangJobs so far
 }
 
 func (u *fakeGateUsers) PublishGates(_ context.Context, record upgrade.Record) error {
@@ -58,8 +59,8 @@
 	return false
 }
 
-// newReleasingController returns a controller whose gate for gang jobs has been unused for longer than releaseAfter, and its
-// key-value store. It is the only controller of its fleet.
+// newReleasingController returns the only controller of a fleet, and the client of its key-value store. The gate for gang
+// jobs has been unused for longer than releaseAfter.
 func newReleasingController(t *testing.T, users GateUsers) (*Controller, *storagetest.Client) {
 	t.Helper()
 	client := &storagetest.Client{Service: storagetest.NewService()}
@@ -87,8 +88,8 @@
 	return c, client
 }
 
-// The store applies the transaction that releases a gate an hour late and without an answer. While the release may still be
-// committed, the other actors must not use the gate.
+// The store applies the transaction that releases a gate an hour late, and the controller receives no response. While the
+// release may still be committed, the other actors must not use the gate.
 func TestGateIsNotUsableWhileReleaseIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		users := &fakeGateUsers{countGangJobs: func(int) int { return 0 }}
@@ -112,8 +113,8 @@
 	})
 }
 
-// Something comes to depend on a gate after the count that starts its release and before the release is written. The gate
-// must stay in use.
+// A gate gets a new dependent after the count that starts the release of the gate, and before the release is written. The
+// gate must stay in use.
 func TestUseAfterCountPreventsRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		users := &fakeGateUsers{countGangJobs: func(count int) int { return max(0, count-2) }}
