--- a/internal/activator/handler_test.go
+++ b/internal/activator/handler_test.go
@@ -102,7 +102,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			url := startHandler(t, tc.response, Limits{MaxHeld: 1, MaxConcurrent: 1}, "{host}:"+tc.port+"/{model}")
-			for range 2 { // the second request is granted only if the first was released
+			for range 2 { // the second request is granted only if the handler has released the first
 				var body io.Reader = strings.NewReader(tc.body)
 				if chunked, ok := strings.CutPrefix(tc.body, "chunked:"); ok {
 					body = io.MultiReader(strings.NewReader(chunked))
--- a/internal/archive/append_test.go
+++ b/internal/archive/append_test.go
@@ -38,7 +38,8 @@
 }
 
 // The first leader archives jobs, but its writes arrive late, or the responses to its writes are lost. The
-// next leader then archives some of the same jobs again. Every job must be found, and be counted once.
+// next leader then archives some of the same jobs again. Every job must be found and be counted once, and the
+// first leader must archive nothing after its term.
 func TestNextLeaderArchivesSameJobs(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/archive/withdrawal_test.go
+++ b/internal/archive/withdrawal_test.go
@@ -9,8 +9,8 @@
 )
 
 // Several leaders in turn withdraw the archive page by page, while some responses of the store are lost.
-// Each job is found in the archive until its page is returned, and is absent once the page is removed.
-// At the end no page is stored.
+// Each job is found in the archive until FirstPage returns its page, and is absent once DropFirstPage has
+// removed the page. At the end no page is stored.
 func TestWithdrawalReturnsEveryJob(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, f *fixture) {
 		leader, entries := f.startLeaderWith(500)
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -28,7 +28,7 @@
 // worker models a worker that follows the workers' protocol.
 type worker struct {
 	token, incarnation, seq uint64
-	running                 map[attempt]bool // false: the attempt has ended, and the worker retains it
+	attempts                map[attempt]bool // true: the attempt runs; false: the attempt has ended, and the worker retains it
 	forgotten               map[attempt]bool
 }
 
@@ -47,13 +47,13 @@
 type world struct {
 	workers     []*worker
 	views       []*workerView
-	term        uint64 // the last token of the current term
+	lastToken   uint64 // the last token of the current term
 	attempts    int
 	active      map[int]bool // tasks for which the leader has a reserved attempt
 	commands    []command    // every command ever sent
 	heartbeats  []heartbeat  // every heartbeat ever sent
 	window      int          // the number of retained attempts at which the token is raised
-	maxRetained int          // the most attempts that a worker had to retain
+	maxRetained int          // the largest number of attempts that a worker had to retain at a time
 	violations  []string
 	newFence    newFence
 }
@@ -61,7 +61,7 @@
 func newWorld(workers, window int, newFence newFence) *world {
 	w := &world{window: window, newFence: newFence}
 	for range workers {
-		w.workers = append(w.workers, &worker{incarnation: 1, running: make(map[attempt]bool), forgotten: make(map[attempt]bool)})
+		w.workers = append(w.workers, &worker{incarnation: 1, attempts: make(map[attempt]bool), forgotten: make(map[attempt]bool)})
 	}
 	w.changeLeader()
 	return w
@@ -75,8 +75,8 @@
 // changeLeader begins a term. The attempts of the previous term are lost: in this model every worker
 // begins a new incarnation, which proves to the new leader that none of these attempts runs any more.
 func (w *world) changeLeader() {
-	tokens := TermTokens(w.term + 1)
-	w.term = tokens.Last
+	tokens := TermTokens(w.lastToken + 1)
+	w.lastToken = tokens.Last
 	w.views, w.active = nil, make(map[int]bool)
 	for _, worker := range w.workers {
 		worker.restart()
@@ -88,7 +88,7 @@
 func (worker *worker) restart() {
 	worker.incarnation++
 	worker.seq = 0
-	clear(worker.running)
+	clear(worker.attempts)
 }
 
 // reserveAttempt reserves an attempt of a task on a worker. If direct is set and the fence isn't full, a direct
@@ -121,26 +121,26 @@
 
 // startAttempt starts an attempt on a worker, unless the worker has it already, and checks the invariants.
 func (w *world) startAttempt(target *worker, a attempt) {
-	if _, known := target.running[a]; known {
+	if _, known := target.attempts[a]; known {
 		return
 	}
 	if target.forgotten[a] {
 		w.addViolation("attempt %v runs after it was forgotten", a)
 	}
 	for _, other := range w.workers {
-		for b, runs := range other.running {
+		for b, runs := range other.attempts {
 			if runs && b.task == a.task {
 				w.addViolation("task %d is on two machines", a.task)
 			}
 		}
 	}
-	target.running[a] = true
+	target.attempts[a] = true
 }
 
 // endAttempts ends all attempts on a worker.
 func (w *world) endAttempts(workerIndex int) {
-	for a := range w.workers[workerIndex].running {
-		w.workers[workerIndex].running[a] = false
+	for a := range w.workers[workerIndex].attempts {
+		w.workers[workerIndex].attempts[a] = false
 	}
 }
 
@@ -149,7 +149,7 @@
 	worker := w.workers[workerIndex]
 	worker.seq++
 	h := heartbeat{worker: workerIndex, incarnation: worker.incarnation, seq: worker.seq, token: worker.token}
-	for a, runs := range worker.running {
+	for a, runs := range worker.attempts {
 		if runs {
 			h.live = append(h.live, a)
 		} else {
@@ -199,7 +199,7 @@
 	}
 	for _, a := range h.ended {
 		if _, reserved := view.reserved[a]; !reserved && !view.fence.MustRetain(a) {
-			delete(worker.running, a)
+			delete(worker.attempts, a)
 			worker.forgotten[a] = true
 		}
 	}
--- a/internal/groupcommit/bulk_pacer_test.go
+++ b/internal/groupcommit/bulk_pacer_test.go
@@ -43,7 +43,7 @@
 		{0, 0},
 		{testMaxWait - time.Millisecond, 0},
 		{testMaxWait, math.Inf(1)},
-		{testMaxWait + time.Millisecond, 0}, // only once
+		{testMaxWait + time.Millisecond, 0}, // the lane is held back again
 	} {
 		if got := p.Allow(began.Add(c.after), saved, testBurst); got != c.want {
 			t.Errorf("Allow after %v: got %v, want %v", c.after, got, c.want)
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -56,8 +56,9 @@
 	return &storagetest.Client{Service: service, Disconnected: new(atomic.Bool)}
 }
 
-// A peer confirms that there is no leader only if, already before the lease may have expired, its process was running
-// and had its last contact to the key-value store. Otherwise the peer may have led and resigned since then.
+// From the moment at which this controller's lease may have expired, a peer may lead. The peer confirms that it hasn't
+// led since then only if its process was already running before, and has had no contact to the key-value store since.
+// Otherwise the peer may have led and resigned.
 func TestPeersConfirmNoLeader(t *testing.T) {
 	const sinceExpiry = 10 * time.Second
 	for _, c := range []struct {
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -97,7 +97,7 @@
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
-		fleet.ReportMachine(1, "cpu", "a", false) // fits four tasks of the service or two opportunistic tasks
+		fleet.ReportMachine(1, "cpu", "a", false) // a machine of this type fits four tasks of the service or two opportunistic tasks
 		fleet.ReportMachine(2, "cpu", "a", false)
 		gpu := fleet.ReportMachine(3, "gpu", "a", false)
 		training := clustertest.Service("000001", 1)
--- a/internal/storage/fixture_test.go
+++ b/internal/storage/fixture_test.go
@@ -25,7 +25,7 @@
 	initialLimits = storage.Limits{RequestsPerS: 100, ChangesPerS: 40, ValueBytes: 8192, TxnOps: 32}
 	// loweredLimits are lower limits that the store may enforce later.
 	loweredLimits = storage.Limits{ChangesPerS: 30, ValueBytes: 2048, TxnOps: 4}
-	// lowestLimits are lower limits with so low a change rate that each commit has to wait.
+	// lowestLimits are like loweredLimits, but their change rate is so low that each commit has to wait.
 	lowestLimits = storage.Limits{ChangesPerS: 15, ValueBytes: 2048, TxnOps: 4}
 )
 
--- a/internal/upgrade/model_leader_test.go
+++ b/internal/upgrade/model_leader_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// exchangeVersions makes a node's process report its version to the leader.
+// exchangeVersions makes a node's process report to the leader whether it registers, and its version if it
+// doesn't.
 func (sim *simulation) exchangeVersions(node string) {
 	p := sim.aliveProcess(node)
 	if sim.leader == nil || p == nil {
--- a/internal/upgrade/transition_test.go
+++ b/internal/upgrade/transition_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// A controller whose registration is missing or damaged blocks an activation. A stopped controller doesn't
-// block it if the latest registration of the controller supports the version.
+// A controller blocks an activation if its registration is missing or damaged. A stopped controller blocks no
+// activation if its latest registration supports the version.
 func TestActivationWaitsForRegistrations(t *testing.T) {
 	sim := newSimulation(3, Policy{})
 	sim.startRegistered("n0", Supported)
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -16,7 +16,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// releaseAfter is how long a gate must be unused in these tests before it is released.
+// releaseAfter is how long a gate must have no dependents in these tests before it is released, that is marked as unused.
 const releaseAfter = 20 * time.Second
 
 // gangJobsInUse returns a cluster record with the gate for gang jobs in use. While this record is stored, a process of
