--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// gangChecksPerHeartbeat is the number of times per heartbeat interval that a task of a gang checks the gang's other tasks.
+// gangChecksPerHeartbeat is how many times per heartbeat interval a machine checks the gangs of its tasks. A gang is a job
+// whose tasks run only together: they start when all of them are ready, and they all end if one of them is lost.
 const gangChecksPerHeartbeat = 10
 
 // attemptID identifies an attempt of a task.
@@ -20,22 +21,22 @@
 	id         attemptID
 	job        string
 	state      string // one of the states on the wire
-	cause      string // of the end, one of the causes on the wire
+	cause      string // cause of the end, one of the causes on the wire; empty before the end
 	stateSince time.Time
-	running    bool // its image is fetched and it has not ended
-	restarted  bool // an earlier attempt of the task has run
+	running    bool // the image is fetched and the attempt has not ended
+	restarted  bool // another attempt of the task ran before this one
 	team       string
 	cpus       float64
 }
 
-// jobOfTask returns the job ID that a task's name begins with.
+// jobOfTask returns the job ID from a task's name. The name has the form JOB/INDEX.
 func jobOfTask(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	return id
 }
 
-// startAttempt executes a start command. The attempt ends at once if the job was not added to the workers, or if
-// another attempt of the task has not ended on the machine.
+// startAttempt executes a start command. The attempt ends at once if the job was not added to the workers, or if the
+// machine holds another attempt of the task that has not ended.
 func (w *Workers) startAttempt(m *machine, id attemptID, now time.Time) {
 	a := &attempt{id: id, job: jobOfTask(id.task), state: statePulling, stateSince: now}
 	if _, known := w.jobs[a.job]; !known {
@@ -58,7 +59,8 @@
 	}
 }
 
-// expireLease kills all attempts of a machine whose lease has expired, and starts a new incarnation.
+// expireLease removes all attempts of a machine, as a worker kills its tasks when its lease expires. It starts a new
+// incarnation of the worker, with a new lease.
 func (w *Workers) expireLease(m *machine, now time.Time) {
 	for _, a := range m.attempts {
 		a.running = false
@@ -69,8 +71,9 @@
 	m.leaseRenewedAt = now
 }
 
-// advanceMachine applies the changes of a machine that are due: an expired lease, fetched images, completed tasks, and
-// gangs that can start or have lost a task. It reports whether anything has changed. w.mu must be held.
+// advanceMachine updates the simulated state of a machine to the time now. It handles an expired lease, fetched images,
+// completed tasks, and gangs that can start or have lost a task. It reports whether anything has changed. w.mu must be
+// held.
 func (w *Workers) advanceMachine(m *machine, now time.Time) (changed bool) {
 	if m.deleted {
 		return false
@@ -99,8 +102,8 @@
 	return changed
 }
 
-// nextAttemptChange returns the time at which advanceMachine must be called next for an attempt of the machine, or the
-// zero time if no attempt needs it.
+// nextAttemptChange returns the next time at which advanceMachine must be called to update an attempt of the machine. It
+// returns the zero time if no attempt is going to change on its own.
 func (w *Workers) nextAttemptChange(m *machine) time.Time {
 	var next time.Time
 	candidate := func(at time.Time) {
@@ -122,7 +125,8 @@
 	return next
 }
 
-// runAttempt runs an attempt whose image has been fetched. The audit log checks that no other attempt of the task runs.
+// runAttempt starts an attempt whose image has been fetched. The attempt of a gang's task is in the state gathering until
+// the whole gang starts. The audit log checks that the start violates no rule.
 func (w *Workers) runAttempt(m *machine, a *attempt, now time.Time) {
 	j := w.jobs[a.job]
 	a.restarted = w.startedTasks[a.id.task]
@@ -133,11 +137,12 @@
 		a.state = stateGathering
 	}
 	if j.isService() {
-		w.replicaStarted(a.job)
+		w.recordReplicaStart(a.job)
 	}
 }
 
-// startGang starts a gang if all its tasks are gathering, and reports whether it did.
+// startGang starts a gang if all its tasks are in the state gathering, that is, if their images are fetched. It reports
+// whether it has started the gang.
 func (w *Workers) startGang(job string, attemptNumber uint64, now time.Time) bool {
 	var gathering []*attempt
 	for a, m := range w.audit.attemptsByJob[job] {
@@ -165,7 +170,7 @@
 	return present < w.jobs[job].Tasks
 }
 
-// Running returns the number of running attempts of each task of a job, by the task's name.
+// Running returns the running tasks of a job. The result maps the name of each task to its number of running attempts.
 func (w *Workers) Running(id string) map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/loopbacktest/audit_log.go
+++ b/internal/loopbacktest/audit_log.go
@@ -28,21 +28,22 @@
 // maxViolations bounds the list of violations, since a fault that breaks a rule once often breaks it many times.
 const maxViolations = 100
 
-// quotaTolerance is how far, in processors, the sum of a team may exceed its limit by floating-point rounding.
+// quotaTolerance is how far the processors that a team uses may exceed its limit, in processors. It allows for
+// floating-point rounding in the sum.
 const quotaTolerance = 1e-6
 
 // auditLog records which attempt ran on which machine and checks the rules. Workers.mu guards it.
 type auditLog struct {
-	running        attemptIndex         // running attempts by task name
-	attemptsByJob  attemptIndex         // all attempts that machines hold, by job
-	cpusInUse      map[string]float64   // by team
-	cpuLimits      map[string]float64   // by team; 0: no limit
-	cancelledAt    map[string]time.Time // when the user received the confirmation of the cancellation, by job
-	completedTasks map[string]bool      // by task name
+	running        attemptIndex         // running attempts, keyed by task name
+	attemptsByJob  attemptIndex         // all attempts that machines hold, keyed by job ID
+	cpusInUse      map[string]float64   // processors that a team uses, keyed by team
+	cpuLimits      map[string]float64   // processor limit of a team, keyed by team; 0: no limit
+	cancelledAt    map[string]time.Time // when the user received the confirmation of a cancellation, keyed by job ID
+	completedTasks map[string]bool      // set of task names
 	violations     []Violation
-	violationCount int                               // including those beyond maxViolations
-	starts         int                               // of attempts
-	startLatency   map[Class]*hdrhistogram.Histogram // from a job's acceptance to the first start of a task, in microseconds
+	violationCount int                               // number of violations, including those beyond maxViolations
+	starts         int                               // number of started attempts
+	startLatency   map[Class]*hdrhistogram.Histogram // from a job's acceptance to the first start of each task, in microseconds
 }
 
 func newAuditLog(teams []Team) *auditLog {
@@ -64,7 +65,7 @@
 	}
 }
 
-// addAttempt adds an attempt that a machine holds.
+// addAttempt records a new attempt and the machine that holds it.
 func (l *auditLog) addAttempt(m *machine, a *attempt) { l.attemptsByJob.add(a.job, a, m) }
 
 // removeAttempt removes an attempt that its machine no longer holds.
@@ -73,11 +74,11 @@
 	l.attemptsByJob.remove(a.job, a)
 }
 
-// attemptStarted records that an attempt has started to run, and checks that no other attempt of the task runs and that
-// the team is within its limit.
+// attemptStarted records that an attempt has started to run. It checks that no other attempt of the task runs, and that
+// the team is within its processor limit.
 func (l *auditLog) attemptStarted(m *machine, a *attempt, j Job, lease time.Duration, now time.Time) {
 	for other, otherMachine := range l.running[a.id.task] {
-		// A machine whose lease has expired has killed its tasks, though that may not be recorded yet.
+		// A machine whose lease has expired has killed its tasks, even if they are still in l.running.
 		if other != a && !otherMachine.deleted && now.Sub(otherMachine.leaseRenewedAt) <= lease {
 			l.addViolation(RanTwice, "%s started on %s (attempt %d) while it runs on %s (attempt %d)", a.id.task, m.name, a.id.number, otherMachine.name, other.id.number)
 		}
@@ -94,7 +95,7 @@
 	}
 }
 
-// attemptEnded records that an attempt no longer runs. It does nothing if that is recorded already.
+// attemptEnded records that an attempt no longer runs. It does nothing if the attempt is not recorded as running.
 func (l *auditLog) attemptEnded(a *attempt) {
 	if _, running := l.running[a.id.task][a]; !running {
 		return
@@ -103,8 +104,8 @@
 	l.cpusInUse[a.team] -= a.cpus
 }
 
-// checkCancelled checks that no task runs of jobs whose cancellation was confirmed longer ago than the limit. Each job is
-// checked once.
+// checkCancelled checks that the tasks of cancelled jobs have stopped. It checks each cancelled job once: when CancelLimit
+// has passed since the user received the confirmation.
 func (l *auditLog) checkCancelled(timing Timing, now time.Time) {
 	for id, at := range l.cancelledAt {
 		if now.Sub(at) <= timing.CancelLimit {
--- a/internal/loopbacktest/cloud.go
+++ b/internal/loopbacktest/cloud.go
@@ -17,10 +17,10 @@
 // Cloud is the stand-in for the cloud's API. Workers.mu guards it.
 type Cloud struct {
 	workers      *Workers
-	cpus         float64 // of a machine
+	cpus         float64 // processors per machine
 	machineLimit int     // maximum number of machines; 0: no limit
 	nextID       int
-	launched     map[string][]string // machine names by name of the launch request, so that launches are idempotent
+	launched     map[string][]string // machine names, keyed by the launch request's name; makes launches idempotent
 }
 
 // newCloud returns a cloud without machines.
@@ -34,7 +34,8 @@
 	defer c.workers.mu.Unlock()
 	for i := range count {
 		m := c.createMachine(machineTypeName, zones[i%len(zones)], false)
-		// The heartbeats are spread over one interval, as in a fleet that has run for a long time.
+		// The boot times are spread over one heartbeat interval, and so are the heartbeats, as in a fleet that has run
+		// for a long time.
 		c.workers.bootAfter(m, time.Duration(i)*c.workers.timing.Heartbeat/time.Duration(count))
 	}
 }
@@ -49,11 +50,11 @@
 // handler returns the HTTP handler of the cloud's API.
 func (c *Cloud) handler() http.Handler {
 	mux := http.NewServeMux()
-	counted := c.workers.traffic.counted
-	mux.HandleFunc("GET /catalog", counted(CloudCalls, c.listTypes))
-	mux.HandleFunc("POST /rentals", counted(CloudCalls, c.launch))
-	mux.HandleFunc("POST /rentals/delete", counted(CloudCalls, c.terminate))
-	mux.HandleFunc("GET /rentals", counted(CloudCalls, c.listMachines))
+	withCounting := c.workers.traffic.withCounting
+	mux.HandleFunc("GET /catalog", withCounting(CloudCalls, c.listTypes))
+	mux.HandleFunc("POST /rentals", withCounting(CloudCalls, c.launch))
+	mux.HandleFunc("POST /rentals/delete", withCounting(CloudCalls, c.terminate))
+	mux.HandleFunc("GET /rentals", withCounting(CloudCalls, c.listMachines))
 	return mux
 }
 
@@ -158,7 +159,7 @@
 func (c *Cloud) listMachines(w http.ResponseWriter, r *http.Request) {
 	afterID, pageSize := -1, maxPageSize
 	if from := r.URL.Query().Get("From"); from != "" {
-		afterID, _ = protocol.ParseMachineName(from) // 0 if it is not a machine's name
+		afterID, _ = protocol.ParseMachineName(from) // 0 if from is not a machine's name
 	}
 	if n, err := strconv.Atoi(r.URL.Query().Get("Page")); err == nil && n > 0 && n < pageSize {
 		pageSize = n
--- a/internal/loopbacktest/commands.go
+++ b/internal/loopbacktest/commands.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// serveCommands executes commands that the leader sends directly. Status 409 means that the fencing token is
-// outdated, that the commands are for another incarnation, or that the machine was deleted.
+// serveCommands executes commands that the leader sends in a request instead of in a heartbeat's response. It responds
+// with status 409 if the fencing token is outdated, the commands are for another incarnation, or the machine was deleted.
 func (w *Workers) serveCommands(m *machine, rw http.ResponseWriter, r *http.Request) {
 	var request directCommands
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Token == 0 || request.Incarnation == 0 {
--- a/internal/loopbacktest/controller.go
+++ b/internal/loopbacktest/controller.go
@@ -10,20 +10,20 @@
 	"sync/atomic"
 )
 
-// Program is a build of the controllers' program together with the operators' properties that it runs with.
+// Program is a binary of the controllers' program, together with the operators' properties with which it is started.
 type Program struct {
-	Name       string // for tests, such as "older"
+	Name       string // identifies the program in tests, such as "older"
 	Binary     string // path
 	Properties string // contents of the properties file; empty: no file
 }
 
-// Controller is one controller node and its current process. Its methods, Fleet.Start and Fleet.Close must not
-// be called concurrently for the same controller.
+// Controller is one controller node and its current process. Calls of its methods, of Fleet.Start and of Fleet.Close must
+// not overlap for the same controller.
 type Controller struct {
 	Name       string
 	UsersAddr  string  // address for users and workers
-	ModelsAddr string  // address for requests to models, if it listens there
-	Program    Program // last one started
+	ModelsAddr string  // address for requests to models; used only if the properties set it as activation.listen
+	Program    Program // program that was started last
 
 	peersAddr string
 	process   *exec.Cmd     // nil: not started, or killed
@@ -31,7 +31,7 @@
 	log       *os.File
 }
 
-// newController returns a controller that is not started, with addresses that are free.
+// newController chooses free addresses for a controller. It does not start the controller.
 func newController(name string) (*Controller, error) {
 	c := &Controller{Name: name}
 	for _, addr := range []*string{&c.UsersAddr, &c.peersAddr, &c.ModelsAddr} {
@@ -43,8 +43,9 @@
 	return c, nil
 }
 
-// The controllers' ports are below the range that the system assigns to outgoing connections and to listeners
-// without a port. Otherwise a port could be taken between its choice and the controller's start.
+// The range of the controllers' ports. The operating system assigns higher ports to outgoing connections and to listeners
+// that request no specific port. If the ranges overlapped, the system could assign a port to another socket after
+// freeAddress has chosen the port and before the controller listens on it.
 const (
 	firstPort = 16_000
 	portCount = 16_000
@@ -71,7 +72,7 @@
 	return "", fmt.Errorf("find a free port: %w", err)
 }
 
-// Start starts a process of the program for the controller. A running process is killed first.
+// Start runs the program as the controller's process. If the controller has a running process, Start kills it first.
 func (f *Fleet) Start(c *Controller, p Program) error {
 	c.Kill()
 	c.Program = p
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// Kill sends SIGKILL to the controller's process, if one runs, and waits for its exit. The process can't handle the signal.
+// Kill sends SIGKILL to the controller's process, if one runs, and waits for its exit. The process can't catch this signal,
+// so it has no chance to shut down gracefully.
 func (c *Controller) Kill() {
 	if c.process == nil {
 		return
@@ -125,7 +127,8 @@
 	return filepath.Join(f.dir, c.Name+".properties")
 }
 
-// writeConfig writes the controller's settings file and properties file, and returns the arguments that name them.
+// writeConfig writes the controller's settings file and, if the program has properties, its properties file. It returns the
+// command-line arguments with the paths of these files.
 func (f *Fleet) writeConfig(c *Controller) (args []string, err error) {
 	if err := os.WriteFile(f.settingsPath(c), []byte(f.settings(c)), 0o600); err != nil {
 		return nil, err
--- a/internal/loopbacktest/fleet.go
+++ b/internal/loopbacktest/fleet.go
@@ -15,8 +15,8 @@
 
 // Keys of the key-value store that Fleet reads.
 const (
-	leadershipKey = "lead"            // the leader
-	clusterKey    = "upgrade/cluster" // the cluster record
+	leadershipKey = "lead"            // record of the current leader
+	clusterKey    = "upgrade/cluster" // cluster record: the active version and the state of the feature gates
 )
 
 // Fleet is a set of controllers with the stand-ins that they use, and the HTTP client of their users.
@@ -28,7 +28,7 @@
 	Traffic     *Traffic
 
 	options   Options
-	dir       string // for settings, properties and logs
+	dir       string // directory for settings, properties and logs
 	servers   []*http.Server
 	serving   sync.WaitGroup
 	client    *http.Client
@@ -39,8 +39,8 @@
 	nextController atomic.Int64 // round-robin counter that spreads users' requests, as a load balancer does
 }
 
-// NewFleet starts the stand-ins of a fleet, and chooses the controllers' addresses. Start starts the
-// controllers; the caller must call Close at the end. The controllers' files are written to dir.
+// NewFleet starts the stand-ins of a fleet and chooses the controllers' addresses. It does not start the controllers; the
+// caller does so with Start. The controllers' files are written to dir. The caller must call Close at the end.
 func NewFleet(dir string, options Options) (*Fleet, error) {
 	traffic := newTraffic()
 	f := &Fleet{options: options, dir: dir, Traffic: traffic, Store: newKeyValueStore(traffic), client: newUserClient()}
@@ -69,7 +69,7 @@
 	return f, nil
 }
 
-// serveStandIns serves the key-value store and the cloud.
+// serveStandIns starts the HTTP servers of the key-value store and the cloud.
 func (f *Fleet) serveStandIns() (err error) {
 	if f.stateAddr, err = f.serve(f.Store.handler()); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	return err
 }
 
-// serve serves a handler until the fleet is closed, and returns its address.
+// serve starts an HTTP server for a handler and returns the server's address. Close stops the server.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +116,8 @@
 	return upgrade.DecodeRecord(item.Key, item.Data)
 }
 
-// Leader returns the controller that holds the leadership key, or nil if there is none or that controller was killed.
+// Leader returns the controller that the leadership key names. It returns nil if the key can't be read, or if the named
+// controller has no running process.
 func (f *Fleet) Leader(ctx context.Context) *Controller {
 	item, err := f.Store.client().Get(ctx, leadershipKey)
 	if err != nil {
--- a/internal/loopbacktest/heartbeats.go
+++ b/internal/loopbacktest/heartbeats.go
@@ -11,7 +11,7 @@
 // heartbeatTimeout is the time within which a response to a heartbeat must arrive, according to the protocol.
 const heartbeatTimeout = 4 * time.Second
 
-// runHeartbeats sends a machine's heartbeats until it is deleted or the workers are closed.
+// runHeartbeats sends a machine's heartbeats until the machine is deleted or the workers are closed.
 func (w *Workers) runHeartbeats(m *machine) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -48,7 +48,8 @@
 	}
 }
 
-// nextHeartbeat returns when the next heartbeat is due. It is due earlier if a change must be reported.
+// nextHeartbeat returns when the machine's next heartbeat is due. If a change must be reported, the interval since the last
+// heartbeat is MinHeartbeatInterval instead of Heartbeat. No heartbeat is due before retryAt.
 func (m *machine) nextHeartbeat(timing Timing, changed bool) time.Time {
 	nextAt := m.lastHeartbeat.Add(timing.Heartbeat)
 	if changed {
@@ -60,11 +61,11 @@
 	return nextAt
 }
 
-// timeUntilNextStep returns the time until a machine must send a heartbeat or one of its attempts must be advanced.
-// w.mu must be held.
+// timeUntilNextStep returns how long a machine's heartbeat loop waits before it checks again whether a heartbeat or a change
+// of an attempt is due. w.mu must be held.
 func (w *Workers) timeUntilNextStep(m *machine, heartbeatAt time.Time, heartbeatDue bool, now time.Time) time.Duration {
 	if heartbeatDue {
-		return 0 // check again after the response
+		return 0 // the loop checks again as soon as the heartbeat has been sent and its response handled
 	}
 	next := heartbeatAt
 	if m.unresponsive {
--- a/internal/loopbacktest/job.go
+++ b/internal/loopbacktest/job.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Class is a class of jobs whose latencies are recorded separately.
+// Class is a class of jobs. The latencies of each class are recorded separately.
 type Class string
 
 // The classes of jobs.
@@ -30,7 +30,7 @@
 	acceptedAt time.Time // when the user received the acceptance
 }
 
-// Class returns the class of the job.
+// Class returns the class under which the job's latencies are recorded.
 func (j Job) Class() Class {
 	if j.Urgent {
 		return UrgentJobs
--- a/internal/loopbacktest/machine.go
+++ b/internal/loopbacktest/machine.go
@@ -20,15 +20,15 @@
 	createdAt      time.Time
 	booted         bool
 	deleted        bool
-	unresponsive   bool // sends no heartbeats and accepts no commands
-	incarnation    uint64
+	unresponsive   bool      // sends no heartbeats and accepts no commands
+	incarnation    uint64    // 1 after booting; incremented when the lease expires
 	sequence       uint64    // number of the latest heartbeat
 	token          uint64    // the highest fencing token received
 	leaseRenewedAt time.Time // start of the worker's current lease
 	attempts       map[attemptID]*attempt
 	changed        chan struct{} // wakes the heartbeat loop
 	controller     int           // index of the controller that receives the heartbeats
-	retryAt        time.Time     // no heartbeat is sent before it
+	retryAt        time.Time     // no heartbeat is sent before this time
 	lastHeartbeat  time.Time
 }
 
@@ -43,7 +43,7 @@
 	return m
 }
 
-// bootAfter boots a machine after a delay, unless it is deleted or the workers are closed first.
+// bootAfter boots a machine after a delay, unless the machine is deleted or the workers are closed first.
 func (w *Workers) bootAfter(m *machine, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		w.mu.Lock()
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -5,9 +5,9 @@
 // Timing holds intervals, limits and simulated durations of the workers.
 type Timing struct {
 	Heartbeat            time.Duration // interval between two heartbeats
-	MinHeartbeatInterval time.Duration // minimum interval between a heartbeat and one that reports a change
+	MinHeartbeatInterval time.Duration // interval before a heartbeat that is sent early because of a change
 	Lease                time.Duration // duration of a worker's lease
-	CancelLimit          time.Duration // from a confirmed cancellation until no task of the job may still run
+	CancelLimit          time.Duration // how long a job's tasks may still run after the job's cancellation was confirmed
 	Boot                 time.Duration // boot time of a machine
 	ImageFetch           time.Duration // time to fetch a task's image
 }
@@ -35,7 +35,7 @@
 	MemoryMB float64 // memory limit of a controller
 	CPUShare float64 // processor limit of a controller, in processors
 	Sockets  int     // maximum number of open sockets of a controller
-	LogLevel string  // of the controllers
+	LogLevel string  // log level of the controllers
 }
 
 // DefaultOptions returns the options of a small fleet: three controllers, and no machines at the start.
--- a/internal/loopbacktest/state_service.go
+++ b/internal/loopbacktest/state_service.go
@@ -19,7 +19,7 @@
 type KeyValueStore struct {
 	Service      *storagetest.Service
 	Requests     atomic.Int64
-	RequestBytes atomic.Int64 // of request bodies
+	RequestBytes atomic.Int64 // total size of the request bodies
 	Changes      atomic.Int64 // committed puts and deletions
 	traffic      *Traffic
 }
@@ -46,14 +46,14 @@
 // handler returns the HTTP handler of the store's protocol.
 func (s *KeyValueStore) handler() http.Handler {
 	mux := http.NewServeMux()
-	counted := s.traffic.counted
-	mux.HandleFunc("GET /store/{key...}", counted(StateGet, s.get))
-	mux.HandleFunc("GET /store", counted(StateList, s.list))
-	mux.HandleFunc("POST /txn", counted(StateTxn, s.transact))
-	mux.HandleFunc("POST /grants", counted(StateLease, s.grantLease))
-	mux.HandleFunc("POST /grants/{id}/touch", counted(StateLease, s.renewLease))
-	mux.HandleFunc("DELETE /grants/{id}", counted(StateLease, s.revokeLease))
-	mux.HandleFunc("GET /changes", counted(StateWatch, s.watch))
+	withCounting := s.traffic.withCounting
+	mux.HandleFunc("GET /store/{key...}", withCounting(StateGet, s.get))
+	mux.HandleFunc("GET /store", withCounting(StateList, s.list))
+	mux.HandleFunc("POST /txn", withCounting(StateTxn, s.transact))
+	mux.HandleFunc("POST /grants", withCounting(StateLease, s.grantLease))
+	mux.HandleFunc("POST /grants/{id}/touch", withCounting(StateLease, s.renewLease))
+	mux.HandleFunc("DELETE /grants/{id}", withCounting(StateLease, s.revokeLease))
+	mux.HandleFunc("GET /changes", withCounting(StateWatch, s.watch))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Requests.Add(1)
 		if r.ContentLength > 0 {
@@ -68,7 +68,7 @@
 	Error string `json:"error"`
 }
 
-// writeJSON writes a response with a JSON body. It ignores the error of a client that has disconnected.
+// writeJSON writes a response with a JSON body. It ignores write errors, which occur if the client has disconnected.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -162,8 +162,9 @@
 	writeJSON(w, http.StatusOK, protocol.LeaseGrantResponse{ID: id})
 }
 
-// withLease applies an operation to the lease whose ID is in the request's path.
-func (s *KeyValueStore) withLease(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
+// serveLeaseRequest calls operation with the lease ID from the request's path. It responds with an empty JSON object, or
+// with the error.
+func (s *KeyValueStore) serveLeaseRequest(w http.ResponseWriter, r *http.Request, operation func(ctx context.Context, id uint64) error) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err == nil {
 		err = operation(r.Context(), id)
@@ -176,11 +177,11 @@
 }
 
 func (s *KeyValueStore) renewLease(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, s.client().Renew)
+	s.serveLeaseRequest(w, r, s.client().Renew)
 }
 
 func (s *KeyValueStore) revokeLease(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, s.client().Revoke)
+	s.serveLeaseRequest(w, r, s.client().Revoke)
 }
 
 // watchEvent is one event of a watch on the wire.
--- a/internal/loopbacktest/traffic.go
+++ b/internal/loopbacktest/traffic.go
@@ -9,7 +9,8 @@
 // MessageKind is a kind of message, distinguished by sender and purpose.
 type MessageKind string
 
-// The kinds of messages that the stand-ins and the client of the users count. Messages between controllers are not counted.
+// The kinds of messages that are counted by the stand-ins and by the users' HTTP client. Messages between controllers are
+// not counted.
 const (
 	Heartbeats     MessageKind = "worker report"
 	DirectCommands MessageKind = "direct orders"
@@ -31,20 +32,20 @@
 
 // Traffic counts messages by kind. It is safe for concurrent use.
 type Traffic struct {
-	mu    sync.Mutex
-	flows map[MessageKind]*MessageCounts
+	mu     sync.Mutex
+	counts map[MessageKind]*MessageCounts
 }
 
-func newTraffic() *Traffic { return &Traffic{flows: make(map[MessageKind]*MessageCounts)} }
+func newTraffic() *Traffic { return &Traffic{counts: make(map[MessageKind]*MessageCounts)} }
 
 // add counts one request and its response as one message.
 func (t *Traffic) add(kind MessageKind, requestBytes, responseBytes int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.flows[kind]
+	f := t.counts[kind]
 	if f == nil {
 		f = &MessageCounts{}
-		t.flows[kind] = f
+		t.counts[kind] = f
 	}
 	f.Messages++
 	f.RequestBytes += requestBytes
@@ -55,8 +56,8 @@
 func (t *Traffic) Snapshot() map[MessageKind]MessageCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[MessageKind]MessageCounts, len(t.flows))
-	for kind, f := range t.flows {
+	out := make(map[MessageKind]MessageCounts, len(t.counts))
+	for kind, f := range t.counts {
 		out[kind] = *f
 	}
 	return out
@@ -66,11 +67,11 @@
 func (t *Traffic) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	clear(t.flows)
+	clear(t.counts)
 }
 
-// counted returns a handler that calls h and counts the request and its response under kind.
-func (t *Traffic) counted(kind MessageKind, h http.HandlerFunc) http.HandlerFunc {
+// withCounting returns a handler that calls h and counts the request and its response under kind.
+func (t *Traffic) withCounting(kind MessageKind, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body := &countingReader{ReadCloser: r.Body}
 		r.Body = body
--- a/internal/loopbacktest/user_client.go
+++ b/internal/loopbacktest/user_client.go
@@ -25,16 +25,18 @@
 	pollTimeout = 20 * time.Second
 )
 
-// errNoDecision means that a controller could not decide a request yet, or that its response was not received.
+// errNoDecision means that a request has no result and may be retried: the controller could not process the request yet, or
+// its response was not received.
 var errNoDecision = errors.New("undecided")
 
-// JobStatus is the response to a user's request. It contains the state of the job if the request was decided.
+// JobStatus is a controller's response to a user's request. If the response asks for a retry, only Code and RetryAfter are
+// set.
 type JobStatus struct {
 	Code    int    `json:"Status"`   // HTTP status code
 	State   string `json:"Standing"` // state of the job on the wire, such as "done"
 	Running int    `json:"running"`  // number of running tasks
 	Done    int    `json:"done"`     // number of completed tasks
-	// RetryAfter is the pause that a refusal asks for, or 0 if it asks for none.
+	// RetryAfter is how long the response asks the user to wait before a retry. It is 0 if the response doesn't ask for a pause.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -84,7 +86,8 @@
 	}
 }
 
-// RequestWithRetry sends a request to the controllers in turn until one decides it or the timeout has passed.
+// RequestWithRetry sends a request to the controllers in turn until one returns a result or the timeout has passed. A
+// rejection such as status 404 is a result, but a response that asks for a retry is not.
 func (f *Fleet) RequestWithRetry(method, path string, body any, timeout time.Duration) (JobStatus, error) {
 	var s JobStatus
 	err := errNoDecision
@@ -98,8 +101,9 @@
 	return s, err
 }
 
-// SubmitWithBackoff submits a job as the protocol requires of users: after a refusal they wait for a second, or as
-// long as the refusal asks for if that is longer. onRefusal is called for each refusal.
+// SubmitWithBackoff submits a job, with retries until a controller returns a result or the timeout has passed. A request
+// without a result is a refusal. Before each retry, SubmitWithBackoff calls onRefusal. It then waits as long as the refusal
+// asks for, but at least for a second, as the protocol requires of users.
 func (f *Fleet) SubmitWithBackoff(j Job, timeout time.Duration, onRefusal func(JobStatus)) error {
 	f.Workers.addJob(j)
 	deadline := time.Now().Add(timeout)
@@ -116,7 +120,8 @@
 	}
 }
 
-// Submit submits a job, with retries until the submission is decided or the timeout has passed.
+// Submit submits a job, with retries until a controller returns a result or the timeout has passed. The defaults of Job.Team
+// and Job.CPUs apply.
 func (f *Fleet) Submit(j Job, timeout time.Duration) error {
 	if j.Team == "" {
 		j.Team = f.options.Teams[0].Name
@@ -132,20 +137,20 @@
 	return f.recordAcceptance(j, s)
 }
 
-// recordAcceptance records the time at which a job was accepted. It returns an error if the response is no acceptance.
+// recordAcceptance records the time at which a job was accepted. It returns an error if the response rejects the job.
 func (f *Fleet) recordAcceptance(j Job, s JobStatus) error {
 	if s.Code != http.StatusCreated && s.Code != http.StatusOK {
 		return fmt.Errorf("submission of job %s: got status %d", j.ID, s.Code)
 	}
-	f.Workers.jobAccepted(j.ID, time.Now())
+	f.Workers.setAcceptedAt(j.ID, time.Now())
 	return nil
 }
 
-// Cancel cancels a job, with retries until the cancellation is decided or the timeout has passed.
+// Cancel cancels a job, with retries until a controller returns a result or the timeout has passed.
 func (f *Fleet) Cancel(id string, timeout time.Duration) (JobStatus, error) {
 	s, err := f.RequestWithRetry(http.MethodPost, "/v1/jobs/"+id+"/cancel", nil, timeout)
 	if err == nil && s.State == "aborted" {
-		f.Workers.jobCancelled(id, time.Now())
+		f.Workers.setCancelledAt(id, time.Now())
 	}
 	return s, err
 }
--- a/internal/loopbacktest/worker_metrics.go
+++ b/internal/loopbacktest/worker_metrics.go
@@ -17,7 +17,8 @@
 	_ = h.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) // never out of range
 }
 
-// Counts holds the number of machines, of tasks that run, of attempts started so far and of violations so far.
+// Counts holds the current numbers of machines and running tasks, and the total numbers of started attempts and
+// violations.
 type Counts struct {
 	Machines, Running, Starts, Violations int
 }
@@ -29,15 +30,16 @@
 	return Counts{Machines: len(w.byAddr), Running: len(w.audit.running), Starts: w.audit.starts, Violations: w.audit.violationCount}
 }
 
-// HeartbeatLatencies returns a copy of the histogram of the times from a heartbeat to its response, in microseconds.
+// HeartbeatLatencies returns a copy of the histogram of heartbeat latencies. A latency is the time from sending a heartbeat
+// to receiving its response, in microseconds.
 func (w *Workers) HeartbeatLatencies() *hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return hdrhistogram.Import(w.heartbeatLatency.Export())
 }
 
-// StartLatencies returns copies of the histograms, by class, of the times from the acceptance of a job to the first
-// start of each task, in microseconds.
+// StartLatencies returns a copy of each class's histogram of start latencies. Each task adds one latency: the time from the
+// acceptance of its job to the first start of the task, in microseconds.
 func (w *Workers) StartLatencies() map[Class]*hdrhistogram.Histogram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/loopbacktest/worker_protocol.go
+++ b/internal/loopbacktest/worker_protocol.go
@@ -25,7 +25,7 @@
 	causeDone    = "done"
 	causeStopped = "stopped"
 	causeUnknown = "unknown" // the job was not added to the workers
-	causeBusy    = "busy"    // another attempt of the task is on the machine
+	causeBusy    = "busy"    // the machine holds another attempt of the task that has not ended
 	causePeers   = "peers"   // the gang has lost a task
 )
 
@@ -43,7 +43,7 @@
 	Leader   string    `json:"Steward"` // in a redirect: the name of the controller that heartbeats must be sent to
 }
 
-// directCommands is a request with commands that the leader sends to a worker without waiting for its heartbeat.
+// directCommands is a request with commands that the leader sends to a worker without waiting for the next heartbeat.
 type directCommands struct {
 	Token       uint64    `json:"Baton"`
 	Incarnation uint64    `json:"Ride"`
--- a/internal/loopbacktest/workers.go
+++ b/internal/loopbacktest/workers.go
@@ -9,32 +9,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxIdleConnsPerController bounds the idle connections to one controller, since each worker keeps its own connection.
+// maxIdleConnsPerController limits the idle connections to one controller. The limit is high because all workers share one
+// HTTP client, and each worker keeps a connection.
 const maxIdleConnsPerController = 20_000
 
 // Workers holds all machines with their simulated workers. One lock guards them, since they share the audit log.
 type Workers struct {
 	timing          Timing
 	controllerAddrs []string
-	controllerIndex map[string]int // by name
+	controllerIndex map[string]int // index in controllerAddrs, keyed by the controller's name
 	traffic         *Traffic
 	client          *http.Client
 	server          *http.Server
-	port            string        // of all machines' addresses
+	port            string        // port in the addresses of all machines
 	closed          chan struct{} // closed by Close
 	background      sync.WaitGroup
 
 	mu               sync.Mutex
-	machines         map[int]*machine    // by ID, including deleted ones
-	byAddr           map[string]*machine // those that are not deleted, by host and port
-	jobs             map[string]Job      // by ID
+	machines         map[int]*machine    // keyed by ID, including deleted machines
+	byAddr           map[string]*machine // machines that are not deleted, keyed by host and port
+	jobs             map[string]Job      // keyed by ID
 	audit            *auditLog
-	startedTasks     map[string]bool         // by task name; true once an attempt has run
-	models           map[string]*ModelCounts // by job
+	startedTasks     map[string]bool         // keyed by task name; true once an attempt of the task has run
+	models           map[string]*ModelCounts // keyed by job ID
 	heartbeatLatency *hdrhistogram.Histogram // from heartbeat to response, in microseconds
 }
 
-// newWorkers starts the server of the workers, without machines, for controllers with these names and addresses.
+// newWorkers starts the HTTP server of the workers. There are no machines at first. names and addrs are the names and the
+// addresses of the controllers, in the same order.
 func newWorkers(timing Timing, teams []Team, names, addrs []string, traffic *Traffic) (*Workers, error) {
 	w := &Workers{
 		timing: timing, controllerAddrs: addrs, controllerIndex: make(map[string]int), traffic: traffic,
@@ -53,7 +55,7 @@
 }
 
 // listen starts one server for all machines. Each machine has its own address in the loopback range.
-// Requests to addresses outside that range are refused.
+// Requests to addresses outside the loopback range are refused.
 func (w *Workers) listen() error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -63,7 +65,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", w.traffic.counted(DirectCommands, w.withMachine(w.serveCommands)))
+	mux.HandleFunc("POST /orders", w.traffic.withCounting(DirectCommands, w.withMachine(w.serveCommands)))
 	mux.HandleFunc("GET /show", w.withMachine(w.serveStatus))
 	mux.HandleFunc("/", w.withMachine(w.serveModel))
 	w.server = &http.Server{Handler: mux}
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// withMachine returns a handler that passes each request to the machine whose address the request was sent to.
+// withMachine returns a handler that finds the machine to which a request was addressed, and calls serve with it.
 // It aborts the connection if no machine has this address or the machine is unresponsive.
 func (w *Workers) withMachine(serve func(*machine, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
@@ -117,8 +119,8 @@
 	w.jobs[j.ID] = j
 }
 
-// jobAccepted records when the user of a job received the acceptance.
-func (w *Workers) jobAccepted(id string, at time.Time) {
+// setAcceptedAt records when the user of a job received the acceptance.
+func (w *Workers) setAcceptedAt(id string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j := w.jobs[id]
@@ -126,8 +128,8 @@
 	w.jobs[id] = j
 }
 
-// jobCancelled records when the user of a job received the confirmation of its cancellation.
-func (w *Workers) jobCancelled(id string, at time.Time) {
+// setCancelledAt records when the user of a job received the confirmation of its cancellation.
+func (w *Workers) setCancelledAt(id string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.audit.cancelledAt[id] = at
@@ -140,7 +142,7 @@
 	return append([]Violation(nil), w.audit.violations...)
 }
 
-// checkCancelledJobs checks periodically for tasks of cancelled jobs that still run, until the workers are closed.
+// checkCancelledJobs calls auditLog.checkCancelled periodically until the workers are closed.
 func (w *Workers) checkCancelledJobs() {
 	ticker := time.NewTicker(w.timing.CancelLimit / 20)
 	defer ticker.Stop()
