--- a/cmd/fleetload/fit.go
+++ b/cmd/fleetload/fit.go
@@ -13,13 +13,13 @@
 	"sagevale/internal/fleetload"
 )
 
-// newFitCommand returns the command that fits each figure of several results against one of their figures.
+// newFitCommand returns the command that reads several results and fits each of their figures against the figure x.
 func newFitCommand() *cobra.Command {
 	var x string
 	var only []string
 	cmd := &cobra.Command{
 		Use:   "fit --x FIGURE FILE...",
-		Short: "Fit every figure of several results against one of them",
+		Short: "Fit every figure of several results against one figure",
 		Long:  "fit reads files written by run --json that differ in one figure, such as config.workers. It prints each\nfigure's slope, its value at 0, and the largest residual as a share of the largest value.",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, files []string) error {
@@ -47,12 +47,12 @@
 	return cmd
 }
 
-// printLines prints the fitted lines of the selected figures as a table.
+// printLines prints the fitted lines as a table. It omits figures that the flag --only does not select.
 func printLines(cmd *cobra.Command, lines map[string]fleetload.Line, results []map[string]float64, only []string) error {
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FIGURE\tSLOPE\tAT 0\tRESIDUAL\tMEASURED")
 	for _, name := range slices.Sorted(maps.Keys(lines)) {
-		if !selected(name, only) {
+		if !isSelected(name, only) {
 			continue
 		}
 		var measured []string
@@ -65,7 +65,7 @@
 	return w.Flush()
 }
 
-// selected reports whether a name contains one of the texts of only, or only is empty.
-func selected(name string, only []string) bool {
+// isSelected reports whether a name contains one of the texts of the flag --only. Without such texts, it returns true.
+func isSelected(name string, only []string) bool {
 	return len(only) == 0 || slices.ContainsFunc(only, func(text string) bool { return strings.Contains(name, text) })
 }
--- a/cmd/fleetload/run.go
+++ b/cmd/fleetload/run.go
@@ -46,18 +46,18 @@
 	flags.Float64Var(&config.StartsPerS, "starts", config.StartsPerS, "short tasks to start per second")
 	flags.IntVar(&config.TasksPerJob, "tasks", config.TasksPerJob, "tasks per short job")
 	flags.DurationVar(&config.TaskTime, "task-time", config.TaskTime, "run time of a short task")
-	flags.Float64Var(&config.CancelShare, "cancelled", config.CancelShare, "share of the short jobs that is cancelled")
-	flags.Float64Var(&config.UrgentShare, "urgent", config.UrgentShare, "share of the short jobs that is urgent")
+	flags.Float64Var(&config.CancelShare, "cancelled", config.CancelShare, "share of the short jobs that are cancelled")
+	flags.Float64Var(&config.UrgentShare, "urgent", config.UrgentShare, "share of the short jobs that are urgent")
 	flags.IntVar(&config.Teams, "teams", config.Teams, "teams, each with a processor limit")
-	flags.IntVar(&config.FinishedJobs, "finished", config.FinishedJobs, "finished jobs that are stored in the journal before the start")
-	flags.IntVar(&config.ArchivedJobs, "archived", config.ArchivedJobs, "finished jobs that are stored in the archive before the start")
-	flags.Float64Var(&config.FinishedJobPollsPerS, "final-polls", config.FinishedJobPollsPerS, "polls per second of jobs that were stored as finished before the start")
+	flags.IntVar(&config.FinishedJobs, "finished", config.FinishedJobs, "finished jobs that are stored in the journal before the controllers start")
+	flags.IntVar(&config.ArchivedJobs, "archived", config.ArchivedJobs, "finished jobs that are stored in the archive before the controllers start")
+	flags.Float64Var(&config.FinishedJobPollsPerS, "final-polls", config.FinishedJobPollsPerS, "polls per second for all jobs that are stored before the controllers start")
 	flags.BoolVar(&config.EnableArchive, "archive", config.EnableArchive, "enable the archive of finished jobs")
-	flags.BoolVar(&config.EnableFencing, "fencing", config.EnableFencing, "raise the workers' fencing tokens within a term")
-	flags.IntVar(&config.ArchiveKeep, "archive-keep", config.ArchiveKeep, "finished jobs that stay out of the archive; negative: the controllers' default")
-	flags.DurationVar(&config.FillTimeout, "fill", config.FillTimeout, "limit of the time until all standing tasks run")
+	flags.BoolVar(&config.EnableFencing, "fencing", config.EnableFencing, "let the leader raise a worker's fencing token during the leader's term")
+	flags.IntVar(&config.ArchiveKeep, "archive-keep", config.ArchiveKeep, "finished jobs that stay in the journal instead of the archive; negative: the controllers' default")
+	flags.DurationVar(&config.FillTimeout, "fill", config.FillTimeout, "maximum time until all standing tasks run")
 	flags.DurationVar(&config.Duration, "duration", config.Duration, "duration of the measurement")
-	flags.Uint64Var(&config.Seed, "seed", config.Seed, "seed of the random numbers of the load")
+	flags.Uint64Var(&config.Seed, "seed", config.Seed, "seed of the random choices of the load")
 	flags.Float64Var(&config.MemoryMB, "memory", config.MemoryMB, "memory limit in a controller's settings, in MB")
 	flags.Float64Var(&config.StoreChangesPerS, "changes", config.StoreChangesPerS, "write limit of the key-value store in the controllers' settings, in changes per second")
 	flags.StringArrayVar(&faults, "fault", nil, "fault to inject; may be repeated")
@@ -127,8 +127,8 @@
 	return err
 }
 
-// prepareDirAndBinary creates a directory and builds the controllers' program if config names none. The created
-// directory is removed at the end of the command.
+// prepareDirAndBinary creates a directory if config.Dir is empty, and builds the controllers' program if config.Binary is
+// empty. The created directory is removed at the end of the command.
 func prepareDirAndBinary(cmd *cobra.Command, config *fleetload.Config) error {
 	if config.Dir == "" {
 		dir, err := os.MkdirTemp("", "fleetload")
--- a/cmd/fleetload/wake.go
+++ b/cmd/fleetload/wake.go
@@ -14,9 +14,10 @@
 		Use:   "wake",
 		Short: "Scale models from zero by bursts of requests while controllers are killed",
 		Long: `wake starts controllers, simulated workers and stand-in model servers, which count their own starts.
-In each wake it sends a burst of requests to models that are scaled to zero, and waits until all are
-answered and the models are scaled to zero again. It injects the faults in the first wake. It exits
-with 1 if a model started more than once per wake, a request was not answered, or a rule was violated.
+In each wake it sends a burst of requests to models that are scaled to zero, and waits until all
+requests are answered and the models are scaled to zero again. It injects the faults in the first wake.
+It exits with 1 if a model started more than once per wake, a request was not answered, or a rule was
+violated.
 Faults are as in run, but TIME counts from the first request.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -34,10 +35,10 @@
 	flags.IntVar(&config.Requests, "requests", config.Requests, "requests to each model in each wake")
 	flags.IntVar(&config.Wakes, "wakes", config.Wakes, "how many times all models scale from zero")
 	addFleetFlags(cmd, &config.Config)
-	flags.Uint64Var(&config.Seed, "seed", config.Seed, "seed of the random numbers of the requests")
+	flags.Uint64Var(&config.Seed, "seed", config.Seed, "seed of the random choices of the requests")
 	flags.DurationVar(&config.Idle, "idle", config.Idle, "time without requests after which a model scales to zero")
-	flags.DurationVar(&config.Hold, "hold", config.Hold, "the longest that a controller holds a request; 0: controllers hold none")
-	flags.DurationVar(&config.Patience, "patience", config.Patience, "the longest that a request with its retries, or the scaling to zero, may take")
+	flags.DurationVar(&config.Hold, "hold", config.Hold, "maximum time that a controller holds a request until the model runs; 0: it holds none")
+	flags.DurationVar(&config.Patience, "patience", config.Patience, "timeout of a request including its retries, and of the scaling to zero")
 	flags.StringArrayVar(&faults, "fault", nil, "fault to inject; may be repeated; without any, the leader is killed")
 	return cmd
 }
--- a/internal/fleetload/bursts.go
+++ b/internal/fleetload/bursts.go
@@ -7,12 +7,12 @@
 	"sagevale/internal/loopbacktest"
 )
 
-// BurstFigures counts the outcomes of the submissions of all bursts. A refusal is a request without a decision:
-// the controller asked the user to retry, or no response arrived.
+// BurstFigures counts the submissions of all bursts by their outcomes. A request is refused if the controller asks the
+// user to retry, or if no response arrives.
 type BurstFigures struct {
-	Refusals        int `json:"refusals"`  // refused requests
-	Refused         int `json:"refused"`   // submissions with at least one refused request
-	AcceptedOnRetry int `json:"at_return"` // submissions that the first retry got accepted
+	Refusals        int `json:"refusals"`  // refused requests that were retried
+	Refused         int `json:"refused"`   // submissions with at least one retry
+	AcceptedOnRetry int `json:"at_return"` // submissions that were accepted on the first retry
 	Abandoned       int `json:"abandoned"` // submissions that were never accepted
 }
 
@@ -20,12 +20,12 @@
 type burstStats struct {
 	BurstFigures
 	acceptLatency latencyHistogram // from the first request to acceptance
-	retryAfter    latencyHistogram // pauses that the refusals requested; 0 if a refusal requested none
+	retryAfter    latencyHistogram // pauses that refusals asked for before the retries; 0 if a refusal asked for none
 }
 
-// submitBurst submits jobs of one task each at the same time, and waits until each of them is accepted or
-// abandoned. A refused submission is retried as the protocol requires, after the pause that the refusal
-// requests or after a second, if that is longer.
+// submitBurst submits jobs of one task each at the same time, and waits until each of them is accepted or abandoned. A
+// refused submission is retried as the protocol requires: after the pause that the refusal asks for, but at least a second
+// later.
 func (u *users) submitBurst(jobCount int) {
 	var submissions sync.WaitGroup
 	for range jobCount {
--- a/internal/fleetload/config.go
+++ b/internal/fleetload/config.go
@@ -15,30 +15,30 @@
 	Dir                  string        `json:"-"` // directory for the controllers' settings and logs
 	Controllers          int           `json:"controllers"`
 	Workers              int           `json:"workers"`
-	StandingTasks        int           `json:"running"`       // standing tasks, which run for the whole experiment
+	StandingTasks        int           `json:"running"`       // number of standing tasks, which run for the whole experiment
 	TasksPerStandingJob  int           `json:"per_standing"`  // standing tasks per job
 	StartsPerS           float64       `json:"starts_per_s"`  // short tasks to start per second
 	TasksPerJob          int           `json:"tasks_per_job"` // tasks per short job
 	TaskTime             time.Duration `json:"task_ns"`       // run time of a short task
 	CancelShare          float64       `json:"cancel_share"`  // share of the short jobs that users cancel
-	UrgentShare          float64       `json:"urgent_share"`  // share of the short jobs that is urgent
+	UrgentShare          float64       `json:"urgent_share"`  // share of the short jobs that are urgent
 	Teams                int           `json:"teams"`
-	FinishedJobs         int           `json:"finished"`          // finished jobs that are stored in the journal before the start
-	ArchivedJobs         int           `json:"archived"`          // finished jobs that are stored in the archive before the start
-	FinishedJobPollsPerS float64       `json:"final_polls_per_s"` // polls per second of jobs that were stored before the start
+	FinishedJobs         int           `json:"finished"`          // finished jobs stored in the journal before the controllers start
+	ArchivedJobs         int           `json:"archived"`          // finished jobs stored in the archive before the controllers start
+	FinishedJobPollsPerS float64       `json:"final_polls_per_s"` // polls per second for the jobs of FinishedJobs and ArchivedJobs
 	EnableArchive        bool          `json:"archive"`           // enables the archive of finished jobs
-	EnableFencing        bool          `json:"fencing"`           // raises the workers' fencing tokens within a term
-	// ArchiveKeep is the number of finished jobs that stay out of the archive; negative: the controllers' default.
+	EnableFencing        bool          `json:"fencing"`           // the leader raises workers' fencing tokens during its term
+	// ArchiveKeep is the number of finished jobs that the controllers keep in the journal; negative: their default.
 	ArchiveKeep       int           `json:"archive_keep"`
 	HeartbeatInterval time.Duration `json:"report_ns"`
-	Lease             time.Duration `json:"lease_ns"`    // of a worker
-	FillTimeout       time.Duration `json:"fill_ns"`     // limit of the time until all standing tasks run
-	Duration          time.Duration `json:"duration_ns"` // of the measurement
+	Lease             time.Duration `json:"lease_ns"`    // duration of a worker's lease
+	FillTimeout       time.Duration `json:"fill_ns"`     // how long the experiment waits until all standing tasks run
+	Duration          time.Duration `json:"duration_ns"` // duration of the measurement
 	Seed              uint64        `json:"seed"`
 	MemoryMB          float64       `json:"memory_mb"`     // memory limit in a controller's settings
-	StoreChangesPerS  float64       `json:"changes_per_s"` // write limit of the key-value store in the controllers' settings
+	StoreChangesPerS  float64       `json:"changes_per_s"` // write limit of the store in the controllers' settings, in changes per second
 	Faults            []Fault       `json:"faults"`
-	LogLevel          string        `json:"-"` // of the controllers
+	LogLevel          string        `json:"-"` // log level of the controllers
 }
 
 // DefaultConfig returns the configuration of a small experiment.
@@ -70,13 +70,13 @@
 	maxControllers = 16
 )
 
-// flagRule is the result of one check of a flag's value.
+// flagRule is a rule for a flag's value, with the result of checking the value.
 type flagRule struct {
 	violated     bool
-	flag, reason string // of the FlagError if the rule is violated
+	flag, reason string // fields of the FlagError that is returned if the rule is violated
 }
 
-// checkFlags returns a FlagError for the first violated rule.
+// checkFlags returns a FlagError for the first violated rule, and nil if no rule is violated.
 func checkFlags(rules []flagRule) error {
 	for _, rule := range rules {
 		if rule.violated {
--- a/internal/fleetload/controller_logs.go
+++ b/internal/fleetload/controller_logs.go
@@ -9,15 +9,15 @@
 	"sagevale/internal/loopbacktest"
 )
 
-// failoverPattern matches the line that a new leader logs once it has loaded the state, and captures the duration
-// of loading. The first alternative is the current message, the second is the one of earlier versions.
+// failoverPattern matches the line that a new leader logs once it has loaded the state, and captures how long the loading
+// took. The first alternative matches the current message, the second one matches the message of previous versions.
 var failoverPattern = regexp.MustCompile(`msg=(?:"failover complete" .* duration|take-over .* took)=(\S+)`)
 
-// heapPattern matches a usage line that a leader logs at level debug, and captures its live heap in MB.
+// heapPattern matches a usage line that a leader logs at level debug, and captures the leader's live heap in MB.
 var heapPattern = regexp.MustCompile(`msg=usage .*heap_live_mb=(\S+) .*role=leader`)
 
-// leaderHeapMB returns the live heap that the current leader logged last, in MB. It returns 0 if there is no leader
-// or it has logged no usage.
+// leaderHeapMB returns the live heap from the latest usage line in the current leader's log, in MB. It returns 0 if there
+// is no leader or its log has no usage line.
 func leaderHeapMB(ctx context.Context, f *loopbacktest.Fleet) (mb float64) {
 	leader := f.Leader(ctx)
 	if leader == nil {
@@ -31,7 +31,7 @@
 	return mb
 }
 
-// stateLoadTimes returns how long new leaders took to load the state, in milliseconds, from the logs of all
+// stateLoadTimes returns how long each new leader took to load the state, in milliseconds. It reads the logs of all
 // controllers.
 func stateLoadTimes(f *loopbacktest.Fleet) (milliseconds []float64) {
 	for _, c := range f.Controllers {
@@ -40,7 +40,7 @@
 	return milliseconds
 }
 
-// parseLoadTimes returns the durations of loading the state that a controller's log contains, in milliseconds.
+// parseLoadTimes returns the duration of each load of the state in a controller's log, in milliseconds.
 func parseLoadTimes(log string) (milliseconds []float64) {
 	for _, match := range failoverPattern.FindAllStringSubmatch(log, -1) {
 		if duration, err := time.ParseDuration(match[1]); err == nil {
--- a/internal/fleetload/demo.go
+++ b/internal/fleetload/demo.go
@@ -16,7 +16,7 @@
 // demonstration is one run of Demo.
 type demonstration struct {
 	*Experiment
-	jobs []loopbacktest.Job // the service first
+	jobs []loopbacktest.Job // jobs to submit; the first one is the service
 }
 
 // Demo starts three controllers and a few simulated workers, submits jobs, kills the leader and checks that the jobs
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// printJobs prints the state of each job that a poll returns.
+// printJobs polls each job and prints the returned state.
 func (d *demonstration) printJobs() {
 	for _, j := range d.jobs {
 		s, err := d.fleet.Poll(j.ID)
--- a/internal/fleetload/experiment.go
+++ b/internal/fleetload/experiment.go
@@ -47,7 +47,7 @@
 	if err == nil {
 		e.measure(ctx)
 	}
-	e.collectResults(context.WithoutCancel(ctx)) // the requests have to work after an interruption, too
+	e.collectResults(context.WithoutCancel(ctx)) // the requests to the store must also work after ctx was cancelled
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return e.result, err
 	}
@@ -71,15 +71,15 @@
 	return o
 }
 
-// teamLimit returns the processor limit of a team: its even share of all tasks and a quarter more, plus the tasks of
-// one standing job.
+// teamLimit returns the processor limit of each team. It is 1.25 times the team's even share of all tasks, plus the tasks
+// of one standing job. Each task takes one processor.
 func (c *Config) teamLimit() float64 {
 	evenShare := float64(c.standingTasks()+c.concurrentShortTasks()) / float64(c.Teams)
 	return math.Ceil(1.25*evenShare) + float64(c.TasksPerStandingJob)
 }
 
-// properties returns the controllers' properties. They prevent scale-in during the experiment, and enable the
-// features that it uses.
+// properties returns the controllers' properties. They prevent scale-in during the experiment, and enable the features that
+// the configuration selects.
 func (c *Config) properties() string {
 	text := "fleet.down.window = 24h\nfleet.cooldown = 24h\n"
 	if c.EnableFencing {
@@ -132,8 +132,8 @@
 	}
 }
 
-// collectResults copies the measurements of the users, the workers and the key-value store, and those in the
-// controllers' logs, to the result.
+// collectResults copies measurements to the result: those of the users, the workers and the key-value store, and those in
+// the controllers' logs.
 func (e *Experiment) collectResults(ctx context.Context) {
 	r, u := e.result, e.users
 	u.update(func() {
--- a/internal/fleetload/fault.go
+++ b/internal/fleetload/fault.go
@@ -16,7 +16,7 @@
 	AllKilled           FaultKind = "all"        // kills and restarts the processes of all controllers
 	WorkersUnresponsive FaultKind = "silent"     // makes a share of the workers unresponsive for a duration
 	StoreOutage         FaultKind = "state-out"  // makes the key-value store refuse all requests for a duration
-	StoreSlow           FaultKind = "state-slow" // delays each request to the key-value store by seconds, for a duration
+	StoreSlow           FaultKind = "state-slow" // delays each request to the key-value store by Amount seconds for a duration
 	ZoneLost            FaultKind = "zone"       // deletes all machines of a zone
 	Burst               FaultKind = "burst"      // submits jobs of one task each at the same time
 )
@@ -25,7 +25,7 @@
 type Fault struct {
 	Kind     FaultKind     `json:"kind"`
 	Amount   float64       `json:"amount,omitempty"` // share of the workers, seconds, or number of jobs, depending on the kind
-	Start    time.Duration `json:"at_ns"`            // time after the beginning of the measurement or of the first wake
+	Start    time.Duration `json:"at_ns"`            // time from the start of the measurement, or of the first wake (see WakeConfig)
 	Duration time.Duration `json:"for_ns,omitempty"` // 0 for kinds without a duration
 }
 
@@ -42,8 +42,8 @@
 	return text
 }
 
-// needsAmount and needsDuration hold the kinds that require an amount or a duration. The other kinds accept none.
-// All kinds are keys of needsAmount.
+// needsAmount and needsDuration report whether a kind of fault requires an amount or a duration. A kind that requires none
+// accepts none. needsAmount contains every kind, so that ParseFault can reject unknown kinds.
 var (
 	needsAmount   = map[FaultKind]bool{LeaderKilled: false, AllKilled: false, WorkersUnresponsive: true, StoreOutage: false, StoreSlow: true, ZoneLost: false, Burst: true}
 	needsDuration = map[FaultKind]bool{WorkersUnresponsive: true, StoreOutage: true, StoreSlow: true}
--- a/internal/fleetload/fault_injection.go
+++ b/internal/fleetload/fault_injection.go
@@ -12,8 +12,8 @@
 // lostZone is the zone whose machines the fault ZoneLost deletes.
 const lostZone = "a"
 
-// injectFaults injects the configured faults one after another, each at its Start time after began, until ctx ends.
-// A fault that is due before the previous one is over is injected right after it.
+// injectFaults injects the configured faults one after another, until ctx ends. A fault is due when its Start time has
+// passed since began. If the previous fault is not over by then, the fault is injected right after the previous one.
 func (e *Experiment) injectFaults(ctx context.Context, began time.Time) {
 	for _, f := range e.config.Faults {
 		if !sleep(ctx, time.Until(began.Add(f.Start))) {
--- a/internal/fleetload/fit.go
+++ b/internal/fleetload/fit.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Point is the value Y of one figure at the value X of another figure.
+// Point holds the values of two figures in one result. Fit treats Y as a function of X.
 type Point struct{ X, Y float64 }
 
 // Line is the least-squares fit of points. Residual is the largest vertical distance of a point from the
@@ -40,8 +40,8 @@
 	return line, nil
 }
 
-// ParseFigures parses a result's JSON and returns its numbers by their paths, such as config.workers or
-// roles.leader.cores.
+// ParseFigures parses a result's JSON and returns the numbers in it. The keys are the paths of the numbers, such as
+// config.workers or roles.leader.cores.
 func ParseFigures(raw []byte) (map[string]float64, error) {
 	var tree any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -52,7 +52,7 @@
 	return figures, nil
 }
 
-// flatten adds the numbers of a JSON tree to figures, by their paths.
+// flatten adds the numbers of a JSON tree to figures. The keys are the paths of the numbers; path is the path of node.
 func flatten(path string, node any, figures map[string]float64) {
 	join := func(name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 	switch node := node.(type) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// FitFigures fits each figure of the results against the figure x, except those of the configuration. It omits
-// figures that some results lack, and returns an error if x is missing or does not vary.
+// FitFigures fits the figures of the results against the figure x, and returns a line for each figure. It omits the
+// figures of the configuration and the figures that some results lack. It returns an error if x is missing or does not vary.
 func FitFigures(results []map[string]float64, x string) (map[string]Line, error) {
 	if len(results) == 0 {
 		return nil, errors.New("no results to fit")
--- a/internal/fleetload/latency.go
+++ b/internal/fleetload/latency.go
@@ -7,7 +7,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatencyMicros is the largest latency that histograms record, in microseconds. Larger ones count as this one.
+// maxLatencyMicros is the largest latency that histograms record, in microseconds. Longer latencies are recorded as
+// this value.
 const maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
 
 // latencyHistogram is a histogram of latencies in microseconds.
--- a/internal/fleetload/measurement.go
+++ b/internal/fleetload/measurement.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// settleHeartbeats is the pause before the measurement, in heartbeat intervals.
-	settleHeartbeats = 2
+	// warmUpIntervals is the pause before the measurement, in heartbeat intervals.
+	warmUpIntervals = 2
 	// sampleCount is the number of values in Result.WorkerBPerS, each for an equal part of the measured time.
 	sampleCount = 10
 )
@@ -32,7 +32,8 @@
 	return storeCounters{requests: s.Requests.Load(), bytes: s.RequestBytes.Load(), changes: s.Changes.Load()}
 }
 
-// ratesSince returns the rates at which the counters have grown since earlier values, without the stored size.
+// ratesSince returns the mean rates at which the counters have grown from the earlier values to c. seconds is the time
+// between the two. The stored size is not set.
 func (c storeCounters) ratesSince(earlier storeCounters, seconds float64) StoreFigures {
 	return StoreFigures{
 		RequestsPerS: float64(c.requests-earlier.requests) / seconds,
@@ -43,7 +44,7 @@
 
 // measure submits jobs and injects faults for the configured duration, and records the rates in that time.
 func (e *Experiment) measure(ctx context.Context) {
-	if !sleep(ctx, settleHeartbeats*e.config.HeartbeatInterval) {
+	if !sleep(ctx, warmUpIntervals*e.config.HeartbeatInterval) {
 		return
 	}
 	e.fleet.Traffic.Reset()
@@ -69,7 +70,8 @@
 	background.Wait()
 }
 
-// sampleWorkerTraffic records the mean bytes per second and worker in each part of the measured time, until ctx ends.
+// sampleWorkerTraffic divides the measured time into sampleCount equal parts. For each part it records the mean traffic per
+// worker, in bytes per second. It returns when ctx ends.
 func (e *Experiment) sampleWorkerTraffic(ctx context.Context) {
 	previousBytes := 0.0
 	for {
@@ -79,8 +81,8 @@
 		}
 		totalBytes := 0.0
 		for _, kind := range []loopbacktest.MessageKind{loopbacktest.Heartbeats, loopbacktest.DirectCommands} {
-			flow := e.fleet.Traffic.Snapshot()[kind]
-			totalBytes += float64(flow.RequestBytes + flow.ResponseBytes)
+			counts := e.fleet.Traffic.Snapshot()[kind]
+			totalBytes += float64(counts.RequestBytes + counts.ResponseBytes)
 		}
 		rate := (totalBytes - previousBytes) / time.Since(began).Seconds() / float64(e.config.Workers)
 		previousBytes = totalBytes
@@ -106,8 +108,9 @@
 	return &usage
 }
 
-// roleFigures returns the usage of each role's process since the usages before. It leaves out processes that were
-// started since then. Of several followers, it returns the one that used the most CPU time.
+// roleFigures returns the resource usage of each role's process. before holds the usages at the start of the measurement,
+// and seconds is the time since then. Processes that were started during the measurement are left out. If there are several
+// followers, the result contains the follower that used the most CPU time.
 func (e *Experiment) roleFigures(ctx context.Context, before []*loopbacktest.ProcessUsage, seconds float64) map[string]RoleFigures {
 	leader := e.fleet.Leader(ctx)
 	figures := make(map[string]RoleFigures)
@@ -134,9 +137,9 @@
 }
 
 // trafficFigures returns the rate and the mean sizes of each kind of message.
-func trafficFigures(flows map[loopbacktest.MessageKind]loopbacktest.MessageCounts, seconds float64, workers int) map[loopbacktest.MessageKind]TrafficFigures {
+func trafficFigures(counts map[loopbacktest.MessageKind]loopbacktest.MessageCounts, seconds float64, workers int) map[loopbacktest.MessageKind]TrafficFigures {
 	out := make(map[loopbacktest.MessageKind]TrafficFigures)
-	for kind, f := range flows {
+	for kind, f := range counts {
 		messages := float64(max(f.Messages, 1))
 		out[kind] = TrafficFigures{
 			PerS: float64(f.Messages) / seconds, RequestBytes: float64(f.RequestBytes) / messages, ResponseBytes: float64(f.ResponseBytes) / messages,
--- a/internal/fleetload/result.go
+++ b/internal/fleetload/result.go
@@ -24,25 +24,25 @@
 	AcceptedJobs   int                                         `json:"submitted"`    // accepted short jobs
 	DoneJobs       int                                         `json:"done_jobs"`
 	CancelledJobs  int                                         `json:"cancelled_jobs"`
-	SkippedJobs    int                                         `json:"not_offered"` // short jobs beyond the limit of concurrent submissions
+	SkippedJobs    int                                         `json:"not_offered"` // short jobs that were not submitted because of the limit maxInFlight
 	FailedRequests int                                         `json:"failed_requests"`
 	Roles          map[string]RoleFigures                      `json:"roles"`
 	Store          StoreFigures                                `json:"state"`
 	Traffic        map[loopbacktest.MessageKind]TrafficFigures `json:"traffic"`
-	Latencies      map[string]Quantiles                        `json:"latencies"`                // by kind of latency
+	Latencies      map[string]Quantiles                        `json:"latencies"`                // keyed by the kind of latency
 	FailoverS      []float64                                   `json:"take_over_s"`              // from each kill of controllers to the first response to a user
 	FailoverLoadMS []float64                                   `json:"take_over_load_ms"`        // time to load the state, as new leaders logged it
-	LeaderHeapMB   float64                                     `json:"leader_heap_mb,omitempty"` // live, as the last leader logged it at level debug; 0: not logged
+	LeaderHeapMB   float64                                     `json:"leader_heap_mb,omitempty"` // live heap that the leader logged last at level debug; 0: none found
 	Bursts         BurstFigures                                `json:"bursts"`
-	WorkerBPerS    []float64                                   `json:"worker_b_per_s"` // mean per worker, both directions, in each tenth of the time
+	WorkerBPerS    []float64                                   `json:"worker_b_per_s"` // mean per worker, both directions; one value for each tenth of the measured time
 	Violations     []string                                    `json:"broken"`         // violated rules, with the evidence
 }
 
-// RoleFigures is the resource usage of the process of a role.
+// RoleFigures is the resource usage of one process, such as the leader's.
 type RoleFigures struct {
 	Cores     float64 `json:"cores"`     // mean number of processors in use
-	MemoryMB  float64 `json:"memory_mb"` // resident, at the end
-	PeakMB    float64 `json:"peak_mb"`   // largest resident since the start of the process
+	MemoryMB  float64 `json:"memory_mb"` // resident memory at the end
+	PeakMB    float64 `json:"peak_mb"`   // maximum resident memory since the process started
 	OpenFiles int     `json:"open_files"`
 }
 
@@ -50,14 +50,14 @@
 type StoreFigures struct {
 	RequestsPerS float64 `json:"requests_per_s"`
 	ChangesPerS  float64 `json:"changes_per_s"` // committed puts and deletions
-	KBPerS       float64 `json:"kb_per_s"`      // of request bodies
+	KBPerS       float64 `json:"kb_per_s"`      // size of the request bodies
 	StoredKB     float64 `json:"stored_kb"`
 	StoredKeys   int     `json:"stored_keys"`
 }
 
 // TrafficFigures is the traffic of one kind of message.
 type TrafficFigures struct {
-	PerS          float64 `json:"per_s"`
+	PerS          float64 `json:"per_s"`          // messages per second
 	RequestBytes  float64 `json:"request_bytes"`  // mean per message
 	ResponseBytes float64 `json:"response_bytes"` // mean per message
 	WorkerBPerS   float64 `json:"worker_b_per_s"` // bytes per second and worker, both directions
--- a/internal/fleetload/seed.go
+++ b/internal/fleetload/seed.go
@@ -15,7 +15,8 @@
 // tasksPerFinishedJob is the number of tasks of each job that is stored as finished before the controllers start.
 const tasksPerFinishedJob = 10
 
-// storeFinishedJobs stores finished jobs in the journal and in the archive, in the form in which leaders store them.
+// storeFinishedJobs stores finished jobs in the journal and in the archive, in the same format as leaders do. It must be
+// called before the controllers start.
 func (e *Experiment) storeFinishedJobs() error {
 	if err := e.storeJournal(); err != nil {
 		return fmt.Errorf("store finished jobs in the journal: %w", err)
@@ -63,8 +64,8 @@
 	return flush()
 }
 
-// storeArchive stores the pages of the archive, and a cluster record in which all gates are open and the archive's
-// gate is marked as used.
+// storeArchive stores the pages of the archive together with a cluster record. In the record, all feature gates are open,
+// and the archive's gate is marked as used.
 func (e *Experiment) storeArchive() error {
 	entries := make([]archive.Entry, 0, e.config.ArchivedJobs)
 	for i := range e.config.ArchivedJobs {
@@ -98,8 +99,8 @@
 	return err
 }
 
-// Job IDs are not in the order of the jobs' numbers: a multiplier spreads consecutive numbers over idRange. It is
-// coprime to idRange, so that the IDs are unique. Jobs that are stored before the controllers start have even IDs,
+// Job IDs are not in the order of the jobs' numbers: a multiplier spreads consecutive numbers over idRange. The multiplier
+// is coprime to idRange, so that the IDs are unique. Jobs that are stored before the controllers start have even IDs,
 // submitted jobs have odd ones.
 const (
 	idRange      = 500_000_000
@@ -112,7 +113,7 @@
 // spreadNumber maps numbers from 0 to idRange-1 to unique numbers below idRange.
 func spreadNumber(i int) int { return (i + 1) * idMultiplier % idRange }
 
-// finishedID returns the ID, without its prefix, of the i-th finished job that is stored before the start.
+// finishedID returns the ID, without its prefix, of the i-th finished job that is stored before the controllers start.
 func finishedID(i int) string { return fmt.Sprintf("%09d", 2*spreadNumber(i)) }
 
 // submittedID returns the ID, without its prefix, of the i-th submitted job.
--- a/internal/fleetload/users.go
+++ b/internal/fleetload/users.go
@@ -33,7 +33,7 @@
 type users struct {
 	fleet      *loopbacktest.Fleet
 	config     *Config
-	random     *rand.Rand     // used by submitShortJobs
+	random     *rand.Rand     // used only by submitShortJobs
 	inFlight   chan struct{}  // holds one element per concurrent submission of a short job
 	background sync.WaitGroup // one goroutine per short job
 
@@ -41,7 +41,7 @@
 	nextJob                int        // number of the next job to submit
 	submitLatency          latencyHistogram
 	pollLatency            latencyHistogram
-	finishedJobPollLatency latencyHistogram // of jobs that were stored as finished before the start
+	finishedJobPollLatency latencyHistogram // latency of polls for finished jobs that were stored before the controllers started
 	acceptedJobs           int
 	skippedJobs            int
 	failedRequests         int
@@ -74,7 +74,7 @@
 // addFailedRequest counts a request that failed after its retries.
 func (u *users) addFailedRequest() { u.update(func() { u.failedRequests++ }) }
 
-// newJob returns the next job to submit. Jobs belong to the teams in turn.
+// newJob returns the next job to submit. It assigns the jobs to the teams in round-robin order.
 func (u *users) newJob(shape string, tasks int) loopbacktest.Job {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,8 +131,8 @@
 	}
 }
 
-// runShortJob submits a job. It cancels the job after cancelAfter, or polls it until it is done if cancelAfter is
-// negative. It stops polling when ctx ends.
+// runShortJob submits a job. If cancelAfter is negative, it polls the job until the job is done or ctx ends. Otherwise it
+// cancels the job after cancelAfter, or when ctx ends.
 func (u *users) runShortJob(ctx context.Context, j loopbacktest.Job, cancelAfter time.Duration) {
 	began := time.Now()
 	err := u.fleet.Submit(j, submitTimeout)
@@ -193,8 +193,8 @@
 	return true
 }
 
-// pollFinishedJobs polls jobs that were stored as finished before the start, until ctx ends. Some polls, about one
-// in eleven if many jobs are stored, are for jobs that do not exist.
+// pollFinishedJobs polls finished jobs that were stored before the controllers started, until ctx ends. About one poll in
+// eleven is for a job that does not exist; the share is larger if few jobs are stored.
 func (u *users) pollFinishedJobs(ctx context.Context) {
 	stored := u.config.FinishedJobs + u.config.ArchivedJobs
 	if stored == 0 || u.config.FinishedJobPollsPerS == 0 {
--- a/internal/fleetload/wake.go
+++ b/internal/fleetload/wake.go
@@ -14,16 +14,17 @@
 	"sagevale/internal/upgrade"
 )
 
-// WakeConfig describes an experiment with models that repeatedly scale from zero and back. In each wake, clients send
-// requests to all models, which are scaled to zero, and the models scale to zero again after the last response.
+// WakeConfig describes an experiment with models that repeatedly scale from zero and back. Each repetition is called a wake.
+// It starts with all models scaled to zero. Clients send requests to all models and wait for the responses, and then the
+// models scale to zero again.
 type WakeConfig struct {
 	Config
 	Models   int           // number of models, each a service of one task
-	Requests int           // per model and wake, spread over the controllers
-	Wakes    int           // how many times all models wake
+	Requests int           // number of requests per model and wake, spread over the controllers
+	Wakes    int           // number of wakes
 	Idle     time.Duration // time without requests after which a model scales to zero
-	Hold     time.Duration // the longest that a controller holds a request; 0: controllers hold none
-	Patience time.Duration // the longest that a request with its retries, or the scaling to zero, may take
+	Hold     time.Duration // maximum time that a controller holds a request until the model runs; 0: it holds none
+	Patience time.Duration // timeout of a request including its retries, and of each wait, such as for the scaling to zero
 }
 
 // DefaultWakeConfig returns the configuration of an experiment with one model, in which the leader is killed.
@@ -51,18 +52,18 @@
 	return c.Config.Check()
 }
 
-// socketsPerRequest is the number of sockets to configure per request of a wake, so that one controller can hold all
-// of them.
+// socketsPerRequest is the socket limit in a controller's settings, per request of a wake. With this limit, one controller
+// can hold all requests of a wake.
 const socketsPerRequest = 11
 
 // WakeResult holds the measurements of an experiment with models. An answer is a response with status 200.
 type WakeResult struct {
 	Starts, Wakes      int       // starts that the model servers counted, and expected starts: one per model and wake
-	Requests, Answers  int       // requests without their retries, and answers to them
-	Refusals           int       // responses with another status than 200
+	Requests, Answers  int       // requests, not counting retries, and answers
+	Refusals           int       // responses with a status other than 200
 	RepeatedExecutions int       // requests that a model executed more than once because the client retried them
 	FirstAnswerLatency Quantiles // from the beginning of a wake to a model's first answer, less the time to fetch the image
-	AnswerLatency      Quantiles // from each request to its answer, with the retries
+	AnswerLatency      Quantiles // from each request to its answer, including retries
 	ChangesPerWake     float64   // committed puts and deletions in the key-value store, per wake and model
 	Broken             []string  // violated rules, with the evidence
 }
@@ -79,8 +80,8 @@
 	answerLatency      latencyHistogram
 }
 
-// Wake runs an experiment with models. The faults are injected in the first wake, at times after its first request.
-// Progress messages are written to out.
+// Wake runs an experiment with models. The faults are injected in the first wake, and their Start times count from its
+// beginning. Progress messages are written to out.
 func Wake(ctx context.Context, config WakeConfig, out io.Writer) (*WakeResult, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
@@ -148,8 +149,8 @@
 	return err == nil && cluster.Gate(upgrade.Activation).Phase == upgrade.GateOpen
 }
 
-// wakeModels sends requests to all models, waits until each request is answered or has failed, and then until all
-// models are scaled to zero.
+// wakeModels runs one wake. It sends requests to all models and waits until each request is answered or has failed. Then it
+// waits until all models are scaled to zero.
 func (r *wakeExperiment) wakeModels(ctx context.Context, wake int) error {
 	random := rand.New(rand.NewPCG(r.config.Seed, uint64(wake)))
 	changesBefore := r.fleet.Store.Changes.Load()
@@ -188,8 +189,9 @@
 	})
 }
 
-// sendUntilAnswered sends a client's request to the controllers in turn until one answers it or Patience is over. It
-// calls recordFirst after an answer.
+// sendUntilAnswered sends a client's request to the controllers in turn until one responds with status 200 or Patience has
+// passed. After the answer it calls recordFirst, which records the latency of the model's first answer and ignores further
+// calls.
 func (r *wakeExperiment) sendUntilAnswered(ctx context.Context, model, id string, controllerIndex int, recordFirst func()) {
 	began := time.Now()
 	r.update(func() { r.result.Requests++ })
@@ -221,8 +223,8 @@
 	f()
 }
 
-// sendOnce sends a request to one controller. Unless the response has status 200, it returns the pause before the
-// next attempt.
+// sendOnce sends a request to one controller. answered is true if the response has status 200. Otherwise, pause is how long
+// to wait before the next attempt.
 func (r *wakeExperiment) sendOnce(ctx context.Context, model, id string, c *loopbacktest.Controller) (pause time.Duration, answered bool) {
 	const retryPause = 100 * time.Millisecond
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.ModelsAddr+"/models/"+model+"/answer", http.NoBody)
@@ -255,8 +257,8 @@
 	r.update(func() { r.firstAnswerLatency.record(latency - fetch) })
 }
 
-// collectWakeResults copies the latencies and the measurements of the model servers and the workers to the result. It
-// reports models that started more often than once per wake.
+// collectWakeResults copies the latencies, the starts of the models and the workers' rule violations to the result. It adds
+// a violation for each model that started more often than once per wake, unless the faults can cause additional starts.
 func (r *wakeExperiment) collectWakeResults() {
 	result := &r.result
 	result.Wakes = r.config.Models * r.config.Wakes
