--- a/internal/scheduler/activation_guards_test.go
+++ b/internal/scheduler/activation_guards_test.go
@@ -19,14 +19,15 @@
 	"sagevale/internal/worker"
 )
 
-// The scenarios of cold_start_test.go check that the system as a whole tolerates faults. The tests in this file check each
-// of the guards that achieve this.
+// The scenarios of cold_start_test.go check that starting a model from zero replicas tolerates faults. The tests in this file
+// check the individual rules in the scheduler that achieve this.
 
-// activationGateInUse is a cluster record with the activation gate in use.
+// activationGateInUse is a cluster record in which the activation gate is open and marked as used. This feature gate allows
+// services to scale to zero.
 var activationGateInUse = upgrade.Record{Gates: map[upgrade.GateName]upgrade.GateState{upgrade.Activation: {Phase: upgrade.GateOpen, Used: true}}}
 
-// newColdStartScheduler returns the scheduler of the leader of three controllers, the job of a model at zero, and a ready
-// machine.
+// newColdStartScheduler returns the scheduler of a leader with two peers, the job of a model that is scaled to zero, and a
+// ready machine.
 func newColdStartScheduler(t *testing.T) (*scheduler, *cluster.Job, *cluster.Machine) {
 	t.Helper()
 	s := clustertest.Settings()
@@ -44,7 +45,8 @@
 	return sched, sched.state.Jobs.Get(modelID), sched.addReadyMachine(7, "cpu", "a", false)
 }
 
-// requestWake passes a wake request to the scheduler, and returns the channel for the response.
+// requestWake passes a wake request, which reports demand for the model, to the scheduler. It returns the channel for the
+// response.
 func (s *scheduler) requestWake(generation uint64, wait time.Duration) (reply chan activation.WakeResponse) {
 	reply = make(chan activation.WakeResponse, 1)
 	s.handleWake(wakeMessage{activation.WakeRequest{Model: modelID, Generation: generation, Wait: wait}, reply})
@@ -165,8 +167,9 @@
 	}
 }
 
-// A new leader stops an attempt if the lifecycle record of its service has no replica. It assumes that responses from
-// earlier terms remain valid for one routing lease after its own term has begun.
+// A new leader stops an attempt of a service if the service's lifecycle record says that there is no replica.
+// Controllers may forward requests for one routing lease based on one response of a leader. The new leader therefore assumes
+// that responses of earlier leaders remain valid until one routing lease after the start of its own term.
 func TestNewLeaderReconcilesActivation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -199,8 +202,8 @@
 	})
 }
 
-// A service scales to zero only if the activation gate is in use. If the gate isn't open, the service always runs. If it is
-// open but not used yet, the first submission of such a service waits until the use of the gate is durable.
+// A service scales to zero only if the activation gate is marked as used. If the gate isn't open, the service always runs.
+// If the gate is open but not marked yet, the first submission of such a service waits until the mark is durable.
 func TestFirstServiceAtZeroWaitsForGate(t *testing.T) {
 	for phase, wantAccepted := range map[upgrade.GatePhase]bool{"": true, upgrade.GateOpen: false, upgrade.GateWithdrawing: true} {
 		t.Run(fmt.Sprintf("phase %q", phase), func(t *testing.T) {
@@ -222,8 +225,8 @@
 	}
 }
 
-// A follower doesn't forward demand to a leader of an earlier version. It discards a response that arrives after the end of
-// its validity.
+// A follower doesn't forward wake requests to a leader whose version doesn't support them. The follower discards a response
+// that is no longer valid when it arrives.
 func TestFollowerForwardsDemand(t *testing.T) {
 	runColdStart(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -21,9 +21,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// When one controller is rolled back, the leader moves the archived jobs back to the journal page by page, and the next
-// leader continues after a restart. Then controllers of the older version lead and find all jobs. After another upgrade the
-// jobs are archived again.
+// When one controller is rolled back to a version without the archive, the leader moves the archived jobs back to the journal
+// page by page. If the leader restarts meanwhile, the next leader continues. Then controllers of the older version lead, and
+// find all jobs in the journal. After another upgrade the jobs are archived again.
 func TestRollbackRestoresArchive(t *testing.T) {
 	for kills := range 3 {
 		t.Run(fmt.Sprintf("%d leader restarts", kills), func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// If the withdrawal of the archive is canceled halfway, each job is in the journal, in the archive, or in both. All jobs
-// keep their final states.
+// While the archive's feature gate is being withdrawn, the leader moves the archived jobs back to the journal. If the
+// withdrawal is canceled halfway, each job is in the journal, in the archive, or in both. All jobs keep their final states.
 func TestHaltedArchiveWithdrawal(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -89,7 +89,8 @@
 	})
 }
 
-// An archive that doesn't fit into the leader's memory isn't restored to the journal, and the status contains the reason.
+// If the archived jobs don't fit into the leader's memory, they aren't moved back to the journal. The status contains the
+// reason.
 func TestArchiveTooLargeToRestore(t *testing.T) {
 	runSimulationWithTuning(t, func(s *config.Settings) { s.MemoryMB = 16 }, func(tuning *config.Tuning) { tuning.Archive.Enabled = true }, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -104,8 +105,9 @@
 	})
 }
 
-// While jobs are archived, a controller of a version that doesn't register never becomes leader, even if no other controller
-// runs. These versions are 3661d31, with peer version 0, and af96c21, with peer version 2.
+// Two earlier versions don't store a registration with the range of versions that they can read and write: commit 3661d31,
+// with peer version 0, and commit af96c21, with peer version 2. While jobs are archived, a controller of such a version
+// never becomes leader, even if no other controller runs.
 func TestUnregisteredVersionsCannotLeadWithArchive(t *testing.T) {
 	for _, version := range []int{0, 2} {
 		t.Run(fmt.Sprintf("peer version %d", version), func(t *testing.T) {
@@ -129,7 +131,8 @@
 	}
 }
 
-// Earlier versions read the record of a restored job as the record of a final job.
+// The journal record of a job that was restored from the archive has the encoding that earlier versions read: they decode it
+// as the record of a finished job.
 func TestRestoredJobRecord(t *testing.T) {
 	number := jobNumber(t, "000412")
 	for _, final := range []archive.FinalState{{Done: 12}, {Cancelled: true, Done: 3}} {
@@ -144,7 +147,7 @@
 	}
 }
 
-// An archive page is removed only after its jobs are durable in the journal.
+// When archived jobs are moved back to the journal, an archive page is removed only after its jobs are durable in the journal.
 func TestArchivePageRemovedAfterJobsAreRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/scheduler/archiving_bench_test.go
+++ b/internal/scheduler/archiving_bench_test.go
@@ -29,9 +29,11 @@
 	return m.HeapAlloc
 }
 
+// finishedJobID returns the ID of the i-th finished job. The IDs are distinct and in no particular order.
 func finishedJobID(i int) string { return fmt.Sprintf("%09d", (i+1)*387_420_489%500_000_000) }
 
-// BenchmarkFinishedInTheJournal measures time and memory per finished job whose record a leader loads from the journal.
+// BenchmarkFinishedInTheJournal measures how a leader loads the records of finished jobs from the journal. It reports the time
+// and the memory per job.
 func BenchmarkFinishedInTheJournal(b *testing.B) {
 	records := make([]storage.Record, 0, finishedJobCount)
 	for i := range finishedJobCount {
@@ -54,7 +56,8 @@
 	}
 }
 
-// BenchmarkFinishedInTheArchive measures time and memory per finished job whose archive page a node loads into its index.
+// BenchmarkFinishedInTheArchive measures how a node loads the archive pages of finished jobs into its index. It reports the
+// time, the memory and the stored bytes per job.
 func BenchmarkFinishedInTheArchive(b *testing.B) {
 	limits := storage.Limits{RequestsPerS: 1e6, ChangesPerS: 1e6, ValueBytes: 8192, TxnOps: 32}
 	service := storagetest.NewService()
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -18,9 +18,11 @@
 )
 
 // A job is moved to the archive in two steps: the leader writes the job's archive page, and then removes the job's records
-// from the journal. The leader is killed before or during one of the steps, the response to the request is lost, or the
-// request is delayed. Meanwhile users send requests for the job to every node.
+// from the journal. Each case injects one fault into one of the steps. The leader is killed before or during the step, the
+// response to the step's transaction is lost, or the transaction is delayed. Meanwhile users send requests for the job to
+// every node.
 func TestArchiveMoveSurvivesFaults(t *testing.T) {
+	// delayFirst returns a hook that delays the first matching transaction.
 	delayFirst := func(matches func(storagetest.Txn) bool, delay time.Duration) func(storagetest.Txn) time.Duration {
 		var delayed atomic.Bool
 		return func(txn storagetest.Txn) time.Duration {
@@ -58,13 +60,13 @@
 			runArchiveSimulation(t, 0, func(sim *simulation) {
 				sim.awaitActive(upgrade.Current, time.Minute)
 				sim.submit(clustertest.Service("000009", 2))
-				sim.runToCompletion("000007") // ensures that the gate is in use and a page exists
+				sim.runToCompletion("000007") // archiving it marks the archive gate as used and creates a page
 				sim.awaitArchived(1)
 				sim.store.Update(func(s *storagetest.Service) { inject(sim, s) })
 				s := clustertest.Array("000001", 2)
 				s.EstimateS = 3
 				sim.submit(s)
-				stop := sim.pollContinuously("000001", s)
+				stop := sim.requestContinuously("000001", s)
 				sim.awaitDone("000001")
 				time.Sleep(20 * time.Second)
 				sim.startStopped()
@@ -80,13 +82,13 @@
 	}
 }
 
-// isArchiveWrite reports whether a transaction writes an archive page, which is the first step of a move.
+// isArchiveWrite reports whether a transaction writes an archive page. This is the first step of moving a job to the archive.
 func isArchiveWrite(txn storagetest.Txn) bool {
 	return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, archivePagePrefix)
 }
 
-// isJournalRemoval returns a function that reports whether a transaction removes the records of a job from the journal,
-// which is the second step of the job's move.
+// isJournalRemoval returns a function that reports whether a transaction removes the records of a job from the journal. This
+// is the second step of moving the job to the archive.
 func isJournalRemoval(id string) func(storagetest.Txn) bool {
 	return func(txn storagetest.Txn) bool {
 		return len(txn.Ops) > 0 && strings.HasPrefix(txn.Ops[0].Key, "log/") && strings.Contains(string(txn.Ops[0].Data), `["j`+id+`"]`)
@@ -103,8 +105,8 @@
 	}
 }
 
-// killLeaderOnce kills the leader and returns true if it is called for the first time, so that the caller drops the
-// transaction. Later calls return false.
+// killLeaderOnce kills the leader on the first call, and returns true so that the caller drops the transaction. Later calls do
+// nothing and return false.
 func (sim *simulation) killLeaderOnce() bool {
 	if !sim.leaderKilled.CompareAndSwap(false, true) {
 		return false
@@ -113,8 +115,8 @@
 	return true
 }
 
-// pollContinuously polls and resubmits a job at every node every few milliseconds, until stop is called.
-func (sim *simulation) pollContinuously(id string, spec storage.Spec) (stop func()) {
+// requestContinuously sends polls and repeated submissions of a job to every node, every few milliseconds until stop is called.
+func (sim *simulation) requestContinuously(id string, spec storage.Spec) (stop func()) {
 	var stopped atomic.Bool
 	var wait sync.WaitGroup
 	for _, n := range sim.nodes {
@@ -131,7 +133,7 @@
 }
 
 // During an outage of the key-value store, every node responds to requests for the archived jobs whose pages it has in
-// memory. It neither accepts a job that it doesn't know nor reports a state of it.
+// memory. If a node doesn't know a job, it neither accepts a submission of the job nor reports a state.
 func TestArchivedJobsAnsweredDuringStoreOutage(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -156,8 +158,9 @@
 	})
 }
 
-// A new leader with a stale index that can't read the archive neither reports a job as unknown nor accepts it, because its
-// predecessor may have archived the job in a page that the new leader hasn't read.
+// A new leader can't read the archive, and its index of the archive is stale. Its predecessor may have archived a job in a
+// page that the new leader hasn't read. The new leader therefore neither reports a job as unknown nor accepts a submission of
+// the job.
 func TestNewLeaderWithStaleArchiveIndex(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -190,7 +193,7 @@
 	})
 }
 
-// Requests for jobs whose archive page is damaged fail as unavailable, and the reason contains the key of the page, unless
+// Requests for jobs whose archive page is damaged fail as unavailable. The reason contains the key of the page, or says that
 // there are too many requests to the archive. The jobs are neither reported as unknown nor accepted again.
 func TestDamagedArchivePage(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
@@ -219,8 +222,8 @@
 	})
 }
 
-// A burst of polls for unknown jobs, sent to a leader that caches no archive pages, delays neither the renewal of its lease
-// nor its commits.
+// A leader that caches no archive pages receives many polls for unknown jobs, for which it has to read the archive. It still
+// renews its lease and commits in time.
 func TestUnknownPollsDoNotStarveLeader(t *testing.T) {
 	runSimulationWithTuning(t, func(*config.Settings) {}, func(tuning *config.Tuning) {
 		tuning.Archive = config.Archive{Enabled: true, MemoryBytes: 1}
@@ -258,14 +261,16 @@
 		if sim.awaitLeader() != leader || leader.node.view.Load().role.Term != term {
 			t.Error("leadership was lost")
 		}
+		// Reads of the archive may use 5% of the request rate of the key-value store. The polls last about 21 seconds.
 		if maxAnswered := sim.settings.State.RequestsPerS * 0.05 * 21; float64(notFound.Load()) > maxAnswered+5 || rejected.Load() == 0 {
 			t.Errorf("%d polls answered and %d rejected, want at most %v answered and some rejected", notFound.Load(), rejected.Load(), maxAnswered)
 		}
 	})
 }
 
-// Random submissions and cancellations are sent during controller crashes, lost responses, delayed writes, outages and
-// partitions of one node. The simulation checks that every response is consistent with the earlier ones.
+// Users submit and cancel jobs at random while controllers crash, responses are lost, writes are delayed, the key-value store
+// is down or one node is cut off from it. The simulation checks that every response is consistent with all responses
+// before it.
 func TestArchiveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -317,7 +322,7 @@
 		id := fmt.Sprintf("%06d", i+1)
 		sim.eventually(id+" is final", 3*time.Minute, func() bool { response := sim.poll(id); return response.Final() })
 	}
-	sim.eventually("archived", 2*time.Minute, func() bool { return sim.archiveStatus().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
+	sim.eventually("finished jobs are archived", 2*time.Minute, func() bool { return sim.archiveStatus().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range nextJob - 1 {
 		id := fmt.Sprintf("%06d", i+1)
 		sim.checkFinalState(id, sim.poll(id).State)
--- a/internal/scheduler/archiving_guards_test.go
+++ b/internal/scheduler/archiving_guards_test.go
@@ -13,8 +13,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// Only a page that was read in the scheduler's own term proves that a job isn't archived, because the leader of another term
-// may have archived the job.
+// If an archive page doesn't contain a job, this proves that the job isn't archived only if the page was read in the
+// scheduler's own term. A page that was read in another term proves nothing, because the leader of another term may have
+// archived the job.
 func TestArchiveReadOfAnotherTermIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -37,8 +38,9 @@
 	})
 }
 
-// While a batch of jobs is being archived, its completion may still remove jobs from the journal. Therefore no job is
-// restored, and the gate counts as used even if no page is stored yet.
+// When the archiving of a batch of jobs completes, the leader removes these jobs from the journal. Until then no archived job
+// is moved back to the journal, because the completion could then remove this job from the journal. The archive's feature gate
+// meanwhile counts as used, even if no archive page is stored yet.
 func TestArchivingInProgressCountsAsGateUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -77,12 +79,13 @@
 	})
 }
 
-// Jobs archived in a term are looked up until the end of the term, because a release of the gate may still be undone.
+// Once the archive's feature gate has been marked as used, the scheduler looks jobs up in the archive until its term ends. It
+// does so even after the gate is closed, because the closing may still be undone.
 func TestArchiveStaysInUseUntilTermEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		if sched.archiveInUse {
-			t.Error("the archive is in use before its gate")
+			t.Error("the archive is in use before its gate is marked as used")
 		}
 		used := upgrade.Initial()
 		used.Gates = map[upgrade.GateName]upgrade.GateState{upgrade.JobArchive: {Since: upgrade.Version4, Phase: upgrade.GateOpen, Used: true}}
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -19,13 +19,14 @@
 // archivePagePrefix is the prefix of the keys of archive pages.
 const archivePagePrefix = "archive/page/"
 
-// runArchiveSimulation runs a scenario with the archive enabled. Finished jobs are archived while the journal has more than
-// keepInJournal of them.
+// runArchiveSimulation runs a scenario with the archive enabled. While the journal has more than keepInJournal finished jobs,
+// the leader archives finished jobs.
 func runArchiveSimulation(t *testing.T, keepInJournal int, scenario func(sim *simulation)) {
 	t.Helper()
 	runSimulationWithTuning(t, func(*config.Settings) {}, enableArchive(keepInJournal), scenario)
 }
 
+// enableArchive returns a change of the tuning that enables the archive.
 func enableArchive(keepInJournal int) func(*config.Tuning) {
 	return func(tuning *config.Tuning) {
 		tuning.Archive.Enabled, tuning.Archive.KeepInJournal = true, keepInJournal
@@ -64,8 +65,8 @@
 	}
 }
 
-// checkFinalState checks that every node responds to polls, submissions and cancellations of a finished job with its final
-// state.
+// checkFinalState checks that every node responds to polls, submissions and cancellations of a finished job with the job's
+// final state.
 func (sim *simulation) checkFinalState(id string, want api.JobState) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
@@ -84,8 +85,8 @@
 	}
 }
 
-// Every node responds to requests for archived jobs with their final states, under the leader that archived the jobs, under
-// the next leader, and after a restart of all controllers. The job IDs include both ends of the range of IDs.
+// Every node responds to requests for archived jobs with the jobs' final states. This holds under the leader that archived
+// the jobs, under the next leader, and after a restart of all controllers. The job IDs include both ends of the range of IDs.
 func TestArchivedJobsKeepFinalStates(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -138,8 +139,8 @@
 	})
 }
 
-// Once a job is archived, a node that has never responded to a request for it reports it as done, even though the user's
-// last response had it pending.
+// The last response to a user reported a job as pending. After the job is archived, every node reports it as done, even a
+// node that has never responded to a request for this job.
 func TestPollAfterPendingReturnsArchivedState(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -151,7 +152,8 @@
 	})
 }
 
-// A job that is open in the journal but final in the archive counts as final, and its tasks are stopped.
+// If a job is open in the journal but finished in the archive, the archive takes precedence: the job counts as finished, and
+// its tasks are stopped.
 func TestArchivedStateOverridesJournal(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -173,7 +175,7 @@
 		sim.withLock(func() { sim.cancelRequested["000002"] = true })
 		sim.startAll()
 		sim.awaitLeader()
-		sim.eventually("cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
+		sim.eventually("job 000002 is cancelled", 20*time.Second, func() bool { return sim.poll("000002").State == api.StateCancelled })
 		sim.awaitStopped("000002")
 		sim.awaitArchived(2)
 		sim.checkFinalState("000002", api.StateCancelled)
@@ -212,8 +214,8 @@
 	return number
 }
 
-// seedArchive stops the controllers, stores an archive and a used archive gate as an earlier leader would leave them, and
-// starts the controllers again.
+// seedArchive stops the controllers, stores an archive and marks the archive's feature gate as used, as if an earlier
+// leader had archived the jobs. Then it starts the controllers again.
 func (sim *simulation) seedArchive(jobs int) {
 	sim.t.Helper()
 	sim.killAll()
@@ -239,8 +241,8 @@
 	sim.awaitLeader()
 }
 
-// With a million archived jobs, a failover takes at most 10% longer than with one, and the new leader accepts a job at most
-// a second later.
+// A failover with a million archived jobs is compared to a failover with one archived job. With a million, the time until the
+// new leader responds to a poll is at most 10% longer, and the time until it accepts a job is at most a second longer.
 func TestFailoverWithMillionArchivedJobs(t *testing.T) {
 	failover := func(jobs int) (answered, accepted time.Duration) {
 		runArchiveSimulation(t, 0, func(sim *simulation) {
@@ -282,12 +284,12 @@
 			t.Errorf("status %+v, want a backlog of two jobs and nothing archived", status)
 		}
 		sim.runToCompletion("000003")
-		sim.eventually("archived", time.Minute, func() bool { status := sim.archiveStatus(); return status.Stored.Jobs > 0 && status.Backlog <= 2 })
+		sim.eventually("finished jobs are archived", time.Minute, func() bool { status := sim.archiveStatus(); return status.Stored.Jobs > 0 && status.Backlog <= 2 })
 	})
 }
 
-// An interrupted removal of a job leaves page records without a job record in the journal. They are removed, and no job is
-// created for them.
+// If the removal of a job from the journal is interrupted, the job's task page records may remain there without a job record.
+// The next leader removes these page records, and creates no job for them.
 func TestOrphanPageRecordsAreRemoved(t *testing.T) {
 	runArchiveSimulation(t, 0, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -11,12 +11,12 @@
 	"sagevale/internal/worker"
 )
 
-// The benchmarks measure the hot paths of the scheduler with a fleet of 2,000 machines and 12,000 attempts.
+// The benchmarks measure the hot paths of the scheduler with a fleet of 2,000 machines and about 12,000 attempts.
 
 const (
 	benchMachines = 2000
-	benchServices = 1000 // of five tasks each
-	benchArrays   = 600  // of twelve tasks each
+	benchServices = 1000 // services with five tasks each
+	benchArrays   = 600  // job arrays with twelve tasks each
 )
 
 // newBenchScheduler returns a scheduler whose fleet runs services and job arrays.
@@ -123,7 +123,8 @@
 	}
 }
 
-// BenchmarkTick measures a tick of the scheduler without a fleet snapshot or a placement round.
+// BenchmarkTick measures a tick of the scheduler and the publication of its delegation terms. The tick takes no fleet snapshot
+// and runs no placement round.
 func BenchmarkTick(b *testing.B) {
 	sched := newBenchScheduler(b)
 	sched.nextSnapshot = time.Now().Add(time.Hour)
@@ -159,7 +160,7 @@
 }
 
 // BenchmarkIdleServices measures a tick of the activation controller with services that are scaled to zero. Such
-// services must cost memory only.
+// services may take memory, but must not make a tick slower.
 func BenchmarkIdleServices(b *testing.B) {
 	for _, services := range []int{0, 1000, 100_000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
--- a/internal/scheduler/cold_start_faults_test.go
+++ b/internal/scheduler/cold_start_faults_test.go
@@ -9,21 +9,24 @@
 	"sagevale/internal/storage/storagetest"
 )
 
+// A wake starts a model that is scaled to zero. A drain precedes the scaling to zero: controllers stop forwarding requests to
+// the model and finish the requests in flight.
+
 // coldStartFault is a fault that is injected at some point of a wake or a drain. The inject function also ends the fault, unless
 // a machine is lost.
 type coldStartFault struct {
 	name   string
 	inject func(sim *simulation, leader *fakeNode)
-	// mayRestart is set if the fault concerns a machine or the model, so that the replica may be restarted within its
-	// generation.
+	// mayRestart is set if the fault concerns a machine or the model, so that the replica may be restarted without another
+	// wake.
 	mayRestart bool
 }
 
 // faultDuration is the duration of most faults. It is longer than a leader's lease.
 const faultDuration = 6 * time.Second
 
-// killAndRestart kills nodes and starts them again after a delay. It skips a node that runs again already, because two
-// simultaneous faults may concern the same node.
+// killAndRestart kills nodes and starts them again after a delay. Two simultaneous faults may concern the same node, so
+// killAndRestart doesn't start a node that is already running again.
 func (sim *simulation) killAndRestart(delay time.Duration, nodes ...*fakeNode) {
 	for _, n := range nodes {
 		sim.processMu.Lock()
@@ -106,8 +109,8 @@
 	schedule func(sim *simulation, inject func())
 }
 
-// isLeaderRecordWrite reports whether a transaction is a commit of journal records by the leader, not a write of upgrade
-// state.
+// isLeaderRecordWrite reports whether a transaction is a commit of journal records by the leader. A transaction that writes
+// upgrade state doesn't count.
 func isLeaderRecordWrite(tx storagetest.Txn) bool {
 	byLeader := false
 	for _, g := range tx.Guards {
@@ -135,9 +138,10 @@
 	}
 }
 
-// wakeInjectionPoints returns the injection points of a wake. Some are points in time. The others are the transactions of
-// its durable steps: a transaction is dropped, is about to be applied, or is applied without a response. Tests draw random
-// points by index.
+// wakeInjectionPoints returns the injection points of a wake. The first three are points in time. The others belong to the
+// three durable steps of a wake, each of which is a transaction. For each step there are three points: the transaction is
+// dropped, the transaction is about to be applied, or the transaction is applied but its response is lost. The order of the
+// points matters, because tests choose points by a random index.
 func wakeInjectionPoints() []injectionPoint {
 	points := []injectionPoint{
 		{"at first demand", func(_ *simulation, inject func()) { go inject() }},
@@ -161,8 +165,9 @@
 	return points
 }
 
-// drainInjectionPoints returns the injection points of a drain: the transactions of its three durable steps, which are
-// draining, stopping and idle. Their names refer to the steps of a wake in the same order.
+// drainInjectionPoints returns the injection points of a drain. They belong to the transactions of its three durable steps,
+// which change the model's state to draining, to stopping and to idle. The points have the names of the first, second and
+// third step of a wake.
 func drainInjectionPoints() []injectionPoint {
 	var points []injectionPoint
 	for _, point := range wakeInjectionPoints() {
--- a/internal/scheduler/cold_start_history_test.go
+++ b/internal/scheduler/cold_start_history_test.go
@@ -10,7 +10,8 @@
 	"sagevale/internal/activation"
 )
 
-// recordServedRequest adds a forwarded request to the history of served requests.
+// recordServedRequest adds a request that a node forwarded to the model to the history of served requests. generation is the
+// generation of the model that served the request. Each wake of the model begins a new generation.
 func (sim *simulation) recordServedRequest(client int, called time.Time, generation uint64) {
 	sim.withLock(func() {
 		sim.servedRequests = append(sim.servedRequests, porcupine.Operation{
@@ -19,8 +20,8 @@
 	})
 }
 
-// servedRequestSpec is the sequential specification of forwarded requests: each is served by the same generation as the one
-// before, or by a later generation.
+// servedRequestSpec is the sequential specification of forwarded requests: each request is served by the same generation of the
+// model as the request before it, or by a later generation.
 var servedRequestSpec = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -53,8 +54,8 @@
 }
 
 // checkOneStartPerGeneration checks that workers have accepted one start of the model in each generation, and that the
-// present generation is one of those given. If machines or the model fail in the scenario, it checks only that attempt
-// numbers increase and that the history of served requests is linearizable.
+// model's present generation is one of the given generations. If machines or the model fail in the scenario, the function
+// checks only that attempt numbers increase and that the history of served requests is linearizable.
 func (sim *simulation) checkOneStartPerGeneration(generations ...uint64) {
 	sim.t.Helper()
 	starts := sim.startsOf(modelID)
@@ -69,6 +70,6 @@
 		return
 	}
 	if !slices.Contains(generations, generation) || len(starts) != int(generation) {
-		sim.t.Errorf("%d starts up to generation %d, want one start per generation up to one of %v: %+v", len(starts), generation, generations, starts)
+		sim.t.Errorf("got %d starts by generation %d, want one start per generation and a generation in %v: %+v", len(starts), generation, generations, starts)
 	}
 }
--- a/internal/scheduler/cold_start_steps_test.go
+++ b/internal/scheduler/cold_start_steps_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	modelID          = "000002"         // job ID of the model that is started from zero
-	modelClass       = "model"          // class of its job; services of this class scale to zero
+	modelID          = "000002"         // job ID of the model that scales to zero
+	modelClass       = "model"          // class of the model's job; services of this class scale to zero
 	modelIdleWindow  = 15 * time.Second // time without requests after which the model scales to zero
 	modelHoldTimeout = 10 * time.Second // longest time for which a request waits for the model to start
 )
@@ -54,7 +54,7 @@
 	}
 }
 
-// startsOf returns the start commands of a job that workers have accepted.
+// startsOf returns the start commands that workers have accepted for tasks of a job.
 func (sim *simulation) startsOf(id string) (starts []startRecord) {
 	sim.withLock(func() { starts = append(starts, sim.startsByJob[id]...) })
 	return starts
@@ -67,7 +67,7 @@
 	return s
 }
 
-// runColdStart runs a scenario with a model at zero and another service that is running.
+// runColdStart runs a scenario with a model that is scaled to zero and another service that is running.
 func runColdStart(t *testing.T, scenario func(sim *simulation)) {
 	t.Helper()
 	runColdStartInZones(t, threeControllers, scenario)
@@ -99,7 +99,7 @@
 	id             int
 	node           *fakeNode
 	ready          atomic.Bool // whether the latest request was granted
-	paused         atomic.Bool // whether it sends no requests
+	paused         atomic.Bool // whether the client has stopped sending requests
 	lastGeneration uint64      // the latest generation in a response
 }
 
@@ -125,7 +125,7 @@
 // clientTimeout is how long a client waits for a response.
 const clientTimeout = 20 * time.Second
 
-// acquire sends one request, and checks that the generations in the responses never decrease.
+// acquire sends one request, and checks that the model's generation in the responses never decreases.
 func (c *modelClient) acquire(sim *simulation) {
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
@@ -147,8 +147,8 @@
 	c.lastGeneration = decision.Response.Generation
 }
 
-// serveRequest simulates a forwarded request, which takes 60 ms. It checks that the model runs on the given machine
-// throughout, unless the scenario injects faults of machines or of the model.
+// serveRequest simulates a forwarded request, which takes 60 ms. It checks that the model runs on the given machine during
+// this time, unless the scenario injects faults of machines or of the model.
 func (sim *simulation) serveRequest(n *fakeNode, machine string) {
 	for range 3 {
 		served := false
@@ -186,7 +186,7 @@
 	return followers
 }
 
-// completePulls completes all image pulls. Later pulls complete at once.
+// completePulls completes all image pulls. Pulls that begin after the call complete at once.
 func (sim *simulation) completePulls() {
 	sim.withLock(func() {
 		for _, wk := range sim.workers {
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -41,13 +41,13 @@
 		}
 	}
 	sim.awaitReady(clients)
-	time.Sleep(2 * sim.settings.WorkerLease) // until delayed messages have arrived
+	time.Sleep(2 * sim.settings.WorkerLease) // by then delayed messages have arrived
 	sim.awaitReady(clients)
 	sim.checkOneStartPerGeneration(1)
 }
 
-// Whichever fault occurs at whichever point of a wake, the model starts exactly once. Only a fault of its machine or of the
-// model itself may restart it.
+// Each case injects one fault at one point of a wake. The model must start exactly once. It may be restarted only after a
+// fault of its machine or of the model itself.
 func TestOneStartPerWake(t *testing.T) {
 	for _, point := range wakeInjectionPoints() {
 		for _, fault := range coldStartFaults {
@@ -104,8 +104,8 @@
 	})
 }
 
-// The model must not scale to zero while a controller reports no usage, because that controller may have requests for the
-// model, or while a controller has a request in flight.
+// The model must not scale to zero while a controller has a request for the model in flight. A controller that reports no
+// usage may have such requests, so the model must not scale to zero in this case either.
 func TestUnresponsiveControllerPreventsScaleToZero(t *testing.T) {
 	for name, disturb := range map[string]func(n *fakeNode){
 		"crashed":            func(n *fakeNode) { n.kill() },
@@ -132,8 +132,8 @@
 	}
 }
 
-// runDrainWithFaults wakes the model, lets it drain, and injects the faults at one point of the drain. Demand returns when
-// demandDelay has passed after the idle window.
+// runDrainWithFaults wakes the model, lets it drain, and injects the faults at one point of the drain. The clients send
+// requests again from demandDelay after the end of the idle window.
 func (sim *simulation) runDrainWithFaults(point injectionPoint, demandDelay time.Duration, faults ...coldStartFault) {
 	sim.t.Helper()
 	clients := sim.startClients()
@@ -157,8 +157,8 @@
 	sim.checkOneStartPerGeneration(1, 2)
 }
 
-// Whichever fault occurs at whichever point of a drain, returning demand either cancels the drain or, once the model has
-// stopped, begins the next generation. It never does both.
+// Each case injects one fault at one point of a drain. When requests for the model arrive again, they either cancel the drain
+// or, once the model has stopped, begin the next generation. They never do both.
 func TestDemandDuringDrain(t *testing.T) {
 	for i, point := range drainInjectionPoints() {
 		for k, fault := range coldStartFaults {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Returning demand either cancels a drain or begins the next generation, even if two faults are injected at the same point
-// of the drain. The seed determines the point, the faults and the time at which demand returns.
+// Requests that arrive during or after a drain either cancel the drain or begin the next generation, even if two faults are
+// injected at the same point of the drain. The seed determines the point, the faults and the time of the requests.
 func TestDemandDuringDrainWithTwoFaults(t *testing.T) {
 	points := drainInjectionPoints()
 	for seed := range uint64(40) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// At every point of a wake a cancellation takes precedence: the model doesn't start after the cancellation was acknowledged.
+// The model's job is cancelled at some point of a wake. The model doesn't start after the cancellation was acknowledged.
 func TestCancelDuringWake(t *testing.T) {
 	for _, point := range wakeInjectionPoints() {
 		t.Run(point.name, func(t *testing.T) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// When one controller is rolled back, services at zero are started and keep running, and their lifecycle records are removed
-// before the older version may become leader.
+// When one controller is rolled back to a version that can't scale services to zero, services at zero are started and keep
+// running. Their lifecycle records are removed before a controller of the older version may become leader.
 func TestActivationWithdrawalStartsServices(t *testing.T) {
 	for name, demand := range map[string]bool{"at zero": false, "during start": true} {
 		t.Run(name, func(t *testing.T) {
@@ -243,7 +243,7 @@
 				}
 				setClientsPaused(clients, true)
 				sim.restartAllWithVersion(upgrade.Current)
-				sim.awaitScaledToZero() // its class is still configured to scale to zero
+				sim.awaitScaledToZero() // the model's class is still configured to scale to zero
 			})
 		})
 	}
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -12,11 +12,10 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// The scenarios reproduce combinations of faults that violated invariants on real machines, as listed by the
-// operators. Each scenario produces one combination while the simulation checks the invariants:
-// fakeWorker.checkStart checks placement, limits and duplicate tasks, watchCancelledJobs checks cancellations,
-// and requestFrom checks the responses to users. docs/combined-faults.md names the code that guards against each
-// combination.
+// Operators listed combinations of faults that violated invariants on real machines. Each scenario reproduces one of these
+// combinations while the simulation checks the invariants: fakeWorker.checkStart checks placement, limits and duplicate
+// tasks, watchCancelledJobs checks cancellations, and requestFrom checks the responses to users. For each combination,
+// docs/combined-faults.md names the code that guards against it.
 
 // scenario is a named sequence of steps and faults in the simulation.
 type scenario struct {
@@ -24,7 +23,7 @@
 	run  func(sim *simulation)
 }
 
-// leaderFaultScenarios combine faults of leaders, of the key-value store and of the network between them.
+// leaderFaultScenarios combines faults of leaders, of the key-value store and of the network between them.
 var leaderFaultScenarios = []scenario{
 	{"a transaction is applied and its response lost", func(sim *simulation) {
 		sim.submit(arrayWithRuntime("000001", 3, 40*time.Second))
@@ -110,12 +109,12 @@
 		sim.cancel("000001")
 		time.Sleep(10 * time.Second)
 		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = 0 })
-		old := sim.cutLeaderFromStore()
-		go sim.requestFrom(old, api.OpCancel, "000002", storage.Spec{})
+		oldLeader := sim.cutLeaderFromStore()
+		go sim.requestFrom(oldLeader, api.OpCancel, "000002", storage.Spec{})
 		sim.cancel("000003")
 		sim.requestFromAll("000003")
 		sim.outage(sim.settings.CancelTimeout + 10*time.Second)
-		old.cutStore.Store(false)
+		oldLeader.cutStore.Store(false)
 		sim.cancel("000002")
 		sim.awaitStopped("000001")
 		sim.awaitStopped("000002")
@@ -125,19 +124,19 @@
 	{"a leader without store and peers that workers and users reach", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Service("000002", 2))
-		sim.submit(clustertest.Service("000003", 2)) // the successor must not start its tasks again while they run
+		sim.submit(clustertest.Service("000003", 2)) // the next leader must not start this job's tasks again while they run
 		sim.awaitRunning("000001", 2)
 		sim.awaitRunning("000002", 2)
 		sim.awaitRunning("000003", 2)
-		old := sim.awaitLeader()
+		oldLeader := sim.awaitLeader()
 		for _, wk := range sim.allWorkers() {
-			wk.onlyReachableNode.Store(old)
+			wk.onlyReachableNode.Store(oldLeader)
 		}
-		old.cutPeers.Store(true)
-		old.cutStore.Store(true)
+		oldLeader.cutPeers.Store(true)
+		oldLeader.cutStore.Store(true)
 		for range 20 {
-			sim.requestFrom(old, api.OpPoll, "000001", storage.Spec{})
-			sim.requestFrom(old, api.OpCancel, "000002", storage.Spec{})
+			sim.requestFrom(oldLeader, api.OpPoll, "000001", storage.Spec{})
+			sim.requestFrom(oldLeader, api.OpCancel, "000002", storage.Spec{})
 			time.Sleep(200 * time.Millisecond)
 		}
 		sim.cancel("000001")
@@ -149,8 +148,8 @@
 		for _, wk := range sim.allWorkers() {
 			wk.onlyReachableNode.Store(nil)
 		}
-		old.cutPeers.Store(false)
-		old.cutStore.Store(false)
+		oldLeader.cutPeers.Store(false)
+		oldLeader.cutStore.Store(false)
 		sim.cancel("000002")
 		sim.awaitStopped("000002")
 		sim.awaitRunning("000003", 2)
@@ -229,10 +228,10 @@
 				sim.requestFromAll(id)
 			}
 			if i%4 == 0 {
-				old := sim.cutLeaderFromStore()
+				oldLeader := sim.cutLeaderFromStore()
 				sim.requestFromAll(id)
 				time.Sleep(3 * time.Second)
-				old.cutStore.Store(false)
+				oldLeader.cutStore.Store(false)
 			}
 		}
 		for i := range 12 {
@@ -255,21 +254,21 @@
 		}
 		for i := range 6 {
 			id := fmt.Sprintf("%06d", i+1)
-			old := sim.awaitLeader()
-			go sim.requestFrom(old, api.OpCancel, id, storage.Spec{})
+			oldLeader := sim.awaitLeader()
+			go sim.requestFrom(oldLeader, api.OpCancel, id, storage.Spec{})
 			switch i % 3 {
 			case 0:
-				old.kill()
+				oldLeader.kill()
 			case 1:
-				old.node.resign(old.node.view.Load().role.Term)
+				oldLeader.node.resign(oldLeader.node.view.Load().role.Term)
 			case 2:
-				old.cutStore.Store(true)
+				oldLeader.cutStore.Store(true)
 			}
 			sim.cancel(id)
 			sim.requestFromAll(id)
-			old.cutStore.Store(false)
-			if old.cancelRun == nil {
-				old.start()
+			oldLeader.cutStore.Store(false)
+			if oldLeader.cancelRun == nil {
+				oldLeader.start()
 			}
 			time.Sleep(2 * time.Second)
 		}
--- a/internal/scheduler/combined_machine_faults_test.go
+++ b/internal/scheduler/combined_machine_faults_test.go
@@ -9,7 +9,7 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// machineFaultScenarios combine faults of machines, of their reports and of their tasks.
+// machineFaultScenarios combines faults of machines, of the machines' heartbeat reports and of tasks.
 var machineFaultScenarios = []scenario{
 	{"jobs with zone constraints lose machines", func(sim *simulation) {
 		sameZone, zonal, spread := clustertest.Array("000001", 6), zonalService("000002", "b", 4), arrayWithRuntime("000003", 5, time.Minute)
@@ -26,7 +26,7 @@
 				wk.partitioned.Store(true)
 			}
 		}
-		// The loop above may already have stopped all machines of the second job.
+		// The loop above may already have killed all machines that run tasks of job 000002.
 		if remaining := sim.machinesOf("000002"); len(remaining) > 0 {
 			remaining[0].dead.Store(true)
 		}
@@ -144,7 +144,7 @@
 		sim.recordReports()
 		time.Sleep(2 * sim.settings.HeartbeatInterval)
 		for _, wk := range sim.machinesOf("000001") {
-			wk.partitioned.Store(true) // its lease expires, and its tasks start on other machines
+			wk.partitioned.Store(true) // the worker's lease expires, and its tasks start on other machines
 		}
 		time.Sleep(2 * sim.settings.WorkerLease)
 		for _, wk := range sim.allWorkers() {
@@ -219,13 +219,13 @@
 		sim.awaitDone("000002")
 		sim.withLock(func() { sim.recordingReports = false })
 		for range 3 {
-			old := sim.awaitLeader()
-			old.kill()
+			oldLeader := sim.awaitLeader()
+			oldLeader.kill()
 			for range 20 {
 				sim.replayReports(sim.nodes...)
 				time.Sleep(150 * time.Millisecond)
 			}
-			old.start()
+			oldLeader.start()
 		}
 		before := sim.startCount()
 		time.Sleep(sim.settings.WorkerLease)
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -11,8 +11,9 @@
 	"sagevale/internal/worker"
 )
 
-// Two attempts of a task may have been started on one machine by direct commands. The worker must retain both,
-// because a late duplicate of either start command may still arrive.
+// Direct commands, which aren't sent in a heartbeat response, may have started two attempts of a task on one machine.
+// The worker must retain both attempts after they have ended, because a late duplicate of either start command may still
+// arrive.
 func TestBothAttemptsOfTaskAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -35,8 +36,8 @@
 	})
 }
 
-// After a failover the fencing token is announced to a limited number of workers at a time. When it was
-// announced to all of them at once, that took every socket that their heartbeats need.
+// After a failover, the new leader announces its fencing token to a limited number of workers at a time. When the
+// token was announced to all workers at once, the announcements took every socket that the workers' heartbeats need.
 func TestTokenAnnouncementsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -59,9 +60,9 @@
 	})
 }
 
-// A direct command to a hung machine holds a socket until it times out. A hundred hung machines once held all
+// A direct command to a hung machine holds a socket until the command times out. A hundred hung machines once held all
 // sockets for commands. Each machine may therefore have only a few direct commands in flight. Further commands are
-// sent in the responses to its heartbeats.
+// sent in the responses to the machine's heartbeats.
 func TestInFlightCommandsAreLimitedPerMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/delegation_test.go
+++ b/internal/scheduler/delegation_test.go
@@ -16,9 +16,12 @@
 	"sagevale/internal/worker"
 )
 
-// When a zone was isolated, all worker leases in it once expired although a node of the zone
-// received the workers' heartbeats. Under a delegation that node now renews the leases, for longer
-// than the duration of one lease.
+// A delegation is the leader's permission for a node to renew worker leases in the node's zone. The
+// node uses the permission for a limited time while it can't reach a leader.
+
+// When a zone was isolated, all worker leases in the zone once expired, although a node of the zone
+// received the workers' heartbeats. Under a delegation this node now renews the leases, so that the
+// tasks run on for longer than the duration of one lease.
 func TestDelegationKeepsTasksOfIsolatedZone(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
@@ -36,8 +39,8 @@
 	})
 }
 
-// A job is cancelled while its tasks in an isolated zone run on under a delegation. They must end
-// within the cancel timeout, although the cancellation can't reach the node in that zone.
+// A job is cancelled while its tasks run on in an isolated zone under a delegation. The tasks must
+// end within the cancel timeout, although the cancellation can't reach the node in the zone.
 func TestDelegationEndsBeforeCancelTimeout(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(zonalService("000001", "b", 6))
@@ -53,8 +56,9 @@
 	})
 }
 
-// A machine with tasks to stop is excluded from the delegation. Their job was cancelled before the
-// delegation was granted, so leases renewed under it may last beyond the job's cancel timeout.
+// A delegation excludes the machines that still have to stop tasks of a cancelled job. The job was
+// cancelled before the delegation was granted, so a lease that is renewed under the delegation may
+// last beyond the job's cancel timeout.
 func TestDelegationExcludesMachinesWithTasksToStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -84,8 +88,10 @@
 	})
 }
 
-// A delegation extends the time after which the lease of an unreachable machine has certainly
-// expired, until the peer's status shows when it last renewed a lease.
+// The lease bound of an unreachable machine is the time after which its lease has certainly expired.
+// A delegation moves the lease bound to a later time, because the peer that received the delegation
+// may renew the lease. Once the peer's status shows when the peer last renewed a lease, the lease
+// bound depends on this renewal.
 func TestDelegationExtendsLeaseBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -121,8 +127,11 @@
 	})
 }
 
-// Under a delegation a node renews no lease for a late copy of a report or for a worker with a
-// token above the term's range, and none at all if it is the only node that is cut off.
+// Under a delegation, a node doesn't renew a worker's lease in these cases:
+//
+//   - The report is a late copy.
+//   - The worker's token is above the range of tokens of the leader's term.
+//   - Only this node seems to be cut off, so the worker can probably reach another node.
 func TestDelegationRenewsOnlyCurrentReports(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -134,13 +143,13 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		machine := 900 // incremented until this node is the one that the machine should report to
+		machine := 900 // incremented until the machine isn't redirected to another node
 		report := func(seq, token uint64) worker.HeartbeatResponse {
 			ctx, cancel := context.WithTimeout(sim.t.Context(), 3*time.Second)
 			defer cancel()
 			return follower.node.HandleHeartbeat(ctx, &worker.Report{Machine: machine, Addr: "900", Type: "cpu", Zone: follower.zone, Incarnation: 1, Seq: seq, Token: token})
 		}
-		for !report(5, 0).Accepted { // redirected to the other node of the zone
+		for !report(5, 0).Accepted { // the machine is redirected to the other node of the zone
 			machine++
 		}
 		follower.cutPeers.Store(true)
@@ -157,7 +166,7 @@
 			t.Errorf("current report: got %+v, want it accepted under token %d without commands", got, term)
 		}
 		// If the leader has raised the worker's token within its term, the response must carry the
-		// raised token, because the worker would drop a response with a lower one.
+		// raised token, because the worker would drop a response with a lower token.
 		if got := report(8, laterToken-1); !got.Accepted || got.Token != laterToken-1 || len(got.Commands) != 0 {
 			t.Errorf("report with a raised token: got %+v, want it accepted under token %d without commands", got, laterToken-1)
 		}
@@ -169,8 +178,8 @@
 }
 
 // A leader that could no longer reach its workers once kept leadership, and all worker leases
-// expired. The other nodes now forward the heartbeats to the leader, and it hands leadership over
-// to one of them.
+// expired. The other nodes now forward the heartbeats to the leader, and the leader hands
+// leadership over to one of these nodes.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 12))
@@ -192,8 +201,8 @@
 	})
 }
 
-// A worker that reports to a node of another zone is redirected to a node of its own zone once, and
-// again only after redirectPauseLeases worker leases.
+// A worker that reports to a node of another zone is redirected to a node of its own zone. The worker
+// isn't redirected again until redirectPauseLeases worker leases have passed.
 func TestWorkerIsRedirectedToItsZoneOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitLeader()
--- a/internal/scheduler/durability_test.go
+++ b/internal/scheduler/durability_test.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// No start command is sent between a cancellation and its commit. It could arrive after the user got the
-// response that the job is cancelled.
+// Between the cancellation of a job and the commit of this change, no start command is sent for the job's tasks.
+// Such a command could arrive after the user got the response that the job is cancelled.
 func TestNoStartIsSentDuringCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -36,8 +36,8 @@
 	})
 }
 
-// A leader may fail after it has committed the last page of a job and before it commits the job's record. Its
-// successor then loads an open job whose tasks are all done, and must complete it.
+// A leader may fail after it has committed that a job's last task is done, and before it commits that the job is
+// done. The next leader then loads an open job whose tasks are all done, and must complete the job.
 func TestLoadCompletesJobWhoseTasksAreDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 3)
@@ -93,8 +93,9 @@
 	})
 }
 
-// Neither a start nor a forget command is sent before the record that it depends on is durable. Otherwise a
-// successor would start the task a second time, or would load the task as not done.
+// A start command is sent only after the reservation of the machine is durable. Otherwise the next leader would
+// start the task a second time. A forget command is sent only after the end of the task is durable. Otherwise the
+// next leader would load the task as not done.
 func TestCommandsWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -124,7 +125,8 @@
 	})
 }
 
-// requestWithoutCommit handles a user's request, and returns the response if it is sent before the next commit.
+// requestWithoutCommit handles a user's request. It returns the response if the scheduler responds without waiting
+// for a commit.
 func (s *scheduler) requestWithoutCommit(op api.Op, spec storage.Spec) (response api.Response, responded bool) {
 	reply := make(chan api.Response, 1)
 	s.handleUser(userMessage{req: api.Request{Op: op, ID: spec.ID, Spec: spec}, reply: reply})
@@ -136,7 +138,8 @@
 	}
 }
 
-// No response reports a state before it is durable, because a successor would report an older state.
+// A response reports a job's state only after this state is durable. Otherwise the next leader could report the
+// state before it.
 func TestResponsesWaitForDurableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -171,7 +174,7 @@
 				t.Errorf("poll after the commit: got %+v, want a final state", got)
 			}
 		}
-		// The response to any request for a final job is its final state.
+		// The response to any request for a finished job contains the job's final state.
 		if got, _ := request(api.OpCancel, doneSpec); got.Code != api.CodeOK || got.State != api.StateDone {
 			t.Errorf("cancellation of a done job: got %+v, want state %v", got, api.StateDone)
 		}
@@ -181,8 +184,8 @@
 	})
 }
 
-// A start command is sent only once the attempt's record is durable. Otherwise a successor would not know which
-// machine runs the task.
+// A start command is sent only once the attempt's record is durable. Without this record the next leader could not
+// find out which machine runs the task.
 func TestStartWaitsForDurableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -11,10 +11,12 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// Only the leader is cut off from the key-value store, and another node becomes leader and acknowledges
-// cancellations. Then the store is down for all nodes for longer than the cancel timeout, while the workers keep
-// reporting to the old leader. The cases begin the outage at times from well before the old leader's lease can
-// expire to well after that, and the old leader's peers are reachable, cut off or restarted.
+// First, only the leader is cut off from the key-value store. Once the old leader's lease has expired, another node
+// may become leader and acknowledge cancellations. Then the store is down for all nodes, for longer than the cancel
+// timeout, while the workers keep reporting to the old leader.
+//
+// In some cases the outage begins well before the old leader's lease can expire, in others shortly before, shortly
+// after or well after that. The old leader's peers are reachable, cut off or restarted.
 func TestStoreOutageAfterFailover(t *testing.T) {
 	lease := clustertest.Settings().Tuning.LeaderLease
 	for _, peerState := range []string{"reachable", "cut", "restarted"} {
@@ -35,15 +37,15 @@
 		sim.submit(clustertest.Service(id, 3))
 		sim.awaitRunning(id, 3)
 	}
-	old := sim.awaitLeader()
+	oldLeader := sim.awaitLeader()
 	for _, wk := range sim.allWorkers() {
-		wk.onlyReachableNode.Store(old)
+		wk.onlyReachableNode.Store(oldLeader)
 	}
 	time.Sleep(2 * sim.settings.HeartbeatInterval)
-	old.cutStore.Store(true)
-	old.cutPeers.Store(peerState == "cut")
+	oldLeader.cutStore.Store(true)
+	oldLeader.cutPeers.Store(peerState == "cut")
 	cancelled := make(chan struct{})
-	go func() { // users cancel as soon as any node accepts the cancellation
+	go func() { // users repeat the cancellations, so that a node accepts them as early as possible
 		defer close(cancelled)
 		for end := time.Now().Add(outageAfter + time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			for _, n := range sim.nodes {
@@ -56,15 +58,15 @@
 	sim.store.SetOutage(true)
 	if peerState == "restarted" {
 		for _, n := range sim.nodes {
-			if n != old {
+			if n != oldLeader {
 				n.restart()
 			}
 		}
 	}
 	<-cancelled
 	time.Sleep(sim.settings.CancelTimeout + sim.settings.WorkerLease)
-	old.cutStore.Store(false)
-	old.cutPeers.Store(false)
+	oldLeader.cutStore.Store(false)
+	oldLeader.cutPeers.Store(false)
 	sim.store.SetOutage(false)
 	for _, wk := range sim.allWorkers() {
 		wk.onlyReachableNode.Store(nil)
@@ -76,8 +78,8 @@
 	sim.awaitRunning("000003", 3)
 }
 
-// A leader that is still loading the state must not decide any request, neither for a job that the state
-// contains nor for one that was never submitted.
+// A leader that is still loading the state must not decide any request: it responds only that it is unavailable.
+// This applies to a job that the state contains and to a job that was never submitted.
 func TestLoadingLeaderAnswersNoRequests(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
--- a/internal/scheduler/fake_cloud_test.go
+++ b/internal/scheduler/fake_cloud_test.go
@@ -22,9 +22,9 @@
 	machinesByLaunch map[string][]int                // IDs of the launched machines, by launch name
 	launchCalls      map[string]int                  // number of Launch calls, by launch name
 	loseNextResponse bool                            // the response to the next new launch is lost
-	noCapacity       func(storage.LaunchRecord) bool // launches for which it returns true fail; nil: none fails
-	bootTime         time.Duration                   // 0: defaultBootTime
-	terminated       map[int]bool                    // by machine ID
+	noCapacity       func(storage.LaunchRecord) bool // reports whether a launch fails for lack of capacity; nil: none fails
+	bootTime         time.Duration                   // time from a launch until the worker is up; 0: defaultBootTime
+	terminated       map[int]bool                    // by machine ID: whether the machine was terminated
 }
 
 // MachineTypes returns the instance types that the tests use.
--- a/internal/scheduler/fake_node_test.go
+++ b/internal/scheduler/fake_node_test.go
@@ -38,9 +38,9 @@
 
 	statuses              map[string]peer.ObservedStatus    // the latest status of each peer; guarded by sim.mu
 	changeUpgradeSettings func(*upgrade.Settings)           // changes the upgrade settings of the next process; nil: no change
-	refusal               atomic.Pointer[error]             // the error with which the upgrade check refused the latest process; nil: none
-	tracker               atomic.Pointer[activator.Tracker] // of the latest process, if services may scale to zero
-	// unregistered is the node's process if it is of a version that doesn't register; nil: it isn't.
+	refusal               atomic.Pointer[error]             // why the upgrade check refused the latest process; nil: not refused
+	tracker               atomic.Pointer[activator.Tracker] // the latest process's tracker; nil: no services scale to zero
+	// unregistered is the node's process if its version doesn't store a registration, and nil otherwise.
 	unregistered atomic.Pointer[unregisteredProcess]
 }
 
@@ -88,10 +88,10 @@
 
 // runTracker starts the model tracker of a process. The tracker runs until ctx ends.
 func (n *fakeNode) runTracker(ctx context.Context, node *Node, settings *config.Settings) {
-	pace := activator.Timing{RetryPause: settings.WakeInterval(), RequestTimeout: settings.HeartbeatInterval, MaxResponseDelay: settings.WakeInterval(), UsageInterval: settings.UsageInterval(),
+	timing := activator.Timing{RetryPause: settings.WakeInterval(), RequestTimeout: settings.HeartbeatInterval, MaxResponseDelay: settings.WakeInterval(), UsageInterval: settings.UsageInterval(),
 		RepeatDemandFor: settings.WorkerLease, ReportUnusedFor: 2 * settings.Tuning.Activation.Policy.IdleWindow}
 	limits := activator.Limits{MaxHeld: 100, MaxConcurrent: 10, HoldTimeout: settings.Tuning.Activation.HoldTimeout}
-	tracker := activator.NewTracker(node, pace, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
+	tracker := activator.NewTracker(node, timing, limits, rand.New(rand.NewPCG(11, n.sim.processCount.Load())))
 	n.tracker.Store(tracker)
 	go tracker.Run(ctx)
 }
@@ -120,7 +120,8 @@
 // errNoConnection is returned for a peer that is down or unreachable.
 var errNoConnection = errors.New("no connection to the peer")
 
-// reachablePeer returns a peer by name, or false if there is none or either node is cut off from its peers.
+// reachablePeer returns the peer with the given name. It returns false if there is no such peer, or if this node or
+// the peer is cut off from its peers.
 func (n *fakeNode) reachablePeer(name string) (*fakeNode, bool) {
 	i := slices.IndexFunc(n.sim.nodes, func(other *fakeNode) bool { return other.name == name })
 	if i < 0 || n.cutPeers.Load() || n.sim.nodes[i].cutPeers.Load() {
@@ -129,8 +130,8 @@
 	return n.sim.nodes[i], true
 }
 
-// callPeer makes a call to a peer's process and returns the peer. The request and the response wait while
-// either node is paused.
+// callPeer makes a call to a peer's process and returns the peer. The request and the response are delayed while
+// this node or the peer is paused.
 func (n *fakeNode) callPeer(name string, call func(process *Node)) (*fakeNode, error) {
 	target, ok := n.reachablePeer(name)
 	if !ok {
@@ -151,8 +152,8 @@
 // Forward sends a user's request or a ping to a peer.
 func (n *fakeNode) Forward(ctx context.Context, name string, req api.Request) (api.Response, error) {
 	if target, ok := n.reachablePeer(name); ok && req.Op == api.OpPing {
-		if old := target.unregistered.Load(); old != nil {
-			return api.Response{Peer: peer.Status{Version: old.version}}, nil
+		if unregistered := target.unregistered.Load(); unregistered != nil {
+			return api.Response{Peer: peer.Status{Version: unregistered.version}}, nil
 		}
 	}
 	var response api.Response
@@ -238,7 +239,7 @@
 	return status, ok
 }
 
-// KnownLeader returns the leader with the latest term in the statuses of reachable peers, and that term.
+// KnownLeader returns the leader of the highest term in the statuses of reachable peers, and this term.
 func (n *fakeNode) KnownLeader() (leader string, term uint64) {
 	for _, other := range n.sim.nodes {
 		if status, ok := n.Status(other.name); ok && other.runningProcess.Load() != nil && !other.cutPeers.Load() && !n.cutPeers.Load() && status.Term > term {
@@ -256,7 +257,7 @@
 	return 0
 }
 
-// canReach reports whether messages pass between the node and a worker.
+// canReach reports whether the node and a worker can exchange messages.
 func (n *fakeNode) canReach(wk *fakeWorker) bool {
 	isolated := n.sim.isolatedZone.Load()
 	return !n.cutWorkers.Load() && (wk.onlyReachableNode.Load() == nil || wk.onlyReachableNode.Load() == n) &&
--- a/internal/scheduler/fake_worker_test.go
+++ b/internal/scheduler/fake_worker_test.go
@@ -32,7 +32,7 @@
 	dropsHeartbeats   atomic.Bool              // direct commands arrive, heartbeats are lost
 	delaysCommands    atomic.Bool              // direct commands wait for executeDelayed
 	paused            atomic.Bool              // the process is paused and may resume at any time
-	failsTasks        atomic.Bool              // every task exits with an error
+	failsTasks        atomic.Bool              // tasks exit with an error at the end of their run time
 	stuckPulling      atomic.Bool              // no image pull completes
 
 	spotNotice       *float64 // seconds until the spot instance is reclaimed; nil: no notice
@@ -57,10 +57,10 @@
 type workerTask struct {
 	state           worker.TaskState
 	cause           worker.ExitCause
-	endsAt          time.Time // when it exits by itself; zero: never
+	endsAt          time.Time // when the task exits by itself; zero: never
 	stateSince      time.Time // when a task of a gang entered its state, or its stop window began
-	checkpointSaved bool      // it saved a checkpoint when it was stopped
-	endsInError     bool      // it exits with an error at endsAt
+	checkpointSaved bool      // whether the task saved a checkpoint when it was stopped
+	endsInError     bool      // whether the task exits with an error at endsAt
 }
 
 // startRecord describes a start command that a worker accepted.
@@ -235,7 +235,7 @@
 	}
 }
 
-// startTask starts an attempt, and checks that this violates no invariant. If the worker rejects the start,
+// startTask starts an attempt, and checks that the start violates no invariant. If the worker rejects the start,
 // the returned attempt has exited.
 func (wk *fakeWorker) startTask(key attemptKey) *workerTask {
 	sim := wk.sim
@@ -278,9 +278,12 @@
 	return free
 }
 
-// checkStart checks the invariants that the start of a task may violate: a task runs on one machine at a
-// time, its team stays within its limit, it is placed as its job requires, and it doesn't start later
-// than the cancel timeout after its job was cancelled.
+// checkStart checks the invariants that the start of a task may violate:
+//
+//   - A task runs on only one machine at a time.
+//   - The resources used by a team stay within the team's limit.
+//   - The task's machine and zone meet the constraints of the task's job.
+//   - Once the cancel timeout of a cancelled job has passed, no task of the job starts.
 func (wk *fakeWorker) checkStart(id worker.TaskID, spec storage.Spec) {
 	sim := wk.sim
 	used, zones := spec.Resources, map[string]int{wk.zone: 1}
@@ -313,7 +316,7 @@
 	}
 }
 
-// executeDelayed executes the direct commands that were delayed, and the recorded ones again.
+// executeDelayed executes the delayed direct commands, and executes the recorded direct commands again.
 func (wk *fakeWorker) executeDelayed() {
 	var batches []commandBatch
 	wk.sim.withLock(func() { batches = slices.Concat(wk.delayedCommands, wk.recordedCommands) })
@@ -322,8 +325,8 @@
 	}
 }
 
-// executeDirect executes commands that were sent directly. It rejects them if the token is lower than the
-// worker's or the incarnation is another.
+// executeDirect executes direct commands. It rejects them if their token is lower than the worker's token, or if
+// they were sent to another incarnation of the worker.
 func (wk *fakeWorker) executeDirect(token, incarnation uint64, commands []worker.Command) (worker.CommandOutcome, *worker.Report) {
 	wk.sim.mu.Lock()
 	defer wk.sim.mu.Unlock()
--- a/internal/scheduler/fault_scenarios_test.go
+++ b/internal/scheduler/fault_scenarios_test.go
@@ -50,10 +50,10 @@
 		}
 		for range 6 {
 			time.Sleep(7 * time.Second)
-			old := sim.awaitLeader()
-			old.kill()
+			oldLeader := sim.awaitLeader()
+			oldLeader.kill()
 			time.Sleep(4 * time.Second)
-			old.start()
+			oldLeader.start()
 		}
 		sim.eventually("both arrays are done", 5*time.Minute, func() bool {
 			return sim.poll("000002").State == api.StateDone && sim.poll("000003").State == api.StateDone
@@ -63,47 +63,47 @@
 }
 
 // The leader is cut off from the key-value store and from its peers, but still receives the workers'
-// heartbeats. Its successor must not start their tasks again before they have stopped.
+// heartbeats. The next leader must not start the workers' tasks again before they have stopped.
 func TestDeposedLeaderHasNoEffect(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
 		sim.submit(clustertest.Array("000002", 1))
 		sim.awaitRunningWithin(2*time.Minute, "000001", 2)
 		sim.awaitDoneWithin(2*time.Minute, "000002")
-		old := sim.awaitLeader()
-		oldTerm := old.node.view.Load().role.Term
-		old.cutStore.Store(true)
-		old.cutPeers.Store(true)
+		oldLeader := sim.awaitLeader()
+		oldTerm := oldLeader.node.view.Load().role.Term
+		oldLeader.cutStore.Store(true)
+		oldLeader.cutPeers.Store(true)
 		for _, wk := range sim.allWorkers() {
-			wk.onlyReachableNode.Store(old)
+			wk.onlyReachableNode.Store(oldLeader)
 		}
-		requestFromOld := func(op api.Op, id string) api.Response {
+		requestFromOldLeader := func(op api.Op, id string) api.Response {
 			ctx, cancel := context.WithTimeout(sim.t.Context(), time.Second)
 			defer cancel()
-			return old.node.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: clustertest.Array(id, 1)})
+			return oldLeader.node.HandleUserRequest(ctx, api.Request{Op: op, ID: id, Spec: clustertest.Array(id, 1)})
 		}
 		time.Sleep(2 * sim.settings.Tuning.LeaderLease)
-		if got := requestFromOld(api.OpPoll, "000001"); got.Code != api.CodeUnavailable {
+		if got := requestFromOldLeader(api.OpPoll, "000001"); got.Code != api.CodeUnavailable {
 			t.Errorf("poll of an open job after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
 		}
-		if got := requestFromOld(api.OpPoll, "000002"); got.Code != api.CodeOK || got.State != api.StateDone {
+		if got := requestFromOldLeader(api.OpPoll, "000002"); got.Code != api.CodeOK || got.State != api.StateDone {
 			t.Errorf("poll of a final job after lease expiry: got %+v, want state %v", got, api.StateDone)
 		}
-		if got := requestFromOld(api.OpSubmit, "000003"); got.Code != api.CodeUnavailable {
+		if got := requestFromOldLeader(api.OpSubmit, "000003"); got.Code != api.CodeUnavailable {
 			t.Errorf("submission after lease expiry: got %+v, want code %v", got, api.CodeUnavailable)
 		}
 		sim.eventually("a successor leads", time.Minute, func() bool {
 			n := sim.leader()
-			return n != nil && n != old && n.node.view.Load().role.Term > oldTerm
+			return n != nil && n != oldLeader && n.node.view.Load().role.Term > oldTerm
 		})
 		sim.cancel("000001")
 		sim.eventually("the cancelled tasks have stopped", sim.settings.CancelTimeout, func() bool { return len(sim.runningTasks("000001")) == 0 })
-		sim.eventually("the old leader has resigned", time.Minute, func() bool { return old.node.view.Load().scheduler == nil })
+		sim.eventually("the old leader has resigned", time.Minute, func() bool { return oldLeader.node.view.Load().scheduler == nil })
 	})
 }
 
-// A direct start command may arrive minutes after it was sent. If its job has been cancelled by then, the task
-// must not run.
+// A direct start command may arrive minutes after it was sent. If the task's job has been cancelled by then, the
+// task must not run.
 func TestDelayedStartDoesNotRunCancelledTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -124,8 +124,8 @@
 	})
 }
 
-// A duplicate of a start command arrives after its attempt has finished and the worker has forgotten it. The
-// attempt must not start again.
+// A start command arrives again after the attempt has finished and the worker has forgotten the attempt. The
+// attempt must not start a second time.
 func TestRepeatedStartDoesNotRestartFinishedTask(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 1))
@@ -189,8 +189,8 @@
 	})
 }
 
-// A peer that has restarted doesn't have the state of its earlier process, which may have led. It must not
-// confirm that there was no other leader.
+// A peer that has restarted doesn't have the state of its earlier process. That process may have been the leader,
+// so the peer must not confirm that there was no other leader.
 func TestRestartedPeerDoesNotConfirmNoLeader(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		leader := sim.awaitLeader()
@@ -284,8 +284,8 @@
 	})
 }
 
-// Workers must retain ended attempts that were started by direct commands, and list them in their reports. The
-// leader raises the fencing token, which ends the retention, before the reports grow too large.
+// Workers must retain ended attempts that were started by direct commands, and list them in their reports. Before
+// the reports grow too large, the leader raises the fencing token. The workers then needn't retain these attempts.
 func TestReportSizeStaysBounded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		spec := arrayWithRuntime("000001", 1500, 2*time.Second)
@@ -302,9 +302,9 @@
 	})
 }
 
-// The leader first sees a new incarnation of a worker in the response to a direct command. From then on the new
-// incarnation has its own lease, and the lease bound of the earlier incarnation doesn't apply to its tasks. The
-// simulation checks that no task runs twice.
+// The leader first sees a new incarnation of a worker in the response to a direct command. The new incarnation has
+// its own lease. The time at which the lease of the earlier incarnation expires must not be used for tasks of the
+// new incarnation. The simulation checks that no task runs twice.
 func TestIncarnationSeenInDirectResponseHasOwnLease(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
--- a/internal/scheduler/fleet_scenarios_test.go
+++ b/internal/scheduler/fleet_scenarios_test.go
@@ -150,7 +150,7 @@
 		spot := clustertest.Array("000003", 4)
 		spot.Spot = true
 		sim.submit(spot)
-		sim.eventually("all run", 4*time.Minute, func() bool {
+		sim.eventually("both services run and the array is done", 4*time.Minute, func() bool {
 			return len(sim.runningTasks("000001")) == 5 && len(sim.runningTasks("000002")) == 3 && sim.poll("000003").State == api.StateDone
 		})
 	})
@@ -179,8 +179,8 @@
 	})
 }
 
-// Idle capacity is kept for expected arrivals. Once no more jobs of a class arrive, none are expected, and all
-// machines are terminated.
+// Idle capacity is kept for jobs that are expected to arrive. Once no more jobs of a class arrive, no further jobs
+// are expected, and all machines are terminated.
 func TestIdleFleetIsScaledIn(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 12 {
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -16,9 +16,9 @@
 	"sagevale/internal/storage/storagetest"
 )
 
-// TestFreeze runs scenarios and writes the journal, the term and the leader that they leave in the
-// key-value store to the directory that the environment variable FREEZE names. See the README.md of
-// each directory in testdata.
+// TestFreeze runs scenarios and saves the records that they leave in the key-value store: the journal,
+// the term and the leader. The environment variable FREEZE names the directory for the files. See the
+// README.md of each directory in testdata.
 func TestFreeze(t *testing.T) {
 	dir := os.Getenv("FREEZE")
 	write := func(name string, v any) {
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	// freezeStore runs the scenario and writes the keys that it leaves in the store.
+	// freezeStore runs the scenario, and writes the records that remain in the store to the named file.
 	freezeStore := func(name string, sim *simulation) {
 		array := clustertest.Array("000001", 70)
 		array.EstimateS, array.Spot, array.DeadlineS, array.CheckpointS, array.SaveS = 30, true, 900, 10, 2
