--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -12,7 +12,8 @@
 	"sagevale/internal/worker"
 )
 
-// Preemption on behalf of a gang either frees resources for all of its tasks or stops nothing.
+// The scheduler preempts other tasks for a gang only if this frees enough resources for all tasks of the gang. Otherwise it
+// stops no task.
 func TestGangPreemptionIsAllOrNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -35,7 +36,7 @@
 		time.Sleep(time.Second)
 		sched.placeRound(time.Now())
 		if n, _ := countStopping(j); n != 3 || len(gang.Attempts) != 0 {
-			t.Errorf("%d tasks of 4 CPUs are stopped for five of 2 CPUs and %d are placed, want 3 and none", n, len(gang.Attempts))
+			t.Errorf("got %d running tasks of 4 CPUs stopped and %d tasks placed for a gang of five tasks of 2 CPUs, want 3 and none", n, len(gang.Attempts))
 		}
 		time.Sleep(time.Second)
 		sched.placeRound(time.Now())
@@ -77,8 +78,9 @@
 	})
 }
 
-// addCompetingGangs adds two running gangs of three tasks each. Two tasks of a gang fill one machine, and its third task
-// runs on another machine. It also returns the machine of the first gang's third task.
+// addCompetingGangs adds four machines and two running gangs of three tasks each. The first two tasks of each gang fill one
+// machine, and the third task runs on another machine. addCompetingGangs also returns the machine of the first gang's third
+// task.
 func addCompetingGangs(sched *scheduler, now time.Time) (first, second *cluster.Job, thirdTaskMachine *cluster.Machine) {
 	for m := 1; m <= 4; m++ {
 		sched.addReadyMachine(m, "cpu", "a", false)
@@ -119,8 +121,8 @@
 	return stopping, saving
 }
 
-// All tasks of a gang must receive their stop commands within gang_peer_s of the first one, or the gang's checkpoint is
-// lost. If the commands to a machine of a gang may be late, that gang isn't preempted as long as another gang can be.
+// All tasks of a gang must receive their stop commands within gang_peer_s of the first command, or the gang's checkpoint is
+// lost. If commands to one of the gang's machines may be late, the scheduler preempts another gang if it can.
 func TestPreemptionSparesGangThatCannotSave(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -151,8 +153,8 @@
 	}
 }
 
-// If no gang can save a checkpoint, one is stopped without a grace period, because waiting for a checkpoint that fails would
-// only delay the preemption.
+// If no gang can save a checkpoint, the scheduler stops one gang without a grace period. Waiting for a checkpoint that fails
+// would only delay the preemption.
 func TestGangThatCannotSaveIsStoppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -169,8 +171,8 @@
 	})
 }
 
-// After a spot notice, a gang that can't save a checkpoint in time keeps running, because it may still reach its next
-// checkpoint before the preemption.
+// A spot notice announces that the cloud will reclaim a machine. If a gang can't save a checkpoint on a stop command in time,
+// it keeps running after the notice, because it may still reach its next periodic checkpoint before the machine is reclaimed.
 func TestSpotNoticeStopsOnlyGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reachable=%v", reachable), func(t *testing.T) {
--- a/internal/scheduler/gang_scenarios_test.go
+++ b/internal/scheduler/gang_scenarios_test.go
@@ -17,7 +17,8 @@
 	return n
 }
 
-// setStuckPulling sets whether image pulls that begin on any worker get stuck; otherwise they complete at once.
+// setStuckPulling sets whether the image pulls that workers begin from now on never complete. If it isn't set, image pulls
+// complete at once.
 func (sim *simulation) setStuckPulling(stuck bool) {
 	for _, wk := range sim.allWorkers() {
 		wk.stuckPulling.Store(stuck)
@@ -57,7 +58,7 @@
 			}
 		}
 	}},
-	{"gathering tasks count neither as running nor as done", func(sim *simulation) {
+	{"tasks of a gang that has not started count neither as running nor as done", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
 		sim.setStuckPulling(true)
@@ -67,7 +68,7 @@
 			sim.t.Errorf("poll returns %+v, want a pending job without running tasks", response)
 		}
 	}},
-	{"task that does not start is replaced within the attempt", func(sim *simulation) {
+	{"task that does not start is replaced under the same attempt number", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.submit(arrayWithRuntime("000009", 16, 5*time.Minute)) // keeps the machines from being terminated
 		sim.awaitRunning("000001", 8)
@@ -90,7 +91,7 @@
 		}
 		sim.awaitDone("000002")
 	}},
-	{"task lost before the start is replaced, one lost later aborts the attempt", func(sim *simulation) {
+	{"task lost before the gang starts is replaced, task lost after the start aborts the attempt", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.awaitRunning("000001", 8)
 		sim.setStuckPulling(true)
@@ -112,7 +113,7 @@
 		sim.eventually("the gang runs again", 3*time.Minute, func() bool { return sim.gangStartCount("000002") == 2 })
 		sim.awaitDone("000002")
 	}},
-	{"leader crash between starts", func(sim *simulation) {
+	{"leader crash between the start commands of a gang", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 8))
 		sim.awaitRunning("000001", 8)
 		for i := range 12 {
@@ -143,7 +144,7 @@
 		sim.isolateZone("")
 		sim.awaitDone("000003")
 	}},
-	{"cancelled while gathering, and requested again", func(sim *simulation) {
+	{"cancelled before the gang starts, and requested again", func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 4))
 		sim.awaitRunning("000001", 4)
 		sim.setStuckPulling(true)
@@ -218,7 +219,7 @@
 // machine.
 func TestInfeasibleGangIsRejected(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
-		sim.submit(clustertest.Service("000009", 1)) // ensures that the machine types are known
+		sim.submit(clustertest.Service("000009", 1)) // ensures that the leader has the machine types
 		beyondLimit, beyondMachine := withLimitedTeam(gangSpec("000001", 3)), gangSpec("000002", 2)
 		beyondMachine.Resources.CPUs = 1000
 		for _, s := range []storage.Spec{beyondLimit, beyondMachine} {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -73,7 +73,7 @@
 		}
 		sched.placeRound(time.Now())
 		if len(j.Attempts) != 2 {
-			t.Errorf("%d tasks before the earlier attempt has ended, want its remaining 2", len(j.Attempts))
+			t.Errorf("got %d tasks before the aborted attempt has ended, want its remaining 2", len(j.Attempts))
 		}
 		for _, a := range j.GangAttempts() {
 			sched.removeAttempt(a, "ended")
@@ -85,8 +85,8 @@
 	})
 }
 
-// A worker never restarts an attempt whose exit it has recorded. A replacement under the same attempt number is therefore
-// placed on another machine.
+// A worker never restarts an attempt whose exit it has recorded. If a task exits before its gang has started, the replacement
+// has the same attempt number, so the scheduler places the replacement on another machine.
 func TestGangReplacementAvoidsMachineOfSameAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -97,7 +97,7 @@
 		if len(j.Attempts) != 1 {
 			t.Fatalf("%d attempts are left, want 1", len(j.Attempts))
 		}
-		machine1.Images["img"] = cluster.Image{SizeGB: 1} // placement would prefer this machine otherwise
+		machine1.Images["img"] = cluster.Image{SizeGB: 1} // because of the cached image, placement would otherwise prefer this machine
 		sched.placeRound(time.Now())
 		if a := j.Attempts[0]; a == nil || a.Machine != machine2 || a.Number != 9 {
 			t.Errorf("replaced by %+v, want attempt 9 on machine 2", a)
@@ -117,8 +117,8 @@
 	})
 }
 
-// A task whose image pull doesn't complete makes its whole gang wait. After a share of GangWait, stalledGangWaitShare, the
-// scheduler stops the task, so that it can be placed on another machine.
+// A task whose image pull doesn't complete makes its whole gang wait. When the other tasks have waited for GangWait times
+// stalledGangWaitShare, the scheduler stops the stalled task, so that it can be placed on another machine.
 func TestGangTaskThatDoesNotStartIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -131,14 +131,14 @@
 		if sched.tick(); j.Attempts[1].Stopping {
 			t.Error("the pulling task is stopped at once")
 		}
-		time.Sleep(s.GangWait * 45 / 100) // more than stalledGangWaitShare, but before the machines' leases expire
+		time.Sleep(s.GangWait * 45 / 100) // more than GangWait times stalledGangWaitShare, but before the machines' leases expire
 		if sched.tick(); j.Attempts[0].Stopping || !j.Attempts[1].Stopping {
 			t.Errorf("gathering task stopping: %v, pulling task stopping: %v; want false and true", j.Attempts[0].Stopping, j.Attempts[1].Stopping)
 		}
 	})
 }
 
-// No task of a gang is placed while the gang as a whole exceeds the remaining limit of its team.
+// The scheduler places no task of a gang until the whole gang fits into the unused part of its team's limit.
 func TestGangWaitsForTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := clustertest.Settings()
@@ -177,8 +177,8 @@
 	})
 }
 
-// A replacement task is placed only in the zone of the gang's other tasks. An attempt in another zone starts only after the
-// earlier attempt is gone.
+// All tasks of this gang must be in one zone. A replacement for a lost task is therefore placed only in the zone of the other
+// tasks. The next attempt may use another zone, but it starts only after all tasks of the current attempt are gone.
 func TestGangStaysInZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -220,7 +220,7 @@
 	})
 }
 
-// Every start of a task of an array or a service has an attempt number that no other start has used.
+// Each start of a task of an array or a service gets a new attempt number.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -247,8 +247,12 @@
 	})
 }
 
-// The scheduler ignores reports that contradict its state: of a task that the job doesn't have, of the exit of another
-// attempt, of a task that gathers after its gang has started, and of an unknown job.
+// The scheduler ignores task reports that contradict its state:
+//
+//   - The job doesn't have the reported task.
+//   - The task has exited under an attempt number that isn't the gang's current one.
+//   - The task still waits for the other tasks (state Gathering), although the gang has already started.
+//   - The job is unknown.
 func TestImpossibleGangReportsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -20,11 +20,13 @@
 	"sagevale/internal/worker"
 )
 
-// This file tests each bound of the workers' leases and of the leader's lease alone, and what a leader may still
-// do near the end of its lease. The scenarios of combined faults depend on these bounds.
+// The tests in this file check each time bound of the workers' leases and of the leader's lease separately. They
+// also check what a leader may still do at the end of its lease. The scenarios of combined faults depend on these
+// bounds.
 
-// Once the leader's lease may have expired, a successor may have sent the user a newer state. A response that
-// isn't delivered by then must be replaced by one that asks the user to retry, unless its state is final.
+// Once the leader's lease may have expired, a successor may already have sent the user a later state of the job. A
+// response that hasn't been delivered by then must be replaced by a response that asks the user to retry. Only a
+// response with a final state may be delivered later.
 func TestResponseValidityEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -72,9 +74,11 @@
 	})
 }
 
-// For each way to renew a worker's lease, the last renewal and a lease measured by a slow clock must end before
-// the cancel timeout of the earliest cancellation that the renewing controller can't know of, measured by a fast
-// clock. docs/design.md explains why.
+// A worker may have tasks of a job whose cancellation hasn't reached the controller that renews the worker's lease.
+// These tasks must still stop within the cancel timeout. This test checks the time bound for each way to renew a
+// lease: a lease that begins at the last possible renewal must end before the cancel timeout of the earliest such
+// cancellation. In the worst case, a slow clock measures the lease and a fast clock measures the cancel timeout.
+// docs/design.md explains the bound.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	const maxClockSkew = 1.0005
 	for _, settings := range []config.Settings{
@@ -86,13 +90,14 @@
 		settings.Tuning = settings.DefaultTuning()
 		for _, c := range []struct {
 			name string
-			// lastRenewal returns the time of the last renewal of a lease, and the time from which
-			// cancellations may be acknowledged that the renewing controller can't know of.
+			// lastRenewal returns the time of the last renewal of a lease. It also returns the time
+			// from which another controller may acknowledge cancellations, of which the renewing
+			// controller gets no notice.
 			lastRenewal func(t *testing.T, settings config.Settings) (renewed, unknownSince time.Time)
 		}{
 			{"heartbeat responses of the leader", lastLeaderRenewal},
 			{"delegation to a peer", lastDelegatedRenewal},
-			{"grace confirmed by the peers", lastConfirmedRenewal},
+			{"renewal grace confirmed by the peers", lastConfirmedRenewal},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -124,8 +129,9 @@
 	return renewed, leaseExpiry
 }
 
-// lastDelegatedRenewal requests delegations from a leader whose lease has just expired, for the whole cancel
-// timeout. It returns the end of the last delegation, and the time at which the leader's lease expired.
+// lastDelegatedRenewal repeatedly requests a delegation from a leader whose lease has just expired, for the whole
+// cancel timeout. A delegation allows a peer to renew workers' leases. lastDelegatedRenewal returns the time at which
+// the delegations end, and the time at which the leader's lease expired.
 func lastDelegatedRenewal(t *testing.T, settings config.Settings) (until, leaseExpiry time.Time) {
 	t.Helper()
 	sched := newTestScheduler(t, settings)
@@ -148,9 +154,10 @@
 	return forwarder.delegation.until, leaseExpiry
 }
 
-// lastConfirmedRenewal returns the end of the renewal grace that the peers confirm by their statuses, and the
-// time at which the statuses were requested. A peer that becomes leader after it has sent its status does so after
-// that time.
+// lastConfirmedRenewal models a leader that can't renew its own lease, but whose peers confirm by their statuses that
+// none of them has led since. The leader may then renew workers' leases until one renewal grace after it requested
+// the statuses. lastConfirmedRenewal returns the end of that grace, and the time of the request. A peer that becomes
+// the leader after it has sent its status does so after the request.
 func lastConfirmedRenewal(_ *testing.T, settings config.Settings) (renewed, requested time.Time) {
 	requested = time.Now()
 	return requested.Add(settings.RenewalGrace()), requested
@@ -175,9 +182,10 @@
 	})
 }
 
-// An incarnation that is first seen in the response to a direct command has its own lease, no matter when the
-// last heartbeat of the earlier incarnation was acknowledged. The scenario of that fault places no tasks on such a
-// machine any more, because the machine isn't ready, but the bound must still hold.
+// A worker whose lease has expired begins a new incarnation with a new lease. The leader may see the new incarnation
+// for the first time in the response to a direct command. The lease bound then counts from this response, not from
+// the last acknowledged heartbeat of the earlier incarnation. The simulated scenario of this fault no longer covers
+// the bound, because the leader places no tasks on a machine that isn't ready. The bound must still hold.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -192,8 +200,8 @@
 	})
 }
 
-// An earlier leader may have renewed leases until the end of its renewal grace. The attempts on a machine that
-// hasn't reported in this term are kept until the last such lease has expired.
+// An earlier leader may have renewed leases until the end of its renewal grace. If a machine hasn't reported in this
+// term, the new leader keeps the attempts on the machine until the last of those leases has expired.
 func TestLeaseBoundAfterFailoverCoversEarlierLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -216,8 +224,9 @@
 	})
 }
 
-// A report with the token of a later term ends the leadership at once if the leader's lease has expired. While
-// the lease is valid, there can't be a later leader, and one faulty worker must not end the term for all others.
+// If the leader's lease has expired, a report with the token of a later term ends the leadership at once. While the
+// lease is valid, there can't be a successor, so the token must be wrong. The leader then only rejects the report,
+// because one faulty worker must not end the term for all other workers.
 func TestLaterTermEndsExpiredLeadership(t *testing.T) {
 	for _, leaseValid := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lease valid %v", leaseValid), func(t *testing.T) {
@@ -247,8 +256,8 @@
 	}
 }
 
-// A start command isn't sent once the sender's lease may have expired, because a successor may have acknowledged
-// a cancellation by then. Stop commands may be sent at any time.
+// A leader doesn't send a start command once its lease may have expired, because a successor may have acknowledged
+// the cancellation of the job by then. Stop commands may be sent at any time.
 func TestStartIsNotSentAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -277,8 +286,9 @@
 	return worker.NotSent, nil
 }
 
-// A leader whose lease may have expired must not decide any request. withValidity also withholds its responses,
-// so no scenario fails without this guard. This test checks the guard alone.
+// A leader whose lease may have expired must not accept or cancel a job, or report a state that isn't final.
+// handleUser checks the lease and asks the user to retry. withValidity also replaces the responses of such a leader,
+// so no scenario fails without the check in handleUser. This test covers that check alone.
 func TestNoRequestIsDecidedAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -105,7 +105,7 @@
 		s.MemoryMB = 16
 	}
 	runSimulationWithSettings(t, lowMemory, func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 2)) // ensures that the machine types are known
+		sim.submit(clustertest.Service("000001", 2)) // ensures that the leader has the machine types
 		large := clustertest.Array("000002", sim.settings.MaxOpenTasks()+1)
 		got := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
 		if got.Code != api.CodeBusy || got.RetrySeconds < 1 {
--- a/internal/scheduler/machine_readiness_test.go
+++ b/internal/scheduler/machine_readiness_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/worker"
 )
 
-// A machine whose heartbeats are lost loses its lease even if direct commands reach it. Only a heartbeat
-// therefore makes it ready.
+// Only heartbeats renew the lease of a machine. If they are lost, the lease expires, even while direct commands
+// reach the machine. Responses to direct commands therefore don't make a machine ready.
 func TestDirectResponsesDoNotMakeMachineReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
@@ -33,8 +33,8 @@
 	})
 }
 
-// The quarantine of a machine ends within two worker leases, however often its tasks failed or its incarnations
-// ended. Otherwise work would wait although there is free capacity.
+// The quarantine of a machine ends within two worker leases, however often tasks have failed on the machine or its
+// lease has expired. A longer quarantine would keep work waiting although there is free capacity.
 func TestQuarantineIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
--- a/internal/scheduler/node_test.go
+++ b/internal/scheduler/node_test.go
@@ -65,7 +65,7 @@
 		sched.resignLeadership("test")
 		roleMessage{role}.handle(sched)
 		if sched.leaseValid(time.Now()) || time.Now().Before(sched.role.RenewWorkersUntil) {
-			t.Error("the lease is valid or renewable after a resignation")
+			t.Error("after a resignation the leader's lease is valid, or the leader may still renew workers' leases")
 		}
 	})
 }
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -13,8 +13,9 @@
 	"sagevale/internal/worker"
 )
 
-// Opportunistic jobs share the capacity evenly, and a job with a deadline is placed before them.
-// The first of several large jobs once took all capacity, and the last one started minutes later.
+// Opportunistic jobs, which are best-effort jobs without a deadline, share the capacity evenly. A job
+// with a deadline is placed before them. An earlier version gave all capacity to the first of several
+// large jobs, and the last job started minutes later.
 func TestOpportunisticJobsShareEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -39,7 +40,7 @@
 		}
 		for _, j := range jobs {
 			if n := j.Allocated(); n < 30 || n > 60 {
-				t.Errorf("job %s: got %d allocated tasks of about 160, want 30 to 60", j.Spec.ID, n)
+				t.Errorf("job %s: got %d of about 160 allocated tasks, want 30 to 60", j.Spec.ID, n)
 			}
 		}
 	})
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -14,7 +14,7 @@
 	"sagevale/internal/worker"
 )
 
-// largeFleetSize is the number of machines of a large fleet, which must not exceed any fixed limit.
+// largeFleetSize is the number of machines in a large fleet. A fleet of this size must not exceed any fixed limit.
 const largeFleetSize = 6000
 
 // All workers may send heartbeats at the same time. As the scheduler's mailbox fills up, submissions are rejected first,
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
 		settings.Sockets = largeFleetSize
-		sched := newTestScheduler(t, settings) // it doesn't run, so messages stay in its mailbox
+		sched := newTestScheduler(t, settings) // not started, so messages stay in its mailbox
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		report := func(n int) {
@@ -146,7 +146,7 @@
 		for i := range 5000 {
 			sched.markJob(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
-		sched.markJob(j) // queues the record for another change, at the end of the bulk lane
+		sched.markJob(j) // queues the job's record in the same lane as the other jobs' records, behind them
 		reply := make(chan api.Response, 1)
 		sched.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
 		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failOnRecordError(t)); !ok {
--- a/internal/scheduler/process_pause_test.go
+++ b/internal/scheduler/process_pause_test.go
@@ -55,7 +55,7 @@
 				sim.awaitStopped("000004")
 				sim.awaitWorkload()
 			}},
-			scenario{"leader paused " + c.name + " while starts are sent", func(sim *simulation) {
+			scenario{"leader paused " + c.name + " while start commands are sent", func(sim *simulation) {
 				sim.startWorkload()
 				for i := range 8 {
 					sim.submit(arrayWithRuntime(fmt.Sprintf("1%05d", i), 2, 3*time.Minute))
@@ -93,7 +93,7 @@
 				sim.awaitRunning("000001", 3)
 				sim.awaitDone("000003")
 			}},
-			scenario{"follower paused " + c.name + " while the leader ends", func(sim *simulation) {
+			scenario{"follower paused " + c.name + " while the leader crashes", func(sim *simulation) {
 				sim.startWorkload()
 				leader := sim.awaitLeader()
 				for _, n := range sim.nodes {
--- a/internal/scheduler/provisioning_test.go
+++ b/internal/scheduler/provisioning_test.go
@@ -7,8 +7,8 @@
 	"sagevale/internal/cluster/clustertest"
 )
 
-// If all machines boot four times as slowly as expected, the leader waits for them. It once
-// terminated them before they were up, and then their replacements, too.
+// If all machines take four times as long to boot as expected, the leader waits for them. An
+// earlier version terminated the machines before they were up, and then their replacements, too.
 func TestSlowProvisioningIsAwaited(t *testing.T) {
 	const opportunistic = "opportunistic work"
 	for name, disturb := range map[string]func(sim *simulation){
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -11,9 +11,9 @@
 	"sagevale/internal/worker"
 )
 
-// A worker that has the current token rejects the start commands of earlier leaders. If its report doesn't list
-// an attempt of an earlier leader, the attempt doesn't run, and its reservation ends. Other guards cover the same
-// fault, so no scenario fails without this one.
+// A worker that has the current leader's token rejects the start commands of earlier leaders. If a report under this
+// token doesn't list an attempt of an earlier leader, the attempt doesn't run and can't start any more, so its
+// reservation ends. Other checks guard against the same fault, so no scenario fails without this check.
 func TestReportUnderCurrentTokenDisprovesEarlierStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := clustertest.Array("000001", 1)
@@ -27,7 +27,7 @@
 		m := sched.state.Machines.Get(7)
 		for i, token := range []uint64{sched.term - 1, sched.term - 1, sched.term} {
 			if len(m.Attempts) != 1 {
-				t.Fatalf("reservation ended before the report under token %d, want it kept until token %d is known", token, sched.term)
+				t.Fatalf("reservation ended before the report under token %d, want it kept until the report under token %d", token, sched.term)
 			}
 			sched.handleHeartbeat(cpuReport(7, uint64(i+1), token))
 		}
@@ -37,9 +37,10 @@
 	})
 }
 
-// A new leader repeats the start command of an earlier leader's attempt in a heartbeat response. The worker's
-// response to the token announcement was sent before that start command arrived, so it doesn't list the attempt.
-// It was once taken as proof that the attempt didn't run: the task was started on another machine and ran twice.
+// For an attempt of an earlier leader, a new leader sends the start command again in a heartbeat response. Before
+// this command arrives, the worker responds to the new leader's token announcement. This response can't list the
+// attempt yet. An earlier version took the response as proof that the attempt would never run. It started the task
+// on another machine, and the task ran twice.
 func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/storage"
 )
 
-// 120 services are submitted at once while the fleet is empty. The fleet scales out to what they need, and all of
-// them run within a few boot times.
+// 120 services are submitted at once while the fleet is empty. The fleet must scale out to the size that the services
+// need, and all services must run within a few boot times.
 func TestScaleOutFromEmptyFleet(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for i := range 120 {
@@ -26,7 +26,7 @@
 			}
 			return n >= 720
 		})
-		// Four tasks fit on a machine, so 180 machines are needed. While few machines are up, half as many more may be launched.
+		// Four tasks fit on a machine, so 180 machines are needed. While few machines are up, 90 more may be launched.
 		if n := len(sim.allWorkers()); n < 180 || n > 270 {
 			t.Errorf("%d machines are launched, want 180 to 270", n)
 		}
@@ -40,8 +40,8 @@
 	})
 }
 
-// Preemption must free resources for each waiting task. All waiting tasks once relied on the first machine on which
-// resources were being freed.
+// Preemption must free resources for each waiting task. In an earlier version, all waiting tasks counted on the same
+// resources, which were being freed on one machine.
 func TestPreemptionFreesResourcesForEachWaitingTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -56,15 +56,15 @@
 		}
 		sched.addAcceptedJob(clustertest.Service("000002", 12))
 		sched.placeRound(time.Now())
-		sched.placeRound(time.Now()) // counts the resources that are being freed
+		sched.placeRound(time.Now()) // must not stop more tasks, because enough resources are already being freed
 		if stopping, _ := countStopping(j); stopping != 12 {
 			t.Errorf("%d tasks are stopped for 12 waiting tasks, want 12", stopping)
 		}
 	})
 }
 
-// A partitioned machine may be reachable again before a replacement has booted. When such machines were terminated at
-// once, the partition of a zone cost half of the fleet.
+// A partitioned machine may be reachable again before a replacement has booted, so the leader doesn't terminate the
+// machine at once. An earlier version did so, and the partition of a zone cost half of the fleet.
 func TestPartitionedMachineIsNotTerminatedAtOnce(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 40))
@@ -87,15 +87,15 @@
 	})
 }
 
-// The record of a machine includes the images that it has cached. When the record lacked them, replicas were placed
-// on machines that had to pull their images after a failover.
+// The record of a machine lists the machine's cached images. In an earlier version the record didn't list them. After
+// a failover, replicas were then placed on machines that had to pull the images first.
 func TestCachedImagesSurviveFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched, nextLeader := newTestScheduler(t, clustertest.Settings()), newTestScheduler(t, clustertest.Settings())
 		m := sched.addReadyMachine(1, "cpu", "a", false)
 		m.UseImage("seldom", 5, time.Now())
 		if m.Recorded {
-			t.Error("a new image doesn't mark the machine to be recorded")
+			t.Error("the machine's record isn't marked to be written after the machine has cached a new image")
 		}
 		if _, err := nextLeader.state.Load([]storage.Record{newRecord(t, storage.MachineKey(1), m.Record())}, time.Now()); err != nil {
 			t.Fatal(err)
@@ -106,8 +106,8 @@
 	})
 }
 
-// The cloud numbers its machines from 0. The number 0 once stood for "no machine", so that no machine was terminated
-// while machine 0 was the best candidate for scale-in.
+// The cloud numbers its machines from 0. An earlier version used the number 0 for "no machine", so it terminated no
+// machine while machine 0 was the best candidate for scale-in.
 func TestMachineZeroIsTerminated(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Array("000001", 8))
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -36,8 +36,8 @@
 	sim.store.SetOutage(false)
 }
 
-// delayCommits delays every nth transaction, so that it is applied late and without a response. An nth of 0
-// ends the delays.
+// delayCommits makes the key-value store apply every nth transaction late and without a response. Each transaction
+// is late by the delay plus up to six seconds. If nth is 0, no further transactions are delayed.
 func (sim *simulation) delayCommits(nth int, delay time.Duration) {
 	count := 0
 	sim.store.Update(func(s *storagetest.Service) {
@@ -109,7 +109,8 @@
 	sim.eventually("job "+id+" has stopped", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
 }
 
-// withLimitedTeam returns the specification with one GPU per task and the team whose limit is two GPUs.
+// withLimitedTeam returns a copy of a specification, changed to one GPU per task and to a team whose limit is two
+// GPUs.
 func withLimitedTeam(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
@@ -142,7 +143,7 @@
 	return machines
 }
 
-// moveLeaderOutOf restarts leaders until one outside the zone is elected.
+// moveLeaderOutOf restarts leaders in the zone until a node outside the zone is elected.
 func (sim *simulation) moveLeaderOutOf(zone string) {
 	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
 		n.kill()
@@ -157,5 +158,5 @@
 	sim.submit(arrayWithRuntime(id, 4, 2*time.Second))
 }
 
-// startsSince returns by how much startCount has grown from an earlier value.
+// startsSince returns the current value of startCount minus an earlier value.
 func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -59,7 +59,7 @@
 	return m
 }
 
-// addAcceptedJob adds an open job whose acceptance counts as durable.
+// addAcceptedJob adds an open job as if the record of its acceptance were already durable.
 func (s *scheduler) addAcceptedJob(spec storage.Spec) *cluster.Job {
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -42,25 +42,25 @@
 	workers           map[int]*fakeWorker
 	specs             map[string]storage.Spec
 	cancelledAt       map[string]time.Time    // by job: when its cancellation was first acknowledged to a user
-	reportedStates    map[string]api.JobState // by job: the latest state in a response; pending stands for all that aren't final
-	cancelRequested   map[string]bool         // jobs for which a cancel request was sent, answered or not
+	reportedStates    map[string]api.JobState // by job: final state in a response; StatePending if no response was final
+	cancelRequested   map[string]bool         // jobs for which a cancel request was sent, with or without a response
 	completed         map[worker.TaskID]bool
-	recordedReports   []*worker.Report // kept for replayReports, which delivers them again late
+	recordedReports   []*worker.Report // kept so that replayReports can deliver them again
 	recordingReports  bool
-	recordingCommands bool                     // workers record their direct commands, which executeDelayed delivers again late
+	recordingCommands bool                     // workers record direct commands, so that executeDelayed can execute them again
 	gangStarts        map[string]int           // by job: how many times all tasks of the gang began to run together
-	overdueJobs       map[string]bool          // cancelled jobs that were already reported for running beyond the cancel timeout
+	overdueJobs       map[string]bool          // cancelled jobs for which checkCancelledTasks has reported an error
 	failingJobs       map[string]bool          // jobs whose tasks exit with an error on every machine
-	starts            int                      // start commands as counted by startCount
+	starts            int                      // number of start commands; see startCount
 	startsByJob       map[string][]startRecord // by job: the start commands that a worker accepted
-	wakeRequests      []activation.WakeRequest // sent between nodes; kept to be delivered again late
+	wakeRequests      []activation.WakeRequest // sent between nodes; kept so that a test can deliver them again
 	servedRequests    []porcupine.Operation    // forwarded requests to models, for the linearizability check
-	usageReports      []activation.UsageReport // sent between nodes; kept to be delivered again late
+	usageReports      []activation.UsageReport // sent between nodes; kept so that a test can deliver them again
 	failAfter         map[string]time.Duration // by job: the run time after which its tasks fail on every machine
 
 	isolatedZone    atomic.Pointer[string] // the zone that is cut off from everything outside it; nil or "": none
 	ended           atomic.Bool            // the scenario has ended; no more machines start
-	leaderKilled    atomic.Bool            // killLeaderOnce has killed a leader and its transaction was dropped
+	leaderKilled    atomic.Bool            // killLeaderOnce has killed the leader, whose transaction was dropped
 	processCount    atomic.Uint64          // controller processes started so far
 	requestsMayFail atomic.Bool            // machines or models fail, so requests may remain unserved
 	processMu       sync.Mutex             // serializes faults that stop and start nodes
@@ -68,7 +68,7 @@
 }
 
 // slowLogHandler delays each goroutine that logs by a random time. It simulates a slow processor:
-// a delay may occur between a check and the action that relies on it.
+// a delay may occur between a check and the action that relies on the check.
 type slowLogHandler struct {
 	slog.Handler
 	sim  *simulation
@@ -197,8 +197,8 @@
 	time.Sleep(time.Minute)
 }
 
-// leader returns the node that holds a valid leader lease and has loaded the state, or nil. It fails the
-// test if there are two.
+// leader returns the node that holds a valid leader lease and has loaded the state. If there is no such node,
+// it returns nil. If there are two, it fails the test.
 func (sim *simulation) leader() *fakeNode {
 	var leader *fakeNode
 	for _, n := range sim.nodes {
@@ -216,7 +216,7 @@
 	return leader
 }
 
-// awaitLeader waits until leader finds a leader, and returns it.
+// awaitLeader waits until a node leads, and returns the node. It fails the test if no node leads after 30 s.
 func (sim *simulation) awaitLeader() *fakeNode {
 	sim.t.Helper()
 	for range 300 {
@@ -229,7 +229,8 @@
 	return nil
 }
 
-// request sends a user's request to the nodes in turn until one returns a decided response.
+// request sends a user's request to the nodes in turn until a node decides on the request. A response that asks
+// the user to retry is no decision.
 func (sim *simulation) request(op api.Op, id string, spec storage.Spec) api.Response {
 	sim.t.Helper()
 	for attempt := range 120 {
@@ -243,8 +244,8 @@
 	return api.Response{}
 }
 
-// requestFrom sends a user's request to one node. It checks that the job state in the response is no older
-// than in any response that was received before the request was sent.
+// requestFrom sends a user's request to one node. It checks that the response doesn't contradict any response that
+// was received before the request was sent: a known job must not be unknown, and a final state must not change.
 func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.runningProcess.Load()
 	if live == nil {
@@ -280,7 +281,7 @@
 }
 
 // checkState checks the state of a job in a response and records it. before is the job's recorded state
-// when the request was sent; known is false if there was none. The caller holds sim.mu.
+// when the request was sent; known is false if no state was recorded then. The caller holds sim.mu.
 func (sim *simulation) checkState(n *fakeNode, id string, response api.Response, before api.JobState, known bool) {
 	current := api.StatePending
 	if response.Final() {
@@ -345,8 +346,9 @@
 	}
 }
 
-// advanceGangs advances the tasks of each gang attempt. They start together once all of them are gathering. If
-// one of them is missing later without being done, the others exit after the stop window. The caller holds sim.mu.
+// advanceGangs advances the tasks of each attempt of a gang. Tasks that wait for the others are gathering. Once all
+// tasks are gathering, they start together. If a task is missing after the start and isn't done, the other tasks exit
+// after the stop window. The caller holds sim.mu.
 func (sim *simulation) advanceGangs() {
 	type gangAttempt struct {
 		job    string
@@ -449,7 +451,7 @@
 	}
 }
 
-// cancel cancels a job, and fails the test if the response isn't that it is cancelled.
+// cancel cancels a job, and fails the test unless the response confirms that the job is cancelled.
 func (sim *simulation) cancel(id string) {
 	sim.t.Helper()
 	if got := sim.request(api.OpCancel, id, storage.Spec{}); got.Code != api.CodeOK || got.State != api.StateCancelled {
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -12,8 +12,9 @@
 	"sagevale/internal/worker"
 )
 
-// A faulty job runs beside other jobs while controllers or the key-value store fail. The leader, also a new one,
-// retries it one task at a time. Other jobs and the machines are unaffected, and the job can be cancelled.
+// A faulty job runs beside other jobs while controllers or the key-value store fail. The leader retries the faulty
+// job one task at a time, and so does its successor. Other jobs and the machines are unaffected, and the faulty job can
+// be cancelled.
 func TestFaultyJobIsContainedDuringFaults(t *testing.T) {
 	for name, inject := range map[string]func(sim *simulation){
 		"no fault":                     func(*simulation) {},
@@ -50,8 +51,8 @@
 	}
 }
 
-// suspectedMachines returns the failures of the suspected machines, by machine. It reads the scheduler's state while
-// all goroutines of the simulation are blocked.
+// suspectedMachines returns, by machine ID, the task failures of each machine for which failures are recorded. It reads
+// the scheduler's state while all other goroutines of the simulation are blocked.
 func (s *scheduler) suspectedMachines() map[int]string {
 	synctest.Wait()
 	suspected := make(map[int]string)
@@ -70,9 +71,9 @@
 	sim.startAll()
 }
 
-// If all tasks of a job on one machine fail, the job isn't at fault, but the machine is if another job has failed on
-// it, too. If tasks fail on several machines, the job is at fault. A job whose tasks all failed on one machine was
-// once taken to be at fault.
+// A job whose tasks fail on several machines is at fault. A job whose tasks fail on only one machine isn't at fault,
+// although an earlier version took it to be. In that case the machine is at fault if tasks of another job have also
+// failed on it.
 func TestFailuresBlameMachineOrJob(t *testing.T) {
 	for name, c := range map[string]struct {
 		machines     []int // machines on which tasks of the job fail, in order
@@ -110,8 +111,10 @@
 	}
 }
 
-// Many short tasks once made workers retain so many ended attempts that the leader resigned again and again. So only
-// a limited number of them is started by direct commands. Urgent tasks are always started directly.
+// A worker must retain an ended attempt as long as a copy of the direct command that started the attempt may still
+// arrive. The machine's Fence counts these attempts. In an earlier version, many short tasks filled the fences, and the
+// leader resigned again and again. Only a limited number of tasks that aren't urgent is therefore started by direct
+// commands. Urgent tasks are always started directly.
 func TestShortTasksDoNotFillFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -19,12 +19,13 @@
 	"sagevale/internal/upgrade"
 )
 
-// Programs of two earlier commits don't register. Commit 3661d31 is version 1 and reports no version to its peers;
-// commit af96c21 is version 2 and reports 2. The loopback test outside CI runs their real binaries. The tests of this
-// file model how they acquire leadership and which version they report.
+// The programs of two earlier commits store no registration in the key-value store. Commit 3661d31 is version 1 and
+// reports no version to its peers. Commit af96c21 is version 2 and reports version 2. The loopback test, which isn't
+// part of CI, runs the real binaries of both commits. The tests in this file only model how these programs acquire
+// leadership and which version they report.
 
-// unregisteredProcess models a process of those commits. It acquires leadership as they do, but does nothing as the
-// leader.
+// unregisteredProcess models a process of one of the two commits. It acquires leadership in the same way, but does
+// nothing while it leads.
 type unregisteredProcess struct {
 	version  int          // the version reported to peers; 0: none
 	termsLed atomic.Int32 // number of terms that it has led
@@ -55,7 +56,7 @@
 		term := uint64(0)
 		item, err := store.Get(ctx, leadership.TermKey)
 		if err == nil && json.Unmarshal(item.Data, &term) != nil {
-			continue // a fenced term, which these versions can't read
+			continue // the term record has a fence, and these versions read only a bare number
 		}
 		leaderData, _ := json.Marshal(leadership.LeaderRecord{Node: node, Process: "earlier", Term: term + 1})
 		termData, _ := json.Marshal(term + 1)
@@ -73,8 +74,8 @@
 	}
 }
 
-// A node is rolled back to commit 3661d31 while a gang job is open. Its process can't become the leader, even while
-// leadership is vacant, until everything that it can't read is gone from the store.
+// A node is rolled back to commit 3661d31 while a gang job is open. Until the store holds no data that this commit
+// can't read, the node's process can't become the leader, even while no other controller leads.
 func TestUnregisteredProcessIsFencedDuringGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -108,7 +109,8 @@
 	})
 }
 
-// Before a gate is used, all nodes may be rolled back to commit 3661d31 at once, and one of their processes leads.
+// Until the gate of a feature is used, the store holds no data that depends on the feature. All nodes may then be
+// rolled back to commit 3661d31 at once, and one of their processes becomes the leader.
 func TestUnregisteredProcessLeadsBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -125,8 +127,8 @@
 	})
 }
 
-// A process of commit af96c21 reads gang jobs and compressed chunks. The gates of both therefore stay open, the fence
-// is removed, and the process may lead.
+// A process of commit af96c21 can read gang jobs and compressed chunks, so the gates of these two features stay open.
+// The leader removes the fence, which prevents processes without a registration from leading. The process may then lead.
 func TestUnregisteredVersion2CanLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -155,9 +157,9 @@
 	storage.KindFleet:    {"n", "t"},
 }
 
-// While version 1 is active, commit 3661d31 must be able to read everything that is written, even under lowered
-// limits. So chunks are uncompressed, records are not split into fragments, and no record has a field of a later
-// version.
+// While version 1 is active, commit 3661d31 must be able to read all records that are written, even if the limits of
+// the key-value store have been lowered. Chunks are therefore uncompressed, records are not split into fragments, and
+// no record has a field of a later version.
 func TestStoredRecordsAreReadableByVersion1(t *testing.T) {
 	runSimulationWithSettings(t, func(s *config.Settings) { s.State.Next = &storage.Limits{ChangesPerS: 30, ValueBytes: 4096, TxnOps: 8} }, func(sim *simulation) {
 		sim.nodes[2].startUnregistered(0)
@@ -196,7 +198,7 @@
 	key := strings.Trim(string(record[0]), `"`)
 	var fields map[string]json.RawMessage
 	if len(record) < 2 || json.Unmarshal(record[1], &fields) != nil {
-		return // a removal, or the record of the machine types
+		return // the record marks a removal, or lists the machine types
 	}
 	for name := range fields {
 		if !slices.Contains(version1Fields[key[0]], name) {
--- a/internal/scheduler/upgrade_gates_test.go
+++ b/internal/scheduler/upgrade_gates_test.go
@@ -12,9 +12,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// The state of the gate of compressed chunks determines which encodings the journal may write.
-// While the gate is being withdrawn, a record that is too large for a plain chunk must still be
-// written, or every commit would stall.
+// The state of the feature gate for compressed chunks determines which encodings the journal may
+// write. While a gate that has been used is being withdrawn, a record that is too large for a plain
+// chunk must still be written, or every commit would stall.
 func TestJournalEncodingFollowsGate(t *testing.T) {
 	for _, c := range []struct {
 		gate upgrade.GateState
@@ -33,9 +33,9 @@
 	}
 }
 
-// The submission of the first gang job waits until its gate is durably marked as used, as any
-// submission waits for its commit. If that takes too long or the gate isn't open, the response has
-// a retry interval.
+// The first submission of a gang job waits until the gate for gang jobs is durably marked as used,
+// just as any submission waits for its commit. If the mark takes too long or the gate isn't open,
+// the response asks the user to retry.
 func TestFirstGangJobWaitsForGate(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -60,7 +60,7 @@
 			n.restart()
 		}
 		leader = sim.awaitLeader()
-		time.Sleep(20 * time.Second) // the store drops the release of the gate, and any mark that the gate is used
+		time.Sleep(20 * time.Second) // the store drops each transaction that would release the gate or mark it as used
 		start = time.Now()
 		if got := sim.requestFrom(leader, api.OpSubmit, "000002", gang("000002")); got.Code != api.CodeUnavailable || got.RetrySeconds == 0 {
 			t.Errorf("gang job with a blocked gate: got %+v, want code %v with a retry interval", got, api.CodeUnavailable)
--- a/internal/scheduler/upgrade_races_test.go
+++ b/internal/scheduler/upgrade_races_test.go
@@ -16,8 +16,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// Most tests of this file change the key-value store between a check and the write that relies on the check, or apply
-// a write late. They fail if that write has no guard.
+// Most tests in this file change the key-value store between a check and the write that relies on the check, or delay a
+// write. A guard makes a write fail if the keys that were checked have changed. Each of these tests fails if the write
+// has no guard.
 
 // writeKey writes a key as another process would, without guards.
 func (sim *simulation) writeKey(key string, value any) {
@@ -80,7 +81,8 @@
 	return registration
 }
 
-// gangJobsInUse returns a cluster record under which a process of version 1 must not lead.
+// gangJobsInUse returns a cluster record in which the gate for gang jobs is used. Under this record, a process of
+// version 1 must not lead.
 func gangJobsInUse() upgrade.Record {
 	record := upgrade.Initial()
 	record.Active, record.Phase = upgrade.Version2, upgrade.Soaking
@@ -160,7 +162,7 @@
 		rolledBack.restartWithVersion(upgrade.Version2)
 		sim.eventually("the start is refused", 20*time.Second, func() bool { return rolledBack.refusal.Load() != nil })
 		if r := sim.registrationOf(rolledBack.name); r.Max != upgrade.Current {
-			t.Errorf("registration %+v, want that of the earlier process up to version %d", r, upgrade.Current)
+			t.Errorf("got registration %+v, want the registration of the earlier process, with versions up to %d", r, upgrade.Current)
 		}
 	})
 }
@@ -186,7 +188,7 @@
 		node.restartWithVersion(upgrade.Current)
 		time.Sleep(30 * time.Second)
 		if r := sim.registrationOf(node.name); r.Max != upgrade.Current {
-			t.Errorf("registration %+v of the earlier process, want that of the present one up to version %d", r, upgrade.Current)
+			t.Errorf("got registration %+v, want the registration of the present process, with versions up to %d", r, upgrade.Current)
 		}
 	})
 }
@@ -208,7 +210,7 @@
 	})
 }
 
-// After a write of the cluster record without a response, the leader reads the record again before the next step.
+// If a write of the cluster record gets no response, the leader reads the record again before the next upgrade step.
 func TestUnansweredUpgradeStepIsReadAgain(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
--- a/internal/scheduler/upgrade_release_test.go
+++ b/internal/scheduler/upgrade_release_test.go
@@ -12,7 +12,8 @@
 	"sagevale/internal/upgrade"
 )
 
-// releaseAfter is how long a gate must have been unused before it is released in these scenarios.
+// releaseAfter is how long no data must have depended on a gate before the leader releases the gate. To release a gate
+// is to mark it as unused.
 const releaseAfter = 20 * time.Second
 
 // runReleaseSimulation runs a scenario in which gates are released after releaseAfter.
@@ -32,14 +33,14 @@
 func isGangRelease(tx storagetest.Txn) bool {
 	for _, op := range tx.Ops {
 		if op.Key == leadership.ClusterKey && strings.Contains(string(op.Data), `"gang-jobs":{"since":2,"phase":"open"}`) && !strings.Contains(string(op.Data), `"fence":`) {
-			return len(tx.Ops) > 1 // the fence is removed with it
+			return len(tx.Ops) > 1 // the same transaction also writes the term record, without the fence
 		}
 	}
 	return false
 }
 
-// After a gate has been unused for releaseAfter, it counts as unused again. All controllers may then be rolled back
-// at once, even to a version that doesn't register.
+// Once no data has depended on a gate for releaseAfter, the leader marks the gate as unused again. All controllers may
+// then be rolled back at once, even to a version that stores no registration.
 func TestUnusedGateIsReleased(t *testing.T) {
 	runReleaseSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
@@ -59,7 +60,7 @@
 }
 
 // The transaction that releases a gate is delayed and gets no response, and a gang job arrives in the meantime. The
-// leader marks the gate as used again before it accepts the job, so that the late transaction can't undo the mark.
+// leader marks the gate as used again before it accepts the job. The late transaction must not undo this mark.
 func TestLateReleaseDoesNotUndoUse(t *testing.T) {
 	runReleaseSimulation(t, func(sim *simulation) {
 		sim.submitGang("000001")
@@ -74,7 +75,7 @@
 			}
 		})
 		sim.eventually("a release is delayed", 2*time.Minute, delayed.Load)
-		time.Sleep(1500 * time.Millisecond) // until uses are counted again
+		time.Sleep(1500 * time.Millisecond) // until the leader counts the uses of the gates again
 		gang := clustertest.Array("000002", 3)
 		gang.Gang, gang.EstimateS = true, 60
 		sim.submit(gang)
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// Under lowered limits the journal writes compressed chunks. A rollback to version 1 rewrites them as plain chunks,
-// even if leaders are restarted in the meantime.
+// If the limits of the key-value store are lowered, the journal writes compressed chunks. After one controller is rolled
+// back to version 1, the leader rewrites these chunks as plain chunks, even if leaders are restarted in the meantime.
 func TestRollbackDuringMigration(t *testing.T) {
 	for restarts := range 4 {
 		t.Run(fmt.Sprintf("%d leader restarts", restarts), func(t *testing.T) {
@@ -134,8 +134,8 @@
 	return encoded
 }
 
-// After finalization a process of an older version ends with an error that names the required version. The other
-// controllers are unaffected.
+// Once a version is finalized, it can't be rolled back any more. A process of a lower version then ends with an error
+// that names the required version. The other controllers are unaffected.
 func TestFinalizedVersionRejectsOlderProcesses(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		for _, n := range sim.nodes {
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -103,8 +103,8 @@
 	return writesKey(tx, leadership.ClusterKey)
 }
 
-// A new feature stays off until every controller supports it. Until then a submission of a gang job gets no decision,
-// so that the user retries.
+// A new feature stays off until every controller supports it. A user who submits a gang job before that is asked to
+// retry.
 func TestGatesOpenOnceAllControllersAreUpgraded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -143,9 +143,9 @@
 	}
 }
 
-// runUpgradeWithLostStep upgrades the fleet and uses a gate. It injects the fault into one transaction that writes
-// the cluster record, where step is the index of that transaction. If kill is set, it also restarts the leader at
-// that transaction.
+// runUpgradeWithLostStep upgrades the fleet and uses a gate. It injects the fault into one of the transactions that
+// write the cluster record. step is the index of this transaction, from 0. If kill is set, the leader is also
+// restarted at this transaction.
 func (sim *simulation) runUpgradeWithLostStep(fault string, kill bool, step int) {
 	sim.restartAllWithVersion(upgrade.Version1)
 	sim.submit(clustertest.Service("000001", 2))
@@ -289,7 +289,7 @@
 	})
 }
 
-// While the nodes are of three versions, the lowest of them stays active, whichever node leads.
+// While the nodes run three different versions, the lowest version stays active, whichever node leads.
 func TestFleetOfThreeVersions(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.nodes[0].restartWithVersion(upgrade.Version1)
@@ -356,8 +356,9 @@
 	sim.awaitDone("000100")
 }
 
-// A leader without a target may activate a version above the upgrade.target of another node. That node then refuses
-// to start, with an error of one line. A process that already runs isn't stopped, and may still become the leader.
+// The setting upgrade.target is the highest version that a leader may activate. A leader without a target may activate
+// a version above the target of another node. The other node's running process isn't stopped, and may still become the
+// leader. Once it is restarted, the new process refuses to start, with an error of one line.
 func TestTargetBelowActiveVersion(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		limitTarget := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
--- a/internal/scheduler/worker_tokens_test.go
+++ b/internal/scheduler/worker_tokens_test.go
@@ -14,8 +14,9 @@
 	"sagevale/internal/worker"
 )
 
-// runFencingSimulation runs a scenario in which a worker's token is raised once the worker must retain window ended
-// attempts, or as many as it has live attempts if that is more.
+// runFencingSimulation runs a scenario with a given fencing window. The leader raises a worker's token once the worker
+// must retain enough ended attempts. Enough means at least the window, and at least the number of the worker's live
+// attempts.
 func runFencingSimulation(t *testing.T, window int, scenario func(sim *simulation)) {
 	t.Helper()
 	addTeam := func(s *config.Settings) {
@@ -24,8 +25,8 @@
 	runSimulationWithTuning(t, addTeam, func(tuning *config.Tuning) { tuning.Fencing = config.Fencing{Enabled: true, Window: window} }, scenario)
 }
 
-// shortTaskArray returns the specification of a job array of two-second tasks. The limit of its team lets 20 of them
-// run at a time.
+// shortTaskArray returns the specification of a job array of two-second tasks. The limit of its team lets 20 tasks run
+// at a time.
 func shortTaskArray(id string, tasks int) storage.Spec {
 	spec := clustertest.Array(id, tasks)
 	spec.Team, spec.Resources = "sweepers", storage.Resources{CPUs: 0.1, MemoryGB: 0.1}
@@ -44,8 +45,8 @@
 	return longest
 }
 
-// However long a term lasts, a worker's reports, and the ended attempts that the leader makes it retain, are bounded
-// by the worker's live tasks and a small window.
+// A worker reports its live tasks and the ended attempts that the leader makes it retain. However long a term lasts,
+// the size of a report is bounded: the bound depends only on the number of live tasks and on a small window.
 func TestRetainedAttemptsAreBoundedWithinTerm(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 2))
@@ -212,7 +213,7 @@
 	})
 }
 
-// The tokens and attempt numbers of each term are above all those of the term before it.
+// All tokens and attempt numbers of a term are higher than those of the previous term.
 func TestNextTermExceedsAllTokens(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -229,7 +230,7 @@
 	})
 }
 
-// If a term has no higher token for a worker that must retain too many ended attempts, the worker receives start
+// A worker must retain too many ended attempts, and the term has no higher token left. The worker then receives start
 // commands only in the responses to its heartbeats. It need not retain the attempts that those commands start.
 func TestWorkerWithFullFenceStartsTasksByHeartbeat(t *testing.T) {
 	runFencingSimulation(t, 4, func(sim *simulation) {
@@ -255,8 +256,8 @@
 	})
 }
 
-// No token is raised while some controller is of a version that doesn't know the range of a term's tokens, because
-// that controller could not renew the leases of workers with raised tokens.
+// A controller of an earlier version doesn't support raised tokens: it could not renew the leases of workers that have
+// them. No token is raised while such a controller runs.
 func TestTokensAreNotRaisedBesideEarlierVersion(t *testing.T) {
 	runFencingSimulation(t, 1, func(sim *simulation) {
 		sim.nodes[2].restartWithVersion(upgrade.Version4)
@@ -283,8 +284,8 @@
 	})
 }
 
-// A report under a raised token proves the absence of attempts and confirms the machine, as a report under the term's
-// first token does.
+// A report under a raised token has the same effects as a report under the term's first token. It proves that attempts
+// that it doesn't list are gone. It also confirms the machine, which means that the machine has reported in this term.
 func TestRaisedTokenBelongsToTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -312,7 +313,7 @@
 		}
 		r.Incarnation, r.Seq = 2, 1
 		if sched.handleHeartbeat(r); !m.Confirmed || m.Fence.Retained() != 0 {
-			t.Errorf("a later incarnation is confirmed %v and retains %d attempts, want true and none", m.Confirmed, m.Fence.Retained())
+			t.Errorf("after a report of a later incarnation: got confirmed %v with %d retained attempts, want true and none", m.Confirmed, m.Fence.Retained())
 		}
 	})
 }
