--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -171,8 +171,8 @@
 	})
 }
 
-// A spot notice announces that the cloud will reclaim a machine. If a gang can't save a checkpoint on a stop command in time,
-// it keeps running after the notice, because it may still reach its next periodic checkpoint before the machine is reclaimed.
+// A spot notice announces that the cloud will reclaim a machine. If stop commands may not reach a gang in time for it to save
+// a checkpoint, the gang keeps running. It may still reach its next periodic checkpoint before the machine is reclaimed.
 func TestSpotNoticeStopsOnlyGangThatCanSave(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reachable=%v", reachable), func(t *testing.T) {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -85,8 +85,8 @@
 	})
 }
 
-// A worker never restarts an attempt whose exit it has recorded. If a task exits before its gang has started, the replacement
-// has the same attempt number, so the scheduler places the replacement on another machine.
+// A worker never restarts an attempt whose exit it has recorded. If a task exits before its gang has started, its replacement
+// has the same attempt number as the exited task. The scheduler therefore places the replacement on another machine.
 func TestGangReplacementAvoidsMachineOfSameAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// A follower drops a leader's response that arrives after the leader's lease has expired, unless the state in
-// it is final.
+// If a leader's response arrives after the leader's lease has expired, a follower drops the response. Only a response
+// with a final state is still forwarded.
 func TestDelayedResponseIsNotForwarded(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.submit(clustertest.Service("000001", 1))
@@ -74,11 +74,11 @@
 	})
 }
 
-// A worker may have tasks of a job whose cancellation hasn't reached the controller that renews the worker's lease.
-// These tasks must still stop within the cancel timeout. This test checks the time bound for each way to renew a
-// lease: a lease that begins at the last possible renewal must end before the cancel timeout of the earliest such
-// cancellation. In the worst case, a slow clock measures the lease and a fast clock measures the cancel timeout.
-// docs/design.md explains the bound.
+// The controller that renews a worker's lease may have missed the cancellation of a job that runs on the worker. The
+// job's tasks must still stop within the cancel timeout. This test checks the time bound for each way to renew a
+// lease. The lease begins at the last possible renewal. It must end before the cancel timeout of the earliest
+// cancellation that the renewing controller may have missed. In the worst case, a slow clock measures the lease and
+// a fast clock measures the cancel timeout. docs/design.md explains the bound.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	const maxClockSkew = 1.0005
 	for _, settings := range []config.Settings{
@@ -90,9 +90,8 @@
 		settings.Tuning = settings.DefaultTuning()
 		for _, c := range []struct {
 			name string
-			// lastRenewal returns the time of the last renewal of a lease. It also returns the time
-			// from which another controller may acknowledge cancellations, of which the renewing
-			// controller gets no notice.
+			// lastRenewal returns the time of the last renewal of a lease. It also returns the
+			// earliest time of a cancellation that the renewing controller may have missed.
 			lastRenewal func(t *testing.T, settings config.Settings) (renewed, unknownSince time.Time)
 		}{
 			{"heartbeat responses of the leader", lastLeaderRenewal},
@@ -155,9 +154,9 @@
 }
 
 // lastConfirmedRenewal models a leader that can't renew its own lease, but whose peers confirm by their statuses that
-// none of them has led since. The leader may then renew workers' leases until one renewal grace after it requested
-// the statuses. lastConfirmedRenewal returns the end of that grace, and the time of the request. A peer that becomes
-// the leader after it has sent its status does so after the request.
+// none of them can have led since its lease expired. The leader may then renew workers' leases until one renewal
+// grace after it requested the statuses. lastConfirmedRenewal returns the end of that grace, and the time of the
+// request. If a peer becomes the leader after it has sent its status, this happens after the request.
 func lastConfirmedRenewal(_ *testing.T, settings config.Settings) (renewed, requested time.Time) {
 	requested = time.Now()
 	return requested.Add(settings.RenewalGrace()), requested
@@ -184,7 +183,7 @@
 
 // A worker whose lease has expired begins a new incarnation with a new lease. The leader may see the new incarnation
 // for the first time in the response to a direct command. The lease bound then counts from this response, not from
-// the last acknowledged heartbeat of the earlier incarnation. The simulated scenario of this fault no longer covers
+// the last acknowledged heartbeat of the earlier incarnation. The scenario that simulates this case no longer tests
 // the bound, because the leader places no tasks on a machine that isn't ready. The bound must still hold.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -19,7 +19,7 @@
 }
 
 // On a slow CPU timers fire late and each step takes longer. A controller's leadership may therefore end between a check and
-// the action that depends on it.
+// the action that depends on the check.
 func TestSlowProcessorKeepsInvariants(t *testing.T) {
 	for _, maxDelay := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(maxDelay.String(), func(t *testing.T) {
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -14,7 +14,7 @@
 	"sagevale/internal/worker"
 )
 
-// largeFleetSize is the number of machines in a large fleet. A fleet of this size must not exceed any fixed limit.
+// largeFleetSize is the number of machines in a large fleet. No fixed limit may be too low for this size.
 const largeFleetSize = 6000
 
 // All workers may send heartbeats at the same time. As the scheduler's mailbox fills up, submissions are rejected first,
@@ -74,8 +74,8 @@
 	})
 }
 
-// Submissions are rejected with increasing retry intervals if they can't be committed in time. Repeated submissions of known
-// jobs are still answered.
+// Submissions are rejected with increasing retry intervals if they can't be committed in time. A repeated submission of an
+// accepted job is still answered.
 func TestSubmissionFloodIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -113,7 +113,7 @@
 	return func(key string, err error) { t.Errorf("record %s: %v", key, err) }
 }
 
-// An urgent task starts without waiting for the commit of the records of many other jobs.
+// An urgent task starts although many records of other jobs still wait to be committed.
 func TestUrgentStartBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -137,8 +137,8 @@
 	})
 }
 
-// A cancellation doesn't wait for the commit of the records of many accepted jobs, even if the job's own record is already
-// queued behind them.
+// A cancellation is committed before the waiting records of many accepted jobs. This holds even if the record of the cancelled
+// job is already queued behind the other records.
 func TestCancellationBypassesBulkRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
@@ -146,7 +146,7 @@
 		for i := range 5000 {
 			sched.markJob(sched.addAcceptedJob(clustertest.Array(fmt.Sprintf("%06d", i), 1)))
 		}
-		sched.markJob(j) // queues the job's record in the same lane as the other jobs' records, behind them
+		sched.markJob(j) // queues the job's record behind the other jobs' records
 		reply := make(chan api.Response, 1)
 		sched.handleUser(userMessage{req: api.Request{Op: api.OpCancel, ID: "900000"}, reply: reply})
 		if _, ok := sched.queue.BeginCommit(sched.settings.CommitBytes(), failOnRecordError(t)); !ok {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -41,7 +41,7 @@
 // this command arrives, the worker responds to the new leader's token announcement. This response can't list the
 // attempt yet. An earlier version took the response as proof that the attempt would never run. It started the task
 // on another machine, and the task ran twice.
-func TestOlderResponseDoesNotDisproveReissuedStart(t *testing.T) {
+func TestResponseBeforeReissuedStartDoesNotProveAbsence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sched := newTestScheduler(t, clustertest.Settings())
 		m := sched.state.EnsureMachine(1, time.Now())
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -26,7 +26,7 @@
 			}
 			return n >= 720
 		})
-		// Four tasks fit on a machine, so 180 machines are needed. While few machines are up, 90 more may be launched.
+		// Four tasks fit on a machine, so 180 machines are needed. While few are up, up to 90 additional ones may be launched.
 		if n := len(sim.allWorkers()); n < 180 || n > 270 {
 			t.Errorf("%d machines are launched, want 180 to 270", n)
 		}
@@ -56,7 +56,7 @@
 		}
 		sched.addAcceptedJob(clustertest.Service("000002", 12))
 		sched.placeRound(time.Now())
-		sched.placeRound(time.Now()) // must not stop more tasks, because enough resources are already being freed
+		sched.placeRound(time.Now()) // must stop no more tasks, because the first round has stopped enough
 		if stopping, _ := countStopping(j); stopping != 12 {
 			t.Errorf("%d tasks are stopped for 12 waiting tasks, want 12", stopping)
 		}
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -13,7 +13,7 @@
 
 // This file has the steps that the scenarios share.
 
-// crash stops a node's process and starts a new one after restartAfter, or none if that is 0.
+// crash stops a node's process and starts a new one after restartAfter. If restartAfter is 0, it starts none.
 func (sim *simulation) crash(n *fakeNode, restartAfter time.Duration) {
 	n.kill()
 	if restartAfter > 0 {
@@ -84,7 +84,7 @@
 	sim.awaitRunningWithin(4*time.Minute, id, tasks)
 }
 
-// awaitRunningWithin is awaitRunning with another timeout.
+// awaitRunningWithin does the same as awaitRunning, but with the given timeout.
 func (sim *simulation) awaitRunningWithin(timeout time.Duration, id string, tasks int) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), timeout, func() bool { return len(sim.runningTasks(id)) == tasks })
@@ -96,7 +96,7 @@
 	sim.awaitDoneWithin(6*time.Minute, id)
 }
 
-// awaitDoneWithin is awaitDone with another timeout.
+// awaitDoneWithin does the same as awaitDone, but with the given timeout.
 func (sim *simulation) awaitDoneWithin(timeout time.Duration, id string) {
 	sim.t.Helper()
 	sim.eventually("job "+id+" is done", timeout, func() bool { return sim.poll(id).State == api.StateDone })
@@ -130,7 +130,7 @@
 	return spec
 }
 
-// machinesOf returns the machines that run tasks of a job, each once.
+// machinesOf returns the machines that run tasks of a job, without duplicates.
 func (sim *simulation) machinesOf(id string) []*fakeWorker {
 	var machines []*fakeWorker
 	seen := make(map[int]bool)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -45,7 +45,7 @@
 	return sched
 }
 
-// commitPending begins a commit of all pending records and ends it with err, or successfully if err is nil.
+// commitPending commits all pending records. If err isn't nil, the commit fails with this error.
 func (s *scheduler) commitPending(err error) {
 	s.queue.BeginCommit(math.MaxInt, func(key string, _ error) { panic(key) })
 	s.handleCommitted(err)
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -54,7 +54,7 @@
 	starts            int                      // number of start commands; see startCount
 	startsByJob       map[string][]startRecord // by job: the start commands that a worker accepted
 	wakeRequests      []activation.WakeRequest // sent between nodes; kept so that a test can deliver them again
-	servedRequests    []porcupine.Operation    // forwarded requests to models, for the linearizability check
+	servedRequests    []porcupine.Operation    // requests that were forwarded to models, for the linearizability check
 	usageReports      []activation.UsageReport // sent between nodes; kept so that a test can deliver them again
 	failAfter         map[string]time.Duration // by job: the run time after which its tasks fail on every machine
 
@@ -81,7 +81,7 @@
 	return h.sim.maxLogDelay.Load() > 0
 }
 
-// Handle waits for the delay and discards the record.
+// Handle waits for a random delay of up to maxLogDelay, and discards the record.
 func (h *slowLogHandler) Handle(context.Context, slog.Record) error {
 	maxDelay := h.sim.maxLogDelay.Load()
 	if maxDelay <= 0 {
@@ -280,7 +280,7 @@
 	return response
 }
 
-// checkState checks the state of a job in a response and records it. before is the job's recorded state
+// checkState checks the state of a job in a response, and records the state. before is the job's recorded state
 // when the request was sent; known is false if no state was recorded then. The caller holds sim.mu.
 func (sim *simulation) checkState(n *fakeNode, id string, response api.Response, before api.JobState, known bool) {
 	current := api.StatePending
@@ -434,8 +434,9 @@
 	}
 }
 
-// startCount returns how many start commands for known jobs workers have received so far, including those that
-// were rejected for lack of resources. Commands for attempts that the worker already has don't count.
+// startCount returns how many start commands the workers have received so far. It includes commands that were
+// rejected for lack of resources. It leaves out commands for unknown jobs, and commands for attempts that the worker
+// already has.
 func (sim *simulation) startCount() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/scheduler/unregistered_test.go
+++ b/internal/scheduler/unregistered_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// Until the gate of a feature is used, the store holds no data that depends on the feature. All nodes may then be
-// rolled back to commit 3661d31 at once, and one of their processes becomes the leader.
+// As long as no feature gate is used, the store holds no data that commit 3661d31 can't read. All nodes may be rolled
+// back to this commit at once, and one of their processes becomes the leader.
 func TestUnregisteredProcessLeadsBeforeGateUse(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
@@ -128,7 +128,8 @@
 }
 
 // A process of commit af96c21 can read gang jobs and compressed chunks, so the gates of these two features stay open.
-// The leader removes the fence, which prevents processes without a registration from leading. The process may then lead.
+// The fence prevents processes without a registration from leading. The leader removes the fence, so the process may
+// lead.
 func TestUnregisteredVersion2CanLead(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -358,7 +358,7 @@
 
 // The setting upgrade.target is the highest version that a leader may activate. A leader without a target may activate
 // a version above the target of another node. The other node's running process isn't stopped, and may still become the
-// leader. Once it is restarted, the new process refuses to start, with an error of one line.
+// leader. After a restart of the other node, its new process refuses to start, with an error of one line.
 func TestTargetBelowActiveVersion(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		limitTarget := func(s *upgrade.Settings) { s.Policy.Target = upgrade.Version2 }
