--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -56,7 +56,7 @@
 		}
 		sched.addAcceptedJob(clustertest.Service("000002", 12))
 		sched.placeRound(time.Now())
-		sched.placeRound(time.Now()) // must stop no more tasks, because the first round has stopped enough
+		sched.placeRound(time.Now()) // must count the resources that are already being freed
 		if stopping, _ := countStopping(j); stopping != 12 {
 			t.Errorf("%d tasks are stopped for 12 waiting tasks, want 12", stopping)
 		}
