--- a/internal/scheduler/low_resources_test.go
+++ b/internal/scheduler/low_resources_test.go
@@ -19,7 +19,7 @@
 }
 
 // On a slow CPU timers fire late and each step takes longer. A controller's leadership may therefore end between a check and
-// the action that depends on it.
+// the action that depends on the check.
 func TestSlowProcessorKeepsInvariants(t *testing.T) {
 	for _, maxDelay := range []time.Duration{20 * time.Millisecond, 120 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(maxDelay.String(), func(t *testing.T) {
@@ -105,7 +105,7 @@
 		s.MemoryMB = 16
 	}
 	runSimulationWithSettings(t, lowMemory, func(sim *simulation) {
-		sim.submit(clustertest.Service("000001", 2)) // ensures that the machine types are known
+		sim.submit(clustertest.Service("000001", 2)) // ensures that the leader has the machine types
 		large := clustertest.Array("000002", sim.settings.MaxOpenTasks()+1)
 		got := sim.requestFrom(sim.awaitLeader(), api.OpSubmit, large.ID, large)
 		if got.Code != api.CodeBusy || got.RetrySeconds < 1 {
--- a/internal/scheduler/scenario_steps_test.go
+++ b/internal/scheduler/scenario_steps_test.go
@@ -13,7 +13,7 @@
 
 // This file has the steps that the scenarios share.
 
-// crash stops a node's process and starts a new one after restartAfter, or none if that is 0.
+// crash stops a node's process and starts a new one after restartAfter. If restartAfter is 0, it starts none.
 func (sim *simulation) crash(n *fakeNode, restartAfter time.Duration) {
 	n.kill()
 	if restartAfter > 0 {
@@ -36,8 +36,8 @@
 	sim.store.SetOutage(false)
 }
 
-// delayCommits delays every nth transaction, so that it is applied late and without a response. An nth of 0
-// ends the delays.
+// delayCommits makes the key-value store apply every nth transaction late and without a response. Each transaction
+// is late by the delay plus up to six seconds. If nth is 0, no further transactions are delayed.
 func (sim *simulation) delayCommits(nth int, delay time.Duration) {
 	count := 0
 	sim.store.Update(func(s *storagetest.Service) {
@@ -84,7 +84,7 @@
 	sim.awaitRunningWithin(4*time.Minute, id, tasks)
 }
 
-// awaitRunningWithin is awaitRunning with another timeout.
+// awaitRunningWithin does the same as awaitRunning, but with the given timeout.
 func (sim *simulation) awaitRunningWithin(timeout time.Duration, id string, tasks int) {
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d tasks of job %s run", tasks, id), timeout, func() bool { return len(sim.runningTasks(id)) == tasks })
@@ -96,7 +96,7 @@
 	sim.awaitDoneWithin(6*time.Minute, id)
 }
 
-// awaitDoneWithin is awaitDone with another timeout.
+// awaitDoneWithin does the same as awaitDone, but with the given timeout.
 func (sim *simulation) awaitDoneWithin(timeout time.Duration, id string) {
 	sim.t.Helper()
 	sim.eventually("job "+id+" is done", timeout, func() bool { return sim.poll(id).State == api.StateDone })
@@ -109,7 +109,8 @@
 	sim.eventually("job "+id+" has stopped", sim.settings.CancelTimeout+time.Second, func() bool { return len(sim.runningTasks(id)) == 0 })
 }
 
-// withLimitedTeam returns the specification with one GPU per task and the team whose limit is two GPUs.
+// withLimitedTeam returns a copy of a specification, changed to one GPU per task and to a team whose limit is two
+// GPUs.
 func withLimitedTeam(spec storage.Spec) storage.Spec {
 	spec.Team, spec.Resources.GPUs = "small", 1
 	return spec
@@ -129,7 +130,7 @@
 	return spec
 }
 
-// machinesOf returns the machines that run tasks of a job, each once.
+// machinesOf returns the machines that run tasks of a job, without duplicates.
 func (sim *simulation) machinesOf(id string) []*fakeWorker {
 	var machines []*fakeWorker
 	seen := make(map[int]bool)
@@ -142,7 +143,7 @@
 	return machines
 }
 
-// moveLeaderOutOf restarts leaders until one outside the zone is elected.
+// moveLeaderOutOf restarts leaders in the zone until a node outside the zone is elected.
 func (sim *simulation) moveLeaderOutOf(zone string) {
 	for n := sim.awaitLeader(); n.zone == zone; n = sim.awaitLeader() {
 		n.kill()
@@ -157,5 +158,5 @@
 	sim.submit(arrayWithRuntime(id, 4, 2*time.Second))
 }
 
-// startsSince returns by how much startCount has grown from an earlier value.
+// startsSince returns the current value of startCount minus an earlier value.
 func (sim *simulation) startsSince(before int) int { return sim.startCount() - before }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -45,7 +45,7 @@
 	return sched
 }
 
-// commitPending begins a commit of all pending records and ends it with err, or successfully if err is nil.
+// commitPending commits all pending records. If err isn't nil, the commit fails with this error.
 func (s *scheduler) commitPending(err error) {
 	s.queue.BeginCommit(math.MaxInt, func(key string, _ error) { panic(key) })
 	s.handleCommitted(err)
@@ -59,7 +59,7 @@
 	return m
 }
 
-// addAcceptedJob adds an open job whose acceptance counts as durable.
+// addAcceptedJob adds an open job as if the record of its acceptance were already durable.
 func (s *scheduler) addAcceptedJob(spec storage.Spec) *cluster.Job {
 	j := cluster.NewJob(spec, time.Now())
 	j.Acknowledged = true
