--- a/cmd/sagevale/activation_status.go
+++ b/cmd/sagevale/activation_status.go
@@ -19,7 +19,7 @@
 func writeActivationStatus(out io.Writer, status scheduler.ActivationStatus) error {
 	table := newTable(out)
 	fmt.Fprintf(table, "gate activation:\t%s\n", gateText(status.Gate))
-	fmt.Fprintf(table, "waits for:\t%s\n\n", textOrDash(status.Waiting))
+	fmt.Fprintf(table, "waits for:\t%s\n\n", textOrDash(status.WaitsFor))
 	fmt.Fprintln(table, "SERVICE\tCLASS\tSTATE\tGENERATION\tFAILURES\tATTEMPT\tMACHINE\tWHY")
 	for _, s := range status.Services {
 		state, machine := string(s.Record.State), "-"
@@ -33,7 +33,7 @@
 			machine = fmt.Sprint(s.Machine)
 		}
 		fmt.Fprintf(table, "job-%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n",
-			s.ID, s.Class, state, s.Record.Generation, s.Record.Failures, numberOrNone(s.Record.Replica), machine, textOrDash(s.Why))
+			s.ID, s.Class, state, s.Record.Generation, s.Record.Failures, numberOrNone(s.Record.Replica), machine, textOrDash(s.Reason))
 	}
 	return table.Flush()
 }
--- a/cmd/sagevale/archive_status.go
+++ b/cmd/sagevale/archive_status.go
@@ -19,10 +19,10 @@
 	stored := status.Stored
 	table := newTable(out)
 	fmt.Fprintf(table, "gate job-archive:\t%s\n", gateText(status.Gate))
-	fmt.Fprintf(table, "waits for:\t%s\n", textOrDash(status.Waiting))
+	fmt.Fprintf(table, "waits for:\t%s\n", textOrDash(status.WaitsFor))
 	fmt.Fprintf(table, "archived jobs:\t%d\n", stored.Jobs)
 	fmt.Fprintf(table, "pages:\t%d (%d KB)\n", stored.Pages, stored.Bytes>>10)
-	fmt.Fprintf(table, "backlog:\t%d finished jobs in the journal\n", status.Backlog)
+	fmt.Fprintf(table, "backlog:\t%d finished jobs in the journal\n", status.FinishedInJournal)
 	fmt.Fprintf(table, "open jobs:\t%d\n", status.Open)
 	if len(stored.Damaged) == 0 {
 		fmt.Fprintf(table, "damaged:\tnone\n")
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -49,7 +49,7 @@
 }
 
 // Admit reports whether a submission of the team may wait to be recorded. An admitted submission
-// counts as waiting until Recorded is called for it. atOnce is the number of submissions that can be
+// counts as waiting until MarkRecorded is called for it. atOnce is the number of submissions that can be
 // recorded immediately, independent of the throughput.
 func (l *Limiter) Admit(team string, atOnce int) bool {
 	capacity := l.capacity(atOnce)
@@ -76,9 +76,9 @@
 	return max(1, capacity/max(active, min(2, l.teams)))
 }
 
-// Recorded marks an admitted submission of the team as no longer waiting. It must be called exactly once
+// MarkRecorded marks an admitted submission of the team as no longer waiting. It must be called exactly once
 // for each admitted submission.
-func (l *Limiter) Recorded(team string) {
+func (l *Limiter) MarkRecorded(team string) {
 	l.total--
 	if l.waiting[team]--; l.waiting[team] <= 0 {
 		delete(l.waiting, team)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -133,7 +133,7 @@
 			},
 			"record": func(*rapid.T) {
 				if len(admitted) > 0 {
-					l.Recorded(admitted[0])
+					l.MarkRecorded(admitted[0])
 					admitted = admitted[1:]
 				}
 			},
@@ -152,7 +152,7 @@
 			},
 		})
 		for _, team := range admitted {
-			l.Recorded(team)
+			l.MarkRecorded(team)
 		}
 		if l.total != 0 || len(l.waiting) != 0 {
 			t.Fatalf("after all were recorded: got %d waiting, by team %v, want none", l.total, l.waiting)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -75,8 +75,8 @@
 	return r.Code == CodeOK && (r.State == StateDone || r.State == StateCancelled)
 }
 
-// Decided reports whether the response is the result of the request. If it isn't, the client should retry the request.
-func (r *Response) Decided() bool { return r.Code != CodeUnavailable && r.Code != CodeBusy }
+// HasResult reports whether the response is the result of the request. If it isn't, the client should retry the request.
+func (r *Response) HasResult() bool { return r.Code != CodeUnavailable && r.Code != CodeBusy }
 
 // Unavailable returns a response with CodeUnavailable, which asks the client to retry the request after a second.
 func Unavailable(id, reason string) Response {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -117,7 +117,7 @@
 func (r *Reviewer) classHeadroomDemands(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
-		each := int(math.Round(c.SecondZoneShare() * float64(tasks)))
+		each := int(math.Round(c.OutsideFirstZoneShare() * float64(tasks)))
 		for _, zone := range zones {
 			if each == 0 {
 				break
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -58,8 +58,8 @@
 	return now.Sub(m.FirstSeen).Seconds() / m.Type.BootS
 }
 
-// NoteProvisioned records that a machine has come up, if its launch was observed.
-func (r *Reviewer) NoteProvisioned(m *cluster.Machine, now time.Time) {
+// RecordProvisioned records that a machine has come up, if its launch was observed.
+func (r *Reviewer) RecordProvisioned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || m.Type == nil || m.Type.BootS <= 0 {
 		return
 	}
@@ -68,8 +68,8 @@
 	r.provisioning.ofOffering(m.Offering()).RecordProvisioned(now, provisioningRatio(m, now))
 }
 
-// noteAbandoned records that a machine never came up and is to be terminated, if its launch was observed.
-func (r *Reviewer) noteAbandoned(m *cluster.Machine, now time.Time) {
+// recordAbandoned records that a machine never came up and is to be terminated, if its launch was observed.
+func (r *Reviewer) recordAbandoned(m *cluster.Machine, now time.Time) {
 	if !m.ProvisioningObserved || !m.LastContact.IsZero() || m.Type.BootS <= 0 {
 		return
 	}
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// NoteRejected records that the cloud rejected a launch of an offering or had too little capacity for it. For a worker
+// RecordRejected records that the cloud rejected a launch of an offering or had too little capacity for it. For a worker
 // lease, no further machines of the offering are desired.
-func (r *Reviewer) NoteRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
+func (r *Reviewer) RecordRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
 
 // recentlyRejected reports whether the cloud rejected an offering within the last worker lease.
 func (r *Reviewer) recentlyRejected(o cloud.Offering, now time.Time) bool {
@@ -54,7 +54,7 @@
 // minimumAllocationDue reports whether an opportunistic job has waited so long for its first task to get a machine that
 // a machine of any price may be launched for this task.
 func (r *Reviewer) minimumAllocationDue(j *cluster.Job, now time.Time) bool {
-	return j.Allocated() == 0 && now.Sub(j.Submitted) > minimumAllocationLeases*r.settings.WorkerLease
+	return j.AllocatedTasks() == 0 && now.Sub(j.Submitted) > minimumAllocationLeases*r.settings.WorkerLease
 }
 
 // affordable reports whether machines of an offering are cheap enough to be launched or kept for an opportunistic
--- a/internal/autoscaling/reviewer_test.go
+++ b/internal/autoscaling/reviewer_test.go
@@ -134,7 +134,7 @@
 		}
 		reject := func() {
 			for _, zone := range []string{"a", "b"} {
-				r.NoteRejected(cloud.Offering{Type: "cpu", Zone: zone, Spot: true}, time.Now())
+				r.RecordRejected(cloud.Offering{Type: "cpu", Zone: zone, Spot: true}, time.Now())
 			}
 		}
 		reject()
@@ -255,7 +255,7 @@
 		launch(1, 2, 3, 4, 5, 6)
 		time.Sleep(15 * time.Second)
 		for id := range 4 {
-			r.NoteProvisioned(fleet.ReportMachine(id+3, "cpu", "a", false), time.Now())
+			r.RecordProvisioned(fleet.ReportMachine(id+3, "cpu", "a", false), time.Now())
 		}
 		time.Sleep(15 * time.Second)
 		s := r.snapshot()
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -68,7 +68,7 @@
 		s.Lost = append(s.Lost, m.ID)
 		return nil, false
 	case !m.Confirmed && len(m.Attempts) == 0 && m.Type != nil && r.shouldAbandon(m, now):
-		r.noteAbandoned(m, now)
+		r.recordAbandoned(m, now)
 		s.Lost = append(s.Lost, m.ID)
 		s.Size++
 		return nil, false
--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -69,9 +69,9 @@
 	return largest
 }
 
-// SecondZoneShare returns the fraction of the class's tasks that must run outside of the first zone of their job, if
+// OutsideFirstZoneShare returns the fraction of the class's tasks that must run outside of the first zone of their job, if
 // the class's jobs are spread over zones. Each job must run half of its tasks, rounded down, outside of its first zone.
-func (c *Class) SecondZoneShare() float64 {
+func (c *Class) OutsideFirstZoneShare() float64 {
 	all, outside := 0, 0
 	for _, e := range c.arrivals {
 		all += e.tasks
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -55,8 +55,8 @@
 
 func TestZeroClassHasNoStatistics(t *testing.T) {
 	var c Class
-	if c.SecondZoneShare() != 0 || c.LargestJob() != 0 || c.DepartedSince(start) != 0 {
-		t.Errorf("got second-zone share %v, largest job %d, %d departed, want zeros", c.SecondZoneShare(), c.LargestJob(), c.DepartedSince(start))
+	if c.OutsideFirstZoneShare() != 0 || c.LargestJob() != 0 || c.DepartedSince(start) != 0 {
+		t.Errorf("got second-zone share %v, largest job %d, %d departed, want zeros", c.OutsideFirstZoneShare(), c.LargestJob(), c.DepartedSince(start))
 	}
 }
 
@@ -70,7 +70,7 @@
 	if got := c.LargestJob(); got != 5 {
 		t.Errorf("largest job: got %d, want 5", got)
 	}
-	if got := c.SecondZoneShare(); got != 3.0/8 {
+	if got := c.OutsideFirstZoneShare(); got != 3.0/8 {
 		t.Errorf("second-zone share: got %v, want 3/8", got)
 	}
 	if got := c.DepartedSince(start); got != 7 {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -108,8 +108,8 @@
 	return running
 }
 
-// Allocated returns how many of the job's tasks have an attempt or are done.
-func (j *Job) Allocated() int { return len(j.Attempts) + j.Done }
+// AllocatedTasks returns how many of the job's tasks have an attempt or are done.
+func (j *Job) AllocatedTasks() int { return len(j.Attempts) + j.Done }
 
 // Deadline returns the time by which the job should be complete. If the specification has no deadline, it returns the
 // time of submission.
--- a/internal/cluster/job_table.go
+++ b/internal/cluster/job_table.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Finished returns the number of jobs that may be archived.
-func (t *JobTable) Finished() int { return t.finished.Len() }
+// FinishedCount returns the number of jobs that may be archived.
+func (t *JobTable) FinishedCount() int { return t.finished.Len() }
 
 // RemoveFinished removes a job that has been archived from the table and returns it. It returns nil if the job
 // isn't among those that may be archived.
--- a/internal/cluster/job_table_test.go
+++ b/internal/cluster/job_table_test.go
@@ -48,8 +48,8 @@
 		for _, n := range tasks {
 			open += n
 		}
-		if table.OpenTasks != open || len(table.Open) != len(tasks) || table.Count() != len(tasks)+len(finished) || table.Finished() != len(finished) {
-			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished; want %d, %d, %d, %d", table.OpenTasks, len(table.Open), table.Count(), table.Finished(),
+		if table.OpenTasks != open || len(table.Open) != len(tasks) || table.Count() != len(tasks)+len(finished) || table.FinishedCount() != len(finished) {
+			t.Fatalf("%d tasks of %d open jobs, %d jobs, %d finished; want %d, %d, %d, %d", table.OpenTasks, len(table.Open), table.Count(), table.FinishedCount(),
 				open, len(tasks), len(tasks)+len(finished), len(finished))
 		}
 		checkNextFinished(t, table, finished)
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -51,8 +51,8 @@
 	if *m.Reserved != want || s.Reservations.Team("team") != want || m.RunningUsage[storage.PriorityNormal] != want {
 		t.Errorf("machine %+v, team %+v, running %+v, want %+v each", *m.Reserved, s.Reservations.Team("team"), m.RunningUsage[storage.PriorityNormal], want)
 	}
-	if j.Waiting != 1 || j.Allocated() != 2 {
-		t.Errorf("%d tasks wait and %d are allocated, want 1 and 2", j.Waiting, j.Allocated())
+	if j.Waiting != 1 || j.AllocatedTasks() != 2 {
+		t.Errorf("%d tasks wait and %d are allocated, want 1 and 2", j.Waiting, j.AllocatedTasks())
 	}
 
 	s.MarkStopping(first, 5)
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -28,9 +28,9 @@
 	FreshIntervals = 3
 )
 
-// CallTimeout returns the timeout of one call to the key-value store by the leadership, the registration of
+// StoreCallTimeout returns the timeout of one call to the key-value store by the leadership, the registration of
 // nodes, the upgrade gates and the archive.
-func (s *Settings) CallTimeout() time.Duration {
+func (s *Settings) StoreCallTimeout() time.Duration {
 	return clock.Scale(s.Tuning.LeaderLease, storeCallShare)
 }
 
--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -66,9 +66,9 @@
 // Full reports whether so many attempts are retained that none may be started by a direct command.
 func (f *Fence[K]) Full() bool { return len(f.retained) >= MaxRetained }
 
-// IncarnationEnded drops all retained attempts. It must be called when the worker has begun a later
+// DropRetained drops all retained attempts. It must be called when the worker has begun a later
 // incarnation, because the worker then rejects commands for its earlier incarnations.
-func (f *Fence[K]) IncarnationEnded() { clear(f.retained) }
+func (f *Fence[K]) DropRetained() { clear(f.retained) }
 
 // Exhausted reports whether the term has no higher token for the worker.
 func (f *Fence[K]) Exhausted() bool { return f.token == f.tokens.Last }
--- a/internal/fencing/fence_test.go
+++ b/internal/fencing/fence_test.go
@@ -112,7 +112,7 @@
 	if !f.Full() {
 		t.Errorf("with %d retained: got not full", f.Retained())
 	}
-	if f.IncarnationEnded(); f.Full() || f.Retained() != 0 {
+	if f.DropRetained(); f.Full() || f.Retained() != 0 {
 		t.Errorf("in the next incarnation: got %d retained, want 0", f.Retained())
 	}
 }
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -170,7 +170,7 @@
 		for a := range view.reserved {
 			w.release(view, a)
 		}
-		view.fence.IncarnationEnded()
+		view.fence.DropRetained()
 	}
 	view.incarnation, view.seq = h.incarnation, h.seq
 	view.fence.ObserveToken(h.token)
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Durable reports whether the entity's last marked change is durable.
-func (q *Queue) Durable(key string) bool {
+// IsDurable reports whether the entity's last marked change is durable.
+func (q *Queue) IsDurable(key string) bool {
 	for i := range q.lanes {
 		if _, waits := q.lanes[i].waiting[key]; waits {
 			return false
--- a/internal/groupcommit/queue_test.go
+++ b/internal/groupcommit/queue_test.go
@@ -141,7 +141,7 @@
 			"": func(t *rapid.T) {
 				for key, v := range m.values {
 					want := m.durable[key] == v && m.committing[key] == 0
-					if got := m.queue.Durable(key); got != want {
+					if got := m.queue.IsDurable(key); got != want {
 						t.Fatalf("Durable(%s) at %d, with %d durable: got %v, want %v", key, v, m.durable[key], got, want)
 					}
 				}
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -186,7 +186,7 @@
 
 // leaderItem reads LeaderKey.
 func (e *Election) leaderItem(ctx context.Context) (storage.Item, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	defer cancel()
 	item, err := e.store.Get(ctx, LeaderKey)
 	if err == nil || errors.Is(err, storage.ErrNotFound) {
@@ -247,7 +247,7 @@
 
 // revokeLease ends a lease. It is not an error if the lease has ended already.
 func (e *Election) revokeLease(ctx context.Context, lease uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	defer cancel()
 	err := e.store.Revoke(ctx, lease)
 	if errors.Is(err, storage.ErrNotFound) {
@@ -264,7 +264,7 @@
 	if !e.registered() {
 		return ClusterRecord{}, errNotRegistered
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	defer cancel()
 	cluster, err := ReadClusterRecord(ctx, e.store)
 	if err != nil {
@@ -285,7 +285,7 @@
 	if err != nil {
 		return err
 	}
-	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	callCtx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	defer cancel()
 	held := heldLease{cluster: cluster, renewedAt: time.Now()}
 	held.id, err = e.store.Grant(callCtx, e.settings.Tuning.LeaderLease)
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -86,7 +86,7 @@
 // record, and the activation by the registrations that it relies on. The second of the two transactions
 // fails, and its sender reads the keys again.
 func (r *Registrar) register(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, registrationCalls*r.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, registrationCalls*r.settings.StoreCallTimeout())
 	defer cancel()
 	cluster, err := ReadClusterRecord(ctx, r.store)
 	if err != nil {
@@ -157,7 +157,7 @@
 // renewSession renews the session's lease. If the lease has expired, it writes the session under a new
 // lease; the guard on the registration fails if another process of this controller has registered.
 func (r *Registrar) renewSession(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, r.settings.StoreCallTimeout())
 	defer cancel()
 	err := r.store.Renew(ctx, r.sessionLease)
 	if !errors.Is(err, storage.ErrNotFound) {
--- a/internal/leadership/renewal.go
+++ b/internal/leadership/renewal.go
@@ -53,7 +53,7 @@
 	case <-time.After(e.settings.Tuning.LeaderLease / RenewalsPerLease):
 	}
 	sent := time.Now()
-	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	callCtx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	err := e.store.Renew(callCtx, held.id)
 	cancel()
 	if err != nil {
@@ -105,7 +105,7 @@
 //   - The key-value store hasn't answered the peer since expiry.
 //   - The peer reports no term above the given one.
 func (e *Election) PeersConfirmNoLeader(ctx context.Context, term uint64, expiry time.Time) bool {
-	ctx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, e.settings.StoreCallTimeout())
 	defer cancel()
 	confirmations := make(chan bool, len(e.settings.Peers))
 	for _, p := range e.settings.Peers {
--- a/internal/loopbacktest/attempts.go
+++ b/internal/loopbacktest/attempts.go
@@ -55,7 +55,7 @@
 func (w *Workers) endAttempt(a *attempt, cause string) {
 	if a.state != stateEnded {
 		a.state, a.cause, a.running = stateEnded, cause, false
-		w.audit.attemptEnded(a)
+		w.audit.recordEnd(a)
 	}
 }
 
@@ -131,7 +131,7 @@
 	j := w.jobs[a.job]
 	a.restarted = w.startedTasks[a.id.task]
 	w.startedTasks[a.id.task] = true
-	w.audit.attemptStarted(m, a, j, w.timing.Lease, now)
+	w.audit.recordStart(m, a, j, w.timing.Lease, now)
 	a.running, a.stateSince, a.state = true, now, stateRunning
 	if j.isGang() {
 		a.state = stateGathering
--- a/internal/loopbacktest/audit_log.go
+++ b/internal/loopbacktest/audit_log.go
@@ -70,13 +70,13 @@
 
 // removeAttempt removes an attempt that its machine no longer holds.
 func (l *auditLog) removeAttempt(a *attempt) {
-	l.attemptEnded(a)
+	l.recordEnd(a)
 	l.attemptsByJob.remove(a.job, a)
 }
 
-// attemptStarted records that an attempt has started to run. It checks that no other attempt of the task runs, and that
+// recordStart records that an attempt has started to run. It checks that no other attempt of the task runs, and that
 // the team is within its processor limit.
-func (l *auditLog) attemptStarted(m *machine, a *attempt, j Job, lease time.Duration, now time.Time) {
+func (l *auditLog) recordStart(m *machine, a *attempt, j Job, lease time.Duration, now time.Time) {
 	for other, otherMachine := range l.running[a.id.task] {
 		// A machine whose lease has expired has killed its tasks, even if they are still in l.running.
 		if other != a && !otherMachine.deleted && now.Sub(otherMachine.leaseRenewedAt) <= lease {
@@ -95,8 +95,8 @@
 	}
 }
 
-// attemptEnded records that an attempt no longer runs. It does nothing if the attempt is not recorded as running.
-func (l *auditLog) attemptEnded(a *attempt) {
+// recordEnd records that an attempt no longer runs. It does nothing if the attempt is not recorded as running.
+func (l *auditLog) recordEnd(a *attempt) {
 	if _, running := l.running[a.id.task][a]; !running {
 		return
 	}
--- a/internal/loopbacktest/audit_log_test.go
+++ b/internal/loopbacktest/audit_log_test.go
@@ -28,7 +28,7 @@
 func (f *auditFixture) start(m *machine, task string, number uint64) *attempt {
 	a := &attempt{id: attemptID{task, number}, job: f.job.ID, running: true}
 	f.addAttempt(m, a)
-	f.attemptStarted(m, a, f.job, time.Minute, f.now)
+	f.recordStart(m, a, f.job, time.Minute, f.now)
 	return a
 }
 
@@ -49,7 +49,7 @@
 func TestAuditLogFindsTaskRunningTwice(t *testing.T) {
 	f := newAuditFixture(0)
 	first := f.start(f.a, "job-000001/0", 1)
-	f.attemptEnded(first)
+	f.recordEnd(first)
 	f.start(f.b, "job-000001/0", 2)
 	f.start(f.b, "job-000001/1", 3)
 	f.expectViolations(t, RanTwice, 0)
@@ -67,8 +67,8 @@
 	f.expectViolations(t, OverQuota, 0)
 	f.start(f.b, "job-000002/0", 3)
 	f.expectViolations(t, OverQuota, 1)
-	f.attemptEnded(second)
-	f.attemptEnded(second) // a second call has no effect
+	f.recordEnd(second)
+	f.recordEnd(second) // a second call has no effect
 	if got := f.cpusInUse["team"]; got != 4 {
 		t.Errorf("got %v processors in use, want 4", got)
 	}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -100,10 +100,10 @@
 // full reports whether the round has placed the maximum number of tasks.
 func (r *round) full() bool { return len(r.reserved) >= MaxPlacementsPerRound }
 
-// Round runs one placement round: it reserves resources for waiting tasks, most urgent first, and preempts other
+// RunRound runs one placement round: it reserves resources for waiting tasks, most urgent first, and preempts other
 // work for them. It returns the new attempts, which may be started once their reservations are durable.
 // unfinished is true if another round may place more tasks right away.
-func (p *Planner) Round(now time.Time) (reserved []*cluster.Attempt, unfinished bool) {
+func (p *Planner) RunRound(now time.Time) (reserved []*cluster.Attempt, unfinished bool) {
 	waiting := p.WaitingByUrgency(now)
 	if len(waiting) == 0 {
 		return nil, false
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -108,13 +108,13 @@
 		p.SetHeadroom([]Headroom{{Job: headroomJob, Tasks: 2}})
 		opportunistic := fleet.AddJob(clustertest.Opportunistic("000003", 100))
 		for range 3 {
-			p.Round(time.Now())
+			p.RunRound(time.Now())
 		}
 		if on := len(gpu.Attempts); on != 1 {
 			t.Errorf("%d opportunistic tasks on the CPUs that free GPUs need, want none", on-1)
 		}
-		if opportunistic.Allocated() != 3 {
-			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", opportunistic.Allocated())
+		if opportunistic.AllocatedTasks() != 3 {
+			t.Errorf("%d opportunistic tasks on two machines that fit two each, with room for one kept as headroom; want 3", opportunistic.AllocatedTasks())
 		}
 	})
 }
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -73,7 +73,7 @@
 	for _, j := range jobs {
 		switch {
 		case p.settings.IsOpportunistic(&j.Spec):
-			urgencies[j] = urgency{rank: rankOpportunistic, startBy: j.Deadline(), allocated: j.Allocated()}
+			urgencies[j] = urgency{rank: rankOpportunistic, startBy: j.Deadline(), allocated: j.AllocatedTasks()}
 		case j.Spec.Service || j.Spec.DeadlineS <= 0:
 			urgencies[j] = urgency{rank: rankOnTime, withinGuarantee: withinGuarantee[j], startBy: j.Deadline()}
 		default:
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -23,13 +23,13 @@
 	Machine int               // ID of the replica's machine; 0 if there is no replica
 	Managed bool              // the service has a lifecycle record; otherwise it always runs
 	Damaged string            // why the lifecycle record can't be decoded; "" if it can
-	Why     string            // the reason for the service's present state; "" if demand could start it at once
+	Reason  string            // the reason for the service's present state; "" if demand could start it at once
 }
 
 // ActivationStatus contains the stored state of the activation gate and the statuses of the services.
 type ActivationStatus struct {
 	Gate     upgrade.GateState // the zero value means that the gate is closed
-	Waiting  string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
+	WaitsFor string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
 	Services []ServiceStatus   // sorted by ID
 }
 
@@ -39,7 +39,7 @@
 	if err != nil {
 		return ActivationStatus{}, err
 	}
-	status := ActivationStatus{Gate: upgradeStatus.Record.Gate(upgrade.Activation), Waiting: upgradeStatus.Waiting}
+	status := ActivationStatus{Gate: upgradeStatus.Record.Gate(upgrade.Activation), WaitsFor: upgradeStatus.Waiting}
 	journal, err := storage.OpenJournal(ctx, store, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
 		return ActivationStatus{}, err
@@ -60,14 +60,14 @@
 		}
 	}
 	for _, service := range services {
-		service.setWhy(time.Now())
+		service.setReason(time.Now())
 		status.Services = append(status.Services, *service)
 	}
 	slices.SortFunc(status.Services, func(a, b ServiceStatus) int { return strings.Compare(a.ID, b.ID) })
 	return status, nil
 }
 
-// serviceStatus returns the status of the service in a job's record, in which the replica, its machine and Why are not
+// serviceStatus returns the status of the service in a job's record, in which the replica, its machine and Reason are not
 // set. It returns nil if the job isn't an open service, or if the service has no lifecycle record and its class isn't
 // configured to scale to zero.
 func serviceStatus(r storage.Record, tuning *config.Activation) *ServiceStatus {
@@ -103,24 +103,24 @@
 	}
 }
 
-// setWhy sets Why, the reason for the service's present state.
-func (s *ServiceStatus) setWhy(now time.Time) {
+// setReason sets Reason, the reason for the service's present state.
+func (s *ServiceStatus) setReason(now time.Time) {
 	switch {
 	case s.Damaged != "":
-		s.Why = s.Damaged
+		s.Reason = s.Damaged
 	case !s.Managed:
-		s.Why = "always runs: it has several tasks, or was accepted before scale-to-zero was enabled"
+		s.Reason = "always runs: it has several tasks, or was accepted before scale-to-zero was enabled"
 	case s.Record.BackoffRemaining(now) > 0:
-		s.Why = "backoff: no start for another " + s.Record.BackoffRemaining(now).Round(time.Second).String() + " after failed starts"
+		s.Reason = "backoff: no start for another " + s.Record.BackoffRemaining(now).Round(time.Second).String() + " after failed starts"
 	case s.Record.State == activation.Starting && s.Record.Replica == activation.NoReplica:
-		s.Why = "demand arrived; waiting for free resources on a machine"
+		s.Reason = "demand arrived; waiting for free resources on a machine"
 	case s.Record.State == activation.Starting:
-		s.Why = "demand arrived; its replica does not answer requests yet"
+		s.Reason = "demand arrived; its replica does not answer requests yet"
 	case s.Record.State == activation.Ready:
-		s.Why = "requests within the idle window, or a controller has not reported its usage"
+		s.Reason = "requests within the idle window, or a controller has not reported its usage"
 	case s.Record.State == activation.Draining:
-		s.Why = "draining: waiting until no controller forwards requests to it"
+		s.Reason = "draining: waiting until no controller forwards requests to it"
 	case s.Record.State == activation.Stopping:
-		s.Why = "stopping: waiting for proof that its replica is gone"
+		s.Reason = "stopping: waiting for proof that its replica is gone"
 	}
 }
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -12,11 +12,11 @@
 
 // ArchiveStatus describes to operators the stored state of the job archive, and how many jobs the journal contains.
 type ArchiveStatus struct {
-	Gate    upgrade.GateState // the zero value means that the gate is closed
-	Waiting string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
-	Stored  archive.StoredSummary
-	Backlog int // number of finished jobs that are still in the journal
-	Open    int // number of jobs in the journal that aren't finished
+	Gate              upgrade.GateState // the zero value means that the gate is closed
+	WaitsFor          string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
+	Stored            archive.StoredSummary
+	FinishedInJournal int // number of finished jobs that are still in the journal
+	Open              int // number of jobs in the journal that aren't finished
 }
 
 // ReadArchiveStatus reads the status from the upgrade records, the archive's pages and the journal. It writes nothing.
@@ -25,7 +25,7 @@
 	if err != nil {
 		return ArchiveStatus{}, err
 	}
-	status := ArchiveStatus{Gate: upgradeStatus.Record.Gate(upgrade.JobArchive), Waiting: upgradeStatus.Waiting}
+	status := ArchiveStatus{Gate: upgradeStatus.Record.Gate(upgrade.JobArchive), WaitsFor: upgradeStatus.Waiting}
 	if status.Stored, err = archive.ReadStoredSummary(ctx, store); err != nil {
 		return ArchiveStatus{}, err
 	}
@@ -47,7 +47,7 @@
 		case err != nil:
 			return err
 		case finished:
-			a.Backlog++
+			a.FinishedInJournal++
 		default:
 			a.Open++
 		}
--- a/internal/scheduler/archive_withdrawal_test.go
+++ b/internal/scheduler/archive_withdrawal_test.go
@@ -47,7 +47,7 @@
 					sim.awaitLeader()
 				}
 				sim.awaitActive(upgrade.Version3, 5*time.Minute)
-				if status := sim.archiveStatus(); status.Stored.Pages != 0 || status.Backlog != 2002 {
+				if status := sim.archiveStatus(); status.Stored.Pages != 0 || status.FinishedInJournal != 2002 {
 					t.Errorf("status %+v, want no pages and a backlog of 2002 jobs", status)
 				}
 				sim.restartAllWithVersion(upgrade.Version3)
@@ -75,7 +75,10 @@
 		sim.seedArchive(3000)
 		rolledBack := sim.follower()
 		rolledBack.restartWithVersion(upgrade.Version3)
-		sim.eventually("some jobs are restored", time.Minute, func() bool { status := sim.archiveStatus(); return status.Backlog > 0 && status.Stored.Jobs > 0 })
+		sim.eventually("some jobs are restored", time.Minute, func() bool {
+			status := sim.archiveStatus()
+			return status.FinishedInJournal > 0 && status.Stored.Jobs > 0
+		})
 		rolledBack.restartWithVersion(upgrade.Current)
 		for i := range 5 {
 			sim.checkFinalState(archivedJobID(i*700), api.StateDone)
@@ -97,8 +100,8 @@
 		sim.seedArchive(sim.settings.MaxRestoredJobs() + 1000)
 		rolledBack := sim.follower()
 		rolledBack.restartWithVersion(upgrade.Version3)
-		sim.eventually("the status contains the reason", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().Waiting, "fit in memory") })
-		if status := sim.archiveStatus(); status.Backlog > 0 || !strings.Contains(status.Waiting, "gate job-archive can't be withdrawn for node "+rolledBack.name) {
+		sim.eventually("the status contains the reason", time.Minute, func() bool { return strings.Contains(sim.archiveStatus().WaitsFor, "fit in memory") })
+		if status := sim.archiveStatus(); status.FinishedInJournal > 0 || !strings.Contains(status.WaitsFor, "gate job-archive can't be withdrawn for node "+rolledBack.name) {
 			t.Errorf("status %+v, want no backlog and %s named", status, rolledBack.name)
 		}
 		sim.checkFinalState(archivedJobID(77), api.StateDone)
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -24,7 +24,7 @@
 func newArchiver(s *config.Settings, deps Dependencies, limits *storage.LimitTracker) *archive.Archiver {
 	tuning := &s.Tuning.Archive
 	return archive.NewArchiver(deps.State, limits, archive.Settings{
-		RefreshInterval: s.WorkerLease, RequestTimeout: s.CallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
+		RefreshInterval: s.WorkerLease, RequestTimeout: s.StoreCallTimeout(), MemoryBytes: tuning.MemoryBytes, Follow: tuning.Enabled,
 	}, deps.Log)
 }
 
@@ -91,7 +91,7 @@
 // readArchive starts a read of the archive page that may contain a job. The read runs in the background and sends its result
 // to the scheduler.
 func (s *scheduler) readArchive(m userMessage, number archive.JobNumber) {
-	s.background(s.settings.CallTimeout(), func(ctx context.Context) {
+	s.background(s.settings.StoreCallTimeout(), func(ctx context.Context) {
 		result, err := s.archive.Read(ctx, number)
 		s.post(archiveReadMessage{m, result, err})
 	})
@@ -158,21 +158,21 @@
 // archiveFinished starts to archive a batch of finished jobs if the journal contains more than KeepInJournal of them.
 func (s *scheduler) archiveFinished(now time.Time) {
 	tuning := &s.settings.Tuning.Archive
-	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.Finished() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
+	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.FinishedCount() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
 		return
 	}
 	s.archiving = true
 	s.writeToArchive(s.state.Jobs.NextFinished(maxArchiveBatch))
 }
 
-// archiveBatchCalls is the time limit for archiving a batch, as a multiple of Settings.CallTimeout. The limit includes the
+// archiveBatchCalls is the time limit for archiving a batch, as a multiple of Settings.StoreCallTimeout. The limit includes the
 // time for which the batch's calls to the key-value store are queued behind other calls.
 const archiveBatchCalls = 4
 
 // writeToArchive archives finished jobs in the background. It then sends the scheduler the numbers of the jobs that are
 // durable in the archive.
 func (s *scheduler) writeToArchive(entries []archive.Entry) {
-	s.background(archiveBatchCalls*s.settings.CallTimeout(), func(ctx context.Context) {
+	s.background(archiveBatchCalls*s.settings.StoreCallTimeout(), func(ctx context.Context) {
 		jobs, err := s.archive.Archive(ctx, entries)
 		s.post(archivedMessage{jobs, err})
 	})
@@ -196,7 +196,7 @@
 		}
 	}
 	if len(m.jobs) > 0 {
-		s.log.Debug("jobs archived", "count", len(m.jobs), "remaining", s.state.Jobs.Finished())
+		s.log.Debug("jobs archived", "count", len(m.jobs), "remaining", s.state.Jobs.FinishedCount())
 	}
 }
 
--- a/internal/scheduler/archiving_faults_test.go
+++ b/internal/scheduler/archiving_faults_test.go
@@ -179,7 +179,7 @@
 		for range 10 {
 			for _, id := range []string{"000002", "000003"} {
 				for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
-					if response := sim.requestFrom(newLeader, op, id, clustertest.Array(id, 2)); response.Decided() && !response.Final() {
+					if response := sim.requestFrom(newLeader, op, id, clustertest.Array(id, 2)); response.HasResult() && !response.Final() {
 						t.Fatalf("%v of job %s: got %+v, want a final state or no decision", op, id, response)
 					}
 				}
@@ -322,7 +322,7 @@
 		id := fmt.Sprintf("%06d", i+1)
 		sim.eventually(id+" is final", 3*time.Minute, func() bool { response := sim.poll(id); return response.Final() })
 	}
-	sim.eventually("finished jobs are archived", 2*time.Minute, func() bool { return sim.archiveStatus().Backlog <= sim.settings.Tuning.Archive.KeepInJournal })
+	sim.eventually("finished jobs are archived", 2*time.Minute, func() bool { return sim.archiveStatus().FinishedInJournal <= sim.settings.Tuning.Archive.KeepInJournal })
 	for i := range nextJob - 1 {
 		id := fmt.Sprintf("%06d", i+1)
 		sim.checkFinalState(id, sim.poll(id).State)
--- a/internal/scheduler/archiving_test.go
+++ b/internal/scheduler/archiving_test.go
@@ -48,7 +48,7 @@
 	sim.t.Helper()
 	sim.eventually(fmt.Sprintf("%d jobs archived", jobs), 2*time.Minute, func() bool {
 		status := sim.archiveStatus()
-		return status.Stored.Jobs == jobs && status.Backlog == 0 && len(status.Stored.Damaged) == 0
+		return status.Stored.Jobs == jobs && status.FinishedInJournal == 0 && len(status.Stored.Damaged) == 0
 	})
 }
 
@@ -73,7 +73,7 @@
 		for _, op := range []api.Op{api.OpPoll, api.OpSubmit, api.OpCancel} {
 			var response api.Response
 			for range 20 {
-				if response = sim.requestFrom(n, op, id, clustertest.Array(id, 2)); response.Decided() {
+				if response = sim.requestFrom(n, op, id, clustertest.Array(id, 2)); response.HasResult() {
 					break
 				}
 				time.Sleep(500 * time.Millisecond)
@@ -128,7 +128,7 @@
 		sim.runToCompletion("000001")
 		time.Sleep(2 * time.Minute)
 		status := sim.archiveStatus()
-		if len(sim.store.Keys("archive")) > 0 || status.Backlog != 1 || status.Gate.Used {
+		if len(sim.store.Keys("archive")) > 0 || status.FinishedInJournal != 1 || status.Gate.Used {
 			t.Errorf("stored keys %v, status %+v; want no keys and a backlog of one job", sim.store.Keys("archive"), status)
 		}
 		for _, n := range sim.nodes {
@@ -255,7 +255,7 @@
 			for decided := false; !decided; time.Sleep(10 * time.Millisecond) {
 				if leader := sim.leader(); leader != nil {
 					response := sim.requestFrom(leader, api.OpPoll, "000001", storage.Spec{})
-					decided = response.Decided()
+					decided = response.HasResult()
 				}
 			}
 			answered = time.Since(began)
@@ -280,11 +280,14 @@
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.runToCompletion("000001", "000002")
 		time.Sleep(time.Minute)
-		if status := sim.archiveStatus(); status.Backlog != 2 || status.Stored.Jobs != 0 || status.Gate.Used {
+		if status := sim.archiveStatus(); status.FinishedInJournal != 2 || status.Stored.Jobs != 0 || status.Gate.Used {
 			t.Errorf("status %+v, want a backlog of two jobs and nothing archived", status)
 		}
 		sim.runToCompletion("000003")
-		sim.eventually("finished jobs are archived", time.Minute, func() bool { status := sim.archiveStatus(); return status.Stored.Jobs > 0 && status.Backlog <= 2 })
+		sim.eventually("finished jobs are archived", time.Minute, func() bool {
+			status := sim.archiveStatus()
+			return status.Stored.Jobs > 0 && status.FinishedInJournal <= 2
+		})
 	})
 }
 
--- a/internal/scheduler/cold_start_test.go
+++ b/internal/scheduler/cold_start_test.go
@@ -87,13 +87,13 @@
 		clients := sim.startClients()
 		for range 3 {
 			sim.awaitReady(clients)
-			if s := sim.modelStatus(); s.Record.State != activation.Ready || s.Record.Replica == activation.NoReplica || s.Why == "" {
+			if s := sim.modelStatus(); s.Record.State != activation.Ready || s.Record.Replica == activation.NoReplica || s.Reason == "" {
 				t.Errorf("status %+v, want ready with a replica", s)
 			}
 			setClientsPaused(clients, true)
 			sim.awaitScaledToZero()
 			time.Sleep(sim.settings.WorkerLease)
-			if s := sim.modelStatus(); s.Record.State != activation.Idle || s.Record.Replica != activation.NoReplica || s.Why != "" {
+			if s := sim.modelStatus(); s.Record.State != activation.Idle || s.Record.Replica != activation.NoReplica || s.Reason != "" {
 				t.Errorf("status %+v, want idle without a replica", s)
 			}
 			setClientsPaused(clients, false)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -137,12 +137,12 @@
 // announceTokens sends this term's fencing token to the workers that were known at the start of the term, a limited
 // number at a time. Workers that have the token reject late commands of the earlier leader.
 func (s *scheduler) announceTokens() {
-	for len(s.tokenPending) > 0 {
-		m := s.tokenPending[0]
+	for len(s.machinesAwaitingToken) > 0 {
+		m := s.machinesAwaitingToken[0]
 		if s.state.Machines.Get(m.ID) == m && !s.announceToken(m) {
 			return
 		}
-		s.tokenPending = s.tokenPending[1:]
+		s.machinesAwaitingToken = s.machinesAwaitingToken[1:]
 	}
 }
 
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -45,7 +45,7 @@
 			m := sched.state.EnsureMachine(i+1, time.Now())
 			m.Addr, m.Incarnation = fmt.Sprint(i+1), 1
 		}
-		sched.tokenPending = append(sched.tokenPending, sched.state.Machines.InOrder()...)
+		sched.machinesAwaitingToken = append(sched.machinesAwaitingToken, sched.state.Machines.InOrder()...)
 		announced := 0
 		for sched.announceTokens(); sched.announcements > 0; {
 			if sched.announcements > sched.settings.MaxTokenAnnouncements() {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -29,7 +29,7 @@
 }
 
 // admitSubmission reports whether a team's submission may wait for a commit. An admitted submission counts as waiting until
-// admission.Recorded is called.
+// admission.MarkRecorded is called.
 func (s *scheduler) admitSubmission(team string) bool {
 	return s.admission.Admit(team, s.journal.AvailableBytes()/acceptedJobBytes)
 }
@@ -82,7 +82,7 @@
 
 // pageDurable reports whether the current value of a task's page record is durable.
 func (s *scheduler) pageDurable(id worker.TaskID) bool {
-	return s.queue.Durable(storage.TaskPageKey(id.Job, id.Task/storage.TasksPerPage))
+	return s.queue.IsDurable(storage.TaskPageKey(id.Job, id.Task/storage.TasksPerPage))
 }
 
 // onCommit calls f with nil once all records that are marked now are durable. If a commit fails first, it calls f with the
--- a/internal/scheduler/failover_outage_test.go
+++ b/internal/scheduler/failover_outage_test.go
@@ -107,7 +107,7 @@
 					continue
 				}
 				for _, id := range []string{"000001", "999999"} {
-					if got := live.HandleForwardedRequest(sim.t.Context(), api.Request{Op: api.OpPoll, ID: id}); got.Decided() {
+					if got := live.HandleForwardedRequest(sim.t.Context(), api.Request{Op: api.OpPoll, ID: id}); got.HasResult() {
 						t.Fatalf("poll of job %s at %s without loaded state: got %+v, want it undecided", id, n.name, got)
 					}
 				}
--- a/internal/scheduler/fleet_messages.go
+++ b/internal/scheduler/fleet_messages.go
@@ -53,7 +53,7 @@
 
 func (m launchedMessage) handle(s *scheduler) { s.handleLaunched(m) }
 
-func (m rejectedMessage) handle(s *scheduler) { s.reviewer.NoteRejected(m.offering, time.Now()) }
+func (m rejectedMessage) handle(s *scheduler) { s.reviewer.RecordRejected(m.offering, time.Now()) }
 
 func (m terminatedMessage) handle(s *scheduler) {
 	for _, id := range m.machines {
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -132,7 +132,7 @@
 			m.LastContact = m.LastContact.Add(-2 * sched.settings.HeartbeatInterval)
 		}},
 		{"commands unanswered", func(_ *scheduler, m *cluster.Machine) { m.InFlight = maxInFlightCommands }},
-		{"commands fail", func(sched *scheduler, m *cluster.Machine) { sched.commandsFailing[m.ID] = true }},
+		{"commands fail", func(sched *scheduler, m *cluster.Machine) { sched.unreachableMachines[m.ID] = true }},
 		{"unresponsive", func(_ *scheduler, m *cluster.Machine) { m.Unresponsive = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, t.scheduler.settings.StoreCallTimeout())
 	defer cancel()
 	encoded, err := t.journal.MigrateStep(ctx)
 	if err != nil {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -19,19 +19,19 @@
 // failed to reach handoverThreshold machines, if this controller receives no heartbeats from workers but a peer does.
 func (s *scheduler) updateReachability(m *cluster.Machine, reached bool, now time.Time) {
 	if reached {
-		clear(s.commandsFailing)
+		clear(s.unreachableMachines)
 		return
 	}
 	if m.LastContact.IsZero() || now.Sub(m.LastContact) > 2*s.settings.HeartbeatInterval {
 		return
 	}
-	s.commandsFailing[m.ID] = true
-	if len(s.commandsFailing) < min(handoverThreshold, max(1, s.state.Machines.Count())) {
+	s.unreachableMachines[m.ID] = true
+	if len(s.unreachableMachines) < min(handoverThreshold, max(1, s.state.Machines.Count())) {
 		return
 	}
 	if s.sinceHeartbeat() > s.settings.HeartbeatInterval && s.peerReceivesHeartbeats() {
-		s.log.Info("leadership handover", "unreachable_machines", len(s.commandsFailing))
-		clear(s.commandsFailing)
+		s.log.Info("leadership handover", "unreachable_machines", len(s.unreachableMachines))
+		clear(s.unreachableMachines)
 		s.resignOnce("workers unreachable", true)
 	}
 }
--- a/internal/scheduler/opportunistic_test.go
+++ b/internal/scheduler/opportunistic_test.go
@@ -35,11 +35,11 @@
 				sched.placeRound(time.Now())
 			}
 		}
-		if n := withDeadline.Allocated(); n != 1 {
+		if n := withDeadline.AllocatedTasks(); n != 1 {
 			t.Errorf("job with a deadline: got %d allocated tasks, want 1", n)
 		}
 		for _, j := range jobs {
-			if n := j.Allocated(); n < 30 || n > 60 {
+			if n := j.AllocatedTasks(); n < 30 || n > 60 {
 				t.Errorf("job %s: got %d of about 160 allocated tasks, want 30 to 60", j.Spec.ID, n)
 			}
 		}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -24,7 +24,7 @@
 	if !s.leaseValid(now) || s.commitStalled(now) {
 		return
 	}
-	reserved, unfinished := s.planner.Round(now)
+	reserved, unfinished := s.planner.RunRound(now)
 	if unfinished {
 		s.placementDue = true
 	}
@@ -89,7 +89,7 @@
 
 // reachable reports whether a direct command is likely to reach a machine without delay.
 func (s *scheduler) reachable(m *cluster.Machine, now time.Time) bool {
-	return m.Addr != "" && m.InFlight < maxInFlightCommands && !m.Unresponsive && !s.commandsFailing[m.ID] &&
+	return m.Addr != "" && m.InFlight < maxInFlightCommands && !m.Unresponsive && !s.unreachableMachines[m.ID] &&
 		now.Sub(m.LastContact) <= clock.Scale(s.settings.HeartbeatInterval, reachableReportAge)
 }
 
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -67,7 +67,7 @@
 // the machine's lease, because the worker rejects lower tokens.
 func (s *scheduler) confirmMachine(m *cluster.Machine, now time.Time) {
 	m.Confirmed, m.LastAcknowledged = true, now
-	s.reviewer.NoteProvisioned(m, now)
+	s.reviewer.RecordProvisioned(m, now)
 	if len(m.Attempts) == 0 {
 		m.IdleSince = now
 	}
@@ -89,7 +89,7 @@
 			s.removeAttempt(a, "worker began a later incarnation")
 		}
 	}
-	m.Fence.IncarnationEnded()
+	m.Fence.DropRetained()
 	m.Recorded = false
 	// The lease of the new incarnation began before now. If the lease were still counted from the last heartbeat of the
 	// earlier incarnation, tasks of the new incarnation would be treated as lost while they still run.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -121,10 +121,10 @@
 
 // commandState holds the state of the direct commands to workers.
 type commandState struct {
-	tokenPending    []*cluster.Machine   // machines known at the failover that must still be sent this term's token
-	announcements   int                  // number of token announcements in flight
-	commandsFailing map[int]bool         // machines that direct commands don't reach; cleared when a command reaches any machine
-	sinceHeartbeat  func() time.Duration // returns the time since this controller last received a heartbeat
+	machinesAwaitingToken []*cluster.Machine   // machines known at the failover that must still be sent this term's token
+	announcements         int                  // number of token announcements in flight
+	unreachableMachines   map[int]bool         // machines that direct commands don't reach; cleared when a command reaches any machine
+	sinceHeartbeat        func() time.Duration // returns the time since this controller last received a heartbeat
 }
 
 // delegationState holds the delegation of lease renewals to peers.
@@ -167,8 +167,8 @@
 		},
 		fleetState: fleetState{terminated: make(map[int]bool)},
 		commandState: commandState{
-			commandsFailing: make(map[int]bool),
-			sinceHeartbeat:  func() time.Duration { return 0 },
+			unreachableMachines: make(map[int]bool),
+			sinceHeartbeat:      func() time.Duration { return 0 },
 		},
 		delegationState: delegationState{delegator: newDelegator(settings)},
 		pacing:          pacing{placementDue: true},
@@ -206,7 +206,7 @@
 // returns a response that asks the user to retry. The lease can expire because the process was paused after the scheduler
 // had responded.
 func (s *scheduler) withValidity(response api.Response, requestedAt time.Time) api.Response {
-	if response.Final() || !response.Decided() {
+	if response.Final() || !response.HasResult() {
 		return response
 	}
 	validUntil := s.leaseValidUntil.Load()
@@ -238,7 +238,7 @@
 // at most one round of placement for all of them, and commits the resulting changes as a group. Under higher load, each
 // iteration therefore handles more messages, while the number of placement rounds and commits doesn't grow.
 func (s *scheduler) run(ctx context.Context) error {
-	s.tokenPending = slices.Clone(s.state.Machines.InOrder())
+	s.machinesAwaitingToken = slices.Clone(s.state.Machines.InOrder())
 	s.announceTokens()
 	s.activation.resume(time.Now())
 	tick := time.NewTicker(clock.Scale(s.settings.HeartbeatInterval, tickPerHeartbeat))
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -235,7 +235,7 @@
 	sim.t.Helper()
 	for attempt := range 120 {
 		n := sim.nodes[attempt%len(sim.nodes)]
-		if response := sim.requestFrom(n, op, id, spec); response.Decided() {
+		if response := sim.requestFrom(n, op, id, spec); response.HasResult() {
 			return response
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -267,7 +267,7 @@
 	if timedOut {
 		return api.Unavailable(id, "the user stopped waiting")
 	}
-	if !response.Decided() {
+	if !response.HasResult() {
 		return response
 	}
 	sim.withLock(func() {
--- a/internal/scheduler/task_failures_test.go
+++ b/internal/scheduler/task_failures_test.go
@@ -133,11 +133,11 @@
 			return direct
 		}
 		shortStarts := 0
-		for i := range maxDirectBacklog {
+		for i := range maxAttemptsForDirectStarts {
 			shortStarts += start(clustertest.Array(fmt.Sprintf("%06d", i), 2))
 		}
-		if shortStarts < maxDirectBacklog/2 || shortStarts > maxDirectBacklog || m.Fence.Full() {
-			t.Errorf("%d short tasks were started directly, fence full: %v; want %d to %d and a fence that isn't full", shortStarts, m.Fence.Full(), maxDirectBacklog/2, maxDirectBacklog)
+		if shortStarts < maxAttemptsForDirectStarts/2 || shortStarts > maxAttemptsForDirectStarts || m.Fence.Full() {
+			t.Errorf("%d short tasks were started directly, fence full: %v; want %d to %d and a fence that isn't full", shortStarts, m.Fence.Full(), maxAttemptsForDirectStarts/2, maxAttemptsForDirectStarts)
 		}
 		if n := start(clustertest.Service("900000", 2)); n != 2 {
 			t.Errorf("%d urgent tasks are started directly, want 2", n)
--- a/internal/scheduler/upgrade_rollback_test.go
+++ b/internal/scheduler/upgrade_rollback_test.go
@@ -39,10 +39,10 @@
 				newGang.Gang = true
 				sim.eventually("the older version responds", 10*time.Second, func() bool {
 					a := sim.requestFrom(rolledBack, api.OpPoll, "000002", storage.Spec{})
-					return a.Decided()
+					return a.HasResult()
 				})
 				sim.eventually("the gate is being withdrawn", 10*time.Second, func() bool { return sim.clusterRecord().Phase == upgrade.Withdrawing })
-				if a := sim.requestFrom(rolledBack, api.OpSubmit, newGang.ID, newGang); a.Decided() {
+				if a := sim.requestFrom(rolledBack, api.OpSubmit, newGang.ID, newGang); a.HasResult() {
 					t.Errorf("submit of a gang job during the withdrawal: got %+v, want no decision", a)
 				}
 				sim.awaitDone("000002")
@@ -127,7 +127,7 @@
 	}
 	encoded := 0
 	for _, item := range items {
-		if storage.IsEncoded(item.Data) {
+		if storage.IsNonPlain(item.Data) {
 			encoded++
 		}
 	}
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -113,7 +113,7 @@
 		gang.Gang = true
 		sim.storeSpec(gang)
 		for i, n := range sim.nodes {
-			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, gang.ID, gang); a.Decided() {
+			if a := sim.requestFrom(sim.nodes[0], api.OpSubmit, gang.ID, gang); a.HasResult() {
 				t.Errorf("with %d nodes upgraded a gang job is answered %+v, want no decision", i, a)
 			}
 			if r := sim.clusterRecord(); r.Active != upgrade.Version1 || r.Gate(upgrade.GangJobs).Phase != "" {
@@ -398,7 +398,7 @@
 	runSimulation(t, func(sim *simulation) {
 		sim.awaitActive(upgrade.Current, time.Minute)
 		sim.submit(clustertest.Service("000001", 2))
-		slow := clock.Scale(sim.settings.CallTimeout(), 0.3) // three calls take less than CallTimeout, four take more
+		slow := clock.Scale(sim.settings.StoreCallTimeout(), 0.3) // three calls take less than StoreCallTimeout, four take more
 		sim.store.Update(func(s *storagetest.Service) { s.AddedLatency = slow })
 		for _, n := range sim.nodes {
 			n.restart()
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -183,7 +183,7 @@
 	s.state.Classes.RecordArrival(j)
 	s.markJob(j)
 	s.onJobCommit(j, func(error) {
-		s.admission.Recorded(spec.Team)
+		s.admission.MarkRecorded(spec.Team)
 		s.acceptedInCommit++
 	})
 	s.placementDue = true
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -28,11 +28,11 @@
 	}
 }
 
-// maxDirectBacklog is the number of attempts on a worker above which direct commands no longer start tasks there, unless
+// maxAttemptsForDirectStarts is the number of attempts on a worker above which direct commands no longer start tasks there, unless
 // their jobs are urgent. Live attempts and retained ended attempts are counted together. The remaining part of MaxRetained is
 // reserved for urgent jobs. Without this limit, a flood of short tasks would fill the workers' fences with retained attempts,
 // and the leader would have to resign.
-const maxDirectBacklog = fencing.MaxRetained / 2
+const maxAttemptsForDirectStarts = fencing.MaxRetained / 2
 
 // directStartsAllowed reports whether tasks of a job may be started on a worker by direct commands. If the worker must retain
 // too many ended attempts, the responses to its heartbeats carry the start commands instead. Start commands in responses are
@@ -41,7 +41,7 @@
 	if s.mayRaiseTokens() {
 		return !m.Fence.Full()
 	}
-	return j.Urgent() || m.Fence.Retained()+len(m.Attempts) <= maxDirectBacklog
+	return j.Urgent() || m.Fence.Retained()+len(m.Attempts) <= maxAttemptsForDirectStarts
 }
 
 // handleHigherToken handles a report with a token above this term's range. Such a token comes from a new leader, so this
--- a/internal/storage/encoding.go
+++ b/internal/storage/encoding.go
@@ -48,9 +48,9 @@
 // EncodeChunk encodes records as the value of a plain chunk.
 func EncodeChunk(records []Record) (json.RawMessage, error) { return json.Marshal(records) }
 
-// IsEncoded reports whether a stored chunk is not plain: compressed, with fragments, or not decodable.
+// IsNonPlain reports whether a stored chunk is not plain: compressed, with fragments, or not decodable.
 // The first versions of the program can't read such chunks.
-func IsEncoded(value json.RawMessage) bool {
+func IsNonPlain(value json.RawMessage) bool {
 	records, err := decodeChunk(value)
 	return err != nil || isNonPlain(value, records)
 }
--- a/internal/storage/fixture_test.go
+++ b/internal/storage/fixture_test.go
@@ -88,7 +88,7 @@
 func (f *fixture) encodedChunkKeys() (encoded []string) {
 	f.t.Helper()
 	for _, c := range f.chunks() {
-		if storage.IsEncoded(c.Data) {
+		if storage.IsNonPlain(c.Data) {
 			encoded = append(encoded, c.Key)
 		}
 	}
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -196,7 +196,7 @@
 // readUpgradeKeys reads the cluster record and the registrations. No other actor writes the cluster record in this term,
 // but this actor may not know the record's current version, because the response to one of its writes was lost.
 func (c *Controller) readUpgradeKeys(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.StoreCallTimeout())
 	defer cancel()
 	items, _, _, err := c.store.List(ctx, leadership.UpgradePrefix, "", maxUpgradeKeys)
 	if err != nil {
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	callCtx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
+	callCtx, cancel := context.WithTimeout(ctx, c.settings.StoreCallTimeout())
 	defer cancel()
 	version, err := c.store.Txn(callCtx, guards, ops)
 	var conflict *storage.ConflictError
@@ -299,7 +299,7 @@
 		c.log.Error("record encoding failed", "key", waitingKey, "error", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.StoreCallTimeout())
 	defer cancel()
 	if _, err := c.store.Txn(ctx, []storage.Guard{c.leader}, []storage.Op{{Key: waitingKey, Data: data}}); err != nil {
 		c.log.Debug("upgrade step failed", "action", "write waiting reason", "error", err)
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -112,7 +112,7 @@
 // latestRevision returns the store's current revision, or 0 if the store doesn't answer. A watch after revision 0
 // returns all changes or fails with storage.ErrCompacted, and then the revision is read again.
 func (c *Controller) latestRevision(ctx context.Context) uint64 {
-	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, c.settings.StoreCallTimeout())
 	defer cancel()
 	_, _, revision, err := c.store.List(ctx, leadership.RegistrationPrefix, "", 1)
 	if err != nil {
