--- a/cmd/sagevale/memory_test.go
+++ b/cmd/sagevale/memory_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A small heap must grow to a third of the memory quota before garbage is collected, and at least to the size to which
-// the Go runtime lets it grow by default. Beyond that default size, it must not grow over the soft memory limit.
+// gcPercent must let a small heap grow to a third of the memory quota before garbage is collected. If this is less than
+// goMinHeapMB, the size to which the Go runtime lets a heap grow by default, the heap may grow to goMinHeapMB. A heap that
+// grows beyond goMinHeapMB must stay within the soft memory limit.
 func TestGCPercent(t *testing.T) {
 	for memoryMB, want := range map[float64]int{1: 100, 12: 100, 65: 541, 98: 816} {
 		got := gcPercent(memoryMB)
--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -66,7 +66,7 @@
 type sourcePackage struct {
 	name    string
 	imports []string        // directories of imported packages of the module, sorted
-	members map[string]bool // "Name" of declarations, "Type.Member" of methods, fields and interface methods
+	members map[string]bool // keys: "Name" for a declaration, "Type.Member" for a method, field or interface method
 }
 
 // TestImportsGoDownwards checks the imports of each package, without its test files, against the layers.
@@ -91,7 +91,8 @@
 	}
 }
 
-// mayImport reports whether a package of a layer may import a package of the other layer.
+// mayImport reports whether a package of the layer named layer may import a package of the layer named imported. An empty
+// name means that the package isn't listed in layers.
 func mayImport(layer, imported string) bool {
 	if layer == testSupport {
 		return imported != ""
@@ -99,7 +100,8 @@
 	return imported != testSupport && imported != "" && imported < layer
 }
 
-// TestArchitecturePageListsPackages checks that the page has one row for each package, with its layer and imports.
+// TestArchitecturePageListsPackages checks that the architecture page has one row for each package, with its layer and
+// imports.
 func TestArchitecturePageListsPackages(t *testing.T) {
 	packages := readPackages(t)
 	rows := pageRows(t)
@@ -126,7 +128,8 @@
 	}
 }
 
-// TestArchitecturePageNamesExistingCode checks that each `package.Name` or `package.Type.Member` on the page exists.
+// TestArchitecturePageNamesExistingCode checks the references to code on the architecture page: each `package.Name` or
+// `package.Type.Member` must exist.
 func TestArchitecturePageNamesExistingCode(t *testing.T) {
 	byName := make(map[string]*sourcePackage)
 	for dir, p := range readPackages(t) {
@@ -181,7 +184,7 @@
 	return string(page)
 }
 
-// shortNames returns a list of packages as the page writes it: separated by commas, without the prefix "internal/".
+// shortNames formats a list of packages as on the architecture page: separated by commas, without the prefix "internal/".
 func shortNames(dirs []string) string {
 	names := make([]string, 0, len(dirs))
 	for _, dir := range dirs {
@@ -227,7 +230,7 @@
 	return packages
 }
 
-// addFile adds the imports and declarations of a file.
+// addFile adds the imports and declarations of a file to the package.
 func (p *sourcePackage) addFile(file *ast.File) error {
 	for _, spec := range file.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
@@ -278,7 +281,7 @@
 	return nil
 }
 
-// receiverPrefix returns the receiver's type with a dot, or "" for a function.
+// receiverPrefix returns the name of the receiver's type, followed by a dot. It returns "" for a function without a receiver.
 func receiverPrefix(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
--- a/internal/classstats/class_test.go
+++ b/internal/classstats/class_test.go
@@ -9,7 +9,8 @@
 
 var start = time.UnixMilli(1e12)
 
-// recordArrivals records arrivals of jobs at regular intervals, perS per second, and returns the time of the last one.
+// recordArrivals records the arrivals of the given number of jobs, each with the given number of tasks. The jobs arrive at
+// regular intervals, perS of them per second. recordArrivals returns the time of the last arrival.
 func recordArrivals(c *Class, jobs, tasks int, perS float64) time.Time {
 	at := start
 	for range jobs {
@@ -20,7 +21,7 @@
 }
 
 // The rate must be right even if more jobs arrive within the window than maxEvents.
-func TestRateSinceIsNotBoundedByEventsKept(t *testing.T) {
+func TestRateSinceWithMoreArrivalsThanMaxEvents(t *testing.T) {
 	const jobTasks = 3
 	for _, jobsPerS := range []float64{0.5, 3, 20, 500} {
 		t.Run(fmt.Sprintf("%v jobs a second", jobsPerS), func(t *testing.T) {
@@ -32,7 +33,7 @@
 				t.Errorf("tasks a second: got %.1f, want %.1f", got, want)
 			}
 			if r.SquareSum != jobTasks*r.Tasks {
-				t.Errorf("squares of %.0f tasks in jobs of %d: got %.0f, want %.0f", r.Tasks, jobTasks, r.SquareSum, jobTasks*r.Tasks)
+				t.Errorf("sum of squared job sizes, for %.0f tasks in jobs of %d: got %.0f, want %.0f", r.Tasks, jobTasks, r.SquareSum, jobTasks*r.Tasks)
 			}
 			if later := c.RateSince(now, now.Add(time.Minute)); later.Tasks != 0 || later.WindowS != 60 {
 				t.Errorf("after the last arrival: got %+v, want no tasks in 60 s", later)
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestRunTimeEstimateWithoutRunsIsTheOwners(t *testing.T) {
+func TestRunTimeEstimateWithoutRunsIsOwnersExpectation(t *testing.T) {
 	var c Class
 	if got := c.EstimateRunSeconds(30); got != 30 {
 		t.Errorf("estimate: got %v s, want the owner's 30", got)
@@ -88,7 +89,7 @@
 	}
 }
 
-func TestRunTimeEstimateLiesBetweenClassAndOwner(t *testing.T) {
+func TestRunTimeEstimateScalesMeanByOwnersExpectation(t *testing.T) {
 	var c Class
 	for range 200 {
 		c.RecordRun(100, 25)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Links are tested at the shortest interval with an ample share of a core, and half as often with a small share.
+// With an ample share of a core, links between controllers are tested at the shortest interval. With a smaller share, the
+// interval is longer, but at most twice as long.
 func TestLinkTestIntervalFollowsCPUShare(t *testing.T) {
 	for share, want := range map[float64]time.Duration{0: minLinkTestInterval, 1: minLinkTestInterval, 0.25: minLinkTestInterval, 0.2: 5 * minLinkTestInterval / 4, 0.036: maxLinkTestInterval} {
 		if got := (&Settings{CPUShare: share}).LinkTestInterval(); got != want {
@@ -36,7 +37,7 @@
 	}
 }
 
-func TestScaleOutAtMostDoublesTheFleet(t *testing.T) {
+func TestMaxScaleOutIsStepOrFleetSize(t *testing.T) {
 	tuning := Tuning{ScaleOutStep: 50}
 	for size, want := range map[int]int{0: 50, 30: 50, 51: 51, 400: 400} {
 		if got := tuning.MaxScaleOut(size); got != want {
@@ -45,7 +46,8 @@
 	}
 }
 
-// Machines are terminated one at a time, but scaling in a large fleet must not take hours.
+// Machines are terminated one at a time, with a cooldown before the next one. In a large fleet, the cooldown must be shorter,
+// so that removing many machines doesn't take hours.
 func TestCooldownShrinksWithFleetSize(t *testing.T) {
 	s := Settings{WorkerLease: 22 * time.Second}
 	s.Tuning = s.DefaultTuning()
@@ -55,7 +57,7 @@
 	}
 }
 
-// opportunisticSpec returns the specification of an opportunistic job.
+// opportunisticSpec returns the specification of a job that Settings.IsOpportunistic accepts.
 func opportunisticSpec() storage.Spec {
 	return storage.Spec{ID: "000001", Class: "idle", Team: "team", Tasks: 1, Priority: storage.PriorityBestEffort, Spot: true}
 }
--- a/internal/failures/job_test.go
+++ b/internal/failures/job_test.go
@@ -17,13 +17,13 @@
 		wantAtFault bool
 		wantBackoff time.Duration
 	}{
-		"none":                                           {nil, false, time.Second},
-		"many tasks fail at once on one machine":         {[]failure{{1, 0, 9}, {1, 1, 9}, {1, 2, 10}, {1, 3, 10}}, false, time.Second},
-		"two machines":                                   {[]failure{{1, 0, 9}, {2, 0, 9}, {1, 1, 9}}, false, time.Second},
-		"three machines at once":                         {[]failure{{1, 0, 9}, {2, 0, 9}, {3, 0, 9}}, true, time.Second},
-		"repeatedly on one machine":                      {[]failure{{1, 0, 9}, {1, 10, 19}, {1, 20, 29}}, true, 4 * time.Second},
-		"many machines one after another":                {[]failure{{1, 0, 1}, {2, 2, 3}, {3, 4, 5}, {4, 6, 7}, {5, 8, 9}, {6, 10, 11}}, true, 16 * time.Second},
-		"a task started before the last failure counted": {[]failure{{1, 0, 9}, {1, 10, 19}, {2, 5, 20}}, false, 2 * time.Second},
+		"none":                                   {nil, false, time.Second},
+		"many tasks fail at once on one machine": {[]failure{{1, 0, 9}, {1, 1, 9}, {1, 2, 10}, {1, 3, 10}}, false, time.Second},
+		"two machines":                           {[]failure{{1, 0, 9}, {2, 0, 9}, {1, 1, 9}}, false, time.Second},
+		"three machines at once":                 {[]failure{{1, 0, 9}, {2, 0, 9}, {3, 0, 9}}, true, time.Second},
+		"repeatedly on one machine":              {[]failure{{1, 0, 9}, {1, 10, 19}, {1, 20, 29}}, true, 4 * time.Second},
+		"many machines one after another":        {[]failure{{1, 0, 1}, {2, 2, 3}, {3, 4, 5}, {4, 6, 7}, {5, 8, 9}, {6, 10, 11}}, true, 16 * time.Second},
+		"a task that started before the last counted failure": {[]failure{{1, 0, 9}, {1, 10, 19}, {2, 5, 20}}, false, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var j Job
@@ -43,6 +43,7 @@
 	}
 }
 
+// An earlier failure happened under an earlier leader, and its time is unknown.
 func TestJobIsAtFaultAfterEarlierFailures(t *testing.T) {
 	type failure struct{ machine, task int }
 	for name, c := range map[string]struct {
--- a/internal/fleetload/config_test.go
+++ b/internal/fleetload/config_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checkFlagError checks that err is a FlagError of a flag, with a message of one line that begins with the flag.
+// checkFlagError checks that err is a FlagError for the flag. The error's message must be one line that begins with the flag.
 func checkFlagError(t *testing.T, err error, flag string) {
 	t.Helper()
 	var flagError *FlagError
--- a/internal/fleetload/wake_test.go
+++ b/internal/fleetload/wake_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Bursts of requests to all controllers start each model only once per wake, although controllers are killed and the
-// key-value store has an outage. Each request gets one answer.
+// In each wake, bursts of requests for stopped models arrive at all controllers. Each model must be started only once per
+// wake, and each request must get one answer, even if controllers are killed and the key-value store has an outage.
 func TestWakeStartsEachModelOnce(t *testing.T) {
 	binary, err := BuildProgram(t.Context(), t.TempDir())
 	if err != nil {
--- a/internal/log_messages_test.go
+++ b/internal/log_messages_test.go
@@ -13,17 +13,17 @@
 	"testing"
 )
 
-// incidentsPage is the page whose table lists all log messages, relative to this directory.
+// incidentsPage is the path of the page with the table of all log messages, relative to this directory.
 const incidentsPage = "../docs/operating-incidents.md"
 
-// messageRow matches a row of the table: message, levels, keys.
+// messageRow matches a row of the table of log messages: message, levels, keys.
 var messageRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([a-z, ]+) \\| ([^|]+) \\| [^|]+ \\|$")
 
 // loggedMessage is a log call with its constant message and keys.
 type loggedMessage struct {
 	position token.Position
 	message  string
-	level    string // "": chosen at run time, not checked
+	level    string // "" if the level is chosen at run time and therefore can't be checked
 	keys     []string
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// readLogCalls returns the log calls of all packages but those of test support, without test files.
+// readLogCalls returns the log calls in all packages except those of the layer testSupport. Test files are not read.
 func readLogCalls(t *testing.T) []loggedMessage {
 	t.Helper()
 	var calls []loggedMessage
@@ -109,7 +109,8 @@
 	return calls
 }
 
-// parseLogCall returns the message, the level and the constant keys of a log call.
+// parseLogCall returns the message, the level and the constant keys of a log call. ok is false if the call isn't a log call
+// or its message isn't a constant.
 func parseLogCall(call *ast.CallExpr) (m loggedMessage, ok bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !isLogger(method.X) {
--- a/internal/loopbacktest/audit_log_test.go
+++ b/internal/loopbacktest/audit_log_test.go
@@ -55,7 +55,7 @@
 	f.expectViolations(t, RanTwice, 0)
 	f.start(f.a, "job-000001/1", 4)
 	f.expectViolations(t, RanTwice, 1)
-	f.b.leaseRenewedAt = f.now.Add(-2 * time.Minute) // the lease has expired: no attempt runs on this machine
+	f.b.leaseRenewedAt = f.now.Add(-2 * time.Minute) // the lease has expired, so no attempt runs on this machine
 	f.start(f.a, "job-000001/0", 5)
 	f.expectViolations(t, RanTwice, 1)
 }
--- a/internal/loopbacktest/upgrade_bench_test.go
+++ b/internal/loopbacktest/upgrade_bench_test.go
@@ -11,7 +11,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// maxRecordedValue is the largest value that a histogram accepts, in the unit of its distribution.
+// maxRecordedValue is the largest value that a histogram accepts, in the unit of the distribution.
 const maxRecordedValue = int64(time.Minute / time.Microsecond)
 
 // distribution is the histogram of one quantity.
@@ -20,10 +20,10 @@
 	values     *hdrhistogram.Histogram
 }
 
-// measurements holds the distributions of one version, by name and in the order of their first values.
+// measurements holds the distributions that were measured with one version of the program.
 type measurements struct {
 	byName map[string]*distribution
-	order  []string
+	order  []string // names of the distributions, in the order in which their first values were added
 }
 
 func newMeasurements() *measurements { return &measurements{byName: make(map[string]*distribution)} }
@@ -54,7 +54,7 @@
 type availabilityProbe struct {
 	stop       chan struct{}
 	stopped    chan struct{}
-	longestGap time.Duration // longest time between two responses
+	longestGap time.Duration // longest wait for a response, since the previous response or the probe's start
 }
 
 // startProbe starts a probe that polls a job until stopAndWait is called.
@@ -78,7 +78,7 @@
 	return p
 }
 
-// stopAndWait ends the probe and returns the longest gap between two responses.
+// stopAndWait stops the probe, waits until it has stopped and returns its longestGap.
 func (p *availabilityProbe) stopAndWait() time.Duration {
 	close(p.stop)
 	<-p.stopped
@@ -86,8 +86,8 @@
 }
 
 const (
-	idleDuration    = 4 * time.Second // time that measureIdle measures
-	restartDuration = 3 * time.Second // time that measureRestart measures
+	idleDuration    = 4 * time.Second // how long measureIdle measures
+	restartDuration = 3 * time.Second // how long measureRestart measures
 )
 
 // measuredFleet is a fleet whose restarts, upgrade, idle load and rollback are measured.
@@ -115,7 +115,7 @@
 	f.record(name+": bytes to the state service", "in 3 s", f.Store.RequestBytes.Load()-sent)
 }
 
-// measureIdle records the load of the key-value store while no jobs are submitted and no controller is restarted.
+// measureIdle records the load on the key-value store while no jobs are submitted and no controller is restarted.
 func (f *measuredFleet) measureIdle() {
 	requests, sent := f.Store.Requests.Load(), f.Store.RequestBytes.Load()
 	time.Sleep(idleDuration)
@@ -129,9 +129,9 @@
 	return err == nil
 }
 
-// BenchmarkUpgradeSteps prints the distributions for docs/rolling-upgrade.md. Run it with
-// -benchtime 15x. With -older it also measures restarts of that binary, which does not
-// register the versions that it supports.
+// BenchmarkUpgradeSteps measures restarts, an upgrade and a rollback, and prints the distributions for
+// docs/rolling-upgrade.md. Run it with -benchtime 15x. The flag -older names the binary of an earlier commit that does not
+// register the versions that it supports. If the flag is set, the benchmark also measures restarts of this binary.
 func BenchmarkUpgradeSteps(b *testing.B) {
 	current, older := newMeasurements(), newMeasurements()
 	seed := uint64(0)
@@ -142,7 +142,8 @@
 		}
 		measureUpgrade(b, seed, current)
 	}
-	fmt.Println(current.table("loopback, this version") + older.table("loopback, the version before")) // b.Log truncates
+	// b.Log would truncate the tables.
+	fmt.Println(current.table("loopback, this version") + older.table("loopback, the version before"))
 }
 
 // measureRestarts restarts each controller of a fleet with the same program, and then measures the idle load.
@@ -161,7 +162,8 @@
 	f.Close()
 }
 
-// measureUpgrade upgrades a fleet from version 1 to the current version and rolls it back.
+// measureUpgrade upgrades a fleet from version 1 to the current version. It then downgrades one controller and waits until
+// version 1 is active again.
 func measureUpgrade(tb testing.TB, seed uint64, results *measurements) {
 	tb.Helper()
 	f := &measuredFleet{newTestFleet(tb, seed), results}
--- a/internal/loopbacktest/upgrade_test.go
+++ b/internal/loopbacktest/upgrade_test.go
@@ -18,13 +18,13 @@
 )
 
 var (
-	olderBinary  = flag.String("older", "", "a binary of an earlier commit, to upgrade from; empty: this source, capped at version 1")
+	olderBinary  = flag.String("older", "", "path of a binary of an earlier commit, from which the fleet is upgraded; if empty, this source, capped at version 1")
 	seeds        = flag.Int("seeds", 2, "number of random orders of upgrades")
 	firstSeed    = flag.Uint64("seed", 1, "seed of the first random order")
 	stepsPerSeed = flag.Int("steps", 8, "steps per random order")
 )
 
-// currentProgram is the program of this source, built once for all tests.
+// currentProgram is the program that is built from this source, once for all tests.
 var currentProgram Program
 
 func TestMain(m *testing.M) {
@@ -49,7 +49,8 @@
 	return m.Run()
 }
 
-// cappedAt returns the program of this source, limited to the behavior of an earlier version that registers its versions.
+// cappedAt returns the program of this source, limited to the behavior of an earlier version. It registers the versions
+// that it supports, even if the program of that earlier version didn't.
 func cappedAt(version upgrade.Version) Program {
 	return Program{Name: fmt.Sprintf("capped at %d", version), Binary: currentProgram.Binary, Properties: fmt.Sprintf("upgrade.test.cap = %d\n", version)}
 }
@@ -70,8 +71,8 @@
 	jobs   []Job
 }
 
-// newTestFleet starts the stand-ins of a fleet. When the test ends, the fleet is closed; if the test has failed, the
-// last lines of the controllers' logs are printed.
+// newTestFleet starts the stand-ins for the services that a fleet needs, but not the controllers. When the test ends, the
+// fleet is closed. If the test has failed, the last lines of the controllers' logs are printed first.
 func newTestFleet(tb testing.TB, seed uint64) *testFleet {
 	tb.Helper()
 	fleet, err := NewFleet(tb.TempDir(), DefaultOptions())
@@ -140,8 +141,8 @@
 	}
 }
 
-// canDowngrade reports whether a controller may be downgraded: no gate newer than the baseline is in use, or another
-// controller runs the current program and thus supports the gates in use.
+// canDowngrade reports whether a controller may be downgraded. One of two conditions must hold: no feature gate of a
+// version after the baseline version is in use, or another controller runs the current program, which supports all gates.
 func (f *testFleet) canDowngrade(c *Controller) bool {
 	record, err := f.ClusterRecord(f.tb.Context())
 	if err != nil {
@@ -182,7 +183,8 @@
 	time.Sleep(time.Duration(f.random.IntN(1500)) * time.Millisecond) // up to 1.5 s between two steps
 }
 
-// checkJobs checks that services run all tasks, that other jobs complete, and that no rule was broken.
+// checkJobs checks that services run all tasks, that other jobs complete, and that the audit log has found no violation of
+// its rules.
 func (f *testFleet) checkJobs() {
 	f.tb.Helper()
 	for _, j := range f.jobs {
@@ -215,7 +217,7 @@
 }
 
 // TestUpgradesInRandomOrder upgrades, kills and rolls back three controllers in random order while
-// jobs are submitted. No replica may be lost, and none may run twice.
+// jobs are submitted. No task may be lost, and none may run twice at the same time.
 func TestUpgradesInRandomOrder(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -240,8 +242,9 @@
 	}
 }
 
-// TestFinalizedClusterRefusesOlderController checks that after finalization an older controller exits
-// with one line that names the required version, and that the other controllers continue to serve.
+// TestFinalizedClusterRefusesOlderController finalizes the current version, so that no controller may run an earlier
+// version any more. A controller of an earlier version must exit with an error. The last line of its log must name the
+// required version. The other controllers must continue to serve.
 func TestFinalizedClusterRefusesOlderController(t *testing.T) {
 	f := newTestFleet(t, 1)
 	finalizing := currentProgram
@@ -262,7 +265,7 @@
 		t.Errorf("got last line %q, want a line of sagevale with %q", got, want)
 	}
 	if code := older.process.ProcessState.ExitCode(); code == 0 {
-		t.Errorf("got exit code %d, want another", code)
+		t.Errorf("got exit code %d, want a nonzero code", code)
 	}
 	f.submit(Job{ID: "job-000002", Shape: "sweep", Tasks: 3, RunTime: 200 * time.Millisecond})
 	f.checkJobs()
@@ -274,8 +277,8 @@
 	return string(out), err
 }
 
-// TestUpgradeStatus checks the output of "upgrade status" while a controller has not registered, once the current version
-// is active, and with a damaged cluster record. The command needs only the key-value store.
+// TestUpgradeStatus checks the output of "upgrade status" in three cases: a controller has not registered its versions yet,
+// the current version is active, and the cluster record is damaged. The command needs only the key-value store.
 func TestUpgradeStatus(t *testing.T) {
 	f := newTestFleet(t, 1)
 	for _, c := range f.Controllers[:2] {
--- a/internal/protocol/activation_properties_test.go
+++ b/internal/protocol/activation_properties_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// smallClassObjective is an objective for the class "small", so that the settings define exactly this class.
+// smallClassObjective is an objective for the class "small". If the settings have objectives, activation.classes may only
+// name classes that have one.
 const smallClassObjective = "[[params.objectives]]\nkind = \"wait\"\nclass = \"small\"\nwithin_s = 1.0\nshare = 0.9\n"
 
 func TestActivationProperties(t *testing.T) {
--- a/internal/protocol/archive_properties_test.go
+++ b/internal/protocol/archive_properties_test.go
@@ -23,6 +23,7 @@
 		{file: "fencing.window = 0\n", wantError: "p: fencing.window: "},
 		{file: "fencing.window = 129\n", wantError: "p: fencing.window: "},
 		{file: "fencing.enabled = 1.5\n", wantError: "p: fencing.enabled: must be true or false"},
+		// The properties of fencing leave the defaults of the archive as they are.
 		{file: "fencing.enabled = true\nfencing.window = 128\n", want: config.Archive{KeepInJournal: 1835, MemoryBytes: 6422528}},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
--- a/internal/protocol/properties_test.go
+++ b/internal/protocol/properties_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The deprecated name of the headroom property must be accepted with a warning, and rejected together with the current
-// name.
+// The property fleet.headroom.deviations has a deprecated name, fleet.reserve.luck. The deprecated name must be accepted
+// with a warning. A file that has both names must be rejected.
 func TestParsePropertiesDeprecatedName(t *testing.T) {
 	for _, tc := range []struct {
 		file     string
--- a/internal/protocol/report_reader_test.go
+++ b/internal/protocol/report_reader_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// wireReport returns the JSON of a worker's report with running tasks.
+// wireReport returns the JSON of a worker's report with the given sequence number and number of running tasks.
 func wireReport(seq uint64, tasks int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"Mount":"host-000231","Addr":"10.1.0.232:9000","Breed":"g8","Pasture":"a","Loaner":true,"Ride":1,"Tally":%d,"Baton":41,"WarningS":null,"Chores":[`, seq)
@@ -66,7 +66,8 @@
 	}
 }
 
-// An unchanged report is by far the most frequent message, so it must not be decoded again.
+// Unchanged reports are by far the most frequent messages, so they must not be decoded again. An unchanged report differs
+// from the previous report on the connection only in its sequence number.
 func TestReportReaderAllocations(t *testing.T) {
 	var reader ReportReader
 	bodies := make([][]byte, 0, 64)
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Settings files of earlier versions have neither the gang timeouts nor announced limits of the key-value store.
+// Settings files of earlier versions have neither the gang timeouts nor the section params.state.next. This section
+// announces limits of the key-value store that will apply in the future.
 func TestParseSettingsOptionalFields(t *testing.T) {
 	s := parseTestSettings(t)
 	if s.State.Next != nil || s.GangWait != 0 || s.GangStopWindow != 0 {
--- a/internal/protocol/workers_test.go
+++ b/internal/protocol/workers_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// A task may have fields that the controller doesn't use, with values of any type.
+// A task in a report may have fields that the controller doesn't use. Their values may be of any type.
 func TestParseReportIgnoresUnknownFields(t *testing.T) {
 	want, err := ParseReport([]byte(validReport))
 	if err != nil {
@@ -46,7 +46,8 @@
 	}
 }
 
-// A report with an invalid task must be rejected: if the task were omitted, it would be taken as no longer running.
+// A report with an invalid task must be rejected. If the parser only left out the task, the controller would conclude that
+// the task no longer runs.
 func TestParseReportErrors(t *testing.T) {
 	for _, tc := range []struct{ from, to string }{
 		{`"Standing":"running"`, `"Standing":"paused"`},
--- a/internal/provisioning/history_test.go
+++ b/internal/provisioning/history_test.go
@@ -11,7 +11,7 @@
 
 func TestHistoryDetectsSlowAndFailingBoots(t *testing.T) {
 	for name, c := range map[string]struct {
-		up, abandoned, overdue []float64 // ratios to the nominal boot time
+		up, abandoned, overdue []float64 // boot times, divided by nominalBoot
 		wantSlowness           float64
 		wantFailing            bool
 	}{
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// runReporter returns the log output of a reporter that runs for a duration of simulated time at a log level.
+// runReporter runs a reporter for a duration of simulated time and returns its log output at the given level and above.
 func runReporter(t *testing.T, level slog.Level, duration time.Duration) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -15,8 +15,8 @@
 	"sagevale/internal/worker"
 )
 
-// The benchmarks of this file measure the cost of one request or connection. A fake controller handles the requests, so
-// its decisions cost nothing.
+// The benchmarks of this file measure the cost of one request or connection. Fakes respond at once, so the work of a
+// scheduler or a worker isn't measured.
 
 // roundTrip sends one request on an open connection and reads the response into buf.
 func roundTrip(b *testing.B, conn net.Conn, req, buf []byte) {
--- a/internal/transport/body_limiter_test.go
+++ b/internal/transport/body_limiter_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBodyLimiterBoundsMemory(t *testing.T) {
-	l := newBodyLimiter(Limits{MemoryMB: 16}) // of which 1 MB is for bodies
+	l := newBodyLimiter(Limits{MemoryMB: 16}) // large bodies may occupy 1 MB of this memory
 	var releases []func()
 	for len(releases) < 100 {
 		release, ok := l.acquire(protocol.MaxBodyBytes)
@@ -55,8 +55,8 @@
 	return responses
 }
 
-// Large bodies that clients send slowly, or never finish, must not occupy more than the memory for bodies. The server
-// rejects further large bodies at once and still serves small requests.
+// Clients may send large bodies slowly, or never finish them. Such bodies must not occupy more memory than is reserved for
+// bodies: the server must reject further large bodies at once and still serve small requests.
 func TestServerRejectsSlowLargeBodies(t *testing.T) {
 	const (
 		requests   = 60
@@ -92,8 +92,8 @@
 	}
 }
 
-// The server rejects a request whose Content-Length exceeds the limit before the client sends the body.
-func TestServerRejectsLargeContentLengthUnread(t *testing.T) {
+// If the Content-Length of a request exceeds the limit, the server must reject the request without waiting for the body.
+func TestServerRejectsLargeContentLengthBeforeBody(t *testing.T) {
 	addr := startServer(t, Limits{Sockets: 100, MemoryMB: 16})
 	response := <-startSlowRequests(t, addr, 1, "Content-Length: 100000000")
 	if !strings.HasPrefix(response, "HTTP/1.1 400") || !strings.Contains(response, "Connection: close") {
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -44,8 +44,8 @@
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // exchange sends one request and returns the start of the response and whether the connection stays open. If the
-// connection doesn't stay open, exchange waits until the server has closed it. Otherwise, on a busy machine, the limiter
-// might still count the connection for a while and close others.
+// connection doesn't stay open, exchange waits until the server has closed it. Without this wait, on a busy machine, the
+// limiter might still count the connection as open and therefore close other connections.
 func exchange(t *testing.T, conn net.Conn, req []byte) (response string, staysOpen bool) {
 	t.Helper()
 	if _, err := conn.Write(req); err != nil {
@@ -66,9 +66,9 @@
 	return response, false
 }
 
-// With more workers than sockets, the server must close the worker connections beyond the workers' share after the
-// response, and users and health checks must still be able to connect. Without this, a load balancer once treated a node
-// as failed when all its connections were in use.
+// Even if there are more workers than sockets, users and health checks must be able to connect. The server must therefore
+// close every worker connection that exceeds the workers' share of the sockets, after the response to the heartbeat. Before
+// the server did this, all connections of a node were once in use, and a load balancer treated the node as failed.
 func TestServerReservesConnectionsForOthers(t *testing.T) {
 	const sockets = 60
 	l := newPipeListener()
@@ -88,7 +88,7 @@
 	if got, want := len(open), socketShare(sockets, workerSocketShare); got != want {
 		t.Errorf("%d connections of workers stay open, want %d", got, want)
 	}
-	// Health checks first use the remaining connections and then replace worker connections.
+	// The first health checks use the free connections. For the others, the server must close idle worker connections.
 	for i := range sockets / 2 {
 		response, staysOpen := exchange(t, l.dial(), []byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
 		if !staysOpen || !strings.HasPrefix(response, "HTTP/1.1 200") {
@@ -102,6 +102,6 @@
 		}
 	}
 	if closed == 0 || closed == len(open) {
-		t.Errorf("%d of %d connections of workers were closed, want some", closed, len(open))
+		t.Errorf("%d of %d connections of workers were closed, want some but not all", closed, len(open))
 	}
 }
--- a/internal/transport/fakes_test.go
+++ b/internal/transport/fakes_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// fakePeerHandler handles the requests of other controllers. It accepts only the heartbeats of machine 1.
+// fakePeerHandler responds to the requests of other controllers. It returns no responses to a batch of heartbeats if any
+// of them is from a machine other than machine 1.
 type fakePeerHandler struct{}
 
 func (fakePeerHandler) HandleForwardedRequest(_ context.Context, req api.Request) api.Response {
@@ -88,8 +89,8 @@
 	return conn
 }
 
-// startServer starts a server with an accepting controller and returns its address. The server is stopped when the test
-// ends.
+// startServer starts a server with the controller of acceptingController and returns the server's address. The server is
+// stopped when the test ends.
 func startServer(tb testing.TB, limits Limits) string {
 	tb.Helper()
 	l := listen(tb)
@@ -97,8 +98,8 @@
 	return l.Addr().String()
 }
 
-// serve starts a server with an accepting controller on l. The function that it returns stops the server and waits until
-// it has stopped. The same happens when the test ends.
+// serve starts a server with the controller of acceptingController on l. The returned function stops the server and waits
+// until it has stopped. The function is also called when the test ends, and may be called twice.
 func serve(tb testing.TB, l net.Listener, limits Limits) (stop func()) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,7 +135,7 @@
 	return w.Bytes()
 }
 
-// heartbeatRequest returns the HTTP request with a heartbeat of a worker with the given number of running tasks.
+// heartbeatRequest returns the HTTP request of a worker's heartbeat. The worker has the given number of running tasks.
 func heartbeatRequest(tasks int) []byte {
 	body := reportJSON(tasks)
 	return fmt.Appendf(nil, "POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/transport/freeze_test.go
+++ b/internal/transport/freeze_test.go
@@ -17,8 +17,9 @@
 	"sagevale/internal/worker"
 )
 
-// TestFreeze writes the messages that controllers of this version exchange to files in the directory that the
-// environment variable FREEZE names. The README.md of each directory in testdata describes its files.
+// TestFreeze writes examples of the messages that controllers exchange to files, so that later versions can be tested with
+// the messages of this version. The environment variable FREEZE names the directory of the files. The README.md of each
+// directory in testdata describes the files of that directory.
 func TestFreeze(t *testing.T) {
 	write := func(name string, messages ...any) {
 		var buf bytes.Buffer
@@ -54,7 +55,8 @@
 		usageAnswer{Serial: 5, Usage: &activation.UsageResponse{Verdict: activation.VerdictKnown, Draining: []activation.DrainOrder{{Model: "000007", Drain: 4}}, Reason: "none"}})
 }
 
-// Version numbers that earlier versions send in their status. This version sends another number in the same message.
+// Version numbers that controllers of earlier versions send in their status. A controller of this version sends
+// peer.Version in the same place.
 const (
 	version769a0b2     = 2
 	versionRegistering = 3
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -23,7 +23,7 @@
 func TestMessagesOfEarlierVersions(t *testing.T) {
 	for _, tc := range []struct {
 		directory string
-		version   int // version number in the status that this version sends
+		version   int // version number in the recorded status
 	}{
 		{"production", 0}, {"769a0b2", 2}, {"registering", 3}, {"token-ranges", 4}, {"activation", peer.Version},
 	} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkRequests checks that the requests that one version has sent are decoded correctly.
+// checkRequests checks that the requests recorded from one version are decoded correctly.
 func checkRequests(t *testing.T, messages *gob.Decoder) {
 	t.Helper()
 	var ping, submission, heartbeats peerAsk
@@ -52,7 +52,8 @@
 	}
 }
 
-// checkResponses checks that the responses that one version has sent are decoded correctly.
+// checkResponses checks that the responses recorded from one version are decoded correctly. version is the expected
+// version number in the status.
 func checkResponses(t *testing.T, messages *gob.Decoder, version int) {
 	t.Helper()
 	var ping, user, heartbeats peerAnswer
@@ -70,8 +71,8 @@
 	}
 }
 
-// Wake requests, usage reports and their responses must be decoded as the first version that has them sent them. All
-// four messages come from one gob stream, as on a connection.
+// Wake requests, usage reports and their responses must be decoded correctly. The file holds these four messages as they
+// were sent by the first version that supports them. They form one gob stream, as on a connection.
 func TestActivationMessages(t *testing.T) {
 	messages := openMessages(t, "activation", "wakes.gob")
 	var wakeRequest, usageRequest receivedRequest
@@ -97,7 +98,7 @@
 	}
 }
 
-// openMessages returns a decoder for the messages in a file of a directory in testdata.
+// openMessages returns a decoder for the messages in the named file. The file is in a subdirectory of testdata.
 func openMessages(t *testing.T, directory, name string) *gob.Decoder {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", directory, name))
@@ -107,7 +108,8 @@
 	return gob.NewDecoder(bytes.NewReader(raw))
 }
 
-// The types into which the version in production decodes messages, with the fields that it reads.
+// The types into which the version that runs in production decodes responses. They have only the fields that the
+// production version reads.
 type (
 	productionPeerState struct {
 		Up, SinceState time.Duration
@@ -161,7 +163,8 @@
 	}
 }
 
-// This version must decode the fields that it has from a later version's message, and ignore the others.
+// A message of a later version may have fields that this version doesn't have. This version must ignore these fields and
+// decode the others.
 func TestMessagesOfLaterVersions(t *testing.T) {
 	var sent laterPeerAnswer
 	sent.Serial, sent.Answer.ID, sent.Answer.Peer.Version, sent.More = 9, "000007", 99, []string{"x"}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("ForwardHeartbeats returned %+v, %v; want two responses in order", responses, err)
 	}
 	if _, err := p.ForwardHeartbeats(ctx, "n1", []*worker.Report{{Machine: 2}}); !errors.Is(err, errPeerUnreachable) {
-		t.Errorf("ForwardHeartbeats to a peer that doesn't decide on them returned %v, want errPeerUnreachable", err)
+		t.Errorf("ForwardHeartbeats to a peer that doesn't handle them returned %v, want errPeerUnreachable", err)
 	}
 	if status, ok := p.Status("n1"); !ok || status.Leader != "n0" || status.Received.Before(status.Sent) {
 		t.Errorf("Status returned %+v, %v", status, ok)
@@ -78,7 +78,7 @@
 func TestServePeersClosesUnreadableConnection(t *testing.T) {
 	addr, _ := startPeerServer(t)
 	conn := dial(t, addr)
-	const invalidLength = "\x80" // of a gob message, which starts with its length
+	const invalidLength = "\x80" // a gob message starts with its length; this byte isn't a valid length
 	if _, err := io.WriteString(conn, invalidLength); err != nil {
 		t.Fatal(err)
 	}
@@ -95,8 +95,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// All peers must be pinged at the same time, so that the process wakes up only once per interval. A client that doesn't
-// take its ping must not delay the others.
+// All peers must be pinged at the same time, so that the process wakes up only once per interval. If one client doesn't
+// receive from its channel of pings, the pings of the other clients must not be delayed.
 func TestPeersPingTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const interval = 500 * time.Millisecond
@@ -135,7 +135,7 @@
 	})
 }
 
-// countingConn counts the writes to it, or fails them if it is broken.
+// countingConn is a connection that counts the writes to it. If broken is set, each write fails instead.
 type countingConn struct {
 	net.Conn
 	writes int
@@ -171,8 +171,8 @@
 	return result
 }
 
-// Each message that is sent alone wakes up the peer. Polls must therefore be sent in a batch, either with the next
-// urgent request or when the batch window ends.
+// Each write to the connection wakes up the peer. Polls must therefore be collected and sent in one write, either together
+// with the next urgent request or when the batch window ends.
 func TestPeerClientBatchesPolls(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -209,6 +209,6 @@
 		t.Errorf("result %+v, want errPeerUnreachable", r)
 	}
 	if c.conn != nil || c.flushTimer != nil {
-		t.Error("the connection is kept")
+		t.Error("the connection or the flush timer is kept after the write error")
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -56,7 +56,7 @@
 			}
 			retryAfter := w.Header().Get("Retry-After")
 			if got, want := retryAfter != "", tc.status == 503 || tc.status == 429; got != want {
-				t.Errorf("Retry-After is %q, want one: %v", retryAfter, want)
+				t.Errorf("Retry-After is %q, want it set: %v", retryAfter, want)
 			}
 		})
 	}
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/worker"
 )
 
-// fixedResponse returns a handler that sends the same response to every request, in place of a worker.
+// fixedResponse returns a handler that acts as a worker and sends the same response to every request.
 func fixedResponse(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -20,8 +20,8 @@
 	}
 }
 
-// A command that was certainly not sent may be sent to another worker at once. A command that may have been sent must
-// not, so the outcomes have to distinguish the two.
+// If a command was certainly not sent, it may be sent to another worker at once. If the command may have been sent, it
+// must not be sent to another worker yet. The outcomes must therefore distinguish these two cases.
 func TestWorkerClientOutcomes(t *testing.T) {
 	client := NewWorkerClient(100, discardLogger)
 	for _, tc := range []struct {
@@ -54,7 +54,7 @@
 	})
 }
 
-// Commands must not be sent once sendBy has passed.
+// SendCommands must send nothing once sendBy, the deadline for sending the commands, has passed.
 func TestWorkerClientDropsLateCommands(t *testing.T) {
 	received := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received <- struct{}{} }))
--- a/internal/wire/coordination/messages_test.go
+++ b/internal/wire/coordination/messages_test.go
@@ -11,8 +11,8 @@
 	"sagevale/internal/worker"
 )
 
-// Every field of a domain type must be converted in both directions. A missing field would be lost between controllers
-// without any error.
+// Every field of a domain type must be converted to its wire type and back. A field that isn't converted would be lost
+// between controllers without any error.
 func TestEveryDomainFieldIsMapped(t *testing.T) {
 	t.Run("request", func(t *testing.T) {
 		want := nonZero[api.Request](t)
