--- a/internal/activator/model.go
+++ b/internal/activator/model.go
@@ -13,9 +13,11 @@
 
 	wakePending     bool      // a wake request is in flight
 	undecidedWakes  int       // number of consecutive wake requests without a usable response; see scheduleRetry
-	undecidedReason string    // reason given in the latest of these responses
+	undecidedReason string    // reason given in the latest response that wasn't usable
 	retryAt         time.Time // no wake request is sent before this time
-	demandUntil     time.Time // wake requests are repeated until this time or a usable response, even if no request waits
+	// Until demandUntil, wake requests are repeated even if no request waits for the model. handleWakeResponse clears
+	// demandUntil when a usable response arrives.
+	demandUntil time.Time
 
 	waiting   []*request // requests that wait for a decision, in order of arrival
 	inFlight  int        // granted requests that haven't finished
@@ -37,8 +39,8 @@
 // responseValid reports whether the leader's latest response is still valid for deciding on requests.
 func (m *model) responseValid(now time.Time) bool { return now.Before(m.validUntil) }
 
-// needsWake reports whether demand for the model requires a wake request now. None is required while one is in flight,
-// while the latest response is valid, and before retryAt.
+// needsWake reports whether a new request for the model requires that a wake request be sent now. No wake request is
+// required while another one is in flight, while the latest response is valid, or before retryAt.
 func (m *model) needsWake(now time.Time) bool {
 	return !m.wakePending && !m.responseValid(now) && !now.Before(m.retryAt)
 }
--- a/internal/archive/index.go
+++ b/internal/archive/index.go
@@ -12,7 +12,7 @@
 const (
 	Unknown LookupStatus = iota // the job's page has to be read: it isn't in memory, or its copy is damaged
 	Found                       // the job is archived; its final state never changes
-	Absent                      // the job wasn't in its page when the page was read
+	Absent                      // the job wasn't in its page when the page was read, or there were no pages; see Result.Term
 	Damaged                     // the job's page can't be decoded
 )
 
@@ -20,8 +20,10 @@
 type Result struct {
 	Status     LookupStatus
 	FinalState FinalState // if Found
-	Term       uint64     // if Absent: the leader's term for which the absence is certain; 0: for no term
-	Key        string     // if Damaged: key of the page
+	// Term is set if Status is Absent. Only the leader of this term may conclude that the job isn't archived. For other
+	// leaders, the job may have been archived after its page was read. 0: no leader may conclude this.
+	Term uint64
+	Key  string // if Damaged: key of the page
 }
 
 // Index holds the pages in memory. When the packed pages exceed the size limit, it evicts the entries of
@@ -56,15 +58,15 @@
 	case len(s.pages) == 0 && s.complete:
 		return Result{Status: Absent, Term: s.term}
 	case i == len(s.pages):
-		return Result{} // the last page is missing, in the index or also in the store
+		return Result{} // the archive's last page is missing from the index, and possibly also from the store
 	case s.pages[i].damaged, s.pages[i].evicted, number <= s.pages[i].lower:
 		return Result{}
 	}
 	return s.pages[i].lookup(number, s.term)
 }
 
-// ExactFor reports whether the whole index is exact for a leader's term, so that the leader of this term can
-// conclude from it that a job isn't archived.
+// ExactFor reports whether the whole index is exact for a leader's term. If it is, the leader of this term can
+// conclude from the index that a job isn't archived.
 func (x *Index) ExactFor(term uint64) bool { return x.current.Load().term == term }
 
 // update applies f to a copy of the snapshot, evicts entries if the copy exceeds the size limit, and
@@ -120,7 +122,8 @@
 	}
 }
 
-// Stats holds the numbers of jobs and pages in an index, and the total size of the packed pages in memory.
+// Stats holds the numbers of jobs and pages in an index, and the total size of the packed pages in memory. Damaged
+// and Evicted are the numbers of damaged pages and of pages whose entries were evicted.
 type Stats struct {
 	Jobs, Pages, Damaged, Evicted, Bytes int  // Jobs excludes the jobs in damaged pages
 	Complete                             bool // all pages have been read from the store since the index was created
--- a/internal/archive/refresh_test.go
+++ b/internal/archive/refresh_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// dropAllPages removes all pages from the archive.
+// dropAllPages removes the archive's pages one by one, until FirstPage returns no page.
 func dropAllPages(t *testing.T, leader *Archiver) {
 	t.Helper()
 	for {
@@ -55,7 +55,7 @@
 	}
 }
 
-// countingStore counts the List requests, which load all pages.
+// countingStore counts the List requests. In this file's tests, one List request loads all pages of the archive.
 type countingStore struct {
 	storage.KeyValueStore
 	lists int
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxRemovalTrials is the maximum number of machines with tasks that one snapshot tests for being surplus.
-	// The next snapshot continues where this snapshot stopped.
+	// maxRemovalTrials limits the tests whether a machine is surplus: it is the maximum number of machines with tasks
+	// that are tested per snapshot. The next snapshot continues where this snapshot stopped.
 	maxRemovalTrials = 8
 	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus. One
 	// machine may be reported even if it is more than this share.
@@ -28,7 +28,9 @@
 func (r *Reviewer) findSurplus(p *packing, now time.Time) []SurplusMachine {
 	maxSurplus := max(1, int(maxSurplusShare*float64(len(p.candidates))))
 	var surplus []SurplusMachine
-	busySeen, busySkipped := 0, r.surplusCursor // numbers of machines with tasks: seen so far, and to skip as tested before
+	// busySeen is the number of machines with tasks that were seen so far. The first busySkipped of them are skipped,
+	// because an earlier snapshot has tested them.
+	busySeen, busySkipped := 0, r.surplusCursor
 	r.surplusCursor = 0
 	for _, c := range r.sortedByWaste(p, now) {
 		if len(surplus) == maxSurplus {
@@ -89,9 +91,9 @@
 }
 
 // canRemove reports whether the fleet can do without a candidate. For this, the tasks that run on the candidate and the
-// tasks that the packing has put there must fit on other candidates that are ready, in the resources that the packing
-// has left free. If they fit, canRemove takes the resources from the other candidates. Running services fit only on
-// machines that have cached their image.
+// tasks that the packing has put on the candidate must fit on other candidates that are ready, in the resources that the
+// packing has left free. If the tasks fit, canRemove takes the resources from the other candidates. A running service
+// fits only on a machine that has cached the service's image.
 func (r *Reviewer) canRemove(p *packing, c *placement.Candidate, now time.Time) bool {
 	ready := func(o *placement.Candidate, _ *cluster.Job) bool { return o != c && o.Machine != nil && !o.Booting }
 	readyWithImage := func(o *placement.Candidate, j *cluster.Job) bool {
@@ -108,7 +110,7 @@
 	}
 	for _, task := range c.Packed {
 		if task.Opportunistic && !r.affordable(c.Offering, task.Job) {
-			continue // the task waits for cheaper machines instead
+			continue // the machine isn't kept for this task, which waits for cheaper machines
 		}
 		zones := placement.NewZoneCheck(task.Job)
 		target := r.planner.BestFit(p.candidates, task.Job, &zones, ready)
@@ -121,8 +123,8 @@
 	return true
 }
 
-// planMove takes a candidate's resources for a task that would move there. The returned function gives the resources
-// back and then calls undoEarlier, which undoes the earlier calls of planMove.
+// planMove takes resources from a candidate for a task that would move to the candidate. The returned function
+// gives the resources back and then calls undoEarlier, which undoes the earlier calls of planMove.
 func planMove(c *placement.Candidate, j *cluster.Job, undoEarlier func()) (undo func()) {
 	c.Free = c.Free.Sub(j.Spec.Resources)
 	c.PlannedMoves++
@@ -144,9 +146,9 @@
 }
 
 // planMoves checks whether the services on a machine would fit on the candidates, and takes the services'
-// resources from the candidates. If includeCheckpointed is true, this includes the tasks that save checkpoints, except
-// those of gangs, because a drain stops these tasks. All other tasks may finish on the machine, or may wait if they are
-// stopped. undo gives the resources back. The caller must call it if ok is false.
+// resources from the candidates. If includeCheckpointed is true, planMoves does the same for tasks that save checkpoints
+// and don't belong to a gang, because a drain stops these tasks. All other tasks may finish on the machine, or may wait
+// if they are stopped. undo gives the resources back. The caller must call undo if ok is false.
 func (r *Reviewer) planMoves(m *cluster.Machine, candidates []*placement.Candidate, includeCheckpointed bool, now time.Time, suits func(*placement.Candidate, *cluster.Job) bool) (undo func(), ok bool) {
 	undo = func() {}
 	for _, a := range m.SortedAttempts() {
@@ -155,7 +157,7 @@
 			continue
 		}
 		if includeCheckpointed && r.settings.IsOpportunistic(spec) && !r.affordable(m.Offering(), a.Job) {
-			continue // the task waits for cheaper machines instead
+			continue // the machine isn't kept for this task, which waits for cheaper machines once it is stopped
 		}
 		if includeCheckpointed && r.moveMissesDeadline(a, now) {
 			return undo, false
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -31,8 +31,9 @@
 	// ErrUnknownOutcome means that there was no usable response. The request may have been executed, or may
 	// still be executed later.
 	ErrUnknownOutcome = errors.New("outcome of the cloud request is unknown")
-	// ErrRejected means that the request was certainly not executed.
+	// ErrRejected means that the request was certainly not executed, for a reason that the other errors don't
+	// cover: it could not be sent, or the cloud refused it with HTTP status 429 or 503.
 	ErrRejected = errors.New("cloud did not execute the request")
-	// ErrMalformed means that the cloud rejected the request as malformed.
+	// ErrMalformed means that the cloud refused to execute the request because it is invalid (HTTP status 400).
 	ErrMalformed = errors.New("cloud rejected the request as malformed")
 )
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -57,15 +57,18 @@
 // Key returns the key that identifies the attempt.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{ID: a.ID(), Number: a.Number} }
 
-// StartMayBeDelivered reports whether a start command may have reached the worker.
+// StartMayBeDelivered reports whether a start command may have reached the worker. If an earlier leader reserved the
+// attempt, that leader may have sent the command. In this term, the command may have arrived if a report has listed the
+// attempt, if the response to a report contained the command, or if a direct command was sent and not rejected.
 func (a *Attempt) StartMayBeDelivered() bool {
 	return !a.ThisTerm || a.Reported || a.CommandedSeq != 0 || a.Delivery != DeliveryNone
 }
 
 // RecordStartCommanded records that the response to a report contains the start command. From then on, an attempt that
-// an earlier leader reserved counts as an attempt of this term. Until then, a report under a token of this term that
-// doesn't list the attempt proves that it can't start, because the worker rejects the commands of earlier leaders.
-// After that, such a report proves nothing, because the worker may have sent it before it received this response.
+// an earlier leader reserved counts as an attempt of this term. This changes what is known if a report with a token of
+// this term doesn't list the attempt. Before, such a report proved that the attempt can't start, because the worker
+// rejects the commands of earlier leaders. Now the worker may have sent the report before it received the response, so
+// the report proves nothing.
 func (a *Attempt) RecordStartCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
 
 // StartUnresolved reports whether the worker may still execute a direct start command that it hasn't responded to.
--- a/internal/cluster/machine_types.go
+++ b/internal/cluster/machine_types.go
@@ -21,7 +21,7 @@
 // Count returns the number of types. It is 0 until the types are known.
 func (t *MachineTypes) Count() int { return len(t.names) }
 
-// set replaces the types.
+// set replaces all types by copies of the given types.
 func (t *MachineTypes) set(types []storage.MachineType) {
 	t.byName = make(map[string]*storage.MachineType, len(types))
 	t.names = t.names[:0]
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -10,7 +10,8 @@
 	jobs []string // job IDs, at most maxRemembered
 }
 
-// RecordFailure records that a task of the job failed on the machine.
+// RecordFailure records that a task of the job failed on the machine. A job counts only once, however many of its tasks
+// fail. Once maxRemembered jobs are recorded, further jobs are ignored.
 func (m *Machine) RecordFailure(job string) {
 	if len(m.jobs) < maxRemembered && !slices.Contains(m.jobs, job) {
 		m.jobs = append(m.jobs, job)
--- a/internal/fencing/model_test.go
+++ b/internal/fencing/model_test.go
@@ -19,6 +19,7 @@
 	attempt            attempt
 }
 
+// heartbeat lists the attempts of a worker: live attempts run, and ended attempts are still retained.
 type heartbeat struct {
 	worker                  int
 	incarnation, seq, token uint64
@@ -29,7 +30,7 @@
 type worker struct {
 	token, incarnation, seq uint64
 	attempts                map[attempt]bool // true: the attempt runs; false: the attempt has ended, and the worker retains it
-	forgotten               map[attempt]bool
+	forgotten               map[attempt]bool // attempts that the worker no longer retains; they must not start again
 }
 
 // workerView is the leader's state of one worker.
@@ -144,7 +145,8 @@
 	}
 }
 
-// heartbeat returns a worker's next heartbeat.
+// heartbeat returns a worker's next heartbeat. It also keeps the heartbeat in w.heartbeats, so that step can deliver late
+// copies.
 func (w *world) heartbeat(workerIndex int) heartbeat {
 	worker := w.workers[workerIndex]
 	worker.seq++
@@ -191,8 +193,8 @@
 	}
 }
 
-// respond has the worker carry out the response to a heartbeat: the worker starts the reserved attempts
-// and forgets ended ones that it need not retain.
+// respond has the worker carry out the response to a heartbeat. The worker starts the reserved attempts. Of
+// the ended attempts that the heartbeat lists, it forgets those that it doesn't have to retain.
 func (w *world) respond(view *workerView, worker *worker, h heartbeat) {
 	for a := range view.reserved {
 		w.startAttempt(worker, a)
--- a/internal/fleetload/latency.go
+++ b/internal/fleetload/latency.go
@@ -35,7 +35,7 @@
 	MaxMS  float64 `json:"most_ms"`
 }
 
-// quantiles returns the quantiles of a histogram of microseconds.
+// quantiles returns the Quantiles, in milliseconds, of a histogram that holds microseconds.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	return Quantiles{
--- a/internal/loopbacktest/controller.go
+++ b/internal/loopbacktest/controller.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 )
 
-// Program is a binary of the controllers' program, together with the operators' properties with which it is started.
+// Program is a build of the controller, together with the properties file with which the controller is started.
 type Program struct {
 	Name       string // identifies the program in tests, such as "older"
 	Binary     string // path
@@ -43,9 +43,9 @@
 	return c, nil
 }
 
-// The range of the controllers' ports. The operating system assigns higher ports to outgoing connections and to listeners
-// that request no specific port. If the ranges overlapped, the system could assign a port to another socket after
-// freeAddress has chosen the port and before the controller listens on it.
+// The range of the controllers' ports. The operating system assigns ports above this range to outgoing connections and to
+// listeners that request no specific port. If the ranges overlapped, the system could assign a port to another socket
+// after freeAddress has chosen the port and before the controller listens on it.
 const (
 	firstPort = 16_000
 	portCount = 16_000
@@ -59,7 +59,7 @@
 	return &n
 }()
 
-// freeAddress returns an address of the loopback interface whose port is not in use.
+// freeAddress returns a loopback address with a port that is not in use.
 func freeAddress() (string, error) {
 	var err error
 	for range portCount {
@@ -127,8 +127,8 @@
 	return filepath.Join(f.dir, c.Name+".properties")
 }
 
-// writeConfig writes the controller's settings file and, if the program has properties, its properties file. It returns the
-// command-line arguments with the paths of these files.
+// writeConfig writes the controller's settings file. If c.Program.Properties isn't empty, it also writes the properties
+// file. It returns the command-line arguments with the paths of the written files.
 func (f *Fleet) writeConfig(c *Controller) (args []string, err error) {
 	if err := os.WriteFile(f.settingsPath(c), []byte(f.settings(c)), 0o600); err != nil {
 		return nil, err
--- a/internal/loopbacktest/options.go
+++ b/internal/loopbacktest/options.go
@@ -5,7 +5,7 @@
 // Timing holds intervals, limits and simulated durations of the workers.
 type Timing struct {
 	Heartbeat            time.Duration // interval between two heartbeats
-	MinHeartbeatInterval time.Duration // interval before a heartbeat that is sent early because of a change
+	MinHeartbeatInterval time.Duration // interval between two heartbeats if the second one is sent early to report a change
 	Lease                time.Duration // duration of a worker's lease
 	CancelLimit          time.Duration // how long a job's tasks may still run after the job's cancellation was confirmed
 	Boot                 time.Duration // boot time of a machine
@@ -27,7 +27,8 @@
 	MachineLimit int     // maximum number of machines in the cloud; 0: no limit
 	MachineCPUs  float64 // processors per machine
 
-	// The limits of the key-value store. The stand-in enforces only ValueKB and TxnOps.
+	// The limits of the key-value store. Of these limits, the fleet's stand-in for the key-value store enforces only
+	// ValueKB and TxnOps.
 	RequestsPerS, ChangesPerS, ValueKB float64
 	TxnOps                             int
 
--- a/internal/loopbacktest/user_client.go
+++ b/internal/loopbacktest/user_client.go
@@ -34,8 +34,8 @@
 type JobStatus struct {
 	Code    int    `json:"Status"`   // HTTP status code
 	State   string `json:"Standing"` // state of the job on the wire, such as "done"
-	Running int    `json:"running"`  // number of running tasks
-	Done    int    `json:"done"`     // number of completed tasks
+	Running int    `json:"running"`  // number of the job's tasks that run at present
+	Done    int    `json:"done"`     // number of the job's tasks that have completed
 	// RetryAfter is how long the response asks the user to wait before a retry. It is 0 if the response doesn't ask for a pause.
 	RetryAfter time.Duration `json:"-"`
 }
@@ -120,8 +120,8 @@
 	}
 }
 
-// Submit submits a job, with retries until a controller returns a result or the timeout has passed. The defaults of Job.Team
-// and Job.CPUs apply.
+// Submit submits a job, with retries until a controller returns a result or the timeout has passed. If j.Team
+// is empty, the fleet's first team is used. If j.CPUs is 0, each task gets one CPU.
 func (f *Fleet) Submit(j Job, timeout time.Duration) error {
 	if j.Team == "" {
 		j.Team = f.options.Teams[0].Name
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -13,12 +13,12 @@
 // gangPreemption describes which attempts must be stopped on a candidate so that tasks of a gang fit there.
 type gangPreemption struct {
 	candidate *Candidate
-	tasks     int // tasks of the gang that then fit on the candidate
+	tasks     int // number of the gang's tasks that fit on the candidate once the victims have stopped
 	victims   []*cluster.Attempt
 	cost      float64 // preemption cost of the victims, in CPU seconds
 }
 
-// costPerTask returns the preemption cost per task of the gang that then fits on the candidate.
+// costPerTask returns the preemption cost on the candidate, divided by the number of the gang's tasks that then fit.
 func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
 
 // preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
@@ -42,8 +42,9 @@
 	return best != nil
 }
 
-// planGangPreemption chooses candidates of the group for all waiting tasks of a gang, and selects the attempts to stop
-// on each candidate. It returns nil if not all tasks would fit. cost is the total preemption cost.
+// planGangPreemption chooses candidates for all waiting tasks of a gang, and selects the attempts to stop on each chosen
+// candidate. group holds the candidates from which it may choose: see gangCandidates. It returns nil if not all tasks
+// would fit. cost is the total preemption cost.
 func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
 	rights := preemptionRights{priority: j.Spec.Priority}
 	options, capacity := p.gangPreemptionOptions(j, group, rights, now)
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -28,8 +28,8 @@
 	p.maxPerGPU, p.maxPerGPUUpdatedAt = r, time.Now()
 }
 
-// Once a search has found no candidate for a shape, that is for tasks with the same requirements, later searches for
-// this shape look only at candidates that were added after the first search.
+// Tasks with the same requirements have the same shape. Once a search has found no candidate for a shape, later searches
+// for this shape look only at candidates that were added after the first search.
 func TestExhaustedShapeIsSearchedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
@@ -92,8 +92,9 @@
 	})
 }
 
-// Opportunistic tasks must leave free the headroom of services, and the CPUs that tasks need to use the free GPUs. In a
-// former version opportunistic tasks took up both.
+// Opportunistic tasks must not use the headroom, which is kept free for services. On a machine with free GPUs, they must
+// also leave enough CPUs for the tasks that will use these GPUs. In a former version they took up the headroom and these
+// CPUs.
 func TestOpportunisticWorkLeavesHeadroomAndGPUs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, fleet := newTestPlanner()
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -9,7 +9,7 @@
 	"sagevale/internal/config"
 )
 
-// Names of the operators' properties for services that scale to zero.
+// Names of the properties for services that scale to zero. Operators set properties in the properties file.
 const (
 	activationClassesProperty       = "activation.classes"
 	activationListenProperty        = "activation.listen"
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Settings files of earlier versions have neither the gang timeouts nor announced limits of the key-value store.
+// The gang timeouts and the section [params.state.next] are optional, because settings files of earlier versions don't
+// have them. The section holds lower limits that the key-value store will enforce at some later time.
 func TestParseSettingsOptionalFields(t *testing.T) {
 	s := parseTestSettings(t)
 	if s.State.Next != nil || s.GangWait != 0 || s.GangStopWindow != 0 {
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -69,8 +69,9 @@
 }
 
 // answerFromArchive handles a request for a job that isn't in the leader's memory. It returns true if the request has been
-// answered, or will be answered once the archive page has been read that may contain the job. It returns false if the job
-// certainly isn't archived, or if this controller isn't certain to be the leader.
+// answered, or if it has started to read the archive page that may contain the job. In the latter case, handleArchiveRead
+// answers the request. It returns false if the job certainly isn't archived, or if this controller isn't certain to be the
+// leader.
 func (s *scheduler) answerFromArchive(m userMessage, now time.Time) bool {
 	number, ok := archive.ParseJobNumber(m.req.ID)
 	if !s.archiveInUse || !ok {
@@ -137,8 +138,8 @@
 	s.releaseFinalJob(j)
 }
 
-// finalizeArchivedJobs calls finalizeArchived for all open jobs. It does so once per term, after all pages of the archive
-// have been read.
+// finalizeArchivedJobs calls finalizeArchived for all open jobs, because an open job may already have a final state in the
+// archive. It does so once per term, after all pages of the archive have been read.
 func (s *scheduler) finalizeArchivedJobs() {
 	if !s.archiveInUse || s.archiveCompared || !s.archive.Index.ExactFor(s.term) {
 		return
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/worker"
 )
 
-// acceptedJobBytes is the typical size of an accepted job's record, in bytes. The initial estimate of the throughput of
-// submissions uses this size, until the throughput has been measured.
+// acceptedJobBytes is the typical size of an accepted job's record, in bytes. It converts numbers of bytes to numbers of
+// submissions. newAdmission uses it for the initial throughput, which applies until the throughput has been measured.
 const acceptedJobBytes = 250
 
 // maxSubmissionWait is how long a submission may wait for its commit. The protocol lets users time out after 5 s, and the
@@ -136,8 +136,10 @@
 	s.journal.Append(ctx, storage.Batch{Records: records, Ack: func(err error) { s.post(committedMessage{err}) }})
 }
 
-// limitBulk limits how many bytes of the bulk lane the next commit may contain. The journal's rate limit saves up unused
-// changes. Part of them is reserved for the other lanes, and the bulk lane may use the remaining changes.
+// limitBulk limits how many bytes of records the next commit may take from the bulk lane. The journal's change budget is a
+// token bucket, and each operation of a transaction takes one token. bulkPacer reserves part of the bucket for the other
+// lanes, and returns how many tokens above this part the bulk lane may use. BytesPerChange converts tokens to bytes. Once
+// the bulk lane has been held back for too long, bulkPacer allows one commit any number of its bytes.
 func (s *scheduler) limitBulk(now time.Time) {
 	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
@@ -169,7 +171,7 @@
 	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool { return w.answered })
 }
 
-// noData is the data function of a record that is to be removed, and returns nil.
+// noData returns nil. It is passed to Mark as the data function of a record that is to be removed.
 func noData() any { return nil }
 
 // committedMessage carries the result of the commit in flight.
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -286,9 +286,9 @@
 	return len(n.settings.Peers) == 0
 }
 
-// leader returns the name of the leader, or "" if no leader is known. Usually this is the leader in this controller's role.
-// If the peers' statuses name another controller as the leader of a higher term, leader returns that controller's name,
-// because this controller may have lost contact with the key-value store.
+// leader returns the name of the leader, or "" if no leader is known. Usually it returns the leader that this controller's
+// election has found. If the peers' statuses name another controller as the leader of a higher term, it returns the name of
+// that controller, because this controller may have lost contact with the key-value store.
 func (n *Node) leader(v *view) string {
 	if peersLeader, peersTerm := n.deps.Peers.KnownLeader(); peersTerm > v.role.Term && peersLeader != n.settings.NodeName {
 		return peersLeader
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -245,7 +245,7 @@
 }
 
 // requestFrom sends a user's request to one node. It checks that the response doesn't contradict any response that
-// was received before the request was sent: a known job must not be unknown, and a final state must not change.
+// was received before the request was sent: a known job must not become unknown, and a final state must not change.
 func (sim *simulation) requestFrom(n *fakeNode, op api.Op, id string, spec storage.Spec) api.Response {
 	live := n.runningProcess.Load()
 	if live == nil {
@@ -316,8 +316,8 @@
 	}
 }
 
-// watchCancelledJobs advances the gangs and checks that no task runs beyond its job's cancel timeout, every
-// 250 ms until the scenario has ended.
+// watchCancelledJobs runs until the scenario has ended. Every 250 ms it advances the gangs, and checks that no task
+// of a cancelled job still runs after the cancel timeout.
 func (sim *simulation) watchCancelledJobs() {
 	for !sim.ended.Load() {
 		time.Sleep(250 * time.Millisecond)
@@ -332,8 +332,8 @@
 	}
 }
 
-// checkCancelledTasks reports cancelled jobs that have tasks on a worker beyond the cancel timeout, each job
-// once. The caller holds sim.mu.
+// checkCancelledTasks reports each cancelled job that still has a task on a worker after the cancel timeout. It
+// reports a job only once. The caller holds sim.mu.
 func (sim *simulation) checkCancelledTasks(wk *fakeWorker) {
 	wk.advance()
 	for k, task := range wk.tasks {
@@ -434,9 +434,9 @@
 	}
 }
 
-// startCount returns how many start commands the workers have received so far. It includes commands that were
-// rejected for lack of resources. It leaves out commands for unknown jobs, and commands for attempts that the worker
-// already has.
+// startCount returns how many start commands the workers have received so far. It includes commands that a worker
+// rejected because it lacked resources. It leaves out commands for unknown jobs, and commands for attempts that the
+// worker already had.
 func (sim *simulation) startCount() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -21,7 +21,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// clusterRecord reads the stored cluster record.
+// clusterRecord returns the stored cluster record, or the initial record if none is stored.
 func (sim *simulation) clusterRecord() upgrade.Record {
 	sim.t.Helper()
 	client := &storagetest.Client{Service: sim.store}
@@ -45,7 +45,7 @@
 	})
 }
 
-// follower returns a node that isn't the leader.
+// follower waits until a node leads, and returns one of the other nodes.
 func (sim *simulation) follower() *fakeNode {
 	sim.t.Helper()
 	if sim.awaitLeader() == sim.nodes[0] {
@@ -267,7 +267,7 @@
 	})
 }
 
-// A damaged registration delays the activation of a version until its node registers again.
+// If the registration of a node is damaged, the activation of a version waits until the node registers again.
 func TestDamagedRegistrationDelaysActivation(t *testing.T) {
 	runSimulation(t, func(sim *simulation) {
 		sim.restartAllWithVersion(upgrade.Version1)
@@ -372,7 +372,8 @@
 			if n.node.settings.Tuning.Upgrade.Policy.Target == 0 {
 				continue
 			}
-			n.cutStore.Store(true) // so that the node without a target becomes the leader
+			// Cut the nodes with a target off from the store, so that the restarted node becomes the leader.
+			n.cutStore.Store(true)
 			defer n.cutStore.Store(false)
 		}
 		sim.awaitActive(upgrade.Current, time.Minute)
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -7,20 +7,22 @@
 
 // Compaction removes old chunks, the oldest first. It is part of the transactions that write new
 // chunks: such a transaction also writes the live records of an old chunk again, and deletes the
-// old chunk. A record is live if it is the latest record of its key and doesn't remove the entity.
+// old chunk. A record is live if it is the latest record of its key and isn't the removal of the key's
+// entity.
 
 const (
 	// Chunks are compacted while there are more than compactionFactor*needed +
 	// compactionSlackChunks. needed is the number of chunks that the live records would fill.
 	compactionFactor      = 2
 	compactionSlackChunks = 24
-	// forcedCompactionThreshold is a number of excess chunks, which are the chunks above that
-	// limit. So many excess chunks noticeably delay a failover, because a new leader reads all
-	// chunks. While there are more, each commit spends at least forcedCompactionChanges on
-	// compaction, although that delays the next commit.
+	// forcedCompactionThreshold is the number of excess chunks above which compaction is forced.
+	// Excess chunks are the chunks above the limit that compactionFactor and compactionSlackChunks
+	// set. A new leader reads all chunks, so this many excess chunks noticeably delay a failover.
 	forcedCompactionThreshold = 4 * compactionSlackChunks
-	// forcedCompactionChanges is the number of changes that write one new chunk and delete one
-	// old chunk. A change is one operation of a transaction.
+	// forcedCompactionChanges is the number of changes that a commit may spend on compaction even if
+	// this delays the next commit. It applies while compaction is forced and during a migration. A
+	// change is one operation of a transaction. Two changes write one new chunk and delete one old
+	// chunk.
 	forcedCompactionChanges = 2
 )
 
@@ -31,7 +33,7 @@
 // compact adds the live records of the oldest chunks to the chunks of a transaction. It returns
 // the new chunks of the transaction and how many of the oldest chunks the transaction may delete.
 // If the live records of an old chunk exceed the budget or the limits, compact adds only some of
-// them, and that chunk isn't deleted yet.
+// them, and the old chunk isn't deleted yet.
 func (j *Journal) compact(chunks []chunk) ([]chunk, int) {
 	excess, changes := j.compactionBudget()
 	if excess <= 0 || changes <= 0 {
@@ -66,15 +68,15 @@
 	return excess, changes
 }
 
-// compaction adds the live records of old chunks to a transaction, within the limits of the
-// key-value store and the budget of changes.
+// compaction adds the live records of old chunks to a transaction. It stays within the limits of the
+// key-value store, and within the number of changes that compactionBudget allows.
 type compaction struct {
 	journal            *Journal
 	chunks             []chunk
 	firstToEncode      int             // index of the first chunk that has to be encoded again
 	writtenKeys        map[string]bool // keys of the records that the transaction writes
 	totalBytes         int             // size of the commit's encoded chunks plus the size of the added records
-	txnOps             int             // puts and deletions of the transaction
+	txnOps             int             // number of puts and deletions in the transaction
 	changesLeft        int             // changes that compaction may still add
 	lastChunkBytesLeft int             // bytes of further records that are expected to fit into the last chunk
 }
@@ -101,8 +103,8 @@
 	return c.journal.encoder.expectedRecordBytes(c.journal.encoder.compactionRatio)
 }
 
-// moveOldestChunks adds the live records of the oldest chunks, up to limit chunks. It returns how
-// many chunks can be deleted because all of their live records have been added.
+// moveOldestChunks adds the live records of the oldest chunks. limit is the maximum number of these
+// chunks. It returns how many chunks can be deleted because all their live records have been added.
 func (c *compaction) moveOldestChunks(limit int) (deleted int) {
 	for deleted < limit {
 		live := c.journal.index.liveRecords(deleted, c.writtenKeys)
@@ -119,8 +121,8 @@
 	return c.changesLeft >= n && c.txnOps+n <= c.journal.limits.TxnOps
 }
 
-// addDeletion counts the deletion of a chunk as a change of the transaction, unless the budget or
-// the operation limit doesn't allow it. It reports whether they allow it.
+// addDeletion counts the deletion of a chunk as a change of the transaction, if the budget and the
+// operation limit allow the deletion. It reports whether they allow it.
 func (c *compaction) addDeletion() bool {
 	if !c.canAddChanges(1) {
 		return false
--- a/internal/storage/key_value_store.go
+++ b/internal/storage/key_value_store.go
@@ -28,8 +28,8 @@
 	Revoke(ctx context.Context, lease uint64) error
 	// Watch returns the changes of keys with the prefix that are newer than the revision after. If
 	// there are none, it waits for one, for at most maxWait. A deleted key is returned without
-	// data. The returned revision is the one after which the next call continues. Watch returns
-	// ErrCompacted if the store no longer keeps all changes that are newer than after.
+	// data. The next call continues after the returned revision. Watch returns ErrCompacted if the
+	// store no longer keeps all changes that are newer than after.
 	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (changes []Item, revision uint64, err error)
 }
 
--- a/internal/storage/migration.go
+++ b/internal/storage/migration.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// A migration rewrites compressed chunks and chunks with fragments as plain chunks. Afterwards,
-// versions of the program that can read only plain chunks can lead. A migration consists of steps,
-// and each step is one commit. If a leader stops between or during steps, the next leader resumes
-// the migration.
+// A chunk is plain if it is neither compressed nor holds fragments of records. A migration rewrites all
+// other chunks as plain chunks. Afterwards, versions of the program that can read only plain chunks can
+// lead. A migration consists of steps, and each step is one commit. If a leader stops between or during
+// steps, the next leader resumes the migration.
 
 // migrationRequest asks the journal's goroutine to run one migration step.
 type migrationRequest struct {
@@ -21,10 +21,10 @@
 	err            error
 }
 
-// MigrateStep runs one step of a migration, and returns how many chunks are still compressed or hold
-// fragments. The step rewrites some of these chunks as plain chunks, within the budget of changes.
-// It rewrites nothing if the encoding set by SetEncoding is AnyEncoding, or while the migration is
-// paused: see canMigrate. MigrateStep may be called from any goroutine while Run is running.
+// MigrateStep runs one step of a migration, and returns how many chunks aren't plain yet. The step
+// rewrites some of these chunks, as far as compactionBudget and the limits of a transaction allow. It
+// rewrites nothing if the encoding set by SetEncoding is AnyEncoding, or while the migration is paused:
+// see canMigrate. MigrateStep may be called from any goroutine while Run is running.
 func (j *Journal) MigrateStep(ctx context.Context) (nonPlain int, err error) {
 	reply := make(chan migrationResult, 1)
 	select {
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// addedLatency returns the latency that is added to each request.
+// addedLatency returns AddedLatency, the time that each request takes in addition to minLatency.
 func (s *Service) addedLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -66,9 +66,9 @@
 	return response, false
 }
 
-// With more workers than sockets, the server must close the worker connections beyond the workers' share after the
-// response, and users and health checks must still be able to connect. Without this, a load balancer once treated a node
-// as failed when all its connections were in use.
+// There may be more workers than sockets. Only a share of the sockets may hold worker connections that stay open. The
+// server must close any further worker connection after the response, so that users and health checks can still connect.
+// Before this limit existed, a load balancer treated a node as failed because all connections of the node were in use.
 func TestServerReservesConnectionsForOthers(t *testing.T) {
 	const sockets = 60
 	l := newPipeListener()
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -1,8 +1,9 @@
 package upgrade
 
-// MarkGateUsed returns a copy of the record in which the gate is marked as used and the fence is
-// raised accordingly. The caller must store this record before any data depends on the gate. term is
-// the leader's term. MarkGateUsed returns a *GateClosedError if the gate isn't open.
+// MarkGateUsed returns a copy of the record in which the gate is marked as used. It also raises
+// Record.Fence, see raiseFence, because versions that don't support the gate must not lead any more. The
+// caller must store this record before any data depends on the gate. term is the leader's term.
+// MarkGateUsed returns a *GateClosedError if the gate isn't open.
 func MarkGateUsed(r Record, name GateName, term uint64) (Record, error) {
 	gate := r.Gate(name)
 	if gate.Phase != GateOpen {
@@ -17,8 +18,8 @@
 }
 
 // markGateWithDependents looks for a gate that isn't marked as used although it has dependents, and marks
-// the first such gate as used. The dependents were created by versions that don't register, because these
-// use their features without checking a gate.
+// the first such gate as used. The dependents were created by versions that don't register. These versions
+// use the gate's feature without checking whether the gate is open.
 func markGateWithDependents(s *Situation) Step {
 	for _, gate := range s.KnownGates {
 		state, present := s.Record.Gates[gate.Name]
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -11,7 +11,7 @@
 // added without a new schema number. A value with another schema number can't be decoded.
 const recordSchema = 1
 
-// Phase is the phase of the fleet's upgrade.
+// Phase says how far the upgrade to the active version has advanced, and whether it may still be rolled back.
 type Phase string
 
 // The phases of the cluster record.
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -6,9 +6,10 @@
 )
 
 // Term is the value of the term record, which a controller must read before it becomes the leader.
-// Versions that don't register can decode only a bare number, and don't lead if the record contains
-// anything else. A term with a fence is therefore stored as an object, which prevents these versions
-// from leading even though they don't read the cluster record.
+// The cluster record's Fence excludes lower versions from leading, but the versions that store no
+// Registration don't read the cluster record. They can decode only a term record that is a bare number,
+// and don't lead if it is anything else. A term with a fence is therefore stored as an object, which
+// prevents these versions from leading.
 type Term struct {
 	Number uint64  `json:"t"`
 	Fence  Version `json:"fence"` // Record.Fence; 0: the term is stored as a bare number
--- a/internal/upgrade/version.go
+++ b/internal/upgrade/version.go
@@ -38,7 +38,7 @@
 // Supported is this program's compatibility range.
 var Supported = Range{Min: Baseline, Max: Current}
 
-// Contains reports whether a version lies in the range.
+// Contains reports whether a version is at least Min and at most Max.
 func (r Range) Contains(v Version) bool { return r.Min <= v && v <= r.Max }
 
 // String formats the range for operators.
--- a/internal/upgradecontrol/gate_release_test.go
+++ b/internal/upgradecontrol/gate_release_test.go
@@ -88,8 +88,8 @@
 	return c, client
 }
 
-// The store applies the transaction that releases a gate an hour late, and the controller receives no response. While the
-// release may still be committed, the other actors must not use the gate.
+// The transaction that releases a gate is delayed: the store applies it an hour later, and the controller receives no
+// response. While the release may still be committed, the other actors must not use the gate.
 func TestGateIsNotUsableWhileReleaseIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		users := &fakeGateUsers{countGangJobs: func(int) int { return 0 }}
@@ -120,7 +120,7 @@
 		users := &fakeGateUsers{countGangJobs: func(count int) int { return max(0, count-2) }}
 		c, client := newReleasingController(t, users)
 		defer client.Close()
-		for range 2 { // the first step opens the missing gates
+		for range 2 { // the first step opens the other gates of the active version, which aren't in the record yet
 			if err := c.advanceUpgrade(t.Context()); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/wire/coordination/messages.go
+++ b/internal/wire/coordination/messages.go
@@ -4,8 +4,9 @@
 // Controllers of other versions read and write these messages. gob sends the names of types and fields. For unnamed
 // types (such as []*coordination.Report) it also sends the package name. Therefore the name of this package and the names
 // of its message types and their fields must never change, even if the domain types are renamed. Fields may only be
-// added. If the corresponding field of the domain type has another name, a comment behind the field gives that name. Only
-// code that sends or receives messages may use the names of this package. Import this package under the name wire.
+// added. If the corresponding field of the domain type has another name, a comment behind the field gives the domain type
+// and that name. Only code that sends or receives messages may use the names of this package. Import this package under
+// the name wire.
 package coordination
 
 import (
@@ -33,7 +34,7 @@
 	Gang        bool
 	Priority    storage.Priority
 	Tasks       int
-	Room        Room // Resources
+	Room        Room // storage.Spec.Resources
 	Types       []string
 	Zone        string
 	SameZone    bool
@@ -62,22 +63,22 @@
 	Done    int
 	Running int
 	Reason  string
-	RetryS  int // RetrySeconds
+	RetryS  int // api.Response.RetrySeconds
 	Peer    PeerState
-	Holds   time.Duration // ValidFor
+	Holds   time.Duration // api.Response.ValidFor
 }
 
 // PeerState is the wire form of peer.Status.
 type PeerState struct {
-	Up         time.Duration // Uptime
-	SinceState time.Duration // SinceStoreContact
+	Up         time.Duration // peer.Status.Uptime
+	SinceState time.Duration // peer.Status.SinceStoreContact
 	Leader     string
 	Term       uint64
-	Hears      time.Duration // SinceHeartbeat
-	Alone      time.Duration // SinceDelegatedRenewal
-	Lends      time.Duration // DelegationPeriod
-	LendTerm   uint64        // DelegationTerm
-	Barred     []int         // ExcludedMachines
+	Hears      time.Duration // peer.Status.SinceHeartbeat
+	Alone      time.Duration // peer.Status.SinceDelegatedRenewal
+	Lends      time.Duration // peer.Status.DelegationPeriod
+	LendTerm   uint64        // peer.Status.DelegationTerm
+	Barred     []int         // peer.Status.ExcludedMachines
 	Version    int
 }
 
@@ -90,7 +91,7 @@
 // TaskReport is the wire form of worker.TaskReport.
 type TaskReport struct {
 	ID    TaskID
-	Try   uint64 // Attempt
+	Try   uint64 // worker.TaskReport.Attempt
 	State worker.TaskState
 	Cause worker.ExitCause
 	Saved bool
@@ -103,10 +104,10 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Session uint64 // Incarnation
+	Session uint64 // worker.Report.Incarnation
 	Seq     uint64
 	Token   uint64
-	Notice  *float64 // NoticeSeconds
+	Notice  *float64 // worker.Report.NoticeSeconds
 	Tasks   []TaskReport
 }
 
@@ -114,15 +115,15 @@
 type Order struct {
 	Verb   worker.Verb
 	ID     TaskID
-	Try    uint64  // Attempt
-	GraceS float64 // GraceSeconds
+	Try    uint64  // worker.Command.Attempt
+	GraceS float64 // worker.Command.GraceSeconds
 }
 
 // BeatAnswer is the wire form of worker.HeartbeatResponse.
 type BeatAnswer struct {
 	Accepted  bool
 	Token     uint64
-	Orders    []Order // Commands
+	Orders    []Order // worker.HeartbeatResponse.Commands
 	Leader    string
 	Busy      bool
 	Undecided bool
@@ -136,9 +137,9 @@
 
 // mailReply is the wire form of RelayResponse.
 type mailReply struct {
-	Done bool // Answered
+	Done bool // RelayResponse.Answered
 	User *Answer
-	Beat *BeatAnswer // Heartbeat
+	Beat *BeatAnswer // RelayResponse.Heartbeat
 }
 
 // FromStatus converts a controller's status to its wire form.
