--- a/internal/activator/model.go
+++ b/internal/activator/model.go
@@ -22,7 +22,7 @@
 	waiting   []*request // requests that wait for a decision, in order of arrival
 	inFlight  int        // granted requests that haven't finished
 	lastUsed  time.Time  // when a request last arrived or finished
-	lastDrain uint64     // the latest drain that the leader has ordered; 0: none
+	lastDrain uint64     // number of the latest drain that the leader has ordered; 0: none
 	drainedAt time.Time  // when the order for lastDrain was received
 }
 
@@ -39,8 +39,8 @@
 // responseValid reports whether the leader's latest response is still valid for deciding on requests.
 func (m *model) responseValid(now time.Time) bool { return now.Before(m.validUntil) }
 
-// needsWake reports whether a new request for the model requires that a wake request be sent now. No wake request is
-// required while another one is in flight, while the latest response is valid, or before retryAt.
+// needsWake reports whether a wake request has to be sent now, if there is demand for the model. No wake request is sent
+// while another one is in flight, while the latest response is valid, or before retryAt.
 func (m *model) needsWake(now time.Time) bool {
 	return !m.wakePending && !m.responseValid(now) && !now.Before(m.retryAt)
 }
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxRemovalTrials limits the tests whether a machine is surplus: it is the maximum number of machines with tasks
-	// that are tested per snapshot. The next snapshot continues where this snapshot stopped.
+	// maxRemovalTrials is the maximum number of machines with tasks for which findSurplus calls canRemove per snapshot
+	// of the fleet. At the next snapshot, findSurplus continues where it stopped.
 	maxRemovalTrials = 8
 	// maxSurplusShare is the largest share of the candidates that one snapshot may report as surplus. One
 	// machine may be reported even if it is more than this share.
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -18,7 +18,7 @@
 	cost      float64 // preemption cost of the victims, in CPU seconds
 }
 
-// costPerTask returns the preemption cost on the candidate, divided by the number of the gang's tasks that then fit.
+// costPerTask returns the preemption cost on the candidate for each task of the gang that gets room there.
 func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
 
 // preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
@@ -43,8 +43,8 @@
 }
 
 // planGangPreemption chooses candidates for all waiting tasks of a gang, and selects the attempts to stop on each chosen
-// candidate. group holds the candidates from which it may choose: see gangCandidates. It returns nil if not all tasks
-// would fit. cost is the total preemption cost.
+// candidate. group is one of the groups of gangCandidates. planGangPreemption returns nil if not all tasks would fit on the
+// candidates of the group. cost is the total preemption cost.
 func (p *Planner) planGangPreemption(j *cluster.Job, group []*Candidate, now time.Time) (plan []gangPreemption, cost float64) {
 	rights := preemptionRights{priority: j.Spec.Priority}
 	options, capacity := p.gangPreemptionOptions(j, group, rights, now)
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -9,9 +9,9 @@
 // samplesPerChoice is the number of random candidates that a placement chooses between ("power of two choices").
 const samplesPerChoice = 2
 
-// shortlist holds the candidates of the best tier, see tierOf, for the tasks of one job in one round. searchShortlist
-// fills the list, for which it looks at all candidates of the round. To avoid a search for each task, updateShortlist
-// updates the list after each placed task. A new search runs only when the list is empty.
+// shortlist holds the candidates of the best tier, see tierOf, for the tasks of one job in one round. A search for
+// these candidates may have to look at every machine. To avoid a search for each task, updateShortlist updates the list
+// after each placed task. A new search runs only when the list is empty.
 type shortlist struct {
 	job        *cluster.Job
 	round      *round
--- a/internal/scheduler/lease_validity_test.go
+++ b/internal/scheduler/lease_validity_test.go
@@ -77,8 +77,8 @@
 // The controller that renews a worker's lease may have missed the cancellation of a job that runs on the worker. The
 // job's tasks must still stop within the cancel timeout. This test checks the time bound for each way to renew a
 // lease. The lease begins at the last possible renewal. The cancel timeout begins at the earliest cancellation that
-// the renewing controller may have missed. The lease must end before the cancel timeout. In the worst case, a slow
-// clock measures the lease and a fast clock measures the cancel timeout. docs/design.md explains the bound.
+// the renewing controller may have missed. The lease must end before the cancel timeout ends. In the worst case, a
+// slow clock measures the lease and a fast clock measures the cancel timeout. docs/design.md explains the bound.
 func TestRenewalsEndBeforeCancelTimeout(t *testing.T) {
 	const maxClockSkew = 1.0005
 	for _, settings := range []config.Settings{
@@ -128,9 +128,9 @@
 	return renewed, leaseExpiry
 }
 
-// lastDelegatedRenewal starts with a leader whose lease has just expired. Until the cancel timeout has passed since then,
-// it repeatedly requests a delegation from the leader. A delegation allows a peer to renew workers' leases.
-// lastDelegatedRenewal returns the time at which the delegations end, and the time at which the leader's lease expired.
+// lastDelegatedRenewal models a leader whose lease has just expired. A peer requests delegations from this leader until
+// the cancel timeout has passed. A delegation allows the peer to renew workers' leases. lastDelegatedRenewal returns the
+// time at which the last delegation ends, and the time at which the leader's lease expired.
 func lastDelegatedRenewal(t *testing.T, settings config.Settings) (until, leaseExpiry time.Time) {
 	t.Helper()
 	sched := newTestScheduler(t, settings)
@@ -153,10 +153,10 @@
 	return forwarder.delegation.until, leaseExpiry
 }
 
-// lastConfirmedRenewal models a leader that can't renew its own lease. By their statuses, all peers confirm that none of
-// them can have led since that lease expired. The leader may then renew workers' leases until one renewal grace after it
-// requested the statuses. lastConfirmedRenewal returns the end of that grace, and the time of the request. If a peer
-// becomes the leader after it has sent its status, this happens after the request.
+// lastConfirmedRenewal models a leader that can't renew its own lease. The statuses of the peers confirm that no peer can
+// have led since that lease expired. The leader may then renew workers' leases until one renewal grace after it requested
+// the statuses. lastConfirmedRenewal returns the end of that grace, and the time of the request. A peer that becomes the
+// leader after it has sent its status becomes the leader after the request.
 func lastConfirmedRenewal(_ *testing.T, settings config.Settings) (renewed, requested time.Time) {
 	requested = time.Now()
 	return requested.Add(settings.RenewalGrace()), requested
@@ -183,9 +183,9 @@
 
 // A worker whose lease has expired begins a new incarnation with a new lease. The leader may see the new incarnation
 // for the first time in the response to a direct command. The lease bound is the time by which the worker's lease has
-// certainly expired. It then counts from this response, not from the last acknowledged heartbeat of the earlier
-// incarnation. The scenario that simulates this case no longer tests
-// the bound, because the leader places no tasks on a machine that isn't ready. The bound must still hold.
+// certainly expired. In this case it counts from the response, not from the last acknowledged heartbeat of the earlier
+// incarnation. The scenario that simulates this case no longer tests the bound, because the leader places no tasks on a
+// machine that isn't ready. The bound must still hold.
 func TestLeaseBoundOfNewIncarnationStartsAtFirstReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := clustertest.Settings()
--- a/internal/scheduler/upgrade_test.go
+++ b/internal/scheduler/upgrade_test.go
@@ -372,7 +372,7 @@
 			if n.node.settings.Tuning.Upgrade.Policy.Target == 0 {
 				continue
 			}
-			// Cut the nodes with a target off from the store, so that the restarted node becomes the leader.
+			// The nodes with a target are cut off from the store, so that the restarted node becomes the leader.
 			n.cutStore.Store(true)
 			defer n.cutStore.Store(false)
 		}
--- a/internal/storage/key_value_store.go
+++ b/internal/storage/key_value_store.go
@@ -27,7 +27,7 @@
 	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease uint64) error
 	// Watch returns the changes of keys with the prefix that are newer than the revision after. If
-	// there are none, it waits for one, for at most maxWait. A deleted key is returned without
+	// there are no such changes, it waits up to maxWait for one. A deleted key is returned without
 	// data. The next call continues after the returned revision. Watch returns ErrCompacted if the
 	// store no longer keeps all changes that are newer than after.
 	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (changes []Item, revision uint64, err error)
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -1,9 +1,9 @@
 package upgrade
 
 // MarkGateUsed returns a copy of the record in which the gate is marked as used. It also raises
-// Record.Fence, see raiseFence, because versions that don't support the gate must not lead any more. The
-// caller must store this record before any data depends on the gate. term is the leader's term.
-// MarkGateUsed returns a *GateClosedError if the gate isn't open.
+// Record.Fence, see raiseFence: a controller that doesn't register must not lead any more if its version
+// doesn't support the gate. The caller must store this record before any data depends on the gate. term
+// is the leader's term. MarkGateUsed returns a *GateClosedError if the gate isn't open.
 func MarkGateUsed(r Record, name GateName, term uint64) (Record, error) {
 	gate := r.Gate(name)
 	if gate.Phase != GateOpen {
@@ -36,8 +36,8 @@
 }
 
 // releaseGate marks a gate as unused after the gate has had no dependents for Policy.ReleaseAfter, so that
-// versions without the gate may lead again. Each release costs a write, and the next use of the gate costs
-// another one. The delay avoids these writes for a gate that is soon used again.
+// versions that don't support the gate may lead again. A release writes the cluster record, and so does the
+// next use of the gate. The delay avoids these writes for a gate that is soon used again.
 func releaseGate(s *Situation) Step {
 	if s.Policy.ReleaseAfter == 0 || s.Usage == nil {
 		return Step{}
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -6,10 +6,10 @@
 )
 
 // Term is the value of the term record, which a controller must read before it becomes the leader.
-// The cluster record's Fence excludes lower versions from leading, but the versions that store no
-// Registration don't read the cluster record. They can decode only a term record that is a bare number,
-// and don't lead if it is anything else. A term with a fence is therefore stored as an object, which
-// prevents these versions from leading.
+// While Record.Fence isn't 0, controllers that don't register must not lead. These controllers run old
+// versions of the program, which store no Registration and don't read the cluster record. They expect a
+// bare number as the term record, and don't lead if it contains anything else. A term with a fence is
+// therefore stored as an object.
 type Term struct {
 	Number uint64  `json:"t"`
 	Fence  Version `json:"fence"` // Record.Fence; 0: the term is stored as a bare number
