--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -66,9 +66,9 @@
 	return response, false
 }
 
-// Even if there are more workers than sockets, users and health checks must be able to connect. The server must therefore
-// close every worker connection that exceeds the workers' share of the sockets, after the response to the heartbeat. Before
-// the server did this, all connections of a node were once in use, and a load balancer treated the node as failed.
+// There may be more workers than sockets. Only a share of the sockets may hold worker connections that stay open. The
+// server must close any further worker connection after the response, so that users and health checks can still connect.
+// Before this limit existed, a load balancer treated a node as failed because all connections of the node were in use.
 func TestServerReservesConnectionsForOthers(t *testing.T) {
 	const sockets = 60
 	l := newPipeListener()
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -1,8 +1,9 @@
 package upgrade
 
-// MarkGateUsed returns a copy of the record in which the gate is marked as used and the fence is
-// raised accordingly. The caller must store this record before any data depends on the gate. term is
-// the leader's term. MarkGateUsed returns a *GateClosedError if the gate isn't open.
+// MarkGateUsed returns a copy of the record in which the gate is marked as used. It also raises
+// Record.Fence, see raiseFence: a controller that doesn't register must not lead any more if its version
+// doesn't support the gate. The caller must store this record before any data depends on the gate. term
+// is the leader's term. MarkGateUsed returns a *GateClosedError if the gate isn't open.
 func MarkGateUsed(r Record, name GateName, term uint64) (Record, error) {
 	gate := r.Gate(name)
 	if gate.Phase != GateOpen {
@@ -17,8 +18,8 @@
 }
 
 // markGateWithDependents looks for a gate that isn't marked as used although it has dependents, and marks
-// the first such gate as used. The dependents were created by versions that don't register, because these
-// use their features without checking a gate.
+// the first such gate as used. The dependents were created by versions that don't register. These versions
+// use the gate's feature without checking whether the gate is open.
 func markGateWithDependents(s *Situation) Step {
 	for _, gate := range s.KnownGates {
 		state, present := s.Record.Gates[gate.Name]
@@ -35,8 +36,8 @@
 }
 
 // releaseGate marks a gate as unused after the gate has had no dependents for Policy.ReleaseAfter, so that
-// versions without the gate may lead again. Each release costs a write, and the next use of the gate costs
-// another one. The delay avoids these writes for a gate that is soon used again.
+// versions that don't support the gate may lead again. A release writes the cluster record, and so does the
+// next use of the gate. The delay avoids these writes for a gate that is soon used again.
 func releaseGate(s *Situation) Step {
 	if s.Policy.ReleaseAfter == 0 || s.Usage == nil {
 		return Step{}
--- a/internal/upgrade/term.go
+++ b/internal/upgrade/term.go
@@ -6,9 +6,10 @@
 )
 
 // Term is the value of the term record, which a controller must read before it becomes the leader.
-// Versions that don't register can decode only a bare number, and don't lead if the record contains
-// anything else. A term with a fence is therefore stored as an object, which prevents these versions
-// from leading even though they don't read the cluster record.
+// While Record.Fence isn't 0, controllers that don't register must not lead. These controllers run old
+// versions of the program, which store no Registration and don't read the cluster record. They expect a
+// bare number as the term record, and don't lead if it contains anything else. A term with a fence is
+// therefore stored as an object.
 type Term struct {
 	Number uint64  `json:"t"`
 	Fence  Version `json:"fence"` // Record.Fence; 0: the term is stored as a bare number
