--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -21,10 +21,10 @@
 	record        activation.Record
 	damaged       json.RawMessage // the stored record if it can't be decoded, else nil
 	pendingWrites int             // number of changes to the record that aren't durable yet
-	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did or once it is ready
-	waiters       []wakeWaiter    // controllers whose wake requests wait until the service has started
-	// Controllers may route requests to the replica until routedUntil. Each response of a leader permits them to do so for
-	// a limited time, and the permission remains valid when another controller becomes the leader.
+	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did, or once the service was ready
+	waiters       []wakeWaiter    // wake requests whose responses are delayed while the service starts
+	// routedUntil is the latest time until which a controller may route requests to the replica. Each response of a leader
+	// permits a controller to do so for Settings.RoutingLease, even if the leader loses its leadership during that time.
 	routedUntil time.Time
 }
 
@@ -41,7 +41,7 @@
 }
 
 // MayPlace implements cluster.Lifecycle. It reports whether a replica of the service may be placed now. The lifecycle
-// record must be durable, and its outstanding action must be to reserve resources for a replica.
+// record must be durable, and the action that the record requires next must be to reserve resources for a replica.
 func (s *managedService) MayPlace(now time.Time) bool {
 	return s.damaged == nil && s.pendingWrites == 0 && s.record.Pending(now) == activation.Reserve
 }
@@ -64,7 +64,7 @@
 	// afterJobCommit calls done with nil once all scheduled writes of a job's record are durable. If a commit fails first,
 	// it calls done with the error.
 	afterJobCommit(j *cluster.Job, done func(error))
-	// stopAttempt stops an attempt, with a grace period in which it may save a checkpoint.
+	// stopAttempt stops an attempt. The attempt has a grace period of graceSeconds to save a checkpoint; 0 means none.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
 	// sendJobStops sends stop commands for a job's stopping attempts directly to their workers.
 	sendJobStops(j *cluster.Job)
@@ -104,7 +104,7 @@
 	// accepted while the activation gate was closed. They run all the time until the gate is open and marked as used.
 	postponed       map[string]*cluster.Job
 	pendingRemovals int  // number of lifecycle records whose removal isn't durable yet
-	resumed         bool // set by resume; attemptReserved does nothing before, because reconcile handles the stored attempts
+	resumed         bool // set by resume; until then attemptReserved does nothing, because reconcile handles the stored attempts
 }
 
 func newActivationController(settings *config.Settings, gate upgrade.GateState, sched activationScheduler, log *slog.Logger) *activationController {
@@ -202,7 +202,7 @@
 	c.removeIneligibleLifecycles()
 }
 
-// resume performs the outstanding actions of all lifecycle records. It is called once the term's actors run.
+// resume performs the actions that the lifecycle records require next. It is called once the term's actors run.
 func (c *activationController) resume(now time.Time) {
 	c.resumed = true
 	for _, s := range c.services {
@@ -266,7 +266,7 @@
 	c.setAndAct(s, next, activation.Cause(e), now)
 }
 
-// setAndAct sets a service's lifecycle record, and performs the record's outstanding action once the record is durable.
+// setAndAct sets a service's lifecycle record. Once the record is durable, the action that it requires next is performed.
 func (c *activationController) setAndAct(s *managedService, next activation.Record, cause string, now time.Time) {
 	if !c.setRecord(s, next, cause) {
 		c.performPendingAction(s, now)
@@ -274,7 +274,7 @@
 }
 
 // setRecord sets a service's lifecycle record. If its stored fields have changed, setRecord schedules a write and returns
-// true; the controller then performs the record's outstanding action once the write is durable.
+// true. Once the write is durable, the controller performs the action that the record requires next.
 func (c *activationController) setRecord(s *managedService, next activation.Record, cause string) (writes bool) {
 	before := s.record
 	s.record = next
@@ -305,8 +305,9 @@
 	c.active[s.job.Spec.ID] = s
 }
 
-// performPendingAction performs the outstanding action of a service's lifecycle record if the record is durable. Replicas
-// are started like any other task, once placement has reserved resources for them.
+// performPendingAction performs the action that a service's lifecycle record requires next, if the record is durable. Only
+// requests for placement and stops need work here. Replicas are started like any other task, once placement has reserved
+// resources for them.
 func (c *activationController) performPendingAction(s *managedService, now time.Time) {
 	if s.pendingWrites > 0 {
 		return
@@ -344,7 +345,7 @@
 	}
 }
 
-// attemptRemoved handles an attempt that has been proved to be absent from its machine.
+// attemptRemoved handles the removal of an attempt, which is certainly not on its machine any more.
 func (c *activationController) attemptRemoved(a *cluster.Attempt, now time.Time) {
 	if s := c.service(a.Job); s != nil {
 		c.applyEvent(s, activation.ReplicaGone{Generation: s.record.Generation, Attempt: a.Number, Failed: a.Failed}, now)
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -14,8 +14,8 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ServiceStatus describes to operators the stored state of a service. It is used for open services that scale to zero or
-// whose class is configured to scale to zero.
+// ServiceStatus holds the stored state of a service for operators. Only open services (neither done nor cancelled) have one,
+// and only if they scale to zero or their class is configured to scale to zero.
 type ServiceStatus struct {
 	ID      string
 	Class   string
@@ -29,7 +29,7 @@
 // ActivationStatus contains the stored state of the activation gate and the statuses of the services.
 type ActivationStatus struct {
 	Gate     upgrade.GateState // the zero value means that the gate is closed
-	WaitsFor string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
+	WaitsFor string            // what the upgrade waits for, as a leader last stored it; "" if it waits for nothing
 	Services []ServiceStatus   // sorted by ID
 }
 
@@ -90,7 +90,8 @@
 	return service
 }
 
-// setReplica sets a service's replica and the replica's machine from the attempts in a page record of the service's tasks.
+// setReplica sets a service's replica and the replica's machine from a page record, which holds the attempts of some of a
+// job's tasks. It ignores pages of jobs that aren't in services.
 func setReplica(services map[string]*ServiceStatus, r storage.Record) {
 	id, _, _ := strings.Cut(r.Key[1:], "/")
 	service := services[id]
--- a/internal/scheduler/affinity.go
+++ b/internal/scheduler/affinity.go
@@ -14,7 +14,7 @@
 // redirected again for some time.
 
 const (
-	// redirectPauseLeases is how long a worker isn't redirected again after a redirection, in worker leases.
+	// redirectPauseLeases is the minimum time between two redirections of the same worker, in worker leases.
 	redirectPauseLeases = 2
 	// affinityProbeInterval is the minimum time between two redirections to a controller that receives no heartbeats. Such a
 	// controller may have just started, or may be partitioned from the workers. Redirecting one worker at a time probes
@@ -44,7 +44,7 @@
 }
 
 // nodeFor returns the controller to which a worker is to be redirected, or "" if the worker should stay with this
-// controller.
+// controller. It chooses a controller in another zone only if no controller in the worker's zone can forward heartbeats.
 func (a *affinity) nodeFor(r *worker.Report, known *knownWorker, now time.Time) string {
 	self := a.node.settings.NodeName
 	if !known.redirected.IsZero() && now.Sub(known.redirected) < redirectPauseLeases*a.node.settings.WorkerLease {
@@ -90,8 +90,8 @@
 }
 
 // mayRedirectTo reports whether a worker may be redirected to a controller now. That is the case if the controller
-// receives heartbeats. Otherwise one worker per affinityProbeInterval may be redirected to the controller as a probe, and
-// mayRedirectTo records the time of the probe.
+// receives heartbeats. To a controller that receives none, one worker per affinityProbeInterval may be redirected as a
+// probe, and mayRedirectTo records the time of the probe.
 func (a *affinity) mayRedirectTo(name string, now time.Time) bool {
 	if status, ok := a.node.deps.Peers.Status(name); ok && status.SinceHeartbeat+now.Sub(status.Received) < a.node.settings.HeartbeatInterval {
 		return true
--- a/internal/scheduler/archive_status.go
+++ b/internal/scheduler/archive_status.go
@@ -10,10 +10,10 @@
 	"sagevale/internal/upgradecontrol"
 )
 
-// ArchiveStatus describes to operators the stored state of the job archive, and how many jobs the journal contains.
+// ArchiveStatus holds the stored state of the job archive and the numbers of jobs in the journal, for operators.
 type ArchiveStatus struct {
 	Gate              upgrade.GateState // the zero value means that the gate is closed
-	WaitsFor          string            // what the upgrade waits for according to the last record of a leader; "" if it doesn't wait
+	WaitsFor          string            // what the upgrade waits for, as a leader last stored it; "" if it waits for nothing
 	Stored            archive.StoredSummary
 	FinishedInJournal int // number of finished jobs that are still in the journal
 	Open              int // number of jobs in the journal that aren't finished
@@ -32,7 +32,7 @@
 	return status, status.countJournal(ctx, store, s)
 }
 
-// countJournal sets Backlog and Open from the jobs' records in the journal.
+// countJournal sets FinishedInJournal and Open from the jobs' records in the journal.
 func (a *ArchiveStatus) countJournal(ctx context.Context, store storage.KeyValueStore, s *config.Settings) error {
 	journal, err := storage.OpenJournal(ctx, store, storage.NewLimitTracker(s.State), storage.Guard{})
 	if err != nil {
--- a/internal/scheduler/archive_withdrawal.go
+++ b/internal/scheduler/archive_withdrawal.go
@@ -7,9 +7,9 @@
 	"sagevale/internal/upgrade"
 )
 
-// restoreAndCountArchived returns the number of archived jobs. While the archive's gate is being withdrawn, each call first
-// moves the jobs of the archive's first page back to the journal. If the term ends before all pages have been moved, the next
-// leader moves the remaining pages.
+// restoreAndCountArchived returns the number of archived jobs. While the archive's feature gate is being withdrawn so that the
+// archive is no longer used, each call first moves the jobs of the archive's first page back to the journal. If the term ends
+// before all pages have been moved, the next leader moves the remaining pages.
 func (t termGates) restoreAndCountArchived(ctx context.Context, record upgrade.Record) (int, error) {
 	gate := record.Gate(upgrade.JobArchive)
 	count, err := t.scheduler.archive.Count(ctx)
--- a/internal/scheduler/archiving.go
+++ b/internal/scheduler/archiving.go
@@ -156,7 +156,8 @@
 	s.archiveInUse = s.archiveInUse || s.gates.Gate(upgrade.JobArchive).Used
 }
 
-// archiveFinished starts to archive a batch of finished jobs if the journal contains more than KeepInJournal of them.
+// archiveFinished starts to archive a batch of finished jobs if the journal contains more finished jobs than the setting
+// KeepInJournal allows.
 func (s *scheduler) archiveFinished(now time.Time) {
 	tuning := &s.settings.Tuning.Archive
 	if !tuning.Enabled || s.archiving || !s.leaseValid(now) || s.state.Jobs.FinishedCount() <= tuning.KeepInJournal || !s.mayUse(upgrade.JobArchive) {
@@ -205,8 +206,8 @@
 var errArchivingInProgress = errors.New("jobs are being archived")
 
 // restoreArchived adds archived jobs to the journal again, before their page is removed from the archive. It fails while a
-// batch is being archived. Otherwise handleArchived could remove a restored job from the journal at the end of the batch,
-// and the job would be lost when its page is removed.
+// batch is being archived: at the end of that batch, handleArchived could remove a restored job from the journal, and the job
+// would be lost once its page is removed from the archive.
 func (s *scheduler) restoreArchived(m restoreMessage) {
 	if s.archiving {
 		m.reply <- errArchivingInProgress
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -26,7 +26,9 @@
 		s.gangTaskLost(a)
 	}
 	if m.DrainReason != "" && len(m.Attempts) == 0 {
-		s.nextSnapshot = time.Time{} // the empty machine can be terminated, and the next drain waits until it is terminated
+		// The next tick takes a fleet snapshot, so that the empty machine is terminated soon. The next drain of a machine waits
+		// for this termination.
+		s.nextSnapshot = time.Time{}
 	}
 	s.log.Debug("attempt removed", "job", j.Spec.ID, "task", a.Task, "attempt", a.Number, "machine", m.ID, "reason", reason)
 	s.activation.attemptRemoved(a, now)
@@ -34,8 +36,8 @@
 	s.placementDue = true
 }
 
-// stopAttempt marks an attempt to be stopped, with a grace period in which it may save a checkpoint. An attempt whose start
-// command was never sent is removed instead.
+// stopAttempt marks an attempt to be stopped, with a grace period of graceSeconds to save a checkpoint; 0 means none. If the
+// attempt's start command can't have reached the worker, stopAttempt removes the attempt at once.
 func (s *scheduler) stopAttempt(a *cluster.Attempt, graceSeconds float64) {
 	if !a.StartMayBeDelivered() {
 		s.removeAttempt(a, "stopped before its start")
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -44,8 +44,8 @@
 	case a.Stopping && !a.StartMayBeDelivered():
 		s.removeAttempt(a, "stopped before its start")
 	case a.Stopping && (a.Delivery == cluster.DeliveryUnresolved || a.Delivery == cluster.DeliverySettled):
-		// The direct start command may still arrive, minutes late. Starting and stopping the attempt now makes the worker
-		// record the attempt. A worker ignores start commands for attempts that it has recorded.
+		// The direct start command may still arrive, minutes late. The worker is therefore sent a start and a stop command
+		// now, which make it record the attempt. A worker ignores start commands for attempts that it has recorded.
 		if s.leaseValid(now) {
 			a.RecordStartCommanded(r)
 			commands = append(commands, start)
@@ -62,8 +62,8 @@
 }
 
 // mayForget reports whether a worker may drop an exited attempt from its reports. The scheduler must have removed the
-// attempt, the task's page must be durable, and no direct start command of the attempt may still arrive. If a start command
-// arrived after the worker had dropped the attempt, the worker would run the attempt again.
+// attempt, the task's page must be durable, and it must be certain that no direct start command of the attempt can still
+// arrive. If one arrived after the worker had dropped the attempt, the worker would run the attempt again.
 func (s *scheduler) mayForget(m *cluster.Machine, t worker.TaskReport, now time.Time) bool {
 	if a := m.Attempts[t.ID]; a != nil && a.Number == t.Attempt {
 		return false
@@ -84,12 +84,14 @@
 	}
 }
 
-// maxInFlightCommands is how many direct requests to one worker may be in flight. While a worker doesn't answer them, it
-// gets further commands in the responses to its heartbeats, and the sockets remain available for other workers.
+// maxInFlightCommands is how many direct requests to one worker may be in flight. A direct request is sent to the worker's
+// address, without waiting for a heartbeat. A worker that doesn't answer gets further commands only in the responses to its
+// heartbeats, so that sockets remain available for other workers.
 const maxInFlightCommands = 3
 
 // sendCommands sends commands directly to a worker. starts are the attempts that the commands start. Until the worker
-// responds it is unknown whether the worker has executed the commands.
+// responds it is unknown whether the worker has executed the commands. sendCommands sends nothing if the worker's address or
+// incarnation is unknown, or if maxInFlightCommands requests to the worker are in flight.
 func (s *scheduler) sendCommands(m *cluster.Machine, commands []worker.Command, starts []*cluster.Attempt) {
 	if m.Addr == "" || m.Incarnation == 0 || m.InFlight >= maxInFlightCommands {
 		return
@@ -115,9 +117,9 @@
 	})
 }
 
-// announceToken sends this term's fencing token to a worker, unless the worker already has a token of this term or can't
-// be reached. If MaxTokenAnnouncements announcements are in flight already, it sends nothing and returns false. The worker
-// then gets the token in the response to its next heartbeat at the latest.
+// announceToken sends this term's fencing token to a worker. It sends nothing to a worker that already has a token of this
+// term or that can't be reached. It returns false only if MaxTokenAnnouncements announcements to workers are in flight
+// already, so that it can send none now. A worker without an announcement gets the token in the response to its next heartbeat.
 func (s *scheduler) announceToken(m *cluster.Machine) bool {
 	if s.announcements >= s.settings.MaxTokenAnnouncements() {
 		return false
@@ -135,7 +137,7 @@
 const announceTimeoutPerHeartbeat = 0.25
 
 // announceTokens sends this term's fencing token to the workers that were known at the start of the term, a limited
-// number at a time. Workers that have the token reject late commands of the earlier leader.
+// number at a time. Workers that have the token reject commands of earlier leaders that arrive late.
 func (s *scheduler) announceTokens() {
 	for len(s.machinesAwaitingToken) > 0 {
 		m := s.machinesAwaitingToken[0]
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -34,8 +34,9 @@
 	return s.admission.Admit(team, s.journal.AvailableBytes()/acceptedJobBytes)
 }
 
-// markRecord marks a record to be written in the bulk lane, the lane of records that neither users nor urgent jobs wait for.
-// data is called when the commit begins. It returns the record's value, or nil to remove the record.
+// markRecord marks a record to be written in the bulk lane. A lane is a priority class of the records that wait for a commit.
+// The bulk lane is for records that neither users nor urgent jobs wait for. data is called when the commit begins. It returns
+// the record's value, or nil to remove the record.
 func (s *scheduler) markRecord(key string, data func() any) {
 	s.queue.Mark(groupcommit.Bulk, key, data)
 }
@@ -120,7 +121,8 @@
 }
 
 // flush starts a commit of the marked records, up to the size limit of one commit. If a commit is in flight it does nothing.
-// The bulk lane is limited, so that it doesn't use up the journal's change budget, which the other lanes need too.
+// The bulk lane is limited, so that enough of the journal's change budget remains for the other lanes. The budget limits the
+// rate of the operations that the journal may send to the key-value store.
 func (s *scheduler) flush(ctx context.Context) {
 	if !s.queue.Idle() {
 		return
@@ -138,8 +140,8 @@
 
 // limitBulk limits how many bytes of records the next commit may take from the bulk lane. The journal's change budget is a
 // token bucket, and each operation of a transaction takes one token. bulkPacer reserves part of the bucket for the other
-// lanes, and returns how many tokens above this part the bulk lane may use. BytesPerChange converts tokens to bytes. Once
-// the bulk lane has been held back for too long, bulkPacer allows one commit any number of its bytes.
+// lanes, and returns how many tokens above this part the bulk lane may use. BytesPerChange is the number of bytes for each
+// token. Once the bulk lane has been held back for too long, bulkPacer lets one commit take any number of bytes from the lane.
 func (s *scheduler) limitBulk(now time.Time) {
 	if s.queue.Waiting(groupcommit.Bulk) == 0 {
 		return
@@ -160,7 +162,7 @@
 }
 
 // handleCommitted ends the commit in flight. EndCommit calls the callbacks that waited for the commit. The callbacks of
-// accepted jobs increment acceptedInCommit.
+// accepted jobs increment acceptedInCommit, from which the throughput of submissions is measured.
 func (s *scheduler) handleCommitted(err error) {
 	duration := time.Since(s.commitStarted)
 	s.commitStarted = time.Time{}
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -20,12 +20,13 @@
 // A leader that doesn't reach the key-value store may renew leases only for a limited time, and a delegation has the same
 // time limit. In both cases a new leader may confirm the cancellation of a job without reaching the job's workers. The job's
 // tasks must be gone within cancel_s, and they may run until lease_s after the last renewal of their worker's lease. The last
-// renewal must therefore happen within cancel_s - lease_s, less a margin, after the last contact with the leader.
+// renewal must therefore happen at most cancel_s - lease_s, less a margin, after the peer's last contact with the leader. For
+// the leader itself, this time is counted from the expiry of its leadership lease.
 //
 // Workers that still have to stop tasks of a cancelled job are excluded from the delegation. The response to a delegated
 // renewal contains no commands.
 //
-// Before the leader treats a worker's lease as expired, it allows for the renewals that peers may have made under its
+// Before the leader treats a worker's lease as expired, it takes into account that peers may have renewed the lease under its
 // delegations: see delegatedLeaseBound.
 
 // delegation is a leader's permission for this controller to renew workers' leases for a limited time.
@@ -50,12 +51,12 @@
 	}
 }
 
-// answerDelegated answers a heartbeat for which no leader has responded with a result.
+// answerDelegated answers a heartbeat that no leader is known to have handled.
 func (f *forwarder) answerDelegated(p pendingReport, now time.Time) {
 	p.reply <- f.decideDelegated(p, now)
 }
 
-// decideDelegated renews a worker's lease if the delegation allows it. Otherwise it returns a busy response.
+// decideDelegated renews a worker's lease if the delegation allows the renewal. If not, it returns a busy response.
 func (f *forwarder) decideDelegated(p pendingReport, now time.Time) worker.HeartbeatResponse {
 	f.refreshDelegation()
 	r, known, grant := p.report, f.workers[p.report.Machine], &f.delegation
@@ -101,7 +102,7 @@
 
 // delegationLimits limits the delegations that the leader grants. The scheduler publishes it as an immutable value.
 type delegationLimits struct {
-	at         time.Time        // when the scheduler collected excluded; delegations count from this time
+	at         time.Time        // when the scheduler collected excluded; the period of a delegation starts at this time
 	renewUntil time.Time        // the time until which the leader may renew leases
 	excluded   map[string][]int // IDs of the machines with tasks of cancelled jobs, by the machine's zone
 }
@@ -157,12 +158,12 @@
 	return time.Time{}
 }
 
-// delegationLimitsAgePerHeartbeat is the age at which the published delegationLimits are replaced, in heartbeat intervals. A
-// delegation counts from the time of the limits, so old limits would shorten it.
+// delegationLimitsAgePerHeartbeat is the age at which the published delegationLimits are replaced, in heartbeat intervals. The
+// period of a delegation starts at the time of the limits, so old limits would leave less of the period.
 const delegationLimitsAgePerHeartbeat = 0.02
 
-// publishDelegation replaces the published delegationLimits if they are old and leadership was not resigned. The limits
-// exclude the machines that may still run tasks of cancelled jobs.
+// publishDelegation replaces the published delegationLimits once they have reached the age delegationLimitsAgePerHeartbeat.
+// After a resignation it publishes nothing. The limits exclude the machines that may still run tasks of cancelled jobs.
 func (s *scheduler) publishDelegation(now time.Time) {
 	if previous := s.delegator.limits.Load(); s.resigned || previous != nil && now.Sub(previous.at) < clock.Scale(s.settings.HeartbeatInterval, delegationLimitsAgePerHeartbeat) {
 		return
@@ -211,7 +212,7 @@
 type peerRenewals struct {
 	zone        string
 	until       time.Time // latest time at which the peer may renew leases
-	last        time.Time // latest possible time of the last renewal that the peer's latest status reports; zero if unknown
+	last        time.Time // upper bound of the time of the last renewal that the peer's latest status reports; zero if unknown
 	requestedAt time.Time // when the peer's latest status was requested
 }
 
@@ -231,7 +232,7 @@
 		}
 		if status, ok := s.deps.Peers.Status(p.Name); ok && status.Sent.After(s.termStarted) {
 			// SinceDelegatedRenewal covers only the peer's current process. An earlier process may have renewed leases until
-			// the peer restarted, so the time is limited to Uptime.
+			// the peer restarted, so the time since the last renewal is limited to Uptime.
 			renewals.last = status.Received.Add(-clock.Scale(min(status.SinceDelegatedRenewal, status.Uptime), 1/clock.DriftBound))
 			renewals.requestedAt = status.Sent
 		}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -12,8 +12,8 @@
 	"sagevale/internal/worker"
 )
 
-// maxListLags is how long a machine must be missing from the cloud's list before it counts as gone, as a multiple of
-// Settings.ListLag, the time by which the list may lag behind.
+// maxListLags is how long a machine must be missing from the cloud's list before it counts as gone. It is a multiple of
+// Settings.ListLag, the time by which the list may lag behind the machines that exist.
 const maxListLags = 4
 
 // drain cordons a machine and evicts its tasks. Services and tasks that save checkpoints are restarted on other machines.
@@ -59,8 +59,8 @@
 	}
 }
 
-// handleList reconciles the machines with the cloud's list. The list lags behind, so a machine that isn't listed may still
-// exist. It is removed only once provenGone returns true.
+// handleList reconciles the machines with the cloud's list. The list may be outdated, so a machine that isn't listed may still
+// exist. Such a machine is removed only once provenGone returns true.
 func (s *scheduler) handleList(machines []cloud.Machine) {
 	now := time.Now()
 	s.machinesListed = true
@@ -98,9 +98,9 @@
 	m.Failed = listed.State == cloud.Failed
 }
 
-// provenGone reports whether a machine that isn't in the cloud's list is certainly gone. The machine must have been unlisted
-// for longer than the list can lag behind, and silent for longer than a worker lease. The lease of its worker must also have
-// expired for certain.
+// provenGone reports whether a machine that isn't in the cloud's list is certainly gone. The machine must have been missing
+// from the list for longer than the list can be outdated, and must have sent no report for longer than a worker lease. The
+// lease of its worker must also have expired for certain.
 func (s *scheduler) provenGone(m *cluster.Machine, now time.Time) bool {
 	lag := maxListLags * s.settings.ListLag
 	silent := now.Sub(m.LastContact) > s.settings.WorkerLease && now.Sub(m.FirstSeen) > s.settings.WorkerLease+lag
@@ -122,7 +122,7 @@
 	s.placementDue = true
 }
 
-// handleLaunched adds the machines of a completed launch, which may not appear in the cloud's list yet.
+// handleLaunched adds the machines of a completed launch. The cloud's list may not contain these machines yet.
 func (s *scheduler) handleLaunched(msg launchedMessage) {
 	now := time.Now()
 	for _, id := range msg.machines {
@@ -141,8 +141,8 @@
 	s.placementDue = true
 }
 
-// terminateMachines makes the durable decision to terminate machines, and then requests that the cloud delete them. The
-// decision can't be revoked, because the cloud may execute a deletion late.
+// terminateMachines records that machines are to be terminated. Once the records are durable, it requests that the cloud
+// delete the machines. The decision can't be revoked, because the cloud may execute a deletion late.
 func (s *scheduler) terminateMachines(ids []int) {
 	if len(ids) == 0 {
 		return
--- a/internal/scheduler/forwarder.go
+++ b/internal/scheduler/forwarder.go
@@ -50,7 +50,7 @@
 // knownWorker is the forwarder's record of a worker that sends its heartbeats to this controller.
 type knownWorker struct {
 	incarnation, seq uint64
-	digest           uint64    // digest of the last heartbeat that the leader accepted
+	digest           uint64    // hash of the worker's state in the last heartbeat that the leader accepted, see forwarder.digest
 	lastAcknowledged time.Time // when the worker's lease was last renewed through this controller
 	lastSeen         time.Time
 	redirected       time.Time // when the worker was last redirected to another controller
@@ -232,8 +232,8 @@
 	}
 }
 
-// stale reports whether a heartbeat isn't newer than the last heartbeat that the leader accepted. This is so for copies that
-// arrive late.
+// stale reports whether a heartbeat isn't newer than the worker's last heartbeat that the leader accepted. This happens when a
+// copy of an earlier heartbeat arrives late.
 func (known *knownWorker) stale(r *worker.Report) bool {
 	return r.Incarnation < known.incarnation || r.Incarnation == known.incarnation && r.Seq <= known.seq
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -14,8 +14,9 @@
 // before any task is started. Until the gang runs, a lost task is replaced with the same attempt number. Once the gang has
 // run, the loss of a task ends the attempt. The next attempt begins when all tasks of the ended attempt are proved to be gone.
 
-// stalledGangWaitShare is how long the other tasks of a gang wait for a stalled task, as a share of GangWait. The stalled
-// task is then restarted on another machine, and has the remaining part of GangWait to start there.
+// stalledGangWaitShare is how long the started tasks of a gang wait for a task that doesn't start, as a share of
+// Settings.GangWait. GangWait is the time that a gang's tasks wait for each other before they exit. The stalled task is then
+// restarted on another machine, and has the remaining part of GangWait to start there.
 const stalledGangWaitShare = 0.4
 
 // gangTaskLost handles the loss of a gang's task. If the gang's attempt has run, the other tasks are stopped at once, because
@@ -52,8 +53,8 @@
 }
 
 // stopGang stops all tasks of a gang, with a grace period to save a checkpoint. The checkpoint succeeds only if all tasks
-// receive their stop commands within gang_peer_s of the first task. The stop commands are therefore sent directly, and are
-// repeated in the responses to heartbeats.
+// receive their stop commands within gang_peer_s (a setting, in seconds) after the first task. The stop commands are therefore
+// sent directly, and are repeated in the responses to heartbeats.
 func (s *scheduler) stopGang(j *cluster.Job) {
 	for _, a := range j.GangAttempts() {
 		if j.Attempts[a.Task] == a && !a.Stopping {
@@ -89,7 +90,7 @@
 //   - If the gang hasn't run yet, the task is stopped and replaced.
 //   - If the gang saves checkpoints and can't finish before the preemption, all its tasks are stopped to save a checkpoint.
 //     This requires that there is time for the checkpoint and that all workers of the gang are reachable.
-//   - Otherwise the gang continues to run, because it may still finish or reach its next checkpoint.
+//   - In all other cases the gang continues to run, because it may still finish or reach its next checkpoint.
 func (s *scheduler) drainGang(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if m.PreemptionAt.IsZero() {
--- a/internal/scheduler/gates.go
+++ b/internal/scheduler/gates.go
@@ -67,7 +67,8 @@
 	})
 }
 
-// encodingOf returns the record encoding that the journal may write while the gates of a cluster record are in force.
+// encodingOf returns the record encoding that the journal may write while the feature gates of a cluster record are in force.
+// The cluster record, an upgrade.Record, stores the cluster's version and the states of its gates.
 func encodingOf(record upgrade.Record) storage.Encoding {
 	gate := record.Gate(upgrade.CompressedChunks)
 	switch {
@@ -96,8 +97,8 @@
 	return err
 }
 
-// publish sends a cluster record to the journal and the scheduler. It returns the uses of gates that the scheduler counted
-// right after it had applied the record.
+// publish sends a cluster record to the journal and the scheduler. Right after the scheduler has applied the record, it counts
+// the parts of its state that depend on gates. publish returns these counts.
 func (t termGates) publish(ctx context.Context, record upgrade.Record) (gateUses, error) {
 	t.journal.SetEncoding(encodingOf(record))
 	reply := make(chan gateUses, 1)
@@ -112,7 +113,9 @@
 	}
 }
 
-// CountGateUses publishes a cluster record, and then counts the uses of each gate.
+// CountGateUses publishes a cluster record, and then counts for each gate how much state depends on it. Each call also
+// converts a part of the state that must no longer depend on a gate: it rewrites compressed chunks of the journal, and moves
+// archived jobs back to the journal.
 func (t termGates) CountGateUses(ctx context.Context, record upgrade.Record) (upgrade.Usage, error) {
 	uses, err := t.publish(ctx, record)
 	if err != nil {
@@ -138,8 +141,8 @@
 	return usage, err
 }
 
-// gatesMessage sends the scheduler the gates that are in force from now on. The scheduler applies them, and replies with its
-// uses of gates.
+// gatesMessage sends the scheduler the gates that are in force from now on. The scheduler applies them, and replies with the
+// state that depends on gates.
 type gatesMessage struct {
 	record upgrade.Record
 	reply  chan gateUses
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -8,11 +8,12 @@
 )
 
 // Leadership handover: a leader may lose its connections to the workers but still reach its peers and the key-value store.
-// The peers then forward the workers' heartbeats to the leader, but its direct commands fail. Tasks start only with the
-// responses to heartbeats. Such a leader hands leadership over to a controller that receives heartbeats itself.
+// The peers then forward the workers' heartbeats to the leader, but its direct commands fail. Start commands reach the workers
+// only in the responses to heartbeats. Such a leader hands leadership over to a controller that receives heartbeats itself.
 
-// handoverThreshold is the number of machines that direct commands must fail to reach before leadership is handed over. Only
-// machines whose reports still arrive are counted. The count starts again whenever a direct command reaches any machine.
+// handoverThreshold is the number of machines that direct commands must fail to reach before leadership is handed over. In a
+// fleet of fewer machines, all must be unreachable. Only machines whose reports still arrive are counted. The count starts
+// again at zero whenever a direct command reaches any machine.
 const handoverThreshold = 8
 
 // updateReachability records whether a direct command reached a machine. It hands leadership over once direct commands have
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -19,8 +19,8 @@
 		for _, a := range m.SortedAttempts() {
 			s.removeAttempt(a, "worker lease expired")
 		}
-		// A worker whose lease has expired begins a new incarnation. Reports of the ended incarnation no longer confirm the
-		// machine.
+		// A worker whose lease has expired begins a new incarnation. Reports of the ended incarnation may still arrive, but no
+		// longer set Confirmed.
 		m.Confirmed, m.ExpiredIncarnation = false, m.Incarnation
 	}
 }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -344,8 +344,8 @@
 }
 
 // useRelay reports whether requests to the leader have to be relayed through the key-value store. This is so once the leader
-// has been unreachable for longer than a leader lease. The leader still holds its key in the store in that case, because
-// otherwise it would no longer be known as the leader.
+// has been unreachable for longer than a leader lease. After that time, a leader that had lost its key in the store would no
+// longer be known as the leader. The leader therefore still holds its key, and requests can reach it through the store.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -76,8 +76,8 @@
 }
 
 // GangReachable implements placement.Actions. It reports whether direct commands are likely to reach all machines of a gang.
-// If one task receives its stop command more than gang_peer_s after the other tasks, the other tasks exit without it and the
-// checkpoint fails.
+// If one task receives its stop command more than gang_peer_s (a setting, in seconds) after the other tasks, they exit without
+// waiting for it and the checkpoint fails.
 func (s *scheduler) GangReachable(j *cluster.Job, now time.Time) bool {
 	for _, a := range j.Attempts {
 		if !s.reachable(a.Machine, now) {
@@ -124,5 +124,5 @@
 	if a.Job.Phase != storage.PhaseOpen || a.Stopping || m.Terminating || a.Incarnation != m.Incarnation || a.StartMayBeDelivered() {
 		return false
 	}
-	return s.directStartsAllowed(m, a.Job) // otherwise the response to a heartbeat carries the start command
+	return s.directStartsAllowed(m, a.Job) // if not, the response to the worker's next heartbeat carries the start command
 }
--- a/internal/scheduler/ports.go
+++ b/internal/scheduler/ports.go
@@ -33,7 +33,7 @@
 	Status(node string) (status peer.ObservedStatus, ok bool)
 	// UnreachableFor returns how long a controller has been unreachable, or 0 if it is reachable.
 	UnreachableFor(node string) time.Duration
-	// KnownLeader returns the leader with the highest term that the recent statuses of the peers name, and that term. The
-	// term is 0 if no recent status names a leader.
+	// KnownLeader returns a leader and its term. It chooses the leader with the highest term among the leaders that the
+	// peers' recent statuses name. The term is 0 if no recent status names a leader.
 	KnownLeader() (leader string, term uint64)
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -96,7 +96,8 @@
 	m.LastAcknowledged = now
 }
 
-// checkResponsive quarantines a machine for a limited time if its heartbeats arrive but it doesn't execute commands.
+// checkResponsive quarantines a machine if its heartbeats arrive but it doesn't execute start commands. For the time
+// Settings.ReportFreshness, no tasks are placed on the machine.
 func (s *scheduler) checkResponsive(m *cluster.Machine, r *worker.Report, now time.Time) {
 	m.Unresponsive = false
 	for _, a := range m.Attempts {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -32,7 +32,7 @@
 const (
 	// tickPerHeartbeat is the interval of the scheduler's periodic work, in heartbeat intervals.
 	tickPerHeartbeat = 0.15
-	// snapshotPerHeartbeat is the minimum pause between two fleet snapshots, in heartbeat intervals.
+	// snapshotPerHeartbeat is the minimum pause between two snapshots of the fleet for the autoscaler, in heartbeat intervals.
 	snapshotPerHeartbeat = 0.25
 	// snapshotPauseFactor is another minimum pause between two fleet snapshots, as a multiple of the duration of the tick
 	// that made the last snapshot. The longer of the two pauses applies.
@@ -40,8 +40,8 @@
 	// commitStallPerHeartbeat is the duration after which a commit counts as stalled, in heartbeat intervals. Users who wait
 	// for a stalled commit get a response that asks them to retry.
 	commitStallPerHeartbeat = 0.35
-	// attemptNumbersPerToken is the number of attempt numbers for each fencing token of a term. The first attempt number of a
-	// term is the term's number times attemptNumbersPerToken, plus 1.
+	// attemptNumbersPerToken is the number of attempt numbers that a term has for each of its fencing tokens. The first
+	// attempt number of a term is the term's number (also its first token) times attemptNumbersPerToken, plus 1.
 	attemptNumbersPerToken = 1 << 24
 )
 
--- a/internal/scheduler/task_failures.go
+++ b/internal/scheduler/task_failures.go
@@ -8,8 +8,8 @@
 	"sagevale/internal/worker"
 )
 
-// maxQuarantineLeases is the longest quarantine of a machine that fails tasks or loses its lease, in worker leases. With a
-// longer quarantine, tasks would wait although resources are free.
+// maxQuarantineLeases is the longest quarantine of a machine that fails tasks or loses its lease, in worker leases. No tasks
+// are placed on a machine in quarantine, so during a longer quarantine tasks would wait although resources are free.
 const maxQuarantineLeases = 2
 
 // recordTaskFailure records a task's failure and attributes it to the job or the machine. A job that fails on every machine
@@ -32,7 +32,8 @@
 	}
 }
 
-// clearMachineFailures removes the failures of a job at fault from the machines on which the job has failed.
+// clearMachineFailures removes a job's failures from the records of the machines on which the job has failed, because the
+// job itself is the cause of these failures.
 func (s *scheduler) clearMachineFailures(j *cluster.Job) {
 	for _, id := range j.Failures.Machines() {
 		if m := s.state.Machines.Get(id); m != nil {
--- a/internal/scheduler/unconfirmed.go
+++ b/internal/scheduler/unconfirmed.go
@@ -20,8 +20,8 @@
 // machines have reported. The leases of silent machines expire late, because the earlier leader may have renewed them. The
 // cloud's confirmation that a machine is deleted proves sooner that no task runs on it.
 //
-// A machine is not terminated if its services don't fit on other machines. If that machine becomes reachable again, its
-// images are still cached.
+// A machine is not terminated if its services don't fit on other machines. They can then only run on this machine, and its
+// images are still cached if it becomes reachable again.
 func (s *scheduler) lostSinceFailover(now time.Time) []int {
 	if !s.leaseValid(now) || now.Sub(s.termStarted) < max(clock.Scale(s.settings.WorkerLease, unconfirmedTimeoutLeases), s.settings.ReportFreshness()) {
 		return nil
--- a/internal/scheduler/usage.go
+++ b/internal/scheduler/usage.go
@@ -7,7 +7,8 @@
 	"sagevale/internal/activation"
 )
 
-// maxSilentUsageIntervals is how long a controller may send no usage report before it counts as silent, in usage intervals.
+// maxSilentUsageIntervals is how long a controller may send no usage report before it counts as silent, as a multiple of
+// Settings.UsageInterval, the time between two usage reports of a controller.
 const maxSilentUsageIntervals = 2
 
 // usageMessage carries a controller's usage report to the scheduler.
--- a/internal/scheduler/users.go
+++ b/internal/scheduler/users.go
@@ -70,7 +70,7 @@
 	if j == nil && s.answerFromArchive(m, now) {
 		return
 	}
-	// If the lease may have expired, a new leader may already have changed any state that isn't final.
+	// If the leadership lease may have expired, a new leader may already have changed any state that isn't final.
 	if !s.leaseValid(now) {
 		m.reply <- api.Unavailable(m.req.ID, "leadership not certain")
 		return
@@ -142,8 +142,9 @@
 	})
 }
 
-// missingGate returns a feature gate that the job depends on and that may not be used yet, if there is one. If that gate
-// is open, missingGate requests that it be marked as used.
+// missingGate returns a feature gate that the job depends on but for which mayUse returns false, if there is one. If that gate
+// is open, mayUse has requested that the gate be marked as used. A service that should scale to zero depends on its gate only
+// while the gate is open, because without the gate the service runs all the time.
 func (s *scheduler) missingGate(spec *storage.Spec) (gate upgrade.GateName, missing bool) {
 	if spec.Gang && !s.mayUse(upgrade.GangJobs) {
 		return upgrade.GangJobs, true
--- a/internal/scheduler/worker_tokens.go
+++ b/internal/scheduler/worker_tokens.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// maxAttemptsForDirectStarts is the number of attempts on a worker above which direct commands no longer start tasks there, unless
-// their jobs are urgent. Live attempts and retained ended attempts are counted together. The remaining part of MaxRetained is
-// reserved for urgent jobs. Without this limit, a flood of short tasks would fill the workers' fences with retained attempts,
-// and the leader would have to resign.
+// maxAttemptsForDirectStarts limits the starts by direct commands while tokens can't be raised. It is the largest number of
+// attempts on a worker, live and retained ended ones together, with which direct commands may start tasks of jobs that aren't
+// urgent. The remaining capacity, up to MaxRetained, is reserved for urgent jobs. Without this limit, a flood of short tasks
+// would fill the workers' fences with retained attempts, and the leader would have to resign.
 const maxAttemptsForDirectStarts = fencing.MaxRetained / 2
 
 // directStartsAllowed reports whether tasks of a job may be started on a worker by direct commands. If the worker must retain
