--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -21,7 +21,7 @@
 	record        activation.Record
 	damaged       json.RawMessage // the stored record if it can't be decoded, else nil
 	pendingWrites int             // number of changes to the record that aren't durable yet
-	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did, or once the service was ready
+	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did or after the service was ready
 	waiters       []wakeWaiter    // wake requests whose responses are delayed while the service starts
 	// routedUntil is the latest time until which a controller may route requests to the replica. Each response of a leader
 	// permits a controller to do so for Settings.RoutingLease, even if the leader loses its leadership during that time.
@@ -59,10 +59,10 @@
 // activationScheduler contains the operations of the scheduler that the activation controller uses.
 type activationScheduler interface {
 	// recordJob schedules a write of a job's record. Once the record's current value is durable, it calls done with nil.
-	// If a commit fails first, it calls done with the error.
+	// If a commit fails before that, it calls done with the error.
 	recordJob(j *cluster.Job, done func(error))
-	// afterJobCommit calls done with nil once all scheduled writes of a job's record are durable. If a commit fails first,
-	// it calls done with the error.
+	// afterJobCommit calls done with nil once all scheduled writes of a job's record are durable. If a commit fails
+	// before that, it calls done with the error.
 	afterJobCommit(j *cluster.Job, done func(error))
 	// stopAttempt stops an attempt. The attempt has a grace period of graceSeconds to save a checkpoint; 0 means none.
 	stopAttempt(a *cluster.Attempt, graceSeconds float64)
--- a/internal/scheduler/activation_status.go
+++ b/internal/scheduler/activation_status.go
@@ -21,7 +21,7 @@
 	Class   string
 	Record  activation.Record // Record.Replica is taken from the stored attempts, because the stored record lacks it
 	Machine int               // ID of the replica's machine; 0 if there is no replica
-	Managed bool              // the service has a lifecycle record; otherwise it always runs
+	Managed bool              // the service has a lifecycle record; a service without one always runs
 	Damaged string            // why the lifecycle record can't be decoded; "" if it can
 	Reason  string            // the reason for the service's present state; "" if demand could start it at once
 }
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -86,12 +86,12 @@
 	return s.queue.IsDurable(storage.TaskPageKey(id.Job, id.Task/storage.TasksPerPage))
 }
 
-// onCommit calls f with nil once all records that are marked now are durable. If a commit fails first, it calls f with the
-// commit's error.
+// onCommit calls f with nil once all records that are marked at the time of the call are durable. If a commit fails before
+// that, it calls f with the commit's error.
 func (s *scheduler) onCommit(f func(error)) { s.queue.OnAllDurable(f) }
 
-// onJobCommit calls f with nil once the current value of a job's own record is durable. If a commit fails first, it calls f
-// with the commit's error.
+// onJobCommit calls f with nil once the current value of a job's own record is durable. If a commit fails before that, it calls
+// f with the commit's error.
 func (s *scheduler) onJobCommit(j *cluster.Job, f func(error)) { s.queue.OnDurable(f, jobLane(j)) }
 
 // startWhenDurable starts reserved attempts once their job records and page records are durable. Attempts of urgent jobs wait
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -17,7 +17,8 @@
 const maxListLags = 4
 
 // drain cordons a machine and evicts its tasks. Services and tasks that save checkpoints are restarted on other machines.
-// Other tasks may finish, unless the cloud will preempt the machine before that. drainGang handles the tasks of gangs.
+// Other tasks may finish. If the cloud will preempt the machine before a task can finish, the task is stopped at once.
+// drainGang handles the tasks of gangs.
 func (s *scheduler) drain(m *cluster.Machine, reason string) {
 	if m.DrainReason != "" || m.Terminating {
 		return
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -220,7 +220,7 @@
 	n.endTerm(role.Term, err, log)
 }
 
-// endTerm resigns the leadership of a term whose actors have ended with an error, unless they were cancelled.
+// endTerm resigns the leadership of a term whose actors have ended with an error. If they were cancelled, it does nothing.
 func (n *Node) endTerm(term uint64, err error, log *slog.Logger) {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -112,7 +112,7 @@
 
 // fleetState holds the state of the fleet that isn't part of the machine table.
 type fleetState struct {
-	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms without a recorded response
+	openLaunches    map[string]storage.LaunchRecord // launch requests of earlier terms for which no response is recorded
 	desired         int                             // the recorded desired size of the fleet, in machines
 	machinesListed  bool                            // the cloud's machine list has been read in this term
 	terminated      map[int]bool                    // machines whose termination the cloud has confirmed
--- a/internal/scheduler/wake.go
+++ b/internal/scheduler/wake.go
@@ -46,8 +46,8 @@
 }
 
 // activationLeader returns the name of the leader if it is another controller that supports wake requests and usage
-// reports. Otherwise it returns the reason why there is no such leader. Controllers of earlier versions would misinterpret
-// these messages.
+// reports. If there is no such leader, it returns the reason. Controllers of earlier versions would misinterpret wake requests
+// and usage reports.
 func (n *Node) activationLeader(v *view) (leader, reason string) {
 	leader = n.leader(v)
 	if leader == "" || leader == n.settings.NodeName {
