--- a/internal/scheduler/activation.go
+++ b/internal/scheduler/activation.go
@@ -21,7 +21,7 @@
 	record        activation.Record
 	damaged       json.RawMessage // the stored record if it can't be decoded, else nil
 	pendingWrites int             // number of changes to the record that aren't durable yet
-	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did or after the service was ready
+	wokenAt       time.Time       // when a wake request of this term started the service; zero if none did or once it was ready
 	waiters       []wakeWaiter    // wake requests whose responses are delayed while the service starts
 	// routedUntil is the latest time until which a controller may route requests to the replica. Each response of a leader
 	// permits a controller to do so for Settings.RoutingLease, even if the leader loses its leadership during that time.
