--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -220,7 +220,7 @@
 	n.endTerm(role.Term, err, log)
 }
 
-// endTerm resigns the leadership of a term whose actors have ended with an error, unless they were cancelled.
+// endTerm resigns the leadership of a term whose actors have ended with an error. If they were cancelled, it does nothing.
 func (n *Node) endTerm(term uint64, err error, log *slog.Logger) {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
@@ -344,8 +344,8 @@
 }
 
 // useRelay reports whether requests to the leader have to be relayed through the key-value store. This is so once the leader
-// has been unreachable for longer than a leader lease. The leader still holds its key in the store in that case, because
-// otherwise it would no longer be known as the leader.
+// has been unreachable for longer than a leader lease. After that time, a leader that had lost its key in the store would no
+// longer be known as the leader. The leader therefore still holds its key, and requests can reach it through the store.
 func (n *Node) useRelay(leader string) bool {
 	return n.deps.Peers.UnreachableFor(leader) > n.settings.Tuning.LeaderLease
 }
