--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,8 +1,8 @@
-// Package admission limits how many submissions may wait to be recorded durably. A submission that
-// can't be recorded soon is rejected at once, with the time after which to retry. When the capacity is
-// contended, each team may use only its fair share. The times to retry are spaced at the measured
-// throughput. Rejected submissions therefore don't all return at the same time, and each is likely to be
-// admitted when it returns.
+// Package admission limits how many submissions may wait to be recorded durably. This limit is called the
+// capacity. A submission that can't be recorded soon is rejected at once, with the time after which to retry.
+// When much of the capacity is in use, each team may use only its fair share. The times to retry are spaced at
+// the measured throughput. Rejected submissions therefore don't all return at the same time, and each is likely
+// to be admitted when it returns.
 //
 // The package does no input or output.
 package admission
@@ -21,8 +21,8 @@
 	// minCapacity is the least number of submissions that may wait, however low the throughput is,
 	// because the throughput can be measured only while submissions are recorded.
 	minCapacity = 32
-	// maxRetrySeconds is the longest time that a response may state until the retry. By the protocol, users
-	// wait no longer.
+	// maxRetrySeconds is the longest delay before a retry that a response may state. By the protocol, users
+	// wait no longer than this.
 	maxRetrySeconds = 30
 )
 
--- a/internal/autoscaling/cloud_calls.go
+++ b/internal/autoscaling/cloud_calls.go
@@ -14,8 +14,9 @@
 const (
 	// callTimeoutPerLease is the timeout of one call of the cloud, in worker leases.
 	callTimeoutPerLease = 0.5
-	// listsPerLag is how many times the machine list is read within one ListLag. The list is read less often if
-	// that would take more than listRequestShare of the autoscaler's request rate.
+	// listsPerLag is how many times the machine list is read within one Settings.ListLag, the time by which the
+	// cloud's list lags behind. The list is read less often if its pages would take more than listRequestShare of
+	// the autoscaler's request rate.
 	listsPerLag      = 2
 	listRequestShare = 0.5
 	// listPageSize is the number of machines requested per page, the most that the cloud returns.
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -32,7 +32,7 @@
 // demands returns the waiting tasks in order of urgency, then the headroom, and then opportunistic work.
 func (r *Reviewer) demands(now time.Time) []*demand {
 	var demands, opportunistic []*demand
-	planned := make(map[string]storage.Resources) // resources of the tasks planned in this snapshot, by team
+	planned := make(map[string]storage.Resources) // resources of the tasks included in the demands so far, by team
 	for _, j := range r.planner.WaitingByUrgency(now) {
 		team := r.settings.Team(j.Spec.Team)
 		if team == nil {
@@ -112,8 +112,9 @@
 }
 
 // classHeadroomDemands returns headroom demands for a number of tasks of a class. A job that is spread over zones must
-// run half of its tasks, rounded down, outside of its first zone. If the class's jobs are spread, that share of the
-// headroom is kept free in every feasible zone, because each of them may be the other zone of a job.
+// run half of its tasks, rounded down, outside of its first zone. For a class of spread jobs, each feasible zone
+// therefore gets headroom for the share of the tasks that must run outside of their job's first zone, because any of these
+// zones may be the other zone of a job. Headroom for tasks that are left after that may be in any zone.
 func (r *Reviewer) classHeadroomDemands(c *cluster.Class, tasks int) []*demand {
 	var demands []*demand
 	if zones := r.feasibleZones(c.Latest); c.Latest.Spec.Spread && len(zones) > 1 {
--- a/internal/autoscaling/headroom.go
+++ b/internal/autoscaling/headroom.go
@@ -9,13 +9,14 @@
 	"sagevale/internal/storage"
 )
 
-// headroomTasks returns for how many tasks of a class resources are kept free. All classes of high priority or above
-// have headroom. A class of lower priority has headroom only if it is batch work that may use spot machines, and if it
-// has normal priority or a deadline.
+// headroomTasks returns the number of tasks of a class for which resources are kept free. For gangs it is the result of
+// gangHeadroomTasks. All other classes of high priority or above have headroom. A class of lower priority has headroom
+// only if it is batch work that may use spot machines, and if it has normal priority or a deadline.
 //
-// For services the result is the number of tasks that are expected to arrive while a machine boots, minus departures,
-// plus a margin of HeadroomDeviations standard deviations. For batch work it is the expected number of running tasks,
-// plus the same margin, minus the current number of tasks.
+// For services the result is the number of tasks that are expected to arrive while a machine boots, plus a margin of
+// HeadroomDeviations standard deviations. The tasks of jobs that were canceled within the measured window are subtracted
+// from the arrivals. For batch work the result is the expected number of running tasks, plus the same margin, minus the
+// current number of tasks.
 func (r *Reviewer) headroomTasks(c *cluster.Class, now time.Time) int {
 	spec := &c.Latest.Spec
 	if spec.Gang {
@@ -40,12 +41,13 @@
 }
 
 // maxPromptStartBoots limits which classes of gangs have headroom: those whose start objective is shorter than this
-// number of boot times. Gangs with more time can wait for machines to boot.
+// number of boot times. Gangs with a longer start objective can wait for machines to boot.
 const maxPromptStartBoots = 2
 
-// gangHeadroomTasks returns for how many tasks of a class of gangs resources are kept free. For a class with headroom,
-// that is the expected number of running tasks, plus the margin of headroomTasks, minus the current number of tasks.
-// The result is at least the size of the largest recent gang.
+// gangHeadroomTasks returns the number of tasks of a class of gangs for which resources are kept free. The result is 0
+// if the class has no short start objective, see maxPromptStartBoots, or if its arrival rate is zero or unknown. For any
+// other class, the result is the expected number of running tasks, plus the margin of headroomTasks, minus the current
+// number of tasks. It is at least the number of tasks of the largest recent gang.
 func (r *Reviewer) gangHeadroomTasks(c *cluster.Class, now time.Time) int {
 	objective := r.settings.StartObjective(c.Latest.Spec.Class)
 	rate := r.state.Classes.ArrivalRate(c, r.settings.WorkerLease, now)
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -23,7 +23,7 @@
 	// chance evens out.
 	hedgeShare = 0.5
 	// minBacklogShare is the least share of the batch slots that is assumed to be available to waiting batch
-	// tasks, see batchBacklog.
+	// tasks. A slot is room for one batch task on a machine, see batchBacklog.
 	minBacklogShare = 0.2
 	// zoneBalanceWeight is the surcharge on the cost of an offering whose zone holds all machines of the fleet,
 	// as a fraction of the cost. The surcharge is proportional to the zone's share of the machines.
@@ -110,13 +110,13 @@
 	}
 }
 
-// provisioningHedge computes for how many tasks of one class extra machines are launched, see hedgeShare. bootingTasks
-// is the number of tasks that were packed on booting machines. hedgedTasks is the number of tasks for which extra
-// machines were requested.
+// provisioningHedge computes the number of tasks of one class for which extra machines are launched, see hedgeShare.
+// bootingTasks is the number of tasks that were packed on booting machines. hedgedTasks is the number of tasks for which
+// extra machines were already requested.
 type provisioningHedge struct{ bootingTasks, hedgedTasks float64 }
 
-// extraTasks adds a number of tasks that were packed on booting machines. It returns for how many more tasks extra
-// machines are to be requested.
+// extraTasks adds booting, a number of tasks that were packed on booting machines, to bootingTasks. It returns the number
+// of further tasks for which extra machines are to be requested.
 func (h *provisioningHedge) extraTasks(booting int, tasksPerMachine float64) int {
 	h.bootingTasks += float64(booting)
 	machines := h.bootingTasks / tasksPerMachine
@@ -175,8 +175,9 @@
 }
 
 // batchSlotsSuffice reports whether the remaining tasks of a demand can start in slots for batch work before a new
-// machine would be up. The slots that batch work typically occupies don't count as available, but at least
-// minBacklogShare of all slots does.
+// machine would be up. The available slots are those that batch work doesn't typically occupy, but at least
+// minBacklogShare of all slots. The result is false for gangs, services, headroom and opportunistic work, and if there
+// are no slots.
 func (r *Reviewer) batchSlotsSuffice(d *demand, backlog *batchBacklog) bool {
 	if d.runSeconds <= 0 || backlog.slots == 0 || d.job.Spec.Gang {
 		return false
@@ -185,9 +186,9 @@
 	return float64(backlog.unpackedTasks+d.tasks)*d.runSeconds/availableSlots < r.state.MinBootSeconds(d.job)
 }
 
-// mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. An unaffordable machine
-// is launched only for a job that has waited too long for its first task to get a machine. The demand is then reduced
-// to this task.
+// mayLaunchOpportunistic reports whether a machine may be launched for opportunistic work. A machine that isn't
+// affordable, see affordable, is launched only for a job that has waited too long for its first task to get a machine.
+// In this case, the demand is reduced to this one task.
 func (r *Reviewer) mayLaunchOpportunistic(p *packing, o cloud.Offering, d *demand, now time.Time) bool {
 	if p.opportunistic == config.MaxLaunchMachines {
 		return false // more at a time would delay launches for other work
@@ -268,8 +269,8 @@
 }
 
 // bestOffering returns the offering with the least cost per task for the remaining tasks of a demand. It leaves out
-// offerings that the cloud has rejected recently. It returns an offering whose recent machines mostly didn't come up
-// only if there is no other.
+// offerings that the cloud has rejected recently. If the recent machines of an offering mostly didn't come up, the
+// offering is returned only if no other offering is left.
 func (r *Reviewer) bestOffering(p *packing, d *demand, now time.Time) (cloud.Offering, bool) {
 	best, ok := r.cheapestOffering(p, d, now, func(o cloud.Offering) bool { return !r.failsToProvision(o, now) })
 	if !ok {
@@ -306,9 +307,8 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// mayUseMarket reports whether a demand may use machines of a type: spot machines if spot is true, and on-demand machines
-// otherwise.
-// Headroom for work that may use spot machines is launched only on spot machines.
+// mayUseMarket reports whether a demand may use spot machines of a type or, if spot is false, on-demand machines of the
+// type. Headroom for work that may use spot machines is launched only on spot machines.
 func mayUseMarket(t *storage.MachineType, d *demand, spot bool) bool {
 	if spot {
 		return d.job.Spec.Spot && t.SpotPrice > 0
--- a/internal/autoscaling/provisioning.go
+++ b/internal/autoscaling/provisioning.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// overdueRatio is the number of nominal boot times after which a machine that isn't up is overdue. No tasks
-	// are packed on overdue machines, because some take several times as long to boot and some never come up.
+	// overdueRatio is the number of nominal boot times after its launch at which a machine that isn't up becomes
+	// overdue. No tasks are packed on overdue machines, because some of them take several nominal boot times and
+	// some never come up.
 	overdueRatio = 1.6
-	// abandonRatio is the number of nominal boot times after which a machine that isn't up is terminated,
-	// because a replacement would come up sooner.
+	// abandonRatio is the number of nominal boot times after its launch at which a machine that isn't up is
+	// terminated, because a replacement would come up sooner.
 	abandonRatio = 2.0
-	// firstReportGrace is the additional time that a booted machine has until its first report.
+	// firstReportGrace is added to the limits of overdueRatio and abandonRatio. It gives a machine that has booted
+	// time for its first report.
 	firstReportGrace = 5 * time.Second
 )
 
@@ -26,7 +28,7 @@
 type provisioningHistory struct {
 	byType     map[string]*provisioning.History
 	byOffering map[cloud.Offering]*provisioning.History
-	slowness   map[string]float64 // result of History.Slowness by type, as of the last snapshot; 1: not slow
+	slowness   map[string]float64 // result of History.Slowness by machine type, as of the last snapshot; 1: not slow
 }
 
 func newProvisioningHistory() *provisioningHistory {
@@ -96,8 +98,8 @@
 	}
 }
 
-// provisioningExceeds reports whether a machine was launched too long ago. The limit is ratio nominal boot times of its
-// type plus firstReportGrace.
+// provisioningExceeds reports whether more time than a limit has passed since a machine's launch. The limit is ratio
+// times the nominal boot time of its type, plus firstReportGrace. The result is false if the type is unknown.
 func provisioningExceeds(m *cluster.Machine, now time.Time, ratio float64) bool {
 	return m.Type != nil && now.Sub(m.FirstSeen) > clock.Seconds(m.Type.BootS*ratio)+firstReportGrace
 }
@@ -109,7 +111,8 @@
 	return provisioningExceeds(m, now, overdueRatio*math.Sqrt(max(1, r.provisioning.slowness[m.TypeName])))
 }
 
-// provisioningFailed reports whether a machine that isn't up has taken so long that it is terminated.
+// provisioningFailed reports whether a machine that isn't up has taken so long that it is terminated, see abandonRatio.
+// The limit is longer, in proportion, for machine types that currently boot slowly.
 func (r *Reviewer) provisioningFailed(m *cluster.Machine, now time.Time) bool {
 	return provisioningExceeds(m, now, abandonRatio*max(1, r.provisioning.slowness[m.TypeName]))
 }
--- a/internal/autoscaling/reviewer.go
+++ b/internal/autoscaling/reviewer.go
@@ -21,7 +21,7 @@
 
 	provisioning  *provisioningHistory
 	rejected      map[cloud.Offering]time.Time // when the cloud last rejected each offering
-	surplusCursor int                          // number of machines with tasks that the next findSurplus skips
+	surplusCursor int                          // number of machines with tasks that the next call of findSurplus skips
 }
 
 // NewReviewer returns a reviewer of a cluster's fleet. The planner must use the same cluster state.
@@ -32,8 +32,8 @@
 	}
 }
 
-// RecordRejected records that the cloud rejected a launch of an offering or had too little capacity for it. For a worker
-// lease, no further machines of the offering are desired.
+// RecordRejected records that the cloud rejected a launch of an offering or had too little capacity for it. For the
+// length of one worker lease from now, no further machines of the offering are desired.
 func (r *Reviewer) RecordRejected(o cloud.Offering, now time.Time) { r.rejected[o] = now }
 
 // recentlyRejected reports whether the cloud rejected an offering within the last worker lease.
@@ -44,7 +44,7 @@
 
 const (
 	// maxOpportunisticPriceRatio is the highest price per task at which a machine is launched or kept for
-	// opportunistic work, as a multiple of the least price per task.
+	// opportunistic work. It is a multiple of the least price per task, see leastPricePerTask.
 	maxOpportunisticPriceRatio = 2.0
 	// minimumAllocationLeases is how long an opportunistic job waits for an affordable machine, in worker
 	// leases, before a machine of any price is launched for its first task.
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -12,7 +12,7 @@
 type Snapshot struct {
 	Desired          []cloud.Offering   // machines to launch for the demand, in the order of packing
 	NonOpportunistic int                // number of desired machines for work that isn't opportunistic
-	Healthy          bool               // the last report of every confirmed machine is fresh
+	Healthy          bool               // every confirmed machine, unless draining, terminating or failed, has a fresh report
 	Surplus          []SurplusMachine   // machines that may be drained and terminated, one after the other
 	Emptied          []int              // machines to terminate: drained and without tasks
 	Lost             []int              // machines to terminate: failed, silent, never provisioned or already terminating
--- a/internal/autoscaling/surplus.go
+++ b/internal/autoscaling/surplus.go
@@ -57,7 +57,7 @@
 }
 
 // sortedByWaste returns the candidates of the ready machines, sorted by the price of their unreserved share, highest
-// first. Fully reserved and briefly idle machines are left out.
+// first. Machines that are fully reserved or briefly idle, see cluster.Machine.BrieflyIdle, are left out.
 func (r *Reviewer) sortedByWaste(p *packing, now time.Time) []*placement.Candidate {
 	waste := make(map[*placement.Candidate]float64)
 	var wasteful []*placement.Candidate
--- a/internal/classstats/class.go
+++ b/internal/classstats/class.go
@@ -60,7 +60,7 @@
 	return n
 }
 
-// LargestJob returns the number of tasks of the largest job among the arrivals kept.
+// LargestJob returns the number of tasks of the largest job among the last maxEvents arrivals, or 0 if there are none.
 func (c *Class) LargestJob() int {
 	largest := 0
 	for _, e := range c.arrivals {
@@ -87,8 +87,8 @@
 	WindowS   float64 // length of the window in seconds; 0 if the rate is unknown
 }
 
-// RateSince returns the rate of the arrivals after since. If earlier arrivals in the window have been dropped, the
-// window begins at the oldest arrival that is kept.
+// RateSince returns the rate of the arrivals in the window from since, exclusive, to now. If arrivals in this window may
+// have been dropped because of maxEvents, the window begins at the oldest arrival that is kept.
 func (c *Class) RateSince(since, now time.Time) Rate {
 	if len(c.arrivals) == maxEvents && c.arrivals[0].at.After(since) {
 		since = c.arrivals[0].at
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -13,7 +13,7 @@
 	Task        int    // index of the task in its job
 	Number      uint64 // number of the attempt, which is never reused; the tasks of a gang share one number
 	Machine     *Machine
-	Incarnation uint64 // the worker's incarnation when the resources were reserved
+	Incarnation uint64 // the worker's incarnation (see Machine) when the resources were reserved
 	ThisTerm    bool   // the attempt was reserved or commanded to start in this term
 	Durable     bool   // the task page record that contains the attempt is durable, so the attempt may be started
 	ReservedAt  time.Time
@@ -65,10 +65,12 @@
 }
 
 // RecordStartCommanded records that the response to a report contains the start command. From then on, an attempt that
-// an earlier leader reserved counts as an attempt of this term. This changes what is known if a report with a token of
-// this term doesn't list the attempt. Before, such a report proved that the attempt can't start, because the worker
-// rejects the commands of earlier leaders. Now the worker may have sent the report before it received the response, so
-// the report proves nothing.
+// an earlier leader reserved counts as an attempt of this term.
+//
+// The difference matters when a report with a token of this term doesn't list the attempt. If this leader has never
+// commanded the start, such a report proves that the attempt can't start, because the worker rejects the commands of
+// earlier leaders. If this leader has commanded the start, the report proves nothing, because the worker may have sent it
+// before it received the response.
 func (a *Attempt) RecordStartCommanded(r *worker.Report) { a.CommandedSeq, a.ThisTerm = r.Seq, true }
 
 // StartUnresolved reports whether the worker may still execute a direct start command that it hasn't responded to.
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -26,7 +26,7 @@
 	Phase        storage.Phase
 	Submitted    time.Time
 	Acknowledged bool // the record of the job's acceptance is durable
-	FinalDurable bool // the record of the job's final phase is durable
+	FinalDurable bool // the record of the job's final phase, completed or cancelled, is durable
 
 	Tasks    []TaskState      // states of the tasks; nil once the job is final and has no attempts left
 	Waiting  int              // number of tasks in TaskWaiting
@@ -133,8 +133,9 @@
 	return counts
 }
 
-// ZoneAllows reports whether one more task may start in a zone, given the number of the job's tasks in each zone. If
-// the zone of a task is unknown, the task is assumed to be in a zone that forbids the start.
+// ZoneAllows reports whether one more task may start in a zone. counts is the number of the job's tasks in each zone. A
+// job that is spread over zones may have at most half of its tasks, rounded up, in one zone. If the zone of a task is
+// unknown, the task is assumed to be in a zone that forbids the start.
 func (j *Job) ZoneAllows(zone string, counts map[string]int) bool {
 	spec := &j.Spec
 	if spec.Zone != "" && spec.Zone != zone {
--- a/internal/cluster/job_table.go
+++ b/internal/cluster/job_table.go
@@ -11,7 +11,7 @@
 	"sagevale/internal/storage"
 )
 
-// JobTable holds all jobs that the leader keeps in memory: the open ones, and the final ones that aren't archived.
+// JobTable holds all jobs that the leader keeps in memory: the open jobs, and the final jobs that aren't archived.
 type JobTable struct {
 	byID       map[string]*Job
 	Open       map[string]*Job // open jobs, and final jobs that still have attempts, by ID
@@ -29,7 +29,7 @@
 	job    *Job
 }
 
-// finishedDegree is the degree of the B-tree of finished jobs. A node holds up to twice as many jobs.
+// finishedDegree is the degree of the B-tree of finished jobs. A node holds at most 2*finishedDegree-1 jobs.
 const finishedDegree = 32
 
 // NewJobTable returns an empty table.
--- a/internal/cluster/load.go
+++ b/internal/cluster/load.go
@@ -15,7 +15,7 @@
 	Desired      int                             // desired number of machines
 	OpenLaunches map[string]storage.LaunchRecord // launch requests that the cloud hasn't answered, by request ID
 	Lifecycles   map[*Job]json.RawMessage        // stored lifecycle states of open services that scale to zero
-	OrphanPages  []string                        // keys of page records whose job has no record
+	OrphanPages  []string                        // keys of task page records whose job has no record
 }
 
 // loadOrder lists the kinds of records in the order in which Load applies them. Kinds with a single record come
@@ -25,7 +25,7 @@
 	storage.KindMachine, storage.KindJob, storage.KindTaskPage,
 })
 
-// Load rebuilds the state from the journal's records. It sets the time when the machines were first seen to now.
+// Load rebuilds the state from the journal's records. All machines count as first seen at the time now.
 func (s *State) Load(records []storage.Record, now time.Time) (LoadResult, error) {
 	result := LoadResult{OpenLaunches: make(map[string]storage.LaunchRecord), Lifecycles: make(map[*Job]json.RawMessage)}
 	slices.SortStableFunc(records, func(a, b storage.Record) int {
--- a/internal/cluster/machine_table.go
+++ b/internal/cluster/machine_table.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// index returns the position of a machine in the ordered slice, or the position to insert it at and false.
+// index returns the position of a machine in the ordered slice, and true. If the machine isn't in the slice, it returns
+// the position at which to insert the machine, and false.
 func (t *MachineTable) index(id int) (int, bool) {
 	return slices.BinarySearchFunc(t.ordered, id, func(m *Machine, id int) int { return m.ID - id })
 }
--- a/internal/config/activation.go
+++ b/internal/config/activation.go
@@ -36,8 +36,9 @@
 )
 
 const (
-	// heldRequestBytes is the approximate peak memory of a held request: the buffers of its connection, the
-	// stacks of its goroutines, and garbage. See docs/cold-starts.md.
+	// heldRequestBytes is the approximate peak memory of a held request, which is a request that waits for a
+	// starting model: the buffers of its connection, the stacks of its goroutines, and garbage that isn't collected
+	// yet. See docs/cold-starts.md.
 	heldRequestBytes = 64 << 10
 	// heldMemoryShare is the share of the memory quota for held requests.
 	heldMemoryShare = 1.0 / 16
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -19,7 +19,7 @@
 	// storeCallShare is the timeout of one call to the key-value store, as a share of the leadership lease.
 	storeCallShare = 0.4
 	// renewalMargin is the time that RenewalGrace leaves to a worker for ending its tasks, in heartbeat
-	// intervals. RenewalGrace is cancel_s - lease_s, reduced by this time and by the clock drift.
+	// intervals. RenewalGrace is CancelTimeout minus WorkerLease, reduced by this margin and by the clock drift.
 	renewalMargin = 1.0 / 8
 	// leaseMarginDivisor determines the margin that LeaseBound adds to a worker's lease. The margin is the
 	// heartbeat interval divided by leaseMarginDivisor.
@@ -48,9 +48,8 @@
 	return clock.Scale(s.WorkerLease, clock.DriftBound) + s.HeartbeatInterval/leaseMarginDivisor
 }
 
-// UnconfirmedLeaseBound returns how long after the failover tasks may still run on a worker that hasn't reported
-// in this term. The earlier leader may have renewed the worker's lease until the end of the earlier leader's
-// renewal grace.
+// UnconfirmedLeaseBound returns how long after a failover the tasks of a worker that hasn't reported in the new term may
+// still run. Until its RenewalGrace ended, the earlier leader may have renewed the worker's lease.
 func (s *Settings) UnconfirmedLeaseBound() time.Duration {
 	return clock.Scale(s.RenewalGrace(), clock.DriftBound) + s.LeaseBound()
 }
@@ -63,8 +62,8 @@
 	// leader, in heartbeat intervals.
 	minBatchWindow = 1.0 / 128
 	maxBatchWindow = 1.0 / 16
-	// ampleCPUShare is the share of a core that is enough for the shortest window. With a smaller share the
-	// window is longer, because each batch wakes two processes.
+	// ampleCPUShare is the CPU quota, as a share of one core, that is enough for minBatchWindow. With a smaller
+	// quota the window is longer, because each batch wakes two processes.
 	ampleCPUShare = 0.25
 )
 
@@ -79,8 +78,8 @@
 }
 
 const (
-	// minLinkTestInterval is the interval between two tests of a link between controllers if the controller
-	// has at least ampleCPUShare. With a smaller share the interval is longer, up to maxLinkTestInterval.
+	// minLinkTestInterval is the interval between two tests of a link between controllers if the CPU quota of the
+	// controller is at least ampleCPUShare. With a smaller quota the interval is longer, up to maxLinkTestInterval.
 	minLinkTestInterval = 250 * time.Millisecond
 	maxLinkTestInterval = 2 * minLinkTestInterval
 )
@@ -108,12 +107,12 @@
 // a place for each socket therefore has room for all of these requests.
 func (s *Settings) QueueSize() int { return max(minQueueSize, s.Sockets) }
 
-// MaxTokenAnnouncements returns to how many workers the fencing token may be announced at a time.
+// MaxTokenAnnouncements returns the maximum number of workers to which the fencing token is announced at the same time.
 func (s *Settings) MaxTokenAnnouncements() int {
 	return max(1, int(float64(s.Sockets)*announcementSocketShare))
 }
 
-// CommitBytes returns how many bytes of records one commit holds.
+// CommitBytes returns the size limit of one commit, in bytes of records.
 func (s *Settings) CommitBytes() int {
 	return s.State.BytesWithin(clock.Scale(s.HeartbeatInterval, CommitPerHeartbeat))
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -53,10 +53,10 @@
 	Teams              []Team
 	Objectives         []Objective
 	HeartbeatInterval  time.Duration // between two heartbeats of a worker
-	WorkerLease        time.Duration // time after which a worker that gets no response ends its tasks
+	WorkerLease        time.Duration // time without an acknowledged heartbeat after which a worker ends its tasks
 	GangWait           time.Duration // how long the tasks of a gang wait for each other; 0: not stated
 	GangStopWindow     time.Duration // time within which all tasks of a gang must receive the stop command, to save together
-	CancelTimeout      time.Duration // time within which the tasks of a cancelled job must be gone
+	CancelTimeout      time.Duration // time after a cancellation within which the tasks of the job must be gone
 	State              storage.Limits
 	CloudRPS           float64       // requests per second that the cloud accepts
 	ListLag            time.Duration // how far the cloud's machine list lags behind
@@ -64,7 +64,7 @@
 	MemoryMB           float64       // memory quota of this controller
 	Sockets            int           // maximum number of sockets of this controller
 	Tuning             Tuning
-	Warnings           []string // warnings about deprecated settings, for operators
+	Warnings           []string // warnings to operators about deprecated settings
 }
 
 // Team returns the team with the given name, or nil.
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -7,7 +7,7 @@
 	"sagevale/internal/upgrade"
 )
 
-// Tuning holds the operators' settings.
+// Tuning holds the settings that operators may change. DefaultTuning returns their defaults.
 type Tuning struct {
 	ScaleOutWindow     time.Duration // how long demand must exceed the fleet before the fleet scales out
 	ScaleInWindow      time.Duration // how long all machines must be healthy before the fleet scales in
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -52,7 +52,7 @@
 	j.consecutive = max(j.consecutive, min(jobFaultThreshold, j.earlierByTask[task]))
 }
 
-// addMachine adds a machine on which a task failed, unless enough machines are recorded.
+// addMachine adds a machine on which a task failed, unless jobFaultThreshold machines are already recorded.
 func (j *Job) addMachine(machine int) {
 	if len(j.machines) < jobFaultThreshold && !slices.Contains(j.machines, machine) {
 		j.machines = append(j.machines, machine)
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -26,8 +26,8 @@
 // RecordSuccess records that a task succeeded on the machine. It drops all failures.
 func (m *Machine) RecordSuccess() { m.jobs = nil }
 
-// Suspected reports whether a failure is recorded for the machine. Failures of jobs that are known to be at fault are
-// dropped by Clear.
+// Suspected reports whether a failure is recorded for the machine. Failures of jobs that are known to be at fault don't
+// count, because Clear drops them.
 func (m *Machine) Suspected() bool { return len(m.jobs) > 0 }
 
 // AtFault reports whether the machine is assumed to make every job fail.
--- a/internal/groupcommit/bulk_pacer.go
+++ b/internal/groupcommit/bulk_pacer.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// reservedShare is the share of the burst that is reserved for the other lanes, see BulkPacer.
+	// reservedShare is the share of the burst that is reserved for the lanes other than the bulk lane. The burst is
+	// the maximum number of saved changes, see BulkPacer.
 	reservedShare = 0.5
-	// minBulkShare is the share of the burst that must be available to the bulk lane before it may commit.
-	// Each commit has the same fixed cost, however few changes it contains.
+	// minBulkShare is the share of the burst that must be available to the bulk lane before it may commit. The
+	// lane waits for this share because each commit has the same fixed cost, however few changes it contains.
 	minBulkShare = 1.0 / 8
 	// minRetryDelay is the least time after which a bulk lane that is held back is checked again. With
 	// a shorter delay, the queue's owner would spin.
--- a/internal/groupcommit/lane.go
+++ b/internal/groupcommit/lane.go
@@ -26,8 +26,8 @@
 	return e.mark
 }
 
-// oldest returns the oldest entity, with the data function of the last call of Mark. The entity must still be waiting
-// in the lane. skipMoved ensures that.
+// oldest returns the oldest entity, with the data function of the last call of Mark. Callers must call skipMoved first, so
+// that the first entry of order is an entity that still waits in the lane.
 func (l *lane) oldest() entity { return l.waiting[l.order[0].key] }
 
 // takeOldest removes the oldest entity from the lane when it is taken into a commit.
@@ -36,7 +36,7 @@
 	l.skipOldest()
 }
 
-// skipMoved drops the oldest entries of order as long as their entities have moved to another lane.
+// skipMoved drops entries from the beginning of order until it reaches an entity that hasn't moved to another lane.
 func (l *lane) skipMoved() {
 	for len(l.order) > 0 {
 		oldest := l.order[0]
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -1,7 +1,8 @@
-// Package groupcommit queues changed entities and groups their records into commits of bounded size.
-// The queue is divided into lanes. Within a lane, entities are written in the order in which they were
-// marked as changed. The lanes share a commit evenly, and the part that one lane doesn't need goes to the
-// other lanes. A flood of changes in one lane therefore delays the other lanes little.
+// Package groupcommit queues changed entities and groups their records into commits of bounded size. An entity
+// is a key with a value to store or to remove. The queue is divided into lanes. Within a lane, entities are
+// written in the order in which they were marked as changed. The lanes share a commit evenly, and the part that
+// one lane doesn't need goes to the other lanes. A flood of changes in one lane therefore delays the other lanes
+// little.
 //
 // A Queue does no input or output and is not safe for concurrent use. Its owner passes each commit
 // to the journal and reports the result to the queue. The invariants are:
@@ -134,7 +135,8 @@
 	failed    func(key string, err error)
 }
 
-// fill adds about share bytes of each lane to a commit.
+// fill adds entities of each lane to a commit until they take up share bytes. The last record of a lane may exceed this
+// limit.
 func (q *Queue) fill(c *commit, share int) {
 	for i := range laneCount {
 		limit := min(share, c.bytesLeft)
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -19,7 +19,7 @@
 	Machine      *cluster.Machine // nil if the machine isn't launched yet
 	Free         storage.Resources
 	Releasing    storage.Resources // resources of attempts that are being stopped
-	Booting      bool              // the machine isn't launched yet, or its worker hasn't reported in this term
+	Booting      bool              // the machine isn't launched yet, or isn't confirmed, see cluster.Machine.Confirmed
 	ForCPUOnly   bool              // the machine would be launched for tasks without GPUs
 	Packed       []*PackedTask     // tasks that a trial packing has placed here
 	PlannedMoves int               // number of tasks that would move here from surplus machines
@@ -84,8 +84,8 @@
 }
 
 // withhold makes resources unavailable for the rest of the round. The tasks that need them are placed in a later round,
-// once the resources that are being released are free. Free resources are withheld only as far as the resources that
-// are being released don't suffice.
+// once the resources that are being released are free. withhold first takes the resources that are being released. It
+// takes free resources only for the amount that is still missing.
 func (c *Candidate) withhold(r storage.Resources) {
 	left := c.Free.Add(c.Releasing).Sub(r)
 	c.Free = storage.Resources{
@@ -108,7 +108,8 @@
 const (
 	// unboundedFit is the result of FitCount for tasks that need no resources.
 	unboundedFit = 1 << 20
-	// fitTolerance is added to a quotient of resources, so that a rounding error doesn't reduce the number of tasks.
+	// fitTolerance is added before FitCount rounds down, so that a floating-point error doesn't reduce the number of
+	// tasks by one.
 	fitTolerance = 1e-6
 )
 
@@ -131,13 +132,14 @@
 	return max(1, int(n+fitTolerance))
 }
 
-// onDemandPenalty makes a job that may use spot machines prefer them. BestFit compares candidates by the amount of their
-// free resources, and for such a job adds the penalty to the amount of each on-demand machine.
+// onDemandPenalty makes BestFit prefer spot machines for a job that may use them. BestFit chooses the candidate with the
+// least amount of free resources. For such a job, it first adds the penalty to the amounts of the on-demand machines.
 const onDemandPenalty = 100
 
 // BestFit returns the candidate with the least free resources among those on which a task of the job fits and for
-// which suits returns true. It returns nil if there is none. A task without GPUs must leave enough CPUs and memory for
-// the machine's free GPUs. This doesn't apply to a machine that would be launched for tasks without GPUs.
+// which suits returns true. It returns nil if there is none. The amount of free resources is the free fraction of the
+// CPUs plus twice the number of free GPUs. A task without GPUs must leave enough CPUs and memory for the machine's free
+// GPUs, unless the machine would be launched for tasks without GPUs.
 func (p *Planner) BestFit(candidates []*Candidate, j *cluster.Job, zones *ZoneCheck, suits func(*Candidate, *cluster.Job) bool) *Candidate {
 	need := j.Spec.Resources
 	var best *Candidate
--- a/internal/placement/deadline_admission.go
+++ b/internal/placement/deadline_admission.go
@@ -10,11 +10,11 @@
 
 // deadlineAdmission decides which jobs with deadlines can start in time. It assumes that tasks start at the rate at
 // which running tasks complete and free their resources. Like the Moore-Hodgson algorithm, admit admits jobs in the
-// order of the times by which they must start. Whenever a job would start late, it drops the largest admitted job.
-// This way, as many jobs as possible start in time if not all of them can.
+// order of the times by which they must start. Whenever a job would start late, admit drops the admitted job with the
+// most startable tasks. This way, as many jobs as possible start in time if not all of them can.
 type deadlineAdmission struct {
 	completionRate float64 // tasks per second that complete and free their resources; 0 if unknown
-	admittedTasks  int     // tasks admitted so far
+	admittedTasks  int     // startable tasks of the jobs admitted so far
 	now            time.Time
 	urgencies      map[*cluster.Job]urgency
 }
@@ -65,12 +65,12 @@
 	return d.completionRate == 0 || !d.now.Add(clock.Seconds(float64(d.admittedTasks)/d.completionRate)).After(startBy)
 }
 
-// setRank sets a job's rank and the time by which it must start.
+// setRank sets a job's rank and the time by which it must start. It doesn't change withinGuarantee.
 func (d *deadlineAdmission) setRank(j *cluster.Job, rank int, startBy time.Time) {
 	d.urgencies[j] = urgency{rank: rank, withinGuarantee: d.urgencies[j].withinGuarantee, startBy: startBy}
 }
 
-// upcoming returns the times that haven't passed yet.
+// upcoming returns the times that are after now. startBy must be sorted, earliest first.
 func (d *deadlineAdmission) upcoming(startBy []time.Time) []time.Time {
 	for len(startBy) > 0 && !startBy[0].After(d.now) {
 		startBy = startBy[1:]
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -76,9 +76,10 @@
 	return groups
 }
 
-// planGangAmong chooses a candidate of the group for each waiting task of a gang. It returns nil if not all tasks fit.
-// The choice for a task is the fuller of two random candidates of the best tier. Before planGangAmong returns, it
-// restores the candidates' free resources. tiers is the sum of the chosen candidates' tiers.
+// planGangAmong chooses a candidate for each waiting task of a gang. group is one of the groups of gangCandidates. The
+// plan is nil if not all tasks fit on the candidates of the group. For each task, planGangAmong chooses the fuller of two
+// random candidates of the best tier, see tierOf. Before it returns, it restores the candidates' free resources. tiers is
+// the sum of the chosen candidates' tiers.
 func (p *Planner) planGangAmong(j *cluster.Job, group []*Candidate) (plan []*Candidate, tiers int) {
 	capacity := 0
 	for _, c := range group {
@@ -129,8 +130,8 @@
 }
 
 // holdForGang withholds resources from less urgent jobs for the rest of the round. This way, enough free resources
-// accumulate for a gang that doesn't fit yet. Resources are withheld for only one gang per round. Otherwise, each of
-// two gangs could block resources that the other gang needs.
+// accumulate for a gang that doesn't fit yet. Resources are withheld for only one gang per round. If they were withheld
+// for two gangs, each gang could block resources that the other one needs.
 func (p *Planner) holdForGang(j *cluster.Job, r *round) {
 	if r.heldForGang || r.now.Sub(j.Submitted) < p.settings.HeartbeatInterval {
 		return
--- a/internal/placement/gang_preemption.go
+++ b/internal/placement/gang_preemption.go
@@ -18,7 +18,7 @@
 	cost      float64 // preemption cost of the victims, in CPU seconds
 }
 
-// costPerTask returns the preemption cost on the candidate for each task of the gang that gets room there.
+// costPerTask returns the preemption cost on the candidate, divided by the number of the gang's tasks that fit there.
 func (g *gangPreemption) costPerTask() float64 { return g.cost / float64(g.tasks) }
 
 // preemptForGang preempts work of lower priority, cheapest first, so that all waiting tasks of a gang fit. If
--- a/internal/placement/opportunistic.go
+++ b/internal/placement/opportunistic.go
@@ -7,8 +7,8 @@
 // the CPUs and memory that free GPUs need. Work of higher priority and work within its team's guarantee may preempt
 // it. Opportunistic jobs share the idle resources evenly, so that large jobs start too.
 
-// opportunisticShare returns how many tasks of each opportunistic job one round may place. jobs is the number of
-// opportunistic jobs with waiting tasks.
+// opportunisticShare returns the maximum number of tasks that one round places of each opportunistic job. jobs is the
+// number of opportunistic jobs with waiting tasks. The result is at least 1.
 func opportunisticShare(jobs int) int { return max(1, MaxPlacementsPerRound/max(1, jobs)) }
 
 // countOpportunistic returns the number of opportunistic jobs among the waiting jobs.
@@ -23,7 +23,7 @@
 }
 
 // placeOpportunistic places waiting tasks of an opportunistic job, at most r.opportunisticShare of them. Before it
-// places the first opportunistic job of a round, it reserves the headroom.
+// places the first opportunistic job of a round, it subtracts the headroom from the free resources.
 func (p *Planner) placeOpportunistic(j *cluster.Job, r *round) {
 	if !r.headroomReserved {
 		r.headroomReserved = true
@@ -36,7 +36,7 @@
 	}
 }
 
-// reserveHeadroom subtracts the headroom from the free resources of the round's candidates.
+// reserveHeadroom subtracts the headroom, as far as it fits, from the free resources of the round's candidates.
 func (p *Planner) reserveHeadroom(r *round) {
 	for _, headroom := range p.headroom {
 		zones := NewZoneCheck(headroom.Job)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -2,9 +2,9 @@
 // among candidate machines, plans gangs as a whole, and selects attempts to preempt.
 //
 // A Planner reads the cluster state and carries out its decisions through Actions, one at a time, because each
-// decision changes the resources available to the next. From one round to the next it keeps only the headroom, which
-// is the resources to keep free, and the largest amounts of CPUs and memory that jobs request per GPU. It sends no
-// messages, reads no clock and does no input or output.
+// decision changes the resources available to the next. It keeps only two things from one round to the next. One is the
+// headroom: the resources that opportunistic work must leave free. The other is the largest amounts of CPUs and memory
+// that jobs request per GPU. A Planner sends no messages, reads no clock and does no input or output.
 package placement
 
 import (
@@ -75,8 +75,8 @@
 	now                time.Time
 	candidates         []*Candidate
 	zones              []string        // zones of the candidates
-	exhausted          ExhaustedShapes // shapes for which no candidate has enough free resources
-	unpreemptable      ExhaustedShapes // shapes for which preemption can't make room either
+	exhausted          ExhaustedShapes // shapes (see Shape) for which no candidate has enough free resources
+	unpreemptable      ExhaustedShapes // shapes for which preemption can't make room
 	reserved           []*cluster.Attempt
 	heldForGang        bool                  // resources are withheld for a gang that doesn't fit yet
 	opportunisticShare int                   // maximum number of tasks to place of each opportunistic job
@@ -184,7 +184,7 @@
 }
 
 // UpdateMaxPerGPU computes the largest amounts of CPUs and memory that open jobs request per GPU. It does so at most
-// once per heartbeat interval. Round calls it; other callers of BestFit must call it first.
+// once per heartbeat interval. RunRound calls it. Other callers of BestFit must call it first.
 func (p *Planner) UpdateMaxPerGPU(now time.Time) {
 	if !p.maxPerGPUUpdatedAt.IsZero() && now.Sub(p.maxPerGPUUpdatedAt) <= p.settings.HeartbeatInterval {
 		return
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -50,7 +50,7 @@
 	return best, victims
 }
 
-// stopVictims preempts attempts on a candidate in favor of a job, and counts their resources as releasing.
+// stopVictims preempts attempts on a candidate in favor of a job, and adds their resources to the candidate's Releasing.
 func (p *Planner) stopVictims(c *Candidate, victims []*cluster.Attempt, preemptor *cluster.Job, now time.Time) {
 	for _, v := range victims {
 		p.log.Debug("task preempted", "job", v.Job.Spec.ID, "task", v.Task, "machine", v.Machine.ID, "preemptor", preemptor.Spec.ID)
@@ -77,7 +77,8 @@
 	return preemptionRights{priority: j.Spec.Priority, guaranteed: r.withinGuarantee[j]}
 }
 
-// priorityBound returns the lowest priority at which a job with these rights may preempt no attempt at all.
+// priorityBound returns a bound on the attempts that a job with these rights may preempt: all of them have a priority
+// lower than the bound.
 func (r preemptionRights) priorityBound() storage.Priority {
 	if r.guaranteed {
 		return r.priority + 1
--- a/internal/placement/urgency.go
+++ b/internal/placement/urgency.go
@@ -13,7 +13,7 @@
 const (
 	rankStartAtRisk        = iota // the job is close to missing the start objective of its class
 	rankOnTime                    // the job can meet its deadline or the start objective for guaranteed work
-	rankLate                      // the job can complete within lateFactor times its deadline
+	rankLate                      // the job didn't get rankOnTime, but can complete soon after its deadline, see lateFactor
 	rankCannotMeetDeadline        // the job can't meet its deadline any more and must not make others miss theirs
 	rankOpportunistic             // opportunistic work has no deadline and no objective
 )
@@ -31,7 +31,7 @@
 type urgency struct {
 	rank            int
 	withinGuarantee bool      // the job is within its team's guarantee
-	startBy         time.Time // time by which the job must start to achieve what its rank stands for
+	startBy         time.Time // time by which the job must start to get its rank; Job.Deadline if the rank implies no such time
 	allocated       int       // number of an opportunistic job's tasks that have an attempt or are done
 }
 
@@ -42,7 +42,8 @@
 //   - The job with the lower rank goes first.
 //   - A job within its team's guarantee goes first.
 //   - The opportunistic job with fewer allocated tasks goes first.
-//   - The job that must start earlier goes first.
+//   - The job with the earlier startBy time goes first.
+//   - The job with the smaller ID goes first.
 func (p *Planner) sortByUrgency(jobs []*cluster.Job, now time.Time) {
 	urgencies := p.urgencies(jobs, now)
 	sort.SliceStable(jobs, func(x, y int) bool {
@@ -135,8 +136,8 @@
 }
 
 // jobsWithinGuarantee returns the open jobs that are within their team's guarantee. For each team it adds up the
-// resources of the unfinished tasks, job by job in the order of submission. A job is within the guarantee if the sum
-// that includes this job doesn't exceed it.
+// resources of the unfinished tasks, job by job in the order of submission. A job is within the guarantee if the sum up
+// to and including this job doesn't exceed the guarantee.
 func (p *Planner) jobsWithinGuarantee() map[*cluster.Job]bool {
 	byTeam := make(map[string][]*cluster.Job)
 	for _, j := range p.state.Jobs.Open {
--- a/internal/provisioning/history.go
+++ b/internal/provisioning/history.go
@@ -20,7 +20,7 @@
 	slowThreshold = 1.5
 	// minSamples is the number of samples needed to consider boots slow, because one or two may be late by chance.
 	minSamples = 4
-	// maxSlowness is the upper bound of Slowness.
+	// maxSlowness is the largest factor that Slowness returns.
 	maxSlowness = 4.0
 	// minAbandoned is the least number of abandoned machines for which Failing may return true.
 	minAbandoned = 2
