--- a/internal/autoscaling/autoscaler.go
+++ b/internal/autoscaling/autoscaler.go
@@ -4,7 +4,7 @@
 // caller of the cloud's interface. After sustained demand it scales out in bounded steps. It scales in one machine
 // at a time.
 //
-// Every step is recorded durably before it is carried out. One guarded commit, which succeeds only during the
+// Every scaling step is recorded durably before it is carried out. One guarded commit, which succeeds only during the
 // leader's term, holds the desired size, the term and the names of the launch requests. A repeated or delayed
 // request therefore can't launch machines twice.
 package autoscaling
@@ -102,9 +102,9 @@
 
 	// The conditions for scaling out and for scaling in.
 	demandSince   time.Time // start of the current demand or, if later, the last scale-out; zero: there is no demand
-	healthySince  time.Time // zero: some machine isn't healthy, or scaling is frozen
-	cooldownUntil time.Time // no machine is drained before then
-	backOffUntil  time.Time // scaling is frozen until then
+	healthySince  time.Time // since when all machines have been healthy; zero: some machine isn't, or scaling is frozen
+	cooldownUntil time.Time // no drain is requested before this time
+	backOffUntil  time.Time // scaling is frozen until this time
 
 	// Scaling in.
 	surplus             []SurplusMachine // machines left to drain one after the other, from the last snapshot
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -18,9 +18,9 @@
 	// take longest to boot.
 	maxDesiredSteps = 4
 	// hedgeShare is the number of extra machines that are launched per booting machine on which waiting service
-	// tasks were packed, because some machines boot late and some never come up. The number of extra machines is
-	// at most the square root of the number of such booting machines. That is enough, because with many machines
-	// chance evens out.
+	// tasks were packed. Extra machines are needed because some machines boot late and some never come up. The
+	// number of extra machines is at most the square root of the number of these booting machines. This is enough
+	// because, with many machines, chance evens out.
 	hedgeShare = 0.5
 	// minBacklogShare is the least share of the batch slots that is assumed to be available to waiting batch
 	// tasks. A slot is room for one batch task on a machine, see batchBacklog.
@@ -67,7 +67,7 @@
 	unpackedTasks int     // number of waiting batch tasks that the packing has left unpacked so far
 }
 
-// packTask packs one task of a demand on a candidate. It returns 1 if the candidate is still booting, and 0 otherwise.
+// packTask packs one task of a demand on a candidate. It returns 1 if the candidate is booting, and 0 if it isn't.
 func packTask(c *placement.Candidate, d *demand, backlog *batchBacklog) int {
 	c.Free = c.Free.Sub(d.job.Spec.Resources)
 	c.Packed = append(c.Packed, d.packedTask())
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -111,7 +111,7 @@
 }
 
 // ClearFailures drops a job's failures from the machine's record of failures. If these failures were the only reason
-// for the machine's quarantine, it ends the quarantine.
+// for the machine's quarantine, ClearFailures ends the quarantine.
 func (m *Machine) ClearFailures(j *Job) {
 	wasAtFault := m.Failures.AtFault()
 	m.Failures.Clear(j.Spec.ID)
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -45,8 +45,8 @@
 	return pick
 }
 
-// searchShortlist fills the list with the round's candidates of the best tier. If there are none, it records the job's
-// shape as exhausted.
+// searchShortlist fills the list with the round's candidates of the best tier. If no candidate fits, it records this for
+// the job's shape, see ExhaustedShapes.
 func (p *Planner) searchShortlist(list *shortlist) {
 	j, r := list.job, list.round
 	shape := p.ShapeOf(j)
@@ -71,8 +71,8 @@
 	}
 }
 
-// updateShortlist updates the list after a task was placed on a candidate, which may now be too full or in another
-// tier.
+// updateShortlist updates the list after a task was placed on a candidate. The candidate may now be too full or in another
+// tier. If its tier is now better than the tier of the list, the list is emptied, so that a new search runs.
 func (p *Planner) updateShortlist(list *shortlist, c *Candidate) {
 	j := list.job
 	fits := j.Spec.Resources.Fits(c.Free) && (!p.settings.IsOpportunistic(&j.Spec) || !p.strandsGPUs(j, c))
