--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -26,7 +26,8 @@
 
 // Errors of cloud calls.
 var (
-	// ErrNoCapacity means that the cloud has no such machines available. The same request may be sent again.
+	// ErrNoCapacity means that the cloud has none of the requested machines available. The same request may be sent
+	// again.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnknownOutcome means that there was no usable response. The request may have been executed, or may
 	// still be executed later.
--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -1,17 +1,18 @@
 package fencing
 
-// MaxRetained is the maximum number of ended attempts that a worker may have to retain. While a worker
-// must retain that many, no attempt is started on it by a direct command. The worker's heartbeat, which
-// lists the retained attempts, thus stays well below the limit of 64 KiB on a request.
+// MaxRetained is the maximum number of ended attempts that a worker may have to retain. While a worker must
+// retain that many, no attempt is started on it by a direct command, that is, by a command outside of the
+// responses to its heartbeats. The worker's heartbeat, which lists the retained attempts, thus stays well
+// below the limit of 64 KiB on a request.
 const MaxRetained = 256
 
-// forcedRaiseWindows is a multiple of the window of RaiseIfDue. While direct commands are unanswered, the
-// token is raised only once the worker must retain that many windows of attempts. The worker rejects the
-// unanswered commands if they arrive after it has seen the raised token.
+// forcedRaiseWindows applies while direct commands to a worker are unanswered. RaiseIfDue then raises the
+// token only once the worker must retain forcedRaiseWindows*window attempts. An earlier raise is avoided
+// because the worker rejects the unanswered commands if they arrive after it has seen the raised token.
 const forcedRaiseWindows = 2
 
-// Fence is a leader's view of one worker's fencing token and of the ended attempts, each identified
-// by a key K, that the worker must retain. It is not safe for concurrent use.
+// Fence holds the fencing token that one leader uses for one worker, and the ended attempts that this
+// worker must retain. A key of type K identifies an attempt. Fence is not safe for concurrent use.
 type Fence[K comparable] struct {
 	tokens   Tokens
 	token    uint64       // the token of commands to the worker
--- a/internal/fencing/tokens.go
+++ b/internal/fencing/tokens.go
@@ -1,11 +1,11 @@
-// Package fencing decides which fencing token the commands to each worker carry, and which ended
-// attempts the worker must retain.
+// Package fencing decides which fencing token the commands to each worker carry, and which ended attempts
+// the worker must retain, that is, keep on record and list in its heartbeats.
 //
-// Direct commands are sent to a worker on their own, not in the response to a heartbeat. A worker
-// carries out a direct command unless it has seen a higher token or begun a later incarnation. Direct
-// commands may be delayed by minutes and may be repeated. A worker must therefore retain an ended
-// attempt while it may still carry out another copy of the command that started the attempt, because
-// the copy would start the attempt again.
+// Direct commands are sent to a worker on their own, not in the response to a heartbeat. A worker carries
+// out a direct command unless it has seen a higher token or begun a later incarnation. A worker begins its
+// next incarnation each time its lease expires. Direct commands may be delayed by minutes and may be
+// repeated. A worker must therefore retain an ended attempt while it may still carry out another copy of
+// the command that started the attempt, because the copy would start the attempt again.
 //
 // To bound the number of retained attempts, a Fence raises the worker's token. Once a heartbeat of the
 // worker contains the raised token, the worker no longer carries out commands with lower tokens.
--- a/internal/leadership/cluster_record.go
+++ b/internal/leadership/cluster_record.go
@@ -15,7 +15,7 @@
 	UpgradePrefix      = "upgrade/"
 	ClusterKey         = UpgradePrefix + "cluster"  // the cluster record: active version and gates
 	RegistrationPrefix = UpgradePrefix + "node/"    // each controller's registration
-	SessionPrefix      = UpgradePrefix + "session/" // each controller's session, on a lease that the controller's process renews
+	SessionPrefix      = UpgradePrefix + "session/" // each controller's session, attached to a lease that its process renews
 )
 
 // ClusterRecord is the cluster record with the version of its key. Version 0 means that no cluster record
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -1,12 +1,16 @@
 // Package leadership elects one leader among the controllers. Leadership is a key in the key-value store
 // that is attached to a lease. The controller that creates the key leads a new term until the lease
 // expires, the lease is revoked, or the controller observes a later term. Each term has a number and a
-// range of fencing tokens above those of all earlier terms. The transaction that creates the key also
-// reserves that range.
+// range of fencing tokens above those of all earlier terms. A fencing token is a number that commands to a
+// worker carry; the worker rejects late commands with a lower token than it has seen. The transaction that
+// creates the key also reserves the term's range.
 //
 // The package owns the keys LeaderKey and TermKey, which Election writes, and the registrations of
 // processes, which Registrar writes. It reads the cluster record to decide whether this process may
-// lead, and publishes roles as values. It doesn't depend on jobs or machines.
+// lead, and publishes this controller's view of the leadership as Role values. It doesn't depend on jobs or
+// machines.
+//
+// A controller keeps its name when it is restarted, but each restart begins another process.
 package leadership
 
 import (
@@ -44,8 +48,8 @@
 	// watchLeases is the duration of one watch of the leader's key, as a multiple of the lease's time to
 	// live.
 	watchLeases = 4
-	// standDownLeases is how long a controller doesn't compete for leadership after it has stood down,
-	// as a multiple of the lease's time to live.
+	// standDownLeases is how long a controller doesn't compete for leadership after a resignation with
+	// Resignation.StandDown, as a multiple of the lease's time to live.
 	standDownLeases = 4
 	// resignationQueue is the capacity of the resignation channel. It has room for all resignations of
 	// one term: those that the term's actors send, and the one that is sent when the term has ended.
@@ -113,7 +117,7 @@
 // Process returns the identifier of this process among all processes of its controller.
 func (e *Election) Process() string { return e.process }
 
-// Status returns the fields of the controller's status that the election maintains.
+// Status returns a status with only the fields that the election maintains: Uptime and SinceStoreContact.
 func (e *Election) Status() peer.Status {
 	uptime := time.Since(e.started)
 	return peer.Status{Uptime: uptime, SinceStoreContact: uptime - time.Duration(e.lastContact.Load())}
@@ -204,10 +208,11 @@
 
 // followLeader publishes which controller leads, and waits until the leader record changes.
 //
-// If the leader record names this controller, followLeader revokes the record's lease instead. In that
-// case an earlier process of this controller may have written the record; that process must have ended,
-// because this process runs in its place. Or this process itself has written the record, but the response
-// to the transaction that acquired leadership was lost.
+// If the leader record names this controller, followLeader publishes nothing and doesn't wait. It revokes
+// the lease that the leader record is attached to, so that the record is deleted. Such a record has one of
+// two causes. Either an earlier process of this controller has written the record; that process must have
+// ended, because this process runs in its place. Or this process itself has written the record, but the
+// response to the transaction that acquired leadership was lost.
 func (e *Election) followLeader(ctx context.Context, item storage.Item) {
 	var record LeaderRecord
 	if err := json.Unmarshal(item.Data, &record); err != nil {
--- a/internal/leadership/registrar.go
+++ b/internal/leadership/registrar.go
@@ -47,7 +47,8 @@
 	return &Registrar{store: store, settings: settings, process: process, log: log}
 }
 
-// Registered reports whether this process has registered. It may be called from any goroutine.
+// Registered reports whether Run has stored the registration of this process. It may be called from any
+// goroutine.
 func (r *Registrar) Registered() bool { return r.registered.Load() }
 
 // Run registers the process and then renews its session until ctx ends. It returns an error if the
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -18,7 +18,9 @@
 	// LeaseValidUntil is the earliest time at which this leader's own lease may expire, given the drift
 	// of the clocks.
 	LeaseValidUntil time.Time
-	// RenewWorkersUntil is the time until which this leader may renew workers' leases.
+	// RenewWorkersUntil is the time until which this leader may renew workers' leases. It is a grace period,
+	// config.Settings.RenewalGrace, after LeaseValidUntil or after the time at which all peers were last
+	// asked and confirmed that they can't have led, whichever is later.
 	RenewWorkersUntil time.Time
 	// Cluster is the cluster record whose version guarded the transaction that acquired leadership.
 	Cluster ClusterRecord
@@ -37,9 +39,9 @@
 	guard     storage.Guard
 	cluster   ClusterRecord
 	renewedAt time.Time // when the last successful renewal was sent; before the first renewal: when the grant was sent
-	// confirmedAt is when this controller last asked the peers and all of them confirmed that they can't
-	// have led since the lease may have expired: see PeersConfirmNoLeader. Zero: they have never confirmed
-	// this.
+	// confirmedAt is when this controller sent the latest request that all peers answered with a
+	// confirmation. A peer confirms that it can't have led since the earliest time at which this lease may
+	// have expired: see PeersConfirmNoLeader. If confirmedAt is zero, no request was confirmed by all peers.
 	confirmedAt time.Time
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -17,13 +17,15 @@
 	VersionRegistering = 3
 	// VersionTokenRanges is the lowest version whose terms have a range of fencing tokens each.
 	VersionTokenRanges = 4
-	// VersionActivation is the lowest version whose processes answer wake requests.
+	// VersionActivation is the lowest version whose processes answer wake requests. A wake request asks for the start
+	// of a model that is scaled to zero.
 	VersionActivation = 5
 	// Version is the version that this program reports.
 	Version = VersionActivation
 )
 
-// Status is the status that a controller reports to a peer.
+// Status is the status that a controller reports to a peer. To renew a worker's lease by delegation means to renew it
+// in the leader's place.
 type Status struct {
 	Uptime                time.Duration // since the controller's process started
 	SinceStoreContact     time.Duration // since the key-value store last answered the controller's election
@@ -34,7 +36,7 @@
 	DelegationPeriod      time.Duration // if the controller leads: how long the peer may renew workers' leases by delegation
 	DelegationTerm        uint64        // the term of that delegation
 	ExcludedMachines      []int         // machines whose leases must not be renewed by delegation
-	Version               int           // one of the Version constants
+	Version               int           // the Version that the reporting program has; 0 if it reports none
 }
 
 // DelegationTokens returns the fencing tokens of the term in which the delegation was granted. Versions before
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -47,7 +47,7 @@
 	fragmentOverhead = 64
 )
 
-// newLimiter returns a limiter that keeps a writer within its share of the store's changes.
+// newLimiter returns a limiter that keeps a writer within its share of the store's rate limit on changes.
 func newLimiter(s *config.Settings) *rate.Limiter {
 	changes := s.State.ChangesPerS * writeBudgetShare
 	return rate.NewLimiter(rate.Limit(changes), max(1, int(changes)))
@@ -80,7 +80,7 @@
 }
 
 // encodeBatch compresses the output of encode and splits it into values within the store's limits. If the batch needs
-// too many values, it returns nil values and no error.
+// more values than maxFragments or than one transaction can write, it returns nil values and no error.
 func encodeBatch(encode func(io.Writer) error, process, serial uint64, limits storage.Limits) ([]json.RawMessage, error) {
 	var buf bytes.Buffer
 	compressor, err := flate.NewWriter(&buf, flate.BestSpeed)
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -146,8 +146,8 @@
 	return batch
 }
 
-// deliverBatch sends as many of the first requests of a batch as fit, and passes the responses to the callers. It returns
-// the remaining requests.
+// deliverBatch sends the first requests of a batch, as many as encodeFittingPart selects, and passes the responses to
+// the callers of these requests. It returns the remaining requests.
 func (c *Client) deliverBatch(ctx context.Context, batch []queuedRequest) []queuedRequest {
 	ctx, cancel := context.WithTimeout(ctx, BatchTimeout)
 	defer cancel()
--- a/internal/storage/chunk_encoder.go
+++ b/internal/storage/chunk_encoder.go
@@ -8,10 +8,10 @@
 	"io"
 )
 
-// The journal compresses new chunks once the key-value store has lowered its limits, if the
-// Encoding allows it. Records resemble each other and compress well: a commit then takes a third as
-// many store operations. The first versions of the program can't read compressed chunks: see
-// Encoding.
+// The journal compresses new chunks once the key-value store has lowered its limit on the size of
+// values, if the Encoding allows it. Records resemble each other and compress well: with compression
+// a commit takes a third of the store operations that it takes without. The first versions of the
+// program can't read compressed chunks: see Encoding.
 
 // chunk is an entry of the journal. It holds a list of records, and their encoding as it is stored
 // under the chunk's key in the key-value store.
@@ -32,8 +32,8 @@
 	capacity        int  // maximum size of a chunk's value in bytes
 	compressChunks  bool // whether new chunks are compressed
 	compressor      compressor
-	commitRatio     compressionRatio // expected for the records that a commit writes
-	compactionRatio compressionRatio // expected for the records that compaction moves; commits mostly write other kinds
+	commitRatio     compressionRatio // ratio expected for the records that a commit writes
+	compactionRatio compressionRatio // ratio expected for the records that compaction moves; commits mostly write other kinds
 }
 
 func newChunkEncoder(capacity int) chunkEncoder {
@@ -108,9 +108,9 @@
 }
 
 // adjustCommitRatio adjusts commitRatio according to the size of an encoded value. It lowers the
-// ratio if the value exceeds the capacity. It raises the ratio if full is set and the value takes
-// less than three quarters of the capacity. full means that there were enough records to fill the
-// chunk: if there are fewer, the value is small however the records compress.
+// ratio if the value exceeds the capacity. It raises the ratio if the value takes less than three
+// quarters of the capacity, but only if full is set, which means that there were enough records to
+// fill the chunk. With fewer records, the value is small however well they compress.
 func (e *chunkEncoder) adjustCommitRatio(valueBytes int, full bool) {
 	switch {
 	case !e.compressChunks:
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -11,8 +11,8 @@
 // entity.
 
 const (
-	// Chunks are compacted while there are more than compactionFactor*needed +
-	// compactionSlackChunks. needed is the number of chunks that the live records would fill.
+	// Chunks are compacted while the journal has more than compactionFactor*needed +
+	// compactionSlackChunks chunks. needed is the number of chunks that the live records would fill.
 	compactionFactor      = 2
 	compactionSlackChunks = 24
 	// forcedCompactionThreshold is the number of excess chunks above which compaction is forced.
@@ -30,10 +30,11 @@
 // than expected.
 var errChunkTooLarge = errors.New("chunk exceeds the value limit")
 
-// compact adds the live records of the oldest chunks to the chunks of a transaction. It returns
-// the new chunks of the transaction and how many of the oldest chunks the transaction may delete.
-// If the live records of an old chunk exceed the budget or the limits, compact adds only some of
-// them, and the old chunk isn't deleted yet.
+// compact adds the live records of the oldest chunks to the chunks of a transaction. It returns the
+// new chunks of the transaction and how many of the oldest chunks the transaction may delete. If
+// adding all live records of an old chunk would take more changes than compactionBudget allows, or
+// exceed the limits of a transaction, compact adds only some of these records, and the old chunk
+// isn't deleted yet.
 func (j *Journal) compact(chunks []chunk) ([]chunk, int) {
 	excess, changes := j.compactionBudget()
 	if excess <= 0 || changes <= 0 {
@@ -116,13 +117,14 @@
 	return deleted
 }
 
-// canAddChanges reports whether n more changes are within the budget and the operation limit.
+// canAddChanges reports whether compaction may add n more changes, given changesLeft and the store's
+// limit on the operations of one transaction.
 func (c *compaction) canAddChanges(n int) bool {
 	return c.changesLeft >= n && c.txnOps+n <= c.journal.limits.TxnOps
 }
 
-// addDeletion counts the deletion of a chunk as a change of the transaction, if the budget and the
-// operation limit allow the deletion. It reports whether they allow it.
+// addDeletion counts the deletion of a chunk as a change of the transaction, if canAddChanges allows
+// one more change. It reports whether it has counted the deletion.
 func (c *compaction) addDeletion() bool {
 	if !c.canAddChanges(1) {
 		return false
@@ -146,8 +148,9 @@
 	return true
 }
 
-// moveRecord adds one record, and reports whether the limits allowed it. fragments holds either the
-// whole record or all of its fragments; moveRecord adds all of them or none.
+// moveRecord adds one record if canAddChanges and maxTxnBytes allow it, and reports whether it has
+// done so. fragments holds either the whole record as its only element or all fragments of the
+// record. moveRecord adds all elements or none.
 func (c *compaction) moveRecord(fragments []Record) bool {
 	newChunks, bytes := c.spaceNeeded(fragments)
 	if newChunks > 0 && !c.canAddChanges(newChunks) || c.totalBytes+bytes > maxTxnBytes {
@@ -177,7 +180,8 @@
 	return newChunks, bytes
 }
 
-// addFragment adds one fragment to the last chunk, or to a new chunk if the last one is full.
+// addFragment adds one fragment to the last chunk, or to a new chunk if the fragment doesn't fit into
+// the last chunk. The fragment may also be a whole record.
 func (c *compaction) addFragment(f Record) {
 	size := f.Size()
 	if size > c.lastChunkBytesLeft {
--- a/internal/storage/encoding.go
+++ b/internal/storage/encoding.go
@@ -15,7 +15,7 @@
 
 // The encodings. Each encoding also allows everything that the encodings listed before it allow.
 const (
-	PlainOnly          Encoding = iota // plain chunks; a record that is too large for a plain chunk can't be committed yet
+	PlainOnly          Encoding = iota // plain chunks; a commit with a record too large for one waits: see awaitEncoding
 	PlainWherePossible                 // plain chunks, but a record that is too large for a plain chunk is written as fragments
 	AnyEncoding                        // compressed chunks and fragments
 )
--- a/internal/storage/job_records.go
+++ b/internal/storage/job_records.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Priority is the priority of a job. Larger values are scheduled first.
+// Priority is the priority of a job. Jobs with larger values are scheduled first.
 type Priority int
 
 // The priorities that users can request.
@@ -67,13 +67,15 @@
 // page record must stay well below the value limit of the key-value store.
 const TasksPerPage = 64
 
-// TaskPageRecord holds the finished tasks and the attempts of one page of a job's tasks.
+// TaskPageRecord holds the finished tasks and the attempts of one page of a job's tasks: see
+// TasksPerPage.
 type TaskPageRecord struct {
 	Done     []int           `json:"d,omitempty"` // ranges of finished tasks: the first and the last task of each range
 	Attempts []AttemptRecord `json:"a,omitempty"`
 }
 
-// AttemptRecord is the durable record of a task's attempt that may be running on a machine.
+// AttemptRecord is the durable record of an attempt to run a task. The attempt may still be running
+// on its machine.
 type AttemptRecord struct {
 	Task        int    `json:"t"`
 	Number      uint64 `json:"y"`
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -35,7 +35,7 @@
 	leadership    Guard
 	limitTracker  *LimitTracker
 	limits        Limits        // copy of limitTracker's limits; applyLimits refreshes it
-	changeLimiter *rate.Limiter // limits the rate of the journal's changes
+	changeLimiter *rate.Limiter // limits the journal's changes per second; each operation of a transaction is a change
 	batches       chan Batch
 
 	index                journalIndex
@@ -73,8 +73,8 @@
 	return j, nil
 }
 
-// Records returns the durable records in key order. It must not be called after the first
-// Append, because the goroutine of Run changes the index from then on.
+// Records returns the durable records of all entities that aren't removed, in key order. It must not
+// be called after the first Append, because the goroutine of Run changes the index from then on.
 func (j *Journal) Records() []Record { return j.index.records() }
 
 // Append queues a batch for the journal, unless ctx ends first. It may be called from any
--- a/internal/storage/journal_index.go
+++ b/internal/storage/journal_index.go
@@ -32,8 +32,8 @@
 	return journalIndex{entities: make(map[string]entity), fragments: make(fragmentAssembler)}
 }
 
-// addChunk adds a chunk that is newer than all others. Its records replace records of older chunks
-// with the same keys.
+// addChunk adds a chunk that is newer than all chunks of the index. Its records replace the records
+// with the same keys in the index.
 func (x *journalIndex) addChunk(number uint64, records []Record, nonPlain bool) {
 	c := indexedChunk{number: number, nonPlain: nonPlain}
 	for _, r := range records {
@@ -83,7 +83,8 @@
 	return records
 }
 
-// liveRecords returns the live records of x.chunks[n], except those whose keys are in rewritten.
+// liveRecords returns the live records of x.chunks[n]: those that are the latest record of their key
+// and don't remove the entity. It omits the keys in rewritten, whose records are being written again.
 func (x *journalIndex) liveRecords(n int, rewritten map[string]bool) []Record {
 	c := &x.chunks[n]
 	var records []Record
--- a/internal/storage/journal_transaction.go
+++ b/internal/storage/journal_transaction.go
@@ -20,7 +20,8 @@
 //
 // These guards prevent the store from applying the transaction a second time. As long as the
 // transaction's first chunk exists, the guard on that chunk fails. Once compaction has deleted that
-// chunk, the guard on the preceding chunk fails, because compaction deletes older chunks first.
+// chunk, the guard on the preceding chunk fails: compaction deletes the oldest chunks first, so it
+// has deleted the preceding chunk too.
 func (j *Journal) transactionGuards() []Guard {
 	return []Guard{
 		j.leadership,
@@ -29,8 +30,8 @@
 	}
 }
 
-// transactionOps returns the puts of the new chunks and the deletions of the oldest
-// deletedChunks chunks.
+// transactionOps returns the operations that put the new chunks and delete old chunks. deletedChunks
+// is the number of chunks to delete, the oldest first.
 func (j *Journal) transactionOps(chunks []chunk, deletedChunks int) []Op {
 	var ops []Op
 	for i, c := range chunks {
@@ -53,10 +54,12 @@
 
 func (t *pendingTransaction) firstChunkKey() string { return t.ops[0].Key }
 
-// commitTransaction sends a transaction until it is known whether the transaction has been applied
-// or can't be applied any more. In the first case it returns the transaction's revision, otherwise
-// an error. The store may apply the transaction although no response arrives. The guards of the next
-// request then fail, because the first chunk exists; resolveConflict detects this case.
+// commitTransaction sends a transaction repeatedly until it is known whether the transaction has been
+// applied or can't be applied any more. If it has been applied, commitTransaction returns its
+// revision. If it can't be applied any more, or ctx ends, commitTransaction returns an error.
+//
+// The store may apply the transaction although no response arrives. When the transaction is sent
+// again, its guards fail, because its first chunk exists already. resolveConflict detects this case.
 func (j *Journal) commitTransaction(ctx context.Context, guards []Guard, ops []Op) (revision uint64, err error) {
 	t := &pendingTransaction{guards: guards, ops: ops, timeoutMultiple: 1}
 	for {
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -62,8 +62,9 @@
 	return j.splitLargeRecords(records), nil
 }
 
-// fragmentTagBits is the number of low bits of a fragment's tag. The low bits count the records that
-// were split in this term, and the high bits hold the version of the leadership key.
+// fragmentTagBits is the size of the counter in the low bits of a fragment's tag, in bits. It counts
+// the records that were split in this term. The high bits of the tag hold the version of the
+// leadership key.
 const fragmentTagBits = 20
 
 // splitLargeRecords returns the records in the same order. It replaces each record that is too large
@@ -107,8 +108,8 @@
 	return chunks, records, nil
 }
 
-// writeChunks commits the chunks in one transaction, together with as much compaction as the
-// budget of changes allows.
+// writeChunks commits the chunks in one transaction, together with as much compaction as
+// compactionBudget and the limits of a transaction allow.
 func (j *Journal) writeChunks(ctx context.Context, chunks []chunk) error {
 	if err := j.ensurePreviousChunk(ctx); err != nil {
 		return err
--- a/internal/storage/key_value_store.go
+++ b/internal/storage/key_value_store.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// KeyValueStore is the client of the consensus-backed key-value store, whose data survives the
-// loss of all controllers. Every change has a revision, and the version of a key is the revision
-// of its last change. The methods may return the errors of this package.
+// KeyValueStore is the client of the consensus-backed key-value store, whose data survives the loss
+// of all controllers. Every change has a revision, and the version of a key is the revision of its
+// last change. The methods may return the errors that are declared below.
 type KeyValueStore interface {
 	// Get reads one key. It returns ErrNotFound if the key doesn't exist.
 	Get(ctx context.Context, key string) (Item, error)
@@ -26,10 +26,11 @@
 	Renew(ctx context.Context, lease uint64) error
 	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease uint64) error
-	// Watch returns the changes of keys with the prefix that are newer than the revision after. If
-	// there are no such changes, it waits up to maxWait for one. A deleted key is returned without
-	// data. The next call continues after the returned revision. Watch returns ErrCompacted if the
-	// store no longer keeps all changes that are newer than after.
+	// Watch returns the changes of keys with the prefix whose revisions are greater than the argument
+	// after. If there are no such changes yet, it waits up to maxWait for one. A deleted key is
+	// returned as an Item without data. To continue, the caller passes the returned revision as after
+	// in the next call. Watch returns ErrCompacted if the store no longer keeps all changes since the
+	// revision after.
 	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (changes []Item, revision uint64, err error)
 }
 
@@ -73,7 +74,7 @@
 	// ErrMalformed means that the store rejected the request as invalid or too large. The
 	// request was not executed, and a retry would fail too.
 	ErrMalformed = errors.New("state service rejected the request as malformed")
-	// ErrCompacted means that the store no longer keeps the requested changes.
+	// ErrCompacted means that the store no longer keeps all changes that a Watch request covers.
 	ErrCompacted = errors.New("state service no longer keeps the requested changes")
 )
 
--- a/internal/storage/limit_tracker.go
+++ b/internal/storage/limit_tracker.go
@@ -5,10 +5,11 @@
 	"sync/atomic"
 )
 
-// LimitTracker tracks the limits that the key-value store enforces, as observed by this process.
-// The store may lower its limits at any time without notice, to values that are known in advance
-// (Limits.Next). The tracker keeps the higher limits, which allow more throughput, until an
-// error shows that the store has lowered them. A LimitTracker is safe for concurrent use.
+// LimitTracker tracks the limits that the key-value store enforces, as observed by this process. The
+// store may lower its limits at any time without notice, to values that are known in advance
+// (Limits.Next). The tracker keeps the limits from the settings, which allow more throughput than the
+// lowered ones, until an error shows that the store has lowered them. A LimitTracker is safe for
+// concurrent use.
 type LimitTracker struct {
 	next              *Limits
 	current           atomic.Pointer[Limits]
@@ -68,7 +69,7 @@
 	l.RequestsPerS = lowerLimit(l.RequestsPerS, next.RequestsPerS)
 }
 
-// lowerLimit returns the smaller of two limits. If next is 0, the limit doesn't change.
+// lowerLimit returns the smaller of current and next. If next is 0, it returns current.
 func lowerLimit[T int | float64](current, next T) T {
 	if next > 0 {
 		return min(current, next)
--- a/internal/storage/limits.go
+++ b/internal/storage/limits.go
@@ -17,9 +17,9 @@
 	// RequestTimeout is how long the journal waits for a response before it retries, because
 	// the response to a request may never arrive. 0: no timeout.
 	RequestTimeout time.Duration
-	// Next holds the lower limits that the store will enforce at some later time, which is not
-	// announced. A limit of 0 in Next means that this limit doesn't change. nil: no lower limits
-	// are known.
+	// Next holds lower limits than these, which the store will enforce from some unannounced point in
+	// time on. A limit of 0 in Next means that this limit doesn't change. If Next is nil, no lower
+	// limits are known.
 	Next *Limits
 }
 
@@ -41,7 +41,8 @@
 	return int(max(transaction, journalChangeShare*l.ChangesPerS*d.Seconds()*value))
 }
 
-// changeRate returns how many changes per second the journal may make, and the burst of this limit.
+// changeRate returns how many changes per second the journal may make, and the burst, which is the
+// maximum number of unused changes that accumulate.
 func (l *Limits) changeRate() (limit rate.Limit, burst int) {
 	return rate.Limit(l.ChangesPerS * journalChangeShare), max(l.TxnOps, int(l.ChangesPerS*journalChangeShare))
 }
--- a/internal/storage/machine_records.go
+++ b/internal/storage/machine_records.go
@@ -24,8 +24,8 @@
 	Count int    `json:"n"`
 }
 
-// FleetRecord is the durable record of the fleet's desired size and of the term of the leader
-// that set it.
+// FleetRecord is the durable record of the desired number of machines in the fleet and of the term of
+// the leader that set it.
 type FleetRecord struct {
 	Desired int    `json:"n"`
 	Term    uint64 `json:"t"`
--- a/internal/storage/resources.go
+++ b/internal/storage/resources.go
@@ -7,8 +7,8 @@
 	MemoryGB float64 `json:"m,omitempty"`
 }
 
-// roundingSlack is the tolerance of comparisons. It covers the rounding errors of sums of decimal
-// fractions.
+// roundingSlack is the tolerance when amounts are compared, in CPUs, GPUs or GB. It covers the
+// rounding errors of sums of decimal fractions.
 const roundingSlack = 1e-6
 
 // Add returns the sum of two amounts.
--- a/internal/storage/storagetest/client.go
+++ b/internal/storage/storagetest/client.go
@@ -22,7 +22,8 @@
 // Client is the connection of one controller to the store.
 type Client struct {
 	*Service
-	// Disconnected, if it is set and holds true, makes the store refuse all requests of this client.
+	// Disconnected makes the store refuse all requests of this client while it holds true. If it is
+	// nil, the client is always connected.
 	Disconnected *atomic.Bool
 }
 
@@ -162,8 +163,8 @@
 	}
 }
 
-// poll returns the changes that are newer than the revision after, the current revision, and a
-// channel that is closed at the next change.
+// poll returns the changes of keys with the prefix whose revisions are greater than the argument
+// after. It also returns the current revision, and a channel that is closed at the next change.
 func (s *Service) poll(prefix string, after uint64) (changes []storage.Item, revision uint64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,8 +178,8 @@
 	return changes, s.revision, s.changed, nil
 }
 
-// beginRequest waits for the latency of a request. It refuses the request during an outage, or if
-// Disconnected holds true.
+// beginRequest waits for the latency of a request. During an outage, or while Disconnected holds
+// true, it returns ErrRefused.
 func (c *Client) beginRequest(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/storage/storagetest/service.go
+++ b/internal/storage/storagetest/service.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Restore replaces the content of the store by the items. It omits items that are attached to a
+// Restore replaces all keys of the store with the given items. It omits items that are attached to a
 // lease, as if the lease had expired meanwhile. It must be called by a function passed to Update.
 func (s *Service) Restore(items []storage.Item) {
 	s.items = make(map[string]storage.Item)
--- a/internal/storage/unknown_fields.go
+++ b/internal/storage/unknown_fields.go
@@ -13,8 +13,9 @@
 // the record itself and of a job's specification. Records without schemaField have no unknown
 // fields, so they are not searched for such fields.
 //
-// This doesn't suffice for state that earlier versions must not ignore. Such state needs a feature
-// gate: while the gate is in use, versions without the gate can't lead.
+// Preserving unknown fields doesn't suffice for state that earlier versions must not ignore. Such
+// state needs a feature gate: while the gate is in use, versions that don't support the gate can't
+// lead.
 
 const (
 	// schemaField is the field in which a version stores its number when it writes fields that
@@ -50,8 +51,9 @@
 	return records
 }
 
-// withUnknownFields adds the unknown fields of the stored record old to data, and returns the result.
-// If old was not written by a later version, withUnknownFields returns data unchanged.
+// withUnknownFields adds the unknown fields of the stored record to the new record, and returns the
+// result. old is the JSON object of the stored record, and data that of the new record. If old was
+// not written by a later version, withUnknownFields returns data unchanged.
 func withUnknownFields(kind byte, old, data json.RawMessage) json.RawMessage {
 	var mark struct {
 		Schema uint32 `json:"v"`
@@ -67,9 +69,9 @@
 	return merged
 }
 
-// mergeUnknownFields adds the unknown fields of the JSON object old to the object data. If either
-// can't be decoded, it returns data unchanged, because a field that can't be kept must not
-// prevent the commit.
+// mergeUnknownFields adds those fields of the JSON object old that aren't in known to the JSON object
+// data, and returns the result. If one of the two objects can't be decoded, it returns data
+// unchanged, because a field that can't be kept must not prevent the commit.
 func mergeUnknownFields(old, data json.RawMessage, known []string) json.RawMessage {
 	unknown, err := upgrade.FindUnknown(old, known)
 	if err != nil {
@@ -82,8 +84,9 @@
 	return merged
 }
 
-// mergeUnknownSpecFields adds the unknown fields of the specification in the job record old to
-// the specification in the job record data.
+// mergeUnknownSpecFields adds the unknown fields of a stored job's specification to the specification
+// of the job's new record, and returns the new record. old and data are the JSON objects of the
+// stored and of the new record.
 func mergeUnknownSpecFields(old, data json.RawMessage) json.RawMessage {
 	var oldFields, fields map[string]json.RawMessage
 	if json.Unmarshal(old, &oldFields) != nil || json.Unmarshal(data, &fields) != nil {
--- a/internal/upgradecontrol/controller.go
+++ b/internal/upgradecontrol/controller.go
@@ -1,11 +1,14 @@
-// Package upgradecontrol carries out rolling upgrades. Package upgrade decides on each step without input or output,
-// and this package stores the step in the cluster record. Its Controller is an actor of the leader and the only
-// writer of the cluster record. Each write is guarded by the leader's key, the record's version and the registrations
-// that the step relies on.
+// Package upgradecontrol carries out rolling upgrades. Package upgrade only decides on each step and does no input or
+// output. This package stores the result of the step in the cluster record, which holds the active version and the
+// states of the feature gates. A feature gate, or gate for short, keeps a feature off until all controllers support
+// it.
+//
+// The Controller is an actor of the leader and the only writer of the cluster record. Each write is guarded by the
+// leader's key, the record's version and the registrations that the step relies on.
 //
 // Through GateUsers the Controller publishes the record in force to the leader's other actors, which also count what
 // depends on each gate. The record in force is the stored cluster record, with one exception: the record of a step that
-// releases a gate is in force before it is stored.
+// releases a gate, that is, marks the gate as no longer used, is in force before it is stored.
 package upgradecontrol
 
 import (
@@ -72,8 +75,8 @@
 	cluster       leadership.ClusterRecord
 	registrations map[string]registration
 	outdated      bool                           // the registrations or the record must be read again
-	nextCount     time.Time                      // when the uses of gates are next counted
-	unusedSince   map[upgrade.GateName]time.Time // since when a gate has had no uses
+	nextCount     time.Time                      // when the uses of gates are counted next
+	unusedSince   map[upgrade.GateName]time.Time // gates without uses, and when each was first counted as unused
 	// tentative is the record that the other actors obey instead of the stored record; nil: they obey the stored record.
 	// It is set before the release of a gate is written, and kept while that write may still be committed.
 	tentative        *upgrade.Record
@@ -131,9 +134,9 @@
 	}
 }
 
-// firstCheckDelay returns the delay of a term's first check of the upgrade. There is no delay if this program supports a
-// later version than the active one, or if gates are being withdrawn. Otherwise the check waits for one heartbeat
-// interval, because a failover needs the CPU.
+// firstCheckDelay returns the delay of a term's first check of the upgrade. There is no delay if this program supports
+// a later version than the active one, or if gates are being withdrawn. Otherwise the check waits for one heartbeat
+// interval, because the other work of a failover needs the CPU.
 func (c *Controller) firstCheckDelay() time.Duration {
 	if c.cluster.Record.Active < c.settings.Tuning.Upgrade.Versions.Max || c.cluster.Record.Phase == upgrade.Withdrawing {
 		return 0
@@ -237,8 +240,8 @@
 }
 
 // writeStep writes a step in one transaction, which is guarded by the leader's key, the record and every registration
-// that the step relies on. So the transaction fails if a controller of an older version has registered meanwhile, or if
-// another controller has become the leader.
+// that the step relies on. So the transaction fails if another controller has become the leader, or if one of these
+// registrations has changed since it was read, for example because a process of an older program has registered.
 func (c *Controller) writeStep(ctx context.Context, next upgrade.Record, members []upgrade.Member) error {
 	guards := []storage.Guard{c.leader, {Key: leadership.ClusterKey, Version: c.cluster.Version}}
 	for _, m := range members {
--- a/internal/upgradecontrol/gate_uses.go
+++ b/internal/upgradecontrol/gate_uses.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// markGateUsed marks a gate as used before anything depends on the gate. If the record in force already allows new uses
-// of the gate, the record is only published again.
+// markGateUsed marks a gate as used in the cluster record. This must happen before any job or record depends on the
+// gate. If the record in force already allows new uses of the gate, markGateUsed only publishes that record again.
 func (c *Controller) markGateUsed(ctx context.Context, gate upgrade.GateName) error {
 	delete(c.unusedSince, gate)
 	if c.recordInForce().Gate(gate).Usable() {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// recordUsage records the result of counting the uses of gates. It returns how long each unused gate has been unused.
+// recordUsage records the result of counting the uses of gates. It returns how long each unused gate has been unused,
+// but omits gates that are unused for the first time in this count.
 func (c *Controller) recordUsage(usage upgrade.Usage, now time.Time) map[upgrade.GateName]time.Duration {
 	unused := make(map[upgrade.GateName]time.Duration)
 	for name, uses := range usage {
@@ -65,9 +66,9 @@
 // preventNewUses prepares a step that releases a gate. It publishes the record of the step before that record is stored,
 // so that the other actors make no new use of the gate. It then reports whether the gate has no uses.
 //
-// If the gate has none, the published record stays in force, and the caller writes the step. This write may be committed
-// late, so a new use of the gate has to be written to the cluster record first: see markGateUsed. If the gate has uses,
-// the stored record is in force again.
+// If the gate has no uses, the published record stays in force, and the caller writes the step. This write may be
+// committed late, so a new use of the gate has to be written to the cluster record first: see markGateUsed. If the
+// gate has uses, the stored record is in force again.
 func (c *Controller) preventNewUses(ctx context.Context, step upgrade.Step) (unused bool, err error) {
 	c.tentative = &step.Record
 	usage, err := c.gateUsers.CountGateUses(ctx, step.Record)
--- a/internal/upgradecontrol/members.go
+++ b/internal/upgradecontrol/members.go
@@ -64,7 +64,7 @@
 	return members
 }
 
-// member returns a controller with its registration.
+// member returns the named controller with its registration. It leaves UnregisteredVersion at 0.
 func (c *Controller) member(name string) upgrade.Member {
 	r := c.registrations[name]
 	return upgrade.Member{Node: name, Registration: r.value, Damaged: r.damaged}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -15,7 +15,7 @@
 // The states of a task on its machine.
 const (
 	Pulling   TaskState = iota // waits for its image
-	Gathering                  // waits for the other tasks of its gang
+	Gathering                  // waits for the other tasks of its gang, which all start at the same time
 	Running
 	Saving // received a stop command and saves a checkpoint
 	Exited
@@ -98,6 +98,6 @@
 const (
 	NotSent    CommandOutcome = iota // certainly not executed: the commands were not sent
 	Executed                         // executed; the worker has responded with a report
-	Rejected                         // nothing executed: the token is too low, or the incarnation is another
+	Rejected                         // nothing executed: the token is too low, or the worker has begun another incarnation
 	Unresolved                       // no response: the commands may have been executed, or may still be executed later
 )
