--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -10,7 +10,8 @@
 // lead, and publishes this controller's view of the leadership as Role values. It doesn't depend on jobs or
 // machines.
 //
-// A controller keeps its name when it is restarted, but each restart begins another process.
+// A controller keeps its name when it is restarted, but every restart starts a new process of the
+// controller.
 package leadership
 
 import (
--- a/internal/leadership/role.go
+++ b/internal/leadership/role.go
@@ -20,7 +20,8 @@
 	LeaseValidUntil time.Time
 	// RenewWorkersUntil is the time until which this leader may renew workers' leases. It is a grace period,
 	// config.Settings.RenewalGrace, after LeaseValidUntil or after the time at which all peers were last
-	// asked and confirmed that they can't have led, whichever is later.
+	// asked and confirmed that they can't have led meanwhile, whichever is later: see
+	// Election.PeersConfirmNoLeader.
 	RenewWorkersUntil time.Time
 	// Cluster is the cluster record whose version guarded the transaction that acquired leadership.
 	Cluster ClusterRecord
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -29,7 +29,7 @@
 type Status struct {
 	Uptime                time.Duration // since the controller's process started
 	SinceStoreContact     time.Duration // since the key-value store last answered the controller's election
-	Leader                string        // the leader, if the controller itself has read it from the key-value store; "": no leader
+	Leader                string        // leader that the controller itself has read from the key-value store; "": none
 	Term                  uint64
 	SinceHeartbeat        time.Duration // since the controller last received a worker's heartbeat; Uptime if never
 	SinceDelegatedRenewal time.Duration // since the controller last renewed a worker's lease by delegation; Uptime if never
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -43,7 +43,7 @@
 	// maxRequestBytes bounds the size of one request in a batch. The largest requests are users' requests with their
 	// bodies.
 	maxRequestBytes = 64 << 10
-	// fragmentOverhead is the size of a value without the data of its fragment, in bytes.
+	// fragmentOverhead is the maximum size of a value without the data of its fragment, in bytes.
 	fragmentOverhead = 64
 )
 
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -53,8 +53,10 @@
 	return compacted, deleted
 }
 
-// compactionBudget returns how many chunks are in excess, and how many changes the next
-// transaction may spend on compacting them.
+// compactionBudget returns how many chunks are in excess, and how many changes the next transaction may
+// spend on compacting them. This is half of the changes that the rate limit allows now, but at least
+// forcedCompactionChanges while compaction is forced or a migration is in progress. During a migration
+// all chunks up to the newest one that isn't plain are in excess.
 func (j *Journal) compactionBudget() (excess, changes int) {
 	needed := j.index.liveBytes/j.encoder.expectedRecordBytes(j.encoder.compactionRatio) + 1
 	excess = len(j.index.chunks) - compactionFactor*needed - compactionSlackChunks
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -21,8 +21,8 @@
 //     an empty chunk, which does no harm if it is written twice: see ensurePreviousChunk.
 //   - Chunks are deleted oldest first, and only in a transaction that also writes their live
 //     records again. A record is live if no newer record has the same key and if it doesn't remove
-//     the entity. Removals need not be written again: once the chunk of a removal is deleted, no chunk
-//     is left that could hold an earlier record of the removed entity.
+//     its entity, such as a job or a machine. Removals need not be written again: once the chunk of
+//     a removal is deleted, no chunk is left that could hold an earlier record of the removed entity.
 //   - Stored keys and the JSON bytes of records are a format shared with other versions of the
 //     program: fields may be added, but never renamed. Fields written by a later version of the program
 //     are preserved when an earlier version of the program rewrites the record.
--- a/internal/storage/journal_writer.go
+++ b/internal/storage/journal_writer.go
@@ -58,13 +58,13 @@
 	if err := j.awaitEncoding(ctx, records); err != nil {
 		return nil, err
 	}
-	j.applyLimits() // the allowed encoding may have changed meanwhile
+	j.applyLimits() // the allowed encoding may have changed while awaitEncoding waited
 	return j.splitLargeRecords(records), nil
 }
 
-// fragmentTagBits is the size of the counter in the low bits of a fragment's tag, in bits. It counts
-// the records that were split in this term. The high bits of the tag hold the version of the
-// leadership key.
+// fragmentTagBits is the size, in bits, of the counter in the low bits of a fragment's tag. The
+// counter numbers the records that were split in this term. The high bits of the tag hold the version
+// of the leadership key.
 const fragmentTagBits = 20
 
 // splitLargeRecords returns the records in the same order. It replaces each record that is too large
