--- a/internal/activation/event.go
+++ b/internal/activation/event.go
@@ -31,19 +31,19 @@
 		Attempt    uint64
 		Failed     bool
 	}
-	// Quiet reports that no controller has had a request for the model since the time Since. All
-	// controllers have sent recent reports that show this.
+	// Quiet reports that no controller has had a request for the model after the time Since. Every
+	// controller has sent a recent usage report that shows this.
 	Quiet struct {
 		Generation uint64
 		Since      time.Time
 	}
 	// Drained reports that the drain with the number Drain is complete: no controller forwards
-	// requests to the model any more. Each controller has acknowledged the drain and has no request
-	// in flight, or it has sent no recent report and the leader's responses that allowed it to
-	// forward requests have expired.
+	// requests to the model any more. Each controller with a recent usage report has acknowledged
+	// the drain and has no request for the model in flight. For every controller without a recent usage
+	// report, the leader's responses that allowed it to forward requests have expired.
 	Drained struct{ Drain uint64 }
-	// Tick reports that time has passed. ReservedFor is the time since resources were reserved for
-	// the current replica.
+	// Tick triggers the transitions that depend only on the time, such as timeouts. ReservedFor is the
+	// time since resources were reserved for the current replica, or 0 if there is no replica.
 	Tick struct{ ReservedFor time.Duration }
 )
 
--- a/internal/activation/message.go
+++ b/internal/activation/message.go
@@ -56,7 +56,7 @@
 	Session string        // unique to each process of the controller
 	Serial  uint64        // increases with each report of the session
 	Uptime  time.Duration // time since the process started; requests to an earlier process ended with that process
-	Models  []ModelUsage  // models with requests within the idle window, and models that are being drained
+	Models  []ModelUsage  // at least the models that had requests within Policy.IdleWindow and those being drained
 }
 
 // ModelUsage is a controller's usage of a model.
--- a/internal/activation/policy.go
+++ b/internal/activation/policy.go
@@ -5,11 +5,11 @@
 // Policy holds the operators' settings for the lifecycle of models.
 type Policy struct {
 	IdleWindow   time.Duration // time without requests after which a model is scaled to zero
-	StartTimeout time.Duration // time after the reservation of a replica at which an incomplete start is abandoned
+	StartTimeout time.Duration // maximum time from the reservation of a replica until it is ready; a longer start is abandoned
 	StableAfter  time.Duration // a replica that fails sooner than this after it became ready counts as a failed start
 	MaxAttempts  int           // number of consecutive failed starts after which a wake fails
 	Backoff      time.Duration // pause after the first failed start; doubled after each further one
-	Cooldown     time.Duration // pause after a failed wake; longer than any response of the leader is valid
+	Cooldown     time.Duration // pause after a failed wake; must be longer than the leader's responses are valid
 	DrainTimeout time.Duration // time after which a drain that hasn't completed is canceled
 }
 
--- a/internal/activation/record.go
+++ b/internal/activation/record.go
@@ -15,7 +15,7 @@
 	Starting State = "starting" // a replica is being started; failed starts are retried
 	Ready    State = "ready"    // the replica answers requests
 	Draining State = "draining" // new requests aren't forwarded; the drain may be canceled, and the replica may be lost
-	Stopping State = "stopping" // the replica has to be stopped, but isn't proved gone yet
+	Stopping State = "stopping" // the replica has to be stopped, and may still be on a machine
 	Failed   State = "failed"   // too many consecutive starts failed; the next wake must wait for the cooldown
 )
 
--- a/internal/activation/transition.go
+++ b/internal/activation/transition.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Action is what the leader must do once a changed record is durable. The same action may be returned
-// repeatedly. The outstanding action can be derived from the record, so a new leader gets it from
-// Record.Pending.
+// repeatedly. After a failover, the new leader gets the action that may not have been completed from
+// Record.Pending, which derives it from the record.
 type Action int
 
 // The actions.
@@ -21,7 +21,7 @@
 // generation, attempt or drain.
 func (r Record) Apply(e Event, p *Policy, now time.Time) (Record, Action) { return e.apply(r, p, now) }
 
-// Pending returns the outstanding action of a record.
+// Pending returns the action that is still to be completed according to the record.
 func (r *Record) Pending(now time.Time) Action {
 	switch r.State {
 	case Starting:
@@ -49,7 +49,7 @@
 // placeholderAttempt is the number that Restore uses for an attempt that is no longer stored.
 const placeholderAttempt uint64 = 1
 
-// Restore returns the record that a new leader starts from, and the outstanding action. replica is the
+// Restore returns the record that a new leader starts from, and the action to take. replica is the
 // attempt whose replica may be on a machine according to the stored attempts, or NoReplica. The record and
 // the attempts are stored independently, so either may be ahead of the other. If the record's state
 // requires a replica but no attempt is stored, the replica is gone and the record doesn't show it yet.
@@ -66,7 +66,8 @@
 
 func (e Demand) apply(r Record, _ *Policy, now time.Time) (Record, Action) {
 	if e.Generation != r.Generation {
-		return r, NoAction // the response carries the current generation; the controller repeats its demand if necessary
+		// The leader's response contains the current generation; the controller repeats its demand if necessary.
+		return r, NoAction
 	}
 	switch r.State {
 	case "", Idle, Failed:
@@ -183,7 +184,7 @@
 
 // replaceReplica starts another replica of the same generation. It is called when a replica is gone and
 // the model isn't being scaled to zero. If failed is false, the next replica is reserved immediately.
-// Otherwise the loss counts as a failed start: the next start waits for a growing backoff, and after
+// If failed is true, the loss counts as a failed start: the next start waits for a growing backoff, and after
 // Policy.MaxAttempts consecutive failures the wake fails.
 func (r Record) replaceReplica(failed bool, p *Policy, now time.Time) (Record, Action) {
 	next := r.enterState(Starting, now)
--- a/internal/activation/usage.go
+++ b/internal/activation/usage.go
@@ -61,7 +61,7 @@
 }
 
 // QuietSince returns the time since which no controller has had a request for a model. known is false
-// if any controller is silent or has a request in flight.
+// if any controller is silent or has a request for the model in flight.
 func (u *Usage) QuietSince(model string, now time.Time) (since time.Time, known bool) {
 	for _, controller := range u.controllers {
 		latest := u.freshReport(controller, now)
@@ -84,10 +84,10 @@
 	return since, true
 }
 
-// Drained reports whether all controllers have stopped forwarding requests to a model. A controller has
-// stopped if it has acknowledged this drain and has no requests in flight. A silent controller has
-// stopped at the time responsesExpireAt, because the leader's responses that allowed the controller to
-// forward requests have expired by then.
+// Drained reports whether all controllers have stopped forwarding requests to a model. drain is the number
+// of the drain. A controller has stopped if it has acknowledged the drain and has no requests in flight. A
+// silent controller has stopped at the time responsesExpireAt, because the leader's responses that allowed
+// the controller to forward requests have expired by then.
 func (u *Usage) Drained(model string, drain uint64, responsesExpireAt, now time.Time) bool {
 	for _, controller := range u.controllers {
 		latest := u.freshReport(controller, now)
--- a/internal/activator/connection.go
+++ b/internal/activator/connection.go
@@ -53,7 +53,7 @@
 // connectGranted waits until the tracker grants a request, which allows the request to be forwarded, and then connects to
 // the model's server. It sends no data. If connecting fails, it waits until the request is granted again and retries. It
 // does so until the request's deadline, because the server may not listen yet or may have moved to another machine. The
-// connection is nil unless the outcome is Granted.
+// connection is nil unless the outcome is Granted. pathElement is the part of the request's path that names the model.
 func (h *Handler) connectGranted(ctx context.Context, model, pathElement string) (*connection, Decision) {
 	deadline := h.tracker.Deadline()
 	for pause := minRedialPause; ; pause = min(2*pause, maxRedialPause) {
--- a/internal/activator/handler.go
+++ b/internal/activator/handler.go
@@ -62,7 +62,8 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// serveModel forwards a request to its model once the tracker grants the request. Otherwise it responds with an error.
+// serveModel forwards a request to its model once the tracker has granted the request and a connection to the model is open.
+// If that fails, serveModel responds with an error.
 func (h *Handler) serveModel(w http.ResponseWriter, r *http.Request) {
 	pathElement := r.PathValue("model")
 	model, ok := h.config.ModelOf(pathElement)
--- a/internal/activator/messages.go
+++ b/internal/activator/messages.go
@@ -14,7 +14,7 @@
 	model    string
 	deadline time.Time // end of the time for which the request may be held
 	reply    chan Decision
-	held     bool // counted in Tracker.heldCount
+	held     bool // the request was held; it counts in Tracker.heldCount until it is decided
 	decided  bool // the decision was sent to reply, or the client has disconnected
 }
 
--- a/internal/activator/model.go
+++ b/internal/activator/model.go
@@ -8,7 +8,7 @@
 
 // model is a Tracker's state for one model.
 type model struct {
-	response   activation.WakeResponse // the leader's latest response
+	response   activation.WakeResponse // the leader's latest usable response to a wake request
 	validUntil time.Time               // end of the response's validity
 
 	wakePending     bool      // a wake request is in flight
@@ -52,7 +52,8 @@
 	return idle && now.Sub(m.lastUsed) > rememberFor && now.Sub(m.drainedAt) > rememberFor
 }
 
-// heldRequests returns how many requests for the model are held. Waiting requests that aren't held yet don't count.
+// heldRequests returns how many requests for the model are held. Requests that are queued until the leader responds to a
+// wake request, and that holdOrReply hasn't held yet, don't count.
 func (m *model) heldRequests() int {
 	held := 0
 	for _, r := range m.waiting {
--- a/internal/activator/requests.go
+++ b/internal/activator/requests.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// decide sends the decision on a request according to the leader's latest response, or holds the request.
+// decideOrHold sends the decision on a request according to the leader's latest response, or holds the request.
 func (t *Tracker) decideOrHold(m *model, r *request, now time.Time) {
 	response := &m.response
 	switch {
@@ -144,7 +144,8 @@
 	}
 }
 
-// decideWaiting decides on all requests that wait for a model, in order of arrival.
+// decideWaiting decides on all requests that wait for a model, in order of arrival. A request that can't be granted yet may
+// be held.
 func (t *Tracker) decideWaiting(m *model, now time.Time) {
 	waiting := m.waiting
 	m.waiting = nil
--- a/internal/activator/tracker.go
+++ b/internal/activator/tracker.go
@@ -20,8 +20,9 @@
 
 // Timing configures when a Tracker sends requests to the leader.
 type Timing struct {
-	// RetryPause is the pause after the first wake request without a usable response. The pause is doubled after each
-	// further such request, and has jitter.
+	// RetryPause is the pause after the first wake request without a usable response. A response isn't usable if the
+	// leader couldn't decide, or if the response may describe the state before a drain. The pause is doubled after each
+	// further such request, at most maxRetryShift times, and has jitter.
 	RetryPause       time.Duration
 	RequestTimeout   time.Duration // timeout of one request
 	MaxResponseDelay time.Duration // how long the leader may delay a response while a model with waiting requests starts
@@ -29,7 +30,7 @@
 	// RepeatDemandFor is how long wake requests for a model are repeated after a request for this model, if the leader
 	// sends no usable response.
 	RepeatDemandFor time.Duration
-	ReportUnusedFor time.Duration // how long an unused model stays in usage reports; longer than the idle window
+	ReportUnusedFor time.Duration // how long an unused model stays in usage reports; must be longer than the idle window
 }
 
 // Limits holds the limits on the requests that a Tracker holds and grants.
@@ -135,7 +136,7 @@
 }
 
 // tick replies to held requests whose deadline has passed, and removes the state of models that are no longer used. It
-// repeats wake requests for models with waiting requests, and until model.demandUntil also for others.
+// repeats wake requests for models with waiting requests and, until model.demandUntil, also for models without any.
 func (t *Tracker) tick(ctx context.Context, now time.Time) {
 	for name, m := range t.models {
 		t.timeOutHeldRequests(m, now)
@@ -151,7 +152,7 @@
 	}
 }
 
-// post sends a message to the mailbox. It returns false if ctx or Run ends first.
+// post sends a message to the mailbox. It returns false if ctx ends or Run stops before the mailbox accepts the message.
 func (t *Tracker) post(ctx context.Context, m message) bool {
 	select {
 	case t.mailbox <- m:
--- a/internal/activator/wake.go
+++ b/internal/activator/wake.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// scheduleRetry sets the time of the next wake request after a response that wasn't usable, because the leader couldn't
-// decide or the response was outdated. The pause grows exponentially and has jitter. Waiting requests are then held or
+// scheduleRetry sets the time of the next wake request after a response that wasn't usable: the leader couldn't decide, or
+// the response was outdated. The pause grows exponentially and has jitter. Waiting requests are then held or
 // refused.
 func (t *Tracker) scheduleRetry(m *model, reason string, now time.Time) {
 	pause := t.timing.RetryPause << min(m.undecidedWakes, maxRetryShift)
--- a/internal/archive/append.go
+++ b/internal/archive/append.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// minAppendChanges is the number of changes that the write limit must allow for an append, because a full
-// page is split into two pages.
+// minAppendChanges is how many changes (keys written or deleted) the write rate limiter must allow before a
+// page is written. It is 2 because a full page is split into two pages.
 const minAppendChanges = 2
 
 // Archive adds some of the entries to one page of the archive: the page that most of the entries belong
 // to. The entries must be sorted by number. Archive returns the numbers of the jobs that are now durably
-// archived. While the write limit allows too few changes, it returns no numbers and no error. It fails
-// with ErrBusy, ErrIncomplete or ErrLeadershipLost, or with the error of the write; the caller may then
-// pass the same entries again.
+// archived. Archive returns no numbers and no error if the archive's write rate limit currently allows
+// too few changes, or if no entry can be added: the page is too large for the limits, or no intact page
+// covers the entries. It fails with ErrBusy, ErrIncomplete or ErrLeadershipLost, or with the error of a
+// request to the store; the caller may then pass the same entries again.
 func (a *Archiver) Archive(ctx context.Context, entries []Entry) ([]JobNumber, error) {
 	replies := make(chan reply[[]JobNumber], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
--- a/internal/archive/archiver.go
+++ b/internal/archive/archiver.go
@@ -182,19 +182,20 @@
 	return l
 }
 
-// indexIsExact reports whether this controller is the leader and the whole index is exact for its term. If
-// so, a job that is in none of the pages is certainly not archived.
+// indexIsExact reports whether this controller is the leader and the whole index is exact for its term (see
+// the package comment). A job that is in none of the pages of an exact index is certainly not archived.
 func (a *Archiver) indexIsExact() bool {
 	return a.leadership != nil && a.Index.ExactFor(a.leadership.Term)
 }
 
-// invalidate marks the index as not exact and schedules a refresh at once.
+// invalidate marks the index as exact for no term, because it may be outdated, and schedules a refresh at
+// once.
 func (a *Archiver) invalidate() {
 	a.Index.update(func(s *snapshot) { s.term = 0 })
 	a.nextRefresh = time.Now()
 }
 
-// logError logs an error unless it has the same message as the last one that was logged.
+// logError logs an error unless the error that was logged last has the same message.
 func (a *Archiver) logError(err error) {
 	if message := err.Error(); message != a.lastLoggedError {
 		a.lastLoggedError = message
--- a/internal/archive/cached_page.go
+++ b/internal/archive/cached_page.go
@@ -15,13 +15,13 @@
 	version      uint64
 	damaged      bool        // the page can't be decoded; lower and the entries are unknown
 	evicted      bool        // the entries were dropped from memory
-	term         uint64      // the term for which this page alone is exact, see the package comment; 0: none
+	term         uint64      // the term for which this page is exact even if the index isn't, see the package comment; 0: none
 	recentlyUsed atomic.Bool // a job was looked up in the page since the eviction scan last visited it
 }
 
-// newCachedPage decodes a stored item. term is the term for which the page is exact, or 0. If decoding
-// fails, newCachedPage returns the error and a page that is marked as damaged. The page is nil if the key
-// isn't a page key.
+// newCachedPage decodes a stored item. term is the term for which the page is exact (see the package
+// comment), or 0. If decoding fails, newCachedPage returns the error and a page that is marked as damaged.
+// The page is nil if the key isn't a page key.
 func newCachedPage(item storage.Item, term uint64) (*cachedPage, error) {
 	packed, err := decode(item.Key, item.Data)
 	if err == nil {
--- a/internal/archive/doc.go
+++ b/internal/archive/doc.go
@@ -18,6 +18,6 @@
 //     mistaken for a range without jobs.
 //   - A final state never changes, so a job that was found in a page stays found. But jobs may be added
 //     to a page after it was read. Only a leader that has read the page in its own term can conclude
-//     that a job isn't archived. The page is then called exact for that term. The index is exact for a
-//     term once all of its pages are.
+//     that a job isn't archived. A page that was read in this way is called exact for that term. The index
+//     is exact for a term once all of its pages are.
 package archive
--- a/internal/archive/page.go
+++ b/internal/archive/page.go
@@ -4,7 +4,7 @@
 
 // FinalState describes how a job ended.
 type FinalState struct {
-	Cancelled bool // whether the job was cancelled; otherwise it is done
+	Cancelled bool // true: the job was cancelled; false: the job is done
 	Done      int  // number of done tasks
 }
 
--- a/internal/archive/page_split.go
+++ b/internal/archive/page_split.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// valueShare is the share of the store's limit on the size of a value that a page may use.
+	// valueShare is the maximum size of a stored page, as a share of the store's limit on the size of a value.
 	valueShare = 0.9
-	// splitFillShare is the share of the maximum page size that each part of a split page should fill.
-	// The remaining share is headroom for later entries.
+	// splitFillShare is the target size of each part of a split page, as a share of the maximum page
+	// size. The remaining share is headroom for entries that are added after the split.
 	splitFillShare = 0.6
-	// txnBytes limits the total size of the values in one transaction. It is below the protocol's limit
-	// of 64 KiB.
+	// txnBytes limits the total size of the values in one transaction, in bytes. It is below the
+	// protocol's limit of 64 KiB.
 	txnBytes = 56 << 10
 )
 
-// maxPageBytes returns the maximum size of a packed page, before base64 encoding.
+// maxPageBytes returns the maximum size of a packed page before base64 encoding, in bytes.
 func maxPageBytes(limits *storage.Limits) int {
 	return int(float64(limits.ValueBytes)*valueShare)/4*3 - 2
 }
 
-// maxParts returns how many pages one transaction may write if at most the given number of changes is
-// allowed.
+// maxParts returns how many pages, at least one, a transaction may write within the store's limits and within
+// the given number of changes.
 func maxParts(limits *storage.Limits, changes int) int {
 	return max(1, min(limits.TxnOps, changes, txnBytes/max(1, limits.ValueBytes)))
 }
--- a/internal/archive/page_writer.go
+++ b/internal/archive/page_writer.go
@@ -25,8 +25,8 @@
 }
 
 // replacePages writes a replacement in one transaction that is guarded by the leadership key and by the
-// versions of all pages that it touches. If the store doesn't respond, the write may still be applied,
-// late or twice. replacePages then invalidates the index.
+// versions of all pages that it touches. If the store doesn't respond, replacePages invalidates the index,
+// because the write may still be applied, late or twice.
 func (a *Archiver) replacePages(ctx context.Context, r replacement) error {
 	txn, err := r.transaction(a.leadership)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return txn, nil
 }
 
-// addPage adds a page to the transaction. Unless the page has the same key as the old page, a guard requires
-// that its key doesn't exist yet.
+// addPage adds a page to the transaction. If the page's key differs from the key of the old page, addPage
+// also adds a guard that requires that the page's key doesn't exist yet.
 func (r *replacement) addPage(txn *transaction, page *Page, term uint64) error {
 	key := pageKey(page.Upper)
 	if r.old == nil || key != r.old.key {
@@ -92,9 +92,9 @@
 }
 
 // handleWriteError handles the error of a write. If another controller is the leader, it returns
-// ErrLeadershipLost; otherwise it returns the error wrapped. It invalidates the index unless the store
-// refused the write, because the write may have been applied, or the stored pages may be newer than those
-// in the index.
+// ErrLeadershipLost; otherwise it returns the error wrapped. If the store refused the write or rejected it as
+// malformed, the index stays valid. After all other errors, handleWriteError invalidates the index, because
+// the write may have been applied, or the stored pages may be newer than those in the index.
 func (a *Archiver) handleWriteError(err error) error {
 	var conflict *storage.ConflictError
 	switch {
--- a/internal/archive/read.go
+++ b/internal/archive/read.go
@@ -8,7 +8,7 @@
 func (a *Archiver) Read(ctx context.Context, number JobNumber) (Result, error) {
 	replies := make(chan reply[Result], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
-		if ctx.Err() == nil { // otherwise the caller no longer waits for the reply
+		if ctx.Err() == nil { // once ctx has ended, the caller no longer waits for the reply
 			replies <- newReply(a.read(serving, number))
 		}
 	})
--- a/internal/archive/refresh.go
+++ b/internal/archive/refresh.go
@@ -15,9 +15,9 @@
 	// refreshPauseFactor is the minimum pause after a call of refresh, as a multiple of the duration of
 	// that call.
 	refreshPauseFactor = 10
-	// maxMissedRefreshes is the time without a completed refresh after which the Archiver reads all
-	// pages again, in refresh intervals. The changes since the last refresh could then be larger than
-	// all pages.
+	// maxMissedRefreshes is the number of refresh intervals without a completed refresh after which the
+	// Archiver reads all pages again. The changes since the last refresh could then be larger than all
+	// pages.
 	maxMissedRefreshes = 8
 )
 
@@ -29,7 +29,8 @@
 }
 
 // refresh brings the index closer to the store. During a full load, it reads the next pages; otherwise it
-// reads the changes since the last refresh. It then schedules the next refresh, if one is necessary.
+// reads the changes since the last refresh. It then schedules the next refresh, unless the index
+// was already exact.
 func (a *Archiver) refresh(ctx context.Context) {
 	began := time.Now()
 	if a.loadState == nil && a.isStale(began) {
--- a/internal/archive/stored.go
+++ b/internal/archive/stored.go
@@ -9,7 +9,7 @@
 
 // StoredSummary summarizes the archive in the key-value store.
 type StoredSummary struct {
-	Jobs, Pages, Bytes int
+	Jobs, Pages, Bytes int      // Jobs excludes the jobs in damaged pages; Bytes is the size of all keys and values
 	Damaged            []string // descriptions of damaged or missing pages
 }
 
--- a/internal/archive/withdrawal.go
+++ b/internal/archive/withdrawal.go
@@ -38,8 +38,8 @@
 
 // DropFirstPage removes the first page if the upper end of this page is upper. The page's jobs must be
 // durable elsewhere. The next page is extended over the range of the removed page, so that the ranges have
-// no gap. While the write limit allows too few changes, DropFirstPage does nothing and returns nil; the
-// caller has to call FirstPage again to see whether the page was removed.
+// no gap. If the write rate limit currently allows too few changes, DropFirstPage does nothing and
+// returns nil; the caller has to call FirstPage again to see whether the page was removed.
 func (a *Archiver) DropFirstPage(ctx context.Context, upper JobNumber) error {
 	_, err := callIfExact(ctx, a, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, a.dropFirstPage(ctx, upper)
@@ -71,8 +71,8 @@
 	return a.replacePages(ctx, replacement{old: pages[1], absorbed: pages[0], pages: splitPage(next, maxPageBytes(&limits))})
 }
 
-// callIfExact calls f in the Archiver's goroutine. If the index isn't exact for the current term at that
-// time, it fails with ErrIncomplete instead.
+// callIfExact calls f in the Archiver's goroutine. It doesn't call f but fails with ErrIncomplete if the index
+// isn't exact for the current term at that time.
 func callIfExact[T any](ctx context.Context, a *Archiver, f func(context.Context) (T, error)) (T, error) {
 	replies := make(chan reply[T], 1)
 	return call(ctx, a, replies, func(serving context.Context) {
--- a/internal/upgrade/activation.go
+++ b/internal/upgrade/activation.go
@@ -29,7 +29,7 @@
 	return s.transitionTo(record, "version %d active", next)
 }
 
-// openGates opens the gates that became eligible only after the active version had been activated.
+// openGates opens the gates that are eligible now but weren't yet when the active version was activated.
 func openGates(s *Situation) Step {
 	record := s.Record.clone()
 	opened := s.openEligibleGates(&record)
@@ -39,8 +39,8 @@
 	return s.transitionTo(record, "gates %v open", opened)
 }
 
-// openEligibleGates opens the closed gates that are eligible in the record, and returns their names.
-// It opens none while the versions of any member are unknown.
+// openEligibleGates opens the closed gates that are eligible in the record, raises the record's fence, and
+// returns the names of the opened gates. If the versions of some member are unknown, it does nothing.
 func (s *Situation) openEligibleGates(record *Record) (opened []GateName) {
 	if nodeWithUnknownVersions(s.Members) != "" {
 		return nil
@@ -57,8 +57,8 @@
 }
 
 // eligible reports whether a gate may be opened in the record. The gate must be closed, the active
-// version and every controller must support it, and the gates that it depends on must be open. To open
-// FencedTerm, every controller must also follow the cluster record.
+// version and every controller must support it, and the gates that it depends on must be open. The
+// gate FencedTerm also requires that every controller registers: see followsRecord.
 func (s *Situation) eligible(record *Record, gate Gate) bool {
 	if _, present := record.Gates[gate.Name]; present {
 		return false
--- a/internal/upgrade/admission.go
+++ b/internal/upgrade/admission.go
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("gate %s is in use: a controller of version %d or later must lead, or withdraw the gate", e.Gate, e.Since)
 }
 
-// Admit checks whether a process with this compatibility range and policy may join the fleet. If not,
-// it returns a *TooOldError, a *TooNewError or a *TargetError, and the process must exit with that
+// Admit checks whether a process with the given compatibility range and policy may join the fleet. If not,
+// Admit returns a *TooOldError, a *TooNewError or a *TargetError, and the process must exit with that
 // error: see IsRefusal.
 func Admit(r Record, versions Range, policy Policy) error {
 	switch {
@@ -56,8 +56,8 @@
 }
 
 // MayLead checks whether a process may become the leader. A process may lead if it supports every gate
-// that is in use, because it can then read all stored data. It need not support the other gates, because
-// no data depends on them. MayLead returns an *UnreadableGateError if the process must not lead.
+// that is marked as used, because it can then read all stored data. It need not support the unused gates,
+// because no data depends on them. MayLead returns an *UnreadableGateError if the process must not lead.
 func MayLead(r Record, versions Range, known GateList) error {
 	for _, name := range r.GateNames() {
 		g := r.Gates[name]
--- a/internal/upgrade/doc.go
+++ b/internal/upgrade/doc.go
@@ -7,7 +7,8 @@
 //   - Once every controller supports a version, the leader activates the version and opens the feature
 //     gates that this version adds.
 //   - When a controller is rolled back to an older version, the leader withdraws the gates that this
-//     controller lacks and lowers the active version.
+//     controller lacks: it allows no new uses of these gates, and closes a gate once its existing uses have
+//     ended. The leader then lowers the active version.
 //   - When the operators' policy allows it, the leader finalizes the active version. Controllers of lower
 //     versions are then refused, and the version can't be rolled back any more.
 //
--- a/internal/upgrade/fence.go
+++ b/internal/upgrade/fence.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// requiredFence returns the lowest version that may lead. Such a version isn't refused, and can read all
-// data that may depend on a gate.
+// requiredFence returns the lowest version that may lead: the lowest one that isn't refused (see
+// Record.Minimum) and that supports every gate that stored data may depend on.
 func (r *Record) requiredFence() Version {
 	required := max(r.Minimum, Baseline)
 	for _, gate := range r.Gates {
@@ -12,8 +12,8 @@
 	return required
 }
 
-// raiseFence raises the fence to requiredFence and marks FencedTerm as used. It does nothing if
-// FencedTerm is closed or if every version may lead.
+// raiseFence raises Record.Fence to at least requiredFence and marks the gate FencedTerm as used. It does
+// nothing if FencedTerm is closed or if every version may lead.
 func (r *Record) raiseFence() {
 	gate, present := r.Gates[FencedTerm]
 	required := r.requiredFence()
@@ -25,8 +25,8 @@
 	r.Gates[FencedTerm] = gate
 }
 
-// recomputeFence lowers the fence to requiredFence, or removes the fence if every version may lead. It
-// does nothing if FencedTerm is closed.
+// recomputeFence sets Record.Fence to requiredFence, or to 0 (no limit) if every version may lead. It does
+// nothing if the gate FencedTerm is closed.
 func (r *Record) recomputeFence() {
 	gate, present := r.Gates[FencedTerm]
 	if !present {
@@ -38,9 +38,9 @@
 	r.raiseFence()
 }
 
-// removeFence allows a controller that doesn't register to lead if its version can read all data that
-// may depend on a gate: it closes FencedTerm and removes the fence. Once a version is finalized, the
-// fence is never removed.
+// removeFence closes the gate FencedTerm and sets Record.Fence to 0 if some controller doesn't register
+// although its version can read all data that may depend on a gate. This controller may then lead. Once a
+// version is finalized, the fence is never removed.
 func removeFence(s *Situation) Step {
 	if _, present := s.Record.Gates[FencedTerm]; !present || s.Record.Minimum != 0 {
 		return Step{}
--- a/internal/upgrade/finalization.go
+++ b/internal/upgrade/finalization.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// finalize makes the active version the minimum version, once the soak time has passed and the operators'
-// policy allows it. Controllers of lower versions are refused from then on.
+// finalize makes the active version the minimum version, once the soak time (Policy.Soak) has passed since
+// the activation and the operators' policy allows it. Controllers of lower versions are refused from then on.
 func finalize(s *Situation) Step {
 	active := s.Record.Active
 	if s.Record.Phase != Soaking || active <= s.Record.Minimum {
--- a/internal/upgrade/gate.go
+++ b/internal/upgrade/gate.go
@@ -12,13 +12,13 @@
 const (
 	// GangJobs allows the leader to accept gang jobs, whose tasks all run at the same time.
 	GangJobs GateName = "gang-jobs"
-	// CompressedChunks allows journal chunks to be compressed, and records to be split into
-	// fragments.
+	// CompressedChunks allows chunks of the journal to be compressed, and journal records that don't fit
+	// into one chunk to be split into fragments.
 	CompressedChunks GateName = "compressed-chunks"
 	// JobArchive allows finished jobs to be moved from the journal to the archive. A version that
 	// can't read the archive treats such jobs as never submitted.
 	JobArchive GateName = "job-archive"
-	// WorkerTokens allows a worker's fencing token to be raised within a term. A version without
+	// WorkerTokens allows a worker's fencing token to be raised within a leader's term. A version without
 	// this gate doesn't support several tokens in one term. When the leader has delegated the renewal
 	// of worker leases to a controller of such a version, this controller doesn't renew the leases of
 	// workers with a raised token.
@@ -27,7 +27,7 @@
 	// would start these services without demand.
 	Activation GateName = "activation"
 	// FencedTerm allows the term record to be written in a format that prevents processes that don't
-	// register from leading. The gate is opened only when every controller registers.
+	// register from leading: see Term. The gate is opened only when every controller registers.
 	FencedTerm GateName = "fenced-term"
 )
 
--- a/internal/upgrade/gate_use.go
+++ b/internal/upgrade/gate_use.go
@@ -17,9 +17,10 @@
 	return next, nil
 }
 
-// markGateWithDependents looks for a gate that isn't marked as used although it has dependents, and marks
-// the first such gate as used. The dependents were created by versions that don't register. These versions
-// use the gate's feature without checking whether the gate is open.
+// markGateWithDependents looks for a gate that isn't marked as used although it has dependents (stored
+// objects that need the gate: see Usage), and marks the first such gate as used. The dependents were created
+// by versions that don't register. These versions use the gate's feature without checking whether the gate
+// is open.
 func markGateWithDependents(s *Situation) Step {
 	for _, gate := range s.KnownGates {
 		state, present := s.Record.Gates[gate.Name]
--- a/internal/upgrade/member.go
+++ b/internal/upgrade/member.go
@@ -8,10 +8,10 @@
 	Registration *Registration
 	// Damaged reports that the stored registration can't be decoded.
 	Damaged bool
-	// UnregisteredVersion is set if the controller's process doesn't register. It is then the version
-	// that the process has reported to its peers. 0: no such process is known. Such a process can't
-	// replace a registration that an earlier process stored, so Versions uses the lower of the two
-	// versions.
+	// UnregisteredVersion is the version that a process of the controller has reported to its peers, if
+	// this process doesn't register. 0: no such process is known. Such a process doesn't replace a
+	// registration that an earlier process of the controller stored, so Versions uses the lower of
+	// UnregisteredVersion and the registration's maximum version.
 	UnregisteredVersion Version
 }
 
--- a/internal/upgrade/record.go
+++ b/internal/upgrade/record.go
@@ -31,9 +31,10 @@
 	Minimum Version                `json:"minimum,omitempty"`
 	Phase   Phase                  `json:"phase"`
 	Gates   map[GateName]GateState `json:"gates,omitempty"`
-	// Fence is a lower limit for controllers that don't register: if their version is below Fence,
-	// they must not lead. 0: there is no limit. While Fence isn't 0, the term record is stored in a
-	// format that prevents all controllers that don't register from leading: see removeFence.
+	// Fence is the lowest version at which a controller that doesn't register may lead. 0: there is no
+	// limit. Such a controller doesn't read Fence. While Fence isn't 0, the term record is therefore
+	// stored in a format that prevents all of these controllers from leading. removeFence sets Fence to 0
+	// if the version of one of them is high enough to lead, unless a version is finalized.
 	Fence Version `json:"fence,omitempty"`
 	Term  uint64  `json:"term"` // term of the leader that wrote the record
 	// ActivatedMS is the time of the latest activation, in Unix milliseconds. The soak time starts then.
--- a/internal/upgrade/rollback.go
+++ b/internal/upgrade/rollback.go
@@ -5,7 +5,7 @@
 // rollBack returns the next step of a rollback, which is necessary while some controller supports only
 // versions below the active one. The rollback first withdraws the gates that this controller lacks, each
 // gate before the gates that it depends on. Then it lowers the active version by one in each step. It
-// leaves the fence in place: see removeFence.
+// doesn't change Record.Fence.
 func rollBack(s *Situation) Step {
 	node, commonVersion := s.commonVersion()
 	if commonVersion >= s.Record.Active {
@@ -47,10 +47,10 @@
 	return s.transitionTo(next, "gate %s closed", name)
 }
 
-// withdrawalOrder returns the gates that a controller of the common version lacks, in the order in
-// which they must be withdrawn. The gates that aren't in KnownGates come first, because they belong to
-// versions above the leader's. The other gates follow in the reverse order of KnownGates, so that each gate
-// comes before the gates that it depends on.
+// withdrawalOrder returns the gates that a controller of the common version (see Situation.commonVersion)
+// lacks, in the order in which they must be withdrawn. The gates that aren't in KnownGates come first,
+// because they belong to versions above the leader's. The other gates follow in the reverse order of
+// KnownGates, so that each gate comes before the gates that it depends on.
 func (s *Situation) withdrawalOrder(commonVersion Version) []GateName {
 	var names []GateName
 	for _, name := range s.Record.GateNames() {
--- a/internal/upgrade/settings.go
+++ b/internal/upgrade/settings.go
@@ -5,7 +5,7 @@
 // Settings holds a process's parameters for upgrades: the versions and gates that its program
 // supports, and the operators' policy.
 type Settings struct {
-	Versions   Range    // the compatibility range
+	Versions   Range    // the versions that the program can read and write
 	KnownGates GateList // the gates that the program supports
 	Policy     Policy
 }
--- a/internal/upgrade/transition.go
+++ b/internal/upgrade/transition.go
@@ -7,7 +7,7 @@
 
 // Usage holds the number of dependents of each gate. The dependents of a gate are stored objects that only
 // versions with the gate can handle, such as open gang jobs for GangJobs. A nil Usage means that the
-// dependents haven't been counted; a gate in use can't be closed then.
+// dependents haven't been counted; a gate that is marked as used can't be closed then.
 type Usage map[GateName]int
 
 // Situation is the input from which NextStep chooses a transition.
@@ -48,8 +48,9 @@
 	finalize,
 }
 
-// NextStep returns the next transition. The result depends only on the situation, so that a new leader
-// continues where the previous one stopped.
+// NextStep returns the step of the first transition rule that changes the record. If no rule changes it,
+// NextStep returns the first step with a Waiting text, or the zero Step. The result depends only on the
+// situation, so that a new leader continues where the previous one stopped.
 func NextStep(s Situation) Step {
 	var waiting Step
 	for _, rule := range transitionRules {
@@ -77,9 +78,9 @@
 }
 
 // commonVersion returns the lowest of the maximum versions of the members, and the node with this maximum.
-// Members whose versions are unknown are left out. If there are no other members, it returns the active
-// version. The result is never below the finalized version, because controllers of lower versions are
-// refused.
+// Members whose versions are unknown are left out. If the versions of all members are unknown, it returns
+// the active version and no node. The returned version is never below the finalized version, because
+// controllers of lower versions are refused.
 func (s *Situation) commonVersion() (node string, version Version) {
 	node, version, ok := oldestMember(s.Members)
 	if !ok {
--- a/internal/upgrade/unknown_fields.go
+++ b/internal/upgrade/unknown_fields.go
@@ -11,12 +11,13 @@
 )
 
 // UnknownFields holds the fields of a JSON object that this program doesn't define, because a later
-// version wrote them. They must be kept when the object is rewritten.
+// version of the program wrote them. They must be kept when the object is rewritten.
 type UnknownFields map[string]json.RawMessage
 
 var errNotAnObject = errors.New("the value is not a JSON object")
 
-// FieldNames returns the names that the json tags of a struct give to its fields.
+// FieldNames returns the names that the json tags of a struct give to its fields. It leaves out fields whose
+// tag gives no name, and fields that aren't encoded.
 func FieldNames(structValue any) []string {
 	var names []string
 	t := reflect.TypeOf(structValue)
