--- a/cmd/sagevale/memory.go
+++ b/cmd/sagevale/memory.go
@@ -5,10 +5,12 @@
 const (
 	// softLimitShare is the Go runtime's soft memory limit, as a share of the memory quota.
 	softLimitShare = 0.7
-	// gcThresholdShare is the size to which a small heap grows before garbage is collected, as a share of the memory
-	// quota. It keeps collections rare: with a small CPU quota, each collection delays all other work for a long time.
+	// gcThresholdShare is the size that a small heap may reach before garbage is collected, as a share of the memory
+	// quota. The share is large so that collections are rare: with a small CPU quota, each collection delays all other
+	// work for a long time.
 	gcThresholdShare = 1.0 / 3
-	// goMinHeapMB is the size to which the Go runtime lets a small heap grow at a GC percentage of 100.
+	// goMinHeapMB is the size that the Go runtime lets a small heap reach before it collects garbage, at a GC percentage
+	// of 100. For other percentages, the size changes in proportion.
 	goMinHeapMB = 4
 
 	bytesPerMB = 1 << 20
--- a/cmd/sagevale/model_gateway.go
+++ b/cmd/sagevale/model_gateway.go
@@ -17,7 +17,7 @@
 // client's connection and one for the connection to the model's server.
 const socketsPerModelConnection = 2
 
-// modelGateway serves requests for models. A nil gateway serves none.
+// modelGateway accepts requests for models and forwards them to the models' servers. A nil *modelGateway serves no requests.
 type modelGateway struct {
 	listener       net.Listener
 	maxConnections int // maximum number of client connections that are open at a time
@@ -26,8 +26,8 @@
 	log            *slog.Logger
 }
 
-// newModelGateway returns a gateway that listens on the address in the settings. It returns nil if the settings have no
-// such address.
+// newModelGateway returns a gateway that listens on the address in the property activation.listen. It returns nil if the
+// property isn't set.
 func newModelGateway(s *config.Settings, node *scheduler.Node, log *slog.Logger) (*modelGateway, error) {
 	tuning := &s.Tuning.Activation
 	if tuning.Listen == "" {
--- a/cmd/sagevale/root.go
+++ b/cmd/sagevale/root.go
@@ -14,7 +14,7 @@
 	configPath, propertiesPath string
 }
 
-// load reads the settings from the files that the flags name, and prints the warnings about them.
+// load reads the settings from the files that the flags name, and prints warnings about the settings to standard error.
 func (f *settingsFlags) load(cmd *cobra.Command) (*config.Settings, error) {
 	settings, err := protocol.LoadSettings(f.configPath, f.propertiesPath)
 	if err != nil {
--- a/cmd/sagevale/serve.go
+++ b/cmd/sagevale/serve.go
@@ -17,10 +17,11 @@
 	"sagevale/internal/transport"
 )
 
-// usageLogHeartbeats is the interval at which the process's resource usage is logged, in heartbeat intervals.
+// usageLogHeartbeats is the time between two log lines about the process's resource usage, in heartbeat intervals.
 const usageLogHeartbeats = 2.5
 
-// startTime is the time of the program's start. It doesn't include the time to load the program.
+// startTime is when the program started to run. The startup time that is logged therefore doesn't include the time that
+// the operating system took to load the program.
 var startTime = time.Now()
 
 // serve runs one controller until one of its components fails, and returns the error of that component.
@@ -85,8 +86,8 @@
 	}
 }
 
-// newLogger returns a logger that writes to standard error. The environment variable LOG_LEVEL sets the level;
-// the default is error.
+// newLogger returns a logger that writes to standard error. The environment variable LOG_LEVEL sets the level to debug or
+// info. With any other value, the level is error.
 func newLogger() *slog.Logger {
 	level := slog.LevelError
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/sagevale/status.go
+++ b/cmd/sagevale/status.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// newTable returns a writer that aligns cells in columns. Each cell ends with a tab. Flush returns the error of any
-// earlier write.
+// newTable returns a writer that aligns cells in columns. The caller separates the cells of a line with tabs. Flush returns
+// the error of any earlier write.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
 // gateText describes the state of an upgrade gate, which is open when every controller supports the gate's feature.
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -62,11 +62,12 @@
 	Done         int         // number of tasks that are done
 	Running      int         // number of running tasks
 	Reason       string      // why the response has no job state
-	RetrySeconds int         // time until the client should retry; 0: unspecified
+	RetrySeconds int         // how many seconds the client should wait before it retries; 0: unspecified
 	Peer         peer.Status // status of the responding controller; only in responses to OpPing
 	// ValidFor limits how long the leader's response may be passed on to the user, counted from the time when the leader
 	// received the request. At the end of that time, the leader's lease may have expired, and the next leader may have
-	// sent the user a newer state. ValidFor doesn't apply to final responses. 0: no limit.
+	// sent the user a newer state. ValidFor doesn't apply to final responses. A value of 0 means that
+	// there is no limit.
 	ValidFor time.Duration
 }
 
--- a/internal/protocol/activation_properties.go
+++ b/internal/protocol/activation_properties.go
@@ -27,7 +27,7 @@
 	activationBodyBytesProperty     = "activation.body.bytes"
 )
 
-// Maximum values of the properties that are whole numbers.
+// Maximum values, inclusive, of the properties that are whole numbers.
 const (
 	maxStartAttempts      = 1000
 	maxHeldRequests       = 1_000_000
@@ -61,8 +61,8 @@
 	}
 }
 
-// parseModelTarget checks the template of the model servers' addresses and returns it unchanged. activator.Target
-// describes the template.
+// parseModelTarget checks a template from which the addresses of model servers are built, such as {host}:8000, and returns
+// it unchanged. activator.Target describes the template.
 func parseModelTarget(v *validator, key, value string) string {
 	target, err := activator.Target(value, "127.0.0.1:1", "job-000001")
 	if !strings.Contains(value, activator.TargetHost) || err != nil || target.Port() == "" {
@@ -95,8 +95,8 @@
 	}
 }
 
-// checkActivationClasses checks that each class has an objective in the settings. It accepts any class if the settings
-// have no objectives.
+// checkActivationClasses checks that each class in the property activation.classes has a service-level objective in the
+// settings. It accepts any class if the settings have no objectives.
 func checkActivationClasses(v *validator, s *config.Settings) {
 	known := make(map[string]bool)
 	for _, objective := range s.Objectives {
--- a/internal/protocol/archive_properties.go
+++ b/internal/protocol/archive_properties.go
@@ -9,7 +9,7 @@
 	archiveMemoryProperty  = "archive.memory.mb"
 )
 
-// Bounds of these properties' values.
+// Inclusive bounds of the values of archive.keep and archive.memory.mb.
 const (
 	maxKeptJobs        = 10_000_000 // limit on the number of finished jobs that stay in the journal
 	minArchiveMemoryMB = 0.1
--- a/internal/protocol/fencing_properties.go
+++ b/internal/protocol/fencing_properties.go
@@ -11,9 +11,11 @@
 	fencingWindowProperty  = "fencing.window"
 )
 
-// maxFencingWindow is the largest value of fencing.window, the number of ended attempts that a worker must retain before
-// its token is raised. The token is thus usually raised well before the worker must retain fencing.MaxRetained attempts.
-// At that number, direct commands no longer start attempts.
+// maxFencingWindow is the largest value of fencing.window. An attempt is one execution of a task, and a worker must retain
+// some attempts after they have ended. Once it must retain fencing.window of them, its fencing token is raised. The maximum
+// is half of fencing.MaxRetained, so that the token is usually raised well before the worker must retain MaxRetained
+// attempts. While it must retain that many, no attempt is started by a direct command, which is a command that isn't sent
+// in the response to a heartbeat.
 const maxFencingWindow = fencing.MaxRetained / 2
 
 // addFencing adds the parsers of the properties for the workers' fencing tokens.
--- a/internal/protocol/key_value.go
+++ b/internal/protocol/key_value.go
@@ -26,7 +26,8 @@
 	Revision uint64       `json:"LedgerRev"`
 }
 
-// Txn is the body of a guarded transaction. The store executes the operations only if all guards hold.
+// Txn is the body of a guarded transaction. The store executes the operations only if all guards hold, that is, if each
+// guard's key has the guard's version. Version 0 means that the key must not exist.
 type Txn struct {
 	Guards []txnGuard `json:"Guards"`
 	Ops    []txnOp    `json:"Apply,omitempty"`
@@ -76,7 +77,7 @@
 	ID uint64 `json:"Tether"`
 }
 
-// WatchResponse is the body of the response to a watch.
+// WatchResponse is the body of the response to a watch, a request that waits for changes.
 type WatchResponse struct {
 	Revision uint64   `json:"LedgerRev"`
 	Events   []change `json:"Events"`
--- a/internal/protocol/properties.go
+++ b/internal/protocol/properties.go
@@ -19,11 +19,11 @@
 	headroomProperty       = "fleet.headroom.deviations"
 	leaderLeaseProperty    = "leader.lease"
 
-	// deprecatedHeadroomProperty is the earlier name of headroomProperty, which existing properties files may still contain.
+	// deprecatedHeadroomProperty is the former name of headroomProperty. Existing properties files may still contain it.
 	deprecatedHeadroomProperty = "fleet.reserve.luck"
 )
 
-// Bounds of these properties' values.
+// Inclusive bounds of the values of fleet.grow.step, fleet.headroom.deviations and leader.lease.
 const (
 	maxScaleOutStep       = 50
 	maxHeadroomDeviations = 10
@@ -36,8 +36,8 @@
 // propertyParsers holds the parsers of all properties by name.
 type propertyParsers map[string]propertyParser
 
-// parseProperties checks the contents of a properties file and stores them in s. An error is a *FieldError. After an
-// error, s must not be used.
+// parseProperties checks the contents of a properties file and stores them in s. Every error that it returns is a
+// *FieldError. After an error, s must not be used.
 func parseProperties(file string, raw []byte, s *config.Settings) error {
 	parsed, err := properties.Load(raw, properties.UTF8)
 	if err != nil {
--- a/internal/protocol/property_values.go
+++ b/internal/protocol/property_values.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// parseCount parses a whole number within bounds.
+// parseCount parses a whole number from minimum to maximum, both inclusive.
 func (v *validator) parseCount(key, value string, minimum, maximum int) int {
 	n, err := strconv.Atoi(value)
 	if err != nil || n < minimum || n > maximum {
@@ -19,7 +19,7 @@
 	return n
 }
 
-// parseNumber parses a number within bounds.
+// parseNumber parses a number from minimum to maximum, both inclusive.
 func (v *validator) parseNumber(key, value string, minimum, maximum float64) float64 {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(x) || x < minimum || x > maximum {
@@ -28,7 +28,7 @@
 	return x
 }
 
-// parseBool parses true or false.
+// parseBool parses a boolean in any form that strconv.ParseBool accepts, such as true or 1.
 func (v *validator) parseBool(key, value string) bool {
 	b, err := strconv.ParseBool(value)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return b
 }
 
-// parseDuration parses a positive duration. The error text shows example as a valid value.
+// parseDuration parses a positive duration in the syntax of time.ParseDuration. The error text shows example as a valid
+// value.
 func (v *validator) parseDuration(key, value, example string) time.Duration {
 	d, err := time.ParseDuration(value)
 	if err != nil || d <= 0 {
--- a/internal/protocol/report_reader.go
+++ b/internal/protocol/report_reader.go
@@ -14,9 +14,9 @@
 // seqField is the JSON text that precedes a report's sequence number.
 var seqField = []byte(`"Tally":`)
 
-// ReportReader parses the reports that are received on one connection. It caches the report that it decoded last. Most
-// reports differ from the cached report only in the sequence number; these aren't decoded again. The zero value is ready
-// to use. A ReportReader must not be used by several goroutines at once.
+// ReportReader parses the reports that are received on one connection. It caches the report that it decoded last. A report
+// that differs from the cached one only in the sequence number, as most reports do, isn't decoded again. The zero value is
+// ready to use. A ReportReader must not be used by several goroutines at once.
 type ReportReader struct {
 	prefix, suffix []byte // bytes of the cached report before and after its sequence number; nil: no report is cached
 	cached         worker.Report
@@ -53,15 +53,15 @@
 }
 
 // cache caches the report r, which was decoded from body, if three conditions hold: the body is small enough, the report
-// has no preemption notice, and the position of the sequence number in the body is unambiguous. Otherwise no report is
-// cached.
+// has no preemption notice, and the position of the sequence number in the body is unambiguous. If a condition
+// doesn't hold, no report is cached afterwards.
 func (reader *ReportReader) cache(body []byte, r *worker.Report) {
 	reader.prefix, reader.suffix = nil, nil
 	if len(body) > maxCachedReportBytes || r.NoticeSeconds != nil || bytes.IndexByte(body, '\\') >= 0 {
 		return // a backslash may belong to a field name with escape sequences, which the search below wouldn't find
 	}
-	// encoding/json matches field names regardless of case. The field name must therefore occur exactly once in body,
-	// counting all spellings.
+	// encoding/json matches field names regardless of case. The field name must therefore occur exactly once in body, in
+	// upper or lower case.
 	if bytes.Count(bytes.ToLower(body), bytes.ToLower(seqField[1:len(seqField)-2])) != 1 {
 		return
 	}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/storage"
 )
 
-// The platform's settings file, in TOML. Unknown fields are ignored.
+// These types define the TOML structure of the platform's settings file. Unknown fields in the file are ignored.
 type (
 	settingsFile struct {
 		HostName   string        `toml:"host_name"`
@@ -83,15 +83,15 @@
 	}
 )
 
-// Minimum values of the settings.
+// Smallest valid values of the settings. RPS means requests or changes per second.
 const (
-	minIntervalS = 0.01 // seconds
+	minIntervalS = 0.01 // in seconds
 	minCloudRPS  = 0.01
 	minStoreRPS  = 0.1
 	minValueKB   = 1
 	minTxnOps    = 3
 	minCPUShare  = 0.0001
-	minMemoryMB  = 16 // an idle controller uses about half of it
+	minMemoryMB  = 16 // an idle controller uses about half of this memory
 	minSockets   = 8
 )
 
@@ -102,8 +102,8 @@
 	bytesPerMB            = 1 << 20
 )
 
-// LoadSettings reads and checks the settings file and, unless propertiesPath is empty, the operators' properties file.
-// An error is a *FieldError.
+// LoadSettings reads and checks the settings file. If propertiesPath isn't empty, it also reads and checks the operators'
+// properties file. Every error that it returns is a *FieldError.
 func LoadSettings(path, propertiesPath string) (*config.Settings, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
 
-// ParseSettings checks the contents of a settings file and returns them with the default tuning. An error is a
-// *FieldError that names file.
+// ParseSettings checks the contents of a settings file and returns them. The field Tuning, which holds the values of the
+// operators' properties, gets its default values. Every error that ParseSettings returns is a *FieldError that names file.
 func ParseSettings(file string, raw []byte) (*config.Settings, error) {
 	var f settingsFile
 	if err := toml.Unmarshal(raw, &f); err != nil {
@@ -161,7 +161,8 @@
 	return s, nil
 }
 
-// decodeError converts an error of the TOML decoder to a FieldError with the line and the field.
+// decodeError converts an error of the TOML decoder to a FieldError. The FieldError contains the line and the field if the
+// decoder's error does.
 func decodeError(file string, err error) *FieldError {
 	var decodeErr *toml.DecodeError
 	if !errors.As(err, &decodeErr) {
@@ -176,7 +177,7 @@
 	return &FieldError{file, field, fmt.Sprintf("line %d: %s", line, text)}
 }
 
-// settings returns the checked settings without the operators' tuning.
+// settings checks the settings and returns them. The field Tuning, for the operators' properties, isn't set yet.
 func (f *settingsFile) settings(v *validator) *config.Settings {
 	params := &f.Params
 	return &config.Settings{
@@ -225,7 +226,7 @@
 	}
 }
 
-// peers returns the other controllers.
+// peers checks and returns the other controllers, which the settings file lists as seeds.
 func (f *settingsFile) peers(v *validator) []config.Peer {
 	var peers []config.Peer
 	for i, seed := range f.Seeds {
--- a/internal/protocol/upgrade_properties.go
+++ b/internal/protocol/upgrade_properties.go
@@ -13,8 +13,8 @@
 	upgradeTargetProperty   = "upgrade.target"
 	upgradeFinalizeProperty = "upgrade.finalize"
 	upgradeSoakProperty     = "upgrade.soak"
-	// upgradeVersionCapProperty makes the program act as if it were a program of the given, earlier version. It is for
-	// tests.
+	// upgradeVersionCapProperty is for tests. It limits the versions that this program supports to the given version and
+	// those below it, so that the program behaves like an older release.
 	upgradeVersionCapProperty = "upgrade.test.cap"
 )
 
@@ -32,7 +32,8 @@
 	p[upgradeVersionCapProperty] = func(key, value string) { *settings = settings.CappedAt(parseVersion(v, key, value)) }
 }
 
-// parseUpgradeTarget parses "latest", "hold" or a version into policy.
+// parseUpgradeTarget parses the target of an upgrade into policy: "latest" (no limit), "hold" (activate no further
+// version) or the highest version to activate.
 func parseUpgradeTarget(v *validator, key, value string, policy *upgrade.Policy) {
 	switch value {
 	case "latest":
@@ -43,7 +44,7 @@
 	}
 }
 
-// parseVersion parses a version that this program supports.
+// parseVersion parses a version that this program supports. After an error, it returns the program's latest version.
 func parseVersion(v *validator, key, value string) upgrade.Version {
 	version, err := strconv.ParseUint(value, 10, 32)
 	if err != nil || version < uint64(upgrade.Baseline) || version > uint64(upgrade.Current) {
@@ -53,7 +54,8 @@
 	return upgrade.Version(version)
 }
 
-// checkUpgrade checks that the properties for upgrades are consistent with each other.
+// checkUpgrade checks that the target version isn't above the highest version that this program supports, which the
+// property upgrade.test.cap may have lowered.
 func checkUpgrade(v *validator, settings *upgrade.Settings) {
 	if target := settings.Policy.Target; target > settings.Versions.Max {
 		v.fail(upgradeTargetProperty, fmt.Sprintf("version %d is not supported: this program supports versions %s", target, settings.Versions))
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -12,7 +12,7 @@
 	"sagevale/internal/storage"
 )
 
-// MaxBodyBytes is the maximum size of a request body.
+// MaxBodyBytes is the largest allowed size, in bytes, of the body of a request from a user or a worker.
 const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks of a job.
@@ -22,7 +22,7 @@
 // key-value store.
 const (
 	maxNameBytes  = 256
-	maxTypesBytes = 2048 // for the names of all machine types together, with separators
+	maxTypesBytes = 2048 // for the names of all allowed machine types, joined with spaces
 )
 
 // jobIDPrefix is the prefix of every job ID in the external interfaces.
@@ -38,7 +38,7 @@
 	return strings.TrimPrefix(s, jobIDPrefix), true
 }
 
-// submission is the body of a user's request to submit a job. A missing field is a nil pointer.
+// submission is the body of a user's request to submit a job. A field that is missing in the body is nil.
 type submission struct {
 	ID          *string  `json:"Id"`
 	Class       *string  `json:"Bracket"`
@@ -151,7 +151,8 @@
 	return priority
 }
 
-// checkSizes checks the number of tasks and the lengths of a submission's texts.
+// checkSizes checks the number of tasks and the lengths of a submission's texts, and that a list of machine types, if given,
+// isn't empty.
 func checkSizes(v *validator, spec *storage.Spec) {
 	if spec.Tasks < 1 || spec.Tasks > MaxTasks {
 		v.fail("Chores", fmt.Sprintf("must be from 1 to %d", MaxTasks))
@@ -184,8 +185,8 @@
 	return JobStatus{ID: jobIDPrefix + r.ID, State: jobStates[r.State], Done: r.Done, Running: r.Running}
 }
 
-// ErrorResponse is the body of error responses that controllers send to users and workers, and of those that the cloud
-// sends. The response that redirects a worker has a Redirect as its body instead.
+// ErrorResponse is the body of an error response of the cloud, or of an error response that a controller sends to a user or
+// a worker. The only exception is the response that redirects a worker to another controller: its body is a Redirect.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -14,7 +14,7 @@
 const machinePrefix = "host-"
 
 // MachineName returns the name of a machine in the external interfaces. The number in the name has at least six digits,
-// so that the names of the first million machines sort by age.
+// so that the names of the first million machines sort by ID and thus by age.
 func MachineName(id int) string { return fmt.Sprintf("%s%06d", machinePrefix, id) }
 
 // ParseMachineName returns the ID of the machine with the given name.
@@ -41,7 +41,7 @@
 	return worker.TaskID{Job: id, Task: n}, nil
 }
 
-// report is a worker's report. It is the body of a heartbeat and of a response to commands.
+// report is a worker's report about itself and its tasks. It is the body of a heartbeat and of a response to commands.
 type report struct {
 	Machine       string       `json:"Mount"`
 	Addr          string       `json:"Addr"`
@@ -74,8 +74,9 @@
 	"peers": worker.CauseGangMissing, "alone": worker.CauseGangMissing,
 }
 
-// minNoticeSeconds replaces shorter notice periods. Controllers exchange reports in gob, which omits a pointer to zero.
-// A notice of 0 seconds would thus be lost.
+// minNoticeSeconds is the smallest notice period that ParseReport returns: it replaces shorter ones. The notice period is the
+// time until the cloud reclaims the machine. Controllers exchange reports in gob, which omits a pointer to zero, so a notice
+// of 0 seconds would be lost.
 const minNoticeSeconds = 0.001
 
 // ParseReport decodes and checks a worker's report. If one task of the report is invalid, it rejects the whole report: a
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// lagProbesPerInterval is how many times per interval the lag of a timer is measured.
+// lagProbesPerInterval is how many times the timer lag is measured between two log lines. The
+// largest of these values is logged.
 const lagProbesPerInterval = 20
 
-// Reporter logs one line of resource usage per interval at level debug. If the logger's
-// level is higher, Reporter measures nothing.
+// Reporter logs one line of resource usage per interval at level debug. If the logger drops
+// messages of this level, Reporter measures nothing.
 type Reporter struct {
 	Log      *slog.Logger
 	Interval time.Duration // time between two lines
--- a/internal/transport/cloud_client.go
+++ b/internal/transport/cloud_client.go
@@ -92,9 +92,9 @@
 	return c.send(ctx, http.MethodPost, "/rentals/delete", protocol.NewMachineNames(machines), nil)
 }
 
-// List returns one page of the cloud's list of machines, which has at most limit machines. more reports whether further
-// machines follow the page. If after is negative, the page is the first of the list. Otherwise the page starts with the
-// machine that follows the ID after.
+// List returns one page of at most limit machines from the cloud's list of machines. more reports whether further
+// machines follow the page. If after is negative, the first page of the list is returned. If after is a machine's ID, the
+// page starts with the machine that follows this ID in the list.
 func (c *CloudClient) List(ctx context.Context, after int, limit int) (machines []cloud.Machine, more bool, err error) {
 	query := url.Values{"Page": {strconv.Itoa(limit)}}
 	if after >= 0 {
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -119,7 +119,7 @@
 }
 
 // markWorker records that the client is a worker. It returns false if more than maxWorkerConns worker connections are
-// open. The connection must then be closed after the response.
+// open, including this one. The connection must then be closed after the response.
 func (c *limitedConn) markWorker() (mayStayOpen bool) {
 	if !c.isWorker.Swap(true) {
 		c.limiter.workerConns.Add(1)
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -75,7 +75,7 @@
 }
 
 // writeError writes an error response. For the statuses after which clients retry (429 and 503), it sets Retry-After to
-// retrySeconds, but to at least 1.
+// retrySeconds, or to 1 second if retrySeconds is less than 1.
 func writeError(w http.ResponseWriter, status int, reason string, retrySeconds int) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, retrySeconds)))
--- a/internal/transport/key_value_client.go
+++ b/internal/transport/key_value_client.go
@@ -13,8 +13,8 @@
 )
 
 // KeyValueClient is a client of the key-value store's HTTP API. Its methods return errors of package storage, possibly
-// wrapped. The only other error is that of a conflict response that can't be decoded. The methods may be called from
-// several goroutines.
+// wrapped, with one exception: if the body of a conflict response (status 409) can't be decoded, they return the decoding
+// error. The methods may be called from several goroutines.
 type KeyValueClient struct {
 	baseURL string
 	client  *jsonClient
@@ -72,9 +72,9 @@
 	return item.Item(), nil
 }
 
-// List reads one page of the keys with the prefix, which has at most limit keys. If after is empty, the page starts with
-// the first key. Otherwise it starts with the first key that follows the key after. List also returns whether more keys
-// follow the page, and the store's revision.
+// List reads a page of at most limit items whose keys start with prefix. If after is empty, the page starts with the first
+// such key. If after is a key, the page starts with the first such key that follows it. List also returns whether more
+// such keys follow the page, and the store's revision.
 func (c *KeyValueClient) List(ctx context.Context, prefix, after string, limit int) (items []storage.Item, more bool, revision uint64, err error) {
 	query := url.Values{"Under": {prefix}, "Page": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -91,8 +91,9 @@
 	return items, page.More, page.Revision, nil
 }
 
-// Txn executes a transaction if all guards hold, and returns the store's revision after the transaction. If a guard
-// doesn't hold, Txn returns a *storage.ConflictError.
+// Txn executes a transaction if all guards hold, and returns the store's revision after the transaction. A guard holds if
+// its key has the version that the guard names; version 0 means that the key must not exist. If a guard doesn't hold, Txn
+// returns a *storage.ConflictError.
 func (c *KeyValueClient) Txn(ctx context.Context, guards []storage.Guard, ops []storage.Op) (uint64, error) {
 	var result protocol.TxnResponse
 	if err := c.send(ctx, http.MethodPost, "/txn", protocol.NewTxn(guards, ops), &result); err != nil {
@@ -121,8 +122,8 @@
 	return c.send(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch waits until a key with the prefix has changed after the given revision, at most for maxWait, and returns the
-// changes. It also returns the revision up to which the changes are complete.
+// Watch returns the changes that were made after the given revision to keys that start with prefix. If there are none yet,
+// it waits up to maxWait for one. It also returns the revision up to which the changes are complete.
 func (c *KeyValueClient) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]storage.Item, uint64, error) {
 	query := url.Values{"Under": {prefix}, "From": {strconv.FormatUint(after, 10)}, "HoldMs": {strconv.FormatInt(maxWait.Milliseconds(), 10)}}
 	var changes protocol.WatchResponse
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -14,7 +14,7 @@
 // decodes every kind of request into receivedRequest and every kind of response into receivedResponse, which have the
 // fields of all kinds.
 //
-// Serial identifies a request. The response to the request has the same Serial.
+// Every message has a field Serial, the serial number of a request. The response to a request has the Serial of the request.
 
 // peerAsk is a forwarded user request, a ping, or a batch of forwarded heartbeats.
 type peerAsk struct {
@@ -30,8 +30,8 @@
 	Beats  []wire.BeatAnswer
 }
 
-// wakeAsk carries a wake request, which reports to the leader that a controller holds requests for a model. It is sent
-// only to peers of version peer.VersionActivation or later.
+// wakeAsk carries a wake request, which reports to the leader that a controller holds requests for a model until the model
+// is ready. It is sent only to peers of version peer.VersionActivation or later.
 type wakeAsk struct {
 	Serial uint64
 	Wake   *activation.WakeRequest
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -53,8 +53,8 @@
 	return r.isUserRequest() && r.message.Req.Op == api.OpPing
 }
 
-// mayBatch reports whether the request may be delayed and sent in a batch. Only polls are batched: they are frequent
-// and not urgent, and each poll that is sent alone would wake up the peer's process.
+// mayBatch reports whether the request may be delayed and sent in a batch. Only polls, which request a job's state, are
+// batched: they are frequent and not urgent, and each poll that is sent alone would wake up the peer's process.
 func (r *peerRequest) mayBatch() bool {
 	return r.isUserRequest() && r.message.Req.Op == api.OpPoll
 }
@@ -65,7 +65,7 @@
 	sentAt time.Time
 }
 
-// peerEvent is an event that readResponses sends to the peerClient: a receivedResponse or a disconnected.
+// peerEvent is an event that readResponses sends to the peerClient. Its type is receivedResponse or disconnected.
 type peerEvent interface{ isPeerEvent() }
 
 // disconnected is the last event of a connection. It holds the error that ended the connection.
@@ -171,9 +171,10 @@
 	})
 }
 
-// send writes a request to the buffer of the connection. A request that may be batched waits in the buffer for the next
-// flush, at the latest until the batch window ends. For any other request, send flushes the buffer at once. If there is
-// no connection and none can be opened, the request fails.
+// send writes a request to the buffer of the connection. A request that may be batched waits in the buffer until the next
+// flush, which comes at the latest at the end of the batch window. The batch window begins with the first request that
+// waits. For a request that may not be batched, send flushes the buffer at once. If there is no connection and none can be
+// opened, the request fails.
 func (c *peerClient) send(ctx context.Context, req peerRequest) {
 	if c.conn == nil && !c.connect(ctx) {
 		req.result <- peerResult{err: errPeerUnreachable}
@@ -256,8 +257,8 @@
 	}
 }
 
-// checkTimeouts closes the connection if any request on it has waited too long for its response. During a network
-// partition, the connection would otherwise hang.
+// checkTimeouts closes the connection if any request on it has waited longer than 2*peerTimeout for its response. Without
+// this check, the connection would hang during a network partition.
 func (c *peerClient) checkTimeouts(now time.Time) {
 	for _, pending := range c.pending {
 		if now.Sub(pending.sentAt) > 2*peerTimeout {
@@ -267,7 +268,8 @@
 	}
 }
 
-// disconnect closes the connection, if there is one, and completes all pending requests with an error.
+// disconnect closes the connection, if there is one, and completes all pending requests with errPeerUnreachable. err is the
+// cause, which is only logged.
 func (c *peerClient) disconnect(err error) {
 	if c.conn != nil {
 		c.log.Debug("peer connection closed", "error", err)
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -25,9 +25,10 @@
 	// response to each heartbeat, in the same order. It returns nil if this controller doesn't handle them, for example
 	// because it isn't the leader.
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
-	// HandleForwardedWake handles a wake request, which reports that another controller holds requests for a model.
+	// HandleForwardedWake handles a wake request, which reports that another controller holds requests for a
+	// model until the model is ready.
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
-	// HandleForwardedUsage handles a usage report, which contains another controller's usage of models.
+	// HandleForwardedUsage handles a usage report, which lists the models for which another controller has had requests.
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
 }
 
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -20,11 +20,11 @@
 const (
 	// peerTimeout is the longest that a controller waits for another controller's response.
 	peerTimeout = time.Second
-	// peerRetryDelay is the pause after a connection to a peer has failed or couldn't be opened, before the next attempt
-	// to open one. It is also the pause after a failure to accept a connection.
+	// peerRetryDelay is how long a client waits before it tries to connect to a peer again, after a connection has failed
+	// or couldn't be opened. The server waits as long after it has failed to accept a connection.
 	peerRetryDelay = 250 * time.Millisecond
-	// peerQueueLength is the size of two buffers: for the responses received from a peer, and for the responses to send on
-	// a connection. When a buffer is full, the goroutine that adds a response waits.
+	// peerQueueLength is the capacity of two kinds of channels: those with the responses received from a peer, and those
+	// with the responses to send on a connection. When a channel is full, the goroutine that adds a response waits.
 	peerQueueLength = 256
 	// A peer counts as unreachable once unreachableAfter has passed since its latest response. A peer that has never
 	// responded counts as unreachable once firstContactTimeout has passed since the creation of its client.
@@ -116,7 +116,8 @@
 	return *r.Wake, nil
 }
 
-// ReportUsage sends this controller's usage of models to the named controller and returns its response.
+// ReportUsage sends a usage report, which lists the models for which this controller has had requests, to the named
+// controller and returns its response.
 func (p *Peers) ReportUsage(ctx context.Context, node string, report activation.UsageReport) (activation.UsageResponse, error) {
 	r, err := p.send(ctx, node, peerRequest{usage: &report})
 	if err == nil && r.Usage == nil {
@@ -166,7 +167,8 @@
 	return status, ok
 }
 
-// UnreachableFor returns how long the named controller has been unreachable, or 0 if it is reachable.
+// UnreachableFor returns 0 if the named controller is reachable or unknown. If it is unreachable, UnreachableFor returns
+// the time since its latest response or, if it has never responded, since the creation of its client.
 func (p *Peers) UnreachableFor(node string) time.Duration {
 	c := p.clients[node]
 	if c == nil {
@@ -174,7 +176,8 @@
 	}
 	lastContact, ok := c.lastContact.Load().(time.Time)
 	if !ok {
-		// The peer has never responded, possibly because of a network partition that began before this process.
+		// The peer has never responded, possibly because of a network partition that began before this
+		// process started.
 		if d := time.Since(c.created); d > firstContactTimeout {
 			return d
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -43,7 +43,8 @@
 	cancelSuffix  = "/cancel"
 )
 
-// unavailableRetrySeconds is the Retry-After value of a 503 response for which the controller has returned no value.
+// unavailableRetrySeconds is the Retry-After value, in seconds, of the 503 responses for which the controller doesn't
+// choose the value.
 const unavailableRetrySeconds = 1
 
 // Controller handles the requests of users and workers. Its methods are called from several goroutines.
@@ -52,7 +53,8 @@
 	HandleUserRequest(ctx context.Context, req api.Request) api.Response
 	// HandleHeartbeat handles a worker's heartbeat. It must return soon after ctx ends.
 	HandleHeartbeat(ctx context.Context, r *worker.Report) worker.HeartbeatResponse
-	// Ready reports whether health checks succeed.
+	// Ready reports whether this controller can take requests. It is called for each health check, and the check succeeds
+	// only if it returns true.
 	Ready() bool
 }
 
@@ -66,7 +68,8 @@
 	http       *http.Server
 }
 
-// NewServer returns a server that stays within limits.
+// NewServer returns a server. The server derives from limits how many connections it keeps open and how much memory it uses
+// for request bodies.
 func NewServer(controller Controller, limits Limits, log *slog.Logger) *Server {
 	s := &Server{controller: controller, limits: limits, bodies: newBodyLimiter(limits), log: log}
 	s.http = &http.Server{
@@ -103,8 +106,8 @@
 	return limiter.openConns.Load()
 }
 
-// ServeHTTP implements http.Handler. It doesn't clean the path of a request. http.ServeMux isn't used because it would
-// redirect requests for some paths.
+// ServeHTTP implements http.Handler. It uses the path of a request exactly as received. http.ServeMux isn't used because
+// it would redirect requests whose path isn't in canonical form, for example because of a double slash.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.recoverPanic(w, r)
 	switch path := r.URL.Path; {
--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -27,8 +27,8 @@
 
 var _ scheduler.WorkerLink = (*WorkerClient)(nil)
 
-// NewWorkerClient returns a client. sockets is the number of sockets of the process. commandSocketShare and
-// idleCommandSocketShare are the shares of the sockets that the client may use.
+// NewWorkerClient returns a client. sockets is the number of sockets that the process may use. Of these, the client uses at
+// most commandSocketShare for requests in flight and idleCommandSocketShare for idle connections.
 func NewWorkerClient(sockets int, log *slog.Logger) *WorkerClient {
 	maxIdle := socketShare(sockets, idleCommandSocketShare)
 	return &WorkerClient{
@@ -38,10 +38,11 @@
 	}
 }
 
-// SendCommands sends commands to the worker at addr. The request carries a fencing token and the incarnation of the
-// worker for which the commands are meant. While too many requests are in flight, SendCommands waits. It sends nothing
-// once sendBy has passed; a zero sendBy sets no limit. SendCommands returns the outcome and the report in the worker's
-// response. The report is nil if the response has none.
+// SendCommands sends commands to the worker at addr. The request carries a fencing token and the worker's incarnation, a
+// number that increases each time the worker's lease expires. The worker rejects the commands if the token is too low or
+// the incarnation isn't its current one. While too many requests are in flight, SendCommands waits. It sends nothing once
+// sendBy has passed; a zero sendBy sets no limit. SendCommands returns the outcome and the report in the worker's response.
+// The report is nil if the response has none.
 func (c *WorkerClient) SendCommands(ctx context.Context, addr string, token, incarnation uint64, commands []worker.Command, sendBy time.Time) (worker.CommandOutcome, *worker.Report) {
 	select {
 	case c.inFlight <- struct{}{}:
--- a/internal/wire/coordination/messages.go
+++ b/internal/wire/coordination/messages.go
@@ -4,7 +4,7 @@
 // Controllers of other versions read and write these messages. gob sends the names of types and fields. For unnamed
 // types (such as []*coordination.Report) it also sends the package name. Therefore the name of this package and the names
 // of its message types and their fields must never change, even if the domain types are renamed. Fields may only be
-// added. If the corresponding field of the domain type has another name, a comment behind the field gives the domain type
+// added. If the corresponding field of the domain type has another name, a comment after the field gives the domain type
 // and that name. Only code that sends or receives messages may use the names of this package. Import this package under
 // the name wire.
 package coordination
--- a/internal/wire/coordination/relay.go
+++ b/internal/wire/coordination/relay.go
@@ -15,8 +15,8 @@
 	Report *worker.Report
 }
 
-// RelayResponse is the response to a RelayRequest. If Answered is false, no response has arrived. Otherwise User is set
-// for a user's request, and Heartbeat for a worker's heartbeat.
+// RelayResponse is the response to a RelayRequest. If Answered is false, no response has arrived. If Answered is true, User
+// is set for a user's request, and Heartbeat for a worker's heartbeat.
 type RelayResponse struct {
 	Answered  bool
 	User      *api.Response
@@ -59,7 +59,7 @@
 	return requests, nil
 }
 
-// EncodeRelayResponses writes the responses to a batch to w in their wire form.
+// EncodeRelayResponses writes the responses to one batch of requests, in their wire form, to w.
 func EncodeRelayResponses(w io.Writer, responses []RelayResponse) error {
 	replies := make([]mailReply, len(responses))
 	for i, r := range responses {
@@ -76,7 +76,7 @@
 	return gob.NewEncoder(w).Encode(replies)
 }
 
-// DecodeRelayResponses reads the responses to a batch from r.
+// DecodeRelayResponses reads the responses to one batch of requests from r.
 func DecodeRelayResponses(r io.Reader) ([]RelayResponse, error) {
 	var replies []mailReply
 	if err := gob.NewDecoder(r).Decode(&replies); err != nil {
