--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -30,8 +30,8 @@
 	Beats  []wire.BeatAnswer
 }
 
-// wakeAsk carries a wake request, which reports to the leader that a controller holds requests for a model until the model
-// is ready. It is sent only to peers of version peer.VersionActivation or later.
+// wakeAsk carries a wake request, which reports to the leader that a controller holds requests for a model that isn't ready
+// yet. It is sent only to peers of version peer.VersionActivation or later.
 type wakeAsk struct {
 	Serial uint64
 	Wake   *activation.WakeRequest
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -26,7 +26,7 @@
 	// because it isn't the leader.
 	HandleForwardedHeartbeats(ctx context.Context, reports []*worker.Report) []worker.HeartbeatResponse
 	// HandleForwardedWake handles a wake request, which reports that another controller holds requests for a
-	// model until the model is ready.
+	// model that isn't ready yet.
 	HandleForwardedWake(ctx context.Context, req activation.WakeRequest) activation.WakeResponse
 	// HandleForwardedUsage handles a usage report, which lists the models for which another controller has had requests.
 	HandleForwardedUsage(ctx context.Context, report activation.UsageReport) activation.UsageResponse
